--- a/Makefile
+++ b/Makefile
@@ -32,4 +32,4 @@
 
 # Plants defects in copies of the tree and counts the seeded runs until each is caught; about a minute.
 mutants:
-	go run ./internal/lab/mutants
+	go run ./internal/lab/mutationtest
--- a/cmd/adapter/main.go
+++ b/cmd/simadapter/main.go
@@ -8,9 +8,9 @@
 	"io"
 	"os"
 
-	"thymebend"
+	"thymebend/internal/balancer"
 	"thymebend/internal/settings"
-	"thymebend/internal/wire"
+	"thymebend/internal/simproto"
 )
 
 func main() {
@@ -22,19 +22,19 @@
 
 // host keeps the instances of this process by their number.
 type host struct {
-	instances map[int]*thymebend.Balancer
+	instances map[int]*balancer.Balancer
 	waiting   map[int]int // by instance: the column of its load reports that holds the requests waiting
 	touched   []int       // instances with an event in this batch, in the order of their first
 	batches   uint64
 	seen      map[int]uint64 // by instance: the batch in which it was touched last
-	reply     wire.Reply
+	reply     simproto.Reply
 }
 
 // run answers batches until the input ends. A reply is written whole or not at all.
 func run(in io.Reader, out io.Writer) error {
-	h := host{instances: make(map[int]*thymebend.Balancer), waiting: make(map[int]int),
+	h := host{instances: make(map[int]*balancer.Balancer), waiting: make(map[int]int),
 		seen: make(map[int]uint64)}
-	reader := wire.NewReader(in)
+	reader := simproto.NewReader(in)
 	for {
 		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
@@ -53,7 +53,7 @@
 }
 
 // answer plays all events of a batch, then lets each instance that had one dispatch.
-func (h *host) answer(batch *wire.Batch) error {
+func (h *host) answer(batch *simproto.Batch) error {
 	h.reply.Reset()
 	h.touched = h.touched[:0]
 	h.batches++
@@ -92,37 +92,37 @@
 	h.touched = append(h.touched, inst)
 }
 
-func (h *host) play(batch *wire.Batch, e wire.Event) error {
+func (h *host) play(batch *simproto.Batch, e simproto.Event) error {
 	b := h.instances[e.Instance]
-	if b == nil && e.Kind != wire.Start && e.Kind != wire.Stop {
+	if b == nil && e.Kind != simproto.Start && e.Kind != simproto.Stop {
 		return fmt.Errorf("event code %d for instance %d, which has not started", e.Kind, e.Instance)
 	}
 	switch e.Kind {
-	case wire.Start:
+	case simproto.Start:
 		set, err := settings.Parse(e.Settings)
 		if err != nil {
 			return fmt.Errorf("instance %d: %w", e.Instance, err)
 		}
-		b, err := thymebend.New(set.Config, e.Seed, batch.Now, &h.reply)
+		b, err := balancer.New(set.Config, e.Seed, batch.Now, &h.reply)
 		if err != nil {
 			return fmt.Errorf("instance %d: %w", e.Instance, err)
 		}
 		h.instances[e.Instance] = b
 		h.waiting[e.Instance] = set.Gateway.Waiting
-	case wire.Stop:
+	case simproto.Stop:
 		delete(h.instances, e.Instance)
-	case wire.NewRequest:
+	case simproto.NewRequest:
 		b.Request(batch.Now, e.Request)
-	case wire.AttemptEnded:
+	case simproto.AttemptEnded:
 		e.End.Waiting, e.End.Reported = e.Load.Waiting(h.waiting[e.Instance])
 		b.AttemptEnd(batch.Now, e.End)
-	case wire.First:
+	case simproto.First:
 		b.First(batch.Now, e.Request.ID)
-	case wire.Lapsed:
+	case simproto.Lapsed:
 		b.Lapsed(batch.Now, e.Request.ID)
-	case wire.TimerFired:
+	case simproto.TimerFired:
 		b.Timer(batch.Now, e.Token)
-	case wire.ListChanged:
+	case simproto.ListChanged:
 		b.List(batch.Now, e.List, e.Servers)
 	}
 	return nil
--- a/cmd/thymebend/fleet.go
+++ b/cmd/thymebend/fleet.go
@@ -14,8 +14,8 @@
 
 	"github.com/alecthomas/kong"
 
+	"thymebend/internal/admin"
 	"thymebend/internal/http1"
-	"thymebend/internal/operators"
 )
 
 // exitInput is that of a command line or an address that cannot be used, exitNone that of a gateway without a view.
@@ -85,7 +85,7 @@
 	if m.Status != 200 {
 		return fmt.Errorf("%s: %d: %s", at, m.Status, strings.TrimSpace(string(m.Body)))
 	}
-	var f operators.Fleet
+	var f admin.Fleet
 	if err := json.Unmarshal(m.Body, &f); err != nil {
 		return fmt.Errorf("%s: what it answers is no view: %w", at, err)
 	}
@@ -128,7 +128,7 @@
 }
 
 // show prints a view as a table: first how far it may be trusted, then the gateways, those in trouble first.
-func show(out io.Writer, f operators.Fleet) error {
+func show(out io.Writer, f admin.Fleet) error {
 	yes := func(v bool, words, not string) string {
 		if v {
 			return words
@@ -156,7 +156,7 @@
 	}
 	fmt.Fprint(out, "\n\n")
 	order := []string{"suspect", "gone", "left", "alive"}
-	slices.SortStableFunc(f.Members, func(a, b operators.FleetMember) int {
+	slices.SortStableFunc(f.Members, func(a, b admin.FleetMember) int {
 		return slices.Index(order, a.State) - slices.Index(order, b.State)
 	})
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -183,7 +183,7 @@
 }
 
 // showPortion prints what the gateway has of the fleet's hosts, and on what ground: those that are cold or doubted first.
-func showPortion(out io.Writer, p *operators.Portion) error {
+func showPortion(out io.Writer, p *admin.Portion) error {
 	why := map[string]string{
 		"waiting":  "no view has settled yet: hosts by count and number, nothing to cold ones",
 		"settled":  "the settled view's division",
@@ -196,7 +196,7 @@
 	}
 	fmt.Fprintf(out, "\nportion: %s (%s) of %d gateways, most loaded host %.2f of the mean, own demand %.1f a second, %d spares\n%s\n\n",
 		p.Stage, why, p.Gateways, p.Crowd, p.Demand, p.Spares, turns)
-	rank := func(h operators.PortionHost) int {
+	rank := func(h admin.PortionHost) int {
 		switch {
 		case h.Doubted:
 			return 0
@@ -205,7 +205,7 @@
 		}
 		return 2
 	}
-	slices.SortStableFunc(p.Hosts, func(a, b operators.PortionHost) int { return rank(a) - rank(b) })
+	slices.SortStableFunc(p.Hosts, func(a, b admin.PortionHost) int { return rank(a) - rank(b) })
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "HOST\tWEIGHT\tPART OF IT\tSTATE")
 	for _, h := range p.Hosts {
--- a/internal/operators/operators.go
+++ b/internal/admin/operators.go
@@ -1,5 +1,5 @@
 // Package operators speaks to the operators at the second address: calls, one a connection, and their answers.
-package operators
+package admin
 
 import (
 	"encoding/json"
--- a/internal/shares/shares_test.go
+++ b/internal/assignment/shares_test.go
@@ -1,4 +1,4 @@
-package shares
+package assignment
 
 import (
 	"fmt"
--- a/internal/pacing/pacing.go
+++ b/internal/backoff/pacing.go
@@ -2,7 +2,7 @@
 // service works through calls in turn and turns away those that wait too long, so what one caller may do at
 // once, all callers together may not: calls that fail come further apart, as in congestion control. The
 // package is pure: the caller passes the time and the random draws.
-package pacing
+package backoff
 
 import "time"
 
--- a/internal/pacing/pacing_test.go
+++ b/internal/backoff/pacing_test.go
@@ -1,4 +1,4 @@
-package pacing
+package backoff
 
 import (
 	"testing"
--- a/balancer.go
+++ b/internal/balancer/balancer.go
@@ -6,14 +6,14 @@
 // The ordinary path is ILAC-0.9: requests queue first-come at the gateway, and each is released to the
 // server with most room under its limit ceil(u), which an adaptive integral loop steers by service time. A
 // threshold psi bounds the wait, and a slower loop splits the response aim between waiting and service.
-package thymebend
+package balancer
 
 import (
 	"cmp"
 	"math/rand/v2"
 	"time"
 
-	"thymebend/internal/pacing"
+	"thymebend/internal/backoff"
 	"thymebend/internal/subset"
 )
 
@@ -109,7 +109,7 @@
 
 	asking, watching bool // asking: a call to the list is unanswered
 	askedAt          time.Duration
-	calls            pacing.Pacer
+	calls            backoff.Pacer
 	held             bool          // nothing new is sent: the list may be about to change
 	loggedAt         time.Duration // 0 is never
 }
--- a/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -1,4 +1,4 @@
-package thymebend
+package balancer
 
 import (
 	"math"
--- a/listing.go
+++ b/internal/balancer/listing.go
@@ -1,11 +1,11 @@
-package thymebend
+package balancer
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"thymebend/internal/pacing"
+	"thymebend/internal/backoff"
 	"thymebend/internal/subset"
 )
 
@@ -182,11 +182,11 @@
 
 // watchFailed asks again, never in step with other gateways, and the later the more often calls fail.
 func (b *Balancer) watchFailed(kind ListKind) {
-	failure := pacing.Overloaded
+	failure := backoff.Overloaded
 	if kind == ListUnreachable {
-		failure = pacing.Unreachable
+		failure = backoff.Unreachable
 	} else if b.watching {
-		failure = pacing.Ended
+		failure = backoff.Ended
 	}
 	b.asking, b.watching = false, false
 	if b.cfg.AskForList {
--- a/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -1,4 +1,4 @@
-package thymebend
+package balancer
 
 // This file bounds what a server gets that has just started.
 
--- a/internal/ci/policy_test.go
+++ b/internal/ci/policy_test.go
@@ -40,7 +40,7 @@
 func sourcesOf(t *testing.T, root string) (files []string) {
 	t.Helper()
 	list := exec.Command("go", "list", "-deps", "-f",
-		`{{if .Module}}{{if eq .Module.Path "thymebend"}}{{$dir := .Dir}}{{range .GoFiles}}{{$dir}}/{{.}}{{"\n"}}{{end}}{{end}}{{end}}`, ".")
+		`{{if .Module}}{{if eq .Module.Path "thymebend"}}{{$dir := .Dir}}{{range .GoFiles}}{{$dir}}/{{.}}{{"\n"}}{{end}}{{end}}{{end}}`, "./internal/balancer")
 	list.Dir = root
 	out, err := list.Output()
 	if err != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -10,9 +10,9 @@
 	"slices"
 	"strconv"
 
-	"thymebend/internal/fleetfile"
-	"thymebend/internal/handover"
-	"thymebend/internal/members"
+	"thymebend/internal/gossipconfig"
+	"thymebend/internal/hotrestart"
+	"thymebend/internal/membership"
 	"thymebend/internal/settings"
 )
 
@@ -26,11 +26,11 @@
 	Limits    Limits
 	Known     json.RawMessage // the host list as last had, in discovery's form; may be empty
 	Settings  settings.Settings
-	Path      string          // of the file, to be read again at a reload
-	Handover  string          // where the next process of this gateway asks; empty where there is no directory for it
-	Fleet     *fleetfile.File // nil where LB_FLEET asks for none
-	FleetPath string          // empty where the fleet stands in the configuration file
-	fields    []string        // what the file holds at its top
+	Path      string             // of the file, to be read again at a reload
+	Handover  string             // where the next process of this gateway asks; empty where there is no directory for it
+	Fleet     *gossipconfig.File // nil where LB_FLEET asks for none
+	FleetPath string             // empty where the fleet stands in the configuration file
+	fields    []string           // what the file holds at its top
 }
 
 // Limits are those of the machine.
@@ -59,7 +59,7 @@
 	told := Config{Name: getenv("LB_NAME"), Path: path}
 	cfg, err := told.read(raw, getenv("LB_LISTEN"), getenv("LB_CONTROL"), getenv("LB_DISCOVERY"))
 	if dir := getenv("TMPDIR"); err == nil && dir != "" {
-		cfg.Handover = handover.Path(dir, cfg.Listen)
+		cfg.Handover = hotrestart.Path(dir, cfg.Listen)
 	}
 	switch path := getenv("LB_FLEET"); {
 	case err != nil || path == "":
@@ -67,7 +67,7 @@
 		cfg.Fleet, err = told.peers(raw, cfg.Settings)
 	default:
 		cfg.FleetPath = path
-		cfg.Fleet, err = fleetfile.Load(path, cfg.Name)
+		cfg.Fleet, err = gossipconfig.Load(path, cfg.Name)
 	}
 	return cfg, err
 }
@@ -77,7 +77,7 @@
 
 // peers reads the fleet from the configuration file: an address for each gateway, ordered by their numbers. It is nil where the
 // settings refuse datagrams or the file names no peers.
-func (c Config) peers(raw []byte, s settings.Settings) (*fleetfile.File, error) {
+func (c Config) peers(raw []byte, s settings.Settings) (*gossipconfig.File, error) {
 	var file struct {
 		Listen string   `json:"peer_listen"`
 		Peers  []string `json:"peers"`
@@ -96,14 +96,14 @@
 		return nil, err
 	}
 	name := func(n int) string { return fmt.Sprintf("gw-%d", n) }
-	f := &fleetfile.File{Fleet: "peers", Name: name(s.Config.Rank), Listen: listen, Shares: fleetfile.Usual()}
+	f := &gossipconfig.File{Fleet: "peers", Name: name(s.Config.Rank), Listen: listen, Shares: gossipconfig.Usual()}
 	for n, text := range file.Peers {
 		at, err := address(fmt.Sprintf("peers[%d]", n), text)
 		if err != nil {
 			return nil, err
 		}
 		if n != s.Config.Rank {
-			f.Book = append(f.Book, members.Peer{Name: name(n), Addr: at})
+			f.Book = append(f.Book, membership.Peer{Name: name(n), Addr: at})
 		}
 	}
 	return f, nil
--- a/internal/config/size_test.go
+++ b/internal/config/size_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"thymebend/internal/members"
+	"thymebend/internal/membership"
 )
 
 // file is a configuration of a fleet of so many, with so many addresses.
@@ -28,7 +28,7 @@
 
 // The settings and the peers of 1,024 gateways are taken, and of as many as a view holds.
 func TestLargeFleetsAreRead(t *testing.T) {
-	for _, gateways := range []int{1024, members.MostMembers} {
+	for _, gateways := range []int{1024, membership.MostMembers} {
 		raw := file(t, gateways, gateways)
 		c, err := Config{Name: "g", Path: "g"}.read(raw, "", "", "")
 		if err != nil || c.Settings.Config.Gateways != gateways {
@@ -38,7 +38,7 @@
 		if err != nil || len(f.Book) != gateways-1 {
 			t.Fatalf("%d gateways: %v", gateways, err)
 		}
-		if _, err := members.New(members.Config{Fleet: f.Fleet, Name: f.Name, Start: 1, Book: f.Book}, 0); err != nil {
+		if _, err := membership.New(membership.Config{Fleet: f.Fleet, Name: f.Name, Start: 1, Book: f.Book}, 0); err != nil {
 			t.Errorf("%d gateways: no view: %v", gateways, err)
 		}
 	}
--- a/internal/rollout/agent.go
+++ b/internal/configdist/agent.go
@@ -1,4 +1,4 @@
-package rollout
+package configdist
 
 import (
 	"cmp"
@@ -9,8 +9,8 @@
 
 	"github.com/zeebo/xxh3"
 
-	"thymebend/internal/rollout/content"
-	"thymebend/internal/rollout/wire"
+	"thymebend/internal/configdist/codec"
+	"thymebend/internal/configdist/content"
 )
 
 // Times of an agent.
@@ -53,7 +53,7 @@
 // ToController is a message to a control machine.
 type ToController struct {
 	To      uint64
-	Message wire.Message
+	Message codec.Message
 }
 
 // Install is a configuration to be put in force, whole or not at all. Agent.Installed takes how it went.
@@ -104,7 +104,7 @@
 	services   []string // of the tree
 	incomplete bool     // they are not those that are served now
 	attempt    uint64
-	verdict    wire.State // Verdict, Version, Attempt, Reason alone
+	verdict    codec.State // Verdict, Version, Attempt, Reason alone
 	wantWhole  bool
 	pending    *pending
 	installing *installing
@@ -249,23 +249,23 @@
 func (a *Agent) send() {
 	switch {
 	case !a.subscribed:
-		a.post(&wire.Subscribe{Gateway: a.cfg.Gateway, Zone: a.cfg.Zone, Session: a.session, Services: a.cfg.Services, State: a.state()})
+		a.post(&codec.Subscribe{Gateway: a.cfg.Gateway, Zone: a.cfg.Zone, Session: a.session, Services: a.cfg.Services, State: a.state()})
 	case a.pending != nil:
-		a.post(&wire.Fetch{Gateway: a.cfg.Gateway, Session: a.session, From: a.pending.from, Target: a.pending.target.Number, After: a.pending.after})
+		a.post(&codec.Fetch{Gateway: a.cfg.Gateway, Session: a.session, From: a.pending.from, Target: a.pending.target.Number, After: a.pending.after})
 	default:
-		a.post(&wire.Report{Gateway: a.cfg.Gateway, Session: a.session, State: a.state()})
+		a.post(&codec.Report{Gateway: a.cfg.Gateway, Session: a.session, State: a.state()})
 	}
 	a.awaiting = true
 	a.tries++
 	a.sendAt = a.now + a.jitter(answerWithin)
 }
 
-func (a *Agent) post(m wire.Message) {
+func (a *Agent) post(m codec.Message) {
 	a.out.Messages = append(a.out.Messages, ToController{a.order[a.at], m})
 }
 
 // state is the agent's acknowledgement.
-func (a *Agent) state() wire.State {
+func (a *Agent) state() codec.State {
 	s := a.verdict
 	if s.InForce = a.inForce; a.incomplete {
 		s.InForce = content.Ref{}
@@ -282,17 +282,17 @@
 }
 
 // Hear takes a message of a control machine.
-func (a *Agent) Hear(now time.Duration, from uint64, m wire.Message) {
+func (a *Agent) Hear(now time.Duration, from uint64, m codec.Message) {
 	a.pass(now)
 	if from != a.order[a.at] || sessionOf(m) != a.session {
 		a.counts.Stale++
 		return
 	}
 	switch m.(type) {
-	case *wire.Unknown:
+	case *codec.Unknown:
 		a.begin(0)
 		return
-	case *wire.Busy:
+	case *codec.Busy:
 		a.next()
 		return
 	}
@@ -300,28 +300,28 @@
 	a.subscribed, a.awaiting, a.tries, a.silent, a.backoff = true, false, 0, 0, backoffLeast
 	a.sendAt = a.now + a.jitter(reportEvery)
 	switch m := m.(type) {
-	case *wire.Offer:
+	case *codec.Offer:
 		a.hearOffer(m, solicited)
-	case *wire.Page:
+	case *codec.Page:
 		a.hearPage(m, solicited)
 	}
 }
 
-func sessionOf(m wire.Message) uint64 {
+func sessionOf(m codec.Message) uint64 {
 	switch m := m.(type) {
-	case *wire.Offer:
+	case *codec.Offer:
 		return m.Session
-	case *wire.Page:
+	case *codec.Page:
 		return m.Session
-	case *wire.Unknown:
+	case *codec.Unknown:
 		return m.Session
-	case *wire.Busy:
+	case *codec.Busy:
 		return m.Session
 	}
 	return 0
 }
 
-func (a *Agent) hearOffer(m *wire.Offer, solicited bool) {
+func (a *Agent) hearOffer(m *codec.Offer, solicited bool) {
 	switch {
 	case a.pending != nil && m.Target == a.pending.target:
 		a.send() // the page may be lost
@@ -355,10 +355,10 @@
 		a.counts.Fenced++
 		return false
 	}
-	return a.verdict.Verdict != wire.Refused || a.verdict.Version != ref.Number || a.verdict.Attempt < attempt
+	return a.verdict.Verdict != codec.Refused || a.verdict.Version != ref.Number || a.verdict.Attempt < attempt
 }
 
-func (a *Agent) hearPage(m *wire.Page, solicited bool) {
+func (a *Agent) hearPage(m *codec.Page, solicited bool) {
 	p := a.pending
 	if p == nil || p.target != m.Target || p.attempt != m.Attempt {
 		if !a.acceptable(m.Target, m.Attempt) {
@@ -435,34 +435,34 @@
 		return
 	}
 	a.counts.Installed++
-	a.inForce, a.tree, a.services, a.attempt, a.verdict = ref, next.tree, next.services, next.attempt, wire.State{}
+	a.inForce, a.tree, a.services, a.attempt, a.verdict = ref, next.tree, next.services, next.attempt, codec.State{}
 	a.incomplete = !slices.Equal(a.services, a.cfg.Services)
 	a.report()
 }
 
 func (a *Agent) refuse(ref content.Ref, attempt uint64, reason string) {
 	a.counts.Refused++
-	a.judge(wire.Refused, ref.Number, attempt, reason)
+	a.judge(codec.Refused, ref.Number, attempt, reason)
 }
 
 // Fail is told that the gateway fails with what is in force, for a reason.
 func (a *Agent) Fail(now time.Duration, reason string) {
 	a.pass(now)
-	a.judge(wire.Failed, a.inForce.Number, a.attempt, reason)
+	a.judge(codec.Failed, a.inForce.Number, a.attempt, reason)
 }
 
 // Recover is told that the gateway does not fail any more.
 func (a *Agent) Recover(now time.Duration) {
 	a.pass(now)
-	if a.verdict.Verdict == wire.Failed {
-		a.verdict = wire.State{}
+	if a.verdict.Verdict == codec.Failed {
+		a.verdict = codec.State{}
 		a.report()
 	}
 }
 
-func (a *Agent) judge(v wire.Verdict, number, attempt uint64, reason string) {
+func (a *Agent) judge(v codec.Verdict, number, attempt uint64, reason string) {
 	reason = cmp.Or(reason, reasonMissing)
-	a.verdict = wire.State{Verdict: v, Version: number, Attempt: attempt, Reason: reason[:min(len(reason), wire.MaxReason)]}
+	a.verdict = codec.State{Verdict: v, Version: number, Attempt: attempt, Reason: reason[:min(len(reason), codec.MaxReason)]}
 	a.report()
 }
 
--- a/internal/rollout/agent_test.go
+++ b/internal/configdist/agent_test.go
@@ -1,4 +1,4 @@
-package rollout
+package configdist
 
 import (
 	"errors"
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"thymebend/internal/consensus"
-	"thymebend/internal/rollout/content"
-	"thymebend/internal/rollout/wire"
+	"thymebend/internal/configdist/codec"
+	"thymebend/internal/configdist/content"
+	"thymebend/internal/raft"
 )
 
 func machinesOf(n int) (list []ControlMachine) {
@@ -45,9 +45,9 @@
 }
 
 // whole words a page with all of a version.
-func whole(a *Agent, v *Version) *wire.Page {
+func whole(a *Agent, v *Version) *codec.Page {
 	changes, _, _ := content.Page(content.Empty(), v.Tree, v.Tree.Services(), content.Cursor{}, maxInt)
-	return &wire.Page{Session: a.session, Target: v.Ref, Scope: v.Tree.Hash(), Last: true, Changes: changes}
+	return &codec.Page{Session: a.session, Target: v.Ref, Scope: v.Tree.Hash(), Last: true, Changes: changes}
 }
 
 // take installs what an agent hands over, and returns that it did.
@@ -138,8 +138,8 @@
 	oldTerm := version(t, 6, five.Tree, service("a", "6"))
 	stranger := whole(a, version(t, 7, five.Tree, service("a", "7")))
 	stranger.Session++
-	for name, m := range map[string]wire.Message{"an older one": whole(a, one), "a fork": whole(a, fork), "an older term": whole(a, oldTerm), "another session": stranger,
-		"an offer of an older one": &wire.Offer{Session: a.session, Target: one.Ref}} {
+	for name, m := range map[string]codec.Message{"an older one": whole(a, one), "a fork": whole(a, fork), "an older term": whole(a, oldTerm), "another session": stranger,
+		"an offer of an older one": &codec.Offer{Session: a.session, Target: one.Ref}} {
 		if a.Hear(0, from, m); take(a, 0, nil) || a.InForce().Ref != five.Ref {
 			t.Errorf("%s: %v in force", name, a.InForce().Ref)
 		}
@@ -166,14 +166,14 @@
 	page.Attempt = 1
 	a.Hear(0, from, page)
 	take(a, 0, errors.New("line 3: no such pool"))
-	if s := a.state(); s.InForce != one.Ref || s.Verdict != wire.Refused || s.Version != 2 || s.Reason != "line 3: no such pool" {
+	if s := a.state(); s.InForce != one.Ref || s.Verdict != codec.Refused || s.Version != 2 || s.Reason != "line 3: no such pool" {
 		t.Errorf("%+v", s)
 	}
 	if a.Hear(0, from, page); take(a, 0, nil) {
 		t.Error("tried again in the same attempt")
 	}
 	page.Attempt = 2
-	if a.Hear(0, from, page); !take(a, 0, nil) || a.state().Verdict != wire.Fine || a.InForce().Ref != page.Target {
+	if a.Hear(0, from, page); !take(a, 0, nil) || a.state().Verdict != codec.Fine || a.InForce().Ref != page.Target {
 		t.Errorf("%+v", a.state())
 	}
 }
@@ -200,7 +200,7 @@
 		t.Fatal(err)
 	}
 	for range 30 {
-		now += consensus.TickEvery
+		now += raft.TickEvery
 		c.Advance(now)
 		run(t, c)
 	}
@@ -209,7 +209,7 @@
 
 func run(t *testing.T, c *Controller) ControllerOutput {
 	t.Helper()
-	out, err := c.Take((&consensus.Memory{}).Keep)
+	out, err := c.Take((&raft.Memory{}).Keep)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -252,12 +252,12 @@
 func TestAFullControlMachineIsBusyAndAnUnknownSessionIsTold(t *testing.T) {
 	c, now := lone(t, ControllerConfig{MostSubscribers: 1})
 	for name, m := range map[string]struct {
-		m    wire.Message
-		want wire.Message
+		m    codec.Message
+		want codec.Message
 	}{
-		"the first":           {&wire.Subscribe{Gateway: "g", Session: 4}, &wire.Offer{Session: 4, Target: c.Store().Released().Ref}},
-		"an unknown one":      {&wire.Report{Gateway: "h", Session: 3}, &wire.Unknown{Session: 3}},
-		"a page for a nobody": {&wire.Fetch{Gateway: "h", Session: 3}, &wire.Unknown{Session: 3}},
+		"the first":           {&codec.Subscribe{Gateway: "g", Session: 4}, &codec.Offer{Session: 4, Target: c.Store().Released().Ref}},
+		"an unknown one":      {&codec.Report{Gateway: "h", Session: 3}, &codec.Unknown{Session: 3}},
+		"a page for a nobody": {&codec.Fetch{Gateway: "h", Session: 3}, &codec.Unknown{Session: 3}},
 	} {
 		if err := c.Hear(now, 9, m.m); err != nil {
 			t.Fatal(err)
@@ -267,11 +267,11 @@
 			t.Errorf("%s: %+v", name, out)
 		}
 	}
-	_ = c.Hear(now, 9, &wire.Subscribe{Gateway: "second", Session: 5})
-	if out := run(t, c).Gateways; len(out) != 1 || fmt.Sprint(out[0].Message) != fmt.Sprint(&wire.Busy{Session: 5}) {
+	_ = c.Hear(now, 9, &codec.Subscribe{Gateway: "second", Session: 5})
+	if out := run(t, c).Gateways; len(out) != 1 || fmt.Sprint(out[0].Message) != fmt.Sprint(&codec.Busy{Session: 5}) {
 		t.Errorf("the second: %+v", out)
 	}
-	if c.Hear(now, 9, &wire.PeerLog{}) == nil || c.HearPeer(now, 2, &wire.Report{}) == nil || c.HearPeer(now, 2, &wire.PeerLog{Data: []byte("x")}) == nil {
+	if c.Hear(now, 9, &codec.PeerLog{}) == nil || c.HearPeer(now, 2, &codec.Report{}) == nil || c.HearPeer(now, 2, &codec.PeerLog{Data: []byte("x")}) == nil {
 		t.Error("messages of the wrong side, or that are none, were taken")
 	}
 }
@@ -280,11 +280,11 @@
 func TestLagSaysWhoAndWhy(t *testing.T) {
 	c, now := lone(t, ControllerConfig{})
 	ref := propose(t, c, now, Command{Kind: Propose, ID: 1, Changes: []content.Change{service("a", "1")}}).Ref
-	states := map[string]wire.State{"has-it": {InForce: ref}, "refuses": {Verdict: wire.Refused, Version: 1, Reason: "no pool"},
-		"fails": {InForce: ref, Verdict: wire.Failed, Version: 1, Reason: "503s"}, "waits": {}}
+	states := map[string]codec.State{"has-it": {InForce: ref}, "refuses": {Verdict: codec.Refused, Version: 1, Reason: "no pool"},
+		"fails": {InForce: ref, Verdict: codec.Failed, Version: 1, Reason: "503s"}, "waits": {}}
 	silent := now
 	for name, s := range states {
-		_ = c.Hear(now, 1, &wire.Subscribe{Gateway: name, Session: 1, State: s})
+		_ = c.Hear(now, 1, &codec.Subscribe{Gateway: name, Session: 1, State: s})
 	}
 	want := map[string]Reason{"refuses": HasRefused, "fails": HasFailed, "waits": NotItsTurn}
 	check := func() {
@@ -302,7 +302,7 @@
 	}
 	check()
 	for now < silent+silentAfter+time.Second {
-		now += consensus.TickEvery
+		now += raft.TickEvery
 		c.Advance(now)
 		run(t, c)
 	}
--- a/internal/rollout/wire/binary.go
+++ b/internal/configdist/codec/binary.go
@@ -1,10 +1,10 @@
-package wire
+package codec
 
 import (
 	"encoding/binary"
 	"errors"
 
-	"thymebend/internal/rollout/content"
+	"thymebend/internal/configdist/content"
 )
 
 // ErrMalformed is that of a body that ends too early or has a value out of bounds.
--- a/internal/rollout/wire/messages.go
+++ b/internal/configdist/codec/messages.go
@@ -1,6 +1,6 @@
-package wire
+package codec
 
-import "thymebend/internal/rollout/content"
+import "thymebend/internal/configdist/content"
 
 // MaxReason bounds the text of a refusal or failure.
 const MaxReason = 256
--- a/internal/rollout/wire/wire_test.go
+++ b/internal/configdist/codec/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package codec
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"thymebend/internal/rollout/content"
+	"thymebend/internal/configdist/content"
 )
 
 const fleet = 7
--- a/internal/rollout/command.go
+++ b/internal/configdist/command.go
@@ -1,11 +1,11 @@
-package rollout
+package configdist
 
 import (
 	"errors"
 	"fmt"
 
-	"thymebend/internal/rollout/content"
-	"thymebend/internal/rollout/wire"
+	"thymebend/internal/configdist/codec"
+	"thymebend/internal/configdist/content"
 )
 
 // Errors of a command. Those of a proposal's changes are content.ChangeError.
@@ -80,17 +80,17 @@
 
 // AppendTo words a command.
 func (c *Command) AppendTo(b []byte) []byte {
-	b = wire.AppendUint(wire.AppendUint(append(b, byte(c.Kind)), c.ID), c.Base)
-	b = wire.AppendUint(wire.AppendUint(b, c.Version), uint64(c.Stage))
-	b = wire.AppendString(wire.AppendString(wire.AppendString(b, c.Canary), c.Zone), c.Reason)
-	return wire.AppendChanges(b, c.Changes)
+	b = codec.AppendUint(codec.AppendUint(append(b, byte(c.Kind)), c.ID), c.Base)
+	b = codec.AppendUint(codec.AppendUint(b, c.Version), uint64(c.Stage))
+	b = codec.AppendString(codec.AppendString(codec.AppendString(b, c.Canary), c.Zone), c.Reason)
+	return codec.AppendChanges(b, c.Changes)
 }
 
 // ParseCommand reads a command back.
 func ParseCommand(data []byte) (Command, error) {
-	r := wire.NewReader(data)
+	r := codec.NewReader(data)
 	c := Command{Kind: CommandKind(r.Uint()), ID: r.Uint(), Base: r.Uint(), Version: r.Uint(), Stage: Stage(r.Uint()),
-		Canary: r.String(content.MaxName), Zone: r.String(content.MaxName), Reason: r.String(wire.MaxReason), Changes: r.Changes()}
+		Canary: r.String(content.MaxName), Zone: r.String(content.MaxName), Reason: r.String(codec.MaxReason), Changes: r.Changes()}
 	return c, r.Err()
 }
 
--- a/internal/rollout/conductor.go
+++ b/internal/configdist/conductor.go
@@ -1,4 +1,4 @@
-package rollout
+package configdist
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 
 	"github.com/zeebo/xxh3"
 
-	"thymebend/internal/rollout/wire"
+	"thymebend/internal/configdist/codec"
 )
 
 // Policy is how a leader moves rollouts on. The zero Policy has the values of DefaultPolicy.
@@ -68,10 +68,10 @@
 }
 
 // hear takes another control machine's reports.
-func (d *conductor) hear(now time.Duration, from uint64, m *wire.PeerReports) {
+func (d *conductor) hear(now time.Duration, from uint64, m *codec.PeerReports) {
 	p := d.peers[from]
 	if p == nil || m.Whole {
-		p = &peer{gateways: make(map[string]wire.GatewayReport)}
+		p = &peer{gateways: make(map[string]codec.GatewayReport)}
 		d.peers[from] = p
 	}
 	p.head, p.heard = m.Head, now
@@ -121,7 +121,7 @@
 	}
 	t := tally(gateways, r)
 	if reason, stop := t.failure(r.Stage, d.policy.StopShare); stop {
-		return Command{Kind: Stop, Version: r.Version, Reason: reason[:min(len(reason), wire.MaxReason)]}, true
+		return Command{Kind: Stop, Version: r.Version, Reason: reason[:min(len(reason), codec.MaxReason)]}, true
 	}
 	soaked := d.soaked(c.now, &t)
 	switch r.Stage {
@@ -182,7 +182,7 @@
 		best, score := "", uint64(0)
 		for i := range gateways {
 			g := &gateways[i]
-			if !g.Touched || g.Silent || g.State.Verdict == wire.Failed || c.conductor.tried[g.Gateway] {
+			if !g.Touched || g.Silent || g.State.Verdict == codec.Failed || c.conductor.tried[g.Gateway] {
 				continue
 			}
 			if s := xxh3.HashStringSeed(g.Gateway, version); best == "" || s > score {
@@ -222,8 +222,8 @@
 			continue
 		}
 		s := &g.State
-		refused := s.Verdict == wire.Refused && s.Version == r.Version && s.Attempt == r.Attempt
-		failed := s.Verdict == wire.Failed && s.Version == r.Version
+		refused := s.Verdict == codec.Refused && s.Version == r.Version && s.Attempt == r.Attempt
+		failed := s.Verdict == codec.Failed && s.Version == r.Version
 		switch {
 		case refused || failed:
 			if t.failed++; t.first == nil {
--- a/internal/rollout/controller.go
+++ b/internal/configdist/controller.go
@@ -1,4 +1,4 @@
-package rollout
+package configdist
 
 import (
 	"cmp"
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"thymebend/internal/consensus"
-	"thymebend/internal/rollout/content"
-	"thymebend/internal/rollout/wire"
+	"thymebend/internal/configdist/codec"
+	"thymebend/internal/configdist/content"
+	"thymebend/internal/raft"
 )
 
 // Times and sizes of a control machine.
@@ -34,7 +34,7 @@
 	ID              uint64
 	Voters          []uint64 // of the first start of all
 	Standbys        []uint64 // they have the log, serve gateways and do not vote
-	Kept            *consensus.Kept
+	Kept            *raft.Kept
 	Seed            uint64
 	MostSubscribers int // 0: 2,048
 	PageBytes       int // of changes in a page; 0: 32 KiB. A quarter of it is sent with the offer
@@ -45,13 +45,13 @@
 // ToGateway is a message to the gateway at a link.
 type ToGateway struct {
 	Link    uint64
-	Message wire.Message
+	Message codec.Message
 }
 
 // ToPeer is a message to another control machine.
 type ToPeer struct {
 	To      uint64
-	Message wire.Message
+	Message codec.Message
 }
 
 // ControllerOutput is what is to be done now.
@@ -67,7 +67,7 @@
 	link          uint64
 	session       uint64
 	services      []string
-	state         wire.State
+	state         codec.State
 	heard         time.Duration
 
 	offered *Version
@@ -81,7 +81,7 @@
 // Controller is a control machine: a voter or standby of the replicated log that serves subscribed gateways, and moves rollouts on while it leads.
 type Controller struct {
 	cfg     ControllerConfig
-	log     *consensus.Log
+	log     *raft.Log
 	machine *machine
 	out     ControllerOutput
 
@@ -102,12 +102,12 @@
 	cfg.MostSubscribers = cmp.Or(cfg.MostSubscribers, mostSubscribers)
 	cfg.PageBytes = cmp.Or(cfg.PageBytes, pageSize)
 	m := &machine{store: NewStore(), waiting: make(map[uint64]bool)}
-	log, err := consensus.NewLog(consensus.Config{ID: cfg.ID, Voters: cfg.Voters, Learners: cfg.Standbys, Kept: cfg.Kept, Seed: cfg.Seed, MostSnapshot: mostSnapshot,
+	log, err := raft.NewLog(raft.Config{ID: cfg.ID, Voters: cfg.Voters, Learners: cfg.Standbys, Kept: cfg.Kept, Seed: cfg.Seed, MostSnapshot: mostSnapshot,
 		SnapshotEach: cfg.SnapshotEach}, m, now)
 	if err != nil {
 		return nil, err
 	}
-	return &Controller{cfg: cfg, log: log, machine: m, now: now, tickAt: now + consensus.TickEvery, quietUntil: now + quietAfterStall,
+	return &Controller{cfg: cfg, log: log, machine: m, now: now, tickAt: now + raft.TickEvery, quietUntil: now + quietAfterStall,
 		subscribers: make(map[string]*subscriber), conductor: newConductor(cfg.Policy)}, nil
 }
 
@@ -115,7 +115,7 @@
 func (c *Controller) Store() *Store { return c.machine.store }
 
 // Status tells how the replicated log stands.
-func (c *Controller) Status() consensus.Status { return c.log.Status() }
+func (c *Controller) Status() raft.Status { return c.log.Status() }
 
 // Subscribers counts the gateways that have subscribed here.
 func (c *Controller) Subscribers() int { return len(c.subscribers) }
@@ -128,7 +128,7 @@
 		return err
 	}
 	if len(c.machine.waiting) >= mostResults {
-		return consensus.ErrBusy
+		return raft.ErrBusy
 	}
 	if r := c.machine.store.probe(&command); r.Err != nil {
 		return r.Err
@@ -173,7 +173,7 @@
 	if c.now < c.tickAt {
 		return
 	}
-	c.tickAt = c.now + consensus.TickEvery
+	c.tickAt = c.now + raft.TickEvery
 	c.log.Tick(c.now)
 	c.serve()
 	c.report()
@@ -181,17 +181,17 @@
 }
 
 // HearPeer takes a message of another control machine. One that cannot be used is an error and changes nothing.
-func (c *Controller) HearPeer(now time.Duration, from uint64, m wire.Message) error {
+func (c *Controller) HearPeer(now time.Duration, from uint64, m codec.Message) error {
 	c.pass(now)
 	switch m := m.(type) {
-	case *wire.PeerLog:
+	case *codec.PeerLog:
 		if err := c.log.Hear(now, from, m.Data); err != nil {
 			return err
 		}
 		if c.log.Status().Leader == from {
 			c.leaderHeard = c.now
 		}
-	case *wire.PeerReports:
+	case *codec.PeerReports:
 		c.conductor.hear(c.now, from, m)
 	default:
 		return errors.New("rollout: a gateway's message from a control machine")
@@ -200,17 +200,17 @@
 }
 
 // Hear takes a message of a gateway.
-func (c *Controller) Hear(now time.Duration, link uint64, m wire.Message) error {
+func (c *Controller) Hear(now time.Duration, link uint64, m codec.Message) error {
 	c.pass(now)
 	switch m := m.(type) {
-	case *wire.Subscribe:
+	case *codec.Subscribe:
 		c.hearSubscribe(link, m)
-	case *wire.Report:
+	case *codec.Report:
 		if s := c.heardOf(link, m.Gateway, m.Session); s != nil {
 			c.acknowledge(s, m.State)
 			c.answer(s)
 		}
-	case *wire.Fetch:
+	case *codec.Fetch:
 		if s := c.heardOf(link, m.Gateway, m.Session); s != nil {
 			c.sendPage(s, m)
 		}
@@ -220,13 +220,13 @@
 	return nil
 }
 
-func (c *Controller) hearSubscribe(link uint64, m *wire.Subscribe) {
+func (c *Controller) hearSubscribe(link uint64, m *codec.Subscribe) {
 	s := c.subscribers[m.Gateway]
 	switch {
 	case s != nil && m.Session < s.session:
 		return // of a process before
 	case s == nil && len(c.subscribers) >= c.cfg.MostSubscribers:
-		c.tell(link, &wire.Busy{Session: m.Session})
+		c.tell(link, &codec.Busy{Session: m.Session})
 		return
 	case s == nil:
 		at, _ := slices.BinarySearch(c.order, m.Gateway)
@@ -244,18 +244,18 @@
 func (c *Controller) heardOf(link uint64, gateway string, session uint64) *subscriber {
 	s := c.subscribers[gateway]
 	if s == nil || s.session != session {
-		c.tell(link, &wire.Unknown{Session: session})
+		c.tell(link, &codec.Unknown{Session: session})
 		return nil
 	}
 	s.link, s.heard = link, c.now
 	return s
 }
 
-func (c *Controller) tell(link uint64, m wire.Message) {
+func (c *Controller) tell(link uint64, m codec.Message) {
 	c.out.Gateways = append(c.out.Gateways, ToGateway{link, m})
 }
 
-func (c *Controller) acknowledge(s *subscriber, state wire.State) {
+func (c *Controller) acknowledge(s *subscriber, state codec.State) {
 	if s.state != state {
 		s.state, s.untold = state, reportTimes
 	}
@@ -286,7 +286,7 @@
 
 // settled reports whether a gateway has nothing to do about a version: it has it, or a newer one, or has refused it.
 func settled(s *subscriber, v *Version, attempt uint64) bool {
-	return s.state.InForce.Number >= v.Ref.Number || s.state.Verdict == wire.Refused && s.state.Version == v.Ref.Number && s.state.Attempt >= attempt
+	return s.state.InForce.Number >= v.Ref.Number || s.state.Verdict == codec.Refused && s.state.Version == v.Ref.Number && s.state.Attempt >= attempt
 }
 
 // answer tells a gateway which version it is to have, with the changes if they are few.
@@ -295,7 +295,7 @@
 	s.offered, s.attempt = v, attempt
 	if settled(s, v, attempt) {
 		s.again, s.pause = 0, 0
-		c.tell(s.link, &wire.Offer{Session: s.session, Target: v.Ref, Attempt: attempt})
+		c.tell(s.link, &codec.Offer{Session: s.session, Target: v.Ref, Attempt: attempt})
 		return
 	}
 	s.pause = offerAgainAfter
@@ -305,11 +305,11 @@
 		c.tell(s.link, page)
 		return
 	}
-	c.tell(s.link, &wire.Offer{Session: s.session, Target: v.Ref, Attempt: attempt})
+	c.tell(s.link, &codec.Offer{Session: s.session, Target: v.Ref, Attempt: attempt})
 }
 
 // page words a part of what a gateway needs for a version: from what it has, or from nothing. Where what it has is not kept, it begins with the whole.
-func (c *Controller) page(s *subscriber, v *Version, from content.Ref, after content.Cursor, limit int) *wire.Page {
+func (c *Controller) page(s *subscriber, v *Version, from content.Ref, after content.Cursor, limit int) *codec.Page {
 	base := content.Empty()
 	if from != (content.Ref{}) {
 		if old := c.machine.store.Version(from.Number); old != nil && old.Ref == from {
@@ -322,7 +322,7 @@
 	if len(services) == 0 {
 		services = union(base.Services(), v.Tree.Services())
 	}
-	p := &wire.Page{Session: s.session, From: from, Target: v.Ref, Attempt: s.attempt, Scope: v.Tree.ScopeHash(services), After: after}
+	p := &codec.Page{Session: s.session, From: from, Target: v.Ref, Attempt: s.attempt, Scope: v.Tree.ScopeHash(services), After: after}
 	p.Changes, p.Next, p.Last = content.Page(base, v.Tree, services, after, limit)
 	return p
 }
@@ -335,7 +335,7 @@
 }
 
 // sendPage answers a fetch. One of a version that the gateway is not to have any more is answered by an offer of the one that it is.
-func (c *Controller) sendPage(s *subscriber, m *wire.Fetch) {
+func (c *Controller) sendPage(s *subscriber, m *codec.Fetch) {
 	v, _ := c.target(s)
 	if v.Ref.Number != m.Target {
 		c.answer(s)
@@ -366,7 +366,7 @@
 		case s.again != 0 && c.now >= s.again && c.now-s.heard < silentAfter:
 			s.pause = min(2*s.pause, offerAgainMost)
 			s.again = c.now + s.pause
-			c.tell(s.link, &wire.Offer{Session: s.session, Target: v.Ref, Attempt: attempt})
+			c.tell(s.link, &codec.Offer{Session: s.session, Target: v.Ref, Attempt: attempt})
 		}
 	}
 	if gone {
@@ -375,10 +375,10 @@
 }
 
 // Take does all that is ready. What has to be kept is given to keep before anything that rests on it comes out.
-func (c *Controller) Take(keep func(consensus.Kept) error) (ControllerOutput, error) {
+func (c *Controller) Take(keep func(raft.Kept) error) (ControllerOutput, error) {
 	messages, err := c.log.Take(keep)
 	for _, m := range messages {
-		c.out.Peers = append(c.out.Peers, ToPeer{m.To, &wire.PeerLog{Data: m.Data}})
+		c.out.Peers = append(c.out.Peers, ToPeer{m.To, &codec.PeerLog{Data: m.Data}})
 	}
 	if c.machine.changed {
 		c.machine.changed = false
@@ -402,7 +402,7 @@
 }
 
 // Apply implements consensus.Machine. An entry that is no command changes nothing, at each replica alike.
-func (m *machine) Apply(e consensus.Entry) error {
+func (m *machine) Apply(e raft.Entry) error {
 	command, err := ParseCommand(e.Data)
 	if err != nil {
 		return nil
--- a/internal/rollout/rapid_test.go
+++ b/internal/configdist/rapid_test.go
@@ -1,4 +1,4 @@
-package rollout
+package configdist
 
 import (
 	"errors"
@@ -8,9 +8,9 @@
 
 	"pgregory.net/rapid"
 
-	"thymebend/internal/consensus"
-	"thymebend/internal/rollout/content"
-	"thymebend/internal/rollout/wire"
+	"thymebend/internal/configdist/codec"
+	"thymebend/internal/configdist/content"
+	"thymebend/internal/raft"
 )
 
 // pair is a control machine that votes alone and one gateway's agent, with what lies between them in no order, and the gateway's own idea of what
@@ -18,12 +18,12 @@
 type pair struct {
 	now       time.Duration
 	c         *Controller
-	disk      *consensus.Memory
+	disk      *raft.Memory
 	a         *Agent
 	life      uint64
 	services  []string
-	toAgent   []wire.Message
-	toMachine []wire.Message
+	toAgent   []codec.Message
+	toMachine []codec.Message
 	install   *Install
 	running   Kept
 	committed map[uint64]*Version
@@ -31,7 +31,7 @@
 }
 
 func newPair(t *rapid.T) *pair {
-	p := &pair{disk: &consensus.Memory{}, committed: make(map[uint64]*Version)}
+	p := &pair{disk: &raft.Memory{}, committed: make(map[uint64]*Version)}
 	p.services = rapid.SampledFrom([][]string{nil, {"a"}, {"a", "c"}}).Draw(t, "services")
 	p.startAgent(t)
 	p.startMachine(t)
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	for range 25 { // until it leads
-		p.now += consensus.TickEvery
+		p.now += raft.TickEvery
 		p.c.Advance(p.now)
 		p.take(t)
 	}
@@ -96,7 +96,7 @@
 // pass lets time pass by ticks, with some of the messages underway.
 func (p *pair) pass(t *rapid.T) {
 	for range rapid.SampledFrom([]int{1, 5, 20}).Draw(t, "ticks") {
-		p.now += consensus.TickEvery
+		p.now += raft.TickEvery
 		p.c.Advance(p.now)
 		if p.a.Next() <= p.now {
 			p.a.Advance(p.now)
@@ -117,7 +117,7 @@
 // run lets time pass with every message arriving at once.
 func (p *pair) run(t *rapid.T) {
 	for range rapid.IntRange(1, 30).Draw(t, "ticks") {
-		p.now += consensus.TickEvery
+		p.now += raft.TickEvery
 		p.c.Advance(p.now)
 		if p.a.Next() <= p.now {
 			p.a.Advance(p.now)
@@ -148,7 +148,7 @@
 }
 
 // pick takes a message out of the post, or leaves a copy there, or loses it.
-func pick(t *rapid.T, post *[]wire.Message) wire.Message {
+func pick(t *rapid.T, post *[]codec.Message) codec.Message {
 	if len(*post) == 0 {
 		return nil
 	}
@@ -279,7 +279,7 @@
 	if store.Released() != store.Head() {
 		t.Fatalf("version %v is released, not %v: %+v", store.Released().Ref, store.Head().Ref, store.Rollout())
 	}
-	refused := p.a.verdict.Verdict == wire.Refused && p.a.verdict.Version == store.Head().Ref.Number
+	refused := p.a.verdict.Verdict == codec.Refused && p.a.verdict.Version == store.Head().Ref.Number
 	if p.running.Ref != store.Head().Ref && !refused && store.Head().Ref.Number > 0 {
 		t.Fatalf("version %v is in force, not %v", p.running.Ref, store.Head().Ref)
 	}
--- a/internal/rollout/reports.go
+++ b/internal/configdist/reports.go
@@ -1,4 +1,4 @@
-package rollout
+package configdist
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"thymebend/internal/rollout/content"
-	"thymebend/internal/rollout/wire"
+	"thymebend/internal/configdist/codec"
+	"thymebend/internal/configdist/content"
 )
 
 // subject is what reports say of a gateway whether it is touched: the difference between the released version and the one that is rolled out, or is to
@@ -54,7 +54,7 @@
 		return
 	}
 	whole := c.leader != status.Leader || c.now >= c.reportsAt
-	m := &wire.PeerReports{Head: c.subject.to, Whole: whole}
+	m := &codec.PeerReports{Head: c.subject.to, Whole: whole}
 	for _, name := range c.order {
 		if s := c.subscribers[name]; whole || s.untold > 0 {
 			s.untold = max(0, s.untold-1)
@@ -71,8 +71,8 @@
 	c.out.Peers = append(c.out.Peers, ToPeer{status.Leader, m})
 }
 
-func (c *Controller) reportOf(s *subscriber) wire.GatewayReport {
-	r := wire.GatewayReport{Gateway: s.gateway, Zone: s.zone, Session: s.session, State: s.state, Touched: s.touched, Silent: c.now-s.heard > silentAfter}
+func (c *Controller) reportOf(s *subscriber) codec.GatewayReport {
+	r := codec.GatewayReport{Gateway: s.gateway, Zone: s.zone, Session: s.session, State: s.state, Touched: s.touched, Silent: c.now-s.heard > silentAfter}
 	if s.offered != nil {
 		r.Target = s.offered.Ref.Number
 	}
@@ -83,19 +83,19 @@
 type peer struct {
 	head     uint64
 	heard    time.Duration
-	gateways map[string]wire.GatewayReport
+	gateways map[string]codec.GatewayReport
 }
 
 // placed is a gateway's report with the control machine where it is subscribed.
 type placed struct {
-	wire.GatewayReport
+	codec.GatewayReport
 	Controller uint64
 }
 
 // gateways lists what is known of every gateway, by name. Where two control machines report one, the later session counts.
 func (c *Controller) gateways() []placed {
 	all := make(map[string]placed)
-	add := func(controller uint64, r wire.GatewayReport) {
+	add := func(controller uint64, r codec.GatewayReport) {
 		if other, ok := all[r.Gateway]; !ok || r.Session > other.Session {
 			all[r.Gateway] = placed{r, controller}
 		}
@@ -151,16 +151,16 @@
 	newest := store.Head().Ref.Number
 	for _, g := range c.gateways() {
 		s := &g.State
-		if s.InForce.Number >= newest && s.Verdict != wire.Failed {
+		if s.InForce.Number >= newest && s.Verdict != codec.Failed {
 			continue
 		}
 		l := Lagging{Gateway: g.Gateway, Zone: g.Zone, Controller: g.Controller, InForce: s.InForce, Newest: newest, Detail: s.Reason}
 		switch {
 		case g.Silent:
 			l.Why = NotHeard
-		case s.Verdict == wire.Failed:
+		case s.Verdict == codec.Failed:
 			l.Why = HasFailed
-		case s.Verdict == wire.Refused:
+		case s.Verdict == codec.Refused:
 			l.Why = HasRefused
 		case g.Target > s.InForce.Number:
 			l.Why, l.Detail = NotTaken, fmt.Sprintf("version %d", g.Target)
--- a/internal/rollout/snapshot.go
+++ b/internal/configdist/snapshot.go
@@ -1,10 +1,10 @@
-package rollout
+package configdist
 
 import (
 	"fmt"
 
-	"thymebend/internal/rollout/content"
-	"thymebend/internal/rollout/wire"
+	"thymebend/internal/configdist/codec"
+	"thymebend/internal/configdist/content"
 )
 
 // snapshotVersion is that of the form below.
@@ -12,16 +12,16 @@
 
 // Snapshot words the store: the oldest kept version whole, and each other one by what differs from the one before. Equal stores have equal words.
 func (s *Store) Snapshot() []byte {
-	b := wire.AppendUint(nil, snapshotVersion)
+	b := codec.AppendUint(nil, snapshotVersion)
 	r := &s.rollout
-	b = wire.AppendUint(wire.AppendUint(wire.AppendUint(b, s.released.Ref.Number), r.Version), uint64(r.Stage))
-	b = wire.AppendString(wire.AppendString(wire.AppendString(b, r.Canary), r.Zone), r.Reason)
-	b = wire.AppendUint(wire.AppendUint(b, r.Attempt), uint64(len(s.versions)))
+	b = codec.AppendUint(codec.AppendUint(codec.AppendUint(b, s.released.Ref.Number), r.Version), uint64(r.Stage))
+	b = codec.AppendString(codec.AppendString(codec.AppendString(b, r.Canary), r.Zone), r.Reason)
+	b = codec.AppendUint(codec.AppendUint(b, r.Attempt), uint64(len(s.versions)))
 	before := content.Empty()
 	for _, v := range s.versions {
-		b = wire.AppendUint(wire.AppendRef(b, v.Ref), v.Proposal)
+		b = codec.AppendUint(codec.AppendRef(b, v.Ref), v.Proposal)
 		changes, _, _ := content.Page(before, v.Tree, content.Touched(before, v.Tree), content.Cursor{}, maxInt)
-		b = wire.AppendChanges(b, changes)
+		b = codec.AppendChanges(b, changes)
 		before = v.Tree
 	}
 	return b
@@ -31,13 +31,13 @@
 
 // RestoreStore reads a store back. What no store words is an error.
 func RestoreStore(data []byte) (*Store, error) {
-	r := wire.NewReader(data)
+	r := codec.NewReader(data)
 	if version := r.Uint(); version != snapshotVersion {
 		return nil, fmt.Errorf("rollout: snapshot of version %d, %d is known", version, snapshotVersion)
 	}
 	released := r.Uint()
 	s := &Store{rollout: Rollout{Version: r.Uint(), Stage: Stage(r.Uint()), Canary: r.String(content.MaxName), Zone: r.String(content.MaxName),
-		Reason: r.String(wire.MaxReason), Attempt: r.Uint()}}
+		Reason: r.String(codec.MaxReason), Attempt: r.Uint()}}
 	tree := content.Empty()
 	for range r.Count() {
 		v := &Version{Ref: r.Ref(), Proposal: r.Uint()}
--- a/internal/rollout/store_test.go
+++ b/internal/configdist/store_test.go
@@ -1,4 +1,4 @@
-package rollout
+package configdist
 
 import (
 	"bytes"
@@ -6,7 +6,7 @@
 	"fmt"
 	"testing"
 
-	"thymebend/internal/rollout/content"
+	"thymebend/internal/configdist/content"
 )
 
 func service(name, body string) content.Change {
--- a/internal/hostgroup/list.go
+++ b/internal/discovery/list.go
@@ -1,6 +1,6 @@
 // Package hostgroup follows the host group, discovery's list: its format, what the gateway has of it, and the
 // watch that brings its changes. A second source of lists would be a package beside this one.
-package hostgroup
+package discovery
 
 import (
 	"cmp"
@@ -13,12 +13,12 @@
 	"slices"
 	"time"
 
-	"thymebend"
+	"thymebend/internal/balancer"
 )
 
 // Host is one host as the gateway reaches it.
 type Host struct {
-	thymebend.Server
+	balancer.Server
 	Name string
 	Dial netip.AddrPort
 	// Share is what the list says it can do, in any unit that all hosts have; 1 where it says nothing usable.
@@ -28,17 +28,17 @@
 // Group is the list as this gateway has it.
 type Group struct {
 	zones []string
-	hosts map[thymebend.ServerID]*Host
+	hosts map[balancer.ServerID]*Host
 	seq   uint64
 }
 
 // New returns an empty group. A host's zone is the place of its site among zones.
 func New(zones []string) *Group {
-	return &Group{zones: zones, hosts: make(map[thymebend.ServerID]*Host)}
+	return &Group{zones: zones, hosts: make(map[balancer.ServerID]*Host)}
 }
 
 // Find returns a host of the list, or nil.
-func (g *Group) Find(id thymebend.ServerID) *Host { return g.hosts[id] }
+func (g *Group) Find(id balancer.ServerID) *Host { return g.hosts[id] }
 
 // All lists the hosts by number.
 func (g *Group) All() []*Host {
@@ -50,7 +50,7 @@
 	doc := document{Seq: &g.seq, Whole: true, Hosts: []entry{}}
 	for _, h := range slices.SortedFunc(maps.Values(g.hosts), func(a, b *Host) int { return cmp.Compare(a.Name, b.Name) }) {
 		e := entry{Host: h.Name, Dial: h.Dial.String(), Block: h.Cell, Health: "up", Born: float64(h.Born.Microseconds()) / 1000, Share: h.Share}
-		if h.State == thymebend.Draining {
+		if h.State == balancer.Draining {
 			e.Health = "draining"
 		}
 		if h.Zone < len(g.zones) {
@@ -98,8 +98,8 @@
 // News is one object that discovery wrote, applied to the group.
 type News struct {
 	Whole   bool
-	Entries []thymebend.Server
-	Changed []thymebend.ServerID // hosts whose idle links must not be used again
+	Entries []balancer.Server
+	Changed []balancer.ServerID // hosts whose idle links must not be used again
 }
 
 type document struct {
@@ -146,17 +146,17 @@
 		g.seq = *doc.Seq
 		return g.departures(doc.Hosts), nil
 	}
-	news := News{Whole: doc.Whole, Entries: make([]thymebend.Server, 0, len(fresh))}
+	news := News{Whole: doc.Whole, Entries: make([]balancer.Server, 0, len(fresh))}
 	if doc.Whole {
 		news.Changed = g.omit(fresh)
 	}
 	for _, h := range fresh {
 		old := g.hosts[h.ID]
-		if old != nil && (old.Born != h.Born || old.Dial != h.Dial || h.State != thymebend.Ready) {
+		if old != nil && (old.Born != h.Born || old.Dial != h.Dial || h.State != balancer.Ready) {
 			news.Changed = append(news.Changed, h.ID)
 		}
 		g.hosts[h.ID] = h
-		if h.State == thymebend.Gone {
+		if h.State == balancer.Gone {
 			delete(g.hosts, h.ID)
 		}
 		news.Entries = append(news.Entries, h.Server)
@@ -166,8 +166,8 @@
 }
 
 // omit drops the hosts that a whole list does not name, and returns them by number.
-func (g *Group) omit(fresh []*Host) (gone []thymebend.ServerID) {
-	named := make(map[thymebend.ServerID]bool, len(fresh))
+func (g *Group) omit(fresh []*Host) (gone []balancer.ServerID) {
+	named := make(map[balancer.ServerID]bool, len(fresh))
 	for _, h := range fresh {
 		named[h.ID] = true
 	}
@@ -196,7 +196,7 @@
 
 // departures has those hosts of the group leave that some entries say drain or are removed, and returns the news of it.
 func (g *Group) departures(entries []entry) (news News) {
-	states := make(map[thymebend.ServerID]thymebend.State)
+	states := make(map[balancer.ServerID]balancer.State)
 	for i := range entries {
 		id := Identity(entries[i].Host)
 		if state, known := stateOf(entries[i].Health); known && g.hosts[id] != nil {
@@ -204,12 +204,12 @@
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(states)) {
-		if states[id] == thymebend.Ready {
+		if states[id] == balancer.Ready {
 			continue
 		}
 		h := *g.hosts[id]
 		h.State = states[id]
-		if g.hosts[id] = &h; h.State == thymebend.Gone {
+		if g.hosts[id] = &h; h.State == balancer.Gone {
 			delete(g.hosts, id)
 		}
 		news.Changed = append(news.Changed, id)
@@ -221,7 +221,7 @@
 // readAll reads the entries of an object. Of a whole list it returns one for each host.
 func (g *Group) readAll(doc *document) ([]*Host, error) {
 	fresh := make([]*Host, 0, len(doc.Hosts))
-	places := make(map[thymebend.ServerID]int)
+	places := make(map[balancer.ServerID]int)
 	for i := range doc.Hosts {
 		h, err := g.read(&doc.Hosts[i])
 		if err != nil {
@@ -236,7 +236,7 @@
 		case !twice:
 			places[h.ID] = len(fresh)
 			fresh = append(fresh, h)
-		case fresh[at].State == thymebend.Ready:
+		case fresh[at].State == balancer.Ready:
 			fresh[at] = h
 		}
 	}
@@ -244,14 +244,14 @@
 }
 
 // stateOf reads what an entry says of its host's health.
-func stateOf(health string) (state thymebend.State, known bool) {
+func stateOf(health string) (state balancer.State, known bool) {
 	switch health {
 	case "up":
-		return thymebend.Ready, true
+		return balancer.Ready, true
 	case "draining":
-		return thymebend.Draining, true
+		return balancer.Draining, true
 	case "removed":
-		return thymebend.Gone, true
+		return balancer.Gone, true
 	}
 	return 0, false
 }
@@ -266,12 +266,12 @@
 		return nil, fmt.Errorf("host list: an entry without host")
 	}
 	h := &Host{Name: e.Host, Share: 1,
-		Server: thymebend.Server{ID: Identity(e.Host), Zone: g.zone(e.Site), Cell: e.Block, Born: e.born()}}
+		Server: balancer.Server{ID: Identity(e.Host), Zone: g.zone(e.Site), Cell: e.Block, Born: e.born()}}
 	var known bool
 	if h.State, known = stateOf(e.Health); !known {
 		return nil, fmt.Errorf("host list: %s has unknown health %q", e.Host, e.Health)
 	}
-	if h.State == thymebend.Gone {
+	if h.State == balancer.Gone {
 		return h, nil
 	}
 	if e.Share >= 1/mostShare && e.Share <= mostShare {
@@ -289,10 +289,10 @@
 
 // Identity derives a host's number from its name alone, so that it is the same at every gateway: gateways
 // pick their servers by it.
-func Identity(name string) thymebend.ServerID {
+func Identity(name string) balancer.ServerID {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(name)) // a hash never fails
-	return thymebend.ServerID(sum.Sum64())
+	return balancer.ServerID(sum.Sum64())
 }
 
 // zone is the place of a site among the zones; an unknown one lies in a zone of its own.
--- a/internal/hostgroup/list_test.go
+++ b/internal/discovery/list_test.go
@@ -1,4 +1,4 @@
-package hostgroup
+package discovery
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"thymebend"
+	"thymebend/internal/balancer"
 )
 
 // words is one object in discovery's form.
@@ -66,17 +66,17 @@
 		g := New([]string{"a"})
 		take(t, g, words(4, true, host("a", "up", 5), host("b", "up", 5)))
 		module := newModule(t)
-		module.List(time.Second, thymebend.ListFull, take(t, New([]string{"a"}), words(4, true, host("a", "up", 5), host("b", "up", 5))).Entries)
+		module.List(time.Second, balancer.ListFull, take(t, New([]string{"a"}), words(4, true, host("a", "up", 5), host("b", "up", 5))).Entries)
 		news := take(t, g, words(5, c.whole, c.entries...))
 		if got := states(g); got != c.want {
 			t.Errorf("%s: the group has %q, want %q", name, got, c.want)
 		}
-		kind := thymebend.ListDelta
+		kind := balancer.ListDelta
 		if c.whole {
-			kind = thymebend.ListFull
+			kind = balancer.ListFull
 		}
 		module.List(2*time.Second, kind, news.Entries)
-		learned := make(map[thymebend.ServerID]time.Duration)
+		learned := make(map[balancer.ServerID]time.Duration)
 		for _, s := range module.Learned(2 * time.Second).Servers {
 			learned[s.ID] = s.Born
 		}
@@ -115,8 +115,8 @@
 				if got := states(g); got != "a2/5 c1/5" || g.seq != 4 {
 					t.Errorf("%s, whole %v: the group has %q at version %d", name, whole, got, g.seq)
 				}
-				if len(news.Changed) != 2 || len(news.Entries) != 2 || news.Whole || news.Entries[0].State == thymebend.Ready ||
-					news.Entries[1].State == thymebend.Ready {
+				if len(news.Changed) != 2 || len(news.Entries) != 2 || news.Whole || news.Entries[0].State == balancer.Ready ||
+					news.Entries[1].State == balancer.Ready {
 					t.Errorf("%s: news %+v", name, news)
 				}
 			}
--- a/internal/hostgroup/size_test.go
+++ b/internal/discovery/size_test.go
@@ -1,4 +1,4 @@
-package hostgroup
+package discovery
 
 import (
 	"fmt"
@@ -7,25 +7,25 @@
 	"testing"
 	"time"
 
-	"thymebend"
+	"thymebend/internal/balancer"
 )
 
 // quiet takes what the module asks for and does nothing.
 type quiet struct{}
 
-func (quiet) Send(thymebend.RequestID, thymebend.ServerID, time.Duration) {}
-func (quiet) Refuse(thymebend.RequestID, time.Duration)                   {}
-func (quiet) Fail(thymebend.RequestID)                                    {}
-func (quiet) Cancel(thymebend.RequestID, int)                             {}
-func (quiet) Wake(time.Duration, uint32)                                  {}
-func (quiet) Close(thymebend.ServerID)                                    {}
-func (quiet) Watch()                                                      {}
-func (quiet) Log(string)                                                  {}
+func (quiet) Send(balancer.RequestID, balancer.ServerID, time.Duration) {}
+func (quiet) Refuse(balancer.RequestID, time.Duration)                  {}
+func (quiet) Fail(balancer.RequestID)                                   {}
+func (quiet) Cancel(balancer.RequestID, int)                            {}
+func (quiet) Wake(time.Duration, uint32)                                {}
+func (quiet) Close(balancer.ServerID)                                   {}
+func (quiet) Watch()                                                    {}
+func (quiet) Log(string)                                                {}
 
-func newModule(tb testing.TB) *thymebend.Balancer {
+func newModule(tb testing.TB) *balancer.Balancer {
 	tb.Helper()
-	b, err := thymebend.New(thymebend.Config{Gateways: 1, MaxAttempts: 2, ColdFrom: 1, FallMultiple: 1, OverShareWorth: 1, WholeWeight: 1,
-		Classes: []thymebend.Class{{Name: "c", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}}, 1, time.Second, quiet{})
+	b, err := balancer.New(balancer.Config{Gateways: 1, MaxAttempts: 2, ColdFrom: 1, FallMultiple: 1, OverShareWorth: 1, WholeWeight: 1,
+		Classes: []balancer.Class{{Name: "c", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}}, 1, time.Second, quiet{})
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 	for _, hosts := range []int{10, 100, 1000, 7700} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
 			g := New([]string{"a"})
-			var news [2][]thymebend.Server
+			var news [2][]balancer.Server
 			for i := range news {
 				got, err := g.Apply(list(i+1, hosts, i*hosts/2, "up"))
 				if err != nil {
@@ -155,7 +155,7 @@
 			module, n := newModule(b), 0
 			b.ReportAllocs()
 			for b.Loop() {
-				module.List(time.Second, thymebend.ListFull, news[n%2])
+				module.List(time.Second, balancer.ListFull, news[n%2])
 				module.Dispatch(time.Second)
 				n++
 			}
--- a/internal/hostgroup/watch.go
+++ b/internal/discovery/watch.go
@@ -1,4 +1,4 @@
-package hostgroup
+package discovery
 
 import (
 	"bytes"
--- a/internal/clients/arrivals_test.go
+++ b/internal/downstream/arrivals_test.go
@@ -1,4 +1,4 @@
-package clients
+package downstream
 
 import (
 	"bytes"
--- a/internal/clients/link.go
+++ b/internal/downstream/link.go
@@ -1,11 +1,11 @@
-package clients
+package downstream
 
 import (
 	"strconv"
 	"strings"
 	"time"
 
-	"thymebend"
+	"thymebend/internal/balancer"
 	"thymebend/internal/http1"
 	"thymebend/internal/loop"
 )
@@ -40,10 +40,10 @@
 // Link is one client link.
 type Link struct {
 	Conn     loop.Conn
-	Query    thymebend.RequestID // the query in work, with Busy
-	Busy     bool                // a query is in work or its answer not yet written out
-	Closing  bool                // ends after the answer now written
-	Ended    bool                // our sending has ended; what still comes is dropped
+	Query    balancer.RequestID // the query in work, with Busy
+	Busy     bool               // a query is in work or its answer not yet written out
+	Closing  bool               // ends after the answer now written
+	Ended    bool               // our sending has ended; what still comes is dropped
 	Muted    bool
 	Asked    bool          // a whole request has come on it
 	Queries  int           // how many queries came on it
--- a/internal/clients/query.go
+++ b/internal/downstream/query.go
@@ -1,6 +1,6 @@
 // Package clients speaks to the clients: client links, what a query must state, and how final answers are
 // worded. A second protocol for clients would be a package beside this one.
-package clients
+package downstream
 
 import (
 	"math"
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"thymebend"
+	"thymebend/internal/balancer"
 	"thymebend/internal/http1"
 )
 
@@ -28,15 +28,15 @@
 	Name   string
 	Place  int    // the module's
 	Method string // that its requests have
-	Rules  thymebend.Class
+	Rules  balancer.Class
 }
 
 // Classes finds a class by the name and the method of a request.
 type Classes func(name, method string) (Class, bool)
 
 // MethodOf is the method of the requests of an effect.
-func MethodOf(e thymebend.Effect) string {
-	if e == thymebend.Safe {
+func MethodOf(e balancer.Effect) string {
+	if e == balancer.Safe {
 		return "GET"
 	}
 	return "POST"
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"thymebend"
-	"thymebend/internal/clients"
+	"thymebend/internal/balancer"
+	"thymebend/internal/downstream"
 	"thymebend/internal/loop"
 )
 
@@ -12,7 +12,7 @@
 // put off all that the module has to hear: it must not be called while it calls.
 
 // Send implements thymebend.Actions.
-func (g *Gateway) Send(id thymebend.RequestID, to thymebend.ServerID, timeout time.Duration) {
+func (g *Gateway) Send(id balancer.RequestID, to balancer.ServerID, timeout time.Duration) {
 	q := g.queries[id]
 	if q == nil {
 		g.log.Error().Uint32("query", uint32(id)).Msg("send for an unknown query")
@@ -36,7 +36,7 @@
 }
 
 // Refuse implements thymebend.Actions. A refusal goes out at once.
-func (g *Gateway) Refuse(id thymebend.RequestID, after time.Duration) {
+func (g *Gateway) Refuse(id balancer.RequestID, after time.Duration) {
 	if q := g.queries[id]; q != nil && !q.over && !g.guard.MayPromise(&q.rules) {
 		g.Fail(id)
 		return
@@ -46,19 +46,19 @@
 		g.traceRefused(q.ID, refusedByModule, after)
 	}
 	if l != nil {
-		g.answer(q, l, clients.Refused(after, g.keep(l)))
+		g.answer(q, l, downstream.Refused(after, g.keep(l)))
 	}
 }
 
 // Fail implements thymebend.Actions.
-func (g *Gateway) Fail(id thymebend.RequestID) {
+func (g *Gateway) Fail(id balancer.RequestID) {
 	if q, l := g.finish(id, faulted); l != nil {
-		g.answer(q, l, clients.Failed(g.keep(l)))
+		g.answer(q, l, downstream.Failed(g.keep(l)))
 	}
 }
 
 // finish concludes a query and returns the link on which its answer goes out, if the client is still there.
-func (g *Gateway) finish(id thymebend.RequestID, r result) (*query, *clients.Link) {
+func (g *Gateway) finish(id balancer.RequestID, r result) (*query, *downstream.Link) {
 	q := g.queries[id]
 	if q == nil || q.over || !g.guard.Answer(&q.rules) {
 		return nil, nil
@@ -79,7 +79,7 @@
 }
 
 // Cancel implements thymebend.Actions.
-func (g *Gateway) Cancel(id thymebend.RequestID, attempt int) {
+func (g *Gateway) Cancel(id balancer.RequestID, attempt int) {
 	q := g.queries[id]
 	if q == nil {
 		return
@@ -93,7 +93,7 @@
 }
 
 // Close implements thymebend.Actions.
-func (g *Gateway) Close(to thymebend.ServerID) {
+func (g *Gateway) Close(to balancer.ServerID) {
 	for _, l := range g.pool.IdleTo(to) {
 		g.dropLink(l, EndLinkIdle)
 	}
@@ -137,9 +137,9 @@
 	clear(g.ended)
 	g.ended = g.ended[:0]
 	if g.lost {
-		kind := thymebend.ListFailed
+		kind := balancer.ListFailed
 		if g.unmet {
-			kind = thymebend.ListUnreachable
+			kind = balancer.ListUnreachable
 		}
 		g.lost, g.unmet = false, false
 		g.told = true
@@ -150,7 +150,7 @@
 func (g *Gateway) tellEnd(p pendingEnd) {
 	q := p.exec.query
 	outcome, _ := p.end.outcome()
-	end := thymebend.AttemptEnd{Request: q.id, Attempt: p.exec.number, Server: p.exec.host, Outcome: outcome,
+	end := balancer.AttemptEnd{Request: q.id, Attempt: p.exec.number, Server: p.exec.host, Outcome: outcome,
 		Latency: g.now - p.exec.began, Closed: q.over, Spent: q.up != nil && q.up.spent}
 	if p.answer != nil && g.cfg.Settings.Gateway.Waiting >= 0 {
 		end.Reported, end.Waiting = p.answer.Reported, p.answer.Waiting
--- a/internal/gateway/end.go
+++ b/internal/gateway/end.go
@@ -1,6 +1,6 @@
 package gateway
 
-import "thymebend"
+import "thymebend/internal/balancer"
 
 // End is every way in which a connection, or what was under way on it, can end.
 type End uint8
@@ -35,24 +35,24 @@
 )
 
 // outcome maps an execution's end to what the module is told, and reports whether there is anything to tell.
-func (e End) outcome() (thymebend.Outcome, bool) {
+func (e End) outcome() (balancer.Outcome, bool) {
 	switch e {
 	case EndOver, EndWindow, EndLocal:
-		return thymebend.Moot, true
+		return balancer.Moot, true
 	case EndHostLeft, EndNoRoom, EndUnreached, EndNotUp, EndUnsent:
-		return thymebend.ConnectFailed, true
+		return balancer.ConnectFailed, true
 	case EndTurnedAway:
-		return thymebend.Full, true
+		return balancer.Full, true
 	case EndTimedOut:
-		return thymebend.Timeout, true
+		return balancer.Timeout, true
 	case EndCut:
-		return thymebend.Reset, true
+		return balancer.Reset, true
 	case EndGarbled, EndFaulty:
-		return thymebend.Error, true
+		return balancer.Error, true
 	case EndCalledOff, EndClientGone:
-		return thymebend.Cancelled, true
+		return balancer.Cancelled, true
 	case EndServed:
-		return thymebend.OK, true
+		return balancer.OK, true
 	}
 	return 0, false
 }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"thymebend/internal/fleetfile"
+	"thymebend/internal/admin"
+	"thymebend/internal/gossipconfig"
 	"thymebend/internal/loop"
-	"thymebend/internal/members"
-	"thymebend/internal/operators"
+	"thymebend/internal/membership"
 )
 
-// The fleet's view, where a fleet file asks for it: the reducer of internal/members on a datagram socket. Without the file
+// The fleet's view, where a fleet file asks for it: the reducer of internal/membership on a datagram socket. Without the file
 // there is no socket, no timer and no view.
 
 // fleetAgain is how soon a socket that failed is opened again; fleetLog bounds the lines about the view.
@@ -20,17 +20,17 @@
 
 // fleet is this process's part in the fleet.
 type fleet struct {
-	view     *members.View // nil while another process of this gateway speaks
-	up       bool          // the socket is open
-	joined   int           // how often a view was begun
-	start    uint64        // identity that was handed over, or this process's own
-	again    uint64        // incarnation to begin with
+	view     *membership.View // nil while another process of this gateway speaks
+	up       bool             // the socket is open
+	joined   int              // how often a view was begun
+	start    uint64           // identity that was handed over, or this process's own
+	again    uint64           // incarnation to begin with
 	loggedAt time.Duration
 	logged   uint64 // version of the view in the last line
 }
 
 // View is this process's view of its fleet, or nil while it has none. The laboratory holds it against the truth.
-func (g *Gateway) View() *members.View { return g.fleet.view }
+func (g *Gateway) View() *membership.View { return g.fleet.view }
 
 // joinFleet begins to speak, once this process takes clients: at an upgrade under the elder's identity.
 func (g *Gateway) joinFleet() {
@@ -43,7 +43,7 @@
 	}
 	g.takePortion()
 	payload := g.firstWords()
-	view, err := members.New(members.Config{Fleet: f.Fleet, Name: f.Name, Start: g.fleet.start, Incarnation: g.fleet.again, Book: f.Book,
+	view, err := membership.New(membership.Config{Fleet: f.Fleet, Name: f.Name, Start: g.fleet.start, Incarnation: g.fleet.again, Book: f.Book,
 		Flat: f.Flat, Payload: payload, Seed: g.cfg.Seed}, g.now)
 	if err != nil {
 		g.log.Error().Err(err).Msg("fleet: not joined")
@@ -126,9 +126,9 @@
 
 // reloadFleet takes a new book. A faulty file changes nothing; what else the file says holds from the next start.
 func (g *Gateway) reloadFleet(raw []byte, err error) {
-	var f *fleetfile.File
+	var f *gossipconfig.File
 	if err == nil {
-		f, err = fleetfile.Parse(g.cfg.FleetPath, raw, g.cfg.Name)
+		f, err = gossipconfig.Parse(g.cfg.FleetPath, raw, g.cfg.Name)
 	}
 	if err == nil && g.fleet.view != nil {
 		err = g.fleet.view.SetBook(g.now, f.Book)
@@ -145,8 +145,8 @@
 }
 
 // fleetFigures are what operators read of the fleet.
-func (g *Gateway) fleetFigures() operators.Fleet {
-	out := operators.Fleet{Fleet: g.cfg.Fleet.Fleet, Name: g.cfg.Fleet.Name, Joined: g.fleet.joined, Members: []operators.FleetMember{}}
+func (g *Gateway) fleetFigures() admin.Fleet {
+	out := admin.Fleet{Fleet: g.cfg.Fleet.Fleet, Name: g.cfg.Fleet.Name, Joined: g.fleet.joined, Members: []admin.FleetMember{}}
 	v := g.fleet.view
 	if v == nil {
 		return out
@@ -158,7 +158,7 @@
 	out.Sent, out.SentBytes, out.Received, out.ReceivedBytes = c.Sent, c.SentBytes, c.Received, c.ReceivedBytes
 	out.Refused = map[string]uint64{"foreign": c.Foreign, "spoilt": c.Spoilt, "strange": c.Strange, "over_rate": c.Held, "over_size": c.Full}
 	for _, m := range v.Members() {
-		fm := operators.FleetMember{Name: m.Name, State: m.State.String(), Start: m.Start, Incarnation: m.Incarnation,
+		fm := admin.FleetMember{Name: m.Name, State: m.State.String(), Start: m.Start, Incarnation: m.Incarnation,
 			SinceMS: (g.now - m.Since).Milliseconds(), Previous: m.Previous.String(), SuspectedBy: m.SuspectedBy,
 			RTTMS: float64(m.RTT.Microseconds()) / 1000}
 		if m.Addr.IsValid() {
--- a/internal/gateway/fromclients.go
+++ b/internal/gateway/fromclients.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"thymebend"
-	"thymebend/internal/clients"
+	"thymebend/internal/balancer"
+	"thymebend/internal/downstream"
 	"thymebend/internal/loop"
 )
 
@@ -85,7 +85,7 @@
 		case l.Pending():
 			// What has come was read: the answer goes out with the close.
 			g.traceIncomplete(l)
-			g.write(l.Conn, clients.TooSlow())
+			g.write(l.Conn, downstream.TooSlow())
 			g.dropClient(l, EndClientSlow)
 		default:
 			g.lookAndClose(l)
@@ -96,7 +96,7 @@
 
 // givesWay returns the client link that gives way first, or nil. While there are two processes only those do that have
 // their last answer: see alone.
-func (g *Gateway) givesWay() *clients.Link {
+func (g *Gateway) givesWay() *downstream.Link {
 	if g.alone() {
 		return g.links.GivesWay(g.now)
 	}
@@ -117,12 +117,12 @@
 	}
 	until := g.waitUntil(added)
 	if g.closed {
-		until = min(until, g.now+clients.LingerFor) // its request is on the way, or never comes
+		until = min(until, g.now+downstream.LingerFor) // its request is on the way, or never comes
 	}
 	g.timeClient(added, until)
 }
 
-func (g *Gateway) clientEvent(l *clients.Link, e loop.Event) {
+func (g *Gateway) clientEvent(l *downstream.Link, e loop.Event) {
 	switch e.Kind {
 	case loop.Readable:
 		if l.Upload {
@@ -134,8 +134,8 @@
 		l.LastAsk = false
 		if l.Ended || l.Drop {
 			// What comes after the last answer belongs to no query. A client that is still sending is given time.
-			if l.Ended && l.Drop && g.now < l.Since+clients.LingerMost {
-				g.timeClient(l, g.now+clients.LingerFor)
+			if l.Ended && l.Drop && g.now < l.Since+downstream.LingerMost {
+				g.timeClient(l, g.now+downstream.LingerFor)
 			}
 			return
 		}
@@ -170,7 +170,7 @@
 }
 
 // advance takes the next request of a link, if it is whole and none is in work.
-func (g *Gateway) advance(l *clients.Link) {
+func (g *Gateway) advance(l *downstream.Link) {
 	for !l.Busy && !l.Ended {
 		asked, whole := l.Next(g.classOf)
 		if !whole {
@@ -188,7 +188,7 @@
 // awaitRest bounds the time for the rest of a request, from its first byte on; clientTimer gives more for what has
 // come meanwhile. That of a first request has run since the accept. It is set in any case: the timer of a new connection may
 // just have fallen due, and its last look has brought the first byte.
-func (g *Gateway) awaitRest(l *clients.Link) {
+func (g *Gateway) awaitRest(l *downstream.Link) {
 	if !l.Pending() {
 		return
 	}
@@ -200,12 +200,12 @@
 		g.timeClient(l, g.waitUntil(l))
 	}
 	if l.AwaitsContinue() {
-		g.write(l.Conn, clients.Continue())
+		g.write(l.Conn, downstream.Continue())
 	}
 }
 
 // take answers a request itself or makes it a query of the module's.
-func (g *Gateway) take(l *clients.Link, asked clients.Asked) {
+func (g *Gateway) take(l *downstream.Link, asked downstream.Asked) {
 	l.Timed, l.Asked, l.Came = false, true, 0
 	l.Drop = asked.Fault != nil && asked.Last // where its body ends, and the next request begins, is not known
 	switch {
@@ -214,10 +214,10 @@
 			g.settle(asked.Query.Class.Name, faulted)
 		}
 		g.traceFaulty(l, asked.Query.ID, asked.Fault.Status, asked.Fault.Text)
-		g.reply(l, clients.Faulty(asked.Fault, !l.Closing))
+		g.reply(l, downstream.Faulty(asked.Fault, !l.Closing))
 		return
 	case asked.Health:
-		g.reply(l, clients.Health(g.group.Len() > 0 && (!g.stopping || g.heirTakes), !l.Closing))
+		g.reply(l, downstream.Health(g.group.Len() > 0 && (!g.stopping || g.heirTakes), !l.Closing))
 		return
 	case g.open[asked.Query.ID]:
 		// Two queries of one id could not be told apart at a host: the second would run in the first one's name.
@@ -225,7 +225,7 @@
 		g.traceFaulty(l, asked.Query.ID, statusBadRequest, "the id of an open request")
 		l.Upload = asked.Large
 		keep := g.keep(l)
-		g.reply(l, clients.Taken(keep))
+		g.reply(l, downstream.Taken(keep))
 		return
 	}
 	if reason, refused := g.turnsAway(l.Left(g.now, asked.Query.Patience)); refused {
@@ -233,7 +233,7 @@
 		g.traceRefused(asked.Query.ID, reason, g.cfg.Settings.Config.MaxRetryAfter)
 		l.Upload = asked.Large
 		keep := g.keep(l)
-		g.reply(l, clients.Refused(g.cfg.Settings.Config.MaxRetryAfter, keep))
+		g.reply(l, downstream.Refused(g.cfg.Settings.Config.MaxRetryAfter, keep))
 		return
 	}
 	g.untimeClient(l)
@@ -249,7 +249,7 @@
 		g.beginUpload(q, l)
 	}
 	g.told = true
-	g.module.Request(g.now, thymebend.Request{ID: q.id, Class: read.Class.Place, Patience: read.Patience,
+	g.module.Request(g.now, balancer.Request{ID: q.id, Class: read.Class.Place, Patience: read.Patience,
 		Repeat: read.Repeat, Waited: g.now + read.Patience - q.deadline})
 }
 
@@ -276,27 +276,27 @@
 }
 
 // reply writes an answer of the gateway's own, to what is no query.
-func (g *Gateway) reply(l *clients.Link, data []byte) {
+func (g *Gateway) reply(l *downstream.Link, data []byte) {
 	l.Busy = true
 	g.lastWords(l, data)
 }
 
 // lastWords writes an answer and bounds the time for the client to take it: one that never reads must not hold
 // its link, nor the program's end, for ever.
-func (g *Gateway) lastWords(l *clients.Link, data []byte) {
+func (g *Gateway) lastWords(l *downstream.Link, data []byte) {
 	l.Query = 0
-	g.timeClient(l, g.now+clients.TakenWithin)
+	g.timeClient(l, g.now+downstream.TakenWithin)
 	g.write(l.Conn, data)
 }
 
 // answer writes a query's final answer.
-func (g *Gateway) answer(q *query, l *clients.Link, data []byte) {
+func (g *Gateway) answer(q *query, l *downstream.Link, data []byte) {
 	q.client = 0
 	g.lastWords(l, data)
 }
 
 // flushed goes on once an answer is written out: with the next request, or with the end of the link.
-func (g *Gateway) flushed(l *clients.Link) {
+func (g *Gateway) flushed(l *downstream.Link) {
 	if r := g.relays[l.Conn]; r != nil {
 		g.relayFlushed(r)
 		return
@@ -315,9 +315,9 @@
 		return
 	}
 	g.unmute(l)
-	rest := clients.IdleAfter
+	rest := downstream.IdleAfter
 	if l.Queries == 1 && g.links.TooMany() && g.alone() {
-		rest = clients.OnceFor // no new process may be left to close it, see Spent
+		rest = downstream.OnceFor // no new process may be left to close it, see Spent
 	}
 	if !l.Pending() { // else the time of the next request begins, see awaitRest
 		g.timeClient(l, g.now+rest)
@@ -334,7 +334,7 @@
 // between that look and the close, or after it, is read by nobody, and the system resets the connection: that tells the
 // client that it was not taken. To linger here, as after a last answer, would read it and say nothing; and there is no
 // answer to protect, for a client that asks again has read the one before.
-func (g *Gateway) lookAndClose(l *clients.Link) {
+func (g *Gateway) lookAndClose(l *downstream.Link) {
 	l.LastAsk = true
 	g.links.Place(l)
 	g.ask(loop.Effect{Op: loop.Read, Conn: l.Conn})
@@ -356,33 +356,33 @@
 	case l.Ended:
 		g.dropClient(l, EndAnswered)
 	case g.relays[c] != nil && !g.relays[c].busy:
-		g.timeClient(l, g.now+clients.TakenWithin) // the client has taken all that there is
+		g.timeClient(l, g.now+downstream.TakenWithin) // the client has taken all that there is
 	case l.Busy && l.Query == 0:
 		g.dropClient(l, EndClientSlow)
 	case l.Upload && !l.Incomplete():
-		g.timeClient(l, g.now+clients.StreamPause) // it is the host that is waited for
+		g.timeClient(l, g.now+downstream.StreamPause) // it is the host that is waited for
 	case l.Upload && g.now < g.waitUntil(l):
 		g.timeClient(l, g.waitUntil(l))
 	case l.Upload:
 		g.traceIncomplete(l)
-		g.turnAway(g.queries[l.Query], l, clients.TooSlow())
+		g.turnAway(g.queries[l.Query], l, downstream.TooSlow())
 	case l.Busy:
 	case l.Pending() && g.now < g.waitUntil(l):
 		g.timeClient(l, g.waitUntil(l))
 	case l.Pending():
 		l.Closing = true
 		g.traceIncomplete(l)
-		g.reply(l, clients.TooSlow())
-	case l.Queries == 1 && !g.closed && !(g.links.TooMany() && g.alone()) && g.now < l.Since+clients.IdleAfter:
+		g.reply(l, downstream.TooSlow())
+	case l.Queries == 1 && !g.closed && !(g.links.TooMany() && g.alone()) && g.now < l.Since+downstream.IdleAfter:
 		// There were many links when it came to rest. Others were closed since, and few are no burden; or an upgrade began.
-		g.timeClient(l, l.Since+clients.IdleAfter)
+		g.timeClient(l, l.Since+downstream.IdleAfter)
 	default:
 		g.lookAndClose(l)
 	}
 }
 
 // dropClient ends a client link. A query in work on it has lapsed, and its executions end with it.
-func (g *Gateway) dropClient(l *clients.Link, end End) {
+func (g *Gateway) dropClient(l *downstream.Link, end End) {
 	g.traceClientEnd(l, end)
 	g.checkClose(l, end)
 	g.untimeClient(l)
--- a/internal/gateway/fromlist.go
+++ b/internal/gateway/fromlist.go
@@ -4,10 +4,10 @@
 	"errors"
 	"time"
 
-	"thymebend"
-	"thymebend/internal/hostgroup"
+	"thymebend/internal/backoff"
+	"thymebend/internal/balancer"
+	"thymebend/internal/discovery"
 	"thymebend/internal/loop"
-	"thymebend/internal/pacing"
 )
 
 // moveAgain is how soon discovery's new address is asked again after a call that failed, while the old watch
@@ -22,15 +22,15 @@
 const mostHold = 2 * time.Second
 
 // openWatch calls discovery where the configuration now has it.
-func (g *Gateway) openWatch() *hostgroup.Watch {
-	w := hostgroup.NewWatch(g.pool.NextConn(), g.cfg.Discovery, g.now)
+func (g *Gateway) openWatch() *discovery.Watch {
+	w := discovery.NewWatch(g.pool.NextConn(), g.cfg.Discovery, g.now)
 	g.ask(loop.Effect{Op: loop.Dial, Conn: w.Conn, Addr: w.Addr, Urgent: true})
 	g.setTimer(timerWatch, uint64(w.Conn), w.Until())
 	return w
 }
 
-func (g *Gateway) watchOn(c loop.Conn) *hostgroup.Watch {
-	for _, w := range [...]*hostgroup.Watch{g.watch, g.moving, g.queued} {
+func (g *Gateway) watchOn(c loop.Conn) *discovery.Watch {
+	for _, w := range [...]*discovery.Watch{g.watch, g.moving, g.queued} {
 		if w != nil && w.Conn == c {
 			return w
 		}
@@ -87,7 +87,7 @@
 	}
 }
 
-func (g *Gateway) watchEvent(w *hostgroup.Watch, e loop.Event) {
+func (g *Gateway) watchEvent(w *discovery.Watch, e loop.Event) {
 	switch e.Kind {
 	case loop.Connected:
 		g.write(e.Conn, g.group.Request(w, g.now))
@@ -103,7 +103,7 @@
 
 // watchData applies whole lines. The first line answers the call even if it is a mere beat. Lines that came whole beside a fault
 // count as told: those before it are applied, and of those after it the departures.
-func (g *Gateway) watchData(w *hostgroup.Watch, data []byte) {
+func (g *Gateway) watchData(w *discovery.Watch, data []byte) {
 	first := !w.Started()
 	lines, ended, fault := w.Feed(g.now, data)
 	broken := false
@@ -135,8 +135,8 @@
 }
 
 // applyLine takes one line of a watch. Of a faulty object it takes who leaves.
-func (g *Gateway) applyLine(w *hostgroup.Watch, line []byte, first bool) error {
-	var news hostgroup.News
+func (g *Gateway) applyLine(w *discovery.Watch, line []byte, first bool) error {
+	var news discovery.News
 	switch {
 	case len(line) == 0 || g.olderSince != 0:
 	case w != g.watch && g.group.Outdated(w, line):
@@ -151,9 +151,9 @@
 	if first {
 		g.watchAnswered(w)
 	}
-	kind := thymebend.ListDelta
+	kind := balancer.ListDelta
 	if news.Whole {
-		kind = thymebend.ListFull
+		kind = balancer.ListFull
 	}
 	g.hostsLeft(news.Changed)
 	if g.portion != nil {
@@ -165,14 +165,14 @@
 }
 
 // tellList tells the module news of the list, with starts on this process's clock.
-func (g *Gateway) tellList(kind thymebend.ListKind, entries []thymebend.Server) {
+func (g *Gateway) tellList(kind balancer.ListKind, entries []balancer.Server) {
 	g.starts.Believe(g.now, kind, entries)
 	g.module.List(g.now, kind, entries)
 }
 
 // watchAnswered makes the call that is answered first the watch in force. A call to a new address goes on beside the old
 // address's watch.
-func (g *Gateway) watchAnswered(w *hostgroup.Watch) {
+func (g *Gateway) watchAnswered(w *discovery.Watch) {
 	if g.watch != nil && g.watch != w {
 		g.dropWatch(g.watch, EndListReplace, nil)
 	}
@@ -193,17 +193,17 @@
 // callUnanswered deals with a call that was not answered in time. It may still wait in discovery's queue, and a call that is
 // given up there costs discovery its turn for nothing: it keeps its place, and another goes out beside it, in case it is
 // lost. It reports whether the call was kept; there is one such place.
-func (g *Gateway) callUnanswered(w *hostgroup.Watch) bool {
+func (g *Gateway) callUnanswered(w *discovery.Watch) bool {
 	if g.pushed() || w.Started() || !w.Up() || g.queued != nil {
 		return false
 	}
 	g.log.Info().Stringer("discovery", w.Addr).Msg("no answer yet, the call keeps its place and another is made")
 	g.queued = w
-	g.setTimer(timerWatch, uint64(w.Conn), g.now+hostgroup.AbandonAfter)
+	g.setTimer(timerWatch, uint64(w.Conn), g.now+discovery.AbandonAfter)
 	switch {
 	case w == g.moving:
 		g.moving = nil
-		g.moveLater(pacing.Overloaded)
+		g.moveLater(backoff.Overloaded)
 	case w == g.watch:
 		g.watch, g.lost = nil, true
 	}
@@ -242,7 +242,7 @@
 }
 
 // moveLater sets the time of the next call to the new address.
-func (g *Gateway) moveLater(failure pacing.Failure) {
+func (g *Gateway) moveLater(failure backoff.Failure) {
 	after := moveAgain
 	if !g.pushed() {
 		after = max(moveAgain, g.movePacer.Failed(failure, g.cfg.Settings.Config.Gateways, 0, g.draws.Float64(), g.draws.Float64()))
@@ -251,14 +251,14 @@
 }
 
 // watchEnds ends a watch. Where no other is left, the module is told and asks again when it sees fit.
-func (g *Gateway) watchEnds(w *hostgroup.Watch, end End, err error) {
-	var refusal *hostgroup.Refusal
+func (g *Gateway) watchEnds(w *discovery.Watch, end End, err error) {
+	var refusal *discovery.Refusal
 	if errors.As(err, &refusal) && refusal.RetryAfter > 0 {
 		g.callNotBefore = g.now + refusal.RetryAfter
 	}
-	failure := pacing.Overloaded
+	failure := backoff.Overloaded
 	if !w.Up() {
-		failure = pacing.Unreachable
+		failure = backoff.Unreachable
 	}
 	if !w.Started() {
 		g.heard()
@@ -275,7 +275,7 @@
 	case g.watch == nil && g.pushed():
 		g.setTimer(timerMove, 0, g.now+moveAgain)
 	case g.watch == nil:
-		g.lost, g.unmet = true, failure == pacing.Unreachable
+		g.lost, g.unmet = true, failure == backoff.Unreachable
 		if w.Started() && end != EndListSilent {
 			g.unheard()
 		}
@@ -288,7 +288,7 @@
 	}
 }
 
-func (g *Gateway) dropWatch(w *hostgroup.Watch, end End, err error) {
+func (g *Gateway) dropWatch(w *discovery.Watch, end End, err error) {
 	g.log.Info().Stringer("end", end).Stringer("discovery", w.Addr).AnErr("cause", err).Msg("watch")
 	g.stopTimer(timerWatch, uint64(w.Conn))
 	g.close(w.Conn)
--- a/internal/gateway/fromoperators.go
+++ b/internal/gateway/fromoperators.go
@@ -4,8 +4,8 @@
 	"maps"
 	"slices"
 
+	"thymebend/internal/admin"
 	"thymebend/internal/loop"
-	"thymebend/internal/operators"
 )
 
 // tally is what the operators are told of one class.
@@ -63,8 +63,8 @@
 	}
 }
 
-func (g *Gateway) figures() operators.Figures {
-	f := operators.Figures{Fulfilled: make(map[string]int64), Throttled: make(map[string]int64), Faulted: make(map[string]int64),
+func (g *Gateway) figures() admin.Figures {
+	f := admin.Figures{Fulfilled: make(map[string]int64), Throttled: make(map[string]int64), Faulted: make(map[string]int64),
 		Relayed: g.relayed, Open: len(g.open), Entries: g.group.Len(), Accepted: g.accepted, Invalid: g.invalid,
 		Ends: make(map[string]uint64), Refusals: make(map[string]uint64), Retries: g.retries,
 		Violations: g.guard.Counts()}
@@ -110,10 +110,10 @@
 	if out := g.ops.Add(c); out != nil {
 		g.dropOperator(out)
 	}
-	g.setTimer(timerOperator, uint64(c), g.now+operators.CallWithin)
+	g.setTimer(timerOperator, uint64(c), g.now+admin.CallWithin)
 }
 
-func (g *Gateway) operatorEvent(l *operators.Link, e loop.Event) {
+func (g *Gateway) operatorEvent(l *admin.Link, e loop.Event) {
 	switch e.Kind {
 	case loop.Readable:
 		g.ask(loop.Effect{Op: loop.Read, Conn: l.Conn})
@@ -123,26 +123,26 @@
 		}
 		call, answer := l.Feed(e.Data)
 		switch call {
-		case operators.None:
+		case admin.None:
 			return
-		case operators.Readiness:
-			answer = operators.Ready(g.ready(), g.unready())
-		case operators.Stats:
+		case admin.Readiness:
+			answer = admin.Ready(g.ready(), g.unready())
+		case admin.Stats:
 			answer = g.figures().Words()
-		case operators.FleetView:
-			if answer = operators.NoFleet(); g.cfg.Fleet != nil {
+		case admin.FleetView:
+			if answer = admin.NoFleet(); g.cfg.Fleet != nil {
 				answer = g.fleetFigures().Words()
 			}
 		}
 		l.Answered = true
-		g.setTimer(timerOperator, uint64(l.Conn), g.now+operators.CallWithin)
+		g.setTimer(timerOperator, uint64(l.Conn), g.now+admin.CallWithin)
 		g.write(l.Conn, answer)
 	case loop.Flushed:
 		// Only the sending ends: a close with bytes unread would reset the link and could take the answer away.
 		if l.Answered && !l.Ended {
 			l.Ended = true
 			g.ask(loop.Effect{Op: loop.Shutdown, Conn: l.Conn})
-			g.setTimer(timerOperator, uint64(l.Conn), g.now+operators.LingerFor)
+			g.setTimer(timerOperator, uint64(l.Conn), g.now+admin.LingerFor)
 		}
 	case loop.EOF, loop.Broken:
 		g.dropOperator(l)
@@ -162,7 +162,7 @@
 	return "starting"
 }
 
-func (g *Gateway) dropOperator(l *operators.Link) {
+func (g *Gateway) dropOperator(l *admin.Link) {
 	g.stopTimer(timerOperator, uint64(l.Conn))
 	g.ops.Remove(l)
 	g.close(l.Conn)
--- a/internal/gateway/fromservers.go
+++ b/internal/gateway/fromservers.go
@@ -4,10 +4,10 @@
 	"slices"
 	"time"
 
-	"thymebend"
-	"thymebend/internal/clients"
+	"thymebend/internal/balancer"
+	"thymebend/internal/downstream"
 	"thymebend/internal/loop"
-	"thymebend/internal/servers"
+	"thymebend/internal/upstream"
 )
 
 // begin writes an execution on an idle link to its host, or opens one.
@@ -37,7 +37,7 @@
 	g.ask(loop.Effect{Op: loop.Dial, Conn: l.Conn, Addr: g.group.Find(x.host).Dial})
 }
 
-func (g *Gateway) bind(x *execution, l *servers.Link) {
+func (g *Gateway) bind(x *execution, l *upstream.Link) {
 	x.link = l
 	g.byLink[l.Conn] = x
 }
@@ -48,19 +48,19 @@
 		g.endExecution(x, end, nil)
 		return
 	}
-	x.link.Phase = servers.Writing
+	x.link.Phase = upstream.Writing
 	if q := x.query; q.up != nil {
 		// The head goes alone: nothing of the body is lost if the link turns out to be dead.
 		g.notices = append(g.notices, notice{exec: x})
 		g.setTimer(timerExecution, x.id, g.now+bodyTakenWithin)
-		g.ask(loop.Effect{Op: op, Conn: x.link.Conn, Data: servers.AppendHead(nil, q.Message, q.up.length, g.leftOf(q))})
+		g.ask(loop.Effect{Op: op, Conn: x.link.Conn, Data: upstream.AppendHead(nil, q.Message, q.up.length, g.leftOf(q))})
 		return
 	}
-	data := servers.AppendRequest(nil, x.query.Message, x.until-g.now)
+	data := upstream.AppendRequest(nil, x.query.Message, x.until-g.now)
 	g.ask(loop.Effect{Op: op, Conn: x.link.Conn, Data: data})
 }
 
-func (g *Gateway) serverEvent(l *servers.Link, e loop.Event) {
+func (g *Gateway) serverEvent(l *upstream.Link, e loop.Event) {
 	x := g.byLink[l.Conn]
 	switch e.Kind {
 	case loop.Readable:
@@ -70,10 +70,10 @@
 		g.request(x, loop.Write)
 	case loop.Flushed:
 		switch {
-		case x != nil && x.query.up != nil && l.Phase == servers.Writing:
+		case x != nil && x.query.up != nil && l.Phase == upstream.Writing:
 			g.uploadFlushed(x)
-		case l.Phase == servers.Writing:
-			l.Phase = servers.Awaiting
+		case l.Phase == upstream.Writing:
+			l.Phase = upstream.Awaiting
 			g.relayed++
 		}
 	case loop.Stale:
@@ -89,7 +89,7 @@
 	}
 }
 
-func (g *Gateway) serverData(l *servers.Link, x *execution, data []byte) {
+func (g *Gateway) serverData(l *upstream.Link, x *execution, data []byte) {
 	if x == nil {
 		g.dropLink(l, EndGarbled) // bytes that no request asked for
 		return
@@ -109,17 +109,17 @@
 }
 
 // linkBroke ends what is under way on a link that broke or was ended by its host.
-func (g *Gateway) linkBroke(l *servers.Link, x *execution, e loop.Event) {
+func (g *Gateway) linkBroke(l *upstream.Link, x *execution, e loop.Event) {
 	if x == nil {
 		g.dropLink(l, EndLinkIdle)
 		return
 	}
 	switch {
-	case l.Phase == servers.Connecting && e.Local:
+	case l.Phase == upstream.Connecting && e.Local:
 		g.endExecution(x, EndLocal, nil)
-	case l.Phase == servers.Connecting:
+	case l.Phase == upstream.Connecting:
 		g.endExecution(x, EndUnreached, nil)
-	case l.Phase == servers.Writing:
+	case l.Phase == upstream.Writing:
 		g.endExecution(x, EndUnsent, nil)
 	default:
 		if e.Kind == loop.EOF {
@@ -133,7 +133,7 @@
 }
 
 // answered takes a host's whole answer. The first 200 goes to the client as it is.
-func (g *Gateway) answered(x *execution, a *servers.Answer) {
+func (g *Gateway) answered(x *execution, a *upstream.Answer) {
 	end := EndFaulty
 	switch {
 	case a.Status == 200:
@@ -142,7 +142,7 @@
 		end = EndTurnedAway
 	}
 	l, q := x.link, x.query
-	if l.Phase == servers.Awaiting && l.Reusable(a) && g.mayRest(l) {
+	if l.Phase == upstream.Awaiting && l.Reusable(a) && g.mayRest(l) {
 		g.unbind(x)
 		g.rest(l)
 	}
@@ -153,17 +153,17 @@
 		g.traceAnswered(q, fulfilled)
 		if c := g.links.ByConn[q.client]; c != nil {
 			keep := g.keep(c)
-			g.answer(q, c, clients.Served(a.Passed(), a.Body, keep))
+			g.answer(q, c, downstream.Served(a.Passed(), a.Body, keep))
 		}
 	}
 	g.endExecution(x, end, a)
 }
 
-func (g *Gateway) mayRest(l *servers.Link) bool {
+func (g *Gateway) mayRest(l *upstream.Link) bool {
 	return g.takesNew(l.Host) && !g.stopping && !g.pool.Over()
 }
 
-func (g *Gateway) rest(l *servers.Link) {
+func (g *Gateway) rest(l *upstream.Link) {
 	g.pool.Rest(l)
 	g.setTimer(timerLink, uint64(l.Conn), g.now+scale(g.cfg.Settings.Gateway.ConnIdle, idleShare))
 }
@@ -175,7 +175,7 @@
 
 // endExecution ends an execution, with its link if it still has one: a late answer on it must not reach
 // another query. The module is told once it has returned.
-func (g *Gateway) endExecution(x *execution, end End, answer *servers.Answer) {
+func (g *Gateway) endExecution(x *execution, end End, answer *upstream.Answer) {
 	if l := x.link; l != nil {
 		g.unbind(x)
 		g.dropLink(l, end)
@@ -200,7 +200,7 @@
 }
 
 // dropLink closes a server link.
-func (g *Gateway) dropLink(l *servers.Link, end End) {
+func (g *Gateway) dropLink(l *upstream.Link, end End) {
 	g.log.Debug().Uint64("link", uint64(l.Conn)).Stringer("end", end).Msg("server link")
 	g.stopTimer(timerLink, uint64(l.Conn))
 	g.pool.Remove(l)
@@ -212,9 +212,9 @@
 	x := g.byID[id]
 	switch {
 	case x == nil:
-	case x.link.Phase == servers.Connecting:
+	case x.link.Phase == upstream.Connecting:
 		g.endExecution(x, EndNotUp, nil)
-	case x.link.Phase == servers.Writing:
+	case x.link.Phase == upstream.Writing:
 		g.endExecution(x, EndUnsent, nil)
 	default:
 		g.endExecution(x, EndTimedOut, nil)
@@ -224,11 +224,11 @@
 // hostsLeft closes the idle links to hosts that drain, are gone, have moved or have started anew, and ends the executions that
 // still connect to one: not a byte may go to a host after the gateway has been told that it leaves, and what was decided for
 // one start of a host must not reach the next, which is cold.
-func (g *Gateway) hostsLeft(changed []thymebend.ServerID) {
+func (g *Gateway) hostsLeft(changed []balancer.ServerID) {
 	if len(changed) == 0 {
 		return
 	}
-	left := make(map[thymebend.ServerID]bool, len(changed))
+	left := make(map[balancer.ServerID]bool, len(changed))
 	for _, id := range changed {
 		left[id] = true
 		for _, l := range g.pool.IdleTo(id) {
@@ -243,9 +243,9 @@
 }
 
 // takesNew reports whether the list in force has a host as up.
-func (g *Gateway) takesNew(id thymebend.ServerID) bool {
+func (g *Gateway) takesNew(id balancer.ServerID) bool {
 	h := g.group.Find(id)
-	return h != nil && h.State == thymebend.Ready
+	return h != nil && h.State == balancer.Ready
 }
 
 func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -9,17 +9,17 @@
 
 	"github.com/rs/zerolog"
 
-	"thymebend"
-	"thymebend/internal/clients"
+	"thymebend/internal/admin"
+	"thymebend/internal/backoff"
+	"thymebend/internal/balancer"
 	"thymebend/internal/config"
-	"thymebend/internal/guard"
-	"thymebend/internal/handover"
-	"thymebend/internal/hostgroup"
+	"thymebend/internal/discovery"
+	"thymebend/internal/downstream"
+	"thymebend/internal/hotrestart"
+	"thymebend/internal/invariant"
 	"thymebend/internal/loop"
-	"thymebend/internal/operators"
-	"thymebend/internal/pacing"
-	"thymebend/internal/servers"
-	"thymebend/internal/starts"
+	"thymebend/internal/starttime"
+	"thymebend/internal/upstream"
 )
 
 // Timers by kind. Their ids are connections, executions or tokens of the module.
@@ -44,7 +44,7 @@
 // The budget of descriptors: a few are the program's own, the rest is shared out, so that neither a crowd of
 // clients nor slow hosts can take what the other side needs.
 const (
-	ownSockets  = 20 + operators.MostLinks
+	ownSockets  = 20 + admin.MostLinks
 	clientShare = 0.65
 )
 
@@ -56,15 +56,15 @@
 
 // query is a request that this gateway has taken.
 type query struct {
-	clients.Query
-	id         thymebend.RequestID
+	downstream.Query
+	id         balancer.RequestID
 	client     loop.Conn // 0 once the client is gone
 	deadline   time.Duration
 	over       bool // has its final answer, or its client is gone
 	attempts   int
 	executions []*execution // under way
 	up         *upload      // its body, where that is too large to be held
-	rules      guard.Request
+	rules      invariant.Request
 }
 
 // execution is one attempt under way.
@@ -72,8 +72,8 @@
 	query  *query
 	number int
 	id     uint64
-	host   thymebend.ServerID
-	link   *servers.Link
+	host   balancer.ServerID
+	link   *upstream.Link
 	began  time.Duration
 	until  time.Duration // awaited until then
 	// written is its number among the attempts of which something was written, unwritten before.
@@ -84,7 +84,7 @@
 type pendingEnd struct {
 	exec   *execution
 	end    End
-	answer *servers.Answer
+	answer *upstream.Answer
 }
 
 // notice is news of an upload that the module is told once it has returned, before the ends.
@@ -97,7 +97,7 @@
 type Gateway struct {
 	cfg    config.Config
 	log    zerolog.Logger
-	module *thymebend.Balancer
+	module *balancer.Balancer
 	now    time.Duration
 
 	effects []loop.Effect
@@ -106,9 +106,9 @@
 	told    bool // the module was told something since its last Dispatch
 	wakes   uint64
 
-	queries  map[thymebend.RequestID]*query
+	queries  map[balancer.RequestID]*query
 	open     map[string]bool // the clients' ids of the queries that await their answer
-	nextID   thymebend.RequestID
+	nextID   balancer.RequestID
 	relays   map[loop.Conn]*relay // large answers under way, by either link
 	ahead    int                  // bytes of them that were read and wait for clients
 	byLink   map[loop.Conn]*execution
@@ -124,38 +124,38 @@
 	ends     [endKinds]uint64    // of attempts and of client connections, by reason
 	refusals [refusalReasons]uint64
 	retries  uint64 // attempts beyond a request's first
-	guard    guard.Guard
-	starts   starts.Starts // of hosts, on this process's clock
-
-	elder      *handover.Link // the process that served before, while it lives
-	elderHolds int            // descriptors that it needs
-	heir       *handover.Link // the process that comes next
-	heirGiven  bool           // it has the listening socket
-	heirTakes  bool           // it takes clients: this one accepts none
-	restless   bool           // a client link may have come to rest since links were passed last
-	passing    []loop.Conn    // passed and not yet acknowledged
-	toldHolds  int            // what the heir was told last
+	guard    invariant.Guard
+	starts   starttime.Starts // of hosts, on this process's clock
+
+	elder      *hotrestart.Link // the process that served before, while it lives
+	elderHolds int              // descriptors that it needs
+	heir       *hotrestart.Link // the process that comes next
+	heirGiven  bool             // it has the listening socket
+	heirTakes  bool             // it takes clients: this one accepts none
+	restless   bool             // a client link may have come to rest since links were passed last
+	passing    []loop.Conn      // passed and not yet acknowledged
+	toldHolds  int              // what the heir was told last
 	heap       int64
 
 	fleet   fleet
 	portion *portion // nil where the fleet divides nothing
 	reading []string // files asked for and not yet read
 
-	ops       operators.Links
+	ops       admin.Links
 	listening bool // clients can connect
 
-	links  *clients.Links
-	pool   *servers.Pool
-	group  *hostgroup.Group
-	watch  *hostgroup.Watch
-	moving *hostgroup.Watch // asks discovery's new address while the old watch stands
-	queued *hostgroup.Watch // an older call that may still wait in discovery's queue beside a younger one
+	links  *downstream.Links
+	pool   *upstream.Pool
+	group  *discovery.Group
+	watch  *discovery.Watch
+	moving *discovery.Watch // asks discovery's new address while the old watch stands
+	queued *discovery.Watch // an older call that may still wait in discovery's queue beside a younger one
 	lost   bool             // the watch ended; the module is told once it has returned
 	unmet  bool             // with lost: its connection never came up
 
 	callNotBefore time.Duration // discovery has asked for no call until then
 	unheardSince  time.Duration // the watch ended then, and no call since has been answered or failed; 0 otherwise
-	movePacer     pacing.Pacer  // of the calls to a new address
+	movePacer     backoff.Pacer // of the calls to a new address
 	draws         *rand.Rand    // of the gateway itself; the module has its own
 
 	olderSince time.Duration // the agent has had an older list than this gateway since then; 0 if it has not
@@ -171,13 +171,13 @@
 func New(cfg config.Config, log zerolog.Logger) *Gateway {
 	g := &Gateway{
 		cfg: cfg, log: log,
-		queries: make(map[thymebend.RequestID]*query), open: make(map[string]bool),
+		queries: make(map[balancer.RequestID]*query), open: make(map[string]bool),
 		former: make(map[string]formerly), tallies: make(map[string]*tally),
 		relays: make(map[loop.Conn]*relay),
 		byLink: make(map[loop.Conn]*execution), byID: make(map[uint64]*execution),
-		links: clients.NewLinks(0), pool: servers.NewPool(0),
-		group:     hostgroup.New(cfg.Settings.Gateway.Zones),
-		movePacer: pacing.Pacer{First: moveAgain},
+		links: downstream.NewLinks(0), pool: upstream.NewPool(0),
+		group:     discovery.New(cfg.Settings.Gateway.Zones),
+		movePacer: backoff.Pacer{First: moveAgain},
 		draws:     rand.New(rand.NewPCG(cfg.Seed, drawStream)),
 	}
 	g.guard.Report = g.traceViolation
@@ -236,7 +236,7 @@
 
 // start makes the module and gives it the list that this gateway last had.
 func (g *Gateway) start() {
-	module, err := thymebend.New(g.cfg.Settings.Config, g.cfg.Seed, g.now, g)
+	module, err := balancer.New(g.cfg.Settings.Config, g.cfg.Seed, g.now, g)
 	if err != nil {
 		g.log.Error().Err(err).Msg("settings refused by the module")
 		g.ask(loop.Effect{Op: loop.Exit, Failed: err})
@@ -257,14 +257,14 @@
 	}
 	defer g.meet()
 	if len(g.cfg.Known) == 0 {
-		g.module.List(g.now, thymebend.ListCached, nil)
+		g.module.List(g.now, balancer.ListCached, nil)
 		return
 	}
 	news, err := g.group.Apply(g.cfg.Known)
 	if err != nil {
 		g.log.Error().Err(err).Msg("the known list is not usable")
 	}
-	g.tellList(thymebend.ListCached, news.Entries)
+	g.tellList(balancer.ListCached, news.Entries)
 }
 
 // socket hands the news of a socket to the peer that it belongs to. A socket that no peer knows was closed.
@@ -339,7 +339,7 @@
 	case timerLink:
 		if r := g.relays[loop.Conn(t.ID)]; r != nil {
 			g.relayTimer(r)
-		} else if l := g.pool.Find(loop.Conn(t.ID)); l != nil && l.Phase == servers.Idle {
+		} else if l := g.pool.Find(loop.Conn(t.ID)); l != nil && l.Phase == upstream.Idle {
 			g.dropLink(l, EndLinkIdle)
 		}
 	case timerExecution:
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"thymebend"
-	"thymebend/internal/clients"
-	"thymebend/internal/handover"
+	"thymebend/internal/balancer"
+	"thymebend/internal/downstream"
+	"thymebend/internal/hotrestart"
 	"thymebend/internal/loop"
 )
 
@@ -24,8 +24,8 @@
 		g.listen()
 		return
 	}
-	g.elder = &handover.Link{Conn: g.pool.NextConn()}
-	g.setTimer(timerElder, 0, g.now+handover.AnswerWithin)
+	g.elder = &hotrestart.Link{Conn: g.pool.NextConn()}
+	g.setTimer(timerElder, 0, g.now+hotrestart.AnswerWithin)
 	g.ask(loop.Effect{Op: loop.Dial, Conn: g.elder.Conn, Path: g.cfg.Handover, Urgent: true})
 }
 
@@ -46,14 +46,14 @@
 	g.listening = true
 	g.log.Info().Stringer("listen", g.cfg.Listen).Bool("handed_over", g.elder != nil).Msg("taking clients")
 	if g.elder != nil {
-		g.say(g.elder, handover.Message{Kind: handover.Taking}, nil)
+		g.say(g.elder, hotrestart.Message{Kind: hotrestart.Taking}, nil)
 	}
 	g.joinFleet()
 	g.offer()
 }
 
 // say sends a message, with sockets beside it.
-func (g *Gateway) say(l *handover.Link, m handover.Message, give []loop.Conn) {
+func (g *Gateway) say(l *hotrestart.Link, m hotrestart.Message, give []loop.Conn) {
 	m.Passed = len(give)
 	data, err := m.Words()
 	if err != nil {
@@ -74,14 +74,14 @@
 
 func (g *Gateway) elderEvent(e loop.Event) {
 	if e.Kind == loop.Connected {
-		g.say(g.elder, handover.Message{Kind: handover.Hello, Listen: g.cfg.Listen.String()}, nil)
+		g.say(g.elder, hotrestart.Message{Kind: hotrestart.Hello, Listen: g.cfg.Listen.String()}, nil)
 		return
 	}
 	g.hear(&g.elder, e, g.elderSays, g.loseElder)
 }
 
 // hear takes the news of the link to the other process, until it is lost.
-func (g *Gateway) hear(link **handover.Link, e loop.Event, says func(handover.Message), lose func(why string)) {
+func (g *Gateway) hear(link **hotrestart.Link, e loop.Event, says func(hotrestart.Message), lose func(why string)) {
 	switch e.Kind {
 	case loop.Readable:
 		g.ask(loop.Effect{Op: loop.Read, Conn: e.Conn})
@@ -105,36 +105,36 @@
 	}
 }
 
-func (g *Gateway) elderSays(m handover.Message) {
+func (g *Gateway) elderSays(m hotrestart.Message) {
 	switch m.Kind {
-	case handover.State:
+	case hotrestart.State:
 		g.stopTimer(timerElder, 0)
 		g.inherit(m)
 		g.ask(loop.Effect{Op: loop.Adopt, Conn: m.Conns[0], As: loop.Listener})
-	case handover.Links:
+	case hotrestart.Links:
 		for i, c := range m.Conns {
 			note := m.Links[i]
 			idle := time.Duration(note.IdleMS) * time.Millisecond
 			l := g.links.Add(c, g.now-idle)
 			l.Asked, l.Queries = note.Asked, note.Queries
 			g.links.Place(l)
-			left := clients.IdleAfter - idle
+			left := downstream.IdleAfter - idle
 			if !l.Asked {
-				left = clients.WholeWithin - idle
+				left = downstream.WholeWithin - idle
 			}
 			g.timeClient(l, g.now+max(left, 0))
 			g.ask(loop.Effect{Op: loop.Unmute, Conn: c})
 		}
 		g.elderHolds = m.Holds
 		g.resize()
-		g.say(g.elder, handover.Message{Kind: handover.Got}, nil)
+		g.say(g.elder, hotrestart.Message{Kind: hotrestart.Got}, nil)
 	default:
 		g.loseElder("it says " + string(m.Kind) + ": " + m.Reason)
 	}
 }
 
 // inherit takes what the elder knows. Its list gives way to what discovery has told this process meanwhile.
-func (g *Gateway) inherit(m handover.Message) {
+func (g *Gateway) inherit(m hotrestart.Message) {
 	if len(m.List) > 0 && (g.watch == nil || !g.watch.Started()) {
 		g.inheritList(m.List)
 	}
@@ -159,7 +159,7 @@
 		return
 	}
 	g.hostsLeft(news.Changed)
-	g.tellList(thymebend.ListCached, news.Entries)
+	g.tellList(balancer.ListCached, news.Entries)
 }
 
 // loseElder ends what is between this process and its elder: the elder has gone, or cannot hand over.
@@ -197,27 +197,27 @@
 		g.close(c)
 		return
 	}
-	g.heir = &handover.Link{Conn: c}
-	g.setTimer(timerHeir, 0, g.now+handover.TakeWithin)
+	g.heir = &hotrestart.Link{Conn: c}
+	g.setTimer(timerHeir, 0, g.now+hotrestart.TakeWithin)
 }
 
-func (g *Gateway) heirSays(m handover.Message) {
+func (g *Gateway) heirSays(m hotrestart.Message) {
 	switch m.Kind {
-	case handover.Hello:
+	case hotrestart.Hello:
 		if m.Listen != g.cfg.Listen.String() || !g.listening || g.closed || g.heirTakes {
-			g.say(g.heir, handover.Message{Kind: handover.Bye, Reason: "no listening socket for " + m.Listen}, nil)
+			g.say(g.heir, hotrestart.Message{Kind: hotrestart.Bye, Reason: "no listening socket for " + m.Listen}, nil)
 			return
 		}
 		learned := g.module.Learned(g.now)
 		g.heirGiven = true
 		g.resize()
-		state := handover.Message{Kind: handover.State, List: g.group.Words(), Learned: &learned, Holds: g.holds()}
+		state := hotrestart.Message{Kind: hotrestart.State, List: g.group.Words(), Learned: &learned, Holds: g.holds()}
 		if g.fleet.view != nil {
 			state.FleetStart, state.FleetIncarnation = g.fleet.view.Identity()
 		}
 		g.say(g.heir, state,
 			[]loop.Conn{loop.Listener})
-	case handover.Taking:
+	case hotrestart.Taking:
 		if !g.heirGiven || g.heirTakes {
 			g.loseHeir("it takes what it was not given")
 			return
@@ -233,7 +233,7 @@
 		if g.stopping {
 			g.closeListener()
 		}
-	case handover.Got:
+	case hotrestart.Got:
 		g.stopTimer(timerHeir, 0)
 		g.passing, g.restless = nil, true
 	default:
@@ -248,16 +248,16 @@
 		return
 	}
 	g.restless = false
-	var notes []handover.Idle
+	var notes []hotrestart.Idle
 	for _, l := range g.links.InOrder() {
 		if l.Busy || l.Ended || l.Muted || l.LastAsk || l.Pending() {
 			continue
 		}
-		if len(notes) == handover.Batch {
+		if len(notes) == hotrestart.Batch {
 			g.restless = true
 			break
 		}
-		notes = append(notes, handover.Idle{Asked: l.Asked, Queries: l.Queries, IdleMS: (g.now - l.Since).Milliseconds()})
+		notes = append(notes, hotrestart.Idle{Asked: l.Asked, Queries: l.Queries, IdleMS: (g.now - l.Since).Milliseconds()})
 		g.passing = append(g.passing, l.Conn)
 		g.untimeClient(l)
 		g.links.Remove(l)
@@ -265,8 +265,8 @@
 	g.resize()
 	if holds := g.holds(); len(notes) > 0 || holds != g.toldHolds {
 		g.toldHolds = holds
-		g.setTimer(timerHeir, 0, g.now+handover.TakeWithin)
-		g.say(g.heir, handover.Message{Kind: handover.Links, Links: notes, Holds: holds}, g.passing)
+		g.setTimer(timerHeir, 0, g.now+hotrestart.TakeWithin)
+		g.say(g.heir, hotrestart.Message{Kind: hotrestart.Links, Links: notes, Holds: holds}, g.passing)
 	}
 }
 
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"thymebend/internal/handover"
+	"thymebend/internal/hotrestart"
 )
 
 // A newcomer's call to discovery asks for what changed since its own list. An elder's list that is older must not take that
@@ -54,7 +54,7 @@
 // What is too long to be handed over is logged with its size, and the elder goes on alone.
 func TestTooMuchToHandOver(t *testing.T) {
 	r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
-	r.g.heir = &handover.Link{Conn: 5}
+	r.g.heir = &hotrestart.Link{Conn: 5}
 	m := stateMessage(`"` + strings.Repeat("x", 17<<20) + `"`)
 	r.g.say(r.g.heir, m, nil)
 	if r.g.heir != nil || !strings.Contains(r.log.String(), "a hand-over message of 17") {
--- a/internal/gateway/pushed.go
+++ b/internal/gateway/pushed.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"thymebend"
-	"thymebend/internal/hostgroup"
+	"thymebend/internal/balancer"
+	"thymebend/internal/discovery"
 )
 
 // Where lists are pushed, discovery's address is that of an agent on this machine, which has what it was sent and
@@ -21,7 +21,7 @@
 // watchSilent deals with a watch that has missed its beat. An agent's silence is no news: it has heard nothing itself,
 // the list stays in force and the watch stays open. Lest it is the watch that is dead, the agent is asked once more
 // beside it; what answers first goes on.
-func (g *Gateway) watchSilent(w *hostgroup.Watch) {
+func (g *Gateway) watchSilent(w *discovery.Watch) {
 	if g.callUnanswered(w) {
 		return
 	}
@@ -37,7 +37,7 @@
 // tooOld looks at a line of the agent for one that is older than what this gateway has: such a line would bring back
 // hosts that are known to drain or to be gone, so only those leave by it that have not started anew since. It reports whether the numbers are taken to have
 // begun anew instead: then the watch has ended, and the whole list is asked for.
-func (g *Gateway) tooOld(w *hostgroup.Watch, line []byte) bool {
+func (g *Gateway) tooOld(w *discovery.Watch, line []byte) bool {
 	if !g.pushed() {
 		g.olderSince = 0
 		return false
@@ -65,10 +65,10 @@
 }
 
 // takeDepartures has hosts leave of which a line says so that is not taken otherwise: what the agent has counts as told.
-func (g *Gateway) takeDepartures(news hostgroup.News) {
+func (g *Gateway) takeDepartures(news discovery.News) {
 	if len(news.Entries) > 0 {
 		g.hostsLeft(news.Changed)
 		g.told = true
-		g.tellList(thymebend.ListDelta, news.Entries)
+		g.tellList(balancer.ListDelta, news.Entries)
 	}
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"thymebend/internal/clients"
+	"thymebend/internal/downstream"
 	"thymebend/internal/http1"
 	"thymebend/internal/loop"
-	"thymebend/internal/servers"
+	"thymebend/internal/upstream"
 )
 
 // What is read of large answers ahead of their clients: a host whose machine resets a connection soon after its last byte takes with
@@ -19,8 +19,8 @@
 // relay is a large answer on its way from a host to a client, one piece at a time. For the module the attempt has
 // ended.
 type relay struct {
-	client *clients.Link
-	server *servers.Link
+	client *downstream.Link
+	server *upstream.Link
 	id     string // the client's, of the query
 	began  time.Duration
 	length int64 // of the answer; -1 where it is not stated
@@ -37,14 +37,14 @@
 
 // large takes a host's answer that is too large to be held. A 200 is passed on as it comes; of others only the head
 // matters.
-func (g *Gateway) large(x *execution, a *servers.Answer) {
+func (g *Gateway) large(x *execution, a *upstream.Answer) {
 	q, l := x.query, x.link
 	c := g.links.ByConn[q.client]
 	if a.Status != 200 || q.over || c == nil || !g.guard.Answer(&q.rules) {
 		g.answered(x, a)
 		return
 	}
-	reuse := a.KeepAlive && l.Phase == servers.Awaiting
+	reuse := a.KeepAlive && l.Phase == upstream.Awaiting
 	length := l.Begin()
 	chunks := length < 0 && q.Message.Minor > 0
 	keep := g.keep(c)
@@ -54,13 +54,13 @@
 	r := &relay{client: c, server: l, id: q.ID, began: g.now, length: length, class: q.Class.Name, chunks: chunks, reuse: reuse}
 	g.relays[c.Conn], g.relays[l.Conn] = r, r
 	g.unbind(x)
-	l.Phase = servers.Relaying
+	l.Phase = upstream.Relaying
 	q.over, q.client, c.Query = true, 0, 0
 	g.endExecution(x, EndServed, a)
 	g.forget(q)
 	g.write(c.Conn, http1.AppendResponseHead(nil, 200, a.Passed(), length, q.Message.Minor, keep))
 	r.busy = true
-	g.timeClient(c, g.now+clients.TakenWithin)
+	g.timeClient(c, g.now+downstream.TakenWithin)
 	g.setTimer(timerLink, uint64(l.Conn), g.now+standsFor)
 }
 
@@ -147,7 +147,7 @@
 		return
 	}
 	r.busy = true
-	g.timeClient(r.client, g.now+clients.TakenWithin)
+	g.timeClient(r.client, g.now+downstream.TakenWithin)
 	g.write(r.client.Conn, data)
 }
 
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"thymebend"
-	"thymebend/internal/clients"
+	"thymebend/internal/balancer"
+	"thymebend/internal/downstream"
 	"thymebend/internal/loop"
 	"thymebend/internal/settings"
 )
@@ -16,7 +16,7 @@
 
 // formerly is a class as it was before the last change of its effect.
 type formerly struct {
-	class thymebend.Class
+	class balancer.Class
 	place int
 	until time.Duration
 }
@@ -72,13 +72,13 @@
 
 // classOf finds the class that a request names, as its method words it. Just after a class has changed its effect,
 // requests worded for the old one still come; the stricter of the two effects holds for them.
-func (g *Gateway) classOf(name, method string) (clients.Class, bool) {
+func (g *Gateway) classOf(name, method string) (downstream.Class, bool) {
 	for i, c := range g.cfg.Settings.Config.Classes {
 		if c.Name != name {
 			continue
 		}
-		found := clients.Class{Name: name, Place: g.places[i], Method: clients.MethodOf(c.Effect), Rules: c}
-		if f, ok := g.former[name]; ok && g.now < f.until && method == clients.MethodOf(f.class.Effect) && method != found.Method {
+		found := downstream.Class{Name: name, Place: g.places[i], Method: downstream.MethodOf(c.Effect), Rules: c}
+		if f, ok := g.former[name]; ok && g.now < f.until && method == downstream.MethodOf(f.class.Effect) && method != found.Method {
 			found.Method = method
 			if f.class.Effect > c.Effect {
 				found.Place, found.Rules = f.place, f.class
@@ -86,5 +86,5 @@
 		}
 		return found, true
 	}
-	return clients.Class{}, false
+	return downstream.Class{}, false
 }
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -15,7 +15,7 @@
 	"github.com/rs/zerolog"
 
 	"thymebend/internal/config"
-	"thymebend/internal/handover"
+	"thymebend/internal/hotrestart"
 	"thymebend/internal/loop"
 )
 
@@ -185,6 +185,6 @@
 }
 
 // stateMessage is what an elder gives a newcomer, with its list.
-func stateMessage(list string) handover.Message {
-	return handover.Message{Kind: handover.State, List: json.RawMessage(list)}
+func stateMessage(list string) hotrestart.Message {
+	return hotrestart.Message{Kind: hotrestart.State, List: json.RawMessage(list)}
 }
--- a/internal/gateway/shares.go
+++ b/internal/gateway/shares.go
@@ -8,15 +8,15 @@
 
 	"github.com/zeebo/xxh3"
 
-	"thymebend"
-	"thymebend/internal/fleetfile"
-	"thymebend/internal/fleetwire"
-	"thymebend/internal/hostgroup"
-	"thymebend/internal/members"
-	"thymebend/internal/operators"
-	"thymebend/internal/shares"
-	"thymebend/internal/signals"
-	"thymebend/internal/turns"
+	"thymebend/internal/admin"
+	"thymebend/internal/assignment"
+	"thymebend/internal/balancer"
+	"thymebend/internal/discovery"
+	"thymebend/internal/gossipcodec"
+	"thymebend/internal/gossipconfig"
+	"thymebend/internal/loadreport"
+	"thymebend/internal/membership"
+	"thymebend/internal/tokenschedule"
 )
 
 // What the fleet's view means for this gateway, where the fleet file has a table [shares]: which hosts it uses and for how
@@ -33,14 +33,14 @@
 
 // portion is this gateway's portion of the fleet's hosts.
 type portion struct {
-	file   *fleetfile.Shares
-	rule   turns.Rule
+	file   *gossipconfig.Shares
+	rule   tokenschedule.Rule
 	rate   float64 // requests a second of a warm host, for turns
 	mark   uint32  // of what turns rest on
-	keeper *shares.Keeper
-	owners *turns.Owners
-	holder *turns.Holder
-	teller signals.Teller
+	keeper *assignment.Keeper
+	owners *tokenschedule.Owners
+	holder *tokenschedule.Holder
+	teller loadreport.Teller
 
 	version  uint64 // of the view at the last look
 	settled  bool
@@ -49,19 +49,19 @@
 
 	agreed time.Duration // since then most of the living have the same mark; 0 if they have not
 	cold   []coldHost    // of which this gateway may own turns
-	given  []thymebend.FleetServer
+	given  []balancer.FleetServer
 	taken  uint64 // turns
 	logged time.Duration
 }
 
 // coldHost is one that warms up. Nothing of it is this gateway's before next.
 type coldHost struct {
-	turns.Host
+	tokenschedule.Host
 	next time.Duration
 }
 
 // Portion is what this gateway goes by now, or nil where the fleet divides nothing. The laboratory holds it against the others'.
-func (g *Gateway) Portion() *shares.Keeper {
+func (g *Gateway) Portion() *assignment.Keeper {
 	if g.portion == nil {
 		return nil
 	}
@@ -69,7 +69,7 @@
 }
 
 // Knows tells the laboratory whether this gateway uses a host, whether it has ejected it itself, and whether others have it doubt it.
-func (g *Gateway) Knows(id thymebend.ServerID) (bad, doubted, uses bool) {
+func (g *Gateway) Knows(id balancer.ServerID) (bad, doubted, uses bool) {
 	if g.portion == nil {
 		return false, false, false
 	}
@@ -90,26 +90,26 @@
 	}
 	c := &g.cfg.Settings.Config
 	p := &portion{file: f.Shares, rate: f.Shares.WarmRate,
-		rule: turns.Rule{From: c.ColdFrom, Warm: c.WarmAfter, Multiple: c.FallMultiple, Window: c.OverloadFor, Skew: f.Shares.Skew}}
+		rule: tokenschedule.Rule{From: c.ColdFrom, Warm: c.WarmAfter, Multiple: c.FallMultiple, Window: c.OverloadFor, Skew: f.Shares.Skew}}
 	if p.rate == 0 {
 		p.rate = g.module.LeastRate()
 	}
 	if !p.rule.Usable() {
 		g.log.Warn().Dur("window", c.OverloadFor).Dur("skew", f.Shares.Skew).Float64("cold_from", c.ColdFrom).Msg("shares: no turns can be given, cold hosts wait until they are warm")
 	}
-	var book []shares.Gateway // of unknown zone, which is the same to all
+	var book []assignment.Gateway // of unknown zone, which is the same to all
 	if !f.Flat {
 		for _, name := range g.booked() {
-			book = append(book, shares.Gateway{Name: name, Zone: -1})
+			book = append(book, assignment.Gateway{Name: name, Zone: -1})
 		}
 	}
-	p.keeper = shares.NewKeeper(shares.Rule{Users: float64(p.file.Users), Most: p.file.Most, Least: p.file.Least, Away: p.file.Away}, f.Name, newsWithin, book)
-	p.owners = turns.NewOwners(p.file.Users, holdSets)
+	p.keeper = assignment.NewKeeper(assignment.Rule{Users: float64(p.file.Users), Most: p.file.Most, Least: p.file.Least, Away: p.file.Away}, f.Name, newsWithin, book)
+	p.owners = tokenschedule.NewOwners(p.file.Users, holdSets)
 	start := g.now
 	if g.elder != nil {
 		start += p.rule.Good() // until it has heard that this process takes clients, it takes turns too
 	}
-	p.holder = turns.NewHolder(p.rule, f.Name, start)
+	p.holder = tokenschedule.NewHolder(p.rule, f.Name, start)
 	p.agreed, p.listed = g.now-holdSets, true // by the own file, until others are heard
 	g.portion = p
 	g.markPortion()
@@ -145,9 +145,9 @@
 
 // firstWords are what a view is begun with: the zone, and the mark of the file.
 func (g *Gateway) firstWords() []byte {
-	s := signals.Signal{Zone: g.cfg.Settings.Config.Zone, Demand: -1}
+	s := loadreport.Signal{Zone: g.cfg.Settings.Config.Zone, Demand: -1}
 	if g.portion == nil {
-		return signals.Append(nil, s)
+		return loadreport.Append(nil, s)
 	}
 	s.Known, s.Rules = true, g.portion.mark
 	payload, _ := g.portion.teller.Tell(g.now, s, 1)
@@ -157,7 +157,7 @@
 // sayPortion spreads what this gateway has to tell of itself, if that has changed.
 func (g *Gateway) sayPortion() {
 	told, st := g.module.Told(g.now), g.fleet.view.Status(g.now)
-	s := signals.Signal{Zone: g.cfg.Settings.Config.Zone, Known: true, Demand: told.Demand, Refused: told.Refused, Room: told.Room,
+	s := loadreport.Signal{Zone: g.cfg.Settings.Config.Zone, Known: true, Demand: told.Demand, Refused: told.Refused, Room: told.Room,
 		Health: st.Health, Rules: g.portion.mark}
 	if !told.Known {
 		s.Demand = -1
@@ -166,7 +166,7 @@
 	for _, id := range told.Bad {
 		bad = append(bad, uint64(id))
 	}
-	s.Bad = signals.Marks(bad)
+	s.Bad = loadreport.Marks(bad)
 	payload, due := g.portion.teller.Tell(g.now, s, st.Alive)
 	if !due {
 		return
@@ -199,36 +199,36 @@
 	all := v.Members()
 	words, doubted := g.words(all)
 	g.agree(all, words)
-	demands := signals.Demands(words)
+	demands := loadreport.Demands(words)
 	g.owners(all)
 
-	var alive []shares.Gateway
+	var alive []assignment.Gateway
 	for i, m := range all {
-		if m.State == fleetwire.Alive {
-			alive = append(alive, shares.Gateway{Name: m.Name, Demand: demands[i], Zone: words[i].Zone})
+		if m.State == gossipcodec.Alive {
+			alive = append(alive, assignment.Gateway{Name: m.Name, Demand: demands[i], Zone: words[i].Zone})
 		}
 	}
-	var hosts []shares.Host
+	var hosts []assignment.Host
 	p.cold = p.cold[:0]
 	for _, h := range g.group.All() {
 		switch {
-		case h.State != thymebend.Ready:
+		case h.State != balancer.Ready:
 		case g.cold(h):
-			c := coldHost{Host: turns.Host{ID: uint64(h.ID), Born: h.Born, Capacity: p.rate}}
-			if d := p.owners.Divisions(g.now, c.ID); len(d) > 0 && turns.Share(d[len(d)-1], g.cfg.Fleet.Name) > 0 {
+			c := coldHost{Host: tokenschedule.Host{ID: uint64(h.ID), Born: h.Born, Capacity: p.rate}}
+			if d := p.owners.Divisions(g.now, c.ID); len(d) > 0 && tokenschedule.Share(d[len(d)-1], g.cfg.Fleet.Name) > 0 {
 				p.cold = append(p.cold, c)
 			}
 		default:
-			hosts = append(hosts, shares.Host{ID: uint64(h.ID), Capacity: h.Share, Zone: h.Zone})
+			hosts = append(hosts, assignment.Host{ID: uint64(h.ID), Capacity: h.Share, Zone: h.Zone})
 		}
 	}
 	isCold := func(id uint64) bool { // also one that is another's now, or drains: it may be this gateway's again in a moment
-		h := g.group.Find(thymebend.ServerID(id))
+		h := g.group.Find(balancer.ServerID(id))
 		return h != nil && g.cold(h)
 	}
 	p.holder.Forget(isCold)
 	p.owners.Forget(isCold)
-	if _, err := p.keeper.Look(g.now, shares.Look{Alive: alive, Settled: st.Settled, Hosts: hosts}); err != nil {
+	if _, err := p.keeper.Look(g.now, assignment.Look{Alive: alive, Settled: st.Settled, Hosts: hosts}); err != nil {
 		g.logPortion(err)
 		return
 	}
@@ -243,19 +243,19 @@
 }
 
 // cold reports whether a host still warms up.
-func (g *Gateway) cold(h *hostgroup.Host) bool {
+func (g *Gateway) cold(h *discovery.Host) bool {
 	return h.Born > 0 && g.now-h.Born < g.portion.rule.Warm
 }
 
 // words reads what each member tells, and which hosts several others found bad. What cannot be read counts as nothing told.
-func (g *Gateway) words(all []members.Member) (words []signals.Word, doubted map[uint32]bool) {
-	var others []signals.Word
+func (g *Gateway) words(all []membership.Member) (words []loadreport.Word, doubted map[uint32]bool) {
+	var others []loadreport.Word
 	for _, m := range all {
-		w := signals.Word{}
-		if s, err := signals.Parse(m.Payload); err == nil {
+		w := loadreport.Word{}
+		if s, err := loadreport.Parse(m.Payload); err == nil {
 			w.Signal = s
 		}
-		if m.State != fleetwire.Alive {
+		if m.State != gossipcodec.Alive {
 			w.Silent = max(1, g.now-m.Since)
 		}
 		words = append(words, w)
@@ -263,14 +263,14 @@
 			others = append(others, w)
 		}
 	}
-	return words, signals.Doubted(others)
+	return words, loadreport.Doubted(others)
 }
 
 // agree notes since when more than half of the living have this gateway's mark.
-func (g *Gateway) agree(all []members.Member, words []signals.Word) {
+func (g *Gateway) agree(all []membership.Member, words []loadreport.Word) {
 	living, same := 0, 0
 	for i, m := range all {
-		if m.State > fleetwire.Suspect || !words[i].Known && m.Name != g.cfg.Fleet.Name && len(m.Payload) == 0 {
+		if m.State > gossipcodec.Suspect || !words[i].Known && m.Name != g.cfg.Fleet.Name && len(m.Payload) == 0 {
 			continue // nothing was heard of it but its name
 		}
 		living++
@@ -287,11 +287,11 @@
 }
 
 // owners tells who may own turns: the book, or in a flat fleet all that are known and have not left.
-func (g *Gateway) owners(all []members.Member) {
+func (g *Gateway) owners(all []membership.Member) {
 	names := g.booked()
 	if g.cfg.Fleet.Flat {
 		for _, m := range all {
-			if m.State != fleetwire.Left {
+			if m.State != gossipcodec.Left {
 				names = append(names, m.Name)
 			}
 		}
@@ -302,9 +302,9 @@
 // givePortion tells the module which hosts are this gateway's, if that has changed.
 func (g *Gateway) givePortion(doubted map[uint32]bool) {
 	p := g.portion
-	var given []thymebend.FleetServer
+	var given []balancer.FleetServer
 	add := func(id uint64, weight, part float64) {
-		given = append(given, thymebend.FleetServer{ID: thymebend.ServerID(id), Weight: weight, Part: part, Doubted: doubted[signals.Mark(id)]})
+		given = append(given, balancer.FleetServer{ID: balancer.ServerID(id), Weight: weight, Part: part, Doubted: doubted[loadreport.Mark(id)]})
 	}
 	if uses := p.keeper.Uses(); len(p.keeper.Gateways()) > 0 {
 		mean := 1.0
@@ -316,7 +316,7 @@
 		}
 		for _, c := range p.cold {
 			d := p.owners.Divisions(g.now, c.ID)
-			add(c.ID, mean, turns.Share(d[len(d)-1], g.cfg.Fleet.Name))
+			add(c.ID, mean, tokenschedule.Share(d[len(d)-1], g.cfg.Fleet.Name))
 		}
 		for _, id := range p.keeper.Spares(g.cfg.Settings.Config.Zone) {
 			add(id, mean, 0)
@@ -335,7 +335,7 @@
 func (g *Gateway) takeTurns() {
 	p := g.portion
 	if p == nil || g.fleet.view == nil || p.listed || p.agreed == 0 || g.now-p.agreed < holdSets || !p.rule.Usable() ||
-		g.cfg.Fleet.Flat && p.keeper.Stage() == shares.Waiting {
+		g.cfg.Fleet.Flat && p.keeper.Stage() == assignment.Waiting {
 		return
 	}
 	for i := range p.cold {
@@ -350,7 +350,7 @@
 				break
 			}
 			p.taken++
-			g.module.Turn(g.now, thymebend.ServerID(c.ID), until)
+			g.module.Turn(g.now, balancer.ServerID(c.ID), until)
 		}
 		if c.next, _ = p.holder.Next(g.now, c.Host, turnsAhead, divisions...); c.next == 0 {
 			c.next = g.now + turnsAhead
@@ -359,19 +359,19 @@
 }
 
 // portionFigures are what operators read of this gateway's portion, and why it is that.
-func (g *Gateway) portionFigures() *operators.Portion {
+func (g *Gateway) portionFigures() *admin.Portion {
 	p := g.portion
 	if p == nil {
 		return nil
 	}
-	out := &operators.Portion{Stage: p.keeper.Stage().String(), Gateways: len(p.keeper.Gateways()), Crowd: p.keeper.Crowd(), Turns: p.taken,
-		Agreed: p.agreed > 0 && g.now-p.agreed >= holdSets, Demand: g.module.Told(g.now).Demand, Hosts: []operators.PortionHost{}}
+	out := &admin.Portion{Stage: p.keeper.Stage().String(), Gateways: len(p.keeper.Gateways()), Crowd: p.keeper.Crowd(), Turns: p.taken,
+		Agreed: p.agreed > 0 && g.now-p.agreed >= holdSets, Demand: g.module.Told(g.now).Demand, Hosts: []admin.PortionHost{}}
 	for _, s := range p.given {
 		if s.Part == 0 {
 			out.Spares++
 			continue
 		}
-		h := operators.PortionHost{Weight: s.Weight, Part: s.Part, Doubted: s.Doubted}
+		h := admin.PortionHost{Weight: s.Weight, Part: s.Part, Doubted: s.Doubted}
 		if host := g.group.Find(s.ID); host != nil {
 			h.Name, h.Cold = host.Name, g.cold(host)
 		}
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"thymebend/internal/clients"
+	"thymebend/internal/downstream"
 	"thymebend/internal/loop"
 )
 
@@ -65,20 +65,20 @@
 
 // waitUntil is the time by which the request that is coming must be whole, or go on. In a planned end half a request is answered
 // before SIGKILL, so that the process can end by itself.
-func (g *Gateway) waitUntil(l *clients.Link) time.Duration {
+func (g *Gateway) waitUntil(l *downstream.Link) time.Duration {
 	until := l.Until()
 	if g.stopping {
 		until = min(until, g.killAt-endBeforeKill)
 	}
-	return g.guard.Wait(until, lastWord(l), clients.OwedWithin)
+	return g.guard.Wait(until, lastWord(l), downstream.OwedWithin)
 }
 
 // lingerUntil is the time until which the end of a connection waits for its client's own.
 func (g *Gateway) lingerUntil() time.Duration {
 	if g.stopping {
-		return min(g.now+clients.LingerFor, max(g.now, g.killAt))
+		return min(g.now+downstream.LingerFor, max(g.now, g.killAt))
 	}
-	return g.now + clients.LingerFor
+	return g.now + downstream.LingerFor
 }
 
 // closeListener takes what still waits at the listener, then closes it and the idle client links.
--- a/internal/gateway/told_test.go
+++ b/internal/gateway/told_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"thymebend"
-	"thymebend/internal/hostgroup"
+	"thymebend/internal/balancer"
+	"thymebend/internal/discovery"
 	"thymebend/internal/loop"
 )
 
@@ -208,7 +208,7 @@
 		if sent := r.requests(hostAddr(1)) > 0; sent != c.sent || r.closed[w] {
 			t.Errorf("%s: sent %v, want %v", name, sent, c.sent)
 		}
-		if h := r.g.group.Find(hostgroup.Identity("s-2")); h.State != thymebend.Draining {
+		if h := r.g.group.Find(discovery.Identity("s-2")); h.State != balancer.Draining {
 			t.Errorf("%s: an older line brings a host up", name)
 		}
 	}
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"thymebend/internal/clients"
+	"thymebend/internal/downstream"
 )
 
 // refusalReason is why this gateway turned a request away. The first is the decision module's word, the others are this
@@ -36,12 +36,12 @@
 }
 
 // traceAccept logs a client connection's begin.
-func (g *Gateway) traceAccept(l *clients.Link) {
+func (g *Gateway) traceAccept(l *downstream.Link) {
 	g.log.Debug().Uint64("link", uint64(l.Conn)).Msg("client connection accepted")
 }
 
 // traceFirstByte logs that a request begins to come.
-func (g *Gateway) traceFirstByte(l *clients.Link, bytes int) {
+func (g *Gateway) traceFirstByte(l *downstream.Link, bytes int) {
 	g.log.Debug().Uint64("link", uint64(l.Conn)).Int("bytes", bytes).Int("requests_before", l.Queries).
 		Dur("age", g.now-l.Accepted).Msg("request begins to come")
 }
@@ -53,7 +53,7 @@
 }
 
 // traceFaulty logs that a request was answered with an error, and is passed on to nobody.
-func (g *Gateway) traceFaulty(l *clients.Link, id string, status int, why string) {
+func (g *Gateway) traceFaulty(l *downstream.Link, id string, status int, why string) {
 	g.log.Debug().Uint64("link", uint64(l.Conn)).Str("id", id).Int("status", status).Str("why", why).Msg("request faulty")
 }
 
@@ -79,7 +79,7 @@
 }
 
 // traceIncomplete logs that a request did not come whole in its time.
-func (g *Gateway) traceIncomplete(l *clients.Link) {
+func (g *Gateway) traceIncomplete(l *downstream.Link) {
 	g.log.Debug().Uint64("link", uint64(l.Conn)).Int("bytes", l.Came).Int("requests_before", l.Queries).
 		Dur("after", g.now-l.Began).Dur("silent", l.Silent(g.now)).Msg("request not whole in time")
 }
@@ -91,7 +91,7 @@
 }
 
 // traceClientEnd counts the end of a client connection and logs its reason.
-func (g *Gateway) traceClientEnd(l *clients.Link, end End) {
+func (g *Gateway) traceClientEnd(l *downstream.Link, end End) {
 	g.countEnd(end)
 	g.log.Debug().Uint64("link", uint64(l.Conn)).Stringer("end", end).Int("requests", l.Queries).Bool("partly_read", l.Pending()).
 		Bool("waiting", l.Busy).Dur("age", g.now-l.Accepted).Dur("silent", l.Silent(g.now)).Msg("client link")
--- a/internal/gateway/upload.go
+++ b/internal/gateway/upload.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"thymebend/internal/clients"
+	"thymebend/internal/downstream"
 	"thymebend/internal/http1"
 	"thymebend/internal/loop"
-	"thymebend/internal/servers"
+	"thymebend/internal/upstream"
 )
 
 // standsFor is how long a host may send nothing of an answer that has begun.
@@ -28,14 +28,14 @@
 
 // beginUpload has a link wait, with the first part of a body, until the module has chosen a host. The link is read no further
 // once more of the body has come: until then a client that has stopped can be told from one that waits.
-func (g *Gateway) beginUpload(q *query, l *clients.Link) {
+func (g *Gateway) beginUpload(q *query, l *downstream.Link) {
 	q.up = &upload{length: l.Begin()}
 	g.timeClient(l, g.waitUntil(l))
 }
 
 // mute reads a link no further. Its client's end is still told, though it lies behind what is not read: nothing may
 // be sent on for one who has left.
-func (g *Gateway) mute(l *clients.Link) {
+func (g *Gateway) mute(l *downstream.Link) {
 	if !l.Muted {
 		l.Stop(g.now)
 		g.log.Debug().Uint64("link", uint64(l.Conn)).Msg("client link is read no further for now")
@@ -43,7 +43,7 @@
 	}
 }
 
-func (g *Gateway) unmute(l *clients.Link) {
+func (g *Gateway) unmute(l *downstream.Link) {
 	if l.Muted {
 		l.Resume(g.now)
 		g.ask(loop.Effect{Op: loop.Unmute, Conn: l.Conn})
@@ -51,7 +51,7 @@
 }
 
 // uploadReadable reads on only while all that has come is written out: the client goes at the host's pace.
-func (g *Gateway) uploadReadable(l *clients.Link) {
+func (g *Gateway) uploadReadable(l *downstream.Link) {
 	if q := g.queries[l.Query]; !l.Muted && (q.up.x == nil || q.up.busy) {
 		g.mute(l)
 		return
@@ -67,7 +67,7 @@
 	}
 	piece, done, fault := l.Pieces()
 	if fault != nil {
-		g.turnAway(q, l, clients.Faulty(fault, false))
+		g.turnAway(q, l, downstream.Faulty(fault, false))
 		return
 	}
 	if len(piece) == 0 && !done {
@@ -102,7 +102,7 @@
 		return
 	}
 	// The last byte is written: from here on the host works. The client has waited since its own last byte.
-	x.link.Phase = servers.Awaiting
+	x.link.Phase = upstream.Awaiting
 	g.relayed++
 	x.began, x.until = g.now, up.sent+x.query.Patience
 	x.query.deadline, x.query.rules.Deadline = x.until, x.until
@@ -111,7 +111,7 @@
 }
 
 // turnAway ends a query whose client does not send its body as it should, and answers it.
-func (g *Gateway) turnAway(q *query, l *clients.Link, answer []byte) {
+func (g *Gateway) turnAway(q *query, l *downstream.Link, answer []byte) {
 	g.lapse(q)
 	g.keep(l)
 	l.Closing = true
@@ -121,7 +121,7 @@
 // keep reports whether a link stays open after the answer that is worded now. One whose body has not ended must not:
 // where its next request begins is not known. What still comes of the body is read and dropped. Nor does one for whose
 // descriptor clients wait.
-func (g *Gateway) keep(l *clients.Link) bool {
+func (g *Gateway) keep(l *downstream.Link) bool {
 	if l.Upload {
 		l.Upload, l.Closing, l.Drop = false, true, true
 		g.unmute(l)
--- a/internal/fleetwire/fleetwire.go
+++ b/internal/gossipcodec/fleetwire.go
@@ -1,6 +1,6 @@
 // Package fleetwire is the datagram between gateways of one fleet, on protobuf's wire format: a version, unknown fields
 // skipped, 256 bytes at most. docs/reference/fleetwire.md has the schema. It does no I/O.
-package fleetwire
+package gossipcodec
 
 import (
 	"errors"
--- a/internal/fleetwire/fleetwire_test.go
+++ b/internal/gossipcodec/fleetwire_test.go
@@ -1,4 +1,4 @@
-package fleetwire
+package gossipcodec
 
 import (
 	"net/netip"
--- a/internal/fleetfile/fleetfile.go
+++ b/internal/gossipconfig/fleetfile.go
@@ -1,6 +1,6 @@
 // Package fleetfile reads the file that LB_FLEET names: which fleet a gateway belongs to, where it speaks with the others
 // and how it reaches them.
-package fleetfile
+package gossipconfig
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"os"
 	"time"
 
-	"thymebend/internal/fleetwire"
-	"thymebend/internal/members"
+	"thymebend/internal/gossipcodec"
+	"thymebend/internal/membership"
 	"thymebend/internal/tomlfile"
 )
 
@@ -19,7 +19,7 @@
 	Name   string // of this gateway in the fleet
 	Listen netip.AddrPort
 	Flat   bool // every gateway is reached at one address from everywhere, and those not in the book may join
-	Book   []members.Peer
+	Book   []membership.Peer
 	Shares *Shares // nil where the file does not ask for shares
 }
 
@@ -85,11 +85,11 @@
 	if t.Name != "" {
 		f.Name = t.Name
 	}
-	if !fleetwire.Name(f.Fleet) {
-		in.Fault("fleet", "%q is no name of 1 to %d printable ASCII characters", f.Fleet, fleetwire.MostName)
+	if !gossipcodec.Name(f.Fleet) {
+		in.Fault("fleet", "%q is no name of 1 to %d printable ASCII characters", f.Fleet, gossipcodec.MostName)
 	}
-	if !fleetwire.Name(f.Name) {
-		in.Fault("name", "%q is no name of 1 to %d printable ASCII characters", f.Name, fleetwire.MostName)
+	if !gossipcodec.Name(f.Name) {
+		in.Fault("name", "%q is no name of 1 to %d printable ASCII characters", f.Name, gossipcodec.MostName)
 	}
 	address := func(field, text string) netip.AddrPort {
 		at, err := netip.ParseAddrPort(text)
@@ -100,22 +100,22 @@
 	}
 	f.Listen = address("listen", t.Listen)
 	names, addrs := make(map[string]bool), make(map[netip.AddrPort]string)
-	if len(t.Peers) > members.MostMembers {
-		in.Fault("peer", "%d peers, %d at most", len(t.Peers), members.MostMembers)
+	if len(t.Peers) > membership.MostMembers {
+		in.Fault("peer", "%d peers, %d at most", len(t.Peers), membership.MostMembers)
 	}
 	for i, p := range t.Peers {
 		field := func(name string) string { return fmt.Sprintf("peer.%d.%s", i, name) }
 		at := address(field("addr"), p.Addr)
 		switch other := addrs[at]; {
-		case !fleetwire.Name(p.Name):
-			in.Fault(field("name"), "%q is no name of 1 to %d printable ASCII characters", p.Name, fleetwire.MostName)
+		case !gossipcodec.Name(p.Name):
+			in.Fault(field("name"), "%q is no name of 1 to %d printable ASCII characters", p.Name, gossipcodec.MostName)
 		case names[p.Name]:
 			in.Fault(field("name"), "%q is there already", p.Name)
 		case at.IsValid() && other != "":
 			in.Fault(field("addr"), "%s is the address of %s already", at, other)
 		}
 		names[p.Name], addrs[at] = true, p.Name
-		f.Book = append(f.Book, members.Peer{Name: p.Name, Addr: at})
+		f.Book = append(f.Book, membership.Peer{Name: p.Name, Addr: at})
 	}
 	f.shares(in, &t)
 	if err := in.Err(); err != nil {
@@ -153,8 +153,8 @@
 	if s.Users < 1 || s.Users > mostUsers {
 		in.Fault("shares.users", "must be 1 to %d", mostUsers)
 	}
-	if s.Most < s.Users || s.Most > members.MostMembers {
-		in.Fault("shares.most_users", "must be at least users, %d, and at most %d", s.Users, members.MostMembers)
+	if s.Most < s.Users || s.Most > membership.MostMembers {
+		in.Fault("shares.most_users", "must be at least users, %d, and at most %d", s.Users, membership.MostMembers)
 	}
 	if s.Least < 1 || s.Least > mostUsers {
 		in.Fault("shares.least", "must be 1 to %d", mostUsers)
--- a/internal/fleetfile/fleetfile_test.go
+++ b/internal/gossipconfig/fleetfile_test.go
@@ -1,4 +1,4 @@
-package fleetfile
+package gossipconfig
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"thymebend/internal/members"
+	"thymebend/internal/membership"
 )
 
 func TestFaultsNameLineAndColumn(t *testing.T) {
@@ -59,13 +59,13 @@
 		}
 		return []byte(text)
 	}
-	for _, peers := range []int{1024, members.MostMembers} {
+	for _, peers := range []int{1024, membership.MostMembers} {
 		if f, err := Parse("x.toml", book(peers), "me"); err != nil || len(f.Book) != peers {
 			t.Errorf("%d peers: %v", peers, err)
 		}
 	}
-	if _, err := Parse("x.toml", book(members.MostMembers+1), "me"); err == nil ||
-		!strings.Contains(err.Error(), fmt.Sprintf("%d peers, %d at most", members.MostMembers+1, members.MostMembers)) {
+	if _, err := Parse("x.toml", book(membership.MostMembers+1), "me"); err == nil ||
+		!strings.Contains(err.Error(), fmt.Sprintf("%d peers, %d at most", membership.MostMembers+1, membership.MostMembers)) {
 		t.Errorf("a peer too many: %v", err)
 	}
 }
--- a/internal/handover/handover.go
+++ b/internal/hotrestart/handover.go
@@ -1,6 +1,6 @@
 // Package handover speaks to the other process at an upgrade: the elder, which serves, gives a newcomer the listening
 // socket, what it knows, and its idle client links. It keeps nothing of the gateway.
-package handover
+package hotrestart
 
 import (
 	"encoding/binary"
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"thymebend"
+	"thymebend/internal/balancer"
 	"thymebend/internal/loop"
 )
 
@@ -45,14 +45,14 @@
 
 // Message is one message of either side.
 type Message struct {
-	Version int                `json:"version"`
-	Kind    Kind               `json:"kind"`
-	Listen  string             `json:"listen,omitempty"` // with Hello: the clients' address
-	Reason  string             `json:"reason,omitempty"` // with Bye
-	List    json.RawMessage    `json:"list,omitempty"`   // with State: the host list in discovery's form
-	Learned *thymebend.Learned `json:"learned,omitempty"`
-	Holds   int                `json:"holds,omitempty"` // descriptors that the elder needs
-	Links   []Idle             `json:"links,omitempty"`
+	Version int               `json:"version"`
+	Kind    Kind              `json:"kind"`
+	Listen  string            `json:"listen,omitempty"` // with Hello: the clients' address
+	Reason  string            `json:"reason,omitempty"` // with Bye
+	List    json.RawMessage   `json:"list,omitempty"`   // with State: the host list in discovery's form
+	Learned *balancer.Learned `json:"learned,omitempty"`
+	Holds   int               `json:"holds,omitempty"` // descriptors that the elder needs
+	Links   []Idle            `json:"links,omitempty"`
 	// With State: what the next process is in the fleet; 0 where this one is in none.
 	FleetStart       uint64      `json:"fleet_start,omitempty"`
 	FleetIncarnation uint64      `json:"fleet_incarnation,omitempty"`
--- a/internal/guard/guard.go
+++ b/internal/invariant/guard.go
@@ -4,13 +4,13 @@
 // What would break a rule is counted, reported and not done.
 //
 // The package is pure: the caller passes the time and does what the verdicts say.
-package guard
+package invariant
 
 import (
 	"fmt"
 	"time"
 
-	"thymebend"
+	"thymebend/internal/balancer"
 )
 
 // Rule names what an effect would have broken.
@@ -94,8 +94,8 @@
 // Request is the guard's record of one request.
 type Request struct {
 	ID       string
-	Effect   thymebend.Effect
-	Group    thymebend.Group
+	Effect   balancer.Effect
+	Group    balancer.Group
 	Window   time.Duration
 	Deadline time.Duration // when its client gives up
 	ended    bool          // it has its final answer, or its client has left
@@ -148,16 +148,16 @@
 
 // mayFollow reports whether an attempt may follow an earlier one that is over.
 func (r *Request) mayFollow(earlier *attempt, a Attempt) bool {
-	if earlier.unrun || r.Effect == thymebend.Safe {
+	if earlier.unrun || r.Effect == balancer.Safe {
 		return true
 	}
-	if r.Effect == thymebend.Unsafe || a.Now > earlier.at+r.Window {
+	if r.Effect == balancer.Unsafe || a.Now > earlier.at+r.Window {
 		return false
 	}
 	switch r.Group {
-	case thymebend.GroupZone:
+	case balancer.GroupZone:
 		return earlier.host.Zone == a.Host.Zone
-	case thymebend.GroupCell:
+	case balancer.GroupCell:
 		return earlier.host.Zone == a.Host.Zone && earlier.host.Cell == a.Host.Cell
 	}
 	return true
@@ -173,7 +173,7 @@
 
 // MayPromise decides whether a client may be told that its request never ran, or that trying again is harmless.
 func (g *Guard) MayPromise(r *Request) bool {
-	if r.Effect == thymebend.Safe || r.Effect == thymebend.Keyed && r.Group == thymebend.GroupAll {
+	if r.Effect == balancer.Safe || r.Effect == balancer.Keyed && r.Group == balancer.GroupAll {
 		return true
 	}
 	for i := range r.attempts {
--- a/internal/guard/guard_test.go
+++ b/internal/invariant/guard_test.go
@@ -1,16 +1,16 @@
-package guard
+package invariant
 
 import (
 	"testing"
 	"time"
 
-	"thymebend"
+	"thymebend/internal/balancer"
 )
 
 const second = time.Second
 
 // tried returns a request with one attempt that began at 1 s in zone 1, cell 1, and is over.
-func tried(t *testing.T, effect thymebend.Effect, group thymebend.Group, unrun bool) (*Guard, *Request) {
+func tried(t *testing.T, effect balancer.Effect, group balancer.Group, unrun bool) (*Guard, *Request) {
 	t.Helper()
 	g := &Guard{}
 	r := &Request{ID: "a", Effect: effect, Group: group, Window: 2 * second, Deadline: 10 * second}
@@ -25,28 +25,28 @@
 // Whatever an attempt would break is held back and counted under its rule; what breaks nothing goes out.
 func TestAttempts(t *testing.T) {
 	for name, c := range map[string]struct {
-		effect thymebend.Effect
-		group  thymebend.Group
+		effect balancer.Effect
+		group  balancer.Group
 		unrun  bool
 		spoil  func(r *Request, a *Attempt)
 		want   Rule
 		ok     bool
 	}{
-		"safe work again":               {effect: thymebend.Safe, ok: true},
-		"unsafe work that never ran":    {effect: thymebend.Unsafe, unrun: true, ok: true},
-		"unsafe work that may have run": {effect: thymebend.Unsafe, want: RanTwice},
-		"keyed work in its window":      {effect: thymebend.Keyed, ok: true},
-		"keyed work after its window":   {effect: thymebend.Keyed, spoil: func(_ *Request, a *Attempt) { a.Now = 3*second + 1 }, want: RanTwice},
-		"keyed work in its cell":        {effect: thymebend.Keyed, group: thymebend.GroupCell, ok: true},
-		"keyed work in another cell":    {effect: thymebend.Keyed, group: thymebend.GroupCell, spoil: func(_ *Request, a *Attempt) { a.Host.Cell = 2 }, want: RanTwice},
-		"keyed work in another zone":    {effect: thymebend.Keyed, group: thymebend.GroupZone, spoil: func(_ *Request, a *Attempt) { a.Host.Zone = 2 }, want: RanTwice},
-		"keyed, never ran, elsewhere":   {effect: thymebend.Keyed, group: thymebend.GroupZone, unrun: true, spoil: func(_ *Request, a *Attempt) { a.Host.Zone = 2 }, ok: true},
-		"a second copy":                 {effect: thymebend.Safe, spoil: func(r *Request, _ *Attempt) { r.attempts[0].out = true }, want: SecondCopy},
-		"its client has left":           {effect: thymebend.Safe, spoil: func(r *Request, _ *Attempt) { r.Left() }, want: AttemptAfterEnd},
-		"it has its answer":             {effect: thymebend.Safe, spoil: func(r *Request, _ *Attempt) { (&Guard{}).Answer(r) }, want: AttemptAfterEnd},
-		"the host drains":               {effect: thymebend.Safe, spoil: func(_ *Request, a *Attempt) { a.Host.Leaving = true }, want: AttemptToLeaving},
-		"its time is over":              {effect: thymebend.Safe, spoil: func(_ *Request, a *Attempt) { a.Now = 10 * second }, want: AttemptTooLate},
-		"too much is told":              {effect: thymebend.Safe, spoil: func(_ *Request, a *Attempt) { a.Until = 10*second + 1 }, want: AttemptTooLate},
+		"safe work again":               {effect: balancer.Safe, ok: true},
+		"unsafe work that never ran":    {effect: balancer.Unsafe, unrun: true, ok: true},
+		"unsafe work that may have run": {effect: balancer.Unsafe, want: RanTwice},
+		"keyed work in its window":      {effect: balancer.Keyed, ok: true},
+		"keyed work after its window":   {effect: balancer.Keyed, spoil: func(_ *Request, a *Attempt) { a.Now = 3*second + 1 }, want: RanTwice},
+		"keyed work in its cell":        {effect: balancer.Keyed, group: balancer.GroupCell, ok: true},
+		"keyed work in another cell":    {effect: balancer.Keyed, group: balancer.GroupCell, spoil: func(_ *Request, a *Attempt) { a.Host.Cell = 2 }, want: RanTwice},
+		"keyed work in another zone":    {effect: balancer.Keyed, group: balancer.GroupZone, spoil: func(_ *Request, a *Attempt) { a.Host.Zone = 2 }, want: RanTwice},
+		"keyed, never ran, elsewhere":   {effect: balancer.Keyed, group: balancer.GroupZone, unrun: true, spoil: func(_ *Request, a *Attempt) { a.Host.Zone = 2 }, ok: true},
+		"a second copy":                 {effect: balancer.Safe, spoil: func(r *Request, _ *Attempt) { r.attempts[0].out = true }, want: SecondCopy},
+		"its client has left":           {effect: balancer.Safe, spoil: func(r *Request, _ *Attempt) { r.Left() }, want: AttemptAfterEnd},
+		"it has its answer":             {effect: balancer.Safe, spoil: func(r *Request, _ *Attempt) { (&Guard{}).Answer(r) }, want: AttemptAfterEnd},
+		"the host drains":               {effect: balancer.Safe, spoil: func(_ *Request, a *Attempt) { a.Host.Leaving = true }, want: AttemptToLeaving},
+		"its time is over":              {effect: balancer.Safe, spoil: func(_ *Request, a *Attempt) { a.Now = 10 * second }, want: AttemptTooLate},
+		"too much is told":              {effect: balancer.Safe, spoil: func(_ *Request, a *Attempt) { a.Until = 10*second + 1 }, want: AttemptTooLate},
 	} {
 		g, r := tried(t, c.effect, c.group, c.unrun)
 		a := Attempt{Now: 2 * second, Until: 10 * second, Host: Host{Zone: 1, Cell: 1}}
@@ -63,16 +63,16 @@
 // A refusal promises that the work never ran.
 func TestPromises(t *testing.T) {
 	for _, c := range []struct {
-		effect    thymebend.Effect
-		group     thymebend.Group
+		effect    balancer.Effect
+		group     balancer.Group
 		unrun, ok bool
 	}{
-		{thymebend.Safe, thymebend.GroupAll, false, true},
-		{thymebend.Unsafe, thymebend.GroupAll, true, true},
-		{thymebend.Unsafe, thymebend.GroupAll, false, false},
-		{thymebend.Keyed, thymebend.GroupAll, false, true},
-		{thymebend.Keyed, thymebend.GroupZone, false, false},
-		{thymebend.Keyed, thymebend.GroupCell, true, true},
+		{balancer.Safe, balancer.GroupAll, false, true},
+		{balancer.Unsafe, balancer.GroupAll, true, true},
+		{balancer.Unsafe, balancer.GroupAll, false, false},
+		{balancer.Keyed, balancer.GroupAll, false, true},
+		{balancer.Keyed, balancer.GroupZone, false, false},
+		{balancer.Keyed, balancer.GroupCell, true, true},
 	} {
 		g, r := tried(t, c.effect, c.group, c.unrun)
 		if got := g.MayPromise(r); got != c.ok || (g.Counts()["refused after run"] == 1) == c.ok {
--- a/internal/lab/sharesim/sharesim.go
+++ b/internal/lab/assignmentsim/sharesim.go
@@ -1,5 +1,5 @@
 // Package sharesim compares ways to divide hosts among gateways, at sizes that no machine holds as processes.
-package sharesim
+package assignmentsim
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"time"
 
-	"thymebend/internal/shares"
+	"thymebend/internal/assignment"
 	"thymebend/internal/subset"
 )
 
@@ -47,13 +47,13 @@
 
 // rule is that of today's parts: eight users of the own zone and four of others, two hosts at least; and as many users at most as a
 // fleet file asks for by itself.
-func rule() shares.Rule { return shares.Rule{Users: 12, Most: 36, Least: 2} }
+func rule() assignment.Rule { return assignment.Rule{Users: 12, Most: 36, Least: 2} }
 
 type fleet struct {
-	gateways []shares.Gateway
+	gateways []assignment.Gateway
 	ranks    []int // by place, as configured
 	all      int   // the configured count
-	hosts    []shares.Host
+	hosts    []assignment.Host
 }
 
 func (c Case) fleet() fleet {
@@ -65,7 +65,7 @@
 		if c.Zipf {
 			demand = 1 / float64(order[i]+1)
 		}
-		f.gateways = append(f.gateways, shares.Gateway{Name: fmt.Sprintf("gateway-%04d", i), Demand: demand})
+		f.gateways = append(f.gateways, assignment.Gateway{Name: fmt.Sprintf("gateway-%04d", i), Demand: demand})
 		f.ranks = append(f.ranks, i)
 	}
 	for range c.Hosts {
@@ -73,7 +73,7 @@
 		if c.Mixed {
 			capacity = float64(int(1) << rng.IntN(3))
 		}
-		f.hosts = append(f.hosts, shares.Host{ID: rng.Uint64(), Capacity: capacity})
+		f.hosts = append(f.hosts, assignment.Host{ID: rng.Uint64(), Capacity: capacity})
 	}
 	return f
 }
@@ -96,10 +96,10 @@
 	if way == MeanOnly {
 		gateways = nil
 		for _, g := range f.gateways {
-			gateways = append(gateways, shares.Gateway{Name: g.Name})
+			gateways = append(gateways, assignment.Gateway{Name: g.Name})
 		}
 	}
-	d, err := shares.Work(rule(), gateways, f.hosts)
+	d, err := assignment.Work(rule(), gateways, f.hosts)
 	if err != nil {
 		return nil, err
 	}
@@ -148,7 +148,7 @@
 	}
 	gone := c.Gateways / 3
 	less := f
-	less.gateways = append(append([]shares.Gateway(nil), f.gateways[:gone]...), f.gateways[gone+1:]...)
+	less.gateways = append(append([]assignment.Gateway(nil), f.gateways[:gone]...), f.gateways[gone+1:]...)
 	less.ranks = nil // who configures a smaller fleet numbers it anew
 	for i := range less.gateways {
 		less.ranks = append(less.ranks, i)
@@ -169,7 +169,7 @@
 	out.GatewayGone = float64(moved) / math.Max(1, float64(len(uses[gone])))
 	fewer := f
 	lost := f.hosts[c.Hosts/3]
-	fewer.hosts = append(append([]shares.Host(nil), f.hosts[:c.Hosts/3]...), f.hosts[c.Hosts/3+1:]...)
+	fewer.hosts = append(append([]assignment.Host(nil), f.hosts[:c.Hosts/3]...), f.hosts[c.Hosts/3+1:]...)
 	if after, err = fewer.uses(way); err != nil {
 		return out, err
 	}
--- a/internal/lab/cli/cli.go
+++ b/internal/lab/cli/cli.go
@@ -24,9 +24,9 @@
 	"golang.org/x/term"
 
 	"thymebend/internal/lab/experiment"
-	"thymebend/internal/lab/ledger"
 	"thymebend/internal/lab/load"
 	"thymebend/internal/lab/report"
+	"thymebend/internal/lab/requestrecord"
 )
 
 // The exit codes.
@@ -278,7 +278,7 @@
 			return input(err)
 		}
 	}
-	tries := ledger.NewClients()
+	tries := requestrecord.NewClients()
 	res, err := load.Run(e.ctx, load.Options{Targets: c.Target, Classes: classes, Schedule: schedule, Clients: clients, Seed: c.Seed,
 		Prefix: fmt.Sprintf("%08x", uint32(time.Now().UnixNano())), // ids are new in every run: the target may know old ones
 		Notice: c.Notice, Ledger: tries, Progress: e.progress(length)})
@@ -323,7 +323,7 @@
 	return out, nil
 }
 
-func (c loadCmd) conclude(e *env, res load.Result, tries *ledger.Clients) error {
+func (c loadCmd) conclude(e *env, res load.Result, tries *requestrecord.Clients) error {
 	twice := 0
 	for _, t := range tries.Tries() {
 		if t.Answers > 1 {
--- a/internal/lab/cli/cli_test.go
+++ b/internal/lab/cli/cli_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"thymebend/internal/lab/ledger"
 	"thymebend/internal/lab/load"
+	"thymebend/internal/lab/requestrecord"
 )
 
 func call(args ...string) (code int, out, err string) {
@@ -99,7 +99,7 @@
 func TestFallingBehindIsThree(t *testing.T) {
 	var out bytes.Buffer
 	e := &env{out: &out, err: &out}
-	err := loadCmd{}.conclude(e, load.Result{FellBehind: true, Behind: "late"}, ledger.NewClients())
+	err := loadCmd{}.conclude(e, load.Result{FellBehind: true, Behind: "late"}, requestrecord.NewClients())
 	if c, ok := err.(coded); !ok || c.code != 3 || strings.Contains(out.String(), "p99") {
 		t.Errorf("%v %s", err, out.String())
 	}
--- a/internal/lab/cli/drill.go
+++ b/internal/lab/cli/drill.go
@@ -8,8 +8,8 @@
 	"strings"
 
 	"thymebend/internal/lab/drill"
-	"thymebend/internal/lab/ledger"
 	"thymebend/internal/lab/report"
+	"thymebend/internal/lab/requestrecord"
 	"thymebend/internal/tomlfile"
 )
 
@@ -39,7 +39,7 @@
 	length := f.Length()
 	e.log.Info().Str("drill", f.Name).Stringer("for", length).Int("gateways", f.Gateways.Count).Int("faults", len(f.Faults)).Msg("running")
 	res, err := drill.Run(e.ctx, f, drill.Options{Gateway: c.Gateway, Dir: c.Out, Seed: c.Seed, Progress: e.progress(length),
-		Found: func(f ledger.Finding) { e.log.Warn().Str("rule", f.Rule).Str("gateway", f.ID).Msg(f.Detail) }})
+		Found: func(f requestrecord.Finding) { e.log.Warn().Str("rule", f.Rule).Str("gateway", f.ID).Msg(f.Detail) }})
 	if err != nil {
 		return input(err)
 	}
--- a/internal/lab/cli/rollouts.go
+++ b/internal/lab/cli/rollouts.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"thymebend/internal/lab/rolloutsim"
+	"thymebend/internal/lab/configsim"
 )
 
 type rolloutsCmd struct {
@@ -52,7 +52,7 @@
 					return
 				}
 				seed := c.From + uint64(n)
-				o := rolloutsim.Play(seed)
+				o := configsim.Play(seed)
 				played.Add(1)
 				mu.Lock()
 				if c.Each {
@@ -82,7 +82,7 @@
 
 func (c rolloutsCmd) fleet(e *env) error {
 	began := time.Now()
-	f := rolloutsim.Measure(rolloutsim.FleetSize(c.Length, c.Loss, c.From))
+	f := configsim.Measure(configsim.FleetSize(c.Length, c.Loss, c.From))
 	fmt.Fprintf(e.out, "%d gateways of %d services each, %d services, %d routes, %d tenants, loss %.0f%%, seed %d\n", f.Gateways, f.ServicesEach, f.Size.Services,
 		f.Size.Routes, f.Size.Tenants, 100*f.Loss, f.Seed)
 	fmt.Fprintf(e.out, "all start with nothing: whole configuration in force everywhere after %.2f s\n", f.First.Seconds())
--- a/internal/lab/cli/seeds.go
+++ b/internal/lab/cli/seeds.go
@@ -14,9 +14,9 @@
 	"sync/atomic"
 	"time"
 
-	"thymebend/internal/lab/viewsim"
-	"thymebend/internal/lab/virtual"
-	"thymebend/internal/members"
+	"thymebend/internal/lab/membershipsim"
+	"thymebend/internal/lab/simulation"
+	"thymebend/internal/membership"
 )
 
 // membersProfile plays views of a fleet without the gateways around them.
@@ -38,13 +38,13 @@
 	Requests int `placeholder:"N" help:"Length of a run in requests, instead of 6 to 14 s."`
 }
 
-func (s sizeFlags) size() virtual.Size {
-	return virtual.Size{Gateways: s.Gateways, Hosts: s.Hosts, Requests: s.Requests}
+func (s sizeFlags) size() simulation.Size {
+	return simulation.Size{Gateways: s.Gateways, Hosts: s.Hosts, Requests: s.Requests}
 }
 
 // Help implements kong's.
 func (seedsCmd) Help() string {
-	return "Example:\n  thymelab seeds --from 1 --count 1000 --profile drain-retry\n\nProfiles: " + fmt.Sprint(virtual.Profiles()) +
+	return "Example:\n  thymelab seeds --from 1 --count 1000 --profile drain-retry\n\nProfiles: " + fmt.Sprint(simulation.Profiles()) +
 		" and members, which plays the fleet's view alone" +
 		"\nExit codes: 0 no failure, 1 a failure, 2 unusable input, 4 told to end: partial."
 }
@@ -52,7 +52,7 @@
 type failure struct {
 	Seed    uint64 `json:"seed"`
 	Profile string `json:"profile"`
-	virtual.Finding
+	simulation.Finding
 	More int `json:"more"` // findings of the same run beside this one
 }
 
@@ -61,7 +61,7 @@
 	if c.Profile == membersProfile {
 		return c.members(e)
 	}
-	if _, err := virtual.DrawSized(1, c.Profile, c.size()); err != nil {
+	if _, err := simulation.DrawSized(1, c.Profile, c.size()); err != nil {
 		return input(err)
 	}
 	began := time.Now()
@@ -69,8 +69,8 @@
 	failures := []failure{}
 	tries, lasted, steps := 0, time.Duration(0), uint64(0)
 	played := c.each(e, func(seed uint64) bool {
-		p, _ := virtual.DrawSized(seed, c.Profile, c.size()) // checked above
-		o := virtual.PlayContext(e.ctx, p, nil)
+		p, _ := simulation.DrawSized(seed, c.Profile, c.size()) // checked above
+		o := simulation.PlayContext(e.ctx, p, nil)
 		mu.Lock()
 		defer mu.Unlock()
 		tries, lasted, steps = tries+o.Tries, lasted+o.Lasted, steps+o.Steps
@@ -135,8 +135,8 @@
 // viewOnly refuses what does not go with the profile members.
 func (s sizeFlags) viewOnly(set ...string) error {
 	switch {
-	case s.Gateways != 0 && (s.Gateways < 3 || s.Gateways > members.MostMembers):
-		return input(fmt.Errorf("gateways must be 3 to %d with profile %s", members.MostMembers, membersProfile))
+	case s.Gateways != 0 && (s.Gateways < 3 || s.Gateways > membership.MostMembers):
+		return input(fmt.Errorf("gateways must be 3 to %d with profile %s", membership.MostMembers, membersProfile))
 	case s.Hosts != 0 || s.Requests != 0 || strings.Join(set, "") != "":
 		return input(fmt.Errorf("only --gateways goes with profile %s: it plays views alone", membersProfile))
 	}
@@ -153,12 +153,12 @@
 	failures := []failure{}
 	var calls uint64
 	played := c.each(e, func(seed uint64) bool {
-		o := viewsim.Play(e.ctx, seed, c.Gateways)
+		o := membershipsim.Play(e.ctx, seed, c.Gateways)
 		mu.Lock()
 		defer mu.Unlock()
 		calls += o.Calls
 		if len(o.Findings) > 0 {
-			f := failure{seed, c.Profile, virtual.Finding{Rule: "view", Detail: o.Findings[0]}, len(o.Findings) - 1}
+			f := failure{seed, c.Profile, simulation.Finding{Rule: "view", Detail: o.Findings[0]}, len(o.Findings) - 1}
 			failures = append(failures, f)
 			fmt.Fprintf(e.out, "seed %d (%s): %v: %s (and %d more)\n", seed, c.Profile, o, f.Detail, f.More)
 		}
@@ -188,7 +188,7 @@
 		if err := c.viewOnly(c.Trace, c.Shrink); err != nil {
 			return err
 		}
-		o := viewsim.Play(e.ctx, c.Seed, c.Gateways)
+		o := membershipsim.Play(e.ctx, c.Seed, c.Gateways)
 		fmt.Fprintf(e.out, "seed %d, %s: %v\n%s\n", c.Seed, c.Profile, o, strings.Join(o.Findings, "\n"))
 		if o.Partial {
 			return early()
@@ -198,7 +198,7 @@
 		}
 		return nil
 	}
-	p, err := virtual.DrawSized(c.Seed, c.Profile, c.size())
+	p, err := simulation.DrawSized(c.Seed, c.Profile, c.size())
 	if err != nil {
 		return input(err)
 	}
@@ -214,7 +214,7 @@
 		return nil
 	}
 	if c.Shrink != "" {
-		small, runs := virtual.Shrink(e.ctx, p, o.Findings[0].Rule, c.Most)
+		small, runs := simulation.Shrink(e.ctx, p, o.Findings[0].Rule, c.Most)
 		if err := small.Write(c.Shrink); err != nil {
 			return input(err)
 		}
@@ -234,12 +234,12 @@
 
 // Help implements kong's.
 func (planCmd) Help() string {
-	return "Example:\n  thymelab plan internal/lab/virtual/testdata/NAME.json"
+	return "Example:\n  thymelab plan internal/lab/simulation/testdata/NAME.json"
 }
 
 // Run implements kong's.
 func (c planCmd) Run(e *env) error {
-	p, err := virtual.ReadPlan(c.File)
+	p, err := simulation.ReadPlan(c.File)
 	if err != nil {
 		return input(err)
 	}
@@ -257,17 +257,17 @@
 	return nil
 }
 
-func playTraced(ctx context.Context, p virtual.Plan, path string) (virtual.Outcome, error) {
+func playTraced(ctx context.Context, p simulation.Plan, path string) (simulation.Outcome, error) {
 	if path == "" {
-		return virtual.PlayContext(ctx, p, nil), nil
+		return simulation.PlayContext(ctx, p, nil), nil
 	}
 	file, err := os.Create(path)
 	if err != nil {
-		return virtual.Outcome{}, err
+		return simulation.Outcome{}, err
 	}
 	defer file.Close()
 	out := bufio.NewWriter(file)
-	o := virtual.PlayContext(ctx, p, out)
+	o := simulation.PlayContext(ctx, p, out)
 	if err := out.Flush(); err != nil {
 		return o, err
 	}
@@ -275,7 +275,7 @@
 }
 
 // say prints what a run came to.
-func (e *env) say(p virtual.Plan, o virtual.Outcome) {
+func (e *env) say(p simulation.Plan, o simulation.Outcome) {
 	fmt.Fprintf(e.out, "seed %d, %s, %d gateways, %d hosts, %d faults, %d tries: %d served, %d refused, %d failed, %.1f s\n", p.Seed, p.Profile,
 		p.Gateways, p.Hosts, len(p.Faults), o.Tries, o.Served, o.Refused, o.Failed, o.Lasted.Seconds())
 	if o.Partial {
--- a/internal/lab/cli/shares.go
+++ b/internal/lab/cli/shares.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"time"
 
-	"thymebend/internal/lab/sharesim"
-	"thymebend/internal/lab/virtual"
-	"thymebend/internal/shares"
+	"thymebend/internal/assignment"
+	"thymebend/internal/lab/assignmentsim"
+	"thymebend/internal/lab/simulation"
 )
 
 type sharesCmd struct {
@@ -27,8 +27,8 @@
 // Run implements kong's.
 func (c sharesCmd) Run(e *env) error {
 	given := c.Gateways != 0 || c.Hosts != 0
-	if given && (c.Gateways < 2 || c.Hosts < 2 || c.Gateways > shares.MostGateways || c.Hosts > shares.MostHosts) {
-		return input(fmt.Errorf("--gateways and --hosts go together, 2 to %d and 2 to %d", shares.MostGateways, shares.MostHosts))
+	if given && (c.Gateways < 2 || c.Hosts < 2 || c.Gateways > assignment.MostGateways || c.Hosts > assignment.MostHosts) {
+		return input(fmt.Errorf("--gateways and --hosts go together, 2 to %d and 2 to %d", assignment.MostGateways, assignment.MostHosts))
 	}
 	if c.Gateway {
 		return c.whole(e)
@@ -40,14 +40,14 @@
 	fmt.Fprintln(e.out, "| gateways | hosts | traffic | way | crowd | refused | pairs | most users | moved by a gateway | by a host | time |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, size := range sizes {
 		for _, zipf := range []bool{false, true} {
-			for _, way := range sharesim.Ways() {
+			for _, way := range assignmentsim.Ways() {
 				if e.ctx.Err() != nil {
 					return early()
 				}
-				if way == sharesim.MeanOnly && !zipf {
+				if way == assignmentsim.MeanOnly && !zipf {
 					continue
 				}
-				f, err := sharesim.Measure(sharesim.Case{Gateways: size[0], Hosts: size[1], Zipf: zipf, Mixed: true, Seed: c.Seed}, way)
+				f, err := assignmentsim.Measure(assignmentsim.Case{Gateways: size[0], Hosts: size[1], Zipf: zipf, Mixed: true, Seed: c.Seed}, way)
 				if err != nil {
 					return input(err)
 				}
@@ -70,7 +70,7 @@
 	}
 	fmt.Fprintln(e.out, "| gateways | hosts | hearsay | bad host known to 95% of its users, median | asked of bad hosts | bytes a second and gateway | cold hosts got of what they may | refused | rules broken |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, hearsay := range []bool{false, true} {
-		f, err := virtual.MeasurePortions(e.ctx, c.Seed, c.Gateways, c.Hosts, hearsay)
+		f, err := simulation.MeasurePortions(e.ctx, c.Seed, c.Gateways, c.Hosts, hearsay)
 		if errors.Is(err, context.Canceled) {
 			return early()
 		}
--- a/internal/lab/cli/soak.go
+++ b/internal/lab/cli/soak.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"thymebend/internal/lab/drill"
-	"thymebend/internal/lab/ledger"
+	"thymebend/internal/lab/requestrecord"
 	"thymebend/internal/lab/soak"
 )
 
@@ -78,7 +78,7 @@
 		return false, err
 	}
 	res, err := drill.Run(e.ctx, f, drill.Options{Gateway: c.Gateway, Dir: dir,
-		Found: func(found ledger.Finding) {
+		Found: func(found requestrecord.Finding) {
 			e.log.Warn().Uint64("seed", seed).Str("rule", found.Rule).Str("id", found.ID).Msg(found.Detail)
 		}})
 	if err != nil {
@@ -89,7 +89,7 @@
 	}
 	fmt.Fprintf(e.out, "seed %d: %d gateways, %d faults and %d events in %v, %d of %d requests served, %d rules broken\n", seed, f.Gateways.Count,
 		len(f.Faults), len(f.Events), f.Length(), res.Load.OK, res.Load.Scheduled, len(res.Findings))
-	slices.SortStableFunc(res.Findings, func(a, b ledger.Finding) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(res.Findings, func(a, b requestrecord.Finding) int { return cmp.Compare(a.At, b.At) })
 	for _, found := range res.Findings[:min(5, len(res.Findings))] {
 		fmt.Fprintf(e.out, "  %s at %.2f s: %s: %s\n", found.Rule, found.At.Seconds(), found.ID, strings.TrimSpace(found.Detail))
 	}
--- a/internal/lab/cli/view.go
+++ b/internal/lab/cli/view.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
+	"thymebend/internal/lab/membershipsim"
 	"thymebend/internal/lab/report"
-	"thymebend/internal/lab/viewsim"
-	"thymebend/internal/members"
+	"thymebend/internal/membership"
 )
 
 type viewCmd struct {
@@ -34,16 +34,16 @@
 
 // Run implements kong's.
 func (c viewCmd) Run(e *env) error {
-	if c.Nodes < 3 || c.Nodes > members.MostMembers || !(c.Loss >= 0 && c.Loss < 1) {
-		return input(fmt.Errorf("nodes must be 3 to %d and loss 0 to under 1", members.MostMembers))
+	if c.Nodes < 3 || c.Nodes > membership.MostMembers || !(c.Loss >= 0 && c.Loss < 1) {
+		return input(fmt.Errorf("nodes must be 3 to %d and loss 0 to under 1", membership.MostMembers))
 	}
-	parts := map[string]members.Part{"ring": members.PartRing, "confirm": members.PartConfirm, "verify": members.PartVerify,
-		"health": members.PartHealth, "repair": members.PartRepair, "calls": members.PartCalls}
+	parts := map[string]membership.Part{"ring": membership.PartRing, "confirm": membership.PartConfirm, "verify": membership.PartVerify,
+		"health": membership.PartHealth, "repair": membership.PartRepair, "calls": membership.PartCalls}
 	if c.Plots != "" {
 		return c.plots(e.ctx)
 	}
 	began := time.Now()
-	f := viewsim.Measure(e.ctx, viewsim.Case{Seed: c.Seed, Nodes: c.Nodes, Loss: c.Loss, Stalls: c.Stalls, Heal: c.Heal, Baseline: c.Beats,
+	f := membershipsim.Measure(e.ctx, membershipsim.Case{Seed: c.Seed, Nodes: c.Nodes, Loss: c.Loss, Stalls: c.Stalls, Heal: c.Heal, Baseline: c.Beats,
 		Without: parts[c.Without]})
 	kind := "view"
 	if c.Beats {
@@ -81,13 +81,13 @@
 		sizes = append(sizes, c.Nodes)
 	}
 	kinds := []string{"views", "heartbeats from all to all"}
-	found := make([][]viewsim.Figures, len(kinds))
+	found := make([][]membershipsim.Figures, len(kinds))
 	var all sync.WaitGroup
 	for k := range kinds {
-		found[k] = make([]viewsim.Figures, len(sizes))
+		found[k] = make([]membershipsim.Figures, len(sizes))
 		for i, n := range sizes {
 			all.Go(func() {
-				found[k][i] = viewsim.Measure(ctx, viewsim.Case{Seed: c.Seed, Nodes: n, Loss: c.Loss, Stalls: c.Stalls, Baseline: k == 1})
+				found[k][i] = membershipsim.Measure(ctx, membershipsim.Case{Seed: c.Seed, Nodes: n, Loss: c.Loss, Stalls: c.Stalls, Baseline: k == 1})
 			})
 		}
 	}
@@ -97,11 +97,11 @@
 	}
 	for _, p := range []struct {
 		file, title, y string
-		of             func(f viewsim.Figures) float64
+		of             func(f membershipsim.Figures) float64
 	}{
-		{"crash.svg", "Until the last knows of a crash, worst of five", "seconds", func(f viewsim.Figures) float64 { return slices.Max(f.Crash).Seconds() }},
-		{"bytes.svg", "Sent by a gateway", "bytes a second", func(f viewsim.Figures) float64 { return f.Rest }},
-		{"removals.svg", "Living gateways held for gone, four looks a second over a minute", "count", func(f viewsim.Figures) float64 { return float64(f.FalseRemoval) }},
+		{"crash.svg", "Until the last knows of a crash, worst of five", "seconds", func(f membershipsim.Figures) float64 { return slices.Max(f.Crash).Seconds() }},
+		{"bytes.svg", "Sent by a gateway", "bytes a second", func(f membershipsim.Figures) float64 { return f.Rest }},
+		{"removals.svg", "Living gateways held for gone, four looks a second over a minute", "count", func(f membershipsim.Figures) float64 { return float64(f.FalseRemoval) }},
 	} {
 		var lines []report.Series
 		for k, name := range kinds {
--- a/internal/lab/rolloutsim/author.go
+++ b/internal/lab/configsim/author.go
@@ -1,4 +1,4 @@
-package rolloutsim
+package configsim
 
 import (
 	"errors"
@@ -6,9 +6,9 @@
 	"math/rand/v2"
 	"time"
 
-	"thymebend/internal/consensus"
-	"thymebend/internal/rollout"
-	"thymebend/internal/rollout/content"
+	"thymebend/internal/configdist"
+	"thymebend/internal/configdist/content"
+	"thymebend/internal/raft"
 )
 
 // How authors and operators go about.
@@ -96,26 +96,26 @@
 		if c.Controller == nil || c.stalled {
 			continue
 		}
-		command := rollout.Command{Kind: rollout.Propose, ID: a.id, Base: c.Controller.Store().Head().Ref.Number, Changes: a.changes}
+		command := configdist.Command{Kind: configdist.Propose, ID: a.id, Base: c.Controller.Store().Head().Ref.Number, Changes: a.changes}
 		err := f.Propose(c, &command, a.answer)
 		switch {
 		case err == nil:
 			a.at-- // the same one next time
 			f.clock.At(f.clock.Now()+answerExpected, a.ask)
 			return
-		case errors.Is(err, consensus.ErrNotLeader), errors.Is(err, consensus.ErrBusy), errors.Is(err, consensus.ErrFailed):
+		case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrBusy), errors.Is(err, raft.ErrFailed):
 		default:
-			a.answer(rollout.Result{ID: a.id, Err: err})
+			a.answer(configdist.Result{ID: a.id, Err: err})
 			return
 		}
 	}
 	f.clock.At(f.clock.Now()+askAgainAfter, a.ask)
 }
 
-func (a *Author) answer(r rollout.Result) {
+func (a *Author) answer(r configdist.Result) {
 	switch {
 	case a.ended:
-	case errors.Is(r.Err, rollout.ErrDoesNotFollow), errors.Is(r.Err, rollout.ErrStopped):
+	case errors.Is(r.Err, configdist.ErrDoesNotFollow), errors.Is(r.Err, configdist.ErrStopped):
 		f := a.fleet
 		f.clock.At(f.clock.Now()+askAgainAfter/10+time.Duration(f.rng.IntN(100))*time.Millisecond, a.ask)
 	default:
@@ -136,7 +136,7 @@
 		}
 		store := leader.Controller.Store()
 		r := store.Rollout()
-		if r.Stage != rollout.Stopped || r.Attempt == handled {
+		if r.Stage != configdist.Stopped || r.Attempt == handled {
 			return
 		}
 		handled = r.Attempt
@@ -147,7 +147,7 @@
 }
 
 // settle resumes a stopped rollout or goes back to what is released, with whoever leads now; again, until it is done.
-func (f *Fleet) settle(r rollout.Rollout, resume bool) {
+func (f *Fleet) settle(r configdist.Rollout, resume bool) {
 	again := func() { f.clock.At(f.clock.Now()+askAgainAfter, func() { f.settle(r, resume) }) }
 	leader := f.Leader()
 	if leader == nil {
@@ -155,12 +155,12 @@
 		return
 	}
 	store := leader.Controller.Store()
-	if now := store.Rollout(); now.Stage != rollout.Stopped || now.Attempt != r.Attempt {
+	if now := store.Rollout(); now.Stage != configdist.Stopped || now.Attempt != r.Attempt {
 		return
 	}
-	command := rollout.Command{Kind: rollout.Revert, Version: store.Released().Ref.Number}
+	command := configdist.Command{Kind: configdist.Revert, Version: store.Released().Ref.Number}
 	if resume {
-		command = rollout.Command{Kind: rollout.Resume, Version: r.Version}
+		command = configdist.Command{Kind: configdist.Resume, Version: r.Version}
 	}
 	_ = f.Propose(leader, &command, nil) // whether it came shows in the rollout
 	again()
--- a/internal/lab/rolloutsim/fleet.go
+++ b/internal/lab/configsim/fleet.go
@@ -3,7 +3,7 @@
 //
 // A Fleet can be put on another Clock and Network: New, StartControl and StartGateway for each place, Submit for changes, InForce for how many have a
 // version, Config.Installed to be told of each, and Sent, Received and Used of each place for what it cost.
-package rolloutsim
+package configsim
 
 import (
 	"fmt"
@@ -11,10 +11,10 @@
 	"slices"
 	"time"
 
-	"thymebend/internal/consensus"
-	"thymebend/internal/rollout"
-	"thymebend/internal/rollout/content"
-	"thymebend/internal/rollout/wire"
+	"thymebend/internal/configdist"
+	"thymebend/internal/configdist/codec"
+	"thymebend/internal/configdist/content"
+	"thymebend/internal/raft"
 )
 
 // Config is a fleet's size and ways.
@@ -24,7 +24,7 @@
 	Zones     int
 	Regions   int
 	Services  func(gateway int) []string // that a gateway serves; nil for all
-	Policy    rollout.Policy
+	Policy    configdist.Policy
 	PageBytes int // see rollout.ControllerConfig
 	Snapshots int // entries between two of the log's; 0 for the default
 	Seed      uint64
@@ -39,8 +39,8 @@
 	process
 	ID         uint64
 	Region     string
-	Controller *rollout.Controller // nil while no process runs
-	disk       *consensus.Memory
+	Controller *configdist.Controller // nil while no process runs
+	disk       *raft.Memory
 	seen       seen
 }
 
@@ -49,11 +49,11 @@
 	process
 	Name, Zone, Region string
 	Services           []string
-	Agent              *rollout.Agent // nil while no process runs
-	Running            rollout.Kept   // what its process has in force
-	disk               *rollout.Kept  // the last good configuration
-	fence              content.Ref    // the newest that was ever in force under this name
-	born               int            // how often the place was given to a new machine
+	Agent              *configdist.Agent // nil while no process runs
+	Running            configdist.Kept   // what its process has in force
+	disk               *configdist.Kept  // the last good configuration
+	fence              content.Ref       // the newest that was ever in force under this name
+	born               int               // how often the place was given to a new machine
 }
 
 // Fleet is control machines and gateways.
@@ -67,15 +67,15 @@
 	net    Network
 	rng    *rand.Rand
 	ledger ledger
-	answer map[uint64]func(rollout.Result) // by the command's ID
+	answer map[uint64]func(configdist.Result) // by the command's ID
 	nextID uint64
 }
 
 // New makes a fleet. None of its processes runs yet.
 func New(cfg Config, clock Clock, net Network) *Fleet {
-	f := &Fleet{cfg: cfg, clock: clock, net: net, rng: rand.New(rand.NewPCG(cfg.Seed, 0x4011)), ledger: newLedger(), answer: make(map[uint64]func(rollout.Result))}
+	f := &Fleet{cfg: cfg, clock: clock, net: net, rng: rand.New(rand.NewPCG(cfg.Seed, 0x4011)), ledger: newLedger(), answer: make(map[uint64]func(configdist.Result))}
 	for i := range machines {
-		c := &Control{process: process{fleet: f, at: Endpoint{true, i}}, ID: uint64(i + 1), Region: regionName(i * cfg.Regions / machines), disk: &consensus.Memory{}}
+		c := &Control{process: process{fleet: f, at: Endpoint{true, i}}, ID: uint64(i + 1), Region: regionName(i * cfg.Regions / machines), disk: &raft.Memory{}}
 		f.Controls = append(f.Controls, c)
 	}
 	for i := range cfg.Gateways {
@@ -121,7 +121,7 @@
 		return
 	}
 	c.start()
-	controller, err := rollout.NewController(rollout.ControllerConfig{ID: c.ID, Voters: []uint64{1, 2, 3}, Standbys: []uint64{4}, Kept: c.disk.Kept(),
+	controller, err := configdist.NewController(configdist.ControllerConfig{ID: c.ID, Voters: []uint64{1, 2, 3}, Standbys: []uint64{4}, Kept: c.disk.Kept(),
 		Seed: f.rng.Uint64(), Policy: f.cfg.Policy, PageBytes: f.cfg.PageBytes, SnapshotEach: f.cfg.Snapshots}, f.clock.Now())
 	if err != nil {
 		panic(err) // the configuration is ours
@@ -155,9 +155,9 @@
 }
 
 // Propose proposes a command to a control machine, under a new ID if it has none. answer is told how it went, if that is ever known.
-func (f *Fleet) Propose(c *Control, command *rollout.Command, answer func(rollout.Result)) error {
+func (f *Fleet) Propose(c *Control, command *configdist.Command, answer func(configdist.Result)) error {
 	if c.Controller == nil || c.stalled {
-		return consensus.ErrNotLeader
+		return raft.ErrNotLeader
 	}
 	if command.ID == 0 {
 		f.nextID++
@@ -179,7 +179,7 @@
 // called sends what a control machine wants sent, looks at its store, and has it called when it wants.
 func (c *Control) called() {
 	f := c.fleet
-	var out rollout.ControllerOutput
+	var out configdist.ControllerOutput
 	var err error
 	c.spend(func() { out, err = c.Controller.Take(c.disk.Keep) })
 	if err != nil {
@@ -188,14 +188,14 @@
 	f.ledger.look(f, c)
 	for _, m := range out.Peers {
 		to := f.Controls[m.To-1]
-		c.post(&to.process, m.Message, func(heard wire.Message) {
+		c.post(&to.process, m.Message, func(heard codec.Message) {
 			to.spend(func() { _ = to.Controller.HearPeer(f.clock.Now(), c.ID, heard) }) // one that has just failed says so; Take does too
 			to.called()
 		})
 	}
 	for _, m := range out.Gateways {
 		to := f.Gateways[m.Link]
-		c.post(&to.process, m.Message, func(heard wire.Message) {
+		c.post(&to.process, m.Message, func(heard codec.Message) {
 			to.spend(func() { to.Agent.Hear(f.clock.Now(), c.ID, heard) })
 			to.called()
 		})
@@ -216,11 +216,11 @@
 		return
 	}
 	g.start()
-	var list []rollout.ControlMachine
+	var list []configdist.ControlMachine
 	for _, c := range f.Controls {
-		list = append(list, rollout.ControlMachine{ID: c.ID, Region: c.Region})
+		list = append(list, configdist.ControlMachine{ID: c.ID, Region: c.Region})
 	}
-	agent, err := rollout.NewAgent(rollout.AgentConfig{Gateway: g.Name, Zone: g.Zone, Region: g.Region, Services: g.Services, Controllers: list,
+	agent, err := configdist.NewAgent(configdist.AgentConfig{Gateway: g.Name, Zone: g.Zone, Region: g.Region, Services: g.Services, Controllers: list,
 		Kept: g.disk, Session: uint64(g.life) << 20, Seed: f.rng.Uint64()}, f.clock.Now())
 	if err != nil {
 		panic(err) // the configuration is ours
@@ -263,7 +263,7 @@
 	for _, m := range out.Messages {
 		to := f.Controls[m.To-1]
 		link := uint64(g.at.Index)
-		g.post(&to.process, m.Message, func(heard wire.Message) {
+		g.post(&to.process, m.Message, func(heard codec.Message) {
 			to.spend(func() { _ = to.Controller.Hear(f.clock.Now(), link, heard) }) // a gateway's messages are none of a control machine's
 			to.called()
 		})
@@ -278,7 +278,7 @@
 }
 
 // install validates and installs a configuration after the time that this takes, and tells the agent.
-func (g *Gateway) install(next rollout.Install) {
+func (g *Gateway) install(next configdist.Install) {
 	f := g.fleet
 	life := g.life
 	f.clock.At(f.clock.Now()+time.Duration(1+f.rng.IntN(20))*time.Millisecond, func() {
@@ -292,7 +292,7 @@
 			err := refusal(g, next)
 			if err == nil {
 				f.ledger.installed(f, g, next)
-				g.Running = rollout.Kept{Ref: next.Ref, Services: g.Services, Tree: next.Tree}
+				g.Running = configdist.Kept{Ref: next.Ref, Services: g.Services, Tree: next.Tree}
 			}
 			g.Agent.Installed(f.clock.Now(), next.Ref, err)
 			if err == nil {
--- a/internal/lab/rolloutsim/measure.go
+++ b/internal/lab/configsim/measure.go
@@ -1,4 +1,4 @@
-package rolloutsim
+package configsim
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"thymebend/internal/rollout"
-	"thymebend/internal/rollout/content"
+	"thymebend/internal/configdist"
+	"thymebend/internal/configdist/content"
 )
 
 // Case is a fleet to be measured.
@@ -285,7 +285,7 @@
 	for _, c := range m.Fleet.Controls {
 		f.Subscribers = max(f.Subscribers, c.Controller.Subscribers())
 	}
-	if leader := m.Fleet.Leader(); leader != nil && leader.Controller.Store().Rollout().Stage == rollout.Stopped {
+	if leader := m.Fleet.Leader(); leader != nil && leader.Controller.Store().Rollout().Stage == configdist.Stopped {
 		m.Fleet.Find("the run ends with a stopped rollout: %s", leader.Controller.Store().Rollout().Reason)
 	}
 	f.Findings = m.Fleet.Findings
--- a/internal/lab/rolloutsim/play.go
+++ b/internal/lab/configsim/play.go
@@ -1,4 +1,4 @@
-package rolloutsim
+package configsim
 
 import (
 	"cmp"
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
+	"thymebend/internal/configdist"
+	"thymebend/internal/configdist/content"
 	"thymebend/internal/lab/timeline"
-	"thymebend/internal/rollout"
-	"thymebend/internal/rollout/content"
 )
 
 // What a run must come to.
@@ -424,10 +424,10 @@
 }
 
 // checkLag holds the leader's report of who lags against what gateways have in force.
-func (r *run) checkLag(leader *rollout.Controller) {
+func (r *run) checkLag(leader *configdist.Controller) {
 	for _, l := range leader.Lag(r.Now()) {
 		for _, g := range r.Fleet.Gateways {
-			if g.Name == l.Gateway && g.Running.Ref.Number >= l.Newest && l.Why != rollout.HasFailed {
+			if g.Name == l.Gateway && g.Running.Ref.Number >= l.Newest && l.Why != configdist.HasFailed {
 				r.Fleet.Find("the leader says that %s lags: %s", g.Name, cmp.Or(l.Detail, string(l.Why)))
 			}
 		}
--- a/internal/lab/rolloutsim/play_test.go
+++ b/internal/lab/configsim/play_test.go
@@ -1,4 +1,4 @@
-package rolloutsim
+package configsim
 
 import (
 	"reflect"
--- a/internal/lab/rolloutsim/process.go
+++ b/internal/lab/configsim/process.go
@@ -1,10 +1,10 @@
-package rolloutsim
+package configsim
 
 import (
 	"errors"
 	"time"
 
-	"thymebend/internal/rollout/wire"
+	"thymebend/internal/configdist/codec"
 )
 
 // Clock is what a fleet lives by. timeline.Timeline is one.
@@ -38,8 +38,8 @@
 	due     bool
 	next    time.Duration
 
-	senders   map[Endpoint]*wire.Sender
-	receivers map[Endpoint]*wire.Receiver
+	senders   map[Endpoint]*codec.Sender
+	receivers map[Endpoint]*codec.Receiver
 
 	// Traffic so far, in bytes, headers included.
 	Sent, Received uint64
@@ -51,7 +51,7 @@
 func (p *process) start() {
 	p.life++
 	p.up, p.stalled, p.waiting, p.due, p.next = true, false, nil, false, 0
-	p.senders, p.receivers = make(map[Endpoint]*wire.Sender), make(map[Endpoint]*wire.Receiver)
+	p.senders, p.receivers = make(map[Endpoint]*codec.Sender), make(map[Endpoint]*codec.Receiver)
 }
 
 func (p *process) end() {
@@ -60,10 +60,10 @@
 }
 
 // post words a message and sends it to another process, which takes it once.
-func (p *process) post(to *process, m wire.Message, hear func(wire.Message)) {
+func (p *process) post(to *process, m codec.Message, hear func(codec.Message)) {
 	s := p.senders[to.at]
 	if s == nil {
-		s = &wire.Sender{Fleet: wire.FleetID(p.fleet.cfg.Name), Start: uint64(p.life)}
+		s = &codec.Sender{Fleet: codec.FleetID(p.fleet.cfg.Name), Start: uint64(p.life)}
 		p.senders[to.at] = s
 	}
 	frame := s.Append(nil, m)
@@ -78,16 +78,16 @@
 }
 
 // take reads a frame, and has it heard if it is one.
-func (p *process) take(from Endpoint, frame []byte, hear func(wire.Message)) {
+func (p *process) take(from Endpoint, frame []byte, hear func(codec.Message)) {
 	r := p.receivers[from]
 	if r == nil {
-		r = &wire.Receiver{Fleet: wire.FleetID(p.fleet.cfg.Name)}
+		r = &codec.Receiver{Fleet: codec.FleetID(p.fleet.cfg.Name)}
 		p.receivers[from] = r
 	}
 	m, _, err := r.Receive(frame)
 	if err != nil {
 		p.Refused++
-		if errors.Is(err, wire.ErrRepeated) {
+		if errors.Is(err, codec.ErrRepeated) {
 			p.Repeated++
 		}
 		return
--- a/internal/lab/rolloutsim/rules.go
+++ b/internal/lab/configsim/rules.go
@@ -1,4 +1,4 @@
-package rolloutsim
+package configsim
 
 import (
 	"errors"
@@ -8,8 +8,8 @@
 
 	"github.com/zeebo/xxh3"
 
-	"thymebend/internal/rollout"
-	"thymebend/internal/rollout/content"
+	"thymebend/internal/configdist"
+	"thymebend/internal/configdist/content"
 )
 
 // Words in bodies by which a gateway refuses a configuration or fails with it: a share in percent of the gateways follows.
@@ -23,7 +23,7 @@
 const stopKnownWithin = 5 * time.Second
 
 // refusal is why a gateway does not take a configuration.
-func refusal(g *Gateway, next rollout.Install) error {
+func refusal(g *Gateway, next configdist.Install) error {
 	if share, found := spoken(next.Tree, refusedBy); found && chosen(g, next.Ref.Number, share) {
 		return errors.New("a body says that it is refused")
 	}
@@ -31,7 +31,7 @@
 }
 
 // failure is why a gateway fails with a configuration that it has taken.
-func failure(g *Gateway, next rollout.Install) string {
+func failure(g *Gateway, next configdist.Install) string {
 	if share, found := spoken(next.Tree, failsAt); found && chosen(g, next.Ref.Number, share) {
 		return "a body says that it fails"
 	}
@@ -86,10 +86,10 @@
 
 // seen is what was last seen of a control machine's store.
 type seen struct {
-	controller *rollout.Controller
+	controller *configdist.Controller
 	head       uint64
 	released   uint64
-	stage      rollout.Rollout
+	stage      configdist.Rollout
 }
 
 // look takes what is new in a control machine's store, and holds it against what others have shown.
@@ -116,7 +116,7 @@
 	l.stage(f, store, stage)
 }
 
-func (l *ledger) commit(f *Fleet, c *Control, v *rollout.Version) {
+func (l *ledger) commit(f *Fleet, c *Control, v *configdist.Version) {
 	known := l.versions[v.Ref.Number]
 	if known == nil {
 		l.versions[v.Ref.Number] = &committed{ref: v.Ref, tree: v.Tree, at: f.clock.Now(), canaries: make(map[string]bool), zones: make(map[string]bool)}
@@ -128,7 +128,7 @@
 	}
 }
 
-func (l *ledger) stage(f *Fleet, store *rollout.Store, r rollout.Rollout) {
+func (l *ledger) stage(f *Fleet, store *configdist.Store, r configdist.Rollout) {
 	if v := l.versions[store.Released().Ref.Number]; v != nil {
 		v.all = true
 	}
@@ -142,11 +142,11 @@
 	if r.Zone != "" {
 		v.zones[r.Zone] = true
 	}
-	v.all = v.all || r.Stage == rollout.AllGateways
+	v.all = v.all || r.Stage == configdist.AllGateways
 	switch {
-	case r.Stage == rollout.Stopped && v.stoppedAt == 0 && r.Attempt >= l.attempt:
+	case r.Stage == configdist.Stopped && v.stoppedAt == 0 && r.Attempt >= l.attempt:
 		v.stoppedAt = f.clock.Now()
-	case r.Stage != rollout.Stopped && r.Attempt > l.attempt:
+	case r.Stage != configdist.Stopped && r.Attempt > l.attempt:
 		v.stoppedAt = 0 // resumed
 	}
 	l.attempt = max(l.attempt, r.Attempt)
@@ -167,7 +167,7 @@
 }
 
 // installed holds a configuration that a gateway has put in force against the rules.
-func (l *ledger) installed(f *Fleet, g *Gateway, next rollout.Install) {
+func (l *ledger) installed(f *Fleet, g *Gateway, next configdist.Install) {
 	ref := next.Ref
 	if ref.Number < g.fence.Number || ref.Term < g.fence.Term {
 		f.Find("%s: version %v in force after %v", g.Name, ref, g.fence)
--- a/internal/lab/drill/drill_test.go
+++ b/internal/lab/drill/drill_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"thymebend/internal/lab/ledger"
-	"thymebend/internal/lab/views"
+	"thymebend/internal/lab/membershipcheck"
+	"thymebend/internal/lab/requestrecord"
 )
 
 var program string // the gateway, built once
@@ -57,7 +57,7 @@
 	r    *Result
 	err  error
 	done chan bool
-	seen chan ledger.Finding // while it went on
+	seen chan requestrecord.Finding // while it went on
 }
 
 func begin(t *testing.T, name string, edit func(text string) string) *played {
@@ -70,12 +70,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &played{name: name, dir: t.TempDir(), done: make(chan bool), seen: make(chan ledger.Finding, 100)}
+	p := &played{name: name, dir: t.TempDir(), done: make(chan bool), seen: make(chan requestrecord.Finding, 100)}
 	go func() {
 		defer close(p.done)
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 		defer cancel()
-		p.r, p.err = Run(ctx, f, Options{Gateway: program, Dir: p.dir, Found: func(f ledger.Finding) { p.seen <- f }})
+		p.r, p.err = Run(ctx, f, Options{Gateway: program, Dir: p.dir, Found: func(f requestrecord.Finding) { p.seen <- f }})
 	}()
 	return p
 }
@@ -152,7 +152,7 @@
 	}
 	select {
 	case f := <-p.seen:
-		if f.Rule != views.ThrownOut && f.Rule != views.NotAgreed || !strings.Contains(f.Detail, "gateway-2") {
+		if f.Rule != membershipcheck.ThrownOut && f.Rule != membershipcheck.NotAgreed || !strings.Contains(f.Detail, "gateway-2") {
 			t.Errorf("%+v", f)
 		}
 	case <-p.done:
--- a/internal/lab/drill/expect.go
+++ b/internal/lab/drill/expect.go
@@ -3,15 +3,15 @@
 import (
 	"fmt"
 
-	"thymebend/internal/lab/ledger"
-	"thymebend/internal/lab/views"
+	"thymebend/internal/lab/membershipcheck"
+	"thymebend/internal/lab/requestrecord"
 )
 
 // Unexpected is broken where what the scenario expects was not seen in its time.
 const Unexpected = "expectation not met"
 
 // expected returns what a scenario expects and nobody saw.
-func expected(h *views.History, list []Expect) (found []ledger.Finding) {
+func expected(h *membershipcheck.History, list []Expect) (found []requestrecord.Finding) {
 	looks := h.Looks()
 	for _, e := range list {
 		for _, by := range e.By {
@@ -32,7 +32,7 @@
 				last = "it told no view"
 			}
 			if !ok {
-				found = append(found, ledger.Finding{Rule: Unexpected, ID: h.Name(by), At: to,
+				found = append(found, requestrecord.Finding{Rule: Unexpected, ID: h.Name(by), At: to,
 					Detail: fmt.Sprintf("from %v to %v: %s", at, to, last)})
 			}
 		}
@@ -41,7 +41,7 @@
 }
 
 // lacks says in what a look is not what was expected, or nothing.
-func (e Expect) lacks(h *views.History, l *views.Look) string {
+func (e Expect) lacks(h *membershipcheck.History, l *membershipcheck.Look) string {
 	for _, m := range e.Of {
 		if s := l.States[m].State; s != e.State && !(s == "" && e.State == "unknown") {
 			return fmt.Sprintf("%s is %q, not %s", h.Name(m), s, e.State)
--- a/internal/lab/drill/format.go
+++ b/internal/lab/drill/format.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
+	"thymebend/internal/assignment"
 	"thymebend/internal/lab/experiment"
-	"thymebend/internal/shares"
 	"thymebend/internal/tomlfile"
 )
 
@@ -122,7 +122,7 @@
 func states() []string { return []string{"alive", "suspect", "gone", "left", "unknown"} }
 
 func stages() []string {
-	return []string{shares.Waiting.String(), shares.Settled.String(), shares.Kept.String(), shares.Changing.String()}
+	return []string{assignment.Waiting.String(), assignment.Settled.String(), assignment.Kept.String(), assignment.Changing.String()}
 }
 
 func (f *File) check(in *tomlfile.File) {
--- a/internal/lab/drill/portions.go
+++ b/internal/lab/drill/portions.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"thymebend/internal/lab/ledger"
-	"thymebend/internal/lab/views"
-	"thymebend/internal/operators"
-	"thymebend/internal/shares"
+	"thymebend/internal/admin"
+	"thymebend/internal/assignment"
+	"thymebend/internal/lab/membershipcheck"
+	"thymebend/internal/lab/requestrecord"
 )
 
 // NotWhole is broken where gateways that all go by a settled division give a host away more than once, or not whole.
@@ -23,11 +23,11 @@
 )
 
 // portionOf takes a process's word on what it has of the hosts.
-func portionOf(p *operators.Portion) *views.Portion {
+func portionOf(p *admin.Portion) *membershipcheck.Portion {
 	if p == nil {
 		return nil
 	}
-	out := &views.Portion{Stage: p.Stage, Turns: p.Turns, Crowd: p.Crowd, Parts: make(map[string]float64)}
+	out := &membershipcheck.Portion{Stage: p.Stage, Turns: p.Turns, Crowd: p.Crowd, Parts: make(map[string]float64)}
 	for _, h := range p.Hosts {
 		if h.Cold {
 			out.Cold = append(out.Cold, h.Name)
@@ -40,8 +40,8 @@
 
 // whole goes through all moments at which every gateway that looked lately went by a settled division, and had for a while: the
 // parts of each host add up to one.
-func whole(h *views.History) (found []ledger.Finding) {
-	last := make(map[int]*views.Look)
+func whole(h *membershipcheck.History) (found []requestrecord.Finding) {
+	last := make(map[int]*membershipcheck.Look)
 	var since time.Duration // all settled, and nobody's parts changed
 	told := make(map[string]bool)
 	looks := h.Looks()
@@ -49,7 +49,7 @@
 		l := &looks[i]
 		was := last[l.Gateway]
 		last[l.Gateway] = l
-		if l.Portion == nil || l.Portion.Stage != shares.Settled.String() || was == nil || was.Portion == nil || !maps.Equal(was.Portion.Parts, l.Portion.Parts) {
+		if l.Portion == nil || l.Portion.Stage != assignment.Settled.String() || was == nil || was.Portion == nil || !maps.Equal(was.Portion.Parts, l.Portion.Parts) {
 			since = l.At
 		}
 		sums, n := make(map[string]float64), 0
@@ -76,7 +76,7 @@
 		for _, host := range slices.Sorted(maps.Keys(sums)) {
 			if sum := sums[host]; (sum < 1-wholeBy || sum > 1+wholeBy) && !told[host] {
 				told[host] = true
-				found = append(found, ledger.Finding{Rule: NotWhole, ID: host, At: l.At, Detail: fmt.Sprintf("at %v its parts at %d gateways add up to %.3f", l.At, n, sum)})
+				found = append(found, requestrecord.Finding{Rule: NotWhole, ID: host, At: l.At, Detail: fmt.Sprintf("at %v its parts at %d gateways add up to %.3f", l.At, n, sum)})
 			}
 		}
 	}
--- a/internal/lab/drill/portions_test.go
+++ b/internal/lab/drill/portions_test.go
@@ -7,17 +7,17 @@
 	"testing"
 	"time"
 
-	"thymebend/internal/lab/views"
+	"thymebend/internal/lab/membershipcheck"
 )
 
 // divided is a history of three gateways that divide two hosts, but for what edit makes of a look.
-func divided(edit func(l *views.Look)) *views.History {
-	h := views.NewHistory([]string{"gateway-0", "gateway-1", "gateway-2"})
+func divided(edit func(l *membershipcheck.Look)) *membershipcheck.History {
+	h := membershipcheck.NewHistory([]string{"gateway-0", "gateway-1", "gateway-2"})
 	parts := map[string]float64{"h-0": 1.0 / 3, "h-1": 1.0 / 3}
 	for at := 100 * time.Millisecond; at <= 10*time.Second; at += 100 * time.Millisecond {
 		for g := range 3 {
-			l := views.Look{At: at, Gateway: g, PID: 100 + g, Speaking: true, Settled: true, Alive: 3, States: make([]views.Held, 3),
-				Portion: &views.Portion{Stage: "settled", Parts: maps.Clone(parts), Turns: 4, Crowd: 1.1}}
+			l := membershipcheck.Look{At: at, Gateway: g, PID: 100 + g, Speaking: true, Settled: true, Alive: 3, States: make([]membershipcheck.Held, 3),
+				Portion: &membershipcheck.Portion{Stage: "settled", Parts: maps.Clone(parts), Turns: 4, Crowd: 1.1}}
 			edit(&l)
 			h.Looked(l)
 		}
@@ -27,38 +27,38 @@
 
 // A host that settled gateways give away twice, or to nobody, is found; one whose division changes, or of which not all have told, is not.
 func TestPortionsAreHeldAgainstEachOther(t *testing.T) {
-	from := func(seconds float64, l *views.Look) bool { return l.At.Seconds() >= seconds }
+	from := func(seconds float64, l *membershipcheck.Look) bool { return l.At.Seconds() >= seconds }
 	for name, c := range map[string]struct {
-		edit func(l *views.Look)
+		edit func(l *membershipcheck.Look)
 		want string
 	}{
-		"all is well": {func(*views.Look) {}, ""},
-		"twice": {func(l *views.Look) {
+		"all is well": {func(*membershipcheck.Look) {}, ""},
+		"twice": {func(l *membershipcheck.Look) {
 			if l.Gateway == 1 && from(4, l) {
 				l.Portion.Parts["h-1"] = 1
 			}
 		}, "h-1: 1.667"},
-		"nobody's third": {func(l *views.Look) {
+		"nobody's third": {func(l *membershipcheck.Look) {
 			if l.Gateway == 1 && from(4, l) {
 				delete(l.Portion.Parts, "h-0")
 			}
 		}, "h-0: 0.667"},
-		"for a moment": {func(l *views.Look) {
+		"for a moment": {func(l *membershipcheck.Look) {
 			if l.Gateway == 1 && from(4, l) && !from(5.5, l) {
 				l.Portion.Parts["h-1"] = 1
 			}
 		}, ""},
-		"while it changes": {func(l *views.Look) {
+		"while it changes": {func(l *membershipcheck.Look) {
 			if l.Gateway == 1 && from(4, l) {
 				l.Portion.Parts["h-1"], l.Portion.Stage = 1, "changing"
 			}
 		}, ""},
-		"one does not tell": {func(l *views.Look) {
+		"one does not tell": {func(l *membershipcheck.Look) {
 			if l.Gateway == 1 && from(4, l) {
 				l.Portion = nil
 			}
 		}, ""},
-		"views differ": {func(l *views.Look) {
+		"views differ": {func(l *membershipcheck.Look) {
 			if l.Gateway == 1 && from(4, l) {
 				l.Portion.Parts["h-1"], l.Alive = 1, 2
 			}
@@ -77,7 +77,7 @@
 
 // What is expected of a portion has to be seen.
 func TestExpectationsOfPortions(t *testing.T) {
-	h := divided(func(l *views.Look) {
+	h := divided(func(l *membershipcheck.Look) {
 		if l.Gateway == 2 {
 			l.Portion = nil
 		}
