--- a/internal/lab/drill/rig.go
+++ b/internal/lab/drill/rig.go
@@ -15,10 +15,10 @@
 	"syscall"
 	"time"
 
+	"thymebend/internal/admin"
 	"thymebend/internal/lab/experiment"
-	"thymebend/internal/lab/ledger"
-	"thymebend/internal/lab/views"
-	"thymebend/internal/operators"
+	"thymebend/internal/lab/membershipcheck"
+	"thymebend/internal/lab/requestrecord"
 )
 
 // rig is what stands between the processes of one drill, and looks at them. It implements experiment.Rig.
@@ -32,10 +32,10 @@
 	index   map[string]int
 	now     func() time.Duration // since the load began; below 0 before
 	net     *network
-	history *views.History
+	history *membershipcheck.History
 	run     *experiment.Handles
 	known   [][]byte
-	found   func(ledger.Finding)
+	found   func(requestrecord.Finding)
 	client  *http.Client
 
 	mu       sync.Mutex
@@ -50,8 +50,8 @@
 	watches  sync.WaitGroup
 	watching context.Context
 	excuses  []excuse
-	findings []ledger.Finding // seen on the way
-	shuts    []excuse         // moments at which a client's connection found nobody behind its relay
+	findings []requestrecord.Finding // seen on the way
+	shuts    []excuse                // moments at which a client's connection found nobody behind its relay
 }
 
 // What the next process of a gateway is.
@@ -73,7 +73,7 @@
 	for i, name := range r.names {
 		r.index[name] = i
 	}
-	r.history = views.NewHistory(r.names)
+	r.history = membershipcheck.NewHistory(r.names)
 	if f.Fleet.Shares {
 		r.history.Tells()
 	}
@@ -88,7 +88,7 @@
 		for a := range r.names {
 			for b := range r.names {
 				if a != b {
-					r.history.Path(a, b, views.PathAt{At: -2 * time.Hour, Cut: bad.Delay.Duration+bad.Jitter.Duration > slowest, Loss: bad.Loss})
+					r.history.Path(a, b, membershipcheck.PathAt{At: -2 * time.Hour, Cut: bad.Delay.Duration+bad.Jitter.Duration > slowest, Loss: bad.Loss})
 				}
 			}
 		}
@@ -323,14 +323,14 @@
 		if err != nil {
 			continue
 		}
-		l := views.Look{At: at, Gateway: n, PID: pid, Speaking: v.Speaking, Joined: v.Joined, Settled: v.Settled, Majority: v.Majority, Twin: v.Twin, Alive: v.Alive,
-			Sent: v.SentBytes, States: make([]views.Held, len(r.names))}
+		l := membershipcheck.Look{At: at, Gateway: n, PID: pid, Speaking: v.Speaking, Joined: v.Joined, Settled: v.Settled, Majority: v.Majority, Twin: v.Twin, Alive: v.Alive,
+			Sent: v.SentBytes, States: make([]membershipcheck.Held, len(r.names))}
 		for _, m := range v.Members {
 			i, ok := r.index[m.Name]
 			if !ok {
 				l.Strange++
 			} else {
-				l.States[i] = views.Held{State: m.State, Start: m.Start, Incarnation: m.Incarnation, Since: at - time.Duration(m.SinceMS)*time.Millisecond,
+				l.States[i] = membershipcheck.Held{State: m.State, Start: m.Start, Incarnation: m.Incarnation, Since: at - time.Duration(m.SinceMS)*time.Millisecond,
 					Previous: m.Previous, SuspectedBy: m.SuspectedBy}
 			}
 		}
@@ -341,7 +341,7 @@
 	}
 }
 
-func (r *rig) view(control string) (v operators.Fleet, err error) {
+func (r *rig) view(control string) (v admin.Fleet, err error) {
 	answer, err := r.client.Get("http://" + control + "/ops/fleet")
 	if err != nil {
 		return v, err
@@ -366,7 +366,7 @@
 	bad := c.cut || c.stall
 	switch {
 	case fromGateway && toGateway:
-		r.history.Path(a, b, views.PathAt{At: at, Cut: bad || c.Delay.Duration+c.Jitter.Duration > slowest, Loss: c.Loss})
+		r.history.Path(a, b, membershipcheck.PathAt{At: at, Cut: bad || c.Delay.Duration+c.Jitter.Duration > slowest, Loss: c.Loss})
 	case from == experiment.NodeClients && toGateway:
 		r.excuse(b, at, bad || c.Delay.Duration > 0 || c.Loss > 0)
 	case to == experiment.NodeClients && fromGateway:
@@ -404,7 +404,7 @@
 const shutSpread = 60 * time.Millisecond
 
 // Excuses implements experiment.Rig.
-func (r *rig) Excuses(gateway string, t ledger.Try) bool {
+func (r *rig) Excuses(gateway string, t requestrecord.Try) bool {
 	n, began := r.index[gateway], r.began()
 	over := func(from, to time.Duration) bool {
 		return t.Sent-began <= to+excuseAfter && t.Ended-began >= from || to == 0 && t.Ended-began >= from
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -12,20 +12,20 @@
 	"sync/atomic"
 	"time"
 
+	"thymebend/internal/lab/emulation"
 	"thymebend/internal/lab/experiment"
-	"thymebend/internal/lab/ledger"
 	"thymebend/internal/lab/load"
-	"thymebend/internal/lab/standin"
-	"thymebend/internal/lab/views"
+	"thymebend/internal/lab/membershipcheck"
+	"thymebend/internal/lab/requestrecord"
 )
 
 // Result is a drill, as result.json holds it: an experiment's, and the views over time.
 type Result struct {
 	*experiment.Result
-	Names []string     `json:"gateway_names"`
-	Looks []views.Look `json:"views"`
-	Lives []views.Life `json:"processes"`
-	Paths []Carry      `json:"paths"`
+	Names []string               `json:"gateway_names"`
+	Looks []membershipcheck.Look `json:"views"`
+	Lives []membershipcheck.Life `json:"processes"`
+	Paths []Carry                `json:"paths"`
 }
 
 // Carry is what a path carried.
@@ -86,7 +86,7 @@
 	Dir      string
 	Seed     uint64 // goes before the file's if not 0
 	Progress func(load.Progress)
-	Found    func(ledger.Finding) // told of a broken rule on views as it is seen, within judgeEvery; may be nil
+	Found    func(requestrecord.Finding) // told of a broken rule on views as it is seen, within judgeEvery; may be nil
 }
 
 // Run plays a drill.
@@ -97,7 +97,7 @@
 	}
 	watching, stop := context.WithCancel(ctx)
 	defer stop()
-	clock := standin.NewClock()
+	clock := emulation.NewClock()
 	var began atomic.Int64 // the load's begin, once it is known
 	began.Store(int64(time.Hour))
 	r, err := newRig(watching, f, o.Dir, seed, func() time.Duration { return clock() - time.Duration(began.Load()) })
@@ -171,7 +171,7 @@
 		if !experiment.Sleep(ctx, min(left, judgeEvery)) {
 			return
 		}
-		for _, f := range views.Judge(r.history) {
+		for _, f := range membershipcheck.Judge(r.history) {
 			if r.now()-f.At < settles {
 				continue // what was done just now may not be noted yet: it is judged again in a moment
 			}
@@ -187,12 +187,12 @@
 }
 
 // seen is what was found on the way, and what the logs tell beyond that.
-func (r *rig) seen() []ledger.Finding {
+func (r *rig) seen() []requestrecord.Finding {
 	r.mu.Lock()
 	found := slices.Clone(r.findings)
 	r.mu.Unlock()
 	for _, name := range r.names {
-		if slices.ContainsFunc(found, func(f ledger.Finding) bool { return f.Rule == HeldBack && f.ID == name }) {
+		if slices.ContainsFunc(found, func(f requestrecord.Finding) bool { return f.Rule == HeldBack && f.ID == name }) {
 			continue
 		}
 		text, err := os.ReadFile(filepath.Join(r.dir, name+".log"))
@@ -206,7 +206,7 @@
 // conclude judges what was seen.
 func (res *Result) conclude(r *rig, f *File) {
 	h := r.history
-	found := append(views.Judge(h), expected(h, f.Expect)...)
+	found := append(membershipcheck.Judge(h), expected(h, f.Expect)...)
 	found = append(found, whole(h)...)
 	found = append(found, r.seen()...)
 	res.Looks, res.Lives = h.Looks(), h.Lives()
@@ -220,12 +220,12 @@
 	for _, x := range found {
 		counts[x.Rule]++
 	}
-	for _, name := range append(views.Names(), Unexpected, NotWhole, NotHeard, HeldBack) {
+	for _, name := range append(membershipcheck.Names(), Unexpected, NotWhole, NotHeard, HeldBack) {
 		res.Rules = append(res.Rules, experiment.RuleCount{Rule: name, Broken: counts[name]})
 	}
 	res.Findings = append(found, res.Findings...)
 	if res.Findings == nil {
-		res.Findings = []ledger.Finding{}
+		res.Findings = []requestrecord.Finding{}
 	}
 	res.Held = res.Held && len(found) == 0
 }
--- a/internal/lab/drill/stopped.go
+++ b/internal/lab/drill/stopped.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"thymebend/internal/lab/experiment"
-	"thymebend/internal/lab/ledger"
+	"thymebend/internal/lab/requestrecord"
 	"thymebend/internal/tomlfile"
 )
 
@@ -109,10 +109,10 @@
 	}
 	ended := r.now()
 	began := r.began()
-	if r.Excuses(r.names[c.gateway], ledger.Try{ID: c.id, Sent: ended - owedWithin - limitSlack + began, Ended: ended + began}) {
+	if r.Excuses(r.names[c.gateway], requestrecord.Try{ID: c.id, Sent: ended - owedWithin - limitSlack + began, Ended: ended + began}) {
 		return
 	}
-	r.find(ledger.Finding{Rule: NotHeard, ID: c.id, At: ended - owedWithin,
+	r.find(requestrecord.Finding{Rule: NotHeard, ID: c.id, At: ended - owedWithin,
 		Detail: fmt.Sprintf("%s told it nothing for %v after its last byte (%d pieces, %v apart)", r.names[c.gateway], owedWithin, len(c.pieces), c.pause)})
 }
 
@@ -138,7 +138,7 @@
 }
 
 // find notes a broken rule that is seen on the way.
-func (r *rig) find(f ledger.Finding) {
+func (r *rig) find(f requestrecord.Finding) {
 	r.mu.Lock()
 	r.findings = append(r.findings, f)
 	r.mu.Unlock()
--- a/internal/lab/drill/violations.go
+++ b/internal/lab/drill/violations.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"thymebend/internal/lab/ledger"
-	"thymebend/internal/operators"
+	"thymebend/internal/admin"
+	"thymebend/internal/lab/requestrecord"
 )
 
 // HeldBack is broken where a gateway's guard held back an effect that would have broken a rule.
@@ -30,13 +30,13 @@
 			continue
 		}
 		told[rule] = true
-		r.find(ledger.Finding{Rule: HeldBack, ID: r.names[gateway], At: r.now(),
+		r.find(requestrecord.Finding{Rule: HeldBack, ID: r.names[gateway], At: r.now(),
 			Detail: fmt.Sprintf("%s, %d times so far", rule, figures.Violations[rule])})
 	}
 }
 
 // figures asks a process for what it counts.
-func (r *rig) figures(control string) (f operators.Figures, err error) {
+func (r *rig) figures(control string) (f admin.Figures, err error) {
 	answer, err := r.client.Get("http://" + control + "/ops/stats")
 	if err != nil {
 		return f, err
@@ -50,7 +50,7 @@
 }
 
 // logged finds the violations that processes logged and did not live to tell: their last figures may be older.
-func (r *rig) logged(name, text string) (found []ledger.Finding) {
+func (r *rig) logged(name, text string) (found []requestrecord.Finding) {
 	for line := range strings.SplitSeq(text, "\n") {
 		if !strings.Contains(line, `"held back: it would break a rule"`) {
 			continue
@@ -59,7 +59,7 @@
 		if err := json.Unmarshal([]byte(line), &entry); err != nil {
 			entry.Detail = line
 		}
-		found = append(found, ledger.Finding{Rule: HeldBack, ID: name, Detail: fmt.Sprintf("%s: %s %s", entry.Rule, entry.ID, entry.Detail)})
+		found = append(found, requestrecord.Finding{Rule: HeldBack, ID: name, Detail: fmt.Sprintf("%s: %s %s", entry.Rule, entry.ID, entry.Detail)})
 	}
 	return found
 }
--- a/internal/lab/standin/discovery.go
+++ b/internal/lab/emulation/discovery.go
@@ -1,4 +1,4 @@
-package standin
+package emulation
 
 import (
 	"bufio"
@@ -10,20 +10,20 @@
 	"sync"
 	"time"
 
-	"thymebend/internal/lab/roster"
+	"thymebend/internal/lab/registry"
 )
 
 // Entry is a host as discovery lists it.
-type Entry = roster.Entry
+type Entry = registry.Entry
 
 // Told is when a gateway was told that a host drains or is gone.
-type Told = roster.Told
+type Told = registry.Told
 
 // The states of a host in discovery's list.
 const (
-	StateUp       = roster.Up
-	StateDraining = roster.Draining
-	StateRemoved  = roster.Removed
+	StateUp       = registry.Up
+	StateDraining = registry.Draining
+	StateRemoved  = registry.Removed
 )
 
 // beatEvery is how often an empty line comes while nothing changes.
@@ -39,7 +39,7 @@
 
 	mu      sync.Mutex
 	changed *sync.Cond
-	list    *roster.Roster
+	list    *registry.Roster
 	down    bool
 	mute    bool // beats and changes stay inside
 	pushed  bool // each door is an agent's: it answers from what it has been sent, and is silent while discovery is down
@@ -59,7 +59,7 @@
 
 // NewDiscovery returns a discovery that lists nothing. A change shows after the lag.
 func NewDiscovery(clock Clock, lag time.Duration) *Discovery {
-	d := &Discovery{clock: clock, lag: lag, list: roster.New(), doors: make(map[string]*entrance)}
+	d := &Discovery{clock: clock, lag: lag, list: registry.New(), doors: make(map[string]*entrance)}
 	d.changed = sync.NewCond(&d.mu)
 	return d
 }
--- a/internal/lab/standin/host.go
+++ b/internal/lab/emulation/host.go
@@ -1,6 +1,6 @@
 // Package standin plays the gateway's peers on real loopback sockets: hosts that run the fleet's model, with
 // every failure that sockets have, and discovery. Everything can be changed while it runs.
-package standin
+package emulation
 
 import (
 	"bufio"
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
-	"thymebend/internal/lab/fleet"
-	"thymebend/internal/lab/ledger"
+	"thymebend/internal/lab/hostmodel"
+	"thymebend/internal/lab/requestrecord"
 )
 
 // Clock tells the time of the run.
@@ -96,13 +96,13 @@
 	arrived Arrived
 
 	mu     sync.Mutex
-	model  *fleet.Host
-	ledger *ledger.Host
+	model  *hostmodel.Host
+	ledger *requestrecord.Host
 	rand   *rand.Rand
 	mode   Mode
 	doors  []*door
 	conns  map[*conn]bool
-	waits  map[uint64]chan fleet.Reply
+	waits  map[uint64]chan hostmodel.Reply
 	timer  *time.Timer
 	spoil  map[Fault]spoilt
 	probes int
@@ -125,7 +125,7 @@
 type conn struct {
 	net.Conn
 	via   string
-	model *fleet.Host // that took it: a host that restarts has a new one
+	model *hostmodel.Host // that took it: a host that restarts has a new one
 }
 
 // Options of a host.
@@ -139,10 +139,10 @@
 }
 
 // NewHost starts a host's model; doors are opened one by one.
-func NewHost(spec fleet.Spec, clock Clock, o Options) (*Host, error) {
-	l := ledger.NewHost(spec.Name)
+func NewHost(spec hostmodel.Spec, clock Clock, o Options) (*Host, error) {
+	l := requestrecord.NewHost(spec.Name)
 	l.Cell = o.Cell
-	model, err := fleet.New(spec, o.Seed, clock(), o.Cold, l)
+	model, err := hostmodel.New(spec, o.Seed, clock(), o.Cold, l)
 	if err != nil {
 		return nil, err
 	}
@@ -151,7 +151,7 @@
 	}
 	h := &Host{Name: spec.Name, fields: o.Fields, idle: o.Idle, clock: clock, arrived: o.Arrived, model: model,
 		ledger: l, rand: rand.New(rand.NewPCG(o.Seed, 1)), mode: Up, conns: make(map[*conn]bool),
-		waits: make(map[uint64]chan fleet.Reply), spoil: make(map[Fault]spoilt)}
+		waits: make(map[uint64]chan hostmodel.Reply), spoil: make(map[Fault]spoilt)}
 	h.wake = sync.NewCond(&h.mu)
 	h.timer = time.AfterFunc(time.Hour, h.tick)
 	return h, nil
@@ -267,8 +267,8 @@
 	if h.arrived != nil {
 		h.arrived(h.Name, c.via, id, first)
 	}
-	token := h.model.Arrive(now, fleet.Request{ID: id, Class: class})
-	wait := make(chan fleet.Reply, 1)
+	token := h.model.Arrive(now, hostmodel.Request{ID: id, Class: class})
+	wait := make(chan hostmodel.Reply, 1)
 	h.waits[token] = wait
 	h.settle(now)
 	h.mu.Unlock()
@@ -283,12 +283,12 @@
 	gone := h.closed || h.mode == Refuse
 	h.mu.Unlock()
 	switch {
-	case gone || reply.Kind == fleet.Lost:
+	case gone || reply.Kind == hostmodel.Lost:
 		reset(c.Conn)
 		return false
-	case reply.Kind == fleet.TurnedAway:
+	case reply.Kind == hostmodel.TurnedAway:
 		return write(c, 503, load+"X-Never-Ran: 1\r\n", []byte("turned away\n"))
-	case reply.Kind == fleet.Errored:
+	case reply.Kind == hostmodel.Errored:
 		return write(c, 500, load, []byte("error\n"))
 	case fault != "":
 		return h.spoiled(c, fault, load, reply.Body)
@@ -417,7 +417,7 @@
 }
 
 // Do changes or reads the model under the host's lock.
-func (h *Host) Do(f func(now time.Duration, m *fleet.Host)) {
+func (h *Host) Do(f func(now time.Duration, m *hostmodel.Host)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock()
@@ -454,7 +454,7 @@
 
 // restart begins anew, at the same addresses and with the same ledger. Called with the lock held.
 func (h *Host) restart(now time.Duration, cold bool) error {
-	model, err := fleet.New(h.model.Spec(), h.rand.Uint64(), now, cold, h.ledger)
+	model, err := hostmodel.New(h.model.Spec(), h.rand.Uint64(), now, cold, h.ledger)
 	if err != nil {
 		return err
 	}
@@ -498,7 +498,7 @@
 func (h *Host) Conns() int { h.mu.Lock(); defer h.mu.Unlock(); return len(h.conns) }
 
 // Close ends the host and returns its ledger, at rest.
-func (h *Host) Close() *ledger.Host {
+func (h *Host) Close() *requestrecord.Host {
 	h.mu.Lock()
 	h.closed = true
 	h.timer.Stop()
@@ -510,7 +510,7 @@
 	}
 	for token, w := range h.waits {
 		delete(h.waits, token)
-		w <- fleet.Reply{Kind: fleet.Lost}
+		w <- hostmodel.Reply{Kind: hostmodel.Lost}
 	}
 	h.wake.Broadcast()
 	h.mu.Unlock()
--- a/internal/lab/standin/standin_test.go
+++ b/internal/lab/emulation/standin_test.go
@@ -1,4 +1,4 @@
-package standin
+package emulation
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"thymebend/internal/lab/fleet"
+	"thymebend/internal/lab/hostmodel"
 )
 
 const patience = 5 * time.Second
@@ -29,9 +29,9 @@
 
 func start(t *testing.T, o Options) (*Host, string) {
 	t.Helper()
-	h, err := NewHost(fleet.Spec{Name: "h1", Cores: 8, Speed: 1, Slots: 8, Queue: 8, Body: 200,
-		Report: fleet.Report{Least: time.Millisecond, Most: 5 * time.Millisecond},
-		Work:   map[string]fleet.Work{"view": {Dist: "fixed", Mean: 2 * time.Millisecond}}}, NewClock(), o)
+	h, err := NewHost(hostmodel.Spec{Name: "h1", Cores: 8, Speed: 1, Slots: 8, Queue: 8, Body: 200,
+		Report: hostmodel.Report{Least: time.Millisecond, Most: 5 * time.Millisecond},
+		Work:   map[string]hostmodel.Work{"view": {Dist: "fixed", Mean: 2 * time.Millisecond}}}, NewClock(), o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,7 +94,7 @@
 	if r, _, _ := read(in); r.StatusCode != 404 {
 		t.Errorf("without an id: %v", r)
 	}
-	h.Do(func(now time.Duration, m *fleet.Host) { m.Drain(now, true) })
+	h.Do(func(now time.Duration, m *hostmodel.Host) { m.Drain(now, true) })
 	ask(c, "c")
 	if r, _, _ := read(in); r.StatusCode != 503 || r.Header.Get("X-Never-Ran") != "1" {
 		t.Errorf("draining: %v", r)
@@ -380,7 +380,7 @@
 
 // A host whose port was taken while it was down says so, and can be ended all the same.
 func TestRestartOnATakenPort(t *testing.T) {
-	h, err := NewHost(fleet.Spec{Name: "h", Cores: 1, Speed: 1, Slots: 1, Queue: 1}, NewClock(), Options{Seed: 1})
+	h, err := NewHost(hostmodel.Spec{Name: "h", Cores: 1, Speed: 1, Slots: 1, Queue: 1}, NewClock(), Options{Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/experiment/events.go
+++ b/internal/lab/experiment/events.go
@@ -12,8 +12,8 @@
 	"syscall"
 	"time"
 
-	"thymebend/internal/lab/fleet"
-	"thymebend/internal/lab/standin"
+	"thymebend/internal/lab/emulation"
+	"thymebend/internal/lab/hostmodel"
 )
 
 // play carries out the timeline, from began on, until ctx is done or everything has happened. Events that need
@@ -112,31 +112,31 @@
 }
 
 func (w *World) toHost(ctx context.Context, e Event, m *member) error {
-	mode := func(to standin.Mode, what string) error {
+	mode := func(to emulation.Mode, what string) error {
 		var err error
 		_ = w.forA(ctx, e, m.Name+" "+what, func() { err = m.SetMode(to) }, func() {
-			if back := m.SetMode(standin.Up); back != nil {
+			if back := m.SetMode(emulation.Up); back != nil {
 				err = back
 			}
 		})
 		return err
 	}
-	model := func(what string, do, undo func(now time.Duration, h *fleet.Host)) error {
+	model := func(what string, do, undo func(now time.Duration, h *hostmodel.Host)) error {
 		return w.forA(ctx, e, m.Name+" "+what, func() { m.Do(do) }, func() { m.Do(undo) })
 	}
 	switch e.Do {
 	case "host-down":
 		w.mark("%s down", m.Name)
-		if err := m.SetMode(standin.Refuse); err != nil {
+		if err := m.SetMode(emulation.Refuse); err != nil {
 			return err
 		}
-		w.list(m, standin.StateRemoved, m.entry.Born)
+		w.list(m, emulation.StateRemoved, m.entry.Born)
 		if e.For.Duration > 0 && Sleep(ctx, e.For.Duration) {
 			return w.again(m)
 		}
 		return nil
 	case "host-cold":
-		if err := m.SetMode(standin.Refuse); err != nil {
+		if err := m.SetMode(emulation.Refuse); err != nil {
 			return err
 		}
 		return w.again(m)
@@ -155,32 +155,34 @@
 		}
 		return err
 	case "host-cut":
-		return mode(standin.Silent, "cut off")
+		return mode(emulation.Silent, "cut off")
 	case "host-hang":
-		return mode(standin.Hung, "hangs")
+		return mode(emulation.Hung, "hangs")
 	case "host-noreply":
-		return mode(standin.NoReply, "answers nothing")
+		return mode(emulation.NoReply, "answers nothing")
 	case "host-pause":
 		w.mark("%s pauses for %v", m.Name, e.For)
-		m.Do(func(now time.Duration, h *fleet.Host) { h.PauseFor(now, e.For.Duration) })
+		m.Do(func(now time.Duration, h *hostmodel.Host) { h.PauseFor(now, e.For.Duration) })
 		return nil
 	case "host-slow":
 		speed := m.spec.Speed
-		return model(fmt.Sprintf("at %.2f of its speed", e.Factor), func(now time.Duration, h *fleet.Host) { h.SetSpeed(now, speed*e.Factor) },
-			func(now time.Duration, h *fleet.Host) { h.SetSpeed(now, speed) })
+		return model(fmt.Sprintf("at %.2f of its speed", e.Factor), func(now time.Duration, h *hostmodel.Host) { h.SetSpeed(now, speed*e.Factor) },
+			func(now time.Duration, h *hostmodel.Host) { h.SetSpeed(now, speed) })
 	case "host-errors":
-		return model(fmt.Sprintf("errs in %.0f%%", e.Share*100), func(now time.Duration, h *fleet.Host) { h.SetErrors(now, e.Share) },
-			func(now time.Duration, h *fleet.Host) { h.SetErrors(now, m.spec.ErrorRate) })
+		return model(fmt.Sprintf("errs in %.0f%%", e.Share*100), func(now time.Duration, h *hostmodel.Host) { h.SetErrors(now, e.Share) },
+			func(now time.Duration, h *hostmodel.Host) { h.SetErrors(now, m.spec.ErrorRate) })
 	case "neighbour":
-		n := fleet.Neighbour{Share: e.Share, On: e.On.Duration, Off: e.Off.Duration}
-		return model(fmt.Sprintf("has a neighbour of %.0f%%", e.Share*100), func(now time.Duration, h *fleet.Host) { h.SetNeighbour(now, n) },
-			func(now time.Duration, h *fleet.Host) { h.SetNeighbour(now, fleet.Neighbour{}) })
+		n := hostmodel.Neighbour{Share: e.Share, On: e.On.Duration, Off: e.Off.Duration}
+		return model(fmt.Sprintf("has a neighbour of %.0f%%", e.Share*100), func(now time.Duration, h *hostmodel.Host) { h.SetNeighbour(now, n) },
+			func(now time.Duration, h *hostmodel.Host) { h.SetNeighbour(now, hostmodel.Neighbour{}) })
 	case "heavy":
 		w.mark("%s: %.1f%% of %s cost %.0f times", m.Name, e.Share*100, e.Class, e.Factor)
-		m.Do(func(now time.Duration, h *fleet.Host) { h.Heavy(now, e.Class, e.Share, e.Factor, now+e.For.Duration) })
+		m.Do(func(now time.Duration, h *hostmodel.Host) {
+			h.Heavy(now, e.Class, e.Share, e.Factor, now+e.For.Duration)
+		})
 		return nil
 	case "host-spoil":
-		f := standin.Fault(e.Fault)
+		f := emulation.Fault(e.Fault)
 		return w.forA(ctx, e, fmt.Sprintf("%s: %.0f%% %s", m.Name, e.Share*100, f), func() { m.Spoil(f, e.Share, e.Class) },
 			func() { m.Spoil(f, 0, "") })
 	}
@@ -198,24 +200,24 @@
 
 // again brings a host back at its address, cold if its kind starts cold.
 func (w *World) again(m *member) error {
-	if err := m.SetMode(standin.Up); err != nil {
+	if err := m.SetMode(emulation.Up); err != nil {
 		return err
 	}
 	w.mark("%s back, cold", m.Name)
-	w.list(m, standin.StateUp, time.Now().UnixMilli())
+	w.list(m, emulation.StateUp, time.Now().UnixMilli())
 	return nil
 }
 
 // drain has a host leave: discovery tells so, the host finishes what it has, and ends.
 func (w *World) drain(ctx context.Context, e Event, m *member) {
 	w.mark("%s drains", m.Name)
-	w.list(m, standin.StateDraining, m.entry.Born)
+	w.list(m, emulation.StateDraining, m.entry.Born)
 	lag := w.File.Discovery.Lag.Duration
 	// A host that drains turns work away only once everybody may know it.
 	Sleep(ctx, lag+drainGrace)
-	m.Do(func(now time.Duration, h *fleet.Host) { h.Drain(now, true) })
+	m.Do(func(now time.Duration, h *hostmodel.Host) { h.Drain(now, true) })
 	Sleep(ctx, max(e.For.Duration, 500*time.Millisecond))
-	w.list(m, standin.StateRemoved, m.entry.Born)
+	w.list(m, emulation.StateRemoved, m.entry.Born)
 	l := m.Host.Close()
 	w.mu.Lock()
 	m.gone.Store(true)
--- a/internal/lab/experiment/format.go
+++ b/internal/lab/experiment/format.go
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
-	"thymebend/internal/lab/fleet"
+	"thymebend/internal/lab/emulation"
+	"thymebend/internal/lab/hostmodel"
 	"thymebend/internal/lab/load"
-	"thymebend/internal/lab/standin"
 	"thymebend/internal/tomlfile"
 )
 
@@ -384,7 +384,7 @@
 		need(e.Gateway >= -1 && e.Gateway < f.Gateways.Count, path+".gateway", "must be -1 to %d", f.Gateways.Count-1)
 		need(e.For.Duration >= 0, path+".for", "must not be negative")
 		faults := make([]string, 0, 12)
-		for _, x := range standin.Faults() {
+		for _, x := range emulation.Faults() {
 			faults = append(faults, string(x))
 		}
 		need(e.Do != "host-spoil" || slices.Contains(faults, e.Fault), path+".fault", "%q is none of %s", e.Fault, strings.Join(faults, ", "))
@@ -429,7 +429,9 @@
 		JumpFor: p.JumpFor.Duration, Rush: p.Rush, RushTo: p.RushTo, Poisson: p.Arrive != "even"}
 }
 
-func (w Work) model() fleet.Work { return fleet.Work{Dist: w.Dist, Mean: w.Mean.Duration, CV: w.CV} }
+func (w Work) model() hostmodel.Work {
+	return hostmodel.Work{Dist: w.Dist, Mean: w.Mean.Duration, CV: w.CV}
+}
 
 func (c Clients) model() load.Clients {
 	return load.Clients{Retries: c.Retries, Backoff: c.Backoff, Wait: c.Wait.Duration, Honour: c.Honour,
@@ -458,18 +460,18 @@
 func HostName(kind string, n int) string { return fmt.Sprintf("%s-%d", kind, n) }
 
 // Spec is the model of one host.
-func (f *File) Spec(h Hosts, n int) fleet.Spec {
-	work := make(map[string]fleet.Work)
+func (f *File) Spec(h Hosts, n int) hostmodel.Spec {
+	work := make(map[string]hostmodel.Work)
 	for _, c := range f.Classes {
 		work[c.Name] = c.Work.model()
 	}
-	return fleet.Spec{Name: HostName(h.Kind, n), Site: h.Site, Kind: h.Kind, Cores: h.Cores, Speed: h.Speed, Slots: h.Slots,
+	return hostmodel.Spec{Name: HostName(h.Kind, n), Site: h.Site, Kind: h.Kind, Cores: h.Cores, Speed: h.Speed, Slots: h.Slots,
 		Queue: h.Queue, ThrashAt: h.ThrashAt, Thrash: h.Thrash,
-		Cold: fleet.Cold{From: h.ColdFrom, For: h.ColdFor.Duration, ByWork: h.WarmBy == "work", FallMultiple: h.Fall,
+		Cold: hostmodel.Cold{From: h.ColdFrom, For: h.ColdFor.Duration, ByWork: h.WarmBy == "work", FallMultiple: h.Fall,
 			FallFor: h.FallFor.Duration},
-		Pause:     fleet.Pause{Every: h.PauseEvery.Duration, For: h.PauseFor.Duration, Grow: h.PauseGrow},
+		Pause:     hostmodel.Pause{Every: h.PauseEvery.Duration, For: h.PauseFor.Duration, Grow: h.PauseGrow},
 		ErrorRate: h.ErrorRate, Conns: h.Conns, FullTax: h.FullTax, HandshakeWork: h.Handshake.Duration,
-		Report: fleet.Report{Least: h.ReportMin.Duration, Most: h.ReportMax.Duration, Delay: h.ReportLate.Duration, Noise: h.Noise},
+		Report: hostmodel.Report{Least: h.ReportMin.Duration, Most: h.ReportMax.Duration, Delay: h.ReportLate.Duration, Noise: h.Noise},
 		Body:   h.Body, Work: work}
 }
 
--- a/internal/lab/experiment/rig.go
+++ b/internal/lab/experiment/rig.go
@@ -6,7 +6,7 @@
 	"syscall"
 	"time"
 
-	"thymebend/internal/lab/ledger"
+	"thymebend/internal/lab/requestrecord"
 )
 
 // Rig adds to a run what stands between the processes, and sees what becomes of them. All may be called from several
@@ -28,7 +28,7 @@
 	Started(gateway string, pid int)
 	Ended(gateway string, pid int)
 	// Excuses tells whether a try that nobody answered was lost by what the rig did.
-	Excuses(gateway string, t ledger.Try) bool
+	Excuses(gateway string, t requestrecord.Try) bool
 }
 
 // path is the address by which a node reaches another.
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -8,9 +8,9 @@
 	"path/filepath"
 	"time"
 
-	"thymebend/internal/lab/ledger"
+	"thymebend/internal/lab/emulation"
 	"thymebend/internal/lab/load"
-	"thymebend/internal/lab/standin"
+	"thymebend/internal/lab/requestrecord"
 )
 
 // ResultVersion is that of result.json. It rises when a field changes its meaning or goes.
@@ -18,22 +18,22 @@
 
 // Result is a run, as result.json holds it. docs/lab/result.md describes every field.
 type Result struct {
-	Version     int              `json:"version"`
-	Name        string           `json:"name"`
-	Title       string           `json:"title"`
-	About       string           `json:"about"`
-	Seed        uint64           `json:"seed"`
-	Started     time.Time        `json:"started"`
-	Held        bool             `json:"rules_held"`
-	Rules       []RuleCount      `json:"rules"`
-	Findings    []ledger.Finding `json:"findings"` // the first of them
-	LostByCrash int              `json:"lost_by_crash"`
-	Load        load.Result      `json:"load"`
-	Limits      Gateways         `json:"limits"`
-	Events      []Mark           `json:"events"`
-	Hosts       []HostResult     `json:"hosts"`
-	Gateways    []GatewayResult  `json:"gateways"`
-	Work        HostWork         `json:"work"`
+	Version     int                     `json:"version"`
+	Name        string                  `json:"name"`
+	Title       string                  `json:"title"`
+	About       string                  `json:"about"`
+	Seed        uint64                  `json:"seed"`
+	Started     time.Time               `json:"started"`
+	Held        bool                    `json:"rules_held"`
+	Rules       []RuleCount             `json:"rules"`
+	Findings    []requestrecord.Finding `json:"findings"` // the first of them
+	LostByCrash int                     `json:"lost_by_crash"`
+	Load        load.Result             `json:"load"`
+	Limits      Gateways                `json:"limits"`
+	Events      []Mark                  `json:"events"`
+	Hosts       []HostResult            `json:"hosts"`
+	Gateways    []GatewayResult         `json:"gateways"`
+	Work        HostWork                `json:"work"`
 }
 
 // HostWork sums the hosts' ledgers up.
@@ -61,7 +61,7 @@
 	Progress func(load.Progress)
 	Rig      Rig                                           // nil in an experiment
 	Beside   func(ctx context.Context, run *Handles) error // played beside the load where there is a rig, to its end
-	Clock    standin.Clock                                 // a new one if nil
+	Clock    emulation.Clock                               // a new one if nil
 }
 
 // Run plays an experiment.
@@ -78,7 +78,7 @@
 	}
 	clock := o.Clock
 	if clock == nil {
-		clock = standin.NewClock()
+		clock = emulation.NewClock()
 	}
 	w, err := newWorld(f, seed, GatewayNames(f.Gateways.Count), "127.0.0.1:0", o.Rig, clock)
 	if err != nil {
@@ -108,7 +108,7 @@
 			w.Front.Leave(g.front)
 		}
 	}
-	clients := ledger.NewClients()
+	clients := requestrecord.NewClients()
 
 	running, stop := context.WithCancel(ctx)
 	defer stop()
@@ -147,12 +147,12 @@
 }
 
 // conclude compares the ledgers and fills in the result.
-func (w *World) conclude(res *Result, clients *ledger.Clients, began time.Duration) error {
-	var found []ledger.Finding
+func (w *World) conclude(res *Result, clients *requestrecord.Clients, began time.Duration) error {
+	var found []requestrecord.Finding
 	res.Hosts, res.Gateways, found = w.results()
 	hosts := w.Close()
 	tries := clients.Tries()
-	compared, crashed := ledger.Compare(tries, hosts, w.excused)
+	compared, crashed := requestrecord.Compare(tries, hosts, w.excused)
 	res.LostByCrash = crashed
 	w.mu.Lock()
 	found = append(append(found, w.findings...), compared...)
@@ -166,11 +166,11 @@
 	for _, f := range found {
 		counts[f.Rule]++
 	}
-	for _, rule := range ledger.Rules() {
+	for _, rule := range requestrecord.Rules() {
 		res.Rules = append(res.Rules, RuleCount{rule, counts[rule]})
 	}
 	res.Held = len(found) == 0
-	res.Findings = append([]ledger.Finding{}, found[:min(len(found), mostFindings)]...)
+	res.Findings = append([]requestrecord.Finding{}, found[:min(len(found), mostFindings)]...)
 	for _, t := range tries {
 		for _, h := range hosts {
 			if e := h.Find(t.ID); e != nil {
--- a/internal/lab/experiment/run_test.go
+++ b/internal/lab/experiment/run_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"thymebend/internal/lab/ledger"
+	"thymebend/internal/lab/requestrecord"
 )
 
 var program string // the gateway, built once
@@ -43,7 +43,7 @@
 	if err := r.WriteJSON(dir); err != nil {
 		t.Fatal(err)
 	}
-	if again, err := ReadJSON(dir); err != nil || again.Load.Scheduled != r.Load.Scheduled || len(again.Rules) != len(ledger.Rules()) {
+	if again, err := ReadJSON(dir); err != nil || again.Load.Scheduled != r.Load.Scheduled || len(again.Rules) != len(requestrecord.Rules()) {
 		t.Errorf("result.json: %v", err)
 	}
 	var trace bytes.Buffer
@@ -92,7 +92,7 @@
 	r := play(t, f, mortal)
 	died := 0
 	for _, x := range r.Findings {
-		if x.Rule == ledger.GatewayDied {
+		if x.Rule == requestrecord.GatewayDied {
 			died++
 		}
 	}
@@ -155,7 +155,7 @@
 	w.arrived(m.Name, "gateway-0", "in-time", told.At+drainGrace)
 	w.arrived(m.Name, "gateway-0", "late", told.At+drainGrace+time.Millisecond)
 	w.arrived(m.Name, "gateway-1", "never-told", told.At+time.Hour)
-	if len(w.findings) != 1 || w.findings[0].ID != "late" || w.findings[0].Rule != ledger.LateToDrained {
+	if len(w.findings) != 1 || w.findings[0].ID != "late" || w.findings[0].Rule != requestrecord.LateToDrained {
 		t.Errorf("%+v", w.findings)
 	}
 }
@@ -170,7 +170,7 @@
 	}{{"a", 9 * time.Second, 10 * time.Second, true}, {"a", 9 * time.Second, 9500 * time.Millisecond, false},
 		{"a", 11 * time.Second, 12 * time.Second, false}, {"b", 9 * time.Second, 10 * time.Second, false},
 		{"a", 30*time.Second + 100*time.Millisecond, 31 * time.Second, false}, {"a", 30*time.Second + 900*time.Millisecond, 31 * time.Second, true}} {
-		if got := w.excused(ledger.Try{Target: c.target, Sent: c.sent, Ended: c.ended}); got != c.want {
+		if got := w.excused(requestrecord.Try{Target: c.target, Sent: c.sent, Ended: c.ended}); got != c.want {
 			t.Errorf("%+v: excused %v", c, got)
 		}
 	}
--- a/internal/lab/experiment/sample.go
+++ b/internal/lab/experiment/sample.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"thymebend/internal/lab/fleet"
-	"thymebend/internal/lab/ledger"
+	"thymebend/internal/lab/hostmodel"
+	"thymebend/internal/lab/requestrecord"
 )
 
 // sampleEvery is how often hosts and gateways are looked at.
@@ -80,7 +80,7 @@
 				continue
 			}
 			s := HostSample{At: now, Conns: m.Conns()}
-			m.Do(func(_ time.Duration, h *fleet.Host) {
+			m.Do(func(_ time.Duration, h *hostmodel.Host) {
 				s.InFlight, s.Waiting, s.Capacity = h.InFlight(), h.Waiting(), h.Capacity()
 			})
 			w.mu.Lock()
@@ -153,13 +153,13 @@
 }
 
 // results sums the looks up, and finds limits that were crossed.
-func (w *World) results() (hosts []HostResult, gateways []GatewayResult, found []ledger.Finding) {
+func (w *World) results() (hosts []HostResult, gateways []GatewayResult, found []requestrecord.Finding) {
 	for _, m := range w.members() {
 		h := HostResult{Name: m.Name, Kind: m.spec.Kind, Slots: m.spec.Slots, Queue: m.spec.Queue, Probes: m.Probes(),
 			Samples: m.samples}
-		m.Do(func(_ time.Duration, model *fleet.Host) { h.ColdPeak = model.ColdPeak() })
+		m.Do(func(_ time.Duration, model *hostmodel.Host) { h.ColdPeak = model.ColdPeak() })
 		if h.Fell = h.ColdPeak > 1; h.Fell {
-			found = append(found, ledger.Finding{Rule: ledger.PushedOver, ID: m.Name,
+			found = append(found, requestrecord.Finding{Rule: requestrecord.PushedOver, ID: m.Name,
 				Detail: fmt.Sprintf("was sent %.2f times the most that it survives while cold", h.ColdPeak)})
 		}
 		hosts = append(hosts, h)
@@ -172,11 +172,11 @@
 			r.PeakDescriptors = max(r.PeakDescriptors, s.Descriptors)
 		}
 		if r.PeakMemoryMB > limit.MemoryMB {
-			found = append(found, ledger.Finding{Rule: ledger.OverMemory, ID: g.name,
+			found = append(found, requestrecord.Finding{Rule: requestrecord.OverMemory, ID: g.name,
 				Detail: fmt.Sprintf("%.1f MB of %.0f", r.PeakMemoryMB, limit.MemoryMB)})
 		}
 		if r.PeakDescriptors > limit.Sockets {
-			found = append(found, ledger.Finding{Rule: ledger.OverSockets, ID: g.name,
+			found = append(found, requestrecord.Finding{Rule: requestrecord.OverSockets, ID: g.name,
 				Detail: fmt.Sprintf("%d of %d", r.PeakDescriptors, limit.Sockets)})
 		}
 		gateways = append(gateways, r)
--- a/internal/lab/experiment/tries.go
+++ b/internal/lab/experiment/tries.go
@@ -12,8 +12,8 @@
 	"strconv"
 	"time"
 
-	"thymebend/internal/lab/ledger"
 	"thymebend/internal/lab/load"
+	"thymebend/internal/lab/requestrecord"
 )
 
 // triesFile holds every try of a run, one a line.
@@ -26,7 +26,7 @@
 
 // writeTries writes the clients' ledger as tab-separated text. Times count from the load's begin; a try that was
 // never written whole has sent_us -1.
-func writeTries(path string, tries []ledger.Try, began time.Duration) error {
+func writeTries(path string, tries []requestrecord.Try, began time.Duration) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return err
--- a/internal/lab/experiment/world.go
+++ b/internal/lab/experiment/world.go
@@ -14,9 +14,9 @@
 	"syscall"
 	"time"
 
-	"thymebend/internal/lab/ledger"
+	"thymebend/internal/lab/emulation"
 	"thymebend/internal/lab/load"
-	"thymebend/internal/lab/standin"
+	"thymebend/internal/lab/requestrecord"
 )
 
 // The rules in figures.
@@ -30,15 +30,15 @@
 // World is the running laboratory: hosts, discovery and, if asked for, gateways.
 type World struct {
 	File  *File
-	Clock standin.Clock
+	Clock emulation.Clock
 	Front *load.Front
 
 	mu       sync.Mutex
-	disc     *standin.Discovery
+	disc     *emulation.Discovery
 	hosts    []*member
 	gateways []*gateway
-	findings []ledger.Finding
-	ledgers  []*ledger.Host // of hosts that have gone
+	findings []requestrecord.Finding
+	ledgers  []*requestrecord.Host // of hosts that have gone
 	marks    []Mark
 	replaced int
 	dir      string
@@ -51,8 +51,8 @@
 
 // member is a host as discovery and the laboratory know it.
 type member struct {
-	*standin.Host
-	entry standin.Entry
+	*emulation.Host
+	entry emulation.Entry
 	spec  Hosts
 	n     int
 	gone  atomic.Bool
@@ -67,12 +67,12 @@
 
 // NewWorld starts the hosts and discovery. vias are the names of those that reach them: the gateways.
 func NewWorld(f *File, seed uint64, vias []string, discoveryAt string) (*World, error) {
-	return newWorld(f, seed, vias, discoveryAt, nil, standin.NewClock())
+	return newWorld(f, seed, vias, discoveryAt, nil, emulation.NewClock())
 }
 
-func newWorld(f *File, seed uint64, vias []string, discoveryAt string, rig Rig, clock standin.Clock) (*World, error) {
+func newWorld(f *File, seed uint64, vias []string, discoveryAt string, rig Rig, clock emulation.Clock) (*World, error) {
 	w := &World{File: f, Clock: clock, seed: seed, rig: rig}
-	w.disc = standin.NewDiscovery(w.Clock, 0)
+	w.disc = emulation.NewDiscovery(w.Clock, 0)
 	w.disc.SetPushed(f.Discovery.Pushed)
 	for _, h := range f.Hosts {
 		for n := range h.Count {
@@ -99,13 +99,13 @@
 	w.seed++
 	seed := w.seed
 	w.mu.Unlock()
-	host, err := standin.NewHost(spec, w.Clock, standin.Options{Seed: seed, Cold: cold, Idle: h.Idle.Duration,
+	host, err := emulation.NewHost(spec, w.Clock, emulation.Options{Seed: seed, Cold: cold, Idle: h.Idle.Duration,
 		Arrived: w.arrived, Cell: w.File.cell(h, n)})
 	if err != nil {
 		return nil, err
 	}
 	m := &member{Host: host, spec: h, n: n}
-	m.entry = standin.Entry{Host: spec.Name, Site: spec.Site, Kind: spec.Kind, State: standin.StateUp, Dial: make(map[string]string),
+	m.entry = emulation.Entry{Host: spec.Name, Site: spec.Site, Kind: spec.Kind, State: emulation.StateUp, Dial: make(map[string]string),
 		Cell: w.File.cell(h, n)}
 	if cold {
 		m.entry.Born = time.Now().UnixMilli()
@@ -137,7 +137,7 @@
 	told, ok := w.disc.Told(via, host)
 	if late := first - told.At; ok && late > drainGrace {
 		w.mu.Lock()
-		w.findings = append(w.findings, ledger.Finding{Rule: ledger.LateToDrained, ID: id, At: first,
+		w.findings = append(w.findings, requestrecord.Finding{Rule: requestrecord.LateToDrained, ID: id, At: first,
 			Detail: fmt.Sprintf("%s sent to %s %v after it was told %s", via, host, late.Round(time.Millisecond), told.State)})
 		w.mu.Unlock()
 	}
@@ -201,7 +201,7 @@
 	if multiple == 1 {
 		multiple = 3
 	}
-	names := standin.DefaultFields()
+	names := emulation.DefaultFields()
 	mode, zone := "subscribe", 0
 	if f.Discovery.Pushed {
 		mode = "automatic"
@@ -428,7 +428,7 @@
 		}
 		if !p.planned.Load() {
 			w.mu.Lock()
-			w.findings = append(w.findings, ledger.Finding{Rule: ledger.GatewayDied, ID: g.name, At: w.Clock(),
+			w.findings = append(w.findings, requestrecord.Finding{Rule: requestrecord.GatewayDied, ID: g.name, At: w.Clock(),
 				Detail: fmt.Sprintf("ended by itself: %v, see %s", p.err, g.log)})
 			w.mu.Unlock()
 		}
@@ -475,7 +475,7 @@
 	})
 	if !killed && p.err != nil {
 		w.mu.Lock()
-		w.findings = append(w.findings, ledger.Finding{Rule: ledger.GatewayDied, ID: g.name, At: w.Clock(),
+		w.findings = append(w.findings, requestrecord.Finding{Rule: requestrecord.GatewayDied, ID: g.name, At: w.Clock(),
 			Detail: fmt.Sprintf("after SIGTERM: %v, see %s", p.err, g.log)})
 		w.mu.Unlock()
 	}
@@ -506,7 +506,7 @@
 
 // excused tells whether a try was lost for a reason that no rule forbids: its gateway was killed while it held
 // the try, or the try came to it long after SIGTERM.
-func (w *World) excused(t ledger.Try) bool {
+func (w *World) excused(t requestrecord.Try) bool {
 	for _, g := range w.gateways {
 		if g.front != t.Target {
 			continue
@@ -525,7 +525,7 @@
 const killSpread = 20 * time.Millisecond
 
 // Close ends everything and returns the hosts' ledgers, at rest.
-func (w *World) Close() []*ledger.Host {
+func (w *World) Close() []*requestrecord.Host {
 	for _, g := range w.gateways {
 		if p := g.present(); p != nil {
 			p.planned.Store(true)
--- a/internal/lab/fleet/host.go
+++ b/internal/lab/hostmodel/host.go
@@ -2,7 +2,7 @@
 // what troubles hosts in service. It does no I/O and has no clock: time is passed in, counted from the run's
 // start, and never runs backward. The same seed and the same calls give the same replies. The stand-in hosts
 // run it on sockets; simulations run it on a virtual clock.
-package fleet
+package hostmodel
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 
 	"github.com/zeebo/xxh3"
 
-	"thymebend/internal/lab/ledger"
+	"thymebend/internal/lab/requestrecord"
 )
 
 // Spec is one host as it is built.
@@ -130,7 +130,7 @@
 type Host struct {
 	spec    Spec
 	rand    *rand.Rand
-	ledger  *ledger.Host
+	ledger  *requestrecord.Host
 	at      time.Duration // the model stands at this time
 	born    time.Duration
 	cold    bool // born cold
@@ -165,7 +165,7 @@
 
 // New starts a host. A cold one begins at its cold share, others are warm. What it is sent and makes goes into
 // the ledger.
-func New(spec Spec, seed uint64, born time.Duration, cold bool, into *ledger.Host) (*Host, error) {
+func New(spec Spec, seed uint64, born time.Duration, cold bool, into *requestrecord.Host) (*Host, error) {
 	switch {
 	case spec.Cores < 1 || spec.Slots < 1 || spec.Queue < 0:
 		return nil, fmt.Errorf("host %s: cores and slots must be at least 1, queue at least 0", spec.Name)
@@ -280,7 +280,7 @@
 	case Served:
 		e.Ended++
 		r.Body = Body(x.ID, h.spec.Name, x.token, h.spec.Body)
-		e.Returned = append(e.Returned, ledger.Hash(r.Body))
+		e.Returned = append(e.Returned, requestrecord.Hash(r.Body))
 	case Errored:
 		e.Ended++
 		h.errors = append(h.errors, h.at)
--- a/internal/lab/fleet/host_test.go
+++ b/internal/lab/hostmodel/host_test.go
@@ -1,4 +1,4 @@
-package fleet
+package hostmodel
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"thymebend/internal/lab/ledger"
+	"thymebend/internal/lab/requestrecord"
 )
 
 const ms = time.Millisecond
@@ -22,9 +22,9 @@
 	return s
 }
 
-func host(t *testing.T, cold bool, edit func(*Spec)) (*Host, *ledger.Host) {
+func host(t *testing.T, cold bool, edit func(*Spec)) (*Host, *requestrecord.Host) {
 	t.Helper()
-	l := ledger.NewHost("h")
+	l := requestrecord.NewHost("h")
 	h, err := New(spec(edit), 7, 0, cold, l)
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 		}
 	}
 	if e := l.Of("2"); e.Arrivals != 1 || e.Begun != 1 || e.Ended != 1 || len(e.Returned) != 1 ||
-		e.Returned[0] != ledger.Hash(Body("2", "h", 3, 40)) {
+		e.Returned[0] != requestrecord.Hash(Body("2", "h", 3, 40)) {
 		t.Errorf("ledger of a served one: %+v", *e)
 	}
 }
@@ -247,7 +247,7 @@
 
 // BenchmarkHost is a host's share of a simulation: one request, arrival to reply.
 func BenchmarkHost(b *testing.B) {
-	l := ledger.NewHost("h")
+	l := requestrecord.NewHost("h")
 	h, err := New(spec(func(s *Spec) { s.Cores, s.Slots, s.Queue = 4, 8, 50 }), 1, 0, false, l)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/lab/fleet/work.go
+++ b/internal/lab/hostmodel/work.go
@@ -1,4 +1,4 @@
-package fleet
+package hostmodel
 
 import (
 	"fmt"
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"thymebend/internal/lab/fleet"
-	"thymebend/internal/lab/ledger"
-	"thymebend/internal/lab/standin"
+	"thymebend/internal/lab/emulation"
+	"thymebend/internal/lab/hostmodel"
+	"thymebend/internal/lab/requestrecord"
 )
 
 func classes() []Class {
@@ -26,11 +26,11 @@
 }
 
 // quickHost answers at once, a thousand at a time.
-func quickHost(t *testing.T, clock standin.Clock) (*standin.Host, string) {
+func quickHost(t *testing.T, clock emulation.Clock) (*emulation.Host, string) {
 	t.Helper()
-	work := fleet.Work{Dist: "fixed", Mean: 200 * time.Microsecond}
-	h, err := standin.NewHost(fleet.Spec{Name: "h", Cores: 64, Speed: 1, Slots: 64, Queue: 100000, Body: 100,
-		Work: map[string]fleet.Work{"view": work, "lodge": work}}, clock, standin.Options{})
+	work := hostmodel.Work{Dist: "fixed", Mean: 200 * time.Microsecond}
+	h, err := emulation.NewHost(hostmodel.Spec{Name: "h", Cores: 64, Speed: 1, Slots: 64, Queue: 100000, Body: 100,
+		Work: map[string]hostmodel.Work{"view": work, "lodge": work}}, clock, emulation.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -158,11 +158,11 @@
 func TestPauseShowsAsLateRequestsNotAsFewer(t *testing.T) {
 	const length, pause = 4 * time.Second, 2 * time.Second
 	measure := func(stop bool) Result {
-		clock := standin.NewClock()
+		clock := emulation.NewClock()
 		h, addr := quickHost(t, clock)
 		if stop {
 			timer := time.AfterFunc(time.Second, func() {
-				h.Do(func(now time.Duration, m *fleet.Host) { m.PauseFor(now, pause) })
+				h.Do(func(now time.Duration, m *hostmodel.Host) { m.PauseFor(now, pause) })
 			})
 			defer timer.Stop()
 		}
@@ -197,7 +197,7 @@
 }
 
 func TestGeneratorOwnsUpToItsOwnLateness(t *testing.T) {
-	_, addr := quickHost(t, standin.NewClock())
+	_, addr := quickHost(t, emulation.NewClock())
 	r := run(t, Options{Targets: []string{addr}, Schedule: &stuck{Schedule: phasesOf(t, Phase{For: time.Second, Rate: 200})}})
 	if !r.FellBehind || r.Behind == "" || r.SelfLate.Max < 600 || r.Latency.Max < 600 {
 		t.Errorf("behind %v (%s), own lateness %+v, latencies %+v", r.FellBehind, r.Behind, r.SelfLate, r.Latency)
@@ -224,13 +224,13 @@
 
 // The front leaves a dead target out after its notice time, and takes it in again.
 func TestFrontLeavesOutTheDead(t *testing.T) {
-	clock := standin.NewClock()
+	clock := emulation.NewClock()
 	_, addr := quickHost(t, clock)
 	dead, dying := quickHost(t, clock)
-	if err := dead.SetMode(standin.Refuse); err != nil {
+	if err := dead.SetMode(emulation.Refuse); err != nil {
 		t.Fatal(err)
 	}
-	back := time.AfterFunc(700*time.Millisecond, func() { _ = dead.SetMode(standin.Up) })
+	back := time.AfterFunc(700*time.Millisecond, func() { _ = dead.SetMode(emulation.Up) })
 	defer back.Stop()
 	r := run(t, Options{Targets: []string{addr, dying}, Notice: 200 * time.Millisecond,
 		Schedule: phasesOf(t, Phase{For: 1500 * time.Millisecond, Rate: 100})})
@@ -294,19 +294,19 @@
 		rule   string
 		defect func(forward func(int) string, c net.Conn)
 	}{
-		{ledger.RanTwice, func(f func(int) string, c net.Conn) { _, _ = io.WriteString(c, f(2)) }},
-		{ledger.AnsweredTwice, func(f func(int) string, c net.Conn) { a := f(1); _, _ = io.WriteString(c, a+a) }},
-		{ledger.Unanswered, func(f func(int) string, c net.Conn) { f(1) }},
-		{ledger.ForeignBody, func(f func(int) string, c net.Conn) {
+		{requestrecord.RanTwice, func(f func(int) string, c net.Conn) { _, _ = io.WriteString(c, f(2)) }},
+		{requestrecord.AnsweredTwice, func(f func(int) string, c net.Conn) { a := f(1); _, _ = io.WriteString(c, a+a) }},
+		{requestrecord.Unanswered, func(f func(int) string, c net.Conn) { f(1) }},
+		{requestrecord.ForeignBody, func(f func(int) string, c net.Conn) {
 			_, _ = io.WriteString(c, strings.Replace(f(1), "execution=", "execution:", 1))
 		}},
-		{ledger.RefusedRan, func(f func(int) string, c net.Conn) {
+		{requestrecord.RefusedRan, func(f func(int) string, c net.Conn) {
 			f(1)
 			_, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 		}},
 	} {
 		t.Run(c.rule, func(t *testing.T) {
-			h, backend := quickHost(t, standin.NewClock())
+			h, backend := quickHost(t, emulation.NewClock())
 			var mu sync.Mutex
 			planted, n := make(map[string]bool), 0
 			target := proxy(t, backend, func(id string, forward func(int) string, conn net.Conn) {
@@ -329,9 +329,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			tries := ledger.NewClients()
+			tries := requestrecord.NewClients()
 			run(t, Options{Targets: []string{target}, Classes: bids, Schedule: s, Ledger: tries})
-			found, _ := ledger.Compare(tries.Tries(), []*ledger.Host{h.Close()}, nil)
+			found, _ := requestrecord.Compare(tries.Tries(), []*requestrecord.Host{h.Close()}, nil)
 			if len(planted) < 2 {
 				t.Fatalf("%d defects planted", len(planted))
 			}
@@ -425,7 +425,7 @@
 		{Clients{Retries: 2, Wait: 50 * time.Millisecond, Honour: 1}, 0.79, 1.6},
 		{Clients{Retries: 2, Wait: 50 * time.Millisecond, Honour: 1, MostAfter: 300 * time.Millisecond}, 0, 0.3},
 	} {
-		tries := ledger.NewClients()
+		tries := requestrecord.NewClients()
 		r := run(t, Options{Targets: []string{target}, Classes: views, Clients: c.clients, Ledger: tries,
 			Schedule: Record([]Arrival{{Patience: time.Second}})})
 		if r.Refused != 1 || r.Lasted < c.least || r.Lasted > c.most {
--- a/internal/lab/views/rules.go
+++ b/internal/lab/membershipcheck/rules.go
@@ -1,11 +1,11 @@
-package views
+package membershipcheck
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"thymebend/internal/lab/ledger"
+	"thymebend/internal/lab/requestrecord"
 )
 
 // The rules beside those of experiments. To add one: name it here, add it to rules, plant what breaks it in rules_test.go.
@@ -57,16 +57,16 @@
 }
 
 // Judge returns every broken rule, once for each gateway: the first moment counts.
-func Judge(h *History) []ledger.Finding {
+func Judge(h *History) []requestrecord.Finding {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var found []ledger.Finding
+	var found []requestrecord.Finding
 	for _, r := range rules() {
 		said := make(map[int]bool)
 		r.check(h, func(at time.Duration, gateway int, format string, args ...any) {
 			if !said[gateway] {
 				said[gateway] = true
-				found = append(found, ledger.Finding{Rule: r.name, ID: h.names[gateway], At: at, Detail: fmt.Sprintf("at %.1f s ", at.Seconds()) + fmt.Sprintf(format, args...)})
+				found = append(found, requestrecord.Finding{Rule: r.name, ID: h.names[gateway], At: at, Detail: fmt.Sprintf("at %.1f s ", at.Seconds()) + fmt.Sprintf(format, args...)})
 			}
 		})
 	}
--- a/internal/lab/views/rules_test.go
+++ b/internal/lab/membershipcheck/rules_test.go
@@ -1,4 +1,4 @@
-package views
+package membershipcheck
 
 import (
 	"slices"
--- a/internal/lab/viewsim/heartbeats.go
+++ b/internal/lab/membershipsim/heartbeats.go
@@ -1,4 +1,4 @@
-package viewsim
+package membershipsim
 
 import (
 	"cmp"
@@ -9,21 +9,21 @@
 	"slices"
 	"time"
 
-	"thymebend/internal/fleetwire"
-	"thymebend/internal/members"
+	"thymebend/internal/gossipcodec"
+	"thymebend/internal/membership"
 )
 
 // Mind is what a node believes by: members.View, or the baseline that it is compared with.
 type Mind interface {
 	Advance(now time.Duration)
 	Hear(now time.Duration, from netip.AddrPort, data []byte)
-	Take() []members.Datagram
+	Take() []membership.Datagram
 	Next() time.Duration
-	Members() []members.Member
-	Find(name string) (members.Member, bool)
-	Others() iter.Seq[*members.Member]
-	Status(now time.Duration) members.Status
-	Counts() members.Counts
+	Members() []membership.Member
+	Find(name string) (membership.Member, bool)
+	Others() iter.Seq[*membership.Member]
+	Status(now time.Duration) membership.Status
+	Counts() membership.Counts
 	Leave(now time.Duration)
 }
 
@@ -36,13 +36,13 @@
 	byName map[string]*peer
 	byAddr map[netip.AddrPort]*peer
 	next   time.Duration
-	out    []members.Datagram
-	counts members.Counts
+	out    []membership.Datagram
+	counts membership.Counts
 	gone   bool
 }
 
 type peer struct {
-	members.Member
+	membership.Member
 	heard     time.Duration
 	intervals []float64 // seconds, the last ones
 }
@@ -57,14 +57,14 @@
 )
 
 // NewHeartbeats starts one with the book.
-func NewHeartbeats(cfg members.Config, now time.Duration) *Heartbeats {
+func NewHeartbeats(cfg membership.Config, now time.Duration) *Heartbeats {
 	h := &Heartbeats{name: cfg.Name, start: cfg.Start, byName: make(map[string]*peer),
 		byAddr: make(map[netip.AddrPort]*peer), next: now}
 	for _, p := range cfg.Book {
 		if p.Name == cfg.Name {
 			continue
 		}
-		q := &peer{Member: members.Member{Name: p.Name, Addr: p.Addr, State: fleetwire.Gone, Since: now}}
+		q := &peer{Member: membership.Member{Name: p.Name, Addr: p.Addr, State: gossipcodec.Gone, Since: now}}
 		h.all = append(h.all, q)
 		h.byName[p.Name], h.byAddr[p.Addr] = q, q
 	}
@@ -81,10 +81,10 @@
 	beat := binary.AppendUvarint([]byte{1}, h.start)
 	beat = append(beat, 5) // as much as a small payload
 	for _, p := range h.all {
-		h.out = append(h.out, members.Datagram{To: p.Addr, Data: beat})
+		h.out = append(h.out, membership.Datagram{To: p.Addr, Data: beat})
 		h.counts.Sent++
-		if p.State == fleetwire.Alive && p.phi(now) > phiMost {
-			p.State, p.Since = fleetwire.Gone, now
+		if p.State == gossipcodec.Alive && p.phi(now) > phiMost {
+			p.State, p.Since = gossipcodec.Gone, now
 		}
 	}
 }
@@ -114,11 +114,11 @@
 	start, _ := binary.Uvarint(data[1:])
 	switch {
 	case data[0] == 0:
-		p.State, p.Since = fleetwire.Left, now
+		p.State, p.Since = gossipcodec.Left, now
 		return
 	case start < p.Start:
 		return
-	case start > p.Start || p.State != fleetwire.Alive:
+	case start > p.Start || p.State != gossipcodec.Alive:
 		p.intervals, p.Start = nil, start
 		p.Since = now
 	default:
@@ -126,11 +126,11 @@
 			p.intervals = p.intervals[1:]
 		}
 	}
-	p.State, p.heard = fleetwire.Alive, now
+	p.State, p.heard = gossipcodec.Alive, now
 }
 
 // Take implements Mind.
-func (h *Heartbeats) Take() []members.Datagram {
+func (h *Heartbeats) Take() []membership.Datagram {
 	out := h.out
 	h.out = nil
 	return out
@@ -140,31 +140,31 @@
 func (h *Heartbeats) Next() time.Duration { return h.next }
 
 // Members implements Mind.
-func (h *Heartbeats) Members() []members.Member {
-	out := make([]members.Member, 0, len(h.all)+1)
+func (h *Heartbeats) Members() []membership.Member {
+	out := make([]membership.Member, 0, len(h.all)+1)
 	for _, p := range h.all {
 		out = append(out, p.Member)
 	}
-	self := members.Member{Name: h.name, Start: h.start}
-	at, _ := slices.BinarySearchFunc(out, h.name, func(m members.Member, name string) int { return cmp.Compare(m.Name, name) })
+	self := membership.Member{Name: h.name, Start: h.start}
+	at, _ := slices.BinarySearchFunc(out, h.name, func(m membership.Member, name string) int { return cmp.Compare(m.Name, name) })
 	return slices.Insert(out, at, self)
 }
 
 // Find implements Mind.
-func (h *Heartbeats) Find(name string) (members.Member, bool) {
+func (h *Heartbeats) Find(name string) (membership.Member, bool) {
 	if name == h.name {
-		return members.Member{Name: h.name, Start: h.start}, true
+		return membership.Member{Name: h.name, Start: h.start}, true
 	}
 	p := h.byName[name]
 	if p == nil {
-		return members.Member{}, false
+		return membership.Member{}, false
 	}
 	return p.Member, true
 }
 
 // Others implements Mind.
-func (h *Heartbeats) Others() iter.Seq[*members.Member] {
-	return func(yield func(*members.Member) bool) {
+func (h *Heartbeats) Others() iter.Seq[*membership.Member] {
+	return func(yield func(*membership.Member) bool) {
 		for _, p := range h.all {
 			if !yield(&p.Member) {
 				return
@@ -174,10 +174,10 @@
 }
 
 // Status implements Mind: it knows only how many it holds alive.
-func (h *Heartbeats) Status(time.Duration) members.Status {
-	s := members.Status{Alive: 1, Known: len(h.all) + 1, Answering: 1}
+func (h *Heartbeats) Status(time.Duration) membership.Status {
+	s := membership.Status{Alive: 1, Known: len(h.all) + 1, Answering: 1}
 	for _, p := range h.all {
-		if p.State == fleetwire.Alive {
+		if p.State == gossipcodec.Alive {
 			s.Alive++
 		}
 	}
@@ -186,12 +186,12 @@
 }
 
 // Counts implements Mind.
-func (h *Heartbeats) Counts() members.Counts { return h.counts }
+func (h *Heartbeats) Counts() membership.Counts { return h.counts }
 
 // Leave implements Mind.
 func (h *Heartbeats) Leave(time.Duration) {
 	h.gone = true
 	for _, p := range h.all {
-		h.out = append(h.out, members.Datagram{To: p.Addr, Data: []byte{0, 0}})
+		h.out = append(h.out, membership.Datagram{To: p.Addr, Data: []byte{0, 0}})
 	}
 }
--- a/internal/lab/viewsim/play.go
+++ b/internal/lab/membershipsim/play.go
@@ -1,4 +1,4 @@
-package viewsim
+package membershipsim
 
 import (
 	"context"
--- a/internal/lab/viewsim/sim.go
+++ b/internal/lab/membershipsim/sim.go
@@ -1,6 +1,6 @@
 // Package viewsim plays whole fleets of views on a virtual clock: a network that loses, doubles, delays and cuts
 // datagrams, processes that die, stop, leave and start again. A seed gives a run, to the letter.
-package viewsim
+package membershipsim
 
 import (
 	"bytes"
@@ -12,9 +12,9 @@
 	"strings"
 	"time"
 
-	"thymebend/internal/fleetwire"
+	"thymebend/internal/gossipcodec"
 	"thymebend/internal/lab/cputime"
-	"thymebend/internal/members"
+	"thymebend/internal/membership"
 )
 
 // Epoch is when a run begins, in Unix time: views live by it.
@@ -62,7 +62,7 @@
 	Net      Net
 	Nodes    []*Node
 	Findings []string
-	Without  members.Part
+	Without  membership.Part
 	Baseline bool // heartbeats in place of views
 	Flat     bool
 
@@ -75,7 +75,7 @@
 	spent []time.Duration // of the real processor's time, by the node whose view was called
 	ctx   context.Context
 	seek  int // the node whose view was wrong last
-	book  []members.Peer
+	book  []membership.Peer
 	calls uint64
 	back  time.Duration // how far the clock of what starts now has gone back
 }
@@ -89,7 +89,7 @@
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7946)
 		node := &Node{Name: fmt.Sprintf(namePrefix+"%04d", i), addr: addr, payload: []byte{byte(i)}, seen: make([]claimed, n)}
 		s.Nodes = append(s.Nodes, node)
-		s.book = append(s.book, members.Peer{Name: node.Name, Addr: addr})
+		s.book = append(s.book, membership.Peer{Name: node.Name, Addr: addr})
 	}
 	return s
 }
@@ -154,12 +154,12 @@
 	if node.View != nil {
 		return
 	}
-	cfg := members.Config{Fleet: "sim", Name: node.Name, Start: uint64((s.now - s.back).Milliseconds()), Book: s.book, Flat: s.Flat,
+	cfg := membership.Config{Fleet: "sim", Name: node.Name, Start: uint64((s.now - s.back).Milliseconds()), Book: s.book, Flat: s.Flat,
 		Payload: node.payload, Seed: s.rng.Uint64(), Without: s.Without}
 	if s.Baseline {
 		node.View = NewHeartbeats(cfg, s.now)
 	} else {
-		view, err := members.New(cfg, s.now)
+		view, err := membership.New(cfg, s.now)
 		if err != nil {
 			panic(err) // names and book are ours
 		}
@@ -265,7 +265,7 @@
 	}
 }
 
-func (s *Sim) grows(node *Node, m *members.Member) {
+func (s *Sim) grows(node *Node, m *membership.Member) {
 	was, is := &node.seen[number(m.Name)], claimed{m.Start, m.Incarnation}
 	if is.start < was.start || is.start == was.start && is.incarnation < was.incarnation {
 		s.Find("%s has %s at %d/%d after %d/%d", node.Name, m.Name, is.start, is.incarnation, was.start, was.incarnation)
@@ -286,7 +286,7 @@
 func (s *Sim) post(n int) {
 	from := s.Nodes[n]
 	for _, d := range from.View.Take() {
-		if len(d.Data) > fleetwire.Most {
+		if len(d.Data) > gossipcodec.Most {
 			s.Find("%s sends %d bytes", from.Name, len(d.Data))
 		}
 		s.sent[n] += uint64(len(d.Data)) + headerBytes
@@ -331,7 +331,7 @@
 }
 
 // Held is what a node has of another: its state, and whether it knows it at all.
-func (s *Sim) Held(n, other int) (fleetwire.State, bool) {
+func (s *Sim) Held(n, other int) (gossipcodec.State, bool) {
 	m, known := s.Nodes[n].View.Find(s.Nodes[other].Name)
 	return m.State, known
 }
@@ -357,11 +357,11 @@
 	for _, other := range s.Nodes {
 		m, known := node.View.Find(other.Name)
 		switch {
-		case other.View != nil && (!known || m.State != fleetwire.Alive):
+		case other.View != nil && (!known || m.State != gossipcodec.Alive):
 			return fmt.Sprintf("%s has %s, which lives, as %d (known %v)", node.Name, other.Name, m.State, known)
 		case other.View != nil && !s.Baseline && !bytes.Equal(m.Payload, other.payload):
 			return fmt.Sprintf("%s has no payload of %s", node.Name, other.Name)
-		case other.View == nil && known && m.State <= fleetwire.Suspect:
+		case other.View == nil && known && m.State <= gossipcodec.Suspect:
 			return fmt.Sprintf("%s has %s, which is dead, as %d", node.Name, other.Name, m.State)
 		}
 	}
--- a/internal/lab/viewsim/sim_test.go
+++ b/internal/lab/membershipsim/sim_test.go
@@ -1,4 +1,4 @@
-package viewsim
+package membershipsim
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"thymebend/internal/fleetwire"
+	"thymebend/internal/gossipcodec"
 )
 
 // fleet starts n nodes and waits until all know all.
@@ -38,7 +38,7 @@
 	count := 0
 	for i, node := range s.Nodes {
 		if i != n && node.View != nil && !node.stopped {
-			if state, ok := s.Held(i, n); ok && state >= fleetwire.Gone {
+			if state, ok := s.Held(i, n); ok && state >= gossipcodec.Gone {
 				count++
 			}
 		}
@@ -91,7 +91,7 @@
 	for range 40 {
 		s.Run(s.Now() + 100*time.Millisecond)
 		for n := range s.Nodes {
-			if state, _ := s.Held(3, n); n != 3 && state >= fleetwire.Gone {
+			if state, _ := s.Held(3, n); n != 3 && state >= gossipcodec.Gone {
 				t.Fatalf("the one that was stopped holds %d for gone", n)
 			}
 		}
@@ -187,7 +187,7 @@
 	s.Net.Cut = func(from, to int) bool { return from+to == 1 }
 	s.Kill(2)
 	s.Run(s.Now() + 2500*time.Millisecond)
-	if state, _ := s.Held(0, 1); state != fleetwire.Suspect {
+	if state, _ := s.Held(0, 1); state != gossipcodec.Suspect {
 		t.Fatalf("held for %d", state)
 	}
 	s.Start(2)
@@ -214,7 +214,7 @@
 		if n == 4 {
 			continue
 		}
-		if state, _ := s.Held(n, 4); state != fleetwire.Left {
+		if state, _ := s.Held(n, 4); state != gossipcodec.Left {
 			t.Errorf("%d has the one that left as %d", n, state)
 		}
 	}
--- a/internal/lab/viewsim/size.go
+++ b/internal/lab/membershipsim/size.go
@@ -1,23 +1,23 @@
-package viewsim
+package membershipsim
 
 import (
 	"context"
 	"slices"
 	"time"
 
-	"thymebend/internal/fleetwire"
-	"thymebend/internal/members"
+	"thymebend/internal/gossipcodec"
+	"thymebend/internal/membership"
 )
 
 // Case is a fleet of one size under one set of troubles.
 type Case struct {
 	Seed     uint64
 	Nodes    int
-	Loss     float64      // share of the datagrams
-	Stalls   bool         // a tenth of the nodes stopped for 2 s in every 10 over the quiet stretch
-	Heal     bool         // a partition at the end
-	Baseline bool         // heartbeats in place of views
-	Without  members.Part // refinements left out
+	Loss     float64         // share of the datagrams
+	Stalls   bool            // a tenth of the nodes stopped for 2 s in every 10 over the quiet stretch
+	Heal     bool            // a partition at the end
+	Baseline bool            // heartbeats in place of views
+	Without  membership.Part // refinements left out
 }
 
 // Figures are what a fleet of one size does under one set of troubles.
@@ -116,7 +116,7 @@
 func (s *Sim) deathAndJoin(who int, f *Figures) {
 	died := s.Now()
 	s.Kill(who)
-	for s.Now() < died+mostWait && !s.Interrupted() && !s.all(who, fleetwire.Gone) {
+	for s.Now() < died+mostWait && !s.Interrupted() && !s.all(who, gossipcodec.Gone) {
 		s.Run(s.Now() + watchEvery)
 	}
 	if s.Interrupted() {
@@ -125,7 +125,7 @@
 	f.Crash = append(f.Crash, s.Now()-died)
 	came := s.Now()
 	s.Start(who)
-	for s.Now() < came+mostWait && !s.Interrupted() && !s.all(who, fleetwire.Alive) {
+	for s.Now() < came+mostWait && !s.Interrupted() && !s.all(who, gossipcodec.Alive) {
 		s.Run(s.Now() + watchEvery)
 	}
 	if s.Interrupted() {
@@ -136,7 +136,7 @@
 }
 
 // all reports whether every living node but one itself holds that one in a state.
-func (s *Sim) all(who int, state fleetwire.State) bool {
+func (s *Sim) all(who int, state gossipcodec.State) bool {
 	for n, node := range s.Nodes {
 		if n == who || node.View == nil || node.stopped {
 			continue
@@ -156,7 +156,7 @@
 			continue
 		}
 		for m := range node.View.Others() {
-			if m.State == fleetwire.Gone {
+			if m.State == gossipcodec.Gone {
 				out[number(m.Name)] = true
 			}
 		}
--- a/internal/lab/draws/draws.go
+++ b/internal/lab/random/draws.go
@@ -1,5 +1,5 @@
 // Package draws has rapid's tests draw the same cases every time, unless a seed is asked for.
-package draws
+package random
 
 import (
 	"flag"
--- a/internal/lab/roster/roster.go
+++ b/internal/lab/registry/roster.go
@@ -1,6 +1,6 @@
 // Package roster is discovery's state without its sockets: the list in its versions, and what each gateway has
 // been told. It does no I/O and has no clock.
-package roster
+package registry
 
 import (
 	"encoding/json"
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/requestrecord/ledger.go
@@ -2,7 +2,7 @@
 // and compares the two. The comparison is the laboratory's judge: neither side's own figures are believed.
 //
 // The package does no I/O and has no clock; times are those of the run, counted from its start.
-package ledger
+package requestrecord
 
 import (
 	"cmp"
--- a/internal/lab/ledger/ledger_test.go
+++ b/internal/lab/requestrecord/ledger_test.go
@@ -1,4 +1,4 @@
-package ledger
+package requestrecord
 
 import (
 	"strings"
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"thymebend/internal/lab/rolloutsim"
-	"thymebend/internal/lab/viewsim"
-	"thymebend/internal/signals"
+	"thymebend/internal/lab/configsim"
+	"thymebend/internal/lab/membershipsim"
+	"thymebend/internal/loadreport"
 )
 
 // servicesOfGateway is how many services a gateway serves, if there are so many.
@@ -22,14 +22,14 @@
 type fleet struct {
 	options   Options
 	places    places
-	sim       *viewsim.Sim
+	sim       *membershipsim.Sim
 	rng       *rand.Rand
 	knowledge *knowledge
 	full      []*fullGateway
 	begun     begun // what the last full gateway took
 
-	rollouts *rolloutsim.Fleet // nil without control machines
-	network  *rolloutsim.Net   // of the rollouts
+	rollouts *configsim.Fleet // nil without control machines
+	network  *configsim.Net   // of the rollouts
 
 	parted    bool          // regions do not hear each other
 	mendedAt  time.Duration // since then they hear each other again, and not all views are true yet; else 0
@@ -37,13 +37,13 @@
 }
 
 func newFleet(ctx context.Context, o Options) (*fleet, error) {
-	f := &fleet{options: o, places: places{o.Gateways, o.Zones, o.Regions}, sim: viewsim.New(o.Seed, o.Gateways),
+	f := &fleet{options: o, places: places{o.Gateways, o.Zones, o.Regions}, sim: membershipsim.New(o.Seed, o.Gateways),
 		rng: rand.New(rand.NewPCG(o.Seed, 0x5ca1e))}
 	f.sim.EndWith(ctx)
 	f.sim.Net.Cut = func(from, to int) bool { return f.parted && f.places.region(from) != f.places.region(to) }
 	f.knowledge = &knowledge{sim: f.sim, born: make([]time.Duration, o.Gateways)}
 	for n := range o.Gateways {
-		f.sim.SetPayload(n, signals.Append(nil, signals.Signal{Zone: f.places.zone(n), Demand: demand, Room: 0.5, Known: true, Rules: 1}))
+		f.sim.SetPayload(n, loadreport.Append(nil, loadreport.Signal{Zone: f.places.zone(n), Demand: demand, Room: 0.5, Known: true, Rules: 1}))
 	}
 	for _, n := range spread(o.Full, o.Gateways) {
 		g, cost, err := newFullGateway(n, f.sim.Nodes[n].Name, &o, f.places, f.sim.Now())
@@ -61,11 +61,11 @@
 // addRollouts adds control machines and agents of the distribution of configuration.
 func (f *fleet) addRollouts() {
 	o := &f.options
-	f.network = rolloutsim.NewNet(f.sim, o.Seed)
-	f.network.Cut = func(from, to rolloutsim.Endpoint) bool {
+	f.network = configsim.NewNet(f.sim, o.Seed)
+	f.network.Cut = func(from, to configsim.Endpoint) bool {
 		return f.parted && f.places.regionOf(from) != f.places.regionOf(to)
 	}
-	f.rollouts = rolloutsim.New(rolloutsim.Config{Name: "scale", Gateways: o.Gateways, Zones: o.Zones, Regions: o.Regions, Seed: o.Seed,
+	f.rollouts = configsim.New(configsim.Config{Name: "scale", Gateways: o.Gateways, Zones: o.Zones, Regions: o.Regions, Seed: o.Seed,
 		Services: f.servicesOf}, f.sim, f.network)
 	f.rollouts.Operate(time.Second, 0)
 }
@@ -73,14 +73,14 @@
 func (f *fleet) servicesOf(gateway int) (list []string) {
 	each := min(servicesOfGateway, f.options.Services)
 	for k := range each {
-		list = append(list, rolloutsim.ServiceName((gateway*each+k)%f.options.Services))
+		list = append(list, configsim.ServiceName((gateway*each+k)%f.options.Services))
 	}
 	return list
 }
 
 // size is that of the configuration.
-func (f *fleet) size() rolloutsim.Size {
-	return rolloutsim.Size{Services: f.options.Services, Routes: f.options.Routes, Tenants: f.options.Tenants}
+func (f *fleet) size() configsim.Size {
+	return configsim.Size{Services: f.options.Services, Routes: f.options.Routes, Tenants: f.options.Tenants}
 }
 
 // start starts a gateway's process; replaced says that another machine does, which has kept nothing.
--- a/internal/lab/scale/full.go
+++ b/internal/lab/scale/full.go
@@ -8,15 +8,15 @@
 	"slices"
 	"time"
 
-	"thymebend"
-	"thymebend/internal/fleetfile"
-	"thymebend/internal/fleetwire"
-	"thymebend/internal/hostgroup"
+	"thymebend/internal/assignment"
+	"thymebend/internal/balancer"
+	"thymebend/internal/discovery"
+	"thymebend/internal/gossipcodec"
+	"thymebend/internal/gossipconfig"
 	"thymebend/internal/lab/cputime"
-	"thymebend/internal/lab/roster"
-	"thymebend/internal/lab/viewsim"
+	"thymebend/internal/lab/membershipsim"
+	"thymebend/internal/lab/registry"
 	"thymebend/internal/settings"
-	"thymebend/internal/shares"
 )
 
 // demand is what each gateway carries, in requests a second: 220,000 over 870.
@@ -25,11 +25,11 @@
 // fullGateway holds, beside its view, what a gateway has of hosts and settings. Its processor time is counted apart.
 type fullGateway struct {
 	number   int
-	group    *hostgroup.Group
+	group    *discovery.Group
 	settings settings.Settings
-	module   *thymebend.Balancer
-	keeper   *shares.Keeper
-	hosts    []shares.Host
+	module   *balancer.Balancer
+	keeper   *assignment.Keeper
+	hosts    []assignment.Host
 	places   places
 
 	version  uint64 // of the view at the last look
@@ -49,14 +49,14 @@
 // silent takes the decisions of a module that has no requests.
 type silent struct{}
 
-func (silent) Send(thymebend.RequestID, thymebend.ServerID, time.Duration) {}
-func (silent) Refuse(thymebend.RequestID, time.Duration)                   {}
-func (silent) Fail(thymebend.RequestID)                                    {}
-func (silent) Cancel(thymebend.RequestID, int)                             {}
-func (silent) Wake(time.Duration, uint32)                                  {}
-func (silent) Close(thymebend.ServerID)                                    {}
-func (silent) Watch()                                                      {}
-func (silent) Log(string)                                                  {}
+func (silent) Send(balancer.RequestID, balancer.ServerID, time.Duration) {}
+func (silent) Refuse(balancer.RequestID, time.Duration)                  {}
+func (silent) Fail(balancer.RequestID)                                   {}
+func (silent) Cancel(balancer.RequestID, int)                            {}
+func (silent) Wake(time.Duration, uint32)                                {}
+func (silent) Close(balancer.ServerID)                                   {}
+func (silent) Watch()                                                    {}
+func (silent) Log(string)                                                {}
 
 // newFullGateway starts one with the whole list and the settings.
 func newFullGateway(number int, name string, o *Options, p places, now time.Duration) (*fullGateway, begun, error) {
@@ -71,18 +71,18 @@
 		if g.settings, err = settings.ParseJSON(rawSettings); err != nil {
 			return
 		}
-		g.module, err = thymebend.New(g.settings.Config, o.Seed, now, silent{})
+		g.module, err = balancer.New(g.settings.Config, o.Seed, now, silent{})
 	})
 	if err != nil {
 		return nil, cost, err
 	}
 	cost.ListTime, cost.ListHeap = weighed(func() {
-		g.group = hostgroup.New(g.settings.Gateway.Zones)
-		var news hostgroup.News
+		g.group = discovery.New(g.settings.Gateway.Zones)
+		var news discovery.News
 		if news, err = g.group.Apply(rawList); err != nil {
 			return
 		}
-		g.module.List(now, thymebend.ListFull, news.Entries)
+		g.module.List(now, balancer.ListFull, news.Entries)
 		g.module.Dispatch(now)
 	})
 	if err != nil {
@@ -91,11 +91,11 @@
 	runtime.KeepAlive(rawSettings) // freed in between, their bytes would be taken off what the rest leaves in use
 	runtime.KeepAlive(rawList)
 	for _, h := range g.group.All() {
-		g.hosts = append(g.hosts, shares.Host{ID: uint64(h.ID), Capacity: h.Share, Zone: h.Zone})
+		g.hosts = append(g.hosts, assignment.Host{ID: uint64(h.ID), Capacity: h.Share, Zone: h.Zone})
 	}
-	usual := fleetfile.Usual()
-	rule := shares.Rule{Users: float64(usual.Users), Most: usual.Most, Least: usual.Least, Away: usual.Away}
-	g.keeper = shares.NewKeeper(rule, name, newsWithin, nil)
+	usual := gossipconfig.Usual()
+	rule := assignment.Rule{Users: float64(usual.Users), Most: usual.Most, Least: usual.Least, Away: usual.Away}
+	g.keeper = assignment.NewKeeper(rule, name, newsWithin, nil)
 	return g, cost, nil
 }
 
@@ -106,26 +106,26 @@
 const newsWithin = time.Second
 
 // look follows the view as a gateway does with its samples: what moved in it may divide the hosts anew.
-func (g *fullGateway) look(sim *viewsim.Sim) {
+func (g *fullGateway) look(sim *membershipsim.Sim) {
 	if !sim.Runs(g.number) {
 		return
 	}
 	began := cputime.Thread()
 	view := sim.Nodes[g.number].View
 	now := sim.Now()
-	status := view.Status(now + viewsim.Epoch)
+	status := view.Status(now + membershipsim.Epoch)
 	due, timed := g.keeper.Due()
 	if status.Version == g.version && status.Settled == g.settled && !(timed && now >= due) {
 		return
 	}
 	g.version, g.settled = status.Version, status.Settled
-	var alive []shares.Gateway
+	var alive []assignment.Gateway
 	for n, m := range view.Members() {
-		if m.State == fleetwire.Alive {
-			alive = append(alive, shares.Gateway{Name: m.Name, Demand: demand, Zone: g.places.zone(n)})
+		if m.State == gossipcodec.Alive {
+			alive = append(alive, assignment.Gateway{Name: m.Name, Demand: demand, Zone: g.places.zone(n)})
 		}
 	}
-	changed, err := g.keeper.Look(now, shares.Look{Alive: alive, Settled: status.Settled, Hosts: g.hosts})
+	changed, err := g.keeper.Look(now, assignment.Look{Alive: alive, Settled: status.Settled, Hosts: g.hosts})
 	if err != nil && len(g.problems) < 5 {
 		g.problems = append(g.problems, err.Error())
 	}
@@ -158,12 +158,12 @@
 // listText words a whole list as discovery does.
 func listText(o *Options) []byte {
 	const via = "gateway"
-	list := roster.New()
-	var entries []roster.Entry
+	list := registry.New()
+	var entries []registry.Entry
 	for i := range o.Hosts {
 		dial := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 8080)
-		entries = append(entries, roster.Entry{Host: fmt.Sprintf("host-%05d.service-%03d", i, i%o.Services), Site: zoneName(i % o.Zones),
-			Cell: i % cells, State: roster.Up, Dial: map[string]string{via: dial.String()}})
+		entries = append(entries, registry.Entry{Host: fmt.Sprintf("host-%05d.service-%03d", i, i%o.Services), Site: zoneName(i % o.Zones),
+			Cell: i % cells, State: registry.Up, Dial: map[string]string{via: dial.String()}})
 	}
 	list.Put(entries...)
 	return list.Line(via, 0)
--- a/internal/lab/scale/knowledge.go
+++ b/internal/lab/scale/knowledge.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"thymebend/internal/fleetwire"
-	"thymebend/internal/lab/viewsim"
-	"thymebend/internal/members"
+	"thymebend/internal/gossipcodec"
+	"thymebend/internal/lab/membershipsim"
+	"thymebend/internal/membership"
 )
 
 // Times until something is known by half of those who can know it, by 99 in 100, and by all; in seconds.
@@ -64,16 +64,16 @@
 }
 
 // knows reports whether a gateway knows of the event.
-func (w *watch) knows(m members.Member, known bool, started uint64) bool {
+func (w *watch) knows(m membership.Member, known bool, started uint64) bool {
 	if w.joined {
-		return known && m.State == fleetwire.Alive && m.Start >= started
+		return known && m.State == gossipcodec.Alive && m.Start >= started
 	}
-	return !known || m.State >= fleetwire.Gone
+	return !known || m.State >= gossipcodec.Gone
 }
 
 // knowledge follows all crashes and joins.
 type knowledge struct {
-	sim    *viewsim.Sim
+	sim    *membershipsim.Sim
 	open   []*watch
 	closed []*watch
 	born   []time.Duration // since when each gateway's process runs
--- a/internal/lab/scale/options.go
+++ b/internal/lab/scale/options.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"thymebend/internal/members"
-	"thymebend/internal/shares"
+	"thymebend/internal/assignment"
+	"thymebend/internal/membership"
 	"thymebend/internal/tomlfile"
 )
 
@@ -94,8 +94,8 @@
 		field              string
 		value, least, most int
 	}{
-		{"gateways", o.Gateways, leastGateways, members.MostMembers},
-		{"hosts", o.Hosts, 1, shares.MostHosts},
+		{"gateways", o.Gateways, leastGateways, membership.MostMembers},
+		{"hosts", o.Hosts, 1, assignment.MostHosts},
 		{"services", o.Services, 1, mostServices},
 		{"tenants", o.Tenants, 0, mostTenants},
 		{"routes", o.Routes, 1, mostRoutes},
--- a/internal/lab/scale/place.go
+++ b/internal/lab/scale/place.go
@@ -1,6 +1,6 @@
 package scale
 
-import "thymebend/internal/lab/rolloutsim"
+import "thymebend/internal/lab/configsim"
 
 // gatewaysOfRack is how many gateways stand in a rack.
 const gatewaysOfRack = 16
@@ -42,7 +42,7 @@
 func (p places) controlRegion(control int) int { return control * p.regions / controlMachines }
 
 // regionOf is the region of an end of a link that carries configuration.
-func (p places) regionOf(e rolloutsim.Endpoint) int {
+func (p places) regionOf(e configsim.Endpoint) int {
 	if e.Control {
 		return p.controlRegion(e.Index)
 	}
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"thymebend/internal/fleetwire"
+	"thymebend/internal/gossipcodec"
 	"thymebend/internal/lab/cputime"
 )
 
@@ -190,7 +190,7 @@
 			if node.View == nil || r.sim.Now()-r.knowledge.born[subject] < removalGrace || r.sim.Net.Cut(n, subject) {
 				continue
 			}
-			if m, known := r.sim.Nodes[n].View.Find(node.Name); known && m.State == fleetwire.Gone {
+			if m, known := r.sim.Nodes[n].View.Find(node.Name); known && m.State == gossipcodec.Gone {
 				pair := [2]int{n, subject}
 				if now[pair] = true; !r.removed[pair] {
 					r.result.Removals++
--- a/internal/lab/virtual/agents.go
+++ b/internal/lab/simulation/agents.go
@@ -1,9 +1,9 @@
-package virtual
+package simulation
 
 import (
 	"time"
 
-	"thymebend/internal/lab/roster"
+	"thymebend/internal/lab/registry"
 )
 
 // Where lists are pushed, each gateway's machine has an agent: it answers at once with the list that it has been sent,
@@ -15,10 +15,10 @@
 
 // agent is one machine's agent.
 type agent struct {
-	d    *discovery
+	d    *discoveryServer
 	via  int
-	list *roster.Roster
-	past []*roster.Roster // as it was before, oldest first
+	list *registry.Roster
+	past []*registry.Roster // as it was before, oldest first
 	away bool
 
 	written int           // the version that its gateway was written last, if it lives
@@ -33,7 +33,7 @@
 const mostPast = 6
 
 // of is the list that a gateway's calls are answered from: its agent's, or discovery's own where it is asked.
-func (d *discovery) of(via int) *roster.Roster {
+func (d *discoveryServer) of(via int) *registry.Roster {
 	if len(d.agents) == 0 {
 		return d.list
 	}
@@ -41,7 +41,7 @@
 }
 
 // told is when a gateway was told, or counts as told, that a host drains or is gone.
-func (d *discovery) told(gateway int, host string) (roster.Told, bool) {
+func (d *discoveryServer) told(gateway int, host string) (registry.Told, bool) {
 	t, ok := d.of(gateway).Told(gatewayName(gateway), host)
 	if by, over := d.latest.told(host); over && (!ok || by.At < t.At) {
 		return by, true
@@ -50,12 +50,12 @@
 }
 
 // forget drops what a gateway was told, as one that has restarted knows it no more.
-func (d *discovery) forget(gateway int) {
+func (d *discoveryServer) forget(gateway int) {
 	d.of(gateway).Forget(gatewayName(gateway))
 }
 
 // push sends the list as it stands to every agent.
-func (d *discovery) push() {
+func (d *discoveryServer) push() {
 	for _, a := range d.agents {
 		d.w.sim.After(time.Duration(d.w.sim.Rand.Int64N(int64(pushSpread))), a.sent)
 	}
--- a/internal/lab/virtual/beliefs.go
+++ b/internal/lab/simulation/beliefs.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
@@ -6,11 +6,11 @@
 	"strings"
 	"time"
 
-	"thymebend/internal/fleetfile"
-	"thymebend/internal/fleetwire"
 	"thymebend/internal/gateway"
-	"thymebend/internal/lab/views"
-	"thymebend/internal/members"
+	"thymebend/internal/gossipcodec"
+	"thymebend/internal/gossipconfig"
+	"thymebend/internal/lab/membershipcheck"
+	"thymebend/internal/membership"
 )
 
 // Gateways that know of each other: each has a fleet file, the network carries their datagrams, and what they believe is
@@ -30,7 +30,7 @@
 // beliefs is what the world knows of its gateways' views; nil where they have none.
 type beliefs struct {
 	w       *world
-	history *views.History
+	history *membershipcheck.History
 	names   []string
 	index   map[string]int
 	cuts    []func(from, to int) bool // in force
@@ -43,7 +43,7 @@
 	pid int
 	gw  *gateway.Gateway
 
-	view   *members.View // at the last look
+	view   *membership.View // at the last look
 	joined int
 }
 
@@ -57,7 +57,7 @@
 		b.names = append(b.names, gatewayName(n))
 		b.index[gatewayName(n)] = n
 	}
-	b.history = views.NewHistory(b.names)
+	b.history = membershipcheck.NewHistory(b.names)
 	if w.plan.Shares {
 		b.history.Tells()
 	}
@@ -66,7 +66,7 @@
 	if w.plan.LoseData > 0 {
 		for x := range b.names {
 			for y := range b.names {
-				b.history.Path(x, y, views.PathAt{Loss: w.plan.LoseData})
+				b.history.Path(x, y, membershipcheck.PathAt{Loss: w.plan.LoseData})
 			}
 		}
 	}
@@ -106,8 +106,8 @@
 	return []byte(out.String())
 }
 
-func (b *beliefs) file(n int) *fleetfile.File {
-	f, err := fleetfile.Parse(b.path(n), b.text(n), b.names[n])
+func (b *beliefs) file(n int) *gossipconfig.File {
+	f, err := gossipconfig.Parse(b.path(n), b.text(n), b.names[n])
 	if err != nil {
 		panic(err) // the text is ours
 	}
@@ -138,14 +138,14 @@
 				p.view, p.joined = v, p.joined+1
 			}
 			st := v.Status(b.w.sim.Now())
-			l := views.Look{At: b.w.sim.Since(), Gateway: m.n, PID: p.pid, Speaking: true, Joined: p.joined, Settled: st.Settled, Majority: st.Majority, Twin: st.Twin,
-				Alive: st.Alive, Sent: v.Counts().SentBytes, States: make([]views.Held, len(b.names))}
+			l := membershipcheck.Look{At: b.w.sim.Since(), Gateway: m.n, PID: p.pid, Speaking: true, Joined: p.joined, Settled: st.Settled, Majority: st.Majority, Twin: st.Twin,
+				Alive: st.Alive, Sent: v.Counts().SentBytes, States: make([]membershipcheck.Held, len(b.names))}
 			for _, o := range v.Members() {
 				i, ok := b.index[o.Name]
 				if !ok {
 					l.Strange++
 				} else {
-					l.States[i] = views.Held{State: o.State.String(), Start: o.Start, Incarnation: o.Incarnation, Since: o.Since - epoch,
+					l.States[i] = membershipcheck.Held{State: o.State.String(), Start: o.Start, Incarnation: o.Incarnation, Since: o.Since - epoch,
 						Previous: o.Previous.String(), SuspectedBy: o.SuspectedBy}
 				}
 			}
@@ -187,7 +187,7 @@
 	for x := range b.names {
 		for y := range b.names {
 			if is := b.cut(x, y); x != y && is != was[[2]int{x, y}] {
-				b.history.Path(x, y, views.PathAt{At: b.w.sim.Since(), Cut: is, Loss: b.w.plan.LoseData})
+				b.history.Path(x, y, membershipcheck.PathAt{At: b.w.sim.Since(), Cut: is, Loss: b.w.plan.LoseData})
 			}
 		}
 	}
@@ -210,7 +210,7 @@
 // judge finds the rules on views that were broken.
 func (b *beliefs) judge() {
 	b.done = true
-	for _, f := range views.Judge(b.history) {
+	for _, f := range membershipcheck.Judge(b.history) {
 		b.w.find(f.Rule, f.ID, "%s", f.Detail)
 	}
 }
@@ -219,12 +219,12 @@
 func (b *beliefs) nonsense(n int) {
 	r := b.w.sim.Rand
 	from := &dsock{addr: fleetAddr((n + 1) % len(b.names))}
-	foreign := fleetwire.Append(nil, &fleetwire.Message{Fleet: "other", From: gatewayName((n + 1) % len(b.names)), Start: 1 << 45, Kind: fleetwire.Gossip})
+	foreign := gossipcodec.Append(nil, &gossipcodec.Message{Fleet: "other", From: gatewayName((n + 1) % len(b.names)), Start: 1 << 45, Kind: gossipcodec.Gossip})
 	noise := make([]byte, r.IntN(300))
 	for i := range noise {
 		noise[i] = byte(r.Uint32())
 	}
-	whole := fleetwire.Append(nil, &fleetwire.Message{Fleet: "virtual", From: "nobody", Start: 1 << 45, Kind: fleetwire.Ping, Seq: 9})
+	whole := gossipcodec.Append(nil, &gossipcodec.Message{Fleet: "virtual", From: "nobody", Start: 1 << 45, Kind: gossipcodec.Ping, Seq: 9})
 	for _, data := range [][]byte{foreign, noise, whole, whole[:len(whole)/2]} {
 		b.w.net.datagram(from, fleetAddr(n), data)
 	}
--- a/internal/lab/virtual/callqueue_test.go
+++ b/internal/lab/simulation/callqueue_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"bytes"
@@ -12,8 +12,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"thymebend/internal/lab/ledger"
-	"thymebend/internal/lab/roster"
+	"thymebend/internal/lab/registry"
+	"thymebend/internal/lab/requestrecord"
 	"thymebend/internal/loop"
 )
 
@@ -54,19 +54,19 @@
 	latest := &toldBy{sim: sim, work: 100 * time.Millisecond}
 	start := sim.Now()
 	after := func(d time.Duration) time.Duration { sim.Run(start + d); return d }
-	latest.changed(roster.Entry{Host: "a", State: roster.Draining})
+	latest.changed(registry.Entry{Host: "a", State: registry.Draining})
 	latest.caused(20)
 	after(3 * time.Second)
-	latest.changed(roster.Entry{Host: "a", State: roster.Removed}) // the first notice counts
+	latest.changed(registry.Entry{Host: "a", State: registry.Removed}) // the first notice counts
 	after(5999 * time.Millisecond)
 	if told, ok := latest.told("a"); ok {
 		t.Errorf("told early: %v", told)
 	}
 	after(toldAtTheLatest)
-	if told, ok := latest.told("a"); !ok || told.At != start+toldAtTheLatest || told.State != roster.Draining {
+	if told, ok := latest.told("a"); !ok || told.At != start+toldAtTheLatest || told.State != registry.Draining {
 		t.Errorf("%v, %v", told, ok)
 	}
-	latest.changed(roster.Entry{Host: "b", State: roster.Draining})
+	latest.changed(registry.Entry{Host: "b", State: registry.Draining})
 	from := after(7 * time.Second)
 	latest.caused(100) // 10 s of work
 	after(25 * time.Second)
@@ -76,7 +76,7 @@
 	if told, ok := latest.told("a"); !ok || told.At != start+toldAtTheLatest {
 		t.Errorf("what was told is put off: %v, %v", told, ok)
 	}
-	latest.changed(roster.Entry{Host: "a", State: roster.Up})
+	latest.changed(registry.Entry{Host: "a", State: registry.Up})
 	if _, ok := latest.told("a"); ok {
 		t.Error("a host that is up counts as leaving")
 	}
@@ -96,7 +96,7 @@
 }
 
 // listed is the gateways that have a watch with a list.
-func (d *discovery) listed() map[int]bool {
+func (d *discoveryServer) listed() map[int]bool {
 	list := make(map[int]bool)
 	for _, c := range d.watches {
 		if c.told && !c.end.closed {
@@ -111,7 +111,7 @@
 	calls := CallQueue{LinesPerSecond: 1000, CallLines: 20, HostLines: 1, TimeoutMS: 3000, EndWatches: 1, WholeFirst: true}
 	w := watchers(t, calls)
 	before := slices.Clone(w.disc.watches)
-	w.list(w.hosts[0], roster.Draining, false)
+	w.list(w.hosts[0], registry.Draining, false)
 	w.sim.Run(w.sim.Now() + time.Millisecond)
 	for _, c := range before {
 		if !c.end.closed {
@@ -219,7 +219,7 @@
 func TestCallsGivenUpInTheQueueAreCaught(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		o := play(draw(t, seed, discoveryLoadProfile), nil, makeImpatient)
-		if slices.ContainsFunc(o.Findings, func(f Finding) bool { return f.Rule == ledger.LateToDrained }) {
+		if slices.ContainsFunc(o.Findings, func(f Finding) bool { return f.Rule == requestrecord.LateToDrained }) {
 			t.Logf("caught at seed %d", seed)
 			return
 		}
--- a/internal/lab/virtual/calls_test.go
+++ b/internal/lab/simulation/calls_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// caller is a gateway that calls a registry, and when it did.
+// caller is a gateway that calls a scriptedDiscovery, and when it did.
 type caller struct {
-	registry
+	scriptedDiscovery
 	calledAt []time.Duration // since the play's start
 	toldAt   []time.Duration
 }
 
-// newCaller prepares a registry that treats calls one by one as listed, and those after the list as served.
+// newCaller prepares a scriptedDiscovery that treats calls one by one as listed, and those after the list as served.
 func newCaller(seed uint64, calls ...treat) *caller {
 	sim := NewSim(seed, nil)
-	c := &caller{registry: registry{sim: sim, net: NewNet(sim), at: netip.MustParseAddrPort("10.2.0.1:8500"), open: make(map[*End]bool)}}
+	c := &caller{scriptedDiscovery: scriptedDiscovery{sim: sim, net: NewNet(sim), at: netip.MustParseAddrPort("10.2.0.1:8500"), open: make(map[*End]bool)}}
 	c.told = func() { c.toldAt = append(c.toldAt, sim.Now()-epoch) }
 	c.treat = func(call int) treat {
 		if call > 0 && len(c.calledAt) < call {
--- a/internal/lab/virtual/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"thymebend/internal/lab/ledger"
+	"thymebend/internal/lab/requestrecord"
 )
 
 // slack is how much later than its patience a client still looks, as for every time limit on sockets.
@@ -55,7 +55,7 @@
 		class = "bid-lodge"
 	}
 	c.strict = w.strict
-	_ = w.clients.Add(ledger.Try{ID: c.id, Request: n, Number: try, Class: class, Unsafe: r.Unsafe || c.strict, Target: c.gw.name,
+	_ = w.clients.Add(requestrecord.Try{ID: c.id, Request: n, Number: try, Class: class, Unsafe: r.Unsafe || c.strict, Target: c.gw.name,
 		Due: w.sim.Now()})
 	w.sim.Note("client %s asks %s", c.id, c.gw.name)
 	w.asked++
@@ -244,7 +244,7 @@
 func (c *client) wasSent() {
 	c.sent = true
 	now := c.w.sim.Now()
-	c.w.clients.Update(c.id, func(t *ledger.Try) { t.Whole, t.Sent = true, now })
+	c.w.clients.Update(c.id, func(t *requestrecord.Try) { t.Whole, t.Sent = true, now })
 	c.w.sim.After(msec(c.req.Patient)+slack, func() { c.finish("silence") })
 }
 
@@ -259,7 +259,7 @@
 	if len(c.inbox) > 0 {
 		if status, body, keep, extra, whole := answer(c.inbox, c.end.fin); whole {
 			if extra { // an answer that nobody asked for
-				c.w.clients.Update(c.id, func(t *ledger.Try) { t.Answers++ })
+				c.w.clients.Update(c.id, func(t *requestrecord.Try) { t.Answers++ })
 			}
 			c.answered(status, body, keep && !extra)
 			return
@@ -304,15 +304,15 @@
 	if (status == 400 || status == 404 || status == 405 || status == 413) && (c.req.Act == "" || c.req.Act == "trickle") {
 		c.w.find(Wronged, c.id, "a good request got %d", status)
 	}
-	c.w.sim.Note("client %s got %d %x", c.id, status, ledger.Hash(body))
-	c.w.clients.Update(c.id, func(t *ledger.Try) {
+	c.w.sim.Note("client %s got %d %x", c.id, status, requestrecord.Hash(body))
+	c.w.clients.Update(c.id, func(t *requestrecord.Try) {
 		t.Answers++
-		t.Status, t.Hash = status, ledger.Hash(body)
+		t.Status, t.Hash = status, requestrecord.Hash(body)
 	})
 	c.w.statuses[status]++
 	c.over = true
 	now := c.w.sim.Now()
-	c.w.clients.Update(c.id, func(t *ledger.Try) { t.Ended = now })
+	c.w.clients.Update(c.id, func(t *requestrecord.Try) { t.Ended = now })
 	if keep {
 		c.keep()
 	} else {
@@ -340,7 +340,7 @@
 	c.end.ready = func() {
 		if len(l.end.inbox) > 0 {
 			l.end.Read(1 << 20)
-			c.w.clients.Update(id, func(t *ledger.Try) { t.Answers++ })
+			c.w.clients.Update(id, func(t *requestrecord.Try) { t.Answers++ })
 		}
 		if l.end.Gone() {
 			// What counts is when the gateway ended it, not when that shows.
@@ -374,7 +374,7 @@
 	}
 	if c.used && !c.crossed && len(c.inbox) == 0 && c.end.reset && !c.end.cut {
 		c.crossed, c.sent = true, false
-		c.w.clients.Update(c.id, func(t *ledger.Try) { t.Whole = false })
+		c.w.clients.Update(c.id, func(t *requestrecord.Try) { t.Whole = false })
 		c.end.Close()
 		c.dial()
 		return
@@ -396,7 +396,7 @@
 	c.over = true
 	c.w.sim.Note("client %s ends: %s", c.id, why)
 	now := c.w.sim.Now()
-	c.w.clients.Update(c.id, func(t *ledger.Try) { t.Ended, t.Cause = now, why })
+	c.w.clients.Update(c.id, func(t *requestrecord.Try) { t.Ended, t.Cause = now, why })
 	if c.end != nil {
 		c.end.ready = nil
 		c.end.Close()
--- a/internal/lab/virtual/datagrams.go
+++ b/internal/lab/simulation/datagrams.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"cmp"
--- a/internal/lab/virtual/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"thymebend/internal/lab/roster"
+	"thymebend/internal/lab/registry"
 )
 
 // beatEvery is how often discovery writes an empty line while nothing changes.
@@ -16,9 +16,9 @@
 const moveGrace = 1500 * time.Millisecond
 
 // discovery plays discovery: the roster behind a listener for each gateway.
-type discovery struct {
+type discoveryServer struct {
 	w       *world
-	list    *roster.Roster
+	list    *registry.Roster
 	doors   []*Listener
 	addrs   []netip.AddrPort
 	port    uint16
@@ -43,7 +43,7 @@
 	silent  time.Duration // it is written nothing until then
 }
 
-func (d *discovery) open(via int) {
+func (d *discoveryServer) open(via int) {
 	d.port++
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 2, byte(via), 1 + byte(via>>8)}), d.port)
 	var l *Listener
@@ -76,7 +76,7 @@
 	d.doors[via], d.addrs[via] = l, addr
 }
 
-func (d *discovery) drop(c *watch) {
+func (d *discoveryServer) drop(c *watch) {
 	c.end.Close()
 	for i, x := range d.watches {
 		if x == c {
@@ -86,7 +86,7 @@
 	}
 }
 
-func (d *discovery) heard(c *watch) {
+func (d *discoveryServer) heard(c *watch) {
 	c.inbox = append(c.inbox, c.end.Read(1<<16)...)
 	if c.end.Gone() {
 		d.drop(c)
@@ -113,10 +113,12 @@
 }
 
 // wholeFirst tells whether a watch is to be answered with the whole list without draining hosts.
-func (d *discovery) wholeFirst(c *watch) bool { return d.queue != nil && d.queue.WholeFirst && !c.told }
+func (d *discoveryServer) wholeFirst(c *watch) bool {
+	return d.queue != nil && d.queue.WholeFirst && !c.told
+}
 
 // hostsFor is how many hosts the next line of a watch names.
-func (d *discovery) hostsFor(c *watch) int {
+func (d *discoveryServer) hostsFor(c *watch) int {
 	if d.wholeFirst(c) {
 		return d.of(c.via).ServingCount()
 	}
@@ -124,7 +126,7 @@
 }
 
 // answer begins a watch, or refuses it.
-func (d *discovery) answer(c *watch, served bool) {
+func (d *discoveryServer) answer(c *watch, served bool) {
 	if c.end.closed || c.end.reset {
 		return
 	}
@@ -140,7 +142,7 @@
 }
 
 // tell writes what the watch has not been told.
-func (d *discovery) tell(c *watch) {
+func (d *discoveryServer) tell(c *watch) {
 	list := d.of(c.via)
 	if d.mute && len(d.agents) == 0 || d.w.sim.Now() < c.silent || !c.started || c.told && list.Seq() <= c.after {
 		return
@@ -165,13 +167,13 @@
 	}
 }
 
-func (d *discovery) write(c *watch, line []byte) {
+func (d *discoveryServer) write(c *watch, line []byte) {
 	c.spoke = d.w.sim.Now()
 	d.w.sim.Note("discovery tells %s %.600s", gatewayName(c.via), line)
 	_, _ = c.end.Write(append(append(fmt.Appendf(nil, "%x\r\n", len(line)+1), line...), "\n\r\n"...))
 }
 
-func (d *discovery) beat(c *watch) {
+func (d *discoveryServer) beat(c *watch) {
 	d.w.sim.After(beatEvery, func() {
 		if c.end.closed || c.end.reset {
 			return
@@ -183,7 +185,7 @@
 	})
 }
 
-func (d *discovery) put(e roster.Entry) {
+func (d *discoveryServer) put(e registry.Entry) {
 	d.w.sim.After(d.lag, func() {
 		d.list.Put(e)
 		d.latest.changed(e)
@@ -193,13 +195,13 @@
 	})
 }
 
-func (d *discovery) tellAll() {
+func (d *discoveryServer) tellAll() {
 	for _, c := range append([]*watch(nil), d.watches...) {
 		d.tell(c)
 	}
 }
 
-func (d *discovery) setDown(on bool) {
+func (d *discoveryServer) setDown(on bool) {
 	if d.down = on; on && len(d.agents) == 0 {
 		d.reset(func(*watch) bool { return true })
 	}
@@ -209,7 +211,7 @@
 }
 
 // reset resets watches and returns how many.
-func (d *discovery) reset(which func(*watch) bool) (count int) {
+func (d *discoveryServer) reset(which func(*watch) bool) (count int) {
 	for _, c := range append([]*watch(nil), d.watches...) {
 		if which(c) {
 			c.end.Reset()
@@ -221,12 +223,12 @@
 }
 
 // resetOpen resets all watches that stand. Calls that wait in the queue stay there.
-func (d *discovery) resetOpen() {
+func (d *discoveryServer) resetOpen() {
 	d.latest.caused(d.reset(func(c *watch) bool { return c.told }))
 }
 
 // silence has all watches that stand be written nothing for a while. Calls are answered as ever.
-func (d *discovery) silence(length time.Duration) {
+func (d *discoveryServer) silence(length time.Duration) {
 	count := 0
 	for _, c := range d.watches {
 		if c.told {
@@ -239,7 +241,7 @@
 }
 
 // end ends a watch whose gateway then has to call again to hear of a change.
-func (d *discovery) end(c *watch) {
+func (d *discoveryServer) end(c *watch) {
 	_, _ = c.end.Write([]byte("0\r\n\r\n"))
 	d.drop(c)
 	d.latest.caused(1)
--- a/internal/lab/virtual/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"encoding/json"
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"thymebend/internal/lab/ledger"
-	"thymebend/internal/lab/roster"
+	"thymebend/internal/lab/registry"
+	"thymebend/internal/lab/requestrecord"
 	"thymebend/internal/loop"
 )
 
@@ -242,14 +242,14 @@
 			w.sim.After(w.disc.lag+10*time.Millisecond, func() { w.back(h, 0) })
 			return
 		}
-		w.list(h, roster.Removed, false)
+		w.list(h, registry.Removed, false)
 		w.sim.After(msec(f.ForMS), func() { w.back(h, w.disc.lag) })
 	case "host-drain", "host-replace":
 		if !h.up || h.leaving {
 			return
 		}
 		h.leaving = true // who leaves does not come back: its address may soon be another's
-		w.list(h, roster.Draining, false)
+		w.list(h, registry.Draining, false)
 		w.sim.After(w.disc.lag+drainGrace+500*time.Millisecond, func() {
 			h.model.Drain(w.sim.Now(), true)
 		})
@@ -257,7 +257,7 @@
 			if h.gone {
 				return
 			}
-			w.list(h, roster.Removed, false)
+			w.list(h, registry.Removed, false)
 			w.sim.After(w.disc.lag+500*time.Millisecond, func() {
 				if h.gone {
 					return
@@ -316,15 +316,15 @@
 	h.start(true)
 	was := w.disc.lag
 	w.disc.lag = lag
-	w.list(h, roster.Up, true)
+	w.list(h, registry.Up, true)
 	w.disc.lag = was
 }
 
 // addHostAt puts a new host with a name of its own in another's place, at its addresses.
 func (w *world) addHostAt(place, n int, addrs []netip.AddrPort) {
 	spec := w.file.Spec(w.zone(place), n)
-	h := &host{w: w, n: place, name: spec.Name, spec: spec, ledger: ledger.NewHost(spec.Name), addrs: addrs, share: make(map[string]float64)}
+	h := &host{w: w, n: place, name: spec.Name, spec: spec, ledger: requestrecord.NewHost(spec.Name), addrs: addrs, share: make(map[string]float64)}
 	h.start(true)
 	w.hosts[place] = h
-	w.list(h, roster.Up, true)
+	w.list(h, registry.Up, true)
 }
--- a/internal/lab/virtual/fleetrates.go
+++ b/internal/lab/simulation/fleetrates.go
@@ -1,10 +1,10 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
 	"time"
 
-	"thymebend/internal/lab/roster"
+	"thymebend/internal/lab/registry"
 )
 
 // Standing checks of a fleet: what all gateways together ask of one host or of discovery within one second. A gateway alone
@@ -56,7 +56,7 @@
 			continue
 		}
 		all++
-		if e, ok := w.disc.list.Find(h.name); ok && h.up && e.State == roster.Up {
+		if e, ok := w.disc.list.Find(h.name); ok && h.up && e.State == registry.Up {
 			left++
 		}
 	}
--- a/internal/lab/virtual/fleetrates_test.go
+++ b/internal/lab/simulation/fleetrates_test.go
@@ -1,9 +1,9 @@
-package virtual
+package simulation
 
 import (
 	"testing"
 
-	"thymebend/internal/lab/roster"
+	"thymebend/internal/lab/registry"
 )
 
 // twoZones is a world of twelve hosts that all run: eight in the first zone, four in the second. It counts what is asked of them.
@@ -11,7 +11,7 @@
 	t.Helper()
 	w := newWorld(Plan{Seed: 1, Gateways: 2, Hosts: 12, Sockets: 200, Zones: 2, LatencyUS: 200}, nil, nil)
 	w.rates = newFleetRates(w)
-	w.disc = &discovery{w: w, list: roster.New()}
+	w.disc = &discoveryServer{w: w, list: registry.New()}
 	for n := range w.plan.Hosts {
 		w.addHost(n, nil, false)
 	}
--- a/internal/lab/virtual/hosts.go
+++ b/internal/lab/simulation/hosts.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"bufio"
@@ -13,9 +13,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"thymebend/internal/lab/fleet"
-	"thymebend/internal/lab/ledger"
-	"thymebend/internal/lab/standin"
+	"thymebend/internal/lab/emulation"
+	"thymebend/internal/lab/hostmodel"
+	"thymebend/internal/lab/requestrecord"
 )
 
 // message takes one whole request from what a connection brought; ok is false while it is not whole.
@@ -41,9 +41,9 @@
 	w       *world
 	n       int
 	name    string
-	spec    fleet.Spec
-	model   *fleet.Host
-	ledger  *ledger.Host
+	spec    hostmodel.Spec
+	model   *hostmodel.Host
+	ledger  *requestrecord.Host
 	doors   []*Listener
 	addrs   []netip.AddrPort
 	conns   []*hostConn // open ones, oldest first
@@ -68,7 +68,7 @@
 	inbox   []byte
 	first   time.Duration // when the first byte of the request was sent
 	busy    bool
-	model   *fleet.Host
+	model   *hostmodel.Host
 	closing bool
 	pad     int
 	chunks  bool
@@ -79,7 +79,7 @@
 func (h *host) zone() int { return zoneOfHost(h.n, h.w.plan.hostZones()) }
 
 func (h *host) start(cold bool) {
-	model, err := fleet.New(h.spec, h.w.sim.Rand.Uint64(), h.w.sim.Now(), cold, h.ledger)
+	model, err := hostmodel.New(h.spec, h.w.sim.Rand.Uint64(), h.w.sim.Now(), cold, h.ledger)
 	if err != nil {
 		panic(err) // plans hold no such spec
 	}
@@ -184,7 +184,7 @@
 	now := h.w.sim.Now()
 	h.w.arrived(h, c.via, id, c.first)
 	h.w.cold(h, h.w.sim.Now())
-	token := h.model.Arrive(now, fleet.Request{ID: id, Class: class})
+	token := h.model.Arrive(now, hostmodel.Request{ID: id, Class: class})
 	h.w.sim.Note("host %s got %s from %d", h.name, id, c.via)
 	h.waits[token] = c
 	c.pad, _ = strconv.Atoi(r.URL.Query().Get("pad"))
@@ -223,11 +223,11 @@
 	}
 }
 
-func (h *host) answer(c *hostConn, r fleet.Reply) {
+func (h *host) answer(c *hostConn, r hostmodel.Reply) {
 	c.busy = false
 	load := ""
 	if l, ok := h.model.Report(h.w.sim.Now()); ok {
-		f := standin.DefaultFields()
+		f := emulation.DefaultFields()
 		load = fmt.Sprintf("Endpoint-Load-Metrics: TEXT %s=%.3g, %s=%.3g\r\n", f.InFlight, l.InFlight, f.Queue, l.Queue)
 	}
 	say := func(status int, fields string, body []byte) []byte {
@@ -235,12 +235,12 @@
 	}
 	var out []byte
 	switch r.Kind {
-	case fleet.Lost:
+	case hostmodel.Lost:
 		c.end.Reset()
 		return
-	case fleet.TurnedAway:
+	case hostmodel.TurnedAway:
 		out = say(503, "X-Never-Ran: 1\r\n", nil)
-	case fleet.Errored:
+	case hostmodel.Errored:
 		out = say(500, "", nil)
 	default:
 		out = say(200, "", r.Body)
@@ -261,7 +261,7 @@
 			}
 		}
 	}
-	if c.pad > 0 && r.Kind != fleet.TurnedAway && h.w.sim.Chance(h.share["host-half"]) {
+	if c.pad > 0 && r.Kind != hostmodel.TurnedAway && h.w.sim.Chance(h.share["host-half"]) {
 		h.write(c, out[:len(out)/2])
 		c.closing = true
 		h.w.sim.After(20*time.Millisecond, func() { c.end.Close(); h.drop(c) })
--- a/internal/lab/virtual/hunt_test.go
+++ b/internal/lab/simulation/hunt_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"go/ast"
@@ -32,8 +32,8 @@
 	allowed := ordered()
 	fset := token.NewFileSet()
 	imports := importer.ForCompiler(fset, "source", nil)
-	for _, dir := range []string{".", "internal/gateway", "internal/clients", "internal/servers", "internal/hostgroup", "internal/http1",
-		"internal/operators", "internal/handover", "internal/shares", "internal/signals", "internal/turns", "internal/subset",
+	for _, dir := range []string{".", "internal/gateway", "internal/downstream", "internal/upstream", "internal/discovery", "internal/http1",
+		"internal/admin", "internal/hotrestart", "internal/assignment", "internal/loadreport", "internal/tokenschedule", "internal/subset",
 		"internal/settings"} {
 		names, err := filepath.Glob(filepath.Join("../../..", dir, "*.go"))
 		if err != nil || len(names) == 0 {
--- a/internal/lab/virtual/judge.go
+++ b/internal/lab/simulation/judge.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"thymebend/internal/lab/ledger"
+	"thymebend/internal/lab/requestrecord"
 	"thymebend/internal/loop"
 )
 
@@ -22,7 +22,7 @@
 func (w *world) arrived(h *host, via int, id string, first time.Duration) {
 	w.rates.send(h)
 	if told, ok := w.disc.told(via, h.name); ok && first-told.At > drainGrace {
-		w.find(ledger.LateToDrained, id, "%s got it from %s %v after it counted as told %s", h.name, gatewayName(via), first-told.At, told.State)
+		w.find(requestrecord.LateToDrained, id, "%s got it from %s %v after it counted as told %s", h.name, gatewayName(via), first-told.At, told.State)
 	}
 }
 
@@ -80,7 +80,7 @@
 	}
 }
 
-func (w *world) excused(t ledger.Try) bool {
+func (w *world) excused(t requestrecord.Try) bool {
 	if t.Cause == "cut by the network" || t.Cause == "left" || t.Cause == "half a large answer" {
 		return true
 	}
@@ -100,15 +100,15 @@
 }
 
 func (w *world) compare() {
-	var hosts []*ledger.Host
+	var hosts []*requestrecord.Host
 	for _, h := range w.hosts {
 		hosts = append(hosts, h.ledger)
 		if h.model.ColdPeak() > 1 {
-			w.find(ledger.PushedOver, h.name, "sent %.2f times the most that it survives while cold", h.model.ColdPeak())
+			w.find(requestrecord.PushedOver, h.name, "sent %.2f times the most that it survives while cold", h.model.ColdPeak())
 		}
 	}
 	hosts = append(hosts, w.former...)
-	found, _ := ledger.Compare(w.clients.Tries(), hosts, w.excused)
+	found, _ := requestrecord.Compare(w.clients.Tries(), hosts, w.excused)
 	for _, f := range found {
 		w.find(f.Rule, f.ID, "%s", f.Detail)
 	}
--- a/internal/lab/virtual/measure.go
+++ b/internal/lab/simulation/measure.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"context"
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"thymebend/internal/fleetwire"
-	"thymebend/internal/hostgroup"
+	"thymebend/internal/discovery"
+	"thymebend/internal/gossipcodec"
+	"thymebend/internal/loadreport"
 	"thymebend/internal/loop"
-	"thymebend/internal/signals"
 )
 
 // PortionFigures are what a division of hosts by the fleet's view comes to in a run without other troubles.
@@ -103,7 +103,7 @@
 
 // known is the share of the gateways that use a host which have ejected it themselves, or are told to doubt it.
 func (w *world) known(h *host) float64 {
-	id := hostgroup.Identity(h.name)
+	id := discovery.Identity(h.name)
 	users, know := 0, 0
 	for _, m := range w.gateways {
 		if !m.up || m.process.gw == nil || m.process.gw.Portion() == nil {
@@ -141,24 +141,24 @@
 
 // withoutBad is a datagram in which nobody names bad hosts.
 func withoutBad(data []byte) []byte {
-	return reword(data, func(c *fleetwire.Claim) {
-		if s, err := signals.Parse(c.Payload); err == nil && len(s.Bad) > 0 {
+	return reword(data, func(c *gossipcodec.Claim) {
+		if s, err := loadreport.Parse(c.Payload); err == nil && len(s.Bad) > 0 {
 			s.Bad = nil
-			c.Payload = signals.Append(nil, s)
+			c.Payload = loadreport.Append(nil, s)
 		}
 	})
 }
 
 // reword changes the claims of a datagram. One that no longer fits is left out.
-func reword(data []byte, change func(*fleetwire.Claim)) []byte {
-	m, err := fleetwire.Parse(data)
+func reword(data []byte, change func(*gossipcodec.Claim)) []byte {
+	m, err := gossipcodec.Parse(data)
 	if err != nil {
 		return data
 	}
-	out := fleetwire.Append(nil, m)
+	out := gossipcodec.Append(nil, m)
 	for i := range m.News {
 		change(&m.News[i])
-		out, _ = fleetwire.AppendClaim(out, &m.News[i])
+		out, _ = gossipcodec.AppendClaim(out, &m.News[i])
 	}
 	return out
 }
--- a/internal/lab/virtual/portions.go
+++ b/internal/lab/simulation/portions.go
@@ -1,12 +1,12 @@
-package virtual
+package simulation
 
 import (
 	"math"
 	"time"
 
-	"thymebend/internal/hostgroup"
-	"thymebend/internal/lab/roster"
-	"thymebend/internal/shares"
+	"thymebend/internal/assignment"
+	"thymebend/internal/discovery"
+	"thymebend/internal/lab/registry"
 )
 
 // Gateways that divide hosts by their view: what all of them together send a cold host is held against its turns, and at the
@@ -80,11 +80,11 @@
 		if !v.Status(w.sim.Now()).Settled {
 			continue // the rules on views speak of that
 		}
-		if k == nil || k.Stage() == shares.Waiting {
+		if k == nil || k.Stage() == assignment.Waiting {
 			w.find(Undivided, m.name, "its view is settled, and its portion %v", stageOf(k))
 			continue
 		}
-		if k.Stage() != shares.Settled {
+		if k.Stage() != assignment.Settled {
 			continue // traffic that fades moves demand: both divisions count for a second
 		}
 		settled++
@@ -97,16 +97,16 @@
 	}
 	for _, h := range w.hosts {
 		e, ok := w.disc.list.Find(h.name)
-		if !h.up || h.gone || !ok || e.State != roster.Up || e.Born > 0 && w.sim.Now() < time.Duration(e.Born)*time.Millisecond+h.spec.Cold.For+time.Second {
+		if !h.up || h.gone || !ok || e.State != registry.Up || e.Born > 0 && w.sim.Now() < time.Duration(e.Born)*time.Millisecond+h.spec.Cold.For+time.Second {
 			continue
 		}
-		if sum := sums[uint64(hostgroup.Identity(h.name))]; sum < 0.999 || sum > 1.001 {
+		if sum := sums[uint64(discovery.Identity(h.name))]; sum < 0.999 || sum > 1.001 {
 			w.find(NotWhole, h.name, "the gateways' parts of it add up to %.4f", sum)
 		}
 	}
 }
 
-func stageOf(k *shares.Keeper) string {
+func stageOf(k *assignment.Keeper) string {
 	if k == nil {
 		return "none"
 	}
--- a/internal/lab/virtual/portions_test.go
+++ b/internal/lab/simulation/portions_test.go
@@ -1,13 +1,13 @@
-package virtual
+package simulation
 
 import (
 	"math/rand/v2"
 	"testing"
 
-	"thymebend/internal/fleetwire"
-	"thymebend/internal/hostgroup"
+	"thymebend/internal/discovery"
+	"thymebend/internal/gossipcodec"
+	"thymebend/internal/loadreport"
 	"thymebend/internal/loop"
-	"thymebend/internal/signals"
 )
 
 // telling changes the payload that one gateway tells of itself, in every datagram of its own.
@@ -23,8 +23,8 @@
 			if f.Op != loop.SendTo {
 				return []loop.Effect{f}
 			}
-			f.Data = reword(f.Data, func(c *fleetwire.Claim) {
-				if c.Name == name && c.State == fleetwire.Alive {
+			f.Data = reword(f.Data, func(c *gossipcodec.Claim) {
+				if c.Name == name && c.State == gossipcodec.Alive {
 					c.Payload = change(c.Payload)
 				}
 			})
@@ -58,16 +58,16 @@
 	p := steady(t)
 	var all []uint64
 	for n := range p.Hosts {
-		all = append(all, uint64(hostgroup.Identity(day(p).Spec(day(p).Hosts[0], n).Name)))
+		all = append(all, uint64(discovery.Identity(day(p).Spec(day(p).Hosts[0], n).Name)))
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	words := func(s signals.Signal) func([]byte) []byte {
+	words := func(s loadreport.Signal) func([]byte) []byte {
 		return func(was []byte) []byte {
-			if told, err := signals.Parse(was); err == nil {
+			if told, err := loadreport.Parse(was); err == nil {
 				s.Rules = told.Rules
 			}
 			s.Known = true
-			return signals.Append(nil, s)
+			return loadreport.Append(nil, s)
 		}
 	}
 	honest := Play(p, nil)
@@ -75,12 +75,12 @@
 		t.Fatalf("without a lie: %+v", honest)
 	}
 	for name, lie := range map[string]func([]byte) []byte{
-		"every host is bad":  words(signals.Signal{Demand: 50, Bad: signals.Marks(all)}),
-		"every host is idle": words(signals.Signal{Room: 1}),
-		"all traffic":        words(signals.Signal{Demand: 1e9, Refused: 1}),
-		"another file":       words(signals.Signal{Demand: 50, Rules: 1}),
+		"every host is bad":  words(loadreport.Signal{Demand: 50, Bad: loadreport.Marks(all)}),
+		"every host is idle": words(loadreport.Signal{Room: 1}),
+		"all traffic":        words(loadreport.Signal{Demand: 1e9, Refused: 1}),
+		"another file":       words(loadreport.Signal{Demand: 50, Rules: 1}),
 		"nonsense": func([]byte) []byte {
-			b := make([]byte, rng.IntN(fleetwire.MostPayload))
+			b := make([]byte, rng.IntN(gossipcodec.MostPayload))
 			for i := range b {
 				b[i] = byte(rng.Uint32())
 			}
--- a/internal/lab/virtual/times_test.go
+++ b/internal/lab/simulation/times_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"cmp"
@@ -36,8 +36,8 @@
 	expired              // 503 once it has waited its turn
 )
 
-// registry is a discovery of few words. Each call is treated as its place says; those after the last as the last.
-type registry struct {
+// scriptedDiscovery is a discovery of few words. Each call is treated as its place says; those after the last as the last.
+type scriptedDiscovery struct {
 	sim    *Sim
 	net    *Net
 	at     netip.AddrPort
@@ -54,7 +54,7 @@
 
 const registryLine = `{"seq":5,"whole":true,"hosts":[]}`
 
-func (r *registry) listen() {
+func (r *scriptedDiscovery) listen() {
 	r.ln = r.net.Listen(r.at, 64, &r.silent, func() {
 		for e := r.ln.Accept(); e != nil; e = r.ln.Accept() {
 			e.ready = func() { r.call(e) }
@@ -64,7 +64,7 @@
 }
 
 // prepare has the network be to the next call as it is treated.
-func (r *registry) prepare() {
+func (r *scriptedDiscovery) prepare() {
 	how := r.treat(r.calls)
 	r.silent = how == never
 	if r.ln != nil {
@@ -76,7 +76,7 @@
 	}
 }
 
-func (r *registry) call(e *End) {
+func (r *scriptedDiscovery) call(e *End) {
 	_, _, _, whole, _ := message(e.inbox)
 	if e.Gone() || !whole {
 		return
@@ -108,7 +108,7 @@
 const chunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 // serve answers a call with the list and then a beat every 2 s.
-func (r *registry) serve(e *End) {
+func (r *scriptedDiscovery) serve(e *End) {
 	if e.closed || e.reset || e.Gone() {
 		return
 	}
@@ -127,7 +127,7 @@
 	r.sim.After(beatEvery, beat)
 }
 
-// gatewayOn starts a gateway that asks, or is told by, a registry.
+// gatewayOn starts a gateway that asks, or is told by, a scriptedDiscovery.
 func gatewayOn(t *testing.T, sim *Sim, net *Net, at netip.AddrPort, mode string, wrap func(*Loop, loop.Reducer) loop.Reducer) *Loop {
 	t.Helper()
 	return gatewayOfFleet(t, sim, net, at, mode, 1, wrap)
@@ -229,7 +229,7 @@
 	net := NewNet(sim)
 	var from, told time.Duration
 	first, reachable := 0, false // its first call that counts
-	r := &registry{sim: sim, net: net, at: netip.MustParseAddrPort("10.2.0.1:8500"), open: make(map[*End]bool)}
+	r := &scriptedDiscovery{sim: sim, net: net, at: netip.MustParseAddrPort("10.2.0.1:8500"), open: make(map[*End]bool)}
 	r.told = func() {
 		if reachable && told == 0 {
 			told = sim.Now() + net.Latency
--- a/internal/lab/virtual/toldby.go
+++ b/internal/lab/simulation/toldby.go
@@ -1,9 +1,9 @@
-package virtual
+package simulation
 
 import (
 	"time"
 
-	"thymebend/internal/lab/roster"
+	"thymebend/internal/lab/registry"
 )
 
 // The rule on drains for a discovery that works through calls in turn: a change counts as told to every gateway at the latest
@@ -45,7 +45,7 @@
 }
 
 // changed notes a change of the list.
-func (t *toldBy) changed(e roster.Entry) {
+func (t *toldBy) changed(e registry.Entry) {
 	if t == nil {
 		return
 	}
@@ -53,12 +53,12 @@
 		if d.host != e.Host {
 			continue
 		}
-		if e.State == roster.Up {
+		if e.State == registry.Up {
 			t.departures = append(t.departures[:i:i], t.departures[i+1:]...)
 		}
 		return // the first notice of its leaving counts
 	}
-	if e.State != roster.Up {
+	if e.State != registry.Up {
 		t.departures = append(t.departures, departure{e.Host, e.State, t.sim.Now() + t.within()})
 	}
 }
@@ -81,14 +81,14 @@
 }
 
 // told is when a host's leaving counts as told at the latest; ok is false if it does not leave or the time is not over.
-func (t *toldBy) told(host string) (at roster.Told, ok bool) {
+func (t *toldBy) told(host string) (at registry.Told, ok bool) {
 	if t == nil {
-		return roster.Told{}, false
+		return registry.Told{}, false
 	}
 	for _, d := range t.departures {
 		if d.host == host && d.by <= t.sim.Now() {
-			return roster.Told{At: d.by, State: d.state}, true
+			return registry.Told{At: d.by, State: d.state}, true
 		}
 	}
-	return roster.Told{}, false
+	return registry.Told{}, false
 }
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/simulation/virtual_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"bytes"
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"thymebend/internal/lab/ledger"
-	"thymebend/internal/lab/views"
+	"thymebend/internal/lab/membershipcheck"
+	"thymebend/internal/lab/requestrecord"
 	"thymebend/internal/loop"
 )
 
@@ -202,43 +202,43 @@
 		name, profile, rule string
 		defect              defect
 	}{
-		{"answers twice", "reload", ledger.AnsweredTwice, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
+		{"answers twice", "reload", requestrecord.AnsweredTwice, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
 			if toClient(f, "HTTP/1.1 200") && d.every(50) {
 				f.Data = slices.Concat(f.Data, f.Data)
 			}
 			return []loop.Effect{f}
 		})}},
-		{"loses answers", "reload", ledger.Unanswered, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
+		{"loses answers", "reload", requestrecord.Unanswered, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
 			if toClient(f, "HTTP/1.1 ") && d.every(100) {
 				return nil
 			}
 			return []loop.Effect{f}
 		})}},
-		{"sends a bid twice", "reload", ledger.RanTwice, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
+		{"sends a bid twice", "reload", requestrecord.RanTwice, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
 			if toHost(f, "POST") && d.every(30) {
 				f.Data = slices.Concat(f.Data, f.Data)
 			}
 			return []loop.Effect{f}
 		})}},
-		{"refuses what may have run", "bad-hosts", ledger.RefusedRan, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
+		{"refuses what may have run", "bad-hosts", requestrecord.RefusedRan, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
 			if toClient(f, "HTTP/1.1 502") {
 				f.Data = bytes.Replace(f.Data, []byte("502"), []byte("503"), 1)
 			}
 			return []loop.Effect{f}
 		})}},
-		{"spoils a body", "reload", ledger.ForeignBody, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
+		{"spoils a body", "reload", requestrecord.ForeignBody, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
 			if toClient(f, "HTTP/1.1 200") && bytes.Contains(f.Data, []byte("id=")) && d.every(100) {
 				f.Data = bytes.Replace(f.Data, []byte("id="), []byte("ID="), 1)
 			}
 			return []loop.Effect{f}
 		})}},
-		{"invents an id", "reload", ledger.InventedID, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
+		{"invents an id", "reload", requestrecord.InventedID, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
 			if toHost(f, "GET /tender") && d.every(50) {
 				f.Data = bytes.Replace(f.Data, []byte("X-Trace-Id: "), []byte("X-Trace-Id: z"), 1)
 			}
 			return []loop.Effect{f}
 		})}},
-		{"hears no drains", "drain-retry", ledger.LateToDrained, defect{hear: func(d *defect, e *loop.Event) bool {
+		{"hears no drains", "drain-retry", requestrecord.LateToDrained, defect{hear: func(d *defect, e *loop.Event) bool {
 			return e.Kind != loop.Data || !bytes.Contains(e.Data, []byte(`"draining"`))
 		}}},
 		{"a timer that never stops", "reload", NotAsleep, defect{effects: func(d *defect, e loop.Event, list []loop.Effect) []loop.Effect {
@@ -265,35 +265,35 @@
 			}
 			return true
 		}}},
-		{"loses a query at SIGTERM", "restart-surge", ledger.Unanswered, defect{effects: func(d *defect, e loop.Event, list []loop.Effect) []loop.Effect {
+		{"loses a query at SIGTERM", "restart-surge", requestrecord.Unanswered, defect{effects: func(d *defect, e loop.Event, list []loop.Effect) []loop.Effect {
 			if e.Kind == loop.Stop {
 				list = append(list, loop.Effect{Op: loop.Exit})
 			}
 			return list
 		}}},
-		{"forgets a link that was handed over", "upgrade", ledger.Unanswered, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
+		{"forgets a link that was handed over", "upgrade", requestrecord.Unanswered, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
 			if f.Op == loop.Unmute && f.Conn >= firstAccepted && d.every(5) {
 				return nil
 			}
 			return []loop.Effect{f}
 		})}},
-		{"hears no datagram", viewsProfile, views.NotAgreed, defect{hear: func(_ *defect, e *loop.Event) bool {
+		{"hears no datagram", viewsProfile, membershipcheck.NotAgreed, defect{hear: func(_ *defect, e *loop.Event) bool {
 			return e.Kind != loop.Data || e.Conn != loop.Fleet
 		}}},
-		{"is heard by none at times", viewsProfile, views.ThrownOut, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
+		{"is heard by none at times", viewsProfile, membershipcheck.ThrownOut, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
 			if f.Op == loop.SendTo && d.now%(40*time.Second) > 12*time.Second && d.now%(40*time.Second) < 24*time.Second {
 				return nil
 			}
 			return []loop.Effect{f}
 		})}},
-		{"says everything many times", viewsProfile, views.OverBudget, defect{effects: rewrite(func(_ *defect, f loop.Effect) []loop.Effect {
+		{"says everything many times", viewsProfile, membershipcheck.OverBudget, defect{effects: rewrite(func(_ *defect, f loop.Effect) []loop.Effect {
 			if f.Op == loop.SendTo {
 				return []loop.Effect{f, f, f, f, f, f, f, f}
 			}
 			return []loop.Effect{f}
 		})}},
 		{"takes no new settings", "retune", Wronged, defect{hear: func(_ *defect, e *loop.Event) bool { return e.Kind != loop.File }}},
-		{"skips a piece of a large body", "bulk", ledger.ForeignBody, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
+		{"skips a piece of a large body", "bulk", requestrecord.ForeignBody, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
 			if f.Op == loop.Write && f.Conn >= firstAccepted && len(f.Data) > 10_000 && bytes.HasSuffix(f.Data, []byte("ppp")) {
 				f.Data = slices.Concat(f.Data[:len(f.Data)-1], []byte("q"))
 			}
--- a/internal/lab/virtual/world.go
+++ b/internal/lab/simulation/world.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 	"thymebend/internal/config"
 	"thymebend/internal/gateway"
 	"thymebend/internal/lab/experiment"
-	"thymebend/internal/lab/ledger"
-	"thymebend/internal/lab/roster"
+	"thymebend/internal/lab/registry"
+	"thymebend/internal/lab/requestrecord"
 	"thymebend/internal/loop"
 )
 
@@ -72,11 +72,11 @@
 	file     *experiment.File
 	sim      *Sim
 	net      *Net
-	disc     *discovery
+	disc     *discoveryServer
 	hosts    []*host
-	former   []*ledger.Host
+	former   []*requestrecord.Host
 	gateways []*machine
-	clients  *ledger.Clients
+	clients  *requestrecord.Clients
 	idle     []*link
 	found    []Finding
 	statuses map[int]int
@@ -109,9 +109,9 @@
 	up    bool
 	left  bool // the front knows that it restarts
 	died  time.Duration
-	last  *roster.Roster // the list that it had when it ended, where lists are pushed
-	since time.Duration  // an upgrade lasts from then: its next process has the listening socket
-	until time.Duration  // until then
+	last  *registry.Roster // the list that it had when it ended, where lists are pushed
+	since time.Duration    // an upgrade lasts from then: its next process has the listening socket
+	until time.Duration    // until then
 	kills []time.Duration
 	stops []time.Duration
 	halts [][2]time.Duration // stopped from, to
@@ -145,7 +145,7 @@
 
 func newWorld(p Plan, trace io.Writer, wrap func(loop.Reducer) loop.Reducer) *world {
 	sim := NewSim(p.Seed, trace)
-	w := &world{plan: p, sim: sim, net: NewNet(sim), clients: ledger.NewClients(), statuses: make(map[int]int), file: day(p), wrap: wrap}
+	w := &world{plan: p, sim: sim, net: NewNet(sim), clients: requestrecord.NewClients(), statuses: make(map[int]int), file: day(p), wrap: wrap}
 	w.net.Latency, w.net.Jitter = time.Duration(p.LatencyUS)*time.Microsecond, time.Duration(p.JitterUS)*time.Microsecond
 	return w
 }
@@ -249,7 +249,7 @@
 
 func (w *world) build() {
 	p := w.plan
-	w.disc = &discovery{w: w, list: roster.New(), doors: make([]*Listener, p.Gateways), addrs: make([]netip.AddrPort, p.Gateways), port: 8500}
+	w.disc = &discoveryServer{w: w, list: registry.New(), doors: make([]*Listener, p.Gateways), addrs: make([]netip.AddrPort, p.Gateways), port: 8500}
 	for n := range p.Gateways {
 		w.disc.open(n)
 		w.gateways = append(w.gateways, &machine{w: w, n: n, name: gatewayName(n),
@@ -286,7 +286,7 @@
 // addHost starts a host; it takes over another's addresses if they are given.
 func (w *world) addHost(n int, addrs []netip.AddrPort, cold bool) {
 	spec := w.file.Spec(w.zone(n), n)
-	h := &host{w: w, n: n, name: spec.Name, spec: spec, ledger: ledger.NewHost(spec.Name), addrs: addrs, share: make(map[string]float64)}
+	h := &host{w: w, n: n, name: spec.Name, spec: spec, ledger: requestrecord.NewHost(spec.Name), addrs: addrs, share: make(map[string]float64)}
 	if addrs == nil {
 		for g := range w.gateways {
 			h.addrs = append(h.addrs, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 3 + byte(n>>8), byte(n), byte(g%250 + 1)}), uint16(9000+g/250)))
@@ -298,11 +298,11 @@
 	} else {
 		w.hosts = append(w.hosts, h)
 	}
-	w.list(h, roster.Up, cold)
+	w.list(h, registry.Up, cold)
 }
 
 func (w *world) list(h *host, state string, cold bool) {
-	e := roster.Entry{Host: h.name, Site: h.spec.Site, Kind: "h", State: state, Dial: make(map[string]string)}
+	e := registry.Entry{Host: h.name, Site: h.spec.Site, Kind: "h", State: state, Dial: make(map[string]string)}
 	if old, ok := w.disc.list.Find(h.name); ok {
 		e.Born = old.Born
 	}
@@ -416,7 +416,7 @@
 }
 
 // known is the list that a gateway starts with.
-func (m *machine) known() *roster.Roster {
+func (m *machine) known() *registry.Roster {
 	if m.last != nil {
 		return m.last
 	}
--- a/internal/duties/duties_test.go
+++ b/internal/lease/duties_test.go
@@ -1,4 +1,4 @@
-package duties
+package lease
 
 import (
 	"bytes"
--- a/internal/signals/signals_test.go
+++ b/internal/loadreport/signals_test.go
@@ -1,4 +1,4 @@
-package signals
+package loadreport
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"thymebend/internal/fleetwire"
+	"thymebend/internal/gossipcodec"
 )
 
 // What is told comes back to within a step, from any figures, and fits where it has to.
@@ -23,7 +23,7 @@
 			Room: any.Draw(t, "room"), Health: rapid.IntRange(-3, 300).Draw(t, "health"), Known: rapid.Bool().Draw(t, "known")}
 		b := Append(nil, s)
 		got, err := Parse(append(b, rapid.SliceOfN(rapid.Byte(), 0, 20).Draw(t, "later bytes")...))
-		if err != nil || len(b) > fleetwire.MostPayload {
+		if err != nil || len(b) > gossipcodec.MostPayload {
 			t.Fatalf("%v, %d bytes", err, len(b))
 		}
 		if got.Zone != min(max(s.Zone, 0), mostZone) || got.Known != s.Known {
--- a/internal/members/hear.go
+++ b/internal/membership/hear.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"net/netip"
@@ -6,7 +6,7 @@
 
 	"github.com/zeebo/xxh3"
 
-	"thymebend/internal/fleetwire"
+	"thymebend/internal/gossipcodec"
 )
 
 // Hear takes a datagram as it came from an address. What is foreign or spoilt is counted and changes nothing.
@@ -14,7 +14,7 @@
 	v.at(now)
 	v.counts.Received++
 	v.counts.ReceivedBytes += uint64(len(data))
-	msg, err := fleetwire.Parse(data)
+	msg, err := gossipcodec.Parse(data)
 	switch {
 	case err != nil:
 		v.counts.Spoilt++
@@ -41,13 +41,13 @@
 		// A process from before the one that is known under this name, and it speaks.
 		if v.now-m.twinAt > twinFor/10 {
 			m.twinAt = v.now
-			if m.State >= fleetwire.Gone { // its machine's clock went back: told what is said of its name, it takes a later start
+			if m.State >= gossipcodec.Gone { // its machine's clock went back: told what is said of its name, it takes a later start
 				c := m.claim("")
-				v.sendTo(from, &fleetwire.Message{Kind: fleetwire.Gossip}, &c)
+				v.sendTo(from, &gossipcodec.Message{Kind: gossipcodec.Gossip}, &c)
 				return
 			}
-			v.sendTo(from, &fleetwire.Message{Kind: fleetwire.Twin, Seq: m.Start}, nil)
-			v.send(m, &fleetwire.Message{Kind: fleetwire.Twin, Seq: msg.Start}, nil)
+			v.sendTo(from, &gossipcodec.Message{Kind: gossipcodec.Twin, Seq: m.Start}, nil)
+			v.send(m, &gossipcodec.Message{Kind: gossipcodec.Twin, Seq: msg.Start}, nil)
 		}
 		return
 	}
@@ -56,9 +56,9 @@
 		v.apply(&msg.News[i], msg.From)
 	}
 	if m.Start < msg.Start { // it speaks, and has not said more of itself
-		v.set(m, &fleetwire.Claim{Name: m.Name, Start: msg.Start})
+		v.set(m, &gossipcodec.Claim{Name: m.Name, Start: msg.Start})
 	}
-	if m.State >= fleetwire.Gone && v.now-m.called > callEvery/2 {
+	if m.State >= gossipcodec.Gone && v.now-m.called > callEvery/2 {
 		m.called = v.now
 		v.question(m, askCall, v.now+period, 0) // it hears what is said of it, and can refute it
 	}
@@ -75,7 +75,7 @@
 func (v *View) latest() uint64 { return uint64((v.now + mostAhead).Milliseconds()) }
 
 // known finds who sent a datagram, or enters it. Addresses are the book's, but in a flat network.
-func (v *View) known(from netip.AddrPort, msg *fleetwire.Message) *member {
+func (v *View) known(from netip.AddrPort, msg *gossipcodec.Message) *member {
 	at, booked := v.book[msg.From]
 	if !v.cfg.Flat && (!booked || at != from) {
 		v.counts.Strange++
@@ -83,7 +83,7 @@
 	}
 	m := v.members[msg.From]
 	if m == nil {
-		if m = v.enter(&fleetwire.Claim{Name: msg.From}); m == nil {
+		if m = v.enter(&gossipcodec.Claim{Name: msg.From}); m == nil {
 			return nil
 		}
 	}
@@ -93,73 +93,73 @@
 	return m
 }
 
-func (v *View) answer(m *member, from netip.AddrPort, msg *fleetwire.Message) {
+func (v *View) answer(m *member, from netip.AddrPort, msg *gossipcodec.Message) {
 	switch msg.Kind {
-	case fleetwire.Ping:
+	case gossipcodec.Ping:
 		self := v.self.claim("")
-		var about *fleetwire.Claim
+		var about *gossipcodec.Claim
 		for i := range msg.News {
 			if msg.News[i].Name == v.cfg.Name {
 				about = &self // it was wrong about us
 			}
 		}
-		v.sendTo(from, &fleetwire.Message{Kind: fleetwire.Ack, Seq: msg.Seq}, about)
-	case fleetwire.Ack:
+		v.sendTo(from, &gossipcodec.Message{Kind: gossipcodec.Ack, Seq: msg.Seq}, about)
+	case gossipcodec.Ack:
 		q := v.questions[msg.Seq]
 		if q == nil {
 			return
 		}
 		if q.kind == askRelay {
 			delete(v.questions, msg.Seq)
-			v.sendTo(q.back, &fleetwire.Message{Kind: fleetwire.Ack, Seq: q.backSeq}, nil)
+			v.sendTo(q.back, &gossipcodec.Message{Kind: gossipcodec.Ack, Seq: q.backSeq}, nil)
 			return
 		}
 		v.answeredBy(q, msg.From == q.target)
 		if q.kind != askRound {
 			delete(v.questions, msg.Seq)
 		}
-	case fleetwire.Nack:
+	case gossipcodec.Nack:
 		if q := v.questions[msg.Seq]; q != nil {
 			q.nacks++
 		}
-	case fleetwire.Ask:
+	case gossipcodec.Ask:
 		t := v.members[msg.Target]
 		if t == nil || !t.Addr.IsValid() {
-			v.sendTo(from, &fleetwire.Message{Kind: fleetwire.Nack, Seq: msg.Seq}, nil)
+			v.sendTo(from, &gossipcodec.Message{Kind: gossipcodec.Nack, Seq: msg.Seq}, nil)
 			return
 		}
 		seq := v.question(t, askRelay, v.now+relayFor, 0)
 		v.questions[seq].back, v.questions[seq].backSeq = from, msg.Seq
-	case fleetwire.Twin:
+	case gossipcodec.Twin:
 		if msg.Seq != v.self.Start {
 			v.twin = v.now
 		}
-	case fleetwire.Digest:
+	case gossipcodec.Digest:
 		v.pages(m, msg)
 	}
 }
 
 // repair compares views where they differ though no news is on its way.
-func (v *View) repair(m *member, msg *fleetwire.Message) {
-	if msg.View == v.digest || msg.Kind == fleetwire.Digest || v.news.len() > 0 || v.now < v.nextFix || v.cfg.Without&PartRepair != 0 {
+func (v *View) repair(m *member, msg *gossipcodec.Message) {
+	if msg.View == v.digest || msg.Kind == gossipcodec.Digest || v.news.len() > 0 || v.now < v.nextFix || v.cfg.Without&PartRepair != 0 {
 		return
 	}
 	v.nextFix = v.now + repairEvery
-	v.send(m, &fleetwire.Message{Kind: fleetwire.Digest, Sums: v.sums[:]}, nil)
+	v.send(m, &gossipcodec.Message{Kind: gossipcodec.Digest, Sums: v.sums[:]}, nil)
 }
 
 // pages sends what lies in the buckets that differ, and the own sums where they were not asked for.
-func (v *View) pages(m *member, msg *fleetwire.Message) {
+func (v *View) pages(m *member, msg *gossipcodec.Message) {
 	if v.cfg.Without&PartRepair != 0 {
 		return
 	}
-	var list []fleetwire.Claim
+	var list []gossipcodec.Claim
 	differs := func(name string) bool { b := bucket(name); return msg.Sums[b] != v.sums[b] }
 	if differs(v.cfg.Name) {
 		list = append(list, v.self.claim(""))
 	}
 	for _, o := range v.order {
-		if differs(o.Name) && (o.State != fleetwire.Left || o.Start > 0) {
+		if differs(o.Name) && (o.State != gossipcodec.Left || o.Start > 0) {
 			c := o.claim("")
 			if v.cfg.Flat {
 				c.Addr = o.Addr
@@ -168,10 +168,10 @@
 		}
 	}
 	v.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] }) // what does not go now is others' to go next
-	for page := 0; len(list) > 0 && page < mostPages && v.allowed(fleetwire.Gossip); page++ {
-		b := v.word(&fleetwire.Message{Kind: fleetwire.Gossip})
+	for page := 0; len(list) > 0 && page < mostPages && v.allowed(gossipcodec.Gossip); page++ {
+		b := v.word(&gossipcodec.Message{Kind: gossipcodec.Gossip})
 		for len(list) > 0 {
-			out, ok := fleetwire.AppendClaim(b, &list[0])
+			out, ok := gossipcodec.AppendClaim(b, &list[0])
 			if !ok {
 				break
 			}
@@ -180,7 +180,7 @@
 		v.post(m.Addr, b)
 	}
 	if !msg.Reply {
-		v.send(m, &fleetwire.Message{Kind: fleetwire.Digest, Sums: v.sums[:], Reply: true}, nil)
+		v.send(m, &gossipcodec.Message{Kind: gossipcodec.Digest, Sums: v.sums[:], Reply: true}, nil)
 	}
 }
 
@@ -191,7 +191,7 @@
 // counts.
 func (v *View) weigh(m *member) {
 	h := uint64(0)
-	if m.State <= fleetwire.Suspect {
+	if m.State <= gossipcodec.Suspect {
 		h = xxh3.HashString(m.Name) ^ xxh3.HashSeed(m.Payload, m.Start*31+m.Incarnation)
 		h *= 0x9e3779b97f4a7c15
 	}
--- a/internal/members/members.go
+++ b/internal/membership/members.go
@@ -1,7 +1,7 @@
 // Package members is one gateway's view of the others of its fleet: SWIM with the refinements of Lifeguard, as a
 // reducer. Times and datagrams go in, datagrams and the time of the next look come out. It does no I/O, has no clock and
 // no state outside a View. docs/design/fleet-view.md says why it is so.
-package members
+package membership
 
 import (
 	"cmp"
@@ -15,7 +15,7 @@
 	"strings"
 	"time"
 
-	"thymebend/internal/fleetwire"
+	"thymebend/internal/gossipcodec"
 )
 
 // Times and counts; the design note gives the reasons.
@@ -94,13 +94,13 @@
 // Member is what is known of one gateway.
 type Member struct {
 	Name        string
-	State       fleetwire.State
+	State       gossipcodec.State
 	Start       uint64 // ms of Unix time
 	Incarnation uint64
-	Since       time.Duration   // in this state
-	Previous    fleetwire.State // before it; Left for one that was just entered
-	SuspectedBy string          // who raised the last suspicion, empty where that was not told
-	Payload     []byte          // as it spreads it; not to be changed
+	Since       time.Duration     // in this state
+	Previous    gossipcodec.State // before it; Left for one that was just entered
+	SuspectedBy string            // who raised the last suspicion, empty where that was not told
+	Payload     []byte            // as it spreads it; not to be changed
 	Addr        netip.AddrPort
 	RTT         time.Duration // smoothed; 0 while none was measured
 }
@@ -205,21 +205,21 @@
 	twin    time.Duration
 	leaving bool
 	digest  uint64
-	sums    [fleetwire.Buckets]uint32
+	sums    [gossipcodec.Buckets]uint32
 	counts  Counts
 }
 
 // New starts a view. It has nothing to send before the first Advance.
 func New(cfg Config, now time.Duration) (*View, error) {
 	switch {
-	case !fleetwire.Name(cfg.Fleet):
-		return nil, fmt.Errorf("members: fleet %q is no name of 1 to %d printable characters", cfg.Fleet, fleetwire.MostName)
-	case !fleetwire.Name(cfg.Name):
-		return nil, fmt.Errorf("members: name %q is no name of 1 to %d printable characters", cfg.Name, fleetwire.MostName)
-	case cfg.Start == 0 || cfg.Start > fleetwire.MostStart:
+	case !gossipcodec.Name(cfg.Fleet):
+		return nil, fmt.Errorf("members: fleet %q is no name of 1 to %d printable characters", cfg.Fleet, gossipcodec.MostName)
+	case !gossipcodec.Name(cfg.Name):
+		return nil, fmt.Errorf("members: name %q is no name of 1 to %d printable characters", cfg.Name, gossipcodec.MostName)
+	case cfg.Start == 0 || cfg.Start > gossipcodec.MostStart:
 		return nil, fmt.Errorf("members: start %d must be above 0, in ms of Unix time", cfg.Start)
-	case len(cfg.Payload) > fleetwire.MostPayload:
-		return nil, fmt.Errorf("members: a payload of %d bytes, %d at most", len(cfg.Payload), fleetwire.MostPayload)
+	case len(cfg.Payload) > gossipcodec.MostPayload:
+		return nil, fmt.Errorf("members: a payload of %d bytes, %d at most", len(cfg.Payload), gossipcodec.MostPayload)
 	}
 	v := &View{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Start)), now: now, due: now, members: make(map[string]*member),
 		questions: make(map[uint64]*question), news: news{byName: make(map[string]*item)}, nextRound: now, nextCall: now + callEvery,
@@ -247,7 +247,7 @@
 		_, twice := names[p.Name]
 		other, taken := addrs[p.Addr]
 		switch {
-		case !fleetwire.Name(p.Name):
+		case !gossipcodec.Name(p.Name):
 			return fmt.Errorf("members: %q in the book is no name", p.Name)
 		case !p.Addr.IsValid() || p.Addr.Port() == 0:
 			return fmt.Errorf("members: %s has no address in the book", p.Name)
@@ -275,8 +275,8 @@
 
 // SetPayload changes what this gateway spreads of itself.
 func (v *View) SetPayload(now time.Duration, payload []byte) error {
-	if len(payload) > fleetwire.MostPayload {
-		return fmt.Errorf("members: a payload of %d bytes, %d at most", len(payload), fleetwire.MostPayload)
+	if len(payload) > gossipcodec.MostPayload {
+		return fmt.Errorf("members: a payload of %d bytes, %d at most", len(payload), gossipcodec.MostPayload)
 	}
 	v.at(now)
 	if string(payload) != string(v.self.Payload) {
@@ -299,10 +299,10 @@
 	}
 	v.leaving = true
 	c := v.self.claim("")
-	c.State = fleetwire.Left
+	c.State = gossipcodec.Left
 	v.tell(c)
 	for _, m := range v.some(leaveTo, "") {
-		v.send(m, &fleetwire.Message{Kind: fleetwire.Gossip}, &c)
+		v.send(m, &gossipcodec.Message{Kind: gossipcodec.Gossip}, &c)
 	}
 }
 
@@ -394,7 +394,7 @@
 	}
 	if v.news.len() > 0 && v.now >= v.nextNews {
 		for _, m := range v.some(fanout, "") {
-			v.send(m, &fleetwire.Message{Kind: fleetwire.Gossip}, nil)
+			v.send(m, &gossipcodec.Message{Kind: gossipcodec.Gossip}, nil)
 		}
 		v.nextNews = v.now + gossipEvery
 	}
@@ -455,10 +455,10 @@
 	suspects := 0
 	for _, m := range v.order {
 		switch m.State {
-		case fleetwire.Alive, fleetwire.Suspect:
+		case gossipcodec.Alive, gossipcodec.Suspect:
 			s.Alive, s.Known = s.Alive+1, s.Known+1
 			suspects += int(m.State)
-		case fleetwire.Gone:
+		case gossipcodec.Gone:
 			s.Known++
 		}
 	}
@@ -484,16 +484,16 @@
 
 // ---- claims ---------------------------------------------------------------------------------------------
 
-func (m *member) claim(by string) fleetwire.Claim {
-	c := fleetwire.Claim{Name: m.Name, Start: m.Start, Incarnation: m.Incarnation, State: m.State, By: by}
-	if m.State == fleetwire.Alive {
+func (m *member) claim(by string) gossipcodec.Claim {
+	c := gossipcodec.Claim{Name: m.Name, Start: m.Start, Incarnation: m.Incarnation, State: m.State, By: by}
+	if m.State == gossipcodec.Alive {
 		c.Payload = m.Payload
 	}
 	return c
 }
 
 // stronger orders claims about one name.
-func stronger(c *fleetwire.Claim, m *member) bool {
+func stronger(c *gossipcodec.Claim, m *member) bool {
 	return cmp.Or(cmp.Compare(c.Start, m.Start), cmp.Compare(c.Incarnation, m.Incarnation), cmp.Compare(c.State, m.State)) > 0
 }
 
@@ -506,10 +506,10 @@
 }
 
 // hearSelf answers what others say of this gateway.
-func (v *View) hearSelf(c *fleetwire.Claim) {
+func (v *View) hearSelf(c *gossipcodec.Claim) {
 	switch {
 	case v.leaving:
-	case c.Start > v.self.Start && c.State >= fleetwire.Gone:
+	case c.Start > v.self.Start && c.State >= gossipcodec.Gone:
 		v.self.Start = c.Start + 1 // a namesake that is dead; this machine's clock went back
 		v.raise(1)
 		v.changed = v.now
@@ -517,7 +517,7 @@
 		v.twin = v.now
 	case c.Start < v.self.Start:
 		v.tell(v.self.claim("")) // old news
-	case c.Incarnation >= v.self.Incarnation && c.State != fleetwire.Alive:
+	case c.Incarnation >= v.self.Incarnation && c.State != gossipcodec.Alive:
 		v.counts.FalseAlarms++
 		v.ill(1)
 		v.raise(c.Incarnation + 1)
@@ -530,8 +530,8 @@
 }
 
 // apply takes one claim, told by a member.
-func (v *View) apply(c *fleetwire.Claim, teller string) {
-	if c.Start > v.latest() || c.Incarnation == fleetwire.MostIncarnation { // nobody could say more
+func (v *View) apply(c *gossipcodec.Claim, teller string) {
+	if c.Start > v.latest() || c.Incarnation == gossipcodec.MostIncarnation { // nobody could say more
 		v.counts.Spoilt++
 		return
 	}
@@ -551,17 +551,17 @@
 		m.Addr = c.Addr
 	}
 	same := c.Start == m.Start && c.Incarnation == m.Incarnation
-	if c.State == fleetwire.Suspect && same && m.State == fleetwire.Suspect {
+	if c.State == gossipcodec.Suspect && same && m.State == gossipcodec.Suspect {
 		v.confirm(m, c.By)
 		return
 	}
 	if !stronger(c, m) {
 		return
 	}
-	if c.State == fleetwire.Gone && m.State <= fleetwire.Suspect && v.cfg.Without&PartVerify == 0 {
+	if c.State == gossipcodec.Gone && m.State <= gossipcodec.Suspect && v.cfg.Without&PartVerify == 0 {
 		// Nobody is gone on hearsay: it is looked into at once.
 		doubt := *c
-		doubt.State, doubt.By = fleetwire.Suspect, teller
+		doubt.State, doubt.By = gossipcodec.Suspect, teller
 		if stronger(&doubt, m) {
 			v.set(m, &doubt)
 		}
@@ -574,12 +574,12 @@
 }
 
 // enter adds a member that was not known, as its first claim has it.
-func (v *View) enter(c *fleetwire.Claim) *member {
+func (v *View) enter(c *gossipcodec.Claim) *member {
 	if len(v.order) >= MostMembers {
 		v.counts.Full++
 		return nil
 	}
-	m := &member{Member: Member{Name: c.Name, Start: c.Start, Since: v.now, State: fleetwire.Left, Previous: fleetwire.Left}}
+	m := &member{Member: Member{Name: c.Name, Start: c.Start, Since: v.now, State: gossipcodec.Left, Previous: gossipcodec.Left}}
 	if at, ok := v.book[c.Name]; ok {
 		m.Addr = at
 	} else if v.cfg.Flat {
@@ -592,20 +592,20 @@
 }
 
 // set takes over a claim, spreads it, and begins or ends a suspicion.
-func (v *View) set(m *member, c *fleetwire.Claim) {
+func (v *View) set(m *member, c *gossipcodec.Claim) {
 	moved := m.State != c.State || m.Start != c.Start
 	if moved {
 		m.Since, m.Previous = v.now, m.State
 	}
 	m.State, m.Start, m.Incarnation = c.State, c.Start, c.Incarnation
-	if c.State == fleetwire.Alive {
+	if c.State == gossipcodec.Alive {
 		m.Payload = c.Payload
 	}
 	if m.suspicion != nil {
 		m.suspicion = nil
 		v.suspects = slices.DeleteFunc(v.suspects, func(o *member) bool { return o == m })
 	}
-	if c.State == fleetwire.Suspect {
+	if c.State == gossipcodec.Suspect {
 		m.suspicion, m.SuspectedBy = &suspicion{since: v.now}, c.By
 		v.suspects = append(v.suspects, m)
 		v.confirm(m, c.By)
@@ -625,7 +625,7 @@
 		s.by = append(s.by, by)
 		if len(s.by) > 1 {
 			v.tell(m.claim(by))
-			v.news.setSends(m.Name, v.mostSends(fleetwire.Suspect)*3/4) // those who look too suspect it already
+			v.news.setSends(m.Name, v.mostSends(gossipcodec.Suspect)*3/4) // those who look too suspect it already
 		}
 	}
 	most := suspectMost
@@ -656,10 +656,10 @@
 	v.questions[v.seq] = &question{kind: kind, target: m.Name, sent: v.now, until: until, askAt: askAt}
 	c := m.claim("")
 	about := &c
-	if m.State == fleetwire.Alive {
+	if m.State == gossipcodec.Alive {
 		about = nil
 	}
-	v.send(m, &fleetwire.Message{Kind: fleetwire.Ping, Seq: v.seq}, about)
+	v.send(m, &gossipcodec.Message{Kind: gossipcodec.Ping, Seq: v.seq}, about)
 	return v.seq
 }
 
@@ -690,11 +690,11 @@
 
 // pick takes the next member to ask: in turn the next one in the order, and one of a shuffled round.
 func (v *View) pick() *member {
-	live := func(m *member) bool { return m != nil && m.State <= fleetwire.Suspect && m.Addr.IsValid() }
+	live := func(m *member) bool { return m != nil && m.State <= gossipcodec.Suspect && m.Addr.IsValid() }
 	if v.turn%2 == 0 && v.cfg.Without&PartRing == 0 && len(v.order) > 0 {
 		at, _ := slices.BinarySearchFunc(v.order, v.cfg.Name, func(m *member, name string) int { return strings.Compare(m.Name, name) })
 		for i := range len(v.order) {
-			if m := v.order[(at+i)%len(v.order)]; live(m) && m.State == fleetwire.Alive {
+			if m := v.order[(at+i)%len(v.order)]; live(m) && m.State == gossipcodec.Alive {
 				return m
 			}
 		}
@@ -733,7 +733,7 @@
 		case askRound:
 			continue // the round's end sees to it
 		case askRelay:
-			v.sendTo(q.back, &fleetwire.Message{Kind: fleetwire.Nack, Seq: q.backSeq}, nil)
+			v.sendTo(q.back, &gossipcodec.Message{Kind: gossipcodec.Nack, Seq: q.backSeq}, nil)
 		case askVerify:
 			v.unanswered(q)
 		}
@@ -749,7 +749,7 @@
 	if m == nil {
 		return
 	}
-	v.send(m, &fleetwire.Message{Kind: fleetwire.Ping, Seq: seq}, nil)
+	v.send(m, &gossipcodec.Message{Kind: gossipcodec.Ping, Seq: seq}, nil)
 	if q.again++; q.again < mostAgain {
 		q.askAt = v.now + max((q.until-v.now)/2, leastAnswer)
 	}
@@ -757,14 +757,14 @@
 		return
 	}
 	// The helper tells a suspect of the suspicion, for it alone can refute it, and this gateway's own word may not reach it.
-	var about *fleetwire.Claim
-	if m.State == fleetwire.Suspect {
+	var about *gossipcodec.Claim
+	if m.State == gossipcodec.Suspect {
 		c := m.claim("")
 		about = &c
 	}
 	for _, h := range v.some(helpers, q.target) {
 		q.helped++
-		v.send(h, &fleetwire.Message{Kind: fleetwire.Ask, Seq: seq, Target: q.target}, about)
+		v.send(h, &gossipcodec.Message{Kind: gossipcodec.Ask, Seq: seq, Target: q.target}, about)
 	}
 }
 
@@ -779,7 +779,7 @@
 
 // unanswered counts a suspect that did not answer this gateway's own question either as suspected by it too.
 func (v *View) unanswered(q *question) {
-	if m := v.members[q.target]; m != nil && m.State == fleetwire.Suspect && m.suspicion.verifying == 0 {
+	if m := v.members[q.target]; m != nil && m.State == gossipcodec.Suspect && m.suspicion.verifying == 0 {
 		v.confirm(m, v.cfg.Name)
 	}
 }
@@ -802,15 +802,15 @@
 		v.ill(1)
 	}
 	m := v.members[q.target]
-	if m == nil || m.State > fleetwire.Suspect || m.lastHeard > q.sent+period/4 {
+	if m == nil || m.State > gossipcodec.Suspect || m.lastHeard > q.sent+period/4 {
 		return
 	}
-	if m.State == fleetwire.Suspect {
+	if m.State == gossipcodec.Suspect {
 		v.unanswered(q)
 		return
 	}
 	c := m.claim(v.cfg.Name)
-	c.State = fleetwire.Suspect
+	c.State = gossipcodec.Suspect
 	v.set(m, &c)
 }
 
@@ -824,7 +824,7 @@
 			v.verify(m)
 		default:
 			c := m.claim("")
-			c.State = fleetwire.Gone
+			c.State = gossipcodec.Gone
 			v.set(m, &c)
 		}
 	}
@@ -868,7 +868,7 @@
 	}
 	var lost []*member
 	for _, m := range v.order {
-		if m.State == fleetwire.Gone && m.Addr.IsValid() {
+		if m.State == gossipcodec.Gone && m.Addr.IsValid() {
 			lost = append(lost, m)
 		}
 	}
@@ -898,13 +898,13 @@
 	self := v.self.claim("")
 	v.seq++
 	v.questions[v.seq] = &question{kind: askCall, target: name, sent: v.now, until: v.now + period}
-	v.sendTo(v.book[name], &fleetwire.Message{Kind: fleetwire.Ping, Seq: v.seq}, &self)
+	v.sendTo(v.book[name], &gossipcodec.Message{Kind: gossipcodec.Ping, Seq: v.seq}, &self)
 }
 
 // bury forgets those that have been gone for long.
 func (v *View) bury() {
 	v.order = slices.DeleteFunc(v.order, func(m *member) bool {
-		old := m.State >= fleetwire.Gone && v.now-m.Since > buryFor
+		old := m.State >= gossipcodec.Gone && v.now-m.Since > buryFor
 		if old {
 			delete(v.members, m.Name)
 			v.news.forget(m.Name) // it may wait yet: nobody lives to be told
@@ -921,7 +921,7 @@
 	}
 	for range 4 * n {
 		m := v.order[v.rng.IntN(len(v.order))]
-		if m.State <= fleetwire.Suspect && m.Name != but && m.Addr.IsValid() && !slices.Contains(out, m) {
+		if m.State <= gossipcodec.Suspect && m.Name != but && m.Addr.IsValid() && !slices.Contains(out, m) {
 			if out = append(out, m); len(out) == n {
 				break
 			}
@@ -933,7 +933,7 @@
 // ---- news -----------------------------------------------------------------------------------------------
 
 // tell spreads a claim in place of what was spread of its name.
-func (v *View) tell(c fleetwire.Claim) {
+func (v *View) tell(c gossipcodec.Claim) {
 	if v.news.len() == 0 {
 		v.nextNews = max(v.nextNews, v.now)
 	}
@@ -942,30 +942,30 @@
 
 // mostSends is how often a claim is sent by one member. A suspicion has to reach the suspect and some who look too, not
 // everybody: what becomes of it is told to all.
-func (v *View) mostSends(state fleetwire.State) int {
+func (v *View) mostSends(state gossipcodec.State) int {
 	n := 1 + int(newsTimes*float64(bits.Len(uint(len(v.order)+1))))
-	if state == fleetwire.Suspect {
+	if state == gossipcodec.Suspect {
 		return (3*n + 3) / 4
 	}
 	return n
 }
 
-func (v *View) send(m *member, msg *fleetwire.Message, about *fleetwire.Claim) {
+func (v *View) send(m *member, msg *gossipcodec.Message, about *gossipcodec.Claim) {
 	if m.Addr.IsValid() {
 		v.sendTo(m.Addr, msg, about)
 	}
 }
 
 // sendTo words a datagram, with a claim that must be in it and news as far as it goes.
-func (v *View) sendTo(to netip.AddrPort, msg *fleetwire.Message, about *fleetwire.Claim) {
+func (v *View) sendTo(to netip.AddrPort, msg *gossipcodec.Message, about *gossipcodec.Claim) {
 	if !v.allowed(msg.Kind) {
 		return
 	}
 	b := v.word(msg)
 	if about != nil {
-		b, _ = fleetwire.AppendClaim(b, about)
+		b, _ = gossipcodec.AppendClaim(b, about)
 	}
-	if msg.Kind != fleetwire.Digest {
+	if msg.Kind != gossipcodec.Digest {
 		b = v.news.fill(b, v.mostSends)
 	}
 	v.post(to, b)
@@ -973,11 +973,11 @@
 
 // allowed takes one datagram from the budget of what is sent. Answers to pings may overdraw it by one burst: who is held
 // for gone because it was busy makes more work than it saves.
-func (v *View) allowed(kind fleetwire.Kind) bool {
+func (v *View) allowed(kind gossipcodec.Kind) bool {
 	v.token = min(sendBurst, v.token+sendRate*(v.now-v.tokAt).Seconds())
 	v.tokAt = v.now
 	least := 1.0
-	if kind == fleetwire.Ack {
+	if kind == gossipcodec.Ack {
 		least -= sendBurst
 	}
 	if v.token < least {
@@ -989,9 +989,9 @@
 }
 
 // word begins a datagram of this gateway.
-func (v *View) word(msg *fleetwire.Message) []byte {
+func (v *View) word(msg *gossipcodec.Message) []byte {
 	msg.Fleet, msg.From, msg.Start, msg.View = v.cfg.Fleet, v.cfg.Name, v.self.Start, v.digest
-	return fleetwire.Append(make([]byte, 0, fleetwire.Most), msg)
+	return gossipcodec.Append(make([]byte, 0, gossipcodec.Most), msg)
 }
 
 func (v *View) post(to netip.AddrPort, b []byte) {
--- a/internal/members/members_test.go
+++ b/internal/membership/members_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"thymebend/internal/fleetwire"
+	"thymebend/internal/gossipcodec"
 )
 
 const t0 = 1_700_000_000 * time.Second
@@ -30,10 +30,10 @@
 }
 
 // say words what another gateway sends.
-func say(from string, start uint64, kind fleetwire.Kind, news ...fleetwire.Claim) []byte {
-	b := fleetwire.Append(nil, &fleetwire.Message{Fleet: "f", From: from, Start: start, Kind: kind, Seq: 5})
+func say(from string, start uint64, kind gossipcodec.Kind, news ...gossipcodec.Claim) []byte {
+	b := gossipcodec.Append(nil, &gossipcodec.Message{Fleet: "f", From: from, Start: start, Kind: kind, Seq: 5})
 	for i := range news {
-		b, _ = fleetwire.AppendClaim(b, &news[i])
+		b, _ = gossipcodec.AppendClaim(b, &news[i])
 	}
 	return b
 }
@@ -72,12 +72,12 @@
 // What is foreign, spoilt or from where nobody of that name stands costs a count and changes nothing.
 func TestStrangeDatagramsChangeNothing(t *testing.T) {
 	v := view(t, nil)
-	claim := fleetwire.Claim{Name: "c", Start: 9, Incarnation: 9, State: fleetwire.Gone}
-	foreign := fleetwire.Append(nil, &fleetwire.Message{Fleet: "other", From: "b", Start: 1, Kind: fleetwire.Ping})
+	claim := gossipcodec.Claim{Name: "c", Start: 9, Incarnation: 9, State: gossipcodec.Gone}
+	foreign := gossipcodec.Append(nil, &gossipcodec.Message{Fleet: "other", From: "b", Start: 1, Kind: gossipcodec.Ping})
 	v.Hear(t0, addr(2), foreign)
 	v.Hear(t0, addr(2), []byte("\x08\x01nonsense"))
-	v.Hear(t0, addr(7), say("b", 1, fleetwire.Gossip, claim))
-	v.Hear(t0, addr(2), say("stranger", 1, fleetwire.Gossip, claim))
+	v.Hear(t0, addr(7), say("b", 1, gossipcodec.Gossip, claim))
+	v.Hear(t0, addr(2), say("stranger", 1, gossipcodec.Gossip, claim))
 	if c := v.Counts(); c.Foreign != 1 || c.Spoilt != 1 || c.Strange != 2 || len(v.Members()) != 1 || len(v.Take()) != 0 {
 		t.Errorf("%+v %v", c, v.Members())
 	}
@@ -87,12 +87,12 @@
 // A start that no process can have is believed of nobody: no later word could take it back.
 func TestImpossibleStartsAreSpoilt(t *testing.T) {
 	v := view(t, nil)
-	v.Hear(t0, addr(2), say("b", 900, fleetwire.Ping))
-	for _, start := range []uint64{uint64(t0.Milliseconds()) + 1<<30, fleetwire.MostStart, fleetwire.MostStart + 1, 1 << 63} {
-		v.Hear(t0, addr(2), say("b", start, fleetwire.Ping))
-		v.Hear(t0, addr(2), say("b", 900, fleetwire.Gossip, fleetwire.Claim{Name: "c", Start: start}, fleetwire.Claim{Name: "a", Start: start, State: fleetwire.Gone}))
+	v.Hear(t0, addr(2), say("b", 900, gossipcodec.Ping))
+	for _, start := range []uint64{uint64(t0.Milliseconds()) + 1<<30, gossipcodec.MostStart, gossipcodec.MostStart + 1, 1 << 63} {
+		v.Hear(t0, addr(2), say("b", start, gossipcodec.Ping))
+		v.Hear(t0, addr(2), say("b", 900, gossipcodec.Gossip, gossipcodec.Claim{Name: "c", Start: start}, gossipcodec.Claim{Name: "a", Start: start, State: gossipcodec.Gone}))
 	}
-	v.Hear(t0, addr(2), say("b", 900, fleetwire.Gossip, fleetwire.Claim{Name: "a", Start: 1000, Incarnation: fleetwire.MostIncarnation, State: fleetwire.Gone}))
+	v.Hear(t0, addr(2), say("b", 900, gossipcodec.Gossip, gossipcodec.Claim{Name: "a", Start: 1000, Incarnation: gossipcodec.MostIncarnation, State: gossipcodec.Gone}))
 	if m, _ := state(v, "b"); m.Start != 900 {
 		t.Errorf("b started at %d", m.Start)
 	}
@@ -109,27 +109,27 @@
 
 func TestOrderOfClaims(t *testing.T) {
 	v := view(t, nil)
-	hear := func(c fleetwire.Claim) Member {
+	hear := func(c gossipcodec.Claim) Member {
 		c.Name = "c"
-		v.Hear(t0, addr(2), say("b", 1, fleetwire.Gossip, c))
+		v.Hear(t0, addr(2), say("b", 1, gossipcodec.Gossip, c))
 		m, _ := state(v, "c")
 		return m
 	}
 	for i, step := range []struct {
-		claim fleetwire.Claim
-		state fleetwire.State
+		claim gossipcodec.Claim
+		state gossipcodec.State
 		start uint64
 		inc   uint64
 	}{
-		{fleetwire.Claim{Start: 10, Incarnation: 2, State: fleetwire.Alive}, fleetwire.Alive, 10, 2},
-		{fleetwire.Claim{Start: 10, Incarnation: 1, State: fleetwire.Left}, fleetwire.Alive, 10, 2},
-		{fleetwire.Claim{Start: 9, Incarnation: 9, State: fleetwire.Gone}, fleetwire.Alive, 10, 2},
-		{fleetwire.Claim{Start: 10, Incarnation: 2, State: fleetwire.Suspect, By: "b"}, fleetwire.Suspect, 10, 2},
-		{fleetwire.Claim{Start: 10, Incarnation: 2, State: fleetwire.Alive}, fleetwire.Suspect, 10, 2},
-		{fleetwire.Claim{Start: 10, Incarnation: 3, State: fleetwire.Alive}, fleetwire.Alive, 10, 3},
-		{fleetwire.Claim{Start: 10, Incarnation: 3, State: fleetwire.Gone}, fleetwire.Suspect, 10, 3}, // hearsay: looked into
-		{fleetwire.Claim{Start: 11, Incarnation: 1, State: fleetwire.Alive}, fleetwire.Alive, 11, 1},
-		{fleetwire.Claim{Start: 11, Incarnation: 1, State: fleetwire.Left}, fleetwire.Left, 11, 1},
+		{gossipcodec.Claim{Start: 10, Incarnation: 2, State: gossipcodec.Alive}, gossipcodec.Alive, 10, 2},
+		{gossipcodec.Claim{Start: 10, Incarnation: 1, State: gossipcodec.Left}, gossipcodec.Alive, 10, 2},
+		{gossipcodec.Claim{Start: 9, Incarnation: 9, State: gossipcodec.Gone}, gossipcodec.Alive, 10, 2},
+		{gossipcodec.Claim{Start: 10, Incarnation: 2, State: gossipcodec.Suspect, By: "b"}, gossipcodec.Suspect, 10, 2},
+		{gossipcodec.Claim{Start: 10, Incarnation: 2, State: gossipcodec.Alive}, gossipcodec.Suspect, 10, 2},
+		{gossipcodec.Claim{Start: 10, Incarnation: 3, State: gossipcodec.Alive}, gossipcodec.Alive, 10, 3},
+		{gossipcodec.Claim{Start: 10, Incarnation: 3, State: gossipcodec.Gone}, gossipcodec.Suspect, 10, 3}, // hearsay: looked into
+		{gossipcodec.Claim{Start: 11, Incarnation: 1, State: gossipcodec.Alive}, gossipcodec.Alive, 11, 1},
+		{gossipcodec.Claim{Start: 11, Incarnation: 1, State: gossipcodec.Left}, gossipcodec.Left, 11, 1},
 	} {
 		if m := hear(step.claim); m.State != step.state || m.Start != step.start || m.Incarnation != step.inc {
 			t.Errorf("step %d: %+v", i, m)
@@ -139,18 +139,18 @@
 
 func TestItRefutesWhatIsSaidOfItself(t *testing.T) {
 	v := view(t, nil)
-	v.Hear(t0, addr(2), say("b", 1, fleetwire.Ping, fleetwire.Claim{Name: "a", Start: 1000, Incarnation: 4, State: fleetwire.Gone}))
+	v.Hear(t0, addr(2), say("b", 1, gossipcodec.Ping, gossipcodec.Claim{Name: "a", Start: 1000, Incarnation: 4, State: gossipcodec.Gone}))
 	me, _ := state(v, "a")
-	if me.Incarnation != 5 || me.State != fleetwire.Alive || v.Counts().FalseAlarms != 1 {
+	if me.Incarnation != 5 || me.State != gossipcodec.Alive || v.Counts().FalseAlarms != 1 {
 		t.Errorf("%+v", me)
 	}
 	out := v.Take()
-	m, err := fleetwire.Parse(out[len(out)-1].Data)
-	if err != nil || m.Kind != fleetwire.Ack || len(m.News) == 0 || m.News[0].Name != "a" || m.News[0].Incarnation != 5 {
+	m, err := gossipcodec.Parse(out[len(out)-1].Data)
+	if err != nil || m.Kind != gossipcodec.Ack || len(m.News) == 0 || m.News[0].Name != "a" || m.News[0].Incarnation != 5 {
 		t.Errorf("the answer: %v %+v", err, m)
 	}
 	// An old process's end is none of this one's business.
-	v.Hear(t0, addr(2), say("b", 1, fleetwire.Gossip, fleetwire.Claim{Name: "a", Start: 999, Incarnation: 50, State: fleetwire.Gone}))
+	v.Hear(t0, addr(2), say("b", 1, gossipcodec.Gossip, gossipcodec.Claim{Name: "a", Start: 999, Incarnation: 50, State: gossipcodec.Gone}))
 	if me, _ := state(v, "a"); me.Incarnation != 5 || me.Start != 1000 {
 		t.Errorf("%+v", me)
 	}
@@ -159,12 +159,12 @@
 // A name used by two living processes: whoever hears of it says so, and the one that hears both tells both.
 func TestATwinIsNoticed(t *testing.T) {
 	v := view(t, nil)
-	v.Hear(t0, addr(2), say("b", 50, fleetwire.Ping))
+	v.Hear(t0, addr(2), say("b", 50, gossipcodec.Ping))
 	v.Take()
-	v.Hear(t0, addr(2), say("b", 40, fleetwire.Ping)) // the elder b speaks too
+	v.Hear(t0, addr(2), say("b", 40, gossipcodec.Ping)) // the elder b speaks too
 	var told []uint64
 	for _, d := range v.Take() {
-		if m, err := fleetwire.Parse(d.Data); err == nil && m.Kind == fleetwire.Twin {
+		if m, err := gossipcodec.Parse(d.Data); err == nil && m.Kind == gossipcodec.Twin {
 			told = append(told, m.Seq)
 		}
 	}
@@ -174,7 +174,7 @@
 	if m, _ := state(v, "b"); m.Start != 50 {
 		t.Errorf("the later one keeps the name: %+v", m)
 	}
-	v.Hear(t0, addr(2), say("b", 50, fleetwire.Twin))
+	v.Hear(t0, addr(2), say("b", 50, gossipcodec.Twin))
 	if st := v.Status(t0); !st.Twin || st.Settled {
 		t.Errorf("told of a twin: %+v", st)
 	}
@@ -197,7 +197,7 @@
 func TestAViewIsBounded(t *testing.T) {
 	v := view(t, func(c *Config) { c.Flat = true })
 	for n := range MostMembers + 50 {
-		v.Hear(t0, addr(9), say(fmt.Sprint("x-", n), 1, fleetwire.Gossip))
+		v.Hear(t0, addr(9), say(fmt.Sprint("x-", n), 1, gossipcodec.Gossip))
 	}
 	if len(v.Members()) != MostMembers+1 || v.Counts().Full == 0 {
 		t.Errorf("%d members, %d turned away", len(v.Members()), v.Counts().Full)
@@ -207,18 +207,18 @@
 // What is sent stays bounded whatever is asked: a flood of each kind of question is answered from one budget, answers to
 // pings included, and repair pages too.
 func TestAFloodOfQuestionsIsAnsweredWithinTheBound(t *testing.T) {
-	sums := make([]uint32, fleetwire.Buckets)
+	sums := make([]uint32, gossipcodec.Buckets)
 	for i := range sums {
 		sums[i] = uint32(i + 1) // every bucket differs
 	}
-	for name, m := range map[string]fleetwire.Message{
-		"pings":   {Kind: fleetwire.Ping},
-		"asks":    {Kind: fleetwire.Ask, Target: "c"},
-		"digests": {Kind: fleetwire.Digest, Sums: sums},
+	for name, m := range map[string]gossipcodec.Message{
+		"pings":   {Kind: gossipcodec.Ping},
+		"asks":    {Kind: gossipcodec.Ask, Target: "c"},
+		"digests": {Kind: gossipcodec.Digest, Sums: sums},
 	} {
 		v := view(t, func(c *Config) { c.Flat = true })
 		for n := range 200 {
-			v.Hear(t0, addr(9), say(fmt.Sprint("x-", n), 1, fleetwire.Gossip))
+			v.Hear(t0, addr(9), say(fmt.Sprint("x-", n), 1, gossipcodec.Gossip))
 		}
 		v.Take()
 		m.Fleet, m.From, m.Start = "f", "b", 1
@@ -228,7 +228,7 @@
 			now := t0 + time.Duration(ms)*time.Millisecond
 			for n := range 3 {
 				m.Seq = uint64(3*ms + n)
-				v.Hear(now, addr(2), fleetwire.Append(nil, &m))
+				v.Hear(now, addr(2), gossipcodec.Append(nil, &m))
 			}
 			sent += len(v.Take())
 		}
@@ -241,13 +241,13 @@
 // Who raised a suspicion, and that there was one, is known after it was taken back.
 func TestASuspicionTakenBackIsKnown(t *testing.T) {
 	v := view(t, nil)
-	v.Hear(t0, addr(2), say("b", 900, fleetwire.Ping))
-	v.Hear(t0, addr(3), say("c", 900, fleetwire.Gossip, fleetwire.Claim{Name: "b", Start: 900, State: fleetwire.Suspect, By: "c"}))
-	if m, _ := state(v, "b"); m.State != fleetwire.Suspect || m.SuspectedBy != "c" || m.Previous != fleetwire.Alive {
+	v.Hear(t0, addr(2), say("b", 900, gossipcodec.Ping))
+	v.Hear(t0, addr(3), say("c", 900, gossipcodec.Gossip, gossipcodec.Claim{Name: "b", Start: 900, State: gossipcodec.Suspect, By: "c"}))
+	if m, _ := state(v, "b"); m.State != gossipcodec.Suspect || m.SuspectedBy != "c" || m.Previous != gossipcodec.Alive {
 		t.Errorf("suspected: %+v", m)
 	}
-	v.Hear(t0, addr(2), say("b", 900, fleetwire.Gossip, fleetwire.Claim{Name: "b", Start: 900, Incarnation: 1}))
-	if m, _ := state(v, "b"); m.State != fleetwire.Alive || m.SuspectedBy != "c" || m.Previous != fleetwire.Suspect {
+	v.Hear(t0, addr(2), say("b", 900, gossipcodec.Gossip, gossipcodec.Claim{Name: "b", Start: 900, Incarnation: 1}))
+	if m, _ := state(v, "b"); m.State != gossipcodec.Alive || m.SuspectedBy != "c" || m.Previous != gossipcodec.Suspect {
 		t.Errorf("refuted: %+v", m)
 	}
 }
--- a/internal/members/news.go
+++ b/internal/membership/news.go
@@ -1,14 +1,14 @@
-package members
+package membership
 
 import (
 	"container/heap"
 
-	"thymebend/internal/fleetwire"
+	"thymebend/internal/gossipcodec"
 )
 
 // item is a claim that is still to be sent some times.
 type item struct {
-	claim fleetwire.Claim
+	claim gossipcodec.Claim
 	sends int
 	age   uint64 // items told later have a higher one
 	place int    // in the queue
@@ -28,7 +28,7 @@
 func (n *news) len() int { return len(n.queue) }
 
 // tell adds a claim in place of an earlier one of its name.
-func (n *news) tell(c fleetwire.Claim) {
+func (n *news) tell(c gossipcodec.Claim) {
 	n.aged++
 	if it := n.byName[c.Name]; it != nil {
 		it.claim, it.sends, it.age = c, 0, n.aged
@@ -60,11 +60,11 @@
 const mostMisses = 2
 
 // fill adds claims to a datagram, the next ones to send first, and drops those that were sent as often as most says.
-func (n *news) fill(b []byte, most func(fleetwire.State) int) []byte {
+func (n *news) fill(b []byte, most func(gossipcodec.State) int) []byte {
 	var keep []*item
 	for misses := 0; len(n.queue) > 0 && misses < mostMisses; {
 		it := heap.Pop(&n.queue).(*item)
-		out, ok := fleetwire.AppendClaim(b, &it.claim)
+		out, ok := gossipcodec.AppendClaim(b, &it.claim)
 		if !ok {
 			keep = append(keep, it)
 			misses++
--- a/internal/members/rapid_test.go
+++ b/internal/membership/rapid_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"thymebend/internal/fleetwire"
+	"thymebend/internal/gossipcodec"
 )
 
 // machine drives one view by whatever others may say and time may do, beside the little that must hold at any moment.
@@ -36,10 +36,10 @@
 
 var names = rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "stranger"})
 
-func claims(t *rapid.T) (out []fleetwire.Claim) {
+func claims(t *rapid.T) (out []gossipcodec.Claim) {
 	for range rapid.IntRange(0, 4).Draw(t, "claims") {
-		out = append(out, fleetwire.Claim{Name: names.Draw(t, "name"), Start: rapid.Uint64Range(1, 2000).Draw(t, "start"),
-			Incarnation: rapid.Uint64Range(0, 5).Draw(t, "incarnation"), State: fleetwire.State(rapid.IntRange(0, 3).Draw(t, "state")),
+		out = append(out, gossipcodec.Claim{Name: names.Draw(t, "name"), Start: rapid.Uint64Range(1, 2000).Draw(t, "start"),
+			Incarnation: rapid.Uint64Range(0, 5).Draw(t, "incarnation"), State: gossipcodec.State(rapid.IntRange(0, 3).Draw(t, "state")),
 			By: rapid.SampledFrom([]string{"", "b", "c", "d"}).Draw(t, "by"), Payload: rapid.SliceOfN(rapid.Byte(), 0, 8).Draw(t, "payload")})
 	}
 	return out
@@ -65,17 +65,17 @@
 func (m *machine) hear(t *rapid.T) {
 	from := names.Draw(t, "from")
 	at := rapid.SampledFrom([]netip.AddrPort{addr(2), addr(3), addr(4), addr(9)}).Draw(t, "at")
-	msg := fleetwire.Message{Fleet: rapid.SampledFrom([]string{"f", "f", "f", "g"}).Draw(t, "fleet"), From: from, Start: rapid.Uint64Range(1, 2000).Draw(t, "of start"),
-		Kind: fleetwire.Kind(rapid.IntRange(1, 7).Draw(t, "kind")), Seq: rapid.Uint64Range(0, 1<<50).Draw(t, "seq"), Target: names.Draw(t, "target"),
+	msg := gossipcodec.Message{Fleet: rapid.SampledFrom([]string{"f", "f", "f", "g"}).Draw(t, "fleet"), From: from, Start: rapid.Uint64Range(1, 2000).Draw(t, "of start"),
+		Kind: gossipcodec.Kind(rapid.IntRange(1, 7).Draw(t, "kind")), Seq: rapid.Uint64Range(0, 1<<50).Draw(t, "seq"), Target: names.Draw(t, "target"),
 		View: rapid.Uint64().Draw(t, "view")}
-	if msg.Kind == fleetwire.Digest {
-		msg.Sums = make([]uint32, fleetwire.Buckets)
+	if msg.Kind == gossipcodec.Digest {
+		msg.Sums = make([]uint32, gossipcodec.Buckets)
 	}
 	news := claims(t)
-	b := fleetwire.Append(nil, &msg)
+	b := gossipcodec.Append(nil, &msg)
 	for i := range news {
 		var ok bool
-		if b, ok = fleetwire.AppendClaim(b, &news[i]); !ok {
+		if b, ok = gossipcodec.AppendClaim(b, &news[i]); !ok {
 			break
 		}
 	}
@@ -87,7 +87,7 @@
 			m.best[name] = c
 		}
 	}
-	if parsed, err := fleetwire.Parse(b); err == nil { // as it is after it was spoilt
+	if parsed, err := gossipcodec.Parse(b); err == nil { // as it is after it was spoilt
 		note(parsed.From, claimed{parsed.Start, 0})
 		for _, c := range parsed.News {
 			note(c.Name, claimed{c.Start, c.Incarnation})
@@ -120,7 +120,7 @@
 }
 
 func (m *machine) payload(t *rapid.T) {
-	if err := m.v.SetPayload(m.now, rapid.SliceOfN(rapid.Byte(), 0, fleetwire.MostPayload).Draw(t, "payload")); err != nil {
+	if err := m.v.SetPayload(m.now, rapid.SliceOfN(rapid.Byte(), 0, gossipcodec.MostPayload).Draw(t, "payload")); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -139,9 +139,9 @@
 	out := m.v.Take()
 	m.sent += len(out)
 	for _, d := range out {
-		msg, err := fleetwire.Parse(d.Data)
+		msg, err := gossipcodec.Parse(d.Data)
 		switch {
-		case err != nil || len(d.Data) > fleetwire.Most:
+		case err != nil || len(d.Data) > gossipcodec.Most:
 			t.Fatalf("it sends what cannot be read: %v, %d bytes", err, len(d.Data))
 		case msg.From != "a" || msg.Fleet != "f":
 			t.Fatalf("it speaks as %s of %s", msg.From, msg.Fleet)
@@ -161,7 +161,7 @@
 		}
 		got := claimed{o.Start, o.Incarnation}
 		if o.Name == "a" {
-			if o.State != fleetwire.Alive || got.less(m.own) {
+			if o.State != gossipcodec.Alive || got.less(m.own) {
 				t.Fatalf("of itself: %d at %+v after %+v", o.State, got, m.own)
 			}
 			m.own = got
@@ -192,7 +192,7 @@
 		t.Fatalf("%d suspects, %d news, %d questions of %d members", len(m.v.suspects), m.v.news.len(), len(m.v.questions), len(m.v.order))
 	}
 	for _, s := range m.v.suspects {
-		if s.State != fleetwire.Suspect || s.suspicion == nil {
+		if s.State != gossipcodec.Suspect || s.suspicion == nil {
 			t.Fatalf("%s is listed as a suspect and is %d", s.Name, s.State)
 		}
 	}
@@ -209,24 +209,24 @@
 // Two views that are told the same claims about living members in different orders, believe the same.
 func TestOrderOfNewsDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var news []fleetwire.Claim
+		var news []gossipcodec.Claim
 		for range rapid.IntRange(1, 12).Draw(t, "claims") {
 			name := rapid.SampledFrom([]string{"c", "d", "e"}).Draw(t, "name")
 			start, inc := rapid.Uint64Range(1, 5).Draw(t, "start"), rapid.Uint64Range(1, 5).Draw(t, "incarnation")
-			state := rapid.SampledFrom([]fleetwire.State{fleetwire.Alive, fleetwire.Left}).Draw(t, "state")
-			news = append(news, fleetwire.Claim{Name: name, Start: start, Incarnation: inc, State: state, Payload: fmt.Append(nil, start, inc)})
+			state := rapid.SampledFrom([]gossipcodec.State{gossipcodec.Alive, gossipcodec.Left}).Draw(t, "state")
+			news = append(news, gossipcodec.Claim{Name: name, Start: start, Incarnation: inc, State: state, Payload: fmt.Append(nil, start, inc)})
 		}
-		told := func(list []fleetwire.Claim) (out []string) {
+		told := func(list []gossipcodec.Claim) (out []string) {
 			v, err := New(Config{Fleet: "f", Name: "a", Start: 1000, Book: []Peer{{"b", addr(2)}}, Flat: true}, t0)
 			if err != nil {
 				t.Fatal(err)
 			}
 			for i := range list {
-				v.Hear(t0, addr(2), say("b", 7, fleetwire.Gossip, list[i]))
+				v.Hear(t0, addr(2), say("b", 7, gossipcodec.Gossip, list[i]))
 			}
 			for _, m := range v.Members() {
 				payload := ""
-				if m.State == fleetwire.Alive {
+				if m.State == gossipcodec.Alive {
 					payload = string(m.Payload)
 				}
 				out = append(out, fmt.Sprint(m.Name, m.State, m.Start, m.Incarnation, payload))
--- a/internal/consensus/consensus_test.go
+++ b/internal/raft/consensus_test.go
@@ -1,4 +1,4 @@
-package consensus
+package raft
 
 import (
 	"errors"
@@ -12,7 +12,7 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"thymebend/internal/duties"
+	"thymebend/internal/lease"
 )
 
 // disk keeps what a voter gives it, until it is full.
@@ -55,7 +55,7 @@
 	clients []*asker
 	wrong   []string
 	highest uint64
-	guard   *duties.Guard
+	guard   *lease.Guard
 	effects int
 	last    time.Duration // of an effect
 	gap     time.Duration // longest time without
@@ -63,7 +63,7 @@
 }
 
 type asker struct {
-	*duties.Client
+	*lease.Client
 	n       int
 	at      uint64 // voter that it asks next
 	stopped time.Duration
@@ -71,8 +71,8 @@
 
 const duty = "sweep"
 
-func newCluster(t testing.TB, seed uint64, n, clients int, lease time.Duration) *cluster {
-	c := &cluster{t: t, rng: rand.New(rand.NewPCG(seed, 9)), voters: make(map[uint64]*voter), guard: duties.NewGuard(100), cut: func(uint64, uint64) bool { return false }}
+func newCluster(t testing.TB, seed uint64, n, clients int, duration time.Duration) *cluster {
+	c := &cluster{t: t, rng: rand.New(rand.NewPCG(seed, 9)), voters: make(map[uint64]*voter), guard: lease.NewGuard(100), cut: func(uint64, uint64) bool { return false }}
 	for id := uint64(1); id <= uint64(n); id++ {
 		c.first = append(c.first, id)
 	}
@@ -81,8 +81,8 @@
 		c.start(id)
 	}
 	for i := range clients {
-		a := &asker{Client: duties.NewClient(fmt.Sprint("g", i), 1), n: i}
-		if err := a.Set(0, []duties.Want{{Duty: duty, Places: 1, Lease: lease}}); err != nil {
+		a := &asker{Client: lease.NewClient(fmt.Sprint("g", i), 1), n: i}
+		if err := a.Set(0, []lease.Want{{Duty: duty, Places: 1, Lease: duration}}); err != nil {
 			t.Fatal(err)
 		}
 		c.clients = append(c.clients, a)
@@ -424,7 +424,7 @@
 	for _, v := range c.voters {
 		if v.node.Status().Failed {
 			failed++
-			if err := v.node.Propose(c.now, duties.Command{}); !errors.Is(err, ErrFailed) {
+			if err := v.node.Propose(c.now, lease.Command{}); !errors.Is(err, ErrFailed) {
 				t.Error(err)
 			}
 		}
--- a/internal/consensus/leases.go
+++ b/internal/raft/leases.go
@@ -1,11 +1,11 @@
-package consensus
+package raft
 
 import (
 	"encoding/json"
 	"fmt"
 	"time"
 
-	"thymebend/internal/duties"
+	"thymebend/internal/lease"
 )
 
 // mostWaiting bounds the proposals of one voter that have no answer yet.
@@ -16,7 +16,7 @@
 	Client string
 	Start  uint64
 	Seq    uint64
-	duties.Answer
+	lease.Answer
 }
 
 // Output is what is to be done now.
@@ -34,7 +34,7 @@
 
 // leases is the Machine of a table of leases.
 type leases struct {
-	table   *duties.Table
+	table   *lease.Table
 	since   time.Duration // this voter leads
 	base    time.Duration // the log's time then
 	waiting map[waiting]bool
@@ -43,7 +43,7 @@
 
 // Apply implements Machine.
 func (l *leases) Apply(e Entry) error {
-	var c duties.Command
+	var c lease.Command
 	if err := json.Unmarshal(e.Data, &c); err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 
 // Restore implements Machine.
 func (l *leases) Restore(data []byte) error {
-	table, err := duties.Restore(data)
+	table, err := lease.Restore(data)
 	if err == nil {
 		l.table = table
 	}
@@ -69,7 +69,7 @@
 
 // Validate implements Machine.
 func (l *leases) Validate(data []byte) error {
-	_, err := duties.Restore(data)
+	_, err := lease.Restore(data)
 	return err
 }
 
@@ -90,7 +90,7 @@
 
 // New starts a voter of the log of leases.
 func New(cfg Config, now time.Duration) (*Node, error) {
-	l := &leases{table: duties.NewTable(), waiting: make(map[waiting]bool)}
+	l := &leases{table: lease.NewTable(), waiting: make(map[waiting]bool)}
 	log, err := NewLog(cfg, l, now)
 	if err != nil {
 		return nil, err
@@ -100,7 +100,7 @@
 
 // Propose puts a command into the log. Its answer comes out of Take once most voters have it, or never: then the client asks again, with
 // the same number.
-func (n *Node) Propose(now time.Duration, c duties.Command) error {
+func (n *Node) Propose(now time.Duration, c lease.Command) error {
 	if err := n.Leads(now); err != nil {
 		return err
 	}
--- a/internal/consensus/memory.go
+++ b/internal/raft/memory.go
@@ -1,4 +1,4 @@
-package consensus
+package raft
 
 import (
 	"slices"
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"thymebend"
+	"thymebend/internal/balancer"
 )
 
 // settings holds values by path. Reading a value remembers the first fault.
@@ -25,7 +25,7 @@
 
 // Settings is what the settings say, translated.
 type Settings struct {
-	Config  thymebend.Config
+	Config  balancer.Config
 	Gateway Gateway
 	present map[string]bool
 }
@@ -82,8 +82,8 @@
 	return strings.Split(s.values[path], ",")
 }
 
-func (s *settings) config() thymebend.Config {
-	c := thymebend.Config{
+func (s *settings) config() balancer.Config {
+	c := balancer.Config{
 		Gateways:       s.integer("balancers", 1, true),
 		Rank:           s.integer("rank", 0, false),
 		Zone:           s.integer("zone", 0, false),
@@ -118,7 +118,7 @@
 	}
 	for i := range s.integer("tenants.count", 0, false) {
 		p := fmt.Sprintf("tenants.%d.", i)
-		c.Tenants = append(c.Tenants, thymebend.Tenant{
+		c.Tenants = append(c.Tenants, balancer.Tenant{
 			Name:  s.values[p+"name"],
 			Quota: s.number(p+"quota_per_s", 0, false),
 		})
@@ -129,11 +129,11 @@
 	return c
 }
 
-func (s *settings) class(p string) thymebend.Class {
+func (s *settings) class(p string) balancer.Class {
 	if s.values[p+"name"] == "" && s.present != nil {
 		s.fault("%sname is missing", p)
 	}
-	c := thymebend.Class{
+	c := balancer.Class{
 		Name:      s.values[p+"name"],
 		Aim:       s.millis(p+"aim_ms", 0, true),
 		Deadline:  Millis(s.above(p+"give_up_ms", s.number(p+"give_up_ms", 0, true))),
@@ -143,19 +143,19 @@
 	}
 	switch s.word(p+"repeat", "once", "repeatable", "by_key", "once") {
 	case "repeatable":
-		c.Effect = thymebend.Safe
+		c.Effect = balancer.Safe
 	case "by_key":
-		c.Effect = thymebend.Keyed
+		c.Effect = balancer.Keyed
 	default:
-		c.Effect = thymebend.Unsafe
+		c.Effect = balancer.Unsafe
 	}
 	switch s.word(p+"group", "cell", "all", "zone", "cell") {
 	case "all":
-		c.Group = thymebend.GroupAll
+		c.Group = balancer.GroupAll
 	case "zone":
-		c.Group = thymebend.GroupZone
+		c.Group = balancer.GroupZone
 	default:
-		c.Group = thymebend.GroupCell
+		c.Group = balancer.GroupCell
 	}
 	return c
 }
--- a/internal/settings/size_test.go
+++ b/internal/settings/size_test.go
@@ -7,20 +7,20 @@
 	"testing"
 	"time"
 
-	"thymebend"
+	"thymebend/internal/balancer"
 )
 
 // silent takes the decisions of a module that has no requests.
 type silent struct{}
 
-func (silent) Send(thymebend.RequestID, thymebend.ServerID, time.Duration) {}
-func (silent) Refuse(thymebend.RequestID, time.Duration)                   {}
-func (silent) Fail(thymebend.RequestID)                                    {}
-func (silent) Cancel(thymebend.RequestID, int)                             {}
-func (silent) Wake(time.Duration, uint32)                                  {}
-func (silent) Close(thymebend.ServerID)                                    {}
-func (silent) Watch()                                                      {}
-func (silent) Log(string)                                                  {}
+func (silent) Send(balancer.RequestID, balancer.ServerID, time.Duration) {}
+func (silent) Refuse(balancer.RequestID, time.Duration)                  {}
+func (silent) Fail(balancer.RequestID)                                   {}
+func (silent) Cancel(balancer.RequestID, int)                            {}
+func (silent) Wake(time.Duration, uint32)                                {}
+func (silent) Close(balancer.ServerID)                                   {}
+func (silent) Watch()                                                    {}
+func (silent) Log(string)                                                {}
 
 // sizedSettings words settings with so many classes and tenants.
 func sizedSettings(classes, tenants int) []byte {
@@ -51,7 +51,7 @@
 	if err != nil || len(s.Config.Tenants) != tenants || s.Config.Tenants[tenants-1].Quota != 5 {
 		t.Fatalf("%d tenants: %v", len(s.Config.Tenants), err)
 	}
-	if _, err := thymebend.New(s.Config, 1, 0, silent{}); err != nil {
+	if _, err := balancer.New(s.Config, 1, 0, silent{}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -60,13 +60,13 @@
 	raw := sizedSettings(classes, tenants)
 	b.ReportAllocs()
 	var kept Settings
-	var module *thymebend.Balancer
+	var module *balancer.Balancer
 	for b.Loop() {
 		var err error
 		if kept, err = ParseJSON(raw); err != nil {
 			b.Fatal(err)
 		}
-		if module, err = thymebend.New(kept.Config, 1, 0, silent{}); err != nil {
+		if module, err = balancer.New(kept.Config, 1, 0, silent{}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/wire/frame.go
+++ b/internal/simproto/frame.go
@@ -1,6 +1,6 @@
 // Package wire speaks the binary dialect of the simulator's wire: it reads batches of events and writes
 // replies of actions. It takes no decisions.
-package wire
+package simproto
 
 import (
 	"encoding/binary"
@@ -10,7 +10,7 @@
 	"math"
 	"time"
 
-	"thymebend"
+	"thymebend/internal/balancer"
 	"thymebend/internal/settings"
 )
 
@@ -46,30 +46,30 @@
 type Event struct {
 	Instance int
 	Kind     Kind
-	Request  thymebend.Request    // NewRequest; only its ID for Lapsed and First
-	End      thymebend.AttemptEnd // AttemptEnded
-	Load     Load                 // AttemptEnded
-	Token    uint32               // TimerFired
-	Seed     uint64               // Start
-	Settings string               // Start
-	List     thymebend.ListKind   // ListChanged
-	Servers  []thymebend.Server   // ListChanged
+	Request  balancer.Request    // NewRequest; only its ID for Lapsed and First
+	End      balancer.AttemptEnd // AttemptEnded
+	Load     Load                // AttemptEnded
+	Token    uint32              // TimerFired
+	Seed     uint64              // Start
+	Settings string              // Start
+	List     balancer.ListKind   // ListChanged
+	Servers  []balancer.Server   // ListChanged
 }
 
-var outcomes = map[uint16]thymebend.Outcome{
-	100: thymebend.OK, 301: thymebend.Error, 302: thymebend.Full, 303: thymebend.Timeout,
-	304: thymebend.ConnectFailed, 305: thymebend.Reset, 306: thymebend.Cancelled, 307: thymebend.Moot,
+var outcomes = map[uint16]balancer.Outcome{
+	100: balancer.OK, 301: balancer.Error, 302: balancer.Full, 303: balancer.Timeout,
+	304: balancer.ConnectFailed, 305: balancer.Reset, 306: balancer.Cancelled, 307: balancer.Moot,
 }
 
-var listKinds = [...]thymebend.ListKind{
-	0: thymebend.ListCached, 1: thymebend.ListFailed, 2: thymebend.ListDelta, 3: thymebend.ListFull,
+var listKinds = [...]balancer.ListKind{
+	0: balancer.ListCached, 1: balancer.ListFailed, 2: balancer.ListDelta, 3: balancer.ListFull,
 }
 
 // Reader reads batches from a stream and reuses its buffer.
 type Reader struct {
 	in      io.Reader
 	frame   []byte
-	servers []thymebend.Server
+	servers []balancer.Server
 }
 
 // NewReader returns a Reader on in.
@@ -104,15 +104,15 @@
 	Now     time.Duration
 	records []byte
 	tail    []byte
-	servers *[]thymebend.Server
+	servers *[]balancer.Server
 	at      int
 	inst    int
 }
 
 // Decode checks the header of a frame held in memory.
-func Decode(frame []byte) (Batch, error) { return decode(frame, new([]thymebend.Server)) }
+func Decode(frame []byte) (Batch, error) { return decode(frame, new([]balancer.Server)) }
 
-func decode(frame []byte, servers *[]thymebend.Server) (Batch, error) {
+func decode(frame []byte, servers *[]balancer.Server) (Batch, error) {
 	if len(frame) < batchHeader {
 		return Batch{}, fmt.Errorf("batch: %d bytes, the header alone has %d", len(frame), batchHeader)
 	}
@@ -163,7 +163,7 @@
 		e.End, err = attemptEnd(rec)
 		e.Load = load(rec[24:])
 	case Lapsed, First:
-		e.Request.ID = thymebend.RequestID(le.Uint32(rec[1:]))
+		e.Request.ID = balancer.RequestID(le.Uint32(rec[1:]))
 	case TimerFired:
 		e.Token = le.Uint32(rec[1:])
 	case ListChanged:
@@ -192,21 +192,21 @@
 	return settings.Millis(v), nil
 }
 
-func host(rec []byte) thymebend.ServerID {
+func host(rec []byte) balancer.ServerID {
 	port := binary.LittleEndian.Uint16(rec[4:])
-	return thymebend.ServerID(binary.BigEndian.Uint32(rec))<<16 | thymebend.ServerID(port)
+	return balancer.ServerID(binary.BigEndian.Uint32(rec))<<16 | balancer.ServerID(port)
 }
 
-func attemptEnd(rec []byte) (thymebend.AttemptEnd, error) {
+func attemptEnd(rec []byte) (balancer.AttemptEnd, error) {
 	le := binary.LittleEndian
 	code := le.Uint16(rec[13:])
 	outcome, ok := outcomes[code]
 	if !ok {
-		return thymebend.AttemptEnd{}, fmt.Errorf("unknown outcome %d at byte 13", code)
+		return balancer.AttemptEnd{}, fmt.Errorf("unknown outcome %d at byte 13", code)
 	}
 	latency, err := float(rec[15:], "latency_ms")
-	return thymebend.AttemptEnd{
-		Request: thymebend.RequestID(le.Uint32(rec[1:])), Attempt: int(le.Uint16(rec[5:])),
+	return balancer.AttemptEnd{
+		Request: balancer.RequestID(le.Uint32(rec[1:])), Attempt: int(le.Uint16(rec[5:])),
 		Server: host(rec[7:]), Outcome: outcome, Latency: latency, Closed: rec[23] != 0,
 	}, err
 }
@@ -233,11 +233,11 @@
 	return l.Values[column], true
 }
 
-func request(rec []byte) (thymebend.Request, error) {
+func request(rec []byte) (balancer.Request, error) {
 	le := binary.LittleEndian
 	left, err := float(rec[17:], "patience_left_ms")
-	return thymebend.Request{
-		ID: thymebend.RequestID(le.Uint32(rec[1:])), Tenant: int(le.Uint32(rec[5:])),
+	return balancer.Request{
+		ID: balancer.RequestID(le.Uint32(rec[1:])), Tenant: int(le.Uint32(rec[5:])),
 		Patience: left, Class: int(le.Uint16(rec[25:])), Repeat: rec[27]&2 != 0,
 	}, err
 }
@@ -264,16 +264,16 @@
 	return nil
 }
 
-func entry(rec []byte) (thymebend.Server, error) {
+func entry(rec []byte) (balancer.Server, error) {
 	born, err := float(rec[14:], "born_ms")
 	if err != nil {
-		return thymebend.Server{}, err
+		return balancer.Server{}, err
 	}
 	if rec[13] > 2 {
-		return thymebend.Server{}, fmt.Errorf("unknown availability %d at byte 13", rec[13])
+		return balancer.Server{}, fmt.Errorf("unknown availability %d at byte 13", rec[13])
 	}
-	state := [...]thymebend.State{thymebend.Gone, thymebend.Ready, thymebend.Draining}[rec[13]]
-	return thymebend.Server{
+	state := [...]balancer.State{balancer.Gone, balancer.Ready, balancer.Draining}[rec[13]]
+	return balancer.Server{
 		Zone: int(rec[4]), Cell: int(binary.LittleEndian.Uint16(rec[5:])), ID: host(rec[7:]), State: state,
 		Born: born,
 	}, nil
--- a/internal/wire/reply.go
+++ b/internal/simproto/reply.go
@@ -1,4 +1,4 @@
-package wire
+package simproto
 
 import (
 	"encoding/binary"
@@ -6,7 +6,7 @@
 	"math"
 	"time"
 
-	"thymebend"
+	"thymebend/internal/balancer"
 )
 
 // The action codes of the wire.
@@ -69,7 +69,7 @@
 	return r.records[at:]
 }
 
-func (r *Reply) request(code byte, id thymebend.RequestID) []byte {
+func (r *Reply) request(code byte, id balancer.RequestID) []byte {
 	rec := r.record(code)
 	binary.LittleEndian.PutUint32(rec[1:], uint32(id))
 	return rec
@@ -81,7 +81,7 @@
 }
 
 // Send implements thymebend.Actions.
-func (r *Reply) Send(id thymebend.RequestID, to thymebend.ServerID, timeout time.Duration) {
+func (r *Reply) Send(id balancer.RequestID, to balancer.ServerID, timeout time.Duration) {
 	rec := r.request(actSend, id)
 	binary.BigEndian.PutUint32(rec[5:], uint32(to>>16))
 	binary.LittleEndian.PutUint16(rec[9:], uint16(to))
@@ -89,20 +89,20 @@
 }
 
 // Refuse implements thymebend.Actions.
-func (r *Reply) Refuse(id thymebend.RequestID, after time.Duration) {
+func (r *Reply) Refuse(id balancer.RequestID, after time.Duration) {
 	putTime(r.request(actRefuse, id)[5:], after)
 }
 
 // Fail implements thymebend.Actions.
-func (r *Reply) Fail(id thymebend.RequestID) { r.request(actFail, id) }
+func (r *Reply) Fail(id balancer.RequestID) { r.request(actFail, id) }
 
 // Cancel implements thymebend.Actions.
-func (r *Reply) Cancel(id thymebend.RequestID, attempt int) {
+func (r *Reply) Cancel(id balancer.RequestID, attempt int) {
 	binary.LittleEndian.PutUint16(r.request(actCancel, id)[5:], uint16(attempt))
 }
 
 // Close implements thymebend.Actions.
-func (r *Reply) Close(to thymebend.ServerID) {
+func (r *Reply) Close(to balancer.ServerID) {
 	rec := r.record(actClose)
 	binary.BigEndian.PutUint32(rec[1:], uint32(to>>16))
 	binary.LittleEndian.PutUint16(rec[5:], uint16(to))
--- a/internal/wire/wire_test.go
+++ b/internal/simproto/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simproto
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"thymebend"
+	"thymebend/internal/balancer"
 	"thymebend/internal/settings"
 )
 
@@ -66,18 +66,18 @@
 	if len(events) != 5 || events[0].Instance != 3 || events[4].Instance != 4 || events[4].Kind != Stop {
 		t.Fatalf("events = %+v", events)
 	}
-	want := thymebend.Request{ID: 77, Tenant: 1, Patience: 110 * time.Millisecond, Class: 2, Repeat: true}
+	want := balancer.Request{ID: 77, Tenant: 1, Patience: 110 * time.Millisecond, Class: 2, Repeat: true}
 	if events[0].Request != want {
 		t.Errorf("request = %+v", events[0].Request)
 	}
-	const server = thymebend.ServerID(10<<40 | 18<<32 | 74<<24 | 7<<16 | 0x232b)
-	end := thymebend.AttemptEnd{Request: 77, Attempt: 3, Server: server, Outcome: thymebend.Timeout,
+	const server = balancer.ServerID(10<<40 | 18<<32 | 74<<24 | 7<<16 | 0x232b)
+	end := balancer.AttemptEnd{Request: 77, Attempt: 3, Server: server, Outcome: balancer.Timeout,
 		Latency: 12500 * time.Microsecond, Closed: true}
 	if events[1].End != end {
 		t.Errorf("end = %+v, want %+v", events[1].End, end)
 	}
-	srv := thymebend.Server{ID: server, Zone: 2, Cell: 7, State: thymebend.Ready, Born: 1500 * time.Millisecond}
-	if events[2].List != thymebend.ListFull || len(events[2].Servers) != 1 || events[2].Servers[0] != srv {
+	srv := balancer.Server{ID: server, Zone: 2, Cell: 7, State: balancer.Ready, Born: 1500 * time.Millisecond}
+	if events[2].List != balancer.ListFull || len(events[2].Servers) != 1 || events[2].Servers[0] != srv {
 		t.Errorf("list = %v %+v", events[2].List, events[2].Servers)
 	}
 	if events[3].Token != 9 {
@@ -211,8 +211,8 @@
 	k := c.Classes[0]
 	if c.Gateways != 4 || c.Zone != 1 || !c.AskForList || c.AskWithin != 10*time.Second || c.MaxAttempts != 3 ||
 		!c.CancelAllowed || c.ColdFrom != 0.25 || c.Tenants[0].Quota != 12.5 ||
-		k.Aim != 300500*time.Microsecond || k.Effect != thymebend.Keyed || k.Group != thymebend.GroupZone ||
-		k.Window != 800*time.Millisecond || c.Classes[1].Effect != thymebend.Unsafe || c.Classes[1].Worth != 1 ||
+		k.Aim != 300500*time.Microsecond || k.Effect != balancer.Keyed || k.Group != balancer.GroupZone ||
+		k.Window != 800*time.Millisecond || c.Classes[1].Effect != balancer.Unsafe || c.Classes[1].Worth != 1 ||
 		c.Tick != time.Millisecond || c.OverShareWorth != 1 {
 		t.Errorf("config = %+v", c)
 	}
--- a/internal/starts/starts.go
+++ b/internal/starttime/starts.go
@@ -3,12 +3,12 @@
 // seconds or by an hour: taken at its word, it would make a server in slow start look warm, or keep it cold for an hour.
 //
 // The package is pure: the caller passes the time of its own clock.
-package starts
+package starttime
 
 import (
 	"time"
 
-	"thymebend"
+	"thymebend/internal/balancer"
 )
 
 const (
@@ -26,7 +26,7 @@
 	lead     time.Duration // this process's clock is ahead of the list's by so much
 	judged   bool          // a list with a start has been heard: the lead is no guess any more
 	followed bool          // a list was heard of discovery, so that what is new in the next is news
-	known    map[thymebend.ServerID]start
+	known    map[balancer.ServerID]start
 }
 
 // start is one start of a server.
@@ -36,12 +36,12 @@
 }
 
 // Believe replaces the starts that entries state by those on this process's clock. A start that was heard before keeps its time.
-func (s *Starts) Believe(now time.Duration, kind thymebend.ListKind, entries []thymebend.Server) {
+func (s *Starts) Believe(now time.Duration, kind balancer.ListKind, entries []balancer.Server) {
 	if s.known == nil {
-		s.known = make(map[thymebend.ServerID]start)
+		s.known = make(map[balancer.ServerID]start)
 	}
 	s.judge(now, entries)
-	if kind == thymebend.ListFull {
+	if kind == balancer.ListFull {
 		s.keep(entries)
 	}
 	for i := range entries {
@@ -50,15 +50,15 @@
 			continue // long ago, whatever the clocks are
 		}
 		entry.Born = s.believe(now, entry.ID, entry.Born)
-		if entry.State == thymebend.Gone {
+		if entry.State == balancer.Gone {
 			delete(s.known, entry.ID)
 		}
 	}
-	s.followed = s.followed || kind == thymebend.ListFull || kind == thymebend.ListDelta
+	s.followed = s.followed || kind == balancer.ListFull || kind == balancer.ListDelta
 }
 
 // judge finds out how far this process's clock is ahead of the list's, as far as the list tells.
-func (s *Starts) judge(now time.Duration, entries []thymebend.Server) {
+func (s *Starts) judge(now time.Duration, entries []balancer.Server) {
 	newest := time.Duration(0)
 	for i := range entries {
 		newest = max(newest, entries[i].Born)
@@ -74,7 +74,7 @@
 }
 
 // believe is when a server started, on this process's clock.
-func (s *Starts) believe(now time.Duration, id thymebend.ServerID, stated time.Duration) time.Duration {
+func (s *Starts) believe(now time.Duration, id balancer.ServerID, stated time.Duration) time.Duration {
 	if was, ok := s.known[id]; ok && was.stated == stated {
 		return was.believed
 	}
@@ -87,8 +87,8 @@
 }
 
 // keep forgets the servers that a whole list leaves out.
-func (s *Starts) keep(entries []thymebend.Server) {
-	listed := make(map[thymebend.ServerID]bool, len(entries))
+func (s *Starts) keep(entries []balancer.Server) {
+	listed := make(map[balancer.ServerID]bool, len(entries))
 	for i := range entries {
 		listed[entries[i].ID] = true
 	}
--- a/internal/starts/starts_test.go
+++ b/internal/starttime/starts_test.go
@@ -1,10 +1,10 @@
-package starts
+package starttime
 
 import (
 	"testing"
 	"time"
 
-	"thymebend"
+	"thymebend/internal/balancer"
 )
 
 // trueTime is the time when a process begins, by right clocks.
@@ -13,23 +13,23 @@
 // heard is a list that a process hears, at a true time, of servers with their starts.
 type heard struct {
 	at   time.Duration
-	kind thymebend.ListKind
-	born map[thymebend.ServerID]time.Duration // before at
+	kind balancer.ListKind
+	born map[balancer.ServerID]time.Duration // before at
 }
 
 // ages plays lists to a process whose clock is wrong and returns how old it takes each server to be after the last.
-func ages(clockError time.Duration, lists ...heard) map[thymebend.ServerID]time.Duration {
+func ages(clockError time.Duration, lists ...heard) map[balancer.ServerID]time.Duration {
 	var s Starts
-	out := make(map[thymebend.ServerID]time.Duration)
+	out := make(map[balancer.ServerID]time.Duration)
 	var now time.Duration
-	believed := make(map[thymebend.ServerID]time.Duration)
+	believed := make(map[balancer.ServerID]time.Duration)
 	for _, l := range lists {
 		now = trueTime + l.at + clockError
 		for id, ago := range l.born {
-			entries := []thymebend.Server{{ID: id, State: thymebend.Ready, Born: trueTime + l.at - ago}}
+			entries := []balancer.Server{{ID: id, State: balancer.Ready, Born: trueTime + l.at - ago}}
 			kind := l.kind
-			if len(l.born) > 1 && kind == thymebend.ListFull {
-				kind = thymebend.ListDelta // entries one by one; whole lists are in TestWholeListsForget
+			if len(l.born) > 1 && kind == balancer.ListFull {
+				kind = balancer.ListDelta // entries one by one; whole lists are in TestWholeListsForget
 			}
 			s.Believe(now, kind, entries)
 			believed[id] = entries[0].Born
@@ -46,25 +46,25 @@
 // Whatever a machine's clock says, a server that starts while the list is followed is taken to be no older than 6 s and no
 // younger than just started, and one of the first list is not taken to be warm that may be cold.
 func TestWrongClocks(t *testing.T) {
-	first := heard{0, thymebend.ListFull, map[thymebend.ServerID]time.Duration{1: 20 * time.Second}}
-	fresh := heard{30 * time.Second, thymebend.ListDelta, map[thymebend.ServerID]time.Duration{2: 2 * time.Second}}
+	first := heard{0, balancer.ListFull, map[balancer.ServerID]time.Duration{1: 20 * time.Second}}
+	fresh := heard{30 * time.Second, balancer.ListDelta, map[balancer.ServerID]time.Duration{2: 2 * time.Second}}
 	for name, c := range map[string]struct {
 		clockError  time.Duration
 		lists       []heard
-		id          thymebend.ServerID
+		id          balancer.ServerID
 		least, most time.Duration
 	}{
 		"right, of the first list":           {0, []heard{first}, 1, 20 * time.Second, 20 * time.Second},
 		"right, of a change":                 {0, []heard{first, fresh}, 2, 2 * time.Second, 2 * time.Second},
-		"right, of a change heard late":      {0, []heard{first, {30 * time.Second, thymebend.ListDelta, map[thymebend.ServerID]time.Duration{2: 9 * time.Second}}}, 2, 6 * time.Second, 6 * time.Second},
+		"right, of a change heard late":      {0, []heard{first, {30 * time.Second, balancer.ListDelta, map[balancer.ServerID]time.Duration{2: 9 * time.Second}}}, 2, 6 * time.Second, 6 * time.Second},
 		"an hour ahead, of the first list":   {hour, []heard{first}, 1, 0, 0},
 		"an hour ahead, of a change":         {hour, []heard{first, fresh}, 2, 0, 6 * time.Second},
 		"an hour behind, of the first list":  {-hour, []heard{first}, 1, 0, 0},
 		"an hour behind, of a change":        {-hour, []heard{first, fresh}, 2, 0, 6 * time.Second},
 		"seconds ahead, of a change":         {7 * time.Second, []heard{first, fresh}, 2, 2 * time.Second, 6 * time.Second},
 		"seconds behind, of a change":        {-7 * time.Second, []heard{first, fresh}, 2, 0, 2 * time.Second},
-		"an hour behind, a first list empty": {-hour, []heard{{0, thymebend.ListFull, nil}, fresh}, 2, 0, 0},
-		"long ago":                           {hour, []heard{{0, thymebend.ListCached, map[thymebend.ServerID]time.Duration{1: trueTime}}}, 1, trueTime, 2 * trueTime},
+		"an hour behind, a first list empty": {-hour, []heard{{0, balancer.ListFull, nil}, fresh}, 2, 0, 0},
+		"long ago":                           {hour, []heard{{0, balancer.ListCached, map[balancer.ServerID]time.Duration{1: trueTime}}}, 1, trueTime, 2 * trueTime},
 	} {
 		if got := ages(c.clockError, c.lists...)[c.id]; got < c.least || got > c.most {
 			t.Errorf("%s: taken to be %v old, want %v to %v", name, got, c.least, c.most)
@@ -76,8 +76,8 @@
 func TestStartsKeepTheirTimes(t *testing.T) {
 	var s Starts
 	believe := func(now, born time.Duration) time.Duration {
-		entries := []thymebend.Server{{ID: 1, State: thymebend.Ready, Born: born}}
-		s.Believe(now, thymebend.ListDelta, entries)
+		entries := []balancer.Server{{ID: 1, State: balancer.Ready, Born: born}}
+		s.Believe(now, balancer.ListDelta, entries)
 		return entries[0].Born
 	}
 	first := believe(100*time.Second, 5000*time.Second)
@@ -92,11 +92,11 @@
 // What a whole list leaves out is forgotten: memory stays with the list.
 func TestWholeListsForget(t *testing.T) {
 	var s Starts
-	for id := range thymebend.ServerID(100) {
-		s.Believe(trueTime, thymebend.ListDelta, []thymebend.Server{{ID: id + 1, State: thymebend.Ready, Born: trueTime - time.Second}})
+	for id := range balancer.ServerID(100) {
+		s.Believe(trueTime, balancer.ListDelta, []balancer.Server{{ID: id + 1, State: balancer.Ready, Born: trueTime - time.Second}})
 	}
-	s.Believe(trueTime, thymebend.ListFull, []thymebend.Server{{ID: 1, State: thymebend.Ready, Born: trueTime - time.Second}})
-	s.Believe(trueTime, thymebend.ListDelta, []thymebend.Server{{ID: 1, State: thymebend.Gone, Born: trueTime - time.Second}})
+	s.Believe(trueTime, balancer.ListFull, []balancer.Server{{ID: 1, State: balancer.Ready, Born: trueTime - time.Second}})
+	s.Believe(trueTime, balancer.ListDelta, []balancer.Server{{ID: 1, State: balancer.Gone, Born: trueTime - time.Second}})
 	if len(s.known) != 0 {
 		t.Errorf("%d starts are kept", len(s.known))
 	}
--- a/internal/turns/owners.go
+++ b/internal/tokenschedule/owners.go
@@ -1,4 +1,4 @@
-package turns
+package tokenschedule
 
 import (
 	"cmp"
