--- a/internal/turns/turns.go
+++ b/internal/tokenschedule/turns.go
@@ -1,6 +1,6 @@
 // Package turns divides what a cold host bears among the gateways that use it, in whole requests, by the common clock and
 // without a word between them. It does no I/O and has no clock. docs/design/shares.md says why it is so.
-package turns
+package tokenschedule
 
 import (
 	"math"
--- a/internal/servers/answer.go
+++ b/internal/upstream/answer.go
@@ -1,6 +1,6 @@
 // Package servers speaks to the hosts: server links and their reuse, requests as hosts get them, answers and
 // load reports as they come back.
-package servers
+package upstream
 
 import (
 	"strconv"
--- a/internal/servers/pool.go
+++ b/internal/upstream/pool.go
@@ -1,4 +1,4 @@
-package servers
+package upstream
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"thymebend"
+	"thymebend/internal/balancer"
 	"thymebend/internal/http1"
 	"thymebend/internal/loop"
 )
@@ -27,7 +27,7 @@
 // Link is one server link. It carries one attempt at a time.
 type Link struct {
 	Conn   loop.Conn
-	Host   thymebend.ServerID
+	Host   balancer.ServerID
 	Phase  Phase
 	reader http1.Reader
 }
@@ -92,14 +92,14 @@
 // Pool holds the server links.
 type Pool struct {
 	links map[loop.Conn]*Link
-	idle  map[thymebend.ServerID][]*Link // newest last
+	idle  map[balancer.ServerID][]*Link // newest last
 	most  int
 	next  loop.Conn
 }
 
 // NewPool returns a pool of at most so many links.
 func NewPool(most int) *Pool {
-	return &Pool{links: make(map[loop.Conn]*Link), idle: make(map[thymebend.ServerID][]*Link), most: most}
+	return &Pool{links: make(map[loop.Conn]*Link), idle: make(map[balancer.ServerID][]*Link), most: most}
 }
 
 // Resize changes how many links there may be. Those that are too many go as they end, or give way.
@@ -131,7 +131,7 @@
 
 // Take returns the idle link to a host that was used last, or nil. The newest goes first, so that links that
 // are not needed grow old and are closed.
-func (p *Pool) Take(host thymebend.ServerID) *Link {
+func (p *Pool) Take(host balancer.ServerID) *Link {
 	links := p.idle[host]
 	if len(links) == 0 {
 		return nil
@@ -142,7 +142,7 @@
 }
 
 // Open adds a link that connects.
-func (p *Pool) Open(host thymebend.ServerID) *Link {
+func (p *Pool) Open(host balancer.ServerID) *Link {
 	l := &Link{Conn: p.NextConn(), Host: host, reader: http1.Reader{Response: true}}
 	p.links[l.Conn] = l
 	return l
@@ -176,10 +176,10 @@
 }
 
 // IdleTo returns the idle links to a host, oldest first.
-func (p *Pool) IdleTo(host thymebend.ServerID) []*Link { return append([]*Link(nil), p.idle[host]...) }
+func (p *Pool) IdleTo(host balancer.ServerID) []*Link { return append([]*Link(nil), p.idle[host]...) }
 
 // ConnectingTo returns the links to any of some hosts that are not up yet, oldest first. It walks all links once.
-func (p *Pool) ConnectingTo(hosts map[thymebend.ServerID]bool) []*Link {
+func (p *Pool) ConnectingTo(hosts map[balancer.ServerID]bool) []*Link {
 	var found []*Link
 	for _, l := range p.links {
 		if l.Phase == Connecting && hosts[l.Host] {
--- a/internal/servers/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -1,9 +1,9 @@
-package servers
+package upstream
 
 import (
 	"testing"
 
-	"thymebend"
+	"thymebend/internal/balancer"
 )
 
 // What a smaller budget has no room for goes, oldest first, but never a link in use.
@@ -11,7 +11,7 @@
 	pool := NewPool(6)
 	var links []*Link
 	for n := range 6 {
-		links = append(links, pool.Open(thymebend.ServerID(n%2)))
+		links = append(links, pool.Open(balancer.ServerID(n%2)))
 	}
 	for _, n := range []int{3, 1, 4, 2} {
 		pool.Rest(links[n])
