--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -112,18 +112,18 @@
 	case simproto.Stop:
 		delete(h.instances, e.Instance)
 	case simproto.NewRequest:
-		b.Request(batch.Now, e.Request)
+		b.RequestArrived(batch.Now, e.Request)
 	case simproto.AttemptEnded:
-		e.End.Waiting, e.End.Reported = e.Load.Waiting(h.waiting[e.Instance])
-		b.AttemptEnd(batch.Now, e.End)
+		e.End.QueueLength, e.End.Reported = e.Load.Waiting(h.waiting[e.Instance])
+		b.AttemptEnded(batch.Now, e.End)
 	case simproto.First:
-		b.First(batch.Now, e.Request.ID)
+		b.ResponseStarted(batch.Now, e.Request.ID)
 	case simproto.Lapsed:
-		b.Lapsed(batch.Now, e.Request.ID)
+		b.RequestAbandoned(batch.Now, e.Request.ID)
 	case simproto.TimerFired:
-		b.Timer(batch.Now, e.Token)
+		b.TimerFired(batch.Now, e.Token)
 	case simproto.ListChanged:
-		b.List(batch.Now, e.List, e.Servers)
+		b.UpdateEndpoints(batch.Now, e.List, e.Servers)
 	}
 	return nil
 }
--- a/cmd/thymebend/fleet.go
+++ b/cmd/thymebend/fleet.go
@@ -85,7 +85,7 @@
 	if m.Status != 200 {
 		return fmt.Errorf("%s: %d: %s", at, m.Status, strings.TrimSpace(string(m.Body)))
 	}
-	var f admin.Fleet
+	var f admin.Cluster
 	if err := json.Unmarshal(m.Body, &f); err != nil {
 		return fmt.Errorf("%s: what it answers is no view: %w", at, err)
 	}
@@ -128,20 +128,20 @@
 }
 
 // show prints a view as a table: first how far it may be trusted, then the gateways, those in trouble first.
-func show(out io.Writer, f admin.Fleet) error {
+func show(out io.Writer, f admin.Cluster) error {
 	yes := func(v bool, words, not string) string {
 		if v {
 			return words
 		}
 		return not
 	}
-	fmt.Fprintf(out, "%s in fleet %s: %s, %s, %d of %d alive, %.0f%% of those asked answer, quiet for %v, own health %d\n", f.Name, f.Fleet,
+	fmt.Fprintf(out, "%s in fleet %s: %s, %s, %d of %d alive, %.0f%% of those asked answer, quiet for %v, own health %d\n", f.Name, f.Cluster,
 		yes(f.Settled, "settled", "NOT SETTLED"), yes(f.Majority, "a majority", "NO MAJORITY"), f.Alive, f.Known, 100*f.Answering,
 		(time.Duration(f.QuietMS) * time.Millisecond).Round(100*time.Millisecond), f.Health)
-	if !f.Speaking {
+	if !f.Active {
 		fmt.Fprintln(out, "it does not speak: its socket is not open, or another process speaks for it")
 	}
-	if f.Twin {
+	if f.DuplicateName {
 		fmt.Fprintln(out, "ANOTHER LIVING PROCESS USES THIS NAME")
 	}
 	fmt.Fprintf(out, "datagrams: %d sent (%d bytes), %d received (%d bytes)", f.Sent, f.SentBytes, f.Received, f.ReceivedBytes)
@@ -156,7 +156,7 @@
 	}
 	fmt.Fprint(out, "\n\n")
 	order := []string{"suspect", "gone", "left", "alive"}
-	slices.SortStableFunc(f.Members, func(a, b admin.FleetMember) int {
+	slices.SortStableFunc(f.Members, func(a, b admin.Member) int {
 		return slices.Index(order, a.State) - slices.Index(order, b.State)
 	})
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -176,40 +176,40 @@
 		fmt.Fprintf(t, "%s\t%s\t%v\t%s\t%s\t%d\t%s\n", name, m.State, (time.Duration(m.SinceMS) * time.Millisecond).Round(100*time.Millisecond), trip,
 			time.UnixMilli(int64(m.Start)).UTC().Format("2006-01-02 15:04:05"), m.Incarnation, addr)
 	}
-	if err := t.Flush(); err != nil || f.Portion == nil {
+	if err := t.Flush(); err != nil || f.Assignment == nil {
 		return err
 	}
-	return showPortion(out, f.Portion)
+	return showPortion(out, f.Assignment)
 }
 
 // showPortion prints what the gateway has of the fleet's hosts, and on what ground: those that are cold or doubted first.
-func showPortion(out io.Writer, p *admin.Portion) error {
+func showPortion(out io.Writer, p *admin.Assignment) error {
 	why := map[string]string{
 		"waiting":  "no view has settled yet: hosts by count and number, nothing to cold ones",
 		"settled":  "the settled view's division",
 		"kept":     "the last settled division, for the view is not settled",
 		"changing": "what the present and the former division both give, for a second",
 	}[p.Stage]
-	turns := fmt.Sprintf("%d turns at cold hosts taken", p.Turns)
-	if !p.Agreed {
+	turns := fmt.Sprintf("%d turns at cold hosts taken", p.Tokens)
+	if !p.TokensActive {
 		turns += ", NONE NOW: most of the living do not have this file, or have not for 3 s"
 	}
 	fmt.Fprintf(out, "\nportion: %s (%s) of %d gateways, most loaded host %.2f of the mean, own demand %.1f a second, %d spares\n%s\n\n",
-		p.Stage, why, p.Gateways, p.Crowd, p.Demand, p.Spares, turns)
-	rank := func(h admin.PortionHost) int {
+		p.Stage, why, p.Gateways, p.RelativeLoad, p.Demand, p.Spares, turns)
+	rank := func(h admin.AssignedEndpoint) int {
 		switch {
-		case h.Doubted:
+		case h.SuspectedByPeers:
 			return 0
-		case h.Cold:
+		case h.SlowStart:
 			return 1
 		}
 		return 2
 	}
-	slices.SortStableFunc(p.Hosts, func(a, b admin.PortionHost) int { return rank(a) - rank(b) })
+	slices.SortStableFunc(p.Hosts, func(a, b admin.AssignedEndpoint) int { return rank(a) - rank(b) })
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "HOST\tWEIGHT\tPART OF IT\tSTATE")
 	for _, h := range p.Hosts {
-		fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%s\n", h.Name, h.Weight, h.Part, [...]string{"doubted by others", "cold: turns alone", ""}[rank(h)])
+		fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%s\n", h.Name, h.Weight, h.Share, [...]string{"doubted by others", "cold: turns alone", ""}[rank(h)])
 	}
 	return t.Flush()
 }
--- a/cmd/thymebend/fleet_test.go
+++ b/cmd/thymebend/fleet_test.go
@@ -319,7 +319,7 @@
 	defer c.Close()
 	s.until(t, "to speak", func(v fleetView) bool { return v.Speaking })
 	for n := range 500 { // each speaks once
-		b := gossipcodec.Append(nil, &gossipcodec.Message{Fleet: "f", From: fmt.Sprintf("a-gateway-of-a-long-name-%04d", n), Start: 1, Kind: gossipcodec.Gossip})
+		b := gossipcodec.Append(nil, &gossipcodec.Message{Cluster: "f", From: fmt.Sprintf("a-gateway-of-a-long-name-%04d", n), Start: 1, Kind: gossipcodec.Gossip})
 		if _, err := c.Write(b); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/assignment/keeper.go
+++ b/internal/assignment/keeper.go
@@ -14,7 +14,7 @@
 const (
 	Waiting Stage = iota
 	Settled
-	Kept
+	Retained
 	Changing
 )
 
@@ -23,16 +23,16 @@
 	return [...]string{"waiting", "settled", "kept", "changing"}[min(s, Changing)]
 }
 
-// Look is what the view and the list tell at a moment.
-type Look struct {
-	Alive   []Gateway // the own one included
-	Settled bool      // the view is, and is that of a majority
-	Hosts   []Host    // that may get something and are not cold
+// Observation is what the view and the list tell at a moment.
+type Observation struct {
+	Alive     []Gateway  // the own one included
+	Settled   bool       // the view is, and is that of a majority
+	Endpoints []Endpoint // that may get something and are not cold
 }
 
-// Keeper holds the division that a gateway goes by: that of the last settled view, and for a while after it changed what both
+// Tracker holds the division that a gateway goes by: that of the last settled view, and for a while after it changed what both
 // this and the one before give. A view that is not settled changes nothing but the hosts.
-type Keeper struct {
+type Tracker struct {
 	rule  Rule
 	name  string
 	news  time.Duration
@@ -40,35 +40,35 @@
 	now   []Gateway     // in force; nil before the first
 	was   []Gateway     // before these, while they count; else nil
 	told  bool          // a view has settled
-	hosts []Host
-	uses  []Use
+	hosts []Endpoint
+	uses  []Assigned
 	crowd float64
 	stage Stage
 }
 
-// NewKeeper begins with the division among some gateways that all know from their files, or with none. news is how long a
+// NewTracker begins with the division among some gateways that all know from their files, or with none. news is how long a
 // change of the view may take to reach the last gateway.
-func NewKeeper(rule Rule, name string, news time.Duration, start []Gateway) *Keeper {
-	return &Keeper{rule: rule, name: name, news: news, crowd: 1, now: start}
+func NewTracker(rule Rule, name string, news time.Duration, start []Gateway) *Tracker {
+	return &Tracker{rule: rule, name: name, news: news, crowd: 1, now: start}
 }
 
-// Uses is what this gateway uses, by host; nothing where there is no division yet. It must not be changed.
-func (k *Keeper) Uses() []Use { return k.uses }
+// Assigned is what this gateway uses, by host; nothing where there is no division yet. It must not be changed.
+func (k *Tracker) Assigned() []Assigned { return k.uses }
 
 // Stage tells why.
-func (k *Keeper) Stage() Stage { return k.stage }
+func (k *Tracker) Stage() Stage { return k.stage }
 
 // Gateways are those whose division is in force, as they were when it settled. They must not be changed.
-func (k *Keeper) Gateways() []Gateway { return k.now }
+func (k *Tracker) Gateways() []Gateway { return k.now }
 
-// Crowd is the largest load of a host for its capacity over the mean, in the division in force.
-func (k *Keeper) Crowd() float64 { return k.crowd }
+// RelativeLoad is the largest load of a host for its capacity over the mean, in the division in force.
+func (k *Tracker) RelativeLoad() float64 { return k.crowd }
 
 // Due is when the division changes by time alone; ok is false if it does not.
-func (k *Keeper) Due() (at time.Duration, ok bool) { return k.since + k.news, k.was != nil }
+func (k *Tracker) Due() (at time.Duration, ok bool) { return k.since + k.news, k.was != nil }
 
-// Look takes what is known now and reports whether what this gateway uses has changed. An error changes nothing.
-func (k *Keeper) Look(at time.Duration, l Look) (changed bool, err error) {
+// Observe takes what is known now and reports whether what this gateway uses has changed. An error changes nothing.
+func (k *Tracker) Observe(at time.Duration, l Observation) (changed bool, err error) {
 	next := *k
 	if l.Settled && !slices.Equal(k.now, l.Alive) {
 		next.was, next.now, next.since = k.now, slices.Clone(l.Alive), at
@@ -85,21 +85,21 @@
 	case l.Settled:
 		next.stage = Settled
 	default:
-		next.stage = Kept
+		next.stage = Retained
 	}
-	same := slices.Equal(k.now, next.now) && (k.was == nil) == (next.was == nil) && slices.Equal(k.hosts, l.Hosts)
+	same := slices.Equal(k.now, next.now) && (k.was == nil) == (next.was == nil) && slices.Equal(k.hosts, l.Endpoints)
 	if next.now == nil || same {
 		*k = next
 		return false, nil
 	}
-	next.hosts = slices.Clone(l.Hosts)
-	d, err := Work(k.rule, next.now, l.Hosts)
+	next.hosts = slices.Clone(l.Endpoints)
+	d, err := Compute(k.rule, next.now, l.Endpoints)
 	if err != nil {
 		return false, err
 	}
 	next.uses, next.crowd = d.Of(k.name), d.Crowd()
 	if next.was != nil {
-		before, err := Work(k.rule, next.was, l.Hosts)
+		before, err := Compute(k.rule, next.was, l.Endpoints)
 		if err != nil {
 			return false, err
 		}
@@ -115,7 +115,7 @@
 
 // Spares are the hosts that this gateway does not use, in the order in which it goes to them where those that it uses fail
 // or are full: best score first.
-func (k *Keeper) Spares(zone int) []uint64 {
+func (k *Tracker) Spares(zone int) []uint64 {
 	if len(k.hosts) <= len(k.uses) {
 		return nil
 	}
@@ -123,7 +123,7 @@
 	out := make([]uint64, 0, len(all)-len(k.uses))
 	for _, p := range all {
 		id := k.hosts[p.host].ID
-		if _, uses := slices.BinarySearchFunc(k.uses, id, func(u Use, id uint64) int { return cmp.Compare(u.Host, id) }); !uses {
+		if _, uses := slices.BinarySearchFunc(k.uses, id, func(u Assigned, id uint64) int { return cmp.Compare(u.Endpoint, id) }); !uses {
 			out = append(out, id)
 		}
 	}
--- a/internal/assignment/keeper_test.go
+++ b/internal/assignment/keeper_test.go
@@ -13,17 +13,17 @@
 	return out
 }
 
-func rack(n int) (out []Host) {
+func rack(n int) (out []Endpoint) {
 	for i := range n {
-		out = append(out, Host{ID: uint64(i + 1), Capacity: 1})
+		out = append(out, Endpoint{ID: uint64(i + 1), Capacity: 1})
 	}
 	return out
 }
 
 // look tells a keeper something and fails the test where that is an error.
-func look(t *testing.T, k *Keeper, at time.Duration, gateways int, settled bool, hosts int) bool {
+func look(t *testing.T, k *Tracker, at time.Duration, gateways int, settled bool, hosts int) bool {
 	t.Helper()
-	changed, err := k.Look(at, Look{Alive: crew(gateways), Settled: settled, Hosts: rack(hosts)})
+	changed, err := k.Observe(at, Observation{Alive: crew(gateways), Settled: settled, Endpoints: rack(hosts)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,22 +32,22 @@
 
 // No division before a view has settled; the last settled one goes on while it has not; another takes over by way of both.
 func TestTheLastSettledDivisionStaysInForce(t *testing.T) {
-	k := NewKeeper(Rule{Users: 4, Least: 2}, "g00", time.Second, nil)
-	if look(t, k, 0, 12, false, 40) || len(k.Uses()) > 0 || k.Stage() != Waiting {
-		t.Errorf("%d hosts before a view settled, %v", len(k.Uses()), k.Stage())
+	k := NewTracker(Rule{Users: 4, MinEndpoints: 2}, "g00", time.Second, nil)
+	if look(t, k, 0, 12, false, 40) || len(k.Assigned()) > 0 || k.Stage() != Waiting {
+		t.Errorf("%d hosts before a view settled, %v", len(k.Assigned()), k.Stage())
 	}
-	if !look(t, k, time.Second, 12, true, 40) || k.Stage() != Settled || len(k.Uses()) < 10 {
-		t.Errorf("%d hosts, %v", len(k.Uses()), k.Stage())
+	if !look(t, k, time.Second, 12, true, 40) || k.Stage() != Settled || len(k.Assigned()) < 10 {
+		t.Errorf("%d hosts, %v", len(k.Assigned()), k.Stage())
 	}
-	before := k.Uses()
-	if look(t, k, 2*time.Second, 6, false, 40) || k.Stage() != Kept {
+	before := k.Assigned()
+	if look(t, k, 2*time.Second, 6, false, 40) || k.Stage() != Retained {
 		t.Errorf("a view that is not settled changed the division, %v", k.Stage())
 	}
-	if look(t, k, 3*time.Second, 6, false, 39); k.Stage() != Kept {
+	if look(t, k, 3*time.Second, 6, false, 39); k.Stage() != Retained {
 		t.Errorf("%v", k.Stage())
 	}
-	for _, u := range k.Uses() {
-		if u.Host == 40 {
+	for _, u := range k.Assigned() {
+		if u.Endpoint == 40 {
 			t.Error("a host that is gone is in use")
 		}
 	}
@@ -55,13 +55,13 @@
 	if !look(t, k, 5*time.Second, 6, true, 40) || k.Stage() != Changing {
 		t.Fatalf("%v", k.Stage())
 	}
-	for _, u := range k.Uses() {
+	for _, u := range k.Assigned() {
 		found := false
 		for _, b := range before {
-			found = found || b.Host == u.Host && b.Part >= u.Part-1e-12
+			found = found || b.Endpoint == u.Endpoint && b.Share >= u.Share-1e-12
 		}
 		if !found {
-			t.Errorf("host %d: more than the former division gives, while others go by that", u.Host)
+			t.Errorf("host %d: more than the former division gives, while others go by that", u.Endpoint)
 		}
 	}
 	if at, ok := k.Due(); !ok || at != 6*time.Second {
@@ -70,13 +70,13 @@
 	if !look(t, k, 6*time.Second, 6, true, 40) || k.Stage() != Settled {
 		t.Errorf("%v", k.Stage())
 	}
-	if _, ok := k.Due(); ok || k.Crowd() < 0.99 {
-		t.Errorf("it changes again by time, crowd %v", k.Crowd())
+	if _, ok := k.Due(); ok || k.RelativeLoad() < 0.99 {
+		t.Errorf("it changes again by time, crowd %v", k.RelativeLoad())
 	}
-	if spares := k.Spares(0); len(spares)+len(k.Uses()) != 40 {
-		t.Errorf("%d spares and %d in use of 40", len(spares), len(k.Uses()))
+	if spares := k.Spares(0); len(spares)+len(k.Assigned()) != 40 {
+		t.Errorf("%d spares and %d in use of 40", len(spares), len(k.Assigned()))
 	}
-	if _, err := k.Look(7*time.Second, Look{Alive: crew(3), Settled: true, Hosts: append(rack(2), Host{ID: 1, Capacity: 1})}); err == nil || k.Stage() != Settled {
+	if _, err := k.Observe(7*time.Second, Observation{Alive: crew(3), Settled: true, Endpoints: append(rack(2), Endpoint{ID: 1, Capacity: 1})}); err == nil || k.Stage() != Settled {
 		t.Error("a host listed twice")
 	}
 	if len(k.Gateways()) != 6 {
@@ -86,9 +86,9 @@
 
 // While some gateways go by the old division, some by both and some by the new, no host is given away more than once.
 func TestPartsOfAHostAddUpToOneAtMostThroughAChange(t *testing.T) {
-	var all []*Keeper
+	var all []*Tracker
 	for i := range 12 {
-		k := NewKeeper(Rule{Users: 4, Least: 2}, fmt.Sprintf("g%02d", i), time.Second, nil)
+		k := NewTracker(Rule{Users: 4, MinEndpoints: 2}, fmt.Sprintf("g%02d", i), time.Second, nil)
 		look(t, k, 0, 12, true, 30)
 		all = append(all, k)
 	}
@@ -98,8 +98,8 @@
 			if at >= time.Second+time.Duration(i)*100*time.Millisecond {
 				look(t, k, at, 9, true, 30)
 			}
-			for _, u := range k.Uses() {
-				parts[u.Host] += u.Part
+			for _, u := range k.Assigned() {
+				parts[u.Endpoint] += u.Share
 			}
 		}
 		for host, sum := range parts {
@@ -117,12 +117,12 @@
 func TestAStartGoesByTheFile(t *testing.T) {
 	sums := make(map[uint64]float64)
 	for i := range 9 {
-		k := NewKeeper(Rule{Users: 4, Least: 2}, fmt.Sprintf("g%02d", i), time.Second, crew(9))
+		k := NewTracker(Rule{Users: 4, MinEndpoints: 2}, fmt.Sprintf("g%02d", i), time.Second, crew(9))
 		if look(t, k, 0, 1, false, 30); k.Stage() != Waiting {
 			t.Errorf("%v", k.Stage())
 		}
-		for _, u := range k.Uses() {
-			sums[u.Host] += u.Part
+		for _, u := range k.Assigned() {
+			sums[u.Endpoint] += u.Share
 		}
 		if look(t, k, time.Second, 9, true, 30); k.Stage() != Settled {
 			t.Errorf("a view settled that says what the file says: %v", k.Stage())
@@ -144,12 +144,12 @@
 	for i := range 300 {
 		g = append(g, Gateway{Name: fmt.Sprintf("g%03d", i), Demand: 1 + float64(i%7)})
 	}
-	var h []Host
+	var h []Endpoint
 	for i := range 60 {
-		h = append(h, Host{ID: uint64(i + 1), Capacity: float64(int(1) << (i % 4))})
+		h = append(h, Endpoint{ID: uint64(i + 1), Capacity: float64(int(1) << (i % 4))})
 	}
 	count := func(most int) (largest int, crowd float64) {
-		d, err := Work(Rule{Users: 12, Most: most, Least: 2}, g, h)
+		d, err := Compute(Rule{Users: 12, MaxUsers: most, MinEndpoints: 2}, g, h)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -159,8 +159,8 @@
 				t.Errorf("%s has no host", x.Name)
 			}
 			for _, u := range d.Of(x.Name) {
-				users[u.Host]++
-				largest = max(largest, users[u.Host])
+				users[u.Endpoint]++
+				largest = max(largest, users[u.Endpoint])
 			}
 		}
 		return largest, d.Crowd()
@@ -174,7 +174,7 @@
 			t.Errorf("at most %d users: %d, crowd %.2f", most, largest, crowd)
 		}
 	}
-	if _, err := Work(Rule{Users: 12, Most: 11}, g, h); err == nil {
+	if _, err := Compute(Rule{Users: 12, MaxUsers: 11}, g, h); err == nil {
 		t.Error("fewer users at most than on the mean")
 	}
 }
--- a/internal/assignment/shares.go
+++ b/internal/assignment/shares.go
@@ -14,8 +14,8 @@
 
 // Bounds of what can be divided, and how.
 const (
-	MostGateways = 2000
-	MostHosts    = 10_000
+	MaxGateways  = 2000
+	MaxEndpoints = 10_000
 	step         = 1.25 // demand is rounded to powers of it
 	rounds       = 12   // of fitting
 	leastWeight  = 1e-9
@@ -28,8 +28,8 @@
 	Zone   int
 }
 
-// Host is one that may get something.
-type Host struct {
+// Endpoint is one that may get something.
+type Endpoint struct {
 	ID       uint64
 	Capacity float64 // in any unit, above 0
 	Zone     int
@@ -37,46 +37,46 @@
 
 // Rule says how many use a host on the mean, and how many hosts a gateway uses at least, if there are so many.
 type Rule struct {
-	Users float64 // above 0
-	Least int
-	// Most is how many use a host at most, where hosts hold few connections; 0 is no bound, else at least Users. A gateway that would
+	Users        float64 // above 0
+	MinEndpoints int
+	// MaxUsers is how many use a host at most, where hosts hold few connections; 0 is no bound, else at least Users. A gateway that would
 	// have no host at all keeps one beyond it.
-	Most int
-	// Away is how likely a host of another zone is taken, over one of the own: 1 is no difference, 0 counts as 1. Where zones
+	MaxUsers int
+	// RemoteZoneOdds is how likely a host of another zone is taken, over one of the own: 1 is no difference, 0 counts as 1. Where zones
 	// have more traffic than their own hosts can carry, the pairs across zones carry the rest.
-	Away float64
+	RemoteZoneOdds float64
 }
 
-// Use is a host that a gateway uses.
-type Use struct {
-	Host   uint64
-	Weight float64 // share of the gateway's traffic; those of one gateway add up to 1
-	Part   float64 // share of the host's capacity that is this gateway's; those of one host add up to 1
+// Assigned is a host that a gateway uses.
+type Assigned struct {
+	Endpoint uint64
+	Weight   float64 // share of the gateway's traffic; those of one gateway add up to 1
+	Share    float64 // share of the host's capacity that is this gateway's; those of one host add up to 1
 }
 
 // Division is who uses whom. It is not changed once it is made.
 type Division struct {
-	names []string // sorted
-	hosts []Host   // by id
-	uses  [][]Use  // by gateway
+	names []string     // sorted
+	hosts []Endpoint   // by id
+	uses  [][]Assigned // by gateway
 	load  []float64
 }
 
-// Work divides. The order of gateways and hosts does not matter. Names and ids must each occur once.
-func Work(r Rule, gateways []Gateway, hosts []Host) (*Division, error) {
+// Compute divides. The order of gateways and hosts does not matter. Names and ids must each occur once.
+func Compute(r Rule, gateways []Gateway, hosts []Endpoint) (*Division, error) {
 	switch {
-	case !(r.Users > 0) || r.Least < 0:
-		return nil, fmt.Errorf("shares: %v users of a host, %d hosts at least", r.Users, r.Least)
-	case r.Most != 0 && float64(r.Most) < r.Users:
-		return nil, fmt.Errorf("shares: %d users of a host at most, with %v on the mean", r.Most, r.Users)
-	case !(r.Away >= 0 && r.Away <= 1):
-		return nil, fmt.Errorf("shares: hosts of other zones at %v, 0 to 1 is needed", r.Away)
-	case len(gateways) > MostGateways || len(hosts) > MostHosts:
-		return nil, fmt.Errorf("shares: %d gateways and %d hosts, %d and %d at most", len(gateways), len(hosts), MostGateways, MostHosts)
+	case !(r.Users > 0) || r.MinEndpoints < 0:
+		return nil, fmt.Errorf("shares: %v users of a host, %d hosts at least", r.Users, r.MinEndpoints)
+	case r.MaxUsers != 0 && float64(r.MaxUsers) < r.Users:
+		return nil, fmt.Errorf("shares: %d users of a host at most, with %v on the mean", r.MaxUsers, r.Users)
+	case !(r.RemoteZoneOdds >= 0 && r.RemoteZoneOdds <= 1):
+		return nil, fmt.Errorf("shares: hosts of other zones at %v, 0 to 1 is needed", r.RemoteZoneOdds)
+	case len(gateways) > MaxGateways || len(hosts) > MaxEndpoints:
+		return nil, fmt.Errorf("shares: %d gateways and %d hosts, %d and %d at most", len(gateways), len(hosts), MaxGateways, MaxEndpoints)
 	}
 	g := slices.SortedFunc(slices.Values(gateways), func(a, b Gateway) int { return cmp.Compare(a.Name, b.Name) })
-	h := slices.SortedFunc(slices.Values(hosts), func(a, b Host) int { return cmp.Compare(a.ID, b.ID) })
-	d := &Division{hosts: h, uses: make([][]Use, len(g)), load: make([]float64, len(h))}
+	h := slices.SortedFunc(slices.Values(hosts), func(a, b Endpoint) int { return cmp.Compare(a.ID, b.ID) })
+	d := &Division{hosts: h, uses: make([][]Assigned, len(g)), load: make([]float64, len(h))}
 	for i, x := range g {
 		if i > 0 && g[i-1].Name == x.Name {
 			return nil, fmt.Errorf("shares: gateway %q twice", x.Name)
@@ -101,7 +101,7 @@
 	for i, x := range g {
 		pairs[i] = r.pick(x, h, numberOf(r, x.Name, demand[i], len(h)))
 	}
-	if r.Most > 0 {
+	if r.MaxUsers > 0 {
 		r.bound(g, h, pairs)
 	}
 	d.fill(pairs)
@@ -142,7 +142,7 @@
 // fleet's size takes their number over a half.
 func numberOf(r Rule, name string, demand float64, hosts int) int {
 	n := int(r.Users*float64(hosts)*demand + unit(mix(xxh3.HashString(name), 0)))
-	return min(hosts, max(n, r.Least, 1))
+	return min(hosts, max(n, r.MinEndpoints, 1))
 }
 
 type pair struct {
@@ -152,15 +152,15 @@
 }
 
 // pick takes the hosts that rendezvous gives a gateway: those with the best score of name and host, larger hosts more often.
-func (r Rule) pick(g Gateway, hosts []Host, n int) []pair {
+func (r Rule) pick(g Gateway, hosts []Endpoint, n int) []pair {
 	type scored struct {
 		host  int
 		score float64
 	}
 	seed := xxh3.HashString(g.Name)
-	pull := func(h Host) float64 {
-		if h.Zone != g.Zone && r.Away > 0 {
-			return h.Capacity * r.Away
+	pull := func(h Endpoint) float64 {
+		if h.Zone != g.Zone && r.RemoteZoneOdds > 0 {
+			return h.Capacity * r.RemoteZoneOdds
 		}
 		return h.Capacity
 	}
@@ -196,7 +196,7 @@
 
 // bound has each host keep the users that score best for it, as many as it may have. The others, by name, go to the next host on
 // their list that has room; where none has, they use one host less, but never none.
-func (r Rule) bound(g []Gateway, h []Host, pairs [][]pair) {
+func (r Rule) bound(g []Gateway, h []Endpoint, pairs [][]pair) {
 	type user struct {
 		gateway int
 		score   float64
@@ -211,11 +211,11 @@
 	moves := make([][]int, len(g)) // hosts that a gateway has to leave
 	for j, list := range users {
 		count[j] = len(list)
-		if len(list) <= r.Most {
+		if len(list) <= r.MaxUsers {
 			continue
 		}
 		slices.SortFunc(list, func(a, b user) int { return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.gateway, b.gateway)) })
-		for _, u := range list[r.Most:] {
+		for _, u := range list[r.MaxUsers:] {
 			moves[u.gateway] = append(moves[u.gateway], j)
 		}
 	}
@@ -225,7 +225,7 @@
 		}
 		more := r.pick(g[i], h, min(len(h), len(pairs[i])+nextBest))[len(pairs[i]):]
 		for _, j := range leave {
-			at := slices.IndexFunc(more, func(p pair) bool { return count[p.host] < r.Most })
+			at := slices.IndexFunc(more, func(p pair) bool { return count[p.host] < r.MaxUsers })
 			own := slices.IndexFunc(pairs[i], func(p pair) bool { return p.host == j })
 			switch {
 			case at >= 0:
@@ -298,9 +298,9 @@
 	}
 	for i, list := range pairs {
 		for _, p := range list {
-			d.uses[i] = append(d.uses[i], Use{Host: d.hosts[p.host].ID, Weight: p.weight / demand[i], Part: p.weight / d.load[p.host]})
+			d.uses[i] = append(d.uses[i], Assigned{Endpoint: d.hosts[p.host].ID, Weight: p.weight / demand[i], Share: p.weight / d.load[p.host]})
 		}
-		slices.SortFunc(d.uses[i], func(a, b Use) int { return cmp.Compare(a.Host, b.Host) })
+		slices.SortFunc(d.uses[i], func(a, b Assigned) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	}
 	for j, h := range d.hosts {
 		d.load[j] *= capacity / h.Capacity
@@ -318,7 +318,7 @@
 }
 
 // Of returns what a gateway uses, by host, or nothing where it is not in the division. It must not be changed.
-func (d *Division) Of(name string) []Use {
+func (d *Division) Of(name string) []Assigned {
 	if d == nil {
 		return nil
 	}
@@ -340,16 +340,16 @@
 // Both is what a gateway may use while one division gives way to another: of each host the smaller part, of those that
 // both give it. Parts of a host add up to 1 at most as long as nobody goes by the new division alone while somebody still
 // goes by the old one alone: each has to wait in between for as long as news takes to reach the last.
-func Both(a, b []Use) []Use {
-	var out []Use
+func Both(a, b []Assigned) []Assigned {
+	var out []Assigned
 	for i, j := 0, 0; i < len(a) && j < len(b); {
 		switch x, y := a[i], b[j]; {
-		case x.Host < y.Host:
+		case x.Endpoint < y.Endpoint:
 			i++
-		case x.Host > y.Host:
+		case x.Endpoint > y.Endpoint:
 			j++
 		default:
-			out = append(out, Use{Host: x.Host, Weight: min(x.Weight, y.Weight), Part: min(x.Part, y.Part)})
+			out = append(out, Assigned{Endpoint: x.Endpoint, Weight: min(x.Weight, y.Weight), Share: min(x.Share, y.Share)})
 			i, j = i+1, j+1
 		}
 	}
--- a/internal/assignment/shares_test.go
+++ b/internal/assignment/shares_test.go
@@ -10,29 +10,29 @@
 	"pgregory.net/rapid"
 )
 
-func fleetOf(n, hosts int, demand func(i int) float64) (g []Gateway, h []Host) {
+func fleetOf(n, hosts int, demand func(i int) float64) (g []Gateway, h []Endpoint) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for i := range n {
 		g = append(g, Gateway{Name: fmt.Sprintf("gateway-%04d", i), Demand: demand(i)})
 	}
 	for range hosts {
-		h = append(h, Host{ID: rng.Uint64(), Capacity: float64(int(1) << rng.IntN(3))})
+		h = append(h, Endpoint{ID: rng.Uint64(), Capacity: float64(int(1) << rng.IntN(3))})
 	}
 	return g, h
 }
 
 func even(int) float64 { return 5 }
 
-func work(t *testing.T, r Rule, g []Gateway, h []Host) *Division {
+func work(t *testing.T, r Rule, g []Gateway, h []Endpoint) *Division {
 	t.Helper()
-	d, err := Work(r, g, h)
+	d, err := Compute(r, g, h)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return d
 }
 
-func usual() Rule { return Rule{Users: 12, Least: 2} }
+func usual() Rule { return Rule{Users: 12, MinEndpoints: 2} }
 
 // Fair: even traffic and traffic of which one has ten times the mean, over hosts of one, two and four cores.
 func TestItIsFair(t *testing.T) {
@@ -71,9 +71,9 @@
 			if b == nil {
 				continue
 			}
-			for _, list := range [][2][]Use{{a, b}, {b, a}} {
+			for _, list := range [][2][]Assigned{{a, b}, {b, a}} {
 				for _, u := range list[0] {
-					if !slices.ContainsFunc(list[1], func(o Use) bool { return o.Host == u.Host }) {
+					if !slices.ContainsFunc(list[1], func(o Assigned) bool { return o.Endpoint == u.Endpoint }) {
 						n++
 					}
 				}
@@ -87,7 +87,7 @@
 	}
 	users := 0
 	for _, x := range g {
-		if slices.ContainsFunc(before.Of(x.Name), func(u Use) bool { return u.Host == h[7].ID }) {
+		if slices.ContainsFunc(before.Of(x.Name), func(u Assigned) bool { return u.Endpoint == h[7].ID }) {
 			users++
 		}
 	}
@@ -111,7 +111,7 @@
 	own := func(r Rule) (share float64) {
 		d := work(t, r, g, h)
 		if d.Crowd() > 1.25 {
-			t.Errorf("away %v: a host has %.2f times its part", r.Away, d.Crowd())
+			t.Errorf("away %v: a host has %.2f times its part", r.RemoteZoneOdds, d.Crowd())
 		}
 		zone := make(map[uint64]int)
 		for _, x := range h {
@@ -119,7 +119,7 @@
 		}
 		for _, x := range g[:300] {
 			for _, u := range d.Of(x.Name) {
-				if zone[u.Host] == x.Zone {
+				if zone[u.Endpoint] == x.Zone {
 					share += u.Weight * x.Demand / (5 * 600)
 				}
 			}
@@ -128,7 +128,7 @@
 	}
 	// At best two thirds: the busy zone carries a third of the fleet's traffic of its two thirds, the others all of theirs.
 	all := own(r)
-	r.Away = 0.25
+	r.RemoteZoneOdds = 0.25
 	if near := own(r); near < 0.5 || all > 0.4 {
 		t.Errorf("%.2f of the traffic stays in its zone, %.2f where zones are no matter", near, all)
 	}
@@ -136,28 +136,28 @@
 
 func TestFaultyInputIsRefused(t *testing.T) {
 	g, h := fleetOf(3, 3, even)
-	many := make([]Host, MostHosts+1)
+	many := make([]Endpoint, MaxEndpoints+1)
 	for want, c := range map[string]struct {
 		r Rule
 		g []Gateway
-		h []Host
+		h []Endpoint
 	}{
-		"shares: 0 users of a host, 2 hosts at least":                {Rule{Least: 2}, g, h},
-		"shares: NaN users of a host, 2 hosts at least":              {Rule{Users: math.NaN(), Least: 2, Away: 0}, g, h},
+		"shares: 0 users of a host, 2 hosts at least":                {Rule{MinEndpoints: 2}, g, h},
+		"shares: NaN users of a host, 2 hosts at least":              {Rule{Users: math.NaN(), MinEndpoints: 2, RemoteZoneOdds: 0}, g, h},
 		"shares: gateway \"gateway-0000\" twice":                     {usual(), append(g, g[0]), h},
 		fmt.Sprintf("shares: host %d twice", h[0].ID):                {usual(), g, append(h, h[0])},
-		"shares: hosts of other zones at 2, 0 to 1 is needed":        {Rule{Users: 12, Least: 2, Away: 2}, g, h},
-		"shares: host 5 has a capacity of 0":                         {usual(), g, []Host{{ID: 5}}},
-		"shares: host 5 has a capacity of NaN":                       {usual(), g, []Host{{ID: 5, Capacity: math.NaN()}}},
+		"shares: hosts of other zones at 2, 0 to 1 is needed":        {Rule{Users: 12, MinEndpoints: 2, RemoteZoneOdds: 2}, g, h},
+		"shares: host 5 has a capacity of 0":                         {usual(), g, []Endpoint{{ID: 5}}},
+		"shares: host 5 has a capacity of NaN":                       {usual(), g, []Endpoint{{ID: 5, Capacity: math.NaN()}}},
 		"shares: 3 gateways and 10001 hosts, 2000 and 10000 at most": {usual(), g, many},
 	} {
-		if d, err := Work(c.r, c.g, c.h); err == nil || err.Error() != want || d != nil {
+		if d, err := Compute(c.r, c.g, c.h); err == nil || err.Error() != want || d != nil {
 			t.Errorf("%v, wanted %s", err, want)
 		}
 	}
 	for _, c := range []struct {
 		g []Gateway
-		h []Host
+		h []Endpoint
 	}{{nil, h}, {g, nil}} {
 		if d := work(t, usual(), c.g, c.h); len(d.Of("gateway-0000")) != 0 || d.Crowd() < 0 {
 			t.Error("something of nothing")
@@ -168,16 +168,16 @@
 	}
 }
 
-func drawn(t *rapid.T) (Rule, []Gateway, []Host) {
-	r := Rule{Users: rapid.Float64Range(0.5, 20).Draw(t, "users"), Least: rapid.IntRange(0, 5).Draw(t, "least"), Away: rapid.Float64Range(0, 1).Draw(t, "away")}
+func drawn(t *rapid.T) (Rule, []Gateway, []Endpoint) {
+	r := Rule{Users: rapid.Float64Range(0.5, 20).Draw(t, "users"), MinEndpoints: rapid.IntRange(0, 5).Draw(t, "least"), RemoteZoneOdds: rapid.Float64Range(0, 1).Draw(t, "away")}
 	zone := rapid.IntRange(0, 2)
 	var g []Gateway
 	for i := range rapid.IntRange(1, 12).Draw(t, "gateways") {
 		g = append(g, Gateway{fmt.Sprint("g", i), rapid.SampledFrom([]float64{0, -1, math.NaN(), math.Inf(1), 1, 2, 50, 1e9}).Draw(t, "demand"), zone.Draw(t, "zone")})
 	}
-	var h []Host
+	var h []Endpoint
 	for i := range rapid.IntRange(1, 12).Draw(t, "hosts") {
-		h = append(h, Host{uint64(i * 977), rapid.SampledFrom([]float64{1e-6, 0.5, 1, 4, 1e6}).Draw(t, "capacity"), zone.Draw(t, "zone")})
+		h = append(h, Endpoint{uint64(i * 977), rapid.SampledFrom([]float64{1e-6, 0.5, 1, 4, 1e6}).Draw(t, "capacity"), zone.Draw(t, "zone")})
 	}
 	return r, g, h
 }
@@ -186,11 +186,11 @@
 func TestWhatAlwaysHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, g, h := drawn(t)
-		d, err := Work(r, g, h)
+		d, err := Compute(r, g, h)
 		if err != nil {
 			t.Fatal(err)
 		}
-		other, err := Work(r, rapid.Permutation(g).Draw(t, "order"), rapid.Permutation(h).Draw(t, "order"))
+		other, err := Compute(r, rapid.Permutation(g).Draw(t, "order"), rapid.Permutation(h).Draw(t, "order"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -202,13 +202,13 @@
 			}
 			sum := 0.0
 			for i, u := range list {
-				if !(u.Weight > 0) || !(u.Part > 0) || i > 0 && list[i-1].Host >= u.Host {
+				if !(u.Weight > 0) || !(u.Share > 0) || i > 0 && list[i-1].Endpoint >= u.Endpoint {
 					t.Fatalf("%s: %v", x.Name, list)
 				}
 				sum += u.Weight
-				parts[u.Host] += u.Part
+				parts[u.Endpoint] += u.Share
 			}
-			if math.Abs(sum-1) > 1e-6 || len(list) < min(r.Least, len(h)) {
+			if math.Abs(sum-1) > 1e-6 || len(list) < min(r.MinEndpoints, len(h)) {
 				t.Fatalf("%s: weights of %v over %d hosts", x.Name, sum, len(list))
 			}
 		}
@@ -225,12 +225,12 @@
 func TestNoHostIsGivenAwayTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, g, h := drawn(t)
-		old, err := Work(r, g, h)
+		old, err := Compute(r, g, h)
 		if err != nil {
 			t.Fatal(err)
 		}
 		left := g[:rapid.IntRange(1, len(g)).Draw(t, "live on")]
-		fresh, err := Work(r, append(slices.Clone(left), Gateway{"new", 3, 0}), h)
+		fresh, err := Compute(r, append(slices.Clone(left), Gateway{"new", 3, 0}), h)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -244,7 +244,7 @@
 				}
 			}
 			for _, u := range list {
-				parts[u.Host] += u.Part
+				parts[u.Endpoint] += u.Share
 			}
 		}
 		for host, p := range parts {
@@ -260,7 +260,7 @@
 		b.Run(fmt.Sprint(size[0], "x", size[1]), func(b *testing.B) {
 			g, h := fleetOf(size[0], size[1], func(i int) float64 { return 1 / float64(i+1) })
 			for b.Loop() {
-				if _, err := Work(usual(), g, h); err != nil {
+				if _, err := Compute(usual(), g, h); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/backoff/pacing.go
+++ b/internal/backoff/pacing.go
@@ -49,21 +49,21 @@
 	failedSpread = 100 * time.Millisecond
 )
 
-// Pacer is the state of one caller. The zero value has seen no failure.
-type Pacer struct {
-	// First is the interval after the first failure; 0 is half of the regular one. It doubles up to the
+// Backoff is the state of one caller. The zero value has seen no failure.
+type Backoff struct {
+	// Initial is the interval after the first failure; 0 is half of the regular one. It doubles up to the
 	// regular one.
-	First    time.Duration
+	Initial  time.Duration
 	failures int // in a row
 	turns    int // of these, that cost the service a turn
 }
 
 // Succeeded notes that a call was answered.
-func (p *Pacer) Succeeded() { p.failures, p.turns = 0, 0 }
+func (p *Backoff) Succeeded() { p.failures, p.turns = 0, 0 }
 
 // Failed notes a failure and returns the delay until the next call. callers is the size of the fleet,
 // elapsed the time since the call began, and spread and jitter are drawn evenly from 0 to 1.
-func (p *Pacer) Failed(kind Failure, callers int, elapsed time.Duration, spread, jitter float64,
+func (p *Backoff) Failed(kind Failure, callers int, elapsed time.Duration, spread, jitter float64,
 ) time.Duration {
 	if kind == Ended {
 		return fraction(endedSpread, spread)
@@ -78,12 +78,12 @@
 }
 
 // interval is the longest time between the beginnings of the call that failed and the next one.
-func (p *Pacer) interval(kind Failure, callers int) time.Duration {
+func (p *Backoff) interval(kind Failure, callers int) time.Duration {
 	bound := shortInterval
 	if kind != Unreachable {
 		bound = regularInterval(callers)
 	}
-	first := p.First
+	first := p.Initial
 	if first == 0 {
 		first = bound / 2
 	}
--- a/internal/backoff/pacing_test.go
+++ b/internal/backoff/pacing_test.go
@@ -7,7 +7,7 @@
 
 // longest is the longest time between the beginnings of two calls after each of a number of failures in a row that took so long.
 func longest(kind Failure, callers, failures int, took time.Duration) []time.Duration {
-	var p Pacer
+	var p Backoff
 	intervals := make([]time.Duration, failures)
 	for i := range intervals {
 		intervals[i] = took + p.Failed(kind, callers, took, 1, 1)
@@ -38,7 +38,7 @@
 }
 
 func TestTimeThatACallTookCounts(t *testing.T) {
-	var p Pacer
+	var p Backoff
 	if got := p.Failed(Overloaded, 32, 2*time.Second, 1, 1); got != 750*time.Millisecond {
 		t.Errorf("after a call of 2 s the next comes %v later, want 750 ms", got)
 	}
@@ -48,7 +48,7 @@
 }
 
 func TestAnAnswerAndItsEndBeginAnew(t *testing.T) {
-	p := Pacer{First: 200 * time.Millisecond}
+	p := Backoff{Initial: 200 * time.Millisecond}
 	for range 4 {
 		p.Failed(Overloaded, 32, 0, 0, 1)
 	}
@@ -56,7 +56,7 @@
 	if got := p.Failed(Ended, 32, time.Hour, 1, 1); got != endedSpread {
 		t.Errorf("the call after an answer's end comes %v later, want %v", got, endedSpread)
 	}
-	if got := p.Failed(Overloaded, 32, 0, 0, 1); got != p.First {
-		t.Errorf("the first failure after an answer puts the next call off by %v, want %v", got, p.First)
+	if got := p.Failed(Overloaded, 32, 0, 0, 1); got != p.Initial {
+		t.Errorf("the first failure after an answer puts the next call off by %v, want %v", got, p.Initial)
 	}
 }
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -80,17 +80,17 @@
 	requests map[RequestID]*request
 	queue    []*request // held requests, oldest first
 	free     []*request // for reuse
-	byID     map[ServerID]*server
-	servers  []*server     // in the order in which the list named them
-	members  []*server     // those that this gateway uses, see choose
-	own, far []*server     // places of the servers of its own zone and of the others
-	stale    bool          // members have to be chosen anew
-	given    []FleetServer // by the fleet; empty while none divides the servers
-	inFleet  bool          // gateways speak with each other: cold servers get what Turn gives
-	weights  [2]float64    // of the members of the own zone, and of all; 0 without a fleet
-	yielded  bool          // another process of this gateway has the cold servers' budgets
-	reach    subset.Reach  // beyond its even part, among the servers of other zones
-	signs    subset.Signs  // for it, in this sample
+	byID     map[EndpointID]*server
+	servers  []*server          // in the order in which the list named them
+	members  []*server          // those that this gateway uses, see choose
+	own, far []*server          // places of the servers of its own zone and of the others
+	stale    bool               // members have to be chosen anew
+	given    []AssignedEndpoint // by the fleet; empty while none divides the servers
+	inFleet  bool               // gateways speak with each other: cold servers get what Turn gives
+	weights  [2]float64         // of the members of the own zone, and of all; 0 without a fleet
+	yielded  bool               // another process of this gateway has the cold servers' budgets
+	reach    subset.Expansion   // beyond its even part, among the servers of other zones
+	signs    subset.Signals     // for it, in this sample
 
 	classes []classState
 	tenants []tenantState
@@ -109,7 +109,7 @@
 
 	asking, watching bool // asking: a call to the list is unanswered
 	askedAt          time.Duration
-	calls            backoff.Pacer
+	calls            backoff.Backoff
 	held             bool          // nothing new is sent: the list may be about to change
 	loggedAt         time.Duration // 0 is never
 }
@@ -161,7 +161,7 @@
 
 // server is one start of one server.
 type server struct {
-	Server
+	Endpoint
 	listed    bool
 	sharers   float64 // gateways that use it
 	member    bool    // one of those that this gateway uses
@@ -207,10 +207,10 @@
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	cfg.Tick = cmp.Or(cfg.Tick, time.Millisecond)
+	cfg.DispatchInterval = cmp.Or(cfg.DispatchInterval, time.Millisecond)
 	b := &Balancer{
 		cfg: cfg, out: out, now: now, rng: rand.New(rand.NewPCG(seed, 0)),
-		requests: make(map[RequestID]*request), byID: make(map[ServerID]*server),
+		requests: make(map[RequestID]*request), byID: make(map[EndpointID]*server),
 		psi: gamma, response: 1, started: now,
 		retryTokens: retryBurst,
 	}
@@ -219,15 +219,15 @@
 	}
 	b.setTenants()
 	b.setHolds()
-	b.out.Wake(period, tokenSample)
-	if cfg.AskForList {
+	b.out.SetTimer(period, tokenSample)
+	if cfg.PollDiscovery {
 		b.watch()
 	}
 	return b, nil
 }
 
-// Request takes a request, which this gateway then owes a final answer.
-func (b *Balancer) Request(now time.Duration, in Request) {
+// RequestArrived takes a request, which this gateway then owes a final answer.
+func (b *Balancer) RequestArrived(now time.Duration, in Request) {
 	b.now = now
 	if in.Class < 0 || in.Class >= len(b.classes) {
 		b.out.Fail(in.ID)
@@ -237,9 +237,9 @@
 		return
 	}
 	r := b.newRequest()
-	begun := now - in.Waited
-	r.Request, r.arrived, r.begun, r.deadline = in, begun, begun, begun+in.Patience
-	if age := b.classes[in.Class].age(in.Patience); in.Repeat || !b.cfg.MarksRepeats {
+	begun := now - in.Elapsed
+	r.Request, r.arrived, r.begun, r.deadline = in, begun, begun, begun+in.ClientTimeout
+	if age := b.classes[in.Class].age(in.ClientTimeout); in.Retry || !b.cfg.ClientsMarkRetries {
 		r.begun -= age // a first try of an impatient client is no repeat
 	}
 	r.over = b.overShare(in.Tenant)
@@ -250,45 +250,45 @@
 	b.hold(r)
 }
 
-// Lapsed tells that a request is concluded without an answer of this gateway.
-func (b *Balancer) Lapsed(now time.Duration, id RequestID) {
+// RequestAbandoned tells that a request is concluded without an answer of this gateway.
+func (b *Balancer) RequestAbandoned(now time.Duration, id RequestID) {
 	b.now = now
 	if r := b.requests[id]; r != nil {
 		b.conclude(r, false)
 	}
 }
 
-// First tells that a stream has begun: the attempt belongs to the client now.
-func (b *Balancer) First(now time.Duration, id RequestID) {
+// ResponseStarted tells that a stream has begun: the attempt belongs to the client now.
+func (b *Balancer) ResponseStarted(now time.Duration, id RequestID) {
 	b.now = now
 	if r := b.requests[id]; r != nil {
 		r.done = true
 	}
 }
 
-// Fleet tells what the fleet gives this gateway: its servers, and behind them its spares, the next to be
+// AssignEndpoints tells what the fleet gives this gateway: its servers, and behind them its spares, the next to be
 // used first. From the first time on, cold servers get requests by Turn alone. Nothing given leaves parts to
 // count and number.
-func (b *Balancer) Fleet(now time.Duration, servers []FleetServer) {
+func (b *Balancer) AssignEndpoints(now time.Duration, servers []AssignedEndpoint) {
 	b.now, b.inFleet, b.stale = now, true, true
 	b.given = append(b.given[:0], servers...)
 }
 
-// Turn gives this gateway one request for a cold server, to be sent before a time.
-func (b *Balancer) Turn(now time.Duration, id ServerID, until time.Duration) {
+// GrantSlowStartToken gives this gateway one request for a cold server, to be sent before a time.
+func (b *Balancer) GrantSlowStartToken(now time.Duration, id EndpointID, until time.Duration) {
 	b.now = now
 	if s := b.byID[id]; s != nil && !b.yielded {
 		s.turns = append(s.turns, until)
 	}
 }
 
-// Timer tells that a Wake fell due.
-func (b *Balancer) Timer(now time.Duration, token uint32) {
+// TimerFired tells that a Wake fell due.
+func (b *Balancer) TimerFired(now time.Duration, token uint32) {
 	b.now = now
 	switch token {
 	case tokenSample:
 		b.sample()
-		b.out.Wake(period, tokenSample)
+		b.out.SetTimer(period, tokenSample)
 	case tokenQueue:
 		b.queueArmed = false
 	case tokenWatch:
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -14,7 +14,7 @@
 type act struct {
 	what    string // send, refuse, fail, cancel, wake, watch, log
 	id      RequestID
-	server  ServerID
+	server  EndpointID
 	timeout time.Duration
 	attempt int
 	token   uint32
@@ -24,22 +24,22 @@
 // recorder implements Actions.
 type recorder struct{ acts []act }
 
-func (r *recorder) Send(id RequestID, to ServerID, timeout time.Duration) {
+func (r *recorder) StartAttempt(id RequestID, to EndpointID, timeout time.Duration) {
 	r.acts = append(r.acts, act{what: "send", id: id, server: to, timeout: timeout})
 }
-func (r *recorder) Refuse(id RequestID, after time.Duration) {
+func (r *recorder) Reject(id RequestID, after time.Duration) {
 	r.acts = append(r.acts, act{what: "refuse", id: id, timeout: after})
 }
 func (r *recorder) Fail(id RequestID) { r.acts = append(r.acts, act{what: "fail", id: id}) }
-func (r *recorder) Cancel(id RequestID, attempt int) {
+func (r *recorder) CancelAttempt(id RequestID, attempt int) {
 	r.acts = append(r.acts, act{what: "cancel", id: id, attempt: attempt})
 }
-func (r *recorder) Wake(after time.Duration, token uint32) {
+func (r *recorder) SetTimer(after time.Duration, token uint32) {
 	r.acts = append(r.acts, act{what: "wake", timeout: after, token: token})
 }
-func (r *recorder) Watch()            { r.acts = append(r.acts, act{what: "watch"}) }
-func (r *recorder) Close(to ServerID) { r.acts = append(r.acts, act{what: "close", server: to}) }
-func (r *recorder) Log(line string)   { r.acts = append(r.acts, act{what: "log", text: line}) }
+func (r *recorder) WatchEndpoints()         { r.acts = append(r.acts, act{what: "watch"}) }
+func (r *recorder) CloseIdle(to EndpointID) { r.acts = append(r.acts, act{what: "close", server: to}) }
+func (r *recorder) Log(line string)         { r.acts = append(r.acts, act{what: "log", text: line}) }
 
 // rig is a balancer with its recorded actions and a clock.
 type rig struct {
@@ -53,19 +53,19 @@
 
 // safe, keyed and unsafe classes of one site, in this order.
 func testConfig() Config {
-	class := Class{Aim: 1000 * millisecond, Deadline: 2000 * millisecond, Worth: 1, Window: 1500 * millisecond}
+	class := Class{LatencyObjective: 1000 * millisecond, Deadline: 2000 * millisecond, Weight: 1, DedupWindow: 1500 * millisecond}
 	keyed, unsafe := class, class
-	keyed.Effect, keyed.Group = Keyed, GroupCell
-	unsafe.Effect = Unsafe
+	keyed.Idempotency, keyed.DedupScope = KeyedIdempotent, DedupCell
+	unsafe.Idempotency = NonIdempotent
 	return Config{
-		Gateways: 2, Classes: []Class{class, keyed, unsafe}, OverShareWorth: 0.1,
-		ColdFrom: 0.3, WarmAfter: 9 * time.Second, FallMultiple: 2.5,
-		OverloadFor: 2 * time.Second, MaxAttempts: 4, Tick: 5 * millisecond, RetryAfter: true,
-		MaxRetryAfter: time.Second, CancelAllowed: true, AskWithin: 10 * time.Second,
+		Gateways: 2, Classes: []Class{class, keyed, unsafe}, OverQuotaWeight: 0.1,
+		SlowStartFraction: 0.3, SlowStartDuration: 9 * time.Second, OverloadMultiple: 2.5,
+		OverloadWindow: 2 * time.Second, MaxAttempts: 4, DispatchInterval: 5 * millisecond, RetryAfter: true,
+		MaxRetryAfter: time.Second, CancelAllowed: true, PollInterval: 10 * time.Second,
 	}
 }
 
-func newRig(t *testing.T, cfg Config, servers ...Server) *rig {
+func newRig(t *testing.T, cfg Config, servers ...Endpoint) *rig {
 	t.Helper()
 	r := &rig{t: t, now: 100 * time.Second}
 	b, err := New(cfg, 7, r.now, &r.rec)
@@ -73,13 +73,13 @@
 		t.Fatal(err)
 	}
 	r.b = b
-	b.List(r.now, ListCached, servers)
+	b.UpdateEndpoints(r.now, CachedSnapshot, servers)
 	b.Dispatch(r.now)
 	return r
 }
 
-func ready(id ServerID, zone, cell int) Server {
-	return Server{ID: id, Zone: zone, Cell: cell, State: Ready}
+func ready(id EndpointID, zone, cell int) Endpoint {
+	return Endpoint{ID: id, Zone: zone, Cell: cell, State: EndpointReady}
 }
 
 // take clears the record and returns the actions of one kind.
@@ -108,13 +108,13 @@
 }
 
 func (r *rig) request(id RequestID, class int) {
-	r.b.Request(r.now, Request{ID: id, Class: class, Patience: 2000 * millisecond})
+	r.b.RequestArrived(r.now, Request{ID: id, Class: class, ClientTimeout: 2000 * millisecond})
 	r.b.Dispatch(r.now)
 }
 
-func (r *rig) end(id RequestID, attempt int, s ServerID, o Outcome, latency time.Duration) {
-	r.b.AttemptEnd(r.now, AttemptEnd{Request: id, Attempt: attempt, Server: s, Outcome: o, Latency: latency,
-		Closed: o == OK})
+func (r *rig) end(id RequestID, attempt int, s EndpointID, o Outcome, latency time.Duration) {
+	r.b.AttemptEnded(r.now, AttemptEnd{Request: id, Attempt: attempt, Endpoint: s, Outcome: o, Latency: latency,
+		RequestDone: o == OutcomeOK})
 	r.b.Dispatch(r.now)
 }
 
@@ -122,11 +122,11 @@
 func (r *rig) wait(d time.Duration) {
 	end := r.now + d
 	for r.now < end {
-		r.now += r.b.cfg.Tick
+		r.now += r.b.cfg.DispatchInterval
 		if r.now%period == 0 {
-			r.b.Timer(r.now, tokenSample)
+			r.b.TimerFired(r.now, tokenSample)
 		}
-		r.b.Timer(r.now, tokenQueue)
+		r.b.TimerFired(r.now, tokenQueue)
 		r.b.Dispatch(r.now)
 	}
 }
@@ -211,7 +211,7 @@
 func TestLimitGrowsFromTheSecondSample(t *testing.T) {
 	cfg := testConfig()
 	for i := range cfg.Classes {
-		cfg.Classes[i].Aim = 400 * millisecond
+		cfg.Classes[i].LatencyObjective = 400 * millisecond
 	}
 	r := newRig(t, cfg, ready(1, 0, 0))
 	s := r.b.servers[0]
@@ -291,7 +291,7 @@
 	}
 	near(t, "u at its floor", s.u, fleetFloor/10)
 	r.request(1, 0)
-	r.end(1, 0, 1, OK, 100*millisecond)
+	r.end(1, 0, 1, OutcomeOK, 100*millisecond)
 	if want := r.now + 100*millisecond; s.restUntil != want {
 		t.Errorf("rests until %v, want %v", s.restUntil, want)
 	}
@@ -317,8 +317,8 @@
 		s := r.b.servers[0]
 		s.backlog = c.waiting
 		r.request(1, 0)
-		r.b.AttemptEnd(r.now, AttemptEnd{Request: 1, Server: 1, Outcome: OK, Latency: 50 * millisecond,
-			Closed: true, Reported: true, Waiting: c.waiting})
+		r.b.AttemptEnded(r.now, AttemptEnd{Request: 1, Endpoint: 1, Outcome: OutcomeOK, Latency: 50 * millisecond,
+			RequestDone: true, Reported: true, QueueLength: c.waiting})
 		s.u, s.gain, s.base, s.bound = 3, 50, uncrowded, true
 		r.b.sampleServer(s)
 		if grew := s.u > 3; grew != c.grows || s.u < 3-queueStep || s.u == 3 {
@@ -364,7 +364,7 @@
 	if len(sends) != 2 || sends[0].server == sends[1].server || sends[0].id != 0 || sends[1].id != 1 {
 		t.Fatalf("sends = %+v, want the first two requests, one to each server", sends)
 	}
-	r.end(0, 0, sends[0].server, OK, 50*millisecond)
+	r.end(0, 0, sends[0].server, OutcomeOK, 50*millisecond)
 	next := r.take("send")
 	if len(next) != 1 || next[0].id != 2 || next[0].server != sends[0].server {
 		t.Fatalf("after an answer sends = %+v, want request 2 on the same server", next)
@@ -377,18 +377,18 @@
 	for id := range RequestID(3) {
 		r.request(id, 0)
 	}
-	var got []ServerID
+	var got []EndpointID
 	for _, s := range r.take("send") {
 		got = append(got, s.server)
 	}
-	if want := []ServerID{2, 2, 2}; got[0] != want[0] || got[1] != want[1] {
+	if want := []EndpointID{2, 2, 2}; got[0] != want[0] || got[1] != want[1] {
 		t.Errorf("sent to %v, want server 2 first: it has room for five", got)
 	}
 }
 
 func TestOwnZoneGoesFirst(t *testing.T) {
 	cfg := testConfig()
-	cfg.CrossZonePrice = 0.05 // 0.05 x 1000 ms = 50 ms
+	cfg.CrossZoneCost = 0.05 // 0.05 x 1000 ms = 50 ms
 	r := newRig(t, cfg, ready(1, 0, 0), ready(2, 1, 1))
 	r.b.byID[2].u = 5 // more room does not outweigh the crossing
 	r.request(1, 0)
@@ -410,9 +410,9 @@
 // refused that could have gone there.
 func TestWorkCrossesBeforeItIsShed(t *testing.T) {
 	cfg := testConfig()
-	cfg.CrossZonePrice = 0.1 // 0.1 x 400 ms = 40 ms
+	cfg.CrossZoneCost = 0.1 // 0.1 x 400 ms = 40 ms
 	for i := range cfg.Classes {
-		cfg.Classes[i].Aim, cfg.Classes[i].Worth = 400*millisecond, []float64{1, 16, 16}[i]
+		cfg.Classes[i].LatencyObjective, cfg.Classes[i].Weight = 400*millisecond, []float64{1, 16, 16}[i]
 	}
 	r := newRig(t, cfg, ready(1, 0, 0), ready(2, 1, 1))
 	for i := range r.b.classes {
@@ -439,7 +439,7 @@
 	c := &r.b.classes[0]
 	c.service, c.spread = average{100, 90}, average{100, 60}
 	for late, want := range map[float64]time.Duration{0: 1000 - 90 - 240, 0.5: 1000 - 90 - 120, 1: 1000 - 90} {
-		c.LateWorth = late
+		c.LateWeight = late
 		r.b.setHolds()
 		if got := r.b.lateLimit(c); got != want*millisecond {
 			t.Errorf("late answers earn %v: held for %v, want %v", late, got, want*millisecond)
@@ -457,7 +457,7 @@
 	} {
 		cfg := testConfig()
 		for i := range cfg.Classes {
-			cfg.Classes[i].Aim = aim
+			cfg.Classes[i].LatencyObjective = aim
 		}
 		r := newRig(t, cfg, ready(1, 0, 0))
 		s := r.b.byID[1]
@@ -467,30 +467,30 @@
 }
 
 func TestDrainsAreKept(t *testing.T) {
-	drain := func(s Server) Server { s.State = Draining; return s }
-	gone := func(s Server) Server { s.State = Gone; return s }
+	drain := func(s Endpoint) Endpoint { s.State = EndpointDraining; return s }
+	gone := func(s Endpoint) Endpoint { s.State = EndpointRemoved; return s }
 	one, two := ready(1, 0, 0), ready(2, 0, 0)
 	for _, c := range []struct {
 		name string
-		kind ListKind
-		list []Server
+		kind EndpointUpdate
+		list []Endpoint
 	}{
-		{"delta draining", ListDelta, []Server{drain(one)}},
-		{"delta gone", ListDelta, []Server{gone(one)}},
-		{"full list omits it", ListFull, []Server{two}},
-		{"cached list omits it", ListCached, []Server{two}},
-		{"full list draining", ListFull, []Server{drain(one), two}},
+		{"delta draining", Delta, []Endpoint{drain(one)}},
+		{"delta gone", Delta, []Endpoint{gone(one)}},
+		{"full list omits it", Snapshot, []Endpoint{two}},
+		{"cached list omits it", CachedSnapshot, []Endpoint{two}},
+		{"full list draining", Snapshot, []Endpoint{drain(one), two}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, testConfig(), one, two)
-			r.b.List(r.now, c.kind, c.list)
+			r.b.UpdateEndpoints(r.now, c.kind, c.list)
 			for id := range RequestID(20) {
 				r.request(id, 0)
 				for _, s := range r.take("send") {
 					if s.server == 1 {
 						t.Fatalf("request %d went to a server that leaves", s.id)
 					}
-					r.end(s.id, 0, s.server, OK, 20*millisecond)
+					r.end(s.id, 0, s.server, OutcomeOK, 20*millisecond)
 				}
 			}
 		})
@@ -503,17 +503,17 @@
 	r.b.servers[0].u = 5
 	r.request(1, 0)
 	again := ready(1, 0, 0)
-	again.Born = r.now
-	r.b.List(r.now, ListDelta, []Server{again})
+	again.StartedAt = r.now
+	r.b.UpdateEndpoints(r.now, Delta, []Endpoint{again})
 	if len(r.b.servers) != 1 || r.b.servers[0].inflight != 0 {
 		t.Fatalf("servers = %+v, want one fresh server", r.b.servers)
 	}
-	r.end(1, 0, 1, Reset, 10*millisecond)
+	r.end(1, 0, 1, OutcomeReset, 10*millisecond)
 	r.wait(500 * millisecond)                 // it is cold
 	if n := r.b.servers[0].inflight; n != 1 { // the retry of request 1
 		t.Errorf("in flight on the fresh server = %d, want the retry alone", n)
 	}
-	r.b.List(r.now, ListDelta, []Server{{ID: 1, State: Gone, Born: r.now}})
+	r.b.UpdateEndpoints(r.now, Delta, []Endpoint{{ID: 1, State: EndpointRemoved, StartedAt: r.now}})
 	if len(r.b.servers) != 0 || r.b.byID[1] != nil {
 		t.Errorf("a server that is gone is still known")
 	}
@@ -521,14 +521,14 @@
 
 func TestFailedListCallsBackOff(t *testing.T) {
 	cfg := testConfig()
-	cfg.AskForList = true
+	cfg.PollDiscovery = true
 	r := newRig(t, cfg, ready(1, 0, 0))
 	if n := len(r.take("watch")); n != 1 {
 		t.Fatalf("watched %d times at the start, want once", n)
 	}
 	var last time.Duration
 	for i := range 3 {
-		r.b.List(r.now, ListFailed, nil)
+		r.b.UpdateEndpoints(r.now, WatchFailed, nil)
 		wakes := r.take("wake")
 		if len(wakes) != 1 || wakes[0].token != tokenWatch || wakes[0].timeout <= last/3 {
 			t.Fatalf("call %d: wakes = %+v after %v", i, wakes, last)
@@ -537,18 +537,18 @@
 		if len(r.b.servers) != 1 {
 			t.Fatal("a failed call took servers off the list")
 		}
-		r.b.Timer(r.now, tokenWatch)
+		r.b.TimerFired(r.now, tokenWatch)
 		if n := len(r.take("watch")); n != 1 {
 			t.Fatalf("call %d: watched %d times, want once", i, n)
 		}
 	}
-	r.b.List(r.now, ListDelta, nil)
-	r.b.Timer(r.now, tokenWatch)
+	r.b.UpdateEndpoints(r.now, Delta, nil)
+	r.b.TimerFired(r.now, tokenWatch)
 	if n := len(r.take("watch")); n != 0 {
 		t.Error("watched again though subscribed")
 	}
-	r.b.List(r.now, ListFailed, nil) // the subscription broke
-	r.b.Timer(r.now, tokenWatch)
+	r.b.UpdateEndpoints(r.now, WatchFailed, nil) // the subscription broke
+	r.b.TimerFired(r.now, tokenWatch)
 	if n := len(r.take("watch")); n != 1 {
 		t.Error("a broken subscription was not renewed")
 	}
@@ -556,8 +556,8 @@
 
 // What may follow an attempt's end, by class and outcome: another send, a refusal or a failure.
 func TestNoEffectTwice(t *testing.T) {
-	outcomes := []Outcome{Error, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot}
-	for class, effect := range []Effect{Safe, Keyed, Unsafe} {
+	outcomes := []Outcome{OutcomeError, OutcomeRejected, OutcomeTimeout, OutcomeConnectFailed, OutcomeReset, OutcomeCancelled, OutcomeNotStarted}
+	for class, effect := range []Idempotency{Idempotent, KeyedIdempotent, NonIdempotent} {
 		for _, o := range outcomes {
 			t.Run(fmt.Sprintf("effect %d outcome %d", effect, o), func(t *testing.T) {
 				cfg := testConfig()
@@ -569,13 +569,13 @@
 					t.Fatal("the server with room was not chosen")
 				}
 				r.now += 10 * millisecond
-				r.b.servers[1].State = Draining // only the other cell is left
+				r.b.servers[1].State = EndpointDraining // only the other cell is left
 				r.end(1, 0, 2, o, 10*millisecond)
 				r.wait(50 * millisecond)
 				sent := slices.ContainsFunc(r.rec.acts, func(a act) bool { return a.what == "send" && a.id == 1 })
 				refused, failed := r.finals(1)
 				switch {
-				case effect == Safe || o.Unrun():
+				case effect == Idempotent || o.NeverRan():
 					if !sent {
 						t.Error("was not tried again though it may be")
 					}
@@ -594,28 +594,28 @@
 func TestKeyedRepeatsStayInGroupAndWindow(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		group Group
-		other Server
+		group DedupScope
+		other Endpoint
 		want  bool
 	}{
-		{"all", GroupAll, ready(2, 1, 5), true},
-		{"same zone", GroupZone, ready(2, 0, 5), true},
-		{"other zone", GroupZone, ready(2, 1, 0), false},
-		{"same cell", GroupCell, ready(2, 0, 0), true},
-		{"other cell", GroupCell, ready(2, 0, 1), false},
+		{"all", DedupAll, ready(2, 1, 5), true},
+		{"same zone", DedupZone, ready(2, 0, 5), true},
+		{"other zone", DedupZone, ready(2, 1, 0), false},
+		{"same cell", DedupCell, ready(2, 0, 0), true},
+		{"other cell", DedupCell, ready(2, 0, 1), false},
 	} {
 		for _, late := range []bool{false, true} {
 			cfg := testConfig()
-			cfg.Classes[1].Group = c.group
-			cfg.Classes[1].Aim, cfg.Classes[1].Window = 1900*millisecond, 500*millisecond
+			cfg.Classes[1].DedupScope = c.group
+			cfg.Classes[1].LatencyObjective, cfg.Classes[1].DedupWindow = 1900*millisecond, 500*millisecond
 			r := newRig(t, cfg, ready(1, 0, 0))
 			r.request(1, 1)
-			r.b.List(r.now, ListDelta, []Server{c.other, {ID: 1, State: Gone}})
+			r.b.UpdateEndpoints(r.now, Delta, []Endpoint{c.other, {ID: 1, State: EndpointRemoved}})
 			if r.now += 300 * millisecond; late {
 				r.now += 195 * millisecond // within two ticks of the window's end
 			}
 			r.rec.acts = nil
-			r.end(1, 0, 1, Timeout, 300*millisecond)
+			r.end(1, 0, 1, OutcomeTimeout, 300*millisecond)
 			sent := len(r.take("send")) == 1
 			if sent != (c.want && !late) {
 				t.Errorf("%s, late %v: sent again = %v", c.name, late, sent)
@@ -634,13 +634,13 @@
 		after   time.Duration
 		want    bool
 	}{
-		{"keyed, in time", 1, Reset, 100 * millisecond, true},
-		{"keyed, after the window", 1, Reset, 195 * millisecond, false},
-		{"keyed, never ran", 1, Full, 900 * millisecond, true},
-		{"safe", 0, Reset, 900 * millisecond, true},
+		{"keyed, in time", 1, OutcomeReset, 100 * millisecond, true},
+		{"keyed, after the window", 1, OutcomeReset, 195 * millisecond, false},
+		{"keyed, never ran", 1, OutcomeRejected, 900 * millisecond, true},
+		{"safe", 0, OutcomeReset, 900 * millisecond, true},
 	} {
 		cfg := testConfig()
-		cfg.Classes[1].Aim, cfg.Classes[1].Window = 1900*millisecond, 500*millisecond
+		cfg.Classes[1].LatencyObjective, cfg.Classes[1].DedupWindow = 1900*millisecond, 500*millisecond
 		r := newRig(t, cfg, ready(1, 0, 0), ready(2, 0, 0))
 		r.request(1, c.class)
 		first := r.take("send")[0].server
@@ -649,11 +649,11 @@
 		if len(r.take("send")) != 1 {
 			t.Fatalf("%s: not sent again", c.name)
 		}
-		if r.now += c.after; r.b.MayBegin(r.now, 1, 1) != c.want {
+		if r.now += c.after; r.b.MayStartAttempt(r.now, 1, 1) != c.want {
 			t.Errorf("%s: may begin = %v", c.name, !c.want)
 		}
 	}
-	if r := newRig(t, testConfig()); r.b.MayBegin(r.now, 9, 0) {
+	if r := newRig(t, testConfig()); r.b.MayStartAttempt(r.now, 9, 0) {
 		t.Error("an attempt of no request may begin")
 	}
 }
@@ -663,17 +663,19 @@
 func TestNothingIsSavedUpForAColdServer(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways = 40
-	at := func(state State, born time.Duration) []Server { return []Server{{ID: 1, State: state, Born: born}} }
+	at := func(state EndpointState, born time.Duration) []Endpoint {
+		return []Endpoint{{ID: 1, State: state, StartedAt: born}}
+	}
 	soon, later := 0, 0
 	for seed := range uint64(100) {
 		r := newRig(t, cfg)
 		r.b.rng = rand.New(rand.NewPCG(seed, 1))
 		born := r.now
-		r.b.List(r.now, ListDelta, at(Ready, born))
+		r.b.UpdateEndpoints(r.now, Delta, at(EndpointReady, born))
 		r.b.Dispatch(r.now)
-		r.b.List(r.now, ListDelta, at(Draining, born))
+		r.b.UpdateEndpoints(r.now, Delta, at(EndpointDraining, born))
 		r.wait(4 * time.Second)
-		r.b.List(r.now, ListDelta, at(Ready, born))
+		r.b.UpdateEndpoints(r.now, Delta, at(EndpointReady, born))
 		for step := range 100 {
 			r.rec.acts = nil
 			r.request(RequestID(step+1), 0)
@@ -695,15 +697,15 @@
 // A keyed request of group all may be refused even if it may have run; of a smaller group it may not.
 func TestRefusalsOfKeyedRequests(t *testing.T) {
 	for _, c := range []struct {
-		group  Group
+		group  DedupScope
 		refuse bool
-	}{{GroupAll, true}, {GroupZone, false}, {GroupCell, false}} {
+	}{{DedupAll, true}, {DedupZone, false}, {DedupCell, false}} {
 		cfg := testConfig()
-		cfg.Classes[1].Group = c.group
+		cfg.Classes[1].DedupScope = c.group
 		r := newRig(t, cfg, ready(1, 0, 0))
 		r.request(1, 1)
 		r.now += 1990 * millisecond
-		r.end(1, 0, 1, Timeout, 1990*millisecond)
+		r.end(1, 0, 1, OutcomeTimeout, 1990*millisecond)
 		if refused, failed := r.finals(1); (refused == 1) != c.refuse || refused+failed != 1 {
 			t.Errorf("group %d: refused %d, failed %d", c.group, refused, failed)
 		}
@@ -728,21 +730,21 @@
 	r := newRig(t, testConfig(), ready(1, 0, 0))
 	r.request(1, 0)
 	r.rec.acts = nil
-	r.end(9, 0, 1, OK, 0)  // unknown request
-	r.end(1, 5, 1, OK, 0)  // unknown attempt
-	r.end(1, -1, 1, OK, 0) // no attempt at all
-	r.b.Lapsed(r.now, 77)
-	r.b.First(r.now, 77)
-	r.b.Timer(r.now, 12345)
-	r.b.List(r.now, ListFull, []Server{ready(1, 0, 0)})
-	r.b.List(r.now, ListFull, []Server{ready(1, 0, 0)})
-	r.b.List(r.now, ListDelta, []Server{{ID: 99, State: Gone}})
+	r.end(9, 0, 1, OutcomeOK, 0)  // unknown request
+	r.end(1, 5, 1, OutcomeOK, 0)  // unknown attempt
+	r.end(1, -1, 1, OutcomeOK, 0) // no attempt at all
+	r.b.RequestAbandoned(r.now, 77)
+	r.b.ResponseStarted(r.now, 77)
+	r.b.TimerFired(r.now, 12345)
+	r.b.UpdateEndpoints(r.now, Snapshot, []Endpoint{ready(1, 0, 0)})
+	r.b.UpdateEndpoints(r.now, Snapshot, []Endpoint{ready(1, 0, 0)})
+	r.b.UpdateEndpoints(r.now, Delta, []Endpoint{{ID: 99, State: EndpointRemoved}})
 	r.request(1, 0) // the same id again
 	if len(r.rec.acts) != 0 || r.b.servers[0].inflight != 1 || len(r.b.servers) != 1 {
 		t.Errorf("acts = %+v, servers = %+v", r.rec.acts, r.b.servers[0])
 	}
-	r.end(1, 0, 1, OK, 10*millisecond)
-	r.end(1, 0, 1, OK, 10*millisecond) // the same end again
+	r.end(1, 0, 1, OutcomeOK, 10*millisecond)
+	r.end(1, 0, 1, OutcomeOK, 10*millisecond) // the same end again
 	if r.b.servers[0].inflight != 0 {
 		t.Errorf("in flight = %d after one answer told twice", r.b.servers[0].inflight)
 	}
@@ -757,9 +759,9 @@
 	r.request(1, 0)
 	r.request(2, 0) // held
 	r.rec.acts = nil
-	r.b.Lapsed(r.now, 1)
-	r.b.Lapsed(r.now, 2)
-	r.end(1, 0, 1, Error, 10*millisecond)
+	r.b.RequestAbandoned(r.now, 1)
+	r.b.RequestAbandoned(r.now, 2)
+	r.end(1, 0, 1, OutcomeError, 10*millisecond)
 	r.wait(1500 * millisecond)
 	for _, a := range r.rec.acts {
 		if a.what != "wake" {
@@ -784,10 +786,10 @@
 			if a.server == 1 {
 				bad++
 				r.now += millisecond
-				r.end(a.id, attempt, 1, Error, millisecond)
+				r.end(a.id, attempt, 1, OutcomeError, millisecond)
 			} else {
 				r.now += 40 * millisecond
-				r.end(a.id, attempt, 2, OK, 40*millisecond)
+				r.end(a.id, attempt, 2, OutcomeOK, 40*millisecond)
 			}
 		}
 	}
@@ -829,7 +831,7 @@
 	if sends := r.take("send"); len(sends) != 1 || sends[0].server == 1 {
 		t.Fatalf("an unsafe request was used as a trial: %+v", sends)
 	}
-	r.end(1, 0, 1, Timeout, 2*time.Second)
+	r.end(1, 0, 1, OutcomeTimeout, 2*time.Second)
 	s.trialAt = r.now
 	r.request(3, 0)
 	r.request(4, 0)
@@ -842,7 +844,7 @@
 	if trials != 1 {
 		t.Fatalf("%d requests on trial, want 1", trials)
 	}
-	r.end(3, 0, 1, OK, 100*millisecond)
+	r.end(3, 0, 1, OutcomeOK, 100*millisecond)
 	if s.ejected || s.u != 1 {
 		t.Errorf("after a good trial ejected = %v, u = %v", s.ejected, s.u)
 	}
@@ -864,7 +866,7 @@
 	if len(cancels) != 2 || cancels[0].id != 0 || cancels[1].id != 1 {
 		t.Fatalf("cancels = %+v, want the safe and the keyed request", cancels)
 	}
-	r.end(0, 0, 1, Cancelled, 700*millisecond)
+	r.end(0, 0, 1, OutcomeCancelled, 700*millisecond)
 	if sends := r.take("send"); len(sends) != 1 || sends[0].id != 0 || sends[0].server == 1 {
 		t.Errorf("sends = %+v, want request 0 on another server", sends)
 	}
@@ -883,7 +885,7 @@
 	if !r.b.byID[1].silent {
 		t.Fatal("the silence was not noticed")
 	}
-	r.end(1, 0, 1, OK, 800*millisecond)
+	r.end(1, 0, 1, OutcomeOK, 800*millisecond)
 	if s := r.b.byID[1]; s.ejected || s.silent {
 		t.Error("the server is still ejected")
 	}
@@ -891,8 +893,8 @@
 
 // If most servers look bad the load is suspected and they stay in use.
 func TestCapacityStaysInUseWhenAllLookBad(t *testing.T) {
-	var list []Server
-	for id := range ServerID(6) {
+	var list []Endpoint
+	for id := range EndpointID(6) {
 		list = append(list, ready(id+1, 0, 0))
 	}
 	r := newRig(t, testConfig(), list...)
@@ -921,9 +923,9 @@
 		r.request(id, 0)
 	}
 	r.now += 300 * millisecond
-	r.end(0, 0, 1, OK, 300*millisecond)
+	r.end(0, 0, 1, OutcomeOK, 300*millisecond)
 	for id := RequestID(1); id < 8; id++ {
-		r.end(id, 0, 1, Timeout, 300*millisecond)
+		r.end(id, 0, 1, OutcomeTimeout, 300*millisecond)
 	}
 	if s.ejected || s.failShare > 0 {
 		t.Errorf("ejected = %v, fail share = %v", s.ejected, s.failShare)
@@ -950,7 +952,7 @@
 			if n > 1 {
 				retries++
 			}
-			r.end(id, n-1, 1, Timeout, millisecond)
+			r.end(id, n-1, 1, OutcomeTimeout, millisecond)
 		}
 	}
 	if limit := int(retryBurst + 400*retryShare + 1); retries == 0 || retries > limit {
@@ -965,13 +967,13 @@
 	warmUp(r)
 	r.b.warmRate = 20 // two gateways: requests a second on a warm server
 	cold := ready(2, 0, 0)
-	cold.Born = r.now
-	r.b.List(r.now, ListDelta, []Server{cold})
+	cold.StartedAt = r.now
+	r.b.UpdateEndpoints(r.now, Delta, []Endpoint{cold})
 	s := r.b.byID[2]
 	s.u = 50
 	id := RequestID(0)
 	sent := 0
-	for end := r.now + cfg.OverloadFor; r.now < end; r.now += 5 * millisecond {
+	for end := r.now + cfg.OverloadWindow; r.now < end; r.now += 5 * millisecond {
 		for range 5 {
 			id++
 			r.request(id, 0)
@@ -980,7 +982,7 @@
 			if a.server == 2 {
 				sent++
 				// It turns work away at once, which counts as well and must not open room for more.
-				r.b.AttemptEnd(r.now, AttemptEnd{Request: a.id, Server: 2, Outcome: Full, Latency: millisecond})
+				r.b.AttemptEnded(r.now, AttemptEnd{Request: a.id, Endpoint: 2, Outcome: OutcomeRejected, Latency: millisecond})
 			}
 		}
 	}
@@ -988,13 +990,13 @@
 	if sent == 0 || sent > 23 {
 		t.Errorf("the cold server got %d requests, want 1 to 23", sent)
 	}
-	r.b.now = cold.Born + cfg.WarmAfter
+	r.b.now = cold.StartedAt + cfg.SlowStartDuration
 	near(t, "coldness when warm", r.b.coldness(s), 1)
 }
 
 func TestLowWorthAndOverShareGoFirst(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes[0].Worth, cfg.Classes[2].Worth = 10, 2
+	cfg.Classes[0].Weight, cfg.Classes[2].Weight = 10, 2
 	r := newRig(t, cfg)
 	warmUp(r)
 	c := r.b.classes
@@ -1040,14 +1042,14 @@
 		"Gateways":    func(c *Config) { c.Gateways = 0 },
 		"Rank":        func(c *Config) { c.Rank = c.Gateways },
 		"Classes":     func(c *Config) { c.Classes = nil },
-		"Aim":         func(c *Config) { c.Classes[1].Aim = 0 },
+		"Aim":         func(c *Config) { c.Classes[1].LatencyObjective = 0 },
 		"Deadline":    func(c *Config) { c.Classes[1].Deadline = -1 },
-		"Effect":      func(c *Config) { c.Classes[1].Effect = 9 },
-		"Worth":       func(c *Config) { c.Classes[1].Worth = -1 },
+		"Effect":      func(c *Config) { c.Classes[1].Idempotency = 9 },
+		"Worth":       func(c *Config) { c.Classes[1].Weight = -1 },
 		"MaxAttempts": func(c *Config) { c.MaxAttempts = 0 },
-		"ColdFrom":    func(c *Config) { c.ColdFrom = 2 },
-		"WarmAfter":   func(c *Config) { c.WarmAfter = -1 },
-		"AskWithin":   func(c *Config) { c.AskForList, c.AskWithin = true, 0 },
+		"ColdFrom":    func(c *Config) { c.SlowStartFraction = 2 },
+		"WarmAfter":   func(c *Config) { c.SlowStartDuration = -1 },
+		"AskWithin":   func(c *Config) { c.PollDiscovery, c.PollInterval = true, 0 },
 	} {
 		cfg := testConfig()
 		spoil(&cfg)
@@ -1064,10 +1066,10 @@
 	r.b.classes[0].service = average{n: baseSamples, mean: 100}
 	r.b.setHolds()
 	for id := RequestID(1); id <= 10; id++ {
-		r.b.Request(r.now, Request{ID: id, Patience: (1990 - time.Duration(id)) * millisecond})
+		r.b.RequestArrived(r.now, Request{ID: id, ClientTimeout: (1990 - time.Duration(id)) * millisecond})
 	}
-	r.b.Request(r.now, Request{ID: 20, Patience: 1500 * millisecond})
-	r.b.Request(r.now, Request{ID: 21, Patience: 1050 * millisecond})
+	r.b.RequestArrived(r.now, Request{ID: 20, ClientTimeout: 1500 * millisecond})
+	r.b.RequestArrived(r.now, Request{ID: 21, ClientTimeout: 1050 * millisecond})
 	r.b.Dispatch(r.now)
 	for _, c := range []struct {
 		id   RequestID
@@ -1126,17 +1128,17 @@
 	for i, want := range []int{1, 2, 4, 8, 8} { // in service times of 100 ms
 		id := RequestID(i)
 		r.request(id, 0)
-		r.end(id, 0, 1, Full, millisecond)
-		r.b.Lapsed(r.now, id)
+		r.end(id, 0, 1, OutcomeRejected, millisecond)
+		r.b.RequestAbandoned(r.now, id)
 		if rest := s.restUntil - r.now; rest != time.Duration(want)*100*millisecond || s.ejected {
 			t.Errorf("rest %d is %v, ejected %v; want %d service times", i, rest, s.ejected, want)
 		}
 		r.now = s.restUntil
 	}
 	r.request(9, 0)
-	r.end(9, 0, 1, OK, 100*millisecond)
+	r.end(9, 0, 1, OutcomeOK, 100*millisecond)
 	r.request(10, 0)
-	r.end(10, 0, 1, Full, millisecond)
+	r.end(10, 0, 1, OutcomeRejected, millisecond)
 	if rest := s.restUntil - r.now; rest != 100*millisecond {
 		t.Errorf("rest after an answer is %v, want one service time", rest)
 	}
@@ -1150,8 +1152,8 @@
 	for i, want := range []int{1, 2, 4} {
 		id := RequestID(i)
 		r.request(id, 0)
-		r.end(id, 0, 1, Full, millisecond)
-		r.b.Lapsed(r.now, id)
+		r.end(id, 0, 1, OutcomeRejected, millisecond)
+		r.b.RequestAbandoned(r.now, id)
 		if rest := s.restUntil - r.now; rest < time.Duration(want)*15*millisecond || rest > time.Duration(want)*16*millisecond {
 			t.Errorf("rest %d is %v, want %d times a 64th of the aim of 1 s", i, rest, want)
 		}
@@ -1166,7 +1168,7 @@
 		r := newRig(t, testConfig(), ready(1, 0, 0))
 		warmUp(r)
 		for id := range RequestID(held + 1) {
-			r.b.Request(r.now, Request{ID: id, Patience: 2000 * millisecond})
+			r.b.RequestArrived(r.now, Request{ID: id, ClientTimeout: 2000 * millisecond})
 		}
 		r.b.Dispatch(r.now) // sends the first, holds the others
 		r.b.rng = rand.New(rand.NewPCG(1, 1))
@@ -1187,8 +1189,8 @@
 	warmUp(r)
 	s := r.b.servers[0]
 	s.ejected, s.trialAt = true, r.now
-	r.b.Request(r.now, Request{ID: 1, Class: 2, Patience: 2000 * millisecond})
-	r.b.Request(r.now, Request{ID: 2, Class: 0, Patience: 2000 * millisecond})
+	r.b.RequestArrived(r.now, Request{ID: 1, Class: 2, ClientTimeout: 2000 * millisecond})
+	r.b.RequestArrived(r.now, Request{ID: 2, Class: 0, ClientTimeout: 2000 * millisecond})
 	r.b.Dispatch(r.now)
 	if sends := r.take("send"); len(sends) != 1 || sends[0].id != 2 {
 		t.Errorf("sends = %+v, want the safe request on trial", sends)
@@ -1196,7 +1198,7 @@
 }
 
 // fleet starts one gateway for each rank on the same list, spread evenly over zones 0 and 1.
-func fleet(t *testing.T, gateways int, list []Server) []*rig {
+func fleet(t *testing.T, gateways int, list []Endpoint) []*rig {
 	t.Helper()
 	var rigs []*rig
 	for rank := range gateways {
@@ -1208,24 +1210,24 @@
 			t.Fatal(err)
 		}
 		r.b = b
-		b.List(r.now, ListFull, list)
+		b.UpdateEndpoints(r.now, Snapshot, list)
 		b.Dispatch(r.now)
 		rigs = append(rigs, r)
 	}
 	return rigs
 }
 
-func twoZones(servers int) []Server {
-	var list []Server
+func twoZones(servers int) []Endpoint {
+	var list []Endpoint
 	for i := range servers {
-		list = append(list, ready(ServerID(i+1), i%2, i/8))
+		list = append(list, ready(EndpointID(i+1), i%2, i/8))
 	}
 	return list
 }
 
 // users counts the gateways that use each server.
-func users(rigs []*rig) map[ServerID]int {
-	count := make(map[ServerID]int)
+func users(rigs []*rig) map[EndpointID]int {
+	count := make(map[EndpointID]int)
 	for _, r := range rigs {
 		for _, s := range r.b.members {
 			count[s.ID]++
@@ -1259,12 +1261,12 @@
 	}
 	check("at the start")
 	closed := 0
-	for id := ServerID(1); id <= 20; id += 4 { // five successors, one for one
+	for id := EndpointID(1); id <= 20; id += 4 { // five successors, one for one
 		gone, fresh := ready(id, int(id-1)%2, int(id-1)/8), ready(id+1000, int(id-1)%2, int(id-1)/8)
-		gone.State = Gone
+		gone.State = EndpointRemoved
 		for _, r := range rigs {
 			r.take("close")
-			r.b.List(r.now, ListDelta, []Server{gone, fresh})
+			r.b.UpdateEndpoints(r.now, Delta, []Endpoint{gone, fresh})
 			r.b.Dispatch(r.now)
 			closed += len(r.take("close"))
 		}
@@ -1307,9 +1309,9 @@
 	for _, restarted := range []bool{false, true} {
 		rigs := fleet(t, 300, twoZones(40))
 		cold := ready(1000, 0, 0)
-		cold.Born = rigs[0].now
+		cold.StartedAt = rigs[0].now
 		gone := ready(1, 0, 0)
-		gone.State = Gone
+		gone.State = EndpointRemoved
 		const rate = 4.0 // requests a second of a gateway on a warm server
 		sent, sharers := 0, 0
 		for _, r := range rigs {
@@ -1317,13 +1319,13 @@
 				warmUp(r)
 				r.b.warmRate = rate * r.b.members[0].sharers
 			}
-			r.b.List(r.now, ListDelta, []Server{gone, cold})
+			r.b.UpdateEndpoints(r.now, Delta, []Endpoint{gone, cold})
 			r.b.Dispatch(r.now)
 			s := r.b.byID[1000]
 			if s.member {
 				sharers++
 			}
-			end := r.now + r.b.cfg.OverloadFor
+			end := r.now + r.b.cfg.OverloadWindow
 			for id := RequestID(0); r.now < end; r.now += 5 * millisecond {
 				r.b.now = r.now
 				s.inflight, s.restUntil = 0, 0
@@ -1347,14 +1349,14 @@
 
 // Zones without servers, lists that are empty, shrink to nothing or grow tenfold.
 func TestOddListsAreHarmless(t *testing.T) {
-	for _, list := range [][]Server{nil, {ready(1, 0, 0)}, {ready(1, 1, 0)}, {ready(1, 7, 0), ready(2, 9, 0)}} {
+	for _, list := range [][]Endpoint{nil, {ready(1, 0, 0)}, {ready(1, 1, 0)}, {ready(1, 7, 0), ready(2, 9, 0)}} {
 		for _, r := range fleet(t, 40, list) {
 			if len(list) > 0 && len(r.b.members) == 0 {
 				t.Fatalf("no members of %d servers", len(list))
 			}
-			r.b.List(r.now, ListFull, twoZones(10*len(list)+10))
+			r.b.UpdateEndpoints(r.now, Snapshot, twoZones(10*len(list)+10))
 			r.request(1, 0)
-			r.b.List(r.now, ListFull, nil)
+			r.b.UpdateEndpoints(r.now, Snapshot, nil)
 			r.b.Dispatch(r.now)
 			if len(r.b.members) != 0 || len(r.take("send")) != 1 {
 				t.Fatalf("members = %d of an empty list, or the request was not sent before", len(r.b.members))
@@ -1373,7 +1375,7 @@
 	r.request(1, 0)
 	r.now += 1200 * millisecond
 	r.b.byID[1].u = 0.4
-	r.b.AttemptEnd(r.now, AttemptEnd{Request: 1, Server: 1, Outcome: Timeout, Latency: 1200 * millisecond})
+	r.b.AttemptEnded(r.now, AttemptEnd{Request: 1, Endpoint: 1, Outcome: OutcomeTimeout, Latency: 1200 * millisecond})
 	if rest := r.b.byID[1].restUntil - r.now; rest != 1800*millisecond {
 		t.Errorf("rests %v after a time-out of 1.2 s with u = 0.4, want 1.8 s", rest)
 	}
@@ -1393,7 +1395,7 @@
 		}
 		out = append(out, r.take("send")...)
 		for len(out) > 10 {
-			r.end(out[0].id, 0, out[0].server, OK, 100*millisecond)
+			r.end(out[0].id, 0, out[0].server, OutcomeOK, 100*millisecond)
 			out = out[1:]
 		}
 	}
@@ -1404,15 +1406,15 @@
 		if s.reached && s.Zone == r.b.cfg.Zone {
 			t.Errorf("server %d is of the own zone, others lack its part", s.ID)
 		}
-		if s.Born = r.now; s.reached && r.b.coldRoom(s) { // parts of a cold server leave out those that reach it
+		if s.StartedAt = r.now; s.reached && r.b.coldRoom(s) { // parts of a cold server leave out those that reach it
 			t.Errorf("server %d is cold and beyond the even part, yet has room", s.ID)
 		}
-		s.Born = 0
+		s.StartedAt = 0
 	}
 	// A full one tells that the fleet is short too: hundreds of gateways would take each other's connections.
 	reach := r.b.reach.Size
 	at := slices.IndexFunc(out, func(a act) bool { return r.b.byID[a.server].reached })
-	r.end(out[at].id, 0, out[at].server, Full, 5*millisecond)
+	r.end(out[at].id, 0, out[at].server, OutcomeRejected, 5*millisecond)
 	out = slices.Delete(out, at, at+1)
 	r.wait(period)
 	r.b.signs.Short = true
@@ -1422,7 +1424,7 @@
 	}
 	for sent := append(out, r.take("send")...); len(sent) > 0; sent = r.take("send") { // one left open is a server's silence
 		for _, a := range sent { // the one that was turned away is in its second attempt
-			r.end(a.id, len(r.b.requests[a.id].attempts)-1, a.server, OK, 100*millisecond)
+			r.end(a.id, len(r.b.requests[a.id].attempts)-1, a.server, OutcomeOK, 100*millisecond)
 		}
 	}
 	r.take("close")
@@ -1448,7 +1450,7 @@
 		for _, s := range r.b.members {
 			s.restUntil = r.now + 300*millisecond
 		}
-		r.end(id, 0, sends[0].server, ConnectFailed, 250*millisecond)
+		r.end(id, 0, sends[0].server, OutcomeConnectFailed, 250*millisecond)
 		if sends := r.take("send"); (len(sends) > 0) != wide {
 			t.Errorf("class %d: sent %+v while all members rest", class, sends)
 		}
@@ -1474,7 +1476,7 @@
 	}
 	a := &attempt{server: reached}
 	for range 2 {
-		r.b.judge(&request{}, a, AttemptEnd{Outcome: ConnectFailed, Latency: 250 * millisecond})
+		r.b.judge(&request{}, a, AttemptEnd{Outcome: OutcomeConnectFailed, Latency: 250 * millisecond})
 	}
 	if !reached.ejected {
 		t.Error("not ejected after two connects that failed")
@@ -1487,9 +1489,9 @@
 
 // Servers that a gateway uses beside its own zone's are of several zones, or one lost zone takes them all.
 func TestServersOfOtherZonesAreMixed(t *testing.T) {
-	var list []Server
+	var list []Endpoint
 	for i := range 200 {
-		list = append(list, ready(ServerID(1+i*7919%100003), i/50, i/10)) // ids tell nothing of zones
+		list = append(list, ready(EndpointID(1+i*7919%100003), i/50, i/10)) // ids tell nothing of zones
 	}
 	alone := 0
 	for _, r := range fleet(t, 300, list) {
@@ -1512,7 +1514,7 @@
 // runs had 23 gateways send to a cold server whose budget was worked out for 12.
 func TestColdServersGetNothingFromReplacements(t *testing.T) {
 	rigs := fleet(t, 300, twoZones(40))
-	sharers, members := make(map[ServerID]float64), users(rigs)
+	sharers, members := make(map[EndpointID]float64), users(rigs)
 	for n, r := range rigs {
 		for i, s := range r.b.members {
 			s.ejected = n%2 == 0 && i%2 == 0 // a quarter of all that is used
@@ -1520,7 +1522,7 @@
 		r.b.reach.Size, r.b.stale = 2, true
 		r.b.Dispatch(r.now)
 		for _, s := range r.b.members {
-			s.Born = r.now - time.Second
+			s.StartedAt = r.now - time.Second
 			s.coldTokens = 1
 			if r.b.coldRoom(s) {
 				sharers[s.ID]++
@@ -1550,7 +1552,7 @@
 		t.Fatal("nothing reached")
 	}
 	for !s.ejected {
-		r.b.judge(&request{}, &attempt{server: s}, AttemptEnd{Outcome: ConnectFailed})
+		r.b.judge(&request{}, &attempt{server: s}, AttemptEnd{Outcome: OutcomeConnectFailed})
 	}
 	r.b.Dispatch(r.now)
 	if s.member {
@@ -1567,17 +1569,17 @@
 // While the list may be about to change nothing new is sent; what is held goes out, or is refused in time, all the same.
 func TestHoldStopsNewAttempts(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0))
-	r.b.Hold(true)
+	r.b.PauseAttempts(true)
 	r.request(1, 0)
 	if n := len(r.take("send")); n != 0 {
 		t.Fatalf("sent %d times while held", n)
 	}
-	r.b.Hold(false)
+	r.b.PauseAttempts(false)
 	r.b.Dispatch(r.now)
 	if n := len(r.take("send")); n != 1 {
 		t.Fatalf("sent %d times after the hold, want once", n)
 	}
-	r.b.Hold(true)
+	r.b.PauseAttempts(true)
 	r.request(2, 0)
 	r.wait(testConfig().Classes[0].Deadline)
 	if refused, failed := r.finals(2); refused+failed != 1 || len(r.take("send")) != 0 {
--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -9,18 +9,20 @@
 // silent implements Actions and remembers only where the last request went.
 type silent struct {
 	id   RequestID
-	to   ServerID
+	to   EndpointID
 	sent bool
 }
 
-func (s *silent) Send(id RequestID, to ServerID, _ time.Duration) { s.id, s.to, s.sent = id, to, true }
-func (s *silent) Refuse(RequestID, time.Duration)                 {}
-func (s *silent) Fail(RequestID)                                  {}
-func (s *silent) Cancel(RequestID, int)                           {}
-func (s *silent) Wake(time.Duration, uint32)                      {}
-func (s *silent) Close(ServerID)                                  {}
-func (s *silent) Watch()                                          {}
-func (s *silent) Log(string)                                      {}
+func (s *silent) StartAttempt(id RequestID, to EndpointID, _ time.Duration) {
+	s.id, s.to, s.sent = id, to, true
+}
+func (s *silent) Reject(RequestID, time.Duration) {}
+func (s *silent) Fail(RequestID)                  {}
+func (s *silent) CancelAttempt(RequestID, int)    {}
+func (s *silent) SetTimer(time.Duration, uint32)  {}
+func (s *silent) CloseIdle(EndpointID)            {}
+func (s *silent) WatchEndpoints()                 {}
+func (s *silent) Log(string)                      {}
 
 // steadyRequest returns a function that plays one request from arrival to answer over so many hosts, with a sample now and then.
 func steadyRequest(tb testing.TB, hosts int) func() {
@@ -30,25 +32,25 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	var list []Server
-	for id := range ServerID(hosts) {
+	var list []Endpoint
+	for id := range EndpointID(hosts) {
 		list = append(list, ready(id+1, int(id%2), 0))
 	}
-	b.List(now, ListFull, list)
+	b.UpdateEndpoints(now, Snapshot, list)
 	id := RequestID(0)
 	return func() {
 		id++
 		now += time.Millisecond
 		out.sent = false
-		b.Request(now, Request{ID: id, Class: int(id % 3), Patience: time.Second})
+		b.RequestArrived(now, Request{ID: id, Class: int(id % 3), ClientTimeout: time.Second})
 		if b.Dispatch(now); !out.sent {
 			tb.Fatal("the request was not sent at once")
 		}
 		now += 20 * time.Millisecond
-		b.AttemptEnd(now, AttemptEnd{Request: out.id, Server: out.to, Outcome: OK, Closed: true,
+		b.AttemptEnded(now, AttemptEnd{Request: out.id, Endpoint: out.to, Outcome: OutcomeOK, RequestDone: true,
 			Latency: 20 * time.Millisecond})
 		if id%5 == 0 {
-			b.Timer(now, tokenSample)
+			b.TimerFired(now, tokenSample)
 		}
 		b.Dispatch(now)
 	}
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -65,11 +65,11 @@
 // times held requests would take more than a gateway's CPU.
 func (b *Balancer) pick(r *request) *server {
 	fresh, from := len(r.attempts) == 0, b.members
-	if !fresh && b.classes[r.Class].Effect == Keyed {
+	if !fresh && b.classes[r.Class].Idempotency == KeyedIdempotent {
 		from = b.servers // its repeat may have to go where no member is
 	}
 	n, c := len(from), &b.classes[r.Class]
-	wait := min(scale(c.Aim, min(b.cfg.CrossZonePrice, 1-gamma)), scale(c.hold[index(r.over)], crossHold))
+	wait := min(scale(c.LatencyObjective, min(b.cfg.CrossZoneCost, 1-gamma)), scale(c.hold[index(r.over)], crossHold))
 	cross := !fresh || b.now-r.arrived >= wait
 	noRoom := &c.noRoom[index(cross)]
 	if n == 0 || fresh && *noRoom || b.held {
@@ -114,7 +114,7 @@
 // usable reports whether s may get r now.
 func (b *Balancer) usable(s *server, r *request) bool {
 	k := &s.kinds[r.Class]
-	return s.State == Ready && b.now >= s.restUntil && b.busy(s) < b.limit(s) &&
+	return s.State == EndpointReady && b.now >= s.restUntil && b.busy(s) < b.limit(s) &&
 		(!b.mute(s, r.Class) || k.out == 0 && b.now >= k.tryAt) &&
 		(!s.ejected || b.mayTry(s, r)) && b.mayResend(r, s) && b.coldRoom(s)
 }
@@ -148,7 +148,7 @@
 		s.coldTokens--
 		s.turns = s.turns[min(1, len(s.turns)):]
 	}
-	b.out.Send(r.ID, s.ID, timeout)
+	b.out.StartAttempt(r.ID, s.ID, timeout)
 }
 
 // occupy counts an attempt of r among what s works on; vacate takes it back.
@@ -168,9 +168,9 @@
 	k.out++
 }
 
-// Writing tells that an attempt's request is still being written, which is no work for its server, and later
+// RequestWriting tells that an attempt's request is still being written, which is no work for its server, and later
 // that its last byte is: only then do its work, its aim and its client's patience begin.
-func (b *Balancer) Writing(now time.Duration, id RequestID, n int, done bool) {
+func (b *Balancer) RequestWriting(now time.Duration, id RequestID, n int, done bool) {
 	b.now = now
 	r := b.requests[id]
 	if r == nil || n < 0 || n >= len(r.attempts) || r.attempts[n].ended || r.attempts[n].writing != done {
@@ -185,7 +185,7 @@
 		return
 	}
 	b.occupy(r, a.server)
-	a.sent, r.arrived, r.begun, r.deadline = now, now, now, now+r.Patience
+	a.sent, r.arrived, r.begun, r.deadline = now, now, now, now+r.ClientTimeout
 }
 
 // limit is the number of requests that s may have in flight from this gateway.
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -64,7 +64,7 @@
 	if !s.ejected && !s.reached {
 		bad, all := 1, 0
 		for _, t := range b.members {
-			if t.State == Ready && !t.reached {
+			if t.State == EndpointReady && !t.reached {
 				all++
 				if t.ejected {
 					bad++
@@ -104,6 +104,6 @@
 // mayTry reports whether r may try an ejected server: one request at a time, when the trial is due, and
 // only one that can be repeated if it fails.
 func (b *Balancer) mayTry(s *server, r *request) bool {
-	repeatable := b.classes[r.Class].Effect != Unsafe && len(r.attempts) == 0
+	repeatable := b.classes[r.Class].Idempotency != NonIdempotent && len(r.attempts) == 0
 	return repeatable && s.inflight == 0 && b.now >= s.trialAt
 }
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -10,26 +10,26 @@
 // printer carries out actions by printing them; a gateway would send, answer and set timers here.
 type printer struct{}
 
-func (printer) Send(id balancer.RequestID, to balancer.ServerID, timeout time.Duration) {
+func (printer) StartAttempt(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
 	fmt.Printf("send request %d to server %d\n", id, to)
 }
-func (printer) Refuse(id balancer.RequestID, after time.Duration) { fmt.Printf("refuse %d\n", id) }
+func (printer) Reject(id balancer.RequestID, after time.Duration) { fmt.Printf("refuse %d\n", id) }
 func (printer) Fail(id balancer.RequestID)                        { fmt.Printf("fail %d\n", id) }
-func (printer) Cancel(id balancer.RequestID, attempt int)         { fmt.Printf("cancel %d\n", id) }
-func (printer) Wake(after time.Duration, token uint32)            {}
-func (printer) Close(to balancer.ServerID)                        {}
-func (printer) Watch()                                            { fmt.Println("watch the list") }
+func (printer) CancelAttempt(id balancer.RequestID, attempt int)  { fmt.Printf("cancel %d\n", id) }
+func (printer) SetTimer(after time.Duration, token uint32)        {}
+func (printer) CloseIdle(to balancer.EndpointID)                  {}
+func (printer) WatchEndpoints()                                   { fmt.Println("watch the list") }
 func (printer) Log(line string)                                   { fmt.Println("log:", line) }
 
 // A request fails on one server and is answered by another.
 func Example() {
 	cfg := balancer.Config{
-		Gateways:    1,
-		MaxAttempts: 3,
-		ColdFrom:    1,
-		Tick:        5 * time.Millisecond,
+		Gateways:          1,
+		MaxAttempts:       3,
+		SlowStartFraction: 1,
+		DispatchInterval:  5 * time.Millisecond,
 		Classes: []balancer.Class{{
-			Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 1, Effect: balancer.Safe,
+			LatencyObjective: 500 * time.Millisecond, Deadline: time.Second, Weight: 1, Idempotency: balancer.Idempotent,
 		}},
 	}
 	now := 10 * time.Second // any monotonic clock
@@ -38,20 +38,20 @@
 		fmt.Println(err)
 		return
 	}
-	b.List(now, balancer.ListFull, []balancer.Server{{ID: 7, State: balancer.Ready}})
-	b.Request(now, balancer.Request{ID: 42, Patience: time.Second})
+	b.UpdateEndpoints(now, balancer.Snapshot, []balancer.Endpoint{{ID: 7, State: balancer.EndpointReady}})
+	b.RequestArrived(now, balancer.Request{ID: 42, ClientTimeout: time.Second})
 	b.Dispatch(now)
 
 	now += 20 * time.Millisecond
-	b.List(now, balancer.ListDelta, []balancer.Server{
-		{ID: 7, State: balancer.Draining}, {ID: 8, State: balancer.Ready},
+	b.UpdateEndpoints(now, balancer.Delta, []balancer.Endpoint{
+		{ID: 7, State: balancer.EndpointDraining}, {ID: 8, State: balancer.EndpointReady},
 	})
-	b.AttemptEnd(now, balancer.AttemptEnd{Request: 42, Server: 7, Outcome: balancer.Reset})
+	b.AttemptEnded(now, balancer.AttemptEnd{Request: 42, Endpoint: 7, Outcome: balancer.OutcomeReset})
 	b.Dispatch(now)
 
 	now += 60 * time.Millisecond
-	b.AttemptEnd(now, balancer.AttemptEnd{Request: 42, Attempt: 1, Server: 8, Outcome: balancer.OK,
-		Latency: 60 * time.Millisecond, Closed: true})
+	b.AttemptEnded(now, balancer.AttemptEnd{Request: 42, Attempt: 1, Endpoint: 8, Outcome: balancer.OutcomeOK,
+		Latency: 60 * time.Millisecond, RequestDone: true})
 	b.Dispatch(now)
 	fmt.Println("answered")
 	// Output:
--- a/internal/balancer/fuzz_test.go
+++ b/internal/balancer/fuzz_test.go
@@ -14,8 +14,8 @@
 	b       *Balancer
 	now     time.Duration
 	live    map[RequestID]*judged
-	left    map[ServerID]bool // servers that may get nothing new
-	cells   map[ServerID]Server
+	left    map[EndpointID]bool // servers that may get nothing new
+	cells   map[EndpointID]Endpoint
 	history []string
 }
 
@@ -27,7 +27,7 @@
 }
 
 type judgedAttempt struct {
-	server Server
+	server Endpoint
 	sent   time.Duration
 	ended  bool
 	unrun  bool
@@ -45,7 +45,7 @@
 	return r
 }
 
-func (f *referee) Send(id RequestID, to ServerID, timeout time.Duration) {
+func (f *referee) StartAttempt(id RequestID, to EndpointID, timeout time.Duration) {
 	f.note("send %d %d %v", id, to, timeout)
 	r := f.request(id)
 	if r.closed {
@@ -62,21 +62,21 @@
 		if !a.ended {
 			f.t.Fatalf("request %d has two attempts out", id)
 		}
-		if a.unrun || c.Effect == Safe {
+		if a.unrun || c.Idempotency == Idempotent {
 			continue
 		}
-		if c.Effect == Unsafe {
+		if c.Idempotency == NonIdempotent {
 			f.t.Fatalf("unsafe request %d sent again though it may have run", id)
 		}
-		if !sameGroup(c.Group, &server{Server: a.server}, &server{Server: f.cells[to]}) ||
-			f.now > a.sent+c.Window {
+		if !sameGroup(c.DedupScope, &server{Endpoint: a.server}, &server{Endpoint: f.cells[to]}) ||
+			f.now > a.sent+c.DedupWindow {
 			f.t.Fatalf("keyed request %d sent again outside its group or window", id)
 		}
 	}
 	r.attempts = append(r.attempts, judgedAttempt{server: f.cells[to], sent: f.now})
 }
 
-func (f *referee) Refuse(id RequestID, after time.Duration) {
+func (f *referee) Reject(id RequestID, after time.Duration) {
 	f.note("refuse %d %v", id, after)
 	r := f.request(id)
 	if r.closed {
@@ -84,7 +84,7 @@
 	}
 	c := f.cfg.Classes[r.class]
 	for _, a := range r.attempts {
-		if !a.unrun && c.Effect != Safe && !(c.Effect == Keyed && c.Group == GroupAll) {
+		if !a.unrun && c.Idempotency != Idempotent && !(c.Idempotency == KeyedIdempotent && c.DedupScope == DedupAll) {
 			f.t.Fatalf("refused request %d, which may have run", id)
 		}
 	}
@@ -100,16 +100,16 @@
 	r.closed = true
 }
 
-func (f *referee) Cancel(id RequestID, attempt int) {
+func (f *referee) CancelAttempt(id RequestID, attempt int) {
 	f.note("cancel %d %d", id, attempt)
 	if attempt >= len(f.request(id).attempts) {
 		f.t.Fatalf("cancelled attempt %d of request %d, never made", attempt, id)
 	}
 }
-func (f *referee) Wake(after time.Duration, token uint32) { f.note("wake %v %d", after, token) }
-func (f *referee) Close(to ServerID)                      { f.note("close %d", to) }
-func (f *referee) Watch()                                 { f.note("watch") }
-func (f *referee) Log(line string)                        { f.note("log %s", line) }
+func (f *referee) SetTimer(after time.Duration, token uint32) { f.note("wake %v %d", after, token) }
+func (f *referee) CloseIdle(to EndpointID)                    { f.note("close %d", to) }
+func (f *referee) WatchEndpoints()                            { f.note("watch") }
+func (f *referee) Log(line string)                            { f.note("log %s", line) }
 
 // play runs the events that the bytes spell and returns all actions. At the end every request is answered.
 func play(t *testing.T, data []byte) []string {
@@ -122,11 +122,11 @@
 		return v
 	}
 	cfg := testConfig()
-	cfg.AskForList = next()%2 == 0
+	cfg.PollDiscovery = next()%2 == 0
 	cfg.MaxAttempts = 1 + next()%4
-	cfg.Classes[1].Group = Group(next() % 3)
-	f := &referee{t: t, cfg: cfg, now: time.Second, live: map[RequestID]*judged{}, left: map[ServerID]bool{},
-		cells: map[ServerID]Server{}}
+	cfg.Classes[1].DedupScope = DedupScope(next() % 3)
+	f := &referee{t: t, cfg: cfg, now: time.Second, live: map[RequestID]*judged{}, left: map[EndpointID]bool{},
+		cells: map[EndpointID]Endpoint{}}
 	var err error
 	if f.b, err = New(cfg, 3, f.now, f); err != nil {
 		t.Fatal(err)
@@ -141,7 +141,7 @@
 		case 4:
 			f.list(next(), next(), next())
 		case 5:
-			f.b.Timer(f.now, uint32(next()%4))
+			f.b.TimerFired(f.now, uint32(next()%4))
 		case 6:
 			f.pass(next())
 		case 7:
@@ -158,7 +158,7 @@
 func (f *referee) take(id *RequestID, class int) {
 	*id++
 	f.live[*id] = &judged{class: class, deadline: f.now + f.cfg.Classes[class].Deadline}
-	f.b.Request(f.now, Request{ID: *id, Class: class, Patience: f.cfg.Classes[class].Deadline})
+	f.b.RequestArrived(f.now, Request{ID: *id, Class: class, ClientTimeout: f.cfg.Classes[class].Deadline})
 }
 
 // ids are the requests taken, in order, so that a sequence replays alike.
@@ -190,38 +190,38 @@
 func (f *referee) endAttempt(id RequestID, i int, o Outcome) {
 	r := f.live[id]
 	a := &r.attempts[i]
-	a.ended, a.unrun = true, o.Unrun()
-	r.closed = r.closed || o == OK
-	f.b.AttemptEnd(f.now, AttemptEnd{Request: id, Attempt: i, Server: a.server.ID, Outcome: o,
-		Latency: f.now - a.sent, Closed: r.closed})
+	a.ended, a.unrun = true, o.NeverRan()
+	r.closed = r.closed || o == OutcomeOK
+	f.b.AttemptEnded(f.now, AttemptEnd{Request: id, Attempt: i, Endpoint: a.server.ID, Outcome: o,
+		Latency: f.now - a.sent, RequestDone: r.closed})
 }
 
 func (f *referee) list(kind, count, seed int) {
-	k := ListKind(kind % 4)
-	var entries []Server
-	if k != ListFailed {
+	k := EndpointUpdate(kind % 4)
+	var entries []Endpoint
+	if k != WatchFailed {
 		for i := range count % 6 {
 			v := seed + i*7
-			s := Server{ID: ServerID(v % 9), Zone: v % 2, Cell: v % 9 % 4, State: State(v % 3)}
+			s := Endpoint{ID: EndpointID(v % 9), Zone: v % 2, Cell: v % 9 % 4, State: EndpointState(v % 3)}
 			if old, ok := f.cells[s.ID]; ok {
 				s.Zone, s.Cell = old.Zone, old.Cell
 			}
 			if v%5 == 0 {
-				s.Born = f.now
+				s.StartedAt = f.now
 			}
 			entries = append(entries, s)
 		}
-		if k != ListDelta {
+		if k != Delta {
 			for id := range f.cells {
 				f.left[id] = true
 			}
 		}
 		for _, s := range entries {
 			f.cells[s.ID] = s
-			f.left[s.ID] = s.State != Ready
+			f.left[s.ID] = s.State != EndpointReady
 		}
 	}
-	f.b.List(f.now, k, entries)
+	f.b.UpdateEndpoints(f.now, k, entries)
 }
 
 func (f *referee) lapse(which int) {
@@ -229,25 +229,25 @@
 	if len(ids) > 0 {
 		id := ids[which%len(ids)]
 		f.live[id].closed = true
-		f.b.Lapsed(f.now, id)
+		f.b.RequestAbandoned(f.now, id)
 	}
 }
 
 // pass lets time go by, with the time-outs at the clients' deadlines that a gateway would see.
 func (f *referee) pass(steps int) {
 	for range steps {
-		f.now += f.cfg.Tick
+		f.now += f.cfg.DispatchInterval
 		for _, id := range f.ids() {
 			r := f.live[id]
 			for i := range r.attempts {
 				if !r.attempts[i].ended && !r.closed && f.now >= r.deadline {
-					f.endAttempt(id, i, Timeout)
+					f.endAttempt(id, i, OutcomeTimeout)
 				}
 			}
 		}
-		f.b.Timer(f.now, tokenQueue)
+		f.b.TimerFired(f.now, tokenQueue)
 		if f.now%period == 0 {
-			f.b.Timer(f.now, tokenSample)
+			f.b.TimerFired(f.now, tokenSample)
 		}
 		f.b.Dispatch(f.now)
 		for _, id := range f.ids() {
@@ -267,7 +267,7 @@
 		}
 		for i := range r.attempts {
 			if !r.attempts[i].ended {
-				f.endAttempt(id, i, Cancelled)
+				f.endAttempt(id, i, OutcomeCancelled)
 			}
 		}
 	}
--- a/internal/balancer/helpers.go
+++ b/internal/balancer/helpers.go
@@ -77,7 +77,7 @@
 // zones walks over the servers' zones, and whether each is ready.
 func (b *Balancer) zones(yield func(int, bool) bool) {
 	for _, s := range b.servers {
-		if !yield(s.Zone, s.State == Ready) {
+		if !yield(s.Zone, s.State == EndpointReady) {
 			return
 		}
 	}
@@ -95,14 +95,14 @@
 func (b *Balancer) armQueue() {
 	if !b.queueArmed {
 		b.queueArmed = true
-		b.out.Wake(2*b.cfg.Tick, tokenQueue)
+		b.out.SetTimer(2*b.cfg.DispatchInterval, tokenQueue)
 	}
 }
 
 // noteWait records the wait of a request that leaves the queue for the first time.
 func (b *Balancer) noteWait(r *request) {
 	if len(r.attempts) == 0 {
-		b.waits.add(float64(b.now-r.arrived)/float64(b.classes[r.Class].Aim), 0)
+		b.waits.add(float64(b.now-r.arrived)/float64(b.classes[r.Class].LatencyObjective), 0)
 	}
 }
 
@@ -110,7 +110,7 @@
 func (b *Balancer) meanAim() time.Duration {
 	var sum, n time.Duration
 	for c := range b.current {
-		sum += c.Aim
+		sum += c.LatencyObjective
 		n++
 	}
 	return sum / n
@@ -137,11 +137,11 @@
 }
 
 // sameGroup reports whether two servers share what a repeat of a keyed request must keep to.
-func sameGroup(g Group, a, s *server) bool {
+func sameGroup(g DedupScope, a, s *server) bool {
 	switch g {
-	case GroupAll:
+	case DedupAll:
 		return true
-	case GroupZone:
+	case DedupZone:
 		return a.Zone == s.Zone
 	default:
 		return a.Zone == s.Zone && a.Cell == s.Cell
--- a/internal/balancer/limits.go
+++ b/internal/balancer/limits.go
@@ -27,8 +27,8 @@
 	warming := func(s *server) bool { return s.even && b.coldness(s) < 1 }
 	b.signs.Warming = slices.ContainsFunc(b.members, warming)
 	rest := scale(b.meanAim(), 0.5+b.rng.Float64())
-	b.stale = b.reach.Sample(b.now, b.signs, float64(len(b.servers)), rest) || b.stale
-	b.signs = subset.Signs{}
+	b.stale = b.reach.Update(b.now, b.signs, float64(len(b.servers)), rest) || b.stale
+	b.signs = subset.Signals{}
 	b.sampleWait()
 	b.sampleResponse()
 	b.setHolds()
@@ -106,7 +106,7 @@
 func (b *Balancer) setpoint(s *server) float64 {
 	least := math.Inf(1)
 	for c := range b.current {
-		least = min(least, ms(c.Aim)/b.weight(c))
+		least = min(least, ms(c.LatencyObjective)/b.weight(c))
 	}
 	part := (1 - gamma) * least
 	return max(part*b.response, min(crowding*s.base, s.base+crowdRoom*part))
@@ -147,7 +147,7 @@
 	s.sum += x / b.weight(c)
 	s.answers++
 	if b.responded < len(b.responses) {
-		b.responses[b.responded] = float64(b.now-r.arrived) / float64(c.Aim)
+		b.responses[b.responded] = float64(b.now-r.arrived) / float64(c.LatencyObjective)
 		b.responded++
 	}
 }
--- a/internal/balancer/listing.go
+++ b/internal/balancer/listing.go
@@ -11,18 +11,18 @@
 
 // This file follows the server list, chooses the servers that this gateway uses, and asks for the list again.
 
-// List tells news of the server list. A delta has changes only; a full or cached list drops what it omits.
-func (b *Balancer) List(now time.Duration, kind ListKind, entries []Server) {
+// UpdateEndpoints tells news of the server list. A delta has changes only; a full or cached list drops what it omits.
+func (b *Balancer) UpdateEndpoints(now time.Duration, kind EndpointUpdate, entries []Endpoint) {
 	b.now = now
-	if kind == ListFailed || kind == ListUnreachable {
+	if kind == WatchFailed || kind == WatchUnreachable {
 		b.watchFailed(kind)
 		return
 	}
-	if kind != ListCached {
+	if kind != CachedSnapshot {
 		b.asking, b.watching = false, true
 		b.calls.Succeeded()
 	}
-	if kind != ListDelta {
+	if kind != Delta {
 		for _, s := range b.servers {
 			s.listed = false
 		}
@@ -33,9 +33,9 @@
 	}
 	b.place(b.servers[known:])
 	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
-		gone := s.State == Gone || !s.listed
+		gone := s.State == EndpointRemoved || !s.listed
 		if gone {
-			s.State = Gone
+			s.State = EndpointRemoved
 			if b.byID[s.ID] == s {
 				delete(b.byID, s.ID)
 			}
@@ -55,7 +55,7 @@
 	for _, s := range fresh {
 		own := index(s.Zone == b.cfg.Zone)
 		places, at := [2]*[]*server{&b.far, &b.own}[own], from[own]
-		for ; at < len(*places) && (*places)[at].State == Ready && (*places)[at].listed; at++ {
+		for ; at < len(*places) && (*places)[at].State == EndpointReady && (*places)[at].listed; at++ {
 		}
 		if from[own] = at; at < len(*places) {
 			(*places)[at] = s
@@ -73,16 +73,16 @@
 	old := b.members
 	b.members, b.weights = make([]*server, 0, len(old)), [2]float64{}
 	zones := subset.Count(b.cfg.Zone, b.zones)
-	subset.Rule{Own: ownSharers, Far: farSharers, Least: leastMembers}.Parts(b.cfg.Gateways, zones)
+	subset.Rule{Local: ownSharers, Remote: farSharers, Min: leastMembers}.Subsets(b.cfg.Gateways, zones)
 	for _, s := range b.servers {
 		s.was, s.member, s.even, s.reached, s.weight = s.even, false, false, false, 0
-		s.sharers = subset.Sharers(b.cfg.Gateways, s.Zone, zones)
+		s.sharers = subset.Users(b.cfg.Gateways, s.Zone, zones)
 	}
 	if len(b.given) > 0 {
 		b.joinGiven()
 	} else {
-		usable := b.join(b.own, zones[0].Own, 0)
-		b.join(b.far, max(zones[0].Far, leastMembers-usable), b.reach.Servers())
+		usable := b.join(b.own, zones[0].Local, 0)
+		b.join(b.far, max(zones[0].Remote, leastMembers-usable), b.reach.Endpoints())
 	}
 	for _, s := range b.servers {
 		if s.u == 0 {
@@ -94,7 +94,7 @@
 	}
 	for _, s := range old {
 		if !s.member && s.inflight == 0 {
-			b.out.Close(s.ID)
+			b.out.CloseIdle(s.ID)
 		}
 	}
 }
@@ -107,16 +107,16 @@
 		if s == nil {
 			continue
 		}
-		if s.doubted && !g.Doubted {
+		if s.doubted && !g.SuspectedByPeers {
 			s.trialAt = b.now // others have found it good again
 		}
-		s.doubted, s.weight, s.crowd, places = g.Doubted, g.Weight, 1, append(places, s)
-		if g.Part > 0 {
-			s.sharers = max(1, 1/g.Part)
-			part += float64(index(s.State == Ready))
+		s.doubted, s.weight, s.crowd, places = g.SuspectedByPeers, g.Weight, 1, append(places, s)
+		if g.Share > 0 {
+			s.sharers = max(1, 1/g.Share)
+			part += float64(index(s.State == EndpointReady))
 		}
 	}
-	b.take(places, 0, part, b.reach.Servers())
+	b.take(places, 0, part, b.reach.Endpoints())
 	for _, s := range b.members {
 		b.weights[1] += s.weight
 		b.weights[0] += s.weight * float64(index(s.Zone == b.cfg.Zone))
@@ -129,12 +129,12 @@
 func (b *Balancer) join(places []*server, part, reach float64) (usable float64) {
 	standing := make([]bool, len(places))
 	for i, s := range places {
-		standing[i] = s.State == Ready
+		standing[i] = s.State == EndpointReady
 	}
-	for i, crowd := range subset.Crowding(standing, part) {
+	for i, crowd := range subset.RelativeLoad(standing, part) {
 		places[i].crowd = crowd
 	}
-	return b.take(places, subset.Start(b.cfg.Rank, len(places)), subset.Whole(b.cfg.Rank, part), reach)
+	return b.take(places, subset.Start(b.cfg.Rank, len(places)), subset.RoundByRank(b.cfg.Rank, part), reach)
 }
 
 // take adds servers from a place on, see join.
@@ -142,7 +142,7 @@
 	ready := 0.0
 	for i := 0; i < len(places) && usable < part+reach; i++ {
 		s := places[(start+i)%len(places)]
-		if s.State != Ready || usable >= part && s.ejected && b.now < s.trialAt {
+		if s.State != EndpointReady || usable >= part && s.ejected && b.now < s.trialAt {
 			continue
 		}
 		ready++
@@ -154,19 +154,19 @@
 }
 
 // listed applies one entry. A server that started again is a new one: nothing learnt holds for it.
-func (b *Balancer) listed(e Server) {
+func (b *Balancer) listed(e Endpoint) {
 	s := b.byID[e.ID]
-	if s != nil && s.Born == e.Born {
-		s.Server, s.listed = e, true
+	if s != nil && s.StartedAt == e.StartedAt {
+		s.Endpoint, s.listed = e, true
 		return
 	}
 	if s != nil {
-		s.State = Gone
+		s.State = EndpointRemoved
 	}
-	if e.State == Gone {
+	if e.State == EndpointRemoved {
 		return
 	}
-	s = &server{Server: e, listed: true, coldAt: b.now, kinds: make([]kind, len(b.classes))}
+	s = &server{Endpoint: e, listed: true, coldAt: b.now, kinds: make([]kind, len(b.classes))}
 	b.byID[e.ID] = s
 	b.servers = append(b.servers, s)
 }
@@ -174,30 +174,30 @@
 // watch asks for the list's changes.
 func (b *Balancer) watch() {
 	b.asking, b.askedAt = true, b.now
-	b.out.Watch()
+	b.out.WatchEndpoints()
 }
 
-// Hold stops new attempts, or lets them go on.
-func (b *Balancer) Hold(on bool) { b.held = on }
+// PauseAttempts stops new attempts, or lets them go on.
+func (b *Balancer) PauseAttempts(on bool) { b.held = on }
 
 // watchFailed asks again, never in step with other gateways, and the later the more often calls fail.
-func (b *Balancer) watchFailed(kind ListKind) {
+func (b *Balancer) watchFailed(kind EndpointUpdate) {
 	failure := backoff.Overloaded
-	if kind == ListUnreachable {
+	if kind == WatchUnreachable {
 		failure = backoff.Unreachable
 	} else if b.watching {
 		failure = backoff.Ended
 	}
 	b.asking, b.watching = false, false
-	if b.cfg.AskForList {
+	if b.cfg.PollDiscovery {
 		spread, jitter := b.rng.Float64(), b.rng.Float64()
-		b.out.Wake(b.calls.Failed(failure, b.cfg.Gateways, b.now-b.askedAt, spread, jitter), tokenWatch)
+		b.out.SetTimer(b.calls.Failed(failure, b.cfg.Gateways, b.now-b.askedAt, spread, jitter), tokenWatch)
 	}
 }
 
 // checkWatch asks again if a call was never answered.
 func (b *Balancer) checkWatch() {
-	if b.cfg.AskForList && b.asking && b.now-b.askedAt > b.cfg.AskWithin/2 {
+	if b.cfg.PollDiscovery && b.asking && b.now-b.askedAt > b.cfg.PollInterval/2 {
 		b.watch()
 	}
 }
--- a/internal/balancer/refusal.go
+++ b/internal/balancer/refusal.go
@@ -11,7 +11,7 @@
 func (b *Balancer) finish(r *request) {
 	r.queued = false
 	if b.mayRefuse(r) {
-		b.out.Refuse(r.ID, b.retryAfter())
+		b.out.Reject(r.ID, b.retryAfter())
 	} else {
 		b.out.Fail(r.ID)
 	}
@@ -21,7 +21,7 @@
 // mayRefuse guards the promise of a refusal: another try by the client must not repeat an effect.
 func (b *Balancer) mayRefuse(r *request) bool {
 	c := &b.classes[r.Class]
-	return c.Effect == Safe || c.Effect == Keyed && c.Group == GroupAll || !b.mayHaveRun(r)
+	return c.Idempotency == Idempotent || c.Idempotency == KeyedIdempotent && c.DedupScope == DedupAll || !b.mayHaveRun(r)
 }
 
 // retryAfter asks clients to stay away until the queue has had time to drain.
@@ -35,10 +35,10 @@
 // useful is the moment until which an answer to r earns anything.
 func (b *Balancer) useful(r *request) time.Duration {
 	c := &b.classes[r.Class]
-	if c.LateWorth > 0 {
+	if c.LateWeight > 0 {
 		return r.deadline
 	}
-	return min(r.deadline, r.begun+c.Aim)
+	return min(r.deadline, r.begun+c.LatencyObjective)
 }
 
 // age is how long ago the client of a request with this patience first tried. Most requests are first tries
@@ -60,7 +60,7 @@
 // hopeless reports whether an answer to r could no longer count if it were sent now: to refuse it at once
 // tells the client sooner and leaves the servers to work that counts. It also keeps the deadline.
 func (b *Balancer) hopeless(r *request) bool {
-	return b.now+b.classes[r.Class].expected+2*b.cfg.Tick >= b.useful(r)
+	return b.now+b.classes[r.Class].expected+2*b.cfg.DispatchInterval >= b.useful(r)
 }
 
 // shed reports whether a held request has waited as long as its kind is held while room is short. A request
@@ -76,7 +76,7 @@
 	for i := range b.classes {
 		c := &b.classes[i]
 		c.arrivals *= 1 - arrivalDecay
-		c.expected = scale(c.Aim, 1-gamma)
+		c.expected = scale(c.LatencyObjective, 1-gamma)
 		if c.service.n >= baseSamples {
 			c.expected = scale(time.Millisecond, c.service.mean)
 		}
@@ -84,7 +84,7 @@
 	best := b.setDensities()
 	for i := range b.classes {
 		c := &b.classes[i]
-		for over, share := range [2]float64{1, b.cfg.OverShareWorth} {
+		for over, share := range [2]float64{1, b.cfg.OverQuotaWeight} {
 			density := c.density * share
 			limit := b.lateLimit(c)
 			for d := range b.current {
@@ -95,7 +95,7 @@
 			if best > 0 {
 				limit = scale(limit, math.Sqrt(density/best))
 			}
-			c.hold[over] = min(limit, scale(c.Aim, b.psi))
+			c.hold[over] = min(limit, scale(c.LatencyObjective, b.psi))
 		}
 	}
 }
@@ -116,8 +116,8 @@
 	for i := range b.classes {
 		c := &b.classes[i]
 		gain := b.worth(c)
-		if worth > 0 && c == worst && b.cfg.WholeWeight > 0 {
-			gain += b.cfg.WorstWeight / b.cfg.WholeWeight * worth / (c.arrivals + 1)
+		if worth > 0 && c == worst && b.cfg.TotalGoalWeight > 0 {
+			gain += b.cfg.WorstClassGoalWeight / b.cfg.TotalGoalWeight * worth / (c.arrivals + 1)
 		}
 		c.density = gain / ms(c.expected)
 		best = max(best, c.density)
@@ -127,18 +127,18 @@
 
 // worth is what a request of the class in time is worth.
 func (b *Balancer) worth(c *classState) float64 {
-	if b.cfg.WorthByWork {
-		return c.Worth * ms(c.expected)
+	if b.cfg.WeightByWork {
+		return c.Weight * ms(c.expected)
 	}
-	return c.Worth
+	return c.Weight
 }
 
 // lateLimit is the wait after which an answer of this class would likely come too late. The margin shrinks by
 // what a late answer still earns: only the rest is at risk.
 func (b *Balancer) lateLimit(c *classState) time.Duration {
-	rest := c.expected + scale(time.Millisecond, lateMargin*(1-c.LateWorth)*c.spread.mean)
-	longest := max(c.Aim-c.expected, 0)
-	return max(c.Aim-rest, scale(c.Aim, 1-gamma), min(scale(b.turnover(), holdTurns), longest))
+	rest := c.expected + scale(time.Millisecond, lateMargin*(1-c.LateWeight)*c.spread.mean)
+	longest := max(c.LatencyObjective-c.expected, 0)
+	return max(c.LatencyObjective-rest, scale(c.LatencyObjective, 1-gamma), min(scale(b.turnover(), holdTurns), longest))
 }
 
 // turnover is the mean time between two openings of room. Exception: work is held for some of these, or a
--- a/internal/balancer/retries.go
+++ b/internal/balancer/retries.go
@@ -7,15 +7,15 @@
 
 // This file takes the ends of attempts and decides whether a request is tried again, and where it may be.
 
-// AttemptEnd tells how an attempt ended.
-func (b *Balancer) AttemptEnd(now time.Duration, e AttemptEnd) {
+// AttemptEnded tells how an attempt ended.
+func (b *Balancer) AttemptEnded(now time.Duration, e AttemptEnd) {
 	b.now = now
 	r := b.requests[e.Request]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
 		return
 	}
 	a := &r.attempts[e.Attempt]
-	a.ended, a.unrun = true, e.Outcome.Unrun()
+	a.ended, a.unrun = true, e.Outcome.NeverRan()
 	if r.open--; !a.writing {
 		b.vacate(r, a.server)
 	}
@@ -25,12 +25,12 @@
 		k.since = 0
 	}
 	if !a.server.member && a.server.inflight == 0 {
-		b.out.Close(a.server.ID)
+		b.out.CloseIdle(a.server.ID)
 	}
 	switch {
-	case e.Closed || r.done:
-		b.conclude(r, e.Outcome == OK && b.now <= b.useful(r))
-	case r.open == 0 && e.Spent:
+	case e.RequestDone || r.done:
+		b.conclude(r, e.Outcome == OutcomeOK && b.now <= b.useful(r))
+	case r.open == 0 && e.BodyConsumed:
 		b.finish(r)
 	case r.open == 0:
 		b.again(r)
@@ -41,18 +41,18 @@
 func (b *Balancer) judge(r *request, a *attempt, e AttemptEnd) {
 	s := a.server
 	if e.Reported {
-		s.backlog += (e.Waiting - s.backlog) * queueWeight
+		s.backlog += (e.QueueLength - s.backlog) * queueWeight
 	}
 	switch e.Outcome {
-	case OK:
+	case OutcomeOK:
 		s.kinds[r.Class] = kind{out: s.kinds[r.Class].out, since: b.now} // heard of: no longer mute
 		b.learn(r, s, e.Latency)
 		b.succeeded(s)
 		b.pace(s, min(ms(e.Latency), 2*max(b.mean, s.smooth.mean))) // single heavy requests tell little
-	case Error, Reset, ConnectFailed:
+	case OutcomeError, OutcomeReset, OutcomeConnectFailed:
 		b.failed(s, true)
-		b.signs.Full = b.signs.Full || s.reached && e.Outcome == ConnectFailed
-	case Full:
+		b.signs.Full = b.signs.Full || s.reached && e.Outcome == OutcomeConnectFailed
+	case OutcomeRejected:
 		// The server is there and says so: it has enough, which is for the limit to learn, not health. One
 		// that goes on refusing rests longer each time, or it would draw most attempts of many gateways.
 		s.failures++
@@ -60,7 +60,7 @@
 		rest := max(b.mean, ms(b.meanAim())*restShare) // nothing is learnt before the first answer
 		s.restUntil = b.now + scale(time.Millisecond, rest*float64(int(1)<<min(s.fulls, maxBackoff)))
 		s.fulls++
-	case Timeout:
+	case OutcomeTimeout:
 		// The server may be at work on it still: a slow fleet must not get the next request at once.
 		b.pace(s, ms(e.Latency))
 		if s.heard <= a.sent {
@@ -91,7 +91,7 @@
 	if b.retryTokens < 1 {
 		return false
 	}
-	allowed := func(s *server) bool { return s.State == Ready && b.mayResend(r, s) }
+	allowed := func(s *server) bool { return s.State == EndpointReady && b.mayResend(r, s) }
 	return slices.ContainsFunc(b.servers, allowed)
 }
 
@@ -111,19 +111,19 @@
 	c := &b.classes[r.Class]
 	for i := range earlier {
 		a := &earlier[i]
-		if a.unrun || c.Effect == Safe {
+		if a.unrun || c.Idempotency == Idempotent {
 			continue
 		}
-		if c.Effect == Unsafe || !sameGroup(c.Group, a.server, s) || b.now+2*b.cfg.Tick >= a.sent+c.Window {
+		if c.Idempotency == NonIdempotent || !sameGroup(c.DedupScope, a.server, s) || b.now+2*b.cfg.DispatchInterval >= a.sent+c.DedupWindow {
 			return false
 		}
 	}
 	return true
 }
 
-// MayBegin reports whether an attempt of which nothing is written may still be: connections come up late, and
+// MayStartAttempt reports whether an attempt of which nothing is written may still be: connections come up late, and
 // the window of a keyed request ends by the moment of sending, not by that of deciding.
-func (b *Balancer) MayBegin(now time.Duration, id RequestID, n int) bool {
+func (b *Balancer) MayStartAttempt(now time.Duration, id RequestID, n int) bool {
 	b.now = now
 	r := b.requests[id]
 	return r != nil && n < len(r.attempts) && b.allowed(r, r.attempts[:n], r.attempts[n].server)
@@ -147,12 +147,12 @@
 	for _, id := range s.out {
 		r := b.requests[id]
 		c := &b.classes[r.Class]
-		if r.done || c.Effect == Unsafe || len(r.attempts) >= b.cfg.MaxAttempts || b.hopeless(r) {
+		if r.done || c.Idempotency == NonIdempotent || len(r.attempts) >= b.cfg.MaxAttempts || b.hopeless(r) {
 			continue
 		}
 		for i := range r.attempts {
 			if a := &r.attempts[i]; a.server == s && !a.ended {
-				b.out.Cancel(id, i)
+				b.out.CancelAttempt(id, i)
 			}
 		}
 	}
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -4,11 +4,11 @@
 
 // coldness is the share of its capacity that s surely has: rising evenly from the stated share at its start.
 func (b *Balancer) coldness(s *server) float64 {
-	age := b.now - s.Born
-	if s.Born <= 0 || age >= b.cfg.WarmAfter {
+	age := b.now - s.StartedAt
+	if s.StartedAt <= 0 || age >= b.cfg.SlowStartDuration {
 		return 1
 	}
-	return b.cfg.ColdFrom + (1-b.cfg.ColdFrom)*max(0, age.Seconds())/b.cfg.WarmAfter.Seconds()
+	return b.cfg.SlowStartFraction + (1-b.cfg.SlowStartFraction)*max(0, age.Seconds())/b.cfg.SlowStartDuration.Seconds()
 }
 
 // coldRoom reports whether a cold server may get one more request: what is sent stays under this gateway's
@@ -25,8 +25,8 @@
 	}
 	// One core answers so many at least. A gateway that has just started knows no more.
 	least := 1 / max(b.mean/1000, (1-gamma)*b.meanAim().Seconds())
-	rate := coldShare * b.cfg.FallMultiple * cold * max(b.warmRate, least) / (s.sharers * s.crowd)
-	burst := max(0.5, rate*b.cfg.OverloadFor.Seconds()/2)
+	rate := coldShare * b.cfg.OverloadMultiple * cold * max(b.warmRate, least) / (s.sharers * s.crowd)
+	burst := max(0.5, rate*b.cfg.OverloadWindow.Seconds()/2)
 	s.coldTokens = min(s.coldTokens+rate*(b.now-s.coldAt).Seconds(), burst)
 	s.coldAt = b.now
 	return s.coldTokens > 0 && s.even
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -40,12 +40,12 @@
 		return nil, err
 	}
 	b.now = now
-	cfg.Rank, cfg.Zone, cfg.Tick = b.cfg.Rank, b.cfg.Zone, max(cfg.Tick, time.Millisecond)
+	cfg.Rank, cfg.Zone, cfg.DispatchInterval = b.cfg.Rank, b.cfg.Zone, max(cfg.DispatchInterval, time.Millisecond)
 	if cfg.Rank >= cfg.Gateways {
 		cfg.Gateways = b.cfg.Gateways
 	}
 	tenants := slices.Equal(cfg.Tenants, b.cfg.Tenants) && cfg.Gateways == b.cfg.Gateways
-	asked := b.cfg.AskForList
+	asked := b.cfg.PollDiscovery
 	b.cfg = cfg
 	if !tenants {
 		b.setTenants()
@@ -67,7 +67,7 @@
 	}
 	b.setHolds()
 	b.stale = true
-	if cfg.AskForList && !asked {
+	if cfg.PollDiscovery && !asked {
 		b.watch()
 	}
 	return places, nil
@@ -107,112 +107,112 @@
 	return free
 }
 
-// Avoided is how many of the listed servers get no ordinary work now: those that drain, and those that
+// UnavailableCount is how many of the listed servers get no ordinary work now: those that drain, and those that
 // failed or were silent and are on trial.
-func (b *Balancer) Avoided() int {
+func (b *Balancer) UnavailableCount() int {
 	n := 0
 	for _, s := range b.servers {
-		if s.State != Ready || s.ejected {
+		if s.State != EndpointReady || s.ejected {
 			n++
 		}
 	}
 	return n
 }
 
-// Learned is what one process of a gateway hands to the next: what it has learnt, and the spent budgets of
+// State is what one process of a gateway hands to the next: what it has learnt, and the spent budgets of
 // cold servers, which both must not spend.
-type Learned struct {
-	Psi      float64         `json:"psi"`
-	Response float64         `json:"response"`
-	WarmRate float64         `json:"warm_rate"`
-	Classes  []LearnedClass  `json:"classes"`
-	Servers  []LearnedServer `json:"servers"`
+type State struct {
+	QueueThreshold float64         `json:"psi"`
+	Response       float64         `json:"response"`
+	WarmRate       float64         `json:"warm_rate"`
+	Classes        []ClassState    `json:"classes"`
+	Endpoints      []EndpointStats `json:"servers"`
 }
 
-// LearnedClass is what is known of one class. Times are in ms.
-type LearnedClass struct {
-	Name       string        `json:"name"`
-	Answers    int           `json:"answers"`
-	ServiceMS  float64       `json:"service_ms"`
-	SpreadMS   float64       `json:"spread_ms"`
-	ServedOf   int           `json:"served_of"`
-	Served     float64       `json:"served"`
-	Arrivals   float64       `json:"arrivals"`
-	Patience   time.Duration `json:"patience_ns"`
-	PatienceBy int           `json:"patience_by"`
+// ClassState is what is known of one class. Times are in ms.
+type ClassState struct {
+	Name               string        `json:"name"`
+	Answers            int           `json:"answers"`
+	ServiceMS          float64       `json:"service_ms"`
+	DeviationMS        float64       `json:"spread_ms"`
+	Concluded          int           `json:"served_of"`
+	Served             float64       `json:"served"`
+	Arrivals           float64       `json:"arrivals"`
+	ClientTimeout      time.Duration `json:"patience_ns"`
+	ClientTimeoutVotes int           `json:"patience_by"`
 }
 
-// LearnedServer is what is known of one start of one server.
-type LearnedServer struct {
-	ID         ServerID      `json:"id,string"`
-	Born       time.Duration `json:"born_ns"`
-	Limit      float64       `json:"limit"`
-	Gain       float64       `json:"gain"`
-	BaseMS     float64       `json:"base_ms"`
-	Answers    int           `json:"answers"`
-	ServiceMS  float64       `json:"service_ms"`
-	FailShare  float64       `json:"fail_share"`
-	Ejected    bool          `json:"ejected"`
-	Silent     bool          `json:"silent"`
-	Ejections  int           `json:"ejections"`
-	TrialIn    time.Duration `json:"trial_in_ns"`
-	ColdTokens float64       `json:"cold_tokens"`
+// EndpointStats is what is known of one start of one server.
+type EndpointStats struct {
+	ID              EndpointID    `json:"id,string"`
+	StartedAt       time.Duration `json:"born_ns"`
+	Limit           float64       `json:"limit"`
+	Gain            float64       `json:"gain"`
+	UncrowdedMS     float64       `json:"base_ms"`
+	Answers         int           `json:"answers"`
+	ServiceMS       float64       `json:"service_ms"`
+	FailureRate     float64       `json:"fail_share"`
+	Ejected         bool          `json:"ejected"`
+	Silent          bool          `json:"silent"`
+	Ejections       int           `json:"ejections"`
+	ProbeIn         time.Duration `json:"trial_in_ns"`
+	SlowStartTokens float64       `json:"cold_tokens"`
 }
 
-// Learned tells what is learnt so far.
-func (b *Balancer) Learned(now time.Duration) Learned {
+// State tells what is learnt so far.
+func (b *Balancer) State(now time.Duration) State {
 	b.now = now
-	out := Learned{Psi: b.psi, Response: b.response, WarmRate: b.warmRate}
+	out := State{QueueThreshold: b.psi, Response: b.response, WarmRate: b.warmRate}
 	for c := range b.current {
-		out.Classes = append(out.Classes, LearnedClass{
-			Name: c.Name, Answers: c.service.n, ServiceMS: c.service.mean, SpreadMS: c.spread.mean,
-			ServedOf: c.served.n, Served: c.served.mean, Arrivals: c.arrivals,
-			Patience: c.patience, PatienceBy: c.agreed,
+		out.Classes = append(out.Classes, ClassState{
+			Name: c.Name, Answers: c.service.n, ServiceMS: c.service.mean, DeviationMS: c.spread.mean,
+			Concluded: c.served.n, Served: c.served.mean, Arrivals: c.arrivals,
+			ClientTimeout: c.patience, ClientTimeoutVotes: c.agreed,
 		})
 	}
 	for _, s := range b.servers {
-		out.Servers = append(out.Servers, LearnedServer{
-			ID: s.ID, Born: s.Born, Limit: s.u, Gain: s.gain, BaseMS: s.base,
-			Answers: s.smooth.n, ServiceMS: s.smooth.mean, FailShare: s.failShare,
+		out.Endpoints = append(out.Endpoints, EndpointStats{
+			ID: s.ID, StartedAt: s.StartedAt, Limit: s.u, Gain: s.gain, UncrowdedMS: s.base,
+			Answers: s.smooth.n, ServiceMS: s.smooth.mean, FailureRate: s.failShare,
 			Ejected: s.ejected, Silent: s.silent, Ejections: s.ejections,
-			TrialIn: max(0, s.trialAt-now), ColdTokens: s.coldTokens,
+			ProbeIn: max(0, s.trialAt-now), SlowStartTokens: s.coldTokens,
 		})
 	}
 	return out
 }
 
-// Learn takes what another process of this gateway had learnt, after its list. Servers and classes that are
+// Restore takes what another process of this gateway had learnt, after its list. Servers and classes that are
 // not known here are passed over, and so are figures that no run of this module gives.
-func (b *Balancer) Learn(now time.Duration, in Learned) {
+func (b *Balancer) Restore(now time.Duration, in State) {
 	b.now = now
-	if sane(in.Psi, in.Response, in.WarmRate) && in.Response >= minResponse {
-		b.psi, b.response, b.warmRate = clamp(in.Psi, 0, maxPsi), min(in.Response, 1), in.WarmRate
+	if sane(in.QueueThreshold, in.Response, in.WarmRate) && in.Response >= minResponse {
+		b.psi, b.response, b.warmRate = clamp(in.QueueThreshold, 0, maxPsi), min(in.Response, 1), in.WarmRate
 		b.started = now - time.Minute // what came before is counted in what it learns
 	}
 	for _, l := range in.Classes {
 		for c := range b.current {
-			usable := l.Answers >= 0 && l.ServedOf >= 0 && sane(l.ServiceMS, l.SpreadMS, l.Served, l.Arrivals)
+			usable := l.Answers >= 0 && l.Concluded >= 0 && sane(l.ServiceMS, l.DeviationMS, l.Served, l.Arrivals)
 			if c.Name == l.Name && usable {
-				c.service, c.spread = average{l.Answers, l.ServiceMS}, average{l.Answers, l.SpreadMS}
-				c.served, c.arrivals = average{l.ServedOf, min(l.Served, 1)}, l.Arrivals
-				c.patience, c.agreed = l.Patience, min(l.PatienceBy, mostAgreed)
+				c.service, c.spread = average{l.Answers, l.ServiceMS}, average{l.Answers, l.DeviationMS}
+				c.served, c.arrivals = average{l.Concluded, min(l.Served, 1)}, l.Arrivals
+				c.patience, c.agreed = l.ClientTimeout, min(l.ClientTimeoutVotes, mostAgreed)
 			}
 		}
 	}
 	if b.stale {
 		b.choose()
 	}
-	for _, l := range in.Servers {
+	for _, l := range in.Endpoints {
 		s := b.byID[l.ID]
-		usable := l.Answers >= 0 && sane(l.Limit, l.Gain, l.BaseMS, l.ServiceMS, l.FailShare) &&
-			sane(math.Abs(l.ColdTokens))
-		if s == nil || s.Born != l.Born || !usable {
+		usable := l.Answers >= 0 && sane(l.Limit, l.Gain, l.UncrowdedMS, l.ServiceMS, l.FailureRate) &&
+			sane(math.Abs(l.SlowStartTokens))
+		if s == nil || s.StartedAt != l.StartedAt || !usable {
 			continue
 		}
-		s.u, s.gain, s.base = max(s.startLimit(), l.Limit), l.Gain, l.BaseMS
-		s.smooth, s.failShare = average{l.Answers, l.ServiceMS}, min(l.FailShare, 1)
-		s.ejected, s.silent, s.ejections, s.trialAt = l.Ejected, l.Silent, l.Ejections, now+l.TrialIn
-		s.coldTokens, s.coldAt = l.ColdTokens, now
+		s.u, s.gain, s.base = max(s.startLimit(), l.Limit), l.Gain, l.UncrowdedMS
+		s.smooth, s.failShare = average{l.Answers, l.ServiceMS}, min(l.FailureRate, 1)
+		s.ejected, s.silent, s.ejections, s.trialAt = l.Ejected, l.Silent, l.Ejections, now+l.ProbeIn
+		s.coldTokens, s.coldAt = l.SlowStartTokens, now
 	}
 	b.mean = b.averageClass()
 	b.setHolds()
@@ -229,36 +229,36 @@
 	return true
 }
 
-// Yield has cold servers get nothing more from here, for another process of this gateway has their budgets;
+// YieldSlowStart has cold servers get nothing more from here, for another process of this gateway has their budgets;
 // or, if that has died, something again. What it had spent is not known: the budgets start anew from
 // nothing.
-func (b *Balancer) Yield(now time.Duration, yes bool) {
+func (b *Balancer) YieldSlowStart(now time.Duration, yes bool) {
 	b.now, b.yielded = now, yes
 	for _, s := range b.servers {
 		s.coldTokens, s.coldAt, s.turns = min(s.coldTokens, 0), now, nil
 	}
 }
 
-// LeastRate is how many requests of the average class a second one core answers at least, where aims are
+// MinCoreRate is how many requests of the average class a second one core answers at least, where aims are
 // all that is known.
-func (b *Balancer) LeastRate() float64 { return 1 / ((1 - gamma) * b.meanAim().Seconds()) }
+func (b *Balancer) MinCoreRate() float64 { return 1 / ((1 - gamma) * b.meanAim().Seconds()) }
 
 // tellsAfter is how old a process is before it knows its traffic.
 const tellsAfter = 2 * time.Second
 
-// Told is what this gateway can tell others of itself.
-type Told struct {
-	Known   bool       // false while it has not run for long enough
-	Demand  float64    // requests a second lately, those of the average class counting 1
-	Refused float64    // share of them that was not served in time
-	Room    float64    // share of its servers' limits that is free
-	Bad     []ServerID // listed as up and ejected here, in the order of the list
+// LoadReport is what this gateway can tell others of itself.
+type LoadReport struct {
+	Known        bool         // false while it has not run for long enough
+	Demand       float64      // requests a second lately, those of the average class counting 1
+	Rejected     float64      // share of them that was not served in time
+	FreeCapacity float64      // share of its servers' limits that is free
+	Ejected      []EndpointID // listed as up and ejected here, in the order of the list
 }
 
-// Told tells it. It changes nothing.
-func (b *Balancer) Told(now time.Duration) Told {
+// LoadReport tells it. It changes nothing.
+func (b *Balancer) LoadReport(now time.Duration) LoadReport {
 	age := now - b.started
-	out := Told{Known: age >= tellsAfter}
+	out := LoadReport{Known: age >= tellsAfter}
 	all, missed := 0.0, 0.0
 	for c := range b.current {
 		all += c.arrivals
@@ -269,25 +269,25 @@
 	counted := 1 - math.Exp(-arrivalDecay*float64(max(age, period))/float64(period))
 	out.Demand *= arrivalDecay / period.Seconds() / counted
 	if all > 0 {
-		out.Refused = clamp(missed/all, 0, 1)
+		out.Rejected = clamp(missed/all, 0, 1)
 	}
 	limits, free := 0, 0
 	for _, s := range b.servers {
-		if s.State == Ready && s.ejected {
-			out.Bad = append(out.Bad, s.ID)
+		if s.State == EndpointReady && s.ejected {
+			out.Ejected = append(out.Ejected, s.ID)
 		}
 		if s.member && !s.ejected {
 			limits += b.limit(s)
 			free += max(0, b.limit(s)-b.busy(s))
 		}
 	}
-	out.Room = float64(free) / float64(max(1, limits))
+	out.FreeCapacity = float64(free) / float64(max(1, limits))
 	return out
 }
 
-// Called tells that the call for the list that Watch asked for begins only now, as discovery has asked to
+// WatchStarted tells that the call for the list that Watch asked for begins only now, as discovery has asked to
 // be called later.
-func (b *Balancer) Called(now time.Duration) {
+func (b *Balancer) WatchStarted(now time.Duration) {
 	b.now = now
 	b.askedAt = now
 }
--- a/internal/balancer/state_test.go
+++ b/internal/balancer/state_test.go
@@ -10,7 +10,7 @@
 // budget that the elder has spent, and the elder sends it nothing more.
 func TestHandOverKeepsTheColdBudget(t *testing.T) {
 	cold := ready(1, 0, 0)
-	cold.Born = 100 * time.Second
+	cold.StartedAt = 100 * time.Second
 	id := RequestID(0)
 	flood := func(r *rig, after time.Duration) int { // asks for all that may be sent then, and answers it
 		r.now += after
@@ -24,7 +24,7 @@
 		}
 		sent := r.take("send")
 		for _, a := range sent {
-			r.end(a.id, 0, 1, OK, 10*millisecond)
+			r.end(a.id, 0, 1, OutcomeOK, 10*millisecond)
 		}
 		return len(sent)
 	}
@@ -33,11 +33,11 @@
 	if spent == 0 {
 		t.Fatal("the elder sent nothing")
 	}
-	learned := elder.b.Learned(elder.now)
-	elder.b.Yield(elder.now, true)
+	learned := elder.b.State(elder.now)
+	elder.b.YieldSlowStart(elder.now, true)
 	next := newRig(t, testConfig(), cold)
 	next.now = elder.now
-	next.b.Learn(next.now, learned)
+	next.b.Restore(next.now, learned)
 	if n := flood(next, 0); n > 0 {
 		t.Errorf("%d more went to a cold server whose budget %d had spent", n, spent)
 	}
@@ -48,7 +48,7 @@
 	if n := flood(next, time.Second); n == 0 || n > 15 {
 		t.Errorf("the newcomer sent %d within a second, want 1 to 15", n)
 	}
-	elder.b.Yield(elder.now, false)
+	elder.b.YieldSlowStart(elder.now, false)
 	if n := flood(elder, 0); n > 0 {
 		t.Errorf("%d went out at once of a budget that the newcomer may have spent", n)
 	}
@@ -65,14 +65,14 @@
 	}
 	a.b.servers[1].ejected, a.b.servers[1].trialAt = true, a.now+time.Second
 	b := newRig(t, testConfig(), ready(1, 0, 0), ready(2, 0, 0))
-	learned := a.b.Learned(a.now)
-	b.b.Learn(b.now, learned)
-	if s := b.b.servers[0]; s.u != 7.5 || s.gain != 3 || b.b.Avoided() != 1 {
-		t.Errorf("limit %v, gain %v, avoided %d", s.u, s.gain, b.b.Avoided())
+	learned := a.b.State(a.now)
+	b.b.Restore(b.now, learned)
+	if s := b.b.servers[0]; s.u != 7.5 || s.gain != 3 || b.b.UnavailableCount() != 1 {
+		t.Errorf("limit %v, gain %v, avoided %d", s.u, s.gain, b.b.UnavailableCount())
 	}
-	learned.Servers[0].Limit, learned.Psi = -1, -1
+	learned.Endpoints[0].Limit, learned.QueueThreshold = -1, -1
 	c := newRig(t, testConfig(), ready(1, 0, 0), ready(2, 0, 0))
-	if c.b.Learn(c.now, learned); c.b.servers[0].u == -1 || c.b.psi < 0 {
+	if c.b.Restore(c.now, learned); c.b.servers[0].u == -1 || c.b.psi < 0 {
 		t.Error("a figure that cannot be was taken")
 	}
 }
@@ -89,8 +89,8 @@
 	fresh := cfg
 	for n := range 100 {
 		r.now += placeFree
-		fresh.Classes = append([]Class{{Name: fmt.Sprint("new", n), Aim: time.Second, Deadline: 2 * time.Second, Effect: Unsafe}}, cfg.Classes...)
-		fresh.Classes[1].Effect = Unsafe
+		fresh.Classes = append([]Class{{Name: fmt.Sprint("new", n), LatencyObjective: time.Second, Deadline: 2 * time.Second, Idempotency: NonIdempotent}}, cfg.Classes...)
+		fresh.Classes[1].Idempotency = NonIdempotent
 		places, err := r.b.Reload(r.now, fresh)
 		if err != nil || len(places) != 4 {
 			t.Fatal(places, err)
@@ -99,8 +99,8 @@
 	if n := len(r.b.classes); n > 7 || len(r.b.servers[0].kinds) != n {
 		t.Errorf("%d places and %d kinds for 4 classes", n, len(r.b.servers[0].kinds))
 	}
-	if c := r.b.classes[r.b.requests[1].Class]; c.Name != "c0" || c.Effect != Safe {
-		t.Errorf("the request's class is now %q, effect %d", c.Name, c.Effect)
+	if c := r.b.classes[r.b.requests[1].Class]; c.Name != "c0" || c.Idempotency != Idempotent {
+		t.Errorf("the request's class is now %q, effect %d", c.Name, c.Idempotency)
 	}
 	fresh.Classes = nil
 	if _, err := r.b.Reload(r.now, fresh); err == nil || len(r.b.cfg.Classes) != 4 {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,19 +18,19 @@
 
 // Config is all that a gateway is told at its start.
 type Config struct {
-	Name      string
-	Listen    netip.AddrPort
-	Control   netip.AddrPort // the operators' address; not valid where there is none
-	Discovery netip.AddrPort
-	Seed      uint64
-	Limits    Limits
-	Known     json.RawMessage // the host list as last had, in discovery's form; may be empty
-	Settings  settings.Settings
-	Path      string             // of the file, to be read again at a reload
-	Handover  string             // where the next process of this gateway asks; empty where there is no directory for it
-	Fleet     *gossipconfig.File // nil where LB_FLEET asks for none
-	FleetPath string             // empty where the fleet stands in the configuration file
-	fields    []string           // what the file holds at its top
+	Name            string
+	Listen          netip.AddrPort
+	Admin           netip.AddrPort // the operators' address; not valid where there is none
+	Discovery       netip.AddrPort
+	Seed            uint64
+	Limits          Limits
+	CachedEndpoints json.RawMessage // the host list as last had, in discovery's form; may be empty
+	Settings        settings.Settings
+	Path            string               // of the file, to be read again at a reload
+	HotRestartDir   string               // where the next process of this gateway asks; empty where there is no directory for it
+	Gossip          *gossipconfig.Config // nil where LB_FLEET asks for none
+	GossipPath      string               // empty where the fleet stands in the configuration file
+	fields          []string             // what the file holds at its top
 }
 
 // Limits are those of the machine.
@@ -59,15 +59,15 @@
 	told := Config{Name: getenv("LB_NAME"), Path: path}
 	cfg, err := told.read(raw, getenv("LB_LISTEN"), getenv("LB_CONTROL"), getenv("LB_DISCOVERY"))
 	if dir := getenv("TMPDIR"); err == nil && dir != "" {
-		cfg.Handover = hotrestart.Path(dir, cfg.Listen)
+		cfg.HotRestartDir = hotrestart.Path(dir, cfg.Listen)
 	}
 	switch path := getenv("LB_FLEET"); {
 	case err != nil || path == "":
 	case path == fromPeers:
-		cfg.Fleet, err = told.peers(raw, cfg.Settings)
+		cfg.Gossip, err = told.peers(raw, cfg.Settings)
 	default:
-		cfg.FleetPath = path
-		cfg.Fleet, err = gossipconfig.Load(path, cfg.Name)
+		cfg.GossipPath = path
+		cfg.Gossip, err = gossipconfig.Load(path, cfg.Name)
 	}
 	return cfg, err
 }
@@ -77,7 +77,7 @@
 
 // peers reads the fleet from the configuration file: an address for each gateway, ordered by their numbers. It is nil where the
 // settings refuse datagrams or the file names no peers.
-func (c Config) peers(raw []byte, s settings.Settings) (*gossipconfig.File, error) {
+func (c Config) peers(raw []byte, s settings.Settings) (*gossipconfig.Config, error) {
 	var file struct {
 		Listen string   `json:"peer_listen"`
 		Peers  []string `json:"peers"`
@@ -96,14 +96,14 @@
 		return nil, err
 	}
 	name := func(n int) string { return fmt.Sprintf("gw-%d", n) }
-	f := &gossipconfig.File{Fleet: "peers", Name: name(s.Config.Rank), Listen: listen, Shares: gossipconfig.Usual()}
+	f := &gossipconfig.Config{Cluster: "peers", Name: name(s.Config.Rank), Listen: listen, Assignment: gossipconfig.DefaultAssignment()}
 	for n, text := range file.Peers {
 		at, err := address(fmt.Sprintf("peers[%d]", n), text)
 		if err != nil {
 			return nil, err
 		}
 		if n != s.Config.Rank {
-			f.Book = append(f.Book, membership.Peer{Name: name(n), Addr: at})
+			f.SeedPeers = append(f.SeedPeers, membership.Peer{Name: name(n), Addr: at})
 		}
 	}
 	return f, nil
@@ -114,20 +114,20 @@
 // has was most likely read half written, and is refused whole.
 func (c Config) Reload(raw []byte) (Config, error) {
 	control := ""
-	if c.Control.IsValid() {
-		control = c.Control.String()
+	if c.Admin.IsValid() {
+		control = c.Admin.String()
 	}
 	fresh, err := Config{Name: c.Name, Path: c.Path}.read(raw, c.Listen.String(), control, "")
 	if err != nil {
 		return fresh, err
 	}
-	fresh.Control, fresh.Handover = c.Control, c.Handover // listening sockets are opened at the start only
+	fresh.Admin, fresh.HotRestartDir = c.Admin, c.HotRestartDir // listening sockets are opened at the start only
 	for _, field := range c.fields {
 		if !slices.Contains(fresh.fields, field) {
 			return fresh, fmt.Errorf("%s is missing, the file in force has it", field)
 		}
 	}
-	return fresh, c.Settings.Lacking(fresh.Settings)
+	return fresh, c.Settings.Missing(fresh.Settings)
 }
 
 // read takes a file's text. What is told beside it goes first where both tell the same.
@@ -156,7 +156,7 @@
 		}
 	}
 	slices.Sort(c.fields)
-	c.Name, c.Limits, c.Known = either(c.Name, file.Name), file.Limits, file.Known
+	c.Name, c.Limits, c.CachedEndpoints = either(c.Name, file.Name), file.Limits, file.Known
 	if c.Name == "" {
 		return c, fmt.Errorf("name is missing (LB_NAME)")
 	}
@@ -164,7 +164,7 @@
 		return c, err
 	}
 	if text := either(control, file.Control); text != "" {
-		if c.Control, err = address("control", text); err != nil {
+		if c.Admin, err = address("control", text); err != nil {
 			return c, err
 		}
 	}
--- a/internal/config/size_test.go
+++ b/internal/config/size_test.go
@@ -28,17 +28,17 @@
 
 // The settings and the peers of 1,024 gateways are taken, and of as many as a view holds.
 func TestLargeFleetsAreRead(t *testing.T) {
-	for _, gateways := range []int{1024, membership.MostMembers} {
+	for _, gateways := range []int{1024, membership.MaxMembers} {
 		raw := file(t, gateways, gateways)
 		c, err := Config{Name: "g", Path: "g"}.read(raw, "", "", "")
 		if err != nil || c.Settings.Config.Gateways != gateways {
 			t.Fatalf("%d gateways: %v", gateways, err)
 		}
 		f, err := c.peers(raw, c.Settings)
-		if err != nil || len(f.Book) != gateways-1 {
+		if err != nil || len(f.SeedPeers) != gateways-1 {
 			t.Fatalf("%d gateways: %v", gateways, err)
 		}
-		if _, err := membership.New(membership.Config{Fleet: f.Fleet, Name: f.Name, Start: 1, Book: f.Book}, 0); err != nil {
+		if _, err := membership.New(membership.Config{Cluster: f.Cluster, Name: f.Name, Start: 1, SeedPeers: f.SeedPeers}, 0); err != nil {
 			t.Errorf("%d gateways: no view: %v", gateways, err)
 		}
 	}
--- a/internal/configdist/agent_test.go
+++ b/internal/configdist/agent_test.go
@@ -209,7 +209,7 @@
 
 func run(t *testing.T, c *Controller) ControllerOutput {
 	t.Helper()
-	out, err := c.Take((&raft.Memory{}).Keep)
+	out, err := c.Take((&raft.MemoryStorage{}).Save)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/configdist/controller.go
+++ b/internal/configdist/controller.go
@@ -34,7 +34,7 @@
 	ID              uint64
 	Voters          []uint64 // of the first start of all
 	Standbys        []uint64 // they have the log, serve gateways and do not vote
-	Kept            *raft.Kept
+	Kept            *raft.PersistentState
 	Seed            uint64
 	MostSubscribers int // 0: 2,048
 	PageBytes       int // of changes in a page; 0: 32 KiB. A quarter of it is sent with the offer
@@ -81,7 +81,7 @@
 // Controller is a control machine: a voter or standby of the replicated log that serves subscribed gateways, and moves rollouts on while it leads.
 type Controller struct {
 	cfg     ControllerConfig
-	log     *raft.Log
+	log     *raft.Replica
 	machine *machine
 	out     ControllerOutput
 
@@ -102,7 +102,7 @@
 	cfg.MostSubscribers = cmp.Or(cfg.MostSubscribers, mostSubscribers)
 	cfg.PageBytes = cmp.Or(cfg.PageBytes, pageSize)
 	m := &machine{store: NewStore(), waiting: make(map[uint64]bool)}
-	log, err := raft.NewLog(raft.Config{ID: cfg.ID, Voters: cfg.Voters, Learners: cfg.Standbys, Kept: cfg.Kept, Seed: cfg.Seed, MostSnapshot: mostSnapshot,
+	log, err := raft.NewReplica(raft.Config{ID: cfg.ID, Voters: cfg.Voters, Learners: cfg.Standbys, Restored: cfg.Kept, Seed: cfg.Seed, MostSnapshot: mostSnapshot,
 		SnapshotEach: cfg.SnapshotEach}, m, now)
 	if err != nil {
 		return nil, err
@@ -124,7 +124,7 @@
 // which must not be 0. What can be refused at once is.
 func (c *Controller) Propose(now time.Duration, command Command) error {
 	c.pass(now)
-	if err := c.log.Leads(now); err != nil {
+	if err := c.log.IsLeader(now); err != nil {
 		return err
 	}
 	if len(c.machine.waiting) >= mostResults {
@@ -153,7 +153,7 @@
 // Admit has a standby take the place of a voter that is lost for good.
 func (c *Controller) Admit(now time.Duration, standby, lost uint64) error {
 	c.pass(now)
-	return c.log.Admit(now, standby, lost)
+	return c.log.AddLearner(now, standby, lost)
 }
 
 // pass lets time pass, and notes that the control machine stood still: what it believes of its leader may be old.
@@ -185,7 +185,7 @@
 	c.pass(now)
 	switch m := m.(type) {
 	case *codec.PeerLog:
-		if err := c.log.Hear(now, from, m.Data); err != nil {
+		if err := c.log.Step(now, from, m.Data); err != nil {
 			return err
 		}
 		if c.log.Status().Leader == from {
@@ -281,7 +281,7 @@
 		return false
 	}
 	status := c.log.Status()
-	return status.Leads || status.Quorum && c.now-c.leaderHeard < leaderHeardWithin
+	return status.IsLeader || status.Quorum && c.now-c.leaderHeard < leaderHeardWithin
 }
 
 // settled reports whether a gateway has nothing to do about a version: it has it, or a newer one, or has refused it.
@@ -375,8 +375,8 @@
 }
 
 // Take does all that is ready. What has to be kept is given to keep before anything that rests on it comes out.
-func (c *Controller) Take(keep func(raft.Kept) error) (ControllerOutput, error) {
-	messages, err := c.log.Take(keep)
+func (c *Controller) Take(keep func(raft.PersistentState) error) (ControllerOutput, error) {
+	messages, err := c.log.Ready(keep)
 	for _, m := range messages {
 		c.out.Peers = append(c.out.Peers, ToPeer{m.To, &codec.PeerLog{Data: m.Data}})
 	}
--- a/internal/configdist/rapid_test.go
+++ b/internal/configdist/rapid_test.go
@@ -18,7 +18,7 @@
 type pair struct {
 	now       time.Duration
 	c         *Controller
-	disk      *raft.Memory
+	disk      *raft.MemoryStorage
 	a         *Agent
 	life      uint64
 	services  []string
@@ -31,7 +31,7 @@
 }
 
 func newPair(t *rapid.T) *pair {
-	p := &pair{disk: &raft.Memory{}, committed: make(map[uint64]*Version)}
+	p := &pair{disk: &raft.MemoryStorage{}, committed: make(map[uint64]*Version)}
 	p.services = rapid.SampledFrom([][]string{nil, {"a"}, {"a", "c"}}).Draw(t, "services")
 	p.startAgent(t)
 	p.startMachine(t)
@@ -41,7 +41,7 @@
 
 func (p *pair) startMachine(t *rapid.T) {
 	var err error
-	if p.c, err = NewController(ControllerConfig{ID: 1, Voters: []uint64{1}, Kept: p.disk.Kept(), Seed: 1, PageBytes: 64, SnapshotEach: 10}, p.now); err != nil {
+	if p.c, err = NewController(ControllerConfig{ID: 1, Voters: []uint64{1}, Kept: p.disk.Load(), Seed: 1, PageBytes: 64, SnapshotEach: 10}, p.now); err != nil {
 		t.Fatal(err)
 	}
 	for range 25 { // until it leads
@@ -67,7 +67,7 @@
 
 // take does what both want done.
 func (p *pair) take(t *rapid.T) {
-	out, err := p.c.Take(p.disk.Keep)
+	out, err := p.c.Take(p.disk.Save)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/configdist/reports.go
+++ b/internal/configdist/reports.go
@@ -49,7 +49,7 @@
 // report sends the leader what has changed of this control machine's gateways, and everything now and then.
 func (c *Controller) report() {
 	status := c.log.Status()
-	if status.Leads || status.Leader == 0 {
+	if status.IsLeader || status.Leader == 0 {
 		c.leader = 0
 		return
 	}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -16,41 +16,41 @@
 	"thymebend/internal/balancer"
 )
 
-// Host is one host as the gateway reaches it.
-type Host struct {
-	balancer.Server
+// Endpoint is one host as the gateway reaches it.
+type Endpoint struct {
+	balancer.Endpoint
 	Name string
-	Dial netip.AddrPort
-	// Share is what the list says it can do, in any unit that all hosts have; 1 where it says nothing usable.
-	Share float64
+	Addr netip.AddrPort
+	// Capacity is what the list says it can do, in any unit that all hosts have; 1 where it says nothing usable.
+	Capacity float64
 }
 
-// Group is the list as this gateway has it.
-type Group struct {
+// Endpoints is the list as this gateway has it.
+type Endpoints struct {
 	zones []string
-	hosts map[balancer.ServerID]*Host
+	hosts map[balancer.EndpointID]*Endpoint
 	seq   uint64
 }
 
-// New returns an empty group. A host's zone is the place of its site among zones.
-func New(zones []string) *Group {
-	return &Group{zones: zones, hosts: make(map[balancer.ServerID]*Host)}
+// NewEndpoints returns an empty group. A host's zone is the place of its site among zones.
+func NewEndpoints(zones []string) *Endpoints {
+	return &Endpoints{zones: zones, hosts: make(map[balancer.EndpointID]*Endpoint)}
 }
 
 // Find returns a host of the list, or nil.
-func (g *Group) Find(id balancer.ServerID) *Host { return g.hosts[id] }
+func (g *Endpoints) Find(id balancer.EndpointID) *Endpoint { return g.hosts[id] }
 
 // All lists the hosts by number.
-func (g *Group) All() []*Host {
-	return slices.SortedFunc(maps.Values(g.hosts), func(a, b *Host) int { return cmp.Compare(a.ID, b.ID) })
+func (g *Endpoints) All() []*Endpoint {
+	return slices.SortedFunc(maps.Values(g.hosts), func(a, b *Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Words is the list as it is now, in discovery's form.
-func (g *Group) Words() json.RawMessage {
+// Encode is the list as it is now, in discovery's form.
+func (g *Endpoints) Encode() json.RawMessage {
 	doc := document{Seq: &g.seq, Whole: true, Hosts: []entry{}}
-	for _, h := range slices.SortedFunc(maps.Values(g.hosts), func(a, b *Host) int { return cmp.Compare(a.Name, b.Name) }) {
-		e := entry{Host: h.Name, Dial: h.Dial.String(), Block: h.Cell, Health: "up", Born: float64(h.Born.Microseconds()) / 1000, Share: h.Share}
-		if h.State == balancer.Draining {
+	for _, h := range slices.SortedFunc(maps.Values(g.hosts), func(a, b *Endpoint) int { return cmp.Compare(a.Name, b.Name) }) {
+		e := entry{Host: h.Name, Dial: h.Addr.String(), Block: h.Cell, Health: "up", Born: float64(h.StartedAt.Microseconds()) / 1000, Share: h.Capacity}
+		if h.State == balancer.EndpointDraining {
 			e.Health = "draining"
 		}
 		if h.Zone < len(g.zones) {
@@ -66,14 +66,14 @@
 }
 
 // Older reports whether an object in discovery's form is of an earlier version than the list in force.
-func (g *Group) Older(raw []byte) (bool, error) {
+func (g *Endpoints) Older(raw []byte) (bool, error) {
 	seq, err := version(raw)
 	return seq != nil && *seq < g.seq, err
 }
 
 // Outdated reports whether an object that answers a call is of an earlier version than the list in force, though not than
 // that of the call: another call has brought newer ones since.
-func (g *Group) Outdated(w *Watch, raw []byte) bool {
+func (g *Endpoints) Outdated(w *Watch, raw []byte) bool {
 	seq, err := version(raw)
 	return err == nil && seq != nil && *seq >= w.asked && *seq < g.seq
 }
@@ -90,16 +90,16 @@
 }
 
 // Renumber forgets the version of the list in force: the next call asks for the whole list.
-func (g *Group) Renumber() { g.seq = 0 }
+func (g *Endpoints) Renumber() { g.seq = 0 }
 
 // Len is the number of hosts listed.
-func (g *Group) Len() int { return len(g.hosts) }
+func (g *Endpoints) Len() int { return len(g.hosts) }
 
-// News is one object that discovery wrote, applied to the group.
-type News struct {
-	Whole   bool
-	Entries []balancer.Server
-	Changed []balancer.ServerID // hosts whose idle links must not be used again
+// Update is one object that discovery wrote, applied to the group.
+type Update struct {
+	Snapshot bool
+	Entries  []balancer.Endpoint
+	Changed  []balancer.EndpointID // hosts whose idle links must not be used again
 }
 
 type document struct {
@@ -130,7 +130,7 @@
 //
 // A delta of an earlier version than the one in force tells what this gateway knew before: its hosts that leave do so, and
 // none comes up by it. The version goes back with it, for discovery goes on from there. An earlier whole list is taken.
-func (g *Group) Apply(raw []byte) (News, error) {
+func (g *Endpoints) Apply(raw []byte) (Update, error) {
 	var doc document
 	if err := json.Unmarshal(raw, &doc); err != nil {
 		return g.departures(doc.Hosts), fmt.Errorf("host list: %w", err)
@@ -146,28 +146,28 @@
 		g.seq = *doc.Seq
 		return g.departures(doc.Hosts), nil
 	}
-	news := News{Whole: doc.Whole, Entries: make([]balancer.Server, 0, len(fresh))}
+	news := Update{Snapshot: doc.Whole, Entries: make([]balancer.Endpoint, 0, len(fresh))}
 	if doc.Whole {
 		news.Changed = g.omit(fresh)
 	}
 	for _, h := range fresh {
 		old := g.hosts[h.ID]
-		if old != nil && (old.Born != h.Born || old.Dial != h.Dial || h.State != balancer.Ready) {
+		if old != nil && (old.StartedAt != h.StartedAt || old.Addr != h.Addr || h.State != balancer.EndpointReady) {
 			news.Changed = append(news.Changed, h.ID)
 		}
 		g.hosts[h.ID] = h
-		if h.State == balancer.Gone {
+		if h.State == balancer.EndpointRemoved {
 			delete(g.hosts, h.ID)
 		}
-		news.Entries = append(news.Entries, h.Server)
+		news.Entries = append(news.Entries, h.Endpoint)
 	}
 	g.seq = *doc.Seq
 	return news, nil
 }
 
 // omit drops the hosts that a whole list does not name, and returns them by number.
-func (g *Group) omit(fresh []*Host) (gone []balancer.ServerID) {
-	named := make(map[balancer.ServerID]bool, len(fresh))
+func (g *Endpoints) omit(fresh []*Endpoint) (gone []balancer.EndpointID) {
+	named := make(map[balancer.EndpointID]bool, len(fresh))
 	for _, h := range fresh {
 		named[h.ID] = true
 	}
@@ -181,22 +181,22 @@
 	return gone
 }
 
-// Leave takes from an object that is not believed otherwise, for it is older than the list in force, which hosts drain or are
+// Removals takes from an object that is not believed otherwise, for it is older than the list in force, which hosts drain or are
 // removed in the start that the list has. It returns the news of it; the version stays.
-func (g *Group) Leave(raw []byte) News {
+func (g *Endpoints) Removals(raw []byte) Update {
 	var doc document
 	if err := json.Unmarshal(raw, &doc); err != nil {
-		return News{}
+		return Update{}
 	}
 	return g.departures(slices.DeleteFunc(doc.Hosts, func(e entry) bool {
 		h := g.hosts[Identity(e.Host)]
-		return h == nil || h.Born != e.born()
+		return h == nil || h.StartedAt != e.born()
 	}))
 }
 
 // departures has those hosts of the group leave that some entries say drain or are removed, and returns the news of it.
-func (g *Group) departures(entries []entry) (news News) {
-	states := make(map[balancer.ServerID]balancer.State)
+func (g *Endpoints) departures(entries []entry) (news Update) {
+	states := make(map[balancer.EndpointID]balancer.EndpointState)
 	for i := range entries {
 		id := Identity(entries[i].Host)
 		if state, known := stateOf(entries[i].Health); known && g.hosts[id] != nil {
@@ -204,24 +204,24 @@
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(states)) {
-		if states[id] == balancer.Ready {
+		if states[id] == balancer.EndpointReady {
 			continue
 		}
 		h := *g.hosts[id]
 		h.State = states[id]
-		if g.hosts[id] = &h; h.State == balancer.Gone {
+		if g.hosts[id] = &h; h.State == balancer.EndpointRemoved {
 			delete(g.hosts, id)
 		}
 		news.Changed = append(news.Changed, id)
-		news.Entries = append(news.Entries, h.Server)
+		news.Entries = append(news.Entries, h.Endpoint)
 	}
 	return news
 }
 
 // readAll reads the entries of an object. Of a whole list it returns one for each host.
-func (g *Group) readAll(doc *document) ([]*Host, error) {
-	fresh := make([]*Host, 0, len(doc.Hosts))
-	places := make(map[balancer.ServerID]int)
+func (g *Endpoints) readAll(doc *document) ([]*Endpoint, error) {
+	fresh := make([]*Endpoint, 0, len(doc.Hosts))
+	places := make(map[balancer.EndpointID]int)
 	for i := range doc.Hosts {
 		h, err := g.read(&doc.Hosts[i])
 		if err != nil {
@@ -236,7 +236,7 @@
 		case !twice:
 			places[h.ID] = len(fresh)
 			fresh = append(fresh, h)
-		case fresh[at].State == balancer.Ready:
+		case fresh[at].State == balancer.EndpointReady:
 			fresh[at] = h
 		}
 	}
@@ -244,14 +244,14 @@
 }
 
 // stateOf reads what an entry says of its host's health.
-func stateOf(health string) (state balancer.State, known bool) {
+func stateOf(health string) (state balancer.EndpointState, known bool) {
 	switch health {
 	case "up":
-		return balancer.Ready, true
+		return balancer.EndpointReady, true
 	case "draining":
-		return balancer.Draining, true
+		return balancer.EndpointDraining, true
 	case "removed":
-		return balancer.Gone, true
+		return balancer.EndpointRemoved, true
 	}
 	return 0, false
 }
@@ -261,24 +261,24 @@
 	return time.Duration(math.Round(e.Born*1000)) * time.Microsecond
 }
 
-func (g *Group) read(e *entry) (*Host, error) {
+func (g *Endpoints) read(e *entry) (*Endpoint, error) {
 	if e.Host == "" {
 		return nil, fmt.Errorf("host list: an entry without host")
 	}
-	h := &Host{Name: e.Host, Share: 1,
-		Server: balancer.Server{ID: Identity(e.Host), Zone: g.zone(e.Site), Cell: e.Block, Born: e.born()}}
+	h := &Endpoint{Name: e.Host, Capacity: 1,
+		Endpoint: balancer.Endpoint{ID: Identity(e.Host), Zone: g.zone(e.Site), Cell: e.Block, StartedAt: e.born()}}
 	var known bool
 	if h.State, known = stateOf(e.Health); !known {
 		return nil, fmt.Errorf("host list: %s has unknown health %q", e.Host, e.Health)
 	}
-	if h.State == balancer.Gone {
+	if h.State == balancer.EndpointRemoved {
 		return h, nil
 	}
 	if e.Share >= 1/mostShare && e.Share <= mostShare {
-		h.Share = e.Share
+		h.Capacity = e.Share
 	}
 	var err error
-	if h.Dial, err = netip.ParseAddrPort(e.Dial); err != nil {
+	if h.Addr, err = netip.ParseAddrPort(e.Dial); err != nil {
 		return nil, fmt.Errorf("host list: %s has dial %q", e.Host, e.Dial)
 	}
 	if !(e.Born >= 0 && e.Born < 1<<42) { // some 139 years of milliseconds
@@ -289,14 +289,14 @@
 
 // Identity derives a host's number from its name alone, so that it is the same at every gateway: gateways
 // pick their servers by it.
-func Identity(name string) balancer.ServerID {
+func Identity(name string) balancer.EndpointID {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(name)) // a hash never fails
-	return balancer.ServerID(sum.Sum64())
+	return balancer.EndpointID(sum.Sum64())
 }
 
 // zone is the place of a site among the zones; an unknown one lies in a zone of its own.
-func (g *Group) zone(site string) int {
+func (g *Endpoints) zone(site string) int {
 	if at := slices.Index(g.zones, site); at >= 0 {
 		return at
 	}
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -20,18 +20,18 @@
 }
 
 // states names the hosts of a group with their states, for comparison.
-func states(g *Group) string {
+func states(g *Endpoints) string {
 	var out []string
 	for _, name := range []string{"a", "b", "c"} {
 		if h := g.Find(Identity(name)); h != nil {
-			out = append(out, fmt.Sprintf("%s%d/%d", name, h.State, h.Born.Milliseconds()))
+			out = append(out, fmt.Sprintf("%s%d/%d", name, h.State, h.StartedAt.Milliseconds()))
 		}
 	}
 	return strings.Join(out, " ")
 }
 
 // take applies an object that has to be taken.
-func take(t *testing.T, g *Group, raw []byte) News {
+func take(t *testing.T, g *Endpoints, raw []byte) Update {
 	t.Helper()
 	news, err := g.Apply(raw)
 	if err != nil {
@@ -63,29 +63,29 @@
 		"draining in a whole list, other start":   {true, []string{host("a", "draining", 2)}, "a2/2"},
 		"removed in a whole list, where nobody's": {true, []string{host("a", "removed", 5)}, ""},
 	} {
-		g := New([]string{"a"})
+		g := NewEndpoints([]string{"a"})
 		take(t, g, words(4, true, host("a", "up", 5), host("b", "up", 5)))
 		module := newModule(t)
-		module.List(time.Second, balancer.ListFull, take(t, New([]string{"a"}), words(4, true, host("a", "up", 5), host("b", "up", 5))).Entries)
+		module.UpdateEndpoints(time.Second, balancer.Snapshot, take(t, NewEndpoints([]string{"a"}), words(4, true, host("a", "up", 5), host("b", "up", 5))).Entries)
 		news := take(t, g, words(5, c.whole, c.entries...))
 		if got := states(g); got != c.want {
 			t.Errorf("%s: the group has %q, want %q", name, got, c.want)
 		}
-		kind := balancer.ListDelta
+		kind := balancer.Delta
 		if c.whole {
-			kind = balancer.ListFull
+			kind = balancer.Snapshot
 		}
-		module.List(2*time.Second, kind, news.Entries)
-		learned := make(map[balancer.ServerID]time.Duration)
-		for _, s := range module.Learned(2 * time.Second).Servers {
-			learned[s.ID] = s.Born
+		module.UpdateEndpoints(2*time.Second, kind, news.Entries)
+		learned := make(map[balancer.EndpointID]time.Duration)
+		for _, s := range module.State(2 * time.Second).Endpoints {
+			learned[s.ID] = s.StartedAt
 		}
 		if len(learned) != g.Len() {
 			t.Errorf("%s: the module has %d hosts, the group %d", name, len(learned), g.Len())
 		}
 		for _, h := range g.All() {
-			if learned[h.ID] != h.Born {
-				t.Errorf("%s: the module has %s from %v, the group from %v", name, h.Name, learned[h.ID], h.Born)
+			if learned[h.ID] != h.StartedAt {
+				t.Errorf("%s: the module has %s from %v, the group from %v", name, h.Name, learned[h.ID], h.StartedAt)
 			}
 		}
 	}
@@ -106,7 +106,7 @@
 	for name, entry := range faulty {
 		for _, whole := range []bool{false, true} {
 			for _, raw := range [][]byte{words(5, whole, leaving, entry), words(5, whole, entry, leaving)} {
-				g := New([]string{"a"})
+				g := NewEndpoints([]string{"a"})
 				take(t, g, words(4, true, host("a", "up", 5), host("b", "up", 5), host("c", "up", 5)))
 				news, err := g.Apply(raw)
 				if err == nil {
@@ -115,8 +115,8 @@
 				if got := states(g); got != "a2/5 c1/5" || g.seq != 4 {
 					t.Errorf("%s, whole %v: the group has %q at version %d", name, whole, got, g.seq)
 				}
-				if len(news.Changed) != 2 || len(news.Entries) != 2 || news.Whole || news.Entries[0].State == balancer.Ready ||
-					news.Entries[1].State == balancer.Ready {
+				if len(news.Changed) != 2 || len(news.Entries) != 2 || news.Snapshot || news.Entries[0].State == balancer.EndpointReady ||
+					news.Entries[1].State == balancer.EndpointReady {
 					t.Errorf("%s: news %+v", name, news)
 				}
 			}
@@ -127,7 +127,7 @@
 		"of hosts nobody has":     words(5, false, host("x", "draining", 5), `17`),
 		"which it has up at last": words(5, false, host("a", "draining", 5), host("a", "up", 5), `17`),
 	} {
-		g := New([]string{"a"})
+		g := NewEndpoints([]string{"a"})
 		take(t, g, words(4, true, host("a", "up", 5), host("b", "up", 5)))
 		if news, err := g.Apply(raw); err == nil || states(g) != "a1/5 b1/5" || len(news.Changed)+len(news.Entries) > 0 {
 			t.Errorf("%s: %v, news %+v, the group has %q", name, err, news, states(g))
@@ -139,7 +139,7 @@
 // is behind: none comes up by them, and those that leave leave. The lines that follow them are taken, whether the numbers go on
 // from there or began anew. An earlier whole list is complete, and is taken.
 func TestVersionThatGoesBack(t *testing.T) {
-	g := New([]string{"a"})
+	g := NewEndpoints([]string{"a"})
 	take(t, g, words(9, true, host("a", "draining", 5), host("b", "up", 5)))
 	news := take(t, g, words(7, false, host("a", "up", 5), host("b", "draining", 5), host("c", "up", 5)))
 	if got := states(g); got != "a2/5 b2/5" || len(news.Entries) != 1 || g.seq != 7 {
--- a/internal/discovery/size_test.go
+++ b/internal/discovery/size_test.go
@@ -13,19 +13,19 @@
 // quiet takes what the module asks for and does nothing.
 type quiet struct{}
 
-func (quiet) Send(balancer.RequestID, balancer.ServerID, time.Duration) {}
-func (quiet) Refuse(balancer.RequestID, time.Duration)                  {}
-func (quiet) Fail(balancer.RequestID)                                   {}
-func (quiet) Cancel(balancer.RequestID, int)                            {}
-func (quiet) Wake(time.Duration, uint32)                                {}
-func (quiet) Close(balancer.ServerID)                                   {}
-func (quiet) Watch()                                                    {}
-func (quiet) Log(string)                                                {}
+func (quiet) StartAttempt(balancer.RequestID, balancer.EndpointID, time.Duration) {}
+func (quiet) Reject(balancer.RequestID, time.Duration)                            {}
+func (quiet) Fail(balancer.RequestID)                                             {}
+func (quiet) CancelAttempt(balancer.RequestID, int)                               {}
+func (quiet) SetTimer(time.Duration, uint32)                                      {}
+func (quiet) CloseIdle(balancer.EndpointID)                                       {}
+func (quiet) WatchEndpoints()                                                     {}
+func (quiet) Log(string)                                                          {}
 
 func newModule(tb testing.TB) *balancer.Balancer {
 	tb.Helper()
-	b, err := balancer.New(balancer.Config{Gateways: 1, MaxAttempts: 2, ColdFrom: 1, FallMultiple: 1, OverShareWorth: 1, WholeWeight: 1,
-		Classes: []balancer.Class{{Name: "c", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}}, 1, time.Second, quiet{})
+	b, err := balancer.New(balancer.Config{Gateways: 1, MaxAttempts: 2, SlowStartFraction: 1, OverloadMultiple: 1, OverQuotaWeight: 1, TotalGoalWeight: 1,
+		Classes: []balancer.Class{{Name: "c", LatencyObjective: time.Second, Deadline: 2 * time.Second, Weight: 1}}}, 1, time.Second, quiet{})
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 func TestLongListsAreTakenWhole(t *testing.T) {
 	perHost := func(hosts int) float64 {
 		first, second := list(1, hosts, 0, "up"), list(2, hosts, hosts/2, "up")
-		g := New([]string{"a"})
+		g := NewEndpoints([]string{"a"})
 		return testing.AllocsPerRun(1, func() {
 			for _, raw := range [][]byte{first, second} {
 				if news := take(t, g, raw); g.Len() != hosts || len(news.Entries) != hosts {
@@ -66,7 +66,7 @@
 		if len(lines) != 1 || len(lines[0]) != len(raw) {
 			t.Fatalf("%d hosts, indented in %d bytes: %d objects", hosts, len(raw), len(lines))
 		}
-		if take(t, New([]string{"a"}), lines[0]); w.scanned != 0 {
+		if take(t, NewEndpoints([]string{"a"}), lines[0]); w.scanned != 0 {
 			t.Errorf("%d bytes are left", w.scanned)
 		}
 	}
@@ -127,7 +127,7 @@
 	for _, hosts := range []int{10, 100, 1000, 7700} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
 			lists := [][]byte{list(1, hosts, 0, "up"), list(2, hosts, hosts/2, "up")}
-			g, n := New([]string{"a"}), 0
+			g, n := NewEndpoints([]string{"a"}), 0
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, err := g.Apply(lists[n%2]); err != nil {
@@ -143,8 +143,8 @@
 func BenchmarkModuleList(b *testing.B) {
 	for _, hosts := range []int{10, 100, 1000, 7700} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
-			g := New([]string{"a"})
-			var news [2][]balancer.Server
+			g := NewEndpoints([]string{"a"})
+			var news [2][]balancer.Endpoint
 			for i := range news {
 				got, err := g.Apply(list(i+1, hosts, i*hosts/2, "up"))
 				if err != nil {
@@ -155,7 +155,7 @@
 			module, n := newModule(b), 0
 			b.ReportAllocs()
 			for b.Loop() {
-				module.List(time.Second, balancer.ListFull, news[n%2])
+				module.UpdateEndpoints(time.Second, balancer.Snapshot, news[n%2])
 				module.Dispatch(time.Second)
 				n++
 			}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -18,10 +18,10 @@
 // all fit in; docs/design/discovery-times.md has the sum. A call that is not answered within AnswerWithin may still wait in
 // discovery's queue: it keeps its place there until AbandonAfter, and another is made beside it.
 const (
-	UpWithin     = 1200 * time.Millisecond
-	AnswerWithin = 3100 * time.Millisecond
-	BeatWithin   = 2400 * time.Millisecond
-	AbandonAfter = 30 * time.Second
+	ConnectTimeout   = 1200 * time.Millisecond
+	AnswerTimeout    = 3100 * time.Millisecond
+	HeartbeatTimeout = 2400 * time.Millisecond
+	AbandonTimeout   = 30 * time.Second
 )
 
 // listRate is the least at which a long object of the list comes, in bytes a second: so much more time it has.
@@ -31,14 +31,14 @@
 // for, and it may be back at once.
 const mostRetryAfter = 5 * time.Second
 
-// Refusal is an answer of discovery that is not the list.
-type Refusal struct {
+// StatusError is an answer of discovery that is not the list.
+type StatusError struct {
 	Status     int
 	RetryAfter time.Duration // when it asks to be called again; 0 if it does not say
 }
 
 // Error implements error.
-func (r *Refusal) Error() string { return fmt.Sprintf("discovery answered %d", r.Status) }
+func (r *StatusError) Error() string { return fmt.Sprintf("discovery answered %d", r.Status) }
 
 // mostPending bounds an unfinished line of the watch: thousands of hosts.
 const mostPending = 4 << 20
@@ -67,7 +67,7 @@
 }
 
 // Request is the call for what changed since the list that the group has, once the watch's connection is up.
-func (g *Group) Request(w *Watch, now time.Duration) []byte {
+func (g *Endpoints) Request(w *Watch, now time.Duration) []byte {
 	w.up, w.asked, w.since = true, g.seq, now
 	return http1.AppendRequest(nil, "GET", "/v1/servers?stream=1&index="+strconv.FormatUint(g.seq, 10),
 		[]http1.Field{{Name: "Host", Value: w.Addr.String()}}, nil)
@@ -89,7 +89,7 @@
 		err = fault // what came before it is whole all the same
 	}
 	if head != nil && head.Status != 200 {
-		return nil, false, &Refusal{Status: head.Status, RetryAfter: retryAfter(head)}
+		return nil, false, &StatusError{Status: head.Status, RetryAfter: retryAfter(head)}
 	}
 	w.pending = append(w.pending, piece...)
 	for w.scanned < len(w.pending) {
@@ -150,12 +150,12 @@
 // Started reports whether discovery has begun to answer.
 func (w *Watch) Started() bool { return w.started }
 
-// Up reports whether the connection has come up.
-func (w *Watch) Up() bool { return w.up }
+// Connected reports whether the connection has come up.
+func (w *Watch) Connected() bool { return w.up }
 
-// Until is the time at which the watch counts as silent. Part of a line puts it off by no more than so many bytes take: what
+// Deadline is the time at which the watch counts as silent. Part of a line puts it off by no more than so many bytes take: what
 // discovery has to tell counts as told whether or not it has arrived.
-func (w *Watch) Until() time.Duration {
+func (w *Watch) Deadline() time.Duration {
 	return w.since + w.patience() + time.Duration(w.partial)*time.Second/listRate
 }
 
@@ -163,10 +163,10 @@
 func (w *Watch) patience() time.Duration {
 	switch {
 	case w.started:
-		return BeatWithin
+		return HeartbeatTimeout
 	case w.up:
-		return AnswerWithin
+		return AnswerTimeout
 	default:
-		return UpWithin
+		return ConnectTimeout
 	}
 }
--- a/internal/downstream/arrivals.go
+++ b/internal/downstream/arrivals.go
@@ -107,13 +107,13 @@
 	return a.marks[0].at
 }
 
-// Written is when the last byte of what was taken from the connection so far was written, at the earliest.
-func (l *Link) Written() time.Duration {
+// LastByteSent is when the last byte of what was taken from the connection so far was written, at the earliest.
+func (l *Conn) LastByteSent() time.Duration {
 	return l.arrivals.writtenAt(l.arrivals.fed - int64(l.reader.Buffered()))
 }
 
-// Left is what a client has left of its patience. While a body is coming its time has not begun, unless the rest may lie unread.
-func (l *Link) Left(now, patience time.Duration) time.Duration {
+// TimeLeft is what a client has left of its patience. While a body is coming its time has not begun, unless the rest may lie unread.
+func (l *Conn) TimeLeft(now, patience time.Duration) time.Duration {
 	switch {
 	case l.Upload && l.reader.Complete():
 		return l.arrivals.writtenAt(l.arrivals.fed) + patience - now
@@ -122,11 +122,11 @@
 	case l.Upload:
 		return patience
 	}
-	return l.Written() + patience - now
+	return l.LastByteSent() + patience - now
 }
 
-// Stop notes that the connection is read no further.
-func (l *Link) Stop(now time.Duration) {
+// PauseReading notes that the connection is read no further.
+func (l *Conn) PauseReading(now time.Duration) {
 	l.Muted = true
 	l.arrivals.stop(now)
 }
--- a/internal/downstream/arrivals_test.go
+++ b/internal/downstream/arrivals_test.go
@@ -12,17 +12,17 @@
 
 // A request that lies behind another one was written when its last byte came, not when it is taken.
 func TestWrittenBehindAnother(t *testing.T) {
-	l := NewLinks(1).Add(1, 0)
+	l := NewConns(1).Add(1, 0)
 	l.Feed(ms(100), []byte(someView+someView[:10]))
 	l.Feed(ms(400), []byte(someView[10:]+someView))
 	for i, want := range []time.Duration{ms(100), ms(400), ms(400)} {
 		if _, whole := l.Next(someClasses); !whole {
 			t.Fatalf("request %d is not whole", i)
 		}
-		if got := l.Written(); got != want {
+		if got := l.LastByteSent(); got != want {
 			t.Errorf("request %d was written at %v, want %v", i, got, want)
 		}
-		if got := l.Left(ms(1000), ms(900)); got != want+ms(900)-ms(1000) {
+		if got := l.TimeLeft(ms(1000), ms(900)); got != want+ms(900)-ms(1000) {
 			t.Errorf("request %d: %v left", i, got)
 		}
 	}
@@ -81,28 +81,28 @@
 
 // While a body comes its client's time has not begun; once all of it has come, or may have, it has.
 func TestLeftOfAStream(t *testing.T) {
-	l := NewLinks(1).Add(1, 0)
+	l := NewConns(1).Add(1, 0)
 	raw := halfBid(300<<10, 300<<10)
 	l.Feed(ms(10), raw[:100<<10])
 	if asked, whole := l.Next(someClasses); !whole || !asked.Large {
 		t.Fatal("not taken as a stream")
 	}
 	l.Begin()
-	if got := l.Left(ms(500), ms(900)); got != ms(900) {
+	if got := l.TimeLeft(ms(500), ms(900)); got != ms(900) {
 		t.Errorf("%v left of a client that has more to send", got)
 	}
-	l.Stop(ms(500))
-	if got := l.Left(ms(700), ms(900)); got != ms(700) {
+	l.PauseReading(ms(500))
+	if got := l.TimeLeft(ms(700), ms(900)); got != ms(700) {
 		t.Errorf("%v left of a client whose last byte may lie unread", got)
 	}
-	l.Resume(ms(700))
+	l.ResumeReading(ms(700))
 	var whole bytes.Buffer
 	for _, part := range [][]byte{raw[100<<10 : 200<<10], raw[200<<10:]} {
 		l.Feed(ms(700), part)
 		piece, _, _ := l.Pieces()
 		whole.Write(piece)
 	}
-	if got := l.Written(); got != ms(500) {
+	if got := l.LastByteSent(); got != ms(500) {
 		t.Errorf("written at %v, want when reading stopped", got)
 	}
 }
--- a/internal/downstream/links.go
+++ b/internal/downstream/links.go
@@ -9,12 +9,12 @@
 	"thymebend/internal/loop"
 )
 
-// Links are the client links. Those that may give way where links run short stand in queues, so that the one that
+// Conns are the client links. Those that may give way where links run short stand in queues, so that the one that
 // does is found, and every change made, in constant time: a crowd of thousands must not cost a walk for each accept.
-type Links struct {
-	ByConn map[loop.Conn]*Link
-	Most   int
-	Many   int // past it links that are not used again are closed, see Spent
+type Conns struct {
+	ByConn     map[loop.Conn]*Conn
+	Max        int
+	ReuseLimit int // past it links that are not used again are closed, see Spent
 
 	ended     queue // our sending has ended, after the last answer
 	unused    queue // nothing has come yet, by their accept
@@ -25,64 +25,64 @@
 	checked   queue // idle after health checks alone: the first request is to come
 }
 
-// NewLinks returns room for so many links.
-func NewLinks(most int) *Links {
-	return &Links{ByConn: make(map[loop.Conn]*Link), Most: most}
+// NewConns returns room for so many links.
+func NewConns(most int) *Conns {
+	return &Conns{ByConn: make(map[loop.Conn]*Conn), Max: most}
 }
 
 // InOrder returns the links, oldest first. Maps are walked in no order; the same events must have the same effects.
-func (s *Links) InOrder() []*Link {
-	return slices.SortedFunc(maps.Values(s.ByConn), func(a, b *Link) int { return cmp.Compare(a.Conn, b.Conn) })
+func (s *Conns) InOrder() []*Conn {
+	return slices.SortedFunc(maps.Values(s.ByConn), func(a, b *Conn) int { return cmp.Compare(a.ID, b.ID) })
 }
 
 // Add takes a new client link.
-func (s *Links) Add(c loop.Conn, now time.Duration) *Link {
-	l := &Link{Conn: c, Accepted: now, Since: now, Began: now, heard: now}
+func (s *Conns) Add(c loop.Conn, now time.Duration) *Conn {
+	l := &Conn{ID: c, Accepted: now, Since: now, RequestBegan: now, heard: now}
 	s.ByConn[c] = l
 	s.Place(l)
 	return l
 }
 
 // Remove forgets a link.
-func (s *Links) Remove(l *Link) {
-	delete(s.ByConn, l.Conn)
+func (s *Conns) Remove(l *Conn) {
+	delete(s.ByConn, l.ID)
 	l.leave()
 }
 
 // Place has a link stand where it belongs, behind those that stood there before. It is to be called when the link has
 // changed: a request came or a part of one, an answer was written, it is looked at once more.
-func (s *Links) Place(l *Link) {
+func (s *Conns) Place(l *Conn) {
 	l.leave()
 	switch {
-	case l.Busy, l.LastAsk:
+	case l.Busy, l.FinalRead:
 	case l.Ended:
 		s.ended.add(l)
-	case l.Pending() && l.Asked:
+	case l.Pending() && l.HasRequested:
 		s.partLater.add(l)
 	case l.Pending():
 		s.partFirst.add(l)
-	case l.Queries == 1:
+	case l.Requests == 1:
 		s.usedOnce.add(l)
-	case l.Queries > 1:
+	case l.Requests > 1:
 		s.usedAgain.add(l)
-	case l.Asked:
+	case l.HasRequested:
 		s.checked.add(l)
 	default:
 		s.unused.add(l)
 	}
 }
 
-// GivesWay returns the link that gives way first where links run short, or nil if none may. Guards against crowds that
+// Evictable returns the link that gives way first where links run short, or nil if none may. Guards against crowds that
 // connect and ask nothing, ask once and stay, or never end a request. Those go before all
 // that have their last answer and whose client has had time to take it, then those that have said nothing for FirstSoon,
 // then those at rest, which costs their clients a new connection and no request, those that brought one request before those
 // that brought more, then those whose request has stood still for GoesOnWithin. Those that are young or have only asked for
 // health go last, as their first request is to come and would be lost with them. A request that goes on coming is never cut.
-func (s *Links) GivesWay(now time.Duration) *Link {
+func (s *Conns) Evictable(now time.Duration) *Conn {
 	quiet := func(q *queue, since time.Duration) bool { return q.head != nil && now-q.head.heard >= since }
 	switch {
-	case s.Ended(now) != nil:
-		return s.Ended(now)
+	case s.FullyClosed(now) != nil:
+		return s.FullyClosed(now)
 	case quiet(&s.unused, FirstSoon):
 		return s.unused.head
 	case quiet(&s.checked, RestsFor):
@@ -103,31 +103,31 @@
 	return nil
 }
 
-// Ended returns a link that has its last answer and whose client has had time to take it, or nil.
-func (s *Links) Ended(now time.Duration) *Link {
+// FullyClosed returns a link that has its last answer and whose client has had time to take it, or nil.
+func (s *Conns) FullyClosed(now time.Duration) *Conn {
 	if l := s.ended.head; l != nil && now-l.Since >= SpeaksWithin {
 		return l
 	}
 	return nil
 }
 
-// Spent returns a link that brought one request and has rested since, where there are many links, or nil. Guards against
+// SingleUse returns a link that brought one request and has rested since, where there are many links, or nil. Guards against
 // clients that open a link for each request and keep all: where they may hold so many and no more, they have none left
 // for their next request long before links run short here.
-func (s *Links) Spent(now time.Duration) *Link {
-	if l := s.usedOnce.head; l != nil && s.TooMany() && now-l.Since >= OnceFor {
+func (s *Conns) SingleUse(now time.Duration) *Conn {
+	if l := s.usedOnce.head; l != nil && s.OverReuseLimit() && now-l.Since >= SingleUseIdleTimeout {
 		return l
 	}
 	return nil
 }
 
-// TooMany reports whether there are many links.
-func (s *Links) TooMany() bool { return len(s.ByConn) > s.Many }
+// OverReuseLimit reports whether there are many links.
+func (s *Conns) OverReuseLimit() bool { return len(s.ByConn) > s.ReuseLimit }
 
 // queue is a list of links, the one that came first at its head.
-type queue struct{ head, tail *Link }
+type queue struct{ head, tail *Conn }
 
-func (q *queue) add(l *Link) {
+func (q *queue) add(l *Conn) {
 	l.queue, l.before = q, q.tail
 	if q.tail == nil {
 		q.head = l
@@ -137,7 +137,7 @@
 	q.tail = l
 }
 
-func (l *Link) leave() {
+func (l *Conn) leave() {
 	if l.queue == nil {
 		return
 	}
--- a/internal/downstream/query.go
+++ b/internal/downstream/query.go
@@ -26,34 +26,34 @@
 // Class is what a request's class means here.
 type Class struct {
 	Name   string
-	Place  int    // the module's
+	Index  int    // the module's
 	Method string // that its requests have
-	Rules  balancer.Class
+	Class  balancer.Class
 }
 
 // Classes finds a class by the name and the method of a request.
 type Classes func(name, method string) (Class, bool)
 
 // MethodOf is the method of the requests of an effect.
-func MethodOf(e balancer.Effect) string {
-	if e == balancer.Safe {
+func MethodOf(e balancer.Idempotency) string {
+	if e == balancer.Idempotent {
 		return "GET"
 	}
 	return "POST"
 }
 
-// Query is a valid request of a client.
-type Query struct {
-	ID       string // the client's, unique among what is open
-	Class    Class
-	Patience time.Duration
-	Repeat   bool // the client marks it as a repeat
-	Message  *http1.Message
+// Request is a valid request of a client.
+type Request struct {
+	ID            string // the client's, unique among what is open
+	Class         Class
+	ClientTimeout time.Duration
+	Retry         bool // the client marks it as a repeat
+	Message       *http1.Message
 }
 
 // read checks a request against the classes. What it refuses never reaches the module nor a host.
-func read(m *http1.Message, classes Classes) (Query, *http1.Fault) {
-	q := Query{Message: m}
+func read(m *http1.Message, classes Classes) (Request, *http1.Fault) {
+	q := Request{Message: m}
 	path, _, _ := strings.Cut(m.Target, "?")
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	var known bool
@@ -80,9 +80,9 @@
 	if times != 1 || !ok {
 		return q, bad(fieldDeadline + " is missing or malformed")
 	}
-	q.Patience = patience
+	q.ClientTimeout = patience
 	mark, _ := m.Get(fieldRepeat)
-	q.Repeat = mark == "1"
+	q.Retry = mark == "1"
 	return q, nil
 }
 
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -11,8 +11,8 @@
 // The methods of this file are what the module asks for. They change the state and ask for effects, and they
 // put off all that the module has to hear: it must not be called while it calls.
 
-// Send implements thymebend.Actions.
-func (g *Gateway) Send(id balancer.RequestID, to balancer.ServerID, timeout time.Duration) {
+// StartAttempt implements thymebend.Actions.
+func (g *Gateway) StartAttempt(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
 	q := g.queries[id]
 	if q == nil {
 		g.log.Error().Uint32("query", uint32(id)).Msg("send for an unknown query")
@@ -27,7 +27,7 @@
 		x.until = min(x.until, g.now+timeout)
 	}
 	if q.over || x.until <= g.now || x.number >= g.cfg.Settings.Config.MaxAttempts {
-		g.endExecution(x, EndOver, nil)
+		g.endExecution(x, ReasonRequestOver, nil)
 		return
 	}
 	g.traceAttempt(x)
@@ -35,8 +35,8 @@
 	g.begin(x)
 }
 
-// Refuse implements thymebend.Actions. A refusal goes out at once.
-func (g *Gateway) Refuse(id balancer.RequestID, after time.Duration) {
+// Reject implements thymebend.Actions. A refusal goes out at once.
+func (g *Gateway) Reject(id balancer.RequestID, after time.Duration) {
 	if q := g.queries[id]; q != nil && !q.over && !g.guard.MayPromise(&q.rules) {
 		g.Fail(id)
 		return
@@ -46,21 +46,21 @@
 		g.traceRefused(q.ID, refusedByModule, after)
 	}
 	if l != nil {
-		g.answer(q, l, downstream.Refused(after, g.keep(l)))
+		g.answer(q, l, downstream.AppendRejected(after, g.keep(l)))
 	}
 }
 
 // Fail implements thymebend.Actions.
 func (g *Gateway) Fail(id balancer.RequestID) {
 	if q, l := g.finish(id, faulted); l != nil {
-		g.answer(q, l, downstream.Failed(g.keep(l)))
+		g.answer(q, l, downstream.AppendFailed(g.keep(l)))
 	}
 }
 
 // finish concludes a query and returns the link on which its answer goes out, if the client is still there.
-func (g *Gateway) finish(id balancer.RequestID, r result) (*query, *downstream.Link) {
+func (g *Gateway) finish(id balancer.RequestID, r result) (*query, *downstream.Conn) {
 	q := g.queries[id]
-	if q == nil || q.over || !g.guard.Answer(&q.rules) {
+	if q == nil || q.over || !g.guard.AllowAnswer(&q.rules) {
 		return nil, nil
 	}
 	q.over = true
@@ -78,40 +78,40 @@
 	}
 }
 
-// Cancel implements thymebend.Actions.
-func (g *Gateway) Cancel(id balancer.RequestID, attempt int) {
+// CancelAttempt implements thymebend.Actions.
+func (g *Gateway) CancelAttempt(id balancer.RequestID, attempt int) {
 	q := g.queries[id]
 	if q == nil {
 		return
 	}
 	for _, x := range q.executions {
 		if x.number == attempt {
-			g.endExecution(x, EndCalledOff, nil)
+			g.endExecution(x, ReasonCancelled, nil)
 			return
 		}
 	}
 }
 
-// Close implements thymebend.Actions.
-func (g *Gateway) Close(to balancer.ServerID) {
+// CloseIdle implements thymebend.Actions.
+func (g *Gateway) CloseIdle(to balancer.EndpointID) {
 	for _, l := range g.pool.IdleTo(to) {
-		g.dropLink(l, EndLinkIdle)
+		g.dropLink(l, ReasonIdleTimeout)
 	}
 }
 
-// Wake implements thymebend.Actions. A token may be out more than once, so each has a number of its own.
-func (g *Gateway) Wake(after time.Duration, token uint32) {
+// SetTimer implements thymebend.Actions. A token may be out more than once, so each has a number of its own.
+func (g *Gateway) SetTimer(after time.Duration, token uint32) {
 	g.wakes++
 	g.setTimer(timerWake, g.wakes<<32|uint64(token), g.now+after)
 }
 
-// Watch implements thymebend.Actions.
-func (g *Gateway) Watch() {
+// WatchEndpoints implements thymebend.Actions.
+func (g *Gateway) WatchEndpoints() {
 	if g.moving != nil || g.watch != nil && !g.watch.Started() {
 		return // the call under way answers this one
 	}
 	if g.watch != nil {
-		g.dropWatch(g.watch, EndListReplace, nil)
+		g.dropWatch(g.watch, ReasonWatchReplaced, nil)
 	}
 	if g.now < g.callNotBefore {
 		g.setTimer(timerCall, 0, g.callNotBefore)
@@ -127,7 +127,7 @@
 func (g *Gateway) tellEnds() {
 	for _, n := range g.notices {
 		g.told = true
-		g.module.Writing(g.now, n.exec.query.id, n.exec.number, n.done)
+		g.module.RequestWriting(g.now, n.exec.query.id, n.exec.number, n.done)
 	}
 	clear(g.notices)
 	g.notices = g.notices[:0]
@@ -137,26 +137,26 @@
 	clear(g.ended)
 	g.ended = g.ended[:0]
 	if g.lost {
-		kind := balancer.ListFailed
+		kind := balancer.WatchFailed
 		if g.unmet {
-			kind = balancer.ListUnreachable
+			kind = balancer.WatchUnreachable
 		}
 		g.lost, g.unmet = false, false
 		g.told = true
-		g.module.List(g.now, kind, nil)
+		g.module.UpdateEndpoints(g.now, kind, nil)
 	}
 }
 
 func (g *Gateway) tellEnd(p pendingEnd) {
 	q := p.exec.query
 	outcome, _ := p.end.outcome()
-	end := balancer.AttemptEnd{Request: q.id, Attempt: p.exec.number, Server: p.exec.host, Outcome: outcome,
-		Latency: g.now - p.exec.began, Closed: q.over, Spent: q.up != nil && q.up.spent}
+	end := balancer.AttemptEnd{Request: q.id, Attempt: p.exec.number, Endpoint: p.exec.host, Outcome: outcome,
+		Latency: g.now - p.exec.began, RequestDone: q.over, BodyConsumed: q.up != nil && q.up.spent}
 	if p.answer != nil && g.cfg.Settings.Gateway.Waiting >= 0 {
-		end.Reported, end.Waiting = p.answer.Reported, p.answer.Waiting
+		end.Reported, end.QueueLength = p.answer.Reported, p.answer.QueueLength
 	}
 	g.told = true
-	g.module.AttemptEnd(g.now, end)
+	g.module.AttemptEnded(g.now, end)
 }
 
 var _ loop.Reducer = (*Gateway)(nil)
--- a/internal/gateway/end.go
+++ b/internal/gateway/end.go
@@ -2,63 +2,63 @@
 
 import "thymebend/internal/balancer"
 
-// End is every way in which a connection, or what was under way on it, can end.
-type End uint8
+// TerminationReason is every way in which a connection, or what was under way on it, can end.
+type TerminationReason uint8
 
 // The ends of executions come first: those that prove that the request never ran, then those that leave it
 // open, then the one that served it. The ends of client links and of the watch follow.
 const (
-	EndOver        End = iota // not begun: the query was over, out of time or out of attempts
-	EndWindow                 // its connection came up after the window for repeats: nothing was written
-	EndHostLeft               // the host drains or is gone: nothing was written
-	EndNoRoom                 // no descriptor was left for a link
-	EndUnreached              // the connection was refused or broke while it came up
-	EndLocal                  // this machine has run out of something that a connection needs
-	EndNotUp                  // the connection did not come up in time
-	EndUnsent                 // the connection broke before the last byte was written
-	EndTurnedAway             // the host says that it did not begin
-	EndTimedOut               // no answer in time
-	EndCut                    // the connection broke or ended before a whole answer
-	EndGarbled                // what came is no answer
-	EndFaulty                 // an answer that is neither served nor turned away
-	EndCalledOff              // the module cancelled
-	EndClientGone             // the client left: its executions and its link end
-	EndServed                 // a whole 200
-	EndLinkIdle               // an idle link was closed in good time, or by the peer
-	EndAnswered               // a client link ended after its last answer
-	EndClientSlow             // a client did not finish its request or take its answer in time
-	EndListLost               // the watch broke, ended or never came up
-	EndListSilent             // the watch missed its beat
-	EndListGarbled            // the watch brought what is no list
-	EndListReplace            // the watch gave way to a new one
-	endKinds                  // how many there are
+	ReasonRequestOver       TerminationReason = iota // not begun: the query was over, out of time or out of attempts
+	ReasonDedupWindowOver                            // its connection came up after the window for repeats: nothing was written
+	ReasonEndpointLeft                               // the host drains or is gone: nothing was written
+	ReasonNoDescriptor                               // no descriptor was left for a link
+	ReasonConnectFailed                              // the connection was refused or broke while it came up
+	ReasonLocalResources                             // this machine has run out of something that a connection needs
+	ReasonConnectTimeout                             // the connection did not come up in time
+	ReasonResetBeforeSent                            // the connection broke before the last byte was written
+	ReasonRejected                                   // the host says that it did not begin
+	ReasonResponseTimeout                            // no answer in time
+	ReasonReset                                      // the connection broke or ended before a whole answer
+	ReasonMalformedResponse                          // what came is no answer
+	ReasonErrorResponse                              // an answer that is neither served nor turned away
+	ReasonCancelled                                  // the module cancelled
+	ReasonClientLeft                                 // the client left: its executions and its link end
+	ReasonServed                                     // a whole 200
+	ReasonIdleTimeout                                // an idle link was closed in good time, or by the peer
+	ReasonAnswered                                   // a client link ended after its last answer
+	ReasonClientTimeout                              // a client did not finish its request or take its answer in time
+	ReasonWatchBroken                                // the watch broke, ended or never came up
+	ReasonWatchSilent                                // the watch missed its beat
+	ReasonMalformedUpdate                            // the watch brought what is no list
+	ReasonWatchReplaced                              // the watch gave way to a new one
+	endKinds                                         // how many there are
 )
 
 // outcome maps an execution's end to what the module is told, and reports whether there is anything to tell.
-func (e End) outcome() (balancer.Outcome, bool) {
+func (e TerminationReason) outcome() (balancer.Outcome, bool) {
 	switch e {
-	case EndOver, EndWindow, EndLocal:
-		return balancer.Moot, true
-	case EndHostLeft, EndNoRoom, EndUnreached, EndNotUp, EndUnsent:
-		return balancer.ConnectFailed, true
-	case EndTurnedAway:
-		return balancer.Full, true
-	case EndTimedOut:
-		return balancer.Timeout, true
-	case EndCut:
-		return balancer.Reset, true
-	case EndGarbled, EndFaulty:
-		return balancer.Error, true
-	case EndCalledOff, EndClientGone:
-		return balancer.Cancelled, true
-	case EndServed:
-		return balancer.OK, true
+	case ReasonRequestOver, ReasonDedupWindowOver, ReasonLocalResources:
+		return balancer.OutcomeNotStarted, true
+	case ReasonEndpointLeft, ReasonNoDescriptor, ReasonConnectFailed, ReasonConnectTimeout, ReasonResetBeforeSent:
+		return balancer.OutcomeConnectFailed, true
+	case ReasonRejected:
+		return balancer.OutcomeRejected, true
+	case ReasonResponseTimeout:
+		return balancer.OutcomeTimeout, true
+	case ReasonReset:
+		return balancer.OutcomeReset, true
+	case ReasonMalformedResponse, ReasonErrorResponse:
+		return balancer.OutcomeError, true
+	case ReasonCancelled, ReasonClientLeft:
+		return balancer.OutcomeCancelled, true
+	case ReasonServed:
+		return balancer.OutcomeOK, true
 	}
 	return 0, false
 }
 
 // String is for log lines.
-func (e End) String() string {
+func (e TerminationReason) String() string {
 	names := [...]string{"over", "window over", "host left", "no room", "unreached", "local", "not up", "unsent", "turned away", "timed out",
 		"cut", "garbled", "faulty", "called off", "client gone", "served", "link idle", "answered", "client slow",
 		"list lost", "list silent", "list garbled", "list replaced"}
