--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -20,30 +20,30 @@
 
 // fleet is this process's part in the fleet.
 type fleet struct {
-	view     *membership.View // nil while another process of this gateway speaks
-	up       bool             // the socket is open
-	joined   int              // how often a view was begun
-	start    uint64           // identity that was handed over, or this process's own
-	again    uint64           // incarnation to begin with
+	view     *membership.Membership // nil while another process of this gateway speaks
+	up       bool                   // the socket is open
+	joined   int                    // how often a view was begun
+	start    uint64                 // identity that was handed over, or this process's own
+	again    uint64                 // incarnation to begin with
 	loggedAt time.Duration
 	logged   uint64 // version of the view in the last line
 }
 
-// View is this process's view of its fleet, or nil while it has none. The laboratory holds it against the truth.
-func (g *Gateway) View() *membership.View { return g.fleet.view }
+// Membership is this process's view of its fleet, or nil while it has none. The laboratory holds it against the truth.
+func (g *Gateway) Membership() *membership.Membership { return g.fleet.view }
 
 // joinFleet begins to speak, once this process takes clients: at an upgrade under the elder's identity.
 func (g *Gateway) joinFleet() {
-	if g.cfg.Fleet == nil || g.fleet.view != nil || g.stopping {
+	if g.cfg.Gossip == nil || g.fleet.view != nil || g.stopping {
 		return
 	}
-	f := g.cfg.Fleet
+	f := g.cfg.Gossip
 	if g.fleet.start == 0 {
 		g.fleet.start = uint64(g.now.Milliseconds())
 	}
 	g.takePortion()
 	payload := g.firstWords()
-	view, err := membership.New(membership.Config{Fleet: f.Fleet, Name: f.Name, Start: g.fleet.start, Incarnation: g.fleet.again, Book: f.Book,
+	view, err := membership.New(membership.Config{Cluster: f.Cluster, Name: f.Name, Start: g.fleet.start, Incarnation: g.fleet.again, SeedPeers: f.SeedPeers,
 		Flat: f.Flat, Payload: payload, Seed: g.cfg.Seed}, g.now)
 	if err != nil {
 		g.log.Error().Err(err).Msg("fleet: not joined")
@@ -56,7 +56,7 @@
 }
 
 func (g *Gateway) openFleet() {
-	g.ask(loop.Effect{Op: loop.Bind, Conn: loop.Fleet, Addr: g.cfg.Fleet.Listen, Urgent: true})
+	g.ask(loop.Effect{Op: loop.Bind, Conn: loop.Gossip, Addr: g.cfg.Gossip.Listen, Urgent: true})
 }
 
 // quitFleet falls silent, for the next process speaks under this one's identity, or after telling that this gateway leaves.
@@ -73,7 +73,7 @@
 	g.fleet.view, g.fleet.up = nil, false
 	g.portion = nil // its hosts stay in use, its turns at cold ones are others' or nobody's from now on
 	g.stopTimer(timerFleet, 0)
-	g.close(loop.Fleet)
+	g.close(loop.Gossip)
 }
 
 func (g *Gateway) fleetEvent(e loop.Event) {
@@ -81,12 +81,12 @@
 	case g.fleet.view == nil:
 	case e.Kind == loop.Listening:
 		g.fleet.up = true
-		g.log.Info().Str("fleet", g.cfg.Fleet.Fleet).Stringer("listen", g.cfg.Fleet.Listen).Msg("fleet: joining")
+		g.log.Info().Str("fleet", g.cfg.Gossip.Cluster).Stringer("listen", g.cfg.Gossip.Listen).Msg("fleet: joining")
 		g.fleetDue()
 	case e.Kind == loop.Readable:
-		g.ask(loop.Effect{Op: loop.Read, Conn: loop.Fleet})
+		g.ask(loop.Effect{Op: loop.Read, Conn: loop.Gossip})
 	case e.Kind == loop.Data:
-		g.fleet.view.Hear(g.now, e.From, e.Data)
+		g.fleet.view.Receive(g.now, e.From, e.Data)
 		g.postFleet()
 	case e.Kind == loop.Broken:
 		g.fleet.up = false
@@ -111,54 +111,54 @@
 func (g *Gateway) postFleet() {
 	v := g.fleet.view
 	for _, d := range v.Take() {
-		g.ask(loop.Effect{Op: loop.SendTo, Conn: loop.Fleet, Addr: d.To, Data: d.Data})
+		g.ask(loop.Effect{Op: loop.SendTo, Conn: loop.Gossip, Addr: d.To, Data: d.Data})
 	}
-	g.setTimer(timerFleet, 0, v.Next())
+	g.setTimer(timerFleet, 0, v.NextWake())
 	if g.now-g.fleet.loggedAt < fleetLog {
 		return
 	}
 	if st := v.Status(g.now); st.Version != g.fleet.logged {
 		g.fleet.loggedAt, g.fleet.logged = g.now, st.Version
-		g.log.Info().Int("alive", st.Alive).Int("known", st.Known).Bool("majority", st.Majority).Bool("twin", st.Twin).
-			Int("health", st.Health).Msg("fleet: the view has changed")
+		g.log.Info().Int("alive", st.Alive).Int("known", st.Known).Bool("majority", st.Majority).Bool("twin", st.DuplicateName).
+			Int("health", st.LocalHealth).Msg("fleet: the view has changed")
 	}
 }
 
 // reloadFleet takes a new book. A faulty file changes nothing; what else the file says holds from the next start.
 func (g *Gateway) reloadFleet(raw []byte, err error) {
-	var f *gossipconfig.File
+	var f *gossipconfig.Config
 	if err == nil {
-		f, err = gossipconfig.Parse(g.cfg.FleetPath, raw, g.cfg.Name)
+		f, err = gossipconfig.Parse(g.cfg.GossipPath, raw, g.cfg.Name)
 	}
 	if err == nil && g.fleet.view != nil {
-		err = g.fleet.view.SetBook(g.now, f.Book)
+		err = g.fleet.view.SetSeedPeers(g.now, f.SeedPeers)
 	}
 	if err != nil {
 		g.log.Error().Err(err).Msg("reload: fleet file refused, the book stays as it was")
 		return
 	}
-	g.cfg.Fleet.Book = f.Book
+	g.cfg.Gossip.SeedPeers = f.SeedPeers
 	if g.portion != nil {
 		g.markPortion()
 	}
-	g.log.Info().Int("peers", len(f.Book)).Msg("reload: fleet")
+	g.log.Info().Int("peers", len(f.SeedPeers)).Msg("reload: fleet")
 }
 
 // fleetFigures are what operators read of the fleet.
-func (g *Gateway) fleetFigures() admin.Fleet {
-	out := admin.Fleet{Fleet: g.cfg.Fleet.Fleet, Name: g.cfg.Fleet.Name, Joined: g.fleet.joined, Members: []admin.FleetMember{}}
+func (g *Gateway) fleetFigures() admin.Cluster {
+	out := admin.Cluster{Cluster: g.cfg.Gossip.Cluster, Name: g.cfg.Gossip.Name, Joined: g.fleet.joined, Members: []admin.Member{}}
 	v := g.fleet.view
 	if v == nil {
 		return out
 	}
-	out.Portion = g.portionFigures()
+	out.Assignment = g.portionFigures()
 	st, c := v.Status(g.now), v.Counts()
-	out.Speaking, out.Settled, out.Majority, out.Twin = g.fleet.up, st.Settled, st.Majority, st.Twin
-	out.Alive, out.Known, out.Answering, out.Health, out.QuietMS = st.Alive, st.Known, st.Answering, st.Health, st.QuietFor.Milliseconds()
+	out.Active, out.Settled, out.Majority, out.DuplicateName = g.fleet.up, st.Settled, st.Majority, st.DuplicateName
+	out.Alive, out.Known, out.Answering, out.Health, out.QuietMS = st.Alive, st.Known, st.Answering, st.LocalHealth, st.Isolated.Milliseconds()
 	out.Sent, out.SentBytes, out.Received, out.ReceivedBytes = c.Sent, c.SentBytes, c.Received, c.ReceivedBytes
-	out.Refused = map[string]uint64{"foreign": c.Foreign, "spoilt": c.Spoilt, "strange": c.Strange, "over_rate": c.Held, "over_size": c.Full}
+	out.Refused = map[string]uint64{"foreign": c.OtherCluster, "spoilt": c.Malformed, "strange": c.UnknownSender, "over_rate": c.Deferred, "over_size": c.Full}
 	for _, m := range v.Members() {
-		fm := admin.FleetMember{Name: m.Name, State: m.State.String(), Start: m.Start, Incarnation: m.Incarnation,
+		fm := admin.Member{Name: m.Name, State: m.State.String(), Start: m.Start, Incarnation: m.Incarnation,
 			SinceMS: (g.now - m.Since).Milliseconds(), Previous: m.Previous.String(), SuspectedBy: m.SuspectedBy,
 			RTTMS: float64(m.RTT.Microseconds()) / 1000}
 		if m.Addr.IsValid() {
--- a/internal/gateway/fromclients.go
+++ b/internal/gateway/fromclients.go
@@ -35,14 +35,14 @@
 		}
 	case loop.AcceptFailed:
 		g.log.Warn().Err(e.Err).Msg("accept")
-		g.makeRoom(g.links.Most - len(g.links.ByConn) + 1)
+		g.makeRoom(g.links.Max - len(g.links.ByConn) + 1)
 		g.pause()
 	}
 }
 
 // accept takes what may come of those that wait. What there is no room for waits on, unread.
 func (g *Gateway) accept() {
-	room := g.links.Most - len(g.links.ByConn)
+	room := g.links.Max - len(g.links.ByConn)
 	if room <= 0 {
 		room = g.makeRoom(acceptRoom)
 	}
@@ -74,19 +74,19 @@
 
 // makeRoom has client links give way until so many may come, and returns how many may.
 func (g *Gateway) makeRoom(wanted int) int {
-	room := g.links.Most - len(g.links.ByConn)
+	room := g.links.Max - len(g.links.ByConn)
 	for ; room < wanted; room++ {
 		l := g.givesWay()
 		switch {
 		case l == nil:
 			return room
 		case l.Ended:
-			g.dropClient(l, EndAnswered)
+			g.dropClient(l, ReasonAnswered)
 		case l.Pending():
 			// What has come was read: the answer goes out with the close.
 			g.traceIncomplete(l)
-			g.write(l.Conn, downstream.TooSlow())
-			g.dropClient(l, EndClientSlow)
+			g.write(l.ID, downstream.AppendRequestTimeout())
+			g.dropClient(l, ReasonClientTimeout)
 		default:
 			g.lookAndClose(l)
 		}
@@ -96,11 +96,11 @@
 
 // givesWay returns the client link that gives way first, or nil. While there are two processes only those do that have
 // their last answer: see alone.
-func (g *Gateway) givesWay() *downstream.Link {
+func (g *Gateway) givesWay() *downstream.Conn {
 	if g.alone() {
-		return g.links.GivesWay(g.now)
+		return g.links.Evictable(g.now)
 	}
-	return g.links.Ended(g.now)
+	return g.links.FullyClosed(g.now)
 }
 
 // linksAwaited reports whether clients wait at the listener for links while none at rest may be closed for them: there
@@ -111,31 +111,31 @@
 	added := g.links.Add(c, g.now)
 	g.traceAccept(added)
 	for range spentAtOnce {
-		if l := g.links.Spent(g.now); l != nil && g.alone() {
+		if l := g.links.SingleUse(g.now); l != nil && g.alone() {
 			g.lookAndClose(l)
 		}
 	}
 	until := g.waitUntil(added)
 	if g.closed {
-		until = min(until, g.now+downstream.LingerFor) // its request is on the way, or never comes
+		until = min(until, g.now+downstream.LingerTimeout) // its request is on the way, or never comes
 	}
 	g.timeClient(added, until)
 }
 
-func (g *Gateway) clientEvent(l *downstream.Link, e loop.Event) {
+func (g *Gateway) clientEvent(l *downstream.Conn, e loop.Event) {
 	switch e.Kind {
 	case loop.Readable:
 		if l.Upload {
 			g.uploadReadable(l)
 			return
 		}
-		g.ask(loop.Effect{Op: loop.Read, Conn: l.Conn})
+		g.ask(loop.Effect{Op: loop.Read, Conn: l.ID})
 	case loop.Data:
-		l.LastAsk = false
-		if l.Ended || l.Drop {
+		l.FinalRead = false
+		if l.Ended || l.DiscardBody {
 			// What comes after the last answer belongs to no query. A client that is still sending is given time.
-			if l.Ended && l.Drop && g.now < l.Since+downstream.LingerMost {
-				g.timeClient(l, g.now+downstream.LingerFor)
+			if l.Ended && l.DiscardBody && g.now < l.Since+downstream.MaxLinger {
+				g.timeClient(l, g.now+downstream.LingerTimeout)
 			}
 			return
 		}
@@ -145,39 +145,39 @@
 		l.Feed(g.now, e.Data)
 		if l.Upload {
 			g.timeClient(l, g.waitUntil(l))
-			g.pumpUpload(g.queries[l.Query])
+			g.pumpUpload(g.queries[l.Request])
 			return
 		}
-		l.Came += len(e.Data)
+		l.RequestBytes += len(e.Data)
 		g.advance(l)
 	case loop.Drained:
-		if l.LastAsk && !l.Busy && !l.Pending() {
-			g.dropClient(l, EndLinkIdle)
+		if l.FinalRead && !l.Busy && !l.Pending() {
+			g.dropClient(l, ReasonIdleTimeout)
 		}
 	case loop.EOF, loop.Broken, loop.Leaving:
-		end := EndClientGone
+		end := ReasonClientLeft
 		if l.Ended {
-			end = EndAnswered
+			end = ReasonAnswered
 		}
 		g.dropClient(l, end)
 	case loop.Flushed:
 		g.flushed(l)
 	}
-	if g.links.ByConn[l.Conn] == l {
+	if g.links.ByConn[l.ID] == l {
 		g.links.Place(l)
 		g.checkTimed(l)
 	}
 }
 
 // advance takes the next request of a link, if it is whole and none is in work.
-func (g *Gateway) advance(l *downstream.Link) {
+func (g *Gateway) advance(l *downstream.Conn) {
 	for !l.Busy && !l.Ended {
 		asked, whole := l.Next(g.classOf)
 		if !whole {
 			g.awaitRest(l)
 			return
 		}
-		l.Closing = l.Closing || asked.Last || g.stopping && !g.heirTakes
+		l.Closing = l.Closing || asked.Closes || g.stopping && !g.heirTakes
 		g.take(l, asked)
 	}
 	if l.Busy && !l.Upload && l.Overfull() {
@@ -188,69 +188,69 @@
 // awaitRest bounds the time for the rest of a request, from its first byte on; clientTimer gives more for what has
 // come meanwhile. That of a first request has run since the accept. It is set in any case: the timer of a new connection may
 // just have fallen due, and its last look has brought the first byte.
-func (g *Gateway) awaitRest(l *downstream.Link) {
+func (g *Gateway) awaitRest(l *downstream.Conn) {
 	if !l.Pending() {
 		return
 	}
-	if !l.Timed {
-		if l.Asked {
-			l.Began = g.now
+	if !l.RequestTimed {
+		if l.HasRequested {
+			l.RequestBegan = g.now
 		}
-		l.Timed = true
+		l.RequestTimed = true
 		g.timeClient(l, g.waitUntil(l))
 	}
 	if l.AwaitsContinue() {
-		g.write(l.Conn, downstream.Continue())
+		g.write(l.ID, downstream.AppendContinue())
 	}
 }
 
 // take answers a request itself or makes it a query of the module's.
-func (g *Gateway) take(l *downstream.Link, asked downstream.Asked) {
-	l.Timed, l.Asked, l.Came = false, true, 0
-	l.Drop = asked.Fault != nil && asked.Last // where its body ends, and the next request begins, is not known
+func (g *Gateway) take(l *downstream.Conn, asked downstream.Incoming) {
+	l.RequestTimed, l.HasRequested, l.RequestBytes = false, true, 0
+	l.DiscardBody = asked.Fault != nil && asked.Closes // where its body ends, and the next request begins, is not known
 	switch {
 	case asked.Fault != nil:
-		if asked.Query.Class.Name != "" {
-			g.settle(asked.Query.Class.Name, faulted)
+		if asked.Request.Class.Name != "" {
+			g.settle(asked.Request.Class.Name, faulted)
 		}
-		g.traceFaulty(l, asked.Query.ID, asked.Fault.Status, asked.Fault.Text)
-		g.reply(l, downstream.Faulty(asked.Fault, !l.Closing))
+		g.traceFaulty(l, asked.Request.ID, asked.Fault.Status, asked.Fault.Text)
+		g.reply(l, downstream.AppendBadRequest(asked.Fault, !l.Closing))
 		return
 	case asked.Health:
-		g.reply(l, downstream.Health(g.group.Len() > 0 && (!g.stopping || g.heirTakes), !l.Closing))
+		g.reply(l, downstream.AppendHealth(g.group.Len() > 0 && (!g.stopping || g.heirTakes), !l.Closing))
 		return
-	case g.open[asked.Query.ID]:
+	case g.open[asked.Request.ID]:
 		// Two queries of one id could not be told apart at a host: the second would run in the first one's name.
-		g.settle(asked.Query.Class.Name, faulted)
-		g.traceFaulty(l, asked.Query.ID, statusBadRequest, "the id of an open request")
+		g.settle(asked.Request.Class.Name, faulted)
+		g.traceFaulty(l, asked.Request.ID, statusBadRequest, "the id of an open request")
 		l.Upload = asked.Large
 		keep := g.keep(l)
-		g.reply(l, downstream.Taken(keep))
+		g.reply(l, downstream.AppendConflict(keep))
 		return
 	}
-	if reason, refused := g.turnsAway(l.Left(g.now, asked.Query.Patience)); refused {
-		g.settle(asked.Query.Class.Name, throttled)
-		g.traceRefused(asked.Query.ID, reason, g.cfg.Settings.Config.MaxRetryAfter)
+	if reason, refused := g.turnsAway(l.TimeLeft(g.now, asked.Request.ClientTimeout)); refused {
+		g.settle(asked.Request.Class.Name, throttled)
+		g.traceRefused(asked.Request.ID, reason, g.cfg.Settings.Config.MaxRetryAfter)
 		l.Upload = asked.Large
 		keep := g.keep(l)
-		g.reply(l, downstream.Refused(g.cfg.Settings.Config.MaxRetryAfter, keep))
+		g.reply(l, downstream.AppendRejected(g.cfg.Settings.Config.MaxRetryAfter, keep))
 		return
 	}
 	g.untimeClient(l)
-	read := asked.Query
+	read := asked.Request
 	g.nextID++
 	q := newQuery(read, g.nextID, l, g.now)
 	g.queries[q.id] = q
 	g.open[read.ID] = true
-	l.Busy, l.Query = true, q.id
-	l.Queries++
+	l.Busy, l.Request = true, q.id
+	l.Requests++
 	g.traceTaken(q)
 	if asked.Large {
 		g.beginUpload(q, l)
 	}
 	g.told = true
-	g.module.Request(g.now, balancer.Request{ID: q.id, Class: read.Class.Place, Patience: read.Patience,
-		Repeat: read.Repeat, Waited: g.now + read.Patience - q.deadline})
+	g.module.RequestArrived(g.now, balancer.Request{ID: q.id, Class: read.Class.Index, ClientTimeout: read.ClientTimeout,
+		Retry: read.Retry, Elapsed: g.now + read.ClientTimeout - q.deadline})
 }
 
 // turnsAway reports whether a request is refused before the module hears of it, and why. left is what its client has left.
@@ -258,7 +258,7 @@
 	switch {
 	case left <= 0:
 		return refusedOver, true
-	case len(g.queries) >= g.cfg.Settings.Gateway.MostOpen:
+	case len(g.queries) >= g.cfg.Settings.Gateway.MaxUpstreamConns:
 		return refusedTooMany, true
 	case g.crowded():
 		return refusedCrowded, true
@@ -272,36 +272,36 @@
 // against an overload that fills every link with held queries: whoever comes then would wait unheard, longer than he
 // has time, where a refusal at once frees a link. With a next process nobody waits here: see resize.
 func (g *Gateway) crowded() bool {
-	return g.heir == nil && len(g.queries) > g.links.Most*7/8
+	return g.heir == nil && len(g.queries) > g.links.Max*7/8
 }
 
 // reply writes an answer of the gateway's own, to what is no query.
-func (g *Gateway) reply(l *downstream.Link, data []byte) {
+func (g *Gateway) reply(l *downstream.Conn, data []byte) {
 	l.Busy = true
 	g.lastWords(l, data)
 }
 
 // lastWords writes an answer and bounds the time for the client to take it: one that never reads must not hold
 // its link, nor the program's end, for ever.
-func (g *Gateway) lastWords(l *downstream.Link, data []byte) {
-	l.Query = 0
-	g.timeClient(l, g.now+downstream.TakenWithin)
-	g.write(l.Conn, data)
+func (g *Gateway) lastWords(l *downstream.Conn, data []byte) {
+	l.Request = 0
+	g.timeClient(l, g.now+downstream.ResponseWriteTimeout)
+	g.write(l.ID, data)
 }
 
 // answer writes a query's final answer.
-func (g *Gateway) answer(q *query, l *downstream.Link, data []byte) {
+func (g *Gateway) answer(q *query, l *downstream.Conn, data []byte) {
 	q.client = 0
 	g.lastWords(l, data)
 }
 
 // flushed goes on once an answer is written out: with the next request, or with the end of the link.
-func (g *Gateway) flushed(l *downstream.Link) {
-	if r := g.relays[l.Conn]; r != nil {
+func (g *Gateway) flushed(l *downstream.Conn) {
+	if r := g.relays[l.ID]; r != nil {
 		g.relayFlushed(r)
 		return
 	}
-	if !l.Busy || l.Query != 0 || l.Ended {
+	if !l.Busy || l.Request != 0 || l.Ended {
 		return
 	}
 	l.Busy, l.Since = false, g.now
@@ -310,14 +310,14 @@
 		// could take the answer from the client.
 		l.Ended = true
 		g.unmute(l)
-		g.ask(loop.Effect{Op: loop.Shutdown, Conn: l.Conn})
+		g.ask(loop.Effect{Op: loop.Shutdown, Conn: l.ID})
 		g.timeClient(l, g.lingerUntil())
 		return
 	}
 	g.unmute(l)
-	rest := downstream.IdleAfter
-	if l.Queries == 1 && g.links.TooMany() && g.alone() {
-		rest = downstream.OnceFor // no new process may be left to close it, see Spent
+	rest := downstream.IdleTimeout
+	if l.Requests == 1 && g.links.OverReuseLimit() && g.alone() {
+		rest = downstream.SingleUseIdleTimeout // no new process may be left to close it, see Spent
 	}
 	if !l.Pending() { // else the time of the next request begins, see awaitRest
 		g.timeClient(l, g.now+rest)
@@ -334,10 +334,10 @@
 // between that look and the close, or after it, is read by nobody, and the system resets the connection: that tells the
 // client that it was not taken. To linger here, as after a last answer, would read it and say nothing; and there is no
 // answer to protect, for a client that asks again has read the one before.
-func (g *Gateway) lookAndClose(l *downstream.Link) {
-	l.LastAsk = true
+func (g *Gateway) lookAndClose(l *downstream.Conn) {
+	l.FinalRead = true
 	g.links.Place(l)
-	g.ask(loop.Effect{Op: loop.Read, Conn: l.Conn})
+	g.ask(loop.Effect{Op: loop.Read, Conn: l.ID})
 }
 
 func (g *Gateway) clientTimer(c loop.Conn) {
@@ -354,51 +354,51 @@
 	switch {
 	case l == nil:
 	case l.Ended:
-		g.dropClient(l, EndAnswered)
+		g.dropClient(l, ReasonAnswered)
 	case g.relays[c] != nil && !g.relays[c].busy:
-		g.timeClient(l, g.now+downstream.TakenWithin) // the client has taken all that there is
-	case l.Busy && l.Query == 0:
-		g.dropClient(l, EndClientSlow)
+		g.timeClient(l, g.now+downstream.ResponseWriteTimeout) // the client has taken all that there is
+	case l.Busy && l.Request == 0:
+		g.dropClient(l, ReasonClientTimeout)
 	case l.Upload && !l.Incomplete():
-		g.timeClient(l, g.now+downstream.StreamPause) // it is the host that is waited for
+		g.timeClient(l, g.now+downstream.StreamReadTimeout) // it is the host that is waited for
 	case l.Upload && g.now < g.waitUntil(l):
 		g.timeClient(l, g.waitUntil(l))
 	case l.Upload:
 		g.traceIncomplete(l)
-		g.turnAway(g.queries[l.Query], l, downstream.TooSlow())
+		g.turnAway(g.queries[l.Request], l, downstream.AppendRequestTimeout())
 	case l.Busy:
 	case l.Pending() && g.now < g.waitUntil(l):
 		g.timeClient(l, g.waitUntil(l))
 	case l.Pending():
 		l.Closing = true
 		g.traceIncomplete(l)
-		g.reply(l, downstream.TooSlow())
-	case l.Queries == 1 && !g.closed && !(g.links.TooMany() && g.alone()) && g.now < l.Since+downstream.IdleAfter:
+		g.reply(l, downstream.AppendRequestTimeout())
+	case l.Requests == 1 && !g.closed && !(g.links.OverReuseLimit() && g.alone()) && g.now < l.Since+downstream.IdleTimeout:
 		// There were many links when it came to rest. Others were closed since, and few are no burden; or an upgrade began.
-		g.timeClient(l, l.Since+downstream.IdleAfter)
+		g.timeClient(l, l.Since+downstream.IdleTimeout)
 	default:
 		g.lookAndClose(l)
 	}
 }
 
 // dropClient ends a client link. A query in work on it has lapsed, and its executions end with it.
-func (g *Gateway) dropClient(l *downstream.Link, end End) {
+func (g *Gateway) dropClient(l *downstream.Conn, end TerminationReason) {
 	g.traceClientEnd(l, end)
 	g.checkClose(l, end)
 	g.untimeClient(l)
 	g.links.Remove(l)
-	if r := g.relays[l.Conn]; r != nil {
+	if r := g.relays[l.ID]; r != nil {
 		// Half an answer is out: the client must be able to tell, however it is framed.
 		g.forgetRelay(r, faulted)
 		if !r.parted {
 			g.dropLink(r.server, end)
 		}
-		g.ask(loop.Effect{Op: loop.Abort, Conn: l.Conn})
+		g.ask(loop.Effect{Op: loop.Abort, Conn: l.ID})
 	} else {
-		g.close(l.Conn)
+		g.close(l.ID)
 	}
 	g.resume()
-	if q := g.queries[l.Query]; l.Query != 0 && q != nil && !q.over {
+	if q := g.queries[l.Request]; l.Request != 0 && q != nil && !q.over {
 		g.lapse(q)
 	}
 }
@@ -406,14 +406,14 @@
 // lapse ends a query that gets no answer of the module's any more, and its executions.
 func (g *Gateway) lapse(q *query) {
 	q.over, q.client = true, 0
-	q.rules.Left()
+	q.rules.ClientLeft()
 	delete(g.open, q.ID)
 	g.settle(q.Class.Name, faulted) // the client has left; it may stand under any count
 	g.traceAnswered(q, faulted)
 	g.told = true
-	g.module.Lapsed(g.now, q.id)
+	g.module.RequestAbandoned(g.now, q.id)
 	for _, x := range append([]*execution(nil), q.executions...) {
-		g.endExecution(x, EndClientGone, nil)
+		g.endExecution(x, ReasonClientLeft, nil)
 	}
 	g.forget(q)
 }
--- a/internal/gateway/fromlist.go
+++ b/internal/gateway/fromlist.go
@@ -23,9 +23,9 @@
 
 // openWatch calls discovery where the configuration now has it.
 func (g *Gateway) openWatch() *discovery.Watch {
-	w := discovery.NewWatch(g.pool.NextConn(), g.cfg.Discovery, g.now)
+	w := discovery.NewWatch(g.pool.NextID(), g.cfg.Discovery, g.now)
 	g.ask(loop.Effect{Op: loop.Dial, Conn: w.Conn, Addr: w.Addr, Urgent: true})
-	g.setTimer(timerWatch, uint64(w.Conn), w.Until())
+	g.setTimer(timerWatch, uint64(w.Conn), w.Deadline())
 	return w
 }
 
@@ -65,7 +65,7 @@
 	g.movePacer.Succeeded()
 	g.callNotBefore = 0 // another address asked for that
 	if g.queued != nil {
-		g.dropWatch(g.queued, EndListReplace, nil)
+		g.dropWatch(g.queued, ReasonWatchReplaced, nil)
 	}
 	g.move()
 }
@@ -75,10 +75,10 @@
 func (g *Gateway) move() {
 	g.stopTimer(timerMove, 0)
 	if g.moving != nil {
-		g.dropWatch(g.moving, EndListReplace, nil)
+		g.dropWatch(g.moving, ReasonWatchReplaced, nil)
 	}
 	if g.watch != nil && !g.watch.Started() {
-		g.dropWatch(g.watch, EndListReplace, nil)
+		g.dropWatch(g.watch, ReasonWatchReplaced, nil)
 	}
 	if w := g.openWatch(); g.watch == nil {
 		g.watch = w
@@ -91,13 +91,13 @@
 	switch e.Kind {
 	case loop.Connected:
 		g.write(e.Conn, g.group.Request(w, g.now))
-		g.setTimer(timerWatch, uint64(w.Conn), w.Until())
+		g.setTimer(timerWatch, uint64(w.Conn), w.Deadline())
 	case loop.Readable:
 		g.ask(loop.Effect{Op: loop.Read, Conn: e.Conn})
 	case loop.Data:
 		g.watchData(w, e.Data)
 	case loop.EOF, loop.Broken:
-		g.watchEnds(w, EndListLost, e.Err)
+		g.watchEnds(w, ReasonWatchBroken, e.Err)
 	}
 }
 
@@ -109,7 +109,7 @@
 	broken := false
 	for _, line := range lines {
 		if broken {
-			g.takeDepartures(g.group.Leave(line))
+			g.takeDepartures(g.group.Removals(line))
 			continue
 		}
 		if g.tooOld(w, line) {
@@ -126,21 +126,21 @@
 	}
 	switch {
 	case fault != nil:
-		g.watchEnds(w, EndListGarbled, fault)
+		g.watchEnds(w, ReasonMalformedUpdate, fault)
 	case ended:
-		g.watchEnds(w, EndListLost, nil)
+		g.watchEnds(w, ReasonWatchBroken, nil)
 	case w != g.queued: // one that keeps its place has the time set by callUnanswered
-		g.setTimer(timerWatch, uint64(w.Conn), w.Until())
+		g.setTimer(timerWatch, uint64(w.Conn), w.Deadline())
 	}
 }
 
 // applyLine takes one line of a watch. Of a faulty object it takes who leaves.
 func (g *Gateway) applyLine(w *discovery.Watch, line []byte, first bool) error {
-	var news discovery.News
+	var news discovery.Update
 	switch {
 	case len(line) == 0 || g.olderSince != 0:
 	case w != g.watch && g.group.Outdated(w, line):
-		news = g.group.Leave(line) // what the standing watch has told since must not be taken back
+		news = g.group.Removals(line) // what the standing watch has told since must not be taken back
 	default:
 		var err error
 		if news, err = g.group.Apply(line); err != nil {
@@ -151,9 +151,9 @@
 	if first {
 		g.watchAnswered(w)
 	}
-	kind := balancer.ListDelta
-	if news.Whole {
-		kind = balancer.ListFull
+	kind := balancer.Delta
+	if news.Snapshot {
+		kind = balancer.Snapshot
 	}
 	g.hostsLeft(news.Changed)
 	if g.portion != nil {
@@ -165,22 +165,22 @@
 }
 
 // tellList tells the module news of the list, with starts on this process's clock.
-func (g *Gateway) tellList(kind balancer.ListKind, entries []balancer.Server) {
-	g.starts.Believe(g.now, kind, entries)
-	g.module.List(g.now, kind, entries)
+func (g *Gateway) tellList(kind balancer.EndpointUpdate, entries []balancer.Endpoint) {
+	g.starts.Adjust(g.now, kind, entries)
+	g.module.UpdateEndpoints(g.now, kind, entries)
 }
 
 // watchAnswered makes the call that is answered first the watch in force. A call to a new address goes on beside the old
 // address's watch.
 func (g *Gateway) watchAnswered(w *discovery.Watch) {
 	if g.watch != nil && g.watch != w {
-		g.dropWatch(g.watch, EndListReplace, nil)
+		g.dropWatch(g.watch, ReasonWatchReplaced, nil)
 	}
 	if g.moving != nil && g.moving != w && g.moving.Addr == w.Addr {
-		g.dropWatch(g.moving, EndListReplace, nil)
+		g.dropWatch(g.moving, ReasonWatchReplaced, nil)
 	}
 	if g.queued != nil && g.queued != w {
-		g.dropWatch(g.queued, EndListReplace, nil)
+		g.dropWatch(g.queued, ReasonWatchReplaced, nil)
 	}
 	if w == g.moving {
 		g.moving = nil
@@ -194,12 +194,12 @@
 // given up there costs discovery its turn for nothing: it keeps its place, and another goes out beside it, in case it is
 // lost. It reports whether the call was kept; there is one such place.
 func (g *Gateway) callUnanswered(w *discovery.Watch) bool {
-	if g.pushed() || w.Started() || !w.Up() || g.queued != nil {
+	if g.pushed() || w.Started() || !w.Connected() || g.queued != nil {
 		return false
 	}
 	g.log.Info().Stringer("discovery", w.Addr).Msg("no answer yet, the call keeps its place and another is made")
 	g.queued = w
-	g.setTimer(timerWatch, uint64(w.Conn), g.now+discovery.AbandonAfter)
+	g.setTimer(timerWatch, uint64(w.Conn), g.now+discovery.AbandonTimeout)
 	switch {
 	case w == g.moving:
 		g.moving = nil
@@ -226,7 +226,7 @@
 		return
 	}
 	g.log.Info().Dur("unheard", g.now-g.unheardSince).Msg("new attempts wait for discovery's answer")
-	g.module.Hold(true)
+	g.module.PauseAttempts(true)
 	g.setTimer(timerHold, 0, g.now+mostHold)
 }
 
@@ -237,7 +237,7 @@
 	}
 	g.unheardSince = 0
 	g.stopTimer(timerHold, 0)
-	g.module.Hold(false)
+	g.module.PauseAttempts(false)
 	g.told = true
 }
 
@@ -251,13 +251,13 @@
 }
 
 // watchEnds ends a watch. Where no other is left, the module is told and asks again when it sees fit.
-func (g *Gateway) watchEnds(w *discovery.Watch, end End, err error) {
-	var refusal *discovery.Refusal
+func (g *Gateway) watchEnds(w *discovery.Watch, end TerminationReason, err error) {
+	var refusal *discovery.StatusError
 	if errors.As(err, &refusal) && refusal.RetryAfter > 0 {
 		g.callNotBefore = g.now + refusal.RetryAfter
 	}
 	failure := backoff.Overloaded
-	if !w.Up() {
+	if !w.Connected() {
 		failure = backoff.Unreachable
 	}
 	if !w.Started() {
@@ -276,7 +276,7 @@
 		g.setTimer(timerMove, 0, g.now+moveAgain)
 	case g.watch == nil:
 		g.lost, g.unmet = true, failure == backoff.Unreachable
-		if w.Started() && end != EndListSilent {
+		if w.Started() && end != ReasonWatchSilent {
 			g.unheard()
 		}
 	case moving && g.watch.Addr == g.cfg.Discovery && g.pushed():
@@ -288,7 +288,7 @@
 	}
 }
 
-func (g *Gateway) dropWatch(w *discovery.Watch, end End, err error) {
+func (g *Gateway) dropWatch(w *discovery.Watch, end TerminationReason, err error) {
 	g.log.Info().Stringer("end", end).Stringer("discovery", w.Addr).AnErr("cause", err).Msg("watch")
 	g.stopTimer(timerWatch, uint64(w.Conn))
 	g.close(w.Conn)
--- a/internal/gateway/fromoperators.go
+++ b/internal/gateway/fromoperators.go
@@ -63,19 +63,19 @@
 	}
 }
 
-func (g *Gateway) figures() admin.Figures {
-	f := admin.Figures{Fulfilled: make(map[string]int64), Throttled: make(map[string]int64), Faulted: make(map[string]int64),
-		Relayed: g.relayed, Open: len(g.open), Entries: g.group.Len(), Accepted: g.accepted, Invalid: g.invalid,
-		Ends: make(map[string]uint64), Refusals: make(map[string]uint64), Retries: g.retries,
+func (g *Gateway) figures() admin.Stats {
+	f := admin.Stats{Fulfilled: make(map[string]int64), Throttled: make(map[string]int64), Faulted: make(map[string]int64),
+		Forwarded: g.relayed, Open: len(g.open), Endpoints: g.group.Len(), ConfigsAccepted: g.accepted, ConfigsRejected: g.invalid,
+		Ends: make(map[string]uint64), Rejections: make(map[string]uint64), Retries: g.retries,
 		Violations: g.guard.Counts()}
 	for end, count := range g.ends {
 		if count > 0 {
-			f.Ends[End(end).String()] = count
+			f.Ends[TerminationReason(end).String()] = count
 		}
 	}
 	for reason, count := range g.refusals {
 		if count > 0 {
-			f.Refusals[refusalReason(reason).String()] = count
+			f.Rejections[refusalReason(reason).String()] = count
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(g.tallies)) {
@@ -83,7 +83,7 @@
 		f.Fulfilled[name], f.Throttled[name], f.Faulted[name] = t.fulfilled, t.throttled, t.faulted
 	}
 	if g.module != nil {
-		f.OutOfRotation = g.module.Avoided()
+		f.Unavailable = g.module.UnavailableCount()
 	}
 	return f
 }
@@ -92,7 +92,7 @@
 	switch e.Kind {
 	case loop.Readable:
 		// Few at once: what is accepted holds descriptors before the oldest caller has given way.
-		g.ask(loop.Effect{Op: loop.Accept, Conn: loop.Control, Most: acceptCalls})
+		g.ask(loop.Effect{Op: loop.Accept, Conn: loop.Admin, Most: acceptCalls})
 	case loop.AcceptFailed:
 		g.log.Warn().Err(e.Err).Msg("accept of an operator")
 		g.restListener(e.Conn)
@@ -110,39 +110,39 @@
 	if out := g.ops.Add(c); out != nil {
 		g.dropOperator(out)
 	}
-	g.setTimer(timerOperator, uint64(c), g.now+admin.CallWithin)
+	g.setTimer(timerOperator, uint64(c), g.now+admin.RequestTimeout)
 }
 
-func (g *Gateway) operatorEvent(l *admin.Link, e loop.Event) {
+func (g *Gateway) operatorEvent(l *admin.Conn, e loop.Event) {
 	switch e.Kind {
 	case loop.Readable:
-		g.ask(loop.Effect{Op: loop.Read, Conn: l.Conn})
+		g.ask(loop.Effect{Op: loop.Read, Conn: l.ID})
 	case loop.Data:
 		if l.Answered {
 			return // one call a connection
 		}
 		call, answer := l.Feed(e.Data)
 		switch call {
-		case admin.None:
+		case admin.NoRequest:
 			return
-		case admin.Readiness:
-			answer = admin.Ready(g.ready(), g.unready())
-		case admin.Stats:
-			answer = g.figures().Words()
-		case admin.FleetView:
-			if answer = admin.NoFleet(); g.cfg.Fleet != nil {
-				answer = g.fleetFigures().Words()
+		case admin.ReadinessRequest:
+			answer = admin.AppendReadiness(g.ready(), g.unready())
+		case admin.StatsRequest:
+			answer = g.figures().Encode()
+		case admin.ClusterRequest:
+			if answer = admin.NoCluster(); g.cfg.Gossip != nil {
+				answer = g.fleetFigures().Encode()
 			}
 		}
 		l.Answered = true
-		g.setTimer(timerOperator, uint64(l.Conn), g.now+admin.CallWithin)
-		g.write(l.Conn, answer)
+		g.setTimer(timerOperator, uint64(l.ID), g.now+admin.RequestTimeout)
+		g.write(l.ID, answer)
 	case loop.Flushed:
 		// Only the sending ends: a close with bytes unread would reset the link and could take the answer away.
 		if l.Answered && !l.Ended {
 			l.Ended = true
-			g.ask(loop.Effect{Op: loop.Shutdown, Conn: l.Conn})
-			g.setTimer(timerOperator, uint64(l.Conn), g.now+admin.LingerFor)
+			g.ask(loop.Effect{Op: loop.Shutdown, Conn: l.ID})
+			g.setTimer(timerOperator, uint64(l.ID), g.now+admin.LingerTimeout)
 		}
 	case loop.EOF, loop.Broken:
 		g.dropOperator(l)
@@ -162,8 +162,8 @@
 	return "starting"
 }
 
-func (g *Gateway) dropOperator(l *admin.Link) {
-	g.stopTimer(timerOperator, uint64(l.Conn))
+func (g *Gateway) dropOperator(l *admin.Conn) {
+	g.stopTimer(timerOperator, uint64(l.ID))
 	g.ops.Remove(l)
-	g.close(l.Conn)
+	g.close(l.ID)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -44,7 +44,7 @@
 // The budget of descriptors: a few are the program's own, the rest is shared out, so that neither a crowd of
 // clients nor slow hosts can take what the other side needs.
 const (
-	ownSockets  = 20 + admin.MostLinks
+	ownSockets  = 20 + admin.MaxConns
 	clientShare = 0.65
 )
 
@@ -56,7 +56,7 @@
 
 // query is a request that this gateway has taken.
 type query struct {
-	downstream.Query
+	downstream.Request
 	id         balancer.RequestID
 	client     loop.Conn // 0 once the client is gone
 	deadline   time.Duration
@@ -72,8 +72,8 @@
 	query  *query
 	number int
 	id     uint64
-	host   balancer.ServerID
-	link   *upstream.Link
+	host   balancer.EndpointID
+	link   *upstream.Conn
 	began  time.Duration
 	until  time.Duration // awaited until then
 	// written is its number among the attempts of which something was written, unwritten before.
@@ -83,8 +83,8 @@
 // pendingEnd is an end that the module is told once it has returned.
 type pendingEnd struct {
 	exec   *execution
-	end    End
-	answer *upstream.Answer
+	end    TerminationReason
+	answer *upstream.Response
 }
 
 // notice is news of an upload that the module is told once it has returned, before the ends.
@@ -124,12 +124,12 @@
 	ends     [endKinds]uint64    // of attempts and of client connections, by reason
 	refusals [refusalReasons]uint64
 	retries  uint64 // attempts beyond a request's first
-	guard    invariant.Guard
-	starts   starttime.Starts // of hosts, on this process's clock
+	guard    invariant.Checker
+	starts   starttime.StartTimes // of hosts, on this process's clock
 
-	elder      *hotrestart.Link // the process that served before, while it lives
+	elder      *hotrestart.Conn // the process that served before, while it lives
 	elderHolds int              // descriptors that it needs
-	heir       *hotrestart.Link // the process that comes next
+	heir       *hotrestart.Conn // the process that comes next
 	heirGiven  bool             // it has the listening socket
 	heirTakes  bool             // it takes clients: this one accepts none
 	restless   bool             // a client link may have come to rest since links were passed last
@@ -141,22 +141,22 @@
 	portion *portion // nil where the fleet divides nothing
 	reading []string // files asked for and not yet read
 
-	ops       admin.Links
+	ops       admin.Conns
 	listening bool // clients can connect
 
-	links  *downstream.Links
+	links  *downstream.Conns
 	pool   *upstream.Pool
-	group  *discovery.Group
+	group  *discovery.Endpoints
 	watch  *discovery.Watch
 	moving *discovery.Watch // asks discovery's new address while the old watch stands
 	queued *discovery.Watch // an older call that may still wait in discovery's queue beside a younger one
 	lost   bool             // the watch ended; the module is told once it has returned
 	unmet  bool             // with lost: its connection never came up
 
-	callNotBefore time.Duration // discovery has asked for no call until then
-	unheardSince  time.Duration // the watch ended then, and no call since has been answered or failed; 0 otherwise
-	movePacer     backoff.Pacer // of the calls to a new address
-	draws         *rand.Rand    // of the gateway itself; the module has its own
+	callNotBefore time.Duration   // discovery has asked for no call until then
+	unheardSince  time.Duration   // the watch ended then, and no call since has been answered or failed; 0 otherwise
+	movePacer     backoff.Backoff // of the calls to a new address
+	draws         *rand.Rand      // of the gateway itself; the module has its own
 
 	olderSince time.Duration // the agent has had an older list than this gateway since then; 0 if it has not
 
@@ -175,9 +175,9 @@
 		former: make(map[string]formerly), tallies: make(map[string]*tally),
 		relays: make(map[loop.Conn]*relay),
 		byLink: make(map[loop.Conn]*execution), byID: make(map[uint64]*execution),
-		links: downstream.NewLinks(0), pool: upstream.NewPool(0),
-		group:     discovery.New(cfg.Settings.Gateway.Zones),
-		movePacer: backoff.Pacer{First: moveAgain},
+		links: downstream.NewConns(0), pool: upstream.NewPool(0),
+		group:     discovery.NewEndpoints(cfg.Settings.Gateway.Zones),
+		movePacer: backoff.Backoff{Initial: moveAgain},
 		draws:     rand.New(rand.NewPCG(cfg.Seed, drawStream)),
 	}
 	g.guard.Report = g.traceViolation
@@ -247,8 +247,8 @@
 		g.places = append(g.places, i)
 	}
 	g.countClasses()
-	if g.cfg.Control.IsValid() {
-		g.ask(loop.Effect{Op: loop.Listen, Conn: loop.Control, Addr: g.cfg.Control, Urgent: true})
+	if g.cfg.Admin.IsValid() {
+		g.ask(loop.Effect{Op: loop.Listen, Conn: loop.Admin, Addr: g.cfg.Admin, Urgent: true})
 	}
 	g.resize()
 	g.told = true
@@ -256,24 +256,24 @@
 		defer g.move()
 	}
 	defer g.meet()
-	if len(g.cfg.Known) == 0 {
-		g.module.List(g.now, balancer.ListCached, nil)
+	if len(g.cfg.CachedEndpoints) == 0 {
+		g.module.UpdateEndpoints(g.now, balancer.CachedSnapshot, nil)
 		return
 	}
-	news, err := g.group.Apply(g.cfg.Known)
+	news, err := g.group.Apply(g.cfg.CachedEndpoints)
 	if err != nil {
 		g.log.Error().Err(err).Msg("the known list is not usable")
 	}
-	g.tellList(balancer.ListCached, news.Entries)
+	g.tellList(balancer.CachedSnapshot, news.Entries)
 }
 
 // socket hands the news of a socket to the peer that it belongs to. A socket that no peer knows was closed.
 func (g *Gateway) socket(e loop.Event) {
 	switch {
-	case e.Kind == loop.Accepted && e.Via == loop.Control:
+	case e.Kind == loop.Accepted && e.Via == loop.Admin:
 		g.operatorCame(e.Conn)
 		return
-	case e.Kind == loop.Accepted && e.Via == loop.Handover:
+	case e.Kind == loop.Accepted && e.Via == loop.HotRestart:
 		g.newcomerCame(e.Conn)
 		return
 	case e.Kind == loop.Accepted:
@@ -282,26 +282,26 @@
 	case e.Conn == loop.Listener && e.Kind == loop.Broken && g.elder != nil:
 		g.loseElder(e.Err.Error())
 		return
-	case (e.Conn == loop.Listener || e.Conn == loop.Control) && e.Kind == loop.Broken:
+	case (e.Conn == loop.Listener || e.Conn == loop.Admin) && e.Kind == loop.Broken:
 		g.log.Error().Err(e.Err).Msg("listen")
 		g.ask(loop.Effect{Op: loop.Exit, Failed: e.Err})
 		return
 	case e.Conn == loop.Listener:
 		g.listener(e)
 		return
-	case e.Conn == loop.Control:
+	case e.Conn == loop.Admin:
 		g.controlListener(e)
 		return
-	case e.Conn == loop.Handover:
+	case e.Conn == loop.HotRestart:
 		g.handoverListener(e)
 		return
-	case e.Conn == loop.Fleet:
+	case e.Conn == loop.Gossip:
 		g.fleetEvent(e)
 		return
-	case g.elder != nil && e.Conn == g.elder.Conn:
+	case g.elder != nil && e.Conn == g.elder.ID:
 		g.elderEvent(e)
 		return
-	case g.heir != nil && e.Conn == g.heir.Conn:
+	case g.heir != nil && e.Conn == g.heir.ID:
 		g.hear(&g.heir, e, g.heirSays, g.loseHeir)
 		return
 	}
@@ -332,7 +332,7 @@
 	switch t.Kind {
 	case timerWake:
 		g.told = true
-		g.module.Timer(g.now, uint32(t.ID))
+		g.module.TimerFired(g.now, uint32(t.ID))
 		g.lookAround()
 	case timerClient:
 		g.clientTimer(loop.Conn(t.ID))
@@ -340,7 +340,7 @@
 		if r := g.relays[loop.Conn(t.ID)]; r != nil {
 			g.relayTimer(r)
 		} else if l := g.pool.Find(loop.Conn(t.ID)); l != nil && l.Phase == upstream.Idle {
-			g.dropLink(l, EndLinkIdle)
+			g.dropLink(l, ReasonIdleTimeout)
 		}
 	case timerExecution:
 		g.executionTimer(t.ID)
@@ -355,7 +355,7 @@
 	case timerCall:
 		if g.watch == nil && g.moving == nil {
 			g.watch = g.openWatch()
-			g.module.Called(g.now)
+			g.module.WatchStarted(g.now)
 		}
 	case timerHold:
 		g.holdDue()
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -20,13 +20,13 @@
 
 // meet asks for what a process of this gateway that serves already has to give.
 func (g *Gateway) meet() {
-	if g.cfg.Handover == "" {
+	if g.cfg.HotRestartDir == "" {
 		g.listen()
 		return
 	}
-	g.elder = &hotrestart.Link{Conn: g.pool.NextConn()}
-	g.setTimer(timerElder, 0, g.now+hotrestart.AnswerWithin)
-	g.ask(loop.Effect{Op: loop.Dial, Conn: g.elder.Conn, Path: g.cfg.Handover, Urgent: true})
+	g.elder = &hotrestart.Conn{ID: g.pool.NextID()}
+	g.setTimer(timerElder, 0, g.now+hotrestart.AnswerTimeout)
+	g.ask(loop.Effect{Op: loop.Dial, Conn: g.elder.ID, Path: g.cfg.HotRestartDir, Urgent: true})
 }
 
 // listen opens a listening socket of this process's own.
@@ -36,8 +36,8 @@
 
 // offer takes the place at which the next process of this gateway asks.
 func (g *Gateway) offer() {
-	if g.cfg.Handover != "" {
-		g.ask(loop.Effect{Op: loop.Listen, Conn: loop.Handover, Path: g.cfg.Handover, Urgent: true})
+	if g.cfg.HotRestartDir != "" {
+		g.ask(loop.Effect{Op: loop.Listen, Conn: loop.HotRestart, Path: g.cfg.HotRestartDir, Urgent: true})
 	}
 }
 
@@ -53,9 +53,9 @@
 }
 
 // say sends a message, with sockets beside it.
-func (g *Gateway) say(l *hotrestart.Link, m hotrestart.Message, give []loop.Conn) {
+func (g *Gateway) say(l *hotrestart.Conn, m hotrestart.Message, give []loop.Conn) {
 	m.Passed = len(give)
-	data, err := m.Words()
+	data, err := m.Encode()
 	if err != nil {
 		g.log.Error().Err(err).Msg("hand-over")
 		if l == g.heir {
@@ -67,7 +67,7 @@
 	if len(give) > 0 {
 		op = loop.Pass
 	}
-	g.ask(loop.Effect{Op: op, Conn: l.Conn, Data: data, Give: give})
+	g.ask(loop.Effect{Op: op, Conn: l.ID, Data: data, Give: give})
 }
 
 // ---- the newcomer's side --------------------------------------------------------------------------------
@@ -81,7 +81,7 @@
 }
 
 // hear takes the news of the link to the other process, until it is lost.
-func (g *Gateway) hear(link **hotrestart.Link, e loop.Event, says func(hotrestart.Message), lose func(why string)) {
+func (g *Gateway) hear(link **hotrestart.Conn, e loop.Event, says func(hotrestart.Message), lose func(why string)) {
 	switch e.Kind {
 	case loop.Readable:
 		g.ask(loop.Effect{Op: loop.Read, Conn: e.Conn})
@@ -111,23 +111,23 @@
 		g.stopTimer(timerElder, 0)
 		g.inherit(m)
 		g.ask(loop.Effect{Op: loop.Adopt, Conn: m.Conns[0], As: loop.Listener})
-	case hotrestart.Links:
+	case hotrestart.PassConns:
 		for i, c := range m.Conns {
-			note := m.Links[i]
+			note := m.Idle[i]
 			idle := time.Duration(note.IdleMS) * time.Millisecond
 			l := g.links.Add(c, g.now-idle)
-			l.Asked, l.Queries = note.Asked, note.Queries
+			l.HasRequested, l.Requests = note.HasRequested, note.Requests
 			g.links.Place(l)
-			left := downstream.IdleAfter - idle
-			if !l.Asked {
-				left = downstream.WholeWithin - idle
+			left := downstream.IdleTimeout - idle
+			if !l.HasRequested {
+				left = downstream.RequestReadTimeout - idle
 			}
 			g.timeClient(l, g.now+max(left, 0))
 			g.ask(loop.Effect{Op: loop.Unmute, Conn: c})
 		}
-		g.elderHolds = m.Holds
+		g.elderHolds = m.Descriptors
 		g.resize()
-		g.say(g.elder, hotrestart.Message{Kind: hotrestart.Got}, nil)
+		g.say(g.elder, hotrestart.Message{Kind: hotrestart.Acknowledge}, nil)
 	default:
 		g.loseElder("it says " + string(m.Kind) + ": " + m.Reason)
 	}
@@ -138,12 +138,12 @@
 	if len(m.List) > 0 && (g.watch == nil || !g.watch.Started()) {
 		g.inheritList(m.List)
 	}
-	if m.Learned != nil {
-		g.module.Learn(g.now, *m.Learned)
+	if m.Balancer != nil {
+		g.module.Restore(g.now, *m.Balancer)
 	}
 	g.told = true
 	g.fleet.start, g.fleet.again = m.FleetStart, m.FleetIncarnation
-	g.elderHolds = m.Holds
+	g.elderHolds = m.Descriptors
 	g.resize()
 }
 
@@ -159,7 +159,7 @@
 		return
 	}
 	g.hostsLeft(news.Changed)
-	g.tellList(balancer.ListCached, news.Entries)
+	g.tellList(balancer.CachedSnapshot, news.Entries)
 }
 
 // loseElder ends what is between this process and its elder: the elder has gone, or cannot hand over.
@@ -169,7 +169,7 @@
 	for _, c := range g.elder.Unclaimed() {
 		g.close(c)
 	}
-	g.close(g.elder.Conn)
+	g.close(g.elder.ID)
 	g.elder, g.elderHolds = nil, 0
 	g.resize()
 	if !g.listening && !g.stopping {
@@ -182,7 +182,7 @@
 func (g *Gateway) handoverListener(e loop.Event) {
 	switch e.Kind {
 	case loop.Readable:
-		g.ask(loop.Effect{Op: loop.Accept, Conn: loop.Handover, Most: 1})
+		g.ask(loop.Effect{Op: loop.Accept, Conn: loop.HotRestart, Most: 1})
 	case loop.AcceptFailed:
 		g.log.Warn().Err(e.Err).Msg("accept of the next process")
 		g.restListener(e.Conn)
@@ -197,21 +197,21 @@
 		g.close(c)
 		return
 	}
-	g.heir = &hotrestart.Link{Conn: c}
-	g.setTimer(timerHeir, 0, g.now+hotrestart.TakeWithin)
+	g.heir = &hotrestart.Conn{ID: c}
+	g.setTimer(timerHeir, 0, g.now+hotrestart.TakeoverTimeout)
 }
 
 func (g *Gateway) heirSays(m hotrestart.Message) {
 	switch m.Kind {
 	case hotrestart.Hello:
 		if m.Listen != g.cfg.Listen.String() || !g.listening || g.closed || g.heirTakes {
-			g.say(g.heir, hotrestart.Message{Kind: hotrestart.Bye, Reason: "no listening socket for " + m.Listen}, nil)
+			g.say(g.heir, hotrestart.Message{Kind: hotrestart.Decline, Reason: "no listening socket for " + m.Listen}, nil)
 			return
 		}
-		learned := g.module.Learned(g.now)
+		learned := g.module.State(g.now)
 		g.heirGiven = true
 		g.resize()
-		state := hotrestart.Message{Kind: hotrestart.State, List: g.group.Words(), Learned: &learned, Holds: g.holds()}
+		state := hotrestart.Message{Kind: hotrestart.State, List: g.group.Encode(), Balancer: &learned, Descriptors: g.holds()}
 		if g.fleet.view != nil {
 			state.FleetStart, state.FleetIncarnation = g.fleet.view.Identity()
 		}
@@ -226,14 +226,14 @@
 		g.log.Info().Msg("the next process takes clients")
 		g.heirTakes, g.restless = true, true
 		g.quitFleet(false)
-		g.close(loop.Handover)
+		g.close(loop.HotRestart)
 		g.ask(loop.Effect{Op: loop.Mute, Conn: loop.Listener})
-		g.module.Yield(g.now, true)
+		g.module.YieldSlowStart(g.now, true)
 		g.resize()
 		if g.stopping {
 			g.closeListener()
 		}
-	case hotrestart.Got:
+	case hotrestart.Acknowledge:
 		g.stopTimer(timerHeir, 0)
 		g.passing, g.restless = nil, true
 	default:
@@ -248,25 +248,25 @@
 		return
 	}
 	g.restless = false
-	var notes []hotrestart.Idle
+	var notes []hotrestart.IdleConn
 	for _, l := range g.links.InOrder() {
-		if l.Busy || l.Ended || l.Muted || l.LastAsk || l.Pending() {
+		if l.Busy || l.Ended || l.Muted || l.FinalRead || l.Pending() {
 			continue
 		}
 		if len(notes) == hotrestart.Batch {
 			g.restless = true
 			break
 		}
-		notes = append(notes, hotrestart.Idle{Asked: l.Asked, Queries: l.Queries, IdleMS: (g.now - l.Since).Milliseconds()})
-		g.passing = append(g.passing, l.Conn)
+		notes = append(notes, hotrestart.IdleConn{HasRequested: l.HasRequested, Requests: l.Requests, IdleMS: (g.now - l.Since).Milliseconds()})
+		g.passing = append(g.passing, l.ID)
 		g.untimeClient(l)
 		g.links.Remove(l)
 	}
 	g.resize()
 	if holds := g.holds(); len(notes) > 0 || holds != g.toldHolds {
 		g.toldHolds = holds
-		g.setTimer(timerHeir, 0, g.now+hotrestart.TakeWithin)
-		g.say(g.heir, hotrestart.Message{Kind: hotrestart.Links, Links: notes, Holds: holds}, g.passing)
+		g.setTimer(timerHeir, 0, g.now+hotrestart.TakeoverTimeout)
+		g.say(g.heir, hotrestart.Message{Kind: hotrestart.PassConns, Idle: notes, Descriptors: holds}, g.passing)
 	}
 }
 
@@ -277,14 +277,14 @@
 	for _, c := range g.passing {
 		g.close(c) // those that were not passed after all
 	}
-	g.close(g.heir.Conn)
+	g.close(g.heir.ID)
 	took := g.heirTakes
 	g.heir, g.passing, g.heirGiven, g.heirTakes, g.restless, g.toldHolds = nil, nil, false, false, false, 0
 	g.resize()
 	if !took {
 		return
 	}
-	g.module.Yield(g.now, false)
+	g.module.YieldSlowStart(g.now, false)
 	g.told = true
 	g.joinFleet()
 	if g.stopping {
@@ -306,7 +306,7 @@
 // holds is how many descriptors of the limit this process and the one before it need: those in use, and those that it may still
 // take without the other process hearing of it.
 func (g *Gateway) holds() int {
-	return ownSockets + max(len(g.links.ByConn), g.links.Most) + g.pool.Most() + g.elderHolds
+	return ownSockets + max(len(g.links.ByConn), g.links.Max) + g.pool.Max() + g.elderHolds
 }
 
 // resize divides the limits between the two processes of an upgrade: until the new one takes clients each has half, then
@@ -339,7 +339,7 @@
 	}
 	sockets = max(sockets-ownSockets, 2*spareLinks)
 	inbound := int(float64(sockets) * clientShare)
-	g.links.Most, g.links.Many = inbound, g.cfg.Limits.Sockets/manyShare
+	g.links.Max, g.links.ReuseLimit = inbound, g.cfg.Limits.Sockets/manyShare
 	outbound := sockets - inbound
 	if g.elder != nil {
 		outbound = max(spareLinks, sockets-max(inbound, len(g.links.ByConn)))
@@ -351,13 +351,13 @@
 // all else is the new process's, which has clients that wait.
 func (g *Gateway) shrink() {
 	held := len(g.links.ByConn)
-	g.links.Most = held
+	g.links.Max = held
 	g.pool.Resize(min(g.pool.Budget(), held+spareLinks))
 }
 
 // closeSurplus closes the idle links to hosts beyond the budget: their descriptors are the other process's.
 func (g *Gateway) closeSurplus() {
 	for _, l := range g.pool.Surplus() {
-		g.dropLink(l, EndLinkIdle)
+		g.dropLink(l, ReasonIdleTimeout)
 	}
 }
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -30,15 +30,15 @@
 			entries[i] = strings.Replace(entry(i+1, "up", 1_700_000_000_000), "s-", long, 1)
 		}
 		r := newRig(t, "subscribe", object(1, true, entries...))
-		learned := r.g.module.Learned(r.now)
-		for i := range learned.Servers {
-			s := &learned.Servers[i]
-			s.Limit, s.Gain, s.BaseMS, s.ServiceMS, s.FailShare, s.ColdTokens = math.Pi, math.Pi, math.Pi, math.Pi, 1/math.Pi, -math.Pi
-			s.Answers, s.Ejections, s.TrialIn = 1<<40, 1<<20, 1<<40
+		learned := r.g.module.State(r.now)
+		for i := range learned.Endpoints {
+			s := &learned.Endpoints[i]
+			s.Limit, s.Gain, s.UncrowdedMS, s.ServiceMS, s.FailureRate, s.SlowStartTokens = math.Pi, math.Pi, math.Pi, math.Pi, 1/math.Pi, -math.Pi
+			s.Answers, s.Ejections, s.ProbeIn = 1<<40, 1<<20, 1<<40
 		}
-		m := stateMessage(string(r.g.group.Words()))
-		m.Learned = &learned
-		words, err := m.Words()
+		m := stateMessage(string(r.g.group.Encode()))
+		m.Balancer = &learned
+		words, err := m.Encode()
 		if err != nil {
 			t.Fatalf("%d hosts: %v", hosts, err)
 		}
@@ -54,7 +54,7 @@
 // What is too long to be handed over is logged with its size, and the elder goes on alone.
 func TestTooMuchToHandOver(t *testing.T) {
 	r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
-	r.g.heir = &hotrestart.Link{Conn: 5}
+	r.g.heir = &hotrestart.Conn{ID: 5}
 	m := stateMessage(`"` + strings.Repeat("x", 17<<20) + `"`)
 	r.g.say(r.g.heir, m, nil)
 	if r.g.heir != nil || !strings.Contains(r.log.String(), "a hand-over message of 17") {
--- a/internal/gateway/pushed.go
+++ b/internal/gateway/pushed.go
@@ -16,7 +16,7 @@
 const olderFor = 30 * time.Second
 
 // pushed reports whether lists come unasked.
-func (g *Gateway) pushed() bool { return !g.cfg.Settings.Config.AskForList }
+func (g *Gateway) pushed() bool { return !g.cfg.Settings.Config.PollDiscovery }
 
 // watchSilent deals with a watch that has missed its beat. An agent's silence is no news: it has heard nothing itself,
 // the list stays in force and the watch stays open. Lest it is the watch that is dead, the agent is asked once more
@@ -26,7 +26,7 @@
 		return
 	}
 	if !g.pushed() || w != g.watch || !w.Started() {
-		g.watchEnds(w, EndListSilent, nil)
+		g.watchEnds(w, ReasonWatchSilent, nil)
 		return
 	}
 	if g.moving == nil {
@@ -52,7 +52,7 @@
 			g.log.Warn().Stringer("discovery", w.Addr).Msg("the agent has an older list, passed over")
 			g.olderSince = g.now
 		}
-		g.takeDepartures(g.group.Leave(line))
+		g.takeDepartures(g.group.Removals(line))
 	}
 	if g.olderSince == 0 || g.now-g.olderSince < olderFor {
 		return false
@@ -60,15 +60,15 @@
 	g.log.Warn().Stringer("discovery", w.Addr).Dur("for", g.now-g.olderSince).Msg("the agent's numbers began anew")
 	g.olderSince = 0
 	g.group.Renumber()
-	g.watchEnds(w, EndListReplace, nil)
+	g.watchEnds(w, ReasonWatchReplaced, nil)
 	return true
 }
 
 // takeDepartures has hosts leave of which a line says so that is not taken otherwise: what the agent has counts as told.
-func (g *Gateway) takeDepartures(news discovery.News) {
+func (g *Gateway) takeDepartures(news discovery.Update) {
 	if len(news.Entries) > 0 {
 		g.hostsLeft(news.Changed)
 		g.told = true
-		g.tellList(balancer.ListDelta, news.Entries)
+		g.tellList(balancer.Delta, news.Entries)
 	}
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -19,8 +19,8 @@
 // relay is a large answer on its way from a host to a client, one piece at a time. For the module the attempt has
 // ended.
 type relay struct {
-	client *downstream.Link
-	server *upstream.Link
+	client *downstream.Conn
+	server *upstream.Conn
 	id     string // the client's, of the query
 	began  time.Duration
 	length int64 // of the answer; -1 where it is not stated
@@ -37,10 +37,10 @@
 
 // large takes a host's answer that is too large to be held. A 200 is passed on as it comes; of others only the head
 // matters.
-func (g *Gateway) large(x *execution, a *upstream.Answer) {
+func (g *Gateway) large(x *execution, a *upstream.Response) {
 	q, l := x.query, x.link
 	c := g.links.ByConn[q.client]
-	if a.Status != 200 || q.over || c == nil || !g.guard.Answer(&q.rules) {
+	if a.Status != 200 || q.over || c == nil || !g.guard.AllowAnswer(&q.rules) {
 		g.answered(x, a)
 		return
 	}
@@ -52,16 +52,16 @@
 		keep, c.Closing = false, true
 	}
 	r := &relay{client: c, server: l, id: q.ID, began: g.now, length: length, class: q.Class.Name, chunks: chunks, reuse: reuse}
-	g.relays[c.Conn], g.relays[l.Conn] = r, r
+	g.relays[c.ID], g.relays[l.ID] = r, r
 	g.unbind(x)
 	l.Phase = upstream.Relaying
-	q.over, q.client, c.Query = true, 0, 0
-	g.endExecution(x, EndServed, a)
+	q.over, q.client, c.Request = true, 0, 0
+	g.endExecution(x, ReasonServed, a)
 	g.forget(q)
-	g.write(c.Conn, http1.AppendResponseHead(nil, 200, a.Passed(), length, q.Message.Minor, keep))
+	g.write(c.ID, http1.AppendResponseHead(nil, 200, a.Forwarded(), length, q.Message.Minor, keep))
 	r.busy = true
-	g.timeClient(c, g.now+downstream.TakenWithin)
-	g.setTimer(timerLink, uint64(l.Conn), g.now+standsFor)
+	g.timeClient(c, g.now+downstream.ResponseWriteTimeout)
+	g.setTimer(timerLink, uint64(l.ID), g.now+standsFor)
 }
 
 // relayEvent takes the news of the host's side.
@@ -88,14 +88,14 @@
 	case loop.EOF:
 		if !r.server.EndsByClose() && !r.server.Complete() {
 			g.traceCut(r, "its host ended it", nil)
-			g.dropClient(r.client, EndCut)
+			g.dropClient(r.client, ReasonReset)
 			return
 		}
 		g.part(r)
 	case loop.Broken:
 		if !r.server.Complete() { // with no length, a reset is no end
 			g.traceCut(r, "its connection broke", e.Err)
-			g.dropClient(r.client, EndCut)
+			g.dropClient(r.client, ReasonReset)
 			return
 		}
 		g.part(r)
@@ -110,8 +110,8 @@
 // part ends the host's side of an answer that has been read to its end. What is left of it goes to the client as that takes it.
 func (g *Gateway) part(r *relay) {
 	r.parted, r.reuse = true, false
-	delete(g.relays, r.server.Conn)
-	g.dropLink(r.server, EndServed)
+	delete(g.relays, r.server.ID)
+	g.dropLink(r.server, ReasonServed)
 	g.pumpRelay(r)
 }
 
@@ -124,7 +124,7 @@
 	g.taken(r)
 	if err != nil {
 		g.log.Debug().Err(err).Msg("answer of a host")
-		g.dropClient(r.client, EndGarbled)
+		g.dropClient(r.client, ReasonMalformedResponse)
 		return
 	}
 	done = done || r.parted // what is read to its end without a length has no other
@@ -147,17 +147,17 @@
 		return
 	}
 	r.busy = true
-	g.timeClient(r.client, g.now+downstream.TakenWithin)
-	g.write(r.client.Conn, data)
+	g.timeClient(r.client, g.now+downstream.ResponseWriteTimeout)
+	g.write(r.client.ID, data)
 }
 
 // relayFlushed goes on once a piece is written out, or ends the answer with the last one.
 func (g *Gateway) relayFlushed(r *relay) {
 	r.busy = false
 	if !r.done {
-		if g.pumpRelay(r); r.muted && (!r.busy || g.mayReadAhead(r)) && g.relays[r.server.Conn] == r {
+		if g.pumpRelay(r); r.muted && (!r.busy || g.mayReadAhead(r)) && g.relays[r.server.ID] == r {
 			r.muted = false
-			g.ask(loop.Effect{Op: loop.Unmute, Conn: r.server.Conn})
+			g.ask(loop.Effect{Op: loop.Unmute, Conn: r.server.ID})
 		}
 		return
 	}
@@ -168,19 +168,19 @@
 		return
 	}
 	if r.muted {
-		g.ask(loop.Effect{Op: loop.Unmute, Conn: l.Conn})
+		g.ask(loop.Effect{Op: loop.Unmute, Conn: l.ID})
 	}
 	if r.reuse && l.Clean() && g.mayRest(l) {
 		g.rest(l)
 	} else {
-		g.dropLink(l, EndServed)
+		g.dropLink(l, ReasonServed)
 	}
 	g.flushed(c)
 }
 
 func (g *Gateway) forgetRelay(r *relay, how result) {
-	delete(g.relays, r.client.Conn)
-	delete(g.relays, r.server.Conn)
+	delete(g.relays, r.client.ID)
+	delete(g.relays, r.server.ID)
 	delete(g.open, r.id)
 	g.taken(r)
 	g.settle(r.class, how)
@@ -189,8 +189,8 @@
 // relayTimer bounds how long a host may send nothing while it may.
 func (g *Gateway) relayTimer(r *relay) {
 	if r.busy || r.muted {
-		g.setTimer(timerLink, uint64(r.server.Conn), g.now+standsFor)
+		g.setTimer(timerLink, uint64(r.server.ID), g.now+standsFor)
 		return
 	}
-	g.dropClient(r.client, EndTimedOut)
+	g.dropClient(r.client, ReasonResponseTimeout)
 }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -24,8 +24,8 @@
 // readFiles asks for the files that a reload takes anew. They come in the order in which they were asked for.
 func (g *Gateway) readFiles() {
 	paths := []string{g.cfg.Path}
-	if g.cfg.FleetPath != "" {
-		paths = append(paths, g.cfg.FleetPath)
+	if g.cfg.GossipPath != "" {
+		paths = append(paths, g.cfg.GossipPath)
 	}
 	for _, path := range paths {
 		g.reading = append(g.reading, path)
@@ -35,7 +35,7 @@
 
 func (g *Gateway) fileRead(e loop.Event) {
 	path := g.reading[0]
-	if g.reading = g.reading[1:]; path == g.cfg.FleetPath {
+	if g.reading = g.reading[1:]; path == g.cfg.GossipPath {
 		g.reloadFleet(e.Data, e.Err)
 		return
 	}
@@ -51,7 +51,7 @@
 	}
 	for i, old := range g.cfg.Settings.Config.Classes {
 		for _, c := range fresh.Config.Classes {
-			if c.Name == old.Name && c.Effect != old.Effect {
+			if c.Name == old.Name && c.Idempotency != old.Idempotency {
 				g.former[c.Name] = formerly{class: old, place: g.places[i], until: g.now + formerFor}
 			}
 		}
@@ -77,11 +77,11 @@
 		if c.Name != name {
 			continue
 		}
-		found := downstream.Class{Name: name, Place: g.places[i], Method: downstream.MethodOf(c.Effect), Rules: c}
-		if f, ok := g.former[name]; ok && g.now < f.until && method == downstream.MethodOf(f.class.Effect) && method != found.Method {
+		found := downstream.Class{Name: name, Index: g.places[i], Method: downstream.MethodOf(c.Idempotency), Class: c}
+		if f, ok := g.former[name]; ok && g.now < f.until && method == downstream.MethodOf(f.class.Idempotency) && method != found.Method {
 			found.Method = method
-			if f.class.Effect > c.Effect {
-				found.Place, found.Rules = f.place, f.class
+			if f.class.Idempotency > c.Idempotency {
+				found.Index, found.Class = f.place, f.class
 			}
 		}
 		return found, true
--- a/internal/gateway/shares.go
+++ b/internal/gateway/shares.go
@@ -33,14 +33,14 @@
 
 // portion is this gateway's portion of the fleet's hosts.
 type portion struct {
-	file   *gossipconfig.Shares
+	file   *gossipconfig.Assignment
 	rule   tokenschedule.Rule
 	rate   float64 // requests a second of a warm host, for turns
 	mark   uint32  // of what turns rest on
-	keeper *assignment.Keeper
+	keeper *assignment.Tracker
 	owners *tokenschedule.Owners
-	holder *tokenschedule.Holder
-	teller loadreport.Teller
+	holder *tokenschedule.Taker
+	teller loadreport.Reporter
 
 	version  uint64 // of the view at the last look
 	settled  bool
@@ -49,53 +49,53 @@
 
 	agreed time.Duration // since then most of the living have the same mark; 0 if they have not
 	cold   []coldHost    // of which this gateway may own turns
-	given  []balancer.FleetServer
+	given  []balancer.AssignedEndpoint
 	taken  uint64 // turns
 	logged time.Duration
 }
 
 // coldHost is one that warms up. Nothing of it is this gateway's before next.
 type coldHost struct {
-	tokenschedule.Host
+	tokenschedule.Endpoint
 	next time.Duration
 }
 
-// Portion is what this gateway goes by now, or nil where the fleet divides nothing. The laboratory holds it against the others'.
-func (g *Gateway) Portion() *assignment.Keeper {
+// AssignmentTracker is what this gateway goes by now, or nil where the fleet divides nothing. The laboratory holds it against the others'.
+func (g *Gateway) AssignmentTracker() *assignment.Tracker {
 	if g.portion == nil {
 		return nil
 	}
 	return g.portion.keeper
 }
 
-// Knows tells the laboratory whether this gateway uses a host, whether it has ejected it itself, and whether others have it doubt it.
-func (g *Gateway) Knows(id balancer.ServerID) (bad, doubted, uses bool) {
+// EndpointKnowledge tells the laboratory whether this gateway uses a host, whether it has ejected it itself, and whether others have it doubt it.
+func (g *Gateway) EndpointKnowledge(id balancer.EndpointID) (bad, doubted, uses bool) {
 	if g.portion == nil {
 		return false, false, false
 	}
 	for _, s := range g.portion.given {
-		if s.ID == id && s.Part > 0 {
-			doubted, uses = s.Doubted, true
+		if s.ID == id && s.Share > 0 {
+			doubted, uses = s.SuspectedByPeers, true
 		}
 	}
-	return slices.Contains(g.module.Told(g.now).Bad, id), doubted, uses
+	return slices.Contains(g.module.LoadReport(g.now).Ejected, id), doubted, uses
 }
 
 // takePortion begins to go by the fleet, as a view is begun. Until that has settled parts follow from count and number, and cold
 // hosts get nothing from here.
 func (g *Gateway) takePortion() {
-	f := g.cfg.Fleet
-	if f.Shares == nil {
+	f := g.cfg.Gossip
+	if f.Assignment == nil {
 		return
 	}
 	c := &g.cfg.Settings.Config
-	p := &portion{file: f.Shares, rate: f.Shares.WarmRate,
-		rule: tokenschedule.Rule{From: c.ColdFrom, Warm: c.WarmAfter, Multiple: c.FallMultiple, Window: c.OverloadFor, Skew: f.Shares.Skew}}
+	p := &portion{file: f.Assignment, rate: f.Assignment.WarmRate,
+		rule: tokenschedule.Rule{InitialFraction: c.SlowStartFraction, Duration: c.SlowStartDuration, OverloadMultiple: c.OverloadMultiple, Window: c.OverloadWindow, ClockSkew: f.Assignment.ClockSkew}}
 	if p.rate == 0 {
-		p.rate = g.module.LeastRate()
+		p.rate = g.module.MinCoreRate()
 	}
 	if !p.rule.Usable() {
-		g.log.Warn().Dur("window", c.OverloadFor).Dur("skew", f.Shares.Skew).Float64("cold_from", c.ColdFrom).Msg("shares: no turns can be given, cold hosts wait until they are warm")
+		g.log.Warn().Dur("window", c.OverloadWindow).Dur("skew", f.Assignment.ClockSkew).Float64("cold_from", c.SlowStartFraction).Msg("shares: no turns can be given, cold hosts wait until they are warm")
 	}
 	var book []assignment.Gateway // of unknown zone, which is the same to all
 	if !f.Flat {
@@ -103,24 +103,24 @@
 			book = append(book, assignment.Gateway{Name: name, Zone: -1})
 		}
 	}
-	p.keeper = assignment.NewKeeper(assignment.Rule{Users: float64(p.file.Users), Most: p.file.Most, Least: p.file.Least, Away: p.file.Away}, f.Name, newsWithin, book)
+	p.keeper = assignment.NewTracker(assignment.Rule{Users: float64(p.file.Users), MaxUsers: p.file.MaxUsers, MinEndpoints: p.file.MinEndpoints, RemoteZoneOdds: p.file.RemoteZoneOdds}, f.Name, newsWithin, book)
 	p.owners = tokenschedule.NewOwners(p.file.Users, holdSets)
 	start := g.now
 	if g.elder != nil {
-		start += p.rule.Good() // until it has heard that this process takes clients, it takes turns too
+		start += p.rule.ValidFor() // until it has heard that this process takes clients, it takes turns too
 	}
-	p.holder = tokenschedule.NewHolder(p.rule, f.Name, start)
+	p.holder = tokenschedule.NewTaker(p.rule, f.Name, start)
 	p.agreed, p.listed = g.now-holdSets, true // by the own file, until others are heard
 	g.portion = p
 	g.markPortion()
-	g.module.Fleet(g.now, nil)
+	g.module.AssignEndpoints(g.now, nil)
 	g.told = true
 }
 
 // booked are the names of the book and the own one, sorted.
 func (g *Gateway) booked() []string {
-	names := []string{g.cfg.Fleet.Name}
-	for _, peer := range g.cfg.Fleet.Book {
+	names := []string{g.cfg.Gossip.Name}
+	for _, peer := range g.cfg.Gossip.SeedPeers {
 		names = append(names, peer.Name)
 	}
 	slices.Sort(names)
@@ -131,7 +131,7 @@
 func (g *Gateway) markPortion() {
 	p := g.portion
 	h := xxh3.New()
-	fmt.Fprintf(h, "%+v %v %d", p.rule, p.rate, p.file.Users) // a hash never fails
+	fmt.Fprintf(h, "%s %v %d", p.rule.Canonical(), p.rate, p.file.Users) // a hash never fails
 	for _, name := range g.booked() {
 		_, _ = h.Write(binary.AppendUvarint(nil, uint64(len(name))))
 		_, _ = h.WriteString(name)
@@ -145,29 +145,29 @@
 
 // firstWords are what a view is begun with: the zone, and the mark of the file.
 func (g *Gateway) firstWords() []byte {
-	s := loadreport.Signal{Zone: g.cfg.Settings.Config.Zone, Demand: -1}
+	s := loadreport.Report{Zone: g.cfg.Settings.Config.Zone, Demand: -1}
 	if g.portion == nil {
 		return loadreport.Append(nil, s)
 	}
-	s.Known, s.Rules = true, g.portion.mark
-	payload, _ := g.portion.teller.Tell(g.now, s, 1)
+	s.Known, s.ConfigHash = true, g.portion.mark
+	payload, _ := g.portion.teller.Next(g.now, s, 1)
 	return payload
 }
 
 // sayPortion spreads what this gateway has to tell of itself, if that has changed.
 func (g *Gateway) sayPortion() {
-	told, st := g.module.Told(g.now), g.fleet.view.Status(g.now)
-	s := loadreport.Signal{Zone: g.cfg.Settings.Config.Zone, Known: true, Demand: told.Demand, Refused: told.Refused, Room: told.Room,
-		Health: st.Health, Rules: g.portion.mark}
+	told, st := g.module.LoadReport(g.now), g.fleet.view.Status(g.now)
+	s := loadreport.Report{Zone: g.cfg.Settings.Config.Zone, Known: true, Demand: told.Demand, Rejected: told.Rejected, FreeCapacity: told.FreeCapacity,
+		LocalHealth: st.LocalHealth, ConfigHash: g.portion.mark}
 	if !told.Known {
 		s.Demand = -1
 	}
 	var bad []uint64
-	for _, id := range told.Bad {
+	for _, id := range told.Ejected {
 		bad = append(bad, uint64(id))
 	}
-	s.Bad = loadreport.Marks(bad)
-	payload, due := g.portion.teller.Tell(g.now, s, st.Alive)
+	s.Ejected = loadreport.EndpointHashes(bad)
+	payload, due := g.portion.teller.Next(g.now, s, st.Alive)
 	if !due {
 		return
 	}
@@ -175,7 +175,7 @@
 		g.log.Error().Err(err).Msg("shares: nothing told")
 		return
 	}
-	g.setTimer(timerFleet, 0, g.fleet.view.Next())
+	g.setTimer(timerFleet, 0, g.fleet.view.NextWake())
 }
 
 // lookAround follows the view and the list, with every sample of the module.
@@ -187,7 +187,7 @@
 	g.sayPortion()
 	st := v.Status(g.now)
 	due, timed := p.keeper.Due()
-	warm := slices.ContainsFunc(p.cold, func(c coldHost) bool { return g.now >= c.Born+p.rule.Warm })
+	warm := slices.ContainsFunc(p.cold, func(c coldHost) bool { return g.now >= c.StartedAt+p.rule.Duration })
 	news := (st.Version != p.version || p.agreed == 0) && g.now-p.lookedAt >= lookAtMost
 	if !news && !p.listed && !warm && st.Settled == p.settled && !(timed && g.now >= due) {
 		return
@@ -208,27 +208,27 @@
 			alive = append(alive, assignment.Gateway{Name: m.Name, Demand: demands[i], Zone: words[i].Zone})
 		}
 	}
-	var hosts []assignment.Host
+	var hosts []assignment.Endpoint
 	p.cold = p.cold[:0]
 	for _, h := range g.group.All() {
 		switch {
-		case h.State != balancer.Ready:
+		case h.State != balancer.EndpointReady:
 		case g.cold(h):
-			c := coldHost{Host: tokenschedule.Host{ID: uint64(h.ID), Born: h.Born, Capacity: p.rate}}
-			if d := p.owners.Divisions(g.now, c.ID); len(d) > 0 && tokenschedule.Share(d[len(d)-1], g.cfg.Fleet.Name) > 0 {
+			c := coldHost{Endpoint: tokenschedule.Endpoint{ID: uint64(h.ID), StartedAt: h.StartedAt, Capacity: p.rate}}
+			if d := p.owners.Divisions(g.now, c.ID); len(d) > 0 && tokenschedule.Share(d[len(d)-1], g.cfg.Gossip.Name) > 0 {
 				p.cold = append(p.cold, c)
 			}
 		default:
-			hosts = append(hosts, assignment.Host{ID: uint64(h.ID), Capacity: h.Share, Zone: h.Zone})
+			hosts = append(hosts, assignment.Endpoint{ID: uint64(h.ID), Capacity: h.Capacity, Zone: h.Zone})
 		}
 	}
 	isCold := func(id uint64) bool { // also one that is another's now, or drains: it may be this gateway's again in a moment
-		h := g.group.Find(balancer.ServerID(id))
+		h := g.group.Find(balancer.EndpointID(id))
 		return h != nil && g.cold(h)
 	}
 	p.holder.Forget(isCold)
 	p.owners.Forget(isCold)
-	if _, err := p.keeper.Look(g.now, assignment.Look{Alive: alive, Settled: st.Settled, Hosts: hosts}); err != nil {
+	if _, err := p.keeper.Observe(g.now, assignment.Observation{Alive: alive, Settled: st.Settled, Endpoints: hosts}); err != nil {
 		g.logPortion(err)
 		return
 	}
@@ -243,38 +243,38 @@
 }
 
 // cold reports whether a host still warms up.
-func (g *Gateway) cold(h *discovery.Host) bool {
-	return h.Born > 0 && g.now-h.Born < g.portion.rule.Warm
+func (g *Gateway) cold(h *discovery.Endpoint) bool {
+	return h.StartedAt > 0 && g.now-h.StartedAt < g.portion.rule.Duration
 }
 
 // words reads what each member tells, and which hosts several others found bad. What cannot be read counts as nothing told.
-func (g *Gateway) words(all []membership.Member) (words []loadreport.Word, doubted map[uint32]bool) {
-	var others []loadreport.Word
+func (g *Gateway) words(all []membership.Member) (words []loadreport.PeerReport, doubted map[uint32]bool) {
+	var others []loadreport.PeerReport
 	for _, m := range all {
-		w := loadreport.Word{}
+		w := loadreport.PeerReport{}
 		if s, err := loadreport.Parse(m.Payload); err == nil {
-			w.Signal = s
+			w.Report = s
 		}
 		if m.State != gossipcodec.Alive {
 			w.Silent = max(1, g.now-m.Since)
 		}
 		words = append(words, w)
-		if m.Name != g.cfg.Fleet.Name {
+		if m.Name != g.cfg.Gossip.Name {
 			others = append(others, w)
 		}
 	}
-	return words, loadreport.Doubted(others)
+	return words, loadreport.SuspectedByPeers(others)
 }
 
 // agree notes since when more than half of the living have this gateway's mark.
-func (g *Gateway) agree(all []membership.Member, words []loadreport.Word) {
+func (g *Gateway) agree(all []membership.Member, words []loadreport.PeerReport) {
 	living, same := 0, 0
 	for i, m := range all {
-		if m.State > gossipcodec.Suspect || !words[i].Known && m.Name != g.cfg.Fleet.Name && len(m.Payload) == 0 {
+		if m.State > gossipcodec.Suspect || !words[i].Known && m.Name != g.cfg.Gossip.Name && len(m.Payload) == 0 {
 			continue // nothing was heard of it but its name
 		}
 		living++
-		if words[i].Known && words[i].Rules == g.portion.mark || m.Name == g.cfg.Fleet.Name {
+		if words[i].Known && words[i].ConfigHash == g.portion.mark || m.Name == g.cfg.Gossip.Name {
 			same++
 		}
 	}
@@ -289,7 +289,7 @@
 // owners tells who may own turns: the book, or in a flat fleet all that are known and have not left.
 func (g *Gateway) owners(all []membership.Member) {
 	names := g.booked()
-	if g.cfg.Fleet.Flat {
+	if g.cfg.Gossip.Flat {
 		for _, m := range all {
 			if m.State != gossipcodec.Left {
 				names = append(names, m.Name)
@@ -302,21 +302,21 @@
 // givePortion tells the module which hosts are this gateway's, if that has changed.
 func (g *Gateway) givePortion(doubted map[uint32]bool) {
 	p := g.portion
-	var given []balancer.FleetServer
+	var given []balancer.AssignedEndpoint
 	add := func(id uint64, weight, part float64) {
-		given = append(given, balancer.FleetServer{ID: balancer.ServerID(id), Weight: weight, Part: part, Doubted: doubted[loadreport.Mark(id)]})
+		given = append(given, balancer.AssignedEndpoint{ID: balancer.EndpointID(id), Weight: weight, Share: part, SuspectedByPeers: doubted[loadreport.EndpointHash(id)]})
 	}
-	if uses := p.keeper.Uses(); len(p.keeper.Gateways()) > 0 {
+	if uses := p.keeper.Assigned(); len(p.keeper.Gateways()) > 0 {
 		mean := 1.0
 		if len(uses) > 0 {
 			mean = 1 / float64(len(uses))
 		}
 		for _, u := range uses {
-			add(u.Host, u.Weight, u.Part)
+			add(u.Endpoint, u.Weight, u.Share)
 		}
 		for _, c := range p.cold {
 			d := p.owners.Divisions(g.now, c.ID)
-			add(c.ID, mean, tokenschedule.Share(d[len(d)-1], g.cfg.Fleet.Name))
+			add(c.ID, mean, tokenschedule.Share(d[len(d)-1], g.cfg.Gossip.Name))
 		}
 		for _, id := range p.keeper.Spares(g.cfg.Settings.Config.Zone) {
 			add(id, mean, 0)
@@ -324,7 +324,7 @@
 	}
 	if !slices.Equal(given, p.given) {
 		p.given = given
-		g.module.Fleet(g.now, given)
+		g.module.AssignEndpoints(g.now, given)
 		g.told = true
 	}
 }
@@ -335,45 +335,45 @@
 func (g *Gateway) takeTurns() {
 	p := g.portion
 	if p == nil || g.fleet.view == nil || p.listed || p.agreed == 0 || g.now-p.agreed < holdSets || !p.rule.Usable() ||
-		g.cfg.Fleet.Flat && p.keeper.Stage() == assignment.Waiting {
+		g.cfg.Gossip.Flat && p.keeper.Stage() == assignment.Waiting {
 		return
 	}
 	for i := range p.cold {
 		c := &p.cold[i]
-		if g.now < c.next || g.now >= c.Born+p.rule.Warm {
+		if g.now < c.next || g.now >= c.StartedAt+p.rule.Duration {
 			continue
 		}
 		divisions := p.owners.Divisions(g.now, c.ID)
 		for {
-			until, ok := p.holder.Take(g.now, c.Host, divisions...)
+			until, ok := p.holder.Take(g.now, c.Endpoint, divisions...)
 			if !ok {
 				break
 			}
 			p.taken++
-			g.module.Turn(g.now, balancer.ServerID(c.ID), until)
+			g.module.GrantSlowStartToken(g.now, balancer.EndpointID(c.ID), until)
 		}
-		if c.next, _ = p.holder.Next(g.now, c.Host, turnsAhead, divisions...); c.next == 0 {
+		if c.next, _ = p.holder.Next(g.now, c.Endpoint, turnsAhead, divisions...); c.next == 0 {
 			c.next = g.now + turnsAhead
 		}
 	}
 }
 
 // portionFigures are what operators read of this gateway's portion, and why it is that.
-func (g *Gateway) portionFigures() *admin.Portion {
+func (g *Gateway) portionFigures() *admin.Assignment {
 	p := g.portion
 	if p == nil {
 		return nil
 	}
-	out := &admin.Portion{Stage: p.keeper.Stage().String(), Gateways: len(p.keeper.Gateways()), Crowd: p.keeper.Crowd(), Turns: p.taken,
-		Agreed: p.agreed > 0 && g.now-p.agreed >= holdSets, Demand: g.module.Told(g.now).Demand, Hosts: []admin.PortionHost{}}
+	out := &admin.Assignment{Stage: p.keeper.Stage().String(), Gateways: len(p.keeper.Gateways()), RelativeLoad: p.keeper.RelativeLoad(), Tokens: p.taken,
+		TokensActive: p.agreed > 0 && g.now-p.agreed >= holdSets, Demand: g.module.LoadReport(g.now).Demand, Hosts: []admin.AssignedEndpoint{}}
 	for _, s := range p.given {
-		if s.Part == 0 {
+		if s.Share == 0 {
 			out.Spares++
 			continue
 		}
-		h := admin.PortionHost{Weight: s.Weight, Part: s.Part, Doubted: s.Doubted}
+		h := admin.AssignedEndpoint{Weight: s.Weight, Share: s.Share, SuspectedByPeers: s.SuspectedByPeers}
 		if host := g.group.Find(s.ID); host != nil {
-			h.Name, h.Cold = host.Name, g.cold(host)
+			h.Name, h.SlowStart = host.Name, g.cold(host)
 		}
 		out.Hosts = append(out.Hosts, h)
 	}
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -28,9 +28,9 @@
 		pieces  []string
 		most    time.Duration
 	}{
-		"of a watch that stands":         {true, []string{"40\r\n{\"seq\"", ":2,", "\"whole\""}, discovery.BeatWithin},
-		"of the first answer":            {false, []string{"HTTP/1.1 200 OK\r\n", "Transfer-Encoding: chunked\r\n\r\n", "40\r\n{\"seq\""}, discovery.AnswerWithin},
-		"of the first answer, a headful": {false, []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"}, discovery.AnswerWithin},
+		"of a watch that stands":         {true, []string{"40\r\n{\"seq\"", ":2,", "\"whole\""}, discovery.HeartbeatTimeout},
+		"of the first answer":            {false, []string{"HTTP/1.1 200 OK\r\n", "Transfer-Encoding: chunked\r\n\r\n", "40\r\n{\"seq\""}, discovery.AnswerTimeout},
+		"of the first answer, a headful": {false, []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"}, discovery.AnswerTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
@@ -92,7 +92,7 @@
 	for r.now < from+10*time.Second && !r.closed[w] {
 		r.pass(5 * time.Millisecond)
 	}
-	if took := r.now - from; took > discovery.BeatWithin+20*time.Millisecond {
-		t.Errorf("found silent after %v, want %v", took, discovery.BeatWithin)
+	if took := r.now - from; took > discovery.HeartbeatTimeout+20*time.Millisecond {
+		t.Errorf("found silent after %v, want %v", took, discovery.HeartbeatTimeout)
 	}
 }
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -65,20 +65,20 @@
 
 // waitUntil is the time by which the request that is coming must be whole, or go on. In a planned end half a request is answered
 // before SIGKILL, so that the process can end by itself.
-func (g *Gateway) waitUntil(l *downstream.Link) time.Duration {
-	until := l.Until()
+func (g *Gateway) waitUntil(l *downstream.Conn) time.Duration {
+	until := l.RequestDeadline()
 	if g.stopping {
 		until = min(until, g.killAt-endBeforeKill)
 	}
-	return g.guard.Wait(until, lastWord(l), downstream.OwedWithin)
+	return g.guard.AllowWait(until, lastWord(l), downstream.ErrorDeadline)
 }
 
 // lingerUntil is the time until which the end of a connection waits for its client's own.
 func (g *Gateway) lingerUntil() time.Duration {
 	if g.stopping {
-		return min(g.now+downstream.LingerFor, max(g.now, g.killAt))
+		return min(g.now+downstream.LingerTimeout, max(g.now, g.killAt))
 	}
-	return g.now + downstream.LingerFor
+	return g.now + downstream.LingerTimeout
 }
 
 // closeListener takes what still waits at the listener, then closes it and the idle client links.
@@ -110,7 +110,7 @@
 
 // exitIfDone ends the program once all that was taken is answered and every client has its answer.
 func (g *Gateway) exitIfDone() {
-	if g.drained && len(g.queries) == 0 && len(g.links.ByConn) == 0 && len(g.passing) == 0 && g.guard.End(len(g.open)) {
+	if g.drained && len(g.queries) == 0 && len(g.links.ByConn) == 0 && len(g.passing) == 0 && g.guard.AllowExit(len(g.open)) {
 		g.log.Info().Msg("stopped")
 		g.ask(loop.Effect{Op: loop.Exit})
 	}
--- a/internal/gateway/stopped_test.go
+++ b/internal/gateway/stopped_test.go
@@ -37,7 +37,7 @@
 	delete(r.timers, key)
 	r.step(loop.Event{Kind: loop.TimerDue, Timer: key}) // the last look begins
 	r.step(loop.Event{Kind: loop.Data, Conn: c, Data: []byte(halfRequest)})
-	if took, heard := r.heardWithin(c, 2*downstream.OwedWithin); !heard || took > downstream.OwedWithin {
+	if took, heard := r.heardWithin(c, 2*downstream.ErrorDeadline); !heard || took > downstream.ErrorDeadline {
 		t.Errorf("an error or a close after %v (%v)", took, heard)
 	}
 }
@@ -50,7 +50,7 @@
 	r.step(loop.Event{Kind: loop.Data, Conn: c, Data: []byte(halfRequest)})
 	r.pass(1900 * time.Millisecond)
 	r.step(loop.Event{Kind: loop.Stop}) // the listener closes 0.55 s later, 50 ms before the client's time is over
-	if took, heard := r.heardWithin(c, 2*downstream.OwedWithin); !heard || took > downstream.OwedWithin-1900*time.Millisecond {
+	if took, heard := r.heardWithin(c, 2*downstream.ErrorDeadline); !heard || took > downstream.ErrorDeadline-1900*time.Millisecond {
 		t.Errorf("an error or a close %v after the stop (%v)", took, heard)
 	}
 }
@@ -67,11 +67,11 @@
 		r.step(loop.Event{Kind: loop.Accepted, Conn: c, Via: loop.Listener})
 		r.step(loop.Event{Kind: loop.Data, Conn: c, Data: []byte(text)})
 		if strings.HasSuffix(name, "next process") {
-			r.g.heir, r.g.heirTakes = &hotrestart.Link{Conn: 1<<63 + 90}, true
+			r.g.heir, r.g.heirTakes = &hotrestart.Conn{ID: 1<<63 + 90}, true
 		}
 		r.step(loop.Event{Kind: loop.Stop})
 		const kill = 1600 * time.Millisecond // the longest deadline and 0.7 s
-		if took, heard := r.answeredWithin(c, 2*downstream.OwedWithin); !heard || took > kill-50*time.Millisecond {
+		if took, heard := r.answeredWithin(c, 2*downstream.ErrorDeadline); !heard || took > kill-50*time.Millisecond {
 			t.Errorf("%s: an answer %v after the stop (%v), SIGKILL may come after %v", name, took, heard, kill)
 		}
 	}
@@ -144,8 +144,8 @@
 		}
 		r.pass(20 * time.Millisecond)
 	}
-	if f := r.g.figures(); f.Ends["local"] == 0 || f.OutOfRotation != 0 {
-		t.Errorf("ends %v, %d hosts out of rotation", f.Ends, f.OutOfRotation)
+	if f := r.g.figures(); f.Ends["local"] == 0 || f.Unavailable != 0 {
+		t.Errorf("ends %v, %d hosts out of rotation", f.Ends, f.Unavailable)
 	}
 }
 
--- a/internal/gateway/told_test.go
+++ b/internal/gateway/told_test.go
@@ -208,7 +208,7 @@
 		if sent := r.requests(hostAddr(1)) > 0; sent != c.sent || r.closed[w] {
 			t.Errorf("%s: sent %v, want %v", name, sent, c.sent)
 		}
-		if h := r.g.group.Find(discovery.Identity("s-2")); h.State != balancer.Draining {
+		if h := r.g.group.Find(discovery.Identity("s-2")); h.State != balancer.EndpointDraining {
 			t.Errorf("%s: an older line brings a host up", name)
 		}
 	}
@@ -250,7 +250,7 @@
 		if n := r.g.group.Len(); n != hosts || r.closed[w] {
 			t.Fatalf("%d hosts of %d: %s", n, hosts, r.log.String())
 		}
-		learned := r.g.module.Learned(r.now).Servers
+		learned := r.g.module.State(r.now).Endpoints
 		if len(learned) != hosts {
 			t.Errorf("the module has %d hosts of %d", len(learned), hosts)
 		}
@@ -339,8 +339,8 @@
 		r.now = trueNow + wrong
 		r.line(w, object(2, true, entry(1, "up", 0)))
 		r.line(w, object(3, false, entry(2, "up", int((trueNow-2*time.Second).Milliseconds()))))
-		for _, s := range r.g.module.Learned(r.now).Servers {
-			if age := r.now - s.Born; s.Born > 0 && (age < 0 || age > 6*time.Second) {
+		for _, s := range r.g.module.State(r.now).Endpoints {
+			if age := r.now - s.StartedAt; s.StartedAt > 0 && (age < 0 || age > 6*time.Second) {
 				t.Errorf("a clock %v wrong: a server that started 2 s ago is taken to be %v old", wrong, age)
 			}
 		}
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -36,25 +36,25 @@
 }
 
 // traceAccept logs a client connection's begin.
-func (g *Gateway) traceAccept(l *downstream.Link) {
-	g.log.Debug().Uint64("link", uint64(l.Conn)).Msg("client connection accepted")
+func (g *Gateway) traceAccept(l *downstream.Conn) {
+	g.log.Debug().Uint64("link", uint64(l.ID)).Msg("client connection accepted")
 }
 
 // traceFirstByte logs that a request begins to come.
-func (g *Gateway) traceFirstByte(l *downstream.Link, bytes int) {
-	g.log.Debug().Uint64("link", uint64(l.Conn)).Int("bytes", bytes).Int("requests_before", l.Queries).
+func (g *Gateway) traceFirstByte(l *downstream.Conn, bytes int) {
+	g.log.Debug().Uint64("link", uint64(l.ID)).Int("bytes", bytes).Int("requests_before", l.Requests).
 		Dur("age", g.now-l.Accepted).Msg("request begins to come")
 }
 
 // traceTaken logs that a request has become the module's.
 func (g *Gateway) traceTaken(q *query) {
 	g.log.Debug().Uint64("link", uint64(q.client)).Uint32("query", uint32(q.id)).Str("id", q.ID).Str("class", q.Class.Name).
-		Dur("patience", q.Patience).Msg("request taken")
+		Dur("patience", q.ClientTimeout).Msg("request taken")
 }
 
 // traceFaulty logs that a request was answered with an error, and is passed on to nobody.
-func (g *Gateway) traceFaulty(l *downstream.Link, id string, status int, why string) {
-	g.log.Debug().Uint64("link", uint64(l.Conn)).Str("id", id).Int("status", status).Str("why", why).Msg("request faulty")
+func (g *Gateway) traceFaulty(l *downstream.Conn, id string, status int, why string) {
+	g.log.Debug().Uint64("link", uint64(l.ID)).Str("id", id).Int("status", status).Str("why", why).Msg("request faulty")
 }
 
 // traceRefused counts a refusal and logs its reason.
@@ -79,9 +79,9 @@
 }
 
 // traceIncomplete logs that a request did not come whole in its time.
-func (g *Gateway) traceIncomplete(l *downstream.Link) {
-	g.log.Debug().Uint64("link", uint64(l.Conn)).Int("bytes", l.Came).Int("requests_before", l.Queries).
-		Dur("after", g.now-l.Began).Dur("silent", l.Silent(g.now)).Msg("request not whole in time")
+func (g *Gateway) traceIncomplete(l *downstream.Conn) {
+	g.log.Debug().Uint64("link", uint64(l.ID)).Int("bytes", l.RequestBytes).Int("requests_before", l.Requests).
+		Dur("after", g.now-l.RequestBegan).Dur("silent", l.IdleFor(g.now)).Msg("request not whole in time")
 }
 
 // traceCut logs why a large answer could not be passed on to its end.
@@ -91,14 +91,14 @@
 }
 
 // traceClientEnd counts the end of a client connection and logs its reason.
-func (g *Gateway) traceClientEnd(l *downstream.Link, end End) {
+func (g *Gateway) traceClientEnd(l *downstream.Conn, end TerminationReason) {
 	g.countEnd(end)
-	g.log.Debug().Uint64("link", uint64(l.Conn)).Stringer("end", end).Int("requests", l.Queries).Bool("partly_read", l.Pending()).
-		Bool("waiting", l.Busy).Dur("age", g.now-l.Accepted).Dur("silent", l.Silent(g.now)).Msg("client link")
+	g.log.Debug().Uint64("link", uint64(l.ID)).Stringer("end", end).Int("requests", l.Requests).Bool("partly_read", l.Pending()).
+		Bool("waiting", l.Busy).Dur("age", g.now-l.Accepted).Dur("silent", l.IdleFor(g.now)).Msg("client link")
 }
 
 // countEnd counts how connections and attempts ended, for the figures.
-func (g *Gateway) countEnd(end End) { g.ends[end]++ }
+func (g *Gateway) countEnd(end TerminationReason) { g.ends[end]++ }
 
 // String is for log lines.
 func (r result) String() string {
--- a/internal/gateway/trace_test.go
+++ b/internal/gateway/trace_test.go
@@ -38,10 +38,10 @@
 // What the gateway refuses by itself is counted with the reason.
 func TestRefusalsAreCountedByReason(t *testing.T) {
 	r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
-	r.g.cfg.Settings.Gateway.MostOpen = 1
+	r.g.cfg.Settings.Gateway.MaxUpstreamConns = 1
 	r.request(0, 0)
 	r.request(0, 0)
-	if f := r.g.figures(); f.Refusals["too many open"] != 1 {
-		t.Errorf("refusals %v", f.Refusals)
+	if f := r.g.figures(); f.Rejections["too many open"] != 1 {
+		t.Errorf("refusals %v", f.Rejections)
 	}
 }
--- a/internal/gateway/upload.go
+++ b/internal/gateway/upload.go
@@ -28,35 +28,35 @@
 
 // beginUpload has a link wait, with the first part of a body, until the module has chosen a host. The link is read no further
 // once more of the body has come: until then a client that has stopped can be told from one that waits.
-func (g *Gateway) beginUpload(q *query, l *downstream.Link) {
+func (g *Gateway) beginUpload(q *query, l *downstream.Conn) {
 	q.up = &upload{length: l.Begin()}
 	g.timeClient(l, g.waitUntil(l))
 }
 
 // mute reads a link no further. Its client's end is still told, though it lies behind what is not read: nothing may
 // be sent on for one who has left.
-func (g *Gateway) mute(l *downstream.Link) {
+func (g *Gateway) mute(l *downstream.Conn) {
 	if !l.Muted {
-		l.Stop(g.now)
-		g.log.Debug().Uint64("link", uint64(l.Conn)).Msg("client link is read no further for now")
-		g.ask(loop.Effect{Op: loop.Mute, Conn: l.Conn, Leaving: true})
+		l.PauseReading(g.now)
+		g.log.Debug().Uint64("link", uint64(l.ID)).Msg("client link is read no further for now")
+		g.ask(loop.Effect{Op: loop.Mute, Conn: l.ID, Leaving: true})
 	}
 }
 
-func (g *Gateway) unmute(l *downstream.Link) {
+func (g *Gateway) unmute(l *downstream.Conn) {
 	if l.Muted {
-		l.Resume(g.now)
-		g.ask(loop.Effect{Op: loop.Unmute, Conn: l.Conn})
+		l.ResumeReading(g.now)
+		g.ask(loop.Effect{Op: loop.Unmute, Conn: l.ID})
 	}
 }
 
 // uploadReadable reads on only while all that has come is written out: the client goes at the host's pace.
-func (g *Gateway) uploadReadable(l *downstream.Link) {
-	if q := g.queries[l.Query]; !l.Muted && (q.up.x == nil || q.up.busy) {
+func (g *Gateway) uploadReadable(l *downstream.Conn) {
+	if q := g.queries[l.Request]; !l.Muted && (q.up.x == nil || q.up.busy) {
 		g.mute(l)
 		return
 	}
-	g.ask(loop.Effect{Op: loop.Read, Conn: l.Conn})
+	g.ask(loop.Effect{Op: loop.Read, Conn: l.ID})
 }
 
 // pumpUpload writes what has come of a body to the host.
@@ -67,7 +67,7 @@
 	}
 	piece, done, fault := l.Pieces()
 	if fault != nil {
-		g.turnAway(q, l, downstream.Faulty(fault, false))
+		g.turnAway(q, l, downstream.AppendBadRequest(fault, false))
 		return
 	}
 	if len(piece) == 0 && !done {
@@ -76,12 +76,12 @@
 	}
 	up.spent, up.whole, up.busy = up.spent || len(piece) > 0, done, true
 	if done {
-		l.Upload, up.sent = false, l.Written()
+		l.Upload, up.sent = false, l.LastByteSent()
 		g.untimeClient(l)
 	}
 	g.unmute(l)
 	g.setTimer(timerExecution, up.x.id, g.now+bodyTakenWithin)
-	g.write(up.x.link.Conn, g.framed(piece, up.length < 0, done))
+	g.write(up.x.link.ID, g.framed(piece, up.length < 0, done))
 }
 
 // framed words a piece of a body. The bytes are valid until the next Step.
@@ -104,14 +104,14 @@
 	// The last byte is written: from here on the host works. The client has waited since its own last byte.
 	x.link.Phase = upstream.Awaiting
 	g.relayed++
-	x.began, x.until = g.now, up.sent+x.query.Patience
+	x.began, x.until = g.now, up.sent+x.query.ClientTimeout
 	x.query.deadline, x.query.rules.Deadline = x.until, x.until
 	g.setTimer(timerExecution, x.id, x.until)
 	g.notices = append(g.notices, notice{exec: x, done: true})
 }
 
 // turnAway ends a query whose client does not send its body as it should, and answers it.
-func (g *Gateway) turnAway(q *query, l *downstream.Link, answer []byte) {
+func (g *Gateway) turnAway(q *query, l *downstream.Conn, answer []byte) {
 	g.lapse(q)
 	g.keep(l)
 	l.Closing = true
@@ -121,9 +121,9 @@
 // keep reports whether a link stays open after the answer that is worded now. One whose body has not ended must not:
 // where its next request begins is not known. What still comes of the body is read and dropped. Nor does one for whose
 // descriptor clients wait.
-func (g *Gateway) keep(l *downstream.Link) bool {
+func (g *Gateway) keep(l *downstream.Conn) bool {
 	if l.Upload {
-		l.Upload, l.Closing, l.Drop = false, true, true
+		l.Upload, l.Closing, l.DiscardBody = false, true, true
 		g.unmute(l)
 	}
 	l.Closing = l.Closing || g.linksAwaited()
--- a/internal/gossipcodec/fleetwire.go
+++ b/internal/gossipcodec/fleetwire.go
@@ -12,15 +12,15 @@
 
 // Bounds of what a datagram may hold.
 const (
-	Most        = 256 // bytes of a datagram
-	MostName    = 32  // bytes of a name, of a fleet or of a member
-	MostPayload = 64  // bytes
+	MaxDatagram = 256 // bytes of a datagram
+	MaxName     = 32  // bytes of a name, of a fleet or of a member
+	MaxPayload  = 64  // bytes
 	Buckets     = 32  // of a view's digest
 	Version     = 1
 	mostNews    = 32
 
-	MostStart       = 1 << 46 // ms of Unix time
-	MostIncarnation = 1 << 40
+	MaxStart       = 1 << 46 // ms of Unix time
+	MaxIncarnation = 1 << 40
 )
 
 // Kind is what a datagram asks or answers.
@@ -32,12 +32,12 @@
 const (
 	Ping Kind = iota + 1
 	Ack
-	Ask
+	PingRequest
 	Nack
 	Gossip
 	Digest
-	Twin
-	lastKind = Twin
+	DuplicateName
+	lastKind = DuplicateName
 )
 
 // State is what a claim says of a member.
@@ -66,23 +66,23 @@
 	Start       uint64 // of its process, ms of Unix time
 	Incarnation uint64
 	State       State
-	By          string // who suspects it
+	SuspectedBy string // who suspects it
 	Payload     []byte
 	Addr        netip.AddrPort // where it is heard, in a flat network; not valid else
 }
 
 // Message is one datagram.
 type Message struct {
-	Fleet  string
-	From   string
-	Start  uint64
-	Kind   Kind
-	Seq    uint64
-	Target string // of an Ask
-	View   uint64 // digest of the sender's view
-	Sums   []uint32
-	Reply  bool
-	News   []Claim
+	Cluster string
+	From    string
+	Start   uint64
+	Kind    Kind
+	Seq     uint64
+	Target  string // of an Ask
+	View    uint64 // digest of the sender's view
+	Sums    []uint32
+	Reply   bool
+	Claims  []Claim
 }
 
 // Field numbers. A new field gets a new number; an old one is never given another meaning.
@@ -117,7 +117,7 @@
 func Append(b []byte, m *Message) []byte {
 	b = protowire.AppendTag(b, fieldVersion, protowire.VarintType)
 	b = protowire.AppendVarint(b, Version)
-	b = text(b, fieldFleet, m.Fleet)
+	b = text(b, fieldFleet, m.Cluster)
 	b = text(b, fieldFrom, m.From)
 	b = number(b, fieldStart, m.Start)
 	b = number(b, fieldKind, uint64(m.Kind))
@@ -142,18 +142,18 @@
 
 // AppendClaim adds one claim to a worded message, if it fits; ok is false if it does not.
 func AppendClaim(b []byte, c *Claim) (out []byte, ok bool) {
-	var scratch [Most]byte
+	var scratch [MaxDatagram]byte
 	in := text(scratch[:0], claimName, c.Name)
 	in = number(in, claimStart, c.Start)
 	in = number(in, claimIncarnation, c.Incarnation)
 	in = number(in, claimState, uint64(c.State))
-	in = text(in, claimBy, c.By)
+	in = text(in, claimBy, c.SuspectedBy)
 	in = text(in, claimPayload, string(c.Payload))
 	if c.Addr.IsValid() && c.Addr.Addr().Is4() {
 		raw := c.Addr.Addr().As4()
 		in = text(in, claimAddr, string(append(raw[:], byte(c.Addr.Port()>>8), byte(c.Addr.Port()))))
 	}
-	if len(b)+len(in)+3 > Most {
+	if len(b)+len(in)+3 > MaxDatagram {
 		return b, false
 	}
 	b = protowire.AppendTag(b, fieldNews, protowire.BytesType)
@@ -217,8 +217,8 @@
 
 // Parse reads a datagram. What it returns owns its memory.
 func Parse(b []byte) (*Message, error) {
-	if len(b) > Most {
-		return nil, fmt.Errorf("fleetwire: %d bytes, %d at most", len(b), Most)
+	if len(b) > MaxDatagram {
+		return nil, fmt.Errorf("fleetwire: %d bytes, %d at most", len(b), MaxDatagram)
 	}
 	m := &Message{}
 	version := uint64(0)
@@ -227,7 +227,7 @@
 		case fieldVersion:
 			version = f.value
 		case fieldFleet:
-			m.Fleet = string(f.bytes)
+			m.Cluster = string(f.bytes)
 		case fieldFrom:
 			m.From = string(f.bytes)
 		case fieldStart:
@@ -252,14 +252,14 @@
 		case fieldReply:
 			m.Reply = f.value != 0
 		case fieldNews:
-			if len(m.News) == mostNews {
+			if len(m.Claims) == mostNews {
 				return fmt.Errorf("fleetwire: more than %d claims", mostNews)
 			}
 			c, err := parseClaim(f.bytes)
 			if err != nil {
 				return err
 			}
-			m.News = append(m.News, c)
+			m.Claims = append(m.Claims, c)
 		}
 		return nil
 	})
@@ -268,7 +268,7 @@
 		return nil, err
 	case version != Version:
 		return nil, fmt.Errorf("%w %d", ErrVersion, version)
-	case m.Start > MostStart:
+	case m.Start > MaxStart:
 		return nil, fmt.Errorf("fleetwire: from a process started at %d", m.Start)
 	case !Name(m.From):
 		return nil, fmt.Errorf("fleetwire: from %q is no name", m.From)
@@ -276,7 +276,7 @@
 		return nil, fmt.Errorf("fleetwire: target %q is no name", m.Target)
 	case m.Kind == 0 || m.Kind > lastKind:
 		return nil, fmt.Errorf("fleetwire: unknown kind %d", m.Kind)
-	case m.Kind == Ask && m.Target == "" || m.Kind == Digest && m.Sums == nil:
+	case m.Kind == PingRequest && m.Target == "" || m.Kind == Digest && m.Sums == nil:
 		return nil, fmt.Errorf("fleetwire: kind %d lacks what it needs", m.Kind)
 	}
 	return m, nil
@@ -296,7 +296,7 @@
 		case claimState:
 			state = f.value
 		case claimBy:
-			c.By = string(f.bytes)
+			c.SuspectedBy = string(f.bytes)
 		case claimPayload:
 			c.Payload = append([]byte(nil), f.bytes...)
 		case claimAddr:
@@ -310,13 +310,13 @@
 	switch {
 	case err != nil:
 		return c, err
-	case !Name(c.Name) || c.By != "" && !Name(c.By):
-		return c, fmt.Errorf("fleetwire: a claim about %q by %q", c.Name, c.By)
+	case !Name(c.Name) || c.SuspectedBy != "" && !Name(c.SuspectedBy):
+		return c, fmt.Errorf("fleetwire: a claim about %q by %q", c.Name, c.SuspectedBy)
 	case state > uint64(lastState):
 		return c, fmt.Errorf("fleetwire: unknown state %d of %s", state, c.Name)
-	case len(c.Payload) > MostPayload:
-		return c, fmt.Errorf("fleetwire: a payload of %d bytes, %d at most", len(c.Payload), MostPayload)
-	case c.Start > MostStart || c.Incarnation > MostIncarnation:
+	case len(c.Payload) > MaxPayload:
+		return c, fmt.Errorf("fleetwire: a payload of %d bytes, %d at most", len(c.Payload), MaxPayload)
+	case c.Start > MaxStart || c.Incarnation > MaxIncarnation:
 		return c, fmt.Errorf("fleetwire: %s started at %d, incarnation %d", c.Name, c.Start, c.Incarnation)
 	}
 	c.State = State(state)
@@ -325,7 +325,7 @@
 
 // Name reports whether a text can name a member or a fleet: 1 to 32 printable ASCII characters, without spaces.
 func Name(s string) bool {
-	if len(s) == 0 || len(s) > MostName {
+	if len(s) == 0 || len(s) > MaxName {
 		return false
 	}
 	for i := range len(s) {
--- a/internal/gossipcodec/fleetwire_test.go
+++ b/internal/gossipcodec/fleetwire_test.go
@@ -10,9 +10,9 @@
 )
 
 func full() (*Message, []Claim) {
-	m := &Message{Fleet: "f", From: "g-1", Start: 1700000000123, Kind: Ask, Seq: 77, Target: "g-2", View: 0xfeed}
+	m := &Message{Cluster: "f", From: "g-1", Start: 1700000000123, Kind: PingRequest, Seq: 77, Target: "g-2", View: 0xfeed}
 	return m, []Claim{
-		{Name: "g-3", Start: 1700000000001, Incarnation: 4, State: Suspect, By: "g-1"},
+		{Name: "g-3", Start: 1700000000001, Incarnation: 4, State: Suspect, SuspectedBy: "g-1"},
 		{Name: "g-4", Start: 1, Incarnation: 1, State: Alive, Payload: []byte("zone=1"), Addr: netip.MustParseAddrPort("10.0.0.4:7946")},
 		{Name: "g-5", Start: 2, State: Left},
 	}
@@ -33,13 +33,13 @@
 func TestWhatIsWordedIsRead(t *testing.T) {
 	m, news := full()
 	got, err := Parse(word(t, m, news))
-	m.News = news
+	m.Claims = news
 	if err != nil || !reflect.DeepEqual(got, m) {
 		t.Errorf("%v\n%+v\n%+v", err, got, m)
 	}
 	sums := make([]uint32, Buckets)
 	sums[31] = 7
-	d := &Message{Fleet: "f", From: "g", Start: 1, Kind: Digest, Sums: sums, Reply: true}
+	d := &Message{Cluster: "f", From: "g", Start: 1, Kind: Digest, Sums: sums, Reply: true}
 	if got, err := Parse(word(t, d, nil)); err != nil || !reflect.DeepEqual(got, d) {
 		t.Errorf("%v %+v", err, got)
 	}
@@ -59,7 +59,7 @@
 	inner := append(text(text(nil, claimName, "g-9"), 55, "later"), protowire.AppendFixed64(protowire.AppendTag(nil, 56, protowire.Fixed64Type), 1)...)
 	b = protowire.AppendBytes(protowire.AppendTag(b, fieldNews, protowire.BytesType), inner)
 	got, err := Parse(b)
-	if err != nil || len(got.News) != 2 || got.News[1].Name != "g-9" {
+	if err != nil || len(got.Claims) != 2 || got.Claims[1].Name != "g-9" {
 		t.Errorf("%v %+v", err, got)
 	}
 }
@@ -70,15 +70,15 @@
 	claim := func(change func(*Claim)) []byte { c := news[1]; change(&c); return word(t, m, []Claim{c}) }
 	later := protowire.AppendVarint(protowire.AppendTag(nil, fieldVersion, protowire.VarintType), 2)
 	for want, b := range map[string][]byte{
-		"257 bytes":         make([]byte, Most+1),
+		"257 bytes":         make([]byte, MaxDatagram+1),
 		"unknown version 2": append(word(t, m, nil), later...),
 		"no name":           with(func(m *Message) { m.From = "a b" }),
-		"target":            with(func(m *Message) { m.Target = strings.Repeat("x", MostName+1) }),
+		"target":            with(func(m *Message) { m.Target = strings.Repeat("x", MaxName+1) }),
 		"unknown kind":      with(func(m *Message) { m.Kind = lastKind + 1 }),
 		"lacks":             with(func(m *Message) { m.Target = "" }),
 		"a claim about":     claim(func(c *Claim) { c.Name = "\x00" }),
 		"unknown state":     claim(func(c *Claim) { c.State = 9 }),
-		"payload of 65":     claim(func(c *Claim) { c.Payload = make([]byte, MostPayload+1) }),
+		"payload of 65":     claim(func(c *Claim) { c.Payload = make([]byte, MaxPayload+1) }),
 		"incarnation":       claim(func(c *Claim) { c.Incarnation = 1 << 41 }),
 		"fleetwire":         word(t, m, news)[:40],
 	} {
@@ -94,7 +94,7 @@
 	for ok := true; ok; n++ {
 		b, ok = AppendClaim(b, &Claim{Name: "some-gateway", Start: 1700000000001, Incarnation: 9, State: Gone})
 	}
-	if len(b) > Most || n < 5 {
+	if len(b) > MaxDatagram || n < 5 {
 		t.Errorf("%d bytes with %d claims", len(b), n)
 	}
 	if _, err := Parse(b); err != nil {
@@ -117,7 +117,7 @@
 		}
 		// What was read can be worded and read again.
 		again := Append(nil, got)
-		if len(again) > Most {
+		if len(again) > MaxDatagram {
 			t.Fatalf("%d bytes from %d", len(again), len(b))
 		}
 		if _, err := Parse(again); err != nil && got.Kind != Digest {
--- a/internal/gossipconfig/fleetfile_test.go
+++ b/internal/gossipconfig/fleetfile_test.go
@@ -11,7 +11,7 @@
 
 func TestFaultsNameLineAndColumn(t *testing.T) {
 	const good = "fleet = \"f\"\nlisten = \"127.0.0.1:7946\"\n[[peer]]\nname = \"a\"\naddr = \"127.0.0.1:7947\"\n"
-	if f, err := Parse("x.toml", []byte(good), "me"); err != nil || f.Name != "me" || len(f.Book) != 1 || f.Book[0].Name != "a" {
+	if f, err := Parse("x.toml", []byte(good), "me"); err != nil || f.Name != "me" || len(f.SeedPeers) != 1 || f.SeedPeers[0].Name != "a" {
 		t.Errorf("%+v %v", f, err)
 	}
 	for text, want := range map[string]string{
@@ -31,15 +31,15 @@
 // The table of shares has usual figures where it leaves some out, and faults of its own.
 func TestSharesAreRead(t *testing.T) {
 	const head = "fleet = \"f\"\nlisten = \"127.0.0.1:7946\"\n"
-	read := func(table string) (*File, error) { return Parse("x.toml", []byte(head+table), "me") }
-	if f, err := read(""); err != nil || f.Shares != nil {
+	read := func(table string) (*Config, error) { return Parse("x.toml", []byte(head+table), "me") }
+	if f, err := read(""); err != nil || f.Assignment != nil {
 		t.Errorf("without the table: %+v %v", f, err)
 	}
-	if f, err := read("[shares]\n"); err != nil || *f.Shares != (Shares{Users: 12, Most: 36, Least: 2, Away: 0.5, Skew: 20 * time.Millisecond}) {
+	if f, err := read("[shares]\n"); err != nil || *f.Assignment != (Assignment{Users: 12, MaxUsers: 36, MinEndpoints: 2, RemoteZoneOdds: 0.5, ClockSkew: 20 * time.Millisecond}) {
 		t.Errorf("%+v %v", f, err)
 	}
 	if f, err := read("[shares]\nusers = 3\nleast = 1\naway = 1.0\nwarm_rate = 25.5\nskew = \"5ms\"\n"); err != nil ||
-		*f.Shares != (Shares{Users: 3, Most: 9, Least: 1, Away: 1, WarmRate: 25.5, Skew: 5 * time.Millisecond}) {
+		*f.Assignment != (Assignment{Users: 3, MaxUsers: 9, MinEndpoints: 1, RemoteZoneOdds: 1, WarmRate: 25.5, ClockSkew: 5 * time.Millisecond}) {
 		t.Errorf("%+v %v", f, err)
 	}
 	for _, field := range []string{"users = 0", "most_users = 11", "users = 101", "least = 0", "away = 0.0", "away = 1.5", "away = nan", "warm_rate = -1.0", "warm_rate = inf", "skew = \"-1ms\"",
@@ -59,13 +59,13 @@
 		}
 		return []byte(text)
 	}
-	for _, peers := range []int{1024, membership.MostMembers} {
-		if f, err := Parse("x.toml", book(peers), "me"); err != nil || len(f.Book) != peers {
+	for _, peers := range []int{1024, membership.MaxMembers} {
+		if f, err := Parse("x.toml", book(peers), "me"); err != nil || len(f.SeedPeers) != peers {
 			t.Errorf("%d peers: %v", peers, err)
 		}
 	}
-	if _, err := Parse("x.toml", book(membership.MostMembers+1), "me"); err == nil ||
-		!strings.Contains(err.Error(), fmt.Sprintf("%d peers, %d at most", membership.MostMembers+1, membership.MostMembers)) {
+	if _, err := Parse("x.toml", book(membership.MaxMembers+1), "me"); err == nil ||
+		!strings.Contains(err.Error(), fmt.Sprintf("%d peers, %d at most", membership.MaxMembers+1, membership.MaxMembers)) {
 		t.Errorf("a peer too many: %v", err)
 	}
 }
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -20,10 +20,10 @@
 
 // Limits between the two.
 const (
-	// AnswerWithin is how long a newcomer waits for an elder before it listens by itself.
-	AnswerWithin = time.Second
-	// TakeWithin is how long an elder waits for the newcomer to take clients, or to acknowledge.
-	TakeWithin = 3 * time.Second
+	// AnswerTimeout is how long a newcomer waits for an elder before it listens by itself.
+	AnswerTimeout = time.Second
+	// TakeoverTimeout is how long an elder waits for the newcomer to take clients, or to acknowledge.
+	TakeoverTimeout = 3 * time.Second
 	// Batch is the most client links passed at once.
 	Batch = 64
 	// most bounds a message, in bytes: of a list of 8,000 hosts with long names and all that is learnt of them, 4.7 MB.
@@ -35,24 +35,24 @@
 
 // A newcomer says Hello, Taking and Got; an elder says State, Links and Bye.
 const (
-	Hello  Kind = "hello"  // who comes
-	State  Kind = "state"  // what the elder knows, with the listening socket
-	Taking Kind = "taking" // the newcomer accepts clients
-	Links  Kind = "links"  // idle client links; perhaps none, with news of Holds
-	Got    Kind = "got"    // the newcomer has them
-	Bye    Kind = "bye"    // nothing can be handed over
+	Hello       Kind = "hello"  // who comes
+	State       Kind = "state"  // what the elder knows, with the listening socket
+	Taking      Kind = "taking" // the newcomer accepts clients
+	PassConns   Kind = "links"  // idle client links; perhaps none, with news of Holds
+	Acknowledge Kind = "got"    // the newcomer has them
+	Decline     Kind = "bye"    // nothing can be handed over
 )
 
 // Message is one message of either side.
 type Message struct {
-	Version int               `json:"version"`
-	Kind    Kind              `json:"kind"`
-	Listen  string            `json:"listen,omitempty"` // with Hello: the clients' address
-	Reason  string            `json:"reason,omitempty"` // with Bye
-	List    json.RawMessage   `json:"list,omitempty"`   // with State: the host list in discovery's form
-	Learned *balancer.Learned `json:"learned,omitempty"`
-	Holds   int               `json:"holds,omitempty"` // descriptors that the elder needs
-	Links   []Idle            `json:"links,omitempty"`
+	Version     int             `json:"version"`
+	Kind        Kind            `json:"kind"`
+	Listen      string          `json:"listen,omitempty"` // with Hello: the clients' address
+	Reason      string          `json:"reason,omitempty"` // with Bye
+	List        json.RawMessage `json:"list,omitempty"`   // with State: the host list in discovery's form
+	Balancer    *balancer.State `json:"learned,omitempty"`
+	Descriptors int             `json:"holds,omitempty"` // descriptors that the elder needs
+	Idle        []IdleConn      `json:"links,omitempty"`
 	// With State: what the next process is in the fleet; 0 where this one is in none.
 	FleetStart       uint64      `json:"fleet_start,omitempty"`
 	FleetIncarnation uint64      `json:"fleet_incarnation,omitempty"`
@@ -60,11 +60,11 @@
 	Conns            []loop.Conn `json:"-"`                // those, as received
 }
 
-// Idle is what is told of a client link.
-type Idle struct {
-	Asked   bool  `json:"asked"`
-	Queries int   `json:"queries"`
-	IdleMS  int64 `json:"idle_ms"`
+// IdleConn is what is told of a client link.
+type IdleConn struct {
+	HasRequested bool  `json:"asked"`
+	Requests     int   `json:"queries"`
+	IdleMS       int64 `json:"idle_ms"`
 }
 
 // Path is where an elder that serves clients at an address listens.
@@ -72,8 +72,8 @@
 	return filepath.Join(dir, "thymebend-"+strings.NewReplacer(":", "-", "[", "", "]", "").Replace(listen.String())+".sock")
 }
 
-// Words is a message as it is sent.
-func (m Message) Words() ([]byte, error) {
+// Encode is a message as it is sent.
+func (m Message) Encode() ([]byte, error) {
 	m.Version = Version
 	body, err := json.Marshal(m)
 	if err != nil {
@@ -85,21 +85,21 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...), nil
 }
 
-// Link is the connection to the other process.
-type Link struct {
-	Conn   loop.Conn
+// Conn is the connection to the other process.
+type Conn struct {
+	ID     loop.Conn
 	in     []byte
 	passed []loop.Conn // received and not yet claimed by a message
 }
 
 // Feed takes what has come.
-func (l *Link) Feed(data []byte, passed []loop.Conn) {
+func (l *Conn) Feed(data []byte, passed []loop.Conn) {
 	l.in = append(l.in, data...)
 	l.passed = append(l.passed, passed...)
 }
 
 // Next returns the next message if it is whole.
-func (l *Link) Next() (m Message, whole bool, err error) {
+func (l *Conn) Next() (m Message, whole bool, err error) {
 	if len(l.in) < 4 {
 		return m, false, nil
 	}
@@ -129,8 +129,8 @@
 	if m.Kind == State {
 		return 1
 	}
-	return len(m.Links)
+	return len(m.Idle)
 }
 
 // Unclaimed returns the sockets that no message has claimed, to be closed with the link.
-func (l *Link) Unclaimed() []loop.Conn { return l.passed }
+func (l *Conn) Unclaimed() []loop.Conn { return l.passed }
--- a/internal/invariant/guard.go
+++ b/internal/invariant/guard.go
@@ -60,18 +60,18 @@
 	Detail  string
 }
 
-// Guard counts violations. Report, if set, is told of each.
-type Guard struct {
+// Checker counts violations. Report, if set, is told of each.
+type Checker struct {
 	Report func(Violation)
 	counts [ruleCount]uint64
 	total  uint64
 }
 
 // Total is how many violations there were.
-func (g *Guard) Total() uint64 { return g.total }
+func (g *Checker) Total() uint64 { return g.total }
 
 // Counts are the violations by the rule's name, of those rules that were violated.
-func (g *Guard) Counts() map[string]uint64 {
+func (g *Checker) Counts() map[string]uint64 {
 	counts := make(map[string]uint64)
 	for rule, n := range g.counts {
 		if n > 0 {
@@ -82,7 +82,7 @@
 }
 
 // violated notes a violation. It returns false, which is every verdict on one.
-func (g *Guard) violated(rule Rule, request, format string, args ...any) bool {
+func (g *Checker) violated(rule Rule, request, format string, args ...any) bool {
 	g.counts[rule]++
 	g.total++
 	if g.Report != nil {
@@ -93,42 +93,42 @@
 
 // Request is the guard's record of one request.
 type Request struct {
-	ID       string
-	Effect   balancer.Effect
-	Group    balancer.Group
-	Window   time.Duration
-	Deadline time.Duration // when its client gives up
-	ended    bool          // it has its final answer, or its client has left
-	attempts []attempt
+	ID          string
+	Idempotency balancer.Idempotency
+	DedupScope  balancer.DedupScope
+	DedupWindow time.Duration
+	Deadline    time.Duration // when its client gives up
+	ended       bool          // it has its final answer, or its client has left
+	attempts    []attempt
 }
 
 // attempt is one whose first byte was written.
 type attempt struct {
-	host  Host
+	host  Endpoint
 	at    time.Duration
 	out   bool
 	unrun bool // it is proven that it did not run
 }
 
-// Host is where an attempt goes.
-type Host struct {
+// Endpoint is where an attempt goes.
+type Endpoint struct {
 	Zone, Cell int
 	Leaving    bool // it drains or is gone
 }
 
 // Attempt is one that is about to be written.
 type Attempt struct {
-	Now   time.Duration
-	Until time.Duration // how long the host is told that it is waited for
-	Host  Host
+	Now      time.Duration
+	Until    time.Duration // how long the host is told that it is waited for
+	Endpoint Endpoint
 }
 
-// Attempt decides whether an attempt may be written now, and records it where it may. The index names it to Ended.
-func (g *Guard) Attempt(r *Request, a Attempt) (index int, ok bool) {
+// AllowAttempt decides whether an attempt may be written now, and records it where it may. The index names it to Ended.
+func (g *Checker) AllowAttempt(r *Request, a Attempt) (index int, ok bool) {
 	switch {
 	case r.ended:
 		return 0, g.violated(AttemptAfterEnd, r.ID, "%d attempts before", len(r.attempts))
-	case a.Host.Leaving:
+	case a.Endpoint.Leaving:
 		return 0, g.violated(AttemptToLeaving, r.ID, "%d attempts before", len(r.attempts))
 	case a.Now >= r.Deadline || a.Until > r.Deadline:
 		return 0, g.violated(AttemptTooLate, r.ID, "%v are left, %v are told", r.Deadline-a.Now, a.Until-a.Now)
@@ -142,23 +142,23 @@
 			return 0, g.violated(RanTwice, r.ID, "attempt %d may have run, %v ago", i, a.Now-earlier.at)
 		}
 	}
-	r.attempts = append(r.attempts, attempt{host: a.Host, at: a.Now, out: true})
+	r.attempts = append(r.attempts, attempt{host: a.Endpoint, at: a.Now, out: true})
 	return len(r.attempts) - 1, true
 }
 
 // mayFollow reports whether an attempt may follow an earlier one that is over.
 func (r *Request) mayFollow(earlier *attempt, a Attempt) bool {
-	if earlier.unrun || r.Effect == balancer.Safe {
+	if earlier.unrun || r.Idempotency == balancer.Idempotent {
 		return true
 	}
-	if r.Effect == balancer.Unsafe || a.Now > earlier.at+r.Window {
+	if r.Idempotency == balancer.NonIdempotent || a.Now > earlier.at+r.DedupWindow {
 		return false
 	}
-	switch r.Group {
-	case balancer.GroupZone:
-		return earlier.host.Zone == a.Host.Zone
-	case balancer.GroupCell:
-		return earlier.host.Zone == a.Host.Zone && earlier.host.Cell == a.Host.Cell
+	switch r.DedupScope {
+	case balancer.DedupZone:
+		return earlier.host.Zone == a.Endpoint.Zone
+	case balancer.DedupCell:
+		return earlier.host.Zone == a.Endpoint.Zone && earlier.host.Cell == a.Endpoint.Cell
 	}
 	return true
 }
@@ -172,8 +172,8 @@
 }
 
 // MayPromise decides whether a client may be told that its request never ran, or that trying again is harmless.
-func (g *Guard) MayPromise(r *Request) bool {
-	if r.Effect == balancer.Safe || r.Effect == balancer.Keyed && r.Group == balancer.GroupAll {
+func (g *Checker) MayPromise(r *Request) bool {
+	if r.Idempotency == balancer.Idempotent || r.Idempotency == balancer.KeyedIdempotent && r.DedupScope == balancer.DedupAll {
 		return true
 	}
 	for i := range r.attempts {
@@ -184,8 +184,8 @@
 	return true
 }
 
-// Answer decides whether a client may be given the final answer of a request, and records it.
-func (g *Guard) Answer(r *Request) bool {
+// AllowAnswer decides whether a client may be given the final answer of a request, and records it.
+func (g *Checker) AllowAnswer(r *Request) bool {
 	if r.ended {
 		return g.violated(AnsweredTwice, r.ID, "%d attempts", len(r.attempts))
 	}
@@ -193,21 +193,21 @@
 	return true
 }
 
-// Left records that the client has left: nothing may begin for it any more.
-func (r *Request) Left() { r.ended = true }
+// ClientLeft records that the client has left: nothing may begin for it any more.
+func (r *Request) ClientLeft() { r.ended = true }
 
-// Close decides whether the gateway may close a client connection of its own accord. waiting is the request that waits on it,
+// AllowClose decides whether the gateway may close a client connection of its own accord. waiting is the request that waits on it,
 // or nil.
-func (g *Guard) Close(waiting *Request) bool {
+func (g *Checker) AllowClose(waiting *Request) bool {
 	if waiting != nil && !waiting.ended {
 		return g.violated(ClosedUnanswered, waiting.ID, "%d attempts", len(waiting.attempts))
 	}
 	return true
 }
 
-// Wait decides until when a client that has stopped in the middle of a request may be waited for: as long as is wanted, but no
+// AllowWait decides until when a client that has stopped in the middle of a request may be waited for: as long as is wanted, but no
 // longer than it is owed an error or a close after its last byte.
-func (g *Guard) Wait(wanted, lastByte, owedWithin time.Duration) time.Duration {
+func (g *Checker) AllowWait(wanted, lastByte, owedWithin time.Duration) time.Duration {
 	latest := lastByte + owedWithin
 	if wanted > latest {
 		g.violated(HeardLate, "", "it would wait for %v after its last byte", wanted-lastByte)
@@ -218,15 +218,15 @@
 
 // Timed decides whether a client connection may be left as it is after an event: something must end it, a timer, its client's
 // request, or the answer that is being written.
-func (g *Guard) Timed(timer, request bool) bool {
+func (g *Checker) Timed(timer, request bool) bool {
 	if !timer && !request {
 		return g.violated(Untimed, "", "neither a timer nor a request")
 	}
 	return true
 }
 
-// End decides whether the process may end.
-func (g *Guard) End(requests int) bool {
+// AllowExit decides whether the process may end.
+func (g *Checker) AllowExit(requests int) bool {
 	if requests > 0 {
 		return g.violated(EndedOwing, "", "%d requests wait", requests)
 	}
--- a/internal/lab/assignmentsim/sharesim.go
+++ b/internal/lab/assignmentsim/sharesim.go
@@ -47,13 +47,13 @@
 
 // rule is that of today's parts: eight users of the own zone and four of others, two hosts at least; and as many users at most as a
 // fleet file asks for by itself.
-func rule() assignment.Rule { return assignment.Rule{Users: 12, Most: 36, Least: 2} }
+func rule() assignment.Rule { return assignment.Rule{Users: 12, MaxUsers: 36, MinEndpoints: 2} }
 
 type fleet struct {
 	gateways []assignment.Gateway
 	ranks    []int // by place, as configured
 	all      int   // the configured count
-	hosts    []assignment.Host
+	hosts    []assignment.Endpoint
 }
 
 func (c Case) fleet() fleet {
@@ -73,7 +73,7 @@
 		if c.Mixed {
 			capacity = float64(int(1) << rng.IntN(3))
 		}
-		f.hosts = append(f.hosts, assignment.Host{ID: rng.Uint64(), Capacity: capacity})
+		f.hosts = append(f.hosts, assignment.Endpoint{ID: rng.Uint64(), Capacity: capacity})
 	}
 	return f
 }
@@ -85,7 +85,7 @@
 		part := min(float64(len(f.hosts)), max(2, 12*float64(len(f.hosts))/float64(f.all)))
 		for i, rank := range f.ranks {
 			out[i] = make(map[uint64]float64)
-			n := int(subset.Whole(rank, part))
+			n := int(subset.RoundByRank(rank, part))
 			for k := range n {
 				out[i][f.hosts[(subset.Start(rank, len(f.hosts))+k)%len(f.hosts)].ID] = 1 / float64(n)
 			}
@@ -99,7 +99,7 @@
 			gateways = append(gateways, assignment.Gateway{Name: g.Name})
 		}
 	}
-	d, err := assignment.Work(rule(), gateways, f.hosts)
+	d, err := assignment.Compute(rule(), gateways, f.hosts)
 	if err != nil {
 		return nil, err
 	}
@@ -107,8 +107,8 @@
 		out[i] = make(map[uint64]float64)
 		list := d.Of(g.Name)
 		for _, u := range list {
-			if out[i][u.Host] = u.Weight; way == Alike {
-				out[i][u.Host] = 1 / float64(len(list))
+			if out[i][u.Endpoint] = u.Weight; way == Alike {
+				out[i][u.Endpoint] = 1 / float64(len(list))
 			}
 		}
 	}
@@ -169,7 +169,7 @@
 	out.GatewayGone = float64(moved) / math.Max(1, float64(len(uses[gone])))
 	fewer := f
 	lost := f.hosts[c.Hosts/3]
-	fewer.hosts = append(append([]assignment.Host(nil), f.hosts[:c.Hosts/3]...), f.hosts[c.Hosts/3+1:]...)
+	fewer.hosts = append(append([]assignment.Endpoint(nil), f.hosts[:c.Hosts/3]...), f.hosts[c.Hosts/3+1:]...)
 	if after, err = fewer.uses(way); err != nil {
 		return out, err
 	}
--- a/internal/lab/cli/seeds.go
+++ b/internal/lab/cli/seeds.go
@@ -135,8 +135,8 @@
 // viewOnly refuses what does not go with the profile members.
 func (s sizeFlags) viewOnly(set ...string) error {
 	switch {
-	case s.Gateways != 0 && (s.Gateways < 3 || s.Gateways > membership.MostMembers):
-		return input(fmt.Errorf("gateways must be 3 to %d with profile %s", membership.MostMembers, membersProfile))
+	case s.Gateways != 0 && (s.Gateways < 3 || s.Gateways > membership.MaxMembers):
+		return input(fmt.Errorf("gateways must be 3 to %d with profile %s", membership.MaxMembers, membersProfile))
 	case s.Hosts != 0 || s.Requests != 0 || strings.Join(set, "") != "":
 		return input(fmt.Errorf("only --gateways goes with profile %s: it plays views alone", membersProfile))
 	}
--- a/internal/lab/cli/shares.go
+++ b/internal/lab/cli/shares.go
@@ -27,8 +27,8 @@
 // Run implements kong's.
 func (c sharesCmd) Run(e *env) error {
 	given := c.Gateways != 0 || c.Hosts != 0
-	if given && (c.Gateways < 2 || c.Hosts < 2 || c.Gateways > assignment.MostGateways || c.Hosts > assignment.MostHosts) {
-		return input(fmt.Errorf("--gateways and --hosts go together, 2 to %d and 2 to %d", assignment.MostGateways, assignment.MostHosts))
+	if given && (c.Gateways < 2 || c.Hosts < 2 || c.Gateways > assignment.MaxGateways || c.Hosts > assignment.MaxEndpoints) {
+		return input(fmt.Errorf("--gateways and --hosts go together, 2 to %d and 2 to %d", assignment.MaxGateways, assignment.MaxEndpoints))
 	}
 	if c.Gateway {
 		return c.whole(e)
--- a/internal/lab/cli/view.go
+++ b/internal/lab/cli/view.go
@@ -34,8 +34,8 @@
 
 // Run implements kong's.
 func (c viewCmd) Run(e *env) error {
-	if c.Nodes < 3 || c.Nodes > membership.MostMembers || !(c.Loss >= 0 && c.Loss < 1) {
-		return input(fmt.Errorf("nodes must be 3 to %d and loss 0 to under 1", membership.MostMembers))
+	if c.Nodes < 3 || c.Nodes > membership.MaxMembers || !(c.Loss >= 0 && c.Loss < 1) {
+		return input(fmt.Errorf("nodes must be 3 to %d and loss 0 to under 1", membership.MaxMembers))
 	}
 	parts := map[string]membership.Part{"ring": membership.PartRing, "confirm": membership.PartConfirm, "verify": membership.PartVerify,
 		"health": membership.PartHealth, "repair": membership.PartRepair, "calls": membership.PartCalls}
--- a/internal/lab/configsim/fleet.go
+++ b/internal/lab/configsim/fleet.go
@@ -40,7 +40,7 @@
 	ID         uint64
 	Region     string
 	Controller *configdist.Controller // nil while no process runs
-	disk       *raft.Memory
+	disk       *raft.MemoryStorage
 	seen       seen
 }
 
@@ -75,7 +75,7 @@
 func New(cfg Config, clock Clock, net Network) *Fleet {
 	f := &Fleet{cfg: cfg, clock: clock, net: net, rng: rand.New(rand.NewPCG(cfg.Seed, 0x4011)), ledger: newLedger(), answer: make(map[uint64]func(configdist.Result))}
 	for i := range machines {
-		c := &Control{process: process{fleet: f, at: Endpoint{true, i}}, ID: uint64(i + 1), Region: regionName(i * cfg.Regions / machines), disk: &raft.Memory{}}
+		c := &Control{process: process{fleet: f, at: Endpoint{true, i}}, ID: uint64(i + 1), Region: regionName(i * cfg.Regions / machines), disk: &raft.MemoryStorage{}}
 		f.Controls = append(f.Controls, c)
 	}
 	for i := range cfg.Gateways {
@@ -121,7 +121,7 @@
 		return
 	}
 	c.start()
-	controller, err := configdist.NewController(configdist.ControllerConfig{ID: c.ID, Voters: []uint64{1, 2, 3}, Standbys: []uint64{4}, Kept: c.disk.Kept(),
+	controller, err := configdist.NewController(configdist.ControllerConfig{ID: c.ID, Voters: []uint64{1, 2, 3}, Standbys: []uint64{4}, Kept: c.disk.Load(),
 		Seed: f.rng.Uint64(), Policy: f.cfg.Policy, PageBytes: f.cfg.PageBytes, SnapshotEach: f.cfg.Snapshots}, f.clock.Now())
 	if err != nil {
 		panic(err) // the configuration is ours
@@ -146,7 +146,7 @@
 func (f *Fleet) Leader() *Control {
 	for _, c := range f.Controls {
 		if c.Controller != nil && !c.stalled {
-			if s := c.Controller.Status(); s.Leads && s.Quorum {
+			if s := c.Controller.Status(); s.IsLeader && s.Quorum {
 				return c
 			}
 		}
@@ -181,7 +181,7 @@
 	f := c.fleet
 	var out configdist.ControllerOutput
 	var err error
-	c.spend(func() { out, err = c.Controller.Take(c.disk.Keep) })
+	c.spend(func() { out, err = c.Controller.Take(c.disk.Save) })
 	if err != nil {
 		f.Find("control machine %d: %v", c.ID, err)
 	}
--- a/internal/lab/drill/format.go
+++ b/internal/lab/drill/format.go
@@ -122,7 +122,7 @@
 func states() []string { return []string{"alive", "suspect", "gone", "left", "unknown"} }
 
 func stages() []string {
-	return []string{assignment.Waiting.String(), assignment.Settled.String(), assignment.Kept.String(), assignment.Changing.String()}
+	return []string{assignment.Waiting.String(), assignment.Settled.String(), assignment.Retained.String(), assignment.Changing.String()}
 }
 
 func (f *File) check(in *tomlfile.File) {
--- a/internal/lab/drill/portions.go
+++ b/internal/lab/drill/portions.go
@@ -23,16 +23,16 @@
 )
 
 // portionOf takes a process's word on what it has of the hosts.
-func portionOf(p *admin.Portion) *membershipcheck.Portion {
+func portionOf(p *admin.Assignment) *membershipcheck.Portion {
 	if p == nil {
 		return nil
 	}
-	out := &membershipcheck.Portion{Stage: p.Stage, Turns: p.Turns, Crowd: p.Crowd, Parts: make(map[string]float64)}
+	out := &membershipcheck.Portion{Stage: p.Stage, Turns: p.Tokens, Crowd: p.RelativeLoad, Parts: make(map[string]float64)}
 	for _, h := range p.Hosts {
-		if h.Cold {
+		if h.SlowStart {
 			out.Cold = append(out.Cold, h.Name)
 		} else {
-			out.Parts[h.Name] = h.Part
+			out.Parts[h.Name] = h.Share
 		}
 	}
 	return out
--- a/internal/lab/drill/rig.go
+++ b/internal/lab/drill/rig.go
@@ -323,7 +323,7 @@
 		if err != nil {
 			continue
 		}
-		l := membershipcheck.Look{At: at, Gateway: n, PID: pid, Speaking: v.Speaking, Joined: v.Joined, Settled: v.Settled, Majority: v.Majority, Twin: v.Twin, Alive: v.Alive,
+		l := membershipcheck.Look{At: at, Gateway: n, PID: pid, Speaking: v.Active, Joined: v.Joined, Settled: v.Settled, Majority: v.Majority, Twin: v.DuplicateName, Alive: v.Alive,
 			Sent: v.SentBytes, States: make([]membershipcheck.Held, len(r.names))}
 		for _, m := range v.Members {
 			i, ok := r.index[m.Name]
@@ -334,14 +334,14 @@
 					Previous: m.Previous, SuspectedBy: m.SuspectedBy}
 			}
 		}
-		l.Portion = portionOf(v.Portion)
-		if v.Speaking && at >= 0 {
+		l.Portion = portionOf(v.Assignment)
+		if v.Active && at >= 0 {
 			r.history.Looked(l)
 		}
 	}
 }
 
-func (r *rig) view(control string) (v admin.Fleet, err error) {
+func (r *rig) view(control string) (v admin.Cluster, err error) {
 	answer, err := r.client.Get("http://" + control + "/ops/fleet")
 	if err != nil {
 		return v, err
--- a/internal/lab/drill/violations.go
+++ b/internal/lab/drill/violations.go
@@ -36,7 +36,7 @@
 }
 
 // figures asks a process for what it counts.
-func (r *rig) figures(control string) (f admin.Figures, err error) {
+func (r *rig) figures(control string) (f admin.Stats, err error) {
 	answer, err := r.client.Get("http://" + control + "/ops/stats")
 	if err != nil {
 		return f, err
--- a/internal/lab/membershipsim/heartbeats.go
+++ b/internal/lab/membershipsim/heartbeats.go
@@ -16,9 +16,9 @@
 // Mind is what a node believes by: members.View, or the baseline that it is compared with.
 type Mind interface {
 	Advance(now time.Duration)
-	Hear(now time.Duration, from netip.AddrPort, data []byte)
+	Receive(now time.Duration, from netip.AddrPort, data []byte)
 	Take() []membership.Datagram
-	Next() time.Duration
+	NextWake() time.Duration
 	Members() []membership.Member
 	Find(name string) (membership.Member, bool)
 	Others() iter.Seq[*membership.Member]
@@ -60,7 +60,7 @@
 func NewHeartbeats(cfg membership.Config, now time.Duration) *Heartbeats {
 	h := &Heartbeats{name: cfg.Name, start: cfg.Start, byName: make(map[string]*peer),
 		byAddr: make(map[netip.AddrPort]*peer), next: now}
-	for _, p := range cfg.Book {
+	for _, p := range cfg.SeedPeers {
 		if p.Name == cfg.Name {
 			continue
 		}
@@ -105,8 +105,8 @@
 	return -math.Log10(max(1e-300, 0.5*math.Erfc(z/math.Sqrt2)))
 }
 
-// Hear implements Mind.
-func (h *Heartbeats) Hear(now time.Duration, from netip.AddrPort, data []byte) {
+// Receive implements Mind.
+func (h *Heartbeats) Receive(now time.Duration, from netip.AddrPort, data []byte) {
 	p := h.byAddr[from]
 	if p == nil || h.gone || len(data) < 2 {
 		return
@@ -136,8 +136,8 @@
 	return out
 }
 
-// Next implements Mind.
-func (h *Heartbeats) Next() time.Duration { return h.next }
+// NextWake implements Mind.
+func (h *Heartbeats) NextWake() time.Duration { return h.next }
 
 // Members implements Mind.
 func (h *Heartbeats) Members() []membership.Member {
--- a/internal/lab/membershipsim/sim.go
+++ b/internal/lab/membershipsim/sim.go
@@ -154,7 +154,7 @@
 	if node.View != nil {
 		return
 	}
-	cfg := membership.Config{Fleet: "sim", Name: node.Name, Start: uint64((s.now - s.back).Milliseconds()), Book: s.book, Flat: s.Flat,
+	cfg := membership.Config{Cluster: "sim", Name: node.Name, Start: uint64((s.now - s.back).Milliseconds()), SeedPeers: s.book, Flat: s.Flat,
 		Payload: node.payload, Seed: s.rng.Uint64(), Without: s.Without}
 	if s.Baseline {
 		node.View = NewHeartbeats(cfg, s.now)
@@ -210,7 +210,7 @@
 		}
 		for _, d := range waiting {
 			s.calls++
-			node.View.Hear(s.now, d.from, d.data)
+			node.View.Receive(s.now, d.from, d.data)
 		}
 		s.called(n)
 	})
@@ -232,7 +232,7 @@
 	node := s.Nodes[n]
 	s.post(n)
 	s.look(node)
-	next := max(node.View.Next(), s.now+100*time.Microsecond)
+	next := max(node.View.NextWake(), s.now+100*time.Microsecond)
 	if node.next != 0 && node.next <= next && node.next >= s.now {
 		return // an earlier look is under way, which asks again
 	}
@@ -286,7 +286,7 @@
 func (s *Sim) post(n int) {
 	from := s.Nodes[n]
 	for _, d := range from.View.Take() {
-		if len(d.Data) > gossipcodec.Most {
+		if len(d.Data) > gossipcodec.MaxDatagram {
 			s.Find("%s sends %d bytes", from.Name, len(d.Data))
 		}
 		s.sent[n] += uint64(len(d.Data)) + headerBytes
@@ -325,7 +325,7 @@
 		}
 	default:
 		s.calls++
-		s.spend(n, func() { node.View.Hear(s.now, d.from, d.data) })
+		s.spend(n, func() { node.View.Receive(s.now, d.from, d.data) })
 		s.called(n)
 	}
 }
@@ -365,7 +365,7 @@
 			return fmt.Sprintf("%s has %s, which is dead, as %d", node.Name, other.Name, m.State)
 		}
 	}
-	if st := node.View.Status(s.now); st.Twin {
+	if st := node.View.Status(s.now); st.DuplicateName {
 		return fmt.Sprintf("node %d believes in a twin", n)
 	}
 	return ""
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -43,7 +43,7 @@
 	f.sim.Net.Cut = func(from, to int) bool { return f.parted && f.places.region(from) != f.places.region(to) }
 	f.knowledge = &knowledge{sim: f.sim, born: make([]time.Duration, o.Gateways)}
 	for n := range o.Gateways {
-		f.sim.SetPayload(n, loadreport.Append(nil, loadreport.Signal{Zone: f.places.zone(n), Demand: demand, Room: 0.5, Known: true, Rules: 1}))
+		f.sim.SetPayload(n, loadreport.Append(nil, loadreport.Report{Zone: f.places.zone(n), Demand: demand, FreeCapacity: 0.5, Known: true, ConfigHash: 1}))
 	}
 	for _, n := range spread(o.Full, o.Gateways) {
 		g, cost, err := newFullGateway(n, f.sim.Nodes[n].Name, &o, f.places, f.sim.Now())
--- a/internal/lab/scale/full.go
+++ b/internal/lab/scale/full.go
@@ -25,11 +25,11 @@
 // fullGateway holds, beside its view, what a gateway has of hosts and settings. Its processor time is counted apart.
 type fullGateway struct {
 	number   int
-	group    *discovery.Group
+	group    *discovery.Endpoints
 	settings settings.Settings
 	module   *balancer.Balancer
-	keeper   *assignment.Keeper
-	hosts    []assignment.Host
+	keeper   *assignment.Tracker
+	hosts    []assignment.Endpoint
 	places   places
 
 	version  uint64 // of the view at the last look
@@ -49,14 +49,14 @@
 // silent takes the decisions of a module that has no requests.
 type silent struct{}
 
-func (silent) Send(balancer.RequestID, balancer.ServerID, time.Duration) {}
-func (silent) Refuse(balancer.RequestID, time.Duration)                  {}
-func (silent) Fail(balancer.RequestID)                                   {}
-func (silent) Cancel(balancer.RequestID, int)                            {}
-func (silent) Wake(time.Duration, uint32)                                {}
-func (silent) Close(balancer.ServerID)                                   {}
-func (silent) Watch()                                                    {}
-func (silent) Log(string)                                                {}
+func (silent) StartAttempt(balancer.RequestID, balancer.EndpointID, time.Duration) {}
+func (silent) Reject(balancer.RequestID, time.Duration)                            {}
+func (silent) Fail(balancer.RequestID)                                             {}
+func (silent) CancelAttempt(balancer.RequestID, int)                               {}
+func (silent) SetTimer(time.Duration, uint32)                                      {}
+func (silent) CloseIdle(balancer.EndpointID)                                       {}
+func (silent) WatchEndpoints()                                                     {}
+func (silent) Log(string)                                                          {}
 
 // newFullGateway starts one with the whole list and the settings.
 func newFullGateway(number int, name string, o *Options, p places, now time.Duration) (*fullGateway, begun, error) {
@@ -77,12 +77,12 @@
 		return nil, cost, err
 	}
 	cost.ListTime, cost.ListHeap = weighed(func() {
-		g.group = discovery.New(g.settings.Gateway.Zones)
-		var news discovery.News
+		g.group = discovery.NewEndpoints(g.settings.Gateway.Zones)
+		var news discovery.Update
 		if news, err = g.group.Apply(rawList); err != nil {
 			return
 		}
-		g.module.List(now, balancer.ListFull, news.Entries)
+		g.module.UpdateEndpoints(now, balancer.Snapshot, news.Entries)
 		g.module.Dispatch(now)
 	})
 	if err != nil {
@@ -91,11 +91,11 @@
 	runtime.KeepAlive(rawSettings) // freed in between, their bytes would be taken off what the rest leaves in use
 	runtime.KeepAlive(rawList)
 	for _, h := range g.group.All() {
-		g.hosts = append(g.hosts, assignment.Host{ID: uint64(h.ID), Capacity: h.Share, Zone: h.Zone})
+		g.hosts = append(g.hosts, assignment.Endpoint{ID: uint64(h.ID), Capacity: h.Capacity, Zone: h.Zone})
 	}
-	usual := gossipconfig.Usual()
-	rule := assignment.Rule{Users: float64(usual.Users), Most: usual.Most, Least: usual.Least, Away: usual.Away}
-	g.keeper = assignment.NewKeeper(rule, name, newsWithin, nil)
+	usual := gossipconfig.DefaultAssignment()
+	rule := assignment.Rule{Users: float64(usual.Users), MaxUsers: usual.MaxUsers, MinEndpoints: usual.MinEndpoints, RemoteZoneOdds: usual.RemoteZoneOdds}
+	g.keeper = assignment.NewTracker(rule, name, newsWithin, nil)
 	return g, cost, nil
 }
 
@@ -125,7 +125,7 @@
 			alive = append(alive, assignment.Gateway{Name: m.Name, Demand: demand, Zone: g.places.zone(n)})
 		}
 	}
-	changed, err := g.keeper.Look(now, assignment.Look{Alive: alive, Settled: status.Settled, Hosts: g.hosts})
+	changed, err := g.keeper.Observe(now, assignment.Observation{Alive: alive, Settled: status.Settled, Endpoints: g.hosts})
 	if err != nil && len(g.problems) < 5 {
 		g.problems = append(g.problems, err.Error())
 	}
--- a/internal/lab/scale/options.go
+++ b/internal/lab/scale/options.go
@@ -94,8 +94,8 @@
 		field              string
 		value, least, most int
 	}{
-		{"gateways", o.Gateways, leastGateways, membership.MostMembers},
-		{"hosts", o.Hosts, 1, assignment.MostHosts},
+		{"gateways", o.Gateways, leastGateways, membership.MaxMembers},
+		{"hosts", o.Hosts, 1, assignment.MaxEndpoints},
 		{"services", o.Services, 1, mostServices},
 		{"tenants", o.Tenants, 0, mostTenants},
 		{"routes", o.Routes, 1, mostRoutes},
--- a/internal/lab/simulation/beliefs.go
+++ b/internal/lab/simulation/beliefs.go
@@ -43,7 +43,7 @@
 	pid int
 	gw  *gateway.Gateway
 
-	view   *membership.View // at the last look
+	view   *membership.Membership // at the last look
 	joined int
 }
 
@@ -106,7 +106,7 @@
 	return []byte(out.String())
 }
 
-func (b *beliefs) file(n int) *gossipconfig.File {
+func (b *beliefs) file(n int) *gossipconfig.Config {
 	f, err := gossipconfig.Parse(b.path(n), b.text(n), b.names[n])
 	if err != nil {
 		panic(err) // the text is ours
@@ -130,15 +130,15 @@
 	}
 	for _, m := range b.w.gateways {
 		for _, p := range []*process{&m.process, &m.before} {
-			if p.gw == nil || p.gw.View() == nil || p == &m.process && !m.up && m.elder == nil {
+			if p.gw == nil || p.gw.Membership() == nil || p == &m.process && !m.up && m.elder == nil {
 				continue
 			}
-			v := p.gw.View()
+			v := p.gw.Membership()
 			if v != p.view {
 				p.view, p.joined = v, p.joined+1
 			}
 			st := v.Status(b.w.sim.Now())
-			l := membershipcheck.Look{At: b.w.sim.Since(), Gateway: m.n, PID: p.pid, Speaking: true, Joined: p.joined, Settled: st.Settled, Majority: st.Majority, Twin: st.Twin,
+			l := membershipcheck.Look{At: b.w.sim.Since(), Gateway: m.n, PID: p.pid, Speaking: true, Joined: p.joined, Settled: st.Settled, Majority: st.Majority, Twin: st.DuplicateName,
 				Alive: st.Alive, Sent: v.Counts().SentBytes, States: make([]membershipcheck.Held, len(b.names))}
 			for _, o := range v.Members() {
 				i, ok := b.index[o.Name]
@@ -219,12 +219,12 @@
 func (b *beliefs) nonsense(n int) {
 	r := b.w.sim.Rand
 	from := &dsock{addr: fleetAddr((n + 1) % len(b.names))}
-	foreign := gossipcodec.Append(nil, &gossipcodec.Message{Fleet: "other", From: gatewayName((n + 1) % len(b.names)), Start: 1 << 45, Kind: gossipcodec.Gossip})
+	foreign := gossipcodec.Append(nil, &gossipcodec.Message{Cluster: "other", From: gatewayName((n + 1) % len(b.names)), Start: 1 << 45, Kind: gossipcodec.Gossip})
 	noise := make([]byte, r.IntN(300))
 	for i := range noise {
 		noise[i] = byte(r.Uint32())
 	}
-	whole := gossipcodec.Append(nil, &gossipcodec.Message{Fleet: "virtual", From: "nobody", Start: 1 << 45, Kind: gossipcodec.Ping, Seq: 9})
+	whole := gossipcodec.Append(nil, &gossipcodec.Message{Cluster: "virtual", From: "nobody", Start: 1 << 45, Kind: gossipcodec.Ping, Seq: 9})
 	for _, data := range [][]byte{foreign, noise, whole, whole[:len(whole)/2]} {
 		b.w.net.datagram(from, fleetAddr(n), data)
 	}
--- a/internal/lab/simulation/conform_test.go
+++ b/internal/lab/simulation/conform_test.go
@@ -33,7 +33,7 @@
 }
 
 func (s *script) name(c loop.Conn) string {
-	if name := map[loop.Conn]string{loop.Listener: "listener", loop.Control: "control", loop.Handover: "handover"}[c]; name != "" {
+	if name := map[loop.Conn]string{loop.Listener: "listener", loop.Admin: "control", loop.HotRestart: "handover"}[c]; name != "" {
 		return name
 	}
 	if s.names[c] == "" {
@@ -113,7 +113,7 @@
 		if e.Kind == loop.Readable && e.Conn == loop.Listener {
 			return []loop.Effect{{Op: loop.Accept, Conn: loop.Listener}}
 		}
-		if e.Kind == loop.Readable && e.Conn != loop.Control && e.Conn != loop.Handover {
+		if e.Kind == loop.Readable && e.Conn != loop.Admin && e.Conn != loop.HotRestart {
 			return []loop.Effect{{Op: loop.Read, Conn: e.Conn}}
 		}
 		return nil
@@ -131,15 +131,15 @@
 	over := func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
 		switch {
 		case e.Kind == loop.Start:
-			return []loop.Effect{{Op: loop.Dial, Conn: 7, Path: path + "-none"}, {Op: loop.Listen, Conn: loop.Handover, Path: path}}
-		case e.Kind == loop.Listening && e.Conn == loop.Handover:
+			return []loop.Effect{{Op: loop.Dial, Conn: 7, Path: path + "-none"}, {Op: loop.Listen, Conn: loop.HotRestart, Path: path}}
+		case e.Kind == loop.Listening && e.Conn == loop.HotRestart:
 			return []loop.Effect{{Op: loop.Dial, Conn: 8, Path: path}}
-		case e.Kind == loop.Readable && (e.Conn == loop.Handover || e.Conn == loop.Control):
+		case e.Kind == loop.Readable && (e.Conn == loop.HotRestart || e.Conn == loop.Admin):
 			return []loop.Effect{{Op: loop.Accept, Conn: e.Conn, Most: 1}}
-		case e.Kind == loop.Accepted && e.Via == loop.Handover:
+		case e.Kind == loop.Accepted && e.Via == loop.HotRestart:
 			return []loop.Effect{{Op: loop.Pass, Conn: e.Conn, Data: []byte("go"), Give: []loop.Conn{loop.Listener}}, {Op: loop.Close, Conn: loop.Listener}}
 		case e.Kind == loop.Data && len(e.Passed) == 1:
-			return []loop.Effect{{Op: loop.Adopt, Conn: e.Passed[0], As: loop.Control}, {Op: loop.Heap, Bytes: 1 << 30}}
+			return []loop.Effect{{Op: loop.Adopt, Conn: e.Passed[0], As: loop.Admin}, {Op: loop.Heap, Bytes: 1 << 30}}
 		}
 		return nil
 	}
@@ -147,12 +147,12 @@
 	client := func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
 		switch {
 		case e.Kind == loop.Start:
-			return []loop.Effect{{Op: loop.Listen, Conn: loop.Handover, Path: path + "c"}}
-		case e.Kind == loop.Listening && e.Conn == loop.Handover:
+			return []loop.Effect{{Op: loop.Listen, Conn: loop.HotRestart, Path: path + "c"}}
+		case e.Kind == loop.Listening && e.Conn == loop.HotRestart:
 			return []loop.Effect{{Op: loop.Dial, Conn: 8, Path: path + "c"}}
-		case e.Kind == loop.Readable && e.Conn == loop.Handover:
+		case e.Kind == loop.Readable && e.Conn == loop.HotRestart:
 			return []loop.Effect{{Op: loop.Accept, Conn: e.Conn}}
-		case e.Kind == loop.Accepted && e.Via == loop.Handover:
+		case e.Kind == loop.Accepted && e.Via == loop.HotRestart:
 			elder = e.Conn
 		case e.Kind == loop.Accepted:
 			return []loop.Effect{{Op: loop.Pass, Conn: elder, Data: []byte("!"), Give: []loop.Conn{e.Conn}}}
--- a/internal/lab/simulation/measure.go
+++ b/internal/lab/simulation/measure.go
@@ -106,10 +106,10 @@
 	id := discovery.Identity(h.name)
 	users, know := 0, 0
 	for _, m := range w.gateways {
-		if !m.up || m.process.gw == nil || m.process.gw.Portion() == nil {
+		if !m.up || m.process.gw == nil || m.process.gw.AssignmentTracker() == nil {
 			continue
 		}
-		bad, doubted, uses := m.process.gw.Knows(id)
+		bad, doubted, uses := m.process.gw.EndpointKnowledge(id)
 		if !uses {
 			continue
 		}
@@ -142,8 +142,8 @@
 // withoutBad is a datagram in which nobody names bad hosts.
 func withoutBad(data []byte) []byte {
 	return reword(data, func(c *gossipcodec.Claim) {
-		if s, err := loadreport.Parse(c.Payload); err == nil && len(s.Bad) > 0 {
-			s.Bad = nil
+		if s, err := loadreport.Parse(c.Payload); err == nil && len(s.Ejected) > 0 {
+			s.Ejected = nil
 			c.Payload = loadreport.Append(nil, s)
 		}
 	})
@@ -156,9 +156,9 @@
 		return data
 	}
 	out := gossipcodec.Append(nil, m)
-	for i := range m.News {
-		change(&m.News[i])
-		out, _ = gossipcodec.AppendClaim(out, &m.News[i])
+	for i := range m.Claims {
+		change(&m.Claims[i])
+		out, _ = gossipcodec.AppendClaim(out, &m.Claims[i])
 	}
 	return out
 }
--- a/internal/lab/simulation/portions.go
+++ b/internal/lab/simulation/portions.go
@@ -73,10 +73,10 @@
 	sums := make(map[uint64]float64)
 	settled := 0
 	for _, m := range w.gateways {
-		if !m.up || m.process.gw == nil || m.process.gw.View() == nil {
+		if !m.up || m.process.gw == nil || m.process.gw.Membership() == nil {
 			continue
 		}
-		v, k := m.process.gw.View(), m.process.gw.Portion()
+		v, k := m.process.gw.Membership(), m.process.gw.AssignmentTracker()
 		if !v.Status(w.sim.Now()).Settled {
 			continue // the rules on views speak of that
 		}
@@ -88,8 +88,8 @@
 			continue // traffic that fades moves demand: both divisions count for a second
 		}
 		settled++
-		for _, u := range k.Uses() {
-			sums[u.Host] += u.Part
+		for _, u := range k.Assigned() {
+			sums[u.Endpoint] += u.Share
 		}
 	}
 	if settled < len(w.gateways) || settled == 0 {
@@ -106,7 +106,7 @@
 	}
 }
 
-func stageOf(k *assignment.Keeper) string {
+func stageOf(k *assignment.Tracker) string {
 	if k == nil {
 		return "none"
 	}
--- a/internal/lab/simulation/portions_test.go
+++ b/internal/lab/simulation/portions_test.go
@@ -61,10 +61,10 @@
 		all = append(all, uint64(discovery.Identity(day(p).Spec(day(p).Hosts[0], n).Name)))
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	words := func(s loadreport.Signal) func([]byte) []byte {
+	words := func(s loadreport.Report) func([]byte) []byte {
 		return func(was []byte) []byte {
 			if told, err := loadreport.Parse(was); err == nil {
-				s.Rules = told.Rules
+				s.ConfigHash = told.ConfigHash
 			}
 			s.Known = true
 			return loadreport.Append(nil, s)
@@ -75,12 +75,12 @@
 		t.Fatalf("without a lie: %+v", honest)
 	}
 	for name, lie := range map[string]func([]byte) []byte{
-		"every host is bad":  words(loadreport.Signal{Demand: 50, Bad: loadreport.Marks(all)}),
-		"every host is idle": words(loadreport.Signal{Room: 1}),
-		"all traffic":        words(loadreport.Signal{Demand: 1e9, Refused: 1}),
-		"another file":       words(loadreport.Signal{Demand: 50, Rules: 1}),
+		"every host is bad":  words(loadreport.Report{Demand: 50, Ejected: loadreport.EndpointHashes(all)}),
+		"every host is idle": words(loadreport.Report{FreeCapacity: 1}),
+		"all traffic":        words(loadreport.Report{Demand: 1e9, Rejected: 1}),
+		"another file":       words(loadreport.Report{Demand: 50, ConfigHash: 1}),
 		"nonsense": func([]byte) []byte {
-			b := make([]byte, rng.IntN(gossipcodec.MostPayload))
+			b := make([]byte, rng.IntN(gossipcodec.MaxPayload))
 			for i := range b {
 				b[i] = byte(rng.Uint32())
 			}
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -343,9 +343,9 @@
 	if err != nil {
 		panic(err)
 	}
-	cfg.Handover = "/tmp/" + m.name
+	cfg.HotRestartDir = "/tmp/" + m.name
 	if w.beliefs != nil {
-		cfg.Fleet, cfg.FleetPath = w.beliefs.file(m.n), w.beliefs.path(m.n)
+		cfg.Gossip, cfg.GossipPath = w.beliefs.file(m.n), w.beliefs.path(m.n)
 	}
 	m.up, m.left = true, false
 	m.life++
--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -17,16 +17,16 @@
 	answerIn = time.Second // a command that has no answer by then goes out again, the same
 )
 
-// Want is a duty that a client is to hold.
-type Want struct {
-	Duty   string
-	Places int
-	Lease  time.Duration
+// Request is a duty that a client is to hold.
+type Request struct {
+	Lease    string
+	Index    int
+	Duration time.Duration
 }
 
 // held is a client's own side of one duty.
 type held struct {
-	Want
+	Request
 	wanted bool
 	fence  uint64        // 0: not held
 	until  time.Duration // on the client's clock
@@ -53,30 +53,30 @@
 	return &Client{name: name, start: start, duty: make(map[string]*held)}
 }
 
-// Set says which duties the client is to hold from now on. Those that it holds and should not are released.
-func (c *Client) Set(now time.Duration, wants []Want) error {
+// Want says which duties the client is to hold from now on. Those that it holds and should not are released.
+func (c *Client) Want(now time.Duration, wants []Request) error {
 	for i, w := range wants {
-		probe := Command{Kind: Acquire, Client: c.name, Start: 1, Seq: 1, Duty: w.Duty, Places: w.Places, Lease: w.Lease}
+		probe := Command{Kind: Acquire, Client: c.name, Start: 1, Seq: 1, Duty: w.Lease, Places: w.Index, Lease: w.Duration}
 		if err := probe.check(); err != nil {
-			return fmt.Errorf("duties: %s: %w", w.Duty, err)
+			return fmt.Errorf("duties: %s: %w", w.Lease, err)
 		}
-		if slices.ContainsFunc(wants[:i], func(o Want) bool { return o.Duty == w.Duty }) {
-			return fmt.Errorf("duties: %s is wanted twice", w.Duty)
+		if slices.ContainsFunc(wants[:i], func(o Request) bool { return o.Lease == w.Lease }) {
+			return fmt.Errorf("duties: %s is wanted twice", w.Lease)
 		}
 	}
 	for _, h := range c.duty {
 		h.wanted = false
 	}
 	for _, w := range wants {
-		h := c.duty[w.Duty]
+		h := c.duty[w.Lease]
 		if h == nil {
 			h = &held{next: now}
-			c.duty[w.Duty] = h
+			c.duty[w.Lease] = h
 		}
 		if !h.wanted && h.fence == 0 {
 			h.next = now
 		}
-		h.Want, h.wanted = w, true
+		h.Request, h.wanted = w, true
 	}
 	for _, name := range sortedKeys(c.duty) {
 		if h := c.duty[name]; !h.wanted {
@@ -86,9 +86,9 @@
 	return nil
 }
 
-// May reports whether the client holds a duty at this moment, and with which number. It is to be asked before each effect of
+// MayAct reports whether the client holds a duty at this moment, and with which number. It is to be asked before each effect of
 // the duty, with a clock that was read for it: a process that stood still learns here that its time is over.
-func (c *Client) May(now time.Duration, name string) (fence uint64, ok bool) {
+func (c *Client) MayAct(now time.Duration, name string) (fence uint64, ok bool) {
 	h := c.duty[name]
 	if h == nil || h.fence == 0 || now >= h.until || !h.wanted {
 		return 0, false
@@ -107,15 +107,15 @@
 // Holds lists the duties that it holds now.
 func (c *Client) Holds(now time.Duration) (names []string) {
 	for _, name := range sortedKeys(c.duty) {
-		if _, ok := c.May(now, name); ok {
+		if _, ok := c.MayAct(now, name); ok {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// Ask returns the command that is to go out now, if there is one: a new one, or again one that has had no answer.
-func (c *Client) Ask(now time.Duration) (Command, bool) {
+// NextCommand returns the command that is to go out now, if there is one: a new one, or again one that has had no answer.
+func (c *Client) NextCommand(now time.Duration) (Command, bool) {
 	if c.out != nil {
 		if now < c.again {
 			return Command{}, false
@@ -127,7 +127,7 @@
 	if h == nil {
 		return Command{}, false
 	}
-	cmd := Command{Client: c.name, Start: c.start, Seq: c.seq + 1, Duty: h.Duty, Places: h.Places, Lease: h.Lease, Fence: h.fence}
+	cmd := Command{Client: c.name, Start: c.start, Seq: c.seq + 1, Duty: h.Lease, Places: h.Index, Lease: h.Duration, Fence: h.fence}
 	switch {
 	case !h.wanted:
 		cmd.Kind = Release
@@ -165,8 +165,8 @@
 	return at, ok
 }
 
-// Hear takes the answer to a command. One to another command than that under way is passed over: its time is over.
-func (c *Client) Hear(now time.Duration, seq uint64, a Answer) {
+// Receive takes the answer to a command. One to another command than that under way is passed over: its time is over.
+func (c *Client) Receive(now time.Duration, seq uint64, a Answer) {
 	if c.out == nil || c.out.Seq != seq {
 		return
 	}
@@ -215,7 +215,7 @@
 func (c *Client) States(now time.Duration) (out []State) {
 	for _, name := range sortedKeys(c.duty) {
 		h := c.duty[name]
-		fence, ok := c.May(now, name)
+		fence, ok := c.MayAct(now, name)
 		out = append(out, State{Duty: name, Held: ok, Fence: fence, Left: c.Left(now, name), Ahead: h.ahead, Why: h.why})
 	}
 	return out
--- a/internal/lease/duties_test.go
+++ b/internal/lease/duties_test.go
@@ -157,7 +157,7 @@
 		if d.noDrift {
 			a.rate = 1 - 0.5*float64(i%2)
 		}
-		_ = a.Set(0, []Want{{duty, 1, lease}})
+		_ = a.Want(0, []Request{{duty, 1, lease}})
 		return a
 	}
 	for i := range 4 {
@@ -219,7 +219,7 @@
 			}
 			a.inbox = nil
 			me := a
-			if cmd, ok := a.Ask(local(a)); ok {
+			if cmd, ok := a.NextCommand(local(a)); ok {
 				send(func() {
 					if clock < down {
 						return
@@ -237,7 +237,7 @@
 					}
 					send(func() {
 						me.inbox = append(me.inbox, func() {
-							me.Hear(local(me), cmd.Seq, answer)
+							me.Receive(local(me), cmd.Seq, answer)
 							if h := me.duty[duty]; h != nil && h.fence > 0 && d.fromReply && answer.Verdict == Granted {
 								h.until = local(me) + lease
 							}
@@ -251,7 +251,7 @@
 					tab.Apply(Command{Kind: Release, Client: a.name, Start: a.start, Seq: 1 << 40, Duty: duty, Fence: fence, At: tab.Now()})
 				}
 			}
-			fence, ok := a.May(local(a), duty)
+			fence, ok := a.MayAct(local(a), duty)
 			if d.timerOnly { // it looks at its clock every 300 ms, and goes by that
 				if clock-a.cleared >= 300*time.Millisecond {
 					a.cleared, a.sees = clock, ok
@@ -288,13 +288,13 @@
 				arrive()
 			}
 			for _, o := range actors {
-				if _, both := o.May(local(o), duty); o != a && both && clock >= o.stopped && !d.timerOnly {
+				if _, both := o.MayAct(local(o), duty); o != a && both && clock >= o.stopped && !d.timerOnly {
 					wrong = append(wrong, fmt.Sprintf("at %v: %s and %s hold it", clock, a.name, o.name))
 				}
 			}
 			if d.timerOnly {
 				for _, o := range actors {
-					if _, both := o.May(local(o), duty); o != a && both {
+					if _, both := o.MayAct(local(o), duty); o != a && both {
 						wrong = append(wrong, fmt.Sprintf("at %v: %s acts while %s holds it", clock, a.name, o.name))
 					}
 				}
--- a/internal/loadreport/signals.go
+++ b/internal/loadreport/signals.go
@@ -34,32 +34,32 @@
 	mostParts, leastPart = 8.0, 1.0 / 64
 )
 
-// Signal is what a gateway tells of itself.
-type Signal struct {
-	Zone    int
-	Demand  float64 // requests a second by weight; 0: none, below 0: not known yet
-	Refused float64 // share of it, 0 to 1
-	Room    float64 // share of its hosts' limits that is free, 0 to 1
-	Health  int     // 0 is well, 8 is worst
-	Known   bool    // demand and the rest were told; else the zone alone
-	// Rules is a mark of what turns rest on, so that gateways whose files differ find out.
-	Rules uint32
-	// Bad are hosts that this gateway has found bad, by Mark, sorted, MostBad at most.
-	Bad []uint32
+// Report is what a gateway tells of itself.
+type Report struct {
+	Zone         int
+	Demand       float64 // requests a second by weight; 0: none, below 0: not known yet
+	Rejected     float64 // share of it, 0 to 1
+	FreeCapacity float64 // share of its hosts' limits that is free, 0 to 1
+	LocalHealth  int     // 0 is well, 8 is worst
+	Known        bool    // demand and the rest were told; else the zone alone
+	// ConfigHash is a mark of what turns rest on, so that gateways whose files differ find out.
+	ConfigHash uint32
+	// Ejected are hosts that this gateway has found bad, by Mark, sorted, MostBad at most.
+	Ejected []uint32
 }
 
 // MostBad is how many hosts a payload names.
 const MostBad = 12
 
-// Mark is a host's number in a payload. Two hosts of a fleet of 200 have the same in one of 200,000 fleets, and doubt alone
+// EndpointHash is a host's number in a payload. Two hosts of a fleet of 200 have the same in one of 200,000 fleets, and doubt alone
 // ejects nobody.
-func Mark(host uint64) uint32 { return uint32(host ^ host>>32) }
+func EndpointHash(host uint64) uint32 { return uint32(host ^ host>>32) }
 
-// Marks words hosts for a payload. Of more than it has room for the first by number are named.
-func Marks(hosts []uint64) []uint32 {
+// EndpointHashes words hosts for a payload. Of more than it has room for the first by number are named.
+func EndpointHashes(hosts []uint64) []uint32 {
 	var out []uint32
 	for _, h := range hosts {
-		out = append(out, Mark(h))
+		out = append(out, EndpointHash(h))
 	}
 	slices.Sort(out)
 	out = slices.Compact(out)
@@ -85,7 +85,7 @@
 }
 
 // Append adds a signal's words to a payload. What is out of its bounds is told at the bound.
-func Append(b []byte, s Signal) []byte {
+func Append(b []byte, s Report) []byte {
 	zone := uint64(min(max(s.Zone, 0), mostZone))
 	if !s.Known {
 		return binary.AppendUvarint(append(b, formZone), zone)
@@ -99,9 +99,9 @@
 	if s.Demand < 0 {
 		told = unknown
 	}
-	b = append(b, told, share(s.Refused), share(s.Room), byte(min(max(s.Health, 0), mostHealth)))
-	b = binary.BigEndian.AppendUint32(b, s.Rules)
-	bad := s.Bad[:min(len(s.Bad), MostBad)]
+	b = append(b, told, share(s.Rejected), share(s.FreeCapacity), byte(min(max(s.LocalHealth, 0), mostHealth)))
+	b = binary.BigEndian.AppendUint32(b, s.ConfigHash)
+	bad := s.Ejected[:min(len(s.Ejected), MostBad)]
 	b = append(b, byte(len(bad)))
 	for _, m := range bad {
 		b = binary.BigEndian.AppendUint32(b, m)
@@ -110,29 +110,29 @@
 }
 
 // Parse reads a payload. Bytes that a later program adds are skipped; what no program says is an error.
-func Parse(b []byte) (Signal, error) {
+func Parse(b []byte) (Report, error) {
 	if len(b) == 0 {
-		return Signal{}, errors.New("signals: empty")
+		return Report{}, errors.New("signals: empty")
 	}
 	form := b[0]
 	if form != formZone && form != formOne {
-		return Signal{}, fmt.Errorf("%w %d", ErrForm, form)
+		return Report{}, fmt.Errorf("%w %d", ErrForm, form)
 	}
 	zone, n := binary.Uvarint(b[1:])
 	if n <= 0 || zone > mostZone {
-		return Signal{}, errors.New("signals: no zone")
+		return Report{}, errors.New("signals: no zone")
 	}
-	s := Signal{Zone: int(zone)}
+	s := Report{Zone: int(zone)}
 	if form == formZone {
 		return s, nil
 	}
 	rest := b[1+n:]
 	if len(rest) < 4 {
-		return Signal{}, fmt.Errorf("signals: %d bytes after the zone, 4 are needed", len(rest))
+		return Report{}, fmt.Errorf("signals: %d bytes after the zone, 4 are needed", len(rest))
 	}
 	e := int(rest[0]) + nothing
 	if e > mostStep && rest[0] != unknown || rest[1] > parts || rest[2] > parts || rest[3] > mostHealth {
-		return Signal{}, fmt.Errorf("signals: figures %v out of their bounds", rest[:4])
+		return Report{}, fmt.Errorf("signals: figures %v out of their bounds", rest[:4])
 	}
 	switch {
 	case rest[0] == unknown:
@@ -140,17 +140,17 @@
 	case e > nothing:
 		s.Demand = math.Pow(step, float64(e))
 	}
-	s.Refused, s.Room, s.Health, s.Known = float64(rest[1])/parts, float64(rest[2])/parts, int(rest[3]), true
+	s.Rejected, s.FreeCapacity, s.LocalHealth, s.Known = float64(rest[1])/parts, float64(rest[2])/parts, int(rest[3]), true
 	if rest = rest[4:]; len(rest) < 5 {
-		return Signal{}, fmt.Errorf("signals: %d bytes after the figures, 5 are needed", len(rest))
+		return Report{}, fmt.Errorf("signals: %d bytes after the figures, 5 are needed", len(rest))
 	}
-	s.Rules, rest = binary.BigEndian.Uint32(rest), rest[4:]
+	s.ConfigHash, rest = binary.BigEndian.Uint32(rest), rest[4:]
 	marks := int(rest[0])
 	if marks > MostBad || len(rest) < 1+4*marks {
-		return Signal{}, fmt.Errorf("signals: %d hosts named in %d bytes, %d hosts at most", marks, len(rest)-1, MostBad)
+		return Report{}, fmt.Errorf("signals: %d hosts named in %d bytes, %d hosts at most", marks, len(rest)-1, MostBad)
 	}
 	for i := range marks {
-		s.Bad = append(s.Bad, binary.BigEndian.Uint32(rest[1+4*i:]))
+		s.Ejected = append(s.Ejected, binary.BigEndian.Uint32(rest[1+4*i:]))
 	}
 	return s, nil
 }
@@ -166,22 +166,22 @@
 	healthMoves  = 2
 )
 
-// Teller decides when a gateway tells anew.
-type Teller struct {
-	last Signal
+// Reporter decides when a gateway tells anew.
+type Reporter struct {
+	last Report
 	at   time.Duration
 	told bool
 }
 
-// Tell returns the payload to spread in a fleet of so many, and whether it is to be spread now: a figure has moved clearly
+// Next returns the payload to spread in a fleet of so many, and whether it is to be spread now: a figure has moved clearly
 // since the last one and that was long ago, or other hosts are bad, or the file is another, and it was not just now.
-func (t *Teller) Tell(now time.Duration, s Signal, fleet int) ([]byte, bool) {
+func (t *Reporter) Next(now time.Duration, s Report, fleet int) ([]byte, bool) {
 	gap := now - t.at
 	moved := func(a, b, by int) bool { return a-b > by || b-a > by }
 	l := &t.last
-	urgent := s.Zone != l.Zone || s.Known != l.Known || s.Rules != l.Rules || !slices.Equal(s.Bad, l.Bad)
-	figures := moved(exponent(s.Demand), exponent(l.Demand), 1) || (s.Demand > 0) != (l.Demand > 0) || (s.Demand < 0) != (l.Demand < 0) || moved(s.Health, l.Health, healthMoves-1) ||
-		moved(int(share(s.Refused)), int(share(l.Refused)), roughly) || moved(int(share(s.Room)), int(share(l.Room)), roughly)
+	urgent := s.Zone != l.Zone || s.Known != l.Known || s.ConfigHash != l.ConfigHash || !slices.Equal(s.Ejected, l.Ejected)
+	figures := moved(exponent(s.Demand), exponent(l.Demand), 1) || (s.Demand > 0) != (l.Demand > 0) || (s.Demand < 0) != (l.Demand < 0) || moved(s.LocalHealth, l.LocalHealth, healthMoves-1) ||
+		moved(int(share(s.Rejected)), int(share(l.Rejected)), roughly) || moved(int(share(s.FreeCapacity)), int(share(l.FreeCapacity)), roughly)
 	n := time.Duration(fleet)
 	due := !t.told || urgent && gap >= max(urgentEvery, n*urgentEach) || figures && gap >= max(figuresEvery, n*figuresEach)
 	if !due {
@@ -197,15 +197,15 @@
 	sickHealth = 4 // from which on a gateway's word on others does not count
 )
 
-// Doubted are the marks of hosts that several others found bad: gateways that are alive now and well themselves. words must
+// SuspectedByPeers are the marks of hosts that several others found bad: gateways that are alive now and well themselves. words must
 // not hold the own one.
-func Doubted(words []Word) map[uint32]bool {
+func SuspectedByPeers(words []PeerReport) map[uint32]bool {
 	count := make(map[uint32]int)
 	for _, w := range words {
-		if !w.Known || w.Silent > 0 || w.Health >= sickHealth {
+		if !w.Known || w.Silent > 0 || w.LocalHealth >= sickHealth {
 			continue
 		}
-		for _, m := range slices.Compact(slices.Sorted(slices.Values(w.Bad))) {
+		for _, m := range slices.Compact(slices.Sorted(slices.Values(w.Ejected))) {
 			count[m]++
 		}
 	}
@@ -218,18 +218,18 @@
 	return out
 }
 
-// Word is a member's last signal, and for how long the member has not been alive; 0 while it is.
-type Word struct {
-	Signal
+// PeerReport is a member's last signal, and for how long the member has not been alive; 0 while it is.
+type PeerReport struct {
+	Report
 	Silent time.Duration
 }
 
 // knows reports whether the word on demand counts.
-func (w *Word) knows() bool { return w.Known && w.Demand >= 0 && w.Silent < Fade }
+func (w *PeerReport) knows() bool { return w.Known && w.Demand >= 0 && w.Silent < Fade }
 
 // Demands are what each gateway counts for in a division: what it told, within bounds around the median of all that did; 0,
 // unknown, for those that told nothing or have faded. So one that lies takes at most eight parts, and loses nobody all.
-func Demands(words []Word) []float64 {
+func Demands(words []PeerReport) []float64 {
 	out := make([]float64, len(words))
 	var known []float64
 	for _, w := range words {
--- a/internal/loadreport/signals_test.go
+++ b/internal/loadreport/signals_test.go
@@ -19,11 +19,11 @@
 		return rapid.SampledFrom([]float64{0, -1, math.NaN(), math.Inf(1), math.Inf(-1), 1e-300, 0.001, 0.5, 1, 7, 1e6, 1e300}).Draw(t, "figure")
 	})
 	rapid.Check(t, func(t *rapid.T) {
-		s := Signal{Zone: rapid.IntRange(-5, 1<<20).Draw(t, "zone"), Demand: any.Draw(t, "demand"), Refused: any.Draw(t, "refused"),
-			Room: any.Draw(t, "room"), Health: rapid.IntRange(-3, 300).Draw(t, "health"), Known: rapid.Bool().Draw(t, "known")}
+		s := Report{Zone: rapid.IntRange(-5, 1<<20).Draw(t, "zone"), Demand: any.Draw(t, "demand"), Rejected: any.Draw(t, "refused"),
+			FreeCapacity: any.Draw(t, "room"), LocalHealth: rapid.IntRange(-3, 300).Draw(t, "health"), Known: rapid.Bool().Draw(t, "known")}
 		b := Append(nil, s)
 		got, err := Parse(append(b, rapid.SliceOfN(rapid.Byte(), 0, 20).Draw(t, "later bytes")...))
-		if err != nil || len(b) > gossipcodec.MostPayload {
+		if err != nil || len(b) > gossipcodec.MaxPayload {
 			t.Fatalf("%v, %d bytes", err, len(b))
 		}
 		if got.Zone != min(max(s.Zone, 0), mostZone) || got.Known != s.Known {
@@ -35,7 +35,7 @@
 		if want := s.Demand; want >= 0.001 && want <= 1e6 && (got.Demand < want/1.13 || got.Demand > want*1.13) || (s.Demand > 0) != (got.Demand > 0) {
 			t.Fatalf("demand %v of %v", got.Demand, s.Demand)
 		}
-		if got.Refused < 0 || got.Refused > 1 || got.Room < 0 || got.Room > 1 || got.Health < 0 || got.Health > mostHealth {
+		if got.Rejected < 0 || got.Rejected > 1 || got.FreeCapacity < 0 || got.FreeCapacity > 1 || got.LocalHealth < 0 || got.LocalHealth > mostHealth {
 			t.Fatalf("%+v", got)
 		}
 		if again, err := Parse(Append(nil, got)); err != nil || !reflect.DeepEqual(again, got) {
@@ -54,14 +54,14 @@
 	if _, err := Parse([]byte{9}); !errors.Is(err, ErrForm) {
 		t.Error(err)
 	}
-	if s, err := Parse([]byte{1, 3}); err != nil || !reflect.DeepEqual(s, Signal{Zone: 3}) {
+	if s, err := Parse([]byte{1, 3}); err != nil || !reflect.DeepEqual(s, Report{Zone: 3}) {
 		t.Errorf("form 1: %+v, %v", s, err)
 	}
 }
 
 func FuzzParse(f *testing.F) {
 	f.Add([]byte{1, 3})
-	f.Add(Append(nil, Signal{Zone: 2, Demand: 40, Refused: 0.1, Room: 0.5, Known: true}))
+	f.Add(Append(nil, Report{Zone: 2, Demand: 40, Rejected: 0.1, FreeCapacity: 0.5, Known: true}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if s, err := Parse(b); err == nil {
 			if again, err := Parse(Append(nil, s)); err != nil || !reflect.DeepEqual(again, s) {
@@ -73,8 +73,8 @@
 
 // A quiet gateway tells nothing, a busy one every few seconds at most, and what it told last is never off by more than moves in that time.
 func TestItTellsWhatHasMoved(t *testing.T) {
-	var teller Teller
-	told, last := 0, Signal{}
+	var teller Reporter
+	told, last := 0, Report{}
 	for ms := 0; ms < 60_000; ms += 10 {
 		demand := 100.0
 		if ms > 20_000 {
@@ -83,7 +83,7 @@
 		if ms > 40_000 {
 			demand = 100 * math.Pow(10, float64(ms-40_000)/20_000) // tenfold in 20 s
 		}
-		if b, ok := teller.Tell(time.Duration(ms)*time.Millisecond, Signal{Demand: demand, Known: true}, 5); ok {
+		if b, ok := teller.Next(time.Duration(ms)*time.Millisecond, Report{Demand: demand, Known: true}, 5); ok {
 			told++
 			last, _ = Parse(b)
 		}
@@ -97,10 +97,10 @@
 	if told < 4 || told > 7 {
 		t.Errorf("told %d times", told)
 	}
-	teller = Teller{}
+	teller = Reporter{}
 	told = 0
 	for ms := 0; ms < 10_000; ms += 10 { // from nothing to much and back, each time
-		if _, ok := teller.Tell(time.Duration(ms)*time.Millisecond, Signal{Demand: float64(ms / 10 % 2 * 100), Known: true}, 5); ok {
+		if _, ok := teller.Next(time.Duration(ms)*time.Millisecond, Report{Demand: float64(ms / 10 % 2 * 100), Known: true}, 5); ok {
 			told++
 		}
 	}
@@ -113,14 +113,14 @@
 func TestALargeFleetTellsSeldom(t *testing.T) {
 	for fleet, most := range map[int][2]int{5: {30, 104}, 300: {2, 18}} {
 		for urgent := range 2 {
-			var teller Teller
+			var teller Reporter
 			told := 0
 			for ms := 0; ms < 100_000; ms += 250 {
-				s := Signal{Demand: float64(1 + ms/250%2*100), Known: true}
+				s := Report{Demand: float64(1 + ms/250%2*100), Known: true}
 				if urgent == 1 {
-					s.Bad = []uint32{uint32(ms)}
+					s.Ejected = []uint32{uint32(ms)}
 				}
-				if _, ok := teller.Tell(time.Duration(ms)*time.Millisecond, s, fleet); ok {
+				if _, ok := teller.Next(time.Duration(ms)*time.Millisecond, s, fleet); ok {
 					told++
 				}
 			}
@@ -133,20 +133,20 @@
 
 // One that lies takes no more than eight parts, one that is silent counts as unknown after a while, never as nothing.
 func TestOneWordCountsOnlySoFar(t *testing.T) {
-	var words []Word
+	var words []PeerReport
 	for range 9 {
-		words = append(words, Word{Signal: Signal{Demand: 10, Known: true}})
+		words = append(words, PeerReport{Report: Report{Demand: 10, Known: true}})
 	}
-	words = append(words, Word{Signal: Signal{Demand: 1e9, Known: true}}, Word{Signal: Signal{Known: true}}, Word{},
-		Word{Signal: Signal{Demand: 30, Known: true}, Silent: 9 * time.Second}, Word{Signal: Signal{Demand: 30, Known: true}, Silent: 10 * time.Second})
+	words = append(words, PeerReport{Report: Report{Demand: 1e9, Known: true}}, PeerReport{Report: Report{Known: true}}, PeerReport{},
+		PeerReport{Report: Report{Demand: 30, Known: true}, Silent: 9 * time.Second}, PeerReport{Report: Report{Demand: 30, Known: true}, Silent: 10 * time.Second})
 	got := Demands(words)
 	if want := append(slices.Repeat([]float64{10}, 9), 80, 10.0/64, 0, 30, 0); !slices.Equal(got, want) {
 		t.Errorf("%v, wanted %v", got, want)
 	}
-	if got := Demands([]Word{{Signal: Signal{Known: true}}, {Signal: Signal{Known: true}}, {Signal: Signal{Demand: 5, Known: true}}}); !slices.Equal(got, []float64{5.0 / 64, 5.0 / 64, 5}) {
+	if got := Demands([]PeerReport{{Report: Report{Known: true}}, {Report: Report{Known: true}}, {Report: Report{Demand: 5, Known: true}}}); !slices.Equal(got, []float64{5.0 / 64, 5.0 / 64, 5}) {
 		t.Errorf("%v", got)
 	}
-	if got := Demands([]Word{{}, {Signal: Signal{Known: true}}}); !slices.Equal(got, []float64{0, 0}) {
+	if got := Demands([]PeerReport{{}, {Report: Report{Known: true}}}); !slices.Equal(got, []float64{0, 0}) {
 		t.Errorf("%v", got)
 	}
 }
@@ -157,12 +157,12 @@
 	for i := range 20 {
 		hosts = append(hosts, uint64(i+1)<<33, uint64(i+1)<<33)
 	}
-	s := Signal{Zone: 70, Demand: 10, Known: true, Rules: 7, Bad: Marks(hosts)}
+	s := Report{Zone: 70, Demand: 10, Known: true, ConfigHash: 7, Ejected: EndpointHashes(hosts)}
 	b := Append(nil, s)
-	if len(s.Bad) != MostBad || len(b) > 64 {
-		t.Errorf("%d hosts in %d bytes", len(s.Bad), len(b))
+	if len(s.Ejected) != MostBad || len(b) > 64 {
+		t.Errorf("%d hosts in %d bytes", len(s.Ejected), len(b))
 	}
-	if got, err := Parse(append(b, 9, 9)); err != nil || got.Rules != 7 || !slices.Equal(got.Bad, s.Bad) {
+	if got, err := Parse(append(b, 9, 9)); err != nil || got.ConfigHash != 7 || !slices.Equal(got.Ejected, s.Ejected) {
 		t.Errorf("%v %v", got, err)
 	}
 	for cut := len(b) - 1; cut > len(b)-4*MostBad; cut-- {
@@ -170,31 +170,31 @@
 			t.Errorf("cut to %d bytes: no error", cut)
 		}
 	}
-	var teller Teller
-	teller.Tell(time.Second, s, 5)
-	if _, now := teller.Tell(3*time.Second, s, 5); now {
+	var teller Reporter
+	teller.Next(time.Second, s, 5)
+	if _, now := teller.Next(3*time.Second, s, 5); now {
 		t.Error("told again though nothing moved")
 	}
-	s.Bad = s.Bad[1:]
-	if _, now := teller.Tell(3*time.Second, s, 5); !now {
+	s.Ejected = s.Ejected[1:]
+	if _, now := teller.Next(3*time.Second, s, 5); !now {
 		t.Error("not told though a host is good again")
 	}
 }
 
 // One that reports every host as bad changes none's fate, nor does one that is ill or gone; two that are well do.
 func TestOneWordDoubtsNoHost(t *testing.T) {
-	all := Marks([]uint64{1, 2, 3, 4, 5, 6, 7, 8})
-	liar := Word{Signal: Signal{Known: true, Bad: append(slices.Clone(all), all...)}}
-	ill := Word{Signal: Signal{Known: true, Bad: all, Health: 5}}
-	gone := Word{Signal: Signal{Known: true, Bad: all}, Silent: time.Second}
-	if d := Doubted([]Word{liar, ill, gone, {Signal: Signal{Known: true}}}); len(d) > 0 {
+	all := EndpointHashes([]uint64{1, 2, 3, 4, 5, 6, 7, 8})
+	liar := PeerReport{Report: Report{Known: true, Ejected: append(slices.Clone(all), all...)}}
+	ill := PeerReport{Report: Report{Known: true, Ejected: all, LocalHealth: 5}}
+	gone := PeerReport{Report: Report{Known: true, Ejected: all}, Silent: time.Second}
+	if d := SuspectedByPeers([]PeerReport{liar, ill, gone, {Report: Report{Known: true}}}); len(d) > 0 {
 		t.Errorf("%v doubted by one", d)
 	}
-	if d := Demands([]Word{{Signal: Signal{Known: true, Demand: -1}}, {Signal: Signal{Known: true, Demand: 8}}}); d[0] != 0 || d[1] != 8 {
+	if d := Demands([]PeerReport{{Report: Report{Known: true, Demand: -1}}, {Report: Report{Known: true, Demand: 8}}}); d[0] != 0 || d[1] != 8 {
 		t.Errorf("%v: one that does not know its traffic yet has told none", d)
 	}
-	honest := Word{Signal: Signal{Known: true, Bad: all[2:3]}}
-	if d := Doubted([]Word{liar, honest}); len(d) != 1 || !d[all[2]] {
+	honest := PeerReport{Report: Report{Known: true, Ejected: all[2:3]}}
+	if d := SuspectedByPeers([]PeerReport{liar, honest}); len(d) != 1 || !d[all[2]] {
 		t.Errorf("%v, wanted the one that two name", d)
 	}
 }
--- a/internal/loop/nodelay_test.go
+++ b/internal/loop/nodelay_test.go
@@ -42,7 +42,7 @@
 	err = l.Run(stepper(func(_ time.Duration, e Event) []Effect {
 		switch {
 		case e.Kind == Start:
-			return []Effect{{Op: Listen, Conn: Listener, Addr: at}, {Op: Listen, Conn: Control, Addr: at, Urgent: true},
+			return []Effect{{Op: Listen, Conn: Listener, Addr: at}, {Op: Listen, Conn: Admin, Addr: at, Urgent: true},
 				{Op: Dial, Conn: 7, Addr: netip.MustParseAddrPort(far.Addr().String())}}
 		case e.Kind == Listening:
 			sa, err := unix.Getsockname(l.byConn[e.Conn].fd)
@@ -54,7 +54,7 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { c.Close() })
-		case e.Kind == Readable && (e.Conn == Listener || e.Conn == Control):
+		case e.Kind == Readable && (e.Conn == Listener || e.Conn == Admin):
 			return []Effect{{Op: Accept, Conn: e.Conn}}
 		case e.Kind == Accepted || e.Kind == Connected:
 			return look(e.Conn)
--- a/internal/loop/sockets.go
+++ b/internal/loop/sockets.go
@@ -62,7 +62,7 @@
 
 // talks reports whether the socket is a connection that is up and read.
 func (s *socket) talks() bool {
-	return !s.connecting && !s.muted && !s.datagrams && s.conn != Listener && s.conn != Control && s.conn != Handover
+	return !s.connecting && !s.muted && !s.datagrams && s.conn != Listener && s.conn != Admin && s.conn != HotRestart
 }
 
 func (l *Loop) arm(s *socket) {
--- a/internal/loop/types.go
+++ b/internal/loop/types.go
@@ -15,9 +15,9 @@
 // firstAccepted on, dialled ones by the reducer from 1 on.
 const (
 	Listener      Conn = 0
-	Control       Conn = 1 << 62
-	Handover      Conn = 1<<62 + 1
-	Fleet         Conn = 1<<62 + 2
+	Admin         Conn = 1 << 62
+	HotRestart    Conn = 1<<62 + 1
+	Gossip        Conn = 1<<62 + 2
 	firstAccepted Conn = 1 << 63
 )
 
--- a/internal/membership/hear.go
+++ b/internal/membership/hear.go
@@ -9,21 +9,21 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// Hear takes a datagram as it came from an address. What is foreign or spoilt is counted and changes nothing.
-func (v *View) Hear(now time.Duration, from netip.AddrPort, data []byte) {
+// Receive takes a datagram as it came from an address. What is foreign or spoilt is counted and changes nothing.
+func (v *Membership) Receive(now time.Duration, from netip.AddrPort, data []byte) {
 	v.at(now)
 	v.counts.Received++
 	v.counts.ReceivedBytes += uint64(len(data))
 	msg, err := gossipcodec.Parse(data)
 	switch {
 	case err != nil:
-		v.counts.Spoilt++
+		v.counts.Malformed++
 		return
-	case msg.Fleet != v.cfg.Fleet:
-		v.counts.Foreign++
+	case msg.Cluster != v.cfg.Cluster:
+		v.counts.OtherCluster++
 		return
 	case msg.Start > v.latest():
-		v.counts.Spoilt++
+		v.counts.Malformed++
 		return
 	case v.leaving:
 		return
@@ -46,14 +46,14 @@
 				v.sendTo(from, &gossipcodec.Message{Kind: gossipcodec.Gossip}, &c)
 				return
 			}
-			v.sendTo(from, &gossipcodec.Message{Kind: gossipcodec.Twin, Seq: m.Start}, nil)
-			v.send(m, &gossipcodec.Message{Kind: gossipcodec.Twin, Seq: msg.Start}, nil)
+			v.sendTo(from, &gossipcodec.Message{Kind: gossipcodec.DuplicateName, Seq: m.Start}, nil)
+			v.send(m, &gossipcodec.Message{Kind: gossipcodec.DuplicateName, Seq: msg.Start}, nil)
 		}
 		return
 	}
 	m.lastHeard = v.now
-	for i := range msg.News {
-		v.apply(&msg.News[i], msg.From)
+	for i := range msg.Claims {
+		v.apply(&msg.Claims[i], msg.From)
 	}
 	if m.Start < msg.Start { // it speaks, and has not said more of itself
 		v.set(m, &gossipcodec.Claim{Name: m.Name, Start: msg.Start})
@@ -64,7 +64,7 @@
 	}
 	v.answer(m, from, msg)
 	v.repair(m, msg)
-	v.Next()
+	v.NextWake()
 }
 
 // mostAhead is how far the clock of another machine may be ahead of this one. What claims to have begun later than that is
@@ -72,13 +72,13 @@
 const mostAhead = 24 * time.Hour
 
 // latest is the latest start that is believed, in ms of Unix time.
-func (v *View) latest() uint64 { return uint64((v.now + mostAhead).Milliseconds()) }
+func (v *Membership) latest() uint64 { return uint64((v.now + mostAhead).Milliseconds()) }
 
 // known finds who sent a datagram, or enters it. Addresses are the book's, but in a flat network.
-func (v *View) known(from netip.AddrPort, msg *gossipcodec.Message) *member {
+func (v *Membership) known(from netip.AddrPort, msg *gossipcodec.Message) *member {
 	at, booked := v.book[msg.From]
 	if !v.cfg.Flat && (!booked || at != from) {
-		v.counts.Strange++
+		v.counts.UnknownSender++
 		return nil
 	}
 	m := v.members[msg.From]
@@ -93,13 +93,13 @@
 	return m
 }
 
-func (v *View) answer(m *member, from netip.AddrPort, msg *gossipcodec.Message) {
+func (v *Membership) answer(m *member, from netip.AddrPort, msg *gossipcodec.Message) {
 	switch msg.Kind {
 	case gossipcodec.Ping:
 		self := v.self.claim("")
 		var about *gossipcodec.Claim
-		for i := range msg.News {
-			if msg.News[i].Name == v.cfg.Name {
+		for i := range msg.Claims {
+			if msg.Claims[i].Name == v.cfg.Name {
 				about = &self // it was wrong about us
 			}
 		}
@@ -122,7 +122,7 @@
 		if q := v.questions[msg.Seq]; q != nil {
 			q.nacks++
 		}
-	case gossipcodec.Ask:
+	case gossipcodec.PingRequest:
 		t := v.members[msg.Target]
 		if t == nil || !t.Addr.IsValid() {
 			v.sendTo(from, &gossipcodec.Message{Kind: gossipcodec.Nack, Seq: msg.Seq}, nil)
@@ -130,7 +130,7 @@
 		}
 		seq := v.question(t, askRelay, v.now+relayFor, 0)
 		v.questions[seq].back, v.questions[seq].backSeq = from, msg.Seq
-	case gossipcodec.Twin:
+	case gossipcodec.DuplicateName:
 		if msg.Seq != v.self.Start {
 			v.twin = v.now
 		}
@@ -140,7 +140,7 @@
 }
 
 // repair compares views where they differ though no news is on its way.
-func (v *View) repair(m *member, msg *gossipcodec.Message) {
+func (v *Membership) repair(m *member, msg *gossipcodec.Message) {
 	if msg.View == v.digest || msg.Kind == gossipcodec.Digest || v.news.len() > 0 || v.now < v.nextFix || v.cfg.Without&PartRepair != 0 {
 		return
 	}
@@ -149,7 +149,7 @@
 }
 
 // pages sends what lies in the buckets that differ, and the own sums where they were not asked for.
-func (v *View) pages(m *member, msg *gossipcodec.Message) {
+func (v *Membership) pages(m *member, msg *gossipcodec.Message) {
 	if v.cfg.Without&PartRepair != 0 {
 		return
 	}
@@ -189,7 +189,7 @@
 // weigh brings the digest up to date with one member. It is the sum over those alive, as claims order them, so that one change
 // costs the same in a view of any size. Suspicion passes by itself and the gone are forgotten at different times, so neither
 // counts.
-func (v *View) weigh(m *member) {
+func (v *Membership) weigh(m *member) {
 	h := uint64(0)
 	if m.State <= gossipcodec.Suspect {
 		h = xxh3.HashString(m.Name) ^ xxh3.HashSeed(m.Payload, m.Start*31+m.Incarnation)
