--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -49,8 +49,8 @@
 	sendBurst    = 600.0 // and as many answers to pings beyond it
 	leaveTo      = 8     // members told at once
 
-	// MostMembers bounds a view.
-	MostMembers = 2000
+	// MaxMembers bounds a view.
+	MaxMembers = 2000
 )
 
 // Part is a refinement that an experiment may leave out; a gateway leaves out none.
@@ -74,11 +74,11 @@
 
 // Config is what a view starts from.
 type Config struct {
-	Fleet       string
+	Cluster     string
 	Name        string
 	Start       uint64 // of this process, ms of Unix time, above 0
 	Incarnation uint64 // above 0 only where it was handed over by the process before, with its Start
-	Book        []Peer // the own name in it is passed over
+	SeedPeers   []Peer // the own name in it is passed over
 	Flat        bool   // addresses that others tell may be used, and datagrams may come from any
 	Payload     []byte
 	Seed        uint64
@@ -107,22 +107,22 @@
 
 // Status is the view and how far it may be trusted.
 type Status struct {
-	Version   uint64 // moves with every change of a state, start or payload
-	Alive     int    // this gateway included; suspects count
-	Known     int    // those alive, those gone and not yet forgotten, and those of the book never heard of
-	Answering float64
-	QuietFor  time.Duration // no state changed
-	Majority  bool          // more than half of the known are alive and no suspects, and most of those asked answer
-	Settled   bool          // quiet for 2 s, no suspect, a majority, most of those asked answer, no twin
-	Twin      bool          // another living process uses this name
-	Health    int           // 0 is well; what it adds stretches this gateway's own times
+	Version       uint64 // moves with every change of a state, start or payload
+	Alive         int    // this gateway included; suspects count
+	Known         int    // those alive, those gone and not yet forgotten, and those of the book never heard of
+	Answering     float64
+	Isolated      time.Duration // no state changed
+	Majority      bool          // more than half of the known are alive and no suspects, and most of those asked answer
+	Settled       bool          // quiet for 2 s, no suspect, a majority, most of those asked answer, no twin
+	DuplicateName bool          // another living process uses this name
+	LocalHealth   int           // 0 is well; what it adds stretches this gateway's own times
 }
 
 // Counts is what came and went since the start.
 type Counts struct {
-	Sent, SentBytes, Received, ReceivedBytes uint64
-	Foreign, Spoilt, Strange, Held, Full     uint64 // refused: another fleet; unreadable; from no known address; by the send rate; over MostMembers
-	FalseAlarms                              uint64 // own refutations
+	Sent, SentBytes, Received, ReceivedBytes               uint64
+	OtherCluster, Malformed, UnknownSender, Deferred, Full uint64 // refused: another fleet; unreadable; from no known address; by the send rate; over MostMembers
+	FalseAlarms                                            uint64 // own refutations
 }
 
 type member struct {
@@ -166,8 +166,8 @@
 	askAt    time.Duration
 }
 
-// View is the state.
-type View struct {
+// Membership is the state.
+type Membership struct {
 	cfg  Config
 	rng  *rand.Rand
 	now  time.Duration
@@ -210,24 +210,24 @@
 }
 
 // New starts a view. It has nothing to send before the first Advance.
-func New(cfg Config, now time.Duration) (*View, error) {
+func New(cfg Config, now time.Duration) (*Membership, error) {
 	switch {
-	case !gossipcodec.Name(cfg.Fleet):
-		return nil, fmt.Errorf("members: fleet %q is no name of 1 to %d printable characters", cfg.Fleet, gossipcodec.MostName)
+	case !gossipcodec.Name(cfg.Cluster):
+		return nil, fmt.Errorf("members: fleet %q is no name of 1 to %d printable characters", cfg.Cluster, gossipcodec.MaxName)
 	case !gossipcodec.Name(cfg.Name):
-		return nil, fmt.Errorf("members: name %q is no name of 1 to %d printable characters", cfg.Name, gossipcodec.MostName)
-	case cfg.Start == 0 || cfg.Start > gossipcodec.MostStart:
+		return nil, fmt.Errorf("members: name %q is no name of 1 to %d printable characters", cfg.Name, gossipcodec.MaxName)
+	case cfg.Start == 0 || cfg.Start > gossipcodec.MaxStart:
 		return nil, fmt.Errorf("members: start %d must be above 0, in ms of Unix time", cfg.Start)
-	case len(cfg.Payload) > gossipcodec.MostPayload:
-		return nil, fmt.Errorf("members: a payload of %d bytes, %d at most", len(cfg.Payload), gossipcodec.MostPayload)
+	case len(cfg.Payload) > gossipcodec.MaxPayload:
+		return nil, fmt.Errorf("members: a payload of %d bytes, %d at most", len(cfg.Payload), gossipcodec.MaxPayload)
 	}
-	v := &View{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Start)), now: now, due: now, members: make(map[string]*member),
+	v := &Membership{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Start)), now: now, due: now, members: make(map[string]*member),
 		questions: make(map[uint64]*question), news: news{byName: make(map[string]*item)}, nextRound: now, nextCall: now + callEvery,
 		nextBury: now + buryFor, token: sendBurst, tokAt: now, changed: now}
 	// Incarnations begin at 1: what others note of a member that has not spoken of itself has 0.
 	v.self.Member = Member{Name: cfg.Name, Start: cfg.Start, Incarnation: max(1, cfg.Incarnation), Since: now, Payload: slices.Clone(cfg.Payload)}
 	v.seq = v.rng.Uint64() >> 24
-	if err := v.setBook(cfg.Book); err != nil {
+	if err := v.setBook(cfg.SeedPeers); err != nil {
 		return nil, err
 	}
 	v.weigh(&v.self)
@@ -235,13 +235,13 @@
 	return v, nil
 }
 
-// SetBook takes a new book. A faulty one changes nothing.
-func (v *View) SetBook(now time.Duration, book []Peer) error {
+// SetSeedPeers takes a new book. A faulty one changes nothing.
+func (v *Membership) SetSeedPeers(now time.Duration, book []Peer) error {
 	v.at(now)
 	return v.setBook(book)
 }
 
-func (v *View) setBook(book []Peer) error {
+func (v *Membership) setBook(book []Peer) error {
 	names, addrs := make(map[string]netip.AddrPort, len(book)), make(map[netip.AddrPort]string, len(book))
 	for _, p := range book {
 		_, twice := names[p.Name]
@@ -258,8 +258,8 @@
 		}
 		names[p.Name], addrs[p.Addr] = p.Addr, p.Name
 	}
-	if len(names) > MostMembers {
-		return fmt.Errorf("members: %d gateways in the book, %d at most", len(names), MostMembers)
+	if len(names) > MaxMembers {
+		return fmt.Errorf("members: %d gateways in the book, %d at most", len(names), MaxMembers)
 	}
 	delete(names, v.cfg.Name)
 	v.book = names
@@ -274,9 +274,9 @@
 }
 
 // SetPayload changes what this gateway spreads of itself.
-func (v *View) SetPayload(now time.Duration, payload []byte) error {
-	if len(payload) > gossipcodec.MostPayload {
-		return fmt.Errorf("members: a payload of %d bytes, %d at most", len(payload), gossipcodec.MostPayload)
+func (v *Membership) SetPayload(now time.Duration, payload []byte) error {
+	if len(payload) > gossipcodec.MaxPayload {
+		return fmt.Errorf("members: a payload of %d bytes, %d at most", len(payload), gossipcodec.MaxPayload)
 	}
 	v.at(now)
 	if string(payload) != string(v.self.Payload) {
@@ -288,11 +288,13 @@
 
 // Identity is what goes over to the next process of this gateway at an upgrade, as Config's Start and Incarnation. The
 // next one speaks under it; this one must not speak again.
-func (v *View) Identity() (start, incarnation uint64) { return v.self.Start, v.self.Incarnation + 1 }
+func (v *Membership) Identity() (start, incarnation uint64) {
+	return v.self.Start, v.self.Incarnation + 1
+}
 
 // Leave tells the others that this gateway goes for good. Nothing but the datagrams that it leaves in Take is sent
 // afterwards.
-func (v *View) Leave(now time.Duration) {
+func (v *Membership) Leave(now time.Duration) {
 	v.at(now)
 	if v.leaving {
 		return
@@ -306,8 +308,8 @@
 	}
 }
 
-// Next is when Advance is due.
-func (v *View) Next() time.Duration {
+// NextWake is when Advance is due.
+func (v *Membership) NextWake() time.Duration {
 	if v.leaving {
 		return math.MaxInt64
 	}
@@ -338,7 +340,7 @@
 }
 
 // at moves the time on. A process that was stopped has heard nothing meanwhile: all that it waited for waits on.
-func (v *View) at(now time.Duration) {
+func (v *Membership) at(now time.Duration) {
 	late := now - v.due
 	v.now = max(now, v.now)
 	if late < lateBy || v.cfg.Without&PartHealth != 0 {
@@ -363,12 +365,12 @@
 	v.due = now
 }
 
-func (v *View) ill(by int) {
+func (v *Membership) ill(by int) {
 	v.health = max(0, min(mostHealth, v.health+by))
 }
 
 // stretch lengthens a time by the own ill health.
-func (v *View) stretch(d time.Duration) time.Duration {
+func (v *Membership) stretch(d time.Duration) time.Duration {
 	if v.cfg.Without&PartHealth != 0 {
 		return d
 	}
@@ -376,7 +378,7 @@
 }
 
 // Advance does what is due.
-func (v *View) Advance(now time.Duration) {
+func (v *Membership) Advance(now time.Duration) {
 	v.at(now)
 	if v.leaving {
 		return
@@ -402,21 +404,21 @@
 		v.bury()
 		v.nextBury = v.now + buryFor/10
 	}
-	v.Next()
+	v.NextWake()
 }
 
 // Take returns what is to be sent, and forgets it.
-func (v *View) Take() []Datagram {
+func (v *Membership) Take() []Datagram {
 	out := v.out
 	v.out = nil
 	return out
 }
 
 // Counts tells what came and went.
-func (v *View) Counts() Counts { return v.counts }
+func (v *Membership) Counts() Counts { return v.counts }
 
 // Members lists all that are known, by name, this gateway included.
-func (v *View) Members() []Member {
+func (v *Membership) Members() []Member {
 	out := make([]Member, 0, len(v.order)+1)
 	for _, m := range v.order {
 		out = append(out, m.Member)
@@ -426,7 +428,7 @@
 }
 
 // Find returns what is known of one member by its name, this gateway included.
-func (v *View) Find(name string) (Member, bool) {
+func (v *Membership) Find(name string) (Member, bool) {
 	if name == v.self.Name {
 		return v.self.Member, true
 	}
@@ -438,7 +440,7 @@
 }
 
 // Others yields all other members that are known, by name, without a copy of the list. They must not be changed or kept.
-func (v *View) Others() iter.Seq[*Member] {
+func (v *Membership) Others() iter.Seq[*Member] {
 	return func(yield func(*Member) bool) {
 		for _, m := range v.order {
 			if !yield(&m.Member) {
@@ -449,9 +451,9 @@
 }
 
 // Status tells how the view stands.
-func (v *View) Status(now time.Duration) Status {
-	s := Status{Version: v.version, Alive: 1, Known: 1, QuietFor: max(0, now-v.changed), Health: v.health,
-		Twin: v.twin > 0 && now-v.twin < twinFor, Answering: 1}
+func (v *Membership) Status(now time.Duration) Status {
+	s := Status{Version: v.version, Alive: 1, Known: 1, Isolated: max(0, now-v.changed), LocalHealth: v.health,
+		DuplicateName: v.twin > 0 && now-v.twin < twinFor, Answering: 1}
 	suspects := 0
 	for _, m := range v.order {
 		switch m.State {
@@ -478,14 +480,14 @@
 	}
 	// Who hears nobody doubts itself first and holds the others suspect for long: it must not call them its majority.
 	s.Majority = 2*(s.Alive-suspects) > s.Known && s.Answering > 0.5
-	s.Settled = s.QuietFor >= settledFor && suspects == 0 && s.Majority && !s.Twin
+	s.Settled = s.Isolated >= settledFor && suspects == 0 && s.Majority && !s.DuplicateName
 	return s
 }
 
 // ---- claims ---------------------------------------------------------------------------------------------
 
 func (m *member) claim(by string) gossipcodec.Claim {
-	c := gossipcodec.Claim{Name: m.Name, Start: m.Start, Incarnation: m.Incarnation, State: m.State, By: by}
+	c := gossipcodec.Claim{Name: m.Name, Start: m.Start, Incarnation: m.Incarnation, State: m.State, SuspectedBy: by}
 	if m.State == gossipcodec.Alive {
 		c.Payload = m.Payload
 	}
@@ -498,7 +500,7 @@
 }
 
 // raise makes a new claim about this gateway itself, stronger than any before.
-func (v *View) raise(incarnation uint64) {
+func (v *Membership) raise(incarnation uint64) {
 	v.self.Incarnation = incarnation
 	v.weigh(&v.self)
 	v.version++
@@ -506,7 +508,7 @@
 }
 
 // hearSelf answers what others say of this gateway.
-func (v *View) hearSelf(c *gossipcodec.Claim) {
+func (v *Membership) hearSelf(c *gossipcodec.Claim) {
 	switch {
 	case v.leaving:
 	case c.Start > v.self.Start && c.State >= gossipcodec.Gone:
@@ -530,9 +532,9 @@
 }
 
 // apply takes one claim, told by a member.
-func (v *View) apply(c *gossipcodec.Claim, teller string) {
-	if c.Start > v.latest() || c.Incarnation == gossipcodec.MostIncarnation { // nobody could say more
-		v.counts.Spoilt++
+func (v *Membership) apply(c *gossipcodec.Claim, teller string) {
+	if c.Start > v.latest() || c.Incarnation == gossipcodec.MaxIncarnation { // nobody could say more
+		v.counts.Malformed++
 		return
 	}
 	if c.Name == v.cfg.Name {
@@ -552,7 +554,7 @@
 	}
 	same := c.Start == m.Start && c.Incarnation == m.Incarnation
 	if c.State == gossipcodec.Suspect && same && m.State == gossipcodec.Suspect {
-		v.confirm(m, c.By)
+		v.confirm(m, c.SuspectedBy)
 		return
 	}
 	if !stronger(c, m) {
@@ -561,7 +563,7 @@
 	if c.State == gossipcodec.Gone && m.State <= gossipcodec.Suspect && v.cfg.Without&PartVerify == 0 {
 		// Nobody is gone on hearsay: it is looked into at once.
 		doubt := *c
-		doubt.State, doubt.By = gossipcodec.Suspect, teller
+		doubt.State, doubt.SuspectedBy = gossipcodec.Suspect, teller
 		if stronger(&doubt, m) {
 			v.set(m, &doubt)
 		}
@@ -574,8 +576,8 @@
 }
 
 // enter adds a member that was not known, as its first claim has it.
-func (v *View) enter(c *gossipcodec.Claim) *member {
-	if len(v.order) >= MostMembers {
+func (v *Membership) enter(c *gossipcodec.Claim) *member {
+	if len(v.order) >= MaxMembers {
 		v.counts.Full++
 		return nil
 	}
@@ -592,7 +594,7 @@
 }
 
 // set takes over a claim, spreads it, and begins or ends a suspicion.
-func (v *View) set(m *member, c *gossipcodec.Claim) {
+func (v *Membership) set(m *member, c *gossipcodec.Claim) {
 	moved := m.State != c.State || m.Start != c.Start
 	if moved {
 		m.Since, m.Previous = v.now, m.State
@@ -606,9 +608,9 @@
 		v.suspects = slices.DeleteFunc(v.suspects, func(o *member) bool { return o == m })
 	}
 	if c.State == gossipcodec.Suspect {
-		m.suspicion, m.SuspectedBy = &suspicion{since: v.now}, c.By
+		m.suspicion, m.SuspectedBy = &suspicion{since: v.now}, c.SuspectedBy
 		v.suspects = append(v.suspects, m)
-		v.confirm(m, c.By)
+		v.confirm(m, c.SuspectedBy)
 		v.lookToo(m)
 	}
 	v.weigh(m)
@@ -619,7 +621,7 @@
 }
 
 // confirm counts who suspects a member, and shortens the suspicion.
-func (v *View) confirm(m *member, by string) {
+func (v *Membership) confirm(m *member, by string) {
 	s := m.suspicion
 	if by != "" && len(s.by) <= confirmers && !slices.Contains(s.by, by) {
 		s.by = append(s.by, by)
@@ -637,7 +639,7 @@
 }
 
 // lookToo has some of those that hear of a suspicion ask the suspect themselves.
-func (v *View) lookToo(m *member) {
+func (v *Membership) lookToo(m *member) {
 	if v.rng.Float64()*float64(len(v.order)+1) < 2*confirmers {
 		v.question(m, askVerify, v.now+v.stretch(period), v.now+v.answerWithin())
 	}
@@ -645,13 +647,13 @@
 
 // ---- asking ---------------------------------------------------------------------------------------------
 
-func (v *View) answerWithin() time.Duration {
+func (v *Membership) answerWithin() time.Duration {
 	usual := time.Duration(usualTrips * float64(v.rtt))
 	return v.stretch(min(max(usual, leastAnswer), mostAnswer))
 }
 
 // question sends a Ping. Unless it is answered by askAt, others are asked to ask.
-func (v *View) question(m *member, kind askKind, until, askAt time.Duration) uint64 {
+func (v *Membership) question(m *member, kind askKind, until, askAt time.Duration) uint64 {
 	v.seq++
 	v.questions[v.seq] = &question{kind: kind, target: m.Name, sent: v.now, until: until, askAt: askAt}
 	c := m.claim("")
@@ -664,7 +666,7 @@
 }
 
 // beginRound asks one member.
-func (v *View) beginRound() {
+func (v *Membership) beginRound() {
 	v.turn++
 	m := v.pick()
 	if m == nil {
@@ -675,7 +677,7 @@
 }
 
 // join calls some of the book while nobody is known.
-func (v *View) join() {
+func (v *Membership) join() {
 	names := make([]string, 0, len(v.book))
 	for name := range v.book {
 		names = append(names, name)
@@ -689,7 +691,7 @@
 }
 
 // pick takes the next member to ask: in turn the next one in the order, and one of a shuffled round.
-func (v *View) pick() *member {
+func (v *Membership) pick() *member {
 	live := func(m *member) bool { return m != nil && m.State <= gossipcodec.Suspect && m.Addr.IsValid() }
 	if v.turn%2 == 0 && v.cfg.Without&PartRing == 0 && len(v.order) > 0 {
 		at, _ := slices.BinarySearchFunc(v.order, v.cfg.Name, func(m *member, name string) int { return strings.Compare(m.Name, name) })
@@ -720,7 +722,7 @@
 }
 
 // ask sees to questions: helpers for those unanswered, an end for those that nobody answered.
-func (v *View) ask() {
+func (v *Membership) ask() {
 	for _, seq := range v.sortedQuestions() {
 		q := v.questions[seq]
 		if q.askAt > 0 && v.now >= q.askAt {
@@ -743,7 +745,7 @@
 
 // askAgain has an unanswered question go out again, for a lost datagram is far likelier than an end: once itself and through
 // helpers, and once more itself before it ends.
-func (v *View) askAgain(seq uint64, q *question) {
+func (v *Membership) askAgain(seq uint64, q *question) {
 	q.askAt = 0
 	m := v.members[q.target]
 	if m == nil {
@@ -764,11 +766,11 @@
 	}
 	for _, h := range v.some(helpers, q.target) {
 		q.helped++
-		v.send(h, &gossipcodec.Message{Kind: gossipcodec.Ask, Seq: seq, Target: q.target}, about)
+		v.send(h, &gossipcodec.Message{Kind: gossipcodec.PingRequest, Seq: seq, Target: q.target}, about)
 	}
 }
 
-func (v *View) sortedQuestions() []uint64 {
+func (v *Membership) sortedQuestions() []uint64 {
 	list := make([]uint64, 0, len(v.questions))
 	for seq := range v.questions {
 		list = append(list, seq)
@@ -778,14 +780,14 @@
 }
 
 // unanswered counts a suspect that did not answer this gateway's own question either as suspected by it too.
-func (v *View) unanswered(q *question) {
+func (v *Membership) unanswered(q *question) {
 	if m := v.members[q.target]; m != nil && m.State == gossipcodec.Suspect && m.suspicion.verifying == 0 {
 		v.confirm(m, v.cfg.Name)
 	}
 }
 
 // endRound takes a question without an answer for a sign against the member, or against this gateway.
-func (v *View) endRound() {
+func (v *Membership) endRound() {
 	q := v.questions[v.current]
 	if q == nil {
 		return
@@ -815,7 +817,7 @@
 }
 
 // suspicions end by a last look, and that with the member's end or its answer.
-func (v *View) suspicions() {
+func (v *Membership) suspicions() {
 	for _, m := range slices.Clone(v.suspects) {
 		s := m.suspicion
 		switch {
@@ -831,14 +833,14 @@
 }
 
 // verify asks a suspect for the last time, directly and through others.
-func (v *View) verify(m *member) {
+func (v *Membership) verify(m *member) {
 	m.suspicion.verifying = v.now + v.stretch(verifyFor)
 	v.question(m, askVerify, m.suspicion.verifying+time.Millisecond, v.now+leastAnswer)
 }
 
 // answeredBy notes that a member lives. A suspect must say so itself, as others believe nobody else: it is told of the
 // suspicion with each question, and has another term to answer.
-func (v *View) answeredBy(q *question, direct bool) {
+func (v *Membership) answeredBy(q *question, direct bool) {
 	q.answered, q.askAt = true, 0
 	m := v.members[q.target]
 	if m == nil {
@@ -862,7 +864,7 @@
 }
 
 // call asks one of those believed gone, or never heard of; several where many are lost, as after a partition.
-func (v *View) call() {
+func (v *Membership) call() {
 	if v.cfg.Without&PartCalls != 0 {
 		return
 	}
@@ -894,7 +896,7 @@
 }
 
 // greet asks one of the book that was never heard of.
-func (v *View) greet(name string) {
+func (v *Membership) greet(name string) {
 	self := v.self.claim("")
 	v.seq++
 	v.questions[v.seq] = &question{kind: askCall, target: name, sent: v.now, until: v.now + period}
@@ -902,7 +904,7 @@
 }
 
 // bury forgets those that have been gone for long.
-func (v *View) bury() {
+func (v *Membership) bury() {
 	v.order = slices.DeleteFunc(v.order, func(m *member) bool {
 		old := m.State >= gossipcodec.Gone && v.now-m.Since > buryFor
 		if old {
@@ -914,7 +916,7 @@
 }
 
 // some draws living members other than one.
-func (v *View) some(n int, but string) []*member {
+func (v *Membership) some(n int, but string) []*member {
 	var out []*member
 	if len(v.order) == 0 {
 		return nil
@@ -933,7 +935,7 @@
 // ---- news -----------------------------------------------------------------------------------------------
 
 // tell spreads a claim in place of what was spread of its name.
-func (v *View) tell(c gossipcodec.Claim) {
+func (v *Membership) tell(c gossipcodec.Claim) {
 	if v.news.len() == 0 {
 		v.nextNews = max(v.nextNews, v.now)
 	}
@@ -942,7 +944,7 @@
 
 // mostSends is how often a claim is sent by one member. A suspicion has to reach the suspect and some who look too, not
 // everybody: what becomes of it is told to all.
-func (v *View) mostSends(state gossipcodec.State) int {
+func (v *Membership) mostSends(state gossipcodec.State) int {
 	n := 1 + int(newsTimes*float64(bits.Len(uint(len(v.order)+1))))
 	if state == gossipcodec.Suspect {
 		return (3*n + 3) / 4
@@ -950,14 +952,14 @@
 	return n
 }
 
-func (v *View) send(m *member, msg *gossipcodec.Message, about *gossipcodec.Claim) {
+func (v *Membership) send(m *member, msg *gossipcodec.Message, about *gossipcodec.Claim) {
 	if m.Addr.IsValid() {
 		v.sendTo(m.Addr, msg, about)
 	}
 }
 
 // sendTo words a datagram, with a claim that must be in it and news as far as it goes.
-func (v *View) sendTo(to netip.AddrPort, msg *gossipcodec.Message, about *gossipcodec.Claim) {
+func (v *Membership) sendTo(to netip.AddrPort, msg *gossipcodec.Message, about *gossipcodec.Claim) {
 	if !v.allowed(msg.Kind) {
 		return
 	}
@@ -973,7 +975,7 @@
 
 // allowed takes one datagram from the budget of what is sent. Answers to pings may overdraw it by one burst: who is held
 // for gone because it was busy makes more work than it saves.
-func (v *View) allowed(kind gossipcodec.Kind) bool {
+func (v *Membership) allowed(kind gossipcodec.Kind) bool {
 	v.token = min(sendBurst, v.token+sendRate*(v.now-v.tokAt).Seconds())
 	v.tokAt = v.now
 	least := 1.0
@@ -981,7 +983,7 @@
 		least -= sendBurst
 	}
 	if v.token < least {
-		v.counts.Held++
+		v.counts.Deferred++
 		return false
 	}
 	v.token--
@@ -989,12 +991,12 @@
 }
 
 // word begins a datagram of this gateway.
-func (v *View) word(msg *gossipcodec.Message) []byte {
-	msg.Fleet, msg.From, msg.Start, msg.View = v.cfg.Fleet, v.cfg.Name, v.self.Start, v.digest
-	return gossipcodec.Append(make([]byte, 0, gossipcodec.Most), msg)
+func (v *Membership) word(msg *gossipcodec.Message) []byte {
+	msg.Cluster, msg.From, msg.Start, msg.View = v.cfg.Cluster, v.cfg.Name, v.self.Start, v.digest
+	return gossipcodec.Append(make([]byte, 0, gossipcodec.MaxDatagram), msg)
 }
 
-func (v *View) post(to netip.AddrPort, b []byte) {
+func (v *Membership) post(to netip.AddrPort, b []byte) {
 	v.counts.Sent++
 	v.counts.SentBytes += uint64(len(b))
 	v.out = append(v.out, Datagram{To: to, Data: b})
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -16,9 +16,9 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 7946)
 }
 
-func view(t *testing.T, edit func(*Config)) *View {
+func view(t *testing.T, edit func(*Config)) *Membership {
 	t.Helper()
-	cfg := Config{Fleet: "f", Name: "a", Start: 1000, Seed: 1, Book: []Peer{{"a", addr(1)}, {"b", addr(2)}, {"c", addr(3)}}}
+	cfg := Config{Cluster: "f", Name: "a", Start: 1000, Seed: 1, SeedPeers: []Peer{{"a", addr(1)}, {"b", addr(2)}, {"c", addr(3)}}}
 	if edit != nil {
 		edit(&cfg)
 	}
@@ -31,14 +31,14 @@
 
 // say words what another gateway sends.
 func say(from string, start uint64, kind gossipcodec.Kind, news ...gossipcodec.Claim) []byte {
-	b := gossipcodec.Append(nil, &gossipcodec.Message{Fleet: "f", From: from, Start: start, Kind: kind, Seq: 5})
+	b := gossipcodec.Append(nil, &gossipcodec.Message{Cluster: "f", From: from, Start: start, Kind: kind, Seq: 5})
 	for i := range news {
 		b, _ = gossipcodec.AppendClaim(b, &news[i])
 	}
 	return b
 }
 
-func state(v *View, name string) (Member, bool) {
+func state(v *Membership, name string) (Member, bool) {
 	for _, m := range v.Members() {
 		if m.Name == name {
 			return m, true
@@ -49,22 +49,22 @@
 
 func TestFaultyConfigurationsNameWhatIsWrong(t *testing.T) {
 	for want, edit := range map[string]func(*Config){
-		"fleet":            func(c *Config) { c.Fleet = "" },
+		"fleet":            func(c *Config) { c.Cluster = "" },
 		"name":             func(c *Config) { c.Name = "a b" },
 		"start":            func(c *Config) { c.Start = 0 },
 		"payload":          func(c *Config) { c.Payload = make([]byte, 65) },
-		"b stands twice":   func(c *Config) { c.Book = append(c.Book, Peer{"b", addr(9)}) },
-		"one address":      func(c *Config) { c.Book = append(c.Book, Peer{"d", addr(2)}) },
-		"d has no address": func(c *Config) { c.Book = append(c.Book, Peer{Name: "d"}) },
+		"b stands twice":   func(c *Config) { c.SeedPeers = append(c.SeedPeers, Peer{"b", addr(9)}) },
+		"one address":      func(c *Config) { c.SeedPeers = append(c.SeedPeers, Peer{"d", addr(2)}) },
+		"d has no address": func(c *Config) { c.SeedPeers = append(c.SeedPeers, Peer{Name: "d"}) },
 	} {
-		cfg := Config{Fleet: "f", Name: "a", Start: 1, Book: []Peer{{"b", addr(2)}}}
+		cfg := Config{Cluster: "f", Name: "a", Start: 1, SeedPeers: []Peer{{"b", addr(2)}}}
 		edit(&cfg)
 		if _, err := New(cfg, t0); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want %q: %v", want, err)
 		}
 	}
 	v := view(t, nil)
-	if err := v.SetBook(t0, []Peer{{"b", addr(2)}, {"b", addr(4)}}); err == nil || v.book["c"] != addr(3) {
+	if err := v.SetSeedPeers(t0, []Peer{{"b", addr(2)}, {"b", addr(4)}}); err == nil || v.book["c"] != addr(3) {
 		t.Errorf("a faulty book: %v, and changed something", err)
 	}
 }
@@ -73,12 +73,12 @@
 func TestStrangeDatagramsChangeNothing(t *testing.T) {
 	v := view(t, nil)
 	claim := gossipcodec.Claim{Name: "c", Start: 9, Incarnation: 9, State: gossipcodec.Gone}
-	foreign := gossipcodec.Append(nil, &gossipcodec.Message{Fleet: "other", From: "b", Start: 1, Kind: gossipcodec.Ping})
-	v.Hear(t0, addr(2), foreign)
-	v.Hear(t0, addr(2), []byte("\x08\x01nonsense"))
-	v.Hear(t0, addr(7), say("b", 1, gossipcodec.Gossip, claim))
-	v.Hear(t0, addr(2), say("stranger", 1, gossipcodec.Gossip, claim))
-	if c := v.Counts(); c.Foreign != 1 || c.Spoilt != 1 || c.Strange != 2 || len(v.Members()) != 1 || len(v.Take()) != 0 {
+	foreign := gossipcodec.Append(nil, &gossipcodec.Message{Cluster: "other", From: "b", Start: 1, Kind: gossipcodec.Ping})
+	v.Receive(t0, addr(2), foreign)
+	v.Receive(t0, addr(2), []byte("\x08\x01nonsense"))
+	v.Receive(t0, addr(7), say("b", 1, gossipcodec.Gossip, claim))
+	v.Receive(t0, addr(2), say("stranger", 1, gossipcodec.Gossip, claim))
+	if c := v.Counts(); c.OtherCluster != 1 || c.Malformed != 1 || c.UnknownSender != 2 || len(v.Members()) != 1 || len(v.Take()) != 0 {
 		t.Errorf("%+v %v", c, v.Members())
 	}
 }
@@ -87,12 +87,12 @@
 // A start that no process can have is believed of nobody: no later word could take it back.
 func TestImpossibleStartsAreSpoilt(t *testing.T) {
 	v := view(t, nil)
-	v.Hear(t0, addr(2), say("b", 900, gossipcodec.Ping))
-	for _, start := range []uint64{uint64(t0.Milliseconds()) + 1<<30, gossipcodec.MostStart, gossipcodec.MostStart + 1, 1 << 63} {
-		v.Hear(t0, addr(2), say("b", start, gossipcodec.Ping))
-		v.Hear(t0, addr(2), say("b", 900, gossipcodec.Gossip, gossipcodec.Claim{Name: "c", Start: start}, gossipcodec.Claim{Name: "a", Start: start, State: gossipcodec.Gone}))
+	v.Receive(t0, addr(2), say("b", 900, gossipcodec.Ping))
+	for _, start := range []uint64{uint64(t0.Milliseconds()) + 1<<30, gossipcodec.MaxStart, gossipcodec.MaxStart + 1, 1 << 63} {
+		v.Receive(t0, addr(2), say("b", start, gossipcodec.Ping))
+		v.Receive(t0, addr(2), say("b", 900, gossipcodec.Gossip, gossipcodec.Claim{Name: "c", Start: start}, gossipcodec.Claim{Name: "a", Start: start, State: gossipcodec.Gone}))
 	}
-	v.Hear(t0, addr(2), say("b", 900, gossipcodec.Gossip, gossipcodec.Claim{Name: "a", Start: 1000, Incarnation: gossipcodec.MostIncarnation, State: gossipcodec.Gone}))
+	v.Receive(t0, addr(2), say("b", 900, gossipcodec.Gossip, gossipcodec.Claim{Name: "a", Start: 1000, Incarnation: gossipcodec.MaxIncarnation, State: gossipcodec.Gone}))
 	if m, _ := state(v, "b"); m.Start != 900 {
 		t.Errorf("b started at %d", m.Start)
 	}
@@ -102,7 +102,7 @@
 	if m, _ := state(v, "a"); m.Start != 1000 || m.Incarnation > 10 {
 		t.Errorf("itself: %+v", m)
 	}
-	if c := v.Counts(); c.Spoilt < 8 {
+	if c := v.Counts(); c.Malformed < 8 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -111,7 +111,7 @@
 	v := view(t, nil)
 	hear := func(c gossipcodec.Claim) Member {
 		c.Name = "c"
-		v.Hear(t0, addr(2), say("b", 1, gossipcodec.Gossip, c))
+		v.Receive(t0, addr(2), say("b", 1, gossipcodec.Gossip, c))
 		m, _ := state(v, "c")
 		return m
 	}
@@ -124,7 +124,7 @@
 		{gossipcodec.Claim{Start: 10, Incarnation: 2, State: gossipcodec.Alive}, gossipcodec.Alive, 10, 2},
 		{gossipcodec.Claim{Start: 10, Incarnation: 1, State: gossipcodec.Left}, gossipcodec.Alive, 10, 2},
 		{gossipcodec.Claim{Start: 9, Incarnation: 9, State: gossipcodec.Gone}, gossipcodec.Alive, 10, 2},
-		{gossipcodec.Claim{Start: 10, Incarnation: 2, State: gossipcodec.Suspect, By: "b"}, gossipcodec.Suspect, 10, 2},
+		{gossipcodec.Claim{Start: 10, Incarnation: 2, State: gossipcodec.Suspect, SuspectedBy: "b"}, gossipcodec.Suspect, 10, 2},
 		{gossipcodec.Claim{Start: 10, Incarnation: 2, State: gossipcodec.Alive}, gossipcodec.Suspect, 10, 2},
 		{gossipcodec.Claim{Start: 10, Incarnation: 3, State: gossipcodec.Alive}, gossipcodec.Alive, 10, 3},
 		{gossipcodec.Claim{Start: 10, Incarnation: 3, State: gossipcodec.Gone}, gossipcodec.Suspect, 10, 3}, // hearsay: looked into
@@ -139,18 +139,18 @@
 
 func TestItRefutesWhatIsSaidOfItself(t *testing.T) {
 	v := view(t, nil)
-	v.Hear(t0, addr(2), say("b", 1, gossipcodec.Ping, gossipcodec.Claim{Name: "a", Start: 1000, Incarnation: 4, State: gossipcodec.Gone}))
+	v.Receive(t0, addr(2), say("b", 1, gossipcodec.Ping, gossipcodec.Claim{Name: "a", Start: 1000, Incarnation: 4, State: gossipcodec.Gone}))
 	me, _ := state(v, "a")
 	if me.Incarnation != 5 || me.State != gossipcodec.Alive || v.Counts().FalseAlarms != 1 {
 		t.Errorf("%+v", me)
 	}
 	out := v.Take()
 	m, err := gossipcodec.Parse(out[len(out)-1].Data)
-	if err != nil || m.Kind != gossipcodec.Ack || len(m.News) == 0 || m.News[0].Name != "a" || m.News[0].Incarnation != 5 {
+	if err != nil || m.Kind != gossipcodec.Ack || len(m.Claims) == 0 || m.Claims[0].Name != "a" || m.Claims[0].Incarnation != 5 {
 		t.Errorf("the answer: %v %+v", err, m)
 	}
 	// An old process's end is none of this one's business.
-	v.Hear(t0, addr(2), say("b", 1, gossipcodec.Gossip, gossipcodec.Claim{Name: "a", Start: 999, Incarnation: 50, State: gossipcodec.Gone}))
+	v.Receive(t0, addr(2), say("b", 1, gossipcodec.Gossip, gossipcodec.Claim{Name: "a", Start: 999, Incarnation: 50, State: gossipcodec.Gone}))
 	if me, _ := state(v, "a"); me.Incarnation != 5 || me.Start != 1000 {
 		t.Errorf("%+v", me)
 	}
@@ -159,12 +159,12 @@
 // A name used by two living processes: whoever hears of it says so, and the one that hears both tells both.
 func TestATwinIsNoticed(t *testing.T) {
 	v := view(t, nil)
-	v.Hear(t0, addr(2), say("b", 50, gossipcodec.Ping))
+	v.Receive(t0, addr(2), say("b", 50, gossipcodec.Ping))
 	v.Take()
-	v.Hear(t0, addr(2), say("b", 40, gossipcodec.Ping)) // the elder b speaks too
+	v.Receive(t0, addr(2), say("b", 40, gossipcodec.Ping)) // the elder b speaks too
 	var told []uint64
 	for _, d := range v.Take() {
-		if m, err := gossipcodec.Parse(d.Data); err == nil && m.Kind == gossipcodec.Twin {
+		if m, err := gossipcodec.Parse(d.Data); err == nil && m.Kind == gossipcodec.DuplicateName {
 			told = append(told, m.Seq)
 		}
 	}
@@ -174,11 +174,11 @@
 	if m, _ := state(v, "b"); m.Start != 50 {
 		t.Errorf("the later one keeps the name: %+v", m)
 	}
-	v.Hear(t0, addr(2), say("b", 50, gossipcodec.Twin))
-	if st := v.Status(t0); !st.Twin || st.Settled {
+	v.Receive(t0, addr(2), say("b", 50, gossipcodec.DuplicateName))
+	if st := v.Status(t0); !st.DuplicateName || st.Settled {
 		t.Errorf("told of a twin: %+v", st)
 	}
-	if st := v.Status(t0 + twinFor); st.Twin {
+	if st := v.Status(t0 + twinFor); st.DuplicateName {
 		t.Error("for ever")
 	}
 }
@@ -196,10 +196,10 @@
 
 func TestAViewIsBounded(t *testing.T) {
 	v := view(t, func(c *Config) { c.Flat = true })
-	for n := range MostMembers + 50 {
-		v.Hear(t0, addr(9), say(fmt.Sprint("x-", n), 1, gossipcodec.Gossip))
+	for n := range MaxMembers + 50 {
+		v.Receive(t0, addr(9), say(fmt.Sprint("x-", n), 1, gossipcodec.Gossip))
 	}
-	if len(v.Members()) != MostMembers+1 || v.Counts().Full == 0 {
+	if len(v.Members()) != MaxMembers+1 || v.Counts().Full == 0 {
 		t.Errorf("%d members, %d turned away", len(v.Members()), v.Counts().Full)
 	}
 }
@@ -213,22 +213,22 @@
 	}
 	for name, m := range map[string]gossipcodec.Message{
 		"pings":   {Kind: gossipcodec.Ping},
-		"asks":    {Kind: gossipcodec.Ask, Target: "c"},
+		"asks":    {Kind: gossipcodec.PingRequest, Target: "c"},
 		"digests": {Kind: gossipcodec.Digest, Sums: sums},
 	} {
 		v := view(t, func(c *Config) { c.Flat = true })
 		for n := range 200 {
-			v.Hear(t0, addr(9), say(fmt.Sprint("x-", n), 1, gossipcodec.Gossip))
+			v.Receive(t0, addr(9), say(fmt.Sprint("x-", n), 1, gossipcodec.Gossip))
 		}
 		v.Take()
-		m.Fleet, m.From, m.Start = "f", "b", 1
+		m.Cluster, m.From, m.Start = "f", "b", 1
 		const seconds = 3
 		sent := 0
 		for ms := range 1000 * seconds {
 			now := t0 + time.Duration(ms)*time.Millisecond
 			for n := range 3 {
 				m.Seq = uint64(3*ms + n)
-				v.Hear(now, addr(2), gossipcodec.Append(nil, &m))
+				v.Receive(now, addr(2), gossipcodec.Append(nil, &m))
 			}
 			sent += len(v.Take())
 		}
@@ -241,12 +241,12 @@
 // Who raised a suspicion, and that there was one, is known after it was taken back.
 func TestASuspicionTakenBackIsKnown(t *testing.T) {
 	v := view(t, nil)
-	v.Hear(t0, addr(2), say("b", 900, gossipcodec.Ping))
-	v.Hear(t0, addr(3), say("c", 900, gossipcodec.Gossip, gossipcodec.Claim{Name: "b", Start: 900, State: gossipcodec.Suspect, By: "c"}))
+	v.Receive(t0, addr(2), say("b", 900, gossipcodec.Ping))
+	v.Receive(t0, addr(3), say("c", 900, gossipcodec.Gossip, gossipcodec.Claim{Name: "b", Start: 900, State: gossipcodec.Suspect, SuspectedBy: "c"}))
 	if m, _ := state(v, "b"); m.State != gossipcodec.Suspect || m.SuspectedBy != "c" || m.Previous != gossipcodec.Alive {
 		t.Errorf("suspected: %+v", m)
 	}
-	v.Hear(t0, addr(2), say("b", 900, gossipcodec.Gossip, gossipcodec.Claim{Name: "b", Start: 900, Incarnation: 1}))
+	v.Receive(t0, addr(2), say("b", 900, gossipcodec.Gossip, gossipcodec.Claim{Name: "b", Start: 900, Incarnation: 1}))
 	if m, _ := state(v, "b"); m.State != gossipcodec.Alive || m.SuspectedBy != "c" || m.Previous != gossipcodec.Suspect {
 		t.Errorf("refuted: %+v", m)
 	}
--- a/internal/membership/rapid_test.go
+++ b/internal/membership/rapid_test.go
@@ -15,7 +15,7 @@
 
 // machine drives one view by whatever others may say and time may do, beside the little that must hold at any moment.
 type machine struct {
-	v       *View
+	v       *Membership
 	now     time.Duration
 	began   time.Duration
 	flat    bool
@@ -40,7 +40,7 @@
 	for range rapid.IntRange(0, 4).Draw(t, "claims") {
 		out = append(out, gossipcodec.Claim{Name: names.Draw(t, "name"), Start: rapid.Uint64Range(1, 2000).Draw(t, "start"),
 			Incarnation: rapid.Uint64Range(0, 5).Draw(t, "incarnation"), State: gossipcodec.State(rapid.IntRange(0, 3).Draw(t, "state")),
-			By: rapid.SampledFrom([]string{"", "b", "c", "d"}).Draw(t, "by"), Payload: rapid.SliceOfN(rapid.Byte(), 0, 8).Draw(t, "payload")})
+			SuspectedBy: rapid.SampledFrom([]string{"", "b", "c", "d"}).Draw(t, "by"), Payload: rapid.SliceOfN(rapid.Byte(), 0, 8).Draw(t, "payload")})
 	}
 	return out
 }
@@ -48,7 +48,7 @@
 func newMachine(t *rapid.T) *machine {
 	m := &machine{now: t0, began: t0, flat: rapid.Bool().Draw(t, "flat"), best: make(map[string]claimed), own: claimed{1000, 1},
 		book: []Peer{{"b", addr(2)}, {"c", addr(3)}, {"d", addr(4)}}}
-	v, err := New(Config{Fleet: "f", Name: "a", Start: 1000, Book: m.book, Flat: m.flat, Payload: []byte{7}, Seed: rapid.Uint64().Draw(t, "seed")}, t0)
+	v, err := New(Config{Cluster: "f", Name: "a", Start: 1000, SeedPeers: m.book, Flat: m.flat, Payload: []byte{7}, Seed: rapid.Uint64().Draw(t, "seed")}, t0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 func (m *machine) hear(t *rapid.T) {
 	from := names.Draw(t, "from")
 	at := rapid.SampledFrom([]netip.AddrPort{addr(2), addr(3), addr(4), addr(9)}).Draw(t, "at")
-	msg := gossipcodec.Message{Fleet: rapid.SampledFrom([]string{"f", "f", "f", "g"}).Draw(t, "fleet"), From: from, Start: rapid.Uint64Range(1, 2000).Draw(t, "of start"),
+	msg := gossipcodec.Message{Cluster: rapid.SampledFrom([]string{"f", "f", "f", "g"}).Draw(t, "fleet"), From: from, Start: rapid.Uint64Range(1, 2000).Draw(t, "of start"),
 		Kind: gossipcodec.Kind(rapid.IntRange(1, 7).Draw(t, "kind")), Seq: rapid.Uint64Range(0, 1<<50).Draw(t, "seq"), Target: names.Draw(t, "target"),
 		View: rapid.Uint64().Draw(t, "view")}
 	if msg.Kind == gossipcodec.Digest {
@@ -89,29 +89,29 @@
 	}
 	if parsed, err := gossipcodec.Parse(b); err == nil { // as it is after it was spoilt
 		note(parsed.From, claimed{parsed.Start, 0})
-		for _, c := range parsed.News {
+		for _, c := range parsed.Claims {
 			note(c.Name, claimed{c.Start, c.Incarnation})
 		}
 	}
-	m.v.Hear(m.now, at, b)
+	m.v.Receive(m.now, at, b)
 }
 
 func (m *machine) noise(t *rapid.T) {
-	m.v.Hear(m.now, addr(2), rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "bytes"))
+	m.v.Receive(m.now, addr(2), rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "bytes"))
 }
 
 func (m *machine) advance(t *rapid.T) {
-	if m.v.Advance(m.now); m.v.Next() <= m.now {
-		t.Fatalf("looked at in time it wants to be looked at at once, at %v", m.v.Next()-m.now)
+	if m.v.Advance(m.now); m.v.NextWake() <= m.now {
+		t.Fatalf("looked at in time it wants to be looked at at once, at %v", m.v.NextWake()-m.now)
 	}
 }
 
 func (m *machine) rebook(t *rapid.T) {
 	book := slices.Clone(m.book[:rapid.IntRange(0, len(m.book)).Draw(t, "of the book")])
-	if err := m.v.SetBook(m.now, book); err != nil {
+	if err := m.v.SetSeedPeers(m.now, book); err != nil {
 		t.Fatal(err)
 	}
-	if err := m.v.SetBook(m.now, append(book, Peer{Name: "z"})); err == nil {
+	if err := m.v.SetSeedPeers(m.now, append(book, Peer{Name: "z"})); err == nil {
 		t.Fatal("a faulty book was taken")
 	}
 	if len(m.v.book) != len(book) {
@@ -120,7 +120,7 @@
 }
 
 func (m *machine) payload(t *rapid.T) {
-	if err := m.v.SetPayload(m.now, rapid.SliceOfN(rapid.Byte(), 0, gossipcodec.MostPayload).Draw(t, "payload")); err != nil {
+	if err := m.v.SetPayload(m.now, rapid.SliceOfN(rapid.Byte(), 0, gossipcodec.MaxPayload).Draw(t, "payload")); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -141,10 +141,10 @@
 	for _, d := range out {
 		msg, err := gossipcodec.Parse(d.Data)
 		switch {
-		case err != nil || len(d.Data) > gossipcodec.Most:
+		case err != nil || len(d.Data) > gossipcodec.MaxDatagram:
 			t.Fatalf("it sends what cannot be read: %v, %d bytes", err, len(d.Data))
-		case msg.From != "a" || msg.Fleet != "f":
-			t.Fatalf("it speaks as %s of %s", msg.From, msg.Fleet)
+		case msg.From != "a" || msg.Cluster != "f":
+			t.Fatalf("it speaks as %s of %s", msg.From, msg.Cluster)
 		case m.left:
 			t.Fatal("it speaks after it has left")
 		case !m.flat && !slices.ContainsFunc(m.book, func(p Peer) bool { return p.Addr == d.To }):
@@ -179,7 +179,7 @@
 	if st.Alive < 1 || st.Known < st.Alive || st.Settled && !st.Majority || st.Majority && 2*st.Alive <= st.Known {
 		t.Fatalf("%+v", st)
 	}
-	anew := View{}
+	anew := Membership{}
 	for _, o := range append(slices.Clone(m.v.order), &m.v.self) {
 		c := *o
 		c.weight = 0
@@ -217,12 +217,12 @@
 			news = append(news, gossipcodec.Claim{Name: name, Start: start, Incarnation: inc, State: state, Payload: fmt.Append(nil, start, inc)})
 		}
 		told := func(list []gossipcodec.Claim) (out []string) {
-			v, err := New(Config{Fleet: "f", Name: "a", Start: 1000, Book: []Peer{{"b", addr(2)}}, Flat: true}, t0)
+			v, err := New(Config{Cluster: "f", Name: "a", Start: 1000, SeedPeers: []Peer{{"b", addr(2)}}, Flat: true}, t0)
 			if err != nil {
 				t.Fatal(err)
 			}
 			for i := range list {
-				v.Hear(t0, addr(2), say("b", 7, gossipcodec.Gossip, list[i]))
+				v.Receive(t0, addr(2), say("b", 7, gossipcodec.Gossip, list[i]))
 			}
 			for _, m := range v.Members() {
 				payload := ""
--- a/internal/raft/consensus.go
+++ b/internal/raft/consensus.go
@@ -35,8 +35,8 @@
 	ErrFailed    = errors.New("consensus: what has to be kept could not be; this voter takes no more part")
 )
 
-// Kept is all that a voter has to find again after a restart. Without it the voter has forgotten its vote and must not use its id again.
-type Kept struct {
+// PersistentState is all that a voter has to find again after a restart. Without it the voter has forgotten its vote and must not use its id again.
+type PersistentState struct {
 	State    raftpb.HardState
 	Snapshot raftpb.Snapshot
 	Entries  []raftpb.Entry
@@ -64,10 +64,10 @@
 
 // Config is what a voter starts from.
 type Config struct {
-	ID           uint64   // above 0; a process that has kept nothing needs one that was never used
-	Voters       []uint64 // of the first start of all; the same at each, and none for one that is to be admitted
-	Learners     []uint64 // of the first start of all: they have the log and do not vote
-	Kept         *Kept    // of the process before, or nil
+	ID           uint64           // above 0; a process that has kept nothing needs one that was never used
+	Voters       []uint64         // of the first start of all; the same at each, and none for one that is to be admitted
+	Learners     []uint64         // of the first start of all: they have the log and do not vote
+	Restored     *PersistentState // of the process before, or nil
 	Seed         uint64
 	MostSnapshot int // bytes that a machine's snapshot may have beyond an ordinary message
 	SnapshotEach int // entries applied between two snapshots, of which twice as many are kept; 0: 1,000
@@ -79,8 +79,8 @@
 	Data []byte
 }
 
-// Log is one voter's, or that of a learner.
-type Log struct {
+// Replica is one voter's, or that of a learner.
+type Replica struct {
 	id      uint64
 	raw     *raft.RawNode
 	store   *raft.MemoryStorage
@@ -97,21 +97,21 @@
 	waits   int // until it campaigns
 	leads   bool
 	failed  bool
-	changed bool  // the voters have, since the last snapshot
-	begin   *Kept // of the first start, to be kept before anything else
+	changed bool             // the voters have, since the last snapshot
+	begin   *PersistentState // of the first start, to be kept before anything else
 
 	replace map[uint64]uint64 // learner to whom it replaces once it has caught up
 }
 
-// NewLog starts a voter, or a learner, whose log is applied to a machine that is empty.
-func NewLog(cfg Config, machine Machine, now time.Duration) (*Log, error) {
+// NewReplica starts a voter, or a learner, whose log is applied to a machine that is empty.
+func NewReplica(cfg Config, machine Machine, now time.Duration) (*Replica, error) {
 	if cfg.ID == 0 || cfg.ID == math.MaxUint64 {
 		return nil, fmt.Errorf("consensus: id %d is none", cfg.ID)
 	}
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	n := &Log{id: cfg.ID, store: raft.NewMemoryStorage(), rng: rand.New(rand.NewPCG(cfg.Seed, cfg.ID)), machine: machine, now: now,
+	n := &Replica{id: cfg.ID, store: raft.NewMemoryStorage(), rng: rand.New(rand.NewPCG(cfg.Seed, cfg.ID)), machine: machine, now: now,
 		most: 2*mostMessage + cfg.MostSnapshot, each: uint64(cmp.Or(cfg.SnapshotEach, snapshotEvery)), replace: make(map[uint64]uint64)}
 	if err := n.restore(cfg); err != nil {
 		return nil, err
@@ -144,29 +144,29 @@
 func silence() raft.Logger { return &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)} }
 
 // restore takes what the process before has kept, or begins a log with its first voters in it.
-func (n *Log) restore(cfg Config) error {
+func (n *Replica) restore(cfg Config) error {
 	switch {
-	case cfg.Kept != nil:
-		if !raft.IsEmptySnap(cfg.Kept.Snapshot) {
-			if err := n.store.ApplySnapshot(cfg.Kept.Snapshot); err != nil {
+	case cfg.Restored != nil:
+		if !raft.IsEmptySnap(cfg.Restored.Snapshot) {
+			if err := n.store.ApplySnapshot(cfg.Restored.Snapshot); err != nil {
 				return fmt.Errorf("consensus: kept snapshot: %w", err)
 			}
-			if err := n.takeSnapshot(cfg.Kept.Snapshot); err != nil {
+			if err := n.takeSnapshot(cfg.Restored.Snapshot); err != nil {
 				return err
 			}
 		}
-		if err := n.store.SetHardState(cfg.Kept.State); err != nil {
+		if err := n.store.SetHardState(cfg.Restored.State); err != nil {
 			return fmt.Errorf("consensus: kept state: %w", err)
 		}
-		if last, _ := n.store.LastIndex(); len(cfg.Kept.Entries) > 0 && cfg.Kept.Entries[0].Index > last+1 {
-			return fmt.Errorf("consensus: kept entries begin at %d, the log ends at %d", cfg.Kept.Entries[0].Index, last)
+		if last, _ := n.store.LastIndex(); len(cfg.Restored.Entries) > 0 && cfg.Restored.Entries[0].Index > last+1 {
+			return fmt.Errorf("consensus: kept entries begin at %d, the log ends at %d", cfg.Restored.Entries[0].Index, last)
 		}
-		if err := n.store.Append(cfg.Kept.Entries); err != nil {
+		if err := n.store.Append(cfg.Restored.Entries); err != nil {
 			return fmt.Errorf("consensus: kept entries: %w", err)
 		}
 		first, _ := n.store.FirstIndex()
 		last, _ := n.store.LastIndex()
-		if at := cfg.Kept.State.Commit; at+1 < first || at > last {
+		if at := cfg.Restored.State.Commit; at+1 < first || at > last {
 			return fmt.Errorf("consensus: kept state is committed to %d, the log is %d to %d", at, first, last)
 		}
 	case len(cfg.Voters) > 0:
@@ -177,7 +177,7 @@
 		}
 		first := raftpb.Snapshot{Data: words, Metadata: raftpb.SnapshotMetadata{Index: 1, Term: 1,
 			ConfState: raftpb.ConfState{Voters: slices.Sorted(slices.Values(cfg.Voters)), Learners: slices.Sorted(slices.Values(cfg.Learners))}}}
-		n.begin = &Kept{State: raftpb.HardState{Term: 1, Commit: 1}, Snapshot: first}
+		n.begin = &PersistentState{State: raftpb.HardState{Term: 1, Commit: 1}, Snapshot: first}
 		err = n.store.ApplySnapshot(first)
 		if err == nil {
 			err = n.store.SetHardState(n.begin.State)
@@ -191,7 +191,7 @@
 }
 
 // takeSnapshot has the machine be what a snapshot says.
-func (n *Log) takeSnapshot(s raftpb.Snapshot) error {
+func (n *Replica) takeSnapshot(s raftpb.Snapshot) error {
 	if err := n.machine.Restore(s.Data); err != nil {
 		return fmt.Errorf("consensus: %w", err)
 	}
@@ -200,10 +200,10 @@
 }
 
 // patience draws how long this voter waits for a leader's word. Raft's own draw would be another in each run of the same seed.
-func (n *Log) patience() { n.silent, n.waits = 0, electionTicks+n.rng.IntN(electionTicks) }
+func (n *Replica) patience() { n.silent, n.waits = 0, electionTicks+n.rng.IntN(electionTicks) }
 
 // Tick is to be called every TickEvery.
-func (n *Log) Tick(now time.Duration) {
+func (n *Replica) Tick(now time.Duration) {
 	if n.failed {
 		return
 	}
@@ -221,12 +221,12 @@
 }
 
 // votes reports whether this node is a voter.
-func (n *Log) votes() bool {
+func (n *Replica) votes() bool {
 	return slices.Contains(n.conf.Voters, n.id) || slices.Contains(n.conf.VotersOutgoing, n.id)
 }
 
-// Hear takes a message. What cannot be read, or is not for this voter, is an error and changes nothing.
-func (n *Log) Hear(now time.Duration, from uint64, data []byte) error {
+// Step takes a message. What cannot be read, or is not for this voter, is an error and changes nothing.
+func (n *Replica) Step(now time.Duration, from uint64, data []byte) error {
 	if n.failed {
 		return ErrFailed
 	}
@@ -261,8 +261,8 @@
 	return nil
 }
 
-// Leads reports why nothing can be proposed here, or nil.
-func (n *Log) Leads(now time.Duration) error {
+// IsLeader reports why nothing can be proposed here, or nil.
+func (n *Replica) IsLeader(now time.Duration) error {
 	n.now = max(n.now, now)
 	n.lead()
 	switch {
@@ -275,8 +275,8 @@
 }
 
 // Propose puts a command into the log. The machine applies it once most voters have it, or never does.
-func (n *Log) Propose(now time.Duration, data []byte) error {
-	if err := n.Leads(now); err != nil {
+func (n *Replica) Propose(now time.Duration, data []byte) error {
+	if err := n.IsLeader(now); err != nil {
 		return err
 	}
 	if err := n.raw.Propose(data); err != nil {
@@ -286,7 +286,7 @@
 }
 
 // lead notes when this voter begins and ceases to lead.
-func (n *Log) lead() {
+func (n *Replica) lead() {
 	leads := n.raw.BasicStatus().RaftState == raft.StateLeader
 	if leads == n.leads {
 		return
@@ -298,10 +298,10 @@
 	n.machine.Lead(n.now, leads)
 }
 
-// Admit has a voter that has forgotten everything come back under a new id, or one take another's place for good: it learns first, and votes in the old
+// AddLearner has a voter that has forgotten everything come back under a new id, or one take another's place for good: it learns first, and votes in the old
 // one's place once it has caught up.
-func (n *Log) Admit(now time.Duration, learner, replaces uint64) error {
-	if err := n.Leads(now); err != nil {
+func (n *Replica) AddLearner(now time.Duration, learner, replaces uint64) error {
+	if err := n.IsLeader(now); err != nil {
 		return err
 	}
 	switch {
@@ -318,7 +318,7 @@
 }
 
 // promote gives a learner that has caught up the place of whom it replaces, in one change of two majorities.
-func (n *Log) promote() {
+func (n *Replica) promote() {
 	if len(n.replace) == 0 || len(n.conf.VotersOutgoing) > 0 {
 		return
 	}
@@ -347,9 +347,9 @@
 	}
 }
 
-// Take does all that is ready. What has to be kept is given to keep before anything that rests on it comes out; if keep fails this voter takes no
+// Ready does all that is ready. What has to be kept is given to keep before anything that rests on it comes out; if keep fails this voter takes no
 // more part, for what it has said would not be found again.
-func (n *Log) Take(keep func(Kept) error) (out []Message, err error) {
+func (n *Replica) Ready(keep func(PersistentState) error) (out []Message, err error) {
 	if n.begin != nil && !n.failed {
 		if err := keep(*n.begin); err != nil {
 			n.failed = true
@@ -360,7 +360,7 @@
 	for !n.failed && n.raw.HasReady() {
 		rd := n.raw.Ready()
 		if !raft.IsEmptyHardState(rd.HardState) || len(rd.Entries) > 0 || !raft.IsEmptySnap(rd.Snapshot) {
-			if err := keep(Kept{State: rd.HardState, Entries: rd.Entries, Snapshot: rd.Snapshot}); err != nil {
+			if err := keep(PersistentState{State: rd.HardState, Entries: rd.Entries, Snapshot: rd.Snapshot}); err != nil {
 				n.failed = true
 				return nil, fmt.Errorf("%w: %w", ErrFailed, err)
 			}
@@ -376,7 +376,7 @@
 }
 
 // digest takes what is ready into the store and the machine.
-func (n *Log) digest(rd raft.Ready, out *[]Message) error {
+func (n *Replica) digest(rd raft.Ready, out *[]Message) error {
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		if err := n.store.ApplySnapshot(rd.Snapshot); err != nil {
 			return fmt.Errorf("consensus: snapshot: %w", err)
@@ -412,7 +412,7 @@
 	return nil
 }
 
-func (n *Log) apply(e *raftpb.Entry) error {
+func (n *Replica) apply(e *raftpb.Entry) error {
 	n.applied = e.Index
 	switch {
 	case e.Type == raftpb.EntryConfChangeV2:
@@ -433,7 +433,7 @@
 }
 
 // snapshot has the log begin later, where it has grown; and after each change of the voters, for who is new takes no snapshot that does not know it.
-func (n *Log) snapshot(keep func(Kept) error) error {
+func (n *Replica) snapshot(keep func(PersistentState) error) error {
 	if n.failed || !n.changed && n.applied < n.kept+n.each {
 		return nil
 	}
@@ -444,7 +444,7 @@
 	}
 	s, err := n.store.CreateSnapshot(n.applied, &n.conf, words)
 	if err == nil {
-		err = keep(Kept{Snapshot: s})
+		err = keep(PersistentState{Snapshot: s})
 	}
 	if err != nil {
 		n.failed = true
@@ -460,7 +460,7 @@
 // Status is what operators and other gateways are told.
 type Status struct {
 	ID, Leader       uint64 // Leader is 0 where none is known
-	Leads            bool
+	IsLeader         bool
 	Quorum           bool // a leader is known and heard of lately; one that hears no majority leads no more
 	Term, Applied    uint64
 	Voters, Learners []uint64
@@ -468,9 +468,9 @@
 }
 
 // Status tells how this voter stands.
-func (n *Log) Status() Status {
+func (n *Replica) Status() Status {
 	b := n.raw.BasicStatus()
 	leads := b.RaftState == raft.StateLeader
-	return Status{ID: n.id, Leader: b.Lead, Leads: leads, Quorum: leads || b.Lead != 0 && n.silent < electionTicks, Term: b.Term, Applied: n.applied,
+	return Status{ID: n.id, Leader: b.Lead, IsLeader: leads, Quorum: leads || b.Lead != 0 && n.silent < electionTicks, Term: b.Term, Applied: n.applied,
 		Voters: slices.Clone(n.conf.Voters), Learners: slices.Clone(n.conf.Learners), Failed: n.failed}
 }
--- a/internal/raft/consensus_test.go
+++ b/internal/raft/consensus_test.go
@@ -17,15 +17,15 @@
 
 // disk keeps what a voter gives it, until it is full.
 type disk struct {
-	Memory
+	MemoryStorage
 	full bool
 }
 
-func (d *disk) keep(k Kept) error {
+func (d *disk) keep(k PersistentState) error {
 	if d.full {
 		return errors.New("no space left")
 	}
-	return d.Keep(k)
+	return d.Save(k)
 }
 
 // voter is a process that runs a node, or has ended.
@@ -82,7 +82,7 @@
 	}
 	for i := range clients {
 		a := &asker{Client: lease.NewClient(fmt.Sprint("g", i), 1), n: i}
-		if err := a.Set(0, []lease.Want{{Duty: duty, Places: 1, Lease: duration}}); err != nil {
+		if err := a.Want(0, []lease.Request{{Lease: duty, Index: 1, Duration: duration}}); err != nil {
 			t.Fatal(err)
 		}
 		c.clients = append(c.clients, a)
@@ -92,12 +92,12 @@
 
 func (c *cluster) start(id uint64) {
 	v := c.voters[id]
-	cfg := Config{ID: id, Voters: c.first, Kept: v.disk.Kept(), Seed: c.rng.Uint64()}
+	cfg := Config{ID: id, Voters: c.first, Restored: v.disk.Load(), Seed: c.rng.Uint64()}
 	if !slices.Contains(c.first, id) {
 		cfg.Voters = nil
 	}
 	if c.volatil {
-		cfg.Kept = nil
+		cfg.Restored = nil
 	}
 	var err error
 	if v.node, err = New(cfg, c.now); err != nil {
@@ -124,7 +124,7 @@
 	for _, m := range out.Messages {
 		c.send(v.id, m.To, func() {
 			if to := c.voters[m.To]; to != nil && to.node != nil && c.now >= to.stopped {
-				if err := to.node.Hear(c.now, v.id, m.Data); err != nil && !errors.Is(err, ErrFailed) && !errors.Is(err, raft.ErrStepPeerNotFound) {
+				if err := to.node.Step(c.now, v.id, m.Data); err != nil && !errors.Is(err, ErrFailed) && !errors.Is(err, raft.ErrStepPeerNotFound) {
 					c.t.Fatalf("at %v: %v", c.now, err)
 				}
 				c.take(to)
@@ -136,7 +136,7 @@
 			if fmt.Sprint("g", k.n) == a.Client {
 				c.send(v.id, 0, func() {
 					if c.now >= k.stopped {
-						k.Hear(c.now, a.Seq, a.Answer)
+						k.Receive(c.now, a.Seq, a.Answer)
 					}
 				})
 			}
@@ -146,7 +146,7 @@
 
 func (c *cluster) leader() *voter {
 	for _, id := range slices.Sorted(keys(c.voters)) {
-		if v := c.voters[id]; v.node != nil && c.now >= v.stopped && v.node.Status().Leads && v.node.Status().Quorum {
+		if v := c.voters[id]; v.node != nil && c.now >= v.stopped && v.node.Status().IsLeader && v.node.Status().Quorum {
 			return v
 		}
 	}
@@ -193,12 +193,12 @@
 
 // act has a client ask some voter, and do its duty if it may.
 func (c *cluster) act(k *asker) {
-	if cmd, ok := k.Ask(c.now); ok {
+	if cmd, ok := k.NextCommand(c.now); ok {
 		ids := slices.Sorted(keys(c.voters))
 		for range ids { // one after another until somebody leads; each try may be lost
 			k.at++
 			to := c.voters[ids[int(k.at)%len(ids)]]
-			if to.node == nil || c.now < to.stopped || c.cut(0, to.id) || !to.node.Status().Leads {
+			if to.node == nil || c.now < to.stopped || c.cut(0, to.id) || !to.node.Status().IsLeader {
 				continue
 			}
 			c.send(0, to.id, func() {
@@ -210,7 +210,7 @@
 			break
 		}
 	}
-	fence, ok := k.May(c.now, duty)
+	fence, ok := k.MayAct(c.now, duty)
 	if !ok {
 		return
 	}
@@ -222,7 +222,7 @@
 	c.gap = max(c.gap, c.now-c.last)
 	c.last = c.now
 	for _, o := range c.clients {
-		if _, both := o.May(c.now, duty); both && o != k {
+		if _, both := o.MayAct(c.now, duty); both && o != k {
 			c.wrong = append(c.wrong, fmt.Sprintf("at %v: g%d and g%d hold it", c.now, k.n, o.n))
 		}
 	}
@@ -336,7 +336,7 @@
 		c := newCluster(t, seed, 3, 4, lease)
 		c.run(8*time.Second, nil)
 		for _, k := range c.clients {
-			if _, ok := k.May(c.now, duty); ok {
+			if _, ok := k.MayAct(c.now, duty); ok {
 				k.stopped = time.Hour
 			}
 		}
@@ -379,11 +379,11 @@
 	delete(c.voters, lost)
 	c.voters[7] = &voter{id: 7, disk: &disk{}}
 	c.start(7)
-	if err := c.leader().node.Admit(c.now, 7, lost); err != nil {
+	if err := c.leader().node.AddLearner(c.now, 7, lost); err != nil {
 		t.Fatal(err)
 	}
 	for _, faulty := range [][2]uint64{{7, 99}, {0, lost}, {c.leader().id, lost}} {
-		if err := c.leader().node.Admit(c.now, faulty[0], faulty[1]); err == nil {
+		if err := c.leader().node.AddLearner(c.now, faulty[0], faulty[1]); err == nil {
 			t.Errorf("%v was admitted", faulty)
 		}
 	}
@@ -484,7 +484,7 @@
 		"a spoilt one":    word(raftpb.Message{Type: raftpb.MsgSnap, From: 2, To: 1, Term: 99, Snapshot: &raftpb.Snapshot{Data: []byte("x"), Metadata: raftpb.SnapshotMetadata{Index: 1e6, Term: 99}}}),
 		"an empty answer": nil,
 	} {
-		if err := n.Hear(c.now, 2, data); err == nil {
+		if err := n.Step(c.now, 2, data); err == nil {
 			t.Errorf("%s: heard", name)
 		}
 	}
@@ -508,7 +508,7 @@
 		}
 		nodes[id] = n
 	}
-	keep := func(Kept) error { return nil }
+	keep := func(PersistentState) error { return nil }
 	now := time.Duration(0)
 	tick := func() []Message {
 		now += TickEvery
@@ -534,7 +534,7 @@
 	}
 	for ; len(post) > 0; post = post[1:] {
 		to := nodes[post[0].To]
-		if err := to.Hear(now, from[string(post[0].Data)], post[0].Data); err != nil {
+		if err := to.Step(now, from[string(post[0].Data)], post[0].Data); err != nil {
 			t.Fatal(err)
 		}
 		out, err := to.Take(keep)
@@ -546,7 +546,7 @@
 		}
 		post = append(post, out.Messages...)
 	}
-	if s := nodes[1].Status(); !s.Leads || !s.Quorum {
+	if s := nodes[1].Status(); !s.IsLeader || !s.Quorum {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/raft/leases.go
+++ b/internal/raft/leases.go
@@ -84,24 +84,24 @@
 
 // Node is one voter of the log of leases, or a learner that is to become one.
 type Node struct {
-	*Log
+	*Replica
 	leases *leases
 }
 
 // New starts a voter of the log of leases.
 func New(cfg Config, now time.Duration) (*Node, error) {
 	l := &leases{table: lease.NewTable(), waiting: make(map[waiting]bool)}
-	log, err := NewLog(cfg, l, now)
+	log, err := NewReplica(cfg, l, now)
 	if err != nil {
 		return nil, err
 	}
-	return &Node{Log: log, leases: l}, nil
+	return &Node{Replica: log, leases: l}, nil
 }
 
 // Propose puts a command into the log. Its answer comes out of Take once most voters have it, or never: then the client asks again, with
 // the same number.
 func (n *Node) Propose(now time.Duration, c lease.Command) error {
-	if err := n.Leads(now); err != nil {
+	if err := n.IsLeader(now); err != nil {
 		return err
 	}
 	if len(n.leases.waiting) >= mostWaiting {
@@ -112,7 +112,7 @@
 	if err != nil {
 		return fmt.Errorf("consensus: %w", err)
 	}
-	if err := n.Log.Propose(now, raw); err != nil {
+	if err := n.Replica.Propose(now, raw); err != nil {
 		return err
 	}
 	n.leases.waiting[waiting{c.Client, c.Start, c.Seq}] = true
@@ -120,8 +120,8 @@
 }
 
 // Take does all that is ready; see Log.Take.
-func (n *Node) Take(keep func(Kept) error) (Output, error) {
-	messages, err := n.Log.Take(keep)
+func (n *Node) Take(keep func(PersistentState) error) (Output, error) {
+	messages, err := n.Replica.Ready(keep)
 	answers := n.leases.answers
 	n.leases.answers = nil
 	return Output{Messages: messages, Answers: answers}, err
@@ -138,7 +138,7 @@
 // Status tells how this voter stands.
 func (n *Node) Status() LeaseStatus {
 	table := n.leases.table
-	return LeaseStatus{Status: n.Log.Status(), Held: table.Len(), Fence: table.Fence(), Time: table.Now()}
+	return LeaseStatus{Status: n.Replica.Status(), Held: table.Len(), Fence: table.Fence(), Time: table.Now()}
 }
 
 // Holders lists who holds a duty, as far as this voter has applied the log: hearsay for operators, no ground for an effect.
--- a/internal/raft/memory.go
+++ b/internal/raft/memory.go
@@ -7,16 +7,16 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Memory keeps what a voter gives it, in place of a disk: for tests and runs on a virtual clock.
-type Memory struct {
+// MemoryStorage keeps what a voter gives it, in place of a disk: for tests and runs on a virtual clock.
+type MemoryStorage struct {
 	state    raftpb.HardState
 	snapshot raftpb.Snapshot
 	entries  []raftpb.Entry
 	writes   int
 }
 
-// Keep keeps what Take gives it.
-func (d *Memory) Keep(k Kept) error {
+// Save keeps what Take gives it.
+func (d *MemoryStorage) Save(k PersistentState) error {
 	d.writes++
 	if !raft.IsEmptyHardState(k.State) {
 		d.state = k.State
@@ -32,10 +32,10 @@
 	return nil
 }
 
-// Kept is what the next process starts from, nil where nothing was kept.
-func (d *Memory) Kept() *Kept {
+// Load is what the next process starts from, nil where nothing was kept.
+func (d *MemoryStorage) Load() *PersistentState {
 	if d.writes == 0 {
 		return nil
 	}
-	return &Kept{State: d.state, Snapshot: d.snapshot, Entries: slices.Clone(d.entries)}
+	return &PersistentState{State: d.state, Snapshot: d.snapshot, Entries: slices.Clone(d.entries)}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -32,12 +32,12 @@
 
 // Gateway is what the gateway itself needs of the settings, beside the module.
 type Gateway struct {
-	Zones          []string      // the zone names; a zone is known by its place
-	ConnectTimeout time.Duration // a connection not up by then has failed
-	ConnIdle       time.Duration // a host closes a connection idle for this long
-	Peers          bool          // gateways may send each other datagrams
-	MostOpen       int           // requests held open at once
-	Waiting        int           // column of the load reports with the requests waiting; -1 if there is none
+	Zones            []string      // the zone names; a zone is known by its place
+	ConnectTimeout   time.Duration // a connection not up by then has failed
+	ConnIdle         time.Duration // a host closes a connection idle for this long
+	Peers            bool          // gateways may send each other datagrams
+	MaxUpstreamConns int           // requests held open at once
+	Waiting          int           // column of the load reports with the requests waiting; -1 if there is none
 }
 
 // Parse reads the path=value text of a start event. Unknown keys are ignored, optional ones have defaults,
@@ -55,18 +55,18 @@
 func (s *settings) translate() (Settings, error) {
 	c := s.config()
 	g := Gateway{
-		Zones:          s.list("zones"),
-		ConnectTimeout: s.millis("bounds.connect_timeout_ms", 1000, false),
-		ConnIdle:       s.millis("bounds.conn_idle_ms", 30000, false),
-		Peers:          s.flag("bounds.peers"),
-		MostOpen:       s.integer("bounds.open_cap", 1<<20, false),
-		Waiting:        slices.Index(s.list("report.columns"), "pending"),
+		Zones:            s.list("zones"),
+		ConnectTimeout:   s.millis("bounds.connect_timeout_ms", 1000, false),
+		ConnIdle:         s.millis("bounds.conn_idle_ms", 30000, false),
+		Peers:            s.flag("bounds.peers"),
+		MaxUpstreamConns: s.integer("bounds.open_cap", 1<<20, false),
+		Waiting:          slices.Index(s.list("report.columns"), "pending"),
 	}
 	return Settings{Config: c, Gateway: g, present: s.present}, s.err
 }
 
-// Lacking names a field that s has and fresh lacks, or a field that every class of s has and one of fresh lacks.
-func (s Settings) Lacking(fresh Settings) error {
+// Missing names a field that s has and fresh lacks, or a field that every class of s has and one of fresh lacks.
+func (s Settings) Missing(fresh Settings) error {
 	for _, path := range slices.Sorted(maps.Keys(s.present)) {
 		if !fresh.present[path] {
 			return fmt.Errorf("settings.%s is missing, the file in force has it", path)
@@ -84,26 +84,26 @@
 
 func (s *settings) config() balancer.Config {
 	c := balancer.Config{
-		Gateways:       s.integer("balancers", 1, true),
-		Rank:           s.integer("rank", 0, false),
-		Zone:           s.integer("zone", 0, false),
-		OverShareWorth: s.number("over_share_worth", 1, false),
-		WorthByWork:    s.word("counted_by", "request", "request", "work") == "work",
-		WholeWeight:    s.number("score_parts.whole", 1, false),
-		WorstWeight:    s.number("score_parts.worst_class", 0, false),
-		CrossZonePrice: s.number("deductions.cross_zone", 0, false),
-		AskForList:     s.word("registry_mode", "automatic", "automatic", "subscribe") == "subscribe",
-		AskWithin:      s.millis("guarantees.ask_within_ms", 10000, false),
-		ColdFrom:       s.number("guarantees.cold_from", 1, false),
-		WarmAfter:      s.millis("guarantees.warm_after_ms", 0, false),
-		FallMultiple:   s.number("guarantees.fall_multiple", 1, false),
-		OverloadFor:    s.millis("guarantees.overload_for_ms", 0, false),
-		MarksRepeats:   s.flag("clients.marks_retry"),
-		MaxAttempts:    int(s.above("bounds.most_tries", float64(s.integer("bounds.most_tries", 1, false)))),
-		CancelAllowed:  s.flag("bounds.cancel"),
-		RetryAfter:     s.flag("bounds.retry_after"),
-		MaxRetryAfter:  s.millis("bounds.max_retry_after_ms", 0, false),
-		Tick:           s.millis("tick_ms", 1, false),
+		Gateways:             s.integer("balancers", 1, true),
+		Rank:                 s.integer("rank", 0, false),
+		Zone:                 s.integer("zone", 0, false),
+		OverQuotaWeight:      s.number("over_share_worth", 1, false),
+		WeightByWork:         s.word("counted_by", "request", "request", "work") == "work",
+		TotalGoalWeight:      s.number("score_parts.whole", 1, false),
+		WorstClassGoalWeight: s.number("score_parts.worst_class", 0, false),
+		CrossZoneCost:        s.number("deductions.cross_zone", 0, false),
+		PollDiscovery:        s.word("registry_mode", "automatic", "automatic", "subscribe") == "subscribe",
+		PollInterval:         s.millis("guarantees.ask_within_ms", 10000, false),
+		SlowStartFraction:    s.number("guarantees.cold_from", 1, false),
+		SlowStartDuration:    s.millis("guarantees.warm_after_ms", 0, false),
+		OverloadMultiple:     s.number("guarantees.fall_multiple", 1, false),
+		OverloadWindow:       s.millis("guarantees.overload_for_ms", 0, false),
+		ClientsMarkRetries:   s.flag("clients.marks_retry"),
+		MaxAttempts:          int(s.above("bounds.most_tries", float64(s.integer("bounds.most_tries", 1, false)))),
+		CancelAllowed:        s.flag("bounds.cancel"),
+		RetryAfter:           s.flag("bounds.retry_after"),
+		MaxRetryAfter:        s.millis("bounds.max_retry_after_ms", 0, false),
+		DispatchInterval:     s.millis("tick_ms", 1, false),
 	}
 	for i := range s.integer("classes.count", 0, true) {
 		c.Classes = append(c.Classes, s.class(fmt.Sprintf("classes.%d.", i)))
@@ -134,28 +134,28 @@
 		s.fault("%sname is missing", p)
 	}
 	c := balancer.Class{
-		Name:      s.values[p+"name"],
-		Aim:       s.millis(p+"aim_ms", 0, true),
-		Deadline:  Millis(s.above(p+"give_up_ms", s.number(p+"give_up_ms", 0, true))),
-		Worth:     s.number(p+"worth", 1, false),
-		LateWorth: s.number(p+"late_worth", 0, false),
-		Window:    s.millis(p+"window_ms", 0, false),
+		Name:             s.values[p+"name"],
+		LatencyObjective: s.millis(p+"aim_ms", 0, true),
+		Deadline:         Millis(s.above(p+"give_up_ms", s.number(p+"give_up_ms", 0, true))),
+		Weight:           s.number(p+"worth", 1, false),
+		LateWeight:       s.number(p+"late_worth", 0, false),
+		DedupWindow:      s.millis(p+"window_ms", 0, false),
 	}
 	switch s.word(p+"repeat", "once", "repeatable", "by_key", "once") {
 	case "repeatable":
-		c.Effect = balancer.Safe
+		c.Idempotency = balancer.Idempotent
 	case "by_key":
-		c.Effect = balancer.Keyed
+		c.Idempotency = balancer.KeyedIdempotent
 	default:
-		c.Effect = balancer.Unsafe
+		c.Idempotency = balancer.NonIdempotent
 	}
 	switch s.word(p+"group", "cell", "all", "zone", "cell") {
 	case "all":
-		c.Group = balancer.GroupAll
+		c.DedupScope = balancer.DedupAll
 	case "zone":
-		c.Group = balancer.GroupZone
+		c.DedupScope = balancer.DedupZone
 	default:
-		c.Group = balancer.GroupCell
+		c.DedupScope = balancer.DedupCell
 	}
 	return c
 }
--- a/internal/settings/size_test.go
+++ b/internal/settings/size_test.go
@@ -13,14 +13,14 @@
 // silent takes the decisions of a module that has no requests.
 type silent struct{}
 
-func (silent) Send(balancer.RequestID, balancer.ServerID, time.Duration) {}
-func (silent) Refuse(balancer.RequestID, time.Duration)                  {}
-func (silent) Fail(balancer.RequestID)                                   {}
-func (silent) Cancel(balancer.RequestID, int)                            {}
-func (silent) Wake(time.Duration, uint32)                                {}
-func (silent) Close(balancer.ServerID)                                   {}
-func (silent) Watch()                                                    {}
-func (silent) Log(string)                                                {}
+func (silent) StartAttempt(balancer.RequestID, balancer.EndpointID, time.Duration) {}
+func (silent) Reject(balancer.RequestID, time.Duration)                            {}
+func (silent) Fail(balancer.RequestID)                                             {}
+func (silent) CancelAttempt(balancer.RequestID, int)                               {}
+func (silent) SetTimer(time.Duration, uint32)                                      {}
+func (silent) CloseIdle(balancer.EndpointID)                                       {}
+func (silent) WatchEndpoints()                                                     {}
+func (silent) Log(string)                                                          {}
 
 // sizedSettings words settings with so many classes and tenants.
 func sizedSettings(classes, tenants int) []byte {
--- a/internal/simproto/frame.go
+++ b/internal/simproto/frame.go
@@ -46,30 +46,30 @@
 type Event struct {
 	Instance int
 	Kind     Kind
-	Request  balancer.Request    // NewRequest; only its ID for Lapsed and First
-	End      balancer.AttemptEnd // AttemptEnded
-	Load     Load                // AttemptEnded
-	Token    uint32              // TimerFired
-	Seed     uint64              // Start
-	Settings string              // Start
-	List     balancer.ListKind   // ListChanged
-	Servers  []balancer.Server   // ListChanged
+	Request  balancer.Request        // NewRequest; only its ID for Lapsed and First
+	End      balancer.AttemptEnd     // AttemptEnded
+	Load     Load                    // AttemptEnded
+	Token    uint32                  // TimerFired
+	Seed     uint64                  // Start
+	Settings string                  // Start
+	List     balancer.EndpointUpdate // ListChanged
+	Servers  []balancer.Endpoint     // ListChanged
 }
 
 var outcomes = map[uint16]balancer.Outcome{
-	100: balancer.OK, 301: balancer.Error, 302: balancer.Full, 303: balancer.Timeout,
-	304: balancer.ConnectFailed, 305: balancer.Reset, 306: balancer.Cancelled, 307: balancer.Moot,
+	100: balancer.OutcomeOK, 301: balancer.OutcomeError, 302: balancer.OutcomeRejected, 303: balancer.OutcomeTimeout,
+	304: balancer.OutcomeConnectFailed, 305: balancer.OutcomeReset, 306: balancer.OutcomeCancelled, 307: balancer.OutcomeNotStarted,
 }
 
-var listKinds = [...]balancer.ListKind{
-	0: balancer.ListCached, 1: balancer.ListFailed, 2: balancer.ListDelta, 3: balancer.ListFull,
+var listKinds = [...]balancer.EndpointUpdate{
+	0: balancer.CachedSnapshot, 1: balancer.WatchFailed, 2: balancer.Delta, 3: balancer.Snapshot,
 }
 
 // Reader reads batches from a stream and reuses its buffer.
 type Reader struct {
 	in      io.Reader
 	frame   []byte
-	servers []balancer.Server
+	servers []balancer.Endpoint
 }
 
 // NewReader returns a Reader on in.
@@ -104,15 +104,15 @@
 	Now     time.Duration
 	records []byte
 	tail    []byte
-	servers *[]balancer.Server
+	servers *[]balancer.Endpoint
 	at      int
 	inst    int
 }
 
 // Decode checks the header of a frame held in memory.
-func Decode(frame []byte) (Batch, error) { return decode(frame, new([]balancer.Server)) }
+func Decode(frame []byte) (Batch, error) { return decode(frame, new([]balancer.Endpoint)) }
 
-func decode(frame []byte, servers *[]balancer.Server) (Batch, error) {
+func decode(frame []byte, servers *[]balancer.Endpoint) (Batch, error) {
 	if len(frame) < batchHeader {
 		return Batch{}, fmt.Errorf("batch: %d bytes, the header alone has %d", len(frame), batchHeader)
 	}
@@ -192,9 +192,9 @@
 	return settings.Millis(v), nil
 }
 
-func host(rec []byte) balancer.ServerID {
+func host(rec []byte) balancer.EndpointID {
 	port := binary.LittleEndian.Uint16(rec[4:])
-	return balancer.ServerID(binary.BigEndian.Uint32(rec))<<16 | balancer.ServerID(port)
+	return balancer.EndpointID(binary.BigEndian.Uint32(rec))<<16 | balancer.EndpointID(port)
 }
 
 func attemptEnd(rec []byte) (balancer.AttemptEnd, error) {
@@ -207,7 +207,7 @@
 	latency, err := float(rec[15:], "latency_ms")
 	return balancer.AttemptEnd{
 		Request: balancer.RequestID(le.Uint32(rec[1:])), Attempt: int(le.Uint16(rec[5:])),
-		Server: host(rec[7:]), Outcome: outcome, Latency: latency, Closed: rec[23] != 0,
+		Endpoint: host(rec[7:]), Outcome: outcome, Latency: latency, RequestDone: rec[23] != 0,
 	}, err
 }
 
@@ -238,7 +238,7 @@
 	left, err := float(rec[17:], "patience_left_ms")
 	return balancer.Request{
 		ID: balancer.RequestID(le.Uint32(rec[1:])), Tenant: int(le.Uint32(rec[5:])),
-		Patience: left, Class: int(le.Uint16(rec[25:])), Repeat: rec[27]&2 != 0,
+		ClientTimeout: left, Class: int(le.Uint16(rec[25:])), Retry: rec[27]&2 != 0,
 	}, err
 }
 
@@ -264,18 +264,18 @@
 	return nil
 }
 
-func entry(rec []byte) (balancer.Server, error) {
+func entry(rec []byte) (balancer.Endpoint, error) {
 	born, err := float(rec[14:], "born_ms")
 	if err != nil {
-		return balancer.Server{}, err
+		return balancer.Endpoint{}, err
 	}
 	if rec[13] > 2 {
-		return balancer.Server{}, fmt.Errorf("unknown availability %d at byte 13", rec[13])
+		return balancer.Endpoint{}, fmt.Errorf("unknown availability %d at byte 13", rec[13])
 	}
-	state := [...]balancer.State{balancer.Gone, balancer.Ready, balancer.Draining}[rec[13]]
-	return balancer.Server{
+	state := [...]balancer.EndpointState{balancer.EndpointRemoved, balancer.EndpointReady, balancer.EndpointDraining}[rec[13]]
+	return balancer.Endpoint{
 		Zone: int(rec[4]), Cell: int(binary.LittleEndian.Uint16(rec[5:])), ID: host(rec[7:]), State: state,
-		Born: born,
+		StartedAt: born,
 	}, nil
 }
 
--- a/internal/simproto/reply.go
+++ b/internal/simproto/reply.go
@@ -80,43 +80,43 @@
 	binary.LittleEndian.PutUint64(b, math.Float64bits(v))
 }
 
-// Send implements thymebend.Actions.
-func (r *Reply) Send(id balancer.RequestID, to balancer.ServerID, timeout time.Duration) {
+// StartAttempt implements thymebend.Actions.
+func (r *Reply) StartAttempt(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
 	rec := r.request(actSend, id)
 	binary.BigEndian.PutUint32(rec[5:], uint32(to>>16))
 	binary.LittleEndian.PutUint16(rec[9:], uint16(to))
 	putTime(rec[11:], timeout)
 }
 
-// Refuse implements thymebend.Actions.
-func (r *Reply) Refuse(id balancer.RequestID, after time.Duration) {
+// Reject implements thymebend.Actions.
+func (r *Reply) Reject(id balancer.RequestID, after time.Duration) {
 	putTime(r.request(actRefuse, id)[5:], after)
 }
 
 // Fail implements thymebend.Actions.
 func (r *Reply) Fail(id balancer.RequestID) { r.request(actFail, id) }
 
-// Cancel implements thymebend.Actions.
-func (r *Reply) Cancel(id balancer.RequestID, attempt int) {
+// CancelAttempt implements thymebend.Actions.
+func (r *Reply) CancelAttempt(id balancer.RequestID, attempt int) {
 	binary.LittleEndian.PutUint16(r.request(actCancel, id)[5:], uint16(attempt))
 }
 
-// Close implements thymebend.Actions.
-func (r *Reply) Close(to balancer.ServerID) {
+// CloseIdle implements thymebend.Actions.
+func (r *Reply) CloseIdle(to balancer.EndpointID) {
 	rec := r.record(actClose)
 	binary.BigEndian.PutUint32(rec[1:], uint32(to>>16))
 	binary.LittleEndian.PutUint16(rec[5:], uint16(to))
 }
 
-// Wake implements thymebend.Actions.
-func (r *Reply) Wake(after time.Duration, token uint32) {
+// SetTimer implements thymebend.Actions.
+func (r *Reply) SetTimer(after time.Duration, token uint32) {
 	rec := r.record(actWake)
 	putTime(rec[1:], after)
 	binary.LittleEndian.PutUint32(rec[9:], token)
 }
 
-// Watch implements thymebend.Actions.
-func (r *Reply) Watch() { r.record(actWatch)[1] = 1 }
+// WatchEndpoints implements thymebend.Actions.
+func (r *Reply) WatchEndpoints() { r.record(actWatch)[1] = 1 }
 
 // Log implements thymebend.Actions.
 func (r *Reply) Log(line string) {
--- a/internal/simproto/wire_test.go
+++ b/internal/simproto/wire_test.go
@@ -66,18 +66,18 @@
 	if len(events) != 5 || events[0].Instance != 3 || events[4].Instance != 4 || events[4].Kind != Stop {
 		t.Fatalf("events = %+v", events)
 	}
-	want := balancer.Request{ID: 77, Tenant: 1, Patience: 110 * time.Millisecond, Class: 2, Repeat: true}
+	want := balancer.Request{ID: 77, Tenant: 1, ClientTimeout: 110 * time.Millisecond, Class: 2, Retry: true}
 	if events[0].Request != want {
 		t.Errorf("request = %+v", events[0].Request)
 	}
-	const server = balancer.ServerID(10<<40 | 18<<32 | 74<<24 | 7<<16 | 0x232b)
-	end := balancer.AttemptEnd{Request: 77, Attempt: 3, Server: server, Outcome: balancer.Timeout,
-		Latency: 12500 * time.Microsecond, Closed: true}
+	const server = balancer.EndpointID(10<<40 | 18<<32 | 74<<24 | 7<<16 | 0x232b)
+	end := balancer.AttemptEnd{Request: 77, Attempt: 3, Endpoint: server, Outcome: balancer.OutcomeTimeout,
+		Latency: 12500 * time.Microsecond, RequestDone: true}
 	if events[1].End != end {
 		t.Errorf("end = %+v, want %+v", events[1].End, end)
 	}
-	srv := balancer.Server{ID: server, Zone: 2, Cell: 7, State: balancer.Ready, Born: 1500 * time.Millisecond}
-	if events[2].List != balancer.ListFull || len(events[2].Servers) != 1 || events[2].Servers[0] != srv {
+	srv := balancer.Endpoint{ID: server, Zone: 2, Cell: 7, State: balancer.EndpointReady, StartedAt: 1500 * time.Millisecond}
+	if events[2].List != balancer.Snapshot || len(events[2].Servers) != 1 || events[2].Servers[0] != srv {
 		t.Errorf("list = %v %+v", events[2].List, events[2].Servers)
 	}
 	if events[3].Token != 9 {
@@ -143,8 +143,8 @@
 	var r Reply
 	r.Reset()
 	r.For(3)
-	r.Send(0x5d3a91c4, 10<<40|18<<32|74<<24|7<<16|0x232b, 80*time.Millisecond)
-	r.Wake(500*time.Millisecond, 77)
+	r.StartAttempt(0x5d3a91c4, 10<<40|18<<32|74<<24|7<<16|0x232b, 80*time.Millisecond)
+	r.SetTimer(500*time.Millisecond, 77)
 	r.For(4) // an instance without actions leaves no record
 	r.For(5)
 	r.Log("two servers known")
@@ -165,10 +165,10 @@
 	}
 	r.Reset()
 	r.For(1)
-	r.Refuse(1, 30*time.Millisecond)
+	r.Reject(1, 30*time.Millisecond)
 	r.Fail(2)
-	r.Cancel(3, 1)
-	r.Watch()
+	r.CancelAttempt(3, 1)
+	r.WatchEndpoints()
 	out.Reset()
 	if _, err := r.WriteTo(&out); err != nil {
 		t.Fatal(err)
@@ -209,11 +209,11 @@
 		t.Fatal(err)
 	}
 	k := c.Classes[0]
-	if c.Gateways != 4 || c.Zone != 1 || !c.AskForList || c.AskWithin != 10*time.Second || c.MaxAttempts != 3 ||
-		!c.CancelAllowed || c.ColdFrom != 0.25 || c.Tenants[0].Quota != 12.5 ||
-		k.Aim != 300500*time.Microsecond || k.Effect != balancer.Keyed || k.Group != balancer.GroupZone ||
-		k.Window != 800*time.Millisecond || c.Classes[1].Effect != balancer.Unsafe || c.Classes[1].Worth != 1 ||
-		c.Tick != time.Millisecond || c.OverShareWorth != 1 {
+	if c.Gateways != 4 || c.Zone != 1 || !c.PollDiscovery || c.PollInterval != 10*time.Second || c.MaxAttempts != 3 ||
+		!c.CancelAllowed || c.SlowStartFraction != 0.25 || c.Tenants[0].Quota != 12.5 ||
+		k.LatencyObjective != 300500*time.Microsecond || k.Idempotency != balancer.KeyedIdempotent || k.DedupScope != balancer.DedupZone ||
+		k.DedupWindow != 800*time.Millisecond || c.Classes[1].Idempotency != balancer.NonIdempotent || c.Classes[1].Weight != 1 ||
+		c.DispatchInterval != time.Millisecond || c.OverQuotaWeight != 1 {
 		t.Errorf("config = %+v", c)
 	}
 }
--- a/internal/starttime/starts.go
+++ b/internal/starttime/starts.go
@@ -21,12 +21,12 @@
 	heardWithin = 6 * time.Second
 )
 
-// Starts keeps what is believed of the servers listed. The zero value has heard no list.
-type Starts struct {
+// StartTimes keeps what is believed of the servers listed. The zero value has heard no list.
+type StartTimes struct {
 	lead     time.Duration // this process's clock is ahead of the list's by so much
 	judged   bool          // a list with a start has been heard: the lead is no guess any more
 	followed bool          // a list was heard of discovery, so that what is new in the next is news
-	known    map[balancer.ServerID]start
+	known    map[balancer.EndpointID]start
 }
 
 // start is one start of a server.
@@ -35,33 +35,33 @@
 	believed time.Duration // on this process's clock
 }
 
-// Believe replaces the starts that entries state by those on this process's clock. A start that was heard before keeps its time.
-func (s *Starts) Believe(now time.Duration, kind balancer.ListKind, entries []balancer.Server) {
+// Adjust replaces the starts that entries state by those on this process's clock. A start that was heard before keeps its time.
+func (s *StartTimes) Adjust(now time.Duration, kind balancer.EndpointUpdate, entries []balancer.Endpoint) {
 	if s.known == nil {
-		s.known = make(map[balancer.ServerID]start)
+		s.known = make(map[balancer.EndpointID]start)
 	}
 	s.judge(now, entries)
-	if kind == balancer.ListFull {
+	if kind == balancer.Snapshot {
 		s.keep(entries)
 	}
 	for i := range entries {
 		entry := &entries[i]
-		if entry.Born <= 0 {
+		if entry.StartedAt <= 0 {
 			continue // long ago, whatever the clocks are
 		}
-		entry.Born = s.believe(now, entry.ID, entry.Born)
-		if entry.State == balancer.Gone {
+		entry.StartedAt = s.believe(now, entry.ID, entry.StartedAt)
+		if entry.State == balancer.EndpointRemoved {
 			delete(s.known, entry.ID)
 		}
 	}
-	s.followed = s.followed || kind == balancer.ListFull || kind == balancer.ListDelta
+	s.followed = s.followed || kind == balancer.Snapshot || kind == balancer.Delta
 }
 
 // judge finds out how far this process's clock is ahead of the list's, as far as the list tells.
-func (s *Starts) judge(now time.Duration, entries []balancer.Server) {
+func (s *StartTimes) judge(now time.Duration, entries []balancer.Endpoint) {
 	newest := time.Duration(0)
 	for i := range entries {
-		newest = max(newest, entries[i].Born)
+		newest = max(newest, entries[i].StartedAt)
 	}
 	if newest <= 0 {
 		return
@@ -74,7 +74,7 @@
 }
 
 // believe is when a server started, on this process's clock.
-func (s *Starts) believe(now time.Duration, id balancer.ServerID, stated time.Duration) time.Duration {
+func (s *StartTimes) believe(now time.Duration, id balancer.EndpointID, stated time.Duration) time.Duration {
 	if was, ok := s.known[id]; ok && was.stated == stated {
 		return was.believed
 	}
@@ -87,8 +87,8 @@
 }
 
 // keep forgets the servers that a whole list leaves out.
-func (s *Starts) keep(entries []balancer.Server) {
-	listed := make(map[balancer.ServerID]bool, len(entries))
+func (s *StartTimes) keep(entries []balancer.Endpoint) {
+	listed := make(map[balancer.EndpointID]bool, len(entries))
 	for i := range entries {
 		listed[entries[i].ID] = true
 	}
--- a/internal/subset/size_test.go
+++ b/internal/subset/size_test.go
@@ -23,8 +23,8 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				parts := Count(0, zones)
-				Rule{Own: 8, Far: 4, Least: 2}.Parts(1024, parts)
-				Crowding(standing, parts[0].Own)
+				Rule{Local: 8, Remote: 4, Min: 2}.Subsets(1024, parts)
+				RelativeLoad(standing, parts[0].Local)
 			}
 		})
 	}
@@ -35,9 +35,9 @@
 	for _, size := range [][2]int{{1024, 1024}, {1024, 8000}, {350, 8000}, {8, 8000}} {
 		gateways, hosts := size[0], size[1]
 		zones := []Zone{{Zone: 0, Ready: float64(hosts) / 2}, {Zone: 1, Ready: float64(hosts) / 2}}
-		Rule{Own: 8, Far: 4, Least: 2}.Parts(gateways, zones)
+		Rule{Local: 8, Remote: 4, Min: 2}.Subsets(gateways, zones)
 		want := min(8, float64(gateways)/2) + min(4, float64(gateways)/2)
-		if got := Sharers(gateways, 0, zones); got < want-0.01 || got > want+0.01 {
+		if got := Users(gateways, 0, zones); got < want-0.01 || got > want+0.01 {
 			t.Errorf("%d gateways, %d hosts: %v use a host, want %v", gateways, hosts, got, want)
 		}
 		places := make(map[int]bool)
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -15,7 +15,7 @@
 type Zone struct {
 	Zone          int
 	Ready, Others float64
-	Own, Far      float64
+	Local, Remote float64
 }
 
 // Count counts ready servers by their zones, the own zone first.
@@ -35,11 +35,11 @@
 
 // Rule says how many gateways use a server: of its own zone, and of the others. A gateway uses Least
 // servers in all at least, if there are so many.
-type Rule struct{ Own, Far, Least float64 }
+type Rule struct{ Local, Remote, Min float64 }
 
-// Parts fills in what a gateway of each zone uses; Zone and Ready are given. Gateways are taken to be
+// Subsets fills in what a gateway of each zone uses; Zone and Ready are given. Gateways are taken to be
 // spread evenly over zones, which no list tells.
-func (r Rule) Parts(gateways int, zones []Zone) {
+func (r Rule) Subsets(gateways int, zones []Zone) {
 	all := 0.0
 	for _, z := range zones {
 		all += z.Ready
@@ -49,22 +49,22 @@
 	for i := range zones {
 		z := &zones[i]
 		z.Others = all - z.Ready
-		z.Own, z.Far = z.Ready*min(1, r.Own/near), z.Others*min(1, r.Far/away)
+		z.Local, z.Remote = z.Ready*min(1, r.Local/near), z.Others*min(1, r.Remote/away)
 		if z.Others == 0 {
-			z.Own = max(z.Own, min(z.Ready, r.Least))
+			z.Local = max(z.Local, min(z.Ready, r.Min))
 		}
-		z.Far = max(z.Far, min(z.Others, r.Least-z.Own))
+		z.Remote = max(z.Remote, min(z.Others, r.Min-z.Local))
 	}
 }
 
-// Sharers is how many gateways use a server of this zone as a part of theirs.
-func Sharers(gateways, zone int, zones []Zone) float64 {
+// Users is how many gateways use a server of this zone as a part of theirs.
+func Users(gateways, zone int, zones []Zone) float64 {
 	near, n := float64(gateways)/float64(len(zones)), 0.0
 	for _, z := range zones {
 		if z.Zone == zone {
-			n += near * z.Own / max(1, z.Ready)
+			n += near * z.Local / max(1, z.Ready)
 		} else {
-			n += near * z.Far / max(1, z.Others)
+			n += near * z.Remote / max(1, z.Others)
 		}
 	}
 	return max(1, n)
@@ -77,37 +77,37 @@
 	return int(at * float64(n))
 }
 
-// Whole makes a number of servers whole for the gateway with this number: a fraction of a server is one at
+// RoundByRank makes a number of servers whole for the gateway with this number: a fraction of a server is one at
 // that share of the gateways.
-func Whole(rank int, want float64) float64 {
+func RoundByRank(rank int, want float64) float64 {
 	_, chance := math.Modf(float64(rank) * math.Sqrt2)
 	return math.Floor(want + chance)
 }
 
-// Reach is what a gateway that is short of room uses beyond its even part, and how it gives that up:
+// Expansion is what a gateway that is short of room uses beyond its even part, and how it gives that up:
 // traffic and servers are not spread alike over zones and gateways, which no list tells. It grows by one a
 // sample and shrinks by half where a server beyond the even part is full or cannot be reached, for then
 // others need it or a zone is lost: hundreds of gateways that are short together would take each other's
 // connections. Growth then rests, longer each time.
-type Reach struct {
+type Expansion struct {
 	Size     float64 // servers, and a part of one
 	fails    int
 	resumeAt time.Duration
 }
 
-// Signs are what a gateway saw in one sample. Short says that requests waited, Full that a server beyond
+// Signals are what a gateway saw in one sample. Short says that requests waited, Full that a server beyond
 // the even part had no room or could not be reached, Warming that one of the even part is cold: room then
 // comes by itself, and the whole fleet is likely short.
-type Signs struct{ Short, Full, Warming bool }
+type Signals struct{ Short, Full, Warming bool }
 
 const (
 	reachDecay  = 1.0 / 64 // of the reach, a sample without need: a quarter minute
 	maxDoubling = 3        // doublings of the rest
 )
 
-// Sample takes the signs of a sample and reports whether the whole number of servers changed. rest is how
+// Update takes the signs of a sample and reports whether the whole number of servers changed. rest is how
 // long growth rests at first; the caller varies it, or gateways would stay in step.
-func (r *Reach) Sample(now time.Duration, seen Signs, most float64, rest time.Duration) bool {
+func (r *Expansion) Update(now time.Duration, seen Signals, most float64, rest time.Duration) bool {
 	had := r.Size
 	switch {
 	case seen.Full:
@@ -121,16 +121,16 @@
 		r.Size *= 1 - reachDecay
 		r.fails = 0
 	}
-	return r.Servers() != math.Floor(had)
+	return r.Endpoints() != math.Floor(had)
 }
 
-// Servers is how many servers that is.
-func (r *Reach) Servers() float64 { return math.Floor(r.Size) }
+// Endpoints is how many servers that is.
+func (r *Expansion) Endpoints() float64 { return math.Floor(r.Size) }
 
-// Crowding is by how much more gateways than the mean use the ready server at each place. Whoever begins at
+// RelativeLoad is by how much more gateways than the mean use the ready server at each place. Whoever begins at
 // a place without one goes on to the next, so that a server behind a gap has the gap's gateways too. part
 // is how many servers a gateway uses.
-func Crowding(ready []bool, part float64) []float64 {
+func RelativeLoad(ready []bool, part float64) []float64 {
 	out := make([]float64, len(ready))
 	var places []int
 	for i := range ready {
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -7,19 +7,19 @@
 
 // What the gateways of all zones use together is what Sharers says, or budgets of cold servers would not add up.
 func TestSharersAddUp(t *testing.T) {
-	rule := Rule{Own: 8, Far: 4, Least: 2}
+	rule := Rule{Local: 8, Remote: 4, Min: 2}
 	for _, ready := range [][]float64{{10, 10}, {23, 59, 30, 38, 29}, {1, 80}, {0, 40}, {5}} {
 		var zones []Zone
 		for i, n := range ready {
 			zones = append(zones, Zone{Zone: i, Ready: n})
 		}
 		const gateways = 300
-		rule.Parts(gateways, zones)
+		rule.Subsets(gateways, zones)
 		used, held := 0.0, 0.0
 		for _, z := range zones {
-			used += gateways / float64(len(zones)) * (z.Own + z.Far)
+			used += gateways / float64(len(zones)) * (z.Local + z.Remote)
 			if z.Ready > 0 {
-				held += z.Ready * Sharers(gateways, z.Zone, zones)
+				held += z.Ready * Users(gateways, z.Zone, zones)
 			}
 		}
 		if used < held*0.99 || used > held*1.01 {
@@ -35,7 +35,7 @@
 	whole := 0.0
 	for rank := range gateways {
 		begun[Start(rank, servers)]++
-		whole += Whole(rank, 1.5)
+		whole += RoundByRank(rank, 1.5)
 	}
 	for at, n := range begun {
 		if n < 8 || n > 12 {
@@ -48,39 +48,39 @@
 }
 
 func TestReachGrowsShrinksAndRests(t *testing.T) {
-	var r Reach
+	var r Expansion
 	const sample = 250 * time.Millisecond
 	now := time.Duration(0)
-	play := func(n int, seen Signs) float64 {
+	play := func(n int, seen Signals) float64 {
 		for range n {
 			now += sample
-			r.Sample(now, seen, 12, time.Second)
+			r.Update(now, seen, 12, time.Second)
 		}
 		return r.Size
 	}
 	steps := []struct {
 		what string
 		n    int
-		seen Signs
+		seen Signals
 		want float64
 	}{
-		{"nothing to do", 4, Signs{}, 0},
-		{"the even part warms", 4, Signs{Short: true, Warming: true}, 0},
-		{"short of room", 8, Signs{Short: true}, 8},
-		{"short, and all servers used", 8, Signs{Short: true}, 12},
-		{"one is full", 1, Signs{Short: true, Full: true}, 6},
-		{"rest", 3, Signs{Short: true}, 6},
-		{"grown again", 2, Signs{Short: true}, 8},
-		{"full once more", 1, Signs{Short: true, Full: true}, 4},
-		{"a rest twice as long", 7, Signs{Short: true}, 4},
-		{"and grown", 1, Signs{Short: true}, 5},
+		{"nothing to do", 4, Signals{}, 0},
+		{"the even part warms", 4, Signals{Short: true, Warming: true}, 0},
+		{"short of room", 8, Signals{Short: true}, 8},
+		{"short, and all servers used", 8, Signals{Short: true}, 12},
+		{"one is full", 1, Signals{Short: true, Full: true}, 6},
+		{"rest", 3, Signals{Short: true}, 6},
+		{"grown again", 2, Signals{Short: true}, 8},
+		{"full once more", 1, Signals{Short: true, Full: true}, 4},
+		{"a rest twice as long", 7, Signals{Short: true}, 4},
+		{"and grown", 1, Signals{Short: true}, 5},
 	}
 	for _, s := range steps {
 		if got := play(s.n, s.seen); got != s.want {
 			t.Errorf("%s: %v servers, want %v", s.what, got, s.want)
 		}
 	}
-	if got := play(4*60, Signs{}); got > 0.2 {
+	if got := play(4*60, Signals{}); got > 0.2 {
 		t.Errorf("%v servers a minute later", got)
 	}
 }
@@ -114,7 +114,7 @@
 				}
 			}
 		}
-		for i, more := range Crowding(c.ready, c.part) {
+		for i, more := range RelativeLoad(c.ready, c.part) {
 			if want := users[i] * n / (gateways * c.part); c.ready[i] && (more < want-0.02 || more > want+0.02) {
 				t.Errorf("%v, part %v: place %d is crowded %.2f, used %.2f times the mean", c.ready, c.part, i, more, want)
 			}
--- a/internal/tokenschedule/turns_test.go
+++ b/internal/tokenschedule/turns_test.go
@@ -14,7 +14,7 @@
 const born = 1_700_000_000 * time.Second
 
 func usual() Rule {
-	return Rule{From: 0.2, Warm: 12 * time.Second, Multiple: 3, Window: time.Second, Skew: 5 * time.Millisecond}
+	return Rule{InitialFraction: 0.2, Duration: 12 * time.Second, OverloadMultiple: 3, Window: time.Second, ClockSkew: 5 * time.Millisecond}
 }
 
 func parts(shares ...float64) (out []Part) {
@@ -31,8 +31,8 @@
 func TestBeginsIsTheInverseOfReached(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := usual()
-		r.From = rapid.Float64Range(0.01, 1).Draw(t, "from")
-		h := Host{Capacity: rapid.Float64Range(0.1, 500).Draw(t, "capacity")}
+		r.InitialFraction = rapid.Float64Range(0.01, 1).Draw(t, "from")
+		h := Endpoint{Capacity: rapid.Float64Range(0.1, 500).Draw(t, "capacity")}
 		n := rapid.Float64Range(0, 1e4).Draw(t, "turn")
 		if back := r.reached(h, r.begins(h, n)); math.Abs(back-n) > 1e-3*(1+n*1e-3) {
 			t.Fatalf("turn %v begins at %v, by when %v are reached", n, r.begins(h, n), back)
@@ -82,9 +82,9 @@
 	const step = 2 * time.Millisecond
 	rng := rand.New(rand.NewPCG(seed, 1))
 	r := usual()
-	h := Host{ID: rng.Uint64(), Born: born, Capacity: 25}
+	h := Endpoint{ID: rng.Uint64(), StartedAt: born, Capacity: 25}
 	type gateway struct {
-		holder  *Holder
+		holder  *Taker
 		skew    time.Duration
 		stopped time.Duration // until then
 		side    int
@@ -95,10 +95,10 @@
 	var all []*gateway
 	var shares []float64
 	for i := range n {
-		g := &gateway{skew: time.Duration(rng.Int64N(int64(2*r.Skew))) - r.Skew + d.lateClock*time.Duration(i%2), share: 0.2 + rng.Float64()}
+		g := &gateway{skew: time.Duration(rng.Int64N(int64(2*r.ClockSkew))) - r.ClockSkew + d.lateClock*time.Duration(i%2), share: 0.2 + rng.Float64()}
 		all = append(all, g)
 		shares = append(shares, g.share)
-		g.holder = NewHolder(r, fmt.Sprintf("g%02d", i), born-time.Hour)
+		g.holder = NewTaker(r, fmt.Sprintf("g%02d", i), born-time.Hour)
 	}
 	whole := parts(shares...)
 	// Where there are troubles the known set changes once: a newcomer with as much traffic as all. Gateways hear of it one by
@@ -110,7 +110,7 @@
 	grown := parts(append(slices.Clone(shares), sum)...)
 	change := 5 * time.Second
 	if troubles {
-		all = append(all, &gateway{share: 1, holder: NewHolder(r, fmt.Sprintf("g%02d", n), born-time.Hour)})
+		all = append(all, &gateway{share: 1, holder: NewTaker(r, fmt.Sprintf("g%02d", n), born-time.Hour)})
 	} else {
 		change = time.Hour
 	}
@@ -138,7 +138,7 @@
 				if d.forgetsStart {
 					start = born - time.Hour
 				}
-				g.holder = NewHolder(r, g.holder.name, start)
+				g.holder = NewTaker(r, g.holder.name, start)
 			}
 			if rng.Float64() > rate/float64(n)*step.Seconds()*g.share/0.7 {
 				continue
@@ -170,11 +170,11 @@
 			}
 			if d.noEnd {
 				g.holder.rule.Window = r.Window // the rate stays
-				g.holder.rule.Skew = -10 * time.Second
+				g.holder.rule.ClockSkew = -10 * time.Second
 			}
 			sent := false
 			if d.countsUp {
-				g.credit += r.rate() * h.Capacity * (r.From + (1-r.From)*now.Seconds()/12) * whole[min(i, n-1)].Share * (now - g.at).Seconds()
+				g.credit += r.rate() * h.Capacity * (r.InitialFraction + (1-r.InitialFraction)*now.Seconds()/12) * whole[min(i, n-1)].Share * (now - g.at).Seconds()
 				g.at = now
 				if sent = g.credit >= 1; sent {
 					g.credit--
@@ -194,7 +194,7 @@
 			j++
 		}
 		mid := sends[i] + r.Window.Seconds()/2
-		allowed := r.Multiple * h.Capacity * (r.From + (1-r.From)*min(1, mid/12)) * r.Window.Seconds()
+		allowed := r.OverloadMultiple * h.Capacity * (r.InitialFraction + (1-r.InitialFraction)*min(1, mid/12)) * r.Window.Seconds()
 		worst = max(worst, float64(j-i)/allowed)
 	}
 	for s := 1.0; s < 12; s++ {
@@ -203,7 +203,7 @@
 				used++
 			}
 		}
-		allowedAll += r.Multiple * h.Capacity * (r.From + (1-r.From)*min(1, (s+0.5)/12))
+		allowedAll += r.OverloadMultiple * h.Capacity * (r.InitialFraction + (1-r.InitialFraction)*min(1, (s+0.5)/12))
 	}
 	return worst, used / allowedAll
 }
@@ -254,12 +254,12 @@
 
 // A stopped process wakes to no heap of turns.
 func TestOldTurnsAreGone(t *testing.T) {
-	r, h := usual(), Host{ID: 3, Born: born, Capacity: 25}
-	o := NewHolder(r, "g00", born-time.Hour)
+	r, h := usual(), Endpoint{ID: 3, StartedAt: born, Capacity: 25}
+	o := NewTaker(r, "g00", born-time.Hour)
 	taken := 0
-	take := func(now time.Duration, h Host, divisions ...[]Part) bool {
+	take := func(now time.Duration, h Endpoint, divisions ...[]Part) bool {
 		until, ok := o.Take(now, h, divisions...)
-		if ok && (until <= now || until > now+r.Good()) {
+		if ok && (until <= now || until > now+r.ValidFor()) {
 			t.Errorf("at %v: good until %v", now-born, until-born)
 		}
 		return ok
@@ -267,7 +267,7 @@
 	for take(born+10*time.Second, h, parts(1)) {
 		taken++
 	}
-	if most := int(r.reached(h, 10*time.Second)-r.reached(h, 10*time.Second-r.Good())) + 1; taken == 0 || taken > most {
+	if most := int(r.reached(h, 10*time.Second)-r.reached(h, 10*time.Second-r.ValidFor())) + 1; taken == 0 || taken > most {
 		t.Errorf("%d turns after 10 s, %d are good", taken, most)
 	}
 	if take(born+10*time.Second, h) {
@@ -281,11 +281,19 @@
 		t.Error("a turn that is another's")
 	}
 	again := h
-	again.Born += 30 * time.Second
-	if take(again.Born, again, parts(1)) || !take(again.Born+time.Second, again, parts(1)) {
+	again.StartedAt += 30 * time.Second
+	if take(again.StartedAt, again, parts(1)) || !take(again.StartedAt+time.Second, again, parts(1)) {
 		t.Error("a host that started again does not begin anew")
 	}
 	if o.Forget(func(uint64) bool { return false }); len(o.next) != 0 {
 		t.Errorf("%d hosts remembered", len(o.next))
 	}
 }
+
+// Guards against a renamed field changing the hash by which gateways of different versions compare settings.
+func TestCanonicalTextIsStable(t *testing.T) {
+	rule := Rule{InitialFraction: 0.12, Duration: 24 * time.Second, OverloadMultiple: 3, Window: time.Second, ClockSkew: 20 * time.Millisecond}
+	if got, want := rule.Canonical(), "{From:0.12 Warm:24s Multiple:3 Window:1s Skew:20ms}"; got != want {
+		t.Errorf("Canonical() = %q, want %q", got, want)
+	}
+}
--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -19,20 +19,20 @@
 // loadWaiting is the field of a load report with the requests waiting, named as in the settings.
 const loadWaiting = "pending"
 
-// Answer is a host's whole answer.
-type Answer struct {
+// Response is a host's whole answer.
+type Response struct {
 	*http1.Message
-	NeverRan bool // the host says that the request did not run
-	Reported bool // the answer carries the requests waiting
-	Waiting  float64
+	NeverRan    bool // the host says that the request did not run
+	Reported    bool // the answer carries the requests waiting
+	QueueLength float64
 }
 
-func read(m *http1.Message) *Answer {
-	a := &Answer{Message: m}
+func read(m *http1.Message) *Response {
+	a := &Response{Message: m}
 	flag, _ := m.Get(fieldNeverRan)
 	a.NeverRan = flag == "1"
 	report, _ := m.Get(fieldLoad)
-	a.Waiting, a.Reported = waiting(report)
+	a.QueueLength, a.Reported = waiting(report)
 	return a
 }
 
@@ -53,8 +53,8 @@
 	return 0, false
 }
 
-// Passed are the fields of an answer that go on to the client.
-func (a *Answer) Passed() []http1.Field {
+// Forwarded are the fields of an answer that go on to the client.
+func (a *Response) Forwarded() []http1.Field {
 	passed := make([]http1.Field, 0, len(a.Fields))
 	for _, f := range a.Fields {
 		if !a.Hop(f.Name) && !strings.EqualFold(f.Name, fieldNeverRan) && !strings.EqualFold(f.Name, fieldLoad) {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -24,16 +24,16 @@
 	Relaying // its answer is passed on as it comes
 )
 
-// Link is one server link. It carries one attempt at a time.
-type Link struct {
-	Conn   loop.Conn
-	Host   balancer.ServerID
-	Phase  Phase
-	reader http1.Reader
+// Conn is one server link. It carries one attempt at a time.
+type Conn struct {
+	ID       loop.Conn
+	Endpoint balancer.EndpointID
+	Phase    Phase
+	reader   http1.Reader
 }
 
 // Feed takes what a host wrote and returns its answer once it is whole.
-func (l *Link) Feed(data []byte) (*Answer, error) {
+func (l *Conn) Feed(data []byte) (*Response, error) {
 	l.reader.Feed(data)
 	m, fault := l.reader.Next()
 	if fault != nil {
@@ -46,7 +46,7 @@
 }
 
 // End returns the answer that the end of the host's sending completes, or nil.
-func (l *Link) End() *Answer {
+func (l *Conn) End() *Response {
 	if m := l.reader.End(); m != nil {
 		return read(m)
 	}
@@ -54,7 +54,7 @@
 }
 
 // Large returns the head of an answer that is too large to be held, or nil.
-func (l *Link) Large() *Answer {
+func (l *Conn) Large() *Response {
 	if head := l.reader.Large(); head != nil {
 		return read(&http1.Message{Head: head})
 	}
@@ -62,13 +62,13 @@
 }
 
 // Begin has the answer under way handed out in pieces. length is -1 where it is not stated.
-func (l *Link) Begin() (length int64) { return l.reader.Begin() }
+func (l *Conn) Begin() (length int64) { return l.reader.Begin() }
 
 // Take takes what a host wrote of an answer that is handed out in pieces.
-func (l *Link) Take(data []byte) { l.reader.Feed(data) }
+func (l *Conn) Take(data []byte) { l.reader.Feed(data) }
 
 // Pieces returns what has come of the answer, valid until the next call, and whether it has ended.
-func (l *Link) Pieces() (piece []byte, done bool, err error) {
+func (l *Conn) Pieces() (piece []byte, done bool, err error) {
 	_, piece, done, fault := l.reader.Pieces()
 	if fault != nil {
 		return nil, false, fault
@@ -77,29 +77,29 @@
 }
 
 // Complete reports whether all of the answer under way has come, though not all of it may have been handed out.
-func (l *Link) Complete() bool { return l.reader.Complete() }
+func (l *Conn) Complete() bool { return l.reader.Complete() }
 
 // EndsByClose reports whether the end of the host's sending is the regular end of the answer.
-func (l *Link) EndsByClose() bool { return l.reader.EndsByClose() }
+func (l *Conn) EndsByClose() bool { return l.reader.EndsByClose() }
 
 // Clean reports whether no byte lies past the answer just ended.
-func (l *Link) Clean() bool { return !l.reader.Pending() }
+func (l *Conn) Clean() bool { return !l.reader.Pending() }
 
 // Reusable reports whether the link may carry another request after this answer. Bytes past an answer belong
 // to nobody; they must not be taken for the next one.
-func (l *Link) Reusable(a *Answer) bool { return a.KeepAlive && !l.reader.Pending() }
+func (l *Conn) Reusable(a *Response) bool { return a.KeepAlive && !l.reader.Pending() }
 
 // Pool holds the server links.
 type Pool struct {
-	links map[loop.Conn]*Link
-	idle  map[balancer.ServerID][]*Link // newest last
+	links map[loop.Conn]*Conn
+	idle  map[balancer.EndpointID][]*Conn // newest last
 	most  int
 	next  loop.Conn
 }
 
 // NewPool returns a pool of at most so many links.
 func NewPool(most int) *Pool {
-	return &Pool{links: make(map[loop.Conn]*Link), idle: make(map[balancer.ServerID][]*Link), most: most}
+	return &Pool{links: make(map[loop.Conn]*Conn), idle: make(map[balancer.EndpointID][]*Conn), most: most}
 }
 
 // Resize changes how many links there may be. Those that are too many go as they end, or give way.
@@ -108,17 +108,17 @@
 // Budget is how many links there may be.
 func (p *Pool) Budget() int { return p.most }
 
-// Most is how many links there may be, or are.
-func (p *Pool) Most() int { return max(p.most, len(p.links)) }
+// Max is how many links there may be, or are.
+func (p *Pool) Max() int { return max(p.most, len(p.links)) }
 
 // Len is how many links there are.
 func (p *Pool) Len() int { return len(p.links) }
 
 // Find returns the link of a connection, or nil.
-func (p *Pool) Find(c loop.Conn) *Link { return p.links[c] }
+func (p *Pool) Find(c loop.Conn) *Conn { return p.links[c] }
 
-// NextConn names a new connection.
-func (p *Pool) NextConn() loop.Conn {
+// NextID names a new connection.
+func (p *Pool) NextID() loop.Conn {
 	p.next++
 	return p.next
 }
@@ -129,9 +129,9 @@
 // Over reports whether there are more links than there may be, since that was lowered.
 func (p *Pool) Over() bool { return len(p.links) > p.most }
 
-// Take returns the idle link to a host that was used last, or nil. The newest goes first, so that links that
+// Acquire returns the idle link to a host that was used last, or nil. The newest goes first, so that links that
 // are not needed grow old and are closed.
-func (p *Pool) Take(host balancer.ServerID) *Link {
+func (p *Pool) Acquire(host balancer.EndpointID) *Conn {
 	links := p.idle[host]
 	if len(links) == 0 {
 		return nil
@@ -142,60 +142,60 @@
 }
 
 // Open adds a link that connects.
-func (p *Pool) Open(host balancer.ServerID) *Link {
-	l := &Link{Conn: p.NextConn(), Host: host, reader: http1.Reader{Response: true}}
-	p.links[l.Conn] = l
+func (p *Pool) Open(host balancer.EndpointID) *Conn {
+	l := &Conn{ID: p.NextID(), Endpoint: host, reader: http1.Reader{Response: true}}
+	p.links[l.ID] = l
 	return l
 }
 
-// Rest makes a link idle.
-func (p *Pool) Rest(l *Link) {
+// Release makes a link idle.
+func (p *Pool) Release(l *Conn) {
 	l.Phase = Idle
-	p.idle[l.Host] = append(p.idle[l.Host], l)
+	p.idle[l.Endpoint] = append(p.idle[l.Endpoint], l)
 }
 
 // Remove forgets a link.
-func (p *Pool) Remove(l *Link) {
+func (p *Pool) Remove(l *Conn) {
 	p.leaveIdle(l)
-	delete(p.links, l.Conn)
+	delete(p.links, l.ID)
 }
 
-func (p *Pool) leaveIdle(l *Link) {
-	links := p.idle[l.Host]
+func (p *Pool) leaveIdle(l *Conn) {
+	links := p.idle[l.Endpoint]
 	for i, other := range links {
 		if other == l {
 			copy(links[i:], links[i+1:])
 			links[len(links)-1] = nil
-			p.idle[l.Host] = links[:len(links)-1]
+			p.idle[l.Endpoint] = links[:len(links)-1]
 			break
 		}
 	}
-	if len(p.idle[l.Host]) == 0 {
-		delete(p.idle, l.Host)
+	if len(p.idle[l.Endpoint]) == 0 {
+		delete(p.idle, l.Endpoint)
 	}
 }
 
 // IdleTo returns the idle links to a host, oldest first.
-func (p *Pool) IdleTo(host balancer.ServerID) []*Link { return append([]*Link(nil), p.idle[host]...) }
+func (p *Pool) IdleTo(host balancer.EndpointID) []*Conn { return append([]*Conn(nil), p.idle[host]...) }
 
 // ConnectingTo returns the links to any of some hosts that are not up yet, oldest first. It walks all links once.
-func (p *Pool) ConnectingTo(hosts map[balancer.ServerID]bool) []*Link {
-	var found []*Link
+func (p *Pool) ConnectingTo(hosts map[balancer.EndpointID]bool) []*Conn {
+	var found []*Conn
 	for _, l := range p.links {
-		if l.Phase == Connecting && hosts[l.Host] {
+		if l.Phase == Connecting && hosts[l.Endpoint] {
 			found = append(found, l)
 		}
 	}
-	slices.SortFunc(found, func(a, b *Link) int { return cmp.Compare(a.Conn, b.Conn) })
+	slices.SortFunc(found, func(a, b *Conn) int { return cmp.Compare(a.ID, b.ID) })
 	return found
 }
 
 // Oldest returns the idle link that was opened first, or nil: the one to close where the budget is short.
-func (p *Pool) Oldest() *Link {
-	var oldest *Link
+func (p *Pool) Oldest() *Conn {
+	var oldest *Conn
 	for _, links := range p.idle {
 		for _, l := range links {
-			if oldest == nil || l.Conn < oldest.Conn {
+			if oldest == nil || l.ID < oldest.ID {
 				oldest = l
 			}
 		}
@@ -204,16 +204,16 @@
 }
 
 // Surplus returns the idle links that are to be closed for the pool to keep to its budget, those opened first first.
-func (p *Pool) Surplus() []*Link {
+func (p *Pool) Surplus() []*Conn {
 	over := len(p.links) - p.most
 	if over <= 0 {
 		return nil
 	}
-	var idle []*Link
+	var idle []*Conn
 	for _, links := range p.idle {
 		idle = append(idle, links...)
 	}
-	slices.SortFunc(idle, func(a, b *Link) int { return cmp.Compare(a.Conn, b.Conn) })
+	slices.SortFunc(idle, func(a, b *Conn) int { return cmp.Compare(a.ID, b.ID) })
 	return idle[:min(over, len(idle))]
 }
 
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -9,20 +9,20 @@
 // What a smaller budget has no room for goes, oldest first, but never a link in use.
 func TestPoolSurplus(t *testing.T) {
 	pool := NewPool(6)
-	var links []*Link
+	var links []*Conn
 	for n := range 6 {
-		links = append(links, pool.Open(balancer.ServerID(n%2)))
+		links = append(links, pool.Open(balancer.EndpointID(n%2)))
 	}
 	for _, n := range []int{3, 1, 4, 2} {
-		pool.Rest(links[n])
+		pool.Release(links[n])
 	}
 	for _, c := range []struct {
 		budget int
-		want   []*Link
+		want   []*Conn
 	}{
 		{6, nil},
-		{4, []*Link{links[1], links[2]}},
-		{0, []*Link{links[1], links[2], links[3], links[4]}},
+		{4, []*Conn{links[1], links[2]}},
+		{0, []*Conn{links[1], links[2], links[3], links[4]}},
 	} {
 		pool.Resize(c.budget)
 		got := pool.Surplus()
@@ -31,7 +31,7 @@
 		}
 		for n := range got {
 			if got[n] != c.want[n] {
-				t.Errorf("budget %d: link %d goes in place %d, want link %d", c.budget, got[n].Conn, n, c.want[n].Conn)
+				t.Errorf("budget %d: link %d goes in place %d, want link %d", c.budget, got[n].ID, n, c.want[n].ID)
 			}
 		}
 	}
