--- a/Makefile
+++ b/Makefile
@@ -12,9 +12,12 @@
 test:
 	go test -race -p 3 -timeout 8m $(if $(SKIP),-skip '$(SKIP)') ./...
 
+# gofmt, the order of imports, go vet and staticcheck; their versions are pinned as tools of the module.
 lint:
-	@test -z "$$(gofmt -l .)" || { gofmt -l .; exit 1; }
+	@unformatted="$$(gofmt -l . && go tool goimports -local thymebend -l .)"; \
+	test -z "$$unformatted" || { echo "gofmt or goimports would change: $$unformatted" >&2; exit 1; }
 	go vet ./...
+	go tool staticcheck ./...
 
 # A gateway by hand over an emulated fleet, on 127.0.0.1:8443, until interrupted.
 run: build lab
--- a/cmd/thymebend/fleet_test.go
+++ b/cmd/thymebend/fleet_test.go
@@ -19,7 +19,6 @@
 type seat struct {
 	name, control, file, udp string
 	rig                      *rig
-	env                      map[string]any
 }
 
 type fleetView struct {
@@ -36,8 +35,8 @@
 	}
 	Members []struct {
 		Name, State string
-		Start_ms    uint64
-		Since_ms    int64
+		StartMS     uint64 `json:"start_ms"`
+		SinceMS     int64  `json:"since_ms"`
 	}
 }
 
@@ -261,7 +260,7 @@
 	}
 	// A leave that is taken back within moments shows in no poll, but in how long the state has held.
 	for i, m := range all[1].view(t).Members {
-		if m.Start_ms != was.Members[i].Start_ms || m.State != "alive" || m.Since_ms < time.Since(began).Milliseconds() {
+		if m.StartMS != was.Members[i].StartMS || m.State != "alive" || m.SinceMS < time.Since(began).Milliseconds() {
 			t.Errorf("%+v, was %+v before the upgrade, %v ago", m, was.Members[i], time.Since(began))
 		}
 	}
--- a/cmd/thymebend/operate_test.go
+++ b/cmd/thymebend/operate_test.go
@@ -39,14 +39,19 @@
 }
 
 type figures struct {
-	Fulfilled, Throttled, Faulted                                                        map[string]int
-	Relayed, Open_requests, Registry_entries, Out_of_rotation, Cfg_accepted, Cfg_invalid *int
+	Fulfilled, Throttled, Faulted map[string]int
+	Relayed                       *int
+	OpenRequests                  *int `json:"open_requests"`
+	Endpoints                     *int `json:"registry_entries"`
+	Unavailable                   *int `json:"out_of_rotation"`
+	ConfigsAccepted               *int `json:"cfg_accepted"`
+	ConfigsRejected               *int `json:"cfg_invalid"`
 }
 
 func stats(t *testing.T, control string) (f figures) {
 	t.Helper()
 	status, body := operator(t, control, "GET /ops/stats HTTP/1.1\r\nHost: x\r\n\r\n")
-	if err := json.Unmarshal([]byte(body), &f); status != 200 || err != nil || f.Cfg_invalid == nil {
+	if err := json.Unmarshal([]byte(body), &f); status != 200 || err != nil || f.ConfigsRejected == nil {
 		t.Fatalf("stats: %d %q %v", status, body, err)
 	}
 	return f
@@ -68,7 +73,7 @@
 		}
 	})
 	g := start(t, map[string]any{"control": control}, a)
-	if f := stats(t, control); len(f.Fulfilled) != 2 || len(f.Throttled) != 2 || len(f.Faulted) != 2 || *f.Registry_entries != 1 {
+	if f := stats(t, control); len(f.Fulfilled) != 2 || len(f.Throttled) != 2 || len(f.Faulted) != 2 || *f.Endpoints != 1 {
 		t.Errorf("first figures: %+v", f)
 	}
 	c := g.dial()
@@ -80,9 +85,9 @@
 	}
 	left := g.dial()
 	fmt.Fprint(left, lodge("mute1", "x"))
-	until(t, "the open request to show", func() bool { return *stats(t, control).Open_requests == 1 })
+	until(t, "the open request to show", func() bool { return *stats(t, control).OpenRequests == 1 })
 	left.Close()
-	until(t, "open requests to be gone", func() bool { return *stats(t, control).Open_requests == 0 })
+	until(t, "open requests to be gone", func() bool { return *stats(t, control).OpenRequests == 0 })
 	f := stats(t, control)
 	if f.Fulfilled["view"] != 2 || f.Fulfilled["lodge"] != 1 || f.Throttled["view"] != 1 || f.Faulted["view"] != 1 ||
 		f.Faulted["lodge"] != 2 || f.Throttled["lodge"] != 0 {
@@ -159,13 +164,13 @@
 		with(`"most_tries":4`, `"most_tries":1e99`), with(`"name":"lodge"`, `"name":"look"`)}
 	for i, text := range faulty {
 		g.replace(text)
-		until(t, fmt.Sprintf("file %d to be counted", i), func() bool { return *stats(t, control).Cfg_invalid == i+1 })
+		until(t, fmt.Sprintf("file %d to be counted", i), func() bool { return *stats(t, control).ConfigsRejected == i+1 })
 	}
-	if status, _, _ := ask(t, g.dial(), view("v", 900)); status != 200 || *stats(t, control).Cfg_accepted != 0 {
+	if status, _, _ := ask(t, g.dial(), view("v", 900)); status != 200 || *stats(t, control).ConfigsAccepted != 0 {
 		t.Errorf("the settings changed: %d", status)
 	}
 	g.replace(good)
-	until(t, "the good file to be taken", func() bool { return *stats(t, control).Cfg_accepted == 1 })
+	until(t, "the good file to be taken", func() bool { return *stats(t, control).ConfigsAccepted == 1 })
 	if status, _, _ := ask(t, g.dial(), view("v", 900)); status != 404 {
 		t.Errorf("a class that vanished: %d, want 404", status)
 	}
@@ -194,14 +199,14 @@
 		t.Fatal(err)
 	}
 	g.replace(strings.Replace(string(raw), `"repeat":"repeatable"`, `"repeat":"once"`, 1))
-	until(t, "the reload", func() bool { return *stats(t, control).Cfg_accepted == 1 })
+	until(t, "the reload", func() bool { return *stats(t, control).ConfigsAccepted == 1 })
 	close(reloaded)
 	if status := <-answers; status != 200 {
 		t.Errorf("the early view: %d, want its second try's 200", status)
 	}
 	for n := 2; n <= 101; n++ {
 		g.replace(strings.Replace(string(raw), `{"name":"view"`, fmt.Sprintf(`{"name":"new%d","aim_ms":800,"give_up_ms":%d,"repeat":"once","worth":8},{"name":"view"`, n, 1000+n), 1))
-		until(t, "the reload", func() bool { return *stats(t, control).Cfg_accepted == n })
+		until(t, "the reload", func() bool { return *stats(t, control).ConfigsAccepted == n })
 		if n%25 == 0 {
 			c := g.dial()
 			if _, err := io.WriteString(c, strings.ReplaceAll(lodge(fmt.Sprint("n", n), "x"), "lodge", fmt.Sprint("new", n))); err != nil {
@@ -255,7 +260,7 @@
 		g.disc.tell <- list(2+i, false, entry(a, []string{"draining", "removed"}[i]))
 		until(t, fmt.Sprint("listed and avoided to be ", want), func() bool {
 			f := stats(t, control)
-			return *f.Registry_entries == want[0] && *f.Out_of_rotation == want[1]
+			return *f.Endpoints == want[0] && *f.Unavailable == want[1]
 		})
 	}
 }
--- a/cmd/thymebend/upgrade_test.go
+++ b/cmd/thymebend/upgrade_test.go
@@ -67,9 +67,12 @@
 	stop        atomic.Bool
 	done        sync.WaitGroup
 	asked, lost atomic.Int64
+	wave        int // how often start was called; part of each request's id, so that no id comes twice
 }
 
 func (u *upgradeLoad) start(t *testing.T, addr string, clients int) {
+	u.wave++
+	wave := u.wave
 	for i := range clients {
 		u.done.Go(func() {
 			var c net.Conn
@@ -82,9 +85,9 @@
 						return
 					}
 				}
-				raw := view(fmt.Sprintf("v%d-%d", i, n), 1500)
+				raw := view(fmt.Sprintf("v%d-%d-%d", wave, i, n), 1500)
 				if n%2 == 0 {
-					raw = lodge(fmt.Sprintf("l%d-%d", i, n), "x")
+					raw = lodge(fmt.Sprintf("l%d-%d-%d", wave, i, n), "x")
 				}
 				status, fields, _ := ask(t, c, raw)
 				if u.asked.Add(1); status == 0 {
@@ -134,8 +137,8 @@
 		if code := g.exit(); code != 0 {
 			t.Errorf("upgrade %d: the elder's exit code is %d", n, code)
 		}
-		if f := stats(t, after); *f.Registry_entries != 2 {
-			t.Errorf("the newcomer knows %d hosts", *f.Registry_entries)
+		if f := stats(t, after); *f.Endpoints != 2 {
+			t.Errorf("the newcomer knows %d hosts", *f.Endpoints)
 		}
 		g, control = next, after
 	}
--- a/internal/admin/operators.go
+++ b/internal/admin/operators.go
@@ -1,4 +1,4 @@
-// Package operators speaks to the operators at the second address: calls, one a connection, and their answers.
+// Package admin speaks to the operators at the second address: calls, one a connection, and their answers.
 package admin
 
 import (
--- a/internal/assignment/shares.go
+++ b/internal/assignment/shares.go
@@ -1,4 +1,4 @@
-// Package shares works out which hosts each gateway of a fleet uses and for how much of its traffic, from who lives, what
+// Package assignment works out which hosts each gateway of a fleet uses and for how much of its traffic, from who lives, what
 // each has to carry and what hosts can do. Every gateway that knows the same works out the same. It does no I/O, has no
 // clock and no state. docs/design/shares.md says why it is so.
 package assignment
--- a/internal/backoff/pacing.go
+++ b/internal/backoff/pacing.go
@@ -1,4 +1,4 @@
-// Package pacing spaces the calls of one gateway to a service that all gateways of its fleet share. The
+// Package backoff spaces the calls of one gateway to a service that all gateways of its fleet share. The
 // service works through calls in turn and turns away those that wait too long, so what one caller may do at
 // once, all callers together may not: calls that fail come further apart, as in congestion control. The
 // package is pure: the caller passes the time and the random draws.
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,4 +1,4 @@
-// Package thymebend decides for a load-balancing gateway: which server gets which request and when, what is
+// Package balancer decides for a load-balancing gateway: which server gets which request and when, what is
 // tried again, and what is refused. The interface (settings, events, actions) is in api.go; decisions stand
 // in one file for each concern: dispatch.go, limits.go, ejection.go, slowstart.go, retries.go, refusal.go,
 // listing.go. Their constants and the state are in this one.
--- a/internal/configdist/codec/wire.go
+++ b/internal/configdist/codec/wire.go
@@ -1,4 +1,4 @@
-// Package wire is the binary frame between gateways and control machines and among these: a header with version, kind, length, fleet, sender's
+// Package codec is the binary frame between gateways and control machines and among these: a header with version, kind, length, fleet, sender's
 // start and number, a body, and a checksum. Bodies grow only at their ends; a reader skips what follows the fields that it knows. It does no I/O.
 package codec
 
--- a/internal/configdist/store.go
+++ b/internal/configdist/store.go
@@ -1,4 +1,4 @@
-// Package rollout brings versions of a configuration from a replicated log to all gateways. Store is the state that the log
+// Package configdist brings versions of a configuration from a replicated log to all gateways. Store is the state that the log
 // replicates; Controller is a control machine's part; Agent is a gateway's. All are reducers: events in, effects out, no clock and no I/O.
 // docs/design/configuration.md says why it is so.
 package configdist
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,4 +1,4 @@
-// Package hostgroup follows the host group, discovery's list: its format, what the gateway has of it, and the
+// Package discovery follows the host group, discovery's list: its format, what the gateway has of it, and the
 // watch that brings its changes. A second source of lists would be a package beside this one.
 package discovery
 
--- a/internal/downstream/query.go
+++ b/internal/downstream/query.go
@@ -1,4 +1,4 @@
-// Package clients speaks to the clients: client links, what a query must state, and how final answers are
+// Package downstream speaks to the clients: client links, what a query must state, and how final answers are
 // worded. A second protocol for clients would be a package beside this one.
 package downstream
 
--- a/internal/gossipcodec/fleetwire.go
+++ b/internal/gossipcodec/fleetwire.go
@@ -1,4 +1,4 @@
-// Package fleetwire is the datagram between gateways of one fleet, on protobuf's wire format: a version, unknown fields
+// Package gossipcodec is the datagram between gateways of one fleet, on protobuf's wire format: a version, unknown fields
 // skipped, 256 bytes at most. docs/reference/fleetwire.md has the schema. It does no I/O.
 package gossipcodec
 
--- a/internal/gossipconfig/fleetfile.go
+++ b/internal/gossipconfig/fleetfile.go
@@ -1,4 +1,4 @@
-// Package fleetfile reads the file that LB_FLEET names: which fleet a gateway belongs to, where it speaks with the others
+// Package gossipconfig reads the file that LB_FLEET names: which fleet a gateway belongs to, where it speaks with the others
 // and how it reaches them.
 package gossipconfig
 
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -1,4 +1,4 @@
-// Package handover speaks to the other process at an upgrade: the elder, which serves, gives a newcomer the listening
+// Package hotrestart speaks to the other process at an upgrade: the elder, which serves, gives a newcomer the listening
 // socket, what it knows, and its idle client links. It keeps nothing of the gateway.
 package hotrestart
 
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -21,6 +21,7 @@
 	Text   string
 }
 
+// Error implements error.
 func (f *Fault) Error() string { return f.Text }
 
 func bad(text string) *Fault { return &Fault{Status: 400, Text: text} }
--- a/internal/invariant/guard.go
+++ b/internal/invariant/guard.go
@@ -1,4 +1,4 @@
-// Package guard is the last check before an effect that a rule of the platform bounds: an attempt is written to a host, a
+// Package invariant is the last check before an effect that a rule of the platform bounds: an attempt is written to a host, a
 // client is answered, a client connection is waited on or closed, the process ends. It keeps its own record of each
 // request, so that a fault in the decision module or in the bookkeeping of connections shows here instead of at a client.
 // What would break a rule is counted, reported and not done.
--- a/internal/lab/assignmentsim/sharesim.go
+++ b/internal/lab/assignmentsim/sharesim.go
@@ -1,4 +1,4 @@
-// Package sharesim compares ways to divide hosts among gateways, at sizes that no machine holds as processes.
+// Package assignmentsim compares ways to divide hosts among gateways, at sizes that no machine holds as processes.
 package assignmentsim
 
 import (
@@ -176,9 +176,7 @@
 	moved = 0
 	for i := range after {
 		had := uses[i]
-		if _, ok := had[lost.ID]; ok {
-			delete(had, lost.ID)
-		}
+		delete(had, lost.ID)
 		moved += differ(had, after[i])
 	}
 	out.HostGone = float64(moved) / math.Max(1, float64(links[lost.ID]))
--- a/internal/lab/configsim/fleet.go
+++ b/internal/lab/configsim/fleet.go
@@ -1,4 +1,4 @@
-// Package rolloutsim puts control machines and the agents of gateways on a virtual clock and network, and holds them to the rules of a rollout. Play draws
+// Package configsim puts control machines and the agents of gateways on a virtual clock and network, and holds them to the rules of a rollout. Play draws
 // a run of some tens of gateways with troubles by a seed; Measure plays a whole fleet's size.
 //
 // A Fleet can be put on another Clock and Network: New, StartControl and StartGateway for each place, Submit for changes, InForce for how many have a
--- a/internal/lab/drill/faults.go
+++ b/internal/lab/drill/faults.go
@@ -100,6 +100,7 @@
 	return first
 }
 
+// String names the fault in reports.
 func (f *Fault) String() string {
 	var out []string
 	for _, g := range f.Groups {
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -44,10 +44,10 @@
 }
 
 // Cells is the picture of one gateway's view: stretches of one state.
-func (r *Result) Cells(gateway int) (out []Cell) {
+func (res *Result) Cells(gateway int) (out []Cell) {
 	open := make(map[int]int) // by member: the stretch that is still open
 	var last float64
-	for _, l := range r.Looks {
+	for _, l := range res.Looks {
 		if l.Gateway != gateway {
 			continue
 		}
--- a/internal/lab/emulation/host.go
+++ b/internal/lab/emulation/host.go
@@ -1,4 +1,4 @@
-// Package standin plays the gateway's peers on real loopback sockets: hosts that run the fleet's model, with
+// Package emulation plays the gateway's peers on real loopback sockets: hosts that run the fleet's model, with
 // every failure that sockets have, and discovery. Everything can be changed while it runs.
 package emulation
 
--- a/internal/lab/hostmodel/host.go
+++ b/internal/lab/hostmodel/host.go
@@ -1,4 +1,4 @@
-// Package fleet is a pure model of one host: cores, slots and a bounded waiting room, work drawn by class, and
+// Package hostmodel is a pure model of one host: cores, slots and a bounded waiting room, work drawn by class, and
 // what troubles hosts in service. It does no I/O and has no clock: time is passed in, counted from the run's
 // start, and never runs backward. The same seed and the same calls give the same replies. The stand-in hosts
 // run it on sockets; simulations run it on a virtual clock.
--- a/internal/lab/load/record.go
+++ b/internal/lab/load/record.go
@@ -99,9 +99,7 @@
 	whole   *hdrhistogram.Histogram
 	late    *hdrhistogram.Histogram // the generator's own lateness
 	seconds [][]Second              // by class, by second
-	answers [4]int                  // by kind: 2xx, refusals, others, none
 	causes  map[string]int
-	lastLog time.Duration
 }
 
 func newRecorder(classes []Class) *recorder {
--- a/internal/lab/membershipcheck/history.go
+++ b/internal/lab/membershipcheck/history.go
@@ -1,4 +1,4 @@
-// Package views judges what the gateways of a fleet believed of each other against what was done to them: a record of
+// Package membershipcheck judges what the gateways of a fleet believed of each other against what was done to them: a record of
 // processes and paths, a record of views, and rules that are pure functions over the two. Drills of real processes and
 // seeded runs share it.
 package membershipcheck
--- a/internal/lab/membershipcheck/rules.go
+++ b/internal/lab/membershipcheck/rules.go
@@ -83,15 +83,6 @@
 	}
 }
 
-// of finds a process.
-func (h *History) of(pid int) *life {
-	at := slices.IndexFunc(h.lives, func(l life) bool { return l.pid == pid })
-	if at < 0 {
-		return nil
-	}
-	return &h.lives[at]
-}
-
 func thrownOut(h *History, say func(time.Duration, int, string, ...any)) {
 	h.series(func(was, is *Look) {
 		if was == nil {
--- a/internal/lab/membershipsim/play.go
+++ b/internal/lab/membershipsim/play.go
@@ -136,6 +136,7 @@
 	return Outcome{Nodes: len(s.Nodes), Calls: s.Calls(), Lasted: s.Now(), Findings: s.Findings, Partial: true}
 }
 
+// String is the report's line.
 func (o Outcome) String() string {
 	return fmt.Sprintf("%d nodes, settled after %v, %.0f bytes a second", o.Nodes, o.Settled, o.Rate)
 }
--- a/internal/lab/membershipsim/sim.go
+++ b/internal/lab/membershipsim/sim.go
@@ -1,4 +1,4 @@
-// Package viewsim plays whole fleets of views on a virtual clock: a network that loses, doubles, delays and cuts
+// Package membershipsim plays whole fleets of views on a virtual clock: a network that loses, doubles, delays and cuts
 // datagrams, processes that die, stop, leave and start again. A seed gives a run, to the letter.
 package membershipsim
 
--- a/internal/lab/random/draws.go
+++ b/internal/lab/random/draws.go
@@ -1,4 +1,4 @@
-// Package draws has rapid's tests draw the same cases every time, unless a seed is asked for.
+// Package random has rapid's tests draw the same cases every time, unless a seed is asked for.
 package random
 
 import (
--- a/internal/lab/registry/roster.go
+++ b/internal/lab/registry/roster.go
@@ -1,4 +1,4 @@
-// Package roster is discovery's state without its sockets: the list in its versions, and what each gateway has
+// Package registry is discovery's state without its sockets: the list in its versions, and what each gateway has
 // been told. It does no I/O and has no clock.
 package registry
 
--- a/internal/lab/requestrecord/ledger.go
+++ b/internal/lab/requestrecord/ledger.go
@@ -1,4 +1,4 @@
-// Package ledger keeps what clients sent and got, and what hosts were sent and made, each by the request's id,
+// Package requestrecord keeps what clients sent and got, and what hosts were sent and made, each by the request's id,
 // and compares the two. The comparison is the laboratory's judge: neither side's own figures are believed.
 //
 // The package does no I/O and has no clock; times are those of the run, counted from its start.
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -52,13 +52,13 @@
 // run is a fleet being measured.
 type run struct {
 	*fleet
-	told    func(Progress)
-	result  *Result
-	changes []*change
-	first   time.Duration   // until the first whole configuration was in force at all
-	removed map[[2]int]bool // pairs of observer and subject held for gone at the last look
-	nextSec time.Duration
-	sentAt  []uint64 // by the gateways, at the last second
+	told       func(Progress)
+	result     *Result
+	changes    []*change
+	first      time.Duration   // until the first whole configuration was in force at all
+	removed    map[[2]int]bool // pairs of observer and subject held for gone at the last look
+	nextSecond time.Duration
+	sentAt     []uint64 // by the gateways, at the last second
 }
 
 func (r *run) play() {
@@ -111,7 +111,7 @@
 	before := r.meter()
 	begin := r.sim.Now()
 	doubts := r.doubts()
-	r.removed, r.nextSec = make(map[[2]int]bool), begin
+	r.removed, r.nextSecond = make(map[[2]int]bool), begin
 	r.follow(begin, begin+r.options.For, "measuring")
 	r.sum(before, r.meter(), r.sim.Now()-begin)
 	r.result.Doubts = r.doubts() - doubts
@@ -131,8 +131,8 @@
 		r.knowledge.look()
 		r.lookAtChanges()
 		r.lookForHealing()
-		if r.sim.Now() >= r.nextSec {
-			r.nextSec += secondEvery
+		if r.sim.Now() >= r.nextSecond {
+			r.nextSecond += secondEvery
 			r.second(begin)
 			r.told(Progress{phase, r.sim.Now() - begin, until - begin})
 		}
--- a/internal/lease/spread.go
+++ b/internal/lease/spread.go
@@ -17,8 +17,8 @@
 	living = slices.Compact(slices.Sorted(slices.Values(living)))
 	shards = slices.Compact(slices.Sorted(slices.Values(shards)))
 	type pair struct {
-		shard, member int
-		score         uint64
+		shard int
+		score uint64
 	}
 	// Shards by turns take the best member that has room; those with a strong favourite go first.
 	order := make([]pair, 0, len(shards))
--- a/internal/lease/table.go
+++ b/internal/lease/table.go
@@ -1,4 +1,4 @@
-// Package duties decides who holds which duty: a table of leases, applied as a state machine in one order everywhere; the client that asks for
+// Package lease decides who holds which duty: a table of leases, applied as a state machine in one order everywhere; the client that asks for
 // them and looks at its clock before each effect; the guard of who receives effects; and who should hold which shard. It does no I/O and has no
 // clock. docs/design/duties.md says why it is so.
 package lease
--- a/internal/loadreport/signals.go
+++ b/internal/loadreport/signals.go
@@ -1,4 +1,4 @@
-// Package signals words what a gateway tells the others of its own state in the payload that its fleet's view spreads, and
+// Package loadreport words what a gateway tells the others of its own state in the payload that its fleet's view spreads, and
 // reads theirs with care: old words fade, and one gateway's word counts only so far. It does no I/O and has no clock.
 // docs/design/shares.md says why it is so.
 package loadreport
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -1,4 +1,4 @@
-// Package members is one gateway's view of the others of its fleet: SWIM with the refinements of Lifeguard, as a
+// Package membership is one gateway's view of the others of its fleet: SWIM with the refinements of Lifeguard, as a
 // reducer. Times and datagrams go in, datagrams and the time of the next look come out. It does no I/O, has no clock and
 // no state outside a View. docs/design/fleet-view.md says why it is so.
 package membership
@@ -139,7 +139,6 @@
 	since, until time.Duration
 	by           []string
 	verifying    time.Duration // until then; 0 while it does not
-	asked        bool          // this gateway asks it once more itself
 }
 
 type askKind uint8
--- a/internal/raft/consensus.go
+++ b/internal/raft/consensus.go
@@ -1,4 +1,4 @@
-// Package consensus is one voter's part in a replicated log: raft, as a reducer. Times, messages and commands go in; what has to be kept, messages
+// Package raft is one voter's part in a replicated log: raft, as a reducer. Times, messages and commands go in; what has to be kept, messages
 // and answers come out. What the log replicates is a Machine; Node is the log of leases. It does no I/O and has no clock. docs/design/duties.md says why it is so.
 package raft
 
--- a/internal/simproto/frame.go
+++ b/internal/simproto/frame.go
@@ -1,4 +1,4 @@
-// Package wire speaks the binary dialect of the simulator's wire: it reads batches of events and writes
+// Package simproto speaks the binary dialect of the simulator's wire: it reads batches of events and writes
 // replies of actions. It takes no decisions.
 package simproto
 
--- a/internal/starttime/starts.go
+++ b/internal/starttime/starts.go
@@ -1,4 +1,4 @@
-// Package starts tells when servers started, on the clock of this process. The list states a start as Unix time, by the clocks of
+// Package starttime tells when servers started, on the clock of this process. The list states a start as Unix time, by the clocks of
 // other machines. This process's own clock is monotonic, but begins at the wall clock of its machine, which may be wrong by
 // seconds or by an hour: taken at its word, it would make a server in slow start look warm, or keep it cold for an hour.
 //
--- a/internal/tokenschedule/turns.go
+++ b/internal/tokenschedule/turns.go
@@ -1,4 +1,4 @@
-// Package turns divides what a cold host bears among the gateways that use it, in whole requests, by the common clock and
+// Package tokenschedule divides what a cold host bears among the gateways that use it, in whole requests, by the common clock and
 // without a word between them. It does no I/O and has no clock. docs/design/shares.md says why it is so.
 package tokenschedule
 
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -43,6 +43,7 @@
 	Text         string
 }
 
+// Error implements error.
 func (f Fault) Error() string {
 	at := f.File
 	if f.Line > 0 {
@@ -57,6 +58,7 @@
 // Faults are all that is wrong with a file, in the order of its lines.
 type Faults []Fault
 
+// Error implements error.
 func (fs Faults) Error() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -1,4 +1,4 @@
-// Package servers speaks to the hosts: server links and their reuse, requests as hosts get them, answers and
+// Package upstream speaks to the hosts: server links and their reuse, requests as hosts get them, answers and
 // load reports as they come back.
 package upstream
 
