--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -9,17 +9,17 @@
 	"thymebend/internal/balancer"
 )
 
-// words is one object in discovery's form.
+// encodes is one object in discovery's form.
 func words(seq int, whole bool, entries ...string) []byte {
 	return fmt.Appendf(nil, `{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, whole, strings.Join(entries, ","))
 }
 
-// host is one entry. An empty health leaves out all but the name.
+// endpoint is one entry. An empty health leaves out all but the name.
 func host(name, health string, born int) string {
 	return fmt.Sprintf(`{"host":%q,"dial":"10.0.0.1:80","site":"a","class":"m","block":1,"health":%q,"share":1,"born_ms":%d}`, name, health, born)
 }
 
-// states names the hosts of a group with their states, for comparison.
+// states names the endpoints of a group with their states, for comparison.
 func states(g *Endpoints) string {
 	var out []string
 	for _, name := range []string{"a", "b", "c"} {
@@ -40,8 +40,8 @@
 	return news
 }
 
-// What one object says of a host more than once, or of another start of it than the one in force, is decided the same way by
-// the group and by the entries that the module gets.
+// What one object says of an endpoint more than once, or of another start of it than the one in force,
+// is decided the same way by the list and by the entries that the balancer gets.
 func TestContradictoryEntries(t *testing.T) {
 	for name, c := range map[string]struct {
 		whole   bool
@@ -91,8 +91,9 @@
 	}
 }
 
-// A faulty object is an error and brings nothing new, but no host stays up of which it says that it leaves: discovery has
-// written that. The version stays, so that the next call brings what was passed over.
+// A faulty object is an error and brings nothing new, but no endpoint stays up of which it says that it
+// leaves: discovery has written that. The version stays, so that the next call brings what was passed
+// over.
 func TestFaultyObjectStillTellsWhoLeaves(t *testing.T) {
 	leaving := host("a", "draining", 5) + "," + host("b", "removed", 5)
 	faulty := map[string]string{
@@ -112,8 +113,8 @@
 				if err == nil {
 					t.Fatalf("%s: %s was taken", name, raw)
 				}
-				if got := states(g); got != "a2/5 c1/5" || g.seq != 4 {
-					t.Errorf("%s, whole %v: the group has %q at version %d", name, whole, got, g.seq)
+				if got := states(g); got != "a2/5 c1/5" || g.version != 4 {
+					t.Errorf("%s, whole %v: the group has %q at version %d", name, whole, got, g.version)
 				}
 				if len(news.Changed) != 2 || len(news.Entries) != 2 || news.Snapshot || news.Entries[0].State == balancer.EndpointReady ||
 					news.Entries[1].State == balancer.EndpointReady {
@@ -135,15 +136,16 @@
 	}
 }
 
-// Changes of an earlier version than the one in force are an older state of some hosts, from a second watch or a discovery that
-// is behind: none comes up by them, and those that leave leave. The lines that follow them are taken, whether the numbers go on
-// from there or began anew. An earlier whole list is complete, and is taken.
+// Changes of an earlier version than the one in force are an older state of some endpoints, from a
+// second watch or a discovery that is behind: none comes up by them, and those that leave leave. The
+// lines that follow them are taken, whether the numbers go on from there or began anew. An earlier
+// snapshot is complete, and is taken.
 func TestVersionThatGoesBack(t *testing.T) {
 	g := NewEndpoints([]string{"a"})
 	take(t, g, words(9, true, host("a", "draining", 5), host("b", "up", 5)))
 	news := take(t, g, words(7, false, host("a", "up", 5), host("b", "draining", 5), host("c", "up", 5)))
-	if got := states(g); got != "a2/5 b2/5" || len(news.Entries) != 1 || g.seq != 7 {
-		t.Errorf("the group has %q at version %d, news %+v", got, g.seq, news)
+	if got := states(g); got != "a2/5 b2/5" || len(news.Entries) != 1 || g.version != 7 {
+		t.Errorf("the group has %q at version %d, news %+v", got, g.version, news)
 	}
 	take(t, g, words(8, false, host("c", "up", 9)))
 	take(t, g, words(8, false, host("b", "up", 9))) // once more: some lists repeat a version
@@ -151,7 +153,7 @@
 		t.Errorf("after the lines that follow the group has %q", got)
 	}
 	take(t, g, words(3, true, host("c", "up", 9)))
-	if got := states(g); got != "c1/9" || g.seq != 3 {
-		t.Errorf("after an earlier whole list the group has %q at version %d", got, g.seq)
+	if got := states(g); got != "c1/9" || g.version != 3 {
+		t.Errorf("after an earlier whole list the group has %q at version %d", got, g.version)
 	}
 }
--- a/internal/discovery/pieces_test.go
+++ b/internal/discovery/pieces_test.go
@@ -38,7 +38,8 @@
 	}
 }
 
-// An object that was torn is found out by the next beat, however it was torn: what follows must not be waited for.
+// An object that was torn is found out by the next beat, however it was torn: what follows must not be
+// waited for.
 func TestTornObjectIsFoundOutByTheNextBeat(t *testing.T) {
 	const whole = `{"seq":1,"whole":false,"hosts":[{"host":"a","health":"removed"}]}`
 	for at := 1; at < len(whole); at++ {
--- a/internal/discovery/size_test.go
+++ b/internal/discovery/size_test.go
@@ -10,7 +10,7 @@
 	"thymebend/internal/balancer"
 )
 
-// quiet takes what the module asks for and does nothing.
+// quiet takes what the balancer asks for and does nothing.
 type quiet struct{}
 
 func (quiet) StartAttempt(balancer.RequestID, balancer.EndpointID, time.Duration) {}
@@ -32,7 +32,7 @@
 	return b
 }
 
-// list is a whole list of so many hosts, each named by its number and so many more.
+// list is a snapshot of so many endpoints, each named by its number and so many more.
 func list(seq, hosts, from int, health string) []byte {
 	entries := make([]string, hosts)
 	for i := range entries {
@@ -41,8 +41,8 @@
 	return words(seq, true, entries...)
 }
 
-// A whole list of any size that is aimed at is taken in one object, indented or not, and work for it grows with its length
-// alone: what an entry allocates is counted, which no busy machine changes.
+// A snapshot of any size that is aimed at is taken in one object, indented or not, and work for it
+// grows with its length alone: what an entry allocates is counted, which no busy machine changes.
 func TestLongListsAreTakenWhole(t *testing.T) {
 	perHost := func(hosts int) float64 {
 		first, second := list(1, hosts, 0, "up"), list(2, hosts, hosts/2, "up")
@@ -84,11 +84,11 @@
 	}
 	for came := 1; ; came += len(piece) {
 		lines, _, err := w.Feed(0, fmt.Appendf(nil, "%x\r\n%s\r\n", len(piece), piece))
-		if len(lines) > 0 || came > 2*mostPending {
+		if len(lines) > 0 || came > 2*maxPending {
 			t.Fatalf("%d objects after %d bytes", len(lines), came)
 		}
 		if err != nil {
-			if came+len(piece) <= mostPending || !strings.Contains(err.Error(), fmt.Sprint(mostPending)) {
+			if came+len(piece) <= maxPending || !strings.Contains(err.Error(), fmt.Sprint(maxPending)) {
 				t.Errorf("after %d bytes: %v", came, err)
 			}
 			return
@@ -96,7 +96,7 @@
 	}
 }
 
-// indented words an object on many lines.
+// indented encodes an object on many lines.
 func indented(raw []byte) []byte {
 	text := strings.NewReplacer(`[{`, "[\n  {\n", `},{`, "\n  },\n  {\n", `,"`, ",\n    \"", `}]`, "\n  }\n]").Replace(string(raw))
 	return []byte(text)
@@ -122,7 +122,7 @@
 	return lines
 }
 
-// BenchmarkApply is a whole list of which each second host is another than before.
+// BenchmarkApply is a snapshot of which each second endpoint is another than before.
 func BenchmarkApply(b *testing.B) {
 	for _, hosts := range []int{10, 100, 1000, 7700} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"errors"
 	"fmt"
 	"net/netip"
 	"strconv"
@@ -12,75 +11,71 @@
 	"thymebend/internal/loop"
 )
 
-// How long discovery may be silent. A connection that is not up after a second's resend of the kernel's has met nobody. A call waits in
-// turn before its answer begins; from then on a line comes every 2 s. What discovery has to tell counts as told 6 s after
-// it could be reached: a watch that falls silent, the call after it that is never answered, and the one after that must
-// all fit in; docs/design/discovery-times.md has the sum. A call that is not answered within AnswerWithin may still wait in
-// discovery's queue: it keeps its place there until AbandonAfter, and another is made beside it.
+// Timeouts of a watch. A change counts as notified 6 s after discovery had it and could be reached, so a watch
+// that falls silent, the call after it that is never answered, and the one after that must all fit in.
 const (
-	ConnectTimeout   = 1200 * time.Millisecond
-	AnswerTimeout    = 3100 * time.Millisecond
+	// ConnectTimeout is how long the connection may take to come up: one resend of the kernel's is within it.
+	ConnectTimeout = 1200 * time.Millisecond
+	// AnswerTimeout is how long the first line may take after the request was written.
+	AnswerTimeout = 3100 * time.Millisecond
+	// HeartbeatTimeout is how long a watch that was answered may bring no line. Heartbeats come every 2 s.
 	HeartbeatTimeout = 2400 * time.Millisecond
-	AbandonTimeout   = 30 * time.Second
+	// AbandonTimeout is how long an unanswered call keeps its place in discovery's queue, from AnswerTimeout on.
+	AbandonTimeout = 30 * time.Second
 )
 
-// listRate is the least at which a long object of the list comes, in bytes a second: so much more time it has.
-const listRate = 64 << 10
+// minUpdateRate is the least at which a long object of the list comes, in bytes a second: so much more
+// time it has.
+const minUpdateRate = 64 << 10
 
-// mostRetryAfter bounds what a refusal may ask for: a change counts as told 6 s after discovery could be reached, whatever it has asked
-// for, and it may be back at once.
-const mostRetryAfter = 5 * time.Second
+// maxRetryAfter bounds what a rejection may ask for: a change counts as notified 6 s after discovery
+// could be reached, whatever it has asked for, and it may be back at once.
+const maxRetryAfter = 5 * time.Second
 
-// StatusError is an answer of discovery that is not the list.
-type StatusError struct {
-	Status     int
-	RetryAfter time.Duration // when it asks to be called again; 0 if it does not say
-}
-
-// Error implements error.
-func (r *StatusError) Error() string { return fmt.Sprintf("discovery answered %d", r.Status) }
-
-// mostPending bounds an unfinished line of the watch: thousands of hosts.
-const mostPending = 4 << 20
+// maxPending bounds an unfinished line of the watch: thousands of endpoints.
+const maxPending = 4 << 20
 
 // Watch is one call for the changes of the list.
 type Watch struct {
-	Conn    loop.Conn
-	Addr    netip.AddrPort
-	reader  http1.Reader
-	pending []byte
-	scanned int  // of these bytes
-	depth   int  // of the object that they belong to; 0 between two
-	quoted  bool // they are in one of its texts
-	escaped bool
-	blank   bool          // nothing has come on the line under way
-	up      bool          // its connection has come up
-	asked   uint64        // the version since which it has asked for changes
-	started bool          // its first line has come
-	since   time.Duration // of its last whole line, or of what came before its first: the request, the call
-	partial int           // bytes that have come since then
+	Conn         loop.Conn
+	Addr         netip.AddrPort
+	reader       http1.Reader
+	pending      []byte
+	scanned      int  // of these bytes
+	depth        int  // of the object that they belong to; 0 between two
+	inString     bool // they are in one of its texts
+	escaped      bool
+	blankLine    bool          // nothing has come on the line under way
+	connected    bool          // its connection has come up
+	sinceVersion uint64        // the version since which it has asked for changes
+	started      bool          // its first line has come
+	lastProgress time.Duration // of its last whole line, or of what came before its first: the request, the call
+	partialBytes int           // bytes that have come since then
 }
 
 // NewWatch prepares a watch of discovery at an address, on a connection that is opened now.
 func NewWatch(conn loop.Conn, at netip.AddrPort, now time.Duration) *Watch {
-	return &Watch{Conn: conn, Addr: at, since: now, blank: true, reader: http1.Reader{Response: true, Stream: true}}
+	reader := http1.Reader{Response: true, Stream: true}
+	return &Watch{Conn: conn, Addr: at, lastProgress: now, blankLine: true, reader: reader}
 }
 
-// Request is the call for what changed since the list that the group has, once the watch's connection is up.
-func (g *Endpoints) Request(w *Watch, now time.Duration) []byte {
-	w.up, w.asked, w.since = true, g.seq, now
-	return http1.AppendRequest(nil, "GET", "/v1/servers?stream=1&index="+strconv.FormatUint(g.seq, 10),
+// Request is the call for what changed since the list that the list has, once the watch's connection is
+// up.
+func (eps *Endpoints) Request(w *Watch, now time.Duration) []byte {
+	w.connected, w.sinceVersion, w.lastProgress = true, eps.version, now
+	return http1.AppendRequest(nil, "GET", "/v1/servers?stream=1&index="+strconv.FormatUint(eps.version, 10),
 		[]http1.Field{{Name: "Host", Value: w.Addr.String()}}, nil)
 }
 
-// Feed takes what discovery wrote and returns the whole objects, each of one line or, where it is indented, of several. An
-// empty line is a beat; within an object it tells that the object was torn. ended tells that the
-// answer is over, which a watch's never is while all is well. Beside an error stand the lines that came whole before the fault.
+// Feed takes what discovery wrote and returns the whole objects, each of one line or, where it is
+// indented, of several. An empty line is a heartbeat; within an object it tells that the object was
+// torn. ended tells that the answer is over, which a watch's never is while all is well. Beside an
+// error stand the lines that came whole before the fault.
 func (w *Watch) Feed(now time.Duration, data []byte) (lines [][]byte, ended bool, err error) {
-	w.partial += len(data)
+	w.partialBytes += len(data)
 	defer func() {
 		if len(lines) > 0 {
-			w.since, w.partial = now, len(w.pending)
+			w.lastProgress, w.partialBytes = now, len(w.pending)
 		}
 	}()
 	w.reader.Feed(data)
@@ -104,67 +99,31 @@
 			w.pending, w.scanned = w.pending[w.scanned:], 0
 		}
 	}
-	if err == nil && len(w.pending) > mostPending {
-		err = fmt.Errorf("discovery wrote an object of %d bytes so far, %d at most", len(w.pending), mostPending)
+	if err == nil && len(w.pending) > maxPending {
+		err = fmt.Errorf("discovery wrote an object of %d bytes so far, %d at most", len(w.pending), maxPending)
 	}
 	w.started = w.started || len(lines) > 0
 	return lines, done, err
 }
 
-// scan looks at the next byte and reports whether it ends a beat or an object.
-func (w *Watch) scan(b byte) (end bool, err error) {
-	switch {
-	case b == '\n' && w.quoted:
-		return false, errors.New("discovery wrote a text that does not end on its line")
-	case b == '\n' && w.depth > 0 && w.blank:
-		return false, errors.New("discovery wrote an object that does not end")
-	case b == '\n':
-		w.blank = true
-		return w.depth == 0, nil
-	case w.escaped:
-		w.escaped = false
-	case w.quoted && b == '\\':
-		w.escaped = true
-	case b == '"':
-		w.quoted = !w.quoted
-	case w.quoted:
-	case b == '{' || b == '[':
-		w.depth++
-	case b == '}' || b == ']':
-		w.depth = max(0, w.depth-1) // one too many is found out where the object is applied
-	}
-	w.blank = w.blank && (b == ' ' || b == '\t' || b == '\r')
-	return false, nil
-}
-
-// retryAfter reads the field of that name in seconds. What is no such number, such as a date, says nothing.
-func retryAfter(head *http1.Head) time.Duration {
-	value, _ := head.Get("Retry-After")
-	seconds, err := strconv.ParseFloat(value, 64)
-	if err != nil || !(seconds > 0) {
-		return 0
-	}
-	return time.Duration(min(seconds, mostRetryAfter.Seconds()) * float64(time.Second))
-}
-
 // Started reports whether discovery has begun to answer.
 func (w *Watch) Started() bool { return w.started }
 
 // Connected reports whether the connection has come up.
-func (w *Watch) Connected() bool { return w.up }
+func (w *Watch) Connected() bool { return w.connected }
 
-// Deadline is the time at which the watch counts as silent. Part of a line puts it off by no more than so many bytes take: what
-// discovery has to tell counts as told whether or not it has arrived.
+// Deadline is the time at which the watch counts as silent. Part of a line puts it off by no more than
+// so many bytes take: what discovery has to tell counts as notified whether or not it has arrived.
 func (w *Watch) Deadline() time.Duration {
-	return w.since + w.patience() + time.Duration(w.partial)*time.Second/listRate
+	return w.lastProgress + w.timeout() + time.Duration(w.partialBytes)*time.Second/minUpdateRate
 }
 
-// patience is how long the next whole line may take.
-func (w *Watch) patience() time.Duration {
+// timeout is how long the next whole line may take.
+func (w *Watch) timeout() time.Duration {
 	switch {
 	case w.started:
 		return HeartbeatTimeout
-	case w.up:
+	case w.connected:
 		return AnswerTimeout
 	default:
 		return ConnectTimeout
--- a/internal/downstream/arrivals_test.go
+++ b/internal/downstream/arrivals_test.go
@@ -28,21 +28,22 @@
 	}
 }
 
-// What is read after the connection was not read for a while was written since then, until all of it is taken.
+// What is read after the connection was not read for a while was written since then, until all of it is
+// taken.
 func TestWrittenWhileUnread(t *testing.T) {
 	var a arrivals
 	a.add(ms(10), 100)
-	a.stop(ms(20))
-	a.stop(ms(25))
+	a.pause(ms(20))
+	a.pause(ms(25))
 	a.add(ms(500), loop.ReadSize)
 	a.add(ms(501), 1000) // it may be a short read
 	a.add(ms(503), 1000)
-	at := func(offset int64) time.Duration { b := a; return b.writtenAt(offset) }
-	if got := at(a.fed); got != ms(20) {
+	at := func(offset int64) time.Duration { b := a; return b.sentAt(offset) }
+	if got := at(a.bytesFed); got != ms(20) {
 		t.Errorf("written at %v, want when reading stopped", got)
 	}
 	a.add(ms(600), 10)
-	if got := at(a.fed); got != ms(600) {
+	if got := at(a.bytesFed); got != ms(600) {
 		t.Errorf("written at %v, want now: all was taken before", got)
 	}
 	if got := at(50); got != ms(10) {
@@ -53,11 +54,11 @@
 // The system's buffer holds so much: what is read after that much was written later.
 func TestWrittenBehindAFullBuffer(t *testing.T) {
 	var a arrivals
-	a.stop(ms(0))
-	for i := range 3 * mostUnread / loop.ReadSize {
+	a.pause(ms(0))
+	for i := range 3 * maxUnread / loop.ReadSize {
 		a.add(ms(1000+100*i), loop.ReadSize)
 	}
-	if got := a.writtenAt(a.fed); got < ms(1000) {
+	if got := a.sentAt(a.bytesFed); got < ms(1000) {
 		t.Errorf("written at %v, though three buffers were read since", got)
 	}
 }
@@ -68,12 +69,12 @@
 	for i := range 10_000 {
 		a.add(ms(10*i), 1)
 	}
-	if len(a.marks) > mostMarks {
+	if len(a.marks) > maxMarks {
 		t.Errorf("%d marks", len(a.marks))
 	}
 	for _, offset := range []int64{1, 5000, 9999, 10_000} {
 		b := a
-		if got := b.writtenAt(offset); got > ms(int(10*(offset-1))) {
+		if got := b.sentAt(offset); got > ms(int(10*(offset-1))) {
 			t.Errorf("byte %d was written at %v", offset, got)
 		}
 	}
--- a/internal/downstream/incomplete_test.go
+++ b/internal/downstream/readtimeout_test.go
@@ -26,8 +26,8 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// A client that stops gets its error within 3 s of stopping, and of connecting where it stops within the first 2.5 s; one
-// that goes on at the least rate is waited for.
+// A client that stops gets its error within 3 s of stopping, and of connecting where it stops within
+// the first 2.5 s; one that goes on at the least rate is waited for.
 func TestUntil(t *testing.T) {
 	head, body := halfBid(60<<10, 0), halfBid(60<<10, 60<<10-1)
 	steady := []piece{{ms(2000), head}}
@@ -65,7 +65,8 @@
 	}
 }
 
-// A streamed body may stand still for StreamPause while it is read. What has come and waits for a host is not the client's silence.
+// A streamed body may stand still for StreamPause while it is read. What has come and waits for an
+// endpoint is not the client's silence.
 func TestIncompleteStreams(t *testing.T) {
 	for name, c := range map[string]struct {
 		raw  []byte
--- /dev/null
+++ b/internal/downstream/request.go
@@ -0,0 +1,118 @@
+// Package downstream is the clients' side of the gateway: their connections, what a request must state, how long
+// an incomplete one is waited for, and how final responses are encoded. It does no I/O: the caller feeds it the bytes
+// that a connection brought, with the time of the read, and writes what it returns. Nothing in it is safe for
+// concurrent use.
+//
+// A second protocol for clients would be a package beside this one.
+package downstream
+
+import (
+	"math"
+	"strconv"
+	"strings"
+	"time"
+
+	"thymebend/internal/balancer"
+	"thymebend/internal/http1"
+)
+
+// The header fields of this peer.
+const (
+	fieldID       = "X-Trace-Id"
+	fieldClass    = "X-Qos"
+	fieldDeadline = "X-Expires-In"
+	fieldRetry    = "X-Second-Try"
+)
+
+// maxClientTimeout bounds what a client may state. No class of any deployment waits longer.
+const maxClientTimeout = time.Hour
+
+// Class is what a request's class means here.
+type Class struct {
+	Name   string
+	Index  int    // the balancer's
+	Method string // that its requests have
+	Class  balancer.Class
+}
+
+// Classes finds a class by the name and the method of a request.
+type Classes func(name, method string) (Class, bool)
+
+// MethodOf is the method of the requests of an effect.
+func MethodOf(e balancer.Idempotency) string {
+	if e == balancer.Idempotent {
+		return "GET"
+	}
+	return "POST"
+}
+
+// Request is a valid request of a client.
+type Request struct {
+	ID            string // the client's, unique among what is open
+	Class         Class
+	ClientTimeout time.Duration
+	Retry         bool // the client marks it as a retry
+	Message       *http1.Message
+}
+
+// validate checks a request against the classes. What it refuses never reaches the balancer nor an
+// endpoint.
+func validate(message *http1.Message, classes Classes) (Request, *http1.Fault) {
+	request := Request{Message: message}
+	path, _, _ := strings.Cut(message.Target, "?")
+	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
+	var known bool
+	if request.Class, known = classes(first, message.Method); !known {
+		return request, &http1.Fault{Status: 404, Text: "no such path"}
+	}
+	if stated, times := message.Get(fieldClass); times != 1 || stated != first {
+		return request, badRequest(fieldClass + " must name the class of the path")
+	}
+	method := request.Class.Method
+	if message.Method != method {
+		return request, badRequest("the class needs method " + method)
+	}
+	if method == "GET" && len(message.Body) > 0 {
+		return request, badRequest("a GET has no body")
+	}
+	id, times := message.Get(fieldID)
+	if times != 1 || id == "" || len(id) > 128 || strings.ContainsAny(id, " \t,") {
+		return request, badRequest(fieldID + " is missing or malformed")
+	}
+	request.ID = id
+	text, times := message.Get(fieldDeadline)
+	timeout, ok := parseTimeout(text)
+	if times != 1 || !ok {
+		return request, badRequest(fieldDeadline + " is missing or malformed")
+	}
+	request.ClientTimeout = timeout
+	retry, _ := message.Get(fieldRetry)
+	request.Retry = retry == "1"
+	return request, nil
+}
+
+func badRequest(text string) *http1.Fault { return &http1.Fault{Status: 400, Text: text} }
+
+// parseTimeout reads a number and a unit: m milliseconds or u microseconds.
+func parseTimeout(s string) (time.Duration, bool) {
+	if s == "" {
+		return 0, false
+	}
+	unit := time.Millisecond
+	switch s[len(s)-1] {
+	case 'm':
+	case 'u':
+		unit = time.Microsecond
+	default:
+		return 0, false
+	}
+	digits := s[:len(s)-1]
+	if strings.Trim(digits, "0123456789.") != "" {
+		return 0, false // no sign, exponent, infinity or hexadecimal form
+	}
+	v, err := strconv.ParseFloat(digits, 64)
+	if err != nil || math.IsInf(v, 0) || v <= 0 || v*float64(unit) > float64(maxClientTimeout) {
+		return 0, false
+	}
+	return time.Duration(v * float64(unit)), true
+}
--- a/internal/http1/cut_test.go
+++ b/internal/http1/cut_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// read feeds a stream in the pieces that cuts says and words what comes out. Large bodies are begun at once.
+// read feeds a stream in the pieces that cuts says and encodes what comes out. Large bodies are begun
+// at once.
 func read(response bool, stream []byte, cuts []byte) string {
 	r := Reader{Response: response}
 	var out, body bytes.Buffer
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -48,8 +48,8 @@
 	return m, nil
 }
 
-// Large returns the head of the message under way if its body is too large to be held, else nil. Where the length
-// is not stated, that shows once so much has come.
+// Large returns the head of the message under way if its body is too large to be held, else nil. Where
+// the length is not stated, that shows once so much has come.
 func (r *Reader) Large() *Head {
 	if r.head == nil || r.body.framing == byLength && r.body.left+r.came <= MaxHeld ||
 		r.body.framing != byLength && r.came <= MaxHeld {
@@ -61,7 +61,8 @@
 // HeadRead reports whether the head of the message under way has come whole.
 func (r *Reader) HeadRead() bool { return r.head != nil }
 
-// Complete reports whether all of the message under way has come, though not all of it may have been handed out.
+// Complete reports whether all of the message under way has come, though not all of it may have been
+// handed out.
 func (r *Reader) Complete() bool {
 	if r.head == nil {
 		return false
@@ -83,8 +84,8 @@
 // Full reports whether as much of the body waits as is held.
 func (r *Reader) Full() bool { return len(r.payload) >= MaxHeld }
 
-// Begin hands out the body of the message under way in pieces from now on, see Pieces. length is -1 where it is
-// not stated.
+// Begin hands out the body of the message under way in pieces from now on, see Pieces. length is -1
+// where it is not stated.
 func (r *Reader) Begin() (length int64) {
 	r.bulk = true
 	if r.body.framing != byLength {
@@ -93,8 +94,9 @@
 	return r.came + r.body.left
 }
 
-// Pieces returns the head of a streamed message once it is there, what has come of the body since the last call,
-// valid until the next call, and whether the body has ended. A message that Begin began is over with it.
+// Pieces returns the head of a streamed message once it is there, what has come of the body since the
+// last call, valid until the next call, and whether the body has ended. A message that Begin began is
+// over with it.
 func (r *Reader) Pieces() (head *Head, piece []byte, done bool, fault *Fault) {
 	fault = r.advance()
 	head, piece, done = r.head, r.payload, fault == nil && r.head != nil && r.body.done
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -11,8 +11,8 @@
 	return append(append(dst, "\r\n"...), body...)
 }
 
-// AppendRequestHead writes the head of a request whose body follows in pieces: of a length, or in chunks if that
-// is -1.
+// AppendRequestHead writes the head of a request whose body follows in pieces: of a length, or in
+// chunks if that is -1.
 func AppendRequestHead(dst []byte, method, target string, fields []Field, length int64) []byte {
 	return append(appendFraming(appendRequestStart(dst, method, target, fields), length), "\r\n"...)
 }
@@ -24,8 +24,8 @@
 	return appendFields(append(dst, " HTTP/1.1\r\n"...), fields)
 }
 
-// AppendResponseHead writes the head of a response whose body follows in pieces: of a length, or in chunks if that
-// is -1, or until the end of the connection if the reader is too old for chunks.
+// AppendResponseHead writes the head of a response whose body follows in pieces: of a length, or in
+// chunks if that is -1, or until the end of the connection if the reader is too old for chunks.
 func AppendResponseHead(dst []byte, status int, fields []Field, length int64, minor int, keepAlive bool) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
--- a/internal/loop/calls.go
+++ b/internal/loop/calls.go
@@ -6,23 +6,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// calls are the system calls on sockets that fail for reasons of their own while the program runs. There is one set of them, the
-// kernel's; tests put others in their place. docs/design/system-calls.md tells what each failure means.
-type calls struct {
-	accept   func(fd int) (int, error)
-	socket   func(family, kind int) (int, error)
-	connect  func(fd int, to unix.Sockaddr) error
-	pending  func(fd int) (int, error) // the error that waits at a socket
-	read     func(fd int, buf []byte) (int, error)
-	send     func(fd int, data []byte) (int, error)
-	peek     func(fd int, buf []byte) error
-	register func(epoll, op, fd int, event *unix.EpollEvent) error
-	wait     func(epoll int, ready []unix.EpollEvent, ms int) (int, error)
+// syscalls are the system calls on sockets that fail for reasons of their own while the program runs.
+// There is one set of them, the kernel's; tests put others in their place. docs/design/system-calls.md
+// tells what each failure means.
+type syscalls struct {
+	accept      func(fd int) (int, error)
+	socket      func(family, kind int) (int, error)
+	connect     func(fd int, to unix.Sockaddr) error
+	socketError func(fd int) (int, error) // the error that waits at a socket
+	read        func(fd int, buf []byte) (int, error)
+	send        func(fd int, data []byte) (int, error)
+	peek        func(fd int, buf []byte) error
+	register    func(epoll, op, fd int, event *unix.EpollEvent) error
+	wait        func(epoll int, ready []unix.EpollEvent, ms int) (int, error)
 }
 
-// kernel is the set of the kernel's calls.
-func kernel() calls {
-	return calls{
+// kernelCalls is the set of the kernel's calls.
+func kernelCalls() syscalls {
+	return syscalls{
 		accept: func(fd int) (int, error) {
 			accepted, _, err := unix.Accept4(fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 			return accepted, err
@@ -30,9 +31,9 @@
 		socket: func(family, kind int) (int, error) {
 			return unix.Socket(family, kind|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 		},
-		connect: unix.Connect,
-		pending: func(fd int) (int, error) { return unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR) },
-		read:    unix.Read,
+		connect:     unix.Connect,
+		socketError: func(fd int) (int, error) { return unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR) },
+		read:        unix.Read,
 		send: func(fd int, data []byte) (int, error) {
 			return unix.SendmsgN(fd, data, nil, nil, unix.MSG_NOSIGNAL)
 		},
@@ -45,12 +46,12 @@
 	}
 }
 
-// mostInterrupts bounds how often a call that was interrupted is made again at once.
-const mostInterrupts = 16
+// maxInterrupts bounds how often a call that was interrupted is made again at once.
+const maxInterrupts = 16
 
-// again makes a call anew while a signal interrupts it.
-func again[T any](call func() (T, error)) (result T, err error) {
-	for range mostInterrupts {
+// retryInterrupted makes a call anew while a signal interrupts it.
+func retryInterrupted[T any](call func() (T, error)) (result T, err error) {
+	for range maxInterrupts {
 		if result, err = call(); !errors.Is(err, unix.EINTR) {
 			break
 		}
@@ -58,8 +59,8 @@
 	return result, err
 }
 
-// among reports whether an error is one of several numbers.
-func among(err error, numbers ...unix.Errno) bool {
+// isAny reports whether an error is one of several numbers.
+func isAny(err error, numbers ...unix.Errno) bool {
 	var number unix.Errno
 	if !errors.As(err, &number) {
 		return false
@@ -72,22 +73,23 @@
 	return false
 }
 
-// ofThisConnection reports whether accept failed for the one connection that it was about to give, or was interrupted: the next may be
-// better. Linux passes errors of the network that wait at a new socket on to accept.
-func ofThisConnection(err error) bool {
-	return among(err, unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.EPERM, unix.ECONNRESET, unix.ETIMEDOUT, unix.ENETDOWN, unix.ENOPROTOOPT,
-		unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH)
+// isConnectionError reports whether accept failed for the one connection that it was about to give, or
+// was interrupted: the next may be better. Linux passes errors of the network that wait at a new socket
+// on to accept.
+func isConnectionError(err error) bool {
+	return isAny(err, unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.EPERM, unix.ECONNRESET, unix.ETIMEDOUT,
+		unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH)
 }
 
-// ofThisMachine reports whether a connection failed for want of something that this machine or process has run out of: it tells
-// nothing of the peer.
-func ofThisMachine(err error) bool {
-	return among(err, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EAGAIN)
+// isResourceError reports whether a connection failed for want of something that this machine or
+// process has run out of: it tells nothing of the peer.
+func isResourceError(err error) bool {
+	return isAny(err, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EAGAIN)
 }
 
-// ofAnEarlierDatagram reports whether receiving failed for what the network brought back for a datagram sent before, or for the
-// moment.
-func ofAnEarlierDatagram(err error) bool {
-	return among(err, unix.EINTR, unix.ECONNREFUSED, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.EMSGSIZE, unix.ENOBUFS, unix.ENOMEM, unix.ENETDOWN,
-		unix.EHOSTDOWN, unix.ENONET, unix.EPROTO, unix.ETIMEDOUT, unix.EPERM)
+// isEarlierDatagramError reports whether receiving failed for what the network brought back for a
+// datagram sent before, or for the moment.
+func isEarlierDatagramError(err error) bool {
+	return isAny(err, unix.EINTR, unix.ECONNREFUSED, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.EMSGSIZE,
+		unix.ENOBUFS, unix.ENOMEM, unix.ENETDOWN, unix.EHOSTDOWN, unix.ENONET, unix.EPROTO, unix.ETIMEDOUT, unix.EPERM)
 }
--- a/internal/loop/calls_test.go
+++ b/internal/loop/calls_test.go
@@ -40,13 +40,13 @@
 }
 
 // run plays a loop until step asks for its end, for some seconds at most.
-func run(t *testing.T, plant func(c *calls), step func(e Event) []Effect) *played {
+func run(t *testing.T, plant func(c *syscalls), step func(e Event) []Effect) *played {
 	t.Helper()
 	l, err := New(NewClock())
 	if err != nil {
 		t.Fatal(err)
 	}
-	plant(&l.calls)
+	plant(&l.syscalls)
 	p := &played{}
 	end := time.Now().Add(5 * time.Second)
 	err = l.Run(stepper(func(_ time.Duration, e Event) []Effect {
@@ -92,7 +92,7 @@
 }
 
 // acceptOne plays a listener to which one client connects, until its connection is told of or broken.
-func acceptOne(t *testing.T, plant func(c *calls), over func(e Event) bool) *played {
+func acceptOne(t *testing.T, plant func(c *syscalls), over func(e Event) bool) *played {
 	t.Helper()
 	at := netip.MustParseAddrPort("127.0.0.1:0")
 	free, err := net.Listen("tcp4", at.String())
@@ -123,7 +123,7 @@
 // An error that waits at one new connection, or an interruption, is no failure of the listener.
 func TestAcceptPassesOverOneConnection(t *testing.T) {
 	fail := failing(unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENETUNREACH, unix.EHOSTUNREACH, unix.EPERM, unix.ETIMEDOUT)
-	p := acceptOne(t, func(c *calls) {
+	p := acceptOne(t, func(c *syscalls) {
 		accept := c.accept
 		c.accept = func(fd int) (int, error) {
 			if err := fail(); err != nil {
@@ -140,7 +140,7 @@
 // Out of descriptors the listener tells so, and goes on where there are some again.
 func TestAcceptGoesOnAfterENFILE(t *testing.T) {
 	fail := failing(unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM)
-	p := acceptOne(t, func(c *calls) {
+	p := acceptOne(t, func(c *syscalls) {
 		accept := c.accept
 		c.accept = func(fd int) (int, error) {
 			if err := fail(); err != nil {
@@ -160,10 +160,11 @@
 	}
 }
 
-// A connection that cannot be watched is told to have come before it is told to be broken: else it would be waited for for good.
+// A connection that cannot be watched is told to have come before it is told to be broken: else it
+// would be waited for for good.
 func TestAnAcceptedConnectionThatCannotBeWatched(t *testing.T) {
 	added := 0
-	p := acceptOne(t, func(c *calls) {
+	p := acceptOne(t, func(c *syscalls) {
 		register := c.register
 		c.register = func(epoll, op, fd int, event *unix.EpollEvent) error {
 			if op == unix.EPOLL_CTL_ADD {
@@ -180,7 +181,7 @@
 }
 
 // dialOne plays a connection to a peer, which writes a word and reads what comes.
-func dialOne(t *testing.T, plant func(c *calls), write []byte) (*played, []byte) {
+func dialOne(t *testing.T, plant func(c *syscalls), write []byte) (*played, []byte) {
 	t.Helper()
 	at, came := peer(t)
 	got := make(chan []byte, 1)
@@ -217,11 +218,12 @@
 	}
 }
 
-// Interrupted and short calls lose nothing: not the connection, not what came, not the rest of what was written.
+// Interrupted and short calls lose nothing: not the connection, not what came, not the rest of what was
+// written.
 func TestInterruptedAndShortCalls(t *testing.T) {
 	large := bytes.Repeat([]byte("0123456789"), 20_000)
-	for name, plant := range map[string]func(c *calls){
-		"connect is interrupted": func(c *calls) {
+	for name, plant := range map[string]func(c *syscalls){
+		"connect is interrupted": func(c *syscalls) {
 			connect := c.connect
 			c.connect = func(fd int, to unix.Sockaddr) error {
 				if err := connect(fd, to); err != nil && err != unix.EINPROGRESS {
@@ -230,7 +232,7 @@
 				return unix.EINTR
 			}
 		},
-		"read is interrupted": func(c *calls) {
+		"read is interrupted": func(c *syscalls) {
 			read, fail := c.read, failing(unix.EINTR, unix.EINTR, unix.EINTR)
 			c.read = func(fd int, buf []byte) (int, error) {
 				if err := fail(); err != nil {
@@ -239,11 +241,11 @@
 				return read(fd, buf)
 			}
 		},
-		"reads are short": func(c *calls) {
+		"reads are short": func(c *syscalls) {
 			read := c.read
 			c.read = func(fd int, buf []byte) (int, error) { return read(fd, buf[:1]) }
 		},
-		"sends are short and interrupted": func(c *calls) {
+		"sends are short and interrupted": func(c *syscalls) {
 			send, n := c.send, 0
 			c.send = func(fd int, data []byte) (int, error) {
 				if n++; n%3 == 0 {
@@ -252,7 +254,7 @@
 				return send(fd, data[:min(len(data), 997)])
 			}
 		},
-		"waits are interrupted": func(c *calls) {
+		"waits are interrupted": func(c *syscalls) {
 			wait, n := c.wait, 0
 			c.wait = func(epoll int, ready []unix.EpollEvent, ms int) (int, error) {
 				if n++; n%2 == 0 {
@@ -271,16 +273,17 @@
 	}
 }
 
-// A connection that fails for want of something on this machine is told apart from one whose peer cannot be reached.
+// A connection that fails for want of something on this machine is told apart from one whose peer
+// cannot be reached.
 func TestFailuresOfThisMachineAreToldApart(t *testing.T) {
 	for _, c := range []struct {
 		err   unix.Errno
 		local bool
 	}{{unix.EMFILE, true}, {unix.ENFILE, true}, {unix.ENOBUFS, true}, {unix.EADDRNOTAVAIL, true}, {unix.ENETUNREACH, false}, {unix.ECONNREFUSED, false},
 		{unix.EHOSTUNREACH, false}, {unix.ETIMEDOUT, false}} {
-		for name, plant := range map[string]func(*calls){
-			"socket":  func(s *calls) { s.socket = func(int, int) (int, error) { return -1, c.err } },
-			"connect": func(s *calls) { s.connect = func(int, unix.Sockaddr) error { return c.err } },
+		for name, plant := range map[string]func(*syscalls){
+			"socket":  func(s *syscalls) { s.socket = func(int, int) (int, error) { return -1, c.err } },
+			"connect": func(s *syscalls) { s.connect = func(int, unix.Sockaddr) error { return c.err } },
 		} {
 			p, _ := dialOne(t, plant, []byte("x"))
 			last := p.told[len(p.told)-1]
@@ -291,10 +294,11 @@
 	}
 }
 
-// A peer that has said nothing is quiet though the look at it is interrupted: its connection is used, not closed.
+// A peer that has said nothing is quiet though the look at it is interrupted: its connection is used,
+// not closed.
 func TestAnInterruptedLookIsNoWord(t *testing.T) {
 	at, _ := peer(t)
-	p := run(t, func(c *calls) {
+	p := run(t, func(c *syscalls) {
 		peek, fail := c.peek, failing(unix.EINTR, unix.EINTR)
 		c.peek = func(fd int, buf []byte) error {
 			if err := fail(); err != nil {
@@ -325,11 +329,11 @@
 		b.Fatal(err)
 	}
 	defer unix.Close(fd)
-	l := &Loop{calls: kernel()}
+	l := &Loop{syscalls: kernelCalls()}
 	buf := make([]byte, 64)
 	for name, read := range map[string]func() (int, error){
 		"kernel": func() (int, error) { return unix.Read(fd, buf) },
-		"calls":  func() (int, error) { return again(func() (int, error) { return l.calls.read(fd, buf) }) },
+		"calls":  func() (int, error) { return retryInterrupted(func() (int, error) { return l.syscalls.read(fd, buf) }) },
 	} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/loop/crowd_test.go
+++ b/internal/loop/crowd_test.go
@@ -10,10 +10,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// A line of discovery's that comes behind a crowd of ready sockets, more than epoll tells of at once, is told first in the next
-// turn. Between turns there are dispatches: a drain must not go unheard for as many turns as the crowd fills.
+// A line of discovery's that comes behind a crowd of ready sockets, more than epoll tells of at once,
+// is told first in the next turn. Between turns there are dispatches: a drain must not go unheard for
+// as many turns as the crowd fills.
 func TestALineBehindACrowdIsToldInTheNextTurn(t *testing.T) {
-	const crowd, watch = 3*mostReady + 10, Conn(1)
+	const crowd, watch = 3*maxReady + 10, Conn(1)
 	far, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -78,7 +79,8 @@
 	}
 }
 
-// What has come on an urgent connection is told whole before the turn ends, though it is more than one buffer holds.
+// What has come on an urgent connection is told whole before the turn ends, though it is more than one
+// buffer holds.
 func TestALongListIsToldInOneTurn(t *testing.T) {
 	const length = 2*ReadSize + 1000
 	far, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/loop/datagrams.go
+++ b/internal/loop/datagrams.go
@@ -7,11 +7,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Datagrams are small, and many: a socket is read in batches, so that others get their turn, and what does not fit into
-// mostDatagram is no datagram of ours.
+// Datagrams are small, and many: a socket is read in batches, so that others get their turn, and what
+// does not fit into mostDatagram is no datagram of ours.
 const (
-	mostDatagram   = 2048
-	datagramsAtOne = 32
+	maxDatagram   = 2048
+	datagramBatch = 32
 )
 
 // bind opens a datagram socket.
@@ -24,7 +24,8 @@
 	if err != nil {
 		return err
 	}
-	// Two processes of an upgrade have the address at once; the elder closes its own when the next one speaks.
+	// Two processes of an upgrade have the address at once; the predecessor closes its own when the
+	// next one speaks.
 	if err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1); err == nil {
 		err = unix.Bind(fd, sockaddr(f.Addr))
 	}
@@ -36,24 +37,24 @@
 	return nil
 }
 
-// datagrams tells what has come, a batch at most: the next Readable brings the rest. One that was cut short is dropped.
-// An error that the network brought back for an earlier datagram, as from a port where nobody listens, is not the
-// socket's.
+// datagrams tells what has come, a batch at most: the next Readable brings the rest. One that was cut
+// short is dropped. An error that the network brought back for an earlier datagram, as from a port
+// where nobody listens, is not the socket's.
 func (l *Loop) datagrams(s *socket) {
-	for range datagramsAtOne {
-		buf := make([]byte, mostDatagram)
+	for range datagramBatch {
+		buf := make([]byte, maxDatagram)
 		n, _, flags, from, err := unix.Recvmsg(s.fd, buf, nil, 0)
 		switch {
 		case errors.Is(err, unix.EAGAIN):
-			l.tell(Event{Kind: Drained, Conn: s.conn})
+			l.queueEvent(Event{Kind: Drained, Conn: s.conn})
 			return
-		case err != nil && ofAnEarlierDatagram(err):
+		case err != nil && isEarlierDatagramError(err):
 		case err != nil:
-			l.fail(s, err)
+			l.breakSocket(s, err)
 			return
 		case flags&unix.MSG_TRUNC != 0 || n == 0:
 		default:
-			l.tell(Event{Kind: Data, Conn: s.conn, Data: buf[:n], From: addrPort(from)})
+			l.queueEvent(Event{Kind: Data, Conn: s.conn, Data: buf[:n], From: addrPort(from)})
 		}
 	}
 }
@@ -61,7 +62,8 @@
 // sendTo sends one datagram. A full buffer or an unreachable peer loses it, as the network might.
 func (l *Loop) sendTo(s *socket, f Effect) {
 	if s.datagrams {
-		_ = unix.Sendto(s.fd, f.Data, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL, sockaddr(f.Addr)) // lost without a word, as SendTo says
+		// An error is a loss, as the doc of SendTo says.
+		_ = unix.Sendto(s.fd, f.Data, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL, sockaddr(f.Addr))
 	}
 }
 
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -16,18 +16,18 @@
 
 // Sizes of one turn of the loop.
 const (
-	mostReady   = 256
-	mostAccept  = 64 // sockets accepted before others get a turn
-	backlog     = 1024
-	mostSignals = 16
-	keptOut     = 4 << 10 // of a socket's buffer for writing, once it is empty
+	maxReady         = 256
+	maxAcceptPerTurn = 64 // sockets accepted before others get a turn
+	backlog          = 1024
+	maxSignals       = 16
+	maxKeptBuffer    = 4 << 10 // of a socket's buffer for writing, once it is empty
 )
 
 // socket is one non-blocking socket.
 type socket struct {
 	conn       Conn
 	fd         int
-	gen        int32 // tells it from an earlier socket with the same descriptor
+	generation int32 // tells it from an earlier socket with the same descriptor
 	connecting bool
 	muted      bool
 	ending     bool // the peer has ended its sending
@@ -37,37 +37,44 @@
 	unix       bool // a Unix socket, by which others are passed
 	datagrams  bool
 	armed      uint32 // events that epoll watches for
-	out        []byte // accepted for writing and not yet written
+	unwritten  []byte // accepted for writing and not yet written
 }
 
 // Loop owns the sockets and timers.
 type Loop struct {
-	clock    Clock
-	calls    calls
-	epoll    int
-	wake     int            // an eventfd, written when a signal came
-	signals  chan os.Signal // those not told yet
-	reload   os.Signal
-	byConn   map[Conn]*socket
-	byFD     map[int]*socket
-	urgent   []*socket // those of byConn that are, oldest first: a few
-	accepted Conn
-	gen      int32
-	timers   timers
-	queue    []Event // told before anything else
-	buf      []byte
-	bufInUse bool // buf holds data not yet told
-	ready    []unix.EpollEvent
-	again    bool
-	exit     bool
-	failed   error
+	clock      Clock
+	syscalls   syscalls
+	epoll      int
+	wake       int            // an eventfd, written when a signal came
+	signals    chan os.Signal // those not told yet
+	reload     os.Signal
+	byConn     map[Conn]*socket
+	byFD       map[int]*socket
+	urgent     []*socket // those of byConn that are, oldest first: a few
+	accepted   Conn
+	generation int32
+	timers     timers
+	events     []Event // told before anything else
+	buf        []byte
+	bufInUse   bool // buf holds data not yet told
+	ready      []unix.EpollEvent
+	again      bool
+	exit       bool
+	failed     error
 }
 
 // New opens the loop.
 func New(clock Clock) (*Loop, error) {
-	l := &Loop{clock: clock, calls: kernel(), byConn: make(map[Conn]*socket), byFD: make(map[int]*socket), accepted: firstAccepted,
-		timers: timers{byKey: make(map[Timer]*entry)}, buf: make([]byte, ReadSize),
-		ready: make([]unix.EpollEvent, mostReady)}
+	l := &Loop{
+		clock:    clock,
+		syscalls: kernelCalls(),
+		byConn:   make(map[Conn]*socket),
+		byFD:     make(map[int]*socket),
+		accepted: firstAccepted,
+		timers:   timers{byKey: make(map[Timer]*timerEntry)},
+		buf:      make([]byte, ReadSize),
+		ready:    make([]unix.EpollEvent, maxReady),
+	}
 	var err error
 	if l.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
@@ -109,8 +116,8 @@
 
 // Notify tells the reducer Reload each time that the one signal comes, and Stop when one of the others does.
 func (l *Loop) Notify(reload os.Signal, stop ...os.Signal) {
-	came := make(chan os.Signal, mostSignals)
-	l.reload, l.signals = reload, make(chan os.Signal, mostSignals)
+	came := make(chan os.Signal, maxSignals)
+	l.reload, l.signals = reload, make(chan os.Signal, maxSignals)
 	signal.Notify(came, append(stop, reload)...)
 	go func() {
 		for s := range came {
@@ -124,65 +131,84 @@
 // Run tells the reducer what happens until it asks for Exit. Sockets come before timers: an answer that lies
 // in a socket already must not be overtaken by its own time-out.
 func (l *Loop) Run(r Reducer) error {
-	l.tell(Event{Kind: Start})
-	l.drain(r)
+	l.queueEvent(Event{Kind: Start})
+	l.deliver(r)
 	for !l.exit {
-		wait := l.timers.wait(l.clock.Now())
-		if l.again {
-			wait = 0
+		n, err := l.wait()
+		if err != nil {
+			return err
 		}
-		l.again = false
-		n, err := l.calls.wait(l.epoll, l.ready, wait)
-		if err != nil && !errors.Is(err, unix.EINTR) {
-			return fmt.Errorf("epoll: %w", err)
+		l.deliverReady(r, l.ready[:n], true)
+		if n == len(l.ready) {
+			l.pollUrgent(r)
 		}
-		for _, urgent := range [2]bool{true, false} {
-			for _, e := range l.ready[:max(n, 0)] {
-				// A descriptor closed in this round may be another socket's by now: the news are not its own.
-				if s := l.byFD[int(e.Fd)]; s != nil && s.gen == e.Pad && s.urgent == urgent {
-					l.happened(s, e.Events)
-					l.drain(r)
-				} else if int(e.Fd) == l.wake && urgent {
-					l.signalled()
-					l.drain(r)
-				}
-			}
-			if urgent && n == len(l.ready) {
-				l.lookBehind(r)
-			}
+		l.deliverReady(r, l.ready[:n], false)
+		l.deliverDueTimers(r)
+		l.queueEvent(Event{Kind: Turn})
+		l.deliver(r)
+	}
+	return l.failed
+}
+
+// wait sleeps until a socket is ready or a timer falls due, and returns how many sockets are ready.
+func (l *Loop) wait() (int, error) {
+	wait := l.timers.wait(l.clock.Now())
+	if l.again {
+		wait = 0
+	}
+	l.again = false
+	n, err := l.syscalls.wait(l.epoll, l.ready, wait)
+	if err != nil && !errors.Is(err, unix.EINTR) {
+		return 0, fmt.Errorf("epoll: %w", err)
+	}
+	return max(n, 0), nil
+}
+
+// deliverReady reports what is ready on the urgent sockets and of signals, or on all other sockets. A descriptor
+// that was closed in this round may be another socket's by now, which the generation tells.
+func (l *Loop) deliverReady(r Reducer, ready []unix.EpollEvent, urgent bool) {
+	for _, e := range ready {
+		if s := l.byFD[int(e.Fd)]; s != nil && s.generation == e.Pad && s.urgent == urgent {
+			l.socketReady(s, e.Events)
+			l.deliver(r)
+		} else if int(e.Fd) == l.wake && urgent {
+			l.signalled()
+			l.deliver(r)
 		}
-		for now := l.clock.Now(); ; {
-			key, due := l.timers.due(now)
-			if !due {
-				break
-			}
-			l.tell(Event{Kind: TimerDue, Timer: key})
-			l.drain(r)
+	}
+}
+
+// deliverDueTimers reports the timers that have fallen due.
+func (l *Loop) deliverDueTimers(r Reducer) {
+	now := l.clock.Now()
+	for {
+		key, due := l.timers.due(now)
+		if !due {
+			return
 		}
-		l.tell(Event{Kind: Turn})
-		l.drain(r)
+		l.queueEvent(Event{Kind: TimerDue, Timer: key})
+		l.deliver(r)
 	}
-	return l.failed
 }
 
-// lookBehind tells what has come on urgent sockets where more are ready than epoll tells of at once: discovery's lines and
-// operators' calls must not wait for turns of a crowd.
-func (l *Loop) lookBehind(r Reducer) {
+// pollUrgent tells what has come on urgent sockets where more are ready than epoll tells of at once:
+// discovery's lines and operators' calls must not wait for turns of a crowd.
+func (l *Loop) pollUrgent(r Reducer) {
 	for _, s := range slices.Clone(l.urgent) {
-		if l.byConn[s.conn] == s && s.talks() && !l.quiet(s.fd) {
-			l.tell(Event{Kind: Readable, Conn: s.conn})
-			l.drain(r)
+		if l.byConn[s.conn] == s && s.isReadable() && !l.isQuiet(s.fd) {
+			l.queueEvent(Event{Kind: Readable, Conn: s.conn})
+			l.deliver(r)
 		}
 	}
 }
 
-// tell queues an event. Effects never call the reducer: what they bring about is told after them.
-func (l *Loop) tell(e Event) { l.queue = append(l.queue, e) }
+// queueEvent queues an event. Effects never call the reducer: what they bring about is told after them.
+func (l *Loop) queueEvent(e Event) { l.events = append(l.events, e) }
 
-func (l *Loop) drain(r Reducer) {
-	for i := 0; i < len(l.queue); i++ {
-		e := l.queue[i]
-		if e.Kind == more && !l.readOn(&e) {
+func (l *Loop) deliver(r Reducer) {
+	for i := 0; i < len(l.events); i++ {
+		e := l.events[i]
+		if e.Kind == more && !l.resolveMore(&e) {
 			continue
 		}
 		effects := r.Step(l.clock.Now(), e)
@@ -190,23 +216,24 @@
 			l.bufInUse = false
 		}
 		for _, f := range effects {
-			l.do(f)
+			l.carryOut(f)
 		}
 	}
-	clear(l.queue)
-	l.queue = l.queue[:0]
+	clear(l.events)
+	l.events = l.events[:0]
 }
 
-// readOn turns the news that something lies behind what was read into what the reducer is told of it: an end is told in the
-// round in which it is known, so that nothing is dispatched meanwhile for one who has left, or against the rest of a list.
-func (l *Loop) readOn(e *Event) bool {
+// resolveMore turns the news that something lies behind what was read into what the reducer is notified
+// of it: an end is told in the round in which it is known, so that nothing is dispatched meanwhile for
+// one who has left, or against the rest of a list.
+func (l *Loop) resolveMore(e *Event) bool {
 	s := l.byConn[e.Conn]
 	switch {
 	case s == nil, s.muted && !s.leaving:
 		return false
 	case s.muted:
 		s.leaving = false
-		l.arm(s)
+		l.updateEvents(s)
 		e.Kind = Leaving
 	default:
 		e.Kind = Readable
@@ -224,15 +251,15 @@
 			if s == l.reload {
 				kind = Reload
 			}
-			l.tell(Event{Kind: kind})
+			l.queueEvent(Event{Kind: kind})
 		default:
 			return
 		}
 	}
 }
 
-// happened turns what epoll says of a socket into events.
-func (l *Loop) happened(s *socket, events uint32) {
+// socketReady turns what epoll says of a socket into events.
+func (l *Loop) socketReady(s *socket, events uint32) {
 	if s.connecting {
 		l.finishDial(s)
 		return
@@ -246,64 +273,71 @@
 	s.ending = s.ending || events&unix.EPOLLRDHUP != 0
 	if s.muted && s.leaving && events&unix.EPOLLRDHUP != 0 && events&(unix.EPOLLHUP|unix.EPOLLERR) == 0 {
 		s.leaving = false
-		l.arm(s)
-		l.tell(Event{Kind: Leaving, Conn: s.conn})
+		l.updateEvents(s)
+		l.queueEvent(Event{Kind: Leaving, Conn: s.conn})
 	} else if events&(unix.EPOLLIN|unix.EPOLLHUP|unix.EPOLLERR) != 0 {
-		l.tell(Event{Kind: Readable, Conn: s.conn})
+		l.queueEvent(Event{Kind: Readable, Conn: s.conn})
 	}
 }
 
-func (l *Loop) do(f Effect) {
+// carryOut does what an effect asks for. What it brings about is queued as events.
+func (l *Loop) carryOut(f Effect) {
 	switch f.Op {
 	case Dial:
-		if f.Path != "" {
-			l.dialUnix(f)
-		} else {
-			l.dial(f)
-		}
-		return
-	case Heap:
-		debug.SetMemoryLimit(f.Bytes)
-		return
+		l.dialAny(f)
 	case Listen:
-		where, listen := f.Addr.String(), l.listen
-		if f.Path != "" {
-			where, listen = f.Path, l.listenUnix
-		}
-		if err := listen(f); err != nil {
-			l.tell(Event{Kind: Broken, Conn: f.Conn, Err: fmt.Errorf("listen on %s: %w", where, err)})
-		} else {
-			l.tell(Event{Kind: Listening, Conn: f.Conn})
-		}
-		return
+		l.listenAny(f)
 	case Bind:
-		if err := l.bind(f); err != nil {
-			l.tell(Event{Kind: Broken, Conn: f.Conn, Err: fmt.Errorf("datagrams at %s: %w", f.Addr, err)})
-		} else {
-			l.tell(Event{Kind: Listening, Conn: f.Conn})
-		}
-		return
+		l.opened(f.Conn, l.bind(f), "datagrams at", f.Addr.String())
 	case SetTimer:
 		l.timers.set(f.Timer, f.At)
-		return
 	case StopTimer:
 		l.timers.stop(f.Timer)
-		return
 	case ReadFile:
 		data, err := os.ReadFile(f.Path)
-		l.tell(Event{Kind: File, Data: data, Err: err})
-		return
+		l.queueEvent(Event{Kind: File, Data: data, Err: err})
+	case Heap:
+		debug.SetMemoryLimit(f.Bytes)
 	case Again:
 		l.again = true
-		return
 	case Exit:
 		l.exit, l.failed = true, f.Failed
+	default:
+		if s := l.byConn[f.Conn]; s != nil { // else it was closed meanwhile, and its end has been reported
+			l.carryOutOn(s, f)
+		}
+	}
+}
+
+// dialAny dials a network address, or a Unix socket where the effect has a path.
+func (l *Loop) dialAny(f Effect) {
+	if f.Path != "" {
+		l.dialUnix(f)
 		return
 	}
-	s := l.byConn[f.Conn]
-	if s == nil {
-		return // closed meanwhile: its end has been told
+	l.dial(f)
+}
+
+// listenAny listens at a network address, or at a Unix socket where the effect has a path.
+func (l *Loop) listenAny(f Effect) {
+	if f.Path != "" {
+		l.opened(f.Conn, l.listenUnix(f), "listen on", f.Path)
+		return
+	}
+	l.opened(f.Conn, l.listen(f), "listen on", f.Addr.String())
+}
+
+// opened reports whether a socket could be opened at an address, and if not what was being done.
+func (l *Loop) opened(c Conn, err error, doing, where string) {
+	if err != nil {
+		l.queueEvent(Event{Kind: Broken, Conn: c, Err: fmt.Errorf("%s %s: %w", doing, where, err)})
+		return
 	}
+	l.queueEvent(Event{Kind: Listening, Conn: c})
+}
+
+// carryOutOn does what an effect asks for on an open socket.
+func (l *Loop) carryOutOn(s *socket, f Effect) {
 	switch f.Op {
 	case Accept:
 		l.accept(s, f.Most)
@@ -311,28 +345,38 @@
 		l.read(s)
 	case Write:
 		l.write(s, f.Data)
+	case WriteQuiet:
+		l.writeIfQuiet(s, f.Data)
 	case SendTo:
 		l.sendTo(s, f)
 	case Pass:
 		l.pass(s, f)
 	case Adopt:
 		l.adopt(s, f.As)
-	case WriteQuiet:
-		if !l.quiet(s.fd) {
-			l.tell(Event{Kind: Stale, Conn: s.conn})
-			return
-		}
-		l.write(s, f.Data)
 	case Shutdown:
 		_ = unix.Shutdown(s.fd, unix.SHUT_WR) // a socket that is broken already tells so when read
 	case Abort:
-		// Where the option fails the peer sees an end; with a stated length or chunks that still tells it enough.
-		_ = unix.SetsockoptLinger(s.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
-		l.remove(s)
+		l.abort(s)
 	case Close:
 		l.remove(s)
 	case Mute, Unmute:
 		s.muted, s.leaving = f.Op == Mute, f.Op == Mute && f.Leaving
-		l.arm(s)
+		l.updateEvents(s)
 	}
 }
+
+// writeIfQuiet writes unless the peer has spoken or left meanwhile.
+func (l *Loop) writeIfQuiet(s *socket, data []byte) {
+	if !l.isQuiet(s.fd) {
+		l.queueEvent(Event{Kind: Stale, Conn: s.conn})
+		return
+	}
+	l.write(s, data)
+}
+
+// abort closes a socket so that its peer sees a reset. Where the option fails the peer sees an end; with a stated
+// length or chunks that still tells it enough.
+func (l *Loop) abort(s *socket) {
+	_ = unix.SetsockoptLinger(s.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
+	l.remove(s)
+}
--- a/internal/loop/sockets.go
+++ b/internal/loop/sockets.go
@@ -14,7 +14,7 @@
 	if at.Addr().Is6() {
 		family = unix.AF_INET6
 	}
-	return l.calls.socket(family, unix.SOCK_STREAM)
+	return l.syscalls.socket(family, unix.SOCK_STREAM)
 }
 
 func sockaddr(at netip.AddrPort) unix.Sockaddr {
@@ -28,20 +28,20 @@
 func noDelay(fd int) { _ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) }
 
 func (l *Loop) add(s *socket) {
-	l.gen++
-	s.gen = l.gen
+	l.generation++
+	s.generation = l.generation
 	l.byConn[s.conn], l.byFD[s.fd] = s, s
 	if s.urgent {
 		l.urgent = append(l.urgent, s)
 	}
-	s.armed = s.wanted()
-	event := unix.EpollEvent{Events: s.armed, Fd: int32(s.fd), Pad: s.gen}
-	if err := l.calls.register(l.epoll, unix.EPOLL_CTL_ADD, s.fd, &event); err != nil {
-		l.fail(s, err)
+	s.armed = s.wantedEvents()
+	event := unix.EpollEvent{Events: s.armed, Fd: int32(s.fd), Pad: s.generation}
+	if err := l.syscalls.register(l.epoll, unix.EPOLL_CTL_ADD, s.fd, &event); err != nil {
+		l.breakSocket(s, err)
 	}
 }
 
-func (s *socket) wanted() uint32 {
+func (s *socket) wantedEvents() uint32 {
 	leaving := uint32(0)
 	if s.leaving {
 		leaving = unix.EPOLLRDHUP
@@ -49,31 +49,31 @@
 	switch {
 	case s.connecting:
 		return unix.EPOLLOUT
-	case s.muted && len(s.out) > 0:
+	case s.muted && len(s.unwritten) > 0:
 		return unix.EPOLLOUT | leaving
 	case s.muted:
 		return leaving
-	case len(s.out) > 0:
+	case len(s.unwritten) > 0:
 		return unix.EPOLLIN | unix.EPOLLRDHUP | unix.EPOLLOUT
 	default:
 		return unix.EPOLLIN | unix.EPOLLRDHUP
 	}
 }
 
-// talks reports whether the socket is a connection that is up and read.
-func (s *socket) talks() bool {
+// isReadable reports whether the socket is a connection that is up and read.
+func (s *socket) isReadable() bool {
 	return !s.connecting && !s.muted && !s.datagrams && s.conn != Listener && s.conn != Admin && s.conn != HotRestart
 }
 
-func (l *Loop) arm(s *socket) {
-	want := s.wanted()
+func (l *Loop) updateEvents(s *socket) {
+	want := s.wantedEvents()
 	if want == s.armed {
 		return
 	}
 	s.armed = want
-	event := unix.EpollEvent{Events: want, Fd: int32(s.fd), Pad: s.gen}
-	if err := l.calls.register(l.epoll, unix.EPOLL_CTL_MOD, s.fd, &event); err != nil {
-		l.fail(s, err)
+	event := unix.EpollEvent{Events: want, Fd: int32(s.fd), Pad: s.generation}
+	if err := l.syscalls.register(l.epoll, unix.EPOLL_CTL_MOD, s.fd, &event); err != nil {
+		l.breakSocket(s, err)
 	}
 }
 
@@ -82,40 +82,41 @@
 	delete(l.byFD, s.fd)
 	l.urgent = slices.DeleteFunc(l.urgent, func(other *socket) bool { return other == s })
 	if s.shared {
-		// Another process has the socket too: epoll would go on telling of it after this descriptor is closed, and
-		// refuse its number to the next socket.
+		// Another process has the socket too: epoll would go on telling of it after this descriptor is
+		// closed, and refuse its number to the next socket.
 		_ = unix.EpollCtl(l.epoll, unix.EPOLL_CTL_DEL, s.fd, nil)
 	}
 	_ = unix.Close(s.fd) // leaves epoll with it; the descriptor is gone whatever close says
 }
 
-// fail ends a socket and tells why.
-func (l *Loop) fail(s *socket, err error) {
+// breakSocket ends a socket and tells why.
+func (l *Loop) breakSocket(s *socket, err error) {
 	l.remove(s)
-	l.tell(Event{Kind: Broken, Conn: s.conn, Err: err})
+	l.queueEvent(Event{Kind: Broken, Conn: s.conn, Err: err})
 }
 
-// accept takes what waits at the listener. Out of descriptors, it tells so: the reducer mutes the listener, or
-// epoll would report it without end.
+// accept takes what waits at the listener. Out of descriptors, it tells so: the reducer mutes the
+// listener, or epoll would report it without end.
 func (l *Loop) accept(s *socket, most int) {
-	for range min(cmp.Or(most, mostAccept), mostAccept) {
-		fd, err := l.calls.accept(s.fd)
+	for range min(cmp.Or(most, maxAcceptPerTurn), maxAcceptPerTurn) {
+		fd, err := l.syscalls.accept(s.fd)
 		switch {
-		case err == nil && s.unix && !own(fd):
+		case err == nil && s.unix && !sameUser(fd):
 			_ = unix.Close(fd) // another user's
 		case err == nil:
 			if !s.unix {
 				noDelay(fd)
 			}
 			l.accepted++
-			l.tell(Event{Kind: Accepted, Conn: l.accepted, Via: s.conn}) // before add, which may tell that it is broken
+			// Before add, which may report that it is broken.
+			l.queueEvent(Event{Kind: Accepted, Conn: l.accepted, Via: s.conn})
 			l.add(&socket{conn: l.accepted, fd: fd, urgent: s.urgent, unix: s.unix})
 		case errors.Is(err, unix.EAGAIN):
-			l.tell(Event{Kind: Drained, Conn: s.conn})
+			l.queueEvent(Event{Kind: Drained, Conn: s.conn})
 			return
-		case ofThisConnection(err):
+		case isConnectionError(err):
 		default:
-			l.tell(Event{Kind: AcceptFailed, Conn: s.conn, Err: err})
+			l.queueEvent(Event{Kind: AcceptFailed, Conn: s.conn, Err: err})
 			return
 		}
 	}
@@ -124,37 +125,38 @@
 func (l *Loop) dial(f Effect) {
 	fd, err := l.open(f.Addr)
 	if err != nil {
-		l.tell(Event{Kind: Broken, Conn: f.Conn, Err: err, Local: ofThisMachine(err)})
+		l.queueEvent(Event{Kind: Broken, Conn: f.Conn, Err: err, Local: isResourceError(err)})
 		return
 	}
 	noDelay(fd)
 	s := &socket{conn: f.Conn, fd: fd, connecting: true, urgent: f.Urgent}
-	err = l.calls.connect(fd, sockaddr(f.Addr))
-	if err != nil && !among(err, unix.EINPROGRESS, unix.EINTR) { // an interrupted one goes on as one in progress
+	err = l.syscalls.connect(fd, sockaddr(f.Addr))
+	if err != nil && !isAny(err, unix.EINPROGRESS, unix.EINTR) { // an interrupted one goes on as one in progress
 		_ = unix.Close(fd) // never connected
-		l.tell(Event{Kind: Broken, Conn: f.Conn, Err: err, Local: ofThisMachine(err)})
+		l.queueEvent(Event{Kind: Broken, Conn: f.Conn, Err: err, Local: isResourceError(err)})
 		return
 	}
 	l.add(s)
 }
 
 func (l *Loop) finishDial(s *socket) {
-	code, err := l.calls.pending(s.fd)
+	code, err := l.syscalls.socketError(s.fd)
 	if err == nil && code != 0 {
 		err = unix.Errno(code)
 	}
 	if err != nil {
-		l.fail(s, err)
+		l.breakSocket(s, err)
 		return
 	}
 	s.connecting = false
-	l.arm(s)
-	l.tell(Event{Kind: Connected, Conn: s.conn})
+	l.updateEvents(s)
+	l.queueEvent(Event{Kind: Connected, Conn: s.conn})
 }
 
-// read tells one buffer of what has come. The next Readable brings the rest; on an urgent socket that comes at once, so that
-// a long list is told whole before the turn's dispatch. Where data of another socket is
-// not yet told, it needs a buffer of its own, or the one would be told with the bytes of the other.
+// read tells one buffer of what has come. The next Readable brings the rest; on an urgent socket that
+// comes at once, so that a long list is told whole before the turn's dispatch. Where data of another
+// socket is not yet told, it needs a buffer of its own, or the one would be told with the bytes of the
+// other.
 func (l *Loop) read(s *socket) {
 	if s.datagrams {
 		l.datagrams(s)
@@ -168,56 +170,56 @@
 	if s.unix {
 		n, passed, err = l.receive(s, buf)
 	} else {
-		n, err = again(func() (int, error) { return l.calls.read(s.fd, buf) })
+		n, err = retryInterrupted(func() (int, error) { return l.syscalls.read(s.fd, buf) })
 	}
 	switch {
 	case errors.Is(err, unix.EAGAIN), errors.Is(err, unix.EINTR):
-		l.tell(Event{Kind: Drained, Conn: s.conn})
+		l.queueEvent(Event{Kind: Drained, Conn: s.conn})
 	case err != nil:
-		l.fail(s, err)
+		l.breakSocket(s, err)
 	case n == 0:
-		l.tell(Event{Kind: EOF, Conn: s.conn})
+		l.queueEvent(Event{Kind: EOF, Conn: s.conn})
 	default:
 		l.bufInUse = true
-		l.tellPassed(s, buf[:n], passed)
+		l.reportPassed(s, buf[:n], passed)
 		if s.ending || s.urgent && n == len(buf) {
-			l.tell(Event{Kind: more, Conn: s.conn})
+			l.queueEvent(Event{Kind: more, Conn: s.conn})
 		}
 	}
 }
 
 // write sends what it can now and keeps the rest until the socket takes it.
 func (l *Loop) write(s *socket, data []byte) {
-	if len(s.out) > 0 {
-		s.out = append(s.out, data...)
+	if len(s.unwritten) > 0 {
+		s.unwritten = append(s.unwritten, data...)
 		return
 	}
 	if n, ok := l.send(s, data); ok {
-		s.out = append(s.out, data[n:]...)
-		l.sent(s)
+		s.unwritten = append(s.unwritten, data[n:]...)
+		l.afterWrite(s)
 	}
 }
 
 func (l *Loop) flush(s *socket) {
-	if len(s.out) == 0 {
-		l.arm(s)
+	if len(s.unwritten) == 0 {
+		l.updateEvents(s)
 		return
 	}
-	if n, ok := l.send(s, s.out); ok {
-		s.out = s.out[:copy(s.out, s.out[n:])]
-		l.sent(s)
+	if n, ok := l.send(s, s.unwritten); ok {
+		s.unwritten = s.unwritten[:copy(s.unwritten, s.unwritten[n:])]
+		l.afterWrite(s)
 	}
 }
 
 // send writes until the socket takes no more. It reports false where that ended the socket.
 func (l *Loop) send(s *socket, data []byte) (n int, ok bool) {
 	for n < len(data) {
-		m, err := l.calls.send(s.fd, data[n:])
+		m, err := l.syscalls.send(s.fd, data[n:])
 		if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) {
 			return n, true
 		}
 		if err != nil {
-			l.fail(s, err)
+			l.breakSocket(s, err)
 			return n, false
 		}
 		n += m
@@ -225,21 +227,22 @@
 	return n, true
 }
 
-// sent waits for room for what is left, or tells that nothing is. A buffer that grew large goes with its last byte.
-func (l *Loop) sent(s *socket) {
-	if len(s.out) == 0 {
-		if cap(s.out) > keptOut {
-			s.out = nil
+// afterWrite waits for room for what is left, or tells that nothing is. A buffer that grew large goes
+// with its last byte.
+func (l *Loop) afterWrite(s *socket) {
+	if len(s.unwritten) == 0 {
+		if cap(s.unwritten) > maxKeptBuffer {
+			s.unwritten = nil
 		}
-		l.tell(Event{Kind: Flushed, Conn: s.conn})
+		l.queueEvent(Event{Kind: Flushed, Conn: s.conn})
 	}
-	l.arm(s)
+	l.updateEvents(s)
 }
 
-// quiet reports whether an idle peer has neither spoken nor left. Guards against sending a request on a link
-// whose end has arrived since epoll was last asked: the request would end as a reset.
-func (l *Loop) quiet(fd int) bool {
+// isQuiet reports whether an idle peer has neither spoken nor left. Guards against sending a request on
+// a connection whose end has arrived since epoll was last asked: the request would end as a reset.
+func (l *Loop) isQuiet(fd int) bool {
 	var one [1]byte
-	_, err := again(func() (int, error) { return 0, l.calls.peek(fd, one[:]) })
+	_, err := retryInterrupted(func() (int, error) { return 0, l.syscalls.peek(fd, one[:]) })
 	return errors.Is(err, unix.EAGAIN)
 }
--- a/internal/loop/timers.go
+++ b/internal/loop/timers.go
@@ -7,25 +7,25 @@
 
 // timers is a heap of timers by time; a stopped one leaves it at once, so that none outlives its use.
 type timers struct {
-	order []*entry
-	byKey map[Timer]*entry
+	order []*timerEntry
+	byKey map[Timer]*timerEntry
 }
 
-type entry struct {
-	key Timer
-	at  time.Duration
-	pos int
+type timerEntry struct {
+	key      Timer
+	at       time.Duration
+	position int
 }
 
 func (t *timers) Len() int           { return len(t.order) }
 func (t *timers) Less(i, j int) bool { return t.order[i].at < t.order[j].at }
 func (t *timers) Swap(i, j int) {
 	t.order[i], t.order[j] = t.order[j], t.order[i]
-	t.order[i].pos, t.order[j].pos = i, j
+	t.order[i].position, t.order[j].position = i, j
 }
 func (t *timers) Push(x any) {
-	e := x.(*entry)
-	e.pos = len(t.order)
+	e := x.(*timerEntry)
+	e.position = len(t.order)
 	t.order = append(t.order, e)
 }
 func (t *timers) Pop() any {
@@ -39,10 +39,10 @@
 func (t *timers) set(key Timer, at time.Duration) {
 	if e := t.byKey[key]; e != nil {
 		e.at = at
-		heap.Fix(t, e.pos)
+		heap.Fix(t, e.position)
 		return
 	}
-	e := &entry{key: key, at: at}
+	e := &timerEntry{key: key, at: at}
 	t.byKey[key] = e
 	heap.Push(t, e)
 }
@@ -50,7 +50,7 @@
 func (t *timers) stop(key Timer) {
 	if e := t.byKey[key]; e != nil {
 		delete(t.byKey, key)
-		heap.Remove(t, e.pos)
+		heap.Remove(t, e.position)
 	}
 }
 
@@ -59,7 +59,7 @@
 	if len(t.order) == 0 || t.order[0].at > now {
 		return Timer{}, false
 	}
-	e := heap.Pop(t).(*entry)
+	e := heap.Pop(t).(*timerEntry)
 	delete(t.byKey, e.key)
 	return e.key, true
 }
--- a/internal/loop/types.go
+++ b/internal/loop/types.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// Conn names a socket. A number is never used twice, so that news of a closed socket cannot reach a later one.
+// Conn names a socket. A number is never used twice, so that news of a closed socket cannot reach a
+// later one.
 type Conn uint64
 
-// Listener is the socket that clients connect to, Control the one for operators, Handover that for the next process
-// of this gateway, Fleet that for datagrams of other gateways. Accepted sockets are numbered by the loop from
-// firstAccepted on, dialled ones by the reducer from 1 on.
+// Listener is the socket that clients connect to, Control the one for operators, Handover that for the
+// next process of this gateway, Fleet that for datagrams of other gateways. Accepted sockets are
+// numbered by the loop from firstAccepted on, dialled ones by the reducer from 1 on.
 const (
 	Listener      Conn = 0
 	Admin         Conn = 1 << 62
@@ -30,9 +31,9 @@
 // Kind says what an event tells.
 type Kind uint8
 
-// The events. Data, Drained, EOF and Broken answer a Read; Flushed and Broken answer a Write; Connected and
-// Broken answer a Dial; Listening and Broken answer a Listen and a Bind; Stale answers a WriteQuiet on a socket whose peer has spoken or left meanwhile; File
-// answers a ReadFile.
+// The events. Data, Drained, EOF and Broken answer a Read; Flushed and Broken answer a Write; Connected
+// and Broken answer a Dial; Listening and Broken answer a Listen and a Bind; Stale answers a WriteQuiet
+// on a socket whose peer has spoken or left meanwhile; File answers a ReadFile.
 const (
 	Readable Kind = iota
 	Accepted
@@ -52,7 +53,9 @@
 	Reload // the program is told to read its configuration anew
 	File
 	Turn // all that was ready has been told
-	more // of this package alone: the end of what comes, or more of what is urgent, is known to lie behind what was just read
+	// more is of this package alone: the end of the stream, or more of what is urgent, is known to lie behind what
+	// was just read.
+	more
 )
 
 // Event is one thing that happened. Data is valid only while the reducer handles it.
@@ -62,17 +65,20 @@
 	Via   Conn // with Accepted: the listening socket that it came by
 	Timer Timer
 	Data  []byte
-	// Passed, with Data on a Unix socket: sockets that came beside it, muted. Adopt makes one a listening socket.
+	// Passed, with Data on a Unix socket: sockets that came beside it, muted. Adopt makes one a
+	// listening socket.
 	Passed []Conn
 	From   netip.AddrPort // with Data on a datagram socket, which tells one event for each datagram
 	Err    error
-	Local  bool // with Broken in answer to a Dial: this machine has run out of something, which tells nothing of the peer
+	// Local, with Broken in answer to a Dial: this machine has run out of something, which tells nothing of the peer.
+	Local bool
 }
 
 // Op says what an effect does.
 type Op uint8
 
-// The effects. Mute stops Readable events of a socket until Unmute, but for those of one that is broken. Again asks for one more Turn at once.
+// The effects. Mute stops Readable events of a socket until Unmute, but for those of one that is
+// broken. Again asks for one more Turn at once.
 const (
 	Accept Op = iota
 	Dial      // Addr, or Path as a Unix socket
--- a/internal/loop/unix.go
+++ b/internal/loop/unix.go
@@ -8,12 +8,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// mostPassed bounds the sockets passed beside one piece of data; the kernel's own bound is 253.
-const mostPassed = 128
+// Faults in passing sockets between processes.
+var (
+	errCannotPass   = errors.New("sockets to pass are gone, or earlier data is not yet written")
+	errNotListening = errors.New("the socket passed does not listen")
+)
+
+// maxPassed bounds the sockets passed beside one piece of data; the kernel's own bound is 253.
+const maxPassed = 128
 
-// own reports whether the other side of a Unix socket is a process of the same user. Guards against a stranger who
-// asks for the gateway's sockets, or offers some.
-func own(fd int) bool {
+// sameUser reports whether the other side of a Unix socket is a process of the same user. Guards
+// against a stranger who asks for the gateway's sockets, or offers some.
+func sameUser(fd int) bool {
 	peer, err := unix.GetsockoptUcred(fd, unix.SOL_SOCKET, unix.SO_PEERCRED)
 	return err == nil && int(peer.Uid) == os.Getuid()
 }
@@ -22,8 +28,8 @@
 	return unix.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 }
 
-// listenUnix takes the place at a path, whoever had it: the socket is made beside it and renamed over it, so that
-// there is always one, and it cannot be reached before its mode is set.
+// listenUnix takes the place at a path, whoever had it: the socket is made beside it and renamed over
+// it, so that there is always one, and it cannot be reached before its mode is set.
 func (l *Loop) listenUnix(f Effect) error {
 	fd, err := openUnix()
 	if err != nil {
@@ -53,7 +59,7 @@
 func (l *Loop) dialUnix(f Effect) {
 	fd, err := openUnix()
 	if err == nil {
-		if err = unix.Connect(fd, &unix.SockaddrUnix{Name: f.Path}); err == nil && !own(fd) {
+		if err = unix.Connect(fd, &unix.SockaddrUnix{Name: f.Path}); err == nil && !sameUser(fd) {
 			err = unix.EPERM
 		}
 		if err != nil {
@@ -61,11 +67,11 @@
 		}
 	}
 	if err != nil {
-		l.tell(Event{Kind: Broken, Conn: f.Conn, Err: err})
+		l.queueEvent(Event{Kind: Broken, Conn: f.Conn, Err: err})
 		return
 	}
 	l.add(&socket{conn: f.Conn, fd: fd, urgent: f.Urgent, unix: true})
-	l.tell(Event{Kind: Connected, Conn: f.Conn})
+	l.queueEvent(Event{Kind: Connected, Conn: f.Conn})
 }
 
 // pass writes data with sockets beside its first byte. Where that fails, the sockets stay here.
@@ -76,13 +82,13 @@
 			fds = append(fds, given.fd)
 		}
 	}
-	if len(fds) != len(f.Give) || len(s.out) > 0 || !s.unix {
-		l.fail(s, errors.New("sockets to pass are gone, or earlier data is not yet written"))
+	if len(fds) != len(f.Give) || len(s.unwritten) > 0 || !s.unix {
+		l.breakSocket(s, errCannotPass)
 		return
 	}
 	n, err := unix.SendmsgN(s.fd, f.Data, unix.UnixRights(fds...), nil, unix.MSG_NOSIGNAL)
 	if err != nil {
-		l.fail(s, err)
+		l.breakSocket(s, err)
 		return
 	}
 	for _, c := range f.Give {
@@ -96,7 +102,7 @@
 
 // receive reads from a Unix socket, with the descriptors of the sockets that come beside.
 func (l *Loop) receive(s *socket, buf []byte) (n int, passed []int, err error) {
-	beside := make([]byte, unix.CmsgSpace(4*mostPassed))
+	beside := make([]byte, unix.CmsgSpace(4*maxPassed))
 	n, at, _, _, err := unix.Recvmsg(s.fd, buf, beside, unix.MSG_CMSG_CLOEXEC)
 	if err != nil || at == 0 {
 		return n, nil, err
@@ -115,15 +121,15 @@
 	return n, passed, nil
 }
 
-// tellPassed tells what came with sockets beside it, and then adds these: one that cannot be added is told to be broken after it
-// has been heard of.
-func (l *Loop) tellPassed(s *socket, data []byte, passed []int) {
+// reportPassed tells what came with sockets beside it, and then adds these: one that cannot be added is
+// told to be broken after it has been heard of.
+func (l *Loop) reportPassed(s *socket, data []byte, passed []int) {
 	e := Event{Kind: Data, Conn: s.conn, Data: data}
 	for range passed {
 		l.accepted++
 		e.Passed = append(e.Passed, l.accepted)
 	}
-	l.tell(e)
+	l.queueEvent(e)
 	for i, fd := range passed {
 		l.add(&socket{conn: e.Passed[i], fd: fd, muted: true, shared: true})
 	}
@@ -131,14 +137,15 @@
 
 // adopt makes a passed socket a listening one of this process.
 func (l *Loop) adopt(s *socket, as Conn) {
-	if accepts, err := unix.GetsockoptInt(s.fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || accepts == 0 || l.byConn[as] != nil {
+	accepts, err := unix.GetsockoptInt(s.fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
+	if err != nil || accepts == 0 || l.byConn[as] != nil {
 		l.remove(s)
-		l.tell(Event{Kind: Broken, Conn: as, Err: errors.New("the socket passed does not listen")})
+		l.queueEvent(Event{Kind: Broken, Conn: as, Err: errNotListening})
 		return
 	}
 	delete(l.byConn, s.conn)
 	s.conn, s.muted = as, false
 	l.byConn[as] = s
-	l.arm(s)
-	l.tell(Event{Kind: Listening, Conn: as})
+	l.updateEvents(s)
+	l.queueEvent(Event{Kind: Listening, Conn: as})
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -6,7 +6,7 @@
 	"thymebend/internal/balancer"
 )
 
-// What a smaller budget has no room for goes, oldest first, but never a link in use.
+// What a smaller budget has no room for goes, oldest first, but never a connection in use.
 func TestPoolSurplus(t *testing.T) {
 	pool := NewPool(6)
 	var links []*Conn
