--- a/internal/balancer/api.go
+++ b/internal/balancer/api.go
@@ -53,7 +53,8 @@
 	LateWeight  float64
 	Idempotency Idempotency
 	DedupScope  DedupScope    // for Keyed
-	DedupWindow time.Duration // for Keyed: how long repeats are dropped, from the first send that may have run
+	// DedupWindow, for Keyed, is how long repeats are dropped, from the first send that may have run.
+	DedupWindow time.Duration
 }
 
 // Tenant describes one of those who share the fleet.
@@ -96,8 +97,8 @@
 	ID     RequestID
 	Class  int
 	Tenant int
-	// ClientTimeout is the time until the client gives up on this try. A repeat was begun Deadline-Patience ago.
-	// Where repeats are not marked, first tries of a class should share one value (to a few parts in a
+	// ClientTimeout is the time until the client gives up on this try. A repeat was begun Deadline-Patience
+	// ago. Where repeats are not marked, first tries of a class should share one value (to a few parts in a
 	// hundred); another value is taken for a repeat.
 	ClientTimeout time.Duration
 	Retry         bool // marked by the client as a repeat
@@ -108,7 +109,8 @@
 // Outcome says how an attempt ended.
 type Outcome uint8
 
-// OutcomeRejected, ConnectFailed and Moot prove that the request did not run; all others but OK leave it open.
+// OutcomeRejected, ConnectFailed and Moot prove that the request did not run; all others but OK leave it
+// open.
 const (
 	OutcomeOK Outcome = iota
 	OutcomeError
@@ -162,7 +164,7 @@
 type AssignedEndpoint struct {
 	ID               EndpointID
 	Weight           float64 // of the server among those that are in use, above 0
-	Share            float64 // share of what the server can do that is this gateway's, above 0 to 1; 0 for a spare
+	Share            float64 // share of the server's capacity that is this gateway's; 0 for a spare
 	SuspectedByPeers bool    // several other gateways found it bad
 }
 
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -266,9 +266,9 @@
 	}
 }
 
-// AssignEndpoints tells what the fleet gives this gateway: its servers, and behind them its spares, the next to be
-// used first. From the first time on, cold servers get requests by Turn alone. Nothing given leaves parts to
-// count and number.
+// AssignEndpoints tells what the fleet gives this gateway: its servers, and behind them its spares, the
+// next to be used first. From the first time on, cold servers get requests by Turn alone. Nothing given
+// leaves parts to count and number.
 func (b *Balancer) AssignEndpoints(now time.Duration, servers []AssignedEndpoint) {
 	b.now, b.inFleet, b.stale = now, true, true
 	b.given = append(b.given[:0], servers...)
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -69,7 +69,8 @@
 		from = b.servers // its repeat may have to go where no member is
 	}
 	n, c := len(from), &b.classes[r.Class]
-	wait := min(scale(c.LatencyObjective, min(b.cfg.CrossZoneCost, 1-gamma)), scale(c.hold[index(r.over)], crossHold))
+	wait := min(scale(c.LatencyObjective, min(b.cfg.CrossZoneCost, 1-gamma)),
+		scale(c.hold[index(r.over)], crossHold))
 	cross := !fresh || b.now-r.arrived >= wait
 	noRoom := &c.noRoom[index(cross)]
 	if n == 0 || fresh && *noRoom || b.held {
@@ -168,8 +169,8 @@
 	k.out++
 }
 
-// RequestWriting tells that an attempt's request is still being written, which is no work for its server, and later
-// that its last byte is: only then do its work, its aim and its client's patience begin.
+// RequestWriting tells that an attempt's request is still being written, which is no work for its server,
+// and later that its last byte is: only then do its work, its aim and its client's patience begin.
 func (b *Balancer) RequestWriting(now time.Duration, id RequestID, n int, done bool) {
 	b.now = now
 	r := b.requests[id]
--- a/internal/balancer/listing.go
+++ b/internal/balancer/listing.go
@@ -11,7 +11,8 @@
 
 // This file follows the server list, chooses the servers that this gateway uses, and asks for the list again.
 
-// UpdateEndpoints tells news of the server list. A delta has changes only; a full or cached list drops what it omits.
+// UpdateEndpoints tells news of the server list. A delta has changes only; a full or cached list drops what
+// it omits.
 func (b *Balancer) UpdateEndpoints(now time.Duration, kind EndpointUpdate, entries []Endpoint) {
 	b.now = now
 	if kind == WatchFailed || kind == WatchUnreachable {
--- a/internal/balancer/refusal.go
+++ b/internal/balancer/refusal.go
@@ -21,7 +21,8 @@
 // mayRefuse guards the promise of a refusal: another try by the client must not repeat an effect.
 func (b *Balancer) mayRefuse(r *request) bool {
 	c := &b.classes[r.Class]
-	return c.Idempotency == Idempotent || c.Idempotency == KeyedIdempotent && c.DedupScope == DedupAll || !b.mayHaveRun(r)
+	return c.Idempotency == Idempotent || c.Idempotency == KeyedIdempotent && c.DedupScope == DedupAll ||
+		!b.mayHaveRun(r)
 }
 
 // retryAfter asks clients to stay away until the queue has had time to drain.
@@ -138,7 +139,8 @@
 func (b *Balancer) lateLimit(c *classState) time.Duration {
 	rest := c.expected + scale(time.Millisecond, lateMargin*(1-c.LateWeight)*c.spread.mean)
 	longest := max(c.LatencyObjective-c.expected, 0)
-	return max(c.LatencyObjective-rest, scale(c.LatencyObjective, 1-gamma), min(scale(b.turnover(), holdTurns), longest))
+	return max(c.LatencyObjective-rest, scale(c.LatencyObjective, 1-gamma),
+		min(scale(b.turnover(), holdTurns), longest))
 }
 
 // turnover is the mean time between two openings of room. Exception: work is held for some of these, or a
--- a/internal/balancer/retries.go
+++ b/internal/balancer/retries.go
@@ -114,15 +114,16 @@
 		if a.unrun || c.Idempotency == Idempotent {
 			continue
 		}
-		if c.Idempotency == NonIdempotent || !sameGroup(c.DedupScope, a.server, s) || b.now+2*b.cfg.DispatchInterval >= a.sent+c.DedupWindow {
+		if c.Idempotency == NonIdempotent || !sameGroup(c.DedupScope, a.server, s) ||
+			b.now+2*b.cfg.DispatchInterval >= a.sent+c.DedupWindow {
 			return false
 		}
 	}
 	return true
 }
 
-// MayStartAttempt reports whether an attempt of which nothing is written may still be: connections come up late, and
-// the window of a keyed request ends by the moment of sending, not by that of deciding.
+// MayStartAttempt reports whether an attempt of which nothing is written may still be: connections come up
+// late, and the window of a keyed request ends by the moment of sending, not by that of deciding.
 func (b *Balancer) MayStartAttempt(now time.Duration, id RequestID, n int) bool {
 	b.now = now
 	r := b.requests[id]
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -8,7 +8,8 @@
 	if s.StartedAt <= 0 || age >= b.cfg.SlowStartDuration {
 		return 1
 	}
-	return b.cfg.SlowStartFraction + (1-b.cfg.SlowStartFraction)*max(0, age.Seconds())/b.cfg.SlowStartDuration.Seconds()
+	from := b.cfg.SlowStartFraction
+	return from + (1-from)*max(0, age.Seconds())/b.cfg.SlowStartDuration.Seconds()
 }
 
 // coldRoom reports whether a cold server may get one more request: what is sent stays under this gateway's
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -40,7 +40,8 @@
 		return nil, err
 	}
 	b.now = now
-	cfg.Rank, cfg.Zone, cfg.DispatchInterval = b.cfg.Rank, b.cfg.Zone, max(cfg.DispatchInterval, time.Millisecond)
+	cfg.Rank, cfg.Zone = b.cfg.Rank, b.cfg.Zone
+	cfg.DispatchInterval = max(cfg.DispatchInterval, time.Millisecond)
 	if cfg.Rank >= cfg.Gateways {
 		cfg.Gateways = b.cfg.Gateways
 	}
@@ -107,8 +108,8 @@
 	return free
 }
 
-// UnavailableCount is how many of the listed servers get no ordinary work now: those that drain, and those that
-// failed or were silent and are on trial.
+// UnavailableCount is how many of the listed servers get no ordinary work now: those that drain, and those
+// that failed or were silent and are on trial.
 func (b *Balancer) UnavailableCount() int {
 	n := 0
 	for _, s := range b.servers {
@@ -186,7 +187,8 @@
 func (b *Balancer) Restore(now time.Duration, in State) {
 	b.now = now
 	if sane(in.QueueThreshold, in.Response, in.WarmRate) && in.Response >= minResponse {
-		b.psi, b.response, b.warmRate = clamp(in.QueueThreshold, 0, maxPsi), min(in.Response, 1), in.WarmRate
+		b.psi, b.response = clamp(in.QueueThreshold, 0, maxPsi), min(in.Response, 1)
+		b.warmRate = in.WarmRate
 		b.started = now - time.Minute // what came before is counted in what it learns
 	}
 	for _, l := range in.Classes {
@@ -229,9 +231,9 @@
 	return true
 }
 
-// YieldSlowStart has cold servers get nothing more from here, for another process of this gateway has their budgets;
-// or, if that has died, something again. What it had spent is not known: the budgets start anew from
-// nothing.
+// YieldSlowStart has cold servers get nothing more from here, for another process of this gateway has their
+// budgets; or, if that has died, something again. What it had spent is not known: the budgets start anew
+// from nothing.
 func (b *Balancer) YieldSlowStart(now time.Duration, yes bool) {
 	b.now, b.yielded = now, yes
 	for _, s := range b.servers {
@@ -285,8 +287,8 @@
 	return out
 }
 
-// WatchStarted tells that the call for the list that Watch asked for begins only now, as discovery has asked to
-// be called later.
+// WatchStarted tells that the call for the list that Watch asked for begins only now, as discovery has
+// asked to be called later.
 func (b *Balancer) WatchStarted(now time.Duration) {
 	b.now = now
 	b.askedAt = now
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -77,8 +77,8 @@
 	return int(at * float64(n))
 }
 
-// RoundByRank makes a number of servers whole for the gateway with this number: a fraction of a server is one at
-// that share of the gateways.
+// RoundByRank makes a number of servers whole for the gateway with this number: a fraction of a server is
+// one at that share of the gateways.
 func RoundByRank(rank int, want float64) float64 {
 	_, chance := math.Modf(float64(rank) * math.Sqrt2)
 	return math.Floor(want + chance)
@@ -127,9 +127,9 @@
 // Endpoints is how many servers that is.
 func (r *Expansion) Endpoints() float64 { return math.Floor(r.Size) }
 
-// RelativeLoad is by how much more gateways than the mean use the ready server at each place. Whoever begins at
-// a place without one goes on to the next, so that a server behind a gap has the gap's gateways too. part
-// is how many servers a gateway uses.
+// RelativeLoad is by how much more gateways than the mean use the ready server at each place. Whoever
+// begins at a place without one goes on to the next, so that a server behind a gap has the gap's gateways
+// too. part is how many servers a gateway uses.
 func RelativeLoad(ready []bool, part float64) []float64 {
 	out := make([]float64, len(ready))
 	var places []int
