--- a/internal/balancer/api.go
+++ b/internal/balancer/api.go
@@ -52,7 +52,7 @@
 	// LateWeight is the share of the worth that an answer after the aim still earns.
 	LateWeight  float64
 	Idempotency Idempotency
-	DedupScope  DedupScope    // for Keyed
+	DedupScope  DedupScope // for Keyed
 	// DedupWindow, for Keyed, is how long repeats are dropped, from the first send that may have run.
 	DedupWindow time.Duration
 }
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -193,7 +193,8 @@
 	}
 	for _, l := range in.Classes {
 		for c := range b.current {
-			usable := l.Answers >= 0 && l.Concluded >= 0 && sane(l.ServiceMS, l.DeviationMS, l.Served, l.Arrivals)
+			usable := l.Answers >= 0 && l.Concluded >= 0 &&
+				sane(l.ServiceMS, l.DeviationMS, l.Served, l.Arrivals)
 			if c.Name == l.Name && usable {
 				c.service, c.spread = average{l.Answers, l.ServiceMS}, average{l.Answers, l.DeviationMS}
 				c.served, c.arrivals = average{l.Concluded, min(l.Served, 1)}, l.Arrivals
