--- a/internal/lab/cli/drill.go
+++ b/internal/lab/cli/drill.go
@@ -7,10 +7,10 @@
 	"path/filepath"
 	"strings"
 
+	"thymebend/internal/fielderror"
 	"thymebend/internal/lab/drill"
 	"thymebend/internal/lab/report"
 	"thymebend/internal/lab/requestrecord"
-	"thymebend/internal/tomlfile"
 )
 
 type drillCmd struct {
@@ -30,7 +30,7 @@
 func (c drillCmd) Run(e *env) error {
 	f, err := drill.Load(c.Drill)
 	if err != nil {
-		var faults tomlfile.Faults
+		var faults fielderror.List
 		if errors.As(err, &faults) {
 			return coded{exitInput, faults.Error()}
 		}
--- a/internal/lab/cli/scale.go
+++ b/internal/lab/cli/scale.go
@@ -10,8 +10,8 @@
 
 	"github.com/schollz/progressbar/v3"
 
+	"thymebend/internal/fielderror"
 	"thymebend/internal/lab/scale"
-	"thymebend/internal/tomlfile"
 )
 
 type scaleCmd struct {
@@ -64,7 +64,7 @@
 	if c.File != "" {
 		var err error
 		if o, err = scale.Load(c.File, o); err != nil {
-			var faults tomlfile.Faults
+			var faults fielderror.List
 			if errors.As(err, &faults) {
 				return o, coded{exitInput, faults.Error()}
 			}
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"thymebend/internal/tomlfile"
+	"thymebend/internal/fielderror"
 )
 
 // small is a fleet that is played in a second or two.
@@ -190,7 +190,7 @@
 		"[[fault]\n":        "x.toml:1:",
 	} {
 		_, err := Parse("x.toml", []byte(text), Defaults())
-		var faults tomlfile.Faults
+		var faults fielderror.List
 		if !errors.As(err, &faults) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", text, err)
 		}
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -1,8 +1,11 @@
 package tomlfile
 
 import (
+	"errors"
 	"strings"
 	"testing"
+
+	"thymebend/internal/fielderror"
 )
 
 type sample struct {
@@ -53,3 +56,26 @@
 		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
 }
+
+// Callers can tell the causes apart, and take the place of each fault.
+func TestFaultsCanBeMatched(t *testing.T) {
+	for name, c := range map[string]struct {
+		text string
+		want error
+		line int
+	}{
+		"unknown field":   {"name = \"a\"\n[hosts]\nlagg = \"1s\"\n", ErrUnknownField, 3},
+		"bare number":     {"[hosts]\nlag = 5\n", ErrNotDuration, 2},
+		"syntax":          {"name = \n", ErrDecode, 1},
+		"value of a type": {"name = 5\n", ErrDecode, 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var s sample
+			err := Read("x.toml", []byte(c.text), &s).Err()
+			var fault *fielderror.Error
+			if !errors.Is(err, c.want) || !errors.As(err, &fault) || fault.File != "x.toml" || fault.Line != c.line {
+				t.Errorf("%v: %+v", err, fault)
+			}
+		})
+	}
+}
