--- a/internal/admin/stats.go
+++ b/internal/admin/stats.go
@@ -52,7 +52,7 @@
 type Assignment struct {
 	Stage        string             `json:"stage"`    // waiting, settled, kept, changing
 	Gateways     int                `json:"gateways"` // that the division in force counts
-	TokensActive bool               `json:"agreed"` // most members alive have the same settings: tokens are taken
+	TokensActive bool               `json:"agreed"`   // most members alive have the same settings: tokens are taken
 	RelativeLoad float64            `json:"crowd"`    // largest load over capacity of an endpoint, over the mean; 1 is even
 	Demand       float64            `json:"demand"`   // requests a second of the average class, as reported to the others
 	Tokens       uint64             `json:"turns"`    // at cold endpoints, taken by this process
