--- a/internal/lab/cli/cli.go
+++ b/internal/lab/cli/cli.go
@@ -323,7 +323,7 @@
 	return out, nil
 }
 
-func (c loadCmd) conclude(e *env, res load.Result, tries *requestrecord.Clients) error {
+func (c loadCmd) conclude(e *env, res load.Result, tries *requestrecord.ClientRecord) error {
 	twice := 0
 	for _, t := range tries.Tries() {
 		if t.Answers > 1 {
--- a/internal/lab/cli/shares.go
+++ b/internal/lab/cli/shares.go
@@ -70,7 +70,7 @@
 	}
 	fmt.Fprintln(e.out, "| gateways | hosts | hearsay | bad host known to 95% of its users, median | asked of bad hosts | bytes a second and gateway | cold hosts got of what they may | refused | rules broken |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, hearsay := range []bool{false, true} {
-		f, err := simulation.MeasurePortions(e.ctx, c.Seed, c.Gateways, c.Hosts, hearsay)
+		f, err := simulation.MeasureAssignment(e.ctx, c.Seed, c.Gateways, c.Hosts, hearsay)
 		if errors.Is(err, context.Canceled) {
 			return early()
 		}
--- a/internal/lab/drill/rig.go
+++ b/internal/lab/drill/rig.go
@@ -404,7 +404,7 @@
 const shutSpread = 60 * time.Millisecond
 
 // Excuses implements experiment.Rig.
-func (r *rig) Excuses(gateway string, t requestrecord.Try) bool {
+func (r *rig) Excuses(gateway string, t requestrecord.Attempt) bool {
 	n, began := r.index[gateway], r.began()
 	over := func(from, to time.Duration) bool {
 		return t.Sent-began <= to+excuseAfter && t.Ended-began >= from || to == 0 && t.Ended-began >= from
--- a/internal/lab/drill/stopped.go
+++ b/internal/lab/drill/stopped.go
@@ -109,7 +109,7 @@
 	}
 	ended := r.now()
 	began := r.began()
-	if r.Excuses(r.names[c.gateway], requestrecord.Try{ID: c.id, Sent: ended - owedWithin - limitSlack + began, Ended: ended + began}) {
+	if r.Excuses(r.names[c.gateway], requestrecord.Attempt{ID: c.id, Sent: ended - owedWithin - limitSlack + began, Ended: ended + began}) {
 		return
 	}
 	r.find(requestrecord.Finding{Rule: NotHeard, ID: c.id, At: ended - owedWithin,
--- a/internal/lab/emulation/discovery.go
+++ b/internal/lab/emulation/discovery.go
@@ -17,7 +17,7 @@
 type Entry = registry.Entry
 
 // Told is when a gateway was told that a host drains or is gone.
-type Told = registry.Told
+type Told = registry.Notification
 
 // The states of a host in discovery's list.
 const (
@@ -39,7 +39,7 @@
 
 	mu      sync.Mutex
 	changed *sync.Cond
-	list    *registry.Roster
+	list    *registry.Registry
 	down    bool
 	mute    bool // beats and changes stay inside
 	pushed  bool // each door is an agent's: it answers from what it has been sent, and is silent while discovery is down
--- a/internal/lab/emulation/host.go
+++ b/internal/lab/emulation/host.go
@@ -97,7 +97,7 @@
 
 	mu     sync.Mutex
 	model  *hostmodel.Host
-	ledger *requestrecord.Host
+	ledger *requestrecord.EndpointRecord
 	rand   *rand.Rand
 	mode   Mode
 	doors  []*door
@@ -140,7 +140,7 @@
 
 // NewHost starts a host's model; doors are opened one by one.
 func NewHost(spec hostmodel.Spec, clock Clock, o Options) (*Host, error) {
-	l := requestrecord.NewHost(spec.Name)
+	l := requestrecord.NewEndpointRecord(spec.Name)
 	l.Cell = o.Cell
 	model, err := hostmodel.New(spec, o.Seed, clock(), o.Cold, l)
 	if err != nil {
@@ -498,7 +498,7 @@
 func (h *Host) Conns() int { h.mu.Lock(); defer h.mu.Unlock(); return len(h.conns) }
 
 // Close ends the host and returns its ledger, at rest.
-func (h *Host) Close() *requestrecord.Host {
+func (h *Host) Close() *requestrecord.EndpointRecord {
 	h.mu.Lock()
 	h.closed = true
 	h.timer.Stop()
--- a/internal/lab/experiment/rig.go
+++ b/internal/lab/experiment/rig.go
@@ -28,7 +28,7 @@
 	Started(gateway string, pid int)
 	Ended(gateway string, pid int)
 	// Excuses tells whether a try that nobody answered was lost by what the rig did.
-	Excuses(gateway string, t requestrecord.Try) bool
+	Excuses(gateway string, t requestrecord.Attempt) bool
 }
 
 // path is the address by which a node reaches another.
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -147,7 +147,7 @@
 }
 
 // conclude compares the ledgers and fills in the result.
-func (w *World) conclude(res *Result, clients *requestrecord.Clients, began time.Duration) error {
+func (w *World) conclude(res *Result, clients *requestrecord.ClientRecord, began time.Duration) error {
 	var found []requestrecord.Finding
 	res.Hosts, res.Gateways, found = w.results()
 	hosts := w.Close()
--- a/internal/lab/experiment/run_test.go
+++ b/internal/lab/experiment/run_test.go
@@ -170,7 +170,7 @@
 	}{{"a", 9 * time.Second, 10 * time.Second, true}, {"a", 9 * time.Second, 9500 * time.Millisecond, false},
 		{"a", 11 * time.Second, 12 * time.Second, false}, {"b", 9 * time.Second, 10 * time.Second, false},
 		{"a", 30*time.Second + 100*time.Millisecond, 31 * time.Second, false}, {"a", 30*time.Second + 900*time.Millisecond, 31 * time.Second, true}} {
-		if got := w.excused(requestrecord.Try{Target: c.target, Sent: c.sent, Ended: c.ended}); got != c.want {
+		if got := w.excused(requestrecord.Attempt{Target: c.target, Sent: c.sent, Ended: c.ended}); got != c.want {
 			t.Errorf("%+v: excused %v", c, got)
 		}
 	}
--- a/internal/lab/experiment/tries.go
+++ b/internal/lab/experiment/tries.go
@@ -26,7 +26,7 @@
 
 // writeTries writes the clients' ledger as tab-separated text. Times count from the load's begin; a try that was
 // never written whole has sent_us -1.
-func writeTries(path string, tries []requestrecord.Try, began time.Duration) error {
+func writeTries(path string, tries []requestrecord.Attempt, began time.Duration) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return err
--- a/internal/lab/experiment/world.go
+++ b/internal/lab/experiment/world.go
@@ -38,7 +38,7 @@
 	hosts    []*member
 	gateways []*gateway
 	findings []requestrecord.Finding
-	ledgers  []*requestrecord.Host // of hosts that have gone
+	ledgers  []*requestrecord.EndpointRecord // of hosts that have gone
 	marks    []Mark
 	replaced int
 	dir      string
@@ -506,7 +506,7 @@
 
 // excused tells whether a try was lost for a reason that no rule forbids: its gateway was killed while it held
 // the try, or the try came to it long after SIGTERM.
-func (w *World) excused(t requestrecord.Try) bool {
+func (w *World) excused(t requestrecord.Attempt) bool {
 	for _, g := range w.gateways {
 		if g.front != t.Target {
 			continue
@@ -525,7 +525,7 @@
 const killSpread = 20 * time.Millisecond
 
 // Close ends everything and returns the hosts' ledgers, at rest.
-func (w *World) Close() []*requestrecord.Host {
+func (w *World) Close() []*requestrecord.EndpointRecord {
 	for _, g := range w.gateways {
 		if p := g.present(); p != nil {
 			p.planned.Store(true)
--- a/internal/lab/hostmodel/host.go
+++ b/internal/lab/hostmodel/host.go
@@ -130,7 +130,7 @@
 type Host struct {
 	spec    Spec
 	rand    *rand.Rand
-	ledger  *requestrecord.Host
+	ledger  *requestrecord.EndpointRecord
 	at      time.Duration // the model stands at this time
 	born    time.Duration
 	cold    bool // born cold
@@ -165,7 +165,7 @@
 
 // New starts a host. A cold one begins at its cold share, others are warm. What it is sent and makes goes into
 // the ledger.
-func New(spec Spec, seed uint64, born time.Duration, cold bool, into *requestrecord.Host) (*Host, error) {
+func New(spec Spec, seed uint64, born time.Duration, cold bool, into *requestrecord.EndpointRecord) (*Host, error) {
 	switch {
 	case spec.Cores < 1 || spec.Slots < 1 || spec.Queue < 0:
 		return nil, fmt.Errorf("host %s: cores and slots must be at least 1, queue at least 0", spec.Name)
--- a/internal/lab/hostmodel/host_test.go
+++ b/internal/lab/hostmodel/host_test.go
@@ -22,9 +22,9 @@
 	return s
 }
 
-func host(t *testing.T, cold bool, edit func(*Spec)) (*Host, *requestrecord.Host) {
+func host(t *testing.T, cold bool, edit func(*Spec)) (*Host, *requestrecord.EndpointRecord) {
 	t.Helper()
-	l := requestrecord.NewHost("h")
+	l := requestrecord.NewEndpointRecord("h")
 	h, err := New(spec(edit), 7, 0, cold, l)
 	if err != nil {
 		t.Fatal(err)
@@ -247,7 +247,7 @@
 
 // BenchmarkHost is a host's share of a simulation: one request, arrival to reply.
 func BenchmarkHost(b *testing.B) {
-	l := requestrecord.NewHost("h")
+	l := requestrecord.NewEndpointRecord("h")
 	h, err := New(spec(func(s *Spec) { s.Cores, s.Slots, s.Queue = 4, 8, 50 }), 1, 0, false, l)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/lab/load/generator.go
+++ b/internal/lab/load/generator.go
@@ -41,11 +41,11 @@
 	Clients  Clients
 	Notice   time.Duration // the front leaves out a target whose connects fail after this long
 	Seed     uint64
-	Prefix   string                 // of the ids
-	Ledger   *requestrecord.Clients // a new one if nil
-	Clock    func() time.Duration   // of the run; a new one if nil. The schedule begins when Run is called
-	Progress func(Progress)         // called about four times a second; may be nil
-	MostOpen int                    // connections; 0: as many descriptors as the process may have, less a reserve
+	Prefix   string                      // of the ids
+	Ledger   *requestrecord.ClientRecord // a new one if nil
+	Clock    func() time.Duration        // of the run; a new one if nil. The schedule begins when Run is called
+	Progress func(Progress)              // called about four times a second; may be nil
+	MostOpen int                         // connections; 0: as many descriptors as the process may have, less a reserve
 }
 
 // Progress is how far a run is.
@@ -181,7 +181,7 @@
 		g.strays.ids = append(g.strays.ids, id)
 		g.strays.Unlock()
 		// An answer that nobody waits for is a second one to the link's last request.
-		g.Ledger.Update(id, func(t *requestrecord.Try) { t.Answers++ })
+		g.Ledger.Update(id, func(t *requestrecord.Attempt) { t.Answers++ })
 	})
 }
 
@@ -286,14 +286,14 @@
 	class := &g.Classes[r.Class]
 	id := fmt.Sprintf("%s%08x", g.Prefix, g.ids.Add(1))
 	target := g.Front.pick()
-	err := g.Ledger.Add(requestrecord.Try{ID: id, Request: r.number, Number: number, Class: class.Name, Unsafe: class.Unsafe, Keyed: class.Keyed,
+	err := g.Ledger.Add(requestrecord.Attempt{ID: id, Request: r.number, Number: number, Class: class.Name, Unsafe: class.Unsafe, Keyed: class.Keyed,
 		Target: target.addr, Body: r.Body, Due: g.began + r.At, Patience: patience})
 	if err != nil {
 		return tried{fate: Unsent, cause: err.Error()}
 	}
 	var whole bool
 	defer func() {
-		g.Ledger.Update(id, func(t *requestrecord.Try) { t.Ended, t.Whole, t.Cause = g.now(), whole, out.cause })
+		g.Ledger.Update(id, func(t *requestrecord.Attempt) { t.Ended, t.Whole, t.Cause = g.now(), whole, out.cause })
 	}()
 	for again := 0; ; again++ {
 		l, used, err := g.linkTo(ctx, target, patience, again > 0)
@@ -318,7 +318,7 @@
 		}
 		sent := g.now()
 		whole = true
-		g.Ledger.Update(id, func(t *requestrecord.Try) { t.Sent, t.Whole = sent, true })
+		g.Ledger.Update(id, func(t *requestrecord.Attempt) { t.Sent, t.Whole = sent, true })
 		if number == 0 && again == 0 {
 			g.rec.count(r.Class, r.At, func(s *Second) { s.Sent++ })
 		}
@@ -333,7 +333,7 @@
 			return g.judge(l, target, id, a, sent+patience)
 		case <-timer.C:
 			_ = l.Close()
-			g.Ledger.Update(id, func(t *requestrecord.Try) { t.Left = true })
+			g.Ledger.Update(id, func(t *requestrecord.Attempt) { t.Left = true })
 			return tried{fate: Unanswered, ended: g.now(), cause: "silence"}
 		}
 	}
@@ -345,7 +345,7 @@
 		_ = l.Close()
 		return tried{fate: Failed, ended: a.at, cause: "link: " + cause(a.err)}
 	}
-	g.Ledger.Update(id, func(t *requestrecord.Try) {
+	g.Ledger.Update(id, func(t *requestrecord.Attempt) {
 		t.Answers++
 		t.Status, t.Hash = a.status, requestrecord.Hash(a.body)
 	})
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -331,7 +331,7 @@
 			}
 			tries := requestrecord.NewClients()
 			run(t, Options{Targets: []string{target}, Classes: bids, Schedule: s, Ledger: tries})
-			found, _ := requestrecord.Compare(tries.Tries(), []*requestrecord.Host{h.Close()}, nil)
+			found, _ := requestrecord.Compare(tries.Tries(), []*requestrecord.EndpointRecord{h.Close()}, nil)
 			if len(planted) < 2 {
 				t.Fatalf("%d defects planted", len(planted))
 			}
--- a/internal/lab/registry/roster.go
+++ b/internal/lab/registry/registry.go
@@ -26,32 +26,32 @@
 	Dial             map[string]string
 }
 
-// Told is when a gateway was told that a host drains or is gone.
-type Told struct {
+// Notification is when a gateway was told that a host drains or is gone.
+type Notification struct {
 	At    time.Duration
 	State string
 }
 
-// Roster is the list and its history.
-type Roster struct {
+// Registry is the list and its history.
+type Registry struct {
 	seq     int
 	forgot  int // changes up to this version are known no more
 	entries map[string]Entry
 	order   []string
-	changed map[string]int             // the version in which a host last changed
-	told    map[string]map[string]Told // by gateway, by host
+	changed map[string]int                     // the version in which a host last changed
+	told    map[string]map[string]Notification // by gateway, by host
 }
 
 // New returns a roster that lists nothing.
-func New() *Roster {
-	return &Roster{entries: make(map[string]Entry), changed: make(map[string]int), told: make(map[string]map[string]Told)}
+func New() *Registry {
+	return &Registry{entries: make(map[string]Entry), changed: make(map[string]int), told: make(map[string]map[string]Notification)}
 }
 
 // Seq is the present version.
-func (r *Roster) Seq() int { return r.seq }
+func (r *Registry) Seq() int { return r.seq }
 
 // Put enters or changes hosts, all in one version.
-func (r *Roster) Put(entries ...Entry) {
+func (r *Registry) Put(entries ...Entry) {
 	r.seq++
 	for _, e := range entries {
 		if _, known := r.entries[e.Host]; !known {
@@ -63,13 +63,13 @@
 
 // Flap goes on in a version far ahead without the history, as a discovery does that restarts without its memory:
 // whoever has an older version gets the whole list.
-func (r *Roster) Flap() {
+func (r *Registry) Flap() {
 	r.seq += 1000
 	r.forgot = r.seq
 }
 
 // Anew begins the versions anew, as a discovery does that was restored from nothing: the list as it stands is version 1.
-func (r *Roster) Anew() {
+func (r *Registry) Anew() {
 	r.seq, r.forgot = 1, 0
 	for name := range r.changed {
 		r.changed[name] = 1
@@ -77,20 +77,20 @@
 }
 
 // Copy returns the list with its history, without what gateways were told.
-func (r *Roster) Copy() *Roster {
+func (r *Registry) Copy() *Registry {
 	c := New()
 	c.Follow(r)
 	return c
 }
 
 // Follow takes over another's list with its history; what gateways were told stays.
-func (r *Roster) Follow(other *Roster) {
+func (r *Registry) Follow(other *Registry) {
 	r.seq, r.forgot, r.order = other.seq, other.forgot, slices.Clone(other.order)
 	r.entries, r.changed = maps.Clone(other.entries), maps.Clone(other.changed)
 }
 
 // Find returns a host's entry.
-func (r *Roster) Find(host string) (Entry, bool) { e, ok := r.entries[host]; return e, ok }
+func (r *Registry) Find(host string) (Entry, bool) { e, ok := r.entries[host]; return e, ok }
 
 // wireEntry is a host on the wire.
 type wireEntry struct {
@@ -106,33 +106,33 @@
 
 // Line is the list for a gateway in discovery's form: what changed after a version, or all of it for version 0
 // and for versions that never were or whose changes are forgotten.
-func (r *Roster) Line(gateway string, after int) []byte {
+func (r *Registry) Line(gateway string, after int) []byte {
 	return r.line(gateway, r.changedAfter(after), r.wholeFor(after))
 }
 
 // ServingLine is the whole list without the hosts that drain, as some registries answer a call.
-func (r *Roster) ServingLine(gateway string) []byte { return r.line(gateway, r.serving(), true) }
+func (r *Registry) ServingLine(gateway string) []byte { return r.line(gateway, r.serving(), true) }
 
 // ChangedCount is how many hosts Line names.
-func (r *Roster) ChangedCount(after int) int { return len(r.changedAfter(after)) }
+func (r *Registry) ChangedCount(after int) int { return len(r.changedAfter(after)) }
 
 // ServingCount is how many hosts ServingLine names.
-func (r *Roster) ServingCount() int { return len(r.serving()) }
+func (r *Registry) ServingCount() int { return len(r.serving()) }
 
 // wholeFor tells whether who has a version is sent the whole list.
-func (r *Roster) wholeFor(after int) bool { return after <= 0 || after > r.seq || after < r.forgot }
+func (r *Registry) wholeFor(after int) bool { return after <= 0 || after > r.seq || after < r.forgot }
 
 // changedAfter is the hosts that who has a version is sent.
-func (r *Roster) changedAfter(after int) []Entry {
+func (r *Registry) changedAfter(after int) []Entry {
 	whole := r.wholeFor(after)
 	return r.entriesWhere(func(e Entry) bool { return whole && e.State != Removed || !whole && r.changed[e.Host] > after })
 }
 
-func (r *Roster) serving() []Entry {
+func (r *Registry) serving() []Entry {
 	return r.entriesWhere(func(e Entry) bool { return e.State == Up })
 }
 
-func (r *Roster) entriesWhere(wanted func(Entry) bool) []Entry {
+func (r *Registry) entriesWhere(wanted func(Entry) bool) []Entry {
 	var list []Entry
 	for _, name := range r.order {
 		if e := r.entries[name]; wanted(e) {
@@ -142,7 +142,7 @@
 	return list
 }
 
-func (r *Roster) line(gateway string, entries []Entry, whole bool) []byte {
+func (r *Registry) line(gateway string, entries []Entry, whole bool) []byte {
 	doc := struct {
 		Seq   int         `json:"seq"`
 		Whole bool        `json:"whole"`
@@ -160,31 +160,31 @@
 }
 
 // Note keeps that a gateway has been told the list as it stands. The first notice of a host's leaving counts.
-func (r *Roster) Note(gateway string, now time.Duration) {
+func (r *Registry) Note(gateway string, now time.Duration) {
 	told := r.told[gateway]
 	if told == nil {
-		told = make(map[string]Told)
+		told = make(map[string]Notification)
 		r.told[gateway] = told
 	}
 	for name, e := range r.entries {
 		if _, known := told[name]; e.State == Up {
 			delete(told, name)
 		} else if !known {
-			told[name] = Told{now, e.State}
+			told[name] = Notification{now, e.State}
 		}
 	}
 }
 
 // Told returns when a gateway was told that a host drains or is gone; ok is false if it was not.
-func (r *Roster) Told(gateway, host string) (t Told, ok bool) {
+func (r *Registry) Told(gateway, host string) (t Notification, ok bool) {
 	t, ok = r.told[gateway][host]
 	return t, ok
 }
 
 // Forget drops what a gateway was told, as one that has restarted knows it no more.
-func (r *Roster) Forget(gateway string) { delete(r.told, gateway) }
+func (r *Registry) Forget(gateway string) { delete(r.told, gateway) }
 
 // Names lists the hosts that are not removed, in the order in which they came.
-func (r *Roster) Names() []string {
+func (r *Registry) Names() []string {
 	return slices.DeleteFunc(slices.Clone(r.order), func(n string) bool { return r.entries[n].State == Removed })
 }
--- a/internal/lab/requestrecord/ledger.go
+++ b/internal/lab/requestrecord/record.go
@@ -14,8 +14,8 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Try is one request as a client sent it. A client's retry is a try of its own, with an id of its own.
-type Try struct {
+// Attempt is one request as a client sent it. A client's retry is a try of its own, with an id of its own.
+type Attempt struct {
 	ID      string
 	Request int    // the number of the request that it belongs to; retries share it
 	Number  int    // 0 for the first try
@@ -37,18 +37,18 @@
 	Cause    string        // how it ended without an answer, in words
 }
 
-// Clients is the clients' side. Its methods may be called from several goroutines.
-type Clients struct {
+// ClientRecord is the clients' side. Its methods may be called from several goroutines.
+type ClientRecord struct {
 	mu    sync.Mutex
-	tries map[string]*Try
-	order []*Try
+	tries map[string]*Attempt
+	order []*Attempt
 }
 
 // NewClients returns an empty ledger.
-func NewClients() *Clients { return &Clients{tries: make(map[string]*Try)} }
+func NewClients() *ClientRecord { return &ClientRecord{tries: make(map[string]*Attempt)} }
 
 // Add enters a try before it is sent. An id in use already is refused: the generator must not reuse ids.
-func (c *Clients) Add(t Try) error {
+func (c *ClientRecord) Add(t Attempt) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.tries[t.ID] != nil {
@@ -60,7 +60,7 @@
 }
 
 // Update changes a try under the ledger's lock. Unknown ids are ignored.
-func (c *Clients) Update(id string, change func(*Try)) {
+func (c *ClientRecord) Update(id string, change func(*Attempt)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t := c.tries[id]; t != nil {
@@ -69,10 +69,10 @@
 }
 
 // Tries returns copies of all tries in the order in which they were entered.
-func (c *Clients) Tries() []Try {
+func (c *ClientRecord) Tries() []Attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	all := make([]Try, len(c.order))
+	all := make([]Attempt, len(c.order))
 	for i, t := range c.order {
 		all[i] = *t
 	}
@@ -88,18 +88,20 @@
 	Returned   []uint64 // hashes of the bodies made for it
 }
 
-// Host is the side of one host. It has no lock: the host's model is used by one goroutine at a time.
-type Host struct {
+// EndpointRecord is the side of one host. It has no lock: the host's model is used by one goroutine at a time.
+type EndpointRecord struct {
 	Name    string
 	Cell    int // of those that drop one another's repeats
 	entries map[string]*Entry
 }
 
-// NewHost returns an empty ledger.
-func NewHost(name string) *Host { return &Host{Name: name, entries: make(map[string]*Entry)} }
+// NewEndpointRecord returns an empty ledger.
+func NewEndpointRecord(name string) *EndpointRecord {
+	return &EndpointRecord{Name: name, entries: make(map[string]*Entry)}
+}
 
 // Of returns the entry of an id, made if need be.
-func (h *Host) Of(id string) *Entry {
+func (h *EndpointRecord) Of(id string) *Entry {
 	e := h.entries[id]
 	if e == nil {
 		e = &Entry{}
@@ -109,10 +111,10 @@
 }
 
 // Find returns the entry of an id, or nil.
-func (h *Host) Find(id string) *Entry { return h.entries[id] }
+func (h *EndpointRecord) Find(id string) *Entry { return h.entries[id] }
 
 // Len is the number of ids known.
-func (h *Host) Len() int { return len(h.entries) }
+func (h *EndpointRecord) Len() int { return len(h.entries) }
 
 // Hash is that of a body.
 func Hash(body []byte) uint64 { return xxh3.Hash(body) }
@@ -151,7 +153,7 @@
 
 // Excuses tells whether a try was lost for a reason that no rule forbids: its gateway was killed while it held the
 // try, or the try came long after SIGTERM. News of a kill may take the spread to be seen.
-func (t Try) Excuses(kills, stops []time.Duration, spread time.Duration) bool {
+func (t Attempt) Excuses(kills, stops []time.Duration, spread time.Duration) bool {
 	return slices.ContainsFunc(kills, func(k time.Duration) bool { return t.Sent <= k+spread && t.Ended >= k-spread }) ||
 		slices.ContainsFunc(stops, func(s time.Duration) bool { return t.Sent >= s+lateTaken && t.Sent <= s+10*time.Second })
 }
@@ -159,7 +161,7 @@
 // Compare sets the clients' ledger against the hosts'. excused tells which unanswered tries were lost for a
 // reason that no rule forbids, as with a gateway that was killed; the number of those is returned. The hosts'
 // ledgers must be at rest.
-func Compare(tries []Try, hosts []*Host, excused func(Try) bool) (found []Finding, crashed int) {
+func Compare(tries []Attempt, hosts []*EndpointRecord, excused func(Attempt) bool) (found []Finding, crashed int) {
 	known := make(map[string]bool, len(tries))
 	for _, t := range tries {
 		known[t.ID] = true
--- a/internal/lab/requestrecord/ledger_test.go
+++ b/internal/lab/requestrecord/record_test.go
@@ -9,13 +9,13 @@
 // Each planted fault is found once, under its rule and by its id; what is in order is not.
 func TestCompareFindsEachFaultByItsID(t *testing.T) {
 	good := Hash([]byte("made"))
-	a, b := NewHost("a"), NewHost("b")
-	made := func(h *Host, id string, begun int, bodies ...uint64) {
+	a, b := NewEndpointRecord("a"), NewEndpointRecord("b")
+	made := func(h *EndpointRecord, id string, begun int, bodies ...uint64) {
 		*h.Of(id) = Entry{Arrivals: begun, Begun: begun, Ended: begun, Returned: bodies}
 	}
-	served := Try{Whole: true, Answers: 1, Status: 200, Hash: good}
-	var tries []Try
-	add := func(id string, t Try) { t.ID = id; tries = append(tries, t) }
+	served := Attempt{Whole: true, Answers: 1, Status: 200, Hash: good}
+	var tries []Attempt
+	add := func(id string, t Attempt) { t.ID = id; tries = append(tries, t) }
 
 	add("fine", served)
 	made(a, "fine", 1, good)
@@ -28,24 +28,24 @@
 	add("bid-twice", bid)
 	made(a, "bid-twice", 1, good)
 	made(b, "bid-twice", 1, 98)
-	add("foreign", Try{Whole: true, Answers: 1, Status: 200, Hash: 5})
+	add("foreign", Attempt{Whole: true, Answers: 1, Status: 200, Hash: 5})
 	made(a, "foreign", 1, good)
-	add("dropped", Try{Whole: true, Cause: "silence"})
-	add("crashed", Try{Whole: true, Target: "killed"})
-	add("never-sent", Try{})
+	add("dropped", Attempt{Whole: true, Cause: "silence"})
+	add("crashed", Attempt{Whole: true, Target: "killed"})
+	add("never-sent", Attempt{})
 	double := served
 	double.Answers = 2
 	add("double", double)
 	made(b, "double", 1, good)
-	add("refused-ran", Try{Whole: true, Unsafe: true, Answers: 1, Status: 503})
+	add("refused-ran", Attempt{Whole: true, Unsafe: true, Answers: 1, Status: 503})
 	made(b, "refused-ran", 1)
-	add("refused-view", Try{Whole: true, Answers: 1, Status: 503})
+	add("refused-view", Attempt{Whole: true, Answers: 1, Status: 503})
 	made(b, "refused-view", 1)
-	add("failed-ran", Try{Whole: true, Unsafe: true, Answers: 1, Status: 502})
+	add("failed-ran", Attempt{Whole: true, Unsafe: true, Answers: 1, Status: 502})
 	made(b, "failed-ran", 1)
 	made(b, "nobody-sent", 1)
 
-	found, crashed := Compare(tries, []*Host{a, b}, func(t Try) bool { return t.Target == "killed" })
+	found, crashed := Compare(tries, []*EndpointRecord{a, b}, func(t Attempt) bool { return t.Target == "killed" })
 	want := map[string]string{"bid-twice": RanTwice, "foreign": ForeignBody, "dropped": Unanswered, "double": AnsweredTwice,
 		"refused-ran": RefusedRan, "nobody-sent": InventedID}
 	for _, f := range found {
@@ -61,14 +61,14 @@
 
 func TestIDsAreNotReused(t *testing.T) {
 	c := NewClients()
-	if err := c.Add(Try{ID: "x"}); err != nil {
+	if err := c.Add(Attempt{ID: "x"}); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Add(Try{ID: "x"}); err == nil || !strings.Contains(err.Error(), "x") {
+	if err := c.Add(Attempt{ID: "x"}); err == nil || !strings.Contains(err.Error(), "x") {
 		t.Errorf("a second x: %v", err)
 	}
-	c.Update("x", func(t *Try) { t.Ended = time.Second })
-	c.Update("y", func(*Try) { t.Error("an unknown id has a try") })
+	c.Update("x", func(t *Attempt) { t.Ended = time.Second })
+	c.Update("y", func(*Attempt) { t.Error("an unknown id has a try") })
 	if all := c.Tries(); len(all) != 1 || all[0].Ended != time.Second {
 		t.Errorf("%+v", all)
 	}
@@ -76,20 +76,20 @@
 
 // A keyed request may run again in its cell and nowhere else, and is not refused once it may have run.
 func TestKeyedWorkStaysInItsCell(t *testing.T) {
-	a, b, other := NewHost("a"), NewHost("b"), NewHost("c")
+	a, b, other := NewEndpointRecord("a"), NewEndpointRecord("b"), NewEndpointRecord("c")
 	other.Cell = 1
-	var tries []Try
-	for id, hosts := range map[string][]*Host{"same-cell": {a, b}, "two-cells": {a, other}, "refused": {a}} {
+	var tries []Attempt
+	for id, hosts := range map[string][]*EndpointRecord{"same-cell": {a, b}, "two-cells": {a, other}, "refused": {a}} {
 		status := 200
 		if id == "refused" {
 			status = 503
 		}
-		tries = append(tries, Try{ID: id, Keyed: true, Whole: true, Answers: 1, Status: status, Hash: 1})
+		tries = append(tries, Attempt{ID: id, Keyed: true, Whole: true, Answers: 1, Status: status, Hash: 1})
 		for _, h := range hosts {
 			*h.Of(id) = Entry{Arrivals: 1, Begun: 1, Ended: 1, Returned: []uint64{1}}
 		}
 	}
-	found, _ := Compare(tries, []*Host{a, b, other}, nil)
+	found, _ := Compare(tries, []*EndpointRecord{a, b, other}, nil)
 	want := map[string]string{"two-cells": RanTwice, "refused": RefusedRan}
 	for _, f := range found {
 		if want[f.ID] != f.Rule {
--- a/internal/lab/simulation/agents.go
+++ b/internal/lab/simulation/agents.go
@@ -17,8 +17,8 @@
 type agent struct {
 	d    *discoveryServer
 	via  int
-	list *registry.Roster
-	past []*registry.Roster // as it was before, oldest first
+	list *registry.Registry
+	past []*registry.Registry // as it was before, oldest first
 	away bool
 
 	written int           // the version that its gateway was written last, if it lives
@@ -29,21 +29,21 @@
 // between could not have been told.
 const settle = 500 * time.Millisecond
 
-// mostPast is how many versions back an agent may return with.
-const mostPast = 6
+// maxPast is how many versions back an agent may return with.
+const maxPast = 6
 
 // of is the list that a gateway's calls are answered from: its agent's, or discovery's own where it is asked.
-func (d *discoveryServer) of(via int) *registry.Roster {
+func (d *discoveryServer) of(via int) *registry.Registry {
 	if len(d.agents) == 0 {
 		return d.list
 	}
 	return d.agents[via].list
 }
 
-// told is when a gateway was told, or counts as told, that a host drains or is gone.
-func (d *discoveryServer) told(gateway int, host string) (registry.Told, bool) {
+// notification is when a gateway was told, or counts as told, that a host drains or is gone.
+func (d *discoveryServer) notification(gateway int, host string) (registry.Notification, bool) {
 	t, ok := d.of(gateway).Told(gatewayName(gateway), host)
-	if by, over := d.latest.told(host); over && (!ok || by.At < t.At) {
+	if by, over := d.latest.notified(host); over && (!ok || by.At < t.At) {
 		return by, true
 	}
 	return t, ok
@@ -66,19 +66,19 @@
 	if a.away || a.d.down || a.d.mute || a.list.Seq() >= a.d.list.Seq() {
 		return
 	}
-	if a.past = append(a.past, a.list.Copy()); len(a.past) > mostPast {
+	if a.past = append(a.past, a.list.Copy()); len(a.past) > maxPast {
 		a.past = a.past[1:]
 	}
 	a.list.Follow(a.d.list)
-	a.tell()
+	a.notify()
 }
 
-// tell has what the agent has count as told, and writes it to whoever watches.
-func (a *agent) tell() {
+// notify has what the agent has count as told, and writes it to whoever watches.
+func (a *agent) notify() {
 	if a.d.w.gateways[a.via].up && !a.away {
 		a.list.Note(gatewayName(a.via), a.d.w.sim.Now())
 	}
-	a.d.tellAll()
+	a.d.notifyAll()
 }
 
 // anew has the agent take a list whose versions have begun anew.
@@ -105,7 +105,7 @@
 		a.d.w.sim.Note("the agent of %s is back", gatewayName(a.via))
 		if !old || len(a.past) == 0 {
 			a.sent()
-			a.tell()
+			a.notify()
 			return
 		}
 		a.list.Follow(a.past[0])
--- a/internal/lab/simulation/portions.go
+++ b/internal/lab/simulation/assignments.go
@@ -37,9 +37,9 @@
 }
 
 // cold counts an arrival at a cold host: no window of the rule may hold more than what the host may get at that time.
-func (w *world) cold(h *host, now time.Duration) {
+func (w *simulator) cold(h *host, now time.Duration) {
 	e, ok := w.disc.list.Find(h.name)
-	if !w.plan.Shares || !ok || e.Born == 0 || w.beliefs.done {
+	if !w.plan.Shares || !ok || e.Born == 0 || w.views.done {
 		return
 	}
 	cold := h.spec.Cold
@@ -65,8 +65,8 @@
 	}
 }
 
-// portions holds what each gateway goes by against the others', after a time in which nothing happened.
-func (w *world) portions() {
+// checkAssignments holds what each gateway goes by against the others', after a time in which nothing happened.
+func (w *simulator) checkAssignments() {
 	if !w.plan.Shares {
 		return
 	}
--- a/internal/lab/simulation/portions_test.go
+++ b/internal/lab/simulation/assignments_test.go
@@ -10,8 +10,8 @@
 	"thymebend/internal/loop"
 )
 
-// telling changes the payload that one gateway tells of itself, in every datagram of its own.
-func telling(gateway int, change func(payload []byte) []byte) func(loop.Reducer) loop.Reducer {
+// notifying changes the payload that one gateway tells of itself, in every datagram of its own.
+func notifying(gateway int, change func(payload []byte) []byte) func(loop.Reducer) loop.Reducer {
 	started := 0
 	name := gatewayName(gateway)
 	return func(r loop.Reducer) loop.Reducer {
@@ -87,7 +87,7 @@
 			return b
 		},
 	} {
-		o := play(p, nil, telling(1, lie))
+		o := play(p, nil, notifying(1, lie))
 		for _, f := range o.Findings {
 			if f.Rule != NotWhole { // who lies of its traffic goes by another division than those who believe it
 				t.Errorf("%s: %+v", name, f)
--- a/internal/lab/simulation/callqueue.go
+++ b/internal/lab/simulation/callqueue.go
@@ -22,8 +22,8 @@
 	WholeFirst bool `json:"whole_first,omitempty"`
 }
 
-// fleetCalls is the discovery of the fleet profile: it answers 667 calls a second, whatever their lists.
-func fleetCalls() CallQueue {
+// clusterCalls is the discovery of the fleet profile: it answers 667 calls a second, whatever their lists.
+func clusterCalls() CallQueue {
 	return CallQueue{LinesPerSecond: 1000, CallLines: 1.5, TimeoutMS: 1000}
 }
 
--- a/internal/lab/simulation/callqueue_test.go
+++ b/internal/lab/simulation/callqueue_test.go
@@ -51,7 +51,7 @@
 // A change counts as told after 6 s, or after the time that discovery needs for the calls that it has caused.
 func TestWhenAChangeCountsAsTold(t *testing.T) {
 	sim := NewSim(1, nil)
-	latest := &toldBy{sim: sim, work: 100 * time.Millisecond}
+	latest := &notificationDeadlines{sim: sim, work: 100 * time.Millisecond}
 	start := sim.Now()
 	after := func(d time.Duration) time.Duration { sim.Run(start + d); return d }
 	latest.changed(registry.Entry{Host: "a", State: registry.Draining})
@@ -59,33 +59,33 @@
 	after(3 * time.Second)
 	latest.changed(registry.Entry{Host: "a", State: registry.Removed}) // the first notice counts
 	after(5999 * time.Millisecond)
-	if told, ok := latest.told("a"); ok {
+	if told, ok := latest.notified("a"); ok {
 		t.Errorf("told early: %v", told)
 	}
-	after(toldAtTheLatest)
-	if told, ok := latest.told("a"); !ok || told.At != start+toldAtTheLatest || told.State != registry.Draining {
+	after(notifiedAtTheLatest)
+	if told, ok := latest.notified("a"); !ok || told.At != start+notifiedAtTheLatest || told.State != registry.Draining {
 		t.Errorf("%v, %v", told, ok)
 	}
 	latest.changed(registry.Entry{Host: "b", State: registry.Draining})
 	from := after(7 * time.Second)
 	latest.caused(100) // 10 s of work
 	after(25 * time.Second)
-	if told, ok := latest.told("b"); !ok || told.At != start+from+silenceNoticed+15*time.Second {
+	if told, ok := latest.notified("b"); !ok || told.At != start+from+silenceNoticed+15*time.Second {
 		t.Errorf("%v, %v", told, ok)
 	}
-	if told, ok := latest.told("a"); !ok || told.At != start+toldAtTheLatest {
+	if told, ok := latest.notified("a"); !ok || told.At != start+notifiedAtTheLatest {
 		t.Errorf("what was told is put off: %v, %v", told, ok)
 	}
 	latest.changed(registry.Entry{Host: "a", State: registry.Up})
-	if _, ok := latest.told("a"); ok {
+	if _, ok := latest.notified("a"); ok {
 		t.Error("a host that is up counts as leaving")
 	}
 }
 
 // watchers starts a world of gateways with a discovery that works in turn, and lets each have its list.
-func watchers(t *testing.T, calls CallQueue) *world {
+func watchers(t *testing.T, calls CallQueue) *simulator {
 	t.Helper()
-	w := newWorld(Plan{Seed: 1, Gateways: 4, Hosts: 3, Sockets: 300, LatencyUS: 200, CostUS: 10, Calls: &calls}, nil,
+	w := newSimulator(Plan{Seed: 1, Gateways: 4, Hosts: 3, Sockets: 300, LatencyUS: 200, CostUS: 10, Calls: &calls}, nil,
 		func(r loop.Reducer) loop.Reducer { return r })
 	w.build()
 	w.sim.Run(epoch + 3*time.Second)
@@ -99,7 +99,7 @@
 func (d *discoveryServer) listed() map[int]bool {
 	list := make(map[int]bool)
 	for _, c := range d.watches {
-		if c.told && !c.end.closed {
+		if c.notified && !c.end.closed {
 			list[c.via] = true
 		}
 	}
@@ -176,8 +176,8 @@
 	}
 }
 
-// impatient is a gateway with a planted defect: it gives a call up that waits in discovery's queue, and calls again.
-type impatient struct {
+// impatientClient is a gateway with a planted defect: it gives a call up that waits in discovery's queue, and calls again.
+type impatientClient struct {
 	loop.Reducer
 	waiting map[loop.Conn]bool // calls that nothing has been heard of
 }
@@ -189,7 +189,7 @@
 const giveUpTimer = 201
 
 // Step implements loop.Reducer.
-func (g *impatient) Step(now time.Duration, e loop.Event) []loop.Effect {
+func (g *impatientClient) Step(now time.Duration, e loop.Event) []loop.Effect {
 	if e.Kind == loop.TimerDue && e.Timer.Kind == giveUpTimer {
 		conn := loop.Conn(e.Timer.ID)
 		if !g.waiting[conn] {
@@ -212,7 +212,7 @@
 }
 
 func makeImpatient(r loop.Reducer) loop.Reducer {
-	return &impatient{Reducer: r, waiting: make(map[loop.Conn]bool)}
+	return &impatientClient{Reducer: r, waiting: make(map[loop.Conn]bool)}
 }
 
 // The rule on when a change counts as told can fail: gateways that give up calls in the queue break it.
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -21,12 +21,12 @@
 
 // client is one try of one request.
 type client struct {
-	w       *world
+	w       *simulator
 	req     Request
 	number  int // of the request
 	try     int
 	id      string
-	gw      *machine
+	gw      *gatewayNode
 	end     *End
 	used    bool // the connection carried a request before
 	inbox   []byte
@@ -38,13 +38,7 @@
 	out     []byte
 }
 
-// link is a client connection at rest.
-type link struct {
-	end *End
-	gw  *machine
-}
-
-func (w *world) arrive(n int, r Request, try int) {
+func (w *simulator) arrive(n int, r Request, try int) {
 	w.lastID++
 	c := &client{w: w, req: r, number: n, try: try, id: fmt.Sprintf("%08x", w.lastID)}
 	if c.gw = w.front(); c.gw == nil {
@@ -55,14 +49,14 @@
 		class = "bid-lodge"
 	}
 	c.strict = w.strict
-	_ = w.clients.Add(requestrecord.Try{ID: c.id, Request: n, Number: try, Class: class, Unsafe: r.Unsafe || c.strict, Target: c.gw.name,
+	_ = w.clients.Add(requestrecord.Attempt{ID: c.id, Request: n, Number: try, Class: class, Unsafe: r.Unsafe || c.strict, Target: c.gw.name,
 		Due: w.sim.Now()})
 	w.sim.Note("client %s asks %s", c.id, c.gw.name)
 	w.asked++
 	if r.Act == "" && !r.Fresh || r.Act == "stop" && r.Pieces%2 == 0 {
 		if l := w.rest(c.gw); l != nil {
 			c.end, c.used = l.end, true
-			c.end.ready = c.heard
+			c.end.ready = c.received
 			c.write()
 			return
 		}
@@ -71,7 +65,7 @@
 }
 
 // rest takes an idle connection to a gateway.
-func (w *world) rest(gw *machine) *link {
+func (w *simulator) rest(gw *gatewayNode) *link {
 	for i, l := range w.idle {
 		if l.gw == gw && !l.end.Gone() && len(l.end.inbox) == 0 {
 			w.idle = append(w.idle[:i:i], w.idle[i+1:]...)
@@ -91,7 +85,7 @@
 			c.finish("connect refused")
 			return
 		}
-		c.end.ready = c.heard
+		c.end.ready = c.received
 		c.write()
 	})
 	end := c.end
@@ -244,11 +238,11 @@
 func (c *client) wasSent() {
 	c.sent = true
 	now := c.w.sim.Now()
-	c.w.clients.Update(c.id, func(t *requestrecord.Try) { t.Whole, t.Sent = true, now })
+	c.w.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Whole, t.Sent = true, now })
 	c.w.sim.After(msec(c.req.Patient)+slack, func() { c.finish("silence") })
 }
 
-func (c *client) heard() {
+func (c *client) received() {
 	if c.over {
 		return
 	}
@@ -259,7 +253,7 @@
 	if len(c.inbox) > 0 {
 		if status, body, keep, extra, whole := answer(c.inbox, c.end.fin); whole {
 			if extra { // an answer that nobody asked for
-				c.w.clients.Update(c.id, func(t *requestrecord.Try) { t.Answers++ })
+				c.w.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Answers++ })
 			}
 			c.answered(status, body, keep && !extra)
 			return
@@ -305,16 +299,16 @@
 		c.w.find(Wronged, c.id, "a good request got %d", status)
 	}
 	c.w.sim.Note("client %s got %d %x", c.id, status, requestrecord.Hash(body))
-	c.w.clients.Update(c.id, func(t *requestrecord.Try) {
+	c.w.clients.Update(c.id, func(t *requestrecord.Attempt) {
 		t.Answers++
 		t.Status, t.Hash = status, requestrecord.Hash(body)
 	})
 	c.w.statuses[status]++
 	c.over = true
 	now := c.w.sim.Now()
-	c.w.clients.Update(c.id, func(t *requestrecord.Try) { t.Ended = now })
+	c.w.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Ended = now })
 	if keep {
-		c.keep()
+		c.keepAlive()
 	} else {
 		c.end.ready = nil
 		c.end.Close()
@@ -332,15 +326,15 @@
 	return body
 }
 
-// keep rests the link. What comes on it now is an answer that nobody asked for.
-func (c *client) keep() {
+// keepAlive rests the link. What comes on it now is an answer that nobody asked for.
+func (c *client) keepAlive() {
 	l := &link{end: c.end, gw: c.gw}
 	c.w.idle = append(c.w.idle, l)
 	id := c.id
 	c.end.ready = func() {
 		if len(l.end.inbox) > 0 {
 			l.end.Read(1 << 20)
-			c.w.clients.Update(id, func(t *requestrecord.Try) { t.Answers++ })
+			c.w.clients.Update(id, func(t *requestrecord.Attempt) { t.Answers++ })
 		}
 		if l.end.Gone() {
 			// What counts is when the gateway ended it, not when that shows.
@@ -374,7 +368,7 @@
 	}
 	if c.used && !c.crossed && len(c.inbox) == 0 && c.end.reset && !c.end.cut {
 		c.crossed, c.sent = true, false
-		c.w.clients.Update(c.id, func(t *requestrecord.Try) { t.Whole = false })
+		c.w.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Whole = false })
 		c.end.Close()
 		c.dial()
 		return
@@ -396,7 +390,7 @@
 	c.over = true
 	c.w.sim.Note("client %s ends: %s", c.id, why)
 	now := c.w.sim.Now()
-	c.w.clients.Update(c.id, func(t *requestrecord.Try) { t.Ended, t.Cause = now, why })
+	c.w.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Ended, t.Cause = now, why })
 	if c.end != nil {
 		c.end.ready = nil
 		c.end.Close()
@@ -414,7 +408,7 @@
 }
 
 // front deals requests out in turn among the gateways that it does not know to be dead.
-func (w *world) front() *machine {
+func (w *simulator) front() *gatewayNode {
 	for range w.gateways {
 		w.turn++
 		m := w.gateways[w.turn%len(w.gateways)]
--- a/internal/lab/simulation/fleetrates.go
+++ b/internal/lab/simulation/clusterrates.go
@@ -21,19 +21,19 @@
 // the gateways, and the bounds leave half as much again; with fewer the gateways have to use the same few, and sends and
 // connections opened may grow as the hosts get fewer.
 const (
-	// mostSends a second: a host of the plans does 25 of mean work and queues 14, and what it turns away has to be asked
+	// maxAttempts a second: a host of the plans does 25 of mean work and queues 14, and what it turns away has to be asked
 	// for before it is known to be full.
-	mostSends = 120
-	// mostOpened is one for each connection that it may hold, twice over: a second may see a host restart and all come back.
-	mostOpened = 2 * mostConnections
+	maxAttempts = 120
+	// maxOpened is one for each connection that it may hold, twice over: a second may see a host restart and all come back.
+	maxOpened = 2 * maxConnections
 )
 
 // sumOf names a sum: a rule, and the host at which it holds.
 type sumOf struct{ rule, host string }
 
-// fleetRates counts over the second under way.
-type fleetRates struct {
-	w         *world
+// clusterRates counts over the second under way.
+type clusterRates struct {
+	w         *simulator
 	second    time.Duration
 	sums      map[sumOf]int
 	broken    map[sumOf]bool
@@ -43,13 +43,13 @@
 	mostCalls int // over the run
 }
 
-func newFleetRates(w *world) *fleetRates {
-	return &fleetRates{w: w, sums: make(map[sumOf]int), broken: make(map[sumOf]bool), strain: make(map[int]float64), most: make(map[string]int)}
+func newClusterRates(w *simulator) *clusterRates {
+	return &clusterRates{w: w, sums: make(map[sumOf]int), broken: make(map[sumOf]bool), strain: make(map[int]float64), most: make(map[string]int)}
 }
 
 // strained is how many times more gateways use a host of this zone than where half of the zone's hosts run and are listed as up:
 // 1 while so many are left.
-func (w *world) strained(zone int) float64 {
+func (w *simulator) strained(zone int) float64 {
 	all, left := 0, 0
 	for _, h := range w.hosts {
 		if h.zone() != zone {
@@ -64,7 +64,7 @@
 }
 
 // begin begins a new second if one is over.
-func (r *fleetRates) begin() {
+func (r *clusterRates) begin() {
 	if now := r.w.sim.Since(); now-r.second >= time.Second {
 		r.second = now - now%time.Second
 		clear(r.sums)
@@ -74,12 +74,12 @@
 	}
 }
 
-func (r *fleetRates) send(h *host) { r.count(OverSent, h, mostSends) }
+func (r *clusterRates) send(h *host) { r.count(OverSent, h, maxAttempts) }
 
-func (r *fleetRates) open(h *host) { r.count(OverOpened, h, mostOpened) }
+func (r *clusterRates) open(h *host) { r.count(OverOpened, h, maxOpened) }
 
 // count adds one to a host's sum under a rule, and finds it over its bound once in a second.
-func (r *fleetRates) count(rule string, h *host, most int) {
+func (r *clusterRates) count(rule string, h *host, most int) {
 	if r == nil {
 		return
 	}
@@ -98,13 +98,13 @@
 
 // strainOf is how strained a zone was at most in this second, as far as it was asked for: a zone that had few hosts left may have
 // more at each of them in all of it.
-func (r *fleetRates) strainOf(zone int) float64 {
+func (r *clusterRates) strainOf(zone int) float64 {
 	r.strain[zone] = max(r.strain[zone], r.w.strained(zone))
 	return r.strain[zone]
 }
 
 // call counts a call at discovery. Each gateway may call twice in a second: once more after one that failed.
-func (r *fleetRates) call() {
+func (r *clusterRates) call() {
 	if r == nil {
 		return
 	}
@@ -116,7 +116,7 @@
 	}
 }
 
-func (r *fleetRates) String() string {
+func (r *clusterRates) String() string {
 	if r == nil {
 		return ""
 	}
--- a/internal/lab/simulation/fleetrates_test.go
+++ b/internal/lab/simulation/clusterrates_test.go
@@ -7,10 +7,10 @@
 )
 
 // twoZones is a world of twelve hosts that all run: eight in the first zone, four in the second. It counts what is asked of them.
-func twoZones(t *testing.T) *world {
+func twoZones(t *testing.T) *simulator {
 	t.Helper()
-	w := newWorld(Plan{Seed: 1, Gateways: 2, Hosts: 12, Sockets: 200, Zones: 2, LatencyUS: 200}, nil, nil)
-	w.rates = newFleetRates(w)
+	w := newSimulator(Plan{Seed: 1, Gateways: 2, Hosts: 12, Sockets: 200, Zones: 2, LatencyUS: 200}, nil, nil)
+	w.rates = newClusterRates(w)
 	w.disc = &discoveryServer{w: w, list: registry.New()}
 	for n := range w.plan.Hosts {
 		w.addHost(n, nil, false)
@@ -19,7 +19,7 @@
 }
 
 // lose stops so many hosts of a zone and returns one that is left.
-func (w *world) lose(zone, many int) *host {
+func (w *simulator) lose(zone, many int) *host {
 	var left *host
 	for _, h := range w.hosts {
 		switch {
@@ -44,11 +44,11 @@
 		most        int
 		mayBeDenied bool // a connection beyond what the host holds is no finding
 	}{
-		{"all run", [2]int{0, 0}, 0, mostSends, false},
-		{"half of the zone", [2]int{4, 0}, 0, mostSends, false},
-		{"a quarter of the zone, though half of all", [2]int{0, 3}, 1, 2 * mostSends, true},
-		{"the zone is whole, though fewer than half of all are left", [2]int{7, 0}, 1, mostSends, false},
-		{"one of eight", [2]int{7, 0}, 0, 4 * mostSends, true},
+		{"all run", [2]int{0, 0}, 0, maxAttempts, false},
+		{"half of the zone", [2]int{4, 0}, 0, maxAttempts, false},
+		{"a quarter of the zone, though half of all", [2]int{0, 3}, 1, 2 * maxAttempts, true},
+		{"the zone is whole, though fewer than half of all are left", [2]int{7, 0}, 1, maxAttempts, false},
+		{"one of eight", [2]int{7, 0}, 0, 4 * maxAttempts, true},
 	} {
 		w := twoZones(t)
 		w.lose(0, c.lost[0])
@@ -75,7 +75,7 @@
 func TestBoundsOfAHostLastASecond(t *testing.T) {
 	w := twoZones(t)
 	h := w.lose(1, 3)
-	for range 2*mostOpened - 1 {
+	for range 2*maxOpened - 1 {
 		w.rates.open(h)
 	}
 	for _, other := range w.hosts {
--- a/internal/lab/simulation/datagrams.go
+++ b/internal/lab/simulation/datagrams.go
@@ -13,13 +13,13 @@
 
 // Sizes of the real loop's datagram sockets, and of a kernel's buffer.
 const (
-	mostDatagram   = 2048
+	maxDatagram    = 2048
 	datagramsAtOne = 32
-	mostQueued     = 256
+	maxQueued      = 256
 )
 
-// dsock is a datagram socket.
-type dsock struct {
+// datagramSocket is a datagram socket.
+type datagramSocket struct {
 	loop   *Loop
 	conn   loop.Conn
 	addr   netip.AddrPort
@@ -33,38 +33,38 @@
 	data []byte
 }
 
-func (s *dsock) isReady() bool { return !s.muted && len(s.inbox) > 0 }
+func (s *datagramSocket) isReady() bool { return !s.muted && len(s.inbox) > 0 }
 
 // bind opens a datagram socket. Where two processes have one address the later one hears; the real kernel deals them out.
 func (l *Loop) bind(f loop.Effect) {
 	if l.full() {
-		l.tell(loop.Event{Kind: loop.Broken, Conn: f.Conn, Err: unix.EMFILE})
+		l.queueEvent(loop.Event{Kind: loop.Broken, Conn: f.Conn, Err: unix.EMFILE})
 		return
 	}
-	s := &dsock{loop: l, conn: f.Conn, addr: f.Addr, urgent: f.Urgent}
+	s := &datagramSocket{loop: l, conn: f.Conn, addr: f.Addr, urgent: f.Urgent}
 	l.datagrams[f.Conn], l.net.bound[f.Addr] = s, s
-	l.tell(loop.Event{Kind: loop.Listening, Conn: f.Conn})
+	l.queueEvent(loop.Event{Kind: loop.Listening, Conn: f.Conn})
 }
 
-func (l *Loop) unbind(s *dsock) {
+func (l *Loop) unbind(s *datagramSocket) {
 	delete(l.datagrams, s.conn)
 	if l.net.bound[s.addr] == s {
 		delete(l.net.bound, s.addr)
 	}
 }
 
-func (l *Loop) doDatagrams(s *dsock, f loop.Effect) {
+func (l *Loop) carryOutOnDatagrams(s *datagramSocket, f loop.Effect) {
 	switch f.Op {
 	case loop.Read:
 		for range datagramsAtOne {
 			if len(s.inbox) == 0 {
-				l.tell(loop.Event{Kind: loop.Drained, Conn: s.conn})
+				l.queueEvent(loop.Event{Kind: loop.Drained, Conn: s.conn})
 				return
 			}
 			d := s.inbox[0]
 			s.inbox = s.inbox[1:]
-			if len(d.data) > 0 && len(d.data) <= mostDatagram { // a longer one comes cut, and is dropped
-				l.tell(loop.Event{Kind: loop.Data, Conn: s.conn, Data: d.data, From: d.from})
+			if len(d.data) > 0 && len(d.data) <= maxDatagram { // a longer one comes cut, and is dropped
+				l.queueEvent(loop.Event{Kind: loop.Data, Conn: s.conn, Data: d.data, From: d.from})
 			}
 		}
 	case loop.SendTo:
@@ -78,12 +78,12 @@
 }
 
 // bindings returns the datagram sockets in order.
-func (l *Loop) bindings() []*dsock {
-	return slices.SortedFunc(maps.Values(l.datagrams), func(a, b *dsock) int { return cmp.Compare(a.conn, b.conn) })
+func (l *Loop) bindings() []*datagramSocket {
+	return slices.SortedFunc(maps.Values(l.datagrams), func(a, b *datagramSocket) int { return cmp.Compare(a.conn, b.conn) })
 }
 
 // datagram carries one datagram, or loses, doubles or delays it. Each takes its own time, so they may overtake one another.
-func (n *Net) datagram(from *dsock, to netip.AddrPort, data []byte) {
+func (n *Net) datagram(from *datagramSocket, to netip.AddrPort, data []byte) {
 	copies := 1
 	if n.sim.Chance(n.DoubleDatagrams) {
 		copies = 2
@@ -94,7 +94,7 @@
 		}
 		n.sim.After(n.delay(), func() {
 			s := n.bound[to]
-			if s == nil || !s.loop.Running() || len(s.inbox) >= mostQueued || s.loop.silent != nil && *s.loop.silent {
+			if s == nil || !s.loop.Running() || len(s.inbox) >= maxQueued || s.loop.silent != nil && *s.loop.silent {
 				return
 			}
 			s.inbox = append(s.inbox, datagram{from.addr, data})
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -17,30 +17,30 @@
 
 // discovery plays discovery: the roster behind a listener for each gateway.
 type discoveryServer struct {
-	w       *world
-	list    *registry.Roster
+	w       *simulator
+	list    *registry.Registry
 	doors   []*Listener
 	addrs   []netip.AddrPort
 	port    uint16
 	watches []*watch // open ones, oldest first
 	down    bool
-	queue   *callQueue // of calls, where each takes its time
-	latest  *toldBy    // with Plan.Calls
+	queue   *callQueue             // of calls, where each takes its time
+	latest  *notificationDeadlines // with Plan.Calls
 	mute    bool
 	lag     time.Duration
 	agents  []*agent // where lists are pushed, by gateway
 }
 
 type watch struct {
-	end     *End
-	via     int
-	inbox   []byte
-	after   int
-	asked   bool
-	started bool
-	told    bool // its first line has gone out
-	spoke   time.Duration
-	silent  time.Duration // it is written nothing until then
+	end      *End
+	via      int
+	inbox    []byte
+	after    int
+	asked    bool
+	started  bool
+	notified bool // its first line has gone out
+	spoke    time.Duration
+	silent   time.Duration // it is written nothing until then
 }
 
 func (d *discoveryServer) open(via int) {
@@ -55,8 +55,8 @@
 			}
 			c := &watch{end: e, via: via, spoke: d.w.sim.Now()}
 			d.watches = append(d.watches, c)
-			e.ready = func() { d.heard(c) }
-			d.heard(c)
+			e.ready = func() { d.received(c) }
+			d.received(c)
 		}
 	})
 	if old := d.doors[via]; old != nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-func (d *discoveryServer) heard(c *watch) {
+func (d *discoveryServer) received(c *watch) {
 	c.inbox = append(c.inbox, c.end.Read(1<<16)...)
 	if c.end.Gone() {
 		d.drop(c)
@@ -114,7 +114,7 @@
 
 // wholeFirst tells whether a watch is to be answered with the whole list without draining hosts.
 func (d *discoveryServer) wholeFirst(c *watch) bool {
-	return d.queue != nil && d.queue.WholeFirst && !c.told
+	return d.queue != nil && d.queue.WholeFirst && !c.notified
 }
 
 // hostsFor is how many hosts the next line of a watch names.
@@ -137,17 +137,17 @@
 	}
 	c.started = true
 	_, _ = c.end.Write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
-	d.tell(c)
+	d.notify(c)
 	d.beat(c)
 }
 
-// tell writes what the watch has not been told.
-func (d *discoveryServer) tell(c *watch) {
+// notify writes what the watch has not been told.
+func (d *discoveryServer) notify(c *watch) {
 	list := d.of(c.via)
-	if d.mute && len(d.agents) == 0 || d.w.sim.Now() < c.silent || !c.started || c.told && list.Seq() <= c.after {
+	if d.mute && len(d.agents) == 0 || d.w.sim.Now() < c.silent || !c.started || c.notified && list.Seq() <= c.after {
 		return
 	}
-	if c.told && d.queue != nil && d.w.sim.Chance(d.queue.EndWatches) {
+	if c.notified && d.queue != nil && d.w.sim.Chance(d.queue.EndWatches) {
 		d.end(c)
 		return
 	}
@@ -155,7 +155,7 @@
 	if d.wholeFirst(c) {
 		line = list.ServingLine(gatewayName(c.via))
 	}
-	c.after, c.told = list.Seq(), true
+	c.after, c.notified = list.Seq(), true
 	d.write(c, line)
 	if len(d.agents) > 0 { // it was told when its agent was
 		d.agents[c.via].written, d.agents[c.via].since = list.Seq(), d.w.sim.Now()
@@ -191,13 +191,13 @@
 		d.latest.changed(e)
 		d.w.sim.Note("discovery %d: %s %s", d.list.Seq(), e.Host, e.State)
 		d.push()
-		d.tellAll()
+		d.notifyAll()
 	})
 }
 
-func (d *discoveryServer) tellAll() {
+func (d *discoveryServer) notifyAll() {
 	for _, c := range append([]*watch(nil), d.watches...) {
-		d.tell(c)
+		d.notify(c)
 	}
 }
 
@@ -224,20 +224,20 @@
 
 // resetOpen resets all watches that stand. Calls that wait in the queue stay there.
 func (d *discoveryServer) resetOpen() {
-	d.latest.caused(d.reset(func(c *watch) bool { return c.told }))
+	d.latest.caused(d.reset(func(c *watch) bool { return c.notified }))
 }
 
 // silence has all watches that stand be written nothing for a while. Calls are answered as ever.
 func (d *discoveryServer) silence(length time.Duration) {
 	count := 0
 	for _, c := range d.watches {
-		if c.told {
+		if c.notified {
 			c.silent = d.w.sim.Now() + length
 			count++
 		}
 	}
 	d.latest.caused(count)
-	d.w.sim.After(length, d.tellAll)
+	d.w.sim.After(length, d.notifyAll)
 }
 
 // end ends a watch whose gateway then has to call again to hear of a change.
--- /dev/null
+++ b/internal/lab/simulation/draw.go
@@ -0,0 +1,355 @@
+package simulation
+
+import (
+	"cmp"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+)
+
+// drawing is a plan under way. The order of its random draws must not change: kept seeds go on playing what they did.
+type drawing struct {
+	rng    *rand.Rand
+	plan   Plan
+	kinds  []string        // faults of the profile
+	on     map[string]bool // those of this plan
+	length int             // of the traffic, in ms
+	rate   float64         // requests a second
+}
+
+// between draws an integer from a closed interval.
+func (d *drawing) between(least, most int) int { return least + d.rng.IntN(most-least+1) }
+
+// drawProfile draws what the profile has of its own.
+func (d *drawing) drawProfile() {
+	p, rng := &d.plan, d.rng
+	switch p.Profile {
+	case coldReturnProfile:
+		if rng.IntN(2) == 0 {
+			p.Gateways = 4 + rng.IntN(13) // it is all gateways together that push a cold host over
+		}
+	case fleetProfile:
+		p.Gateways, p.Hosts, p.Zones = 100+rng.IntN(201), 60+rng.IntN(141), 2+rng.IntN(4)
+	case viewsProfile:
+		p.Gateways, p.Views = 2+rng.IntN(9), true
+	case sharesProfile:
+		p.Gateways, p.Hosts = 2+rng.IntN(15), 2+rng.IntN(15)
+		p.Views, p.Shares, p.Cold = true, true, rng.IntN(2) == 0
+		if rng.IntN(3) == 0 {
+			p.Zones, p.Barren = 2+rng.IntN(3), rng.IntN(2) == 0
+		}
+	case pushedProfile:
+		p.Pushed = true
+	case clockProfile:
+		p.Gateways, p.Cold = 2+rng.IntN(11), rng.IntN(2) == 0
+		for range p.Gateways {
+			p.ClockErrors = append(p.ClockErrors, drawClockError(rng))
+		}
+	case stoppedProfile:
+		p.DeadlineMS = []int{900, 2500, 3700, 4600, 12000}[rng.IntN(5)]
+	case discoveryLoadProfile:
+		p.Gateways, p.Hosts = 20+rng.IntN(41), 6+rng.IntN(7)
+	}
+}
+
+// drawKinds turns a subset of the profile's faults on (swarm testing): faults that are always on together hide one
+// another.
+func (d *drawing) drawKinds() {
+	for _, kind := range d.kinds {
+		if d.rng.IntN(2) == 0 {
+			d.on[kind] = true
+		}
+	}
+}
+
+// drawNetwork draws what is wrong with the network.
+func (d *drawing) drawNetwork() {
+	p := &d.plan
+	if d.on["net-split"] {
+		p.Split, p.Partial = 0.2, 0.3
+	}
+	if d.on["net-jitter"] {
+		p.JitterUS = d.between(500, 8000)
+	}
+	if d.on["net-reset"] {
+		p.Resets = 0.002
+	}
+	if d.on["net-lose"] {
+		p.LoseDials = 0.02
+	}
+	if d.on["net-lose-data"] {
+		p.LoseData = 0.02 + 0.13*d.rng.Float64()
+		if p.Profile == sharesProfile {
+			p.LoseData = 0.5 * d.rng.Float64()
+		}
+	}
+	if d.on["net-double-data"] {
+		p.DoubleData = 0.1
+	}
+	if d.on["net-slow"] {
+		p.CostUS = d.between(100, 400)
+	}
+}
+
+// drawTraffic draws how long requests come and how many a second, and bounds the cost of an event.
+func (d *drawing) drawTraffic(size Size) {
+	p := &d.plan
+	d.length = d.between(6000, 14000)
+	if p.Profile == fleetProfile {
+		d.length = 14000
+	}
+	if p.Profile == sharesProfile {
+		d.length += 8000 // membership settles in some seconds, and a host takes twelve to warm
+	}
+	d.rate = float64(p.Hosts) * (8 + 12*d.rng.Float64()) // of some 25 a second that a host can do
+	if p.Profile == discoveryLoadProfile {
+		d.length, d.rate = d.between(24000, 32000), d.rate*0.4
+		p.Calls = p.drawCalls(d.on, d.rng)
+	}
+	if size.Requests > 0 {
+		d.length = max(2000, int(float64(size.Requests)/d.rate*1000))
+	}
+	// A slow processor is one thing, one that cannot do its work at all another: no rule can be kept on that.
+	const eventsOfRequest, surge, most = 20, 2.5, 0.6
+	p.CostUS = min(p.CostUS, int(most*1e6/(d.rate/float64(p.Gateways)*eventsOfRequest*surge)))
+}
+
+// drawFaults draws when which fault happens, and for how long.
+func (d *drawing) drawFaults() {
+	p := &d.plan
+	times := 1 + (p.Hosts+p.Gateways)/20*d.length/20000 // faults are as dense in large runs
+	for _, kind := range d.kinds {
+		if !d.on[kind] || isState(kind) {
+			continue
+		}
+		d.on[kind] = false // some stand in a profile twice
+		for range times * d.between(1, 3) {
+			p.Faults = append(p.Faults, d.drawFault(kind))
+		}
+	}
+	p.Faults = append(p.Faults, p.fleetFaults(d.on, d.between)...)
+	if p.Profile == discoveryLoadProfile {
+		p.Faults = append(p.Faults, p.loadFaults(d.on, d.between, d.length)...)
+	}
+	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return cmp.Compare(a.AtMS, b.AtMS) })
+}
+
+// isState reports whether a kind of fault is none of a moment: it holds for the run, is drawn with the requests, or
+// befalls many at once.
+func isState(kind string) bool {
+	for _, prefix := range [...]string{"net-", "flee", "load", "rude"} {
+		if strings.HasPrefix(kind, prefix) {
+			return true
+		}
+	}
+	return kind == "surge" || kind == "bulk"
+}
+
+// drawFault draws one fault of a kind.
+func (d *drawing) drawFault(kind string) Fault {
+	f := Fault{AtMS: d.between(500, d.length-1000), Do: kind, ForMS: d.between(200, 4000)}
+	switch target, _, _ := strings.Cut(kind, "-"); target {
+	case "host":
+		f.Who = d.rng.IntN(d.plan.Hosts)
+	case "gateway", "view", "clock", "agent":
+		f.Who = d.rng.IntN(d.plan.Gateways)
+	}
+	switch kind {
+	case "view-cut":
+		f.What, f.ForMS = []string{"part", "one-way", "pair"}[d.rng.IntN(3)], d.between(500, 20000)
+	case "gateway-halt":
+		f.ForMS = d.between(200, 9000)
+	case "host-spoil":
+		what := spoils()
+		f.What, f.Share = what[d.rng.IntN(len(what))], 0.02+0.3*d.rng.Float64()
+	case "host-cut", "host-half":
+		f.Share = 0.1 + 0.4*d.rng.Float64()
+	case "host-errors":
+		f.Share = 0.05 + 0.4*d.rng.Float64()
+	case "gateway-term", "gateway-kill", "gateway-upgrade", "gateway-stillborn":
+		f.ForMS = d.between(200, 1500)
+	case "discovery-lag":
+		f.Share = float64(d.between(0, 4000))
+	case "clock-step":
+		f.Share = float64(drawClockError(d.rng))
+	case "gateway-reload":
+		if d.rng.IntN(4) == 0 {
+			f.What = "faulty"
+		}
+	}
+	return f
+}
+
+// drawRequests draws what clients ask, and when.
+func (d *drawing) drawRequests() {
+	var rude []string
+	for _, kind := range d.kinds {
+		if name, ok := strings.CutPrefix(kind, "rude-"); ok && d.on[kind] {
+			rude = append(rude, name)
+		}
+	}
+	surgeFrom, surgeTo := d.between(2000, d.length), 0
+	if d.on["surge"] {
+		surgeTo = surgeFrom + d.between(1000, 4000)
+	}
+	for at := 0.0; at < float64(d.length); {
+		rate := d.rate
+		if int(at) >= surgeFrom && int(at) < surgeTo {
+			rate *= 2.5
+		}
+		at += d.rng.ExpFloat64() * 1000 / rate
+		d.plan.Requests = append(d.plan.Requests, d.drawRequest(int(at), rude))
+	}
+}
+
+// drawRequest draws one request of a client, who may misbehave in one of several ways.
+func (d *drawing) drawRequest(atMS int, rude []string) Request {
+	rng := d.rng
+	r := Request{AtMS: atMS, Unsafe: rng.Float64() < 0.36, Patient: d.between(1200, 2500), Fresh: rng.IntN(20) == 0}
+	if rng.IntN(3) == 0 {
+		r.Retries = 1
+	}
+	if d.on["bulk"] && rng.IntN(8) == 0 {
+		r.Chunks = rng.IntN(2) == 0
+		if r.Unsafe {
+			r.Body = 50_000 + rng.IntN(300_000)
+		}
+		if rng.IntN(2) == 0 || !r.Unsafe {
+			r.Pad = 50_000 + rng.IntN(300_000)
+		}
+	}
+	if len(rude) > 0 && rng.IntN(10) == 0 {
+		r.Act, r.Retries = rude[rng.IntN(len(rude))], 0
+	}
+	if r.Act == "stop" {
+		r.Sends, r.Pieces, r.PauseMS = rng.Float64(), d.between(1, 3), d.between(10, 700)
+	}
+	return r
+}
+
+// Size overrides how large a run is drawn; zero leaves a figure to the seed.
+type Size struct{ Gateways, Hosts, Requests int }
+
+// check bounds a stated size.
+func (s Size) check() error {
+	gatewaysFit := s.Gateways >= 0 && s.Gateways <= maxGateways
+	hostsFit := s.Hosts >= 0 && s.Hosts <= maxHosts
+	if gatewaysFit && hostsFit && s.Requests >= 0 && s.Requests <= maxRequests {
+		return nil
+	}
+	return fmt.Errorf("gateways must be 1 to %d, hosts 1 to %d, requests at most %d", maxGateways, maxHosts, maxRequests)
+}
+
+// Draw makes the plan of a seed. An empty profile takes one by the seed.
+func Draw(seed uint64, profile string) (Plan, error) { return DrawSized(seed, profile, Size{}) }
+
+// DrawSized makes a plan of a stated size.
+func DrawSized(seed uint64, profile string, size Size) (Plan, error) {
+	rng := rand.New(rand.NewPCG(seed, 0xd1ce))
+	all := Profiles()
+	if profile == "" {
+		small := slices.DeleteFunc(slices.Clone(all), func(name string) bool { return !drawnByDefault(name) })
+		profile = small[rng.IntN(len(small))]
+	}
+	kinds, ok := profiles()[profile]
+	if !ok {
+		return Plan{}, fmt.Errorf("profile %q is none of %v", profile, all)
+	}
+	d := drawing{rng: rng, kinds: kinds, on: make(map[string]bool)}
+	d.plan = Plan{
+		Seed: seed, Profile: profile, Gateways: 1 + rng.IntN(3), Hosts: 2 + rng.IntN(7), Sockets: 256 + rng.IntN(512),
+		LagMS: rng.IntN(1500), LatencyUS: 50 + rng.IntN(400), CostUS: 5 + rng.IntN(30),
+	}
+	if err := size.check(); err != nil {
+		return Plan{}, err
+	}
+	d.drawProfile()
+	d.plan.Gateways, d.plan.Hosts = cmp.Or(size.Gateways, d.plan.Gateways), cmp.Or(size.Hosts, d.plan.Hosts)
+	d.drawKinds()
+	d.drawNetwork()
+	d.drawTraffic(size)
+	d.drawFaults()
+	d.drawRequests()
+	return d.plan, nil
+}
+
+// drawClockError is how many seconds a machine's wall clock is ahead.
+func drawClockError(rng *rand.Rand) int { return []int{-3600, 3600, -7, 0}[rng.IntN(4)] }
+
+// fleetFaults are what befalls many at once: every other host replaced within some seconds, seven in ten gateways killed
+// within moments, all hosts of a zone gone for seconds and back cold.
+func (p *Plan) fleetFaults(on map[string]bool, between func(int, int) int) []Fault {
+	var list []Fault
+	if on["fleet-replace"] {
+		at, within := between(1500, 3000), between(500, 4000)
+		for n := 0; n < p.Hosts; n += 2 {
+			list = append(list, Fault{AtMS: at + between(0, within), Do: "host-replace", Who: n})
+		}
+	}
+	if on["fleet-kill"] {
+		at := between(2000, 8000)
+		for n := range p.Gateways {
+			if between(1, 10) <= 7 {
+				list = append(list, Fault{AtMS: at + between(0, 300), Do: "gateway-kill", Who: n, ForMS: between(200, 1500)})
+			}
+		}
+	}
+	if on["fleet-lost"] {
+		at, zone, gone := between(2000, 6000), between(0, p.Zones-1), between(1500, 4000)
+		for n := range p.Hosts {
+			if zoneOfHost(n, p.hostZones()) == zone {
+				list = append(list, Fault{AtMS: at, Do: "host-down", Who: n, ForMS: gone + between(0, 300)})
+			}
+		}
+	}
+	return list
+}
+
+// drawCalls is a discovery that needs 1 to 4 s for a call of each gateway, one in four up to 10 s.
+func (p *Plan) drawCalls(on map[string]bool, rng *rand.Rand) *CallQueue {
+	calls := &CallQueue{CallLines: float64(20 + rng.IntN(41)), HostLines: 1, TimeoutMS: 3000, ShedAtOnce: on["load-at-once"], WholeFirst: on["load-whole"]}
+	all := 1 + 3*rng.Float64()
+	if rng.IntN(4) == 0 {
+		all = 4 + 6*rng.Float64()
+	}
+	calls.LinesPerSecond = float64(p.Gateways) * (calls.CallLines + float64(p.Hosts)) / all
+	if on["load-end"] {
+		calls.EndWatches = 0.6 * rng.Float64()
+	}
+	return calls
+}
+
+// loadFaults are storms of calls at discovery with hosts that leave meanwhile, half of them at most.
+func (p *Plan) loadFaults(on map[string]bool, between func(int, int) int, length int) []Fault {
+	var list []Fault
+	leaving := 0
+	for at := between(2000, 4000); at < length-8000; at += between(6000, 9000) {
+		if on["load-reset"] {
+			list = append(list, Fault{AtMS: at, Do: "discovery-reset"})
+		}
+		if on["load-silence"] {
+			list = append(list, Fault{AtMS: at + between(-500, 2000), Do: "discovery-silence", ForMS: between(1000, 6000)})
+		}
+		for range between(1, 2) {
+			if 2*leaving >= p.Hosts-1 {
+				break
+			}
+			how := []string{"host-drain", "host-replace"}[between(0, 1)]
+			list = append(list, Fault{AtMS: at + between(-500, 3000), Do: how, Who: leaving, ForMS: between(9000, 15000)})
+			leaving++
+		}
+	}
+	return list
+}
+
+// hostZones is how many zones have hosts.
+func (p *Plan) hostZones() int {
+	if p.Barren {
+		return p.Zones - 1
+	}
+	return p.Zones
+}
+
+// zoneOfHost puts twice as many hosts into the first zone as into each other. Gateways are spread evenly.
+func zoneOfHost(n, zones int) int { return max(0, n%(zones+1)-1) }
--- /dev/null
+++ b/internal/lab/simulation/effects.go
@@ -0,0 +1,95 @@
+package simulation
+
+import (
+	"fmt"
+
+	"thymebend/internal/loop"
+)
+
+// carryOut does what an effect asks for.
+func (l *Loop) carryOut(f loop.Effect) {
+	switch f.Op {
+	case loop.Dial:
+		l.dial(f)
+	case loop.Listen:
+		l.listen(f)
+	case loop.Bind:
+		l.bind(f)
+	case loop.SetTimer:
+		l.setTimer(f.Timer, f.At-l.ClockError)
+	case loop.StopTimer:
+		l.stopTimer(f.Timer)
+	case loop.ReadFile:
+		data, err := l.Files(f.Path)
+		l.queueEvent(loop.Event{Kind: loop.File, Data: data, Err: err})
+	case loop.Again:
+		l.again = true
+	case loop.Heap: // memory is not simulated
+	case loop.Exit:
+		l.exited, l.failed = true, f.Failed
+	default:
+		l.carryOutOnConn(f)
+	}
+}
+
+// carryOutOnConn does what an effect asks for on a socket of any kind. One that is closed meanwhile is passed over.
+func (l *Loop) carryOutOnConn(f loop.Effect) {
+	if p := l.ports[f.Conn]; p != nil {
+		l.carryOutOnPort(p, f)
+	} else if s := l.datagrams[f.Conn]; s != nil {
+		l.carryOutOnDatagrams(s, f)
+	} else if ln := l.offered[f.Conn]; ln != nil {
+		delete(l.offered, f.Conn)
+		if f.Op == loop.Adopt {
+			l.addPort(&port{conn: f.As, Listener: ln})
+		}
+		ln.landed()
+	} else if s := l.socks[f.Conn]; s != nil {
+		l.carryOutOnSocket(s, f)
+	}
+}
+
+// carryOutOnSocket does what an effect asks for on a connection.
+func (l *Loop) carryOutOnSocket(s *socket, f loop.Effect) {
+	switch f.Op {
+	case loop.Pass:
+		l.pass(s, f)
+	case loop.SendTo: // on what is no datagram socket: nothing is sent
+	case loop.Read:
+		l.read(s)
+	case loop.Write:
+		l.write(s, f.Data)
+	case loop.WriteQuiet:
+		if e := s.end; len(e.inbox) > 0 || e.fin || e.reset {
+			l.queueEvent(loop.Event{Kind: loop.Stale, Conn: s.conn})
+			return
+		}
+		l.write(s, f.Data)
+	case loop.Shutdown:
+		s.end.CloseWrite()
+		l.markMaybeReady(s)
+	case loop.Abort:
+		s.end.ready = nil
+		delete(l.socks, s.conn)
+		s.end.Reset()
+	case loop.Close:
+		l.remove(s)
+	case loop.Mute, loop.Unmute:
+		s.muted, s.leaving = f.Op == loop.Mute, f.Op == loop.Mute && f.Leaving
+		l.markMaybeReady(s)
+	default:
+		panic(fmt.Sprintf("effect %d is not known", f.Op))
+	}
+}
+
+func (l *Loop) carryOutOnPort(p *port, f loop.Effect) {
+	switch f.Op {
+	case loop.Accept:
+		l.accept(p, f.Most)
+	case loop.Close:
+		l.closePort(p)
+	case loop.Mute, loop.Unmute:
+		p.muted = f.Op == loop.Mute
+		l.wake(l.sim.Now())
+	}
+}
--- a/internal/lab/simulation/hosts.go
+++ b/internal/lab/simulation/hosts.go
@@ -38,12 +38,12 @@
 
 // host is a host on the virtual network: the fleet's model behind a listener for each gateway.
 type host struct {
-	w       *world
+	w       *simulator
 	n       int
 	name    string
 	spec    hostmodel.Spec
 	model   *hostmodel.Host
-	ledger  *requestrecord.Host
+	record  *requestrecord.EndpointRecord
 	doors   []*Listener
 	addrs   []netip.AddrPort
 	conns   []*hostConn // open ones, oldest first
@@ -58,9 +58,9 @@
 	budget  budget
 }
 
-// mostConnections is how many all gateways of a fleet may have at one host: three times the twelve that use it by their
+// maxConnections is how many all gateways of a fleet may have at one host: three times the twelve that use it by their
 // parts, for what reaches it and for several requests of one gateway.
-const mostConnections = 36
+const maxConnections = 36
 
 type hostConn struct {
 	end     *End
@@ -79,7 +79,7 @@
 func (h *host) zone() int { return zoneOfHost(h.n, h.w.plan.hostZones()) }
 
 func (h *host) start(cold bool) {
-	model, err := hostmodel.New(h.spec, h.w.sim.Rand.Uint64(), h.w.sim.Now(), cold, h.ledger)
+	model, err := hostmodel.New(h.spec, h.w.sim.Rand.Uint64(), h.w.sim.Now(), cold, h.record)
 	if err != nil {
 		panic(err) // plans hold no such spec
 	}
@@ -98,7 +98,7 @@
 		h.w.rates.open(h)
 		if !h.model.Connected(h.w.sim.Now()) { // it holds no more
 			few := h.w.strained(h.zone()) > 1
-			if len(h.conns) >= mostConnections && !few { // else it has fallen over, or is one of few left in its zone
+			if len(h.conns) >= maxConnections && !few { // else it has fallen over, or is one of few left in its zone
 				by := make(map[int]int)
 				for _, x := range h.conns {
 					by[x.via]++
@@ -110,8 +110,8 @@
 		}
 		h.conns = append(h.conns, c)
 		h.most = max(h.most, len(h.conns))
-		e.ready = func() { h.heard(c) }
-		h.heard(c)
+		e.ready = func() { h.received(c) }
+		h.received(c)
 	}
 }
 
@@ -142,7 +142,7 @@
 	}
 }
 
-func (h *host) heard(c *hostConn) {
+func (h *host) received(c *hostConn) {
 	h.write(c, nil)
 	begun := c.end.begun
 	if data := c.end.Read(1 << 20); len(data) > 0 {
@@ -268,7 +268,7 @@
 		return
 	}
 	h.write(c, out)
-	h.w.sim.After(0, func() { h.heard(c) })
+	h.w.sim.After(0, func() { h.received(c) })
 }
 
 // spoil writes a spoilt answer, and reports whether it did so; otherwise the good one follows.
@@ -288,10 +288,10 @@
 		c.closing = true
 	case "extra":
 		_, _ = c.end.Write(append(whole[:len(whole):len(whole)], whole...))
-		h.w.sim.After(0, func() { h.heard(c) })
+		h.w.sim.After(0, func() { h.received(c) })
 	case "bare-503": // it has run; only a refusal that says so never ran
 		_, _ = c.end.Write([]byte("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"))
-		h.w.sim.After(0, func() { h.heard(c) })
+		h.w.sim.After(0, func() { h.received(c) })
 	case "interim":
 		_, _ = c.end.Write([]byte("HTTP/1.1 103 Early Hints\r\n\r\n"))
 		return false
--- a/internal/lab/simulation/judge.go
+++ b/internal/lab/simulation/invariants.go
@@ -13,21 +13,21 @@
 
 // This file holds what happened in a run against the rules.
 
-func (w *world) find(rule, id, format string, args ...any) {
+func (w *simulator) find(rule, id, format string, args ...any) {
 	w.found = append(w.found, Finding{rule, id, fmt.Sprintf(format, args...)})
 	w.sim.Note("BROKEN %s: %s", rule, id)
 }
 
 // arrived holds every request against what its gateway had been told.
-func (w *world) arrived(h *host, via int, id string, first time.Duration) {
+func (w *simulator) arrived(h *host, via int, id string, first time.Duration) {
 	w.rates.send(h)
-	if told, ok := w.disc.told(via, h.name); ok && first-told.At > drainGrace {
+	if told, ok := w.disc.notification(via, h.name); ok && first-told.At > drainGrace {
 		w.find(requestrecord.LateToDrained, id, "%s got it from %s %v after it counted as told %s", h.name, gatewayName(via), first-told.At, told.State)
 	}
 }
 
 // stopAll ends the day with SIGTERM everywhere: each gateway must end by itself.
-func (w *world) stopAll() {
+func (w *simulator) stopAll() {
 	for _, l := range append([]*link(nil), w.idle...) {
 		l.end.ready = nil
 		l.end.Close()
@@ -41,14 +41,14 @@
 	w.sim.Run(w.sim.Now() + endWithin)
 	for _, m := range w.gateways {
 		if m.up {
-			sockets, timers := m.loop.Held()
+			sockets, timers := m.loop.OpenCounts()
 			w.find(Stuck, m.name, "alive %v after SIGTERM at rest, with %d sockets and %d timers", endWithin, sockets, timers)
 		}
 	}
 }
 
 // quiet lets nothing happen for a while, and looks whether the gateways sleep and hold no more than at rest.
-func (w *world) quiet() {
+func (w *simulator) quiet() {
 	w.sim.Run(w.sim.Now() + quietFor/2)
 	before := make([]uint64, len(w.gateways))
 	for i, m := range w.gateways {
@@ -59,8 +59,8 @@
 		if !m.up {
 			continue
 		}
-		most := uint64(mostRounds)
-		if w.beliefs != nil {
+		most := uint64(maxRounds)
+		if w.views != nil {
 			most += viewRounds
 		}
 		if n := m.loop.rounds - before[i]; n > most {
@@ -72,7 +72,7 @@
 				resting++
 			}
 		}
-		sockets, timers := m.loop.Held()
+		sockets, timers := m.loop.OpenCounts()
 		// Each server link at rest has a timer, each client link too; the watch and the module have a few.
 		if most := 2*resting + sockets + 60; timers > most {
 			w.find(Leaked, m.name, "%d timers with %d sockets and %d client links at rest", timers, sockets, resting)
@@ -80,7 +80,7 @@
 	}
 }
 
-func (w *world) excused(t requestrecord.Try) bool {
+func (w *simulator) excused(t requestrecord.Attempt) bool {
 	if t.Cause == "cut by the network" || t.Cause == "left" || t.Cause == "half a large answer" {
 		return true
 	}
@@ -99,24 +99,24 @@
 	return false
 }
 
-func (w *world) compare() {
-	var hosts []*requestrecord.Host
+func (w *simulator) compare() {
+	var hosts []*requestrecord.EndpointRecord
 	for _, h := range w.hosts {
-		hosts = append(hosts, h.ledger)
+		hosts = append(hosts, h.record)
 		if h.model.ColdPeak() > 1 {
 			w.find(requestrecord.PushedOver, h.name, "sent %.2f times the most that it survives while cold", h.model.ColdPeak())
 		}
 	}
-	hosts = append(hosts, w.former...)
+	hosts = append(hosts, w.formerHosts...)
 	found, _ := requestrecord.Compare(w.clients.Tries(), hosts, w.excused)
 	for _, f := range found {
 		w.find(f.Rule, f.ID, "%s", f.Detail)
 	}
 }
 
-// askGuards finds what the gateways' guards held back.
-func (w *world) askGuards() {
-	for _, process := range w.guarded {
+// checkSuppressed finds what the gateways' guards held back.
+func (w *simulator) checkSuppressed() {
+	for _, process := range w.checkers {
 		violations := process.gateway.Violations()
 		for _, rule := range slices.Sorted(maps.Keys(violations)) {
 			w.find(HeldBack, process.name, "%s, %d times", rule, violations[rule])
@@ -124,7 +124,7 @@
 	}
 }
 
-func (w *world) outcome() Outcome {
+func (w *simulator) outcome() Outcome {
 	o := Outcome{Hash: w.sim.Hash(), Findings: w.found, Tries: w.asked, Steps: w.sim.Steps(), Lasted: w.sim.Since(), Sums: w.rates.String(),
 		Partial: w.sim.interrupted()}
 	for s, n := range w.statuses {
--- a/internal/lab/simulation/loopsockets.go
+++ b/internal/lab/simulation/loopsockets.go
@@ -13,19 +13,19 @@
 
 func (l *Loop) listen(f loop.Effect) {
 	if f.Path == "" && l.net.listeners[f.Addr] != nil {
-		l.tell(loop.Event{Kind: loop.Broken, Conn: f.Conn, Err: unix.EADDRINUSE})
+		l.queueEvent(loop.Event{Kind: loop.Broken, Conn: f.Conn, Err: unix.EADDRINUSE})
 		return
 	}
 	ready := func() { l.wake(l.sim.Now()) }
 	if f.Path != "" {
-		l.hold(&port{conn: f.Conn, urgent: f.Urgent, Listener: l.net.ListenUnix(f.Path, ready)})
+		l.addPort(&port{conn: f.Conn, urgent: f.Urgent, Listener: l.net.ListenUnix(f.Path, ready)})
 	} else {
-		l.hold(&port{conn: f.Conn, urgent: f.Urgent, Listener: l.net.Listen(f.Addr, backlog, l.silent, ready)})
+		l.addPort(&port{conn: f.Conn, urgent: f.Urgent, Listener: l.net.Listen(f.Addr, backlog, l.silent, ready)})
 	}
 }
 
-// hold gives this process a listening socket, perhaps beside others.
-func (l *Loop) hold(p *port) {
+// addPort gives this process a listening socket, perhaps beside others.
+func (l *Loop) addPort(p *port) {
 	p.loop = l
 	l.ports[p.conn] = p
 	p.holders = append(p.holders, p)
@@ -34,14 +34,14 @@
 			h.loop.wake(l.sim.Now())
 		}
 	}
-	l.tell(loop.Event{Kind: loop.Listening, Conn: p.conn})
+	l.queueEvent(loop.Event{Kind: loop.Listening, Conn: p.conn})
 	if p.conn == loop.Listener && l.Listens != nil {
 		l.Listens()
 	}
 }
 
-// let ends this process's part in a listening socket, which closes with the last.
-func (l *Loop) let(p *port) {
+// closePort ends this process's part in a listening socket, which closes with the last.
+func (l *Loop) closePort(p *port) {
 	delete(l.ports, p.conn)
 	if p.holders = slices.DeleteFunc(p.holders, func(h *port) bool { return h == p }); len(p.holders) == 0 && p.flying == 0 {
 		p.Close()
@@ -50,17 +50,17 @@
 
 // pass writes data on a Unix socket with others beside it.
 func (l *Loop) pass(s *socket, f loop.Effect) {
-	var rights []right
+	var rights []descriptor
 	for _, c := range f.Give {
 		if p := l.ports[c]; p != nil {
 			p.flying++
-			rights = append(rights, right{ln: p.Listener})
+			rights = append(rights, descriptor{ln: p.Listener})
 		} else if given := l.socks[c]; given != nil {
-			rights = append(rights, right{end: given.end})
+			rights = append(rights, descriptor{end: given.end})
 		}
 	}
 	if len(rights) != len(f.Give) || len(s.out) > 0 || s.end.reset || s.end.closed {
-		l.fail(s, unix.EPIPE)
+		l.breakSocket(s, unix.EPIPE)
 		return
 	}
 	for _, c := range f.Give {
@@ -71,7 +71,7 @@
 	}
 	n, err := s.end.Pass(f.Data, rights)
 	if err != nil {
-		l.fail(s, err)
+		l.breakSocket(s, err)
 		return
 	}
 	l.write(s, f.Data[n:])
@@ -93,18 +93,18 @@
 }
 
 func (l *Loop) accept(p *port, most int) {
-	for range min(cmp.Or(most, mostAccept), mostAccept) {
+	for range min(cmp.Or(most, maxAcceptPerTurn), maxAcceptPerTurn) {
 		if len(p.backlog) == 0 {
-			l.tell(loop.Event{Kind: loop.Drained, Conn: p.conn})
+			l.queueEvent(loop.Event{Kind: loop.Drained, Conn: p.conn})
 			return
 		}
 		if l.full() {
-			l.tell(loop.Event{Kind: loop.AcceptFailed, Conn: p.conn, Err: unix.EMFILE})
+			l.queueEvent(loop.Event{Kind: loop.AcceptFailed, Conn: p.conn, Err: unix.EMFILE})
 			return
 		}
 		l.accepted++
 		l.add(&socket{conn: l.accepted, end: p.Accept(), urgent: p.urgent})
-		l.tell(loop.Event{Kind: loop.Accepted, Conn: l.accepted, Via: p.conn})
+		l.queueEvent(loop.Event{Kind: loop.Accepted, Conn: l.accepted, Via: p.conn})
 	}
 }
 
@@ -120,11 +120,11 @@
 			l.seq++
 			s.since = l.seq
 		}
-		l.heat(s)
+		l.markMaybeReady(s)
 		l.wake(l.sim.Now())
 	}
 	if s.isReady() { // what came before it was accepted
-		l.heat(s)
+		l.markMaybeReady(s)
 	}
 }
 
@@ -132,15 +132,15 @@
 	if f.Path != "" {
 		end, err := l.net.DialUnix(f.Path)
 		if err != nil {
-			l.tell(loop.Event{Kind: loop.Broken, Conn: f.Conn, Err: err})
+			l.queueEvent(loop.Event{Kind: loop.Broken, Conn: f.Conn, Err: err})
 			return
 		}
 		l.add(&socket{conn: f.Conn, end: end, urgent: f.Urgent})
-		l.tell(loop.Event{Kind: loop.Connected, Conn: f.Conn})
+		l.queueEvent(loop.Event{Kind: loop.Connected, Conn: f.Conn})
 		return
 	}
 	if l.full() {
-		l.tell(loop.Event{Kind: loop.Broken, Conn: f.Conn, Err: unix.EMFILE})
+		l.queueEvent(loop.Event{Kind: loop.Broken, Conn: f.Conn, Err: unix.EMFILE})
 		return
 	}
 	s := &socket{conn: f.Conn, connecting: true, urgent: f.Urgent}
@@ -157,9 +157,9 @@
 	s.end.Close()
 }
 
-func (l *Loop) fail(s *socket, err error) {
+func (l *Loop) breakSocket(s *socket, err error) {
 	l.remove(s)
-	l.tell(loop.Event{Kind: loop.Broken, Conn: s.conn, Err: err})
+	l.queueEvent(loop.Event{Kind: loop.Broken, Conn: s.conn, Err: err})
 }
 
 func (l *Loop) read(s *socket) {
@@ -171,16 +171,16 @@
 			most = 1 + l.sim.Rand.IntN(len(e.inbox))
 		}
 		data := append([]byte(nil), e.Read(most)...)
-		l.tell(loop.Event{Kind: loop.Data, Conn: s.conn, Data: data, Passed: l.received(e)})
+		l.queueEvent(loop.Event{Kind: loop.Data, Conn: s.conn, Data: data, Passed: l.received(e)})
 		if e.fin {
-			l.tell(loop.Event{Kind: more, Conn: s.conn})
+			l.queueEvent(loop.Event{Kind: more, Conn: s.conn})
 		}
 	case e.reset:
-		l.fail(s, unix.ECONNRESET)
+		l.breakSocket(s, unix.ECONNRESET)
 	case e.fin:
-		l.tell(loop.Event{Kind: loop.EOF, Conn: s.conn})
+		l.queueEvent(loop.Event{Kind: loop.EOF, Conn: s.conn})
 	default:
-		l.tell(loop.Event{Kind: loop.Drained, Conn: s.conn})
+		l.queueEvent(loop.Event{Kind: loop.Drained, Conn: s.conn})
 	}
 }
 
@@ -199,10 +199,10 @@
 			return
 		}
 		if err != nil {
-			l.fail(s, err)
+			l.breakSocket(s, err)
 			return
 		}
 		s.out = s.out[:copy(s.out, s.out[n:])]
 	}
-	l.tell(loop.Event{Kind: loop.Flushed, Conn: s.conn})
+	l.queueEvent(loop.Event{Kind: loop.Flushed, Conn: s.conn})
 }
--- a/internal/lab/simulation/measure.go
+++ b/internal/lab/simulation/measure.go
@@ -12,8 +12,8 @@
 	"thymebend/internal/loop"
 )
 
-// PortionFigures are what a division of hosts by the fleet's view comes to in a run without other troubles.
-type PortionFigures struct {
+// AssignmentFigures are what a division of hosts by the fleet's view comes to in a run without other troubles.
+type AssignmentFigures struct {
 	Known  []time.Duration // from a host's going bad until 95% of the gateways that use it have ejected it or doubt it, by host; 0: never
 	Asked  int             // requests asked of hosts while they were bad
 	Bytes  float64         // a gateway sends in datagrams, a second, from the eighth second on
@@ -31,78 +31,110 @@
 	badHosts = 5
 )
 
-// MeasurePortions plays gateways that divide hosts. Some hosts fail all requests from the ninth second on, and as many are replaced
-// with cold ones; without hearsay nobody tells of hosts found bad. Once ctx is done it ends with ctx's error.
-func MeasurePortions(ctx context.Context, seed uint64, gateways, hosts int, hearsay bool) (PortionFigures, error) {
+// MeasureAssignment plays gateways that divide hosts. Some hosts fail all requests from the ninth second on, and as
+// many are replaced with cold ones; without peer reports nobody names hosts found bad. Once ctx is done it ends with
+// ctx's error.
+func MeasureAssignment(ctx context.Context, seed uint64, gateways, hosts int, reports bool) (AssignmentFigures, error) {
+	p, err := assignmentPlan(seed, gateways, hosts)
+	if err != nil {
+		return AssignmentFigures{}, err
+	}
+	m := assignmentMeasurement{hosts: hosts, reports: reports}
+	m.figures.Known = make([]time.Duration, badHosts)
+	m.w = newSimulator(p, nil, func(r loop.Reducer) loop.Reducer { return effectObserver{r, m.observe} })
+	m.schedule()
+	m.w.sim.ctx = ctx
+	o := m.w.run()
+	if o.Partial {
+		return m.figures, ctx.Err()
+	}
+	out := m.figures
+	out.Cold, out.Refuse, out.Broken = m.used/m.allowed, float64(o.Refused)/float64(max(1, o.Tries)), o.Findings
+	out.Bytes = float64(m.restingBytes) / (badFrom + badFor - restFrom).Seconds() / float64(gateways)
+	return out, nil
+}
+
+// assignmentPlan is a run without other faults than those that are measured.
+func assignmentPlan(seed uint64, gateways, hosts int) (Plan, error) {
 	p, err := DrawSized(seed, sharesProfile, Size{Gateways: gateways, Hosts: hosts})
 	if err != nil {
-		return PortionFigures{}, err
+		return Plan{}, err
 	}
 	if hosts < 4*badHosts {
-		return PortionFigures{}, fmt.Errorf("%d hosts, %d at least", hosts, 4*badHosts)
+		return Plan{}, fmt.Errorf("%d hosts, %d at least", hosts, 4*badHosts)
 	}
 	p.LoseData, p.DoubleData, p.JitterUS, p.Cold, p.Faults = 0, 0, 0, false, nil
+	at := int(badFrom.Milliseconds())
 	for who := range badHosts {
-		p.Faults = append(p.Faults, Fault{AtMS: int(badFrom.Milliseconds()), Do: "host-errors", Who: who, ForMS: int(badFor.Milliseconds()), Share: 1},
-			Fault{AtMS: int(badFrom.Milliseconds()), Do: "host-cold", Who: hosts - 1 - who})
-	}
-	var out PortionFigures
-	var sent, resting int
-	var w *world
-	w = newWorld(p, nil, func(r loop.Reducer) loop.Reducer {
-		return eavesdropper{r, func(f *loop.Effect) {
-			if f.Op != loop.SendTo {
-				return
-			}
-			if !hearsay {
-				f.Data = withoutBad(f.Data)
-			}
-			if sent++; w.sim.Since() >= restFrom && w.sim.Since() < badFrom+badFor {
-				resting += len(f.Data)
-			}
-		}}
-	})
-	start := epoch + 300*time.Millisecond
-	out.Known = make([]time.Duration, badHosts)
-	counted := func(sign int) func() {
-		return func() {
-			for who := range badHosts {
-				out.Asked += sign * w.hosts[who].ledger.Len()
-			}
-		}
+		p.Faults = append(p.Faults,
+			Fault{AtMS: at, Do: "host-errors", Who: who, ForMS: int(badFor.Milliseconds()), Share: 1},
+			Fault{AtMS: at, Do: "host-cold", Who: hosts - 1 - who})
 	}
-	w.sim.At(start+badFrom, counted(-1))
-	w.sim.At(start+badFrom+badFor, counted(1))
+	return p, nil
+}
+
+// assignmentMeasurement is a run that is measured.
+type assignmentMeasurement struct {
+	w             *simulator
+	hosts         int
+	reports       bool // gateways tell each other of hosts found bad
+	figures       AssignmentFigures
+	restingBytes  int // of datagrams, while only the faults that are measured happen
+	used, allowed float64
+}
+
+// observe counts the bytes of datagrams, and takes reports out of them where there are to be none.
+func (m *assignmentMeasurement) observe(f *loop.Effect) {
+	if f.Op != loop.SendTo {
+		return
+	}
+	if !m.reports {
+		f.Data = withoutBad(f.Data)
+	}
+	if now := m.w.sim.Since(); now >= restFrom && now < badFrom+badFor {
+		m.restingBytes += len(f.Data)
+	}
+}
+
+// schedule has the figures taken at their times.
+func (m *assignmentMeasurement) schedule() {
+	sim, start := m.w.sim, epoch+300*time.Millisecond
+	sim.At(start+badFrom, func() { m.countAsked(-1) })
+	sim.At(start+badFrom+badFor, func() { m.countAsked(1) })
 	for at := lookBad; at < badFor; at += lookBad {
-		w.sim.At(start+badFrom+at, func() {
-			for who := range badHosts {
-				if out.Known[who] == 0 && w.known(w.hosts[who]) >= 0.95 {
-					out.Known[who] = at
-				}
-			}
-		})
-	}
-	used, allowed := 0.0, 0.0
-	w.sim.At(start+badFrom+badFor+5*time.Second, func() {
-		for who := range badHosts {
-			h := w.hosts[hosts-1-who]
-			cold := h.spec.Cold
-			used += float64(h.budget.all)
-			allowed += cold.FallMultiple * warmRate * (1 + cold.From) / 2 * cold.For.Seconds()
+		sim.At(start+badFrom+at, func() { m.lookAtBadHosts(at) })
+	}
+	sim.At(start+badFrom+badFor+5*time.Second, m.sumSlowStart)
+}
+
+// countAsked adds or subtracts what the bad hosts were asked so far.
+func (m *assignmentMeasurement) countAsked(sign int) {
+	for who := range badHosts {
+		m.figures.Asked += sign * m.w.hosts[who].record.Len()
+	}
+}
+
+// lookAtBadHosts notes which bad hosts are known by now.
+func (m *assignmentMeasurement) lookAtBadHosts(at time.Duration) {
+	for who := range badHosts {
+		if m.figures.Known[who] == 0 && m.w.known(m.w.hosts[who]) >= 0.95 {
+			m.figures.Known[who] = at
 		}
-	})
-	w.sim.ctx = ctx
-	o := w.run()
-	if o.Partial {
-		return out, ctx.Err()
 	}
-	out.Cold, out.Refuse, out.Broken = used/allowed, float64(o.Refused)/float64(max(1, o.Tries)), o.Findings
-	out.Bytes = float64(resting) / (badFrom + badFor - restFrom).Seconds() / float64(gateways)
-	return out, nil
+}
+
+// sumSlowStart adds up what cold hosts were sent, and what they may get.
+func (m *assignmentMeasurement) sumSlowStart() {
+	for who := range badHosts {
+		h := m.w.hosts[m.hosts-1-who]
+		cold := h.spec.Cold
+		m.used += float64(h.budget.all)
+		m.allowed += cold.FallMultiple * warmRate * (1 + cold.From) / 2 * cold.For.Seconds()
+	}
 }
 
 // known is the share of the gateways that use a host which have ejected it themselves, or are told to doubt it.
-func (w *world) known(h *host) float64 {
+func (w *simulator) known(h *host) float64 {
 	id := discovery.Identity(h.name)
 	users, know := 0, 0
 	for _, m := range w.gateways {
@@ -124,14 +156,14 @@
 	return float64(know) / float64(users)
 }
 
-// eavesdropper sees each effect before it is carried out.
-type eavesdropper struct {
+// effectObserver sees each effect before it is carried out.
+type effectObserver struct {
 	loop.Reducer
 	see func(*loop.Effect)
 }
 
 // Step implements loop.Reducer.
-func (d eavesdropper) Step(now time.Duration, e loop.Event) []loop.Effect {
+func (d effectObserver) Step(now time.Duration, e loop.Event) []loop.Effect {
 	list := d.Reducer.Step(now, e)
 	for i := range list {
 		d.see(&list[i])
@@ -164,7 +196,7 @@
 }
 
 // Median is the middle of the times, with those that never came last.
-func (f PortionFigures) Median() (time.Duration, bool) {
+func (f AssignmentFigures) Median() (time.Duration, bool) {
 	list := slices.Clone(f.Known)
 	slices.SortFunc(list, func(a, b time.Duration) int {
 		switch {
--- a/internal/lab/simulation/net.go
+++ b/internal/lab/simulation/net.go
@@ -22,7 +22,7 @@
 	ResetAt   float64       // chance that a write resets its connection at any of its bytes
 	LoseDial  float64       // chance that a connection never comes up
 
-	bound           map[netip.AddrPort]*dsock
+	bound           map[netip.AddrPort]*datagramSocket
 	LoseDatagrams   float64
 	DoubleDatagrams float64
 	CutDatagrams    func(from, to netip.AddrPort) bool // one way; nil is no cut
@@ -30,18 +30,18 @@
 
 // NewNet returns a network without faults.
 func NewNet(sim *Sim) *Net {
-	return &Net{sim: sim, listeners: make(map[netip.AddrPort]*Listener), bound: make(map[netip.AddrPort]*dsock), Latency: 100 * time.Microsecond,
+	return &Net{sim: sim, listeners: make(map[netip.AddrPort]*Listener), bound: make(map[netip.AddrPort]*datagramSocket), Latency: 100 * time.Microsecond,
 		paths: make(map[string]*Listener), unix: &Net{sim: sim, Latency: 20 * time.Microsecond}}
 }
 
-// right is a socket passed by a Unix socket: a connection or a listener.
-type right struct {
+// descriptor is a socket passed by a Unix socket: a connection or a listener.
+type descriptor struct {
 	end *End
 	ln  *Listener
 }
 
 // drop closes a socket that was passed and reached nobody.
-func (r right) drop() {
+func (r descriptor) drop() {
 	if r.end != nil {
 		r.end.Close()
 		return
@@ -81,7 +81,7 @@
 }
 
 // Pass writes data with sockets beside its first byte.
-func (e *End) Pass(data []byte, rights []right) (int, error) {
+func (e *End) Pass(data []byte, rights []descriptor) (int, error) {
 	p := e.peer
 	p.deliver(func() {
 		if p.closed || p.reset {
@@ -123,10 +123,10 @@
 	ended  time.Duration // then; 0 while it has not
 	room   int           // bytes that the connection still takes from us
 	last   time.Duration
-	silent *bool    // this end's machine says nothing while it is set
-	held   []func() // what is on the way to a silent machine
-	ready  func()   // something came, or there is room again
-	rights []right  // sockets passed beside what has come
+	silent *bool        // this end's machine says nothing while it is set
+	held   []func()     // what is on the way to a silent machine
+	ready  func()       // something came, or there is room again
+	rights []descriptor // sockets passed beside what has come
 }
 
 // Listen opens a listener. ready is called when a connection waits.
--- a/internal/lab/simulation/toldby.go
+++ b/internal/lab/simulation/notificationdeadlines.go
@@ -18,9 +18,9 @@
 //
 // A discovery that is down or mute is not played with this rule: no fault of the profile is one.
 const (
-	toldAtTheLatest = 6 * time.Second
-	silenceNoticed  = 2800 * time.Millisecond // a missed beat, 2.4 s, and the spread of the calls after it, 0.4 s
-	workStretch     = 1.5                     // refused calls come again up to 1.5 s later, in no order
+	notifiedAtTheLatest = 6 * time.Second
+	silenceNoticed      = 2800 * time.Millisecond // a missed beat, 2.4 s, and the spread of the calls after it, 0.4 s
+	workStretch         = 1.5                     // refused calls come again up to 1.5 s later, in no order
 )
 
 // departure is a host that drains or is gone, and when that counts as told at the latest.
@@ -30,8 +30,8 @@
 	by    time.Duration
 }
 
-// toldBy keeps when changes count as told at the latest.
-type toldBy struct {
+// notificationDeadlines keeps when changes count as told at the latest.
+type notificationDeadlines struct {
 	sim        *Sim
 	work       time.Duration // of one call
 	busyUntil  time.Duration // with the calls that discovery caused, if none is wasted
@@ -39,13 +39,13 @@
 }
 
 // within is the time that gateways have from now on.
-func (t *toldBy) within() time.Duration {
+func (t *notificationDeadlines) within() time.Duration {
 	backlog := max(0, t.busyUntil-t.sim.Now())
-	return max(toldAtTheLatest, silenceNoticed+time.Duration(workStretch*float64(backlog)))
+	return max(notifiedAtTheLatest, silenceNoticed+time.Duration(workStretch*float64(backlog)))
 }
 
 // changed notes a change of the list.
-func (t *toldBy) changed(e registry.Entry) {
+func (t *notificationDeadlines) changed(e registry.Entry) {
 	if t == nil {
 		return
 	}
@@ -64,13 +64,13 @@
 }
 
 // caused notes calls that discovery has caused, which put off what does not yet count as told where there are too many.
-func (t *toldBy) caused(calls int) {
+func (t *notificationDeadlines) caused(calls int) {
 	if t == nil || calls == 0 {
 		return
 	}
 	now := t.sim.Now()
 	t.busyUntil = max(t.busyUntil, now) + time.Duration(calls)*t.work
-	if t.within() <= toldAtTheLatest {
+	if t.within() <= notifiedAtTheLatest {
 		return
 	}
 	for i := range t.departures {
@@ -80,15 +80,15 @@
 	}
 }
 
-// told is when a host's leaving counts as told at the latest; ok is false if it does not leave or the time is not over.
-func (t *toldBy) told(host string) (at registry.Told, ok bool) {
+// notified is when a host's leaving counts as told at the latest; ok is false if it does not leave or the time is not over.
+func (t *notificationDeadlines) notified(host string) (at registry.Notification, ok bool) {
 	if t == nil {
-		return registry.Told{}, false
+		return registry.Notification{}, false
 	}
 	for _, d := range t.departures {
 		if d.host == host && d.by <= t.sim.Now() {
-			return registry.Told{At: d.by, State: d.state}, true
+			return registry.Notification{At: d.by, State: d.state}, true
 		}
 	}
-	return registry.Told{}, false
+	return registry.Notification{}, false
 }
--- /dev/null
+++ b/internal/lab/simulation/ready.go
@@ -0,0 +1,120 @@
+package simulation
+
+import (
+	"cmp"
+	"container/heap"
+	"slices"
+
+	"thymebend/internal/loop"
+)
+
+func (l *Loop) ready() (list []*socket) {
+	kept := l.maybeReady[:0]
+	for _, s := range l.maybeReady {
+		if l.socks[s.conn] != s || !s.isReady() {
+			s.maybeReady, s.since = false, 0
+			continue
+		}
+		if s.since == 0 {
+			l.seq++
+			s.since = l.seq
+		}
+		kept = append(kept, s)
+	}
+	clear(l.maybeReady[len(kept):])
+	l.maybeReady = kept
+	list = slices.Clone(kept)
+	slices.SortFunc(list, func(a, b *socket) int { return cmp.Compare(a.since, b.since) })
+	return list
+}
+
+// markMaybeReady notes that a socket may be ready.
+func (l *Loop) markMaybeReady(s *socket) {
+	if !s.maybeReady {
+		s.maybeReady = true
+		l.maybeReady = append(l.maybeReady, s)
+	}
+}
+
+// isReady is what epoll would report: readable, writable with something to write, or broken.
+func (s *socket) isReady() bool {
+	if s.connecting {
+		return s.up
+	}
+	e := s.end
+	return !s.muted && (len(e.inbox) > 0 || e.fin) || s.leaving && e.fin || e.reset || e.fin && e.shut || len(s.out) > 0 && e.room > 0
+}
+
+func (l *Loop) listenerReady() bool {
+	return slices.ContainsFunc(l.listening(), (*port).isReady)
+}
+
+func (p *port) isReady() bool { return !p.closed && !p.muted && len(p.backlog) > 0 }
+
+func (l *Loop) socketReady(s *socket) {
+	if s.connecting {
+		if s.dialed != nil {
+			l.breakSocket(s, s.dialed)
+			return
+		}
+		s.connecting = false
+		l.queueEvent(loop.Event{Kind: loop.Connected, Conn: s.conn})
+		return
+	}
+	e := s.end
+	if len(s.out) > 0 && (e.room > 0 || e.reset) {
+		l.flush(s)
+	}
+	if l.socks[s.conn] == s && s.leaving && e.fin && !e.reset && !e.shut {
+		s.leaving = false
+		l.queueEvent(loop.Event{Kind: loop.Leaving, Conn: s.conn})
+		return
+	}
+	if l.socks[s.conn] == s && (!s.muted && (len(e.inbox) > 0 || e.fin) || e.reset || e.fin && e.shut) {
+		l.queueEvent(loop.Event{Kind: loop.Readable, Conn: s.conn})
+	}
+}
+
+// deliverReady reports what is ready on the urgent sockets, or on all others.
+func (l *Loop) deliverReady(waiting []*port, received []*datagramSocket, ready []*socket, urgent bool) {
+	for _, p := range waiting {
+		if p.urgent == urgent && p.isReady() {
+			l.queueEvent(loop.Event{Kind: loop.Readable, Conn: p.conn})
+			l.deliver()
+		}
+	}
+	for _, s := range received {
+		if s.urgent == urgent && s.isReady() && l.datagrams[s.conn] == s {
+			l.queueEvent(loop.Event{Kind: loop.Readable, Conn: s.conn})
+			l.deliver()
+		}
+	}
+	for _, s := range ready {
+		if s.urgent == urgent && l.socks[s.conn] == s {
+			l.socketReady(s)
+			l.deliver()
+		}
+	}
+}
+
+// deliverSignals reports the signals that have come.
+func (l *Loop) deliverSignals() {
+	if len(l.signals) == 0 {
+		return
+	}
+	for _, kind := range l.signals {
+		l.queueEvent(loop.Event{Kind: kind})
+	}
+	l.signals = nil
+	l.deliver()
+}
+
+// deliverDueTimers reports the timers that have fallen due.
+func (l *Loop) deliverDueTimers() {
+	for now := l.sim.Now(); len(l.timers) > 0 && l.timers[0].at <= now && l.Running(); {
+		t := heap.Pop(&l.timers).(*timer)
+		delete(l.byKey, t.key)
+		l.queueEvent(loop.Event{Kind: loop.TimerDue, Timer: t.key})
+		l.deliver()
+	}
+}
--- /dev/null
+++ b/internal/lab/simulation/shrink.go
@@ -0,0 +1,45 @@
+package simulation
+
+import (
+	"context"
+	"slices"
+)
+
+// Shrink drops faults and requests as long as the run still breaks the rule, halves first. It plays at most so
+// many runs, and none once ctx is done: the plan is then the smallest so far.
+func Shrink(ctx context.Context, p Plan, rule string, most int) (Plan, int) {
+	runs := 0
+	breaks := func(q Plan) bool {
+		runs++
+		return slices.ContainsFunc(PlayContext(ctx, q, nil).Findings, func(f Finding) bool { return f.Rule == rule })
+	}
+	for again := true; again && runs < most && ctx.Err() == nil; {
+		again = false
+		p.Faults = reduce(p.Faults, func(part []Fault) bool {
+			q := p
+			q.Faults = part
+			return runs < most && ctx.Err() == nil && breaks(q)
+		}, &again)
+		p.Requests = reduce(p.Requests, func(part []Request) bool {
+			q := p
+			q.Requests = part
+			return runs < most && ctx.Err() == nil && breaks(q)
+		}, &again)
+	}
+	return p, runs
+}
+
+// reduce leaves out runs of a list, long ones first, where the rest is still enough.
+func reduce[T any](list []T, enough func([]T) bool, less *bool) []T {
+	for size := max(1, len(list)/2); size >= 1; size /= 2 {
+		for from := 0; from < len(list); {
+			part := slices.Concat(list[:from], list[min(len(list), from+size):])
+			if enough(part) {
+				list, *less = part, true
+				continue
+			}
+			from += size
+		}
+	}
+	return list
+}
--- /dev/null
+++ b/internal/lab/simulation/simulator.go
@@ -0,0 +1,163 @@
+package simulation
+
+import (
+	"context"
+	"io"
+	"runtime/debug"
+	"strings"
+	"time"
+
+	"thymebend/internal/lab/experiment"
+	"thymebend/internal/lab/requestrecord"
+	"thymebend/internal/loop"
+)
+
+// Rules beyond those of the ledgers.
+const (
+	Panicked  = "panic"
+	Stuck     = "stuck"      // a gateway did not end after SIGTERM though nothing was left to answer
+	NotAsleep = "not asleep" // a gateway woke up though nothing happened
+	Leaked    = "leaked"     // links or timers beyond those that rest at the end of the day
+	Wronged   = "wronged"    // a good request was answered as a faulty one
+	Overspent = "overspent"  // two processes of one gateway had more descriptors than it may
+	BadExit   = "bad exit"   // a process ended with an error
+	Crowded   = "crowded"    // more connections at one host than the parts of a fleet come to
+	ShutDoor  = "shut door"  // an upgrade closed a link under its client
+	NotHeard  = "not heard"  // a client that stopped in the middle of a request was not told in time
+	HeldBack  = "held back"  // a gateway's guard held back an effect that would have broken a rule
+)
+
+// The rules in figures; see the operators' pages.
+const (
+	drainGrace = 300 * time.Millisecond
+	leaveFront = 300 * time.Millisecond
+	killSpread = 5 * time.Millisecond // what news of a kill may take
+	quietFor   = 8 * time.Second      // of nothing at the end of the day
+	maxRounds  = 40                   // of a gateway in the last half of that: beats, and the module's own
+	endWithin  = 12 * time.Second     // of SIGTERM
+)
+
+// Finding is a broken rule.
+type Finding struct {
+	Rule   string `json:"rule"`
+	ID     string `json:"id"`
+	Detail string `json:"detail"`
+}
+
+// Outcome is what a run came to.
+type Outcome struct {
+	Hash     uint64
+	Findings []Finding
+	Tries    int
+	Served   int
+	Refused  int
+	Failed   int
+	Steps    uint64
+	Lasted   time.Duration // of virtual time
+	Sums     string        // of a fleet: the most in a second
+	Partial  bool          // the run was interrupted
+}
+
+type simulator struct {
+	plan        Plan
+	file        *experiment.File
+	sim         *Sim
+	net         *Net
+	disc        *discoveryServer
+	hosts       []*host
+	formerHosts []*requestrecord.EndpointRecord
+	gateways    []*gatewayNode
+	clients     *requestrecord.ClientRecord
+	idle        []*link
+	found       []Finding
+	statuses    map[int]int
+	asked       int
+	lastID      uint64
+	turn        int
+	replaced    int
+	strict      bool // views are unsafe now, as clients know it
+	views       *viewChecker
+	rates       *clusterRates // of a fleet; nil elsewhere
+	wrap        func(loop.Reducer) loop.Reducer
+	checkers    []checkedGateway
+}
+
+// Play runs a plan. trace gets a line for each thing that happens; it may be nil.
+func Play(p Plan, trace io.Writer) Outcome { return PlayContext(context.Background(), p, trace) }
+
+// PlayContext runs a plan until it is over or ctx is done. In the second case the outcome is Partial: it holds what was
+// found until then, and nothing was compared at the end.
+func PlayContext(ctx context.Context, p Plan, trace io.Writer) Outcome {
+	w := newSimulator(p, trace, func(r loop.Reducer) loop.Reducer { return r })
+	w.sim.ctx = ctx
+	return w.run()
+}
+
+// play runs a plan with each gateway wrapped; tests plant defects so.
+func play(p Plan, trace io.Writer, wrap func(loop.Reducer) loop.Reducer) Outcome {
+	return newSimulator(p, trace, wrap).run()
+}
+
+func newSimulator(p Plan, trace io.Writer, wrap func(loop.Reducer) loop.Reducer) *simulator {
+	sim := NewSim(p.Seed, trace)
+	w := &simulator{plan: p, sim: sim, net: NewNet(sim), clients: requestrecord.NewClients(), statuses: make(map[int]int), file: day(p), wrap: wrap}
+	w.net.Latency, w.net.Jitter = time.Duration(p.LatencyUS)*time.Microsecond, time.Duration(p.JitterUS)*time.Microsecond
+	return w
+}
+
+func (w *simulator) run() (out Outcome) {
+	p, sim := w.plan, w.sim
+	defer func() {
+		if r := recover(); r != nil {
+			w.find(Panicked, "gateway", "%v at %s", r, place(string(debug.Stack())))
+			out = w.outcome()
+		}
+	}()
+	if p.Zones > 0 && !p.Shares {
+		w.rates = newClusterRates(w) // its bounds are those of parts by count and number
+	}
+	w.build()
+	// Faults of the network begin once everything stands.
+	sim.Run(epoch + 300*time.Millisecond)
+	w.net.Split, w.net.ResetAt, w.net.LoseDial = p.Split, p.Resets, p.LoseDials
+	start := sim.Now()
+	end := 0
+	for i, r := range p.Requests {
+		sim.At(start+msec(r.AtMS), func() { w.arrive(i, r, 0) })
+		end = max(end, r.AtMS+2*(r.Patient+400))
+	}
+	for _, f := range p.Faults {
+		sim.At(start+msec(f.AtMS), func() { w.inject(f) })
+		end = max(end, f.AtMS+f.ForMS+1000)
+	}
+	sim.Run(start + msec(end) + 3*time.Second)
+	if w.views != nil {
+		sim.Run(sim.Now() + agreeFor)
+	}
+	found := len(w.found) // what an interrupted run shows afterwards is no finding
+	w.quiet()
+	if w.views != nil {
+		w.checkAssignments()
+		w.views.check()
+	}
+	w.stopAll()
+	w.compare()
+	w.checkSuppressed()
+	if sim.interrupted() {
+		w.found = w.found[:found]
+	}
+	return w.outcome()
+}
+
+// place is where a panic came from: the first line of this project's in a stack, below the panic itself.
+func place(stack string) string {
+	lines := strings.Split(stack, "\n")
+	seen := false
+	for _, l := range lines {
+		seen = seen || strings.HasPrefix(l, "panic(")
+		if at := strings.LastIndex(l, "/"); seen && strings.HasPrefix(l, "\t") && strings.Contains(l, ".go:") && !strings.Contains(l, "/runtime/") {
+			return strings.Fields(l[at+1:])[0]
+		}
+	}
+	return "unknown"
+}
--- a/internal/lab/simulation/times_test.go
+++ b/internal/lab/simulation/times_test.go
@@ -18,7 +18,7 @@
 
 // How long a gateway takes to hear of a change that discovery has, from when discovery can be reached: the worst case of
 // each state that its watch may be in. What counts as told then is in the operators' page: 6 s.
-const toldWithin = 6 * time.Second
+const notifyWithin = 6 * time.Second
 
 // How the stand-in treats one call.
 type treat uint8
@@ -130,11 +130,11 @@
 // gatewayOn starts a gateway that asks, or is told by, a scriptedDiscovery.
 func gatewayOn(t *testing.T, sim *Sim, net *Net, at netip.AddrPort, mode string, wrap func(*Loop, loop.Reducer) loop.Reducer) *Loop {
 	t.Helper()
-	return gatewayOfFleet(t, sim, net, at, mode, 1, wrap)
+	return gatewayByGossipAddr(t, sim, net, at, mode, 1, wrap)
 }
 
-// gatewayOfFleet starts one of so many gateways.
-func gatewayOfFleet(t *testing.T, sim *Sim, net *Net, at netip.AddrPort, mode string, gateways int, wrap func(*Loop, loop.Reducer) loop.Reducer) *Loop {
+// gatewayByGossipAddr starts one of so many gateways.
+func gatewayByGossipAddr(t *testing.T, sim *Sim, net *Net, at netip.AddrPort, mode string, gateways int, wrap func(*Loop, loop.Reducer) loop.Reducer) *Loop {
 	t.Helper()
 	raw, err := json.Marshal(map[string]any{"name": "g", "listen": "10.1.0.1:8443", "discovery": at.String(), "seed": fmt.Sprintf("%016x", sim.Rand.Uint64()),
 		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256}, "known": json.RawMessage(`{"seq":1,"whole":true,"hosts":[]}`),
@@ -172,9 +172,9 @@
 				}
 				c.prepare()
 				c.sim.At(epoch+outage, func() { c.prepare() })
-				gatewayOfFleet(t, c.sim, c.net, c.at, "subscribe", 300, nil)
+				gatewayByGossipAddr(t, c.sim, c.net, c.at, "subscribe", 300, nil)
 				c.sim.Run(epoch + outage + 2*time.Minute)
-				if len(c.toldAt) == 0 || c.toldAt[0]-outage > toldWithin {
+				if len(c.toldAt) == 0 || c.toldAt[0]-outage > notifyWithin {
 					t.Fatalf("an outage of %v (kind %d), seed %d: told at %v", outage, how, seed, c.toldAt)
 				}
 			}
@@ -215,7 +215,7 @@
 					worst = max(worst, took)
 				}
 				t.Logf("at worst %v", worst)
-				if worst > toldWithin {
+				if worst > notifyWithin {
 					t.Errorf("heard of after %v at worst", worst)
 				}
 			})
--- a/internal/lab/simulation/beliefs.go
+++ b/internal/lab/simulation/viewchecker.go
@@ -27,9 +27,9 @@
 	excuseAfter = 500 * time.Millisecond
 )
 
-// beliefs is what the world knows of its gateways' views; nil where they have none.
-type beliefs struct {
-	w       *world
+// viewChecker is what the world knows of its gateways' views; nil where they have none.
+type viewChecker struct {
+	w       *simulator
 	history *membershipcheck.History
 	names   []string
 	index   map[string]int
@@ -47,12 +47,12 @@
 	joined int
 }
 
-func fleetAddr(n int) netip.AddrPort {
+func gossipAddr(n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(n), 1 + byte(n>>8)}), 7946)
 }
 
-func newBeliefs(w *world) *beliefs {
-	b := &beliefs{w: w, index: make(map[string]int)}
+func newViewChecker(w *simulator) *viewChecker {
+	b := &viewChecker{w: w, index: make(map[string]int)}
 	for n := range w.plan.Gateways {
 		b.names = append(b.names, gatewayName(n))
 		b.index[gatewayName(n)] = n
@@ -70,7 +70,7 @@
 			}
 		}
 	}
-	w.sim.After(lookEvery, b.look)
+	w.sim.After(lookEvery, b.observe)
 	return b
 }
 
@@ -80,7 +80,7 @@
 	return int(raw[3]-1)<<8 | int(raw[2])
 }
 
-func (b *beliefs) cut(from, to int) bool {
+func (b *viewChecker) cut(from, to int) bool {
 	for _, c := range b.cuts {
 		if c != nil && c(from, to) {
 			return true
@@ -90,23 +90,23 @@
 }
 
 // path is where a gateway's fleet file lies; text is what it says.
-func (b *beliefs) path(n int) string { return b.names[n] + ".fleet.toml" }
+func (b *viewChecker) path(n int) string { return b.names[n] + ".fleet.toml" }
 
-func (b *beliefs) text(n int) []byte {
+func (b *viewChecker) text(n int) []byte {
 	var out strings.Builder
-	fmt.Fprintf(&out, "fleet = \"virtual\"\nlisten = %q\n", fleetAddr(n))
+	fmt.Fprintf(&out, "fleet = \"virtual\"\nlisten = %q\n", gossipAddr(n))
 	if b.w.plan.Shares {
 		fmt.Fprintf(&out, "[shares]\nwarm_rate = %.1f\n", warmRate)
 	}
 	for o, name := range b.names {
 		if o != n {
-			fmt.Fprintf(&out, "[[peer]]\nname = %q\naddr = %q\n", name, fleetAddr(o))
+			fmt.Fprintf(&out, "[[peer]]\nname = %q\naddr = %q\n", name, gossipAddr(o))
 		}
 	}
 	return []byte(out.String())
 }
 
-func (b *beliefs) file(n int) *gossipconfig.Config {
+func (b *viewChecker) file(n int) *gossipconfig.Config {
 	f, err := gossipconfig.Parse(b.path(n), b.text(n), b.names[n])
 	if err != nil {
 		panic(err) // the text is ours
@@ -115,22 +115,22 @@
 }
 
 // started notes a process.
-func (b *beliefs) started(m *machine, gw *gateway.Gateway) {
+func (b *viewChecker) started(m *gatewayNode, gw *gateway.Gateway) {
 	b.pids++
 	m.process = process{pid: b.pids, gw: gw}
-	b.history.Started(m.n, b.pids, b.w.sim.Since(), false, m.elder != nil)
+	b.history.Started(m.n, b.pids, b.w.sim.Since(), false, m.predecessor != nil)
 }
 
-func (b *beliefs) ended(pid int) { b.history.Ended(pid, b.w.sim.Since()) }
+func (b *viewChecker) ended(pid int) { b.history.Ended(pid, b.w.sim.Since()) }
 
-// look notes what each process believes that speaks. Nobody wakes up for it.
-func (b *beliefs) look() {
+// observe notes what each process believes that speaks. Nobody wakes up for it.
+func (b *viewChecker) observe() {
 	if b.done {
 		return
 	}
 	for _, m := range b.w.gateways {
 		for _, p := range []*process{&m.process, &m.before} {
-			if p.gw == nil || p.gw.Membership() == nil || p == &m.process && !m.up && m.elder == nil {
+			if p.gw == nil || p.gw.Membership() == nil || p == &m.process && !m.up && m.predecessor == nil {
 				continue
 			}
 			v := p.gw.Membership()
@@ -153,11 +153,11 @@
 			break
 		}
 	}
-	b.w.sim.After(lookEvery, b.look)
+	b.w.sim.After(lookEvery, b.observe)
 }
 
-// happen is a cut of datagrams: a part from the rest, one that is heard by none, or a single pair.
-func (b *beliefs) happen(f Fault) {
+// inject is a cut of datagrams: a part from the rest, one that is heard by none, or a single pair.
+func (b *viewChecker) inject(f Fault) {
 	n, who := len(b.names), f.Who
 	var c func(from, to int) bool
 	switch f.What {
@@ -176,7 +176,7 @@
 }
 
 // change notes which paths a change of the cuts concerns.
-func (b *beliefs) change(do func()) {
+func (b *viewChecker) change(do func()) {
 	was := make(map[[2]int]bool)
 	for x := range b.names {
 		for y := range b.names {
@@ -194,7 +194,7 @@
 }
 
 // halt stops a gateway's process for a while, as SIGSTOP does.
-func (b *beliefs) halt(m *machine, length time.Duration) {
+func (b *viewChecker) halt(m *gatewayNode, length time.Duration) {
 	now := b.w.sim.Now()
 	m.halts = append(m.halts, [2]time.Duration{now, now + length})
 	b.history.Halted(m.n, b.w.sim.Since(), true)
@@ -207,8 +207,8 @@
 	})
 }
 
-// judge finds the rules on views that were broken.
-func (b *beliefs) judge() {
+// check finds the rules on views that were broken.
+func (b *viewChecker) check() {
 	b.done = true
 	for _, f := range membershipcheck.Judge(b.history) {
 		b.w.find(f.Rule, f.ID, "%s", f.Detail)
@@ -216,9 +216,9 @@
 }
 
 // nonsense sends a gateway datagrams that nobody meant: of another fleet, spoilt, cut short, or from a stranger.
-func (b *beliefs) nonsense(n int) {
+func (b *viewChecker) nonsense(n int) {
 	r := b.w.sim.Rand
-	from := &dsock{addr: fleetAddr((n + 1) % len(b.names))}
+	from := &datagramSocket{addr: gossipAddr((n + 1) % len(b.names))}
 	foreign := gossipcodec.Append(nil, &gossipcodec.Message{Cluster: "other", From: gatewayName((n + 1) % len(b.names)), Start: 1 << 45, Kind: gossipcodec.Gossip})
 	noise := make([]byte, r.IntN(300))
 	for i := range noise {
@@ -226,6 +226,6 @@
 	}
 	whole := gossipcodec.Append(nil, &gossipcodec.Message{Cluster: "virtual", From: "nobody", Start: 1 << 45, Kind: gossipcodec.Ping, Seq: 9})
 	for _, data := range [][]byte{foreign, noise, whole, whole[:len(whole)/2]} {
-		b.w.net.datagram(from, fleetAddr(n), data)
+		b.w.net.datagram(from, gossipAddr(n), data)
 	}
 }
