--- a/internal/lab/cli/view.go
+++ b/internal/lab/cli/view.go
@@ -37,14 +37,20 @@
 	if c.Nodes < 3 || c.Nodes > membership.MaxMembers || !(c.Loss >= 0 && c.Loss < 1) {
 		return input(fmt.Errorf("nodes must be 3 to %d and loss 0 to under 1", membership.MaxMembers))
 	}
-	parts := map[string]membership.Part{"ring": membership.PartRing, "confirm": membership.PartConfirm, "verify": membership.PartVerify,
-		"health": membership.PartHealth, "repair": membership.PartRepair, "calls": membership.PartCalls}
+	refinements := map[string]membership.Refinement{
+		"ring":    membership.RingProbing,
+		"confirm": membership.Confirmation,
+		"verify":  membership.Verification,
+		"health":  membership.LocalHealthAwareness,
+		"repair":  membership.AntiEntropy,
+		"calls":   membership.Reconnection,
+	}
 	if c.Plots != "" {
 		return c.plots(e.ctx)
 	}
 	began := time.Now()
 	f := membershipsim.Measure(e.ctx, membershipsim.Case{Seed: c.Seed, Nodes: c.Nodes, Loss: c.Loss, Stalls: c.Stalls, Heal: c.Heal, Baseline: c.Beats,
-		Without: parts[c.Without]})
+		Without: refinements[c.Without]})
 	kind := "view"
 	if c.Beats {
 		kind = "heartbeats"
--- a/internal/lab/membershipsim/sim.go
+++ b/internal/lab/membershipsim/sim.go
@@ -62,8 +62,8 @@
 	Net      Net
 	Nodes    []*Node
 	Findings []string
-	Without  membership.Part
-	Baseline bool // heartbeats in place of views
+	Without  membership.Refinement // left out
+	Baseline bool                  // heartbeats in place of views
 	Flat     bool
 
 	rng   *rand.Rand
@@ -155,11 +155,11 @@
 		return
 	}
 	cfg := membership.Config{Cluster: "sim", Name: node.Name, Start: uint64((s.now - s.back).Milliseconds()), SeedPeers: s.book, Flat: s.Flat,
-		Payload: node.payload, Seed: s.rng.Uint64(), Without: s.Without}
+		Payload: node.payload, Seed: s.rng.Uint64()}
 	if s.Baseline {
 		node.View = NewHeartbeats(cfg, s.now)
 	} else {
-		view, err := membership.New(cfg, s.now)
+		view, err := membership.New(cfg, s.now, membership.Without(s.Without))
 		if err != nil {
 			panic(err) // names and book are ours
 		}
--- a/internal/lab/membershipsim/size.go
+++ b/internal/lab/membershipsim/size.go
@@ -13,11 +13,11 @@
 type Case struct {
 	Seed     uint64
 	Nodes    int
-	Loss     float64         // share of the datagrams
-	Stalls   bool            // a tenth of the nodes stopped for 2 s in every 10 over the quiet stretch
-	Heal     bool            // a partition at the end
-	Baseline bool            // heartbeats in place of views
-	Without  membership.Part // refinements left out
+	Loss     float64               // share of the datagrams
+	Stalls   bool                  // a tenth of the nodes stopped for 2 s in every 10 over the quiet stretch
+	Heal     bool                  // a partition at the end
+	Baseline bool                  // heartbeats in place of views
+	Without  membership.Refinement // refinements left out
 }
 
 // Figures are what a fleet of one size does under one set of troubles.
--- a/internal/lab/mutationtest/cluster.go
+++ b/internal/lab/mutationtest/cluster.go
@@ -2,27 +2,55 @@
 
 // clusterMutants are defects of the membership, assignment and start times.
 func clusterMutants() []mutant {
-	return []mutant{
+	return append(membershipMutants(),
 		one("believe the machine's clock", "clock", "internal/starttime/starts.go",
-			"	believed := min(stated+s.lead, now)\n	if s.followed {\n		believed = max(believed, now-heardWithin)\n	}\n", "	believed := stated\n"),
-		one("refute nothing", "members", "internal/membership/members.go", "		v.raise(c.Incarnation + 1)\n		v.changed = v.now\n		v.nextNews = v.now", "		v.changed = v.now\n		v.nextNews = v.now"),
-		one("an incarnation that goes back", "members", "internal/membership/members.go", "		v.raise(c.Incarnation + 1)\n		v.changed = v.now\n		v.nextNews = v.now", "		v.raise(1)\n		v.changed = v.now\n		v.nextNews = v.now"),
-		one("a later start is nothing", "members", "internal/membership/members.go", "cmp.Or(cmp.Compare(c.Start, m.Start), ", "cmp.Or("),
-		one("believe any claim", "members", "internal/membership/members.go", "	if !stronger(c, m) {\n		return\n	}\n", ""),
-		one("never call the lost", "members", "internal/membership/members.go", "		v.call()\n", ""),
-		one("suspect nobody", "members", "internal/membership/members.go", "	c := m.claim(v.cfg.Name)\n	c.State = gossipcodec.Suspect\n	v.set(m, &c)\n", ""),
-		one("a suspicion without end", "members", "internal/membership/members.go", "			c.State = gossipcodec.Gone\n			v.set(m, &c)\n", "			_ = c\n			s.verifying = v.now + verifyFor\n"),
-		one("spread no payload", "members", "internal/membership/members.go", "		c.Payload = m.Payload\n", ""),
-		one("answer no question", "members", "internal/membership/hear.go", "		v.sendTo(from, &gossipcodec.Message{Kind: gossipcodec.Ack, Seq: msg.Seq}, about)\n", "		_ = about\n"),
-		one("spread news for ever", "members", "internal/membership/news.go", "		if it.sends++; it.sends >= most(it.claim.State) {", "		if it.sends++; it.sends < 0 {"),
-		one("ask without a pause", "members", "internal/membership/members.go", "		v.nextRound = v.now + v.stretch(period)\n", "		v.nextRound = v.now + period/100\n"),
-		one("compare no views", "members", "internal/membership/hear.go", "	v.nextFix = v.now + repairEvery\n	v.send(m, &gossipcodec.Message{Kind: gossipcodec.Digest, Sums: v.sums[:]}, nil)\n", ""),
-		one("call those it doubts its majority", "views", "internal/membership/members.go", "2*(s.Alive-suspects) > s.Known && s.Answering > 0.5", "2*s.Alive > s.Known"),
-		one("take a datagram from anybody", "views", "internal/membership/hear.go", "	if !v.cfg.Flat && (!booked || at != from) {", "	if false && at != from {"),
+			"	believed := min(stated+s.lead, now)\n	if s.followed {\n		believed = max(believed, now-heardWithin)\n	}\n",
+			"	believed := stated\n"),
+		one("a turn without an end", "shares", "internal/tokenschedule/turns.go",
+			"return h.StartedAt + begins + r.ValidFor(), true", "return h.StartedAt + begins + time.Hour, true"),
+		one("tell every figure at once", "shares", "internal/loadreport/signals.go",
+			"	if !due {\n		return nil, false", "	if !due && s.Demand < 0 {\n		return nil, false"),
+	)
+}
+
+// membershipMutants are defects of the membership.
+func membershipMutants() []mutant {
+	return []mutant{
+		one("refute nothing", "members", "internal/membership/claims.go",
+			"		m.reincarnate(c.Incarnation + 1)\n		m.lastChange = m.now\n		m.next.gossip = m.now",
+			"		m.lastChange = m.now\n		m.next.gossip = m.now"),
+		one("an incarnation that goes back", "members", "internal/membership/claims.go",
+			"		m.reincarnate(c.Incarnation + 1)\n		m.lastChange = m.now\n		m.next.gossip = m.now",
+			"		m.reincarnate(1)\n		m.lastChange = m.now\n		m.next.gossip = m.now"),
+		one("a later start is nothing", "members", "internal/membership/claims.go",
+			"cmp.Or(cmp.Compare(c.Start, p.Start), ", "cmp.Or("),
+		one("believe any claim", "members", "internal/membership/claims.go",
+			"	if !supersedes(c, peer) {\n		return\n	}\n", ""),
+		one("never call the lost", "members", "internal/membership/membership.go", "		m.reconnect()\n", ""),
+		one("suspect nobody", "members", "internal/membership/probe_schedule.go",
+			"	c := peer.claim(m.cfg.Name)\n	c.State = gossipcodec.Suspect\n	m.adopt(peer, &c)\n", ""),
+		one("a suspicion without end", "members", "internal/membership/suspicion.go",
+			"			c.State = gossipcodec.Gone\n			m.adopt(peer, &c)\n",
+			"			_ = c\n			s.verifyingUntil = m.now + verificationTimeout\n"),
+		one("spread no payload", "members", "internal/membership/claims.go", "		c.Payload = p.Payload\n", ""),
+		one("answer no question", "members", "internal/membership/receive.go",
+			"	m.sendTo(from, &gossipcodec.Message{Kind: gossipcodec.Ack, Seq: msg.Seq}, about)\n", "	_ = about\n"),
+		one("spread news for ever", "members", "internal/membership/broadcast_queue.go",
+			"		if item.transmits++; item.transmits >= limit(item.claim.State) {",
+			"		if item.transmits++; item.transmits < 0 {"),
+		one("ask without a pause", "members", "internal/membership/membership.go",
+			"		m.next.probe = m.now + m.stretch(protocolPeriod)\n", "		m.next.probe = m.now + protocolPeriod/100\n"),
+		one("compare no views", "members", "internal/membership/antientropy.go",
+			"	m.next.repair = m.now + repairInterval\n"+
+				"	m.send(peer, &gossipcodec.Message{Kind: gossipcodec.Digest, Sums: m.table.bucketSums[:]}, nil)\n", ""),
+		one("call those it doubts its majority", "views", "internal/membership/status.go",
+			"2*(s.Alive-suspects) > s.Known && s.Answering > 0.5", "2*s.Alive > s.Known"),
+		one("take a datagram from anybody", "views", "internal/membership/receive.go",
+			"	if !m.cfg.Flat && (!seeded || addr != from) {", "	if false && addr != from {"),
 		{"throw out at the first silence", "views", []edit{
-			{"internal/membership/members.go", "	case s.verifying == 0 && v.cfg.Without&PartVerify == 0:", "	case false:"},
-			{"internal/membership/members.go", "	s.until = s.since + v.stretch(max(suspectLeast,", "	s.until = s.since + 0*v.stretch(max(suspectLeast,"}}},
-		one("a turn without an end", "shares", "internal/tokenschedule/turns.go", "return h.StartedAt + begins + r.ValidFor(), true", "return h.StartedAt + begins + time.Hour, true"),
-		one("tell every figure at once", "shares", "internal/loadreport/signals.go", "	if !due {\n		return nil, false", "	if !due && s.Demand < 0 {\n		return nil, false"),
+			{"internal/membership/suspicion.go",
+				"	case s.verifyingUntil == 0 && !m.without.has(Verification):", "	case false:"},
+			{"internal/membership/suspicion.go",
+				"	s.expireAfter(m.stretch(s.timeout(longest)))", "	s.expireAfter(0 * m.stretch(s.timeout(longest)))"}}},
 	}
 }
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -64,7 +64,7 @@
 		}
 	}
 	v := view(t, nil)
-	if err := v.SetSeedPeers(t0, []Peer{{"b", addr(2)}, {"b", addr(4)}}); err == nil || v.book["c"] != addr(3) {
+	if err := v.SetSeedPeers(t0, []Peer{{"b", addr(2)}, {"b", addr(4)}}); err == nil || v.seeds["c"] != addr(3) {
 		t.Errorf("a faulty book: %v, and changed something", err)
 	}
 }
@@ -178,7 +178,7 @@
 	if st := v.Status(t0); !st.DuplicateName || st.Settled {
 		t.Errorf("told of a twin: %+v", st)
 	}
-	if st := v.Status(t0 + twinFor); st.DuplicateName {
+	if st := v.Status(t0 + duplicateNameFor); st.DuplicateName {
 		t.Error("for ever")
 	}
 }
--- a/internal/membership/rapid_test.go
+++ b/internal/membership/rapid_test.go
@@ -114,8 +114,8 @@
 	if err := m.v.SetSeedPeers(m.now, append(book, Peer{Name: "z"})); err == nil {
 		t.Fatal("a faulty book was taken")
 	}
-	if len(m.v.book) != len(book) {
-		t.Fatalf("a faulty book changed the one in force: %d for %d", len(m.v.book), len(book))
+	if len(m.v.seeds) != len(book) {
+		t.Fatalf("a faulty book changed the one in force: %d for %d", len(m.v.seeds), len(book))
 	}
 }
 
@@ -151,7 +151,7 @@
 			t.Fatalf("it sends to %v, which is in no book", d.To)
 		}
 	}
-	if most := sendBurst*2 + sendRate*(m.now-m.began).Seconds() + mostPages; float64(m.sent) > most {
+	if most := sendBurst*2 + sendRate*(m.now-m.began).Seconds() + maxRepairPages; float64(m.sent) > most {
 		t.Fatalf("%d datagrams in %v", m.sent, m.now-m.began)
 	}
 	list := m.v.Members()
@@ -179,17 +179,19 @@
 	if st.Alive < 1 || st.Known < st.Alive || st.Settled && !st.Majority || st.Majority && 2*st.Alive <= st.Known {
 		t.Fatalf("%+v", st)
 	}
-	anew := Membership{}
-	for _, o := range append(slices.Clone(m.v.order), &m.v.self) {
+	anew := table{}
+	for _, o := range append(slices.Clone(m.v.table.sorted), &m.v.self) {
 		c := *o
-		c.weight = 0
-		anew.weigh(&c)
+		c.hash = 0
+		anew.updateDigest(&c)
 	}
-	if anew.digest != m.v.digest || anew.sums != m.v.sums {
+	if anew.digest != m.v.table.digest || anew.bucketSums != m.v.table.bucketSums {
 		t.Fatal("the digest is not that of the view")
 	}
-	if len(m.v.suspects) > len(m.v.order) || m.v.news.len() > len(m.v.order)+1 || len(m.v.questions) > 64+4*mostCalls {
-		t.Fatalf("%d suspects, %d news, %d questions of %d members", len(m.v.suspects), m.v.news.len(), len(m.v.questions), len(m.v.order))
+	known, pending := len(m.v.table.sorted), len(m.v.probes.pending)
+	if len(m.v.suspects) > known || m.v.queue.len() > known+1 || pending > 64+4*maxReconnectProbes {
+		t.Fatalf("%d suspects, %d claims to send, %d probes of %d members",
+			len(m.v.suspects), m.v.queue.len(), pending, known)
 	}
 	for _, s := range m.v.suspects {
 		if s.State != gossipcodec.Suspect || s.suspicion == nil {
