--- /dev/null
+++ b/internal/membership/ablation_test.go
@@ -0,0 +1,130 @@
+package membership
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"thymebend/internal/gossipcodec"
+)
+
+// Guards against a gateway that runs without a refinement: only the laboratory may name the ablation.
+func TestOnlyTheLaboratoryLeavesRefinementsOut(t *testing.T) {
+	root := filepath.Join("..", "..")
+	if _, err := os.Stat(filepath.Join(root, "go.mod")); err != nil {
+		t.Fatal(err)
+	}
+	ablation := exportedNames(t, "ablation.go")
+	if !ablation["Without"] || !ablation["Refinement"] || !ablation["Option"] {
+		t.Fatalf("ablation.go declares %v", ablation)
+	}
+	laboratory, uses := filepath.Join(root, "internal", "lab"), 0
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") {
+			return err
+		}
+		for _, use := range usesOf(t, path, ablation) {
+			if strings.HasPrefix(path, laboratory+string(filepath.Separator)) {
+				uses++
+				continue
+			}
+			t.Errorf("%s uses membership.%s", path, use)
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if uses == 0 {
+		t.Error("the laboratory does not use the ablation: this test finds nothing any more")
+	}
+}
+
+// exportedNames are the exported names that a file declares at its top.
+func exportedNames(t *testing.T, path string) map[string]bool {
+	t.Helper()
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	names := make(map[string]bool)
+	note := func(name *ast.Ident) {
+		if name.IsExported() {
+			names[name.Name] = true
+		}
+	}
+	for _, declaration := range file.Decls {
+		switch declaration := declaration.(type) {
+		case *ast.FuncDecl:
+			note(declaration.Name)
+		case *ast.GenDecl:
+			for _, spec := range declaration.Specs {
+				switch spec := spec.(type) {
+				case *ast.TypeSpec:
+					note(spec.Name)
+				case *ast.ValueSpec:
+					for _, name := range spec.Names {
+						note(name)
+					}
+				}
+			}
+		}
+	}
+	return names
+}
+
+// usesOf lists the names of this package, among some, that a file uses.
+func usesOf(t *testing.T, path string, names map[string]bool) (out []string) {
+	t.Helper()
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	local := ""
+	for _, spec := range file.Imports {
+		if spec.Path.Value == `"thymebend/internal/membership"` {
+			local = "membership"
+			if spec.Name != nil {
+				local = spec.Name.Name
+			}
+		}
+	}
+	if local == "" {
+		return nil
+	}
+	ast.Inspect(file, func(node ast.Node) bool {
+		if selector, ok := node.(*ast.SelectorExpr); ok && names[selector.Sel.Name] {
+			if x, ok := selector.X.(*ast.Ident); ok && x.Name == local {
+				out = append(out, selector.Sel.Name)
+			}
+		}
+		return true
+	})
+	return out
+}
+
+func TestWithoutVerificationHearsayIsBelieved(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		options []Option
+		want    gossipcodec.State
+	}{
+		{"a gateway's own", nil, gossipcodec.Suspect},
+		{"without verification", []Option{Without(Verification)}, gossipcodec.Gone},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			m := newMembership(t, nil, test.options...)
+			m.Receive(epoch, addr(3), datagram("c", 9, gossipcodec.Ping))
+			m.Receive(epoch, addr(2), datagram("b", 9, gossipcodec.Gossip,
+				gossipcodec.Claim{Name: "c", Start: 9, State: gossipcodec.Gone}))
+			if got, _ := m.Find("c"); got.State != test.want {
+				t.Errorf("%v, want %v", got.State, test.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/membership/helpers_test.go
@@ -0,0 +1,51 @@
+package membership
+
+import (
+	"net/netip"
+	"testing"
+	"time"
+
+	"thymebend/internal/gossipcodec"
+)
+
+// epoch is when the tests begin, in Unix time.
+const epoch = 1_700_000_000 * time.Second
+
+// addr is the address of the n-th gateway.
+func addr(n byte) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 7946)
+}
+
+// newMembership is that of gateway a with the seed peers b and c, unless edit changes it.
+func newMembership(t *testing.T, edit func(*Config), options ...Option) *Membership {
+	t.Helper()
+	cfg := Config{Cluster: "f", Name: "a", Start: 1000, Seed: 1,
+		SeedPeers: []Peer{{"a", addr(1)}, {"b", addr(2)}, {"c", addr(3)}}}
+	if edit != nil {
+		edit(&cfg)
+	}
+	m, err := New(cfg, epoch, options...)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return m
+}
+
+// datagram encodes what another gateway sends.
+func datagram(from string, start uint64, kind gossipcodec.Kind, claims ...gossipcodec.Claim) []byte {
+	b := gossipcodec.Append(nil, &gossipcodec.Message{Cluster: "f", From: from, Start: start, Kind: kind, Seq: 5})
+	for i := range claims {
+		b, _ = gossipcodec.AppendClaim(b, &claims[i])
+	}
+	return b
+}
+
+// listed finds a member in the list that Members gives.
+func listed(m *Membership, name string) (Member, bool) {
+	for _, one := range m.Members() {
+		if one.Name == name {
+			return one, true
+		}
+	}
+	return Member{}, false
+}
--- /dev/null
+++ b/internal/membership/receive_test.go
@@ -0,0 +1,79 @@
+package membership
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"thymebend/internal/gossipcodec"
+)
+
+// Guards against a datagram that is foreign, malformed or from an address not known for its name and yet changes
+// something.
+func TestForeignDatagramsChangeNothing(t *testing.T) {
+	m := newMembership(t, nil)
+	claim := gossipcodec.Claim{Name: "c", Start: 9, Incarnation: 9, State: gossipcodec.Gone}
+	foreign := gossipcodec.Append(nil,
+		&gossipcodec.Message{Cluster: "other", From: "b", Start: 1, Kind: gossipcodec.Ping})
+	m.Receive(epoch, addr(2), foreign)
+	m.Receive(epoch, addr(2), []byte("\x08\x01nonsense"))
+	m.Receive(epoch, addr(7), datagram("b", 1, gossipcodec.Gossip, claim))
+	m.Receive(epoch, addr(2), datagram("stranger", 1, gossipcodec.Gossip, claim))
+	c := m.Counts()
+	if c.OtherCluster != 1 || c.Malformed != 1 || c.UnknownSender != 2 {
+		t.Errorf("%+v", c)
+	}
+	if len(m.Members()) != 1 || len(m.Take()) != 0 {
+		t.Errorf("%v", m.Members())
+	}
+}
+
+// Guards against a flood of new names that takes all memory.
+func TestMembersAreBounded(t *testing.T) {
+	m := newMembership(t, func(c *Config) { c.Flat = true })
+	for n := range MaxMembers + 50 {
+		m.Receive(epoch, addr(9), datagram(fmt.Sprint("x-", n), 1, gossipcodec.Gossip))
+	}
+	if len(m.Members()) != MaxMembers+1 || m.Counts().Full == 0 {
+		t.Errorf("%d members, %d refused", len(m.Members()), m.Counts().Full)
+	}
+}
+
+// Guards against a flood of requests that is answered without bound. Acks and repair pages count too.
+func TestFloodsAreAnsweredWithinTheLimit(t *testing.T) {
+	sums := make([]uint32, gossipcodec.Buckets)
+	for i := range sums {
+		sums[i] = uint32(i + 1) // every bucket differs
+	}
+	for _, test := range []struct {
+		name string
+		msg  gossipcodec.Message
+	}{
+		{"pings", gossipcodec.Message{Kind: gossipcodec.Ping}},
+		{"ping requests", gossipcodec.Message{Kind: gossipcodec.PingRequest, Target: "c"}},
+		{"digests", gossipcodec.Message{Kind: gossipcodec.Digest, Sums: sums}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			m := newMembership(t, func(c *Config) { c.Flat = true })
+			for n := range 200 {
+				m.Receive(epoch, addr(9), datagram(fmt.Sprint("x-", n), 1, gossipcodec.Gossip))
+			}
+			m.Take()
+			msg := test.msg
+			msg.Cluster, msg.From, msg.Start = "f", "b", 1
+			const seconds = 3
+			sent := 0
+			for ms := range 1000 * seconds {
+				now := epoch + time.Duration(ms)*time.Millisecond
+				for n := range 3 {
+					msg.Seq = uint64(3*ms + n)
+					m.Receive(now, addr(2), gossipcodec.Append(nil, &msg))
+				}
+				sent += len(m.Take())
+			}
+			if most := int(2*sendBurst + seconds*sendRate); sent > most || sent < seconds*int(sendRate)/2 {
+				t.Errorf("%d datagrams in %d s, %d at most", sent, seconds, most)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/membership/send_test.go
@@ -0,0 +1,27 @@
+package membership
+
+import (
+	"testing"
+	"time"
+
+	"thymebend/internal/gossipcodec"
+)
+
+func TestSendLimiterLetsAcksOverdraw(t *testing.T) {
+	l := sendLimiter{tokens: sendBurst}
+	count := func(kind gossipcodec.Kind) (n int) {
+		for l.allow(0, kind) {
+			n++
+		}
+		return n
+	}
+	if n := count(gossipcodec.Gossip); n != sendBurst {
+		t.Errorf("%d datagrams at once", n)
+	}
+	if n := count(gossipcodec.Ack); n != sendBurst {
+		t.Errorf("%d acks beyond it", n)
+	}
+	if !l.allow(3*time.Second, gossipcodec.Gossip) {
+		t.Error("nothing after 3 s")
+	}
+}
