--- /dev/null
+++ b/internal/gossipcodec/decode.go
@@ -0,0 +1,193 @@
+package gossipcodec
+
+import (
+	"fmt"
+	"math"
+	"net/netip"
+	"strconv"
+
+	"google.golang.org/protobuf/encoding/protowire"
+)
+
+// addrBytes is the length of an IPv4 address and a port.
+const addrBytes = 6
+
+// field is one field as it stands on the wire.
+type field struct {
+	number protowire.Number
+	value  uint64
+	bytes  []byte
+}
+
+// eachField walks over the fields of a message. Groups and broken fields are of type *FieldError.
+func eachField(b []byte, do func(field) error) error {
+	for len(b) > 0 {
+		number, kind, used := protowire.ConsumeTag(b)
+		if used < 0 {
+			cause := protowire.ParseError(used)
+			return &FieldError{reason: cause.Error(), cause: cause}
+		}
+		b = b[used:]
+		f := field{number: number}
+		switch kind {
+		case protowire.VarintType:
+			f.value, used = protowire.ConsumeVarint(b)
+		case protowire.Fixed64Type:
+			f.value, used = protowire.ConsumeFixed64(b)
+		case protowire.Fixed32Type:
+			var v uint32
+			v, used = protowire.ConsumeFixed32(b)
+			f.value = uint64(v)
+		case protowire.BytesType:
+			f.bytes, used = protowire.ConsumeBytes(b)
+		default:
+			return fieldErrorf(strconv.Itoa(int(number)), "field %d has wire type %d", number, kind)
+		}
+		if used < 0 {
+			cause := protowire.ParseError(used)
+			return &FieldError{Field: strconv.Itoa(int(number)), cause: cause,
+				reason: fmt.Sprintf("field %d: %v", number, cause)}
+		}
+		b = b[used:]
+		if err := do(f); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// Parse reads a datagram. What it returns owns its memory. Its errors match [ErrTooLong] or [ErrVersion], or are of
+// type [*FieldError].
+func Parse(b []byte) (*Message, error) {
+	if len(b) > MaxDatagram {
+		return nil, lengthError(len(b))
+	}
+	m := &Message{}
+	version := uint64(0)
+	err := eachField(b, func(f field) error {
+		if f.number == fieldVersion {
+			version = f.value
+			return nil
+		}
+		return m.set(f)
+	})
+	switch {
+	case err != nil:
+		return nil, err
+	case version != Version:
+		return nil, fmt.Errorf("%w %d", ErrVersion, version)
+	}
+	if err := m.validate(); err != nil {
+		return nil, err
+	}
+	return m, nil
+}
+
+// set takes one field of a message.
+func (m *Message) set(f field) (err error) {
+	switch f.number {
+	case fieldCluster:
+		m.Cluster = string(f.bytes)
+	case fieldFrom:
+		m.From = string(f.bytes)
+	case fieldStart:
+		m.Start = f.value
+	case fieldKind:
+		m.Kind = Kind(min(f.value, math.MaxUint8))
+	case fieldSeq:
+		m.Seq = f.value
+	case fieldTarget:
+		m.Target = string(f.bytes)
+	case fieldView:
+		m.Digest = f.value
+	case fieldSums:
+		m.BucketSums, err = parseSums(f.bytes)
+	case fieldReply:
+		m.Reply = f.value != 0
+	case fieldClaim:
+		if len(m.Claims) == maxClaims {
+			return fieldErrorf("news", "more than %d claims", maxClaims)
+		}
+		var c Claim
+		if c, err = parseClaim(f.bytes); err == nil {
+			m.Claims = append(m.Claims, c)
+		}
+	}
+	return err
+}
+
+func parseSums(b []byte) ([]uint32, error) {
+	if len(b) != 4*Buckets {
+		return nil, fieldErrorf("sums", "%d bytes of sums, want %d", len(b), 4*Buckets)
+	}
+	sums := make([]uint32, 0, Buckets)
+	for rest := b; len(rest) > 0; rest = rest[4:] {
+		v, _ := protowire.ConsumeFixed32(rest) // four bytes are there
+		sums = append(sums, v)
+	}
+	return sums, nil
+}
+
+func (m *Message) validate() error {
+	switch {
+	case m.Start > MaxStart:
+		return fieldErrorf("start", "from a process started at %d", m.Start)
+	case !Name(m.From):
+		return fieldErrorf("from", "from %q is no name", m.From)
+	case m.Target != "" && !Name(m.Target):
+		return fieldErrorf("target", "target %q is no name", m.Target)
+	case m.Kind == 0 || m.Kind > lastKind:
+		return fieldErrorf("kind", "unknown kind %d", m.Kind)
+	case m.Kind == PingRequest && m.Target == "":
+		return fieldErrorf("target", "kind %d lacks what it needs", m.Kind)
+	case m.Kind == Digest && m.BucketSums == nil:
+		return fieldErrorf("sums", "kind %d lacks what it needs", m.Kind)
+	}
+	return nil
+}
+
+func parseClaim(b []byte) (Claim, error) {
+	var c Claim
+	state := uint64(0)
+	err := eachField(b, func(f field) error {
+		switch f.number {
+		case claimName:
+			c.Name = string(f.bytes)
+		case claimStart:
+			c.Start = f.value
+		case claimIncarnation:
+			c.Incarnation = f.value
+		case claimState:
+			state = f.value
+		case claimSuspectedBy:
+			c.SuspectedBy = string(f.bytes)
+		case claimPayload:
+			c.Payload = append([]byte(nil), f.bytes...)
+		case claimAddr:
+			if len(f.bytes) != addrBytes {
+				return fieldErrorf("addr", "an address of %d bytes", len(f.bytes))
+			}
+			port := uint16(f.bytes[4])<<8 | uint16(f.bytes[5])
+			c.Addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte(f.bytes[:4])), port)
+		}
+		return nil
+	})
+	switch {
+	case err != nil:
+		return c, err
+	case !Name(c.Name):
+		return c, fieldErrorf("name", "a claim about %q by %q", c.Name, c.SuspectedBy)
+	case c.SuspectedBy != "" && !Name(c.SuspectedBy):
+		return c, fieldErrorf("by", "a claim about %q by %q", c.Name, c.SuspectedBy)
+	case state > uint64(lastState):
+		return c, fieldErrorf("state", "unknown state %d of %s", state, c.Name)
+	case len(c.Payload) > MaxPayload:
+		return c, fieldErrorf("payload", "a payload of %d bytes, %d at most", len(c.Payload), MaxPayload)
+	case c.Start > MaxStart:
+		return c, fieldErrorf("start", "%s started at %d, incarnation %d", c.Name, c.Start, c.Incarnation)
+	case c.Incarnation > MaxIncarnation:
+		return c, fieldErrorf("incarnation", "%s started at %d, incarnation %d", c.Name, c.Start, c.Incarnation)
+	}
+	c.State = State(state)
+	return c, nil
+}
--- a/internal/lab/mutationtest/cluster.go
+++ b/internal/lab/mutationtest/cluster.go
@@ -42,7 +42,7 @@
 			"		m.next.probe = m.now + m.stretch(protocolPeriod)\n", "		m.next.probe = m.now + protocolPeriod/100\n"),
 		one("compare no views", "members", "internal/membership/antientropy.go",
 			"	m.next.repair = m.now + repairInterval\n"+
-				"	m.send(peer, &gossipcodec.Message{Kind: gossipcodec.Digest, Sums: m.table.bucketSums[:]}, nil)\n", ""),
+				"	m.send(peer, &gossipcodec.Message{Kind: gossipcodec.Digest, BucketSums: m.table.bucketSums[:]}, nil)\n", ""),
 		one("call those it doubts its majority", "views", "internal/membership/status.go",
 			"2*(s.Alive-suspects) > s.Known && s.Answering > 0.5", "2*s.Alive > s.Known"),
 		one("take a datagram from anybody", "views", "internal/membership/receive.go",
--- a/internal/membership/antientropy.go
+++ b/internal/membership/antientropy.go
@@ -16,12 +16,12 @@
 // beginRepair sends the own bucket sums to a member that knows something else, unless claims that may explain it are
 // still on their way.
 func (m *Membership) beginRepair(peer *member, msg *gossipcodec.Message) {
-	if msg.View == m.table.digest || msg.Kind == gossipcodec.Digest || m.queue.len() > 0 ||
+	if msg.Digest == m.table.digest || msg.Kind == gossipcodec.Digest || m.queue.len() > 0 ||
 		m.now < m.next.repair || m.without.has(AntiEntropy) {
 		return
 	}
 	m.next.repair = m.now + repairInterval
-	m.send(peer, &gossipcodec.Message{Kind: gossipcodec.Digest, Sums: m.table.bucketSums[:]}, nil)
+	m.send(peer, &gossipcodec.Message{Kind: gossipcodec.Digest, BucketSums: m.table.bucketSums[:]}, nil)
 }
 
 // repair sends a member what lies in the buckets that differ from its own, and asks for the same in return.
@@ -29,7 +29,7 @@
 	if m.without.has(AntiEntropy) {
 		return
 	}
-	claims := m.claimsInDifferingBuckets(msg.Sums)
+	claims := m.claimsInDifferingBuckets(msg.BucketSums)
 	// What does not fit now is for others to send.
 	m.rng.Shuffle(len(claims), func(i, j int) { claims[i], claims[j] = claims[j], claims[i] })
 	for page := 0; len(claims) > 0 && page < maxRepairPages && m.allowed(gossipcodec.Gossip); page++ {
@@ -44,7 +44,8 @@
 		m.post(peer.Addr, datagram)
 	}
 	if !msg.Reply {
-		m.send(peer, &gossipcodec.Message{Kind: gossipcodec.Digest, Sums: m.table.bucketSums[:], Reply: true}, nil)
+		reply := gossipcodec.Message{Kind: gossipcodec.Digest, BucketSums: m.table.bucketSums[:], Reply: true}
+		m.send(peer, &reply, nil)
 	}
 }
 
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -78,10 +78,10 @@
 		Kind:    gossipcodec.Kind(rapid.IntRange(1, 7).Draw(t, "kind")),
 		Seq:     rapid.Uint64Range(0, 1<<50).Draw(t, "seq"),
 		Target:  drawName.Draw(t, "target"),
-		View:    rapid.Uint64().Draw(t, "digest"),
+		Digest:  rapid.Uint64().Draw(t, "digest"),
 	}
 	if msg.Kind == gossipcodec.Digest {
-		msg.Sums = make([]uint32, gossipcodec.Buckets)
+		msg.BucketSums = make([]uint32, gossipcodec.Buckets)
 	}
 	claims := drawClaims(t)
 	b := gossipcodec.Append(nil, &msg)
--- a/internal/membership/receive_test.go
+++ b/internal/membership/receive_test.go
@@ -51,7 +51,7 @@
 	}{
 		{"pings", gossipcodec.Message{Kind: gossipcodec.Ping}},
 		{"ping requests", gossipcodec.Message{Kind: gossipcodec.PingRequest, Target: "c"}},
-		{"digests", gossipcodec.Message{Kind: gossipcodec.Digest, Sums: sums}},
+		{"digests", gossipcodec.Message{Kind: gossipcodec.Digest, BucketSums: sums}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			m := newMembership(t, func(c *Config) { c.Flat = true })
--- a/internal/membership/send.go
+++ b/internal/membership/send.go
@@ -67,7 +67,7 @@
 
 // encode begins a datagram of this gateway.
 func (m *Membership) encode(msg *gossipcodec.Message) []byte {
-	msg.Cluster, msg.From, msg.Start, msg.View = m.cfg.Cluster, m.cfg.Name, m.self.Start, m.table.digest
+	msg.Cluster, msg.From, msg.Start, msg.Digest = m.cfg.Cluster, m.cfg.Name, m.self.Start, m.table.digest
 	return gossipcodec.Append(make([]byte, 0, gossipcodec.MaxDatagram), msg)
 }
 
