--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts instances of the decision module behind the wire on standard input and output.
-// It takes no decisions.
+// Command simadapter hosts instances of the balancer behind the simulator's protocol on standard input and
+// output. It takes no decisions.
 package main
 
 import (
@@ -20,20 +20,9 @@
 	}
 }
 
-// host keeps the instances of this process by their number.
-type host struct {
-	instances map[int]*balancer.Balancer
-	waiting   map[int]int // by instance: the column of its load reports that holds the requests waiting
-	touched   []int       // instances with an event in this batch, in the order of their first
-	batches   uint64
-	seen      map[int]uint64 // by instance: the batch in which it was touched last
-	reply     simproto.Reply
-}
-
 // run answers batches until the input ends. A reply is written whole or not at all.
 func run(in io.Reader, out io.Writer) error {
-	h := host{instances: make(map[int]*balancer.Balancer), waiting: make(map[int]int),
-		seen: make(map[int]uint64)}
+	a := adapter{instances: make(map[int]*instance), lastBatch: make(map[int]uint64)}
 	reader := simproto.NewReader(in)
 	for {
 		batch, err := reader.Next()
@@ -43,21 +32,36 @@
 		if err != nil {
 			return err
 		}
-		if err := h.answer(&batch); err != nil {
+		if err := a.answer(&batch); err != nil {
 			return err
 		}
-		if _, err := h.reply.WriteTo(out); err != nil {
+		if _, err := a.reply.WriteTo(out); err != nil {
 			return fmt.Errorf("reply: %w", err)
 		}
 	}
 }
 
-// answer plays all events of a batch, then lets each instance that had one dispatch.
-func (h *host) answer(batch *simproto.Batch) error {
-	h.reply.Reset()
-	h.touched = h.touched[:0]
-	h.batches++
-	last := -1
+// instance is one balancer.
+type instance struct {
+	*balancer.Balancer
+	queueLengthColumn int // of its load reports
+}
+
+// adapter keeps the instances of this process by their number.
+type adapter struct {
+	instances map[int]*instance
+	touched   []int // instances with an event in this batch, in the order of their first
+	batches   uint64
+	lastBatch map[int]uint64 // by instance: the batch in which it was touched last
+	reply     simproto.Reply
+}
+
+// answer handles all events of a batch, then lets each instance that had one dispatch.
+func (a *adapter) answer(batch *simproto.Batch) error {
+	a.reply.Reset()
+	a.touched = a.touched[:0]
+	a.batches++
+	current := -1
 	for {
 		e, err := batch.Next()
 		if errors.Is(err, io.EOF) {
@@ -66,64 +70,72 @@
 		if err != nil {
 			return err
 		}
-		if e.Instance != last {
-			last = e.Instance
-			h.touch(last)
-			h.reply.For(last)
+		if e.Instance != current {
+			current = e.Instance
+			a.touch(current)
+			a.reply.SetInstance(current)
 		}
-		if err := h.play(batch, e); err != nil {
+		if err := a.handle(batch, e); err != nil {
 			return err
 		}
 	}
-	for _, inst := range h.touched {
-		if b := h.instances[inst]; b != nil {
-			h.reply.For(inst)
-			b.Dispatch(batch.Now)
+	for _, number := range a.touched {
+		if i := a.instances[number]; i != nil {
+			a.reply.SetInstance(number)
+			i.Dispatch(batch.Now)
 		}
 	}
 	return nil
 }
 
-func (h *host) touch(inst int) {
-	if h.seen[inst] == h.batches {
+func (a *adapter) touch(number int) {
+	if a.lastBatch[number] == a.batches {
 		return
 	}
-	h.seen[inst] = h.batches
-	h.touched = append(h.touched, inst)
+	a.lastBatch[number] = a.batches
+	a.touched = append(a.touched, number)
 }
 
-func (h *host) play(batch *simproto.Batch, e simproto.Event) error {
-	b := h.instances[e.Instance]
-	if b == nil && e.Kind != simproto.Start && e.Kind != simproto.Stop {
+func (a *adapter) handle(batch *simproto.Batch, e simproto.Event) error {
+	switch e.Kind {
+	case simproto.InstanceStarted:
+		return a.start(batch, e)
+	case simproto.InstanceStopped:
+		delete(a.instances, e.Instance)
+		return nil
+	}
+	i := a.instances[e.Instance]
+	if i == nil {
 		return fmt.Errorf("event code %d for instance %d, which has not started", e.Kind, e.Instance)
 	}
 	switch e.Kind {
-	case simproto.Start:
-		set, err := settings.Parse(e.Settings)
-		if err != nil {
-			return fmt.Errorf("instance %d: %w", e.Instance, err)
-		}
-		b, err := balancer.New(set.Config, e.Seed, batch.Now, &h.reply)
-		if err != nil {
-			return fmt.Errorf("instance %d: %w", e.Instance, err)
-		}
-		h.instances[e.Instance] = b
-		h.waiting[e.Instance] = set.Gateway.Waiting
-	case simproto.Stop:
-		delete(h.instances, e.Instance)
-	case simproto.NewRequest:
-		b.RequestArrived(batch.Now, e.Request)
+	case simproto.RequestArrived:
+		i.RequestArrived(batch.Now, e.Request)
 	case simproto.AttemptEnded:
-		e.End.QueueLength, e.End.Reported = e.Load.Waiting(h.waiting[e.Instance])
-		b.AttemptEnded(batch.Now, e.End)
-	case simproto.First:
-		b.ResponseStarted(batch.Now, e.Request.ID)
-	case simproto.Lapsed:
-		b.RequestAbandoned(batch.Now, e.Request.ID)
+		e.AttemptEnd.QueueLength, e.AttemptEnd.Reported = e.Load.QueueLength(i.queueLengthColumn)
+		i.AttemptEnded(batch.Now, e.AttemptEnd)
+	case simproto.ResponseStarted:
+		i.ResponseStarted(batch.Now, e.Request.ID)
+	case simproto.RequestAbandoned:
+		i.RequestAbandoned(batch.Now, e.Request.ID)
 	case simproto.TimerFired:
-		b.TimerFired(batch.Now, e.Token)
-	case simproto.ListChanged:
-		b.UpdateEndpoints(batch.Now, e.List, e.Servers)
+		i.TimerFired(batch.Now, e.Token)
+	case simproto.EndpointsChanged:
+		i.UpdateEndpoints(batch.Now, e.Update, e.Endpoints)
+	}
+	return nil
+}
+
+// start begins an instance, in place of one of the same number.
+func (a *adapter) start(batch *simproto.Batch, e simproto.Event) error {
+	set, err := settings.Parse(e.Settings)
+	if err != nil {
+		return fmt.Errorf("instance %d: %w", e.Instance, err)
+	}
+	b, err := balancer.New(set.Config, e.Seed, batch.Now, &a.reply)
+	if err != nil {
+		return fmt.Errorf("instance %d: %w", e.Instance, err)
 	}
+	a.instances[e.Instance] = &instance{Balancer: b, queueLengthColumn: set.Gateway.Waiting}
 	return nil
 }
--- a/internal/fielderror/fielderror.go
+++ b/internal/fielderror/fielderror.go
@@ -34,6 +34,22 @@
 	return Inline(field, fmt.Errorf(format, args...))
 }
 
+// Worded is a cause that errors.Is matches with kind and that has words of its own.
+func Worded(kind error, format string, args ...any) error {
+	return &worded{kind: kind, text: fmt.Sprintf(format, args...)}
+}
+
+type worded struct {
+	kind error
+	text string
+}
+
+// Error implements error.
+func (w *worded) Error() string { return w.text }
+
+// Unwrap returns the kind of cause.
+func (w *worded) Unwrap() error { return w.kind }
+
 // Error implements error: FILE:LINE:COLUMN: FIELD: CAUSE, without the parts that are not known.
 func (e *Error) Error() string {
 	var text strings.Builder
--- a/internal/fielderror/fielderror_test.go
+++ b/internal/fielderror/fielderror_test.go
@@ -37,6 +37,10 @@
 	if !errors.Is(err, ErrMissing) || !errors.As(err, &place) || place.Field != "rank" {
 		t.Errorf("%v: %+v", err, place)
 	}
+	if worded := Worded(ErrMissing, "has no %s", "zone"); worded.Error() != "has no zone" ||
+		!errors.Is(worded, ErrMissing) {
+		t.Errorf("%v", worded)
+	}
 	if want := "settings: rank is 7\nzone is missing"; err.Error() != want {
 		t.Errorf("%q, want %q", err, want)
 	}
--- /dev/null
+++ b/internal/gossipconfig/gossipconfig.go
@@ -0,0 +1,131 @@
+// Package gossipconfig reads the file that LB_FLEET names: which cluster a gateway belongs to, where it speaks
+// with the others and how it reaches them.
+//
+// Errors of a file's text are a fielderror.List with everything that is wrong, each with file, line and column.
+package gossipconfig
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+	"os"
+
+	"thymebend/internal/fielderror"
+	"thymebend/internal/gossipcodec"
+	"thymebend/internal/membership"
+	"thymebend/internal/tomlfile"
+)
+
+// Causes of a fielderror.Error, beside those of tomlfile.
+var (
+	ErrName      = errors.New("no name of a cluster or gateway")
+	ErrAddress   = errors.New("no IPv4 address and port")
+	ErrDuplicate = errors.New("there already")
+	ErrTooMany   = errors.New("too many peers")
+	ErrRange     = errors.New("out of its range")
+)
+
+// Config is a gateway's place in its cluster.
+type Config struct {
+	Cluster string
+	Name    string // of this gateway in the cluster
+	Listen  netip.AddrPort
+	// Flat says that every gateway is reached at one address from everywhere, and that those that are no seed
+	// peers may join.
+	Flat       bool
+	SeedPeers  []membership.Peer
+	Assignment *Assignment // nil where the file does not ask for subsets
+}
+
+// file is the file's text by the protocol's names.
+type file struct {
+	Cluster    string           `toml:"fleet"`
+	Name       string           `toml:"name"`
+	Listen     string           `toml:"listen"`
+	Flat       bool             `toml:"flat"`
+	Peers      []filePeer       `toml:"peer"`
+	Assignment *assignmentTable `toml:"shares"`
+}
+
+type filePeer struct {
+	Name string `toml:"name"`
+	Addr string `toml:"addr"`
+}
+
+// Load reads a file. name is the gateway's where the file names none.
+func Load(path, name string) (*Config, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("LB_FLEET: %w", err)
+	}
+	return Parse(path, raw, name)
+}
+
+// Parse is Load with the text at hand; path names it in errors.
+func Parse(path string, raw []byte, name string) (*Config, error) {
+	var f file
+	r := reader{tomlfile.Read(path, raw, &f)}
+	if err := r.in.Err(); err != nil {
+		return nil, err
+	}
+	if f.Name != "" {
+		name = f.Name
+	}
+	r.checkName("fleet", f.Cluster)
+	r.checkName("name", name)
+	c := &Config{Cluster: f.Cluster, Name: name, Flat: f.Flat, Listen: r.address("listen", f.Listen)}
+	c.SeedPeers = r.peers(f.Peers)
+	if f.Assignment != nil {
+		c.Assignment = r.assignment(f.Assignment)
+	}
+	if err := r.in.Err(); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// reader checks a file that was decoded, and collects its faults.
+type reader struct{ in *tomlfile.File }
+
+// fail reports a fault that errors.Is matches with kind.
+func (r reader) fail(kind error, field, format string, args ...any) {
+	r.in.Fault(field, "%w", fielderror.Worded(kind, format, args...))
+}
+
+func (r reader) checkName(field, name string) bool {
+	ok := gossipcodec.Name(name)
+	if !ok {
+		r.fail(ErrName, field, "%q is no name of 1 to %d printable ASCII characters", name, gossipcodec.MaxName)
+	}
+	return ok
+}
+
+func (r reader) address(field, text string) netip.AddrPort {
+	at, err := netip.ParseAddrPort(text)
+	if err != nil || at.Port() == 0 || !at.Addr().Is4() {
+		r.fail(ErrAddress, field, "%q is no IPv4 address and port", text)
+	}
+	return at
+}
+
+// peers reads the seed peers: no name and no address may be there twice.
+func (r reader) peers(list []filePeer) (peers []membership.Peer) {
+	if len(list) > membership.MaxMembers {
+		r.fail(ErrTooMany, "peer", "%d peers, %d at most", len(list), membership.MaxMembers)
+	}
+	names, nameAt := make(map[string]bool), make(map[netip.AddrPort]string)
+	for i, p := range list {
+		nameField, addrField := fmt.Sprintf("peer.%d.name", i), fmt.Sprintf("peer.%d.addr", i)
+		at := r.address(addrField, p.Addr)
+		switch other := nameAt[at]; {
+		case !r.checkName(nameField, p.Name):
+		case names[p.Name]:
+			r.fail(ErrDuplicate, nameField, "%q is there already", p.Name)
+		case at.IsValid() && other != "":
+			r.fail(ErrDuplicate, addrField, "%s is the address of %s already", at, other)
+		}
+		names[p.Name], nameAt[at] = true, p.Name
+		peers = append(peers, membership.Peer{Name: p.Name, Addr: at})
+	}
+	return peers
+}
--- a/internal/gossipconfig/fleetfile_test.go
+++ b/internal/gossipconfig/gossipconfig_test.go
@@ -1,17 +1,21 @@
 package gossipconfig
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
 	"time"
 
+	"thymebend/internal/fielderror"
 	"thymebend/internal/membership"
+	"thymebend/internal/tomlfile"
 )
 
 func TestFaultsNameLineAndColumn(t *testing.T) {
 	const good = "fleet = \"f\"\nlisten = \"127.0.0.1:7946\"\n[[peer]]\nname = \"a\"\naddr = \"127.0.0.1:7947\"\n"
-	if f, err := Parse("x.toml", []byte(good), "me"); err != nil || f.Name != "me" || len(f.SeedPeers) != 1 || f.SeedPeers[0].Name != "a" {
+	if f, err := Parse("x.toml", []byte(good), "me"); err != nil || f.Name != "me" || len(f.SeedPeers) != 1 ||
+		f.SeedPeers[0].Name != "a" {
 		t.Errorf("%+v %v", f, err)
 	}
 	for text, want := range map[string]string{
@@ -35,16 +39,21 @@
 	if f, err := read(""); err != nil || f.Assignment != nil {
 		t.Errorf("without the table: %+v %v", f, err)
 	}
-	if f, err := read("[shares]\n"); err != nil || *f.Assignment != (Assignment{Users: 12, MaxUsers: 36, MinEndpoints: 2, RemoteZoneOdds: 0.5, ClockSkew: 20 * time.Millisecond}) {
+	if f, err := read("[shares]\n"); err != nil ||
+		*f.Assignment != (Assignment{Users: 12, MaxUsers: 36, MinEndpoints: 2, RemoteZoneOdds: 0.5,
+			ClockSkew: 20 * time.Millisecond}) {
 		t.Errorf("%+v %v", f, err)
 	}
 	if f, err := read("[shares]\nusers = 3\nleast = 1\naway = 1.0\nwarm_rate = 25.5\nskew = \"5ms\"\n"); err != nil ||
-		*f.Assignment != (Assignment{Users: 3, MaxUsers: 9, MinEndpoints: 1, RemoteZoneOdds: 1, WarmRate: 25.5, ClockSkew: 5 * time.Millisecond}) {
+		*f.Assignment != (Assignment{Users: 3, MaxUsers: 9, MinEndpoints: 1, RemoteZoneOdds: 1, WarmRate: 25.5,
+			ClockSkew: 5 * time.Millisecond}) {
 		t.Errorf("%+v %v", f, err)
 	}
-	for _, field := range []string{"users = 0", "most_users = 11", "users = 101", "least = 0", "away = 0.0", "away = 1.5", "away = nan", "warm_rate = -1.0", "warm_rate = inf", "skew = \"-1ms\"",
+	for _, field := range []string{"users = 0", "most_users = 11", "users = 101", "least = 0", "away = 0.0",
+		"away = 1.5", "away = nan", "warm_rate = -1.0", "warm_rate = inf", "skew = \"-1ms\"",
 		"skew = \"101ms\"", "skew = 5", "user = 3"} {
-		if _, err := read("[shares]\n" + field + "\n"); err == nil || !strings.Contains(err.Error(), "x.toml:4:") || !strings.Contains(err.Error(), "shares."+strings.Fields(field)[0]) {
+		if _, err := read("[shares]\n" + field + "\n"); err == nil || !strings.Contains(err.Error(), "x.toml:4:") ||
+			!strings.Contains(err.Error(), "shares."+strings.Fields(field)[0]) {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
@@ -65,7 +74,33 @@
 		}
 	}
 	if _, err := Parse("x.toml", book(membership.MaxMembers+1), "me"); err == nil ||
-		!strings.Contains(err.Error(), fmt.Sprintf("%d peers, %d at most", membership.MaxMembers+1, membership.MaxMembers)) {
+		!strings.Contains(err.Error(), fmt.Sprintf("%d peers, %d at most", membership.MaxMembers+1,
+			membership.MaxMembers)) {
 		t.Errorf("a peer too many: %v", err)
 	}
 }
+
+// Callers can tell the causes apart, and take the place of each fault.
+func TestFaultsCanBeMatched(t *testing.T) {
+	const good = "fleet = \"f\"\nlisten = \"127.0.0.1:7946\"\n"
+	const peer = "[[peer]]\nname = \"a\"\naddr = \"127.0.0.1:7947\"\n"
+	for name, c := range map[string]struct {
+		text, field string
+		line        int
+		want        error
+	}{
+		"name":      {strings.Replace(good, "\"f\"", "\"f f\"", 1), "fleet", 1, ErrName},
+		"address":   {strings.Replace(good, "7946", "none", 1), "listen", 2, ErrAddress},
+		"duplicate": {good + peer + peer, "peer.1.name", 7, ErrDuplicate},
+		"range":     {good + "[shares]\nusers = 0\n", "shares.users", 4, ErrRange},
+		"unknown":   {good + "adress = 1\n", "adress", 3, tomlfile.ErrUnknownField},
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, err := Parse("x.toml", []byte(c.text), "me")
+			var fault *fielderror.Error
+			if !errors.Is(err, c.want) || !errors.As(err, &fault) || fault.Line != c.line || fault.Field != c.field {
+				t.Errorf("%v: %+v", err, fault)
+			}
+		})
+	}
+}
--- a/internal/settings/json.go
+++ b/internal/settings/json.go
@@ -8,92 +8,98 @@
 	"slices"
 	"strconv"
 	"strings"
+
+	"thymebend/internal/fielderror"
 )
 
+// countField is where the length of a list of objects stands in the flat form.
+const countField = "count"
+
 // ParseJSON reads the settings as nested JSON: flattened to the paths of the text form, then translated by the
-// same code.
+// same code. The error is as that of Parse.
 func ParseJSON(raw []byte) (Settings, error) {
-	dec := json.NewDecoder(bytes.NewReader(raw))
-	dec.UseNumber()
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.UseNumber()
 	var tree map[string]any
-	if err := dec.Decode(&tree); err != nil {
-		return Settings{}, fmt.Errorf("settings: %w", err)
+	if err := decoder.Decode(&tree); err != nil {
+		return Settings{}, fmt.Errorf("settings: %w", &fielderror.Error{Err: err})
 	}
-	s := settings{values: make(map[string]string), text: make(map[string]bool), present: make(map[string]bool)}
-	s.flatten("", tree)
-	classes, _ := tree["classes"].([]any)
-	s.common(classes)
-	return s.translate()
+	v := values{byPath: make(map[string]string), notNumber: make(map[string]bool), present: make(map[string]bool)}
+	v.flatten("", tree)
+	classes, _ := tree[classesPath].([]any)
+	v.noteCommon(classes)
+	return v.translate()
 }
 
-// common notes the fields that every class has.
-func (s *settings) common(classes []any) {
+// noteCommon notes the fields that every class has.
+func (v *values) noteCommon(classes []any) {
 	if len(classes) == 0 {
 		return
 	}
 	first, _ := classes[0].(map[string]any)
 	for _, name := range slices.Sorted(maps.Keys(first)) {
-		if !slices.ContainsFunc(classes, func(c any) bool { m, _ := c.(map[string]any); return m[name] == nil }) {
-			s.present["classes.*."+name] = true
+		lacks := func(class any) bool { fields, _ := class.(map[string]any); return fields[name] == nil }
+		if !slices.ContainsFunc(classes, lacks) {
+			v.present[classesPath+".*."+name] = true
 		}
 	}
 }
 
 // note records that a path holds something. What lies in lists may come and go.
-func (s *settings) note(path string) {
+func (v *values) note(path string) {
 	for part := range strings.SplitSeq(path, ".") {
 		if strings.Trim(part, "0123456789") == "" {
 			return
 		}
 	}
-	s.present[path] = true
+	v.present[path] = true
 }
 
 // flatten writes a value under its path: objects by their keys, lists of objects as .count and .0, .1 and so
 // on, lists of plain values joined by commas.
-func (s *settings) flatten(path string, v any) {
-	if v != nil {
-		s.note(path)
+func (v *values) flatten(path string, value any) {
+	if value != nil {
+		v.note(path)
 	}
-	switch v := v.(type) {
+	switch value := value.(type) {
 	case map[string]any:
-		for k, item := range v {
-			s.flatten(join(path, k), item)
+		for key, item := range value {
+			v.flatten(join(path, key), item)
 		}
 	case []any:
-		s.flattenList(path, v)
+		v.flattenList(path, value)
 	case nil: // absent
-		s.text[path] = true
+		v.notNumber[path] = true
 	case json.Number:
-		s.values[path] = v.String()
+		v.byPath[path] = value.String()
 	default:
-		s.values[path], s.text[path] = plain(v), true
+		v.byPath[path], v.notNumber[path] = plain(value), true
 	}
 }
 
-func (s *settings) flattenList(path string, items []any) {
+func (v *values) flattenList(path string, items []any) {
 	words := make([]string, 0, len(items))
 	for i, item := range items {
 		if _, ok := item.(map[string]any); ok {
-			s.values[join(path, "count")] = strconv.Itoa(len(items))
-			s.flatten(join(path, strconv.Itoa(i)), item)
+			v.byPath[join(path, countField)] = strconv.Itoa(len(items))
+			v.flatten(join(path, strconv.Itoa(i)), item)
 			continue
 		}
 		words = append(words, plain(item))
 	}
 	if len(words) == len(items) {
-		s.values[path] = strings.Join(words, ",")
+		v.byPath[path] = strings.Join(words, ",")
 	}
 }
 
 // plain is a single value as the text form has it.
-func plain(v any) string {
+func plain(value any) string {
 	return strings.Map(func(r rune) rune {
 		if r == ' ' || r == ',' {
 			return '_'
 		}
 		return r
-	}, fmt.Sprint(v))
+	}, fmt.Sprint(value))
 }
 
 func join(path, key string) string {
--- a/internal/settings/size_test.go
+++ b/internal/settings/size_test.go
@@ -27,7 +27,8 @@
 	var b bytes.Buffer
 	b.WriteString(`{"balancers": 870, "zones": ["a", "b"], "classes": [`)
 	for i := range classes {
-		fmt.Fprintf(&b, `%s{"name": "class-%04d", "aim_ms": 800, "give_up_ms": 2500, "worth": 2, "repeat": "once"}`, separator(i), i)
+		fmt.Fprintf(&b, `%s{"name": "class-%04d", "aim_ms": 800, "give_up_ms": 2500, "worth": 2, "repeat": "once"}`,
+			separator(i), i)
 	}
 	b.WriteString(`], "tenants": [`)
 	for i := range tenants {
--- a/internal/simproto/reply.go
+++ b/internal/simproto/reply.go
@@ -9,41 +9,45 @@
 	"thymebend/internal/balancer"
 )
 
-// The action codes of the wire.
+// The action codes of the protocol that are used.
 const (
-	actLog    = 1
-	actCancel = 2
-	actRefuse = 3
-	actSend   = 4
-	actWake   = 5
-	actClose  = 6
-	actWatch  = 10
-	actFail   = 11
-	actFor    = 13
+	actionLog            = 1
+	actionCancelAttempt  = 2
+	actionReject         = 3
+	actionStartAttempt   = 4
+	actionSetTimer       = 5
+	actionCloseIdle      = 6
+	actionWatchEndpoints = 10
+	actionFail           = 11
+	actionSetInstance    = 13
 )
 
-// Reply collects the actions of one batch. It implements thymebend.Actions for the instance chosen last
-// with For.
+// noInstance is the instance of a reply without actions.
+const noInstance = -1
+
+// Reply collects the actions of one batch. It implements balancer.Actions for the instance that SetInstance
+// named last. Reset makes it ready.
 type Reply struct {
-	records []byte
-	tail    []byte
-	count   uint32
-	inst    int // of the records written last; -1 is none
-	next    int // of the records to come
+	records  []byte // with the header before them
+	tail     []byte
+	count    uint32
+	instance int // of the records written last
+	next     int // of the records to come
 }
 
 // Reset empties the reply for the next batch.
 func (r *Reply) Reset() {
-	if cap(r.records) < replyHeader {
-		r.records = make([]byte, replyHeader, 4096)
+	if cap(r.records) < replyHeaderSize {
+		r.records = make([]byte, replyHeaderSize, 4096)
 	}
-	r.records, r.tail, r.count, r.inst, r.next = r.records[:replyHeader], r.tail[:0], 0, -1, -1
+	r.records, r.tail, r.count = r.records[:replyHeaderSize], r.tail[:0], 0
+	r.instance, r.next = noInstance, noInstance
 }
 
-// For names the instance whose actions follow.
-func (r *Reply) For(inst int) { r.next = inst }
+// SetInstance names the instance whose actions follow.
+func (r *Reply) SetInstance(instance int) { r.next = instance }
 
-// WriteTo writes the whole frame in one call.
+// WriteTo implements io.WriterTo: the whole frame in one call.
 func (r *Reply) WriteTo(w io.Writer) (int64, error) {
 	binary.LittleEndian.PutUint32(r.records, r.count)
 	binary.LittleEndian.PutUint32(r.records[4:], uint32(len(r.records)+len(r.tail)))
@@ -52,15 +56,16 @@
 	return int64(n), err
 }
 
-func (r *Reply) record(code byte) []byte {
-	if r.inst != r.next {
-		r.inst = r.next
-		binary.LittleEndian.PutUint16(r.blank(actFor)[1:], uint16(r.inst))
+// append adds a record, after one that names its instance where that is another one's than the last.
+func (r *Reply) append(code byte) []byte {
+	if r.instance != r.next {
+		r.instance = r.next
+		binary.LittleEndian.PutUint16(r.appendBlank(actionSetInstance)[1:], uint16(r.instance))
 	}
-	return r.blank(code)
+	return r.appendBlank(code)
 }
 
-func (r *Reply) blank(code byte) []byte {
+func (r *Reply) appendBlank(code byte) []byte {
 	r.count++
 	at := len(r.records)
 	var zero [actionSize]byte
@@ -69,58 +74,60 @@
 	return r.records[at:]
 }
 
-func (r *Reply) request(code byte, id balancer.RequestID) []byte {
-	rec := r.record(code)
+// appendRequest adds a record that begins with a request's ID.
+func (r *Reply) appendRequest(code byte, id balancer.RequestID) []byte {
+	rec := r.append(code)
 	binary.LittleEndian.PutUint32(rec[1:], uint32(id))
 	return rec
 }
 
-func putTime(b []byte, d time.Duration) {
-	v := float64(d) / float64(time.Millisecond)
-	binary.LittleEndian.PutUint64(b, math.Float64bits(v))
+func putMillis(b []byte, d time.Duration) {
+	ms := float64(d) / float64(time.Millisecond)
+	binary.LittleEndian.PutUint64(b, math.Float64bits(ms))
+}
+
+// putEndpointID writes an IPv4 address and a port.
+func putEndpointID(b []byte, id balancer.EndpointID) {
+	binary.BigEndian.PutUint32(b, uint32(id>>16))
+	binary.LittleEndian.PutUint16(b[4:], uint16(id))
 }
 
-// StartAttempt implements thymebend.Actions.
+// StartAttempt implements balancer.Actions.
 func (r *Reply) StartAttempt(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
-	rec := r.request(actSend, id)
-	binary.BigEndian.PutUint32(rec[5:], uint32(to>>16))
-	binary.LittleEndian.PutUint16(rec[9:], uint16(to))
-	putTime(rec[11:], timeout)
+	rec := r.appendRequest(actionStartAttempt, id)
+	putEndpointID(rec[5:], to)
+	putMillis(rec[11:], timeout)
 }
 
-// Reject implements thymebend.Actions.
-func (r *Reply) Reject(id balancer.RequestID, after time.Duration) {
-	putTime(r.request(actRefuse, id)[5:], after)
+// Reject implements balancer.Actions.
+func (r *Reply) Reject(id balancer.RequestID, retryAfter time.Duration) {
+	putMillis(r.appendRequest(actionReject, id)[5:], retryAfter)
 }
 
-// Fail implements thymebend.Actions.
-func (r *Reply) Fail(id balancer.RequestID) { r.request(actFail, id) }
+// Fail implements balancer.Actions.
+func (r *Reply) Fail(id balancer.RequestID) { r.appendRequest(actionFail, id) }
 
-// CancelAttempt implements thymebend.Actions.
+// CancelAttempt implements balancer.Actions.
 func (r *Reply) CancelAttempt(id balancer.RequestID, attempt int) {
-	binary.LittleEndian.PutUint16(r.request(actCancel, id)[5:], uint16(attempt))
+	binary.LittleEndian.PutUint16(r.appendRequest(actionCancelAttempt, id)[5:], uint16(attempt))
 }
 
-// CloseIdle implements thymebend.Actions.
-func (r *Reply) CloseIdle(to balancer.EndpointID) {
-	rec := r.record(actClose)
-	binary.BigEndian.PutUint32(rec[1:], uint32(to>>16))
-	binary.LittleEndian.PutUint16(rec[5:], uint16(to))
-}
+// CloseIdle implements balancer.Actions.
+func (r *Reply) CloseIdle(to balancer.EndpointID) { putEndpointID(r.append(actionCloseIdle)[1:], to) }
 
-// SetTimer implements thymebend.Actions.
+// SetTimer implements balancer.Actions.
 func (r *Reply) SetTimer(after time.Duration, token uint32) {
-	rec := r.record(actWake)
-	putTime(rec[1:], after)
+	rec := r.append(actionSetTimer)
+	putMillis(rec[1:], after)
 	binary.LittleEndian.PutUint32(rec[9:], token)
 }
 
-// WatchEndpoints implements thymebend.Actions.
-func (r *Reply) WatchEndpoints() { r.record(actWatch)[1] = 1 }
+// WatchEndpoints implements balancer.Actions.
+func (r *Reply) WatchEndpoints() { r.append(actionWatchEndpoints)[1] = 1 }
 
-// Log implements thymebend.Actions.
+// Log implements balancer.Actions.
 func (r *Reply) Log(line string) {
-	rec := r.record(actLog)
+	rec := r.append(actionLog)
 	binary.LittleEndian.PutUint32(rec[1:], uint32(len(r.tail)))
 	binary.LittleEndian.PutUint32(rec[5:], uint32(len(line)))
 	r.tail = append(r.tail, line...)
--- a/internal/simproto/wire_test.go
+++ b/internal/simproto/simproto_test.go
@@ -11,12 +11,13 @@
 	"time"
 
 	"thymebend/internal/balancer"
+	"thymebend/internal/fielderror"
 	"thymebend/internal/settings"
 )
 
 // frame builds a batch from records, each padded to its size, and a tail.
 func frame(clock float64, tail []byte, records ...[]byte) []byte {
-	out := make([]byte, batchHeader)
+	out := make([]byte, batchHeaderSize)
 	for _, r := range records {
 		out = append(out, append(r, make([]byte, eventSize-len(r))...)...)
 	}
@@ -63,22 +64,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(events) != 5 || events[0].Instance != 3 || events[4].Instance != 4 || events[4].Kind != Stop {
+	if len(events) != 5 || events[0].Instance != 3 || events[4].Instance != 4 || events[4].Kind != InstanceStopped {
 		t.Fatalf("events = %+v", events)
 	}
 	want := balancer.Request{ID: 77, Tenant: 1, ClientTimeout: 110 * time.Millisecond, Class: 2, Retry: true}
 	if events[0].Request != want {
 		t.Errorf("request = %+v", events[0].Request)
 	}
-	const server = balancer.EndpointID(10<<40 | 18<<32 | 74<<24 | 7<<16 | 0x232b)
-	end := balancer.AttemptEnd{Request: 77, Attempt: 3, Endpoint: server, Outcome: balancer.OutcomeTimeout,
+	const endpoint = balancer.EndpointID(10<<40 | 18<<32 | 74<<24 | 7<<16 | 0x232b)
+	end := balancer.AttemptEnd{Request: 77, Attempt: 3, Endpoint: endpoint, Outcome: balancer.OutcomeTimeout,
 		Latency: 12500 * time.Microsecond, RequestDone: true}
-	if events[1].End != end {
-		t.Errorf("end = %+v, want %+v", events[1].End, end)
+	if events[1].AttemptEnd != end {
+		t.Errorf("end = %+v, want %+v", events[1].AttemptEnd, end)
 	}
-	srv := balancer.Endpoint{ID: server, Zone: 2, Cell: 7, State: balancer.EndpointReady, StartedAt: 1500 * time.Millisecond}
-	if events[2].List != balancer.Snapshot || len(events[2].Servers) != 1 || events[2].Servers[0] != srv {
-		t.Errorf("list = %v %+v", events[2].List, events[2].Servers)
+	wantEndpoint := balancer.Endpoint{ID: endpoint, Zone: 2, Cell: 7, State: balancer.EndpointReady,
+		StartedAt: 1500 * time.Millisecond}
+	if events[2].Update != balancer.Snapshot || len(events[2].Endpoints) != 1 ||
+		events[2].Endpoints[0] != wantEndpoint {
+		t.Errorf("list = %v %+v", events[2].Update, events[2].Endpoints)
 	}
 	if events[3].Token != 9 {
 		t.Errorf("token = %d", events[3].Token)
@@ -99,11 +102,13 @@
 		"record 0: event code 2 before": frame(1, nil, []byte{2}),
 		"unknown event code 99":         frame(1, nil, to(0), []byte{99}),
 		"unknown outcome 5 at byte 13":  frame(1, nil, to(0), join([]byte{1}, make([]byte, 12), []byte{5, 0})),
-		"hosts: bytes 4 to 27 lie":      frame(1, []byte("abc"), to(0), join([]byte{5, 2}, make([]byte, 8), u32(4), u32(1))),
-		"unknown list kind 9":           frame(1, nil, to(0), []byte{5, 9}),
-		"info: bytes 0 to 10 lie":       frame(1, nil, to(0), join([]byte{10}, make([]byte, 8), u32(0), u32(10))),
-		"patience_left_ms NaN is":       frame(1, nil, to(0), join([]byte{7}, make([]byte, 16), f64(math.NaN()))),
-		"hosts: bytes 4294967295 to":    frame(1, nil, to(0), join([]byte{5, 2}, make([]byte, 8), u32(math.MaxUint32), u32(math.MaxUint32/4))),
+		"hosts: bytes 4 to 27 lie": frame(1, []byte("abc"), to(0),
+			join([]byte{5, 2}, make([]byte, 8), u32(4), u32(1))),
+		"unknown list kind 9":     frame(1, nil, to(0), []byte{5, 9}),
+		"info: bytes 0 to 10 lie": frame(1, nil, to(0), join([]byte{10}, make([]byte, 8), u32(0), u32(10))),
+		"patience_left_ms NaN is": frame(1, nil, to(0), join([]byte{7}, make([]byte, 16), f64(math.NaN()))),
+		"hosts: bytes 4294967295 to": frame(1, nil, to(0),
+			join([]byte{5, 2}, make([]byte, 8), u32(math.MaxUint32), u32(math.MaxUint32/4))),
 	} {
 		_, err := all(data)
 		if err == nil || strings.Contains(err.Error(), "\n") {
@@ -114,6 +119,32 @@
 	}
 }
 
+// Callers can tell the causes apart, and take the part of the frame.
+func TestFaultsCanBeMatched(t *testing.T) {
+	for name, c := range map[string]struct {
+		frame      []byte
+		want       error
+		part, item string
+	}{
+		"header":       {[]byte{1, 2, 3}, ErrTruncated, "batch", ""},
+		"clock":        {frame(-1, nil), ErrTime, "batch", ""},
+		"no instance":  {frame(1, nil, []byte{2}), ErrNoInstance, "record 0", ""},
+		"unknown code": {frame(1, nil, to(0), []byte{99}), ErrUnknownCode, "record 1", ""},
+		"tail": {frame(1, nil, to(0), join([]byte{5, 2}, make([]byte, 8), u32(4), u32(1))), ErrOutsideTail,
+			"record 1", "hosts"},
+		"time": {frame(1, nil, to(0), join([]byte{7}, make([]byte, 16), f64(math.NaN()))), ErrTime,
+			"record 1", "patience_left_ms"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, err := all(c.frame)
+			var fault *fielderror.Error
+			if !errors.Is(err, c.want) || !errors.As(err, &fault) || fault.File != c.part || fault.Field != c.item {
+				t.Errorf("%v: %+v", err, fault)
+			}
+		})
+	}
+}
+
 func TestReaderFaults(t *testing.T) {
 	good := frame(1, nil, to(0))
 	r := NewReader(bytes.NewReader(good[:30]))
@@ -142,11 +173,11 @@
 func TestReplyFrame(t *testing.T) {
 	var r Reply
 	r.Reset()
-	r.For(3)
+	r.SetInstance(3)
 	r.StartAttempt(0x5d3a91c4, 10<<40|18<<32|74<<24|7<<16|0x232b, 80*time.Millisecond)
 	r.SetTimer(500*time.Millisecond, 77)
-	r.For(4) // an instance without actions leaves no record
-	r.For(5)
+	r.SetInstance(4) // an instance without actions leaves no record
+	r.SetInstance(5)
 	r.Log("two servers known")
 	var out bytes.Buffer
 	if _, err := r.WriteTo(&out); err != nil {
@@ -164,7 +195,7 @@
 		t.Errorf("reply\n%x\nwant\n%x", out.Bytes(), want)
 	}
 	r.Reset()
-	r.For(1)
+	r.SetInstance(1)
 	r.Reject(1, 30*time.Millisecond)
 	r.Fail(2)
 	r.CancelAttempt(3, 1)
@@ -180,54 +211,7 @@
 	}
 }
 
-const settingsText = `balancers=4
-classes.count=2
-classes.0.aim_ms=300.5
-classes.0.give_up_ms=900
-classes.0.repeat=by_key
-classes.0.group=zone
-classes.0.window_ms=800
-classes.0.worth=2
-classes.1.aim_ms=100
-classes.1.give_up_ms=400
-classes.1.repeat=once
-tenants.count=1
-tenants.0.name=somebody
-tenants.0.quota_per_s=12.5
-bounds.most_tries=3
-bounds.cancel=true
-guarantees.cold_from=0.25
-registry_mode=subscribe
-zone=1
-some.unknown.key=whatever
-`
-
-func TestParseSettings(t *testing.T) {
-	set, err := settings.Parse(settingsText)
-	c := set.Config
-	if err != nil {
-		t.Fatal(err)
-	}
-	k := c.Classes[0]
-	if c.Gateways != 4 || c.Zone != 1 || !c.PollDiscovery || c.PollInterval != 10*time.Second || c.MaxAttempts != 3 ||
-		!c.CancelAllowed || c.SlowStartFraction != 0.25 || c.Tenants[0].Quota != 12.5 ||
-		k.LatencyObjective != 300500*time.Microsecond || k.Idempotency != balancer.KeyedIdempotent || k.DedupScope != balancer.DedupZone ||
-		k.DedupWindow != 800*time.Millisecond || c.Classes[1].Idempotency != balancer.NonIdempotent || c.Classes[1].Weight != 1 ||
-		c.DispatchInterval != time.Millisecond || c.OverQuotaWeight != 1 {
-		t.Errorf("config = %+v", c)
-	}
-}
-
-func TestWaitingReport(t *testing.T) {
-	for text, want := range map[string]int{
-		"report.columns=pending,svc_ms\n": 0, "zone=1\nreport.columns=svc_ms,pending": 1,
-		"report.columns=svc_ms,busy_reqs": -1, "report.columns=": -1, "": -1,
-	} {
-		set, _ := settings.Parse(text) // the rest of the settings is missing
-		if got := set.Gateway.Waiting; got != want {
-			t.Errorf("%q: column %d, want %d", text, got, want)
-		}
-	}
+func TestQueueLengthOfLoadReports(t *testing.T) {
 	f32 := func(v float32) []byte { return u32(math.Float32bits(v)) }
 	rec := join([]byte{1}, make([]byte, 12), []byte{100, 0}, f64(5), []byte{1, 2}, f32(80), f32(2.5))
 	events, err := all(frame(1, nil, to(0), rec))
@@ -235,39 +219,20 @@
 		t.Fatal(err)
 	}
 	for column, want := range map[int]float64{-1: 0, 0: 80, 1: 2.5, 2: 0} {
-		if got, ok := events[0].Load.Waiting(column); got != want || ok != (want > 0) {
+		if got, ok := events[0].Load.QueueLength(column); got != want || ok != (want > 0) {
 			t.Errorf("column %d: %v %v, want %v", column, got, ok, want)
 		}
 	}
-	if _, ok := (Load{N: 1, Values: [4]float64{math.NaN()}}).Waiting(0); ok {
+	if _, ok := (Load{N: 1, Values: [4]float64{math.NaN()}}).QueueLength(0); ok {
 		t.Error("a report that is no number was taken")
 	}
 }
 
-func TestSettingsFaultsNameTheKey(t *testing.T) {
-	for want, edit := range map[string][2]string{
-		"balancers is missing":                {"balancers=4\n", ""},
-		"classes.count is missing":            {"classes.count=2\n", ""},
-		"classes.1.aim_ms is missing":         {"classes.1.aim_ms=100\n", ""},
-		`classes.0.give_up_ms="soon" is not`:  {"give_up_ms=900", "give_up_ms=soon"},
-		`classes.0.repeat="maybe" is none of`: {"repeat=by_key", "repeat=maybe"},
-		`balancers="2.5" is not a whole`:      {"balancers=4", "balancers=2.5"},
-		`zone="-1" is not a whole number`:     {"zone=1", "zone=-1"},
-		`cold_from="NaN" is not a number`:     {"cold_from=0.25", "cold_from=NaN"},
-		`bounds.cancel="si" is none of`:       {"cancel=true", "cancel=si"},
-		"classes.2.aim_ms is missing":         {"classes.count=2", "classes.count=1000000"},
-	} {
-		_, err := settings.Parse(strings.Replace(settingsText, edit[0], edit[1], 1))
-		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("err = %v, want %q in it", err, want)
-		}
-	}
-}
-
 // FuzzDecode looks for panics and for frames whose decoding never ends.
 func FuzzDecode(f *testing.F) {
 	f.Add(frame(1, nil))
-	f.Add(frame(5, []byte(settingsText), to(1), join([]byte{10}, make([]byte, 8), u32(0), u32(20))))
+	f.Add(frame(5, []byte("balancers=4\nclasses.count=2\nclasses.0.aim_ms=300.5\nzone=1\n"), to(1),
+		join([]byte{10}, make([]byte, 8), u32(0), u32(20))))
 	f.Add(frame(5, make([]byte, 46), to(1), join([]byte{5, 3}, make([]byte, 8), u32(0), u32(2)), []byte{1, 2}))
 	f.Add([]byte{16, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -279,7 +244,7 @@
 			t.Errorf("%d events from %d bytes", len(events), len(data))
 		}
 		for _, e := range events {
-			if e.Kind == Start {
+			if e.Kind == InstanceStarted {
 				if _, err := settings.Parse(e.Settings); err != nil && strings.Contains(err.Error(), "\n") {
 					t.Error("a fault of more than one line")
 				}
