--- /dev/null
+++ b/internal/ci/knownred.go
@@ -0,0 +1,148 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"io/fs"
+	"os"
+	"os/exec"
+	"regexp"
+	"strings"
+
+	"thymebend/internal/fielderror"
+)
+
+// maxKnownRed is how many tests may be known to fail.
+const maxKnownRed = 3
+
+// knownRed is a test that is known to fail, and why it may.
+type knownRed struct{ pkg, test, cause, issue string }
+
+var (
+	testName  = regexp.MustCompile(`^Test[A-Z0-9]\w*$`)
+	issueName = regexp.MustCompile(`^issue [0-9]+$`)
+)
+
+// readKnownRed reads the list: on each line a package with its test, the cause and the issue, parted by bars. No
+// file is no test. exists reports why a package has not got a test, or nil. Faults are a fielderror.Error with
+// file and line.
+func readKnownRed(file string, exists func(pkg, test string) error) ([]knownRed, error) {
+	text, err := os.ReadFile(file)
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil, nil
+	}
+	if err != nil {
+		return nil, err
+	}
+	var list []knownRed
+	for i, line := range strings.Split(string(text), "\n") {
+		if strings.TrimSpace(line) == "" {
+			continue
+		}
+		entry, err := parseKnownRed(line)
+		if err == nil {
+			err = admit(list, entry, exists)
+		}
+		if err != nil {
+			return nil, &fielderror.Error{File: file, Line: i + 1, Err: err}
+		}
+		list = append(list, entry)
+	}
+	return list, nil
+}
+
+// parseKnownRed reads one line.
+func parseKnownRed(line string) (knownRed, error) {
+	parts := strings.Split(line, "|")
+	if len(parts) != 3 {
+		return knownRed{}, errors.New("want PACKAGE TEST | CAUSE | issue NUMBER")
+	}
+	where := strings.Fields(parts[0])
+	entry := knownRed{cause: strings.TrimSpace(parts[1]), issue: strings.TrimSpace(parts[2])}
+	switch {
+	case len(where) != 2 || !strings.HasPrefix(where[0], "./") || !testName.MatchString(where[1]):
+		return knownRed{}, fmt.Errorf("want a package such as ./internal/loop and the name of a test, found %q",
+			strings.TrimSpace(parts[0]))
+	case entry.cause == "":
+		return knownRed{}, errors.New("the cause is missing")
+	case !issueName.MatchString(entry.issue):
+		return knownRed{}, fmt.Errorf("want the issue as in 'issue 28', found %q", entry.issue)
+	}
+	entry.pkg, entry.test = where[0], where[1]
+	return entry, nil
+}
+
+// admit reports why an entry may not follow those before it, or nil.
+func admit(list []knownRed, entry knownRed, exists func(pkg, test string) error) error {
+	if len(list) == maxKnownRed {
+		return fmt.Errorf("more than %d tests", maxKnownRed)
+	}
+	for _, other := range list {
+		if other.test == entry.test {
+			return fmt.Errorf("%s stands there twice", entry.test) // they are left out by name, in all packages
+		}
+	}
+	return exists(entry.pkg, entry.test)
+}
+
+// testExists reports why it is not so that a package has a test and no other package one of that name, or nil.
+func testExists(pkg, test string) error {
+	out, err := exec.Command("go", "test", "-list", "^"+test+"$", "./...").CombinedOutput()
+	if err != nil {
+		return fmt.Errorf("go test -list: %w\n%s", err, out)
+	}
+	path, err := exec.Command("go", "list", pkg).Output()
+	if err != nil {
+		return fmt.Errorf("%s is no package", pkg)
+	}
+	want := strings.TrimSpace(string(path))
+	if have := packagesWith(test, string(out)); len(have) != 1 || have[0] != want {
+		return fmt.Errorf("%s is a test of %v, want of %s alone", test, have, want)
+	}
+	return nil
+}
+
+// packagesWith lists the packages that have a test, from what go test -list printed: the line of a package follows
+// the names of its tests.
+func packagesWith(test, listing string) (packages []string) {
+	found := false
+	for line := range strings.SplitSeq(listing, "\n") {
+		words := strings.Fields(line)
+		switch {
+		case len(words) == 1 && words[0] == test:
+			found = true
+		case len(words) > 1 && words[0] == "ok" && found:
+			packages, found = append(packages, words[1]), false
+		}
+	}
+	return packages
+}
+
+// pattern matches the tests by name, and nothing where there are none.
+func pattern(list []knownRed) string {
+	var names []string
+	for _, entry := range list {
+		names = append(names, entry.test)
+	}
+	if len(names) == 0 {
+		return "^$"
+	}
+	return "^(" + strings.Join(names, "|") + ")$"
+}
+
+// runKnownRed runs the tests and prints what became of each. One that passes again is said so: its line has to go.
+func runKnownRed(w io.Writer, list []knownRed) {
+	for _, entry := range list {
+		test := exec.Command("go", "test", "-count=1", "-timeout", "8m", "-run", "^"+entry.test+"$", entry.pkg)
+		out, err := test.CombinedOutput()
+		verdict := "fails, as is known"
+		if err == nil {
+			verdict = "PASSES AGAIN: take its line out"
+		}
+		fmt.Fprintf(w, "known red: %s %s: %s (%s; %s)\n", entry.pkg, entry.test, verdict, entry.cause, entry.issue)
+		for line := range strings.SplitSeq(strings.TrimSpace(string(out)), "\n") {
+			fmt.Fprintf(w, "  | %s\n", line)
+		}
+	}
+}
--- /dev/null
+++ b/internal/ci/knownred_test.go
@@ -0,0 +1,86 @@
+package main
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+func write(t *testing.T, text string) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+func TestKnownRedNamesTheLineOfAFault(t *testing.T) {
+	line := func(n int) string { return fmt.Sprintf("./internal/loop TestThing%d | it fails | issue 28\n", n) }
+	there := func(_, test string) error {
+		if test == "TestMissing" {
+			return errors.New("no such test")
+		}
+		return nil
+	}
+	for text, want := range map[string]string{
+		line(1) + line(2) + line(3) + line(4):             ":4: more than 3",
+		line(1) + "\n" + line(1):                          ":3: TestThing1 stands there twice",
+		"./internal/loop TestThing |  | issue 28":         ":1: the cause is missing",
+		"./internal/loop TestThing | it fails":            ":1: want PACKAGE TEST | CAUSE | issue NUMBER",
+		"./internal/loop TestThing | it fails | soon":     ":1: want the issue",
+		"TestThing | it fails | issue 28":                 ":1: want a package",
+		"./internal/loop Thing | it fails | issue 28":     ":1: want a package",
+		line(1) + "./a TestMissing | it fails | issue 28": ":2: no such test",
+	} {
+		list, err := readKnownRed(write(t, text), there)
+		if err == nil || !strings.Contains(err.Error(), "KNOWN-RED.txt"+want) || list != nil {
+			t.Errorf("%q: %v, want %q", text, err, want)
+		}
+	}
+	list, err := readKnownRed(write(t, line(1)+line(2)), there)
+	if err != nil || pattern(list) != "^(TestThing1|TestThing2)$" {
+		t.Errorf("%v: %v", err, list)
+	}
+	if list, err := readKnownRed(filepath.Join(t.TempDir(), "none"), there); err != nil || pattern(list) != "^$" {
+		t.Errorf("no file: %v, %v", list, err)
+	}
+}
+
+// The list in force is right: each test is there, once.
+func TestTheListInForce(t *testing.T) {
+	t.Chdir("../..")
+	if _, err := readKnownRed("KNOWN-RED.txt", testExists); err != nil {
+		t.Error(err)
+	}
+	for _, c := range []struct{ pkg, test string }{{"./internal/ci", "TestNowhere"},
+		{"./internal/loop", "TestTheListInForce"}, {"./nowhere", "TestTheListInForce"}} {
+		if testExists(c.pkg, c.test) == nil {
+			t.Errorf("%s is said to have %s", c.pkg, c.test)
+		}
+	}
+}
+
+// A test that fails is printed as known, and one that passes again is said to.
+func TestKnownRedIsRunAndPrinted(t *testing.T) {
+	dir := t.TempDir()
+	for name, text := range map[string]string{"go.mod": "module red\n\ngo 1.24\n",
+		"a_test.go": "package red\n\nimport \"testing\"\n\n" +
+			"func TestBad(t *testing.T) { t.Error(\"oh\") }\n\nfunc TestGood(t *testing.T) {}\n"} {
+		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	t.Chdir(dir)
+	var out bytes.Buffer
+	runKnownRed(&out, []knownRed{{"./", "TestBad", "why", "issue 1"}, {"./", "TestGood", "why not", "issue 2"}})
+	for _, want := range []string{"TestBad: fails, as is known (why; issue 1)", "oh", "TestGood: PASSES AGAIN"} {
+		if !strings.Contains(out.String(), want) {
+			t.Errorf("%q is missing in %s", want, &out)
+		}
+	}
+}
--- a/internal/ci/main.go
+++ b/internal/ci/main.go
@@ -3,7 +3,9 @@
 package main
 
 import (
+	"errors"
 	"fmt"
+	"io"
 	"os"
 )
 
@@ -11,24 +13,32 @@
        ci known-red FILE --run    runs them and prints what they do
        ci sites DIR               checks the site variants in a folder`
 
+// errUsage is that of arguments that no command has.
+var errUsage = errors.New(usage)
+
 func main() {
-	err := fmt.Errorf("%s", usage)
-	switch args := os.Args[1:]; {
+	if err := run(os.Stdout, os.Args[1:]); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
+	}
+}
+
+func run(w io.Writer, args []string) error {
+	switch {
 	case len(args) == 2 && args[0] == "known-red":
-		var tests []red
-		if tests, err = readRed(args[1], exists); err == nil {
-			fmt.Println(pattern(tests))
+		tests, err := readKnownRed(args[1], testExists)
+		if err == nil {
+			fmt.Fprintln(w, pattern(tests))
 		}
+		return err
 	case len(args) == 3 && args[0] == "known-red" && args[2] == "--run":
-		var tests []red
-		if tests, err = readRed(args[1], exists); err == nil {
-			runRed(os.Stdout, tests)
+		tests, err := readKnownRed(args[1], testExists)
+		if err == nil {
+			runKnownRed(w, tests)
 		}
+		return err
 	case len(args) == 2 && args[0] == "sites":
-		err = checkSites(os.Stdout, args[1])
-	}
-	if err != nil {
-		fmt.Fprintln(os.Stderr, err)
-		os.Exit(1)
+		return checkSites(w, args[1])
 	}
+	return errUsage
 }
--- a/internal/ci/policy_test.go
+++ b/internal/ci/policy_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// What a reader of the decision code can take in at once: lines of a file that say something, and columns of a line, a tab being four.
+// What a reader of the decision code can take in at once: lines of a file that say something, and columns of a line,
+// a tab being four.
 const (
 	mostLines   = 400
 	mostColumns = 110
@@ -39,8 +40,9 @@
 // sourcesOf lists the sources of the decision module and of the packages of ours that it imports.
 func sourcesOf(t *testing.T, root string) (files []string) {
 	t.Helper()
-	list := exec.Command("go", "list", "-deps", "-f",
-		`{{if .Module}}{{if eq .Module.Path "thymebend"}}{{$dir := .Dir}}{{range .GoFiles}}{{$dir}}/{{.}}{{"\n"}}{{end}}{{end}}{{end}}`, "./internal/balancer")
+	const format = `{{if .Module}}{{if eq .Module.Path "thymebend"}}{{$dir := .Dir}}` +
+		`{{range .GoFiles}}{{$dir}}/{{.}}{{"\n"}}{{end}}{{end}}{{end}}`
+	list := exec.Command("go", "list", "-deps", "-f", format, "./internal/balancer")
 	list.Dir = root
 	out, err := list.Output()
 	if err != nil {
--- a/internal/ci/sites.go
+++ b/internal/ci/site.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -11,6 +12,8 @@
 
 	"github.com/pelletier/go-toml/v2"
 	"github.com/pelletier/go-toml/v2/unstable"
+
+	"thymebend/internal/fielderror"
 )
 
 // site is what can be checked of a variant without the operators' bench. Other fields are the bench's affair.
@@ -64,72 +67,100 @@
 
 // checkSite checks one variant: its file, and those that the bench wants beside it.
 func checkSite(dir, name string) (site, error) {
-	var s site
 	file := filepath.Join(dir, name+".toml")
 	text, err := os.ReadFile(file)
+	if err != nil {
+		return site{}, err
+	}
+	s, err := parseSite(file, name, text)
 	if err != nil {
 		return s, err
 	}
+	for _, beside := range []string{"real.json", s.Wire} {
+		if err := checkJSON(filepath.Join(dir, beside)); err != nil {
+			return s, err
+		}
+	}
+	return s, checkUnlock(filepath.Join(dir, "unlock.txt"))
+}
+
+// parseSite reads a variant's own file, whose text is at hand.
+func parseSite(file, name string, text []byte) (site, error) {
+	var s site
 	if err := toml.Unmarshal(text, &s); err != nil {
 		var at *toml.DecodeError
-		if ok := asDecode(err, &at); ok {
+		if errors.As(err, &at) {
 			line, _ := at.Position()
-			return s, fmt.Errorf("%s:%d: %v", file, line, at)
+			return s, faultAt(file, line, at)
 		}
-		return s, fmt.Errorf("%s: %w", file, err)
+		return s, faultAt(file, 0, err)
 	}
-	lines := classLines(text)
 	switch {
 	case s.Name != name:
-		return s, fmt.Errorf("%s:%d: name is %q, want that of the folder", file, lineOf(text, "name"), s.Name)
+		return s, faultAt(file, lineOf(text, "name"), fmt.Errorf("name is %q, want that of the folder", s.Name))
 	case len(s.Class) == 0 || len(s.Tier) == 0:
-		return s, fmt.Errorf("%s: no class, or no tier", file)
+		return s, faultAt(file, 0, errors.New("no class, or no tier"))
 	case !(s.Rules.Grace > 0 && s.Rules.Multiple >= 1 && s.Rules.Within > 0):
-		return s, fmt.Errorf("%s:%d: rules need drain_grace_ms, fall_multiple and fall_ms above 0", file, lineOf(text, "[rules]"))
+		return s, faultAt(file, lineOf(text, "[rules]"),
+			errors.New("rules need drain_grace_ms, fall_multiple and fall_ms above 0"))
 	}
-	seen := map[string]bool{}
+	lines := classLines(text)
+	seen := make(map[string]bool)
 	for i, c := range s.Class {
 		if err := c.check(); err != nil {
-			return s, fmt.Errorf("%s:%d: class %q: %w", file, lines[i], c.Name, err)
+			return s, faultAt(file, lines[i], fmt.Errorf("class %q: %w", c.Name, err))
 		}
 		if seen[c.Name] {
-			return s, fmt.Errorf("%s:%d: class %q stands there twice", file, lines[i], c.Name)
+			return s, faultAt(file, lines[i], fmt.Errorf("class %q stands there twice", c.Name))
 		}
 		seen[c.Name] = true
 	}
-	for _, beside := range []string{"real.json", s.Wire} {
-		path := filepath.Join(dir, beside)
-		raw, err := os.ReadFile(path)
-		if err != nil {
-			return s, err
-		}
-		var any map[string]json.RawMessage
-		if err := json.Unmarshal(raw, &any); err != nil || len(any) == 0 {
-			line := 1
-			if at, ok := err.(*json.SyntaxError); ok {
-				line += strings.Count(string(raw[:at.Offset]), "\n")
-			}
-			return s, fmt.Errorf("%s:%d: no JSON object: %v", path, line, err)
+	return s, nil
+}
+
+// faultAt is a fault of a file's line; 0 is the file as a whole.
+func faultAt(file string, line int, cause error) error {
+	return &fielderror.Error{File: file, Line: line, Err: cause}
+}
+
+// checkJSON holds a file to be a JSON object that is not empty.
+func checkJSON(path string) error {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	var fields map[string]json.RawMessage
+	if err := json.Unmarshal(raw, &fields); err != nil || len(fields) == 0 {
+		line := 1
+		var at *json.SyntaxError
+		if errors.As(err, &at) {
+			line += strings.Count(string(raw[:at.Offset]), "\n")
 		}
+		return faultAt(path, line, fielderror.Worded(err, "no JSON object: %v", err))
 	}
-	path := filepath.Join(dir, "unlock.txt")
+	return nil
+}
+
+// checkUnlock holds each line of a file to be an unlock of the bench.
+func checkUnlock(path string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return s, err
+		return err
 	}
 	for i, line := range strings.Split(strings.TrimSpace(string(raw)), "\n") {
 		if !unlockLine.MatchString(line) {
-			return s, fmt.Errorf("%s:%d: want 'unlock NAMES SUM', found %q", path, i+1, line)
+			return faultAt(path, i+1, fmt.Errorf("want 'unlock NAMES SUM', found %q", line))
 		}
 	}
-	return s, nil
+	return nil
 }
 
+// check reports what is wrong with a class by itself.
 func (c class) check() error {
 	low, high, ok := span(c.Share)
 	switch {
 	case c.Name == "" || strings.ContainsAny(c.Name, " /?"):
-		return fmt.Errorf("its name must do as the first part of a path")
+		return errors.New("its name must do as the first part of a path")
 	case !ok || low <= 0 || high < low || high > 1:
 		return fmt.Errorf("share is %v, want one or two ascending parts of 1", c.Share)
 	case !(c.Aim > 0 && c.Deadline >= c.Aim):
@@ -140,11 +171,11 @@
 	switch c.Effect {
 	case "safe", "unsafe":
 		if c.Group != "" || c.Window != 0 {
-			return fmt.Errorf("group and window_ms are for keyed classes")
+			return errors.New("group and window_ms are for keyed classes")
 		}
 	case "keyed":
 		if c.Window <= 0 || c.Group != "all" && c.Group != "zone" && c.Group != "cell" {
-			return fmt.Errorf("a keyed class needs window_ms above 0 and group all, zone or cell")
+			return errors.New("a keyed class needs window_ms above 0 and group all, zone or cell")
 		}
 	default:
 		return fmt.Errorf("effect is %q, want safe, keyed or unsafe", c.Effect)
@@ -176,12 +207,6 @@
 	return low, low, ok
 }
 
-func asDecode(err error, into **toml.DecodeError) bool {
-	at, ok := err.(*toml.DecodeError)
-	*into = at
-	return ok
-}
-
 // classLines are the lines on which the classes begin.
 func classLines(text []byte) (lines []int) {
 	var p unstable.Parser
