--- a/internal/ci/docs_test.go
+++ b/internal/ci/docs_test.go
@@ -45,6 +45,51 @@
 	}
 }
 
+// Guards against on-call pages that tell to look for log lines which the programs write no more.
+func TestDocsLogLinesExist(t *testing.T) {
+	tree := readTree(t, repository)
+	for _, page := range pages(t, repository) {
+		if !strings.HasPrefix(page.name, "docs/operate/") {
+			continue
+		}
+		for _, s := range logLines(page.text) {
+			if !tree.writes(s.text) {
+				t.Errorf("%s:%d: `%s`: no program writes this", page.name, s.line, s.text)
+			}
+		}
+	}
+}
+
+func TestDocsLogLines(t *testing.T) {
+	text := "| log | meaning |\n| --- | --- |\n| debug `watch`, `\"end\":\"list lost\"` | `not this` |\n| `host N is back` | |\n\n| figure | |\n| --- | --- |\n| `seq` | |\n"
+	want := []located{{3, "watch"}, {3, `"end":"list lost"`}, {4, "host N is back"}}
+	if got := logLines(text); !slices.Equal(got, want) {
+		t.Errorf("log lines are %+v, want %+v", got, want)
+	}
+	tree := fixture(t)
+	for _, c := range []struct {
+		name, line string
+		want       bool
+	}{
+		{"a message", "endpoint ejected", true},
+		{"no message", "endpoint thrown out", false},
+		{"a field's value", `"end":"watch broken"`, true},
+		{"no field's value", `"end":"watch torn"`, false},
+		{"a field's value without quotes", "end: watch broken", true},
+		{"a message with a figure in it", "host N is back", true},
+		{"another message with a figure in it", "host N is away", false},
+		{"a message with a stated figure", "host 7 is back", true},
+		{"a message with another prefix", "host: watch broken", false},
+		{"a message of a test alone", "only in tests", false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := tree.writes(c.line); got != c.want {
+				t.Errorf("%q is written: %v, want %v", c.line, got, c.want)
+			}
+		})
+	}
+}
+
 func TestDocsNameClassifier(t *testing.T) {
 	tree := fixture(t)
 	for _, c := range []struct {
@@ -194,8 +239,10 @@
 	const tag = "cmdQueue.Limit limit"
 	return errors.Is(err, nil)
 }
+
+var messages = []string{"endpoint ejected", "watch broken", "host %d is back"}
 `)
-	writeFile(t, root, "internal/gateway/gateway_test.go", "package gateway\n\nfunc TestGatewayStops() {}\nfunc BenchmarkStep() {}\n")
+	writeFile(t, root, "internal/gateway/gateway_test.go", "package gateway\n\nconst message = \"only in tests\"\n\nfunc TestGatewayStops() {}\nfunc BenchmarkStep() {}\n")
 	writeFile(t, root, "internal/discovery/endpoint/endpoint.go", "package endpoint\n\n"+
 		"type Endpoint struct {\n\tCapacity float64 `json:\"idleShare\"`\n}\n\ntype Watch struct{}\n\nfunc (w *Watch) Started() {}\n")
 	writeFile(t, root, "experiments/calm.toml", "warmRate = 3\nrate = 4\n")
@@ -282,6 +329,25 @@
 	return all
 }
 
+// logLines returns the spans in the first column of the tables that list log lines.
+func logLines(text string) (all []located) {
+	inTable := false
+	for i, line := range strings.Split(text, "\n") {
+		first, _, ok := strings.Cut(strings.TrimPrefix(line, "|"), " |")
+		switch first = strings.TrimSpace(first); {
+		case !strings.HasPrefix(line, "|") || !ok:
+			inTable = false
+		case slices.Contains([]string{"log", "line", "in the log"}, first):
+			inTable = true
+		case inTable:
+			for _, s := range spans(first) {
+				all = append(all, located{i + 1, s.text})
+			}
+		}
+	}
+	return all
+}
+
 // headings returns the anchors of a page's headings, as the usual renderers of Markdown form them.
 func headings(text string) (all []string) {
 	fenced := false
@@ -331,6 +397,9 @@
 	notInAnchor = regexp.MustCompile(`[^\p{L}\p{N} _-]`)
 	link        = regexp.MustCompile(`\]\(([^)\s]+)\)`)
 
+	reasonField = regexp.MustCompile(`^"?end"?: ?`)
+	figure      = regexp.MustCompile(`\bN\b|[0-9]+`)
+
 	plainWord    = regexp.MustCompile(`^[a-z]+$`)
 	word         = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_]*$`)
 	dotted       = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_/]*(\.[A-Za-z_][A-Za-z0-9_]*)+$`)
@@ -361,6 +430,7 @@
 	idents   map[string]bool // every name declared anywhere
 	data     map[string]bool // words of string literals, struct tags and data files
 	keys     map[string]bool // those of them in struct tags and data files
+	literals []string        // of programs, not of tests
 	standard map[string]bool // names of the packages imported from elsewhere
 }
 
@@ -465,6 +535,9 @@
 			// The literals of this file's own table name what must not exist.
 			if n.Kind == token.STRING && rel != "internal/ci/docs_test.go" {
 				r.readData(n.Value, false)
+				if !isTest {
+					r.literals = append(r.literals, n.Value)
+				}
 			}
 		}
 		return true
@@ -573,6 +646,19 @@
 	return nil
 }
 
+// writes reports whether some program can write a log line: its parts stand in string literals. A part is the value of a field,
+// or what stands around a figure or name, which the page may write as N.
+func (r *tree) writes(line string) bool {
+	line = strings.Trim(reasonField.ReplaceAllString(line, ""), `"`)
+	for _, part := range figure.Split(line, -1) {
+		part = strings.TrimSpace(part)
+		if !slices.ContainsFunc(r.literals, func(l string) bool { return strings.Contains(l, part) }) {
+			return false
+		}
+	}
+	return true
+}
+
 // checkPattern checks what chooses tests or benchmarks by a part of their names.
 func (r *tree) checkPattern(w string, benchmark bool) error {
 	if w == runsNone || w == "" {
