--- /dev/null
+++ b/internal/lab/experiment/hostevents.go
@@ -0,0 +1,136 @@
+package experiment
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"thymebend/internal/lab/emulation"
+	"thymebend/internal/lab/hostmodel"
+)
+
+// hostEvent carries an event out at one host.
+type hostEvent struct {
+	w     *World
+	ctx   context.Context
+	event Event
+	host  *member
+}
+
+// mode changes how the host's machine behaves, for the event's time.
+func (h hostEvent) mode(to emulation.Mode, what string) error {
+	var err error
+	begin := func() { err = h.host.SetMode(to) }
+	undo := func() {
+		if back := h.host.SetMode(emulation.Up); back != nil {
+			err = back
+		}
+	}
+	_ = h.w.forA(h.ctx, h.event, h.host.Name+" "+what, begin, undo)
+	return err
+}
+
+// model changes the host's model, for the event's time.
+func (h hostEvent) model(what string, do, undo func(now time.Duration, h *hostmodel.Host)) error {
+	return h.w.forA(h.ctx, h.event, h.host.Name+" "+what, func() { h.host.Do(do) }, func() { h.host.Do(undo) })
+}
+
+func (h hostEvent) down() error {
+	w, m, e := h.w, h.host, h.event
+	w.mark("%s down", m.Name)
+	if err := m.SetMode(emulation.Refuse); err != nil {
+		return err
+	}
+	w.list(m, emulation.StateRemoved, m.entry.Born)
+	if e.For.Duration > 0 && Sleep(h.ctx, e.For.Duration) {
+		return w.again(m)
+	}
+	return nil
+}
+
+func (h hostEvent) restart() error {
+	if err := h.host.SetMode(emulation.Refuse); err != nil {
+		return err
+	}
+	return h.w.again(h.host)
+}
+
+func (h hostEvent) replace() error {
+	w, m := h.w, h.host
+	w.drain(h.ctx, h.event, m)
+	w.mu.Lock()
+	n := m.spec.Count + w.replaced
+	w.replaced++
+	w.mu.Unlock()
+	fresh, err := w.start(m.spec, n, GatewayNames(len(m.entry.Dial)), m.entry.Dial, m.spec.ColdFrom > 0)
+	if err == nil {
+		w.mark("%s in place of %s", fresh.Name, m.Name)
+	}
+	return err
+}
+
+func (h hostEvent) spoil() error {
+	e, fault := h.event, emulation.Fault(h.event.Fault)
+	what := fmt.Sprintf("%s: %.0f%% %s", h.host.Name, e.Share*100, fault)
+	begin := func() { h.host.Spoil(fault, e.Share, e.Class) }
+	undo := func() { h.host.Spoil(fault, 0, "") }
+	return h.w.forA(h.ctx, e, what, begin, undo)
+}
+
+// changeModel carries out the events that change the host's model.
+func (h hostEvent) changeModel() error {
+	w, m, e := h.w, h.host, h.event
+	switch e.Do {
+	case "host-pause":
+		w.mark("%s pauses for %v", m.Name, e.For)
+		m.Do(func(now time.Duration, h *hostmodel.Host) { h.PauseFor(now, e.For.Duration) })
+		return nil
+	case "host-slow":
+		speed := m.spec.Speed
+		return h.model(fmt.Sprintf("at %.2f of its speed", e.Factor),
+			func(now time.Duration, h *hostmodel.Host) { h.SetSpeed(now, speed*e.Factor) },
+			func(now time.Duration, h *hostmodel.Host) { h.SetSpeed(now, speed) })
+	case "host-errors":
+		return h.model(fmt.Sprintf("errs in %.0f%%", e.Share*100),
+			func(now time.Duration, h *hostmodel.Host) { h.SetErrors(now, e.Share) },
+			func(now time.Duration, h *hostmodel.Host) { h.SetErrors(now, m.spec.ErrorRate) })
+	case "neighbour":
+		n := hostmodel.Neighbour{Share: e.Share, On: e.On.Duration, Off: e.Off.Duration}
+		return h.model(fmt.Sprintf("has a neighbour of %.0f%%", e.Share*100),
+			func(now time.Duration, h *hostmodel.Host) { h.SetNeighbour(now, n) },
+			func(now time.Duration, h *hostmodel.Host) { h.SetNeighbour(now, hostmodel.Neighbour{}) })
+	case "heavy":
+		w.mark("%s: %.1f%% of %s cost %.0f times", m.Name, e.Share*100, e.Class, e.Factor)
+		m.Do(func(now time.Duration, h *hostmodel.Host) {
+			h.Heavy(now, e.Class, e.Share, e.Factor, now+e.For.Duration)
+		})
+		return nil
+	}
+	return fmt.Errorf("unknown event %s", e.Do)
+}
+
+// toHost carries an event out at one host.
+func (w *World) toHost(ctx context.Context, e Event, m *member) error {
+	h := hostEvent{w, ctx, e, m}
+	switch e.Do {
+	case "host-down":
+		return h.down()
+	case "host-cold":
+		return h.restart()
+	case "host-drain":
+		w.drain(ctx, e, m)
+		return nil
+	case "host-replace":
+		return h.replace()
+	case "host-cut":
+		return h.mode(emulation.Silent, "cut off")
+	case "host-hang":
+		return h.mode(emulation.Hung, "hangs")
+	case "host-noreply":
+		return h.mode(emulation.NoReply, "answers nothing")
+	case "host-spoil":
+		return h.spoil()
+	default:
+		return h.changeModel()
+	}
+}
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -1,6 +1,7 @@
 package experiment
 
 import (
+	"cmp"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -66,53 +67,86 @@
 
 // Run plays an experiment.
 func Run(ctx context.Context, f *File, o Options) (*Result, error) {
-	seed := f.Seed
-	if o.Seed != 0 {
-		seed = o.Seed
+	seed := cmp.Or(o.Seed, f.Seed)
+	if err := o.prepare(); err != nil {
+		return nil, err
 	}
-	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
+	w, err := newWorld(f, seed, GatewayNames(f.Gateways.Count), "127.0.0.1:0", o.Rig, o.Clock)
+	if err != nil {
 		return nil, err
 	}
-	if _, err := os.Stat(o.Gateway); err != nil {
-		return nil, fmt.Errorf("the gateway's program: %w (make build builds it)", err)
+	defer w.Close()
+	if err := w.startGateways(ctx, o.Gateway, o.Dir); err != nil {
+		return nil, err
 	}
-	clock := o.Clock
-	if clock == nil {
-		clock = emulation.NewClock()
+	arrivals, err := drawArrivals(f, seed)
+	if err != nil {
+		return nil, err
 	}
-	w, err := newWorld(f, seed, GatewayNames(f.Gateways.Count), "127.0.0.1:0", o.Rig, clock)
+	res := &Result{Version: ResultVersion, Name: f.Name, Title: f.Title, About: f.About, Seed: seed,
+		Started: time.Now().UTC(), Limits: f.Gateways}
+	targets := w.openFront(f)
+	clients := requestrecord.NewClients()
+	began := w.Clock()
+	res.Load, err = w.runLoad(ctx, o, began, load.Options{Targets: targets, Front: w.Front, Classes: f.classes(),
+		Schedule: load.Record(arrivals), Clients: f.Clients.model(), Seed: seed, Ledger: clients, Clock: w.Clock,
+		Progress: o.Progress})
 	if err != nil {
 		return nil, err
 	}
-	defer w.Close()
-	if err := w.startGateways(ctx, o.Gateway, o.Dir); err != nil {
+	if err := writeTries(filepath.Join(o.Dir, triesFile), clients.Tries(), began); err != nil {
 		return nil, err
 	}
+	for _, g := range w.gateways {
+		w.stop(g, nil)
+	}
+	return res, w.conclude(res, clients, began)
+}
+
+// prepare makes the folder of a run, checks for the program, and starts a clock where none is given.
+func (o *Options) prepare() error {
+	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
+		return err
+	}
+	if _, err := os.Stat(o.Gateway); err != nil {
+		return fmt.Errorf("the gateway's program: %w (make build builds it)", err)
+	}
+	if o.Clock == nil {
+		o.Clock = emulation.NewClock()
+	}
+	return nil
+}
+
+// drawArrivals draws when requests come.
+func drawArrivals(f *File, seed uint64) (arrivals []load.Arrival, err error) {
 	schedule, err := load.Phases(f.classes(), f.phases(), seed)
 	if err != nil {
 		return nil, err
 	}
-	var arrivals []load.Arrival
 	for a, ok := schedule.Next(); ok; a, ok = schedule.Next() {
 		arrivals = append(arrivals, a)
 	}
-	var targets []string
+	return arrivals, nil
+}
+
+// openFront puts the plain front before the gateways that serve, and returns their addresses.
+func (w *World) openFront(f *File) (targets []string) {
 	for _, g := range w.gateways {
 		targets = append(targets, g.front)
 	}
-	res := &Result{Version: ResultVersion, Name: f.Name, Title: f.Title, About: f.About, Seed: seed, Started: time.Now().UTC(),
-		Limits: f.Gateways}
 	w.Front = load.NewFront(targets, f.Front.Notice.Duration, w.Clock)
 	for _, g := range w.gateways {
 		if g.present() == nil {
 			w.Front.Leave(g.front)
 		}
 	}
-	clients := requestrecord.NewClients()
+	return targets
+}
 
+// runLoad plays the load, with the events of the file, the samples and what is to be played beside it.
+func (w *World) runLoad(ctx context.Context, o Options, began time.Duration, options load.Options) (load.Result, error) {
 	running, stop := context.WithCancel(ctx)
 	defer stop()
-	began := w.Clock()
 	go w.sample(running, began)
 	played := make(chan bool)
 	go func() { w.play(running, began); close(played) }()
@@ -124,26 +158,18 @@
 		}
 		beside <- o.Beside(running, &Handles{w, began})
 	}()
-	res.Load, err = load.Run(ctx, load.Options{Targets: targets, Front: w.Front, Classes: f.classes(),
-		Schedule: load.Record(arrivals), Clients: f.Clients.model(), Seed: seed, Ledger: clients, Clock: w.Clock,
-		Progress: o.Progress})
+	result, err := load.Run(ctx, options)
 	if err != nil {
-		return nil, err
+		return load.Result{}, err
 	}
 	if o.Beside != nil {
 		if err := <-beside; err != nil {
-			return nil, err
+			return load.Result{}, err
 		}
 	}
 	stop()
 	<-played
-	if err := writeTries(filepath.Join(o.Dir, triesFile), clients.Tries(), began); err != nil {
-		return nil, err
-	}
-	for _, g := range w.gateways {
-		w.stop(g, nil)
-	}
-	return res, w.conclude(res, clients, began)
+	return result, nil
 }
 
 // conclude compares the ledgers and fills in the result.
--- /dev/null
+++ b/internal/lab/experiment/settings.go
@@ -0,0 +1,102 @@
+package experiment
+
+import (
+	"slices"
+	"time"
+
+	"thymebend/internal/lab/emulation"
+)
+
+// Settings are what a gateway of this experiment is told, in the platform's form.
+func (f *File) Settings(rank int) map[string]any {
+	zones := f.zones()
+	mode, zone := "subscribe", 0
+	if f.Discovery.Pushed {
+		mode = "automatic"
+	}
+	if f.Gateways.Spread {
+		zone = rank % len(zones)
+	}
+	return map[string]any{
+		"balancers": f.Gateways.Count, "rank": rank, "zone": zone, "zones": zones, "tick_ms": 5,
+		"registry_mode": mode, "counted_by": "request",
+		"report":     f.reportSettings(),
+		"guarantees": f.guaranteeSettings(),
+		"clients":    map[string]any{"marks_retry": f.Clients.Marks},
+		"bounds":     f.boundSettings(),
+		"classes":    f.classSettings(),
+	}
+}
+
+// zones are the sites of the hosts, in their order in the file.
+func (f *File) zones() (zones []string) {
+	for _, h := range f.Hosts {
+		if !slices.Contains(zones, h.Site) {
+			zones = append(zones, h.Site)
+		}
+	}
+	return zones
+}
+
+func (f *File) classSettings() (classes []map[string]any) {
+	for _, c := range f.Classes {
+		repeat, group := "repeatable", "all"
+		switch {
+		case c.Unsafe:
+			repeat = "once"
+		case c.Keyed:
+			repeat, group = "by_key", "cell"
+		}
+		classes = append(classes, map[string]any{
+			"name": c.Name, "aim_ms": c.Aim.Milliseconds(), "give_up_ms": c.Patience.Milliseconds(),
+			"repeat": repeat, "worth": c.Worth, "group": group,
+			"window_ms": c.Window.Milliseconds(), "late_worth": c.Late,
+		})
+	}
+	return classes
+}
+
+// guaranteeSettings hold for all hosts: the coldest start, the longest warm-up, the least overload that fells one.
+func (f *File) guaranteeSettings() map[string]any {
+	from, warm, multiple, overload := 1.0, time.Duration(0), 1.0, time.Second
+	for _, h := range f.Hosts {
+		if h.ColdFrom > 0 {
+			from = min(from, h.ColdFrom)
+			warm = max(warm, h.ColdFor.Duration)
+		}
+		if h.Fall > 0 {
+			if multiple == 1 || h.Fall < multiple {
+				multiple = h.Fall
+			}
+			overload = h.FallFor.Duration
+		}
+	}
+	if multiple == 1 {
+		multiple = 3
+	}
+	return map[string]any{
+		"ask_within_ms": 10000, "cold_from": from, "warm_after_ms": warm.Milliseconds(), "fall_multiple": multiple,
+		"overload_for_ms": overload.Milliseconds(), "drain_grace_ms": 250,
+	}
+}
+
+func (f *File) boundSettings() map[string]any {
+	idle := 30 * time.Second
+	for _, h := range f.Hosts {
+		idle = min(idle, h.Idle.Duration)
+	}
+	return map[string]any{
+		"connect_timeout_ms": 250, "conn_idle_ms": idle.Milliseconds(), "most_tries": 4, "open_cap": 20000,
+		"cancel": true, "retry_after": true, "max_retry_after_ms": f.Clients.MostAfter.Milliseconds(), "max_streams": 1,
+	}
+}
+
+// reportSettings tell how hosts report their load: beside answers, where any does.
+func (f *File) reportSettings() map[string]any {
+	names := emulation.DefaultFields()
+	how, columns := "silent", []string{}
+	if slices.ContainsFunc(f.Hosts, func(h Hosts) bool { return h.ReportMax.Duration > 0 }) {
+		how, columns = "piggyback", []string{names.Queue, names.InFlight, names.Errors}
+	}
+	return map[string]any{"how": how, "columns": columns}
+}
