--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -50,7 +50,7 @@
 		b.AttemptEnded(now, AttemptEnd{Request: out.id, Endpoint: out.to, Outcome: OutcomeOK, RequestDone: true,
 			Latency: 20 * time.Millisecond})
 		if id%5 == 0 {
-			b.TimerFired(now, tokenSample)
+			b.TimerFired(now, sampleTimer)
 		}
 		b.Dispatch(now)
 	}
--- /dev/null
+++ b/internal/balancer/concurrency/setpoints_test.go
@@ -0,0 +1,55 @@
+package concurrency
+
+import "testing"
+
+func TestQueueThresholdHoldsTheMeanWait(t *testing.T) {
+	for _, c := range []struct {
+		name            string
+		threshold, wait float64
+		n               int
+		response, want  float64
+	}{
+		{"rises", 0.9, 0.5, 3, 1, 0.9 + 0.07*0.4},
+		{"falls", 0.9, 1.5, 3, 1, 0.9 - 0.07*0.6},
+		{"nothing released", 0.9, 0, 0, 1, 0.9},
+		{"at most twice the setpoint", 1.79, 0, 1, 1, 1.8},
+		{"at least zero", 0.1, 5, 1, 1, 0},
+		{"setpoint follows the top loop", 0.9, 0.45, 1, 0.5, 0.9}, // clamped to 2 x 0.9 x 0.5
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			q := QueueThreshold{Value: c.threshold}
+			for range c.n {
+				q.RecordWait(c.wait)
+			}
+			q.CloseSample(c.response)
+			near(t, "threshold", q.Value, c.want)
+			before := q.Value
+			q.CloseSample(c.response)
+			near(t, "threshold after a sample without waits", q.Value, before)
+		})
+	}
+}
+
+func TestResponseSetpointHoldsThePercentile(t *testing.T) {
+	for _, c := range []struct {
+		name                     string
+		setpoint, response, want float64
+		answers                  int
+	}{
+		{"over the objective", 1, 1.5, 0.995, 64},
+		{"under the objective gives back", 0.9, 0.5, 0.905, 64},
+		{"never over the objective", 1, 0.2, 1, 64},
+		{"never under half", 0.5, 4, 0.5, 64},
+		{"too few answers", 0.8, 4, 0.8, 63},
+		{"more than are needed", 1, 1.5, 0.995, 200},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := ResponseSetpoint{Value: c.setpoint}
+			for range c.answers {
+				s.Record(c.response)
+			}
+			s.CloseSample()
+			near(t, "setpoint", s.Value, c.want)
+		})
+	}
+}
--- /dev/null
+++ b/internal/balancer/cooldown_test.go
@@ -0,0 +1,63 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+// Incidents i4c9c46 and i06ab6b: endpoints that rejected everything as full drew most of all attempts.
+func TestFullServerRestsLongerEachTime(t *testing.T) {
+	r := newRig(t, testConfig(), ready(1, 0, 0))
+	warmUp(r)
+	s := r.b.endpoints.all[0]
+	for i, want := range []int{1, 2, 4, 8, 8} { // in service times of 100 ms
+		id := RequestID(i)
+		r.request(id, 0)
+		r.end(id, 0, 1, OutcomeRejected, millisecond)
+		r.b.RequestAbandoned(r.now, id)
+		if rest := s.cooldown.until - r.now; rest != time.Duration(want)*100*millisecond || s.health.Ejected {
+			t.Errorf("rest %d is %v, ejected %v; want %d service times", i, rest, s.health.Ejected, want)
+		}
+		r.now = s.cooldown.until
+	}
+	r.request(9, 0)
+	r.end(9, 0, 1, OutcomeOK, 100*millisecond)
+	r.request(10, 0)
+	r.end(10, 0, 1, OutcomeRejected, millisecond)
+	if rest := s.cooldown.until - r.now; rest != 100*millisecond {
+		t.Errorf("rest after an answer is %v, want one service time", rest)
+	}
+}
+
+// Seeded run 650: before any answer no service time is known, and a request spent its four attempts in 2 ms on a
+// cold endpoint that turned all away. The rest then is a share of the aim.
+func TestFullServerRestsBeforeAnythingIsLearnt(t *testing.T) {
+	r := newRig(t, testConfig(), ready(1, 0, 0))
+	s := r.b.endpoints.all[0]
+	for i, want := range []int{1, 2, 4} {
+		id := RequestID(i)
+		r.request(id, 0)
+		r.end(id, 0, 1, OutcomeRejected, millisecond)
+		r.b.RequestAbandoned(r.now, id)
+		if rest := s.cooldown.until - r.now; rest < time.Duration(want)*15*millisecond || rest > time.Duration(want)*16*millisecond {
+			t.Errorf("rest %d is %v, want %d times a 64th of the aim of 1 s", i, rest, want)
+		}
+		r.now = s.cooldown.until
+	}
+}
+
+// Incident i860b1e: attempts on endpoints that had tipped timed out, went on loading them, and the next request of
+// each gateway followed at once.
+func TestTimeoutRestsAServerBelowOne(t *testing.T) {
+	cfg := testConfig()
+	cfg.Gateways = 10
+	r := newRig(t, cfg, ready(1, 0, 0))
+	warmUp(r)
+	r.request(1, 0)
+	r.now += 1200 * millisecond
+	r.b.endpoints.byID[1].limit.Value = 0.4
+	r.b.AttemptEnded(r.now, AttemptEnd{Request: 1, Endpoint: 1, Outcome: OutcomeTimeout, Latency: 1200 * millisecond})
+	if rest := r.b.endpoints.byID[1].cooldown.until - r.now; rest != 1800*millisecond {
+		t.Errorf("rests %v after a time-out of 1.2 s with u = 0.4, want 1.8 s", rest)
+	}
+}
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -1,198 +1,213 @@
 package balancer
 
 import (
-	"math"
 	"time"
+
+	"thymebend/internal/balancer/concurrency"
+	"thymebend/internal/balancer/stats"
 )
 
-// This file decides which server gets which request, and when: the queue, the choice of a server, the send.
+// crossZoneShare is the longest wait before a request may go to another zone, as a share of its maximum queue
+// time: an endpoint there takes time to find.
+const crossZoneShare = 0.5
+
+// noRoom says that a request was looked at in this Dispatch and found no room, in the local zone or anywhere.
+type noRoom struct{ local, anyZone bool }
+
+// in returns the flag of the zones that a request may go to.
+func (n *noRoom) in(crossZone bool) *bool {
+	if crossZone {
+		return &n.anyZone
+	}
+	return &n.local
+}
 
-// Dispatch releases what there is room for, refuses what has waited too long and holds the rest. It is
-// called once after the events that arrived together.
+// Dispatch starts attempts of the queued requests for which there is room, and answers those that are past
+// their deadline or are shed. It is called once after the events that arrived together.
 func (b *Balancer) Dispatch(now time.Duration) {
 	b.now = now
-	for i := range b.classes {
-		b.classes[i].noRoom = [2]bool{}
-	}
-	if b.stale {
-		b.choose()
+	for i := range b.classes.entries {
+		b.classes.entries[i].noRoom = noRoom{}
 	}
-	kept := b.queue[:0]
-	for _, r := range b.queue {
-		if r.done {
-			r.queued = false
-			b.release(r)
-			continue
-		}
-		if b.hopeless(r) {
-			b.noteWait(r)
-			b.finish(r)
-			continue
-		}
-		if s := b.pick(r); s != nil {
-			b.noteWait(r)
-			b.send(r, s)
-			continue
-		}
-		if b.shed(r) {
-			b.noteWait(r)
-			b.finish(r)
-			continue
-		}
-		b.signs.Short = b.signs.Short || b.now-r.begun > b.classes[r.Class].hold[index(r.over)]/2
-		kept = append(kept, r)
+	if b.endpoints.stale {
+		b.chooseSubset()
 	}
-	clear(b.queue[len(kept):])
-	b.queue = kept
-	if len(kept) > 0 {
-		b.markBound()
-		b.armQueue()
+	b.queue.retain(b.staysQueued)
+	if len(b.queue) > 0 {
+		b.markLimited()
+		b.setQueueTimer()
 	}
 }
 
-// markBound notes which limits stand in the way of held requests; only these may integrate upward.
-func (b *Balancer) markBound() {
-	for _, s := range b.members {
-		if b.busy(s) >= b.limit(s) || b.now < s.restUntil {
-			s.bound = true
-		}
-	}
+// staysQueued takes a request off the queue if it is done, starts or gets its final answer, and reports
+// whether it is queued on.
+func (b *Balancer) staysQueued(r *requestState) bool {
+	if r.done {
+		r.queued = false
+		b.forget(r)
+		return false
+	}
+	if b.pastDeadline(r) {
+		b.recordWait(r)
+		b.finish(r)
+		return false
+	}
+	if ep := b.pick(r); ep != nil {
+		b.recordWait(r)
+		b.startAttempt(r, ep)
+		return false
+	}
+	if b.shed(r) {
+		b.recordWait(r)
+		b.finish(r)
+		return false
+	}
+	longest := b.classes.entries[r.Class].maxQueueTime.of(r.overQuota)
+	if b.now-r.begun > longest/2 {
+		b.endpoints.signals.Short = true
+	}
+	return true
 }
 
-// pick returns the server with most room for r, or nil. The own zone goes first; another zone's servers only
-// after a wait of what the crossing costs, in time before it is shed. Room only shrinks during a Dispatch, so
-// requests held alike (may they cross, may they be tried on an ejected server) are looked at once: servers
-// times held requests would take more than a gateway's CPU.
-func (b *Balancer) pick(r *request) *server {
-	fresh, from := len(r.attempts) == 0, b.members
-	if !fresh && b.classes[r.Class].Idempotency == KeyedIdempotent {
-		from = b.servers // its repeat may have to go where no member is
-	}
-	n, c := len(from), &b.classes[r.Class]
-	wait := min(scale(c.LatencyObjective, min(b.cfg.CrossZoneCost, 1-gamma)),
-		scale(c.hold[index(r.over)], crossHold))
-	cross := !fresh || b.now-r.arrived >= wait
-	noRoom := &c.noRoom[index(cross)]
-	if n == 0 || fresh && *noRoom || b.held {
-		return nil
+// recordWait records the queue time of a request that leaves the queue for the first time.
+func (b *Balancer) recordWait(r *requestState) {
+	if len(r.attempts) == 0 {
+		objective := b.classes.entries[r.Class].LatencyObjective
+		b.queueThreshold.RecordWait(float64(b.now-r.arrived) / float64(objective))
 	}
-	var best *server
-	var bestRank, bestRoom int
-	start := b.startAt(n, fresh, cross)
-	for i := range n {
-		s := from[(start+i)%n]
-		if s.Zone != b.cfg.Zone && !cross || !b.usable(s, r) {
-			continue
-		}
-		rank, room := b.rank(s), b.limit(s)-b.busy(s)
-		if best == nil || rank < bestRank || rank == bestRank && room > bestRoom {
-			best, bestRank, bestRoom = s, rank, room
+}
+
+// chooseSubset chooses the subset anew.
+func (b *Balancer) chooseSubset() {
+	for _, ep := range b.endpoints.choose(b.now, &b.cfg, b.rng) {
+		if !ep.subset.used && ep.inFlight == 0 {
+			b.out.CloseIdle(ep.ID)
 		}
 	}
-	if fresh {
-		*noRoom = best == nil
-	}
-	return best
 }
 
-// startAt draws where to begin, which decides among servers with equal room: any, or by the fleet's weights.
-func (b *Balancer) startAt(n int, fresh, cross bool) int {
-	all := b.weights[index(cross)]
-	if !fresh || all == 0 {
-		return b.rng.IntN(n)
-	}
-	at := b.rng.Float64() * all
-	for i, s := range b.members {
-		if cross || s.Zone == b.cfg.Zone {
-			if at -= s.weight; at < 0 {
-				return i
-			}
+// markLimited notes which limits stand in the way of queued requests.
+func (b *Balancer) markLimited() {
+	for _, ep := range b.endpoints.subset {
+		if b.busy(ep) >= ep.allowed() || ep.cooldown.active(b.now) {
+			ep.limit.MarkLimited()
 		}
 	}
-	return 0
 }
 
-// usable reports whether s may get r now.
-func (b *Balancer) usable(s *server, r *request) bool {
-	k := &s.kinds[r.Class]
-	return s.State == EndpointReady && b.now >= s.restUntil && b.busy(s) < b.limit(s) &&
-		(!b.mute(s, r.Class) || k.out == 0 && b.now >= k.tryAt) &&
-		(!s.ejected || b.mayTry(s, r)) && b.mayResend(r, s) && b.coldRoom(s)
+// setQueueTimer makes sure that queued requests are looked at again soon even if nothing else happens.
+func (b *Balancer) setQueueTimer() {
+	if !b.queueTimerSet {
+		b.queueTimerSet = true
+		b.out.SetTimer(2*b.cfg.DispatchInterval, queueTimer)
+	}
 }
 
-// rank orders servers before room is compared: a due trial first, or an ejected server would never be tried
-// while others have room, then the own zone.
-func (b *Balancer) rank(s *server) int {
+// preference orders endpoints before their room is compared; the least goes first.
+type preference int
+
+const (
+	preferProbe         preference = iota // ejected, and its probe is due; it would never be probed otherwise
+	preferLocalZone                       // of the subset and the local zone
+	preferRemoteZone                      // of the subset
+	preferOutsideSubset                   // for a retry that the subset may not take
+)
+
+func (b *Balancer) preference(ep *endpointState) preference {
 	switch {
-	case s.ejected:
-		return -1
-	case !s.member:
-		return 2
-	case s.Zone == b.cfg.Zone:
-		return 0
+	case ep.health.Ejected:
+		return preferProbe
+	case !ep.subset.used:
+		return preferOutsideSubset
+	case ep.Zone == b.cfg.Zone:
+		return preferLocalZone
 	default:
-		return 1
+		return preferRemoteZone
 	}
 }
 
-// send starts an attempt of r on s.
-func (b *Balancer) send(r *request, s *server) {
-	if len(r.attempts) > 0 && b.mayHaveRun(r) {
-		b.retryTokens--
+// pick returns the endpoint with most room for r, or nil. Room only shrinks during a Dispatch, so first
+// attempts of one class that may go to the same zones are looked at once: endpoints times queued requests
+// would take more than a gateway's CPU.
+func (b *Balancer) pick(r *requestState) *endpointState {
+	class := &b.classes.entries[r.Class]
+	first, candidates := len(r.attempts) == 0, b.endpoints.subset
+	if !first && class.Idempotency == KeyedIdempotent {
+		candidates = b.endpoints.all // its retry may have to go where the subset has nothing
+	}
+	crossZone := !first || b.now-r.arrived >= b.crossZoneWait(class, r)
+	full := class.noRoom.in(crossZone)
+	if len(candidates) == 0 || first && *full || b.paused {
+		return nil
 	}
-	timeout := b.timeout(r, s)
-	r.attempts = append(r.attempts, attempt{server: s, sent: b.now})
-	r.open++
-	r.queued = false
-	b.occupy(r, s)
-	if b.coldness(s) < 1 {
-		s.coldTokens--
-		s.turns = s.turns[min(1, len(s.turns)):]
+	var best *endpointState
+	var bestTier preference
+	var bestRoom int
+	start := b.startIndex(len(candidates), first, crossZone)
+	for i := range candidates {
+		ep := candidates[(start+i)%len(candidates)]
+		if ep.Zone != b.cfg.Zone && !crossZone || !b.usable(ep, r) {
+			continue
+		}
+		tier, room := b.preference(ep), ep.allowed()-b.busy(ep)
+		if best == nil || tier < bestTier || tier == bestTier && room > bestRoom {
+			best, bestTier, bestRoom = ep, tier, room
+		}
+	}
+	if first {
+		*full = best == nil
 	}
-	b.out.StartAttempt(r.ID, s.ID, timeout)
+	return best
 }
 
-// occupy counts an attempt of r among what s works on; vacate takes it back.
-func (b *Balancer) occupy(r *request, s *server) {
-	if b.busy(s) == 0 {
-		s.heard = b.now
-	}
-	s.inflight++
-	s.out = append(s.out, r.ID)
-	k := &s.kinds[r.Class]
-	if b.mute(s, r.Class) {
-		k.tryAt = b.now + scale(b.meanAim(), float64(int(1)<<min(k.tries, maxBackoff+1)))
-		k.tries++
-	} else if k.since == 0 {
-		k.since = b.now
-	}
-	k.out++
+// crossZoneWait is how long a request waits before it may go to another zone: what the crossing costs, in
+// time, but in any case before it is shed.
+func (b *Balancer) crossZoneWait(class *classState, r *requestState) time.Duration {
+	return min(stats.Scale(class.LatencyObjective, min(b.cfg.CrossZoneCost, concurrency.ServiceShare)),
+		stats.Scale(class.maxQueueTime.of(r.overQuota), crossZoneShare))
 }
 
-// RequestWriting tells that an attempt's request is still being written, which is no work for its server,
-// and later that its last byte is: only then do its work, its aim and its client's patience begin.
-func (b *Balancer) RequestWriting(now time.Duration, id RequestID, n int, done bool) {
-	b.now = now
-	r := b.requests[id]
-	if r == nil || n < 0 || n >= len(r.attempts) || r.attempts[n].ended || r.attempts[n].writing != done {
-		return
-	}
-	a := &r.attempts[n]
-	if a.writing = !done; a.writing {
-		b.vacate(r, a.server)
-		if k := &a.server.kinds[r.Class]; k.out == 0 {
-			k.since = 0
+// startIndex draws where to begin among n candidates, which decides between endpoints with equal room:
+// anywhere, or by the cluster's weights.
+func (b *Balancer) startIndex(n int, first, crossZone bool) int {
+	total := b.endpoints.localWeight
+	if crossZone {
+		total = b.endpoints.anyZoneWeight
+	}
+	if !first || total == 0 {
+		return b.rng.IntN(n)
+	}
+	at := b.rng.Float64() * total
+	for i, ep := range b.endpoints.subset {
+		if crossZone || ep.Zone == b.cfg.Zone {
+			if at -= ep.subset.weight; at < 0 {
+				return i
+			}
 		}
-		return
 	}
-	b.occupy(r, a.server)
-	a.sent, r.arrived, r.begun, r.deadline = now, now, now, now+r.ClientTimeout
+	return 0
 }
 
-// limit is the number of requests that s may have in flight from this gateway.
-func (b *Balancer) limit(s *server) int {
-	if s.ejected {
-		return 1
+// usable reports whether ep may get r now.
+func (b *Balancer) usable(ep *endpointState, r *requestState) bool {
+	usual := ep.usualMS(&b.classes.entries[r.Class])
+	return ep.State == EndpointReady && !ep.cooldown.active(b.now) && b.busy(ep) < ep.allowed() &&
+		ep.classes[r.Class].Allows(b.now, usual) &&
+		(!ep.health.Ejected || b.mayProbe(ep, r)) && b.mayStart(r, ep) && b.slowStartAllows(ep)
+}
+
+// startAttempt starts an attempt of r on ep.
+func (b *Balancer) startAttempt(r *requestState, ep *endpointState) {
+	if len(r.attempts) > 0 && r.mayHaveRun() {
+		b.retryBudget.Spend()
+	}
+	timeout := b.attemptTimeout(r, ep)
+	r.attempts = append(r.attempts, attempt{endpoint: ep, started: b.now})
+	r.inFlight++
+	r.queued = false
+	b.occupy(r, ep)
+	if b.warmUpFraction(ep) < 1 {
+		ep.warmUp.Spend()
 	}
-	return int(math.Ceil(s.u))
+	b.out.StartAttempt(r.ID, ep.ID, timeout)
 }
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -11,9 +11,9 @@
 type printer struct{}
 
 func (printer) StartAttempt(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
-	fmt.Printf("send request %d to server %d\n", id, to)
+	fmt.Printf("send request %d to endpoint %d\n", id, to)
 }
-func (printer) Reject(id balancer.RequestID, after time.Duration) { fmt.Printf("refuse %d\n", id) }
+func (printer) Reject(id balancer.RequestID, after time.Duration) { fmt.Printf("reject %d\n", id) }
 func (printer) Fail(id balancer.RequestID)                        { fmt.Printf("fail %d\n", id) }
 func (printer) CancelAttempt(id balancer.RequestID, attempt int)  { fmt.Printf("cancel %d\n", id) }
 func (printer) SetTimer(after time.Duration, token uint32)        {}
@@ -21,7 +21,7 @@
 func (printer) WatchEndpoints()                                   { fmt.Println("watch the list") }
 func (printer) Log(line string)                                   { fmt.Println("log:", line) }
 
-// A request fails on one server and is answered by another.
+// A request fails on one endpoint and is answered by another.
 func Example() {
 	cfg := balancer.Config{
 		Gateways:          1,
@@ -55,7 +55,7 @@
 	b.Dispatch(now)
 	fmt.Println("answered")
 	// Output:
-	// send request 42 to server 7
-	// send request 42 to server 8
+	// send request 42 to endpoint 7
+	// send request 42 to endpoint 8
 	// answered
 }
--- a/internal/balancer/fuzz_test.go
+++ b/internal/balancer/fuzz_test.go
@@ -5,6 +5,8 @@
 	"slices"
 	"testing"
 	"time"
+
+	"thymebend/internal/balancer/concurrency"
 )
 
 // referee plays the gateway for a fuzzed sequence of events and checks every action against the rules.
@@ -14,7 +16,7 @@
 	b       *Balancer
 	now     time.Duration
 	live    map[RequestID]*judged
-	left    map[EndpointID]bool // servers that may get nothing new
+	left    map[EndpointID]bool // endpoints that may get nothing new
 	cells   map[EndpointID]Endpoint
 	history []string
 }
@@ -27,10 +29,10 @@
 }
 
 type judgedAttempt struct {
-	server Endpoint
-	sent   time.Duration
-	ended  bool
-	unrun  bool
+	endpoint Endpoint
+	sent     time.Duration
+	ended    bool
+	neverRan bool
 }
 
 func (f *referee) note(format string, args ...any) {
@@ -52,7 +54,7 @@
 		f.t.Fatalf("sent request %d after its conclusion", id)
 	}
 	if f.left[to] {
-		f.t.Fatalf("sent request %d to server %d, which leaves", id, to)
+		f.t.Fatalf("sent request %d to endpoint %d, which leaves", id, to)
 	}
 	if len(r.attempts) >= f.cfg.MaxAttempts {
 		f.t.Fatalf("request %d has too many attempts", id)
@@ -62,30 +64,30 @@
 		if !a.ended {
 			f.t.Fatalf("request %d has two attempts out", id)
 		}
-		if a.unrun || c.Idempotency == Idempotent {
+		if a.neverRan || c.Idempotency == Idempotent {
 			continue
 		}
 		if c.Idempotency == NonIdempotent {
 			f.t.Fatalf("unsafe request %d sent again though it may have run", id)
 		}
-		if !sameGroup(c.DedupScope, &server{Endpoint: a.server}, &server{Endpoint: f.cells[to]}) ||
+		if !sameDedupScope(c.DedupScope, &endpointState{Endpoint: a.endpoint}, &endpointState{Endpoint: f.cells[to]}) ||
 			f.now > a.sent+c.DedupWindow {
 			f.t.Fatalf("keyed request %d sent again outside its group or window", id)
 		}
 	}
-	r.attempts = append(r.attempts, judgedAttempt{server: f.cells[to], sent: f.now})
+	r.attempts = append(r.attempts, judgedAttempt{endpoint: f.cells[to], sent: f.now})
 }
 
 func (f *referee) Reject(id RequestID, after time.Duration) {
-	f.note("refuse %d %v", id, after)
+	f.note("reject %d %v", id, after)
 	r := f.request(id)
 	if r.closed {
-		f.t.Fatalf("refused request %d after its conclusion", id)
+		f.t.Fatalf("rejected request %d after its conclusion", id)
 	}
 	c := f.cfg.Classes[r.class]
 	for _, a := range r.attempts {
-		if !a.unrun && c.Idempotency != Idempotent && !(c.Idempotency == KeyedIdempotent && c.DedupScope == DedupAll) {
-			f.t.Fatalf("refused request %d, which may have run", id)
+		if !a.neverRan && c.Idempotency != Idempotent && !(c.Idempotency == KeyedIdempotent && c.DedupScope == DedupAll) {
+			f.t.Fatalf("rejected request %d, which may have run", id)
 		}
 	}
 	r.closed = true
@@ -190,9 +192,9 @@
 func (f *referee) endAttempt(id RequestID, i int, o Outcome) {
 	r := f.live[id]
 	a := &r.attempts[i]
-	a.ended, a.unrun = true, o.NeverRan()
+	a.ended, a.neverRan = true, o.NeverRan()
 	r.closed = r.closed || o == OutcomeOK
-	f.b.AttemptEnded(f.now, AttemptEnd{Request: id, Attempt: i, Endpoint: a.server.ID, Outcome: o,
+	f.b.AttemptEnded(f.now, AttemptEnd{Request: id, Attempt: i, Endpoint: a.endpoint.ID, Outcome: o,
 		Latency: f.now - a.sent, RequestDone: r.closed})
 }
 
@@ -245,9 +247,9 @@
 				}
 			}
 		}
-		f.b.TimerFired(f.now, tokenQueue)
-		if f.now%period == 0 {
-			f.b.TimerFired(f.now, tokenSample)
+		f.b.TimerFired(f.now, queueTimer)
+		if f.now%concurrency.SamplePeriod == 0 {
+			f.b.TimerFired(f.now, sampleTimer)
 		}
 		f.b.Dispatch(f.now)
 		for _, id := range f.ids() {
@@ -272,12 +274,12 @@
 		}
 	}
 	f.b.Dispatch(f.now)
-	if len(f.b.requests) != 0 || len(f.b.queue) != 0 {
-		f.t.Fatalf("%d requests are kept for nothing", len(f.b.requests))
+	if len(f.b.requests.byID) != 0 || len(f.b.queue) != 0 {
+		f.t.Fatalf("%d requests are kept for nothing", len(f.b.requests.byID))
 	}
-	for _, s := range f.b.servers {
-		if s.inflight != 0 {
-			f.t.Fatalf("server %d has %d in flight at the end", s.ID, s.inflight)
+	for _, s := range f.b.endpoints.all {
+		if s.inFlight != 0 {
+			f.t.Fatalf("endpoint %d has %d in flight at the end", s.ID, s.inFlight)
 		}
 	}
 }
--- /dev/null
+++ b/internal/balancer/retry_test.go
@@ -0,0 +1,163 @@
+package balancer
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"thymebend/internal/balancer/retrybudget"
+)
+
+// What may follow an attempt's end, by class and outcome: another send, a rejection or a failure.
+func TestNoEffectTwice(t *testing.T) {
+	outcomes := []Outcome{OutcomeError, OutcomeRejected, OutcomeTimeout, OutcomeConnectFailed, OutcomeReset, OutcomeCancelled, OutcomeNotStarted}
+	for class, effect := range []Idempotency{Idempotent, KeyedIdempotent, NonIdempotent} {
+		for _, o := range outcomes {
+			t.Run(fmt.Sprintf("effect %d outcome %d", effect, o), func(t *testing.T) {
+				cfg := testConfig()
+				r := newRig(t, cfg, ready(1, 0, 0), ready(2, 0, 1)) // two cells
+				r.b.endpoints.all[1].limit.Value = 3
+				r.request(1, class)
+				first := r.take("start")[0]
+				if first.endpoint != 2 {
+					t.Fatal("the endpoint with room was not chosen")
+				}
+				r.now += 10 * millisecond
+				r.b.endpoints.all[1].State = EndpointDraining // only the other cell is left
+				r.end(1, 0, 2, o, 10*millisecond)
+				r.wait(50 * millisecond)
+				sent := slices.ContainsFunc(r.rec.acts, func(a act) bool { return a.what == "start" && a.id == 1 })
+				rejected, failed := r.finals(1)
+				switch {
+				case effect == Idempotent || o.NeverRan():
+					if !sent {
+						t.Error("was not tried again though it may be")
+					}
+				case sent:
+					t.Error("was sent again though it may have run outside its group")
+				case rejected > 0:
+					t.Error("was rejected though it may have run")
+				case failed != 1:
+					t.Errorf("failed %d times, want once", failed)
+				}
+			})
+		}
+	}
+}
+
+func TestKeyedRepeatsStayInGroupAndWindow(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		group DedupScope
+		other Endpoint
+		want  bool
+	}{
+		{"all", DedupAll, ready(2, 1, 5), true},
+		{"same zone", DedupZone, ready(2, 0, 5), true},
+		{"other zone", DedupZone, ready(2, 1, 0), false},
+		{"same cell", DedupCell, ready(2, 0, 0), true},
+		{"other cell", DedupCell, ready(2, 0, 1), false},
+	} {
+		for _, late := range []bool{false, true} {
+			cfg := testConfig()
+			cfg.Classes[1].DedupScope = c.group
+			cfg.Classes[1].LatencyObjective, cfg.Classes[1].DedupWindow = 1900*millisecond, 500*millisecond
+			r := newRig(t, cfg, ready(1, 0, 0))
+			r.request(1, 1)
+			r.b.UpdateEndpoints(r.now, Delta, []Endpoint{c.other, {ID: 1, State: EndpointRemoved}})
+			if r.now += 300 * millisecond; late {
+				r.now += 195 * millisecond // within two ticks of the window's end
+			}
+			r.rec.acts = nil
+			r.end(1, 0, 1, OutcomeTimeout, 300*millisecond)
+			sent := len(r.take("start")) == 1
+			if sent != (c.want && !late) {
+				t.Errorf("%s, late %v: sent again = %v", c.name, late, sent)
+			}
+		}
+	}
+}
+
+// An attempt whose connection comes up late may no longer begin once the window of the one before it is over; a safe
+// request's may, and so may a keyed one's whose earlier attempt never ran.
+func TestWindowIsLookedAtAgainWhenAnAttemptBegins(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		class   int
+		outcome Outcome
+		after   time.Duration
+		want    bool
+	}{
+		{"keyed, in time", 1, OutcomeReset, 100 * millisecond, true},
+		{"keyed, after the window", 1, OutcomeReset, 195 * millisecond, false},
+		{"keyed, never ran", 1, OutcomeRejected, 900 * millisecond, true},
+		{"safe", 0, OutcomeReset, 900 * millisecond, true},
+	} {
+		cfg := testConfig()
+		cfg.Classes[1].LatencyObjective, cfg.Classes[1].DedupWindow = 1900*millisecond, 500*millisecond
+		r := newRig(t, cfg, ready(1, 0, 0), ready(2, 0, 0))
+		r.request(1, c.class)
+		first := r.take("start")[0].endpoint
+		r.now += 300 * millisecond
+		r.end(1, 0, first, c.outcome, 300*millisecond)
+		if len(r.take("start")) != 1 {
+			t.Fatalf("%s: not sent again", c.name)
+		}
+		if r.now += c.after; r.b.MayStartAttempt(r.now, 1, 1) != c.want {
+			t.Errorf("%s: may begin = %v", c.name, !c.want)
+		}
+	}
+	if r := newRig(t, testConfig()); r.b.MayStartAttempt(r.now, 9, 0) {
+		t.Error("an attempt of no request may begin")
+	}
+}
+
+// Where a cancel stops nothing, repeats of timed-out work feed a collapse; the budget ends them.
+func TestRetryBudget(t *testing.T) {
+	r := newRig(t, testConfig(), ready(1, 0, 0))
+	r.b.endpoints.all[0].limit.Value = 1000
+	retries := 0
+	for id := range RequestID(400) {
+		r.request(id, 0)
+		for range 3 {
+			starts := r.take("start")
+			if len(starts) == 0 {
+				break
+			}
+			r.b.endpoints.all[0].health.LastHeard = r.now + time.Hour // not silent, only slow
+			n := len(r.b.requests.byID[id].attempts)
+			if n > 1 {
+				retries++
+			}
+			r.end(id, n-1, 1, OutcomeTimeout, millisecond)
+		}
+	}
+	if limit := int(retrybudget.MaxSaved + 400*retrybudget.PerRequest + 1); retries == 0 || retries > limit {
+		t.Errorf("%d repeats, want some and at most %d", retries, limit)
+	}
+}
+
+// A lost zone: repeats of what could not be sent went to any endpoint of the list, dead ones among them, and all were
+// there when it returned cold.
+func TestRepeatsStayWithMembers(t *testing.T) {
+	r := fleet(t, 300, twoZones(40))[0]
+	warmUp(r)
+	for class, wide := range []bool{false, true, false} { // a keyed repeat may have to go where no member is
+		r.take("start")
+		id := RequestID(900 + class)
+		r.request(id, class)
+		starts := r.take("start")
+		if len(starts) != 1 {
+			t.Fatalf("class %d: %d starts", class, len(starts))
+		}
+		for _, s := range r.b.endpoints.subset {
+			s.cooldown.until = r.now + 300*millisecond
+		}
+		r.end(id, 0, starts[0].endpoint, OutcomeConnectFailed, 250*millisecond)
+		if starts := r.take("start"); (len(starts) > 0) != wide {
+			t.Errorf("class %d: sent %+v while all members rest", class, starts)
+		}
+		r.now += time.Second
+	}
+}
--- /dev/null
+++ b/internal/balancer/sampling.go
@@ -0,0 +1,56 @@
+package balancer
+
+import (
+	"slices"
+
+	"thymebend/internal/balancer/concurrency"
+	"thymebend/internal/balancer/stats"
+	"thymebend/internal/subset"
+)
+
+// closeSample ends one sampling period: the limit of each endpoint, then the expansion of the subset, the
+// queue-time threshold, the response setpoint, and the queue times that follow from them.
+func (b *Balancer) closeSample() {
+	target := concurrency.NewServiceTarget(b.classes.minObjectiveMS(), b.response.Value)
+	var warmAnswers stats.Mean // over all gateways
+	for _, ep := range b.endpoints.all {
+		b.checkSilence(ep)
+		if ep.subset.used && !ep.health.Ejected && b.warmUpFraction(ep) == 1 {
+			warmAnswers.Add(float64(ep.limit.Sample.Answers)*ep.subset.users, 0)
+		}
+		ep.limit.CloseSample(target, concurrency.MinLimit(ep.subset.users))
+	}
+	if warmAnswers.N > 0 {
+		b.slowStart.warmRate.Observe(warmAnswers.Value, concurrency.SamplePeriod)
+	}
+	b.classes.learnReference()
+	b.updateExpansion()
+	b.queueThreshold.CloseSample(b.response.Value)
+	b.response.CloseSample()
+	b.updateQueueTimes()
+	if b.cfg.PollDiscovery && b.watch.overdue(b.now, b.cfg.PollInterval) {
+		b.watchEndpoints()
+	}
+}
+
+// updateExpansion lets the subset grow or shrink by what was seen in the sampling period.
+func (b *Balancer) updateExpansion() {
+	s := &b.endpoints
+	s.signals.Warming = slices.ContainsFunc(s.subset, func(ep *endpointState) bool {
+		return ep.subset.regular && b.warmUpFraction(ep) < 1
+	})
+	rest := stats.Scale(b.classes.meanObjective(), 0.5+b.rng.Float64())
+	if s.expansion.Update(b.now, s.signals, float64(len(s.all)), rest) {
+		s.stale = true
+	}
+	s.signals = subset.Signals{}
+}
+
+// updateQueueTimes works out anew how long the requests of each class are queued.
+func (b *Balancer) updateQueueTimes() {
+	for i := range b.classes.entries {
+		b.classes.entries[i].refresh()
+	}
+	turnover := b.endpoints.turnover(b.classes.referenceMS)
+	newLoadShedding(&b.cfg).setMaxQueueTimes(&b.classes, b.queueThreshold.Value, turnover)
+}
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -1,34 +1,70 @@
 package balancer
 
-// This file bounds what a server gets that has just started.
+import (
+	"time"
 
-// coldness is the share of its capacity that s surely has: rising evenly from the stated share at its start.
-func (b *Balancer) coldness(s *server) float64 {
-	age := b.now - s.StartedAt
-	if s.StartedAt <= 0 || age >= b.cfg.SlowStartDuration {
-		return 1
+	"thymebend/internal/balancer/concurrency"
+	"thymebend/internal/balancer/slowstart"
+)
+
+// slowStart is what the budgets of endpoints that are warming up share.
+type slowStart struct {
+	warmRate slowstart.WarmRate
+	byGrant  bool // gateways speak with each other: budgets are what GrantSlowStartToken gives
+	yielded  bool // another process of this gateway has the budgets
+}
+
+// GrantSlowStartToken gives this gateway one request for an endpoint in slow start, to be sent before a time.
+func (b *Balancer) GrantSlowStartToken(now time.Duration, id EndpointID, until time.Duration) {
+	b.now = now
+	if ep := b.endpoints.byID[id]; ep != nil && !b.slowStart.yielded {
+		ep.warmUp.Grant(until)
 	}
-	from := b.cfg.SlowStartFraction
-	return from + (1-from)*max(0, age.Seconds())/b.cfg.SlowStartDuration.Seconds()
 }
 
-// coldRoom reports whether a cold server may get one more request: what is sent stays under this gateway's
-// part of what would push it over. What warm servers answer tells the part; answers are counted, not their
-// times, which are longer where servers are crowded. Gateways that use it beyond their even part send it
-// nothing: parts are worked out without them.
-func (b *Balancer) coldRoom(s *server) bool {
-	cold := b.coldness(s)
-	if cold == 1 || b.yielded {
-		return cold == 1
+// YieldSlowStart stops sending to endpoints in slow start, as another process of this gateway has their
+// budgets; or, if that has died, begins again with empty ones.
+func (b *Balancer) YieldSlowStart(now time.Duration, yes bool) {
+	b.now, b.slowStart.yielded = now, yes
+	for _, ep := range b.endpoints.all {
+		ep.warmUp.Reset(now)
 	}
-	if b.inFleet {
-		return s.hasTurn(b.now)
+}
+
+// warmUpFraction is the share of its capacity that an endpoint surely has, 1 when it is warm.
+func (b *Balancer) warmUpFraction(ep *endpointState) float64 {
+	schedule := slowstart.Schedule{
+		InitialFraction: b.cfg.SlowStartFraction, Duration: b.cfg.SlowStartDuration,
 	}
-	// One core answers so many at least. A gateway that has just started knows no more.
-	least := 1 / max(b.mean/1000, (1-gamma)*b.meanAim().Seconds())
-	rate := coldShare * b.cfg.OverloadMultiple * cold * max(b.warmRate, least) / (s.sharers * s.crowd)
-	burst := max(0.5, rate*b.cfg.OverloadWindow.Seconds()/2)
-	s.coldTokens = min(s.coldTokens+rate*(b.now-s.coldAt).Seconds(), burst)
-	s.coldAt = b.now
-	return s.coldTokens > 0 && s.even
+	return schedule.Fraction(b.now, ep.StartedAt)
 }
+
+// slowStartAllows reports whether an endpoint may get one more request, as far as it is warming up. Gateways
+// that use it as an expansion send it nothing: budgets are worked out without them.
+func (b *Balancer) slowStartAllows(ep *endpointState) bool {
+	fraction := b.warmUpFraction(ep)
+	switch {
+	case fraction == 1:
+		return true
+	case b.slowStart.yielded:
+		return false
+	case b.slowStart.byGrant:
+		return ep.warmUp.HasGrant(b.now)
+	}
+	// A gateway that has just started knows no more than what one core answers.
+	capacity := max(float64(b.slowStart.warmRate),
+		slowstart.MinCapacity(b.classes.referenceMS, b.serviceBudgetSeconds()))
+	rate := slowstart.TokenRate(b.cfg.OverloadMultiple, fraction, capacity,
+		ep.subset.users*ep.subset.relativeLoad)
+	ep.warmUp.Refill(b.now, rate, b.cfg.OverloadWindow)
+	return ep.warmUp.Available() && ep.subset.regular
+}
+
+// serviceBudgetSeconds is the part of the mean latency objective that is meant for service.
+func (b *Balancer) serviceBudgetSeconds() float64 {
+	return concurrency.ServiceShare * b.classes.meanObjective().Seconds()
+}
+
+// MinCoreRate is how many requests of the average class a second one core answers at least, where latency
+// objectives are all that is known.
+func (b *Balancer) MinCoreRate() float64 { return slowstart.MinCapacity(0, b.serviceBudgetSeconds()) }
--- a/internal/lab/mutationtest/balancer.go
+++ b/internal/lab/mutationtest/balancer.go
@@ -2,16 +2,25 @@
 
 // balancerMutants are defects of the decisions.
 func balancerMutants() []mutant {
+	const (
+		dispatch   = "internal/balancer/dispatch.go"
+		subsetting = "internal/balancer/subsetting.go"
+		slowStart  = "internal/balancer/slowstart.go"
+		budget     = "internal/balancer/slowstart/slowstart.go"
+	)
 	return []mutant{
-		one("resend an unsafe query after a reset", "bad-hosts", "internal/balancer/retries.go",
-			"		if a.unrun || c.Idempotency == Idempotent {", "		if true {"),
+		one("resend an unsafe query after a reset", "bad-hosts", "internal/balancer/retry.go",
+			"		if a.neverRan || c.Idempotency == Idempotent {", "		if true {"),
 		{"forget the drain check", "drain-retry", []edit{
-			{"internal/balancer/dispatch.go", "return s.State == EndpointReady && b.now >= s.restUntil", "return b.now >= s.restUntil"},
-			{"internal/balancer/listing.go", "		if s.State != EndpointReady || usable >= part && s.ejected", "		if usable >= part && s.ejected"},
+			{dispatch, "return ep.State == EndpointReady && !ep.cooldown.active(b.now)", "return !ep.cooldown.active(b.now)"},
+			{subsetting, "		if ep.State != EndpointReady || usable >= part && ep.health.Ejected",
+				"		if usable >= part && ep.health.Ejected"},
 			{"internal/gateway/fromservers.go", "return h != nil && h.State == balancer.EndpointReady", "return h != nil"}}},
-		one("refuse a bid that may have run", "bad-hosts", "internal/balancer/refusal.go", "	if b.mayRefuse(r) {", "	if true {"),
-		one("ignore the cold budget", "cold-return", "internal/balancer/dispatch.go", " && b.coldRoom(s)\n", "\n"),
-		one("a turn that is not spent", "shares", "internal/balancer/dispatch.go", "		s.turns = s.turns[min(1, len(s.turns)):]\n", ""),
-		one("cold hosts like warm ones", "shares", "internal/balancer/slowstart.go", "		return s.hasTurn(b.now)\n", "		return true\n"),
+		one("refuse a bid that may have run", "bad-hosts", "internal/balancer/rejection.go",
+			"	if b.mayReject(r) {", "	if true {"),
+		one("ignore the cold budget", "cold-return", dispatch, " && b.slowStartAllows(ep)\n", "\n"),
+		one("a turn that is not spent", "shares", budget, "	b.granted = b.granted[min(1, len(b.granted)):]\n", ""),
+		one("cold hosts like warm ones", "shares", slowStart,
+			"		return ep.warmUp.HasGrant(b.now)\n", "		return true\n"),
 	}
 }
