--- /dev/null
+++ b/internal/balancer/outlierdetection/health_test.go
@@ -0,0 +1,115 @@
+package outlierdetection
+
+import (
+	"testing"
+	"time"
+)
+
+const second = time.Second
+
+func TestFailuresThatEject(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		failures  int
+		suspected bool
+		ejected   bool
+		want      bool
+	}{
+		{"one failure", 1, false, false, false},
+		{"two in a row", 2, false, false, true},
+		{"one of a suspected endpoint", 1, true, false, true},
+		{"none of a suspected endpoint", 0, true, false, false},
+		{"a failed probe", 1, false, true, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := Health{SuspectedByPeers: c.suspected, Ejected: c.ejected}
+			for range c.failures {
+				h.RecordFailure()
+			}
+			if got := h.ShouldEject(); got != c.want {
+				t.Errorf("ejected %v with a failure rate of %v", got, h.FailureRate)
+			}
+		})
+	}
+}
+
+func TestSilenceIsAMultipleOfTheServiceTime(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		since     time.Duration
+		suspected bool
+		ejected   bool
+		want      bool
+	}{
+		{"under six service times", 590 * time.Millisecond, false, false, false},
+		{"six service times", 600 * time.Millisecond, false, false, true},
+		{"suspected, half of that", 300 * time.Millisecond, true, false, true},
+		{"ejected already", 10 * second, false, true, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := Health{LastHeard: second, SuspectedByPeers: c.suspected, Ejected: c.ejected}
+			if got := h.IsSilent(second+c.since, 100); got != c.want {
+				t.Errorf("silent %v", got)
+			}
+		})
+	}
+}
+
+func TestEjectionLastsLongerEachTime(t *testing.T) {
+	var h Health
+	for i, want := range []time.Duration{1, 2, 4, 8, 8} {
+		now := time.Duration(i) * time.Minute
+		h.Eject(now, second, 0.5)
+		if got := h.ProbeAt - now; got != want*second {
+			t.Errorf("ejection %d lasts %v, want %v", i, got, want*second)
+		}
+	}
+	h.FailureRate = 0
+	if !h.RecordAnswer(time.Hour) || h.Ejected || h.Ejections != 0 {
+		t.Errorf("after a good probe: %+v", h)
+	}
+	for draw, want := range map[float64]time.Duration{0: 750 * time.Millisecond, 1: 1250 * time.Millisecond} {
+		var h Health
+		if h.Eject(0, second, draw); h.ProbeAt != want {
+			t.Errorf("with a draw of %v the ejection lasts %v, want %v", draw, h.ProbeAt, want)
+		}
+	}
+}
+
+// Guards against an endpoint that answers now and then and is taken back each time.
+func TestAFailingEndpointNeedsSeveralAnswers(t *testing.T) {
+	h := Health{FailureRate: 0.6, Ejected: true, Ejections: 2}
+	answers := 1
+	for !h.RecordAnswer(second) {
+		answers++
+	}
+	if answers != 3 { // 0.6 x 0.8^3 is under 0.35
+		t.Errorf("taken back after %d answers, want 3", answers)
+	}
+	silent := Health{FailureRate: 0.6, Ejected: true, Silent: true}
+	if !silent.RecordAnswer(second) || silent.Silent {
+		t.Error("one that was only slow to answer is not taken back at its first answer")
+	}
+}
+
+func TestTooManyEjected(t *testing.T) {
+	for _, c := range []struct {
+		ejected, ready int
+		want           bool
+	}{{1, 1, true}, {1, 2, false}, {2, 3, true}, {3, 6, false}, {4, 6, true}} {
+		if got := TooManyEjected(c.ejected, c.ready); got != c.want {
+			t.Errorf("%d of %d: %v", c.ejected, c.ready, got)
+		}
+	}
+}
+
+func TestPeersThatNoLongerSuspectBringAProbe(t *testing.T) {
+	h := Health{Ejected: true, ProbeAt: time.Hour}
+	h.SetSuspected(second, true)
+	if h.ProbeDue(second) {
+		t.Fatal("a probe is due because peers suspect the endpoint")
+	}
+	if h.SetSuspected(second, false); !h.ProbeDue(second) {
+		t.Error("no probe is due though no peer suspects the endpoint any longer")
+	}
+}
--- /dev/null
+++ b/internal/balancer/retrybudget/retrybudget_test.go
@@ -0,0 +1,28 @@
+package retrybudget
+
+import "testing"
+
+func TestBudgetIsAShareOfTheRequests(t *testing.T) {
+	b := New()
+	spend := func() (n int) {
+		for ; b.Available(); n++ {
+			b.Spend()
+		}
+		return n
+	}
+	if n := spend(); n != MaxSaved {
+		t.Errorf("%d retries at the start, want %v", n, MaxSaved)
+	}
+	for range 100 {
+		b.RequestTaken()
+	}
+	if n := spend(); n < 9 || n > 10 {
+		t.Errorf("%d retries earned by 100 requests, want 9 or 10", n)
+	}
+	for range 10000 {
+		b.RequestTaken()
+	}
+	if n := spend(); n != MaxSaved {
+		t.Errorf("%d retries saved up, want %v", n, MaxSaved)
+	}
+}
--- /dev/null
+++ b/internal/balancer/slowstart/slowstart_test.go
@@ -0,0 +1,99 @@
+package slowstart
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+func TestFractionRisesEvenly(t *testing.T) {
+	s := Schedule{InitialFraction: 0.2, Duration: 10 * time.Second}
+	const now = time.Minute
+	for _, c := range []struct {
+		name      string
+		startedAt time.Duration
+		want      float64
+	}{
+		{"just started", now, 0.2},
+		{"start ahead of the clock", now + time.Second, 0.2},
+		{"half way", now - 5*time.Second, 0.6},
+		{"warm", now - 10*time.Second, 1},
+		{"long ago", 0, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := s.Fraction(now, c.startedAt); math.Abs(got-c.want) > 1e-9 {
+				t.Errorf("fraction %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestBudgetKeepsToItsRate(t *testing.T) {
+	const rate, window = 8.0, 2 * time.Second
+	b := NewBudget(0)
+	spent := 0
+	for now := time.Duration(0); now < 10*time.Second; now += 10 * time.Millisecond {
+		for b.Refill(now, rate, window); b.Available(); spent++ {
+			b.Spend()
+		}
+	}
+	if spent < 79 || spent > 81 {
+		t.Errorf("%d requests in 10 s at 8 a second, want 80", spent)
+	}
+	if b.Refill(time.Hour, rate, window); b.Tokens != rate {
+		t.Errorf("%v tokens saved up, want those of half a window, 8", b.Tokens)
+	}
+}
+
+// Guards against requests of many gateways that come at one moment, as an endpoint comes into their subsets.
+func TestBudgetBeginsInDebt(t *testing.T) {
+	b := NewBudget(0)
+	b.Refill(time.Hour, 1, 2*time.Second)
+	if b.Begin(time.Hour, 0.75); b.Available() || b.Tokens != -0.75 {
+		t.Errorf("begins with %v tokens, want -0.75", b.Tokens)
+	}
+}
+
+func TestGrantsLapseAndAreSpentInOrder(t *testing.T) {
+	b := NewBudget(0)
+	for _, until := range []time.Duration{10, 20, 30} {
+		b.Grant(until)
+	}
+	if !b.HasGrant(10) { // the first has lapsed
+		t.Fatal("no grant left")
+	}
+	b.Spend()
+	if !b.HasGrant(25) {
+		t.Fatal("the third grant is gone")
+	}
+	if b.Spend(); b.HasGrant(25) {
+		t.Error("three grants gave more than two requests after the first had lapsed")
+	}
+	b.Grant(50)
+	if b.Reset(30); b.HasGrant(30) || b.Tokens > 0 {
+		t.Errorf("after a reset: %+v", b)
+	}
+}
+
+func TestWarmRateFollowsTheAnswers(t *testing.T) {
+	var r WarmRate
+	for range 100 {
+		r.Observe(5, 250*time.Millisecond)
+	}
+	if math.Abs(float64(r)-20) > 1e-6 {
+		t.Errorf("rate %v of 5 answers in 250 ms, want 20 a second", r)
+	}
+}
+
+func TestTokenRateSharesWhatOverloads(t *testing.T) {
+	// Half of 2.5 times 0.4 of 20 requests a second, for five gateways.
+	if got := TokenRate(2.5, 0.4, 20, 5); math.Abs(got-2) > 1e-9 {
+		t.Errorf("rate %v, want 2 a second", got)
+	}
+	if got := MinCapacity(0, 0.1); math.Abs(got-10) > 1e-9 {
+		t.Errorf("a core answers %v a second of 100 ms at least, want 10", got)
+	}
+	if got := MinCapacity(500, 0.1); math.Abs(got-2) > 1e-9 {
+		t.Errorf("a core answers %v a second of 500 ms, want 2", got)
+	}
+}
