--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestHarmlessRepeatsAndStrangers(t *testing.T) {
+func TestRepeatedAndUnknownEventsAreHarmless(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0))
 	r.request(1, 0)
 	r.rec.acts = nil
@@ -22,7 +22,7 @@
 	r.end(1, 0, 1, OutcomeOK, 10*millisecond)
 	r.end(1, 0, 1, OutcomeOK, 10*millisecond) // the same end again
 	if r.b.endpoints.all[0].inFlight != 0 {
-		t.Errorf("in flight = %d after one answer told twice", r.b.endpoints.all[0].inFlight)
+		t.Errorf("in flight = %d after one answer reported twice", r.b.endpoints.all[0].inFlight)
 	}
 	r.request(2, 99) // no such class
 	if _, failed := r.finals(2); failed != 1 {
@@ -30,10 +30,10 @@
 	}
 }
 
-func TestLapsedRequestsAreDropped(t *testing.T) {
+func TestAbandonedRequestsAreDropped(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0))
 	r.request(1, 0)
-	r.request(2, 0) // held
+	r.request(2, 0) // queued
 	r.rec.acts = nil
 	r.b.RequestAbandoned(r.now, 1)
 	r.b.RequestAbandoned(r.now, 2)
--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -24,8 +24,8 @@
 func (s *silent) WatchEndpoints()                 {}
 func (s *silent) Log(string)                      {}
 
-// steadyRequest returns a function that plays one request from arrival to answer over so many hosts, with a sample now and then.
-func steadyRequest(tb testing.TB, hosts int) func() {
+// steadyRequest returns a function that plays one request from arrival to answer over so many endpoints, with a sample now and then.
+func steadyRequest(tb testing.TB, endpoints int) func() {
 	out := &silent{}
 	now := time.Second
 	b, err := New(testConfig(), 1, now, out)
@@ -33,7 +33,7 @@
 		tb.Fatal(err)
 	}
 	var list []Endpoint
-	for id := range EndpointID(hosts) {
+	for id := range EndpointID(endpoints) {
 		list = append(list, ready(id+1, int(id%2), 0))
 	}
 	b.UpdateEndpoints(now, Snapshot, list)
@@ -67,24 +67,24 @@
 	}
 }
 
-// Nor does it with as many hosts as lists are sized for.
-func TestSteadyStateOfManyHostsAllocatesNothing(t *testing.T) {
-	for _, hosts := range []int{1024, 8000} {
-		play := steadyRequest(t, hosts)
+// Nor does it with as many endpoints as lists are sized for.
+func TestSteadyStateOfManyEndpointsAllocatesNothing(t *testing.T) {
+	for _, endpoints := range []int{1024, 8000} {
+		play := steadyRequest(t, endpoints)
 		for range 50 {
 			play()
 		}
 		if n := testing.AllocsPerRun(100, play); n > 0 {
-			t.Errorf("%d hosts: %v allocations a request, want none", hosts, n)
+			t.Errorf("%d endpoints: %v allocations a request, want none", endpoints, n)
 		}
 	}
 }
 
-// BenchmarkRequestOverHosts shows what a decision costs where one gateway uses all hosts, a fifth of a sample included.
-func BenchmarkRequestOverHosts(b *testing.B) {
-	for _, hosts := range []int{10, 100, 1000, 7700} {
-		b.Run(strconv.Itoa(hosts), func(b *testing.B) {
-			play := steadyRequest(b, hosts)
+// BenchmarkRequestOverEndpoints shows what a decision costs where one gateway uses all endpoints, a fifth of a sample included.
+func BenchmarkRequestOverEndpoints(b *testing.B) {
+	for _, endpoints := range []int{10, 100, 1000, 7700} {
+		b.Run(strconv.Itoa(endpoints), func(b *testing.B) {
+			play := steadyRequest(b, endpoints)
 			b.ReportAllocs()
 			for b.Loop() {
 				play()
--- a/internal/balancer/classes_test.go
+++ b/internal/balancer/classes_test.go
@@ -8,7 +8,7 @@
 	"thymebend/internal/balancer/stats"
 )
 
-// wasla incident: shedding light work must not look like slower endpoints.
+// Guards against shedding of light requests that looks like slower endpoints.
 func TestClassReferenceIgnoresMix(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0))
 	s := r.b.endpoints.all[0]
@@ -36,8 +36,9 @@
 	}
 }
 
-// A client's repeat has part of its aim behind it: it shows in a patience that first tries do not have.
-func TestRepeatsOfClientsCountFromTheFirstTry(t *testing.T) {
+// Guards against serving client retries whose objective is half spent: they show in a timeout that first
+// tries do not have.
+func TestClientRetriesCountFromTheFirstTry(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0))
 	r.b.classes.entries[0].service = stats.Mean{N: concurrency.MinAnswers, Value: 100}
 	r.b.updateQueueTimes()
@@ -48,11 +49,11 @@
 	r.b.RequestArrived(r.now, Request{ID: 21, ClientTimeout: 1050 * millisecond})
 	r.b.Dispatch(r.now)
 	for _, c := range []struct {
-		id   RequestID
-		held bool
+		id     RequestID
+		queued bool
 	}{{10, true}, {20, true}, {21, false}} {
-		if rejected, _ := r.finals(c.id); (rejected == 0) != c.held {
-			t.Errorf("request %d: held is not %v", c.id, c.held)
+		if rejected, _ := r.finals(c.id); (rejected == 0) != c.queued {
+			t.Errorf("request %d: queued is not %v", c.id, c.queued)
 		}
 	}
 	if q := r.b.requests.byID[20]; q == nil || q.begun != r.now-500*millisecond {
--- a/internal/balancer/cluster_test.go
+++ b/internal/balancer/cluster_test.go
@@ -12,28 +12,28 @@
 	"github.com/zeebo/xxh3"
 )
 
-// The fleet says which endpoints are this gateway's, and decides among those with equal room.
-func TestTheFleetsWeightsDecideAmongEqualRoom(t *testing.T) {
-	r := newRig(t, testConfig(), crowd(10)...)
-	r.fleet(AssignedEndpoint{ID: 3, Weight: 0.75, Share: 0.2}, AssignedEndpoint{ID: 7, Weight: 0.25, Share: 0.2}, AssignedEndpoint{ID: 99, Weight: 1, Share: 1},
+// The cluster says which endpoints are this gateway's, and its weights decide among those with equal room.
+func TestAssignedWeightsDecideAmongEqualRoom(t *testing.T) {
+	r := newRig(t, testConfig(), warmEndpoints(10)...)
+	r.assign(AssignedEndpoint{ID: 3, Weight: 0.75, Share: 0.2}, AssignedEndpoint{ID: 7, Weight: 0.25, Share: 0.2}, AssignedEndpoint{ID: 99, Weight: 1, Share: 1},
 		AssignedEndpoint{ID: 9, Weight: 0.5}, AssignedEndpoint{ID: 1, Weight: 0.5})
 	got := r.play(1, 400, fine)
 	if got[3]+got[7] != 400 || got[3] < 270 || got[3] > 330 {
 		t.Errorf("wanted 300 at 3 and 100 at 7: %v", got)
 	}
 	if s := r.b.endpoints.byID[3]; s.subset.users != 5 {
-		t.Errorf("a fifth of a endpoint has %v sharers", s.subset.users)
+		t.Errorf("a fifth of an endpoint has %v users", s.subset.users)
 	}
-	r.fleet() // no division: by count and number again
+	r.assign() // no division: by count and number again
 	if got := r.play(1000, 200, fine); len(got) < 8 {
 		t.Errorf("without a division: %v", got)
 	}
 }
 
-// Spares stand in for those that are ejected, in the fleet's order.
+// Spares stand in for ejected endpoints, in the order of the assignment.
 func TestSparesStandInForTheEjected(t *testing.T) {
-	r := newRig(t, testConfig(), crowd(10)...)
-	r.fleet(AssignedEndpoint{ID: 3, Weight: 0.5, Share: 0.2}, AssignedEndpoint{ID: 7, Weight: 0.5, Share: 0.2}, AssignedEndpoint{ID: 9, Weight: 0.5}, AssignedEndpoint{ID: 1, Weight: 0.5})
+	r := newRig(t, testConfig(), warmEndpoints(10)...)
+	r.assign(AssignedEndpoint{ID: 3, Weight: 0.5, Share: 0.2}, AssignedEndpoint{ID: 7, Weight: 0.5, Share: 0.2}, AssignedEndpoint{ID: 9, Weight: 0.5}, AssignedEndpoint{ID: 1, Weight: 0.5})
 	bad := func(id EndpointID) Outcome {
 		if id == 3 {
 			return OutcomeError
@@ -42,27 +42,27 @@
 	}
 	r.play(1, 60, bad)
 	if !r.b.endpoints.byID[3].health.Ejected {
-		t.Fatal("a endpoint that fails all is not ejected")
+		t.Fatal("an endpoint that fails all is not ejected")
 	}
 	if got := r.play(1000, 60, bad); got[9] == 0 || got[1] > 0 || got[3] > 20 {
 		t.Errorf("wanted the first spare beside the other: %v", got)
 	}
 }
 
-// Doubt halves what it takes to eject a endpoint, and ejects none by itself; a endpoint that nobody doubts any longer is tried
-// at once.
-func TestHearsayShortensWhatItTakes(t *testing.T) {
-	r := newRig(t, testConfig(), crowd(4)...)
-	all := func(doubted bool) {
-		r.fleet(AssignedEndpoint{ID: 1, Weight: 1, Share: 0.2, SuspectedByPeers: doubted}, AssignedEndpoint{ID: 2, Weight: 1, Share: 0.2, SuspectedByPeers: doubted},
-			AssignedEndpoint{ID: 3, Weight: 1, Share: 0.2, SuspectedByPeers: doubted}, AssignedEndpoint{ID: 4, Weight: 1, Share: 0.2, SuspectedByPeers: doubted})
+// The peers' suspicion halves what it takes to eject an endpoint, and ejects none by itself; once no peer
+// suspects it, it is probed at once.
+func TestSuspectedEndpointsAreEjectedSooner(t *testing.T) {
+	r := newRig(t, testConfig(), warmEndpoints(4)...)
+	all := func(suspected bool) {
+		r.assign(AssignedEndpoint{ID: 1, Weight: 1, Share: 0.2, SuspectedByPeers: suspected}, AssignedEndpoint{ID: 2, Weight: 1, Share: 0.2, SuspectedByPeers: suspected},
+			AssignedEndpoint{ID: 3, Weight: 1, Share: 0.2, SuspectedByPeers: suspected}, AssignedEndpoint{ID: 4, Weight: 1, Share: 0.2, SuspectedByPeers: suspected})
 	}
 	r.play(1, 40, fine)
 	all(true)
 	got := r.play(100, 80, fine)
 	for id := range EndpointID(4) {
 		if r.b.endpoints.byID[id+1].health.Ejected || got[id+1] == 0 {
-			t.Fatalf("ejected on hearsay, or shunned: %v", got)
+			t.Fatalf("ejected on suspicion alone, or shunned: %v", got)
 		}
 	}
 	fails := map[EndpointID]int{}
@@ -77,12 +77,12 @@
 	}
 	s := r.b.endpoints.byID[2]
 	if !s.health.Ejected {
-		t.Error("a doubted endpoint that failed once is not ejected")
+		t.Error("a suspected endpoint that failed once is not ejected")
 	}
 	s.health.ProbeAt = r.now + time.Hour
 	all(false)
 	if s.health.ProbeAt > r.now {
-		t.Errorf("nobody doubts it any longer, and its probe is in %v", s.health.ProbeAt-r.now)
+		t.Errorf("no peer suspects it any longer, and its probe is in %v", s.health.ProbeAt-r.now)
 	}
 	r.play(5000, 20, fine)
 	if s.health.Ejected {
@@ -93,13 +93,13 @@
 		r.play(6000+n, 1, failOnce)
 	}
 	if s.health.Ejected {
-		t.Error("a endpoint that is not doubted is ejected after one failure")
+		t.Error("an endpoint that is not suspected is ejected after one failure")
 	}
 }
 
-// withoutFleet is the hash of what the module did before it could be told of a fleet, in the play below. A change of what it
-// does without one is another number here, and has to say why.
-const withoutFleet = 0xcb74930173923571
+// withoutCluster is the hash of what the balancer did before there were clusters, in the play below. A change
+// of what it does without one is another number here, and has to say why.
+const withoutCluster = 0xcb74930173923571
 
 // hashed spells an action as it stood in the hash from the start.
 func (a act) hashed() string {
@@ -111,8 +111,8 @@
 		what, a.id, a.endpoint, a.timeout, a.attempt, a.token, a.text)
 }
 
-// Without a fleet's word the module acts as it did before there was one, to the letter.
-func TestWithoutAFleetNothingIsDifferent(t *testing.T) {
+// Without a cluster the balancer acts as it did before there were any, to the letter.
+func TestWithoutAClusterNothingIsDifferent(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways, cfg.Rank, cfg.CrossZoneCost = 40, 17, 0.05
 	rng := rand.New(rand.NewPCG(5, 5))
@@ -163,7 +163,7 @@
 		}
 		r.rec.acts = nil
 	}
-	if got := hash.Sum64(); got != withoutFleet {
-		t.Errorf("%d requests and %d starts: hash %#x, before the fleet's word %#x", next-1, len(tried), got, uint64(withoutFleet))
+	if got := hash.Sum64(); got != withoutCluster {
+		t.Errorf("%d requests and %d attempts: hash %#x, before there were clusters %#x", next-1, len(tried), got, uint64(withoutCluster))
 	}
 }
--- a/internal/balancer/cooldown_test.go
+++ b/internal/balancer/cooldown_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Incidents i4c9c46 and i06ab6b: endpoints that rejected everything as full drew most of all attempts.
-func TestFullServerRestsLongerEachTime(t *testing.T) {
+// Guards against endpoints that reject everything as full and draw most of all attempts.
+func TestRejectingEndpointCoolsDownLongerEachTime(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0))
 	warmUp(r)
 	s := r.b.endpoints.all[0]
@@ -29,9 +29,9 @@
 	}
 }
 
-// Seeded run 650: before any answer no service time is known, and a request spent its four attempts in 2 ms on a
-// cold endpoint that turned all away. The rest then is a share of the aim.
-func TestFullServerRestsBeforeAnythingIsLearnt(t *testing.T) {
+// Guards against a request that spends all its attempts in 2 ms on a starting endpoint, before any service
+// time is known. The cooldown then is a share of the objective.
+func TestRejectingEndpointCoolsDownBeforeAnythingIsLearnt(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0))
 	s := r.b.endpoints.all[0]
 	for i, want := range []int{1, 2, 4} {
@@ -40,15 +40,15 @@
 		r.end(id, 0, 1, OutcomeRejected, millisecond)
 		r.b.RequestAbandoned(r.now, id)
 		if rest := s.cooldown.until - r.now; rest < time.Duration(want)*15*millisecond || rest > time.Duration(want)*16*millisecond {
-			t.Errorf("rest %d is %v, want %d times a 64th of the aim of 1 s", i, rest, want)
+			t.Errorf("rest %d is %v, want %d times a 64th of the objective of 1 s", i, rest, want)
 		}
 		r.now = s.cooldown.until
 	}
 }
 
-// Incident i860b1e: attempts on endpoints that had tipped timed out, went on loading them, and the next request of
-// each gateway followed at once.
-func TestTimeoutRestsAServerBelowOne(t *testing.T) {
+// Guards against attempts that time out on an overloaded endpoint, go on loading it, and are followed by
+// the next request at once.
+func TestTimeoutRestsAnEndpointBelowOne(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways = 10
 	r := newRig(t, cfg, ready(1, 0, 0))
--- a/internal/balancer/dispatch_test.go
+++ b/internal/balancer/dispatch_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestOwnZoneGoesFirst(t *testing.T) {
+func TestLocalZoneGoesFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.CrossZoneCost = 0.05 // 0.05 x 1000 ms = 50 ms
 	r := newRig(t, cfg, ready(1, 0, 0), ready(2, 1, 1))
@@ -46,7 +46,7 @@
 	r.request(1, 0)
 	r.request(2, 0)
 	if starts := r.take("start"); len(starts) != 1 || starts[0].endpoint != 1 {
-		t.Fatalf("starts = %+v, want one to the own zone", starts)
+		t.Fatalf("starts = %+v, want one to the local zone", starts)
 	}
 	r.wait(45 * millisecond)
 	if starts := r.take("start"); len(starts) != 0 {
@@ -58,9 +58,8 @@
 	}
 }
 
-// Held work may cross before it is shed, however short aims make the hold: endpoints of other zones idled while work was
-// rejected that could have gone there.
-func TestWorkCrossesBeforeItIsShed(t *testing.T) {
+// Guards against endpoints of other zones that idle while requests are shed, where objectives are short.
+func TestRequestsCrossZonesBeforeTheyAreShed(t *testing.T) {
 	cfg := testConfig()
 	cfg.CrossZoneCost = 0.1 // 0.1 x 400 ms = 40 ms
 	for i := range cfg.Classes {
@@ -69,12 +68,12 @@
 	r := newRig(t, cfg, ready(1, 0, 0), ready(2, 1, 1))
 	for i := range r.b.classes.entries {
 		c := &r.b.classes.entries[i]
-		c.service, c.deviation = stats.Mean{N: 100, Value: 90}, stats.Mean{N: 100, Value: 100} // by these nothing is left of the aim for waiting
+		c.service, c.deviation = stats.Mean{N: 100, Value: 90}, stats.Mean{N: 100, Value: 100} // by these nothing is left of the objective for the queue
 	}
 	r.b.classes.referenceMS = 90
 	r.b.updateQueueTimes()
-	if hold := r.b.classes.entries[0].maxQueueTime.withinQuota; hold >= 40*millisecond {
-		t.Fatalf("held for %v: the case shows nothing", hold)
+	if longest := r.b.classes.entries[0].maxQueueTime.withinQuota; longest >= 40*millisecond {
+		t.Fatalf("queued for %v: the case shows nothing", longest)
 	}
 	r.request(1, 0)
 	r.request(2, 0)
@@ -84,30 +83,30 @@
 	}
 }
 
-// A copy of a site file with 150 endpoints: looking at every endpoint for every held request took twice the CPU that
-// a gateway has. Each look draws one random number, so the generator tells how many there were.
-func TestRequestsHeldAlikeAreLookedAtOnce(t *testing.T) {
-	after := func(held int) uint64 {
+// Guards against a look at every endpoint for every queued request, which takes more CPU than a gateway
+// has. Each look draws one random number, so the generator tells how many there were.
+func TestLikeRequestsAreLookedAtOnce(t *testing.T) {
+	after := func(queued int) uint64 {
 		r := newRig(t, testConfig(), ready(1, 0, 0))
 		warmUp(r)
-		for id := range RequestID(held + 1) {
+		for id := range RequestID(queued + 1) {
 			r.b.RequestArrived(r.now, Request{ID: id, ClientTimeout: 2000 * millisecond})
 		}
-		r.b.Dispatch(r.now) // starts the first, holds the others
+		r.b.Dispatch(r.now) // starts the first, queues the others
 		r.b.rng = rand.New(rand.NewPCG(1, 1))
 		r.b.Dispatch(r.now)
-		if len(r.b.queue) != held {
-			t.Fatalf("%d requests held, want %d", len(r.b.queue), held)
+		if len(r.b.queue) != queued {
+			t.Fatalf("%d requests queued, want %d", len(r.b.queue), queued)
 		}
 		return r.b.rng.Uint64()
 	}
 	if after(50) != after(1) {
-		t.Error("fifty requests held alike are looked at more often than one")
+		t.Error("fifty like requests are looked at more often than one")
 	}
 }
 
-// An unsafe request that finds no room must not hide an ejected endpoint from a request that may be tried there.
-func TestHeldRequestsThatDifferAreLookedAt(t *testing.T) {
+// Guards against a non-idempotent request that finds no room and hides a due probe from the next request.
+func TestRequestsThatDifferAreLookedAt(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0))
 	warmUp(r)
 	s := r.b.endpoints.all[0]
@@ -116,27 +115,28 @@
 	r.b.RequestArrived(r.now, Request{ID: 2, Class: 0, ClientTimeout: 2000 * millisecond})
 	r.b.Dispatch(r.now)
 	if starts := r.take("start"); len(starts) != 1 || starts[0].id != 2 {
-		t.Errorf("starts = %+v, want the safe request on probe", starts)
+		t.Errorf("starts = %+v, want the idempotent request as the probe", starts)
 	}
 }
 
-// While the list may be about to change nothing new is sent; what is held goes out, or is rejected in time, all the same.
-func TestHoldStopsNewAttempts(t *testing.T) {
+// While the endpoint list may be about to change no attempt starts; what is queued starts afterwards, or is
+// answered in time.
+func TestPauseStopsNewAttempts(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0))
 	r.b.PauseAttempts(true)
 	r.request(1, 0)
 	if n := len(r.take("start")); n != 0 {
-		t.Fatalf("sent %d times while held", n)
+		t.Fatalf("sent %d times while paused", n)
 	}
 	r.b.PauseAttempts(false)
 	r.b.Dispatch(r.now)
 	if n := len(r.take("start")); n != 1 {
-		t.Fatalf("sent %d times after the hold, want once", n)
+		t.Fatalf("sent %d times after the pause, want once", n)
 	}
 	r.b.PauseAttempts(true)
 	r.request(2, 0)
 	r.wait(testConfig().Classes[0].Deadline)
 	if rejected, failed := r.finals(2); rejected+failed != 1 || len(r.take("start")) != 0 {
-		t.Errorf("while held: rejected %d times, failed %d times, want one answer and nothing sent", rejected, failed)
+		t.Errorf("while paused: rejected %d times, failed %d times, want one answer and nothing sent", rejected, failed)
 	}
 }
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -1,7 +1,6 @@
 package balancer
 
 import (
-	"thymebend/internal/balancer/concurrency"
 	"thymebend/internal/balancer/outlierdetection"
 )
 
@@ -9,7 +8,7 @@
 func (b *Balancer) recordSuccess(ep *endpointState) {
 	ep.cooldown.answered()
 	if ep.health.RecordAnswer(b.now) {
-		ep.limit.Reset(concurrency.MinLimit(ep.subset.users))
+		ep.limit.Reset(ep.minLimit())
 		b.endpoints.stale = true
 		b.log.printf(b.now, "server %d answers again", ep.ID)
 	}
--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A endpoint that fails fast has room all the time; it must not draw the queue.
+// Guards against an endpoint that fails fast, has room all the time and draws the queue.
 func TestFastFailuresDoNotDrawTheQueue(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0), ready(2, 0, 0))
 	r.b.classes.referenceMS = 100
@@ -34,13 +34,13 @@
 	}
 }
 
-// A endpoint that answers nothing is ejected by its silence, tried with one repeatable request at a time, and
-// taken back at its first answer.
-func TestSilentServerIsEjectedTriedAndTakenBack(t *testing.T) {
+// An endpoint that answers nothing is ejected by its silence, probed with one idempotent request at a time,
+// and taken back at its first answer.
+func TestSilentEndpointIsEjectedProbedAndTakenBack(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0), ready(2, 0, 0), ready(3, 0, 0))
 	warmUp(r)
 	r.b.endpoints.byID[1].limit.Value = 3
-	r.request(1, 2) // unsafe: no time-out shows the silence
+	r.request(1, 2) // not idempotent: no timeout shows the silence
 	r.wait(550 * millisecond)
 	s := r.b.endpoints.byID[1]
 	if s.health.Ejected {
@@ -54,7 +54,7 @@
 	r.take("start")
 	r.request(2, 2)
 	if starts := r.take("start"); len(starts) != 1 || starts[0].endpoint == 1 {
-		t.Fatalf("an unsafe request was used as a probe: %+v", starts)
+		t.Fatalf("a non-idempotent request was used as a probe: %+v", starts)
 	}
 	r.end(1, 0, 1, OutcomeTimeout, 2*time.Second)
 	s.health.ProbeAt = r.now
@@ -67,7 +67,7 @@
 		}
 	}
 	if probes != 1 {
-		t.Fatalf("%d requests on probe, want 1", probes)
+		t.Fatalf("%d requests as probes, want 1", probes)
 	}
 	r.end(3, 0, 1, OutcomeOK, 100*millisecond)
 	if s.health.Ejected || s.limit.Value != 1 {
@@ -75,8 +75,9 @@
 	}
 }
 
-// What is out on a silent endpoint is called off and sent elsewhere if it may be repeated; what may not, waits.
-func TestWorkOfASilentServerIsGivenUp(t *testing.T) {
+// What is in flight on a silent endpoint is cancelled and retried elsewhere if it may be; what may not,
+// waits.
+func TestAttemptsOnASilentEndpointAreCancelled(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0), ready(2, 0, 0), ready(3, 0, 0))
 	warmUp(r)
 	r.b.endpoints.byID[1].limit.Value = 9
@@ -89,7 +90,7 @@
 	r.wait(750 * millisecond)
 	cancels := r.take("cancel")
 	if len(cancels) != 2 || cancels[0].id != 0 || cancels[1].id != 1 {
-		t.Fatalf("cancels = %+v, want the safe and the keyed request", cancels)
+		t.Fatalf("cancels = %+v, want the idempotent and the keyed request", cancels)
 	}
 	r.end(0, 0, 1, OutcomeCancelled, 700*millisecond)
 	if starts := r.take("start"); len(starts) != 1 || starts[0].id != 0 || starts[0].endpoint == 1 {
@@ -116,7 +117,7 @@
 	}
 }
 
-// If most endpoints look bad the load is suspected and they stay in use.
+// If most endpoints look bad the load is suspected, and they stay in use.
 func TestCapacityStaysInUseWhenAllLookBad(t *testing.T) {
 	var list []Endpoint
 	for id := range EndpointID(6) {
@@ -160,7 +161,7 @@
 	}
 }
 
-// People on call search for these words; at most one line a second is written.
+// Engineers on call search for these words; at most one line a second is written.
 func TestLogLines(t *testing.T) {
 	r := newRig(t, testConfig(), ready(41, 0, 0), ready(42, 0, 0), ready(43, 0, 0), ready(44, 0, 0))
 	lines := func() []string {
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -58,6 +58,14 @@
 	return ep.limit.Allowed()
 }
 
+// minLimit is where the concurrency limit starts, and its least.
+func (ep *endpointState) minLimit() float64 { return concurrency.MinLimit(ep.subset.users) }
+
+// closeSample ends a sampling period of the concurrency limit.
+func (ep *endpointState) closeSample(target concurrency.ServiceTarget) {
+	ep.limit.CloseSample(target, ep.minLimit())
+}
+
 // sameDedupScope reports whether two endpoints share what a repeat of a keyed request must keep to.
 func sameDedupScope(scope DedupScope, a, b *endpointState) bool {
 	switch scope {
--- a/internal/balancer/fuzz_test.go
+++ b/internal/balancer/fuzz_test.go
@@ -68,11 +68,11 @@
 			continue
 		}
 		if c.Idempotency == NonIdempotent {
-			f.t.Fatalf("unsafe request %d sent again though it may have run", id)
+			f.t.Fatalf("non-idempotent request %d sent again though it may have run", id)
 		}
 		if !sameDedupScope(c.DedupScope, &endpointState{Endpoint: a.endpoint}, &endpointState{Endpoint: f.cells[to]}) ||
 			f.now > a.sent+c.DedupWindow {
-			f.t.Fatalf("keyed request %d sent again outside its group or window", id)
+			f.t.Fatalf("keyed request %d sent again outside its scope or window", id)
 		}
 	}
 	r.attempts = append(r.attempts, judgedAttempt{endpoint: f.cells[to], sent: f.now})
--- a/internal/balancer/harness_test.go
+++ b/internal/balancer/harness_test.go
@@ -59,14 +59,14 @@
 
 const millisecond = time.Millisecond
 
-// safe, keyed and unsafe classes of one site, in this order.
+// testConfig has an idempotent, a keyed and a non-idempotent class of one site, in this order.
 func testConfig() Config {
 	class := Class{LatencyObjective: 1000 * millisecond, Deadline: 2000 * millisecond, Weight: 1, DedupWindow: 1500 * millisecond}
-	keyed, unsafe := class, class
+	keyed, nonIdempotent := class, class
 	keyed.Idempotency, keyed.DedupScope = KeyedIdempotent, DedupCell
-	unsafe.Idempotency = NonIdempotent
+	nonIdempotent.Idempotency = NonIdempotent
 	return Config{
-		Gateways: 2, Classes: []Class{class, keyed, unsafe}, OverQuotaWeight: 0.1,
+		Gateways: 2, Classes: []Class{class, keyed, nonIdempotent}, OverQuotaWeight: 0.1,
 		SlowStartFraction: 0.3, SlowStartDuration: 9 * time.Second, OverloadMultiple: 2.5,
 		OverloadWindow: 2 * time.Second, MaxAttempts: 4, DispatchInterval: 5 * millisecond, RetryAfter: true,
 		MaxRetryAfter: time.Second, CancelAllowed: true, PollInterval: 10 * time.Second,
@@ -126,7 +126,7 @@
 	r.b.Dispatch(r.now)
 }
 
-// wait moves the clock and fires the module's recurring timers as a gateway would.
+// wait moves the clock and fires the balancer's recurring timers as a gateway would.
 func (r *rig) wait(d time.Duration) {
 	end := r.now + d
 	for r.now < end {
@@ -139,12 +139,6 @@
 	}
 }
 
-// closeSample ends the sampling period of one endpoint's limit.
-func (r *rig) closeSample(ep *endpointState) {
-	target := concurrency.NewServiceTarget(r.b.classes.minObjectiveMS(), r.b.response.Value)
-	ep.limit.CloseSample(target, concurrency.MinLimit(ep.subset.users))
-}
-
 func near(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-9*math.Max(1, math.Abs(want)) {
@@ -160,8 +154,8 @@
 	r.b.updateQueueTimes()
 }
 
-// fleet starts one gateway for each rank on the same list, spread evenly over zones 0 and 1.
-func fleet(t *testing.T, gateways int, list []Endpoint) []*rig {
+// cluster starts one gateway for each rank on the same list, spread evenly over zones 0 and 1.
+func cluster(t *testing.T, gateways int, list []Endpoint) []*rig {
 	t.Helper()
 	var rigs []*rig
 	for rank := range gateways {
@@ -199,15 +193,15 @@
 	return count
 }
 
-// crowd is n endpoints of zone 0 that are warm.
-func crowd(n int) (out []Endpoint) {
+// warmEndpoints returns n endpoints of zone 0 that are warm.
+func warmEndpoints(n int) (out []Endpoint) {
 	for i := range n {
 		out = append(out, ready(EndpointID(i+1), 0, 0))
 	}
 	return out
 }
 
-func (r *rig) fleet(endpoints ...AssignedEndpoint) {
+func (r *rig) assign(endpoints ...AssignedEndpoint) {
 	r.b.AssignEndpoints(r.now, endpoints)
 	r.b.Dispatch(r.now)
 }
@@ -236,7 +230,7 @@
 
 func fine(EndpointID) Outcome { return OutcomeOK }
 
-func cold(r *rig, id EndpointID) Endpoint {
+func starting(r *rig, id EndpointID) Endpoint {
 	return Endpoint{ID: id, State: EndpointReady, StartedAt: r.now}
 }
 
--- a/internal/balancer/loadshedding_test.go
+++ b/internal/balancer/loadshedding_test.go
@@ -7,7 +7,7 @@
 	"thymebend/internal/balancer/stats"
 )
 
-// The margin of held work before its aim shrinks by what a late answer earns.
+// The margin before the objective shrinks by what a late answer earns.
 func TestMarginFollowsWhatIsAtRisk(t *testing.T) {
 	cfg := testConfig()
 	r := newRig(t, cfg)
@@ -17,23 +17,23 @@
 		c.LateWeight = late
 		r.b.updateQueueTimes()
 		if got := latestStart(c, r.b.endpoints.turnover(r.b.classes.referenceMS)); got != want*millisecond {
-			t.Errorf("late answers earn %v: held for %v, want %v", late, got, want*millisecond)
+			t.Errorf("late answers earn %v: queued for %v, want %v", late, got, want*millisecond)
 		}
 	}
 }
 
-func TestLowWorthAndOverShareGoFirst(t *testing.T) {
+func TestLowWeightAndOverQuotaAreShedFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[0].Weight, cfg.Classes[2].Weight = 10, 2
 	r := newRig(t, cfg)
 	warmUp(r)
 	c := r.b.classes.entries
 	if !(c[0].maxQueueTime.withinQuota > c[2].maxQueueTime.withinQuota && c[2].maxQueueTime.withinQuota > c[1].maxQueueTime.withinQuota && c[0].maxQueueTime.withinQuota > c[0].maxQueueTime.overQuota) {
-		t.Errorf("holds = %v %v %v", c[0].maxQueueTime, c[1].maxQueueTime, c[2].maxQueueTime)
+		t.Errorf("max queue times = %v %v %v", c[0].maxQueueTime, c[1].maxQueueTime, c[2].maxQueueTime)
 	}
 }
 
-func TestTenantShare(t *testing.T) {
+func TestTenantQuota(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Quota: 20}, {}}
 	r := newRig(t, cfg) // two gateways: ten a second here
@@ -44,10 +44,10 @@
 			over++
 		}
 		if r.b.overQuota(1) || r.b.overQuota(5) || r.b.overQuota(-1) {
-			t.Fatal("a tenant without a quota is over its share")
+			t.Fatal("a tenant without a quota is over its quota")
 		}
 	}
 	if over < 9 || over > 11 {
-		t.Errorf("%d of 40 over share, want about 10", over)
+		t.Errorf("%d of 40 over quota, want about 10", over)
 	}
 }
--- a/internal/balancer/rejection_test.go
+++ b/internal/balancer/rejection_test.go
@@ -2,47 +2,48 @@
 
 import "testing"
 
-// A keyed request of group all may be rejected even if it may have run; of a smaller group it may not.
-func TestRefusalsOfKeyedRequests(t *testing.T) {
+// A keyed request that may have run may be rejected if all endpoints drop duplicates; with a smaller scope
+// it may not.
+func TestRejectionsOfKeyedRequests(t *testing.T) {
 	for _, c := range []struct {
-		group  DedupScope
+		scope  DedupScope
 		reject bool
 	}{{DedupAll, true}, {DedupZone, false}, {DedupCell, false}} {
 		cfg := testConfig()
-		cfg.Classes[1].DedupScope = c.group
+		cfg.Classes[1].DedupScope = c.scope
 		r := newRig(t, cfg, ready(1, 0, 0))
 		r.request(1, 1)
 		r.now += 1990 * millisecond
 		r.end(1, 0, 1, OutcomeTimeout, 1990*millisecond)
 		if rejected, failed := r.finals(1); (rejected == 1) != c.reject || rejected+failed != 1 {
-			t.Errorf("group %d: rejected %d, failed %d", c.group, rejected, failed)
+			t.Errorf("scope %d: rejected %d, failed %d", c.scope, rejected, failed)
 		}
 	}
 }
 
-func TestEveryRequestIsAnsweredWithoutServers(t *testing.T) {
+func TestEveryRequestIsAnsweredWithoutEndpoints(t *testing.T) {
 	r := newRig(t, testConfig())
 	for class := range 3 {
 		r.request(RequestID(class), class)
 	}
 	r.wait(900 * millisecond)
 	if rejected := len(r.take("reject")); rejected != 3 {
-		t.Errorf("%d of 3 requests rejected before their aim", rejected)
+		t.Errorf("%d of 3 requests rejected before their objective", rejected)
 	}
 	if len(r.b.requests.byID) != 0 || len(r.b.queue) != 0 {
 		t.Errorf("%d requests and a queue of %d are left", len(r.b.requests.byID), len(r.b.queue))
 	}
 }
 
-func TestRefusalAdvice(t *testing.T) {
+func TestRetryAfter(t *testing.T) {
 	cfg := testConfig()
 	cfg.MaxRetryAfter = 200 * millisecond
 	r := newRig(t, cfg)
 	if got := r.b.retryAfter(); got != 200*millisecond {
-		t.Errorf("advice %v, want the longest that clients observe", got)
+		t.Errorf("Retry-After %v, want the longest that clients observe", got)
 	}
 	r.b.cfg.RetryAfter = false
 	if got := r.b.retryAfter(); got != 0 {
-		t.Errorf("advice %v where none is allowed", got)
+		t.Errorf("Retry-After %v where none is allowed", got)
 	}
 }
--- a/internal/balancer/retry_test.go
+++ b/internal/balancer/retry_test.go
@@ -9,12 +9,12 @@
 	"thymebend/internal/balancer/retrybudget"
 )
 
-// What may follow an attempt's end, by class and outcome: another send, a rejection or a failure.
+// What may follow the end of an attempt, by class and outcome: another attempt, a rejection or a failure.
 func TestNoEffectTwice(t *testing.T) {
 	outcomes := []Outcome{OutcomeError, OutcomeRejected, OutcomeTimeout, OutcomeConnectFailed, OutcomeReset, OutcomeCancelled, OutcomeNotStarted}
-	for class, effect := range []Idempotency{Idempotent, KeyedIdempotent, NonIdempotent} {
+	for class, idempotency := range []Idempotency{Idempotent, KeyedIdempotent, NonIdempotent} {
 		for _, o := range outcomes {
-			t.Run(fmt.Sprintf("effect %d outcome %d", effect, o), func(t *testing.T) {
+			t.Run(fmt.Sprintf("idempotency %d outcome %d", idempotency, o), func(t *testing.T) {
 				cfg := testConfig()
 				r := newRig(t, cfg, ready(1, 0, 0), ready(2, 0, 1)) // two cells
 				r.b.endpoints.all[1].limit.Value = 3
@@ -30,12 +30,12 @@
 				sent := slices.ContainsFunc(r.rec.acts, func(a act) bool { return a.what == "start" && a.id == 1 })
 				rejected, failed := r.finals(1)
 				switch {
-				case effect == Idempotent || o.NeverRan():
+				case idempotency == Idempotent || o.NeverRan():
 					if !sent {
 						t.Error("was not tried again though it may be")
 					}
 				case sent:
-					t.Error("was sent again though it may have run outside its group")
+					t.Error("was sent again though it may have run outside its scope")
 				case rejected > 0:
 					t.Error("was rejected though it may have run")
 				case failed != 1:
@@ -46,10 +46,10 @@
 	}
 }
 
-func TestKeyedRepeatsStayInGroupAndWindow(t *testing.T) {
+func TestKeyedRetriesStayInScopeAndWindow(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		group DedupScope
+		scope DedupScope
 		other Endpoint
 		want  bool
 	}{
@@ -61,7 +61,7 @@
 	} {
 		for _, late := range []bool{false, true} {
 			cfg := testConfig()
-			cfg.Classes[1].DedupScope = c.group
+			cfg.Classes[1].DedupScope = c.scope
 			cfg.Classes[1].LatencyObjective, cfg.Classes[1].DedupWindow = 1900*millisecond, 500*millisecond
 			r := newRig(t, cfg, ready(1, 0, 0))
 			r.request(1, 1)
@@ -79,9 +79,8 @@
 	}
 }
 
-// An attempt whose connection comes up late may no longer begin once the window of the one before it is over; a safe
-// request's may, and so may a keyed one's whose earlier attempt never ran.
-func TestWindowIsLookedAtAgainWhenAnAttemptBegins(t *testing.T) {
+// Guards against an attempt whose connection comes up after the window of the one before it is over.
+func TestDedupWindowIsCheckedAgainWhenAnAttemptStarts(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		class   int
@@ -92,7 +91,7 @@
 		{"keyed, in time", 1, OutcomeReset, 100 * millisecond, true},
 		{"keyed, after the window", 1, OutcomeReset, 195 * millisecond, false},
 		{"keyed, never ran", 1, OutcomeRejected, 900 * millisecond, true},
-		{"safe", 0, OutcomeReset, 900 * millisecond, true},
+		{"idempotent", 0, OutcomeReset, 900 * millisecond, true},
 	} {
 		cfg := testConfig()
 		cfg.Classes[1].LatencyObjective, cfg.Classes[1].DedupWindow = 1900*millisecond, 500*millisecond
@@ -113,7 +112,7 @@
 	}
 }
 
-// Where a cancel stops nothing, repeats of timed-out work feed a collapse; the budget ends them.
+// Guards against retries of timed-out work that feed a collapse where a cancel stops nothing.
 func TestRetryBudget(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0))
 	r.b.endpoints.all[0].limit.Value = 1000
@@ -134,16 +133,15 @@
 		}
 	}
 	if limit := int(retrybudget.MaxSaved + 400*retrybudget.PerRequest + 1); retries == 0 || retries > limit {
-		t.Errorf("%d repeats, want some and at most %d", retries, limit)
+		t.Errorf("%d retries, want some and at most %d", retries, limit)
 	}
 }
 
-// A lost zone: repeats of what could not be sent went to any endpoint of the list, dead ones among them, and all were
-// there when it returned cold.
-func TestRepeatsStayWithMembers(t *testing.T) {
-	r := fleet(t, 300, twoZones(40))[0]
+// Guards against retries that go to any endpoint of a lost zone, and overload it when it returns.
+func TestRetriesStayInTheSubset(t *testing.T) {
+	r := cluster(t, 300, twoZones(40))[0]
 	warmUp(r)
-	for class, wide := range []bool{false, true, false} { // a keyed repeat may have to go where no member is
+	for class, wide := range []bool{false, true, false} { // a keyed retry may have to go where the subset has nothing
 		r.take("start")
 		id := RequestID(900 + class)
 		r.request(id, class)
@@ -156,7 +154,7 @@
 		}
 		r.end(id, 0, starts[0].endpoint, OutcomeConnectFailed, 250*millisecond)
 		if starts := r.take("start"); (len(starts) > 0) != wide {
-			t.Errorf("class %d: sent %+v while all members rest", class, starts)
+			t.Errorf("class %d: sent %+v while all the subset rests", class, starts)
 		}
 		r.now += time.Second
 	}
--- a/internal/balancer/sampling.go
+++ b/internal/balancer/sampling.go
@@ -11,14 +11,14 @@
 // closeSample ends one sampling period: the limit of each endpoint, then the expansion of the subset, the
 // queue-time threshold, the response setpoint, and the queue times that follow from them.
 func (b *Balancer) closeSample() {
-	target := concurrency.NewServiceTarget(b.classes.minObjectiveMS(), b.response.Value)
+	target := b.serviceTarget()
 	var warmAnswers stats.Mean // over all gateways
 	for _, ep := range b.endpoints.all {
 		b.checkSilence(ep)
 		if ep.subset.used && !ep.health.Ejected && b.warmUpFraction(ep) == 1 {
 			warmAnswers.Add(float64(ep.limit.Sample.Answers)*ep.subset.users, 0)
 		}
-		ep.limit.CloseSample(target, concurrency.MinLimit(ep.subset.users))
+		ep.closeSample(target)
 	}
 	if warmAnswers.N > 0 {
 		b.slowStart.warmRate.Observe(warmAnswers.Value, concurrency.SamplePeriod)
@@ -33,6 +33,11 @@
 	}
 }
 
+// serviceTarget is what the service times of the endpoints are held to in this sampling period.
+func (b *Balancer) serviceTarget() concurrency.ServiceTarget {
+	return concurrency.NewServiceTarget(b.classes.minObjectiveMS(), b.response.Value)
+}
+
 // updateExpansion lets the subset grow or shrink by what was seen in the sampling period.
 func (b *Balancer) updateExpansion() {
 	s := &b.endpoints
--- a/internal/balancer/sampling_test.go
+++ b/internal/balancer/sampling_test.go
@@ -4,12 +4,10 @@
 	"fmt"
 	"testing"
 	"time"
-
-	"thymebend/internal/balancer/concurrency"
 )
 
-// Incidents with eleven gateways and more: one request each crowds a endpoint, so u goes on below one, as the share
-// of the time in which one request may be out.
+// Guards against tens of gateways whose single requests crowd an endpoint: below one the limit is the share
+// of time in which one request may be in flight.
 func TestLimitBelowOneIsAShareOfTime(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways = 10
@@ -19,11 +17,11 @@
 	s.limit.Value, s.limit.GainMS, s.limit.UncrowdedMS, s.limit.Service.N, s.limit.Service.Value = 0.8, 100, 100, 1000, 200
 	r.b.classes.referenceMS = 100
 	s.limit.Sample.Answers, s.limit.Sample.ServiceSumMS = 1, 280 // K = 50+140; step = 0.16/190 x (140-280), times u
-	r.closeSample(s)
+	s.closeSample(r.b.serviceTarget())
 	about(t, "u after a step", s.limit.Value, 0.8+0.8*0.16/190*(1.4*100-280))
 	for range 60 {
 		s.limit.Sample.Answers, s.limit.Sample.ServiceSumMS = 1, 280
-		r.closeSample(s)
+		s.closeSample(r.b.serviceTarget())
 	}
 	near(t, "u at its floor", s.limit.Value, 5.0/10)
 	r.request(1, 0)
@@ -42,8 +40,7 @@
 	}
 }
 
-// Incidents icc2c16 and if441fd: gateways grew their limits together and tipped every endpoint. A reported queue stops
-// growth and lowers limits gently.
+// Guards against gateways that grow their limits together and overload every endpoint.
 func TestReportedQueueLowersLimits(t *testing.T) {
 	for _, c := range []struct {
 		waiting float64
@@ -56,28 +53,28 @@
 		r.b.AttemptEnded(r.now, AttemptEnd{Request: 1, Endpoint: 1, Outcome: OutcomeOK, Latency: 50 * millisecond,
 			RequestDone: true, Reported: true, QueueLength: c.waiting})
 		s.limit.Value, s.limit.GainMS, s.limit.UncrowdedMS, s.limit.Sample.Limited = 3, 50, 150/1.4, true
-		r.closeSample(s)
+		s.closeSample(r.b.serviceTarget())
 		if grew := s.limit.Value > 3; grew != c.grows || s.limit.Value < 3-0.08 || s.limit.Value == 3 {
 			t.Errorf("%v waiting: u = %v, want growth %v", c.waiting, s.limit.Value, c.grows)
 		}
 	}
 }
 
-// What a endpoint may be crowded by is a multiple of its bare time, but with short aims only a part of these: requests
-// wait at the gateway then.
-func TestShortAimsLeaveLittleRoomForCrowds(t *testing.T) {
-	for aim, want := range map[time.Duration]float64{
+// The setpoint is a multiple of the uncrowded service time, but with short objectives it exceeds that by a
+// part of them only.
+func TestShortObjectivesLeaveLittleRoomForCrowding(t *testing.T) {
+	for objective, want := range map[time.Duration]float64{
 		3000 * millisecond: 300,               // the design's own part is more
 		1000 * millisecond: 100 * 1.4,         // 0.6 x 100 ms is more than the multiple allows
 		300 * millisecond:  100 + 0.6*0.1*300, // and here it is less
 	} {
 		cfg := testConfig()
 		for i := range cfg.Classes {
-			cfg.Classes[i].LatencyObjective = aim
+			cfg.Classes[i].LatencyObjective = objective
 		}
 		r := newRig(t, cfg, ready(1, 0, 0))
 		s := r.b.endpoints.byID[1]
 		s.limit.UncrowdedMS = 100
-		near(t, fmt.Sprint("setpoint at an aim of ", aim), s.limit.SetpointMS(concurrency.NewServiceTarget(r.b.classes.minObjectiveMS(), r.b.response.Value)), want)
+		near(t, fmt.Sprint("setpoint at an objective of ", objective), s.limit.SetpointMS(r.b.serviceTarget()), want)
 	}
 }
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -8,9 +8,9 @@
 	"thymebend/internal/balancer/slowstart"
 )
 
-// Many gateways come to use a cold endpoint at one moment, as others leave, a while after they were told of it. Their first
-// requests must be spread over an interval of their turns: none may have saved one up while it did not use the endpoint.
-func TestNothingIsSavedUpForAColdServer(t *testing.T) {
+// Guards against many gateways that come to use a starting endpoint at one moment, each with a token saved
+// up: their first requests must come spread over an interval.
+func TestNothingIsSavedUpForSlowStart(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways = 40
 	at := func(state EndpointState, born time.Duration) []Endpoint {
@@ -44,15 +44,16 @@
 	}
 }
 
-// All gateways together must not send a cold endpoint more than it can bear; warm endpoints tell how much that is.
-func TestColdServerIsNotPushedOver(t *testing.T) {
+// All gateways together must not send a starting endpoint more than it can bear; warm endpoints tell how
+// much that is.
+func TestEndpointInSlowStartIsNotOverloaded(t *testing.T) {
 	cfg := testConfig()
 	r := newRig(t, cfg, ready(1, 0, 0))
 	warmUp(r)
 	r.b.slowStart.warmRate = 20 // two gateways: requests a second on a warm endpoint
-	cold := ready(2, 0, 0)
-	cold.StartedAt = r.now
-	r.b.UpdateEndpoints(r.now, Delta, []Endpoint{cold})
+	fresh := ready(2, 0, 0)
+	fresh.StartedAt = r.now
+	r.b.UpdateEndpoints(r.now, Delta, []Endpoint{fresh})
 	s := r.b.endpoints.byID[2]
 	s.limit.Value = 50
 	id := RequestID(0)
@@ -72,33 +73,33 @@
 	}
 	// 2.5 times 30 to 46% of ten a second for 2 s is at most 23 requests of this gateway.
 	if sent == 0 || sent > 23 {
-		t.Errorf("the cold endpoint got %d requests, want 1 to 23", sent)
+		t.Errorf("the starting endpoint got %d requests, want 1 to 23", sent)
 	}
-	r.b.now = cold.StartedAt + cfg.SlowStartDuration
-	near(t, "coldness when warm", r.b.warmUpFraction(s), 1)
+	r.b.now = fresh.StartedAt + cfg.SlowStartDuration
+	near(t, "warm-up fraction when warm", r.b.warmUpFraction(s), 1)
 }
 
-// Hundreds of gateways each allowed a cold endpoint one free request: together they pushed it over. Those that had just
-// started and knew nothing allowed it a hundred a second.
-func TestColdBudgetHoldsOverHundredsOfGateways(t *testing.T) {
+// Guards against hundreds of gateways that each allow a starting endpoint one free request, or, just
+// started themselves, a hundred a second.
+func TestSlowStartBudgetHoldsOverHundredsOfGateways(t *testing.T) {
 	for _, restarted := range []bool{false, true} {
-		rigs := fleet(t, 300, twoZones(40))
-		cold := ready(1000, 0, 0)
-		cold.StartedAt = rigs[0].now
+		rigs := cluster(t, 300, twoZones(40))
+		fresh := ready(1000, 0, 0)
+		fresh.StartedAt = rigs[0].now
 		gone := ready(1, 0, 0)
 		gone.State = EndpointRemoved
 		const rate = 4.0 // requests a second of a gateway on a warm endpoint
-		sent, sharers := 0, 0
+		sent, users := 0, 0
 		for _, r := range rigs {
 			if !restarted {
 				warmUp(r)
 				r.b.slowStart.warmRate = slowstart.WarmRate(rate * r.b.endpoints.subset[0].subset.users)
 			}
-			r.b.UpdateEndpoints(r.now, Delta, []Endpoint{gone, cold})
+			r.b.UpdateEndpoints(r.now, Delta, []Endpoint{gone, fresh})
 			r.b.Dispatch(r.now)
 			s := r.b.endpoints.byID[1000]
 			if s.subset.used {
-				sharers++
+				users++
 			}
 			end := r.now + r.b.cfg.OverloadWindow
 			for id := RequestID(0); r.now < end; r.now += 5 * millisecond {
@@ -112,21 +113,21 @@
 		}
 		// Warm endpoints get 4 a second of each sharer; 2.5 times 0.3 of that for 2 s pushes the endpoint over. Of one that
 		// is not known no more may be taken for sure than one core: ten a second of 100 ms.
-		limit := 2.5 * 0.3 * 2 * rate * float64(sharers)
+		limit := 2.5 * 0.3 * 2 * rate * float64(users)
 		if restarted {
 			limit = 2.5 * 0.3 * 2 * 10
 		}
 		if sent == 0 || float64(sent) > limit {
-			t.Errorf("restarted %v: %d gateways sent %d requests in the window, want 1 to %.0f", restarted, sharers, sent, limit)
+			t.Errorf("restarted %v: %d gateways sent %d requests in the window, want 1 to %.0f", restarted, users, sent, limit)
 		}
 	}
 }
 
-// Gateways that take a endpoint in place of an ejected one are not counted among those that share its cold budget: seeded
-// runs had 23 gateways send to a cold endpoint whose budget was worked out for 12.
-func TestColdServersGetNothingFromReplacements(t *testing.T) {
-	rigs := fleet(t, 300, twoZones(40))
-	sharers, members := make(map[EndpointID]float64), users(rigs)
+// Guards against gateways that use an endpoint in place of an ejected one and spend a slow-start budget
+// that was worked out without them.
+func TestExpansionsSendNothingInSlowStart(t *testing.T) {
+	rigs := cluster(t, 300, twoZones(40))
+	sending, before := make(map[EndpointID]float64), users(rigs)
 	for n, r := range rigs {
 		for i, s := range r.b.endpoints.subset {
 			s.health.Ejected = n%2 == 0 && i%2 == 0 // a quarter of all that is used
@@ -137,15 +138,15 @@
 			s.StartedAt = r.now - time.Second
 			s.warmUp.Tokens = 1
 			if r.b.slowStartAllows(s) {
-				sharers[s.ID]++
+				sending[s.ID]++
 			}
 		}
 	}
 	more := 0
 	for id, n := range users(rigs) {
-		more += n - members[id]
-		if s := rigs[0].b.endpoints.byID[id]; sharers[id] > s.subset.users*1.4 {
-			t.Errorf("endpoint %d: cold budgets at %v gateways, worked out for %.1f", id, sharers[id], s.subset.users)
+		more += n - before[id]
+		if s := rigs[0].b.endpoints.byID[id]; sending[id] > s.subset.users*1.4 {
+			t.Errorf("endpoint %d: slow-start budgets at %v gateways, worked out for %.1f", id, sending[id], s.subset.users)
 		}
 	}
 	if more < 600 {
@@ -153,17 +154,18 @@
 	}
 }
 
-// Where a fleet speaks a cold endpoint gets one request for each turn, in its time, and none without.
-func TestColdServersGetTurnsAlone(t *testing.T) {
+// In a cluster an endpoint in slow start gets one request for each granted token, in its time, and none
+// without.
+func TestSlowStartTakesGrantedTokensAlone(t *testing.T) {
 	r := newRig(t, testConfig())
-	r.b.UpdateEndpoints(r.now, Snapshot, []Endpoint{cold(r, 1)})
-	r.fleet(AssignedEndpoint{ID: 1, Weight: 1, Share: 1})
+	r.b.UpdateEndpoints(r.now, Snapshot, []Endpoint{starting(r, 1)})
+	r.assign(AssignedEndpoint{ID: 1, Weight: 1, Share: 1})
 	for id := range RequestID(6) {
 		r.request(id+1, 0)
 	}
 	r.wait(400 * millisecond)
 	if starts := r.take("start"); len(starts) != 0 {
-		t.Errorf("%d starts without a turn", len(starts))
+		t.Errorf("%d starts without a token", len(starts))
 	}
 	r.b.GrantSlowStartToken(r.now, 1, r.now+100*millisecond)
 	r.b.GrantSlowStartToken(r.now, 77, r.now+100*millisecond)
@@ -171,21 +173,21 @@
 	r.wait(90 * millisecond)
 	starts := r.take("start")
 	if len(starts) != 1 {
-		t.Fatalf("%d starts for one turn", len(starts))
+		t.Fatalf("%d starts for one token", len(starts))
 	}
 	r.b.GrantSlowStartToken(r.now, 1, r.now+20*millisecond)
 	r.now += 20 * millisecond
 	r.end(starts[0].id, 0, 1, OutcomeOK, 90*millisecond)
 	if starts := r.take("start"); len(starts) != 0 {
-		t.Errorf("%d starts for a turn whose time is over", len(starts))
+		t.Errorf("%d starts for a token whose time is over", len(starts))
 	}
 	r.b.GrantSlowStartToken(r.now, 1, r.now+100*millisecond)
-	r.b.YieldSlowStart(r.now, true) // the next process of this gateway has the turns
+	r.b.YieldSlowStart(r.now, true) // the next process of this gateway has the tokens
 	r.b.GrantSlowStartToken(r.now, 1, r.now+100*millisecond)
 	r.b.YieldSlowStart(r.now, false)
 	r.b.Dispatch(r.now)
 	r.wait(50 * millisecond)
 	if starts := r.take("start"); len(starts) != 0 {
-		t.Errorf("%d starts for turns from before another process had them", len(starts))
+		t.Errorf("%d starts for tokens from before another process had them", len(starts))
 	}
 }
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -130,7 +130,7 @@
 		math.Abs(in.SlowStartTokens)) {
 		return
 	}
-	ep.limit.Value = max(concurrency.MinLimit(ep.subset.users), in.Limit)
+	ep.limit.Value = max(ep.minLimit(), in.Limit)
 	ep.limit.GainMS, ep.limit.UncrowdedMS = in.Gain, in.UncrowdedMS
 	ep.limit.Service = stats.Mean{N: in.Answers, Value: in.ServiceMS}
 	ep.health.FailureRate = min(in.FailureRate, 1)
--- a/internal/balancer/state_test.go
+++ b/internal/balancer/state_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Both processes of an upgrade together send a cold endpoint no more than one gateway may: the successor begins with the
-// budget that the predecessor has spent, and the predecessor starts it nothing more.
-func TestHandOverKeepsTheColdBudget(t *testing.T) {
-	cold := ready(1, 0, 0)
-	cold.StartedAt = 100 * time.Second
+// Both processes of a hot restart together send a starting endpoint no more than one gateway may: the
+// successor begins with the budget that the predecessor has spent, and the predecessor sends nothing more.
+func TestRestoreKeepsTheSlowStartBudget(t *testing.T) {
+	fresh := ready(1, 0, 0)
+	fresh.StartedAt = 100 * time.Second
 	id := RequestID(0)
 	flood := func(r *rig, after time.Duration) int { // asks for all that may be sent then, and answers it
 		r.now += after
@@ -28,18 +28,18 @@
 		}
 		return len(sent)
 	}
-	predecessor := newRig(t, testConfig(), cold)
+	predecessor := newRig(t, testConfig(), fresh)
 	spent := flood(predecessor, 2*time.Second)
 	if spent == 0 {
 		t.Fatal("the predecessor sent nothing")
 	}
 	learned := predecessor.b.State(predecessor.now)
 	predecessor.b.YieldSlowStart(predecessor.now, true)
-	next := newRig(t, testConfig(), cold)
+	next := newRig(t, testConfig(), fresh)
 	next.now = predecessor.now
 	next.b.Restore(next.now, learned)
 	if n := flood(next, 0); n > 0 {
-		t.Errorf("%d more went to a cold endpoint whose budget %d had spent", n, spent)
+		t.Errorf("%d more went to a starting endpoint whose budget %d had spent", n, spent)
 	}
 	if n := flood(predecessor, time.Second); n > 0 {
 		t.Errorf("the predecessor sent %d after it had yielded", n)
@@ -57,8 +57,8 @@
 	}
 }
 
-// What a successor is told is used, and what no run of the module gives is not.
-func TestLearnedGoesOver(t *testing.T) {
+// What a successor is told is used, and what no run of the balancer gives is not.
+func TestRestoreTakesWhatIsPlausible(t *testing.T) {
 	a := newRig(t, testConfig(), ready(1, 0, 0), ready(2, 0, 0))
 	for _, s := range a.b.endpoints.all {
 		s.limit.Value, s.limit.GainMS, s.limit.UncrowdedMS = 7.5, 3, 40
@@ -77,8 +77,9 @@
 	}
 }
 
-// A hundred reloads leave no more places than classes were in use, and a request keeps its class through them.
-func TestReloadsLeaveNoPlaces(t *testing.T) {
+// Guards against indices that pile up: a hundred reloads leave no more than classes were in use, and a
+// request keeps its class.
+func TestReloadsLeaveNoIndices(t *testing.T) {
 	cfg := testConfig()
 	for i := range cfg.Classes {
 		cfg.Classes[i].Name = fmt.Sprint("c", i)
@@ -91,16 +92,16 @@
 		r.now += retiredFor
 		fresh.Classes = append([]Class{{Name: fmt.Sprint("new", n), LatencyObjective: time.Second, Deadline: 2 * time.Second, Idempotency: NonIdempotent}}, cfg.Classes...)
 		fresh.Classes[1].Idempotency = NonIdempotent
-		places, err := r.b.Reload(r.now, fresh)
-		if err != nil || len(places) != 4 {
-			t.Fatal(places, err)
+		indices, err := r.b.Reload(r.now, fresh)
+		if err != nil || len(indices) != 4 {
+			t.Fatal(indices, err)
 		}
 	}
 	if n := len(r.b.classes.entries); n > 7 || len(r.b.endpoints.all[0].classes) != n {
-		t.Errorf("%d places and %d kinds for 4 classes", n, len(r.b.endpoints.all[0].classes))
+		t.Errorf("%d indices and %d of the endpoint for 4 classes", n, len(r.b.endpoints.all[0].classes))
 	}
 	if c := r.b.classes.entries[r.b.requests.byID[1].Class]; c.Name != "c0" || c.Idempotency != Idempotent {
-		t.Errorf("the request's class is now %q, effect %d", c.Name, c.Idempotency)
+		t.Errorf("the request's class is now %q, idempotency %d", c.Name, c.Idempotency)
 	}
 	fresh.Classes = nil
 	if _, err := r.b.Reload(r.now, fresh); err == nil || len(r.b.cfg.Classes) != 4 {
--- a/internal/balancer/subsetting.go
+++ b/internal/balancer/subsetting.go
@@ -4,7 +4,6 @@
 	"math/rand/v2"
 	"time"
 
-	"thymebend/internal/balancer/concurrency"
 	"thymebend/internal/subset"
 )
 
@@ -38,7 +37,7 @@
 	}
 	for _, ep := range s.all {
 		if ep.limit.Value == 0 {
-			ep.limit.Reset(concurrency.MinLimit(ep.subset.users))
+			ep.limit.Reset(ep.minLimit())
 		}
 		if ep.subset.regular && !ep.subset.wasRegular {
 			ep.warmUp.Begin(now, rng.Float64())
--- a/internal/balancer/subsetting_test.go
+++ b/internal/balancer/subsetting_test.go
@@ -8,9 +8,10 @@
 	"thymebend/internal/balancer/concurrency"
 )
 
-// 300 gateways on 40 endpoints: connections run out unless each uses few endpoints, and all of them are used alike.
-func TestMembersAreFewAndBalanced(t *testing.T) {
-	rigs := fleet(t, 300, twoZones(40))
+// 300 gateways on 40 endpoints: connections run out unless each uses few endpoints, and all of them are
+// used alike.
+func TestSubsetsAreSmallAndBalanced(t *testing.T) {
+	rigs := cluster(t, 300, twoZones(40))
 	check := func(when string) {
 		t.Helper()
 		count := users(rigs)
@@ -27,7 +28,7 @@
 				}
 			}
 			if own == 0 || own == len(r.b.endpoints.subset) || len(r.b.endpoints.subset) > 4 {
-				t.Fatalf("%s: gateway %d has %d members, %d of its zone", when, r.b.cfg.Rank, len(r.b.endpoints.subset), own)
+				t.Fatalf("%s: gateway %d uses %d endpoints, %d of its zone", when, r.b.cfg.Rank, len(r.b.endpoints.subset), own)
 			}
 		}
 	}
@@ -45,57 +46,58 @@
 	}
 	check("after a deploy")
 	if closed > 5*20 {
-		t.Errorf("%d members replaced for five endpoints of at most 20 gateways each", closed)
+		t.Errorf("%d endpoints replaced for five endpoints of at most 20 gateways each", closed)
 	}
 }
 
 // Where gateways are few each uses every endpoint.
-func TestFewGatewaysUseAllServers(t *testing.T) {
-	for _, r := range fleet(t, 3, twoZones(12)) {
+func TestFewGatewaysUseAllEndpoints(t *testing.T) {
+	for _, r := range cluster(t, 3, twoZones(12)) {
 		if len(r.b.endpoints.subset) != 12 {
 			t.Errorf("gateway %d uses %d of 12 endpoints", r.b.cfg.Rank, len(r.b.endpoints.subset))
 		}
 	}
 }
 
-// An ejected member is replaced, and the replacement is given back when the member answers again.
-func TestEjectedMembersAreReplaced(t *testing.T) {
-	r := fleet(t, 300, twoZones(40))[0]
+// An ejected endpoint of the subset is replaced, and the replacement is given back when it answers again.
+func TestEjectedEndpointsAreReplaced(t *testing.T) {
+	r := cluster(t, 300, twoZones(40))[0]
 	before := slices.Clone(r.b.endpoints.subset)
 	r.b.endpoints.subset[0].health.Ejected, r.b.endpoints.stale = true, true
 	r.b.Dispatch(r.now)
 	if len(r.b.endpoints.subset) != len(before)+1 {
-		t.Fatalf("%d members with one of %d ejected, want one more", len(r.b.endpoints.subset), len(before))
+		t.Fatalf("a subset of %d with one of %d ejected, want one more", len(r.b.endpoints.subset), len(before))
 	}
 	r.rec.acts = nil
 	before[0].health.Ejected, r.b.endpoints.stale = false, true
 	r.b.Dispatch(r.now)
 	if n := len(r.take("close")); n != 1 || !slices.Equal(r.b.endpoints.subset, before) {
-		t.Errorf("members = %d, closed %d, want the old ones and one close", len(r.b.endpoints.subset), n)
+		t.Errorf("subset = %d, closed %d, want the old ones and one close", len(r.b.endpoints.subset), n)
 	}
 }
 
 // Zones without endpoints, lists that are empty, shrink to nothing or grow tenfold.
 func TestOddListsAreHarmless(t *testing.T) {
 	for _, list := range [][]Endpoint{nil, {ready(1, 0, 0)}, {ready(1, 1, 0)}, {ready(1, 7, 0), ready(2, 9, 0)}} {
-		for _, r := range fleet(t, 40, list) {
+		for _, r := range cluster(t, 40, list) {
 			if len(list) > 0 && len(r.b.endpoints.subset) == 0 {
-				t.Fatalf("no members of %d endpoints", len(list))
+				t.Fatalf("no subset of %d endpoints", len(list))
 			}
 			r.b.UpdateEndpoints(r.now, Snapshot, twoZones(10*len(list)+10))
 			r.request(1, 0)
 			r.b.UpdateEndpoints(r.now, Snapshot, nil)
 			r.b.Dispatch(r.now)
 			if len(r.b.endpoints.subset) != 0 || len(r.take("start")) != 1 {
-				t.Fatalf("members = %d of an empty list, or the request was not sent before", len(r.b.endpoints.subset))
+				t.Fatalf("a subset of %d of an empty list, or the request was not sent before", len(r.b.endpoints.subset))
 			}
 		}
 	}
 }
 
-// A zone with few endpoints, or one with much traffic, has gateways whose own endpoints do not suffice while others idle.
-func TestAGatewayShortOfRoomReachesOtherZones(t *testing.T) {
-	r := fleet(t, 300, twoZones(40))[0]
+// Guards against endpoints that idle while gateways of a zone with few endpoints, or with much traffic, are
+// short of room.
+func TestAGatewayShortOfRoomExpandsToOtherZones(t *testing.T) {
+	r := cluster(t, 300, twoZones(40))[0]
 	warmUp(r)
 	before, rejected := slices.Clone(r.b.endpoints.subset), 0
 	var out []act
@@ -114,29 +116,29 @@
 		}
 	}
 	if rejected > 0 || len(r.b.endpoints.subset) < len(before)+8 {
-		t.Errorf("%d of 200 rejected after 6 s; %d members, %d before", rejected, len(r.b.endpoints.subset), len(before))
+		t.Errorf("%d of 200 rejected after 6 s; a subset of %d, %d before", rejected, len(r.b.endpoints.subset), len(before))
 	}
 	for _, s := range r.b.endpoints.subset {
 		if s.subset.expansion && s.Zone == r.b.cfg.Zone {
-			t.Errorf("endpoint %d is of the own zone, others lack its part", s.ID)
+			t.Errorf("endpoint %d is of the local zone, others lack its part", s.ID)
 		}
-		if s.StartedAt = r.now; s.subset.expansion && r.b.slowStartAllows(s) { // parts of a cold endpoint leave out those that reach it
-			t.Errorf("endpoint %d is cold and beyond the even part, yet has room", s.ID)
+		if s.StartedAt = r.now; s.subset.expansion && r.b.slowStartAllows(s) { // budgets leave expansions out
+			t.Errorf("endpoint %d is in slow start and an expansion, yet gets requests", s.ID)
 		}
 		s.StartedAt = 0
 	}
-	// A full one tells that the fleet is short too: hundreds of gateways would take each other's connections.
-	reach := r.b.endpoints.expansion.Size
+	// A full one tells that all gateways are short: hundreds of gateways would take each other's connections.
+	size := r.b.endpoints.expansion.Size
 	at := slices.IndexFunc(out, func(a act) bool { return r.b.endpoints.byID[a.endpoint].subset.expansion })
 	r.end(out[at].id, 0, out[at].endpoint, OutcomeRejected, 5*millisecond)
 	out = slices.Delete(out, at, at+1)
 	r.wait(concurrency.SamplePeriod)
 	r.b.endpoints.signals.Short = true
 	r.wait(concurrency.SamplePeriod)
-	if r.b.endpoints.expansion.Size > reach/2 {
-		t.Errorf("reach is %.1f half a second after a full endpoint, %.1f before", r.b.endpoints.expansion.Size, reach)
+	if r.b.endpoints.expansion.Size > size/2 {
+		t.Errorf("the expansion is %.1f half a second after a full endpoint, %.1f before", r.b.endpoints.expansion.Size, size)
 	}
-	for sent := append(out, r.take("start")...); len(sent) > 0; sent = r.take("start") { // one left open is a endpoint's silence
+	for sent := append(out, r.take("start")...); len(sent) > 0; sent = r.take("start") { // one left open is an endpoint's silence
 		for _, a := range sent { // the one that was turned away is in its second attempt
 			r.end(a.id, len(r.b.requests.byID[a.id].attempts)-1, a.endpoint, OutcomeOK, 100*millisecond)
 		}
@@ -144,47 +146,47 @@
 	r.take("close")
 	r.wait(2 * time.Minute)
 	if n := len(r.take("close")); n < 4 || len(r.b.endpoints.subset) != len(before) {
-		t.Errorf("%d members two minutes later, %d closed; want %d and at least 4", len(r.b.endpoints.subset), n, len(before))
+		t.Errorf("a subset of %d two minutes later, %d closed; want %d and at least 4", len(r.b.endpoints.subset), n, len(before))
 	}
 }
 
-// The same day: a gateway with half of its part lost ejected none of the dead endpoints that it reached, and tried each
-// over and over, 250 ms of its requests' time a try.
-func TestAnUnreachableServerBeyondTheEvenPartIsLeft(t *testing.T) {
-	r := fleet(t, 300, twoZones(40))[0]
+// Guards against a gateway that ejects none of the dead endpoints of its expansion and tries each over and
+// over.
+func TestAnUnreachableExpansionIsLeft(t *testing.T) {
+	r := cluster(t, 300, twoZones(40))[0]
 	warmUp(r)
 	for _, s := range r.b.endpoints.subset {
 		s.health.Ejected, s.health.ProbeAt = true, r.now+time.Hour
 	}
 	r.b.endpoints.expansion.Size, r.b.endpoints.stale = 4, true
 	r.b.Dispatch(r.now)
-	var reached *endpointState
+	var expansion *endpointState
 	for _, s := range r.b.endpoints.subset {
 		if s.subset.expansion {
-			reached = s
+			expansion = s
 		}
 	}
-	a := &attempt{endpoint: reached}
+	a := &attempt{endpoint: expansion}
 	for range 2 {
 		r.b.recordOutcome(&requestState{}, a, AttemptEnd{Outcome: OutcomeConnectFailed, Latency: 250 * millisecond})
 	}
-	if !reached.health.Ejected {
+	if !expansion.health.Ejected {
 		t.Error("not ejected after two connects that failed")
 	}
 	r.wait(concurrency.SamplePeriod)
 	if r.b.endpoints.expansion.Size > 2 {
-		t.Errorf("reach is %v, want half of 4", r.b.endpoints.expansion.Size)
+		t.Errorf("the expansion is %v, want half of 4", r.b.endpoints.expansion.Size)
 	}
 }
 
-// Endpoints that a gateway uses beside its own zone's are of several zones, or one lost zone takes them all.
-func TestServersOfOtherZonesAreMixed(t *testing.T) {
+// Guards against a subset whose endpoints of other zones are all in one, which may be lost.
+func TestEndpointsOfOtherZonesAreMixed(t *testing.T) {
 	var list []Endpoint
 	for i := range 200 {
 		list = append(list, ready(EndpointID(1+i*7919%100003), i/50, i/10)) // ids tell nothing of zones
 	}
 	alone := 0
-	for _, r := range fleet(t, 300, list) {
+	for _, r := range cluster(t, 300, list) {
 		r.b.endpoints.expansion.Size, r.b.endpoints.stale = 6, true
 		r.b.Dispatch(r.now)
 		zones := make(map[int]bool)
@@ -202,15 +204,15 @@
 	}
 }
 
-// A endpoint that failed while it was reached must come back into use by a probe: it was left for good.
-func TestAServerThatWasReachedInVainIsTriedAgain(t *testing.T) {
-	r := fleet(t, 300, twoZones(40))[0]
+// Guards against an endpoint that failed as an expansion and is left for good.
+func TestAnEjectedExpansionIsProbedAgain(t *testing.T) {
+	r := cluster(t, 300, twoZones(40))[0]
 	warmUp(r)
 	r.b.endpoints.expansion.Size, r.b.endpoints.stale = 30, true
 	r.b.Dispatch(r.now)
 	s := r.b.endpoints.subset[len(r.b.endpoints.subset)-1]
 	if !s.subset.expansion {
-		t.Fatal("nothing reached")
+		t.Fatal("no expansion")
 	}
 	for !s.health.Ejected {
 		r.b.recordOutcome(&requestState{}, &attempt{endpoint: s}, AttemptEnd{Outcome: OutcomeConnectFailed})
@@ -223,6 +225,6 @@
 	r.b.endpoints.stale = true
 	r.b.Dispatch(r.now)
 	if r.b.now = r.now; !s.subset.used || !r.b.usable(s, &requestState{}) {
-		t.Errorf("member %v and not usable when its probe is due", s.subset.used)
+		t.Errorf("in the subset %v and not usable when its probe is due", s.subset.used)
 	}
 }
--- a/internal/balancer/watch_test.go
+++ b/internal/balancer/watch_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestFailedListCallsBackOff(t *testing.T) {
+func TestFailedWatchesBackOff(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollDiscovery = true
 	r := newRig(t, cfg, ready(1, 0, 0))
