--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -5,158 +5,97 @@
 
 	"thymebend/internal/balancer"
 	"thymebend/internal/downstream"
-	"thymebend/internal/loop"
 )
 
+// balancerActions carries out what the balancer decides. It implements balancer.Actions.
+type balancerActions struct {
+	*core
+	attempts   *attemptTable
+	discovery  *discoveryWatch
+	downstream *downstreamConns
+	requests   *requestTable
+
+	timers uint64 // set so far
+}
+
 // The methods of this file are what the module asks for. They change the state and ask for effects, and they
 // put off all that the module has to hear: it must not be called while it calls.
 
 // StartAttempt implements thymebend.Actions.
-func (g *Gateway) StartAttempt(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
-	q := g.queries[id]
-	if q == nil {
-		g.log.Error().Uint32("query", uint32(id)).Msg("send for an unknown query")
+func (a *balancerActions) StartAttempt(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
+	req := a.requests.byID[id]
+	if req == nil {
+		a.log.Error().Uint32("query", uint32(id)).Msg("send for an unknown query")
 		return
 	}
-	g.nextExec++
-	x := &execution{query: q, number: q.attempts, id: g.nextExec, host: to, began: g.now, until: q.deadline, written: unwritten}
-	q.attempts++
-	q.executions = append(q.executions, x)
-	g.byID[x.id] = x
+	a.attempts.nextID++
+	att := &attempt{request: req, number: req.started, id: a.attempts.nextID, endpoint: to, began: a.now, deadline: req.deadline, invariantIndex: notWritten}
+	req.started++
+	req.running = append(req.running, att)
+	a.attempts.byID[att.id] = att
 	if timeout != 0 {
-		x.until = min(x.until, g.now+timeout)
+		att.deadline = min(att.deadline, a.now+timeout)
 	}
-	if q.over || x.until <= g.now || x.number >= g.cfg.Settings.Config.MaxAttempts {
-		g.endExecution(x, ReasonRequestOver, nil)
+	if req.done || att.deadline <= a.now || att.number >= a.cfg.Settings.Config.MaxAttempts {
+		a.attempts.end(att, ReasonRequestOver, nil)
 		return
 	}
-	g.traceAttempt(x)
-	g.setTimer(timerExecution, x.id, x.until)
-	g.begin(x)
+	a.logAttempt(att)
+	a.setTimer(timerAttempt, att.id, att.deadline)
+	a.attempts.start(att)
 }
 
 // Reject implements thymebend.Actions. A refusal goes out at once.
-func (g *Gateway) Reject(id balancer.RequestID, after time.Duration) {
-	if q := g.queries[id]; q != nil && !q.over && !g.guard.MayPromise(&q.rules) {
-		g.Fail(id)
+func (a *balancerActions) Reject(id balancer.RequestID, after time.Duration) {
+	if req := a.requests.byID[id]; req != nil && !req.done && !a.invariants.MayPromise(&req.invariants) {
+		a.Fail(id)
 		return
 	}
-	q, l := g.finish(id, throttled)
-	if q != nil {
-		g.traceRefused(q.ID, refusedByModule, after)
+	req, conn := a.requests.finish(id, outcomeRejected)
+	if req != nil {
+		a.logRejected(req.ID, rejectedByBalancer, after)
 	}
-	if l != nil {
-		g.answer(q, l, downstream.AppendRejected(after, g.keep(l)))
+	if conn != nil {
+		a.downstream.answer(req, conn, downstream.AppendRejected(after, a.downstream.keepAlive(conn)))
 	}
 }
 
 // Fail implements thymebend.Actions.
-func (g *Gateway) Fail(id balancer.RequestID) {
-	if q, l := g.finish(id, faulted); l != nil {
-		g.answer(q, l, downstream.AppendFailed(g.keep(l)))
-	}
-}
-
-// finish concludes a query and returns the link on which its answer goes out, if the client is still there.
-func (g *Gateway) finish(id balancer.RequestID, r result) (*query, *downstream.Conn) {
-	q := g.queries[id]
-	if q == nil || q.over || !g.guard.AllowAnswer(&q.rules) {
-		return nil, nil
-	}
-	q.over = true
-	delete(g.open, q.ID)
-	g.settle(q.Class.Name, r)
-	g.traceAnswered(q, r)
-	g.forget(q)
-	return q, g.links.ByConn[q.client]
-}
-
-// forget drops a query once nothing refers to it.
-func (g *Gateway) forget(q *query) {
-	if q.over && len(q.executions) == 0 {
-		delete(g.queries, q.id)
+func (a *balancerActions) Fail(id balancer.RequestID) {
+	if req, conn := a.requests.finish(id, outcomeFailed); conn != nil {
+		a.downstream.answer(req, conn, downstream.AppendFailed(a.downstream.keepAlive(conn)))
 	}
 }
 
 // CancelAttempt implements thymebend.Actions.
-func (g *Gateway) CancelAttempt(id balancer.RequestID, attempt int) {
-	q := g.queries[id]
-	if q == nil {
+func (a *balancerActions) CancelAttempt(id balancer.RequestID, attempt int) {
+	req := a.requests.byID[id]
+	if req == nil {
 		return
 	}
-	for _, x := range q.executions {
-		if x.number == attempt {
-			g.endExecution(x, ReasonCancelled, nil)
+	for _, att := range req.running {
+		if att.number == attempt {
+			a.attempts.end(att, ReasonCancelled, nil)
 			return
 		}
 	}
 }
 
 // CloseIdle implements thymebend.Actions.
-func (g *Gateway) CloseIdle(to balancer.EndpointID) {
-	for _, l := range g.pool.IdleTo(to) {
-		g.dropLink(l, ReasonIdleTimeout)
+func (a *balancerActions) CloseIdle(to balancer.EndpointID) {
+	for _, conn := range a.attempts.pool.IdleTo(to) {
+		a.attempts.dropConn(conn, ReasonIdleTimeout)
 	}
 }
 
 // SetTimer implements thymebend.Actions. A token may be out more than once, so each has a number of its own.
-func (g *Gateway) SetTimer(after time.Duration, token uint32) {
-	g.wakes++
-	g.setTimer(timerWake, g.wakes<<32|uint64(token), g.now+after)
+func (a *balancerActions) SetTimer(after time.Duration, token uint32) {
+	a.timers++
+	a.setTimer(timerBalancer, a.timers<<32|uint64(token), a.now+after)
 }
 
 // WatchEndpoints implements thymebend.Actions.
-func (g *Gateway) WatchEndpoints() {
-	if g.moving != nil || g.watch != nil && !g.watch.Started() {
-		return // the call under way answers this one
-	}
-	if g.watch != nil {
-		g.dropWatch(g.watch, ReasonWatchReplaced, nil)
-	}
-	if g.now < g.callNotBefore {
-		g.setTimer(timerCall, 0, g.callNotBefore)
-		return
-	}
-	g.watch = g.openWatch()
-}
+func (a *balancerActions) WatchEndpoints() { a.discovery.poll() }
 
 // Log implements thymebend.Actions.
-func (g *Gateway) Log(line string) { g.log.Info().Str("from", "module").Msg(line) }
-
-// tellEnds tells the module the ends that came up while it was busy. What it answers may bring about more.
-func (g *Gateway) tellEnds() {
-	for _, n := range g.notices {
-		g.told = true
-		g.module.RequestWriting(g.now, n.exec.query.id, n.exec.number, n.done)
-	}
-	clear(g.notices)
-	g.notices = g.notices[:0]
-	for i := 0; i < len(g.ended); i++ {
-		g.tellEnd(g.ended[i])
-	}
-	clear(g.ended)
-	g.ended = g.ended[:0]
-	if g.lost {
-		kind := balancer.WatchFailed
-		if g.unmet {
-			kind = balancer.WatchUnreachable
-		}
-		g.lost, g.unmet = false, false
-		g.told = true
-		g.module.UpdateEndpoints(g.now, kind, nil)
-	}
-}
-
-func (g *Gateway) tellEnd(p pendingEnd) {
-	q := p.exec.query
-	outcome, _ := p.end.outcome()
-	end := balancer.AttemptEnd{Request: q.id, Attempt: p.exec.number, Endpoint: p.exec.host, Outcome: outcome,
-		Latency: g.now - p.exec.began, RequestDone: q.over, BodyConsumed: q.up != nil && q.up.spent}
-	if p.answer != nil && g.cfg.Settings.Gateway.Waiting >= 0 {
-		end.Reported, end.QueueLength = p.answer.Reported, p.answer.QueueLength
-	}
-	g.told = true
-	g.module.AttemptEnded(g.now, end)
-}
-
-var _ loop.Reducer = (*Gateway)(nil)
+func (a *balancerActions) Log(line string) { a.log.Info().Str("from", "module").Msg(line) }
--- /dev/null
+++ b/internal/gateway/admin.go
@@ -0,0 +1,131 @@
+package gateway
+
+import (
+	"maps"
+	"slices"
+
+	"thymebend/internal/admin"
+	"thymebend/internal/loop"
+)
+
+// adminEndpoint answers the requests under /ops.
+type adminEndpoint struct {
+	*core
+	cluster   *cluster
+	discovery *discoveryWatch
+	listener  *listener
+	requests  *requestTable
+	restart   *hotRestart
+	shutdown  *shutdown
+
+	conns admin.Conns
+}
+
+// adminAcceptBatch is how many operators' calls are accepted at once.
+const adminAcceptBatch = 2
+
+func (a *adminEndpoint) statsReport() admin.Stats {
+	f := admin.Stats{Fulfilled: make(map[string]int64), Throttled: make(map[string]int64), Faulted: make(map[string]int64),
+		Forwarded: a.stats.forwarded, Open: len(a.requests.openIDs), Endpoints: a.discovery.endpoints.Len(), ConfigsAccepted: a.stats.configsAccepted, ConfigsRejected: a.stats.configsRejected,
+		Ends: make(map[string]uint64), Rejections: make(map[string]uint64), Retries: a.stats.retries,
+		Violations: a.invariants.Counts()}
+	for end, count := range a.stats.ends {
+		if count > 0 {
+			f.Ends[TerminationReason(end).String()] = count
+		}
+	}
+	for reason, count := range a.stats.rejections {
+		if count > 0 {
+			f.Rejections[rejectionReason(reason).String()] = count
+		}
+	}
+	for _, name := range slices.Sorted(maps.Keys(a.stats.classes)) {
+		t := a.stats.classes[name]
+		f.Fulfilled[name], f.Throttled[name], f.Faulted[name] = t.served, t.rejected, t.failed
+	}
+	if a.balancer != nil {
+		f.Unavailable = a.balancer.UnavailableCount()
+	}
+	return f
+}
+
+func (a *adminEndpoint) listenerEvent(e loop.Event) {
+	switch e.Kind {
+	case loop.Readable:
+		// Few at once: what is accepted holds descriptors before the oldest caller has given way.
+		a.emit(loop.Effect{Op: loop.Accept, Conn: loop.Admin, Most: adminAcceptBatch})
+	case loop.AcceptFailed:
+		a.log.Warn().Err(e.Err).Msg("accept of an operator")
+		a.pauseListener(e.Conn)
+	}
+}
+
+func (a *adminEndpoint) accepted(c loop.Conn) {
+	if out := a.conns.Add(c); out != nil {
+		a.drop(out)
+	}
+	a.setTimer(timerAdmin, uint64(c), a.now+admin.RequestTimeout)
+}
+
+func (a *adminEndpoint) handleEvent(conn *admin.Conn, e loop.Event) {
+	switch e.Kind {
+	case loop.Readable:
+		a.emit(loop.Effect{Op: loop.Read, Conn: conn.ID})
+	case loop.Data:
+		if conn.Answered {
+			return // one call a connection
+		}
+		call, answer := conn.Feed(e.Data)
+		switch call {
+		case admin.NoRequest:
+			return
+		case admin.ReadinessRequest:
+			answer = admin.AppendReadiness(a.ready(), a.unreadyReason())
+		case admin.StatsRequest:
+			answer = a.statsReport().Encode()
+		case admin.ClusterRequest:
+			if answer = admin.NoCluster(); a.cfg.Gossip != nil {
+				answer = a.cluster.report().Encode()
+			}
+		}
+		conn.Answered = true
+		a.setTimer(timerAdmin, uint64(conn.ID), a.now+admin.RequestTimeout)
+		a.write(conn.ID, answer)
+	case loop.Flushed:
+		// Only the sending ends: a close with bytes unread would reset the link and could take the answer away.
+		if conn.Answered && !conn.Ended {
+			conn.Ended = true
+			a.emit(loop.Effect{Op: loop.Shutdown, Conn: conn.ID})
+			a.setTimer(timerAdmin, uint64(conn.ID), a.now+admin.LingerTimeout)
+		}
+	case loop.EOF, loop.Broken:
+		a.drop(conn)
+	}
+}
+
+// ready reports whether this process takes clients.
+func (a *adminEndpoint) ready() bool {
+	return a.listener.phase != notListening && !a.shutdown.stopping() && !a.restart.handedOver()
+}
+
+func (a *adminEndpoint) unreadyReason() string {
+	switch {
+	case a.shutdown.stopping():
+		return "stopping"
+	case a.restart.handedOver():
+		return "the next process takes clients"
+	}
+	return "starting"
+}
+
+func (a *adminEndpoint) drop(conn *admin.Conn) {
+	a.stopTimer(timerAdmin, uint64(conn.ID))
+	a.conns.Remove(conn)
+	a.closeConn(conn.ID)
+}
+
+func (a *adminEndpoint) timerDue(c loop.Conn) {
+	if conn := a.conns.Find(c); conn != nil {
+		a.drop(conn)
+	}
+}
--- /dev/null
+++ b/internal/gateway/attempts.go
@@ -0,0 +1,203 @@
+package gateway
+
+import (
+	"slices"
+	"time"
+
+	"thymebend/internal/balancer"
+	"thymebend/internal/invariant"
+	"thymebend/internal/loop"
+	"thymebend/internal/upstream"
+)
+
+// attemptTable holds the attempts under way and the upstream connections that carry them.
+type attemptTable struct {
+	*core
+	discovery  *discoveryWatch
+	downstream *downstreamConns
+	relays     *relayTable
+	requests   *requestTable
+	shutdown   *shutdown
+	uploads    *uploads
+
+	pool     *upstream.Pool
+	byConn   map[loop.Conn]*attempt
+	byID     map[uint64]*attempt
+	nextID   uint64
+	ended    []attemptEnd    // the balancer has yet to hear of these
+	progress []writeProgress // and of these, before the ends
+}
+
+// reportEnds tells the module the ends that came up while it was busy. What it answers may bring about more.
+func (a *attemptTable) reportEnds() {
+	for _, n := range a.progress {
+		a.notified = true
+		a.balancer.RequestWriting(a.now, n.attempt.request.id, n.attempt.number, n.done)
+	}
+	clear(a.progress)
+	a.progress = a.progress[:0]
+	for i := 0; i < len(a.ended); i++ {
+		a.reportEnd(a.ended[i])
+	}
+	clear(a.ended)
+	a.ended = a.ended[:0]
+}
+
+func (a *attemptTable) reportEnd(p attemptEnd) {
+	req := p.attempt.request
+	outcome, _ := p.reason.outcome()
+	end := balancer.AttemptEnd{Request: req.id, Attempt: p.attempt.number, Endpoint: p.attempt.endpoint, Outcome: outcome,
+		Latency: a.now - p.attempt.began, RequestDone: req.done, BodyConsumed: req.upload != nil && req.upload.consumed}
+	if p.response != nil && a.cfg.Settings.Gateway.Waiting >= 0 {
+		end.Reported, end.QueueLength = p.response.Reported, p.response.QueueLength
+	}
+	a.notified = true
+	a.balancer.AttemptEnded(a.now, end)
+}
+
+// start writes an execution on an idle link to its host, or opens one.
+func (a *attemptTable) start(att *attempt) {
+	if !a.discovery.isReady(att.endpoint) {
+		a.end(att, ReasonEndpointLeft, nil)
+		return
+	}
+	if conn := a.pool.Acquire(att.endpoint); conn != nil {
+		a.stopTimer(timerUpstream, uint64(conn.ID))
+		a.bind(att, conn)
+		a.writeRequest(att, loop.WriteQuiet)
+		return
+	}
+	if a.pool.Full() {
+		oldest := a.pool.Oldest()
+		if oldest == nil {
+			a.end(att, ReasonNoDescriptor, nil)
+			return
+		}
+		a.dropConn(oldest, ReasonIdleTimeout)
+	}
+	conn := a.pool.Open(att.endpoint)
+	a.bind(att, conn)
+	notUp := a.now + a.cfg.Settings.Gateway.ConnectTimeout
+	a.setTimer(timerAttempt, att.id, min(att.deadline, notUp))
+	a.emit(loop.Effect{Op: loop.Dial, Conn: conn.ID, Addr: a.discovery.endpoints.Find(att.endpoint).Addr})
+}
+
+func (a *attemptTable) bind(att *attempt, conn *upstream.Conn) {
+	att.conn = conn
+	a.byConn[conn.ID] = att
+}
+
+// writeRequest writes the query to the host, if it may still be written. Nothing goes to a host that has left meanwhile: see hostsLeft.
+func (a *attemptTable) writeRequest(att *attempt, op loop.Op) {
+	if end, suppress := a.suppressed(att); suppress {
+		a.end(att, end, nil)
+		return
+	}
+	att.conn.Phase = upstream.Writing
+	if req := att.request; req.upload != nil {
+		// The head goes alone: nothing of the body is lost if the link turns out to be dead.
+		a.progress = append(a.progress, writeProgress{attempt: att})
+		a.setTimer(timerAttempt, att.id, a.now+uploadWriteTimeout)
+		a.emit(loop.Effect{Op: op, Conn: att.conn.ID, Data: upstream.AppendHead(nil, req.Message, req.upload.length, a.requests.timeLeft(req))})
+		return
+	}
+	data := upstream.AppendRequest(nil, att.request.Message, att.deadline-a.now)
+	a.emit(loop.Effect{Op: op, Conn: att.conn.ID, Data: data})
+}
+
+func (a *attemptTable) unbind(att *attempt) {
+	delete(a.byConn, att.conn.ID)
+	att.conn = nil
+}
+
+// end ends an execution, with its link if it still has one: a late answer on it must not reach
+// another query. The module is told once it has returned.
+func (a *attemptTable) end(att *attempt, end TerminationReason, answer *upstream.Response) {
+	if conn := att.conn; conn != nil {
+		a.unbind(att)
+		a.dropConn(conn, end)
+	}
+	a.stopTimer(timerAttempt, att.id)
+	delete(a.byID, att.id)
+	req := att.request
+	if outcome, _ := end.outcome(); att.invariantIndex != notWritten {
+		req.invariants.Ended(att.invariantIndex, outcome.NeverRan())
+	}
+	if req.upload != nil {
+		req.upload.attempt, req.upload.writing = nil, false
+	}
+	req.running = slices.DeleteFunc(req.running, func(y *attempt) bool { return y == att })
+	a.requests.release(req)
+	a.stats.countEnd(end)
+	if end != ReasonServed && end != ReasonRejected {
+		a.log.Debug().Uint32("query", uint32(req.id)).Str("id", req.ID).Int("attempt", att.number).Stringer("end", end).
+			Dur("after", a.now-att.began).Msg("execution")
+	}
+	a.ended = append(a.ended, attemptEnd{attempt: att, reason: end, response: answer})
+}
+
+func (a *attemptTable) timerDue(id uint64) {
+	att := a.byID[id]
+	switch {
+	case att == nil:
+	case att.conn.Phase == upstream.Connecting:
+		a.end(att, ReasonConnectTimeout, nil)
+	case att.conn.Phase == upstream.Writing:
+		a.end(att, ReasonResetBeforeSent, nil)
+	default:
+		a.end(att, ReasonResponseTimeout, nil)
+	}
+}
+
+// attempt is one attempt under way.
+type attempt struct {
+	request  *request
+	number   int
+	id       uint64
+	endpoint balancer.EndpointID
+	conn     *upstream.Conn
+	began    time.Duration
+	deadline time.Duration // awaited until then
+	// invariantIndex is its number among the attempts of which something was written, unwritten before.
+	invariantIndex int
+}
+
+// attemptEnd is an end that the module is told once it has returned.
+type attemptEnd struct {
+	attempt  *attempt
+	reason   TerminationReason
+	response *upstream.Response
+}
+
+// writeProgress is news of an upload that the module is told once it has returned, before the ends.
+type writeProgress struct {
+	attempt *attempt
+	done    bool // its last byte is written
+}
+
+// Every effect that a rule of the platform bounds goes through this file, where internal/invariant has the last word: attempts,
+// first and further ones, answers, the time for which a client is waited for, closes of client connections and the end.
+
+// notWritten is the number of an attempt of which nothing was written.
+const notWritten = -1
+
+// suppressed decides whether an attempt may not be written now, and how it ends then. Time has passed since the module decided:
+// its host may have left, its window or its client's time may be over.
+func (a *attemptTable) suppressed(att *attempt) (end TerminationReason, suppress bool) {
+	endpoint := a.discovery.endpoints.Find(att.endpoint)
+	switch {
+	case !a.discovery.isReady(att.endpoint):
+		return ReasonEndpointLeft, true
+	case a.now >= att.deadline:
+		return ReasonConnectTimeout, true
+	case !a.balancer.MayStartAttempt(a.now, att.request.id, att.number):
+		return ReasonDedupWindowOver, true
+	}
+	number, ok := a.invariants.AllowAttempt(&att.request.invariants, invariant.Attempt{Now: a.now, Until: att.deadline,
+		Endpoint: invariant.Endpoint{Zone: endpoint.Zone, Cell: endpoint.Cell, Leaving: !a.discovery.isReady(att.endpoint)}})
+	if !ok {
+		return ReasonRequestOver, true
+	}
+	att.invariantIndex = number
+	return 0, false
+}
--- /dev/null
+++ b/internal/gateway/classes.go
@@ -0,0 +1,75 @@
+package gateway
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"thymebend/internal/balancer"
+	"thymebend/internal/downstream"
+	"thymebend/internal/settings"
+)
+
+// classTable finds the class of a request, also just after the settings have changed it.
+type classTable struct {
+	*core
+	indices  []int                    // of the settings' classes in the balancer
+	previous map[string]previousClass // classes that changed lately, by name
+}
+
+// previousClassTTL is how long requests worded for a class as it was before it changed are still taken.
+const previousClassTTL = 3 * time.Second
+
+// previousClass is a class as it was before the last change of its effect.
+type previousClass struct {
+	class balancer.Class
+	index int
+	until time.Duration
+}
+
+// apply takes new settings that the module has taken, with the places of their classes.
+func (t *classTable) apply(fresh settings.Settings, indices []int) {
+	for _, name := range slices.Sorted(maps.Keys(t.previous)) {
+		if t.now >= t.previous[name].until {
+			delete(t.previous, name)
+		}
+	}
+	for i, old := range t.cfg.Settings.Config.Classes {
+		for _, c := range fresh.Config.Classes {
+			if c.Name == old.Name && c.Idempotency != old.Idempotency {
+				t.previous[c.Name] = previousClass{class: old, index: t.indices[i], until: t.now + previousClassTTL}
+			}
+		}
+	}
+	// Sites keep the numbers that they have: hosts and the module know them by these.
+	fresh.Gateway.Zones = t.cfg.Settings.Gateway.Zones
+	t.cfg.Settings, t.indices = fresh, indices
+	t.stats.countClasses(fresh.Config.Classes)
+}
+
+// find finds the class that a request names, as its method words it. Just after a class has changed its effect,
+// requests worded for the old one still come; the stricter of the two effects holds for them.
+func (t *classTable) find(name, method string) (downstream.Class, bool) {
+	for i, c := range t.cfg.Settings.Config.Classes {
+		if c.Name != name {
+			continue
+		}
+		found := downstream.Class{Name: name, Index: t.indices[i], Method: downstream.MethodOf(c.Idempotency), Class: c}
+		if previous, ok := t.previous[name]; ok && t.now < previous.until && method == downstream.MethodOf(previous.class.Idempotency) && method != found.Method {
+			found.Method = method
+			if previous.class.Idempotency > c.Idempotency {
+				found.Index, found.Class = previous.index, previous.class
+			}
+		}
+		return found, true
+	}
+	return downstream.Class{}, false
+}
+
+// begin takes the classes of the first settings.
+func (t *classTable) begin() {
+	for i := range t.cfg.Settings.Config.Classes {
+		t.indices = append(t.indices, i)
+	}
+	t.stats.countClasses(t.cfg.Settings.Config.Classes)
+}
--- /dev/null
+++ b/internal/gateway/cluster.go
@@ -0,0 +1,172 @@
+package gateway
+
+import (
+	"time"
+
+	"thymebend/internal/admin"
+	"thymebend/internal/gossipconfig"
+	"thymebend/internal/loop"
+	"thymebend/internal/membership"
+)
+
+// cluster is this process's membership in the cluster of gateways, where a gossip file asks for it: the reducer of
+// internal/membership on a datagram socket. Without the file there is no socket, no timer and no membership.
+type cluster struct {
+	*core
+	assignment *subsetAssignment
+	shutdown   *shutdown
+
+	membership    *membership.Membership // nil while another process of this gateway speaks
+	socketOpen    bool
+	joined        int    // how often a membership was begun
+	startID       uint64 // identity that was handed over, or this process's own
+	incarnation   uint64 // to begin with
+	loggedAt      time.Duration
+	loggedVersion uint64 // version of the view in the last log line
+}
+
+// The fleet's view, where a fleet file asks for it: the reducer of internal/membership on a datagram socket. Without the file
+// there is no socket, no timer and no view.
+
+// socketRetryInterval is how soon a socket that failed is opened again; fleetLog bounds the lines about the view.
+const (
+	socketRetryInterval = time.Second
+	viewLogInterval     = time.Second
+)
+
+// join begins to speak, once this process takes clients: at an upgrade under the elder's identity.
+func (c *cluster) join() {
+	if c.cfg.Gossip == nil || c.membership != nil || c.shutdown.stopping() {
+		return
+	}
+	f := c.cfg.Gossip
+	if c.startID == 0 {
+		c.startID = uint64(c.now.Milliseconds())
+	}
+	c.assignment.begin()
+	payload := c.assignment.initialPayload()
+	view, err := membership.New(membership.Config{Cluster: f.Cluster, Name: f.Name, Start: c.startID, Incarnation: c.incarnation, SeedPeers: f.SeedPeers,
+		Flat: f.Flat, Payload: payload, Seed: c.cfg.Seed}, c.now)
+	if err != nil {
+		c.log.Error().Err(err).Msg("fleet: not joined")
+		c.assignment.state = nil
+		return
+	}
+	c.membership = view
+	c.joined++
+	c.openSocket()
+}
+
+func (c *cluster) openSocket() {
+	c.emit(loop.Effect{Op: loop.Bind, Conn: loop.Gossip, Addr: c.cfg.Gossip.Listen, Urgent: true})
+}
+
+// quit falls silent, for the next process speaks under this one's identity, or after telling that this gateway leaves.
+func (c *cluster) quit(leave bool) {
+	v := c.membership
+	if v == nil {
+		return
+	}
+	if leave {
+		v.Leave(c.now)
+		c.flush()
+	}
+	c.startID, c.incarnation = v.Identity()
+	c.membership, c.socketOpen = nil, false
+	c.assignment.state = nil // its hosts stay in use, its turns at cold ones are others' or nobody's from now on
+	c.stopTimer(timerCluster, 0)
+	c.closeConn(loop.Gossip)
+}
+
+func (c *cluster) handleEvent(e loop.Event) {
+	switch {
+	case c.membership == nil:
+	case e.Kind == loop.Listening:
+		c.socketOpen = true
+		c.log.Info().Str("fleet", c.cfg.Gossip.Cluster).Stringer("listen", c.cfg.Gossip.Listen).Msg("fleet: joining")
+		c.timerDue()
+	case e.Kind == loop.Readable:
+		c.emit(loop.Effect{Op: loop.Read, Conn: loop.Gossip})
+	case e.Kind == loop.Data:
+		c.membership.Receive(c.now, e.From, e.Data)
+		c.flush()
+	case e.Kind == loop.Broken:
+		c.socketOpen = false
+		c.log.Error().Err(e.Err).Msg("fleet: no socket")
+		c.setTimer(timerCluster, 0, c.now+socketRetryInterval)
+	}
+}
+
+// timerDue is the view's time, or that to open its socket again.
+func (c *cluster) timerDue() {
+	switch {
+	case c.membership == nil:
+	case !c.socketOpen:
+		c.openSocket()
+	default:
+		c.membership.Advance(c.now)
+		c.flush()
+	}
+}
+
+// flush sends what the view wants sent, and has it looked at when it wants.
+func (c *cluster) flush() {
+	v := c.membership
+	for _, d := range v.Take() {
+		c.emit(loop.Effect{Op: loop.SendTo, Conn: loop.Gossip, Addr: d.To, Data: d.Data})
+	}
+	c.setTimer(timerCluster, 0, v.NextWake())
+	if c.now-c.loggedAt < viewLogInterval {
+		return
+	}
+	if st := v.Status(c.now); st.Version != c.loggedVersion {
+		c.loggedAt, c.loggedVersion = c.now, st.Version
+		c.log.Info().Int("alive", st.Alive).Int("known", st.Known).Bool("majority", st.Majority).Bool("twin", st.DuplicateName).
+			Int("health", st.LocalHealth).Msg("fleet: the view has changed")
+	}
+}
+
+// reload takes a new book. A faulty file changes nothing; what else the file says holds from the next start.
+func (c *cluster) reload(raw []byte, err error) {
+	var f *gossipconfig.Config
+	if err == nil {
+		f, err = gossipconfig.Parse(c.cfg.GossipPath, raw, c.cfg.Name)
+	}
+	if err == nil && c.membership != nil {
+		err = c.membership.SetSeedPeers(c.now, f.SeedPeers)
+	}
+	if err != nil {
+		c.log.Error().Err(err).Msg("reload: fleet file refused, the book stays as it was")
+		return
+	}
+	c.cfg.Gossip.SeedPeers = f.SeedPeers
+	if c.assignment.state != nil {
+		c.assignment.updateConfigHash()
+	}
+	c.log.Info().Int("peers", len(f.SeedPeers)).Msg("reload: fleet")
+}
+
+// report are what operators read of the fleet.
+func (c *cluster) report() admin.Cluster {
+	out := admin.Cluster{Cluster: c.cfg.Gossip.Cluster, Name: c.cfg.Gossip.Name, Joined: c.joined, Members: []admin.Member{}}
+	v := c.membership
+	if v == nil {
+		return out
+	}
+	out.Assignment = c.assignment.report()
+	st, counts := v.Status(c.now), v.Counts()
+	out.Active, out.Settled, out.Majority, out.DuplicateName = c.socketOpen, st.Settled, st.Majority, st.DuplicateName
+	out.Alive, out.Known, out.Answering, out.Health, out.QuietMS = st.Alive, st.Known, st.Answering, st.LocalHealth, st.Isolated.Milliseconds()
+	out.Sent, out.SentBytes, out.Received, out.ReceivedBytes = counts.Sent, counts.SentBytes, counts.Received, counts.ReceivedBytes
+	out.Refused = map[string]uint64{"foreign": counts.OtherCluster, "spoilt": counts.Malformed, "strange": counts.UnknownSender, "over_rate": counts.Deferred, "over_size": counts.Full}
+	for _, m := range v.Members() {
+		fm := admin.Member{Name: m.Name, State: m.State.String(), Start: m.Start, Incarnation: m.Incarnation,
+			SinceMS: (c.now - m.Since).Milliseconds(), Previous: m.Previous.String(), SuspectedBy: m.SuspectedBy,
+			RTTMS: float64(m.RTT.Microseconds()) / 1000}
+		if m.Addr.IsValid() {
+			fm.Addr = m.Addr.String()
+		}
+		out.Members = append(out.Members, fm)
+	}
+	return out
+}
--- /dev/null
+++ b/internal/gateway/core.go
@@ -0,0 +1,68 @@
+package gateway
+
+import (
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"thymebend/internal/balancer"
+	"thymebend/internal/config"
+	"thymebend/internal/http1"
+	"thymebend/internal/invariant"
+	"thymebend/internal/loop"
+)
+
+// core is what all state machines of a gateway share: its configuration, the time of the event under way, the balancer
+// and the effects collected so far.
+type core struct {
+	cfg        config.Config
+	log        zerolog.Logger
+	balancer   *balancer.Balancer
+	now        time.Duration
+	effects    []loop.Effect
+	notified   bool // the balancer heard of something since its last Dispatch
+	invariants invariant.Checker
+	stats      statistics
+}
+
+// pauseListener stops looking at a listening socket of few callers for a moment. Guards against spinning while a
+// connection waits for which there is no descriptor.
+func (c *core) pauseListener(conn loop.Conn) {
+	c.emit(loop.Effect{Op: loop.Mute, Conn: conn})
+	c.setTimer(timerListenerPause, uint64(conn), c.now+acceptPauseDuration)
+}
+
+func (c *core) emit(f loop.Effect) { c.effects = append(c.effects, f) }
+
+func (c *core) closeConn(conn loop.Conn) { c.emit(loop.Effect{Op: loop.Close, Conn: conn}) }
+
+func (c *core) write(conn loop.Conn, data []byte) {
+	c.emit(loop.Effect{Op: loop.Write, Conn: conn, Data: data})
+}
+
+func (c *core) setTimer(kind uint8, id uint64, at time.Duration) {
+	c.emit(loop.Effect{Op: loop.SetTimer, Timer: loop.Timer{Kind: kind, ID: id}, At: at})
+}
+
+func (c *core) stopTimer(kind uint8, id uint64) {
+	c.emit(loop.Effect{Op: loop.StopTimer, Timer: loop.Timer{Kind: kind, ID: id}})
+}
+
+// discoveryPushed reports whether lists come unasked.
+func (c *core) discoveryPushed() bool { return !c.cfg.Settings.Config.PollDiscovery }
+
+// longestDeadline is the longest deadline of the classes.
+func (c *core) longestDeadline() (longest time.Duration) {
+	for _, class := range c.cfg.Settings.Config.Classes {
+		longest = max(longest, class.Deadline)
+	}
+	return longest
+}
+
+// framed words a piece of a body. The bytes are valid until the next Step.
+func (c *core) framed(piece []byte, chunks, last bool) []byte {
+	if !chunks {
+		return piece
+	}
+	return http1.AppendChunk(nil, piece, last)
+}
--- /dev/null
+++ b/internal/gateway/discovery_updates.go
@@ -0,0 +1,137 @@
+package gateway
+
+import (
+	"time"
+
+	"thymebend/internal/balancer"
+	"thymebend/internal/discovery"
+)
+
+// handleData applies whole lines. The first line answers the call even if it is a mere beat. Lines that came whole beside a fault
+// count as told: those before it are applied, and of those after it the departures.
+func (d *discoveryWatch) handleData(w *discovery.Watch, data []byte) {
+	first := !w.Started()
+	lines, ended, malformed := w.Feed(d.now, data)
+	faulty := false
+	for _, line := range lines {
+		if faulty {
+			d.applyRemovals(d.endpoints.Removals(line))
+			continue
+		}
+		if d.isStale(w, line) {
+			return
+		}
+		if len(line) == 0 && !first {
+			continue
+		}
+		if err := d.applyLine(w, line, first); err != nil {
+			malformed, faulty = err, true
+			continue
+		}
+		first = false
+	}
+	switch {
+	case malformed != nil:
+		d.watchEnded(w, ReasonMalformedUpdate, malformed)
+	case ended:
+		d.watchEnded(w, ReasonWatchBroken, nil)
+	case w != d.unanswered: // one that keeps its place has the time set by callUnanswered
+		d.setTimer(timerWatch, uint64(w.Conn), w.Deadline())
+	}
+}
+
+// applyLine takes one line of a watch. Of a faulty object it takes who leaves.
+func (d *discoveryWatch) applyLine(w *discovery.Watch, line []byte, first bool) error {
+	var update discovery.Update
+	switch {
+	case len(line) == 0 || d.staleSince != 0:
+	case w != d.current && d.endpoints.Outdated(w, line):
+		update = d.endpoints.Removals(line) // what the standing watch has told since must not be taken back
+	default:
+		var err error
+		if update, err = d.endpoints.Apply(line); err != nil {
+			d.applyRemovals(update)
+			return err
+		}
+	}
+	if first {
+		d.answered(w)
+	}
+	kind := balancer.Delta
+	if update.Snapshot {
+		kind = balancer.Snapshot
+	}
+	d.attempts.endpointsChanged(update.Changed)
+	if d.assignment.state != nil {
+		d.assignment.state.endpointsChanged = true
+	}
+	d.notified = true
+	d.notifyBalancer(kind, update.Entries)
+	return nil
+}
+
+// notifyBalancer tells the module news of the list, with starts on this process's clock.
+func (d *discoveryWatch) notifyBalancer(kind balancer.EndpointUpdate, entries []balancer.Endpoint) {
+	d.startTimes.Adjust(d.now, kind, entries)
+	d.balancer.UpdateEndpoints(d.now, kind, entries)
+}
+
+// Where lists are pushed, discovery's address is that of an agent on this machine, which has what it was sent and
+// answers at no cost. The module asks for nothing there, so the gateway itself watches the agent, from its start on.
+// What the agent has counts as told, whether this gateway has heard it or not.
+
+// staleAgentTimeout is how long the agent may have an older list than this gateway before its numbers are taken to have begun
+// anew: several times what a change takes to come. An agent that was restarted has old news until it is sent the rest.
+const staleAgentTimeout = 30 * time.Second
+
+// isStale looks at a line of the agent for one that is older than what this gateway has: such a line would bring back
+// hosts that are known to drain or to be gone, so only those leave by it that have not started anew since. It reports whether the numbers are taken to have
+// begun anew instead: then the watch has ended, and the whole list is asked for.
+func (d *discoveryWatch) isStale(w *discovery.Watch, line []byte) bool {
+	if !d.discoveryPushed() {
+		d.staleSince = 0
+		return false
+	}
+	if len(line) > 0 {
+		older, err := d.endpoints.Older(line)
+		if err != nil || !older {
+			d.staleSince = 0 // a faulty line is found out where it is applied
+			return false
+		}
+		if d.staleSince == 0 {
+			d.log.Warn().Stringer("discovery", w.Addr).Msg("the agent has an older list, passed over")
+			d.staleSince = d.now
+		}
+		d.applyRemovals(d.endpoints.Removals(line))
+	}
+	if d.staleSince == 0 || d.now-d.staleSince < staleAgentTimeout {
+		return false
+	}
+	d.log.Warn().Stringer("discovery", w.Addr).Dur("for", d.now-d.staleSince).Msg("the agent's numbers began anew")
+	d.staleSince = 0
+	d.endpoints.Renumber()
+	d.watchEnded(w, ReasonWatchReplaced, nil)
+	return true
+}
+
+// applyRemovals has hosts leave of which a line says so that is not taken otherwise: what the agent has counts as told.
+func (d *discoveryWatch) applyRemovals(update discovery.Update) {
+	if len(update.Entries) > 0 {
+		d.attempts.endpointsChanged(update.Changed)
+		d.notified = true
+		d.notifyBalancer(balancer.Delta, update.Entries)
+	}
+}
+
+// takeCached gives the balancer the list that this gateway last had, from its configuration.
+func (d *discoveryWatch) takeCached() {
+	if len(d.cfg.CachedEndpoints) == 0 {
+		d.balancer.UpdateEndpoints(d.now, balancer.CachedSnapshot, nil)
+		return
+	}
+	update, err := d.endpoints.Apply(d.cfg.CachedEndpoints)
+	if err != nil {
+		d.log.Error().Err(err).Msg("the known list is not usable")
+	}
+	d.notifyBalancer(balancer.CachedSnapshot, update.Entries)
+}
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -13,9 +13,9 @@
 func TestAnEldersOlderListIsPassedOver(t *testing.T) {
 	for seq, want := range map[int]int{8: 1, 9: 2, 10: 2} {
 		r := newRig(t, "subscribe", object(9, true, entry(1, "up", 0)))
-		r.g.inherit(stateMessage(object(seq, true, entry(1, "up", 0), entry(2, "up", 0))))
-		if r.g.group.Len() != want {
-			t.Errorf("an elder's list of version %d: %d hosts, want %d", seq, r.g.group.Len(), want)
+		r.g.restart.inherit(stateMessage(object(seq, true, entry(1, "up", 0), entry(2, "up", 0))))
+		if r.g.discovery.endpoints.Len() != want {
+			t.Errorf("an elder's list of version %d: %d hosts, want %d", seq, r.g.discovery.endpoints.Len(), want)
 		}
 	}
 }
@@ -30,13 +30,13 @@
 			entries[i] = strings.Replace(entry(i+1, "up", 1_700_000_000_000), "s-", long, 1)
 		}
 		r := newRig(t, "subscribe", object(1, true, entries...))
-		learned := r.g.module.State(r.now)
+		learned := r.g.balancer.State(r.now)
 		for i := range learned.Endpoints {
 			s := &learned.Endpoints[i]
 			s.Limit, s.Gain, s.UncrowdedMS, s.ServiceMS, s.FailureRate, s.SlowStartTokens = math.Pi, math.Pi, math.Pi, math.Pi, 1/math.Pi, -math.Pi
 			s.Answers, s.Ejections, s.ProbeIn = 1<<40, 1<<20, 1<<40
 		}
-		m := stateMessage(string(r.g.group.Encode()))
+		m := stateMessage(string(r.g.discovery.endpoints.Encode()))
 		m.Balancer = &learned
 		words, err := m.Encode()
 		if err != nil {
@@ -44,9 +44,9 @@
 		}
 		t.Logf("%d hosts: %d bytes", hosts, len(words))
 		next := newRig(t, "subscribe", `{"seq":0,"whole":true,"hosts":[]}`)
-		next.g.inherit(m)
-		if next.g.group.Len() != hosts {
-			t.Errorf("the newcomer has %d hosts of %d", next.g.group.Len(), hosts)
+		next.g.restart.inherit(m)
+		if next.g.discovery.endpoints.Len() != hosts {
+			t.Errorf("the newcomer has %d hosts of %d", next.g.discovery.endpoints.Len(), hosts)
 		}
 	}
 }
@@ -54,10 +54,10 @@
 // What is too long to be handed over is logged with its size, and the elder goes on alone.
 func TestTooMuchToHandOver(t *testing.T) {
 	r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
-	r.g.heir = &hotrestart.Conn{ID: 5}
+	r.g.restart.successor = &hotrestart.Conn{ID: 5}
 	m := stateMessage(`"` + strings.Repeat("x", 17<<20) + `"`)
-	r.g.say(r.g.heir, m, nil)
-	if r.g.heir != nil || !strings.Contains(r.log.String(), "a hand-over message of 17") {
+	r.g.restart.send(r.g.restart.successor, m, nil)
+	if r.g.restart.successor != nil || !strings.Contains(r.log.String(), "a hand-over message of 17") {
 		t.Errorf("the log is %.300s", r.log.String())
 	}
 }
--- /dev/null
+++ b/internal/gateway/hotrestart.go
@@ -0,0 +1,97 @@
+package gateway
+
+import (
+	"thymebend/internal/hotrestart"
+	"thymebend/internal/loop"
+)
+
+// handoverPhase is how far the successor of this process has come.
+type handoverPhase uint8
+
+const (
+	notHandedOver   handoverPhase = iota
+	listenerPassed                // it has the listening socket
+	successorServes               // it takes clients: this one accepts none
+)
+
+// hotRestart passes the listener, what was learned and the idle downstream connections from one process of this gateway
+// to the next. This process may be both: successor of the one before and predecessor of the one after.
+type hotRestart struct {
+	*core
+	attempts   *attemptTable
+	cluster    *cluster
+	discovery  *discoveryWatch
+	downstream *downstreamConns
+	listener   *listener
+	shutdown   *shutdown
+
+	predecessor            *hotrestart.Conn // the process that served before, while it lives
+	predecessorDescriptors int              // that it needs
+	successor              *hotrestart.Conn // the process that comes next
+	handover               handoverPhase    // to it
+	idlePending            bool             // a downstream connection may have become idle since the last were passed
+	passing                []loop.Conn      // passed and not yet acknowledged
+	reportedDescriptors    int              // what the successor was told last
+	heapBytes              int64
+}
+
+// send sends a message, with sockets beside it.
+func (h *hotRestart) send(conn *hotrestart.Conn, m hotrestart.Message, give []loop.Conn) {
+	m.Passed = len(give)
+	data, err := m.Encode()
+	if err != nil {
+		h.log.Error().Err(err).Msg("hand-over")
+		if conn == h.successor {
+			h.loseSuccessor("a message cannot be worded")
+		}
+		return
+	}
+	op := loop.Write
+	if len(give) > 0 {
+		op = loop.Pass
+	}
+	h.emit(loop.Effect{Op: op, Conn: conn.ID, Data: data, Give: give})
+}
+
+// receive takes the news of the link to the other process, until it is lost.
+func (h *hotRestart) receive(link **hotrestart.Conn, e loop.Event, says func(hotrestart.Message), lose func(why string)) {
+	switch e.Kind {
+	case loop.Readable:
+		h.emit(loop.Effect{Op: loop.Read, Conn: e.Conn})
+	case loop.Data:
+		(*link).Feed(e.Data, e.Passed)
+		for *link != nil {
+			m, whole, err := (*link).Next()
+			if err != nil {
+				lose(err.Error())
+				return
+			}
+			if !whole {
+				return
+			}
+			says(m)
+		}
+	case loop.EOF:
+		lose("it has ended")
+	case loop.Broken:
+		lose(e.Err.Error())
+	}
+}
+
+// ---- what both share ------------------------------------------------------------------------------------
+
+// handedOver reports whether the successor takes the clients.
+func (h *hotRestart) handedOver() bool { return h.handover == successorServes }
+
+// alone reports whether this is the only process of its gateway. While there are two, no link at rest is closed that
+// could stay: what is gained would be lost to clients who come back in the middle of the upgrade.
+func (h *hotRestart) alone() bool { return h.successor == nil && h.predecessor == nil }
+
+func (h *hotRestart) timerDue(kind uint8) {
+	switch {
+	case kind == timerPredecessor && h.predecessor != nil:
+		h.losePredecessor("it does not answer")
+	case kind == timerSuccessor && h.successor != nil:
+		h.loseSuccessor("it does not answer")
+	}
+}
--- /dev/null
+++ b/internal/gateway/hotrestart_successor.go
@@ -0,0 +1,103 @@
+package gateway
+
+import (
+	"time"
+
+	"thymebend/internal/balancer"
+	"thymebend/internal/downstream"
+	"thymebend/internal/hotrestart"
+	"thymebend/internal/loop"
+)
+
+// begin asks for what a process of this gateway that serves already has to give.
+func (h *hotRestart) begin() {
+	if h.cfg.HotRestartDir == "" {
+		h.listener.open()
+		return
+	}
+	h.predecessor = &hotrestart.Conn{ID: h.attempts.pool.NextID()}
+	h.setTimer(timerPredecessor, 0, h.now+hotrestart.AnswerTimeout)
+	h.emit(loop.Effect{Op: loop.Dial, Conn: h.predecessor.ID, Path: h.cfg.HotRestartDir, Urgent: true})
+}
+
+// ---- the newcomer's side --------------------------------------------------------------------------------
+
+func (h *hotRestart) predecessorEvent(e loop.Event) {
+	if e.Kind == loop.Connected {
+		h.send(h.predecessor, hotrestart.Message{Kind: hotrestart.Hello, Listen: h.cfg.Listen.String()}, nil)
+		return
+	}
+	h.receive(&h.predecessor, e, h.fromPredecessor, h.losePredecessor)
+}
+
+func (h *hotRestart) fromPredecessor(m hotrestart.Message) {
+	switch m.Kind {
+	case hotrestart.State:
+		h.stopTimer(timerPredecessor, 0)
+		h.inherit(m)
+		h.emit(loop.Effect{Op: loop.Adopt, Conn: m.Conns[0], As: loop.Listener})
+	case hotrestart.PassConns:
+		for i, c := range m.Conns {
+			idleConn := m.Idle[i]
+			idle := time.Duration(idleConn.IdleMS) * time.Millisecond
+			conn := h.downstream.conns.Add(c, h.now-idle)
+			conn.HasRequested, conn.Requests = idleConn.HasRequested, idleConn.Requests
+			h.downstream.conns.Place(conn)
+			left := downstream.IdleTimeout - idle
+			if !conn.HasRequested {
+				left = downstream.RequestReadTimeout - idle
+			}
+			h.downstream.setDeadline(conn, h.now+max(left, 0))
+			h.emit(loop.Effect{Op: loop.Unmute, Conn: c})
+		}
+		h.predecessorDescriptors = m.Descriptors
+		h.resize()
+		h.send(h.predecessor, hotrestart.Message{Kind: hotrestart.Acknowledge}, nil)
+	default:
+		h.losePredecessor("it says " + string(m.Kind) + ": " + m.Reason)
+	}
+}
+
+// inherit takes what the elder knows. Its list gives way to what discovery has told this process meanwhile.
+func (h *hotRestart) inherit(m hotrestart.Message) {
+	if len(m.List) > 0 && (h.discovery.current == nil || !h.discovery.current.Started()) {
+		h.inheritEndpoints(m.List)
+	}
+	if m.Balancer != nil {
+		h.balancer.Restore(h.now, *m.Balancer)
+	}
+	h.notified = true
+	h.cluster.startID, h.cluster.incarnation = m.FleetStart, m.FleetIncarnation
+	h.predecessorDescriptors = m.Descriptors
+	h.resize()
+}
+
+// inheritEndpoints takes the elder's list unless it is older than this process's own: the call under way asks for what changed
+// since that, and what changed before it would never be told.
+func (h *hotRestart) inheritEndpoints(list []byte) {
+	if older, err := h.discovery.endpoints.Older(list); err == nil && older {
+		return
+	}
+	update, err := h.discovery.endpoints.Apply(list)
+	if err != nil {
+		h.log.Error().Err(err).Msg("the elder's list is not usable")
+		return
+	}
+	h.attempts.endpointsChanged(update.Changed)
+	h.discovery.notifyBalancer(balancer.CachedSnapshot, update.Entries)
+}
+
+// losePredecessor ends what is between this process and its elder: the elder has gone, or cannot hand over.
+func (h *hotRestart) losePredecessor(why string) {
+	h.log.Info().Str("why", why).Bool("taking_clients", h.listener.phase != notListening).Msg("no elder process")
+	h.stopTimer(timerPredecessor, 0)
+	for _, c := range h.predecessor.Unclaimed() {
+		h.closeConn(c)
+	}
+	h.closeConn(h.predecessor.ID)
+	h.predecessor, h.predecessorDescriptors = nil, 0
+	h.resize()
+	if h.listener.phase == notListening && !h.shutdown.stopping() {
+		h.listener.open()
+	}
+}
--- /dev/null
+++ b/internal/gateway/loadreports.go
@@ -0,0 +1,61 @@
+package gateway
+
+import (
+	"thymebend/internal/gossipcodec"
+	"thymebend/internal/loadreport"
+	"thymebend/internal/membership"
+)
+
+// initialPayload are what a view is begun with: the zone, and the mark of the file.
+func (s *subsetAssignment) initialPayload() []byte {
+	report := loadreport.Report{Zone: s.cfg.Settings.Config.Zone, Demand: -1}
+	if s.state == nil {
+		return loadreport.Append(nil, report)
+	}
+	report.Known, report.ConfigHash = true, s.state.configHash
+	payload, _ := s.state.reporter.Next(s.now, report, 1)
+	return payload
+}
+
+// reportLoad spreads what this gateway has to tell of itself, if that has changed.
+func (s *subsetAssignment) reportLoad() {
+	signals, st := s.balancer.LoadReport(s.now), s.cluster.membership.Status(s.now)
+	report := loadreport.Report{Zone: s.cfg.Settings.Config.Zone, Known: true, Demand: signals.Demand, Rejected: signals.Rejected, FreeCapacity: signals.FreeCapacity,
+		LocalHealth: st.LocalHealth, ConfigHash: s.state.configHash}
+	if !signals.Known {
+		report.Demand = -1
+	}
+	var ejected []uint64
+	for _, id := range signals.Ejected {
+		ejected = append(ejected, uint64(id))
+	}
+	report.Ejected = loadreport.EndpointHashes(ejected)
+	payload, due := s.state.reporter.Next(s.now, report, st.Alive)
+	if !due {
+		return
+	}
+	if err := s.cluster.membership.SetPayload(s.now, payload); err != nil {
+		s.log.Error().Err(err).Msg("shares: nothing told")
+		return
+	}
+	s.setTimer(timerCluster, 0, s.cluster.membership.NextWake())
+}
+
+// peerReports reads what each member tells, and which hosts several others found bad. What cannot be read counts as nothing told.
+func (s *subsetAssignment) peerReports(members []membership.Member) (reports []loadreport.PeerReport, suspected map[uint32]bool) {
+	var others []loadreport.PeerReport
+	for _, m := range members {
+		w := loadreport.PeerReport{}
+		if report, err := loadreport.Parse(m.Payload); err == nil {
+			w.Report = report
+		}
+		if m.State != gossipcodec.Alive {
+			w.Silent = max(1, s.now-m.Since)
+		}
+		reports = append(reports, w)
+		if m.Name != s.cfg.Gossip.Name {
+			others = append(others, w)
+		}
+	}
+	return reports, loadreport.SuspectedByPeers(others)
+}
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -77,11 +77,11 @@
 			c.event.Conn = host
 			r.step(c.event)
 			got := r.takes(client)
-			if whole := got == size && r.g.links.ByConn[client] != nil; whole != c.whole {
+			if whole := got == size && r.g.downstream.conns.ByConn[client] != nil; whole != c.whole {
 				t.Errorf("%d of %d bytes, whole %v, want %v", got, size, whole, c.whole)
 			}
-			if r.g.ahead != 0 || len(r.g.relays) != 0 {
-				t.Errorf("%d bytes still count as read ahead, %d relays", r.g.ahead, len(r.g.relays))
+			if r.g.relays.buffered != 0 || len(r.g.relays.byConn) != 0 {
+				t.Errorf("%d bytes still count as read ahead, %d relays", r.g.relays.buffered, len(r.g.relays.byConn))
 			}
 		})
 	}
@@ -92,11 +92,11 @@
 	r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
 	for range 30 {
 		_, _, unread := r.largeAnswer("Content-Length: 4000000", 4_000_000)
-		if read := 4_000_000 - unread; read > mostAhead+3*loop.ReadSize {
+		if read := 4_000_000 - unread; read > maxRelayBuffer+3*loop.ReadSize {
 			t.Fatalf("%d bytes of one answer were read", read)
 		}
-		if r.g.ahead > mostAheadOfAll+loop.ReadSize {
-			t.Fatalf("%d bytes are read ahead", r.g.ahead)
+		if r.g.relays.buffered > maxTotalRelayBuffer+loop.ReadSize {
+			t.Fatalf("%d bytes are read ahead", r.g.relays.buffered)
 		}
 	}
 }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -1,90 +1,66 @@
 package gateway
 
-import (
-	"maps"
-	"slices"
-	"time"
+import "thymebend/internal/loop"
 
-	"thymebend/internal/balancer"
-	"thymebend/internal/downstream"
-	"thymebend/internal/loop"
-	"thymebend/internal/settings"
-)
+// reloader takes changed files while the gateway runs.
+type reloader struct {
+	*core
+	classes   *classTable
+	cluster   *cluster
+	discovery *discoveryWatch
 
-// formerFor is how long requests worded for a class as it was before it changed are still taken.
-const formerFor = 3 * time.Second
-
-// formerly is a class as it was before the last change of its effect.
-type formerly struct {
-	class balancer.Class
-	place int
-	until time.Duration
+	pending []string // files asked for and not yet read
 }
 
-// readFiles asks for the files that a reload takes anew. They come in the order in which they were asked for.
-func (g *Gateway) readFiles() {
-	paths := []string{g.cfg.Path}
-	if g.cfg.GossipPath != "" {
-		paths = append(paths, g.cfg.GossipPath)
+// apply takes the configuration's new text: where discovery is and the settings; the rest is fixed at the start. A
+// faulty file changes nothing: the program is worth more running as before.
+func (r *reloader) apply(raw []byte, err error) {
+	fresh := r.cfg
+	if err == nil {
+		fresh, err = r.cfg.Reload(raw)
 	}
-	for _, path := range paths {
-		g.reading = append(g.reading, path)
-		g.ask(loop.Effect{Op: loop.ReadFile, Path: path})
+	var indices []int
+	if err == nil {
+		indices, err = r.balancer.Reload(r.now, fresh.Settings.Config)
 	}
-}
-
-func (g *Gateway) fileRead(e loop.Event) {
-	path := g.reading[0]
-	if g.reading = g.reading[1:]; path == g.cfg.GossipPath {
-		g.reloadFleet(e.Data, e.Err)
+	if err != nil {
+		r.stats.configsRejected++
+		r.log.Error().Err(err).Msg("reload: configuration refused, all stays as it was")
 		return
 	}
-	g.reload(e.Data, e.Err)
-}
-
-// retune takes new settings that the module has taken, with the places of their classes.
-func (g *Gateway) retune(fresh settings.Settings, places []int) {
-	for _, name := range slices.Sorted(maps.Keys(g.former)) {
-		if g.now >= g.former[name].until {
-			delete(g.former, name)
-		}
+	r.stats.configsAccepted++
+	r.notified = true
+	r.classes.apply(fresh.Settings, indices)
+	r.log.Info().Stringer("discovery", fresh.Discovery).Int("classes", len(indices)).Msg("reload")
+	if r.cfg.Discovery == fresh.Discovery && (!r.discoveryPushed() || r.discovery.current != nil) {
+		return
 	}
-	for i, old := range g.cfg.Settings.Config.Classes {
-		for _, c := range fresh.Config.Classes {
-			if c.Name == old.Name && c.Idempotency != old.Idempotency {
-				g.former[c.Name] = formerly{class: old, place: g.places[i], until: g.now + formerFor}
-			}
-		}
+	r.cfg.Discovery = fresh.Discovery
+	r.discovery.backoff.Succeeded()
+	r.discovery.pollNotBefore = 0 // another address asked for that
+	if r.discovery.unanswered != nil {
+		r.discovery.drop(r.discovery.unanswered, ReasonWatchReplaced, nil)
 	}
-	// Sites keep the numbers that they have: hosts and the module know them by these.
-	fresh.Gateway.Zones = g.cfg.Settings.Gateway.Zones
-	g.cfg.Settings, g.places = fresh, places
-	g.countClasses()
+	r.discovery.redial()
 }
 
-// longest is the longest deadline of the classes.
-func (g *Gateway) longest() (longest time.Duration) {
-	for _, c := range g.cfg.Settings.Config.Classes {
-		longest = max(longest, c.Deadline)
+// begin asks for the files that a reload takes anew. They come in the order in which they were asked for.
+func (r *reloader) begin() {
+	paths := []string{r.cfg.Path}
+	if r.cfg.GossipPath != "" {
+		paths = append(paths, r.cfg.GossipPath)
+	}
+	for _, path := range paths {
+		r.pending = append(r.pending, path)
+		r.emit(loop.Effect{Op: loop.ReadFile, Path: path})
 	}
-	return longest
 }
 
-// classOf finds the class that a request names, as its method words it. Just after a class has changed its effect,
-// requests worded for the old one still come; the stricter of the two effects holds for them.
-func (g *Gateway) classOf(name, method string) (downstream.Class, bool) {
-	for i, c := range g.cfg.Settings.Config.Classes {
-		if c.Name != name {
-			continue
-		}
-		found := downstream.Class{Name: name, Index: g.places[i], Method: downstream.MethodOf(c.Idempotency), Class: c}
-		if f, ok := g.former[name]; ok && g.now < f.until && method == downstream.MethodOf(f.class.Idempotency) && method != found.Method {
-			found.Method = method
-			if f.class.Idempotency > c.Idempotency {
-				found.Index, found.Class = f.place, f.class
-			}
-		}
-		return found, true
+func (r *reloader) fileRead(e loop.Event) {
+	path := r.pending[0]
+	if r.pending = r.pending[1:]; path == r.cfg.GossipPath {
+		r.cluster.reload(e.Data, e.Err)
+		return
 	}
-	return downstream.Class{}, false
+	r.apply(e.Data, e.Err)
 }
--- /dev/null
+++ b/internal/gateway/requests.go
@@ -0,0 +1,86 @@
+package gateway
+
+import (
+	"time"
+
+	"thymebend/internal/balancer"
+	"thymebend/internal/downstream"
+	"thymebend/internal/invariant"
+	"thymebend/internal/loop"
+)
+
+// requestTable holds the requests that this gateway has taken.
+type requestTable struct {
+	*core
+	attempts   *attemptTable
+	downstream *downstreamConns
+
+	byID    map[balancer.RequestID]*request
+	openIDs map[string]bool // the clients' ids of the requests that await their answer
+	nextID  balancer.RequestID
+}
+
+// finish concludes a query and returns the link on which its answer goes out, if the client is still there.
+func (t *requestTable) finish(id balancer.RequestID, r outcome) (*request, *downstream.Conn) {
+	req := t.byID[id]
+	if req == nil || req.done || !t.invariants.AllowAnswer(&req.invariants) {
+		return nil, nil
+	}
+	req.done = true
+	delete(t.openIDs, req.ID)
+	t.stats.countResult(req.Class.Name, r)
+	t.logAnswered(req, r)
+	t.release(req)
+	return req, t.downstream.conns.ByConn[req.client]
+}
+
+// release drops a query once nothing refers to it.
+func (t *requestTable) release(req *request) {
+	if req.done && len(req.running) == 0 {
+		delete(t.byID, req.id)
+	}
+}
+
+// abandon ends a query that gets no answer of the module's any more, and its executions.
+func (t *requestTable) abandon(req *request) {
+	req.done, req.client = true, 0
+	req.invariants.ClientLeft()
+	delete(t.openIDs, req.ID)
+	t.stats.countResult(req.Class.Name, outcomeFailed) // the client has left; it may stand under any count
+	t.logAnswered(req, outcomeFailed)
+	t.notified = true
+	t.balancer.RequestAbandoned(t.now, req.id)
+	for _, att := range append([]*attempt(nil), req.running...) {
+		t.attempts.end(att, ReasonClientLeft, nil)
+	}
+	t.release(req)
+}
+
+// request is a request that this gateway has taken.
+type request struct {
+	downstream.Request
+	id         balancer.RequestID
+	client     loop.Conn // 0 once the client is gone
+	deadline   time.Duration
+	done       bool // has its final answer, or its client is gone
+	started    int
+	running    []*attempt // under way
+	upload     *upload    // its body, where that is too large to be held
+	invariants invariant.Request
+}
+
+// newRequest is a request that is taken now, with the rules of its class as they are now.
+func newRequest(read downstream.Request, id balancer.RequestID, conn *downstream.Conn, now time.Duration) *request {
+	deadline := now + conn.TimeLeft(now, read.ClientTimeout)
+	class := read.Class.Class
+	return &request{Request: read, id: id, client: conn.ID, deadline: deadline,
+		invariants: invariant.Request{ID: read.ID, Idempotency: class.Idempotency, DedupScope: class.DedupScope, DedupWindow: class.DedupWindow, Deadline: deadline}}
+}
+
+// timeLeft is what the client of a request with a large body has left.
+func (t *requestTable) timeLeft(req *request) time.Duration {
+	if conn := t.downstream.conns.ByConn[req.client]; conn != nil {
+		return conn.TimeLeft(t.now, req.ClientTimeout)
+	}
+	return req.deadline - t.now
+}
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -14,7 +14,7 @@
 func (r *rig) silentFor(watch loop.Conn, most time.Duration) time.Duration {
 	r.t.Helper()
 	from := r.now
-	for r.now < from+most && !r.closed[watch] && r.g.queued == nil {
+	for r.now < from+most && !r.closed[watch] && r.g.discovery.unanswered == nil {
 		r.pass(5 * time.Millisecond)
 	}
 	return r.now - from
@@ -81,12 +81,12 @@
 		r.step(loop.Event{Kind: loop.Reload})
 		r.step(loop.Event{Kind: loop.File, Data: rigConfig(t, "subscribe", object(1, true, entry(1, "up", 0)), at)})
 	}
-	beside := r.g.moving
+	beside := r.g.discovery.replacement
 	if beside == nil || r.closed[w] {
 		t.Fatal("no call beside the standing watch")
 	}
 	r.pass(2 * time.Second)
-	if r.g.moving == beside {
+	if r.g.discovery.replacement == beside {
 		r.step(loop.Event{Kind: loop.Broken, Conn: beside.Conn, Err: errors.New("connection refused")})
 	}
 	for r.now < from+10*time.Second && !r.closed[w] {
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -35,7 +35,7 @@
 		r.pass(c.after)
 		r.step(loop.Event{Kind: loop.Data, Conn: client, Data: []byte(text[30:])})
 		refused := bytes.HasPrefix(r.written[client], []byte("HTTP/1.1 503"))
-		if taken := len(r.g.queries) == 1; taken != c.taken || refused == c.taken {
+		if taken := len(r.g.requests.byID) == 1; taken != c.taken || refused == c.taken {
 			t.Errorf("longest deadline %v, patience %v, %v after SIGTERM: taken %v, refused %v", c.longest, c.patience, c.after, taken, refused)
 		}
 	}
--- a/internal/gateway/stopped_test.go
+++ b/internal/gateway/stopped_test.go
@@ -32,7 +32,7 @@
 	r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
 	c := loop.Conn(1<<63 + 50)
 	r.step(loop.Event{Kind: loop.Accepted, Conn: c, Via: loop.Listener})
-	key := loop.Timer{Kind: timerClient, ID: uint64(c)}
+	key := loop.Timer{Kind: timerDownstream, ID: uint64(c)}
 	r.now = r.timers[key]
 	delete(r.timers, key)
 	r.step(loop.Event{Kind: loop.TimerDue, Timer: key}) // the last look begins
@@ -67,7 +67,7 @@
 		r.step(loop.Event{Kind: loop.Accepted, Conn: c, Via: loop.Listener})
 		r.step(loop.Event{Kind: loop.Data, Conn: c, Data: []byte(text)})
 		if strings.HasSuffix(name, "next process") {
-			r.g.heir, r.g.heirTakes = &hotrestart.Conn{ID: 1<<63 + 90}, true
+			r.g.restart.successor, r.g.restart.handover = &hotrestart.Conn{ID: 1<<63 + 90}, successorServes
 		}
 		r.step(loop.Event{Kind: loop.Stop})
 		const kill = 1600 * time.Millisecond // the longest deadline and 0.7 s
@@ -144,7 +144,7 @@
 		}
 		r.pass(20 * time.Millisecond)
 	}
-	if f := r.g.figures(); f.Ends["local"] == 0 || f.Unavailable != 0 {
+	if f := r.g.admin.statsReport(); f.Ends["local"] == 0 || f.Unavailable != 0 {
 		t.Errorf("ends %v, %d hosts out of rotation", f.Ends, f.Unavailable)
 	}
 }
--- a/internal/gateway/end.go
+++ b/internal/gateway/termination.go
@@ -31,7 +31,7 @@
 	ReasonWatchSilent                                // the watch missed its beat
 	ReasonMalformedUpdate                            // the watch brought what is no list
 	ReasonWatchReplaced                              // the watch gave way to a new one
-	endKinds                                         // how many there are
+	reasonCount                                      // how many there are
 )
 
 // outcome maps an execution's end to what the module is told, and reports whether there is anything to tell.
--- /dev/null
+++ b/internal/gateway/tokens.go
@@ -0,0 +1,80 @@
+package gateway
+
+import (
+	"time"
+
+	"thymebend/internal/assignment"
+	"thymebend/internal/balancer"
+	"thymebend/internal/gossipcodec"
+	"thymebend/internal/loadreport"
+	"thymebend/internal/membership"
+	"thymebend/internal/tokenschedule"
+)
+
+// warmingEndpoint is one that warms up. Nothing of it is this gateway's before next.
+type warmingEndpoint struct {
+	tokenschedule.Endpoint
+	nextLook time.Duration
+}
+
+// updateAgreement notes since when more than half of the living have this gateway's mark.
+func (s *subsetAssignment) updateAgreement(members []membership.Member, reports []loadreport.PeerReport) {
+	living, same := 0, 0
+	for i, m := range members {
+		if m.State > gossipcodec.Suspect || !reports[i].Known && m.Name != s.cfg.Gossip.Name && len(m.Payload) == 0 {
+			continue // nothing was heard of it but its name
+		}
+		living++
+		if reports[i].Known && reports[i].ConfigHash == s.state.configHash || m.Name == s.cfg.Gossip.Name {
+			same++
+		}
+	}
+	switch {
+	case 2*same <= living:
+		s.state.agreedSince = 0
+	case s.state.agreedSince == 0:
+		s.state.agreedSince = s.now
+	}
+}
+
+// updateOwners tells who may own turns: the book, or in a flat fleet all that are known and have not left.
+func (s *subsetAssignment) updateOwners(members []membership.Member) {
+	names := s.seedNames()
+	if s.cfg.Gossip.Flat {
+		for _, m := range members {
+			if m.State != gossipcodec.Left {
+				names = append(names, m.Name)
+			}
+		}
+	}
+	s.state.owners.Know(s.now, names)
+}
+
+// grantTokens gives the module the turns that have begun, before it dispatches. It dispatches every few milliseconds while
+// it holds a request, so no timer is needed, and nothing is looked at while nobody asks. After news of the list it waits for the next
+// look: a host that has started again has other turns.
+func (s *subsetAssignment) grantTokens() {
+	p := s.state
+	if p == nil || s.cluster.membership == nil || p.endpointsChanged || p.agreedSince == 0 || s.now-p.agreedSince < viewConvergence || !p.rule.Usable() ||
+		s.cfg.Gossip.Flat && p.tracker.Stage() == assignment.Waiting {
+		return
+	}
+	for i := range p.warming {
+		c := &p.warming[i]
+		if s.now < c.nextLook || s.now >= c.StartedAt+p.rule.Duration {
+			continue
+		}
+		divisions := p.owners.Divisions(s.now, c.ID)
+		for {
+			until, ok := p.taker.Take(s.now, c.Endpoint, divisions...)
+			if !ok {
+				break
+			}
+			p.tokens++
+			s.balancer.GrantSlowStartToken(s.now, balancer.EndpointID(c.ID), until)
+		}
+		if c.nextLook, _ = p.taker.Next(s.now, c.Endpoint, tokenLookahead, divisions...); c.nextLook == 0 {
+			c.nextLook = s.now + tokenLookahead
+		}
+	}
+}
--- a/internal/gateway/told_test.go
+++ b/internal/gateway/told_test.go
@@ -144,7 +144,7 @@
 	standing := r.watch()
 	r.line(standing, object(2, true, entry(1, "up", 0), entry(2, "up", 0)))
 	r.g.cfg.Discovery = netip.MustParseAddrPort(hostAddr(99))
-	r.step(loop.Event{Kind: loop.TimerDue, Timer: loop.Timer{Kind: timerMove}})
+	r.step(loop.Event{Kind: loop.TimerDue, Timer: loop.Timer{Kind: timerRedial}})
 	moving := r.to(hostAddr(99))
 	r.step(loop.Event{Kind: loop.Connected, Conn: moving})
 	r.line(standing, object(4, false, entry(1, "draining", 0)))
@@ -153,12 +153,12 @@
 	if r.closed[moving] || !r.closed[standing] {
 		t.Error("the call that was answered is not the watch in force")
 	}
-	if r.g.takesNew(r.g.group.All()[0].ID) == r.g.takesNew(r.g.group.All()[1].ID) {
+	if r.g.discovery.isReady(r.g.discovery.endpoints.All()[0].ID) == r.g.discovery.isReady(r.g.discovery.endpoints.All()[1].ID) {
 		t.Error("the drain is taken back")
 	}
 	r.line(moving, object(5, false, entry(2, "draining", 0)))
-	for _, h := range r.g.group.All() {
-		if r.g.takesNew(h.ID) {
+	for _, h := range r.g.discovery.endpoints.All() {
+		if r.g.discovery.isReady(h.ID) {
 			t.Errorf("%s is up", h.Name)
 		}
 	}
@@ -208,7 +208,7 @@
 		if sent := r.requests(hostAddr(1)) > 0; sent != c.sent || r.closed[w] {
 			t.Errorf("%s: sent %v, want %v", name, sent, c.sent)
 		}
-		if h := r.g.group.Find(discovery.Identity("s-2")); h.State != balancer.EndpointDraining {
+		if h := r.g.discovery.endpoints.Find(discovery.Identity("s-2")); h.State != balancer.EndpointDraining {
 			t.Errorf("%s: an older line brings a host up", name)
 		}
 	}
@@ -229,8 +229,8 @@
 		}
 	}
 	r.line(r.watch(), object(2, true, entry(1, "up", 0), entry(2, "up", 0)))
-	if r.g.group.Len() != 2 || !strings.Contains(string(r.written[r.to(discoveryAddr)]), "index=1 ") {
-		t.Errorf("after the next call: %d hosts, asked by %q", r.g.group.Len(), r.written[r.to(discoveryAddr)])
+	if r.g.discovery.endpoints.Len() != 2 || !strings.Contains(string(r.written[r.to(discoveryAddr)]), "index=1 ") {
+		t.Errorf("after the next call: %d hosts, asked by %q", r.g.discovery.endpoints.Len(), r.written[r.to(discoveryAddr)])
 	}
 }
 
@@ -247,15 +247,15 @@
 		r := newRig(t, "subscribe", `{"seq":0,"whole":true,"hosts":[]}`)
 		w := r.watch()
 		r.line(w, object(1, true, entries...))
-		if n := r.g.group.Len(); n != hosts || r.closed[w] {
+		if n := r.g.discovery.endpoints.Len(); n != hosts || r.closed[w] {
 			t.Fatalf("%d hosts of %d: %s", n, hosts, r.log.String())
 		}
-		learned := r.g.module.State(r.now).Endpoints
+		learned := r.g.balancer.State(r.now).Endpoints
 		if len(learned) != hosts {
 			t.Errorf("the module has %d hosts of %d", len(learned), hosts)
 		}
 		r.line(w, strings.ReplaceAll(object(2, true, entries[:hosts-1]...), ",", ",\n   "))
-		if n := r.g.group.Len(); n != hosts-1 {
+		if n := r.g.discovery.endpoints.Len(); n != hosts-1 {
 			t.Errorf("after an indented list of %d: %d", hosts-1, n)
 		}
 		r.request(0, 0)
@@ -275,18 +275,18 @@
 				entries[i] = entry(i+1, "up", 0)
 			}
 			r := newRig(b, "subscribe", object(1, true, entries...))
-			r.g.pool.Resize(2 * hosts)
-			for _, h := range r.g.group.All() {
-				r.g.pool.Open(h.ID)
+			r.g.attempts.pool.Resize(2 * hosts)
+			for _, h := range r.g.discovery.endpoints.All() {
+				r.g.attempts.pool.Open(h.ID)
 			}
-			news, err := r.g.group.Apply([]byte(object(2, true)))
+			news, err := r.g.discovery.endpoints.Apply([]byte(object(2, true)))
 			if err != nil || len(news.Changed) != hosts {
 				b.Fatal(err, len(news.Changed))
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				r.g.effects = r.g.effects[:0]
-				r.g.hostsLeft(news.Changed)
+				r.g.attempts.endpointsChanged(news.Changed)
 			}
 		})
 	}
@@ -339,7 +339,7 @@
 		r.now = trueNow + wrong
 		r.line(w, object(2, true, entry(1, "up", 0)))
 		r.line(w, object(3, false, entry(2, "up", int((trueNow-2*time.Second).Milliseconds()))))
-		for _, s := range r.g.module.State(r.now).Endpoints {
+		for _, s := range r.g.balancer.State(r.now).Endpoints {
 			if age := r.now - s.StartedAt; s.StartedAt > 0 && (age < 0 || age > 6*time.Second) {
 				t.Errorf("a clock %v wrong: a server that started 2 s ago is taken to be %v old", wrong, age)
 			}
--- a/internal/gateway/trace_test.go
+++ b/internal/gateway/trace_test.go
@@ -29,7 +29,7 @@
 			t.Errorf("no %s in the log:\n%s", want, r.log.String())
 		}
 	}
-	f := r.g.figures()
+	f := r.g.admin.statsReport()
 	if f.Ends["faulty"] != 1 || f.Ends["client gone"] != 1 {
 		t.Errorf("ends %v", f.Ends)
 	}
@@ -41,7 +41,7 @@
 	r.g.cfg.Settings.Gateway.MaxUpstreamConns = 1
 	r.request(0, 0)
 	r.request(0, 0)
-	if f := r.g.figures(); f.Rejections["too many open"] != 1 {
+	if f := r.g.admin.statsReport(); f.Rejections["too many open"] != 1 {
 		t.Errorf("refusals %v", f.Rejections)
 	}
 }
--- a/internal/gateway/upload.go
+++ b/internal/gateway/upload.go
@@ -4,128 +4,95 @@
 	"time"
 
 	"thymebend/internal/downstream"
-	"thymebend/internal/http1"
 	"thymebend/internal/loop"
 	"thymebend/internal/upstream"
 )
 
-// standsFor is how long a host may send nothing of an answer that has begun.
-const standsFor = 10 * time.Second
+// uploads passes request bodies on that are too large to be held. Each upload's state is with its request.
+type uploads struct {
+	*core
+	attempts   *attemptTable
+	downstream *downstreamConns
+	requests   *requestTable
+}
 
-// bodyTakenWithin is how long a host may take nothing of a body that is written to it. Its client is not read meanwhile and may have
+// uploadWriteTimeout is how long a host may take nothing of a body that is written to it. Its client is not read meanwhile and may have
 // stopped, which then cannot be told: it is owed an error within clients.OwedWithin whatever its host does.
-const bodyTakenWithin = 2500 * time.Millisecond
+const uploadWriteTimeout = 2500 * time.Millisecond
 
 // upload is a request's body on its way from the client to a host, one piece at a time.
 type upload struct {
-	length int64         // -1: in chunks
-	x      *execution    // whose host has the head; nil until then
-	busy   bool          // a piece is not yet written out
-	spent  bool          // a part has left for a host: it cannot be sent again
-	whole  bool          // the last piece has been taken from the client
-	sent   time.Duration // with whole: when the client had written its last byte, at the earliest
+	length      int64         // -1: in chunks
+	attempt     *attempt      // whose host has the head; nil until then
+	writing     bool          // a piece is not yet written out
+	consumed    bool          // a part has left for a host: it cannot be sent again
+	complete    bool          // the last piece has been taken from the client
+	completedAt time.Duration // with whole: when the client had written its last byte, at the earliest
 }
 
-// beginUpload has a link wait, with the first part of a body, until the module has chosen a host. The link is read no further
+// begin has a link wait, with the first part of a body, until the module has chosen a host. The link is read no further
 // once more of the body has come: until then a client that has stopped can be told from one that waits.
-func (g *Gateway) beginUpload(q *query, l *downstream.Conn) {
-	q.up = &upload{length: l.Begin()}
-	g.timeClient(l, g.waitUntil(l))
-}
-
-// mute reads a link no further. Its client's end is still told, though it lies behind what is not read: nothing may
-// be sent on for one who has left.
-func (g *Gateway) mute(l *downstream.Conn) {
-	if !l.Muted {
-		l.PauseReading(g.now)
-		g.log.Debug().Uint64("link", uint64(l.ID)).Msg("client link is read no further for now")
-		g.ask(loop.Effect{Op: loop.Mute, Conn: l.ID, Leaving: true})
-	}
-}
-
-func (g *Gateway) unmute(l *downstream.Conn) {
-	if l.Muted {
-		l.ResumeReading(g.now)
-		g.ask(loop.Effect{Op: loop.Unmute, Conn: l.ID})
-	}
+func (u *uploads) begin(req *request, conn *downstream.Conn) {
+	req.upload = &upload{length: conn.Begin()}
+	u.downstream.setDeadline(conn, u.downstream.requestDeadline(conn))
 }
 
-// uploadReadable reads on only while all that has come is written out: the client goes at the host's pace.
-func (g *Gateway) uploadReadable(l *downstream.Conn) {
-	if q := g.queries[l.Request]; !l.Muted && (q.up.x == nil || q.up.busy) {
-		g.mute(l)
+// readable reads on only while all that has come is written out: the client goes at the host's pace.
+func (u *uploads) readable(conn *downstream.Conn) {
+	if req := u.requests.byID[conn.Request]; !conn.Muted && (req.upload.attempt == nil || req.upload.writing) {
+		u.downstream.pauseReading(conn)
 		return
 	}
-	g.ask(loop.Effect{Op: loop.Read, Conn: l.ID})
+	u.emit(loop.Effect{Op: loop.Read, Conn: conn.ID})
 }
 
-// pumpUpload writes what has come of a body to the host.
-func (g *Gateway) pumpUpload(q *query) {
-	up, l := q.up, g.links.ByConn[q.client]
-	if up.x == nil || up.busy || up.whole || l == nil {
+// pump writes what has come of a body to the host.
+func (u *uploads) pump(req *request) {
+	up, conn := req.upload, u.downstream.conns.ByConn[req.client]
+	if up.attempt == nil || up.writing || up.complete || conn == nil {
 		return
 	}
-	piece, done, fault := l.Pieces()
+	piece, done, fault := conn.Pieces()
 	if fault != nil {
-		g.turnAway(q, l, downstream.AppendBadRequest(fault, false))
+		u.abort(req, conn, downstream.AppendBadRequest(fault, false))
 		return
 	}
 	if len(piece) == 0 && !done {
-		g.unmute(l)
+		u.downstream.resumeReading(conn)
 		return
 	}
-	up.spent, up.whole, up.busy = up.spent || len(piece) > 0, done, true
+	up.consumed, up.complete, up.writing = up.consumed || len(piece) > 0, done, true
 	if done {
-		l.Upload, up.sent = false, l.LastByteSent()
-		g.untimeClient(l)
+		conn.Upload, up.completedAt = false, conn.LastByteSent()
+		u.downstream.clearDeadline(conn)
 	}
-	g.unmute(l)
-	g.setTimer(timerExecution, up.x.id, g.now+bodyTakenWithin)
-	g.write(up.x.link.ID, g.framed(piece, up.length < 0, done))
+	u.downstream.resumeReading(conn)
+	u.setTimer(timerAttempt, up.attempt.id, u.now+uploadWriteTimeout)
+	u.write(up.attempt.conn.ID, u.framed(piece, up.length < 0, done))
 }
 
-// framed words a piece of a body. The bytes are valid until the next Step.
-func (g *Gateway) framed(piece []byte, chunks, last bool) []byte {
-	if !chunks {
-		return piece
-	}
-	return http1.AppendChunk(nil, piece, last)
-}
-
-// uploadFlushed goes on once the head or a piece is written out.
-func (g *Gateway) uploadFlushed(x *execution) {
-	up := x.query.up
-	g.stopTimer(timerExecution, x.id)
-	up.x, up.busy = x, false
-	if !up.whole {
-		g.pumpUpload(x.query)
+// flushed goes on once the head or a piece is written out.
+func (u *uploads) flushed(att *attempt) {
+	up := att.request.upload
+	u.stopTimer(timerAttempt, att.id)
+	up.attempt, up.writing = att, false
+	if !up.complete {
+		u.pump(att.request)
 		return
 	}
 	// The last byte is written: from here on the host works. The client has waited since its own last byte.
-	x.link.Phase = upstream.Awaiting
-	g.relayed++
-	x.began, x.until = g.now, up.sent+x.query.ClientTimeout
-	x.query.deadline, x.query.rules.Deadline = x.until, x.until
-	g.setTimer(timerExecution, x.id, x.until)
-	g.notices = append(g.notices, notice{exec: x, done: true})
+	att.conn.Phase = upstream.Awaiting
+	u.stats.forwarded++
+	att.began, att.deadline = u.now, up.completedAt+att.request.ClientTimeout
+	att.request.deadline, att.request.invariants.Deadline = att.deadline, att.deadline
+	u.setTimer(timerAttempt, att.id, att.deadline)
+	u.attempts.progress = append(u.attempts.progress, writeProgress{attempt: att, done: true})
 }
 
-// turnAway ends a query whose client does not send its body as it should, and answers it.
-func (g *Gateway) turnAway(q *query, l *downstream.Conn, answer []byte) {
-	g.lapse(q)
-	g.keep(l)
-	l.Closing = true
-	g.reply(l, answer)
-}
-
-// keep reports whether a link stays open after the answer that is worded now. One whose body has not ended must not:
-// where its next request begins is not known. What still comes of the body is read and dropped. Nor does one for whose
-// descriptor clients wait.
-func (g *Gateway) keep(l *downstream.Conn) bool {
-	if l.Upload {
-		l.Upload, l.Closing, l.DiscardBody = false, true, true
-		g.unmute(l)
-	}
-	l.Closing = l.Closing || g.linksAwaited()
-	return !l.Closing
+// abort ends a query whose client does not send its body as it should, and answers it.
+func (u *uploads) abort(req *request, conn *downstream.Conn, answer []byte) {
+	u.requests.abandon(req)
+	u.downstream.keepAlive(conn)
+	conn.Closing = true
+	u.downstream.reply(conn, answer)
 }
--- /dev/null
+++ b/internal/gateway/upstream.go
@@ -0,0 +1,160 @@
+package gateway
+
+import (
+	"time"
+
+	"thymebend/internal/balancer"
+	"thymebend/internal/downstream"
+	"thymebend/internal/loop"
+	"thymebend/internal/upstream"
+)
+
+func (a *attemptTable) handleEvent(conn *upstream.Conn, e loop.Event) {
+	att := a.byConn[conn.ID]
+	switch e.Kind {
+	case loop.Readable:
+		a.emit(loop.Effect{Op: loop.Read, Conn: conn.ID})
+	case loop.Connected:
+		a.setTimer(timerAttempt, att.id, att.deadline)
+		a.writeRequest(att, loop.Write)
+	case loop.Flushed:
+		switch {
+		case att != nil && att.request.upload != nil && conn.Phase == upstream.Writing:
+			a.uploads.flushed(att)
+		case conn.Phase == upstream.Writing:
+			conn.Phase = upstream.Awaiting
+			a.stats.forwarded++
+		}
+	case loop.Stale:
+		// Nothing was written. The host closed this link while it was idle; the next one may be better.
+		att.request.invariants.Ended(att.invariantIndex, true)
+		att.invariantIndex = notWritten
+		a.dropConn(conn, ReasonIdleTimeout)
+		a.start(att)
+	case loop.Data:
+		a.handleData(conn, att, e.Data)
+	case loop.EOF, loop.Broken:
+		a.connBroke(conn, att, e)
+	}
+}
+
+func (a *attemptTable) handleData(conn *upstream.Conn, att *attempt, data []byte) {
+	if att == nil {
+		a.dropConn(conn, ReasonMalformedResponse) // bytes that no request asked for
+		return
+	}
+	answer, err := conn.Feed(data)
+	switch {
+	case err != nil:
+		a.log.Debug().Err(err).Msg("answer of a host")
+		a.end(att, ReasonMalformedResponse, nil)
+	case answer != nil:
+		a.responded(att, answer)
+	default:
+		if head := conn.Large(); head != nil {
+			a.relays.begin(att, head)
+		}
+	}
+}
+
+// connBroke ends what is under way on a link that broke or was ended by its host.
+func (a *attemptTable) connBroke(conn *upstream.Conn, att *attempt, e loop.Event) {
+	if att == nil {
+		a.dropConn(conn, ReasonIdleTimeout)
+		return
+	}
+	switch {
+	case conn.Phase == upstream.Connecting && e.Local:
+		a.end(att, ReasonLocalResources, nil)
+	case conn.Phase == upstream.Connecting:
+		a.end(att, ReasonConnectFailed, nil)
+	case conn.Phase == upstream.Writing:
+		a.end(att, ReasonResetBeforeSent, nil)
+	default:
+		if e.Kind == loop.EOF {
+			if answer := conn.End(); answer != nil {
+				a.responded(att, answer)
+				return
+			}
+		}
+		a.end(att, ReasonReset, nil)
+	}
+}
+
+// responded takes a host's whole answer. The first 200 goes to the client as it is.
+func (a *attemptTable) responded(att *attempt, resp *upstream.Response) {
+	end := ReasonErrorResponse
+	switch {
+	case resp.Status == 200:
+		end = ReasonServed
+	case resp.NeverRan && (resp.Status == 503 || resp.Status == 504):
+		end = ReasonRejected
+	}
+	conn, req := att.conn, att.request
+	if conn.Phase == upstream.Awaiting && conn.Reusable(resp) && a.mayKeepIdle(conn) {
+		a.unbind(att)
+		a.keepIdle(conn)
+	}
+	if end == ReasonServed && !req.done && a.invariants.AllowAnswer(&req.invariants) {
+		req.done = true
+		delete(a.requests.openIDs, req.ID)
+		a.stats.countResult(req.Class.Name, outcomeServed)
+		a.logAnswered(req, outcomeServed)
+		if c := a.downstream.conns.ByConn[req.client]; c != nil {
+			keep := a.downstream.keepAlive(c)
+			a.downstream.answer(req, c, downstream.AppendServed(resp.Forwarded(), resp.Body, keep))
+		}
+	}
+	a.end(att, end, resp)
+}
+
+func (a *attemptTable) mayKeepIdle(conn *upstream.Conn) bool {
+	return a.discovery.isReady(conn.Endpoint) && !a.shutdown.stopping() && !a.pool.Over()
+}
+
+func (a *attemptTable) keepIdle(conn *upstream.Conn) {
+	a.pool.Release(conn)
+	a.setTimer(timerUpstream, uint64(conn.ID), a.now+scale(a.cfg.Settings.Gateway.ConnIdle, idleTimeoutFraction))
+}
+
+// dropConn closes a server link.
+func (a *attemptTable) dropConn(conn *upstream.Conn, end TerminationReason) {
+	a.log.Debug().Uint64("link", uint64(conn.ID)).Stringer("end", end).Msg("server link")
+	a.stopTimer(timerUpstream, uint64(conn.ID))
+	a.pool.Remove(conn)
+	delete(a.byConn, conn.ID)
+	a.closeConn(conn.ID)
+}
+
+// endpointsChanged closes the idle links to hosts that drain, are gone, have moved or have started anew, and ends the executions that
+// still connect to one: not a byte may go to a host after the gateway has been told that it leaves, and what was decided for
+// one start of a host must not reach the next, which is cold.
+func (a *attemptTable) endpointsChanged(changed []balancer.EndpointID) {
+	if len(changed) == 0 {
+		return
+	}
+	left := make(map[balancer.EndpointID]bool, len(changed))
+	for _, id := range changed {
+		left[id] = true
+		for _, conn := range a.pool.IdleTo(id) {
+			a.dropConn(conn, ReasonEndpointLeft)
+		}
+	}
+	for _, conn := range a.pool.ConnectingTo(left) {
+		if att := a.byConn[conn.ID]; att != nil {
+			a.end(att, ReasonEndpointLeft, nil)
+		}
+	}
+}
+
+func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
+
+// idleTimeoutFraction of the time after which hosts close idle links: closed by then, none is reused too late.
+const idleTimeoutFraction = 0.7
+
+// idleTimerDue closes an idle connection before its endpoint does.
+func (a *attemptTable) idleTimerDue(c loop.Conn) {
+	if conn := a.pool.Find(c); conn != nil && conn.Phase == upstream.Idle {
+		a.dropConn(conn, ReasonIdleTimeout)
+	}
+}
