--- a/cmd/thymebend/fleet_test.go
+++ b/cmd/thymebend/fleet_test.go
@@ -143,7 +143,7 @@
 	if err := all[0].rig.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the faulty file to be refused", func() bool { return strings.Contains(all[0].rig.log.String(), "fleet file refused") })
+	until(t, "the faulty file to be refused", func() bool { return strings.Contains(all[0].rig.log.String(), "gossip file rejected") })
 	if v := all[0].view(t); v.Known != 4 {
 		t.Errorf("a faulty file changed the view: %+v", v)
 	}
@@ -211,8 +211,10 @@
 			t.Errorf("a datagram socket is open: %s", link)
 		}
 	}
-	if strings.Contains(g.log.String(), "fleet") {
-		t.Error("the log speaks of a fleet")
+	for _, word := range []string{"cluster", "gossip", "fleet"} {
+		if strings.Contains(g.log.String(), word) {
+			t.Errorf("the log speaks of a %s", word)
+		}
 	}
 }
 
--- a/cmd/thymebend/operate_test.go
+++ b/cmd/thymebend/operate_test.go
@@ -237,7 +237,7 @@
 	}
 	answers := make(chan int)
 	go func() { status, _ := operator(t, control, readiness); answers <- status }()
-	until(t, "the accept to fail", func() bool { return g.logs("accept of an operator") })
+	until(t, "the accept to fail", func() bool { return g.logs("accept on the admin endpoint") })
 	before := processorTime(t, pid)
 	time.Sleep(time.Second)
 	if spent := processorTime(t, pid) - before; spent > 300*time.Millisecond {
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -18,14 +18,14 @@
 	timers uint64 // set so far
 }
 
-// The methods of this file are what the module asks for. They change the state and ask for effects, and they
-// put off all that the module has to hear: it must not be called while it calls.
+// The methods of this file are what the balancer asks for. They change the state and ask for effects, and
+// they put off all that the balancer has to hear: it must not be called while it calls.
 
-// StartAttempt implements thymebend.Actions.
+// StartAttempt implements balancer.Actions.
 func (a *balancerActions) StartAttempt(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
 	req := a.requests.byID[id]
 	if req == nil {
-		a.log.Error().Uint32("query", uint32(id)).Msg("send for an unknown query")
+		a.log.Error().Uint32(fieldRequest, uint32(id)).Msg("attempt for an unknown request")
 		return
 	}
 	a.attempts.nextID++
@@ -45,7 +45,7 @@
 	a.attempts.start(att)
 }
 
-// Reject implements thymebend.Actions. A refusal goes out at once.
+// Reject implements balancer.Actions. A rejection goes out at once.
 func (a *balancerActions) Reject(id balancer.RequestID, after time.Duration) {
 	if req := a.requests.byID[id]; req != nil && !req.done && !a.invariants.MayPromise(&req.invariants) {
 		a.Fail(id)
@@ -60,14 +60,14 @@
 	}
 }
 
-// Fail implements thymebend.Actions.
+// Fail implements balancer.Actions.
 func (a *balancerActions) Fail(id balancer.RequestID) {
 	if req, conn := a.requests.finish(id, outcomeFailed); conn != nil {
 		a.downstream.answer(req, conn, downstream.AppendFailed(a.downstream.keepAlive(conn)))
 	}
 }
 
-// CancelAttempt implements thymebend.Actions.
+// CancelAttempt implements balancer.Actions.
 func (a *balancerActions) CancelAttempt(id balancer.RequestID, attempt int) {
 	req := a.requests.byID[id]
 	if req == nil {
@@ -81,21 +81,21 @@
 	}
 }
 
-// CloseIdle implements thymebend.Actions.
+// CloseIdle implements balancer.Actions.
 func (a *balancerActions) CloseIdle(to balancer.EndpointID) {
 	for _, conn := range a.attempts.pool.IdleTo(to) {
 		a.attempts.dropConn(conn, ReasonIdleTimeout)
 	}
 }
 
-// SetTimer implements thymebend.Actions. A token may be out more than once, so each has a number of its own.
+// SetTimer implements balancer.Actions. A token may be out more than once, so each has a number of its own.
 func (a *balancerActions) SetTimer(after time.Duration, token uint32) {
 	a.timers++
 	a.setTimer(timerBalancer, a.timers<<32|uint64(token), a.now+after)
 }
 
-// WatchEndpoints implements thymebend.Actions.
+// WatchEndpoints implements balancer.Actions.
 func (a *balancerActions) WatchEndpoints() { a.discovery.poll() }
 
-// Log implements thymebend.Actions.
-func (a *balancerActions) Log(line string) { a.log.Info().Str("from", "module").Msg(line) }
+// Log implements balancer.Actions.
+func (a *balancerActions) Log(line string) { a.log.Info().Str(fieldFrom, "balancer").Msg(line) }
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -8,6 +8,9 @@
 	"thymebend/internal/loop"
 )
 
+// adminAcceptBatch is how many admins' calls are accepted at once.
+const adminAcceptBatch = 2
+
 // adminEndpoint answers the requests under /ops.
 type adminEndpoint struct {
 	*core
@@ -21,9 +24,6 @@
 	conns admin.Conns
 }
 
-// adminAcceptBatch is how many operators' calls are accepted at once.
-const adminAcceptBatch = 2
-
 func (a *adminEndpoint) statsReport() admin.Stats {
 	f := admin.Stats{Fulfilled: make(map[string]int64), Throttled: make(map[string]int64), Faulted: make(map[string]int64),
 		Forwarded: a.stats.forwarded, Open: len(a.requests.openIDs), Endpoints: a.discovery.endpoints.Len(), ConfigsAccepted: a.stats.configsAccepted, ConfigsRejected: a.stats.configsRejected,
@@ -55,7 +55,7 @@
 		// Few at once: what is accepted holds descriptors before the oldest caller has given way.
 		a.emit(loop.Effect{Op: loop.Accept, Conn: loop.Admin, Most: adminAcceptBatch})
 	case loop.AcceptFailed:
-		a.log.Warn().Err(e.Err).Msg("accept of an operator")
+		a.log.Warn().Err(e.Err).Msg("accept on the admin endpoint")
 		a.pauseListener(e.Conn)
 	}
 }
@@ -92,7 +92,8 @@
 		a.setTimer(timerAdmin, uint64(conn.ID), a.now+admin.RequestTimeout)
 		a.write(conn.ID, answer)
 	case loop.Flushed:
-		// Only the sending ends: a close with bytes unread would reset the link and could take the answer away.
+		// Only the sending ends: a close with bytes unread would reset the connection and could take the
+		// answer away.
 		if conn.Answered && !conn.Ended {
 			conn.Ended = true
 			a.emit(loop.Effect{Op: loop.Shutdown, Conn: conn.ID})
--- a/internal/gateway/assignment.go
+++ b/internal/gateway/assignment.go
@@ -18,19 +18,9 @@
 	"thymebend/internal/tokenschedule"
 )
 
-// subsetAssignment follows what the cluster's view means for this gateway, where the gossip file has a table [shares]: the
-// subset of the endpoints that it uses and with what weight, its slow-start tokens, and its load reports.
-type subsetAssignment struct {
-	*core
-	cluster   *cluster
-	discovery *discoveryWatch
-	restart   *hotRestart
-
-	state *assignmentState // nil where the cluster divides nothing
-}
-
-// What the fleet's view means for this gateway, where the fleet file has a table [shares]: which hosts it uses and for how
-// much, its turns at cold ones, and what it tells of itself. The module is told by events and goes on choosing.
+// What the cluster's view means for this gateway, where the gossip file has a table [shares]: which endpoints
+// it uses and for how much, its slow-start tokens at cold ones, and what it tells of itself. The balancer is
+// told by events and goes on choosing.
 
 // Times of what is looked at and believed.
 const (
@@ -41,12 +31,24 @@
 	errorLogInterval = time.Second
 )
 
-// assignmentState is this gateway's portion of the fleet's hosts.
+// subsetAssignment follows what the cluster's view means for this gateway, where the gossip file has a table
+// [shares]: the subset of the endpoints that it uses and with what weight, its slow-start tokens, and its
+// load reports.
+type subsetAssignment struct {
+	*core
+	cluster   *cluster
+	discovery *discoveryWatch
+	restart   *hotRestart
+
+	state *assignmentState // nil where the cluster divides nothing
+}
+
+// assignmentState is this gateway's portion of the cluster's endpoints.
 type assignmentState struct {
 	config     *gossipconfig.Assignment
 	rule       tokenschedule.Rule
-	warmRate   float64 // requests a second of a warm host, for turns
-	configHash uint32  // of what turns rest on
+	warmRate   float64 // requests a second of a warm endpoint, for slow-start tokens
+	configHash uint32  // of what slow-start tokens rest on
 	tracker    *assignment.Tracker
 	owners     *tokenschedule.Owners
 	taker      *tokenschedule.Taker
@@ -58,14 +60,14 @@
 	endpointsChanged bool // the list has changed since
 
 	agreedSince   time.Duration     // since then most of the living have the same mark; 0 if they have not
-	warming       []warmingEndpoint // of which this gateway may own turns
+	warming       []warmingEndpoint // of which this gateway may own slow-start tokens
 	assigned      []balancer.AssignedEndpoint
-	tokens        uint64 // turns
+	tokens        uint64 // slow-start tokens
 	errorLoggedAt time.Duration
 }
 
-// begin begins to go by the fleet, as a view is begun. Until that has settled parts follow from count and number, and cold
-// hosts get nothing from here.
+// begin begins to go by the cluster, as a view is begun. Until that has settled parts follow from count and
+// number, and cold endpoints get nothing from here.
 func (s *subsetAssignment) begin() {
 	f := s.cfg.Gossip
 	if f.Assignment == nil {
@@ -78,7 +80,7 @@
 		p.warmRate = s.balancer.MinCoreRate()
 	}
 	if !p.rule.Usable() {
-		s.log.Warn().Dur("window", c.OverloadWindow).Dur("skew", f.Assignment.ClockSkew).Float64("cold_from", c.SlowStartFraction).Msg("shares: no turns can be given, cold hosts wait until they are warm")
+		s.log.Warn().Dur(fieldOverloadWindow, c.OverloadWindow).Dur(fieldClockSkew, f.Assignment.ClockSkew).Float64(fieldSlowStartFraction, c.SlowStartFraction).Msg("assignment: no slow-start tokens can be given, new endpoints wait until they are warm")
 	}
 	var seeds []assignment.Gateway // of unknown zone, which is the same to all
 	if !f.Flat {
@@ -90,7 +92,7 @@
 	p.owners = tokenschedule.NewOwners(p.config.Users, viewConvergence)
 	start := s.now
 	if s.restart.predecessor != nil {
-		start += p.rule.ValidFor() // until it has heard that this process takes clients, it takes turns too
+		start += p.rule.ValidFor() // until it has heard that this process takes clients, it takes slow-start tokens too
 	}
 	p.taker = tokenschedule.NewTaker(p.rule, f.Name, start)
 	p.agreedSince, p.endpointsChanged = s.now-viewConvergence, true // by the own file, until others are heard
@@ -100,7 +102,7 @@
 	s.notified = true
 }
 
-// seedNames are the names of the book and the own one, sorted.
+// seedNames are the names of the seed peers and the own one, sorted.
 func (s *subsetAssignment) seedNames() []string {
 	names := []string{s.cfg.Gossip.Name}
 	for _, peer := range s.cfg.Gossip.SeedPeers {
@@ -110,7 +112,7 @@
 	return slices.Compact(names)
 }
 
-// updateConfigHash works out the mark of what turns rest on.
+// updateConfigHash works out the mark of what slow-start tokens rest on.
 func (s *subsetAssignment) updateConfigHash() {
 	p := s.state
 	h := xxh3.New()
@@ -126,7 +128,7 @@
 	p.configHash = mark
 }
 
-// update follows the view and the list, with every sample of the module.
+// update follows the view and the list, with every sample of the balancer.
 func (s *subsetAssignment) update() {
 	p, v := s.state, s.cluster.membership
 	if p == nil || v == nil {
@@ -186,16 +188,16 @@
 func (s *subsetAssignment) logError(err error) {
 	if s.now-s.state.errorLoggedAt >= errorLogInterval {
 		s.state.errorLoggedAt = s.now
-		s.log.Error().Err(err).Msg("shares: the division stays as it was")
+		s.log.Error().Err(err).Msg("assignment: the subset stays as it was")
 	}
 }
 
-// warmingUp reports whether a host still warms up.
+// warmingUp reports whether an endpoint still warms up.
 func (s *subsetAssignment) warmingUp(h *discovery.Endpoint) bool {
 	return h.StartedAt > 0 && s.now-h.StartedAt < s.state.rule.Duration
 }
 
-// apply tells the module which hosts are this gateway's, if that has changed.
+// apply tells the balancer which endpoints are this gateway's, if that has changed.
 func (s *subsetAssignment) apply(suspected map[uint32]bool) {
 	p := s.state
 	var assigned []balancer.AssignedEndpoint
@@ -225,7 +227,7 @@
 	}
 }
 
-// report are what operators read of this gateway's portion, and why it is that.
+// report are what admins read of this gateway's portion, and why it is that.
 func (s *subsetAssignment) report() *admin.Assignment {
 	p := s.state
 	if p == nil {
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -10,6 +10,13 @@
 	"thymebend/internal/upstream"
 )
 
+// Every effect that a rule of the platform bounds goes through this file, where internal/invariant has the
+// last word: attempts, first and further ones, answers, the time for which a client is waited for, closes of
+// downstream connections and the end.
+
+// notWritten is the number of an attempt of which nothing was written.
+const notWritten = -1
+
 // attemptTable holds the attempts under way and the upstream connections that carry them.
 type attemptTable struct {
 	*core
@@ -28,7 +35,34 @@
 	progress []writeProgress // and of these, before the ends
 }
 
-// reportEnds tells the module the ends that came up while it was busy. What it answers may bring about more.
+// attempt is one attempt under way.
+type attempt struct {
+	request  *request
+	number   int
+	id       uint64
+	endpoint balancer.EndpointID
+	conn     *upstream.Conn
+	began    time.Duration
+	deadline time.Duration // awaited until then
+	// invariantIndex is its number among the attempts of which something was written, notWritten before.
+	invariantIndex int
+}
+
+// attemptEnd is an end that the balancer is told once it has returned.
+type attemptEnd struct {
+	attempt  *attempt
+	reason   TerminationReason
+	response *upstream.Response
+}
+
+// writeProgress is news of an upload that the balancer is told once it has returned, before the ends.
+type writeProgress struct {
+	attempt *attempt
+	done    bool // its last byte is written
+}
+
+// reportEnds tells the balancer the ends that came up while it was busy. What it answers may bring about
+// more.
 func (a *attemptTable) reportEnds() {
 	for _, n := range a.progress {
 		a.notified = true
@@ -55,7 +89,7 @@
 	a.balancer.AttemptEnded(a.now, end)
 }
 
-// start writes an execution on an idle link to its host, or opens one.
+// start writes an attempt on an idle connection to its endpoint, or opens one.
 func (a *attemptTable) start(att *attempt) {
 	if !a.discovery.isReady(att.endpoint) {
 		a.end(att, ReasonEndpointLeft, nil)
@@ -87,7 +121,8 @@
 	a.byConn[conn.ID] = att
 }
 
-// writeRequest writes the query to the host, if it may still be written. Nothing goes to a host that has left meanwhile: see hostsLeft.
+// writeRequest writes the request to the endpoint, if it may still be written. Nothing goes to an endpoint
+// that has left meanwhile: see endpointsChanged.
 func (a *attemptTable) writeRequest(att *attempt, op loop.Op) {
 	if end, suppress := a.suppressed(att); suppress {
 		a.end(att, end, nil)
@@ -95,7 +130,8 @@
 	}
 	att.conn.Phase = upstream.Writing
 	if req := att.request; req.upload != nil {
-		// The head goes alone: nothing of the body is lost if the link turns out to be dead.
+		// The head goes alone: nothing of the body is lost if the connection slow-start tokens out to be
+		// dead.
 		a.progress = append(a.progress, writeProgress{attempt: att})
 		a.setTimer(timerAttempt, att.id, a.now+uploadWriteTimeout)
 		a.emit(loop.Effect{Op: op, Conn: att.conn.ID, Data: upstream.AppendHead(nil, req.Message, req.upload.length, a.requests.timeLeft(req))})
@@ -110,8 +146,8 @@
 	att.conn = nil
 }
 
-// end ends an execution, with its link if it still has one: a late answer on it must not reach
-// another query. The module is told once it has returned.
+// end ends an attempt, with its connection if it still has one: a late answer on it must not reach another
+// request. The balancer is told once it has returned.
 func (a *attemptTable) end(att *attempt, end TerminationReason, answer *upstream.Response) {
 	if conn := att.conn; conn != nil {
 		a.unbind(att)
@@ -130,8 +166,8 @@
 	a.requests.release(req)
 	a.stats.countEnd(end)
 	if end != ReasonServed && end != ReasonRejected {
-		a.log.Debug().Uint32("query", uint32(req.id)).Str("id", req.ID).Int("attempt", att.number).Stringer("end", end).
-			Dur("after", a.now-att.began).Msg("execution")
+		a.log.Debug().Uint32(fieldRequest, uint32(req.id)).Str(fieldID, req.ID).Int(fieldAttempt, att.number).Stringer(fieldEnd, end).
+			Dur(fieldAfter, a.now-att.began).Msg("attempt ended")
 	}
 	a.ended = append(a.ended, attemptEnd{attempt: att, reason: end, response: answer})
 }
@@ -149,40 +185,8 @@
 	}
 }
 
-// attempt is one attempt under way.
-type attempt struct {
-	request  *request
-	number   int
-	id       uint64
-	endpoint balancer.EndpointID
-	conn     *upstream.Conn
-	began    time.Duration
-	deadline time.Duration // awaited until then
-	// invariantIndex is its number among the attempts of which something was written, unwritten before.
-	invariantIndex int
-}
-
-// attemptEnd is an end that the module is told once it has returned.
-type attemptEnd struct {
-	attempt  *attempt
-	reason   TerminationReason
-	response *upstream.Response
-}
-
-// writeProgress is news of an upload that the module is told once it has returned, before the ends.
-type writeProgress struct {
-	attempt *attempt
-	done    bool // its last byte is written
-}
-
-// Every effect that a rule of the platform bounds goes through this file, where internal/invariant has the last word: attempts,
-// first and further ones, answers, the time for which a client is waited for, closes of client connections and the end.
-
-// notWritten is the number of an attempt of which nothing was written.
-const notWritten = -1
-
-// suppressed decides whether an attempt may not be written now, and how it ends then. Time has passed since the module decided:
-// its host may have left, its window or its client's time may be over.
+// suppressed decides whether an attempt may not be written now, and how it ends then. Time has passed since
+// the balancer decided: its endpoint may have left, its window or its client's time may be over.
 func (a *attemptTable) suppressed(att *attempt) (end TerminationReason, suppress bool) {
 	endpoint := a.discovery.endpoints.Find(att.endpoint)
 	switch {
--- a/internal/gateway/classes.go
+++ b/internal/gateway/classes.go
@@ -10,6 +10,9 @@
 	"thymebend/internal/settings"
 )
 
+// previousClassTTL is how long requests worded for a class as it was before it changed are still taken.
+const previousClassTTL = 3 * time.Second
+
 // classTable finds the class of a request, also just after the settings have changed it.
 type classTable struct {
 	*core
@@ -17,9 +20,6 @@
 	previous map[string]previousClass // classes that changed lately, by name
 }
 
-// previousClassTTL is how long requests worded for a class as it was before it changed are still taken.
-const previousClassTTL = 3 * time.Second
-
 // previousClass is a class as it was before the last change of its effect.
 type previousClass struct {
 	class balancer.Class
@@ -27,7 +27,7 @@
 	until time.Duration
 }
 
-// apply takes new settings that the module has taken, with the places of their classes.
+// apply takes new settings that the balancer has taken, with the places of their classes.
 func (t *classTable) apply(fresh settings.Settings, indices []int) {
 	for _, name := range slices.Sorted(maps.Keys(t.previous)) {
 		if t.now >= t.previous[name].until {
@@ -41,14 +41,14 @@
 			}
 		}
 	}
-	// Sites keep the numbers that they have: hosts and the module know them by these.
+	// Sites keep the numbers that they have: endpoints and the balancer know them by these.
 	fresh.Gateway.Zones = t.cfg.Settings.Gateway.Zones
 	t.cfg.Settings, t.indices = fresh, indices
 	t.stats.countClasses(fresh.Config.Classes)
 }
 
-// find finds the class that a request names, as its method words it. Just after a class has changed its effect,
-// requests worded for the old one still come; the stricter of the two effects holds for them.
+// find finds the class that a request names, as its method words it. Just after a class has changed its
+// effect, requests worded for the old one still come; the stricter of the two effects holds for them.
 func (t *classTable) find(name, method string) (downstream.Class, bool) {
 	for i, c := range t.cfg.Settings.Config.Classes {
 		if c.Name != name {
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -9,8 +9,19 @@
 	"thymebend/internal/membership"
 )
 
-// cluster is this process's membership in the cluster of gateways, where a gossip file asks for it: the reducer of
-// internal/membership on a datagram socket. Without the file there is no socket, no timer and no membership.
+// The cluster's view, where a gossip file asks for it: the reducer of internal/membership on a datagram
+// socket. Without the file there is no socket, no timer and no view.
+
+// socketRetryInterval is how soon a socket that failed is opened again; fleetLog bounds the lines about the
+// view.
+const (
+	socketRetryInterval = time.Second
+	viewLogInterval     = time.Second
+)
+
+// cluster is this process's membership in the cluster of gateways, where a gossip file asks for it: the
+// reducer of internal/membership on a datagram socket. Without the file there is no socket, no timer and no
+// membership.
 type cluster struct {
 	*core
 	assignment *subsetAssignment
@@ -25,16 +36,7 @@
 	loggedVersion uint64 // version of the view in the last log line
 }
 
-// The fleet's view, where a fleet file asks for it: the reducer of internal/membership on a datagram socket. Without the file
-// there is no socket, no timer and no view.
-
-// socketRetryInterval is how soon a socket that failed is opened again; fleetLog bounds the lines about the view.
-const (
-	socketRetryInterval = time.Second
-	viewLogInterval     = time.Second
-)
-
-// join begins to speak, once this process takes clients: at an upgrade under the elder's identity.
+// join begins to speak, once this process takes clients: at an upgrade under the predecessor's identity.
 func (c *cluster) join() {
 	if c.cfg.Gossip == nil || c.membership != nil || c.shutdown.stopping() {
 		return
@@ -48,7 +50,7 @@
 	view, err := membership.New(membership.Config{Cluster: f.Cluster, Name: f.Name, Start: c.startID, Incarnation: c.incarnation, SeedPeers: f.SeedPeers,
 		Flat: f.Flat, Payload: payload, Seed: c.cfg.Seed}, c.now)
 	if err != nil {
-		c.log.Error().Err(err).Msg("fleet: not joined")
+		c.log.Error().Err(err).Msg("cluster: not joined")
 		c.assignment.state = nil
 		return
 	}
@@ -61,7 +63,8 @@
 	c.emit(loop.Effect{Op: loop.Bind, Conn: loop.Gossip, Addr: c.cfg.Gossip.Listen, Urgent: true})
 }
 
-// quit falls silent, for the next process speaks under this one's identity, or after telling that this gateway leaves.
+// quit falls silent, for the successor speaks under this one's identity, or after telling that this gateway
+// leaves.
 func (c *cluster) quit(leave bool) {
 	v := c.membership
 	if v == nil {
@@ -73,7 +76,7 @@
 	}
 	c.startID, c.incarnation = v.Identity()
 	c.membership, c.socketOpen = nil, false
-	c.assignment.state = nil // its hosts stay in use, its turns at cold ones are others' or nobody's from now on
+	c.assignment.state = nil // its endpoints stay in use, its slow-start tokens at cold ones are others' or nobody's from now on
 	c.stopTimer(timerCluster, 0)
 	c.closeConn(loop.Gossip)
 }
@@ -83,7 +86,7 @@
 	case c.membership == nil:
 	case e.Kind == loop.Listening:
 		c.socketOpen = true
-		c.log.Info().Str("fleet", c.cfg.Gossip.Cluster).Stringer("listen", c.cfg.Gossip.Listen).Msg("fleet: joining")
+		c.log.Info().Str(fieldCluster, c.cfg.Gossip.Cluster).Stringer(fieldListen, c.cfg.Gossip.Listen).Msg("cluster: joining")
 		c.timerDue()
 	case e.Kind == loop.Readable:
 		c.emit(loop.Effect{Op: loop.Read, Conn: loop.Gossip})
@@ -92,7 +95,7 @@
 		c.flush()
 	case e.Kind == loop.Broken:
 		c.socketOpen = false
-		c.log.Error().Err(e.Err).Msg("fleet: no socket")
+		c.log.Error().Err(e.Err).Msg("cluster: no socket")
 		c.setTimer(timerCluster, 0, c.now+socketRetryInterval)
 	}
 }
@@ -121,8 +124,8 @@
 	}
 	if st := v.Status(c.now); st.Version != c.loggedVersion {
 		c.loggedAt, c.loggedVersion = c.now, st.Version
-		c.log.Info().Int("alive", st.Alive).Int("known", st.Known).Bool("majority", st.Majority).Bool("twin", st.DuplicateName).
-			Int("health", st.LocalHealth).Msg("fleet: the view has changed")
+		c.log.Info().Int(fieldAlive, st.Alive).Int(fieldKnown, st.Known).Bool(fieldMajority, st.Majority).Bool(fieldDuplicateName, st.DuplicateName).
+			Int(fieldLocalHealth, st.LocalHealth).Msg("cluster: membership has changed")
 	}
 }
 
@@ -136,17 +139,17 @@
 		err = c.membership.SetSeedPeers(c.now, f.SeedPeers)
 	}
 	if err != nil {
-		c.log.Error().Err(err).Msg("reload: fleet file refused, the book stays as it was")
+		c.log.Error().Err(err).Msg("reload: gossip file rejected, the seed peers stay as they were")
 		return
 	}
 	c.cfg.Gossip.SeedPeers = f.SeedPeers
 	if c.assignment.state != nil {
 		c.assignment.updateConfigHash()
 	}
-	c.log.Info().Int("peers", len(f.SeedPeers)).Msg("reload: fleet")
+	c.log.Info().Int(fieldSeedPeers, len(f.SeedPeers)).Msg("reload: seed peers")
 }
 
-// report are what operators read of the fleet.
+// report are what admins read of the cluster.
 func (c *cluster) report() admin.Cluster {
 	out := admin.Cluster{Cluster: c.cfg.Gossip.Cluster, Name: c.cfg.Gossip.Name, Joined: c.joined, Members: []admin.Member{}}
 	v := c.membership
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -12,8 +12,8 @@
 	"thymebend/internal/loop"
 )
 
-// core is what all state machines of a gateway share: its configuration, the time of the event under way, the balancer
-// and the effects collected so far.
+// core is what all state machines of a gateway share: its configuration, the time of the event under way, the
+// balancer and the effects collected so far.
 type core struct {
 	cfg        config.Config
 	log        zerolog.Logger
@@ -25,8 +25,8 @@
 	stats      statistics
 }
 
-// pauseListener stops looking at a listening socket of few callers for a moment. Guards against spinning while a
-// connection waits for which there is no descriptor.
+// pauseListener stops looking at a listening socket of few callers for a moment. Guards against spinning
+// while a connection waits for which there is no descriptor.
 func (c *core) pauseListener(conn loop.Conn) {
 	c.emit(loop.Effect{Op: loop.Mute, Conn: conn})
 	c.setTimer(timerListenerPause, uint64(conn), c.now+acceptPauseDuration)
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -12,6 +12,14 @@
 	"thymebend/internal/starttime"
 )
 
+// redialInterval is how soon discovery's new address is asked again after a call that failed, while the old
+// watch stands: what discovery has to tell counts as told 4 s after a reload, and the old address is about to
+// close.
+const redialInterval = 200 * time.Millisecond
+
+// randStream tells the gateway's own random draws from others of the same seed.
+const randStream = 0x6c697374
+
 // watchLoss is how the watch was lost.
 type watchLoss uint8
 
@@ -41,10 +49,6 @@
 	rand          *rand.Rand // of the gateway itself; the balancer has its own
 }
 
-// redialInterval is how soon discovery's new address is asked again after a call that failed, while the old watch
-// stands: what discovery has to tell counts as told 4 s after a reload, and the old address is about to close.
-const redialInterval = 200 * time.Millisecond
-
 // dial calls discovery where the configuration now has it.
 func (d *discoveryWatch) dial() *discovery.Watch {
 	w := discovery.NewWatch(d.attempts.pool.NextID(), d.cfg.Discovery, d.now)
@@ -62,8 +66,8 @@
 	return nil
 }
 
-// redial asks discovery's address at once. A watch that has answered stands until the new one has: a gap in it
-// would be a gap in what drains.
+// redial asks discovery's address at once. A watch that has answered stands until the new one has: a gap in
+// it would be a gap in what drains.
 func (d *discoveryWatch) redial() {
 	d.stopTimer(timerRedial, 0)
 	if d.replacement != nil {
@@ -93,8 +97,8 @@
 	}
 }
 
-// answered makes the call that is answered first the watch in force. A call to a new address goes on beside the old
-// address's watch.
+// answered makes the call that is answered first the watch in force. A call to a new address goes on beside
+// the old address's watch.
 func (d *discoveryWatch) answered(w *discovery.Watch) {
 	if d.current != nil && d.current != w {
 		d.drop(d.current, ReasonWatchReplaced, nil)
@@ -113,14 +117,14 @@
 	d.endSilence()
 }
 
-// keepUnanswered deals with a call that was not answered in time. It may still wait in discovery's queue, and a call that is
-// given up there costs discovery its turn for nothing: it keeps its place, and another goes out beside it, in case it is
-// lost. It reports whether the call was kept; there is one such place.
+// keepUnanswered deals with a call that was not answered in time. It may still wait in discovery's queue, and
+// a call that is given up there costs discovery its turn for nothing: it keeps its place, and another goes
+// out beside it, in case it is lost. It reports whether the call was kept; there is one such place.
 func (d *discoveryWatch) keepUnanswered(w *discovery.Watch) bool {
 	if d.discoveryPushed() || w.Started() || !w.Connected() || d.unanswered != nil {
 		return false
 	}
-	d.log.Info().Stringer("discovery", w.Addr).Msg("no answer yet, the call keeps its place and another is made")
+	d.log.Info().Stringer(fieldDiscovery, w.Addr).Msg("no answer yet, the poll keeps its place and another is made")
 	d.unanswered = w
 	d.setTimer(timerWatch, uint64(w.Conn), d.now+discovery.AbandonTimeout)
 	switch {
@@ -142,7 +146,7 @@
 	d.setTimer(timerRedial, 0, max(d.now+after, d.pollNotBefore))
 }
 
-// watchEnded ends a watch. Where no other is left, the module is told and asks again when it sees fit.
+// watchEnded ends a watch. Where no other is left, the balancer is told and asks again when it sees fit.
 func (d *discoveryWatch) watchEnded(w *discovery.Watch, end TerminationReason, err error) {
 	var refusal *discovery.StatusError
 	if errors.As(err, &refusal) && refusal.RetryAfter > 0 {
@@ -157,7 +161,7 @@
 	}
 	if w == d.unanswered {
 		d.drop(w, end, err)
-		return // the module was told when the call was not answered in time
+		return // the balancer was told when the call was not answered in time
 	}
 	moving := w == d.replacement
 	d.drop(w, end, err)
@@ -184,7 +188,7 @@
 }
 
 func (d *discoveryWatch) drop(w *discovery.Watch, end TerminationReason, err error) {
-	d.log.Info().Stringer("end", end).Stringer("discovery", w.Addr).AnErr("cause", err).Msg("watch")
+	d.log.Info().Stringer(fieldEnd, end).Stringer(fieldDiscovery, w.Addr).AnErr(fieldCause, err).Msg("watch ended")
 	d.stopTimer(timerWatch, uint64(w.Conn))
 	d.closeConn(w.Conn)
 	switch w {
@@ -197,18 +201,15 @@
 	}
 }
 
-// isReady reports whether the list in force has a host as up.
+// isReady reports whether the list in force has an endpoint as up.
 func (d *discoveryWatch) isReady(id balancer.EndpointID) bool {
 	h := d.endpoints.Find(id)
 	return h != nil && h.State == balancer.EndpointReady
 }
 
-// randStream tells the gateway's own random draws from others of the same seed.
-const randStream = 0x6c697374
-
-// heartbeatMissed deals with a watch that has missed its beat. An agent's silence is no news: it has heard nothing itself,
-// the list stays in force and the watch stays open. Lest it is the watch that is dead, the agent is asked once more
-// beside it; what answers first goes on.
+// heartbeatMissed deals with a watch that has missed its beat. An agent's silence is no news: it has heard
+// nothing itself, the list stays in force and the watch stays open. Lest it is the watch that is dead, the
+// agent is asked once more beside it; what answers first goes on.
 func (d *discoveryWatch) heartbeatMissed(w *discovery.Watch) {
 	if d.keepUnanswered(w) {
 		return
--- a/internal/gateway/discovery_silence.go
+++ b/internal/gateway/discovery_silence.go
@@ -2,11 +2,13 @@
 
 import "time"
 
-// silenceBeforePause is how long after the end of a watch a change counts as told, unless a call since then has failed: a call that
-// waits in discovery's queue does not put it off. From then on nothing new is sent until that call's fate is known.
+// silenceBeforePause is how long after the end of a watch a change counts as told, unless a call since then
+// has failed: a call that waits in discovery's queue does not put it off. From then on nothing new is sent
+// until that call's fate is known.
 const silenceBeforePause = 2 * time.Second
 
-// maxPause bounds that wait: a discovery that is mute for longer is out of order, and its last list is the best there is.
+// maxPause bounds that wait: a discovery that is mute for longer is out of order, and its last list is the
+// best there is.
 const maxPause = 2 * time.Second
 
 // startSilence notes that the watch has ended.
@@ -24,7 +26,7 @@
 		d.endSilence()
 		return
 	}
-	d.log.Info().Dur("unheard", d.now-d.silentSince).Msg("new attempts wait for discovery's answer")
+	d.log.Info().Dur(fieldSilent, d.now-d.silentSince).Msg("new attempts wait for discovery's answer")
 	d.balancer.PauseAttempts(true)
 	d.setTimer(timerSilence, 0, d.now+maxPause)
 }
--- a/internal/gateway/discovery_updates.go
+++ b/internal/gateway/discovery_updates.go
@@ -7,8 +7,18 @@
 	"thymebend/internal/discovery"
 )
 
-// handleData applies whole lines. The first line answers the call even if it is a mere beat. Lines that came whole beside a fault
-// count as told: those before it are applied, and of those after it the departures.
+// Where lists are pushed, discovery's address is that of an agent on this machine, which has what it was sent
+// and answers at no cost. The balancer asks for nothing there, so the gateway itself watches the agent, from
+// its start on. What the agent has counts as told, whether this gateway has heard it or not.
+
+// staleAgentTimeout is how long the agent may have an older list than this gateway before its numbers are
+// taken to have begun anew: several times what a change takes to come. An agent that was restarted has old
+// news until it is sent the rest.
+const staleAgentTimeout = 30 * time.Second
+
+// handleData applies complete lines. The first line answers the call even if it is a mere beat. Lines that
+// came complete beside a fault count as told: those before it are applied, and of those after it the
+// departures.
 func (d *discoveryWatch) handleData(w *discovery.Watch, data []byte) {
 	first := !w.Started()
 	lines, ended, malformed := w.Feed(d.now, data)
@@ -35,7 +45,7 @@
 		d.watchEnded(w, ReasonMalformedUpdate, malformed)
 	case ended:
 		d.watchEnded(w, ReasonWatchBroken, nil)
-	case w != d.unanswered: // one that keeps its place has the time set by callUnanswered
+	case w != d.unanswered: // one that keeps its place has the time set by keepUnanswered
 		d.setTimer(timerWatch, uint64(w.Conn), w.Deadline())
 	}
 }
@@ -70,23 +80,16 @@
 	return nil
 }
 
-// notifyBalancer tells the module news of the list, with starts on this process's clock.
+// notifyBalancer tells the balancer news of the list, with starts on this process's clock.
 func (d *discoveryWatch) notifyBalancer(kind balancer.EndpointUpdate, entries []balancer.Endpoint) {
 	d.startTimes.Adjust(d.now, kind, entries)
 	d.balancer.UpdateEndpoints(d.now, kind, entries)
 }
 
-// Where lists are pushed, discovery's address is that of an agent on this machine, which has what it was sent and
-// answers at no cost. The module asks for nothing there, so the gateway itself watches the agent, from its start on.
-// What the agent has counts as told, whether this gateway has heard it or not.
-
-// staleAgentTimeout is how long the agent may have an older list than this gateway before its numbers are taken to have begun
-// anew: several times what a change takes to come. An agent that was restarted has old news until it is sent the rest.
-const staleAgentTimeout = 30 * time.Second
-
-// isStale looks at a line of the agent for one that is older than what this gateway has: such a line would bring back
-// hosts that are known to drain or to be gone, so only those leave by it that have not started anew since. It reports whether the numbers are taken to have
-// begun anew instead: then the watch has ended, and the whole list is asked for.
+// isStale looks at a line of the agent for one that is older than what this gateway has: such a line would
+// bring back endpoints that are known to drain or to be gone, so only those leave by it that have not started
+// anew since. It reports whether the numbers are taken to have begun anew instead: then the watch has ended,
+// and the complete list is asked for.
 func (d *discoveryWatch) isStale(w *discovery.Watch, line []byte) bool {
 	if !d.discoveryPushed() {
 		d.staleSince = 0
@@ -99,7 +102,7 @@
 			return false
 		}
 		if d.staleSince == 0 {
-			d.log.Warn().Stringer("discovery", w.Addr).Msg("the agent has an older list, passed over")
+			d.log.Warn().Stringer(fieldDiscovery, w.Addr).Msg("the agent has an older list, ignored")
 			d.staleSince = d.now
 		}
 		d.applyRemovals(d.endpoints.Removals(line))
@@ -107,14 +110,15 @@
 	if d.staleSince == 0 || d.now-d.staleSince < staleAgentTimeout {
 		return false
 	}
-	d.log.Warn().Stringer("discovery", w.Addr).Dur("for", d.now-d.staleSince).Msg("the agent's numbers began anew")
+	d.log.Warn().Stringer(fieldDiscovery, w.Addr).Dur(fieldStaleFor, d.now-d.staleSince).Msg("the agent's list numbers began anew")
 	d.staleSince = 0
 	d.endpoints.Renumber()
 	d.watchEnded(w, ReasonWatchReplaced, nil)
 	return true
 }
 
-// applyRemovals has hosts leave of which a line says so that is not taken otherwise: what the agent has counts as told.
+// applyRemovals has endpoints leave of which a line says so that is not taken otherwise: what the agent has
+// counts as told.
 func (d *discoveryWatch) applyRemovals(update discovery.Update) {
 	if len(update.Entries) > 0 {
 		d.attempts.endpointsChanged(update.Changed)
@@ -131,7 +135,7 @@
 	}
 	update, err := d.endpoints.Apply(d.cfg.CachedEndpoints)
 	if err != nil {
-		d.log.Error().Err(err).Msg("the known list is not usable")
+		d.log.Error().Err(err).Msg("the cached list is not usable")
 	}
 	d.notifyBalancer(balancer.CachedSnapshot, update.Entries)
 }
--- a/internal/gateway/downstream.go
+++ b/internal/gateway/downstream.go
@@ -47,7 +47,8 @@
 	case loop.Data:
 		conn.FinalRead = false
 		if conn.Ended || conn.DiscardBody {
-			// What comes after the last answer belongs to no query. A client that is still sending is given time.
+			// What comes after the last answer belongs to no request. A client that is still sending is given
+			// time.
 			if conn.Ended && conn.DiscardBody && d.now < conn.Since+downstream.MaxLinger {
 				d.setDeadline(conn, d.now+downstream.LingerTimeout)
 			}
@@ -83,7 +84,7 @@
 	}
 }
 
-// flushed goes on once an answer is written out: with the next request, or with the end of the link.
+// flushed goes on once an answer is written out: with the next request, or with the end of the connection.
 func (d *downstreamConns) flushed(conn *downstream.Conn) {
 	if r := d.relays.byConn[conn.ID]; r != nil {
 		d.relays.flushed(r)
@@ -105,9 +106,9 @@
 	d.resumeReading(conn)
 	rest := downstream.IdleTimeout
 	if conn.Requests == 1 && d.conns.OverReuseLimit() && d.restart.alone() {
-		rest = downstream.SingleUseIdleTimeout // no new process may be left to close it, see Spent
+		rest = downstream.SingleUseIdleTimeout // no new process may be left to close it, see Conns.SingleUse
 	}
-	if !conn.Pending() { // else the time of the next request begins, see awaitRest
+	if !conn.Pending() { // else the time of the next request begins, see awaitRequest
 		d.setDeadline(conn, d.now+rest)
 	}
 	d.restart.idlePending = true
@@ -118,17 +119,18 @@
 	d.advance(conn)
 }
 
-// readThenClose closes an idle link after one more look: a request that lies in it unread would be lost. One that comes
-// between that look and the close, or after it, is read by nobody, and the system resets the connection: that tells the
-// client that it was not taken. To linger here, as after a last answer, would read it and say nothing; and there is no
-// answer to protect, for a client that asks again has read the one before.
+// readThenClose closes an idle connection after one more look: a request that lies in it unread would be
+// lost. One that comes between that look and the close, or after it, is read by nobody, and the system resets
+// the connection: that tells the client that it was not taken. To linger here, as after a last answer, would
+// read it and say nothing; and there is no answer to protect, for a client that asks again has read the one
+// before.
 func (d *downstreamConns) readThenClose(conn *downstream.Conn) {
 	conn.FinalRead = true
 	d.conns.Place(conn)
 	d.emit(loop.Effect{Op: loop.Read, Conn: conn.ID})
 }
 
-// drop ends a client link. A query in work on it has lapsed, and its executions end with it.
+// drop ends a downstream connection. A request in work on it has lapsed, and its attempts end with it.
 func (d *downstreamConns) drop(conn *downstream.Conn, end TerminationReason) {
 	d.logClientEnd(conn, end)
 	d.checkClose(conn, end)
@@ -150,12 +152,12 @@
 	}
 }
 
-// pauseReading reads a link no further. Its client's end is still told, though it lies behind what is not read: nothing may
-// be sent on for one who has left.
+// pauseReading reads a connection no further. Its client's end is still told, though it lies behind what is
+// not read: nothing may be sent on for one who has left.
 func (d *downstreamConns) pauseReading(conn *downstream.Conn) {
 	if !conn.Muted {
 		conn.PauseReading(d.now)
-		d.log.Debug().Uint64("link", uint64(conn.ID)).Msg("client link is read no further for now")
+		d.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Msg("downstream connection is read no further for now")
 		d.emit(loop.Effect{Op: loop.Mute, Conn: conn.ID, Leaving: true})
 	}
 }
--- a/internal/gateway/downstream_timeouts.go
+++ b/internal/gateway/downstream_timeouts.go
@@ -27,7 +27,7 @@
 	case conn.Busy && conn.Request == 0:
 		d.drop(conn, ReasonClientTimeout)
 	case conn.Upload && !conn.Incomplete():
-		d.setDeadline(conn, d.now+downstream.StreamReadTimeout) // it is the host that is waited for
+		d.setDeadline(conn, d.now+downstream.StreamReadTimeout) // it is the endpoint that is waited for
 	case conn.Upload && d.now < d.requestDeadline(conn):
 		d.setDeadline(conn, d.requestDeadline(conn))
 	case conn.Upload:
@@ -41,15 +41,16 @@
 		d.logIncomplete(conn)
 		d.reply(conn, downstream.AppendRequestTimeout())
 	case conn.Requests == 1 && !d.shutdown.closing() && !(d.conns.OverReuseLimit() && d.restart.alone()) && d.now < conn.Since+downstream.IdleTimeout:
-		// There were many links when it came to rest. Others were closed since, and few are no burden; or an upgrade began.
+		// There were many connections when it came to rest. Others were closed since, and few are no burden;
+		// or an upgrade began.
 		d.setDeadline(conn, conn.Since+downstream.IdleTimeout)
 	default:
 		d.readThenClose(conn)
 	}
 }
 
-// setDeadline sets the time at which a client connection is looked at again. A client that has stopped in the middle of a request
-// is never waited for longer than it is owed.
+// setDeadline sets the time at which a downstream connection is looked at again. A client that has stopped in
+// the middle of a request is never waited for longer than it is owed.
 func (d *downstreamConns) setDeadline(conn *downstream.Conn, at time.Duration) {
 	if conn.Incomplete() {
 		at = d.invariants.AllowWait(at, lastProgress(conn), downstream.ErrorDeadline)
@@ -63,14 +64,14 @@
 	return max(conn.LastReceived(), conn.RequestBegan)
 }
 
-// clearDeadline has a client connection end by nothing but its request.
+// clearDeadline has a downstream connection end by nothing but its request.
 func (d *downstreamConns) clearDeadline(conn *downstream.Conn) {
 	conn.Timer = 0
 	d.stopTimer(timerDownstream, uint64(conn.ID))
 }
 
-// checkDeadline looks at a client connection after an event on it: something must end it, and half a request in time. A last look is
-// answered in the same round.
+// checkDeadline looks at a downstream connection after an event on it: something must end it, and half a
+// request in time. A last look is answered in the same round.
 func (d *downstreamConns) checkDeadline(conn *downstream.Conn) {
 	request := conn.Busy && conn.Request != 0 || conn.FinalRead
 	if !d.invariants.Timed(conn.Timer != 0, request) {
@@ -84,7 +85,8 @@
 	}
 }
 
-// checkClose looks at a client connection that the gateway is about to end. A request that waits on it gets its answer.
+// checkClose looks at a downstream connection that the gateway is about to end. A request that waits on it
+// gets its answer.
 func (d *downstreamConns) checkClose(conn *downstream.Conn, end TerminationReason) {
 	req := d.requests.byID[conn.Request]
 	if end == ReasonClientLeft || !conn.Busy || conn.Request == 0 || req == nil {
@@ -95,8 +97,8 @@
 	}
 }
 
-// requestDeadline is the time by which the request that is coming must be whole, or go on. In a planned end half a request is answered
-// before SIGKILL, so that the process can end by itself.
+// requestDeadline is the time by which the request that is coming must be complete, or go on. In a graceful
+// shutdown half a request is answered before SIGKILL, so that the process can end by itself.
 func (d *downstreamConns) requestDeadline(conn *downstream.Conn) time.Duration {
 	until := conn.RequestDeadline()
 	if d.shutdown.stopping() {
--- a/internal/gateway/eviction.go
+++ b/internal/gateway/eviction.go
@@ -2,13 +2,14 @@
 
 import "thymebend/internal/downstream"
 
-// singleUseBatch is how many links that are not used again are closed as one comes: more, so that they grow fewer.
+// singleUseBatch is how many connections that are not used again are closed as one comes: more, so that they
+// grow fewer.
 const singleUseBatch = 2
 
-// evictBatch is how many links give way at once for those that wait.
+// evictBatch is how many connections give way at once for those that wait.
 const evictBatch = 4
 
-// evict has client links give way until so many may come, and returns how many may.
+// evict has downstream connections give way until so many may come, and returns how many may.
 func (d *downstreamConns) evict(wanted int) int {
 	room := d.conns.Max - len(d.conns.ByConn)
 	for ; room < wanted; room++ {
@@ -30,8 +31,8 @@
 	return room
 }
 
-// evictable returns the client link that gives way first, or nil. While there are two processes only those do that have
-// their last answer: see alone.
+// evictable returns the downstream connection that gives way first, or nil. While there are two processes
+// only those do that have their last answer: see alone.
 func (d *downstreamConns) evictable() *downstream.Conn {
 	if d.restart.alone() {
 		return d.conns.Evictable(d.now)
@@ -39,8 +40,9 @@
 	return d.conns.FullyClosed(d.now)
 }
 
-// clientsWaiting reports whether clients wait at the listener for links while none at rest may be closed for them: there
-// are two processes. Links then end with their answers, so that nobody waits longer than answers take.
+// clientsWaiting reports whether clients wait at the listener for connections while none at rest may be
+// closed for them: there are two processes. Links then end with their answers, so that nobody waits longer
+// than answers take.
 func (d *downstreamConns) clientsWaiting() bool {
 	return d.listener.phase == acceptPaused && !d.restart.alone() && !d.restart.handedOver()
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -17,8 +17,8 @@
 
 var _ loop.Reducer = (*Gateway)(nil)
 
-// Gateway is the reducer: it routes each event to the state machine that it concerns and returns the effects that the
-// machines ask for.
+// Gateway is the reducer: it routes each event to the state machine that it concerns and returns the effects
+// that the machines ask for.
 type Gateway struct {
 	*core
 	actions    *balancerActions
@@ -91,7 +91,8 @@
 	}
 }
 
-// connectControl does the same for the machines that set the conditions: what is known, who serves, when it ends.
+// connectControl does the same for the machines that set the conditions: what is known, who serves, when it
+// ends.
 func (g *Gateway) connectControl() {
 	*g.admin = adminEndpoint{
 		core: g.core, cluster: g.cluster, discovery: g.discovery, listener: g.listener, requests: g.requests,
@@ -119,8 +120,8 @@
 	}
 }
 
-// Step handles one event and returns the effects to carry out, in order; they are valid until the next Step. The balancer
-// is told of what happens between events and in Dispatch, never from one of its own actions.
+// Step handles one event and returns the effects to carry out, in order; they are valid until the next Step.
+// The balancer is told of what happens between events and in Dispatch, never from one of its own actions.
 func (g *Gateway) Step(now time.Duration, e loop.Event) []loop.Effect {
 	g.now, g.effects = now, g.effects[:0]
 	switch e.Kind {
@@ -159,7 +160,7 @@
 func (g *Gateway) start() {
 	b, err := balancer.New(g.cfg.Settings.Config, g.cfg.Seed, g.now, g.actions)
 	if err != nil {
-		g.log.Error().Err(err).Msg("settings refused by the module")
+		g.log.Error().Err(err).Msg("settings rejected by the balancer")
 		g.emit(loop.Effect{Op: loop.Exit, Failed: err})
 		return
 	}
--- a/internal/gateway/hotrestart.go
+++ b/internal/gateway/hotrestart.go
@@ -14,8 +14,9 @@
 	successorServes               // it takes clients: this one accepts none
 )
 
-// hotRestart passes the listener, what was learned and the idle downstream connections from one process of this gateway
-// to the next. This process may be both: successor of the one before and predecessor of the one after.
+// hotRestart passes the listener, what was learned and the idle downstream connections from one process of
+// this gateway to the next. This process may be both: successor of the one before and predecessor of the one
+// after.
 type hotRestart struct {
 	*core
 	attempts   *attemptTable
@@ -40,7 +41,7 @@
 	m.Passed = len(give)
 	data, err := m.Encode()
 	if err != nil {
-		h.log.Error().Err(err).Msg("hand-over")
+		h.log.Error().Err(err).Msg("hot restart")
 		if conn == h.successor {
 			h.loseSuccessor("a message cannot be worded")
 		}
@@ -53,7 +54,7 @@
 	h.emit(loop.Effect{Op: op, Conn: conn.ID, Data: data, Give: give})
 }
 
-// receive takes the news of the link to the other process, until it is lost.
+// receive takes the news of the connection to the other process, until it is lost.
 func (h *hotRestart) receive(link **hotrestart.Conn, e loop.Event, says func(hotrestart.Message), lose func(why string)) {
 	switch e.Kind {
 	case loop.Readable:
@@ -83,8 +84,9 @@
 // handedOver reports whether the successor takes the clients.
 func (h *hotRestart) handedOver() bool { return h.handover == successorServes }
 
-// alone reports whether this is the only process of its gateway. While there are two, no link at rest is closed that
-// could stay: what is gained would be lost to clients who come back in the middle of the upgrade.
+// alone reports whether this is the only process of its gateway. While there are two, no connection at rest
+// is closed that could stay: what is gained would be lost to clients who come back in the middle of the
+// upgrade.
 func (h *hotRestart) alone() bool { return h.successor == nil && h.predecessor == nil }
 
 func (h *hotRestart) timerDue(kind uint8) {
--- a/internal/gateway/hotrestart_predecessor.go
+++ b/internal/gateway/hotrestart_predecessor.go
@@ -5,28 +5,30 @@
 	"thymebend/internal/loop"
 )
 
-// offer takes the place at which the next process of this gateway asks.
+// offer takes the place at which the successor of this gateway asks.
 func (h *hotRestart) offer() {
 	if h.cfg.HotRestartDir != "" {
 		h.emit(loop.Effect{Op: loop.Listen, Conn: loop.HotRestart, Path: h.cfg.HotRestartDir, Urgent: true})
 	}
 }
 
-// ---- the elder's side -----------------------------------------------------------------------------------
+// ---- the predecessor's side
+// -----------------------------------------------------------------------------------
 
 func (h *hotRestart) listenerEvent(e loop.Event) {
 	switch e.Kind {
 	case loop.Readable:
 		h.emit(loop.Effect{Op: loop.Accept, Conn: loop.HotRestart, Most: 1})
 	case loop.AcceptFailed:
-		h.log.Warn().Err(e.Err).Msg("accept of the next process")
+		h.log.Warn().Err(e.Err).Msg("accept of the successor")
 		h.pauseListener(e.Conn)
 	case loop.Broken:
-		h.log.Warn().Err(e.Err).Msg("the next process cannot be handed anything")
+		h.log.Warn().Err(e.Err).Msg("no hot restart is possible")
 	}
 }
 
-// successorConnected hears one newcomer at a time. A second one is told so by the end of its link, and listens alone.
+// successorConnected hears one successor at a time. A second one is told so by the end of its connection, and
+// listens alone.
 func (h *hotRestart) successorConnected(c loop.Conn) {
 	if h.successor != nil {
 		h.closeConn(c)
@@ -58,7 +60,7 @@
 			return
 		}
 		h.stopTimer(timerSuccessor, 0)
-		h.log.Info().Msg("the next process takes clients")
+		h.log.Info().Msg("the successor takes clients")
 		h.handover, h.idlePending = successorServes, true
 		h.cluster.quit(false)
 		h.closeConn(loop.HotRestart)
@@ -76,8 +78,8 @@
 	}
 }
 
-// passIdleConns gives the heir the client links that rest, at the end of a round: what was read of a link has been told
-// by then, and what was not read goes along.
+// passIdleConns gives the successor the downstream connections that rest, at the end of a round: what was
+// read of a connection has been told by then, and what was not read goes along.
 func (h *hotRestart) passIdleConns() {
 	if !h.handedOver() || !h.idlePending || len(h.passing) > 0 {
 		return
@@ -105,9 +107,9 @@
 	}
 }
 
-// loseSuccessor goes on alone: the newcomer has gone, or does not answer.
+// loseSuccessor goes on alone: the successor has gone, or does not answer.
 func (h *hotRestart) loseSuccessor(why string) {
-	h.log.Warn().Str("why", why).Bool("took_clients", h.handedOver()).Msg("no next process")
+	h.log.Warn().Str(fieldDetail, why).Bool(fieldHandedOver, h.handedOver()).Msg("no successor")
 	h.stopTimer(timerSuccessor, 0)
 	for _, c := range h.passing {
 		h.closeConn(c) // those that were not passed after all
--- a/internal/gateway/hotrestart_successor.go
+++ b/internal/gateway/hotrestart_successor.go
@@ -20,7 +20,7 @@
 	h.emit(loop.Effect{Op: loop.Dial, Conn: h.predecessor.ID, Path: h.cfg.HotRestartDir, Urgent: true})
 }
 
-// ---- the newcomer's side --------------------------------------------------------------------------------
+// ---- the successor's side --------------------------------------------------------------------------------
 
 func (h *hotRestart) predecessorEvent(e loop.Event) {
 	if e.Kind == loop.Connected {
@@ -58,7 +58,8 @@
 	}
 }
 
-// inherit takes what the elder knows. Its list gives way to what discovery has told this process meanwhile.
+// inherit takes what the predecessor knows. Its list gives way to what discovery has told this process
+// meanwhile.
 func (h *hotRestart) inherit(m hotrestart.Message) {
 	if len(m.List) > 0 && (h.discovery.current == nil || !h.discovery.current.Started()) {
 		h.inheritEndpoints(m.List)
@@ -72,24 +73,25 @@
 	h.resize()
 }
 
-// inheritEndpoints takes the elder's list unless it is older than this process's own: the call under way asks for what changed
-// since that, and what changed before it would never be told.
+// inheritEndpoints takes the predecessor's list unless it is older than this process's own: the call under
+// way asks for what changed since that, and what changed before it would never be told.
 func (h *hotRestart) inheritEndpoints(list []byte) {
 	if older, err := h.discovery.endpoints.Older(list); err == nil && older {
 		return
 	}
 	update, err := h.discovery.endpoints.Apply(list)
 	if err != nil {
-		h.log.Error().Err(err).Msg("the elder's list is not usable")
+		h.log.Error().Err(err).Msg("the predecessor's list is not usable")
 		return
 	}
 	h.attempts.endpointsChanged(update.Changed)
 	h.discovery.notifyBalancer(balancer.CachedSnapshot, update.Entries)
 }
 
-// losePredecessor ends what is between this process and its elder: the elder has gone, or cannot hand over.
+// losePredecessor ends what is between this process and its predecessor: the predecessor has gone, or cannot
+// hand over.
 func (h *hotRestart) losePredecessor(why string) {
-	h.log.Info().Str("why", why).Bool("taking_clients", h.listener.phase != notListening).Msg("no elder process")
+	h.log.Info().Str(fieldDetail, why).Bool(fieldAccepting, h.listener.phase != notListening).Msg("no predecessor")
 	h.stopTimer(timerPredecessor, 0)
 	for _, c := range h.predecessor.Unclaimed() {
 		h.closeConn(c)
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -7,6 +7,10 @@
 	"thymebend/internal/loop"
 )
 
+// acceptPauseDuration is how long the listener rests when there is no descriptor left, unless a connection
+// closes before.
+const acceptPauseDuration = 50 * time.Millisecond
+
 // listenerPhase is what the listening socket does.
 type listenerPhase uint8
 
@@ -27,9 +31,6 @@
 	phase listenerPhase
 }
 
-// acceptPauseDuration is how long the listener rests when there is no descriptor left, unless a link closes before.
-const acceptPauseDuration = 50 * time.Millisecond
-
 func (ln *listener) handleEvent(e loop.Event) {
 	switch e.Kind {
 	case loop.Listening:
@@ -90,7 +91,7 @@
 // opened notes that clients can connect.
 func (ln *listener) opened() {
 	ln.phase = accepting
-	ln.log.Info().Stringer("listen", ln.cfg.Listen).Bool("handed_over", ln.restart.predecessor != nil).Msg("taking clients")
+	ln.log.Info().Stringer(fieldListen, ln.cfg.Listen).Bool(fieldHandedOver, ln.restart.predecessor != nil).Msg("taking clients")
 	if ln.restart.predecessor != nil {
 		ln.restart.send(ln.restart.predecessor, hotrestart.Message{Kind: hotrestart.Taking}, nil)
 	}
--- a/internal/gateway/loadreports.go
+++ b/internal/gateway/loadreports.go
@@ -35,13 +35,14 @@
 		return
 	}
 	if err := s.cluster.membership.SetPayload(s.now, payload); err != nil {
-		s.log.Error().Err(err).Msg("shares: nothing told")
+		s.log.Error().Err(err).Msg("assignment: load report not sent")
 		return
 	}
 	s.setTimer(timerCluster, 0, s.cluster.membership.NextWake())
 }
 
-// peerReports reads what each member tells, and which hosts several others found bad. What cannot be read counts as nothing told.
+// peerReports reads what each member tells, and which endpoints several others found bad. What cannot be read
+// counts as nothing told.
 func (s *subsetAssignment) peerReports(members []membership.Member) (reports []loadreport.PeerReport, suspected map[uint32]bool) {
 	var others []loadreport.PeerReport
 	for _, m := range members {
--- /dev/null
+++ b/internal/gateway/logfields.go
@@ -0,0 +1,52 @@
+package gateway
+
+// The field names of log lines. Durations are in milliseconds.
+const (
+	fieldAccepting         = "accepting"
+	fieldAfter             = "after" // since the request, response or attempt began
+	fieldAge               = "age"   // since the accept
+	fieldAlive             = "alive"
+	fieldAttempt           = "attempt" // number of an attempt, 0 for the first
+	fieldAttempts          = "attempts"
+	fieldBytes             = "bytes"
+	fieldCause             = "cause"
+	fieldClass             = "class"
+	fieldClasses           = "classes"
+	fieldClientTimeout     = "client_timeout"
+	fieldClockSkew         = "clock_skew"
+	fieldCluster           = "cluster"
+	fieldDetail            = "detail"
+	fieldDiscovery         = "discovery"
+	fieldDownstreamConn    = "downstream_conn" // number of a connection
+	fieldDownstreamWriting = "downstream_writing"
+	fieldDuplicateName     = "duplicate_name"
+	fieldEnd               = "end" // a TerminationReason, as in ends of /ops/stats
+	fieldEndpoint          = "endpoint"
+	fieldFrom              = "from"
+	fieldHandedOver        = "handed_over"
+	fieldID                = "id" // the client's id of a request
+	fieldKnown             = "known"
+	fieldLength            = "length"
+	fieldListen            = "listen"
+	fieldLocalHealth       = "local_health"
+	fieldMajority          = "majority"
+	fieldOutcome           = "outcome"
+	fieldOverloadWindow    = "overload_window"
+	fieldPartlyRead        = "partly_read" // part of a request was read
+	fieldReason            = "reason"      // of a rejection, as in /ops/stats
+	fieldReceived          = "received"
+	fieldRequest           = "request" // this gateway's number of a request
+	fieldRequests          = "requests"
+	fieldRequestsBefore    = "requests_before" // requests that came before on the connection
+	fieldRetryAfter        = "retry_after"
+	fieldRule              = "rule" // of an invariant, as in violations of /ops/stats
+	fieldSeedPeers         = "seed_peers"
+	fieldSilent            = "silent" // since the last byte, or since the watch ended
+	fieldSlowStartFraction = "slow_start_fraction"
+	fieldStaleFor          = "stale_for" // the agent's list is older than this gateway's
+	fieldStatus            = "status"
+	fieldTimeLeft          = "time_left"     // of the client's or the attempt's time
+	fieldUpstreamConn      = "upstream_conn" // number of a connection
+	fieldUpstreamPaused    = "upstream_paused"
+	fieldWaiting           = "waiting"
+)
--- a/internal/gateway/logging.go
+++ b/internal/gateway/logging.go
@@ -9,41 +9,41 @@
 
 // logViolation logs an effect that was held back.
 func (c *core) logViolation(v invariant.Violation) {
-	c.log.Error().Stringer("rule", v.Rule).Str("id", v.Request).Str("detail", v.Detail).Msg("held back: it would break a rule")
+	c.log.Error().Stringer(fieldRule, v.Rule).Str(fieldID, v.Request).Str(fieldDetail, v.Detail).Msg("suppressed: it would break an invariant")
 }
 
-// logAccepted logs a client connection's begin.
+// logAccepted logs a downstream connection's begin.
 func (c *core) logAccepted(conn *downstream.Conn) {
-	c.log.Debug().Uint64("link", uint64(conn.ID)).Msg("client connection accepted")
+	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Msg("downstream connection accepted")
 }
 
 // logFirstByte logs that a request begins to come.
 func (c *core) logFirstByte(conn *downstream.Conn, bytes int) {
-	c.log.Debug().Uint64("link", uint64(conn.ID)).Int("bytes", bytes).Int("requests_before", conn.Requests).
-		Dur("age", c.now-conn.Accepted).Msg("request begins to come")
+	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Int(fieldBytes, bytes).Int(fieldRequestsBefore, conn.Requests).
+		Dur(fieldAge, c.now-conn.Accepted).Msg("request begins to come")
 }
 
-// logTaken logs that a request has become the module's.
+// logTaken logs that a request has become the balancer's.
 func (c *core) logTaken(req *request) {
-	c.log.Debug().Uint64("link", uint64(req.client)).Uint32("query", uint32(req.id)).Str("id", req.ID).Str("class", req.Class.Name).
-		Dur("patience", req.ClientTimeout).Msg("request taken")
+	c.log.Debug().Uint64(fieldDownstreamConn, uint64(req.client)).Uint32(fieldRequest, uint32(req.id)).Str(fieldID, req.ID).Str(fieldClass, req.Class.Name).
+		Dur(fieldClientTimeout, req.ClientTimeout).Msg("request accepted")
 }
 
 // logFaulty logs that a request was answered with an error, and is passed on to nobody.
 func (c *core) logFaulty(conn *downstream.Conn, id string, status int, why string) {
-	c.log.Debug().Uint64("link", uint64(conn.ID)).Str("id", id).Int("status", status).Str("why", why).Msg("request faulty")
+	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Str(fieldID, id).Int(fieldStatus, status).Str(fieldDetail, why).Msg("request malformed")
 }
 
-// logRejected counts a refusal and logs its reason.
+// logRejected counts a rejection and logs its reason.
 func (c *core) logRejected(id string, reason rejectionReason, after time.Duration) {
 	c.stats.rejections[reason]++
-	c.log.Debug().Str("id", id).Stringer("reason", reason).Dur("retry_after", after).Msg("request refused")
+	c.log.Debug().Str(fieldID, id).Stringer(fieldReason, reason).Dur(fieldRetryAfter, after).Msg("request rejected")
 }
 
 // logAnswered logs the final answer of a request.
 func (c *core) logAnswered(req *request, r outcome) {
-	c.log.Debug().Uint32("query", uint32(req.id)).Str("id", req.ID).Stringer("result", r).Int("attempts", req.started).
-		Dur("left", req.deadline-c.now).Msg("request ends")
+	c.log.Debug().Uint32(fieldRequest, uint32(req.id)).Str(fieldID, req.ID).Stringer(fieldOutcome, r).Int(fieldAttempts, req.started).
+		Dur(fieldTimeLeft, req.deadline-c.now).Msg("request ended")
 }
 
 // logAttempt logs an attempt's begin, and counts it where it is a further one.
@@ -51,25 +51,25 @@
 	if att.number > 0 {
 		c.stats.retries++
 	}
-	c.log.Debug().Uint32("query", uint32(att.request.id)).Str("id", att.request.ID).Int("attempt", att.number).
-		Uint64("server", uint64(att.endpoint)).Dur("left", att.deadline-c.now).Msg("attempt begins")
+	c.log.Debug().Uint32(fieldRequest, uint32(att.request.id)).Str(fieldID, att.request.ID).Int(fieldAttempt, att.number).
+		Uint64(fieldEndpoint, uint64(att.endpoint)).Dur(fieldTimeLeft, att.deadline-c.now).Msg("attempt begins")
 }
 
-// logIncomplete logs that a request did not come whole in its time.
+// logIncomplete logs that a request did not come complete in its time.
 func (c *core) logIncomplete(conn *downstream.Conn) {
-	c.log.Debug().Uint64("link", uint64(conn.ID)).Int("bytes", conn.RequestBytes).Int("requests_before", conn.Requests).
-		Dur("after", c.now-conn.RequestBegan).Dur("silent", conn.IdleFor(c.now)).Msg("request not whole in time")
+	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Int(fieldBytes, conn.RequestBytes).Int(fieldRequestsBefore, conn.Requests).
+		Dur(fieldAfter, c.now-conn.RequestBegan).Dur(fieldSilent, conn.IdleFor(c.now)).Msg("request incomplete in time")
 }
 
-// logRelayCut logs why a large answer could not be passed on to its end.
+// logRelayCut logs why a large response could not be passed on to its end.
 func (c *core) logRelayCut(r *relay, why string, err error) {
-	c.log.Debug().Str("id", r.id).Str("why", why).AnErr("cause", err).Int64("length", r.length).Int("came", r.received).
-		Bool("client_busy", r.writing).Bool("host_unread", r.paused).Dur("after", c.now-r.began).Msg("large answer cut")
+	c.log.Debug().Str(fieldID, r.id).Str(fieldDetail, why).AnErr(fieldCause, err).Int64(fieldLength, r.length).Int(fieldReceived, r.received).
+		Bool(fieldDownstreamWriting, r.writing).Bool(fieldUpstreamPaused, r.paused).Dur(fieldAfter, c.now-r.began).Msg("large response cut")
 }
 
-// logClientEnd counts the end of a client connection and logs its reason.
+// logClientEnd counts the end of a downstream connection and logs its reason.
 func (c *core) logClientEnd(conn *downstream.Conn, end TerminationReason) {
 	c.stats.countEnd(end)
-	c.log.Debug().Uint64("link", uint64(conn.ID)).Stringer("end", end).Int("requests", conn.Requests).Bool("partly_read", conn.Pending()).
-		Bool("waiting", conn.Busy).Dur("age", c.now-conn.Accepted).Dur("silent", conn.IdleFor(c.now)).Msg("client link")
+	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Stringer(fieldEnd, end).Int(fieldRequests, conn.Requests).Bool(fieldPartlyRead, conn.Pending()).
+		Bool(fieldWaiting, conn.Busy).Dur(fieldAge, c.now-conn.Accepted).Dur(fieldSilent, conn.IdleFor(c.now)).Msg("downstream connection ended")
 }
--- a/internal/gateway/rejections.go
+++ b/internal/gateway/rejections.go
@@ -1,13 +1,13 @@
 package gateway
 
-// rejectionReason is why this gateway turned a request away. The first is the decision module's word, the others are this
-// package's own.
+// rejectionReason is why this gateway turned a request away. The first is the balancer's word, the others are
+// this package's own.
 type rejectionReason uint8
 
 const (
 	rejectedByBalancer   rejectionReason = iota
 	rejectedTooManyOpen                  // as many requests are open as the settings allow
-	rejectedOverloaded                   // requests hold nearly all client connections
+	rejectedOverloaded                   // requests hold nearly all downstream connections
 	rejectedTooLate                      // it could still be in work at SIGKILL
 	rejectedExpired                      // its client's time was over before it was taken
 	rejectionReasonCount                 // how many there are
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -9,6 +9,17 @@
 	"thymebend/internal/upstream"
 )
 
+// What is read of large responses ahead of their clients: an endpoint whose machine resets a connection soon
+// after its last byte takes with it what lies unread here, and an answer that it has given complete would be
+// cut off. Both bound memory, of one answer and of all.
+const (
+	maxRelayBuffer      = 256 << 10
+	maxTotalRelayBuffer = 2 << 20
+)
+
+// relayReadTimeout is how long an endpoint may send nothing of an answer that has begun.
+const relayReadTimeout = 10 * time.Second
+
 // relayTable holds the large responses on their way to clients.
 type relayTable struct {
 	*core
@@ -20,34 +31,27 @@
 	buffered int                  // bytes of all that were read and wait for clients
 }
 
-// What is read of large answers ahead of their clients: a host whose machine resets a connection soon after its last byte takes with
-// it what lies unread here, and an answer that it has given whole would be cut off. Both bound memory, of one answer and of all.
-const (
-	maxRelayBuffer      = 256 << 10
-	maxTotalRelayBuffer = 2 << 20
-)
-
-// relay is a large answer on its way from a host to a client, one piece at a time. For the module the attempt has
-// ended.
+// relay is a large response on its way from an endpoint to a client, one piece at a time. For the balancer
+// the attempt has ended.
 type relay struct {
 	downstream     *downstream.Conn
 	upstream       *upstream.Conn
-	id             string // the client's, of the query
+	id             string // the client's, of the request
 	began          time.Duration
 	length         int64 // of the answer; -1 where it is not stated
 	received       int   // bytes of the body since it is relayed
 	class          string
 	chunked        bool // how the answer goes to the client
-	reusable       bool // the server link may carry another request afterwards
+	reusable       bool // the upstream connection may carry another request afterwards
 	writing        bool // a piece is not yet written out
-	paused         bool // the host waits for the client
+	paused         bool // the endpoint waits for the client
 	complete       bool // the last piece has come
 	buffered       int  // bytes that were read and wait for the client
-	upstreamClosed bool // the host's connection has ended, and all of the answer was read before
+	upstreamClosed bool // the endpoint's connection has ended, and all of the answer was read before
 }
 
-// begin takes a host's answer that is too large to be held. A 200 is passed on as it comes; of others only the head
-// matters.
+// begin takes an endpoint's answer that is too large to be held. A 200 is passed on as it comes; of others
+// only the head matters.
 func (t *relayTable) begin(att *attempt, a *upstream.Response) {
 	req, conn := att.request, att.conn
 	c := t.downstream.conns.ByConn[req.client]
@@ -75,7 +79,7 @@
 	t.setTimer(timerUpstream, uint64(conn.ID), t.now+relayReadTimeout)
 }
 
-// handleEvent takes the news of the host's side.
+// handleEvent takes the news of the endpoint's side.
 func (t *relayTable) handleEvent(r *relay, e loop.Event) {
 	if r.complete && (e.Kind == loop.EOF || e.Kind == loop.Broken) {
 		r.reusable = false
@@ -113,12 +117,14 @@
 	}
 }
 
-// mayReadAhead reports whether more of an answer may be read though its client has not taken what was read before.
+// mayReadAhead reports whether more of an answer may be read though its client has not taken what was read
+// before.
 func (t *relayTable) mayReadAhead(r *relay) bool {
 	return r.buffered < maxRelayBuffer && t.buffered < maxTotalRelayBuffer
 }
 
-// upstreamEnded ends the host's side of an answer that has been read to its end. What is left of it goes to the client as that takes it.
+// upstreamEnded ends the endpoint's side of an answer that has been read to its end. What is left of it goes
+// to the client as that takes it.
 func (t *relayTable) upstreamEnded(r *relay) {
 	r.upstreamClosed, r.reusable = true, false
 	delete(t.byConn, r.upstream.ID)
@@ -134,7 +140,7 @@
 	piece, done, err := r.upstream.Pieces()
 	t.releaseBuffer(r)
 	if err != nil {
-		t.log.Debug().Err(err).Msg("answer of a host")
+		t.log.Debug().Err(err).Msg("response of an endpoint")
 		t.downstream.drop(r.downstream, ReasonMalformedResponse)
 		return
 	}
@@ -197,7 +203,7 @@
 	t.stats.countResult(r.class, how)
 }
 
-// timerDue bounds how long a host may send nothing while it may.
+// timerDue bounds how long an endpoint may send nothing while it may.
 func (t *relayTable) timerDue(r *relay) {
 	if r.writing || r.paused {
 		t.setTimer(timerUpstream, uint64(r.upstream.ID), t.now+relayReadTimeout)
@@ -205,6 +211,3 @@
 	}
 	t.downstream.drop(r.downstream, ReasonResponseTimeout)
 }
-
-// relayReadTimeout is how long a host may send nothing of an answer that has begun.
-const relayReadTimeout = 10 * time.Second
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -12,8 +12,8 @@
 	pending []string // files asked for and not yet read
 }
 
-// apply takes the configuration's new text: where discovery is and the settings; the rest is fixed at the start. A
-// faulty file changes nothing: the program is worth more running as before.
+// apply takes the configuration's new text: where discovery is and the settings; the rest is fixed at the
+// start. A faulty file changes nothing: the program is worth more running as before.
 func (r *reloader) apply(raw []byte, err error) {
 	fresh := r.cfg
 	if err == nil {
@@ -25,13 +25,13 @@
 	}
 	if err != nil {
 		r.stats.configsRejected++
-		r.log.Error().Err(err).Msg("reload: configuration refused, all stays as it was")
+		r.log.Error().Err(err).Msg("reload: configuration rejected, nothing has changed")
 		return
 	}
 	r.stats.configsAccepted++
 	r.notified = true
 	r.classes.apply(fresh.Settings, indices)
-	r.log.Info().Stringer("discovery", fresh.Discovery).Int("classes", len(indices)).Msg("reload")
+	r.log.Info().Stringer(fieldDiscovery, fresh.Discovery).Int(fieldClasses, len(indices)).Msg("reload")
 	if r.cfg.Discovery == fresh.Discovery && (!r.discoveryPushed() || r.discovery.current != nil) {
 		return
 	}
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -20,7 +20,21 @@
 	nextID  balancer.RequestID
 }
 
-// finish concludes a query and returns the link on which its answer goes out, if the client is still there.
+// request is a request that this gateway has taken.
+type request struct {
+	downstream.Request
+	id         balancer.RequestID
+	client     loop.Conn // 0 once the client is gone
+	deadline   time.Duration
+	done       bool // has its final answer, or its client is gone
+	started    int
+	running    []*attempt // under way
+	upload     *upload    // its body, where that is too large to be held
+	invariants invariant.Request
+}
+
+// finish concludes a request and returns the connection on which its answer goes out, if the client is still
+// there.
 func (t *requestTable) finish(id balancer.RequestID, r outcome) (*request, *downstream.Conn) {
 	req := t.byID[id]
 	if req == nil || req.done || !t.invariants.AllowAnswer(&req.invariants) {
@@ -34,14 +48,14 @@
 	return req, t.downstream.conns.ByConn[req.client]
 }
 
-// release drops a query once nothing refers to it.
+// release drops a request once nothing refers to it.
 func (t *requestTable) release(req *request) {
 	if req.done && len(req.running) == 0 {
 		delete(t.byID, req.id)
 	}
 }
 
-// abandon ends a query that gets no answer of the module's any more, and its executions.
+// abandon ends a request that gets no answer of the balancer's any more, and its attempts.
 func (t *requestTable) abandon(req *request) {
 	req.done, req.client = true, 0
 	req.invariants.ClientLeft()
@@ -56,19 +70,6 @@
 	t.release(req)
 }
 
-// request is a request that this gateway has taken.
-type request struct {
-	downstream.Request
-	id         balancer.RequestID
-	client     loop.Conn // 0 once the client is gone
-	deadline   time.Duration
-	done       bool // has its final answer, or its client is gone
-	started    int
-	running    []*attempt // under way
-	upload     *upload    // its body, where that is too large to be held
-	invariants invariant.Request
-}
-
 // newRequest is a request that is taken now, with the rules of its class as they are now.
 func newRequest(read downstream.Request, id balancer.RequestID, conn *downstream.Conn, now time.Duration) *request {
 	deadline := now + conn.TimeLeft(now, read.ClientTimeout)
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -6,6 +6,29 @@
 	"thymebend/internal/loop"
 )
 
+// acceptAfterSIGTERM is how long new connections are taken after SIGTERM: the front goes on bringing them for
+// 0.4 s. What comes later than 0.7 s would have to be answered before a SIGKILL that may come too soon.
+const acceptAfterSIGTERM = 550 * time.Millisecond
+
+// What the platform promises of a graceful shutdown: SIGKILL comes no sooner after SIGTERM than the longest
+// deadline, taken as maxGrace where it is longer, and killAfter more. Requests that come within killAfter of
+// SIGTERM count as lost to nobody where SIGKILL finds them in work.
+const (
+	maxGrace  = 3 * time.Second
+	killAfter = 700 * time.Millisecond
+)
+
+// endBeforeKill is what the end of a connection takes before SIGKILL: the answer to half a request, and the
+// wait for its client's close.
+const endBeforeKill = 300 * time.Millisecond
+
+// killMargin is what a final answer and its way to the client take, on a busy processor.
+const killMargin = 100 * time.Millisecond
+
+// backlogDrainTimeout is how long after that what waits at the listener may take to be accepted, where
+// connections are short.
+const backlogDrainTimeout = 700 * time.Millisecond
+
 // shutdownPhase is how far the end of this process has come. Phases only grow.
 type shutdownPhase uint8
 
@@ -29,38 +52,17 @@
 	killAt time.Duration // once stopping: SIGKILL may come from then on
 }
 
-// acceptAfterSIGTERM is how long new connections are taken after SIGTERM: the front goes on bringing them for 0.4 s.
-// What comes later than 0.7 s would have to be answered before a SIGKILL that may come too soon.
-const acceptAfterSIGTERM = 550 * time.Millisecond
-
-// What the platform promises of a planned end: SIGKILL comes no sooner after SIGTERM than the longest deadline, taken
-// as mostGrace where it is longer, and killAfter more. Requests that come within killAfter of SIGTERM count as lost to
-// nobody where SIGKILL finds them in work.
-const (
-	maxGrace  = 3 * time.Second
-	killAfter = 700 * time.Millisecond
-)
-
-// endBeforeKill is what the end of a connection takes before SIGKILL: the answer to half a request, and the wait for its client's close.
-const endBeforeKill = 300 * time.Millisecond
-
-// killMargin is what a final answer and its way to the client take, on a busy processor.
-const killMargin = 100 * time.Millisecond
-
-// backlogDrainTimeout is how long after that what waits at the listener may take to be accepted, where links are short.
-const backlogDrainTimeout = 700 * time.Millisecond
-
 func (s *shutdown) stopping() bool { return s.phase >= phaseStopping }
 
 func (s *shutdown) closing() bool { return s.phase >= phaseClosing }
 
-// begin begins a planned end. Every answer from now on ends its link; idle links stay open while the front may
-// still bring new ones, for a client whose link closes would only come back here.
+// begin begins a graceful shutdown. Every answer from now on ends its connection; idle connections stay open
+// while the front may still bring new ones, for a client whose connection closes would only come back here.
 func (s *shutdown) begin() {
 	if s.stopping() {
 		return
 	}
-	s.log.Info().Int("queries", len(s.requests.byID)).Msg("stopping")
+	s.log.Info().Int(fieldRequests, len(s.requests.byID)).Msg("stopping")
 	s.phase = phaseStopping
 	s.killAt = s.now + min(maxGrace, s.longestDeadline()) + killAfter - killMargin
 	s.cluster.quit(true)
@@ -70,7 +72,7 @@
 		}
 	}
 	if s.restart.handedOver() {
-		// The next process takes clients, and the links after their answers: there is no one to wait for.
+		// The successor takes clients, and the connections after their answers: there is no one to wait for.
 		s.phase, s.restart.idlePending = phaseClosing, true
 		s.endListener()
 		return
@@ -82,18 +84,18 @@
 	s.setTimer(timerStop, 0, s.now+acceptAfterSIGTERM)
 }
 
-// tooLate reports whether a request that comes during a planned end might still be in work at SIGKILL, which would lose
-// it: a half request that is completed once the listener is closed, or one on a connection that has stood until then. It is
-// refused at once. What comes before counts as lost to nobody.
+// tooLate reports whether a request that comes during a graceful shutdown might still be in work at SIGKILL,
+// which would lose it: a half request that is completed once the listener is closed, or one on a connection
+// that has stood until then. It is refused at once. What comes before counts as lost to nobody.
 func (s *shutdown) tooLate(timeout time.Duration) bool {
 	return s.closing() && !s.restart.handedOver() && s.now+timeout > s.killAt
 }
 
-// closeListener takes what still waits at the listener, then closes it and the idle client links.
+// closeListener takes what still waits at the listener, then closes it and the idle downstream connections.
 func (s *shutdown) closeListener() {
 	s.phase = max(s.phase, phaseClosing)
 	if s.restart.handedOver() || s.listener.phase == notListening {
-		s.endListener() // the queue is the next process's, or there is none
+		s.endListener() // the queue is the successor's, or there is none
 		return
 	}
 	s.listener.accept()
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -2,6 +2,9 @@
 
 import "thymebend/internal/balancer"
 
+// maxCountedClasses bounds the classes counted, with those that have left the settings.
+const maxCountedClasses = 256
+
 // statistics are the counters of /ops/stats.
 type statistics struct {
 	classes         map[string]*classCounts
@@ -13,13 +16,10 @@
 	retries         uint64 // attempts beyond a request's first
 }
 
-// classCounts is what the operators are told of one class.
+// classCounts is what the admins are told of one class.
 type classCounts struct{ served, rejected, failed int64 }
 
-// maxCountedClasses bounds the classes counted, with those that have left the settings.
-const maxCountedClasses = 256
-
-// outcome is how a query ended for its client.
+// outcome is how a request ended for its client.
 type outcome uint8
 
 const (
@@ -28,7 +28,20 @@
 	outcomeFailed
 )
 
-// countResult counts the end of a query. Every final answer passes here, once.
+// String is for log lines.
+func (r outcome) String() string {
+	switch r {
+	case outcomeServed:
+		return "served"
+	case outcomeRejected:
+		return "refused"
+	case outcomeFailed:
+		return "failed"
+	}
+	return "unknown"
+}
+
+// countResult counts the end of a request. Every final answer passes here, once.
 func (s *statistics) countResult(class string, r outcome) {
 	t := s.class(class)
 	switch r {
@@ -50,8 +63,8 @@
 	return t
 }
 
-// countClasses makes every class of the settings count from its first moment. Guards against memory that grows with
-// reloads: with too many names, those that have left are forgotten.
+// countClasses makes every class of the settings count from its first moment. Guards against memory that
+// grows with reloads: with too many names, those that have left are forgotten.
 func (s *statistics) countClasses(classes []balancer.Class) {
 	if len(s.classes) > maxCountedClasses {
 		kept := make(map[string]*classCounts)
@@ -67,16 +80,3 @@
 
 // countEnd counts how connections and attempts ended, for the figures.
 func (s *statistics) countEnd(end TerminationReason) { s.ends[end]++ }
-
-// String is for log lines.
-func (r outcome) String() string {
-	switch r {
-	case outcomeServed:
-		return "served"
-	case outcomeRejected:
-		return "refused"
-	case outcomeFailed:
-		return "failed"
-	}
-	return "unknown"
-}
--- a/internal/gateway/termination.go
+++ b/internal/gateway/termination.go
@@ -5,27 +5,27 @@
 // TerminationReason is every way in which a connection, or what was under way on it, can end.
 type TerminationReason uint8
 
-// The ends of executions come first: those that prove that the request never ran, then those that leave it
-// open, then the one that served it. The ends of client links and of the watch follow.
+// The ends of attempts come first: those that prove that the request never ran, then those that leave it
+// open, then the one that served it. The ends of downstream connections and of the watch follow.
 const (
-	ReasonRequestOver       TerminationReason = iota // not begun: the query was over, out of time or out of attempts
+	ReasonRequestOver       TerminationReason = iota // not begun: the request was over, out of time or out of attempts
 	ReasonDedupWindowOver                            // its connection came up after the window for repeats: nothing was written
-	ReasonEndpointLeft                               // the host drains or is gone: nothing was written
-	ReasonNoDescriptor                               // no descriptor was left for a link
+	ReasonEndpointLeft                               // the endpoint drains or is gone: nothing was written
+	ReasonNoDescriptor                               // no descriptor was left for a connection
 	ReasonConnectFailed                              // the connection was refused or broke while it came up
 	ReasonLocalResources                             // this machine has run out of something that a connection needs
 	ReasonConnectTimeout                             // the connection did not come up in time
 	ReasonResetBeforeSent                            // the connection broke before the last byte was written
-	ReasonRejected                                   // the host says that it did not begin
+	ReasonRejected                                   // the endpoint says that it did not begin
 	ReasonResponseTimeout                            // no answer in time
-	ReasonReset                                      // the connection broke or ended before a whole answer
+	ReasonReset                                      // the connection broke or ended before a complete answer
 	ReasonMalformedResponse                          // what came is no answer
-	ReasonErrorResponse                              // an answer that is neither served nor turned away
-	ReasonCancelled                                  // the module cancelled
-	ReasonClientLeft                                 // the client left: its executions and its link end
-	ReasonServed                                     // a whole 200
-	ReasonIdleTimeout                                // an idle link was closed in good time, or by the peer
-	ReasonAnswered                                   // a client link ended after its last answer
+	ReasonErrorResponse                              // an answer that is neither served nor rejected
+	ReasonCancelled                                  // the balancer cancelled
+	ReasonClientLeft                                 // the client left: its attempts and its connection end
+	ReasonServed                                     // a complete 200
+	ReasonIdleTimeout                                // an idle connection was closed in good time, or by the peer
+	ReasonAnswered                                   // a downstream connection ended after its last answer
 	ReasonClientTimeout                              // a client did not finish its request or take its answer in time
 	ReasonWatchBroken                                // the watch broke, ended or never came up
 	ReasonWatchSilent                                // the watch missed its beat
@@ -34,7 +34,7 @@
 	reasonCount                                      // how many there are
 )
 
-// outcome maps an execution's end to what the module is told, and reports whether there is anything to tell.
+// outcome maps an attempt's end to what the balancer is told, and reports whether there is anything to tell.
 func (e TerminationReason) outcome() (balancer.Outcome, bool) {
 	switch e {
 	case ReasonRequestOver, ReasonDedupWindowOver, ReasonLocalResources:
--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// updateOwners tells who may own turns: the book, or in a flat fleet all that are known and have not left.
+// updateOwners tells who may own slow-start tokens: the seed peers, or in a flat cluster all that are known
+// and have not left.
 func (s *subsetAssignment) updateOwners(members []membership.Member) {
 	names := s.seedNames()
 	if s.cfg.Gossip.Flat {
@@ -50,9 +51,10 @@
 	s.state.owners.Know(s.now, names)
 }
 
-// grantTokens gives the module the turns that have begun, before it dispatches. It dispatches every few milliseconds while
-// it holds a request, so no timer is needed, and nothing is looked at while nobody asks. After news of the list it waits for the next
-// look: a host that has started again has other turns.
+// grantTokens gives the balancer the slow-start tokens that have begun, before it dispatches. It dispatches
+// every few milliseconds while it holds a request, so no timer is needed, and nothing is looked at while
+// nobody asks. After news of the list it waits for the next look: an endpoint that has started again has
+// other slow-start tokens.
 func (s *subsetAssignment) grantTokens() {
 	p := s.state
 	if p == nil || s.cluster.membership == nil || p.endpointsChanged || p.agreedSince == 0 || s.now-p.agreedSince < viewConvergence || !p.rule.Usable() ||
--- a/internal/gateway/trace_test.go
+++ b/internal/gateway/trace_test.go
@@ -22,7 +22,7 @@
 	r.step(loop.Event{Kind: loop.Accepted, Conn: r.clients + 1, Via: loop.Listener})
 	r.step(loop.Event{Kind: loop.Data, Conn: r.clients + 1, Data: []byte("GET /vi")})
 	r.step(loop.Event{Kind: loop.EOF, Conn: r.clients + 1})
-	for _, want := range []string{`"message":"client connection accepted"`, `"message":"request begins to come"`,
+	for _, want := range []string{`"message":"downstream connection accepted"`, `"message":"request begins to come"`,
 		`"id":"0000000000000001","class":"view"`, `"attempt":0`, `"end":"faulty"`,
 		`"end":"client gone","requests":0,"partly_read":true`} {
 		if !strings.Contains(r.log.String(), want) {
--- a/internal/gateway/upload.go
+++ b/internal/gateway/upload.go
@@ -8,6 +8,11 @@
 	"thymebend/internal/upstream"
 )
 
+// uploadWriteTimeout is how long an endpoint may take nothing of a body that is written to it. Its client is
+// not read meanwhile and may have stopped, which then cannot be told: it is owed an error within
+// downstream.ErrorDeadline whatever its endpoint does.
+const uploadWriteTimeout = 2500 * time.Millisecond
+
 // uploads passes request bodies on that are too large to be held. Each upload's state is with its request.
 type uploads struct {
 	*core
@@ -16,28 +21,25 @@
 	requests   *requestTable
 }
 
-// uploadWriteTimeout is how long a host may take nothing of a body that is written to it. Its client is not read meanwhile and may have
-// stopped, which then cannot be told: it is owed an error within clients.OwedWithin whatever its host does.
-const uploadWriteTimeout = 2500 * time.Millisecond
-
-// upload is a request's body on its way from the client to a host, one piece at a time.
+// upload is a request's body on its way from the client to an endpoint, one piece at a time.
 type upload struct {
 	length      int64         // -1: in chunks
-	attempt     *attempt      // whose host has the head; nil until then
+	attempt     *attempt      // whose endpoint has the head; nil until then
 	writing     bool          // a piece is not yet written out
-	consumed    bool          // a part has left for a host: it cannot be sent again
+	consumed    bool          // a part has left for an endpoint: it cannot be sent again
 	complete    bool          // the last piece has been taken from the client
-	completedAt time.Duration // with whole: when the client had written its last byte, at the earliest
+	completedAt time.Duration // with complete: when the client had written its last byte, at the earliest
 }
 
-// begin has a link wait, with the first part of a body, until the module has chosen a host. The link is read no further
-// once more of the body has come: until then a client that has stopped can be told from one that waits.
+// begin has a connection wait, with the first part of a body, until the balancer has chosen an endpoint. The
+// connection is read no further once more of the body has come: until then a client that has stopped can be
+// told from one that waits.
 func (u *uploads) begin(req *request, conn *downstream.Conn) {
 	req.upload = &upload{length: conn.Begin()}
 	u.downstream.setDeadline(conn, u.downstream.requestDeadline(conn))
 }
 
-// readable reads on only while all that has come is written out: the client goes at the host's pace.
+// readable reads on only while all that has come is written out: the client goes at the endpoint's pace.
 func (u *uploads) readable(conn *downstream.Conn) {
 	if req := u.requests.byID[conn.Request]; !conn.Muted && (req.upload.attempt == nil || req.upload.writing) {
 		u.downstream.pauseReading(conn)
@@ -46,7 +48,7 @@
 	u.emit(loop.Effect{Op: loop.Read, Conn: conn.ID})
 }
 
-// pump writes what has come of a body to the host.
+// pump writes what has come of a body to the endpoint.
 func (u *uploads) pump(req *request) {
 	up, conn := req.upload, u.downstream.conns.ByConn[req.client]
 	if up.attempt == nil || up.writing || up.complete || conn == nil {
@@ -80,7 +82,8 @@
 		u.pump(att.request)
 		return
 	}
-	// The last byte is written: from here on the host works. The client has waited since its own last byte.
+	// The last byte is written: from here on the endpoint works. The client has waited since its own last
+	// byte.
 	att.conn.Phase = upstream.Awaiting
 	u.stats.forwarded++
 	att.began, att.deadline = u.now, up.completedAt+att.request.ClientTimeout
@@ -89,7 +92,7 @@
 	u.attempts.progress = append(u.attempts.progress, writeProgress{attempt: att, done: true})
 }
 
-// abort ends a query whose client does not send its body as it should, and answers it.
+// abort ends a request whose client does not send its body as it should, and answers it.
 func (u *uploads) abort(req *request, conn *downstream.Conn, answer []byte) {
 	u.requests.abandon(req)
 	u.downstream.keepAlive(conn)
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -9,6 +9,10 @@
 	"thymebend/internal/upstream"
 )
 
+// idleTimeoutFraction of the time after which endpoints close idle connections: closed by then, none is
+// reused too late.
+const idleTimeoutFraction = 0.7
+
 func (a *attemptTable) handleEvent(conn *upstream.Conn, e loop.Event) {
 	att := a.byConn[conn.ID]
 	switch e.Kind {
@@ -26,7 +30,8 @@
 			a.stats.forwarded++
 		}
 	case loop.Stale:
-		// Nothing was written. The host closed this link while it was idle; the next one may be better.
+		// Nothing was written. The endpoint closed this connection while it was idle; the next one may be
+		// better.
 		att.request.invariants.Ended(att.invariantIndex, true)
 		att.invariantIndex = notWritten
 		a.dropConn(conn, ReasonIdleTimeout)
@@ -46,7 +51,7 @@
 	answer, err := conn.Feed(data)
 	switch {
 	case err != nil:
-		a.log.Debug().Err(err).Msg("answer of a host")
+		a.log.Debug().Err(err).Msg("response of an endpoint")
 		a.end(att, ReasonMalformedResponse, nil)
 	case answer != nil:
 		a.responded(att, answer)
@@ -57,7 +62,7 @@
 	}
 }
 
-// connBroke ends what is under way on a link that broke or was ended by its host.
+// connBroke ends what is under way on a connection that broke or was ended by its endpoint.
 func (a *attemptTable) connBroke(conn *upstream.Conn, att *attempt, e loop.Event) {
 	if att == nil {
 		a.dropConn(conn, ReasonIdleTimeout)
@@ -81,7 +86,7 @@
 	}
 }
 
-// responded takes a host's whole answer. The first 200 goes to the client as it is.
+// responded takes an endpoint's complete answer. The first 200 goes to the client as it is.
 func (a *attemptTable) responded(att *attempt, resp *upstream.Response) {
 	end := ReasonErrorResponse
 	switch {
@@ -117,18 +122,19 @@
 	a.setTimer(timerUpstream, uint64(conn.ID), a.now+scale(a.cfg.Settings.Gateway.ConnIdle, idleTimeoutFraction))
 }
 
-// dropConn closes a server link.
+// dropConn closes a upstream connection.
 func (a *attemptTable) dropConn(conn *upstream.Conn, end TerminationReason) {
-	a.log.Debug().Uint64("link", uint64(conn.ID)).Stringer("end", end).Msg("server link")
+	a.log.Debug().Uint64(fieldUpstreamConn, uint64(conn.ID)).Stringer(fieldEnd, end).Msg("upstream connection closed")
 	a.stopTimer(timerUpstream, uint64(conn.ID))
 	a.pool.Remove(conn)
 	delete(a.byConn, conn.ID)
 	a.closeConn(conn.ID)
 }
 
-// endpointsChanged closes the idle links to hosts that drain, are gone, have moved or have started anew, and ends the executions that
-// still connect to one: not a byte may go to a host after the gateway has been told that it leaves, and what was decided for
-// one start of a host must not reach the next, which is cold.
+// endpointsChanged closes the idle upstream connections that drain, are gone, have moved or have started
+// anew, and ends the attempts that still connect to one: not a byte may go to an endpoint after the gateway
+// has been told that it leaves, and what was decided for one start of an endpoint must not reach the next,
+// which is cold.
 func (a *attemptTable) endpointsChanged(changed []balancer.EndpointID) {
 	if len(changed) == 0 {
 		return
@@ -149,9 +155,6 @@
 
 func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
 
-// idleTimeoutFraction of the time after which hosts close idle links: closed by then, none is reused too late.
-const idleTimeoutFraction = 0.7
-
 // idleTimerDue closes an idle connection before its endpoint does.
 func (a *attemptTable) idleTimerDue(c loop.Conn) {
 	if conn := a.pool.Find(c); conn != nil && conn.Phase == upstream.Idle {
--- a/internal/lab/drill/stopped_test.go
+++ b/internal/lab/drill/stopped_test.go
@@ -43,7 +43,7 @@
 func TestViolationsAreReadFromLogs(t *testing.T) {
 	r := &rig{}
 	found := r.logged("gateway-0", `{"level":"info","message":"started"}`+"\n"+
-		`{"level":"error","rule":"ran twice","id":"7","detail":"attempt 0 may have run","message":"held back: it would break a rule"}`+"\n")
+		`{"level":"error","rule":"ran twice","id":"7","detail":"attempt 0 may have run","message":"suppressed: it would break an invariant"}`+"\n")
 	if len(found) != 1 || found[0].Rule != HeldBack || found[0].ID != "gateway-0" || !strings.Contains(found[0].Detail, "ran twice") {
 		t.Errorf("%+v", found)
 	}
--- a/internal/lab/drill/violations.go
+++ b/internal/lab/drill/violations.go
@@ -52,7 +52,7 @@
 // logged finds the violations that processes logged and did not live to tell: their last figures may be older.
 func (r *rig) logged(name, text string) (found []requestrecord.Finding) {
 	for line := range strings.SplitSeq(text, "\n") {
-		if !strings.Contains(line, `"held back: it would break a rule"`) {
+		if !strings.Contains(line, `"suppressed: it would break an invariant"`) {
 			continue
 		}
 		var entry struct{ Rule, ID, Detail string }
