--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -7,7 +7,8 @@
 	"thymebend/internal/downstream"
 )
 
-// balancerActions carries out what the balancer decides. It implements balancer.Actions.
+// balancerActions carries out what the balancer decides. Its methods must not call the balancer: what it has
+// to be notified of is kept until the end of the Step.
 type balancerActions struct {
 	*core
 	attempts   *attemptTable
@@ -18,9 +19,6 @@
 	timers uint64 // set so far
 }
 
-// The methods of this file are what the balancer asks for. They change the state and ask for effects, and
-// they put off all that the balancer has to hear: it must not be called while it calls.
-
 // StartAttempt implements balancer.Actions.
 func (a *balancerActions) StartAttempt(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
 	req := a.requests.byID[id]
@@ -29,7 +27,10 @@
 		return
 	}
 	a.attempts.nextID++
-	att := &attempt{request: req, number: req.started, id: a.attempts.nextID, endpoint: to, began: a.now, deadline: req.deadline, invariantIndex: notWritten}
+	att := &attempt{
+		request: req, number: req.started, id: a.attempts.nextID, endpoint: to,
+		began: a.now, deadline: req.deadline, invariantIndex: notWritten,
+	}
 	req.started++
 	req.running = append(req.running, att)
 	a.attempts.byID[att.id] = att
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -8,7 +8,7 @@
 	"thymebend/internal/loop"
 )
 
-// adminAcceptBatch is how many admins' calls are accepted at once.
+// adminAcceptBatch is how many connections are accepted at once.
 const adminAcceptBatch = 2
 
 // adminEndpoint answers the requests under /ops.
@@ -24,11 +24,22 @@
 	conns admin.Conns
 }
 
+// statsReport is the answer to /ops/stats.
 func (a *adminEndpoint) statsReport() admin.Stats {
-	f := admin.Stats{Fulfilled: make(map[string]int64), Throttled: make(map[string]int64), Faulted: make(map[string]int64),
-		Forwarded: a.stats.forwarded, Open: len(a.requests.openIDs), Endpoints: a.discovery.endpoints.Len(), ConfigsAccepted: a.stats.configsAccepted, ConfigsRejected: a.stats.configsRejected,
-		Ends: make(map[string]uint64), Rejections: make(map[string]uint64), Retries: a.stats.retries,
-		Violations: a.invariants.Counts()}
+	f := admin.Stats{
+		Fulfilled:       make(map[string]int64),
+		Throttled:       make(map[string]int64),
+		Faulted:         make(map[string]int64),
+		Forwarded:       a.stats.forwarded,
+		Open:            len(a.requests.openIDs),
+		Endpoints:       a.discovery.endpoints.Len(),
+		ConfigsAccepted: a.stats.configsAccepted,
+		ConfigsRejected: a.stats.configsRejected,
+		Ends:            make(map[string]uint64),
+		Rejections:      make(map[string]uint64),
+		Retries:         a.stats.retries,
+		Violations:      a.invariants.Counts(),
+	}
 	for end, count := range a.stats.ends {
 		if count > 0 {
 			f.Ends[TerminationReason(end).String()] = count
@@ -73,10 +84,10 @@
 		a.emit(loop.Effect{Op: loop.Read, Conn: conn.ID})
 	case loop.Data:
 		if conn.Answered {
-			return // one call a connection
+			return // one request a connection
 		}
-		call, answer := conn.Feed(e.Data)
-		switch call {
+		asked, answer := conn.Feed(e.Data)
+		switch asked {
 		case admin.NoRequest:
 			return
 		case admin.ReadinessRequest:
@@ -92,8 +103,7 @@
 		a.setTimer(timerAdmin, uint64(conn.ID), a.now+admin.RequestTimeout)
 		a.write(conn.ID, answer)
 	case loop.Flushed:
-		// Only the sending ends: a close with bytes unread would reset the connection and could take the
-		// answer away.
+		// Only sending ends: closing with bytes unread would reset the connection and could lose the answer.
 		if conn.Answered && !conn.Ended {
 			conn.Ended = true
 			a.emit(loop.Effect{Op: loop.Shutdown, Conn: conn.ID})
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -44,24 +44,25 @@
 	conn     *upstream.Conn
 	began    time.Duration
 	deadline time.Duration // awaited until then
-	// invariantIndex is its number among the attempts of which something was written, notWritten before.
+	// invariantIndex is its number in the request's invariant record, notWritten before its first byte is written.
 	invariantIndex int
 }
 
-// attemptEnd is an end that the balancer is told once it has returned.
+// attemptEnd is an end of which the balancer is notified once it has returned.
 type attemptEnd struct {
 	attempt  *attempt
 	reason   TerminationReason
 	response *upstream.Response
 }
 
-// writeProgress is news of an upload that the balancer is told once it has returned, before the ends.
+// writeProgress is progress of an upload of which the balancer is notified once it has returned, before the
+// ends.
 type writeProgress struct {
 	attempt *attempt
 	done    bool // its last byte is written
 }
 
-// reportEnds tells the balancer the ends that came up while it was busy. What it answers may bring about
+// reportEnds notifies the balancer of the ends that came up while it was busy. Its actions may bring about
 // more.
 func (a *attemptTable) reportEnds() {
 	for _, n := range a.progress {
@@ -80,8 +81,15 @@
 func (a *attemptTable) reportEnd(p attemptEnd) {
 	req := p.attempt.request
 	outcome, _ := p.reason.outcome()
-	end := balancer.AttemptEnd{Request: req.id, Attempt: p.attempt.number, Endpoint: p.attempt.endpoint, Outcome: outcome,
-		Latency: a.now - p.attempt.began, RequestDone: req.done, BodyConsumed: req.upload != nil && req.upload.consumed}
+	end := balancer.AttemptEnd{
+		Request:      req.id,
+		Attempt:      p.attempt.number,
+		Endpoint:     p.attempt.endpoint,
+		Outcome:      outcome,
+		Latency:      a.now - p.attempt.began,
+		RequestDone:  req.done,
+		BodyConsumed: req.upload != nil && req.upload.consumed,
+	}
 	if p.response != nil && a.cfg.Settings.Gateway.Waiting >= 0 {
 		end.Reported, end.QueueLength = p.response.Reported, p.response.QueueLength
 	}
@@ -111,8 +119,8 @@
 	}
 	conn := a.pool.Open(att.endpoint)
 	a.bind(att, conn)
-	notUp := a.now + a.cfg.Settings.Gateway.ConnectTimeout
-	a.setTimer(timerAttempt, att.id, min(att.deadline, notUp))
+	connectDeadline := a.now + a.cfg.Settings.Gateway.ConnectTimeout
+	a.setTimer(timerAttempt, att.id, min(att.deadline, connectDeadline))
 	a.emit(loop.Effect{Op: loop.Dial, Conn: conn.ID, Addr: a.discovery.endpoints.Find(att.endpoint).Addr})
 }
 
@@ -130,11 +138,11 @@
 	}
 	att.conn.Phase = upstream.Writing
 	if req := att.request; req.upload != nil {
-		// The head goes alone: nothing of the body is lost if the connection slow-start tokens out to be
-		// dead.
+		// The head goes alone: nothing of the body is lost if the connection turns out to be dead.
 		a.progress = append(a.progress, writeProgress{attempt: att})
 		a.setTimer(timerAttempt, att.id, a.now+uploadWriteTimeout)
-		a.emit(loop.Effect{Op: op, Conn: att.conn.ID, Data: upstream.AppendHead(nil, req.Message, req.upload.length, a.requests.timeLeft(req))})
+		head := upstream.AppendHead(nil, req.Message, req.upload.length, a.requests.timeLeft(req))
+		a.emit(loop.Effect{Op: op, Conn: att.conn.ID, Data: head})
 		return
 	}
 	data := upstream.AppendRequest(nil, att.request.Message, att.deadline-a.now)
@@ -147,7 +155,7 @@
 }
 
 // end ends an attempt, with its connection if it still has one: a late answer on it must not reach another
-// request. The balancer is told once it has returned.
+// request. The balancer is notified once it has returned.
 func (a *attemptTable) end(att *attempt, end TerminationReason, answer *upstream.Response) {
 	if conn := att.conn; conn != nil {
 		a.unbind(att)
@@ -166,8 +174,7 @@
 	a.requests.release(req)
 	a.stats.countEnd(end)
 	if end != ReasonServed && end != ReasonRejected {
-		a.log.Debug().Uint32(fieldRequest, uint32(req.id)).Str(fieldID, req.ID).Int(fieldAttempt, att.number).Stringer(fieldEnd, end).
-			Dur(fieldAfter, a.now-att.began).Msg("attempt ended")
+		a.logAttemptEnd(att, end)
 	}
 	a.ended = append(a.ended, attemptEnd{attempt: att, reason: end, response: answer})
 }
@@ -197,11 +204,16 @@
 	case !a.balancer.MayStartAttempt(a.now, att.request.id, att.number):
 		return ReasonDedupWindowOver, true
 	}
-	number, ok := a.invariants.AllowAttempt(&att.request.invariants, invariant.Attempt{Now: a.now, Until: att.deadline,
-		Endpoint: invariant.Endpoint{Zone: endpoint.Zone, Cell: endpoint.Cell, Leaving: !a.discovery.isReady(att.endpoint)}})
+	index, ok := a.invariants.AllowAttempt(&att.request.invariants, invariant.Attempt{
+		Now:   a.now,
+		Until: att.deadline,
+		Endpoint: invariant.Endpoint{
+			Zone: endpoint.Zone, Cell: endpoint.Cell, Leaving: !a.discovery.isReady(att.endpoint),
+		},
+	})
 	if !ok {
 		return ReasonRequestOver, true
 	}
-	att.invariantIndex = number
+	att.invariantIndex = index
 	return 0, false
 }
--- a/internal/gateway/classes.go
+++ b/internal/gateway/classes.go
@@ -20,14 +20,17 @@
 	previous map[string]previousClass // classes that changed lately, by name
 }
 
-// previousClass is a class as it was before the last change of its effect.
+// previousClass is a class as it was before its idempotency last changed.
 type previousClass struct {
 	class balancer.Class
 	index int
 	until time.Duration
 }
 
-// apply takes new settings that the balancer has taken, with the places of their classes.
+// method is the HTTP method by which requests of the class were worded.
+func (p previousClass) method() string { return downstream.MethodOf(p.class.Idempotency) }
+
+// apply takes new settings that the balancer has taken, with the indices of their classes in it.
 func (t *classTable) apply(fresh settings.Settings, indices []int) {
 	for _, name := range slices.Sorted(maps.Keys(t.previous)) {
 		if t.now >= t.previous[name].until {
@@ -41,21 +44,22 @@
 			}
 		}
 	}
-	// Sites keep the numbers that they have: endpoints and the balancer know them by these.
+	// Zones keep the numbers that they have: endpoints and the balancer know them by these.
 	fresh.Gateway.Zones = t.cfg.Settings.Gateway.Zones
 	t.cfg.Settings, t.indices = fresh, indices
 	t.stats.countClasses(fresh.Config.Classes)
 }
 
-// find finds the class that a request names, as its method words it. Just after a class has changed its
-// effect, requests worded for the old one still come; the stricter of the two effects holds for them.
+// find finds the class that a request names, as its method words it. Just after the idempotency of a class has
+// changed, requests worded for the old one still come; the stricter of the two holds for them.
 func (t *classTable) find(name, method string) (downstream.Class, bool) {
 	for i, c := range t.cfg.Settings.Config.Classes {
 		if c.Name != name {
 			continue
 		}
 		found := downstream.Class{Name: name, Index: t.indices[i], Method: downstream.MethodOf(c.Idempotency), Class: c}
-		if previous, ok := t.previous[name]; ok && t.now < previous.until && method == downstream.MethodOf(previous.class.Idempotency) && method != found.Method {
+		previous, ok := t.previous[name]
+		if ok && t.now < previous.until && method == previous.method() && method != found.Method {
 			found.Method = method
 			if previous.class.Idempotency > c.Idempotency {
 				found.Index, found.Class = previous.index, previous.class
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -9,14 +9,9 @@
 	"thymebend/internal/membership"
 )
 
-// The cluster's view, where a gossip file asks for it: the reducer of internal/membership on a datagram
-// socket. Without the file there is no socket, no timer and no view.
-
-// socketRetryInterval is how soon a socket that failed is opened again; fleetLog bounds the lines about the
-// view.
 const (
-	socketRetryInterval = time.Second
-	viewLogInterval     = time.Second
+	socketRetryInterval = time.Second // until a socket that failed is opened again
+	viewLogInterval     = time.Second // between two log lines about the view
 )
 
 // cluster is this process's membership in the cluster of gateways, where a gossip file asks for it: the
@@ -47,8 +42,16 @@
 	}
 	c.assignment.begin()
 	payload := c.assignment.initialPayload()
-	view, err := membership.New(membership.Config{Cluster: f.Cluster, Name: f.Name, Start: c.startID, Incarnation: c.incarnation, SeedPeers: f.SeedPeers,
-		Flat: f.Flat, Payload: payload, Seed: c.cfg.Seed}, c.now)
+	view, err := membership.New(membership.Config{
+		Cluster:     f.Cluster,
+		Name:        f.Name,
+		Start:       c.startID,
+		Incarnation: c.incarnation,
+		SeedPeers:   f.SeedPeers,
+		Flat:        f.Flat,
+		Payload:     payload,
+		Seed:        c.cfg.Seed,
+	}, c.now)
 	if err != nil {
 		c.log.Error().Err(err).Msg("cluster: not joined")
 		c.assignment.state = nil
@@ -63,8 +66,8 @@
 	c.emit(loop.Effect{Op: loop.Bind, Conn: loop.Gossip, Addr: c.cfg.Gossip.Listen, Urgent: true})
 }
 
-// quit falls silent, for the successor speaks under this one's identity, or after telling that this gateway
-// leaves.
+// quit ends the membership: silently, for the successor speaks under this identity, or by announcing that this
+// gateway leaves.
 func (c *cluster) quit(leave bool) {
 	v := c.membership
 	if v == nil {
@@ -76,7 +79,7 @@
 	}
 	c.startID, c.incarnation = v.Identity()
 	c.membership, c.socketOpen = nil, false
-	c.assignment.state = nil // its endpoints stay in use, its slow-start tokens at cold ones are others' or nobody's from now on
+	c.assignment.state = nil // its endpoints stay in use, its slow-start tokens are others' or nobody's
 	c.stopTimer(timerCluster, 0)
 	c.closeConn(loop.Gossip)
 }
@@ -100,7 +103,7 @@
 	}
 }
 
-// timerDue is the view's time, or that to open its socket again.
+// timerDue advances the membership, or opens its socket again.
 func (c *cluster) timerDue() {
 	switch {
 	case c.membership == nil:
@@ -112,7 +115,7 @@
 	}
 }
 
-// flush sends what the view wants sent, and has it looked at when it wants.
+// flush sends the datagrams of the membership and sets its next timer.
 func (c *cluster) flush() {
 	v := c.membership
 	for _, d := range v.Take() {
@@ -124,12 +127,13 @@
 	}
 	if st := v.Status(c.now); st.Version != c.loggedVersion {
 		c.loggedAt, c.loggedVersion = c.now, st.Version
-		c.log.Info().Int(fieldAlive, st.Alive).Int(fieldKnown, st.Known).Bool(fieldMajority, st.Majority).Bool(fieldDuplicateName, st.DuplicateName).
-			Int(fieldLocalHealth, st.LocalHealth).Msg("cluster: membership has changed")
+		c.log.Info().Int(fieldAlive, st.Alive).Int(fieldKnown, st.Known).Bool(fieldMajority, st.Majority).
+			Bool(fieldDuplicateName, st.DuplicateName).Int(fieldLocalHealth, st.LocalHealth).
+			Msg("cluster: membership has changed")
 	}
 }
 
-// reload takes a new book. A faulty file changes nothing; what else the file says holds from the next start.
+// reload takes new seed peers. A faulty file changes nothing; what else the file says holds from the next start.
 func (c *cluster) reload(raw []byte, err error) {
 	var f *gossipconfig.Config
 	if err == nil {
@@ -149,9 +153,11 @@
 	c.log.Info().Int(fieldSeedPeers, len(f.SeedPeers)).Msg("reload: seed peers")
 }
 
-// report are what admins read of the cluster.
+// report is the answer to /ops/fleet.
 func (c *cluster) report() admin.Cluster {
-	out := admin.Cluster{Cluster: c.cfg.Gossip.Cluster, Name: c.cfg.Gossip.Name, Joined: c.joined, Members: []admin.Member{}}
+	out := admin.Cluster{
+		Cluster: c.cfg.Gossip.Cluster, Name: c.cfg.Gossip.Name, Joined: c.joined, Members: []admin.Member{},
+	}
 	v := c.membership
 	if v == nil {
 		return out
@@ -159,17 +165,32 @@
 	out.Assignment = c.assignment.report()
 	st, counts := v.Status(c.now), v.Counts()
 	out.Active, out.Settled, out.Majority, out.DuplicateName = c.socketOpen, st.Settled, st.Majority, st.DuplicateName
-	out.Alive, out.Known, out.Answering, out.Health, out.QuietMS = st.Alive, st.Known, st.Answering, st.LocalHealth, st.Isolated.Milliseconds()
-	out.Sent, out.SentBytes, out.Received, out.ReceivedBytes = counts.Sent, counts.SentBytes, counts.Received, counts.ReceivedBytes
-	out.Refused = map[string]uint64{"foreign": counts.OtherCluster, "spoilt": counts.Malformed, "strange": counts.UnknownSender, "over_rate": counts.Deferred, "over_size": counts.Full}
+	out.Alive, out.Known, out.Answering = st.Alive, st.Known, st.Answering
+	out.Health, out.QuietMS = st.LocalHealth, st.Isolated.Milliseconds()
+	out.Sent, out.SentBytes = counts.Sent, counts.SentBytes
+	out.Received, out.ReceivedBytes = counts.Received, counts.ReceivedBytes
+	out.Refused = map[string]uint64{
+		"foreign":   counts.OtherCluster,
+		"spoilt":    counts.Malformed,
+		"strange":   counts.UnknownSender,
+		"over_rate": counts.Deferred,
+		"over_size": counts.Full,
+	}
 	for _, m := range v.Members() {
-		fm := admin.Member{Name: m.Name, State: m.State.String(), Start: m.Start, Incarnation: m.Incarnation,
-			SinceMS: (c.now - m.Since).Milliseconds(), Previous: m.Previous.String(), SuspectedBy: m.SuspectedBy,
-			RTTMS: float64(m.RTT.Microseconds()) / 1000}
+		member := admin.Member{
+			Name:        m.Name,
+			State:       m.State.String(),
+			Start:       m.Start,
+			Incarnation: m.Incarnation,
+			SinceMS:     (c.now - m.Since).Milliseconds(),
+			Previous:    m.Previous.String(),
+			SuspectedBy: m.SuspectedBy,
+			RTTMS:       float64(m.RTT.Microseconds()) / 1000,
+		}
 		if m.Addr.IsValid() {
-			fm.Addr = m.Addr.String()
+			member.Addr = m.Addr.String()
 		}
-		out.Members = append(out.Members, fm)
+		out.Members = append(out.Members, member)
 	}
 	return out
 }
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -25,8 +25,8 @@
 	stats      statistics
 }
 
-// pauseListener stops looking at a listening socket of few callers for a moment. Guards against spinning
-// while a connection waits for which there is no descriptor.
+// pauseListener accepts nothing for a moment on the admin or hot-restart socket. Guards against spinning while a
+// connection waits for which there is no descriptor.
 func (c *core) pauseListener(conn loop.Conn) {
 	c.emit(loop.Effect{Op: loop.Mute, Conn: conn})
 	c.setTimer(timerListenerPause, uint64(conn), c.now+acceptPauseDuration)
@@ -48,7 +48,7 @@
 	c.emit(loop.Effect{Op: loop.StopTimer, Timer: loop.Timer{Kind: kind, ID: id}})
 }
 
-// discoveryPushed reports whether lists come unasked.
+// discoveryPushed reports whether endpoint lists are pushed by an agent on this machine, not polled.
 func (c *core) discoveryPushed() bool { return !c.cfg.Settings.Config.PollDiscovery }
 
 // longestDeadline is the longest deadline of the classes.
@@ -59,9 +59,9 @@
 	return longest
 }
 
-// framed words a piece of a body. The bytes are valid until the next Step.
-func (c *core) framed(piece []byte, chunks, last bool) []byte {
-	if !chunks {
+// framed is a piece of a body as it goes on the wire. The bytes are valid until the next Step.
+func framed(piece []byte, chunked, last bool) []byte {
+	if !chunked {
 		return piece
 	}
 	return http1.AppendChunk(nil, piece, last)
--- a/internal/gateway/logging.go
+++ b/internal/gateway/logging.go
@@ -7,7 +7,7 @@
 	"thymebend/internal/invariant"
 )
 
-// logViolation logs an effect that was held back.
+// logViolation logs an effect that was suppressed.
 func (c *core) logViolation(v invariant.Violation) {
 	c.log.Error().Stringer(fieldRule, v.Rule).Str(fieldID, v.Request).Str(fieldDetail, v.Detail).Msg("suppressed: it would break an invariant")
 }
@@ -23,13 +23,13 @@
 		Dur(fieldAge, c.now-conn.Accepted).Msg("request begins to come")
 }
 
-// logTaken logs that a request has become the balancer's.
+// logTaken logs that a request goes to the balancer.
 func (c *core) logTaken(req *request) {
 	c.log.Debug().Uint64(fieldDownstreamConn, uint64(req.client)).Uint32(fieldRequest, uint32(req.id)).Str(fieldID, req.ID).Str(fieldClass, req.Class.Name).
 		Dur(fieldClientTimeout, req.ClientTimeout).Msg("request accepted")
 }
 
-// logFaulty logs that a request was answered with an error, and is passed on to nobody.
+// logFaulty logs that a request was answered with an error and goes no further.
 func (c *core) logFaulty(conn *downstream.Conn, id string, status int, why string) {
 	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Str(fieldID, id).Int(fieldStatus, status).Str(fieldDetail, why).Msg("request malformed")
 }
@@ -55,10 +55,16 @@
 		Uint64(fieldEndpoint, uint64(att.endpoint)).Dur(fieldTimeLeft, att.deadline-c.now).Msg("attempt begins")
 }
 
-// logIncomplete logs that a request did not come complete in its time.
+// logAttemptEnd logs how an attempt failed.
+func (c *core) logAttemptEnd(att *attempt, end TerminationReason) {
+	c.log.Debug().Uint32(fieldRequest, uint32(att.request.id)).Str(fieldID, att.request.ID).
+		Int(fieldAttempt, att.number).Stringer(fieldEnd, end).Dur(fieldAfter, c.now-att.began).Msg("attempt ended")
+}
+
+// logIncomplete logs that a request was not complete in time.
 func (c *core) logIncomplete(conn *downstream.Conn) {
 	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Int(fieldBytes, conn.RequestBytes).Int(fieldRequestsBefore, conn.Requests).
-		Dur(fieldAfter, c.now-conn.RequestBegan).Dur(fieldSilent, conn.IdleFor(c.now)).Msg("request incomplete in time")
+		Dur(fieldAfter, c.now-conn.RequestBegan).Dur(fieldSilent, conn.IdleFor(c.now)).Msg("request not complete in time")
 }
 
 // logRelayCut logs why a large response could not be passed on to its end.
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -59,14 +59,17 @@
 		t.attempts.responded(att, a)
 		return
 	}
-	reuse := a.KeepAlive && conn.Phase == upstream.Awaiting
+	reusable := a.KeepAlive && conn.Phase == upstream.Awaiting
 	length := conn.Begin()
-	chunks := length < 0 && req.Message.Minor > 0
+	chunked := length < 0 && req.Message.Minor > 0
 	keep := t.downstream.keepAlive(c)
-	if length < 0 && !chunks { // a client too old for chunks knows the end by the connection's
+	if length < 0 && !chunked { // a client too old for chunks knows the end by the connection's
 		keep, c.Closing = false, true
 	}
-	r := &relay{downstream: c, upstream: conn, id: req.ID, began: t.now, length: length, class: req.Class.Name, chunked: chunks, reusable: reuse}
+	r := &relay{
+		downstream: c, upstream: conn, id: req.ID, class: req.Class.Name, began: t.now,
+		length: length, chunked: chunked, reusable: reusable,
+	}
 	t.byConn[c.ID], t.byConn[conn.ID] = r, r
 	t.attempts.unbind(att)
 	conn.Phase = upstream.Relaying
@@ -158,7 +161,7 @@
 
 func (t *relayTable) writePiece(r *relay, piece []byte, last bool) {
 	r.complete = last
-	data := t.framed(piece, r.chunked, last)
+	data := framed(piece, r.chunked, last)
 	if len(data) == 0 {
 		t.flushed(r) // an end that takes no byte
 		return
--- a/internal/gateway/upload.go
+++ b/internal/gateway/upload.go
@@ -70,7 +70,7 @@
 	}
 	u.downstream.resumeReading(conn)
 	u.setTimer(timerAttempt, up.attempt.id, u.now+uploadWriteTimeout)
-	u.write(up.attempt.conn.ID, u.framed(piece, up.length < 0, done))
+	u.write(up.attempt.conn.ID, framed(piece, up.length < 0, done))
 }
 
 // flushed goes on once the head or a piece is written out.
--- a/internal/lab/mutationtest/gateway.go
+++ b/internal/lab/mutationtest/gateway.go
@@ -69,7 +69,7 @@
 		one("another worth of a token", "shares", "internal/gateway/assignment.go",
 			"Capacity: p.warmRate}", "Capacity: p.warmRate * 1.6}"),
 		one("tokens forgotten at each look", "shares", "internal/gateway/assignment.go",
-			"p.taker.Forget(isCold)", "p.taker.Forget(func(uint64) bool { return false })"),
+			"p.taker.Forget(inSlowStart)", "p.taker.Forget(func(uint64) bool { return false })"),
 		one("warm endpoints left out", "shares", "internal/gateway/assignment.go",
 			"		case h.State != balancer.EndpointReady:",
 			"		case h.State != balancer.EndpointReady || h.StartedAt > 0 && !s.warmingUp(h):"),
