--- a/internal/gateway/trace_test.go
+++ b/internal/gateway/trace_test.go
@@ -22,14 +22,14 @@
 	r.step(loop.Event{Kind: loop.Accepted, Conn: r.clients + 1, Via: loop.Listener})
 	r.step(loop.Event{Kind: loop.Data, Conn: r.clients + 1, Data: []byte("GET /vi")})
 	r.step(loop.Event{Kind: loop.EOF, Conn: r.clients + 1})
-	for _, want := range []string{`"message":"client connection accepted"`, `"message":"request begins to come"`,
+	for _, want := range []string{`"message":"downstream connection accepted"`, `"message":"request begins to come"`,
 		`"id":"0000000000000001","class":"view"`, `"attempt":0`, `"end":"faulty"`,
 		`"end":"client gone","requests":0,"partly_read":true`} {
 		if !strings.Contains(r.log.String(), want) {
 			t.Errorf("no %s in the log:\n%s", want, r.log.String())
 		}
 	}
-	f := r.g.figures()
+	f := r.g.admin.statsReport()
 	if f.Ends["faulty"] != 1 || f.Ends["client gone"] != 1 {
 		t.Errorf("ends %v", f.Ends)
 	}
@@ -41,7 +41,7 @@
 	r.g.cfg.Settings.Gateway.MaxUpstreamConns = 1
 	r.request(0, 0)
 	r.request(0, 0)
-	if f := r.g.figures(); f.Rejections["too many open"] != 1 {
+	if f := r.g.admin.statsReport(); f.Rejections["too many open"] != 1 {
 		t.Errorf("refusals %v", f.Rejections)
 	}
 }
--- a/internal/lab/mutationtest/balancer.go
+++ b/internal/lab/mutationtest/balancer.go
@@ -16,7 +16,7 @@
 				"return !ep.cooldown.active(b.now)"},
 			{subsetting, "		if ep.State != EndpointReady || usable >= part && ep.health.Ejected",
 				"		if usable >= part && ep.health.Ejected"},
-			{"internal/gateway/fromservers.go", "return h != nil && h.State == balancer.EndpointReady",
+			{"internal/gateway/discovery.go", "return h != nil && h.State == balancer.EndpointReady",
 				"return h != nil"}}},
 		one("refuse a bid that may have run", "bad-hosts", "internal/balancer/rejection.go",
 			"	if b.mayReject(r) {", "	if true {"),
