--- a/internal/lab/mutationtest/cluster.go
+++ b/internal/lab/mutationtest/cluster.go
@@ -6,8 +6,8 @@
 		one("believe the machine's clock", "clock", "internal/starttime/starts.go",
 			"	believed := min(stated+s.lead, now)\n	if s.followed {\n		believed = max(believed, now-heardWithin)\n	}\n",
 			"	believed := stated\n"),
-		one("a turn without an end", "shares", "internal/tokenschedule/turns.go",
-			"return h.StartedAt + begins + r.ValidFor(), true", "return h.StartedAt + begins + time.Hour, true"),
+		one("a turn without an end", "shares", "internal/tokenschedule/taker.go",
+			"return e.StartedAt + begins + r.ValidFor(), true", "return e.StartedAt + begins + time.Hour, true"),
 		one("tell every figure at once", "shares", "internal/loadreport/signals.go",
 			"	if !due {\n		return nil, false", "	if !due && s.Demand < 0 {\n		return nil, false"),
 	)
--- a/internal/tokenschedule/owners.go
+++ b/internal/tokenschedule/owners.go
@@ -2,84 +2,116 @@
 
 import (
 	"cmp"
+	"encoding/binary"
+	"math"
 	"slices"
 	"time"
 
 	"github.com/zeebo/xxh3"
 )
 
-// Owners says which gateways own the turns of a host: a few of all that are known, by the host's name, so that the owners of
-// one host do not depend on any other. It remembers who was known for as long as others may still go by that.
+// OwnerShare is one gateway's share of an endpoint's tokens. Those of an endpoint come in the order of names and add up
+// to 1.
+type OwnerShare struct {
+	Name  string
+	Share float64
+}
+
+// Share is a gateway's share among the owners of an endpoint, 0 where it is none.
+func Share(owners []OwnerShare, name string) float64 {
+	for _, one := range owners {
+		if one.Name == name {
+			return one.Share
+		}
+	}
+	return 0
+}
+
+// Owner is whose a token is; empty where there are no shares.
+func Owner(endpoint uint64, token uint64, shares []OwnerShare) string {
+	if len(shares) == 0 {
+		return ""
+	}
+	var b [8]byte
+	binary.LittleEndian.PutUint64(b[:], endpoint)
+	offset := float64(xxh3.Hash(b[:])>>11) / (1 << 53)
+	// By multiples of the golden ratio each share's tokens come evenly.
+	_, at := math.Modf(offset + float64(token)*math.Phi)
+	for _, one := range shares {
+		if at -= one.Share; at < 0 {
+			return one.Name
+		}
+	}
+	return shares[len(shares)-1].Name
+}
+
+// Owners says which gateways own the tokens of an endpoint: a few of all that are known, by the endpoint's ID, so that
+// the owners of one endpoint do not depend on any other. It remembers who was known for as long as others may still go
+// by that.
 type Owners struct {
-	most int
-	hold time.Duration
-	sets []known // oldest first
+	perEndpoint int
+	hold        time.Duration
+	sets        []knownSet // oldest first
 }
 
-type known struct {
-	since   time.Duration
-	names   []string          // sorted
-	divided map[uint64][]Part // by host, as asked for
+// knownSet is who was known from a time on.
+type knownSet struct {
+	since  time.Duration
+	names  []string                // sorted
+	owners map[uint64][]OwnerShare // by endpoint, as asked for
 }
 
-// NewOwners has at most so many owners a host. hold is for how long after a change of who is known somebody may not have
-// heard of it.
-func NewOwners(most int, hold time.Duration) *Owners { return &Owners{most: max(most, 1), hold: hold} }
+// NewOwners has at most so many owners for each endpoint, one at least. hold is for how long after a change of who is
+// known somebody may not have heard of it.
+func NewOwners(perEndpoint int, hold time.Duration) *Owners {
+	return &Owners{perEndpoint: max(perEndpoint, 1), hold: hold}
+}
 
-// Know takes who may own turns from now on.
+// Know takes who may own tokens from now on.
 func (o *Owners) Know(now time.Duration, names []string) {
 	names = slices.Compact(slices.Sorted(slices.Values(names)))
 	if n := len(o.sets); n == 0 || !slices.Equal(o.sets[n-1].names, names) {
-		o.sets = append(o.sets, known{since: now, names: names, divided: make(map[uint64][]Part)})
+		o.sets = append(o.sets, knownSet{since: now, names: names, owners: make(map[uint64][]OwnerShare)})
 	}
 	o.expire(now)
 }
 
-// expire drops what was superseded longer ago than anybody may not have heard of.
+// expire drops sets that were superseded so long ago that all have heard of it.
 func (o *Owners) expire(now time.Duration) {
 	for len(o.sets) > 1 && now-o.sets[1].since > o.hold {
 		o.sets = slices.Delete(o.sets, 0, 1)
 	}
 }
 
-// Divisions are those that may hold now for a host, one for each set of known gateways. A turn must be owned in all.
-func (o *Owners) Divisions(now time.Duration, host uint64) [][]Part {
+// Divisions are the ownerships of an endpoint that may hold now, one for each set of known gateways. A token must be
+// owned in all.
+func (o *Owners) Divisions(now time.Duration, endpoint uint64) [][]OwnerShare {
 	o.expire(now)
-	out := make([][]Part, 0, len(o.sets))
+	ownerships := make([][]OwnerShare, 0, len(o.sets))
 	for i := range o.sets {
-		k := &o.sets[i]
-		parts, ok := k.divided[host]
+		set := &o.sets[i]
+		owners, ok := set.owners[endpoint]
 		if !ok {
-			parts = divide(host, k.names, o.most)
-			k.divided[host] = parts
+			owners = chooseOwners(endpoint, set.names, o.perEndpoint)
+			set.owners[endpoint] = owners
 		}
-		out = append(out, parts)
+		ownerships = append(ownerships, owners)
 	}
-	return out
+	return ownerships
 }
 
-// Forget drops what was worked out for hosts other than those that are cold now.
-func (o *Owners) Forget(cold func(host uint64) bool) {
+// Forget drops what was worked out for endpoints other than those that are in slow start now.
+func (o *Owners) Forget(inSlowStart func(endpoint uint64) bool) {
 	for i := range o.sets {
-		for id := range o.sets[i].divided {
-			if !cold(id) {
-				delete(o.sets[i].divided, id)
+		for id := range o.sets[i].owners {
+			if !inSlowStart(id) {
+				delete(o.sets[i].owners, id)
 			}
 		}
 	}
 }
 
-// Share is a gateway's part in a division.
-func Share(parts []Part, name string) float64 {
-	for _, p := range parts {
-		if p.Name == name {
-			return p.Share
-		}
-	}
-	return 0
-}
-
-// scored is a gateway with its score for a host; the least is best.
+// scored is a gateway with its score for an endpoint; the least is best.
 type scored struct {
 	name  string
 	score uint64
@@ -89,12 +121,13 @@
 	return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.name, b.name))
 }
 
-// divide takes the gateways that score best for a host, with equal parts. It keeps only so many at a time: hundreds of hosts
-// may start at once in a fleet of a thousand, and to sort all names for each takes seconds.
-func divide(host uint64, names []string, most int) []Part {
+// chooseOwners takes the gateways that score best for an endpoint in rendezvous hashing, with equal shares. It keeps
+// only so many at a time: hundreds of endpoints may start at once in a cluster of a thousand, and to sort all names for
+// each takes seconds.
+func chooseOwners(endpoint uint64, names []string, most int) []OwnerShare {
 	best := make([]scored, 0, most+1)
 	for _, name := range names {
-		s := scored{name, xxh3.HashStringSeed(name, host)}
+		s := scored{name, xxh3.HashStringSeed(name, endpoint)}
 		if len(best) == most && compareScored(s, best[most-1]) > 0 {
 			continue
 		}
@@ -103,9 +136,9 @@
 		best = best[:min(len(best), most)]
 	}
 	slices.SortFunc(best, func(a, b scored) int { return cmp.Compare(a.name, b.name) })
-	out := make([]Part, len(best))
-	for i, u := range best {
-		out[i] = Part{Name: u.name, Share: 1 / float64(len(best))}
+	owners := make([]OwnerShare, len(best))
+	for i, one := range best {
+		owners[i] = OwnerShare{Name: one.name, Share: 1 / float64(len(best))}
 	}
-	return out
+	return owners
 }
--- a/internal/tokenschedule/owners_test.go
+++ b/internal/tokenschedule/owners_test.go
@@ -10,86 +10,110 @@
 	"github.com/zeebo/xxh3"
 )
 
-func users(n int) (out []string) {
+func gatewayNames(n int) (out []string) {
 	for i := range n {
 		out = append(out, fmt.Sprintf("g%03d", i))
 	}
 	return out
 }
 
-// Each host has its own few owners; one that comes or goes moves its own places alone.
-func TestOwnersFollowFromTheHostAndWhoIsKnown(t *testing.T) {
-	o, fewer := NewOwners(12, 3*time.Second), NewOwners(12, 3*time.Second)
-	all := users(100)
-	o.Know(0, all)
-	fewer.Know(0, append(all[:50:50], all[51:]...))
-	held, moved := make(map[string]int), 0
-	for host := range uint64(200) {
-		d, less := o.Divisions(0, host), fewer.Divisions(0, host)
-		if len(d) != 1 || len(d[0]) != 12 {
-			t.Fatalf("host %d: %d divisions", host, len(d))
+// Guards against tokens that do not go by shares, and against those of one share that come in bunches.
+func TestTokensGoByShares(t *testing.T) {
+	owners := ownerShares(4, 1, 1, 2)
+	count := make(map[string]int)
+	longest, last := 0, 0
+	for token := uint64(1); token <= 8000; token++ {
+		name := Owner(77, token, owners)
+		count[name]++
+		if name == "g00" {
+			longest = max(longest, int(token)-last)
+			last = int(token)
+		}
+	}
+	for i, want := range []int{4000, 1000, 1000, 2000} {
+		if got := count[owners[i].Name]; got < want-40 || got > want+40 {
+			t.Errorf("%s has %d of 8000, wanted %d", owners[i].Name, got, want)
+		}
+	}
+	if longest > 4 {
+		t.Errorf("half of all tokens, and %d in a row are others'", longest)
+	}
+	if Owner(1, 1, nil) != "" {
+		t.Error("no shares, and somebody owns a token")
+	}
+}
+
+// Guards against a gateway that comes or goes and moves places of others, and against gateways that own far more than
+// others: each endpoint has a few owners of its own.
+func TestOwnersFollowFromTheEndpointAndWhoIsKnown(t *testing.T) {
+	all, fewer := NewOwners(12, 3*time.Second), NewOwners(12, 3*time.Second)
+	names := gatewayNames(100)
+	all.Know(0, names)
+	fewer.Know(0, append(names[:50:50], names[51:]...))
+	owned, moved := make(map[string]int), 0
+	for endpoint := range uint64(200) {
+		sets, setsOfFewer := all.Divisions(0, endpoint), fewer.Divisions(0, endpoint)
+		if len(sets) != 1 || len(sets[0]) != 12 {
+			t.Fatalf("endpoint %d: %d sets of owners", endpoint, len(sets))
 		}
 		sum := 0.0
-		for _, p := range d[0] {
-			sum += p.Share
-			held[p.Name]++
-			if Share(less[0], p.Name) == 0 && p.Name != "g050" {
+		for _, one := range sets[0] {
+			sum += one.Share
+			owned[one.Name]++
+			if Share(setsOfFewer[0], one.Name) == 0 && one.Name != "g050" {
 				moved++
 			}
 		}
 		if sum < 0.999 || sum > 1.001 {
-			t.Errorf("host %d: parts add up to %v", host, sum)
+			t.Errorf("endpoint %d: shares add up to %v", endpoint, sum)
 		}
 	}
-	if len(held) != 100 || moved != 0 {
-		t.Errorf("%d of 100 gateways own turns, %d others' places moved with one that went", len(held), moved)
+	if len(owned) != 100 || moved != 0 {
+		t.Errorf("%d of 100 gateways own tokens, %d others' places moved with one that went", len(owned), moved)
 	}
-	for name, n := range held {
+	for name, n := range owned {
 		if n < 8 || n > 45 { // 24 on the mean
-			t.Errorf("%s owns turns of %d hosts of 200", name, n)
+			t.Errorf("%s owns tokens of %d endpoints of 200", name, n)
 		}
 	}
-	if NewOwners(3, 0).Divisions(0, 1) == nil || len(NewOwners(3, 0).Divisions(0, 1)) != 0 {
-		t.Error("divisions of nobody")
+	if sets := NewOwners(3, 0).Divisions(0, 1); sets == nil || len(sets) != 0 {
+		t.Error("owners where nobody is known")
 	}
 }
 
-// Whoever was known counts beside who is, as long as somebody may go by that.
+// Guards against a former set that is dropped while somebody may still go by it, or kept for longer.
 func TestFormerSetsCountForAWhile(t *testing.T) {
 	o := NewOwners(12, 3*time.Second)
-	o.Know(0, users(5))
-	o.Know(time.Second, users(5))
-	o.Know(10*time.Second, users(6))
-	o.Know(11*time.Second, users(7))
-	for at, want := range map[time.Duration]int{12: 3, 13: 3} {
-		if got := len(o.Divisions(at*time.Second, 1)); got != want {
-			t.Errorf("after %d s: %d divisions, wanted %d", at, got, want)
+	o.Know(0, gatewayNames(5))
+	o.Know(time.Second, gatewayNames(5))
+	o.Know(10*time.Second, gatewayNames(6))
+	o.Know(11*time.Second, gatewayNames(7))
+	for _, test := range []struct {
+		at   time.Duration
+		want int
+	}{{12 * time.Second, 3}, {13 * time.Second, 3}, {13500 * time.Millisecond, 2}, {20 * time.Second, 1}} {
+		if got := len(o.Divisions(test.at, 1)); got != test.want {
+			t.Errorf("after %v: %d sets, wanted %d", test.at, got, test.want)
 		}
 	}
-	if got := len(o.Divisions(13500*time.Millisecond, 1)); got != 2 {
-		t.Errorf("after 13.5 s: %d divisions, wanted 2", got)
-	}
-	if got := len(o.Divisions(20*time.Second, 1)); got != 1 {
-		t.Errorf("after 20 s: %d divisions", got)
-	}
 	o.Forget(func(uint64) bool { return false })
-	if len(o.sets[0].divided) != 0 {
-		t.Error("a host is remembered that is not cold")
+	if len(o.sets[0].owners) != 0 {
+		t.Error("an endpoint is remembered that is not in slow start")
 	}
 }
 
-// The owners of a host are those that score best for it among all names, in a fleet of any size.
+// Guards against owners that are not those that score best among all names, in a cluster of any size.
 func TestOwnersAreTheBestOfAll(t *testing.T) {
 	for _, n := range []int{0, 1, 11, 12, 13, 300, 1024} {
-		names := users(n)
-		for host := range uint64(20) {
+		names := gatewayNames(n)
+		for endpoint := range uint64(20) {
 			all := slices.SortedFunc(slices.Values(names), func(a, b string) int {
-				return cmp.Compare(xxh3.HashStringSeed(a, host), xxh3.HashStringSeed(b, host))
+				return cmp.Compare(xxh3.HashStringSeed(a, endpoint), xxh3.HashStringSeed(b, endpoint))
 			})
 			want := slices.Sorted(slices.Values(all[:min(n, 12)]))
 			var got []string
-			for _, p := range divide(host, names, 12) {
-				got = append(got, p.Name)
+			for _, one := range chooseOwners(endpoint, names, 12) {
+				got = append(got, one.Name)
 			}
 			if !slices.Equal(got, want) {
 				t.Fatalf("%d gateways: the owners are %v, want %v", n, got, want)
@@ -98,15 +122,15 @@
 	}
 }
 
-// BenchmarkOwners finds the owners of cold hosts in a fleet of 1,024 gateways.
-func BenchmarkOwners(b *testing.B) {
-	names := users(1024)
-	for _, hosts := range []int{10, 100, 1000, 7700} {
-		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
+// BenchmarkChooseOwners finds the owners of endpoints in slow start in a cluster of 1,024 gateways.
+func BenchmarkChooseOwners(b *testing.B) {
+	names := gatewayNames(1024)
+	for _, endpoints := range []int{10, 100, 1000, 7700} {
+		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				for host := range uint64(hosts) {
-					divide(host, names, 12)
+				for endpoint := range uint64(endpoints) {
+					chooseOwners(endpoint, names, 12)
 				}
 			}
 		})
