--- a/internal/lab/mutationtest/cluster.go
+++ b/internal/lab/mutationtest/cluster.go
@@ -8,8 +8,8 @@
 			"	believed := stated\n"),
 		one("a turn without an end", "shares", "internal/tokenschedule/taker.go",
 			"return e.StartedAt + begins + r.ValidFor(), true", "return e.StartedAt + begins + time.Hour, true"),
-		one("tell every figure at once", "shares", "internal/loadreport/signals.go",
-			"	if !due {\n		return nil, false", "	if !due && s.Demand < 0 {\n		return nil, false"),
+		one("tell every figure at once", "shares", "internal/loadreport/reporter.go",
+			"	if !due {\n		return nil, false", "	if !due && report.Demand < 0 {\n		return nil, false"),
 	)
 }
 
