--- a/internal/lab/mutationtest/cluster.go
+++ b/internal/lab/mutationtest/cluster.go
@@ -3,13 +3,15 @@
 // clusterMutants are defects of the membership, assignment and start times.
 func clusterMutants() []mutant {
 	return append(membershipMutants(),
-		one("believe the machine's clock", "clock", "internal/starttime/starts.go",
-			"	believed := min(stated+s.lead, now)\n	if s.followed {\n		believed = max(believed, now-heardWithin)\n	}\n",
+		one("believe the machine's clock", "clock", "internal/starttime/starttime.go",
+			"	believed := min(stated+s.clockLead, now)\n	if s.followed {\n"+
+				"		believed = max(believed, now-notifiedWithin)\n	}\n",
 			"	believed := stated\n"),
 		one("a turn without an end", "shares", "internal/tokenschedule/taker.go",
 			"return e.StartedAt + begins + r.ValidFor(), true", "return e.StartedAt + begins + time.Hour, true"),
 		one("tell every figure at once", "shares", "internal/loadreport/reporter.go",
-			"	if !due {\n		return nil, false", "	if !due && report.Demand < 0 {\n		return nil, false"),
+			"	if !due {\n		return nil, false",
+			"	if !due && report.Demand < 0 {\n		return nil, false"),
 	)
 }
 
@@ -34,15 +36,18 @@
 			"			_ = c\n			s.verifyingUntil = m.now + verificationTimeout\n"),
 		one("spread no payload", "members", "internal/membership/claims.go", "		c.Payload = p.Payload\n", ""),
 		one("answer no question", "members", "internal/membership/receive.go",
-			"	m.sendTo(from, &gossipcodec.Message{Kind: gossipcodec.Ack, Seq: msg.Seq}, about)\n", "	_ = about\n"),
+			"	m.sendTo(from, &gossipcodec.Message{Kind: gossipcodec.Ack, Seq: msg.Seq}, about)\n",
+			"	_ = about\n"),
 		one("spread news for ever", "members", "internal/membership/broadcast_queue.go",
 			"		if item.transmits++; item.transmits >= limit(item.claim.State) {",
 			"		if item.transmits++; item.transmits < 0 {"),
 		one("ask without a pause", "members", "internal/membership/membership.go",
-			"		m.next.probe = m.now + m.stretch(protocolPeriod)\n", "		m.next.probe = m.now + protocolPeriod/100\n"),
+			"		m.next.probe = m.now + m.stretch(protocolPeriod)\n",
+			"		m.next.probe = m.now + protocolPeriod/100\n"),
 		one("compare no views", "members", "internal/membership/antientropy.go",
 			"	m.next.repair = m.now + repairInterval\n"+
-				"	m.send(peer, &gossipcodec.Message{Kind: gossipcodec.Digest, BucketSums: m.table.bucketSums[:]}, nil)\n", ""),
+				"	m.send(peer, &gossipcodec.Message{Kind: gossipcodec.Digest, BucketSums: m.table.bucketSums[:]}, nil)\n",
+			""),
 		one("call those it doubts its majority", "views", "internal/membership/status.go",
 			"2*(s.Alive-suspects) > s.Known && s.Answering > 0.5", "2*s.Alive > s.Known"),
 		one("take a datagram from anybody", "views", "internal/membership/receive.go",
@@ -51,6 +56,7 @@
 			{"internal/membership/suspicion.go",
 				"	case s.verifyingUntil == 0 && !m.without.has(Verification):", "	case false:"},
 			{"internal/membership/suspicion.go",
-				"	s.expireAfter(m.stretch(s.timeout(longest)))", "	s.expireAfter(0 * m.stretch(s.timeout(longest)))"}}},
+				"	s.expireAfter(m.stretch(s.timeout(longest)))",
+				"	s.expireAfter(0 * m.stretch(s.timeout(longest)))"}}},
 	}
 }
