--- a/internal/fielderror/fielderror.go
+++ b/internal/fielderror/fielderror.go
@@ -34,21 +34,19 @@
 	return Inline(field, fmt.Errorf(format, args...))
 }
 
-// Worded is a cause that errors.Is matches with kind and that has words of its own.
+// Worded is a cause that errors.Is matches with kind and that has words of its own. The format may wrap another
+// error with %w.
 func Worded(kind error, format string, args ...any) error {
-	return &worded{kind: kind, text: fmt.Sprintf(format, args...)}
+	return &worded{kind: kind, words: fmt.Errorf(format, args...)}
 }
 
-type worded struct {
-	kind error
-	text string
-}
+type worded struct{ kind, words error }
 
 // Error implements error.
-func (w *worded) Error() string { return w.text }
+func (w *worded) Error() string { return w.words.Error() }
 
-// Unwrap returns the kind of cause.
-func (w *worded) Unwrap() error { return w.kind }
+// Unwrap returns the kind of cause, and the words for what they wrap.
+func (w *worded) Unwrap() []error { return []error{w.kind, w.words} }
 
 // Error implements error: FILE:LINE:COLUMN: FIELD: CAUSE, without the parts that are not known.
 func (e *Error) Error() string {
--- a/internal/lease/table.go
+++ b/internal/lease/table.go
@@ -1,327 +1,274 @@
-// Package lease decides who holds which duty: a table of leases, applied as a state machine in one order everywhere; the client that asks for
-// them and looks at its clock before each effect; the guard of who receives effects; and who should hold which shard. It does no I/O and has no
-// clock. docs/design/duties.md says why it is so.
 package lease
 
 import (
-	"fmt"
 	"slices"
 	"time"
 )
 
-// Bounds of a table.
 const (
-	MostName    = 64 // bytes of a duty's or a client's name
-	MostDuties  = 20_000
-	MostHolders = 100 // of one duty
-	MostWaiters = 500 // in one line
-	MostClients = 2_000
-	// LeastLease and MostLease bound how long a grant holds.
-	LeastLease = 100 * time.Millisecond
-	MostLease  = 10 * time.Minute
+	// reservation is how long a free slot is kept for the client at the head of the queue.
+	reservation = 2 * time.Second
+	// queueTimeout is how long one that waits may say nothing.
+	queueTimeout = 10 * time.Second
+	// sweepInterval is how often everything is looked through for what has expired.
+	sweepInterval = 10 * time.Second
 )
 
-// reservedFor is how long a free place is kept for the one at the head of the line, and how long one that waits may say nothing.
-const (
-	reservedFor = 2 * time.Second
-	waitsFor    = 10 * time.Second
-)
-
-// Kind is what a command asks.
-type Kind uint8
-
-// The kinds of commands.
-const (
-	Acquire Kind = iota + 1
-	Renew
-	Release
-)
-
-// Command is one entry of the log. At is the log's time, which the leader gives it.
-type Command struct {
-	Kind   Kind
-	Client string // who asks
-	Start  uint64 // of its process: an earlier one's commands change nothing any more
-	Seq    uint64 // of the client's commands, from 1; a repeat of the last one has the same answer
-	Duty   string
-	Places int           // with Acquire: holders at most; the first to ask for a duty that nobody holds or waits for settles it
-	Lease  time.Duration // with Acquire and Renew: for how long
-	Fence  uint64        // with Renew and Release: of the grant
-	At     time.Duration
-}
-
-// Verdict is what a command came to.
-type Verdict uint8
-
-// The verdicts. Taken means that the client waits in line; Lapsed that the grant is no longer its own; Stale that the command is of an earlier process, or
-// older than one that was applied; Refused that it cannot be.
-const (
-	Granted Verdict = iota + 1
-	Taken
-	Released
-	Lapsed
-	Stale
-	Refused
-)
-
-// String words a verdict.
-func (v Verdict) String() string {
-	return [...]string{"none", "granted", "taken", "released", "lapsed", "stale", "refused"}[min(v, Refused)]
-}
-
-// Answer is what the client is told.
-type Answer struct {
-	Verdict Verdict
-	Fence   uint64        // of the grant
-	Lease   time.Duration // for which it holds, from before the client asked
-	Ahead   int           // with Taken: how many stand before it in line
-	Why     string        // with Refused
-}
-
 // holder is one grant.
 type holder struct {
-	Client string
-	Start  uint64
-	Fence  uint64
-	Until  time.Duration
+	Client       string        `json:"Client"`
+	Incarnation  uint64        `json:"Start"`
+	FencingToken uint64        `json:"Fence"`
+	Expires      time.Duration `json:"Until"`
 }
 
-// waiter is one in line.
+// waiter is a client in a lease's queue.
 type waiter struct {
-	Client string
-	Start  uint64
-	Heard  time.Duration
+	Client      string        `json:"Client"`
+	Incarnation uint64        `json:"Start"`
+	LastSeen    time.Duration `json:"Heard"`
 }
 
-// duty is one that is held or waited for.
-type duty struct {
-	Name     string
-	Places   int
-	Holders  []holder // by fence
-	Line     []waiter
-	Reserved time.Duration // for the head of the line, until then; 0 if it is not
+// leaseState is a lease that is held or waited for.
+type leaseState struct {
+	Name          string        `json:"Name"`
+	Slots         int           `json:"Places"`
+	Holders       []holder      `json:"Holders"` // by fencing token
+	Queue         []waiter      `json:"Line"`
+	ReservedUntil time.Duration `json:"Reserved"` // for the head of the queue; 0 if no slot is
 }
 
 // client is what is remembered of one that has commanded.
 type client struct {
-	Name   string
-	Start  uint64
-	Seq    uint64
-	Answer Answer
-	Heard  time.Duration
+	Name        string        `json:"Name"`
+	Incarnation uint64        `json:"Start"`
+	Seq         uint64        `json:"Seq"`
+	Answer      Answer        `json:"Answer"` // to the command Seq
+	LastSeen    time.Duration `json:"Heard"`
 }
 
 // Table is the state. The same commands in the same order give the same table.
 type Table struct {
-	now     time.Duration
-	fence   uint64
-	duties  map[string]*duty
-	clients map[string]*client
-	swept   time.Duration
+	now       time.Duration // the log's time
+	lastToken uint64
+	leases    map[string]*leaseState
+	clients   map[string]*client
+	lastSweep time.Duration
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{duties: make(map[string]*duty), clients: make(map[string]*client)}
+	return &Table{leases: make(map[string]*leaseState), clients: make(map[string]*client)}
 }
 
 // Now is the log's time: that of the last command.
 func (t *Table) Now() time.Duration { return t.now }
 
-// Fence is the highest number given.
-func (t *Table) Fence() uint64 { return t.fence }
+// LastToken is the highest fencing token given.
+func (t *Table) LastToken() uint64 { return t.lastToken }
 
-// Len is how many duties are held or waited for.
-func (t *Table) Len() int { return len(t.duties) }
+// Len is how many leases are held or waited for.
+func (t *Table) Len() int { return len(t.leases) }
 
-// Holders lists who holds a duty now, by the age of their grants.
+// Holders lists who holds a lease now, by the age of their grants.
 func (t *Table) Holders(name string) (clients []string) {
-	d := t.duties[name]
-	if d == nil {
+	l := t.leases[name]
+	if l == nil {
 		return nil
 	}
-	for _, h := range d.Holders {
-		if h.Until > t.now {
+	for _, h := range l.Holders {
+		if h.Expires > t.now {
 			clients = append(clients, h.Client)
 		}
 	}
 	return clients
 }
 
-func (c *Command) check() error {
-	switch {
-	case c.Client == "" || len(c.Client) > MostName || c.Duty == "" || len(c.Duty) > MostName:
-		return fmt.Errorf("names of 1 to %d bytes are needed", MostName)
-	case c.Kind < Acquire || c.Kind > Release:
-		return fmt.Errorf("kind %d is none", c.Kind)
-	case c.Seq == 0 || c.Start == 0:
-		return fmt.Errorf("start and number must be above 0")
-	case c.Kind == Acquire && (c.Places < 1 || c.Places > MostHolders):
-		return fmt.Errorf("places must be 1 to %d", MostHolders)
-	case c.Kind != Release && (c.Lease < LeastLease || c.Lease > MostLease):
-		return fmt.Errorf("a lease must be %v to %v", LeastLease, MostLease)
-	}
-	return nil
-}
-
 // Apply applies a command. Time never goes back: a command with an earlier one is applied at the present.
 func (t *Table) Apply(c Command) Answer {
 	t.now = max(t.now, c.At)
 	t.sweep()
 	if err := c.check(); err != nil {
-		return Answer{Verdict: Refused, Why: err.Error()}
+		return rejected("%v", err)
 	}
 	k := t.clients[c.Client]
 	switch {
 	case k == nil:
-		if len(t.clients) >= MostClients {
-			return Answer{Verdict: Refused, Why: "too many clients"}
+		if len(t.clients) >= MaxClients {
+			return rejected("too many clients")
 		}
-		k = &client{Name: c.Client, Start: c.Start}
+		k = &client{Name: c.Client, Incarnation: c.Incarnation}
 		t.clients[c.Client] = k
-	case c.Start < k.Start || c.Start == k.Start && c.Seq < k.Seq:
+	case c.Incarnation < k.Incarnation || c.Incarnation == k.Incarnation && c.Seq < k.Seq:
 		return Answer{Verdict: Stale}
-	case c.Start == k.Start && c.Seq == k.Seq:
+	case c.Incarnation == k.Incarnation && c.Seq == k.Seq:
 		return k.Answer // a proposal that came twice
-	case c.Start > k.Start:
-		// What the process before held stays held until it lapses: that process may still be at it. Its places in line go.
-		k.Start = c.Start
-		for _, d := range t.sorted() {
-			d.Line = slices.DeleteFunc(d.Line, func(w waiter) bool { return w.Client == c.Client })
+	case c.Incarnation > k.Incarnation:
+		// What the process before held stays held until it expires: that process may still act on it. Its places
+		// in queues go.
+		k.Incarnation = c.Incarnation
+		for _, l := range t.sorted() {
+			l.dequeue(c.Client)
 		}
 	}
-	k.Seq, k.Heard = c.Seq, t.now
-	k.Answer = t.command(c)
+	k.Seq, k.LastSeen = c.Seq, t.now
+	k.Answer = t.execute(c)
 	return k.Answer
 }
 
-func (t *Table) command(c Command) Answer {
-	d := t.duties[c.Duty]
-	if d != nil {
-		t.tidy(d)
+func (t *Table) execute(c Command) Answer {
+	l := t.leases[c.Lease]
+	if l != nil {
+		t.expire(l)
 	}
 	switch c.Kind {
 	case Acquire:
-		return t.acquire(d, c)
+		return t.acquire(l, c)
 	case Renew:
-		if h := d.grant(c); h != nil {
-			h.Until = t.now + c.Lease
-			return Answer{Verdict: Granted, Fence: h.Fence, Lease: c.Lease}
-		}
-		return Answer{Verdict: Lapsed}
-	}
-	if d != nil {
-		d.Line = slices.DeleteFunc(d.Line, func(w waiter) bool { return w.Client == c.Client })
-		if d.grant(c) != nil {
-			d.Holders = slices.DeleteFunc(d.Holders, func(h holder) bool { return h.Fence == c.Fence })
-		}
-		t.tidy(d)
+		return t.renew(l, c)
 	}
-	return Answer{Verdict: Released}
+	return t.release(l, c)
 }
 
-// grant is the grant that a command names, if it has not lapsed.
-func (d *duty) grant(c Command) *holder {
-	if d == nil {
-		return nil
+func (t *Table) renew(l *leaseState, c Command) Answer {
+	h := l.grantOf(c)
+	if h == nil {
+		return Answer{Verdict: Expired}
 	}
-	at := slices.IndexFunc(d.Holders, func(h holder) bool { return h.Client == c.Client && h.Start == c.Start && h.Fence == c.Fence })
-	if at < 0 {
-		return nil
+	return t.extend(h, c.Duration)
+}
+
+// extend lets a grant hold from now on.
+func (t *Table) extend(h *holder, duration time.Duration) Answer {
+	h.Expires = t.now + duration
+	return Answer{Verdict: Granted, FencingToken: h.FencingToken, Duration: duration}
+}
+
+func (t *Table) release(l *leaseState, c Command) Answer {
+	if l != nil {
+		l.dequeue(c.Client)
+		if l.grantOf(c) != nil {
+			released := func(h holder) bool { return h.FencingToken == c.FencingToken }
+			l.Holders = slices.DeleteFunc(l.Holders, released)
+		}
+		t.expire(l)
 	}
-	return &d.Holders[at]
+	return Answer{Verdict: Released}
 }
 
-func (t *Table) acquire(d *duty, c Command) Answer {
-	if d == nil {
-		if len(t.duties) >= MostDuties {
-			return Answer{Verdict: Refused, Why: "too many duties"}
+func (t *Table) acquire(l *leaseState, c Command) Answer {
+	if l == nil {
+		if len(t.leases) >= MaxLeases {
+			return rejected("too many duties")
 		}
-		d = &duty{Name: c.Duty, Places: c.Places}
-		t.duties[c.Duty] = d
+		l = &leaseState{Name: c.Lease, Slots: c.Slots}
+		t.leases[c.Lease] = l
 	}
-	if d.Places != c.Places {
-		return Answer{Verdict: Refused, Why: fmt.Sprintf("%s has %d places, not %d", c.Duty, d.Places, c.Places)}
+	if l.Slots != c.Slots {
+		return rejected("%s has %d places, not %d", c.Lease, l.Slots, c.Slots)
 	}
-	// One that holds it already, by an answer that was lost: the same grant for longer. Only its own process may have it so.
-	if at := slices.IndexFunc(d.Holders, func(h holder) bool { return h.Client == c.Client && h.Start == c.Start }); at >= 0 {
-		h := &d.Holders[at]
-		h.Until = t.now + c.Lease
-		return Answer{Verdict: Granted, Fence: h.Fence, Lease: c.Lease}
+	// One that holds it already, by an answer that was lost: the same grant for longer. Only its own process may
+	// have it so.
+	own := func(h holder) bool { return h.Client == c.Client && h.Incarnation == c.Incarnation }
+	if at := slices.IndexFunc(l.Holders, own); at >= 0 {
+		return t.extend(&l.Holders[at], c.Duration)
 	}
-	at := slices.IndexFunc(d.Line, func(w waiter) bool { return w.Client == c.Client })
-	if at < 0 {
-		if len(d.Line) >= MostWaiters {
-			return Answer{Verdict: Refused, Why: "too many wait"}
+	position := slices.IndexFunc(l.Queue, func(w waiter) bool { return w.Client == c.Client })
+	if position < 0 {
+		if len(l.Queue) >= MaxQueue {
+			return rejected("too many wait")
 		}
-		at = len(d.Line)
-		d.Line = append(d.Line, waiter{Client: c.Client})
+		position = len(l.Queue)
+		l.Queue = append(l.Queue, waiter{Client: c.Client})
 	}
-	d.Line[at].Start, d.Line[at].Heard = c.Start, t.now
-	t.tidy(d) // it may be at the head now
-	if free := d.Places - len(d.Holders); at >= free {
-		return Answer{Verdict: Taken, Ahead: at}
+	l.Queue[position].Incarnation, l.Queue[position].LastSeen = c.Incarnation, t.now
+	t.expire(l) // it may be at the head now
+	if free := l.Slots - len(l.Holders); position >= free {
+		return Answer{Verdict: Queued, QueuePosition: position}
 	}
-	d.Line = slices.Delete(d.Line, at, at+1)
-	t.fence++
-	d.Holders = append(d.Holders, holder{Client: c.Client, Start: c.Start, Fence: t.fence, Until: t.now + c.Lease})
-	d.Reserved = 0
-	t.tidy(d)
-	return Answer{Verdict: Granted, Fence: t.fence, Lease: c.Lease}
+	return t.grant(l, position, c)
 }
 
-// tidy drops what has lapsed, and those at the head of the line who have let a free place pass. A duty that nobody holds or waits for is
-// forgotten.
-func (t *Table) tidy(d *duty) {
-	d.Holders = slices.DeleteFunc(d.Holders, func(h holder) bool { return h.Until <= t.now })
-	d.Line = slices.DeleteFunc(d.Line, func(w waiter) bool { return t.now-w.Heard > waitsFor })
+// grant gives a free slot to a client in the queue, under a new fencing token.
+func (t *Table) grant(l *leaseState, position int, c Command) Answer {
+	l.Queue = slices.Delete(l.Queue, position, position+1)
+	t.lastToken++
+	l.Holders = append(l.Holders, holder{
+		Client: c.Client, Incarnation: c.Incarnation, FencingToken: t.lastToken, Expires: t.now + c.Duration,
+	})
+	l.ReservedUntil = 0
+	t.expire(l)
+	return Answer{Verdict: Granted, FencingToken: t.lastToken, Duration: c.Duration}
+}
+
+// grantOf is the grant that a command names, if it has not expired.
+func (l *leaseState) grantOf(c Command) *holder {
+	if l == nil {
+		return nil
+	}
+	at := slices.IndexFunc(l.Holders, func(h holder) bool {
+		return h.Client == c.Client && h.Incarnation == c.Incarnation && h.FencingToken == c.FencingToken
+	})
+	if at < 0 {
+		return nil
+	}
+	return &l.Holders[at]
+}
+
+func (l *leaseState) dequeue(client string) {
+	l.Queue = slices.DeleteFunc(l.Queue, func(w waiter) bool { return w.Client == client })
+}
+
+// expire drops what has expired, and moves back those at the head of the queue who have let a free slot pass. A
+// lease that nobody holds or waits for is forgotten.
+func (t *Table) expire(l *leaseState) {
+	l.Holders = slices.DeleteFunc(l.Holders, func(h holder) bool { return h.Expires <= t.now })
+	l.Queue = slices.DeleteFunc(l.Queue, func(w waiter) bool { return t.now-w.LastSeen > queueTimeout })
 	switch {
-	case len(d.Holders) >= d.Places || len(d.Line) == 0:
-		d.Reserved = 0
-	case d.Reserved == 0:
-		d.Reserved = t.now + reservedFor
-	case t.now >= d.Reserved && t.now-d.Line[0].Heard > reservedFor && len(d.Line) > 1:
+	case len(l.Holders) >= l.Slots || len(l.Queue) == 0:
+		l.ReservedUntil = 0
+	case l.ReservedUntil == 0:
+		l.ReservedUntil = t.now + reservation
+	case t.now >= l.ReservedUntil && t.now-l.Queue[0].LastSeen > reservation && len(l.Queue) > 1:
 		// It has been its turn, and it has not asked: it goes to the end.
-		d.Line = append(d.Line[1:], d.Line[0])
-		d.Reserved = t.now + reservedFor
+		l.Queue = append(l.Queue[1:], l.Queue[0])
+		l.ReservedUntil = t.now + reservation
 	}
-	if len(d.Holders) == 0 && len(d.Line) == 0 {
-		delete(t.duties, d.Name)
+	if len(l.Holders) == 0 && len(l.Queue) == 0 {
+		delete(t.leases, l.Name)
 	} else {
-		t.duties[d.Name] = d
+		t.leases[l.Name] = l
 	}
 }
 
-// sweepEvery is how often everything is looked through for what has lapsed.
-const sweepEvery = 10 * time.Second
-
 // sweep keeps the table bounded by what is in use.
 func (t *Table) sweep() {
-	if t.now-t.swept < sweepEvery {
+	if t.now-t.lastSweep < sweepInterval {
 		return
 	}
-	t.swept = t.now
+	t.lastSweep = t.now
 	busy := make(map[string]bool)
-	for _, d := range t.sorted() {
-		t.tidy(d)
-		for _, h := range d.Holders {
+	for _, l := range t.sorted() {
+		t.expire(l)
+		for _, h := range l.Holders {
 			busy[h.Client] = true
 		}
-		for _, w := range d.Line {
+		for _, w := range l.Queue {
 			busy[w.Client] = true
 		}
 	}
 	for _, name := range sortedKeys(t.clients) {
-		if !busy[name] && t.now-t.clients[name].Heard > MostLease {
+		if !busy[name] && t.now-t.clients[name].LastSeen > MaxDuration {
 			delete(t.clients, name)
 		}
 	}
 }
 
-func (t *Table) sorted() []*duty {
-	out := make([]*duty, 0, len(t.duties))
-	for _, name := range sortedKeys(t.duties) {
-		out = append(out, t.duties[name])
+// sorted lists the leases by name.
+func (t *Table) sorted() []*leaseState {
+	list := make([]*leaseState, 0, len(t.leases))
+	for _, name := range sortedKeys(t.leases) {
+		list = append(list, t.leases[name])
 	}
-	return out
+	return list
 }
--- a/internal/raft/consensus_test.go
+++ b/internal/raft/consensus_test.go
@@ -82,7 +82,7 @@
 	}
 	for i := range clients {
 		a := &asker{Client: lease.NewClient(fmt.Sprint("g", i), 1), n: i}
-		if err := a.Want(0, []lease.Request{{Lease: duty, Index: 1, Duration: duration}}); err != nil {
+		if err := a.SetRequests(0, []lease.Request{{Name: duty, Slots: 1, Duration: duration}}); err != nil {
 			t.Fatal(err)
 		}
 		c.clients = append(c.clients, a)
@@ -210,7 +210,7 @@
 			break
 		}
 	}
-	fence, ok := k.MayAct(c.now, duty)
+	fence, ok := k.Token(c.now, duty)
 	if !ok {
 		return
 	}
@@ -222,7 +222,7 @@
 	c.gap = max(c.gap, c.now-c.last)
 	c.last = c.now
 	for _, o := range c.clients {
-		if _, both := o.MayAct(c.now, duty); both && o != k {
+		if _, both := o.Token(c.now, duty); both && o != k {
 			c.wrong = append(c.wrong, fmt.Sprintf("at %v: g%d and g%d hold it", c.now, k.n, o.n))
 		}
 	}
@@ -336,7 +336,7 @@
 		c := newCluster(t, seed, 3, 4, lease)
 		c.run(8*time.Second, nil)
 		for _, k := range c.clients {
-			if _, ok := k.MayAct(c.now, duty); ok {
+			if _, ok := k.Token(c.now, duty); ok {
 				k.stopped = time.Hour
 			}
 		}
--- a/internal/raft/leases.go
+++ b/internal/raft/leases.go
@@ -48,9 +48,9 @@
 		return err
 	}
 	answer := l.table.Apply(c)
-	if w := (waiting{c.Client, c.Start, c.Seq}); l.waiting[w] {
+	if w := (waiting{c.Client, c.Incarnation, c.Seq}); l.waiting[w] {
 		delete(l.waiting, w)
-		l.answers = append(l.answers, Answer{c.Client, c.Start, c.Seq, answer})
+		l.answers = append(l.answers, Answer{c.Client, c.Incarnation, c.Seq, answer})
 	}
 	return nil
 }
@@ -115,7 +115,7 @@
 	if err := n.Replica.Propose(now, raw); err != nil {
 		return err
 	}
-	n.leases.waiting[waiting{c.Client, c.Start, c.Seq}] = true
+	n.leases.waiting[waiting{c.Client, c.Incarnation, c.Seq}] = true
 	return nil
 }
 
@@ -138,7 +138,7 @@
 // Status tells how this voter stands.
 func (n *Node) Status() LeaseStatus {
 	table := n.leases.table
-	return LeaseStatus{Status: n.Replica.Status(), Held: table.Len(), Fence: table.Fence(), Time: table.Now()}
+	return LeaseStatus{Status: n.Replica.Status(), Held: table.Len(), Fence: table.LastToken(), Time: table.Now()}
 }
 
 // Holders lists who holds a duty, as far as this voter has applied the log: hearsay for operators, no ground for an effect.
