--- a/internal/ci/docs_test.go
+++ b/internal/ci/docs_test.go
@@ -45,14 +45,16 @@
 	}
 }
 
-// Guards against on-call pages that tell to look for log lines which the programs write no more.
+// Guards against on-call pages that tell to look for log lines which the programs write no more, and against names of rules and
+// planted defects that are not in the laboratory.
 func TestDocsLogLinesExist(t *testing.T) {
 	tree := readTree(t, repository)
 	for _, page := range pages(t, repository) {
-		if !strings.HasPrefix(page.name, "docs/operate/") {
-			continue
+		headers := []string{"defect", "rule"}
+		if strings.HasPrefix(page.name, "docs/operate/") {
+			headers = append(headers, "log", "line", "in the log")
 		}
-		for _, s := range logLines(page.text) {
+		for _, s := range firstColumns(page.text, headers) {
 			if !tree.writes(s.text) {
 				t.Errorf("%s:%d: `%s`: no program writes this", page.name, s.line, s.text)
 			}
@@ -63,7 +65,7 @@
 func TestDocsLogLines(t *testing.T) {
 	text := "| log | meaning |\n| --- | --- |\n| debug `watch`, `\"end\":\"list lost\"` | `not this` |\n| `host N is back` | |\n\n| figure | |\n| --- | --- |\n| `seq` | |\n"
 	want := []located{{3, "watch"}, {3, `"end":"list lost"`}, {4, "host N is back"}}
-	if got := logLines(text); !slices.Equal(got, want) {
+	if got := firstColumns(text, []string{"log"}); !slices.Equal(got, want) {
 		t.Errorf("log lines are %+v, want %+v", got, want)
 	}
 	tree := fixture(t)
@@ -329,15 +331,15 @@
 	return all
 }
 
-// logLines returns the spans in the first column of the tables that list log lines.
-func logLines(text string) (all []located) {
+// firstColumns returns the spans in the first column of the tables whose first column has one of the headers.
+func firstColumns(text string, headers []string) (all []located) {
 	inTable := false
 	for i, line := range strings.Split(text, "\n") {
 		first, _, ok := strings.Cut(strings.TrimPrefix(line, "|"), " |")
 		switch first = strings.TrimSpace(first); {
 		case !strings.HasPrefix(line, "|") || !ok:
 			inTable = false
-		case slices.Contains([]string{"log", "line", "in the log"}, first):
+		case slices.Contains(headers, first):
 			inTable = true
 		case inTable:
 			for _, s := range spans(first) {
