--- a/internal/ci/docs_test.go
+++ b/internal/ci/docs_test.go
@@ -45,6 +45,24 @@
 	}
 }
 
+// Guards against packages that the page on the architecture does not show. Parts of a package stand for themselves in it; the
+// laboratory's are listed in a page of their own.
+func TestDocsShowEveryPackage(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join(repository, "docs", "architecture.md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for folder := range readTree(t, repository).packages {
+		shown := false
+		for f := folder; f != "."; f = path.Dir(f) {
+			shown = shown || strings.Contains(string(text), "`"+f+"`")
+		}
+		if !shown {
+			t.Errorf("docs/architecture.md does not show %s", folder)
+		}
+	}
+}
+
 // Guards against on-call pages that tell to look for log lines which the programs write no more, and against names of rules and
 // planted defects that are not in the laboratory.
 func TestDocsLogLinesExist(t *testing.T) {
