--- /dev/null
+++ b/internal/lab/cli/compare.go
@@ -0,0 +1,61 @@
+package cli
+
+import (
+	"fmt"
+	"io"
+
+	"thymebend/internal/lab/experiment"
+	"thymebend/internal/lab/report"
+)
+
+type compareCmd struct {
+	A   string `arg:"" type:"existingdir" help:"Directory of a run."`
+	B   string `arg:"" type:"existingdir" help:"Directory of another."`
+	Out string `required:"" placeholder:"FILE" help:"The page to write."`
+}
+
+// Help implements kong's.
+func (compareCmd) Help() string {
+	return "Example:\n  thymelab compare /tmp/before /tmp/after --out /tmp/compare.html"
+}
+
+// Run implements kong's.
+func (c compareCmd) Run(e *env) error {
+	a, err := experiment.ReadJSON(c.A)
+	if err != nil {
+		return input(err)
+	}
+	b, err := experiment.ReadJSON(c.B)
+	if err != nil {
+		return input(err)
+	}
+	if err := writeFile(c.Out, func(w io.Writer) error { return report.Compare(w, a, b) }); err != nil {
+		return input(err)
+	}
+	fmt.Fprintf(e.out, "goodput by worth %.4f against %.4f; report: %s\n", a.Load.Goodput, b.Load.Goodput, c.Out)
+	return nil
+}
+
+type traceCmd struct {
+	Dir string `arg:"" type:"existingdir" help:"Directory of a run."`
+	Out string `required:"" placeholder:"FILE" help:"The trace to write."`
+}
+
+// Help implements kong's.
+func (traceCmd) Help() string {
+	return "Example:\n  thymelab trace /tmp/rush --out rush.trace\n  thymelab load --target 127.0.0.1:8443 --trace rush.trace"
+}
+
+// Run implements kong's.
+func (c traceCmd) Run(e *env) error {
+	n := 0
+	err := writeFile(c.Out, func(w io.Writer) (err error) {
+		n, err = experiment.Trace(c.Dir, w)
+		return err
+	})
+	if err != nil {
+		return input(err)
+	}
+	fmt.Fprintf(e.out, "%d requests in %s\n", n, c.Out)
+	return nil
+}
--- /dev/null
+++ b/internal/lab/cli/load.go
@@ -0,0 +1,200 @@
+package cli
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"thymebend/internal/lab/experiment"
+	"thymebend/internal/lab/load"
+	"thymebend/internal/lab/requestrecord"
+)
+
+type loadCmd struct {
+	Target      []string      `required:"" sep:"," placeholder:"ADDR" help:"Where to send, host:port on loopback; several are taken in turn."`
+	Rate        float64       `default:"100" help:"Requests a second, if neither --shape nor --trace is given."`
+	For         time.Duration `default:"10s" help:"How long."`
+	Class       []string      `placeholder:"NAME=SHARE" help:"A class and its share of the requests; may be repeated. Without any: tender-view=0.64 and bid-lodge=0.36."`
+	Unsafe      []string      `default:"bid-lodge" placeholder:"NAME" help:"Classes sent by POST, which must not run twice."`
+	Arrivals    string        `enum:"even,poisson" default:"even" help:"Evenly spaced, or at random times (poisson)."`
+	Shape       string        `type:"existingfile" placeholder:"FILE" help:"TOML with [[phase]] tables, as in an experiment."`
+	Trace       string        `type:"existingfile" placeholder:"FILE" help:"A recorded trace."`
+	Patience    time.Duration `default:"2s" help:"How long a client waits for its answer."`
+	Aim         time.Duration `default:"800ms" help:"An answer is wanted within this."`
+	Body        int           `default:"200" help:"Bytes of a POST's body."`
+	Connections int           `help:"Connections opened before the first request; further ones are opened when all are busy."`
+	Retries     float64       `help:"Further tries of a request that was refused or failed."`
+	Backoff     string        `enum:"fixed,exp" default:"fixed" help:"Of the waits before retries: all alike, or doubling (exp)."`
+	Wait        time.Duration `default:"100ms" help:"Before the first retry."`
+	Honour      float64       `default:"1" help:"Share of the clients that wait as long as Retry-After says."`
+	Seed        uint64        `default:"1" help:"Of all that is random."`
+	Notice      time.Duration `default:"1s" help:"A target whose connects fail for so long is left out until its health is good."`
+	JSON        string        `name:"json" placeholder:"FILE" help:"Write the figures here; - for standard output."`
+}
+
+// Help implements kong's.
+func (loadCmd) Help() string {
+	return "Example:\n  thymelab load --target 127.0.0.1:8443 --rate 300 --for 20s --class tender-view=0.7 --class bid-lodge=0.3 --json out.json\n\n" +
+		"Requests leave on schedule whatever the answers; latency counts from the time at which a request was due.\n" +
+		"A target that is down is data. Exit codes: 0 measured, 2 unusable input, 3 the generator fell behind, 4 told to end: partial."
+}
+
+// Run implements kong's.
+func (c loadCmd) Run(e *env) error {
+	classes, err := c.classes()
+	if err != nil {
+		return input(err)
+	}
+	for _, t := range c.Target {
+		if err := loopback(t); err != nil {
+			return input(err)
+		}
+	}
+	schedule, clients, length, err := c.schedule(classes)
+	if err != nil {
+		return input(err)
+	}
+	tries := requestrecord.NewClients()
+	res, err := load.Run(e.ctx, load.Options{Targets: c.Target, Classes: classes, Schedule: schedule, Clients: clients, Seed: c.Seed,
+		Prefix: fmt.Sprintf("%08x", uint32(time.Now().UnixNano())), // ids are new in every run: the target may know old ones
+		Notice: c.Notice, Ledger: tries, Progress: e.progress(length)})
+	if err != nil {
+		return input(err)
+	}
+	return c.conclude(e, res, tries)
+}
+
+// schedule is when requests leave, how clients act and how long the load lasts: by a trace, a shape, or the rate.
+func (c loadCmd) schedule(classes []load.Class) (load.Schedule, load.Clients, time.Duration, error) {
+	clients := load.Clients{Retries: c.Retries, Backoff: c.Backoff, Wait: c.Wait, Honour: c.Honour, Marks: true,
+		Connections: c.Connections}
+	list, length := []load.Phase{{For: c.For, Rate: c.Rate, Poisson: c.Arrivals == "poisson"}}, c.For
+	switch {
+	case c.Shape != "" && c.Trace != "":
+		return nil, clients, 0, errors.New("--shape and --trace cannot go together")
+	case c.Trace != "":
+		schedule, err := readTrace(c.Trace, classes)
+		return schedule, clients, length, err
+	case c.Shape != "":
+		own, acts, err := experiment.LoadShape(c.Shape, classes)
+		if err != nil {
+			return nil, clients, 0, err
+		}
+		if acts != nil {
+			clients = *acts
+		}
+		list, length = own, load.Length(own)
+	}
+	schedule, err := load.Phases(classes, list, c.Seed)
+	return schedule, clients, length, err
+}
+
+func (c loadCmd) classes() ([]load.Class, error) {
+	if len(c.Class) == 0 {
+		c.Class = []string{"tender-view=0.64", "bid-lodge=0.36"}
+	}
+	if c.Patience <= 0 || c.Aim <= 0 || c.Rate < 0 || c.For <= 0 || c.Retries < 0 || c.Body < 0 || c.Body > 64<<10 {
+		return nil, errors.New("--patience, --aim and --for must be positive, --rate and --retries 0 or more, --body 0 to 65536")
+	}
+	var out []load.Class
+	for _, text := range c.Class {
+		name, number, ok := strings.Cut(text, "=")
+		part, err := strconv.ParseFloat(number, 64)
+		if !ok || err != nil || !(part >= 0 && part < 1e9) || name == "" || strings.ContainsAny(name, " /?") {
+			return nil, fmt.Errorf("--class %q: wanted NAME=SHARE, such as tender-view=0.64", text)
+		}
+		k := load.Class{Name: name, Share: part, Unsafe: slices.Contains(c.Unsafe, name), Worth: 1, Aim: c.Aim, Patience: c.Patience}
+		if k.Unsafe {
+			k.Body = c.Body
+		}
+		out = append(out, k)
+	}
+	return out, nil
+}
+
+func (c loadCmd) conclude(e *env, res load.Result, tries *requestrecord.ClientRecord) error {
+	twice := 0
+	for _, t := range tries.Tries() {
+		if t.Answers > 1 {
+			twice++
+			if twice <= 10 {
+				e.log.Warn().Str("id", t.ID).Int("answers", t.Answers).Msg("answered more than once")
+			}
+		}
+	}
+	if c.JSON != "" {
+		raw, err := json.MarshalIndent(res, "", " ")
+		if err != nil {
+			return input(err)
+		}
+		raw = append(raw, '\n')
+		if c.JSON == "-" {
+			_, err = e.out.Write(raw)
+		} else {
+			err = os.WriteFile(c.JSON, raw, 0o644)
+		}
+		if err != nil {
+			return input(err)
+		}
+	}
+	if c.JSON != "-" {
+		fmt.Fprintf(e.out, "scheduled %d, sent %d, answered %d: ok %d, refused %d, failed %d, unanswered %d, unsent %d\n", res.Scheduled,
+			res.Sent, res.Answered, res.OK, res.Refused, res.Failed, res.Unanswered, res.Unsent)
+		if !res.FellBehind {
+			l := res.Latency
+			fmt.Fprintf(e.out, "latency from the due time: p50 %.2f, p90 %.2f, p99 %.2f, p99.9 %.2f, max %.2f ms (own lateness p99 %.2f ms)\n",
+				l.P50, l.P90, l.P99, l.P999, l.Max, res.SelfLate.P99)
+		}
+		for _, cause := range slices.Sorted(keys(res.Causes)) {
+			fmt.Fprintf(e.out, "  %d without a good answer: %s\n", res.Causes[cause], cause)
+		}
+		if twice > 0 {
+			fmt.Fprintf(e.out, "%d ids were answered more than once\n", twice)
+		}
+	}
+	switch {
+	case res.PartialInput:
+		return early()
+	case res.FellBehind:
+		return coded{exitBehind, "the generator fell behind, no latencies are shown: " + res.Behind}
+	}
+	return nil
+}
+
+// loopback refuses targets that are not on this machine: the tool sends load, and must not be pointed elsewhere.
+func loopback(target string) error {
+	host, _, err := net.SplitHostPort(target)
+	if err != nil {
+		return fmt.Errorf("--target %s: %w", target, err)
+	}
+	if ip := net.ParseIP(host); host != "localhost" && (ip == nil || !ip.IsLoopback()) {
+		return fmt.Errorf("--target %s: only addresses of this machine's loopback are taken", target)
+	}
+	return nil
+}
+
+// readTrace reads recorded requests.
+func readTrace(path string, classes []load.Class) (load.Schedule, error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer file.Close()
+	return load.ReadTrace(path, file, classes)
+}
+
+func keys[V any](m map[string]V) func(func(string) bool) {
+	return func(yield func(string) bool) {
+		for k := range m {
+			if !yield(k) {
+				return
+			}
+		}
+	}
+}
--- a/internal/lab/drill/rig.go
+++ b/internal/lab/drill/rig.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"io"
 	"net"
@@ -15,7 +14,6 @@
 	"syscall"
 	"time"
 
-	"thymebend/internal/admin"
 	"thymebend/internal/lab/experiment"
 	"thymebend/internal/lab/membershipcheck"
 	"thymebend/internal/lab/requestrecord"
@@ -61,12 +59,6 @@
 	twin
 )
 
-// excuse is a time in which a gateway's clients may have got no answer by what the rig did.
-type excuse struct {
-	gateway  int
-	from, to time.Duration // to is 0 while it lasts
-}
-
 func newRig(ctx context.Context, f *File, dir string, seed uint64, clock func() time.Duration) (*rig, error) {
 	r := &rig{file: f, dir: dir, seed: seed, ip: rigAddress(dir, 0), taken: make(map[string]bool), names: experiment.GatewayNames(f.Gateways.Count), index: make(map[string]int),
 		control: make(map[int]string), kinds: make(map[int]int), starting: make(map[int]string), launched: make(map[int]time.Duration), watching: ctx, now: clock}
@@ -285,145 +277,18 @@
 	delete(r.control, pid)
 }
 
-// ready tells whether a process takes clients.
-func (r *rig) ready(pid int) bool {
-	r.mu.Lock()
-	control := r.control[pid]
-	r.mu.Unlock()
-	if control == "" {
-		return false
-	}
-	answer, err := r.client.Get("http://" + control + "/ops/readiness")
-	if err != nil {
-		return false
-	}
-	_ = answer.Body.Close()
-	return answer.StatusCode == http.StatusOK
-}
-
 // lookEvery is how often each process tells its view.
 const lookEvery = 100 * time.Millisecond
 
-// watch asks a process for its view until it ends.
-func (r *rig) watch(n, pid int, control string) {
-	told := make(map[string]bool)
-	for asked := r.now(); experiment.Sleep(r.watching, lookEvery); {
-		r.mu.Lock()
-		_, lives := r.control[pid]
-		r.mu.Unlock()
-		if !lives {
-			return
-		}
-		if r.now() >= asked+askEvery {
-			asked = r.now()
-			r.askGuard(n, control, told)
-		}
-		v, err := r.view(control)
-		at := r.now() // an answer that comes late holds what was known late
-		if err != nil {
-			continue
-		}
-		l := membershipcheck.Look{At: at, Gateway: n, PID: pid, Speaking: v.Active, Joined: v.Joined, Settled: v.Settled, Majority: v.Majority, Twin: v.DuplicateName, Alive: v.Alive,
-			Sent: v.SentBytes, States: make([]membershipcheck.Held, len(r.names))}
-		for _, m := range v.Members {
-			i, ok := r.index[m.Name]
-			if !ok {
-				l.Strange++
-			} else {
-				l.States[i] = membershipcheck.Held{State: m.State, Start: m.Start, Incarnation: m.Incarnation, Since: at - time.Duration(m.SinceMS)*time.Millisecond,
-					Previous: m.Previous, SuspectedBy: m.SuspectedBy}
-			}
-		}
-		l.Portion = portionOf(v.Assignment)
-		if v.Active && at >= 0 {
-			r.history.Looked(l)
-		}
-	}
-}
-
-func (r *rig) view(control string) (v admin.Cluster, err error) {
-	answer, err := r.client.Get("http://" + control + "/ops/fleet")
-	if err != nil {
-		return v, err
-	}
-	defer answer.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(answer.Body, 1<<20))
-	if err == nil {
-		err = json.Unmarshal(raw, &v)
-	}
-	return v, err
-}
-
 // slowest is the delay from which on a path counts as cut for the rules: no answer comes within the time that is waited.
 const slowest = 100 * time.Millisecond
 
-// changed is told of every path that changes.
-func (r *rig) changed(change pathChange) {
-	from, to, c := change.from, change.to, change.now
-	at := r.now() - time.Since(change.at) // the history may be in use for a while
-	a, fromGateway := r.index[from]
-	b, toGateway := r.index[to]
-	bad := c.cut || c.stall
-	switch {
-	case fromGateway && toGateway:
-		r.history.Path(a, b, membershipcheck.PathAt{At: at, Cut: bad || c.Delay.Duration+c.Jitter.Duration > slowest, Loss: c.Loss})
-	case from == experiment.NodeClients && toGateway:
-		r.excuse(b, at, bad || c.Delay.Duration > 0 || c.Loss > 0)
-	case to == experiment.NodeClients && fromGateway:
-		r.excuse(a, at, bad || c.Delay.Duration > 0 || c.Loss > 0)
-	}
-}
-
-// shut notes that a relay took a connection for somebody who was not there, as a dead process's machine would not have.
-func (r *rig) shut(from, to string) {
-	if g, ok := r.index[to]; ok && from == experiment.NodeClients {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.shuts = append(r.shuts, excuse{g, r.now(), r.now()})
-	}
-}
-
-// excuse begins or ends a time in which clients of a gateway may wait in vain.
-func (r *rig) excuse(g int, at time.Duration, on bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for i := range r.excuses {
-		if e := &r.excuses[i]; e.gateway == g && e.to == 0 && !on {
-			e.to = at
-		}
-	}
-	if on {
-		r.excuses = append(r.excuses, excuse{gateway: g, from: at})
-	}
-}
-
 // excuseAfter is how long after a stop or a cut a client's try may still be lost by it: what waited is answered late.
 const excuseAfter = 500 * time.Millisecond
 
 // shutSpread is how far apart the end of a process, a connection to it and the client's word on it may be seen.
 const shutSpread = 60 * time.Millisecond
 
-// Excuses implements experiment.Rig.
-func (r *rig) Excuses(gateway string, t requestrecord.Attempt) bool {
-	n, began := r.index[gateway], r.began()
-	over := func(from, to time.Duration) bool {
-		return t.Sent-began <= to+excuseAfter && t.Ended-began >= from || to == 0 && t.Ended-began >= from
-	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, e := range r.excuses {
-		if e.gateway == n && over(e.from, e.to) {
-			return true
-		}
-	}
-	for _, e := range r.shuts { // the process was dead: its end is known a moment later
-		if e.gateway == n && t.Sent-began <= e.to+shutSpread && t.Ended-began >= e.from-shutSpread && r.history.Dead(n, e.to+shutSpread) {
-			return true
-		}
-	}
-	return r.history.Over(n, t.Sent-began, t.Ended-began, excuseAfter)
-}
-
 func (r *rig) began() time.Duration {
 	if r.run == nil {
 		return 0
--- a/internal/lab/emulation/host.go
+++ b/internal/lab/emulation/host.go
@@ -10,7 +10,6 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"slices"
 	"sync"
 	"time"
 
@@ -27,9 +26,6 @@
 	return func() time.Duration { return time.Since(began) }
 }
 
-// Mode is how a host's machine behaves as a whole.
-type Mode string
-
 // The modes.
 const (
 	Up      Mode = "up"
@@ -39,12 +35,6 @@
 	NoReply Mode = "noreply" // requests run, answers stay inside
 )
 
-// Modes lists them.
-func Modes() []Mode { return []Mode{Up, Refuse, Silent, Hung, NoReply} }
-
-// Fault spoils a share of a host's answers. The request has run, apart from ResetBefore.
-type Fault string
-
 // The faults.
 const (
 	ResetBefore Fault = "reset-before" // reset instead of the answer
@@ -61,12 +51,6 @@
 	NoLength    Fault = "no-length"    // the answer's end is the connection's
 )
 
-// Faults lists them.
-func Faults() []Fault {
-	return []Fault{ResetBefore, ResetMiddle, Trickle, ShortLength, LongLength, ExtraBytes, Interim, Garbage, Endless,
-		CloseIdle, HalfClose, NoLength}
-}
-
 // Fields names what a host reports: requests waiting, requests held, errors a second.
 type Fields struct{ Queue, InFlight, Errors string }
 
@@ -111,11 +95,6 @@
 	served sync.WaitGroup
 }
 
-type spoilt struct {
-	share float64
-	class string
-}
-
 type door struct {
 	via  string
 	addr string
@@ -202,14 +181,6 @@
 	}
 }
 
-// reset closes a connection so that the other side sees a reset.
-func reset(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0)
-	}
-	_ = c.Close()
-}
-
 // serve takes one request after another from a connection.
 func (h *Host) serve(c *conn) {
 	defer func() {
@@ -306,16 +277,6 @@
 		h.fields.Queue, l.Queue, h.fields.Errors, l.Errors)
 }
 
-// draw picks the fault of an answer, if it has one.
-func (h *Host) draw(class string) Fault {
-	for _, f := range Faults() { // in a stated order, so that a seed gives the same faults
-		if s, ok := h.spoil[f]; ok && (s.class == "" || s.class == class) && h.rand.Float64() < s.share {
-			return f
-		}
-	}
-	return ""
-}
-
 func write(c net.Conn, status int, fields string, body []byte) bool {
 	_, err := c.Write(message(status, fields, len(body), body))
 	return err == nil
@@ -326,73 +287,6 @@
 	return append(head, body...)
 }
 
-// spoiled writes a spoilt answer.
-func (h *Host) spoiled(c *conn, f Fault, load string, body []byte) bool {
-	whole := message(200, load, len(body), body)
-	switch f {
-	case ResetBefore:
-		reset(c.Conn)
-		return false
-	case ResetMiddle:
-		_, _ = c.Write(whole[:len(whole)-len(body)/2-1])
-		reset(c.Conn)
-		return false
-	case Trickle:
-		for i := range whole {
-			if _, err := c.Write(whole[i : i+1]); err != nil {
-				return false
-			}
-			time.Sleep(trickleEvery)
-		}
-		return true
-	case ShortLength:
-		_, err := c.Write(message(200, load, len(body)/2, body))
-		return err == nil
-	case LongLength:
-		_, _ = c.Write(message(200, load, len(body)+100, body))
-		return false
-	case ExtraBytes:
-		_, err := c.Write(slices.Concat(whole, whole))
-		return err == nil
-	case Interim:
-		_, err := c.Write(slices.Concat([]byte("HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"), whole))
-		return err == nil
-	case Garbage:
-		noise := make([]byte, 300)
-		h.mu.Lock()
-		for i := range noise {
-			noise[i] = byte(h.rand.Uint32())
-		}
-		h.mu.Unlock()
-		_, err := c.Write(noise)
-		return err == nil
-	case Endless:
-		if _, err := c.Write(message(200, load, 3<<30, body)); err != nil {
-			return false
-		}
-		for piece := make([]byte, 4096); ; time.Sleep(endlessEvery) {
-			if _, err := c.Write(piece); err != nil {
-				return false
-			}
-		}
-	case CloseIdle:
-		_, _ = c.Write(whole)
-		time.Sleep(closeSoon)
-		return false
-	case HalfClose:
-		_, _ = c.Write(whole)
-		if t, ok := c.Conn.(*net.TCPConn); ok {
-			_ = t.CloseWrite()
-		}
-		_, _ = io.Copy(io.Discard, c)
-		return false
-	case NoLength:
-		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%sConnection: close\r\n\r\n%s", load, body)
-		return false
-	}
-	return true
-}
-
 // settle hands out the replies that are due and sets the timer for the next. It is called with the lock held.
 func (h *Host) settle(now time.Duration) {
 	for _, r := range h.model.Advance(now) {
@@ -425,51 +319,6 @@
 	h.settle(now)
 }
 
-// SetMode changes how the machine behaves.
-func (h *Host) SetMode(m Mode) error {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	was := h.mode
-	h.mode = m
-	now := h.clock()
-	h.model.Hold(now, m == Hung)
-	switch {
-	case m == Refuse && was != Refuse:
-		h.model.Fall(now)
-		for _, d := range h.doors {
-			_ = d.ln.Close()
-		}
-		for c := range h.conns {
-			reset(c.Conn)
-		}
-	case was == Refuse && m != Refuse:
-		if err := h.restart(now, h.model.Spec().Cold.For > 0); err != nil {
-			return err
-		}
-	}
-	h.settle(now)
-	h.wake.Broadcast()
-	return nil
-}
-
-// restart begins anew, at the same addresses and with the same ledger. Called with the lock held.
-func (h *Host) restart(now time.Duration, cold bool) error {
-	model, err := hostmodel.New(h.model.Spec(), h.rand.Uint64(), now, cold, h.ledger)
-	if err != nil {
-		return err
-	}
-	h.model = model
-	for _, d := range h.doors {
-		ln, err := net.Listen("tcp", d.addr)
-		if err != nil {
-			return fmt.Errorf("host %s: %w", h.Name, err) // the door keeps its old listener, which is closed
-		}
-		d.ln = ln
-		h.served.Go(func() { h.accept(d, ln) })
-	}
-	return nil
-}
-
 // Addr is the address of a gateway's door.
 func (h *Host) Addr(via string) string {
 	h.mu.Lock()
@@ -482,15 +331,6 @@
 	return ""
 }
 
-// Spoil makes a share of the answers faulty, of one class or, with an empty class, of all. A zero share ends it.
-func (h *Host) Spoil(f Fault, share float64, class string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.spoil[f] = (spoilt{share, class}); share <= 0 {
-		delete(h.spoil, f)
-	}
-}
-
 // Probes is how many times the host was asked for its health or load.
 func (h *Host) Probes() int { h.mu.Lock(); defer h.mu.Unlock(); return h.probes }
 
--- a/internal/lab/hostmodel/host.go
+++ b/internal/lab/hostmodel/host.go
@@ -15,76 +15,6 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// Spec is one host as it is built.
-type Spec struct {
-	Name  string
-	Site  string
-	Kind  string
-	Cores int     // requests that run at full speed side by side
-	Speed float64 // of a core; 1 does a second of work in a second
-	Slots int     // requests in work at once, over all cores
-	Queue int     // requests that wait beyond them; further ones are turned away
-
-	ThrashAt float64 // requests held per core from which on efficiency falls
-	Thrash   float64 // loss for each further one per core: the rate is divided by 1 + Thrash·excess
-
-	Cold      Cold
-	Pause     Pause
-	Neighbour Neighbour
-	ErrorRate float64 // share of executions that end with an error
-
-	Conns         int           // connections held at most; 0 means no limit
-	FullTax       float64       // share of the capacity that a full table of connections takes
-	HandshakeWork time.Duration // work of one new connection
-
-	Report Report
-	Body   int             // bytes of an answer's body, at least
-	Work   map[string]Work // by class
-}
-
-// Cold is the weakness of a host that has just started.
-type Cold struct {
-	From         float64       // share of the capacity at birth; 0 or 1 mean that it is born warm
-	For          time.Duration // it is warm after this long at the latest
-	ByWork       bool          // it warms with the work done as well: half of what it could do in For is enough
-	FallMultiple float64       // sent over this multiple of what it can do, for FallFor, it falls over for good; 0 never
-	FallFor      time.Duration
-}
-
-// Pause is a stop of the whole process, as for collecting memory.
-type Pause struct {
-	Every time.Duration // in the mean, exponentially spread; 0 never
-	For   time.Duration // in the mean
-	Grow  float64       // longer by this share for each request held per core
-}
-
-// Neighbour is another program that takes a share of the machine, on and off.
-type Neighbour struct {
-	Share   float64
-	On, Off time.Duration // in the mean
-}
-
-// Report is how the host tells its load.
-type Report struct {
-	Least, Most time.Duration // between refreshes; Most 0 means that there are no reports
-	Delay       time.Duration // a refresh shows after this long
-	Noise       float64       // relative, standard deviation
-}
-
-// Load is a load report.
-type Load struct {
-	InFlight, Queue, Errors float64 // requests held, requests waiting, errors a second
-}
-
-// Request is one request as it arrives, whole.
-type Request struct {
-	ID    string
-	Class string
-}
-
-// Kind says how a reply came to be.
-type Kind uint8
-
 // The kinds of replies.
 const (
 	Served     Kind = iota // it ran
@@ -96,14 +26,6 @@
 // String is for reports.
 func (k Kind) String() string { return [...]string{"served", "errored", "turned away", "lost"}[k] }
 
-// Reply is the end of an arrival.
-type Reply struct {
-	Token uint64 // as Arrive returned it
-	ID    string
-	Kind  Kind
-	Body  []byte // with Served
-}
-
 type execution struct {
 	Request
 	token uint64
@@ -237,39 +159,6 @@
 	}
 }
 
-// budget counts the work sent to a cold host, and lets it fall over when that is too much. It counts the class's
-// mean, not the draw: nobody who sends can know the draw.
-func (h *Host) budget(work float64) {
-	c := h.spec.Cold
-	if !h.cold || h.down || c.FallMultiple <= 0 || c.FallFor <= 0 || h.warm >= 1 {
-		return
-	}
-	for len(h.window) > 0 && h.window[0].at <= h.at-c.FallFor {
-		h.windowWork -= h.window[0].work
-		h.window = h.window[1:]
-	}
-	h.window = append(h.window, sent{h.at, work})
-	h.windowWork += work
-	most := h.Capacity() * c.FallFor.Seconds() * c.FallMultiple
-	h.peak = max(h.peak, (h.windowWork-work)/most)
-	// The request that crosses the line is still borne, as slack for chance.
-	if h.windowWork-work > most*(1+1e-9) { // sums of many small numbers are a little off
-		h.fall()
-	}
-}
-
-// Fall ends the host for good, and with it all that it holds.
-func (h *Host) Fall(now time.Duration) { h.run(now); h.fall() }
-
-// fall ends all that the host holds.
-func (h *Host) fall() {
-	h.down = true
-	for _, x := range append(h.running, h.waiting...) {
-		h.end(x, Lost)
-	}
-	h.running, h.waiting = nil, nil
-}
-
 // end replies to an arrival.
 func (h *Host) end(x *execution, k Kind) {
 	r := Reply{Token: x.token, ID: x.ID, Kind: k}
@@ -436,54 +325,6 @@
 	return max(0, float64(n)*(1+h.spec.Report.Noise*h.rand.NormFloat64()))
 }
 
-func (h *Host) perCore() float64 { return float64(h.InFlight()) / float64(h.spec.Cores) }
-
-// rate is how fast each running execution now runs, in seconds of work a second.
-func (h *Host) rate() float64 {
-	if n := len(h.running); n > 0 && !h.stopped() {
-		return h.power(min(h.spec.Cores, n)) / float64(n)
-	}
-	return 0
-}
-
-func (h *Host) stopped() bool { return h.down || h.held || h.pauseEnd > h.at }
-
-// power is what so many busy cores now do.
-func (h *Host) power(cores int) float64 {
-	p := float64(cores) * h.spec.Speed * h.warm * (1 - h.neighbour)
-	if excess := h.perCore() - h.spec.ThrashAt; h.spec.Thrash > 0 && excess > 0 {
-		p /= 1 + h.spec.Thrash*excess
-	}
-	if h.spec.Conns > 0 {
-		p *= 1 - h.spec.FullTax*min(1, float64(h.conns)/float64(h.spec.Conns))
-	}
-	return p
-}
-
-// warmth is the share of its capacity that the host has reached. It is looked at in steps of its own, so that
-// the model does not depend on how often it is asked.
-func (h *Host) warmth() float64 {
-	if !h.cold {
-		return 1
-	}
-	c := h.spec.Cold
-	progress := (h.at - h.born).Seconds() / c.For.Seconds()
-	if c.ByWork {
-		progress = max(progress, h.done/(float64(h.spec.Cores)*h.spec.Speed*c.For.Seconds()/2))
-	}
-	return min(1, c.From+(1-c.From)*progress)
-}
-
-func (h *Host) heaviness(class string) float64 {
-	factor := 1.0
-	for _, t := range h.heavy {
-		if t.class == class && h.at < t.until && h.rand.Float64() < t.share {
-			factor *= t.factor
-		}
-	}
-	return factor
-}
-
 // Connected counts a new connection, whose work slows the host; ok is false when the table is full.
 func (h *Host) Connected(now time.Duration) (ok bool) {
 	h.run(now)
@@ -500,40 +341,6 @@
 // Disconnected counts the end of a connection.
 func (h *Host) Disconnected(now time.Duration) { h.run(now); h.conns-- }
 
-// Drain makes the host finish what it has and turn away the rest, or takes that back.
-func (h *Host) Drain(now time.Duration, on bool) { h.run(now); h.drain = on }
-
-// Hold stops the host, as a stopped process, until it is let go.
-func (h *Host) Hold(now time.Duration, on bool) { h.run(now); h.held = on }
-
-// PauseFor stops the host for a time.
-func (h *Host) PauseFor(now, length time.Duration) {
-	h.run(now)
-	h.pauseEnd = max(h.pauseEnd, now+length)
-}
-
-// SetNeighbour lets another program in, at work from now on; a zero share takes it away. With no times on and
-// off it stays.
-func (h *Host) SetNeighbour(now time.Duration, n Neighbour) {
-	h.run(now)
-	h.spec.Neighbour, h.neighbour, h.flipAt, h.neighbourOn = n, n.Share, never, true
-	if n.Share > 0 && n.On > 0 && n.Off > 0 {
-		h.flipAt = now + h.exp(n.On)
-	}
-}
-
-// SetSpeed changes the speed of the cores.
-func (h *Host) SetSpeed(now time.Duration, speed float64) { h.run(now); h.spec.Speed = speed }
-
-// SetErrors changes the share of executions that fail.
-func (h *Host) SetErrors(now time.Duration, rate float64) { h.run(now); h.spec.ErrorRate = rate }
-
-// Heavy makes a share of a class's requests cost a multiple of their work, until a time.
-func (h *Host) Heavy(now time.Duration, class string, share, factor float64, until time.Duration) {
-	h.run(now)
-	h.heavy = append(h.heavy, heavy{class, share, factor, until})
-}
-
 // Report returns the load report that shows now, if there is one.
 func (h *Host) Report(now time.Duration) (Load, bool) {
 	h.run(now)
@@ -544,14 +351,6 @@
 	return h.reports[0].load, true
 }
 
-// Capacity is what the host can do now, in seconds of work a second.
-func (h *Host) Capacity() float64 {
-	if h.down {
-		return 0
-	}
-	return h.power(h.spec.Cores)
-}
-
 // InFlight is the number of requests held; Waiting is how many of them wait.
 func (h *Host) InFlight() int { return len(h.running) + len(h.waiting) }
 
--- a/internal/lab/load/generator.go
+++ b/internal/lab/load/generator.go
@@ -6,54 +6,13 @@
 	"fmt"
 	"math/rand/v2"
 	"net"
-	"os"
-	"strings"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"thymebend/internal/lab/requestrecord"
 )
 
-// Clients is how clients act.
-type Clients struct {
-	Retries     float64       // further tries at the most; 1.5 means one for half of them, two for the others
-	Backoff     string        // "fixed" or "exp", doubling
-	Wait        time.Duration // before the first retry
-	Honour      float64       // share that waits as long as Retry-After tells
-	MostAfter   time.Duration // the longest Retry-After that is followed; beyond it the client gives up. 0: no limit
-	TryShare    float64       // a client leaves after a share between this and 1 of its patience; 0 means 1
-	Marks       bool          // retries are marked as such
-	Connections int           // open from the start, dealt out among the targets
-	KeepFor     int           // requests on one connection; 0 means no limit
-	SlowShare   float64       // share of the unsafe requests whose body comes in pieces
-	SlowFor     time.Duration // over this time
-	Silent      int           // connections more that are opened and say nothing
-}
-
-// Options of a run.
-type Options struct {
-	Targets  []string
-	Front    *Front // over the targets; a new one if nil
-	Classes  []Class
-	Schedule Schedule
-	Clients  Clients
-	Notice   time.Duration // the front leaves out a target whose connects fail after this long
-	Seed     uint64
-	Prefix   string                      // of the ids
-	Ledger   *requestrecord.ClientRecord // a new one if nil
-	Clock    func() time.Duration        // of the run; a new one if nil. The schedule begins when Run is called
-	Progress func(Progress)              // called about four times a second; may be nil
-	MostOpen int                         // connections; 0: as many descriptors as the process may have, less a reserve
-}
-
-// Progress is how far a run is.
-type Progress struct {
-	At                                           time.Duration
-	Scheduled, OK, Refused, Failed, Open, Flight int
-}
-
 // grace is how much longer than its patience a client looks for an answer, to tell a late one from none. The
 // rules on sockets give every time limit as much.
 const grace = 50 * time.Millisecond
@@ -83,23 +42,7 @@
 	if len(o.Targets) == 0 {
 		return Result{}, fmt.Errorf("load: no target")
 	}
-	if o.Ledger == nil {
-		o.Ledger = requestrecord.NewClients()
-	}
-	if o.Clock == nil {
-		began := time.Now()
-		o.Clock = func() time.Duration { return time.Since(began) }
-	}
-	if o.Prefix == "" {
-		o.Prefix = fmt.Sprintf("%08x", uint32(o.Seed))
-	}
-	if o.Clients.TryShare <= 0 || o.Clients.TryShare > 1 {
-		o.Clients.TryShare = 1
-	}
-	limit := descriptors()
-	if o.MostOpen <= 0 || o.MostOpen > limit-reserve {
-		o.MostOpen = limit - reserve
-	}
+	o.defaults()
 	g := &generator{Options: o, now: o.Clock, rec: newRecorder(o.Classes), rand: rand.New(rand.NewPCG(o.Seed, 3))}
 	if g.Front == nil {
 		g.Front = NewFront(o.Targets, max(o.Notice, 100*time.Millisecond), g.now)
@@ -272,188 +215,8 @@
 	g.rec.end(r.Class, r.At, t.fate, took, t.answered, t.cause)
 }
 
-// tried is a try's end.
-type tried struct {
-	fate     Fate
-	after    time.Duration // Retry-After
-	ended    time.Duration
-	answered bool
-	cause    string
-}
-
-// try sends a request once. If the link closes without having read it, it is sent once more on a new one.
-func (g *generator) try(ctx context.Context, r *request, number int, patience time.Duration) (out tried) {
-	class := &g.Classes[r.Class]
-	id := fmt.Sprintf("%s%08x", g.Prefix, g.ids.Add(1))
-	target := g.Front.pick()
-	err := g.Ledger.Add(requestrecord.Attempt{ID: id, Request: r.number, Number: number, Class: class.Name, Unsafe: class.Unsafe, Keyed: class.Keyed,
-		Target: target.addr, Body: r.Body, Due: g.began + r.At, Patience: patience})
-	if err != nil {
-		return tried{fate: Unsent, cause: err.Error()}
-	}
-	var whole bool
-	defer func() {
-		g.Ledger.Update(id, func(t *requestrecord.Attempt) { t.Ended, t.Whole, t.Cause = g.now(), whole, out.cause })
-	}()
-	for again := 0; ; again++ {
-		l, used, err := g.linkTo(ctx, target, patience, again > 0)
-		if errors.Is(err, errNoRoom) {
-			return tried{fate: Unsent, cause: "no descriptor left for a connection"}
-		}
-		if err != nil {
-			return tried{fate: Failed, cause: "connect: " + cause(err)}
-		}
-		wait := l.ask(id)
-		if wait == nil {
-			_ = l.Close()
-			continue // it ended just now, before anything was written on it
-		}
-		if err := g.write(l, id, class, r, number, patience); err != nil {
-			_ = l.Close()
-			a := <-wait
-			if used && again == 0 {
-				continue
-			}
-			return tried{fate: Failed, ended: a.at, cause: "write: " + cause(err)}
-		}
-		sent := g.now()
-		whole = true
-		g.Ledger.Update(id, func(t *requestrecord.Attempt) { t.Sent, t.Whole = sent, true })
-		if number == 0 && again == 0 {
-			g.rec.count(r.Class, r.At, func(s *Second) { s.Sent++ })
-		}
-		timer := time.NewTimer(patience + grace)
-		select {
-		case a := <-wait:
-			timer.Stop()
-			if a.err != nil && a.crossed && used && again == 0 {
-				whole = false
-				continue
-			}
-			return g.judge(l, target, id, a, sent+patience)
-		case <-timer.C:
-			_ = l.Close()
-			g.Ledger.Update(id, func(t *requestrecord.Attempt) { t.Left = true })
-			return tried{fate: Unanswered, ended: g.now(), cause: "silence"}
-		}
-	}
-}
-
-// judge takes the answer, or the link's end, and gives the link back.
-func (g *generator) judge(l *link, t *target, id string, a answer, deadline time.Duration) tried {
-	if a.err != nil {
-		_ = l.Close()
-		return tried{fate: Failed, ended: a.at, cause: "link: " + cause(a.err)}
-	}
-	g.Ledger.Update(id, func(t *requestrecord.Attempt) {
-		t.Answers++
-		t.Status, t.Hash = a.status, requestrecord.Hash(a.body)
-	})
-	l.served++
-	switch {
-	case a.close:
-		_ = l.Close()
-	case g.Clients.KeepFor > 0 && l.served >= g.Clients.KeepFor:
-		_ = l.Close()
-	default:
-		t.pool.give(l)
-	}
-	out := tried{ended: a.at, after: a.after, answered: a.at <= deadline}
-	switch {
-	case a.at > deadline:
-		out.fate, out.cause = Failed, "answered late"
-	case a.status == 200:
-		out.fate = OK
-	case a.status == 429 || a.status == 503:
-		out.fate, out.cause = Refused, fmt.Sprint(a.status)
-	default:
-		out.fate, out.cause = Failed, fmt.Sprint(a.status)
-	}
-	return out
-}
-
-// cause words an error without what differs from one connection to the next.
-func cause(err error) string {
-	for _, known := range []error{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EPIPE, os.ErrDeadlineExceeded, net.ErrClosed} {
-		if errors.Is(err, known) {
-			return known.Error()
-		}
-	}
-	if text := err.Error(); !strings.Contains(text, "127.") {
-		return text
-	}
-	return "connection failed"
-}
-
 var errNoRoom = errors.New("no descriptor left")
 
-// linkTo returns a link to a target, an idle one unless fresh.
-func (g *generator) linkTo(ctx context.Context, t *target, within time.Duration, fresh bool) (l *link, used bool, err error) {
-	if !fresh {
-		if l := t.pool.take(); l != nil {
-			return l, true, nil
-		}
-	}
-	if g.open.Add(1) > int64(g.MostOpen) {
-		g.open.Add(-1)
-		return nil, false, errNoRoom
-	}
-	c, err := dial(ctx, t.addr, within)
-	if err != nil {
-		g.open.Add(-1)
-		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL) {
-			return nil, false, errNoRoom // ours, not the target's
-		}
-		g.Front.connected(t, false)
-		return nil, false, err
-	}
-	g.Front.connected(t, true)
-	return g.link(c), false, nil
-}
-
-// write writes a request whole.
-func (g *generator) write(l *link, id string, c *Class, r *request, number int, patience time.Duration) error {
-	method, path := "GET", "/"+c.Name+"/item"
-	if c.Unsafe || c.Keyed {
-		method, path = "POST", "/"+c.Name
-	}
-	b := make([]byte, 0, 256+r.Body)
-	b = fmt.Appendf(b, "%s %s HTTP/1.1\r\nHost: lab\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %dm\r\n", method, path, id,
-		c.Name, patience.Milliseconds())
-	if number > 0 && g.Clients.Marks {
-		b = append(b, "X-Second-Try: 1\r\n"...)
-	}
-	if c.Keyed {
-		b = fmt.Appendf(b, "Idempotency-Key: %032x\r\n", r.number) // the same for a client's retry
-	}
-	if !c.Unsafe && !c.Keyed {
-		b = append(b, "\r\n"...)
-		_, err := l.Write(b)
-		return err
-	}
-	b = fmt.Appendf(b, "Content-Length: %d\r\n\r\n", r.Body)
-	head := len(b)
-	for len(b) < head+r.Body {
-		b = append(b, 'a'+byte(len(b)%26))
-	}
-	if !r.slow || r.Body < 2 {
-		_, err := l.Write(b)
-		return err
-	}
-	const pieces = 5
-	if _, err := l.Write(b[:head]); err != nil {
-		return err
-	}
-	rest := b[head:]
-	for i := range pieces {
-		time.Sleep(g.Clients.SlowFor / pieces)
-		if _, err := l.Write(rest[len(rest)*i/pieces : len(rest)*(i+1)/pieces]); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
 func (g *generator) progress(ctx context.Context) {
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
@@ -477,28 +240,3 @@
 		g.Progress(p)
 	}
 }
-
-// descriptors is how many this process may have; the soft limit is raised to the hard one.
-func descriptors() int {
-	var l syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l); err != nil {
-		return 1024
-	}
-	if l.Cur < l.Max {
-		raised := l
-		raised.Cur = l.Max
-		if syscall.Setrlimit(syscall.RLIMIT_NOFILE, &raised) == nil {
-			l = raised
-		}
-	}
-	return int(min(l.Cur, 1<<20))
-}
-
-// processorTime is what this process has used, in user and system mode.
-func processorTime() time.Duration {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
-		return 0
-	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
-}
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -55,12 +55,36 @@
 func (c chart) svg() (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = c.x, c.y
-	colors := palette()
 	grid := plotter.NewGrid()
 	grid.Vertical.Color, grid.Horizontal.Color = color.RGBA{225, 225, 225, 255}, color.RGBA{225, 225, 225, 255}
 	p.Add(grid)
-	low, high := c.from, c.to
-	right := c.length
+	low, high, right := c.extent()
+	top := high
+	if len(c.marks) > 0 || c.to == 0 {
+		top += (high - low) * 0.07 // room for the numbers of the events
+	}
+	for _, add := range []func(*plot.Plot, float64, float64) error{c.addMarks, c.addLines, c.addNumbers} {
+		if err := add(p, low, top); err != nil {
+			return "", err
+		}
+	}
+	p.Y.Min, p.Y.Max = low, top
+	if c.hdr {
+		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, percentileTicks{}
+		p.X.Min, p.X.Max = 1, max(1000, right)
+	} else {
+		p.X.Min, p.X.Max = 0, max(1, right)
+	}
+	text, err := c.render(p)
+	if err != nil {
+		return "", err
+	}
+	return template.HTML("<figure><figcaption>" + c.legend() + "</figcaption>" + text + "</figure>"), nil
+}
+
+// extent is the range of the values, and the largest x.
+func (c chart) extent() (low, high, right float64) {
+	low, high, right = c.from, c.to, c.length
 	for _, l := range c.lines {
 		for i, y := range l.ys {
 			if !math.IsNaN(y) {
@@ -72,26 +96,32 @@
 	if high <= low {
 		high = low + 1
 	}
-	top := high
-	if len(c.marks) > 0 || c.to == 0 {
-		top += (high - low) * 0.07 // room for the numbers of the events
-	}
+	return low, high, right
+}
+
+// addMarks draws an upright line at each event.
+func (c chart) addMarks(p *plot.Plot, low, top float64) error {
 	for _, m := range c.marks {
 		v, err := plotter.NewLine(plotter.XYs{{X: m.At, Y: low}, {X: m.At, Y: top}})
 		if err != nil {
-			return "", err
+			return err
 		}
 		v.Color, v.Dashes, v.Width = grey(), []vg.Length{2, 3}, 0.6
 		p.Add(v)
 	}
+	return nil
+}
+
+// addLines draws the values.
+func (c chart) addLines(p *plot.Plot, _, _ float64) error {
+	colors := palette()
 	for i, l := range c.lines {
-		col := colors[i%len(colors)]
 		for _, run := range pieces(l) {
 			drawn, err := plotter.NewLine(run)
 			if err != nil {
-				return "", err
+				return err
 			}
-			drawn.Color, drawn.Width = col, 1.4
+			drawn.Color, drawn.Width = colors[i%len(colors)], 1.4
 			if l.steps {
 				drawn.StepStyle = plotter.PostStep
 			}
@@ -101,24 +131,29 @@
 			p.Add(drawn)
 		}
 	}
-	if labels := c.numbers(top); labels != nil {
-		l, err := plotter.NewLabels(*labels)
-		if err != nil {
-			return "", err
-		}
-		for i := range l.TextStyle {
-			l.TextStyle[i].Font.Size, l.TextStyle[i].Color = 8, grey()
-		}
-		l.Offset = vg.Point{X: 1, Y: -9}
-		p.Add(l)
+	return nil
+}
+
+// addNumbers puts the events' numbers at the top.
+func (c chart) addNumbers(p *plot.Plot, _, top float64) error {
+	labels := c.numbers(top)
+	if labels == nil {
+		return nil
 	}
-	p.Y.Min, p.Y.Max = low, top
-	if c.hdr {
-		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, percentileTicks{}
-		p.X.Min, p.X.Max = 1, max(1000, right)
-	} else {
-		p.X.Min, p.X.Max = 0, max(1, right)
+	l, err := plotter.NewLabels(*labels)
+	if err != nil {
+		return err
+	}
+	for i := range l.TextStyle {
+		l.TextStyle[i].Font.Size, l.TextStyle[i].Color = 8, grey()
 	}
+	l.Offset = vg.Point{X: 1, Y: -9}
+	p.Add(l)
+	return nil
+}
+
+// render writes the drawing, without the prologue of a file of its own.
+func (c chart) render(p *plot.Plot) (string, error) {
 	width, height := c.width, c.height
 	if width == 0 {
 		width = 24 * vg.Centimeter
@@ -134,23 +169,29 @@
 	}
 	text := out.String()
 	if at := strings.Index(text, "<svg"); at > 0 {
-		text = text[at:] // without the prologue of a file of its own
+		text = text[at:]
 	}
-	// The legend is the page's, not the drawing's: it can then never lie on the lines.
+	return text, nil
+}
+
+// legend is the page's, not the drawing's: it can then never lie on the lines.
+func (c chart) legend() string {
+	colors := palette()
 	var head strings.Builder
 	fmt.Fprintf(&head, "<b>%s</b>", template.HTMLEscapeString(c.title))
-	if len(c.lines) > 1 {
-		for i, l := range c.lines {
-			r, g, b, _ := colors[i%len(colors)].RGBA()
-			sign := "━"
-			if l.dashed {
-				sign = "╌"
-			}
-			fmt.Fprintf(&head, ` <span class="key"><span style="color:rgb(%d,%d,%d)">%s</span> %s</span>`, r>>8, g>>8, b>>8, sign,
-				template.HTMLEscapeString(l.name))
+	if len(c.lines) < 2 {
+		return head.String()
+	}
+	for i, l := range c.lines {
+		r, g, b, _ := colors[i%len(colors)].RGBA()
+		sign := "━"
+		if l.dashed {
+			sign = "╌"
 		}
+		fmt.Fprintf(&head, ` <span class="key"><span style="color:rgb(%d,%d,%d)">%s</span> %s</span>`,
+			r>>8, g>>8, b>>8, sign, template.HTMLEscapeString(l.name))
 	}
-	return template.HTML("<figure><figcaption>" + head.String() + "</figcaption>" + text + "</figure>"), nil
+	return head.String()
 }
 
 // pieces splits a line where it has no value.
--- a/internal/lab/requestrecord/record.go
+++ b/internal/lab/requestrecord/record.go
@@ -5,9 +5,7 @@
 package requestrecord
 
 import (
-	"cmp"
 	"fmt"
-	"slices"
 	"sync"
 	"time"
 
@@ -139,84 +137,3 @@
 	return []string{Unanswered, AnsweredTwice, RanTwice, ForeignBody, RefusedRan, InventedID, LateToDrained,
 		PushedOver, GatewayDied, OverMemory, OverSockets}
 }
-
-// Finding is a broken rule, by the id it concerns.
-type Finding struct {
-	Rule   string        `json:"rule"`
-	ID     string        `json:"id"` // the request's, or the host's or gateway's name
-	At     time.Duration `json:"at_ns"`
-	Detail string        `json:"detail"`
-}
-
-// lateTaken is how long after SIGTERM a gateway still has to answer what comes.
-const lateTaken = 700 * time.Millisecond
-
-// Excuses tells whether a try was lost for a reason that no rule forbids: its gateway was killed while it held the
-// try, or the try came long after SIGTERM. News of a kill may take the spread to be seen.
-func (t Attempt) Excuses(kills, stops []time.Duration, spread time.Duration) bool {
-	return slices.ContainsFunc(kills, func(k time.Duration) bool { return t.Sent <= k+spread && t.Ended >= k-spread }) ||
-		slices.ContainsFunc(stops, func(s time.Duration) bool { return t.Sent >= s+lateTaken && t.Sent <= s+10*time.Second })
-}
-
-// Compare sets the clients' ledger against the hosts'. excused tells which unanswered tries were lost for a
-// reason that no rule forbids, as with a gateway that was killed; the number of those is returned. The hosts'
-// ledgers must be at rest.
-func Compare(tries []Attempt, hosts []*EndpointRecord, excused func(Attempt) bool) (found []Finding, crashed int) {
-	known := make(map[string]bool, len(tries))
-	for _, t := range tries {
-		known[t.ID] = true
-		var begun int
-		cells := make(map[int]bool) // where it began
-		var made []uint64
-		var at []string
-		for _, h := range hosts {
-			if e := h.entries[t.ID]; e != nil {
-				begun += e.Begun
-				if e.Begun > 0 {
-					cells[h.Cell] = true
-				}
-				made = append(made, e.Returned...)
-				at = append(at, fmt.Sprintf("%s %d", h.Name, e.Begun))
-			}
-		}
-		say := func(rule, format string, args ...any) {
-			found = append(found, Finding{Rule: rule, ID: t.ID, At: t.Ended, Detail: fmt.Sprintf(format, args...)})
-		}
-		if t.Whole && t.Answers == 0 {
-			if excused != nil && excused(t) {
-				crashed++
-			} else {
-				say(Unanswered, "%s sent to %s at %v: %s", t.Class, t.Target, t.Sent, t.Cause)
-			}
-		}
-		if t.Answers > 1 {
-			say(AnsweredTwice, "%s got %d answers from %s", t.Class, t.Answers, t.Target)
-		}
-		if t.Keyed && len(cells) > 1 {
-			say(RanTwice, "%s begun in %d cells (%v)", t.Class, len(cells), at)
-		}
-		if t.Keyed && begun > 0 && (t.Status == 429 || t.Status == 503) {
-			say(RefusedRan, "%s answered %d though begun (%v)", t.Class, t.Status, at)
-		}
-		if t.Unsafe && begun > 1 {
-			say(RanTwice, "%s begun %d times (%v)", t.Class, begun, at)
-		}
-		if t.Answers > 0 && t.Status == 200 && !slices.Contains(made, t.Hash) {
-			say(ForeignBody, "%s served by %s, hosts made %d bodies for it", t.Class, t.Target, len(made))
-		}
-		if t.Unsafe && begun > 0 && (t.Status == 429 || t.Status == 503) {
-			say(RefusedRan, "%s answered %d though begun (%v)", t.Class, t.Status, at)
-		}
-	}
-	for _, h := range hosts {
-		for id := range h.entries {
-			if !known[id] {
-				found = append(found, Finding{Rule: InventedID, ID: id, Detail: "at host " + h.Name})
-			}
-		}
-	}
-	slices.SortStableFunc(found, func(a, b Finding) int {
-		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Rule, b.Rule), cmp.Compare(a.ID, b.ID))
-	})
-	return found, crashed
-}
