--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -14,7 +14,7 @@
 	}
 	ep.inFlight++
 	ep.requests = append(ep.requests, r.ID)
-	usual := ep.usualMS(&b.classes.entries[r.Class])
+	usual := ep.usualMS(b.classOf(r))
 	ep.classes[r.Class].Started(b.now, usual, b.classes.meanObjective())
 }
 
@@ -79,7 +79,7 @@
 	if a == nil {
 		return
 	}
-	ep, class := a.endpoint, &b.classes.entries[r.Class]
+	ep, class := a.endpoint, b.classOf(r)
 	a.ended, a.neverRan = true, end.Outcome.NeverRan()
 	if r.inFlight--; !a.writing {
 		b.vacate(r, ep)
@@ -141,7 +141,7 @@
 
 // recordAnswer learns the service time of an answer, scaled to the average class, and its response time.
 func (b *Balancer) recordAnswer(r *requestState, ep *endpointState, latency time.Duration) {
-	c := &b.classes.entries[r.Class]
+	c := b.classOf(r)
 	ms := c.recordService(latency)
 	ep.limit.RecordAnswer(ms / b.classes.relativeCost(c))
 	b.response.Record(float64(b.now-r.arrived) / float64(c.LatencyObjective))
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -80,6 +80,9 @@
 	return tenant >= 0 && tenant < len(b.tenants) && b.tenants[tenant].Exceeded(b.now)
 }
 
+// classOf returns what is known of the class of a request.
+func (b *Balancer) classOf(r *requestState) *classState { return &b.classes.entries[r.Class] }
+
 // RequestArrived takes a request, which this gateway then owes a final answer.
 func (b *Balancer) RequestArrived(now time.Duration, in Request) {
 	b.now = now
--- a/internal/balancer/classes_test.go
+++ b/internal/balancer/classes_test.go
@@ -31,8 +31,8 @@
 	r.b.classes.entries[0].service = stats.Mean{N: 1000, Value: 100}
 	r.b.classes.referenceMS = 100
 	r.b.recordAnswer(&requestState{}, s, 2700*millisecond)
-	if s.limit.Sample.ServiceSumMS > maxServiceFactor*100*1.01 || s.limit.Sample.ServiceSumMS < maxServiceFactor*90 {
-		t.Errorf("a request of 27 times the work counts %v ms", s.limit.Sample.ServiceSumMS)
+	if ms := s.limit.Sample.ServiceSumMS; ms > maxServiceFactor*100*1.01 || ms < maxServiceFactor*90 {
+		t.Errorf("a request of 27 times the work counts %v ms", ms)
 	}
 }
 
@@ -60,3 +60,47 @@
 		t.Errorf("request 20 does not count from its client's first try: %+v", q)
 	}
 }
+
+func TestTimeoutVotesFindTheCommonTimeout(t *testing.T) {
+	const deadline = 2 * time.Second
+	var v timeoutVotes
+	for range 100 {
+		if since := v.sinceFirstTry(1900*millisecond, deadline); since != 0 {
+			t.Fatalf("a first try began %v ago", since)
+		}
+	}
+	for _, c := range []struct {
+		name          string
+		timeout, want time.Duration
+	}{
+		{"the same but for network delay", 1850 * millisecond, 0},
+		{"a retry", 1200 * millisecond, 800 * millisecond},
+		{"longer than the deadline", 3 * time.Second, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if since := v.sinceFirstTry(c.timeout, deadline); since != c.want {
+				t.Errorf("began %v ago, want %v", since, c.want)
+			}
+		})
+	}
+	for range maxTimeoutVotes + 1 {
+		v.sinceFirstTry(1000*millisecond, deadline)
+	}
+	if since := v.sinceFirstTry(1000*millisecond, deadline); since != 0 || v.common != 1000*millisecond {
+		t.Errorf("a changed timeout is not seen after %d requests: %+v", maxTimeoutVotes, v)
+	}
+}
+
+func TestClassExpectsItsMeanServiceTime(t *testing.T) {
+	c := classState{Class: Class{LatencyObjective: time.Second}}
+	c.refresh()
+	if c.expected != 100*millisecond {
+		t.Errorf("without answers %v is expected, want the service share of the objective", c.expected)
+	}
+	for range concurrency.MinAnswers {
+		c.recordService(40 * millisecond)
+	}
+	if c.refresh(); c.expected != 40*millisecond {
+		t.Errorf("%v is expected after answers of 40 ms", c.expected)
+	}
+}
--- a/internal/balancer/cooldown_test.go
+++ b/internal/balancer/cooldown_test.go
@@ -62,3 +62,37 @@
 		t.Errorf("rests %v after a time-out of 1.2 s with u = 0.4, want 1.8 s", rest)
 	}
 }
+
+func TestCooldown(t *testing.T) {
+	const now, objective = time.Minute, 640 * millisecond // a 64th is 10 ms
+	for _, c := range []struct {
+		name string
+		act  func(*cooldown)
+		want time.Duration
+	}{
+		{"failure, service time known", func(c *cooldown) { c.afterFailure(now, 40, objective) }, 40 * millisecond},
+		{"failure, nothing known", func(c *cooldown) { c.afterFailure(now, 0, objective) }, 10 * millisecond},
+		{"rejection", func(c *cooldown) { c.afterRejection(now, 40, objective) }, 40 * millisecond},
+		{"third rejection in a row", func(c *cooldown) {
+			for range 3 {
+				c.afterRejection(now, 40, objective)
+			}
+		}, 160 * millisecond},
+		{"rejection after an answer", func(c *cooldown) {
+			c.afterRejection(now, 40, objective)
+			c.answered()
+			c.afterRejection(now, 40, objective)
+		}, 40 * millisecond},
+		{"extended, never shortened", func(c *cooldown) {
+			c.extend(now + time.Second)
+			c.extend(now + millisecond)
+		}, time.Second},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var got cooldown
+			if c.act(&got); got.until != now+c.want || !got.active(now+c.want-1) || got.active(now+c.want) {
+				t.Errorf("lasts %v, want %v", got.until-now, c.want)
+			}
+		})
+	}
+}
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -32,16 +32,16 @@
 	if b.endpoints.stale {
 		b.chooseSubset()
 	}
-	b.queue.retain(b.staysQueued)
+	b.queue.retain(b.dispatchRequest)
 	if len(b.queue) > 0 {
 		b.markLimited()
 		b.setQueueTimer()
 	}
 }
 
-// staysQueued takes a request off the queue if it is done, starts or gets its final answer, and reports
-// whether it is queued on.
-func (b *Balancer) staysQueued(r *requestState) bool {
+// dispatchRequest starts an attempt of a queued request or gives it its final answer, if it is time for
+// either, and reports whether it stays queued.
+func (b *Balancer) dispatchRequest(r *requestState) (queued bool) {
 	if r.done {
 		r.queued = false
 		b.forget(r)
@@ -62,7 +62,7 @@
 		b.finish(r)
 		return false
 	}
-	longest := b.classes.entries[r.Class].maxQueueTime.of(r.overQuota)
+	longest := b.classOf(r).maxQueueTime.of(r.overQuota)
 	if b.now-r.begun > longest/2 {
 		b.endpoints.signals.Short = true
 	}
@@ -72,7 +72,7 @@
 // recordWait records the queue time of a request that leaves the queue for the first time.
 func (b *Balancer) recordWait(r *requestState) {
 	if len(r.attempts) == 0 {
-		objective := b.classes.entries[r.Class].LatencyObjective
+		objective := b.classOf(r).LatencyObjective
 		b.queueThreshold.RecordWait(float64(b.now-r.arrived) / float64(objective))
 	}
 }
@@ -130,7 +130,7 @@
 // attempts of one class that may go to the same zones are looked at once: endpoints times queued requests
 // would take more than a gateway's CPU.
 func (b *Balancer) pick(r *requestState) *endpointState {
-	class := &b.classes.entries[r.Class]
+	class := b.classOf(r)
 	first, candidates := len(r.attempts) == 0, b.endpoints.subset
 	if !first && class.Idempotency == KeyedIdempotent {
 		candidates = b.endpoints.all // its retry may have to go where the subset has nothing
@@ -190,7 +190,7 @@
 
 // usable reports whether ep may get r now.
 func (b *Balancer) usable(ep *endpointState, r *requestState) bool {
-	usual := ep.usualMS(&b.classes.entries[r.Class])
+	usual := ep.usualMS(b.classOf(r))
 	return ep.State == EndpointReady && !ep.cooldown.active(b.now) && b.busy(ep) < ep.allowed() &&
 		ep.classes[r.Class].Allows(b.now, usual) &&
 		(!ep.health.Ejected || b.mayProbe(ep, r)) && b.mayStart(r, ep) && b.slowStartAllows(ep)
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -62,7 +62,7 @@
 // mayProbe reports whether r may probe an ejected endpoint: one request at a time, when the probe is due, and
 // only one that can be retried if it fails.
 func (b *Balancer) mayProbe(ep *endpointState, r *requestState) bool {
-	retryable := b.classes.entries[r.Class].Idempotency != NonIdempotent && len(r.attempts) == 0
+	retryable := b.classOf(r).Idempotency != NonIdempotent && len(r.attempts) == 0
 	return retryable && ep.inFlight == 0 && ep.health.ProbeDue(b.now)
 }
 
@@ -75,7 +75,7 @@
 	}
 	for _, id := range ep.requests {
 		r := b.requests.byID[id]
-		c := &b.classes.entries[r.Class]
+		c := b.classOf(r)
 		if r.done || c.Idempotency == NonIdempotent || len(r.attempts) >= b.cfg.MaxAttempts ||
 			b.pastDeadline(r) {
 			continue
--- a/internal/balancer/endpoints_test.go
+++ b/internal/balancer/endpoints_test.go
@@ -1,6 +1,10 @@
 package balancer
 
-import "testing"
+import (
+	"slices"
+	"testing"
+	"time"
+)
 
 func TestDrainingEndpointsGetNothingNew(t *testing.T) {
 	drain := func(s Endpoint) Endpoint { s.State = EndpointDraining; return s }
@@ -55,3 +59,30 @@
 		t.Errorf("an endpoint that is gone is still known")
 	}
 }
+
+// Guards against a deploy that shifts the subsets of all gateways: a successor takes the place of the endpoint
+// that left.
+func TestSuccessorsTakeThePlacesOfThoseThatLeft(t *testing.T) {
+	set := endpointSet{byID: make(map[EndpointID]*endpointState)}
+	update := func(entries ...Endpoint) { set.update(time.Second, Delta, entries, 0, 1) }
+	ids := func(places []*endpointState) (out []EndpointID) {
+		for _, ep := range places {
+			out = append(out, ep.ID)
+		}
+		return out
+	}
+	update(ready(3, 0, 0), ready(1, 0, 0), ready(2, 1, 0), ready(4, 0, 0))
+	if got := ids(set.localPlaces); !slices.Equal(got, []EndpointID{1, 3, 4}) {
+		t.Fatalf("local places %v, want 1 3 4", got)
+	}
+	update(Endpoint{ID: 3, State: EndpointRemoved}, ready(9, 0, 0), ready(8, 1, 0))
+	if got := ids(set.localPlaces); !slices.Equal(got, []EndpointID{1, 9, 4}) {
+		t.Errorf("local places %v, want 1 9 4", got)
+	}
+	if got := ids(set.remotePlaces); !slices.Equal(got, []EndpointID{2, 8}) {
+		t.Errorf("remote places %v, want 2 8", got)
+	}
+	if set.byID[3] != nil || len(set.all) != 5 || !set.stale {
+		t.Errorf("%d endpoints, one that left %v, stale %v", len(set.all), set.byID[3], set.stale)
+	}
+}
--- a/internal/balancer/loadshedding_test.go
+++ b/internal/balancer/loadshedding_test.go
@@ -53,3 +53,76 @@
 		t.Errorf("%d of 40 over quota, want about 10", over)
 	}
 }
+
+// sheddingClasses are two classes of a second's objective and 100 ms of work, with weights of 4 and 1.
+func sheddingClasses() *classTable {
+	table := &classTable{}
+	for _, weight := range []float64{4, 1} {
+		c := classState{Class: Class{LatencyObjective: time.Second, Weight: weight}}
+		c.refresh()
+		table.entries = append(table.entries, c)
+	}
+	return table
+}
+
+func TestMaxQueueTimesFollowWhatARequestAdds(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		policy    loadShedding
+		threshold float64
+		prepare   func(heavy, light *classState)
+		want      [2]maxQueueTime // in ms, of the heavy and of the light class
+	}{
+		{
+			"a request over quota counts a quarter", loadShedding{overQuotaWeight: 0.25}, 2, nil,
+			// 900 ms are left before the answer is late; the root of a quarter of the best is a half.
+			[2]maxQueueTime{{900, 450}, {450, 225}},
+		},
+		{
+			"the threshold bounds all", loadShedding{overQuotaWeight: 0.25}, 0.3, nil,
+			[2]maxQueueTime{{300, 300}, {300, 225}},
+		},
+		{
+			"weight by work makes long work worth its time", loadShedding{overQuotaWeight: 1, weightByWork: true}, 2,
+			func(heavy, light *classState) { heavy.Weight, light.expected = 1, 200*millisecond },
+			// The light class leaves less time before its objective, and adds as much for each ms of work.
+			[2]maxQueueTime{{900, 900}, {800, 800}},
+		},
+		{
+			"the class served worst has a weight of its own",
+			loadShedding{overQuotaWeight: 1, totalGoalWeight: 1, worstClassGoalWeight: 3}, 2,
+			func(heavy, light *classState) { heavy.served.Add(1, 0); light.served.Add(0, 0) },
+			// The light class adds 1 + 3x5 for 4 of the heavy one.
+			[2]maxQueueTime{{450, 450}, {900, 900}},
+		},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			table := sheddingClasses()
+			if c.prepare != nil {
+				c.prepare(&table.entries[0], &table.entries[1])
+			}
+			c.policy.setMaxQueueTimes(table, c.threshold, 0)
+			for i, want := range c.want {
+				got := table.entries[i].maxQueueTime
+				if got.withinQuota.Round(millisecond) != want.withinQuota*millisecond ||
+					got.overQuota.Round(millisecond) != want.overQuota*millisecond {
+					t.Errorf("class %d: %v, want %v ms", i, got, want)
+				}
+			}
+		})
+	}
+}
+
+// Guards against a gateway that sees few openings of room and sheds what the next one could have served.
+func TestRequestsAreQueuedForSomeTurnovers(t *testing.T) {
+	c := classState{Class: Class{LatencyObjective: time.Second}}
+	c.refresh()
+	c.deviation.Add(1000, 0) // nothing is left of the objective
+	for turnover, want := range map[time.Duration]time.Duration{
+		0: 100 * millisecond, 200 * millisecond: 600 * millisecond, time.Second: 900 * millisecond,
+	} {
+		if got := latestStart(&c, turnover); got != want {
+			t.Errorf("with an opening every %v queued for %v, want %v", turnover, got, want)
+		}
+	}
+}
--- a/internal/balancer/rejection.go
+++ b/internal/balancer/rejection.go
@@ -20,7 +20,7 @@
 
 // mayReject guards the promise of a rejection: another try by the client must not repeat an effect.
 func (b *Balancer) mayReject(r *requestState) bool {
-	c := &b.classes.entries[r.Class]
+	c := b.classOf(r)
 	return c.Idempotency == Idempotent || c.Idempotency == KeyedIdempotent && c.DedupScope == DedupAll ||
 		!r.mayHaveRun()
 }
@@ -36,21 +36,21 @@
 // pastDeadline reports whether an answer to r could no longer count if an attempt started now. To reject it
 // at once tells the client sooner and leaves the endpoints to work that counts. It also keeps the deadline.
 func (b *Balancer) pastDeadline(r *requestState) bool {
-	c := &b.classes.entries[r.Class]
+	c := b.classOf(r)
 	return b.now+c.expected+2*b.cfg.DispatchInterval >= c.usefulUntil(r.begun, r.deadline)
 }
 
 // shed reports whether a queued request has waited for its maximum queue time. A request that was attempted
 // is not shed.
 func (b *Balancer) shed(r *requestState) bool {
-	longest := b.classes.entries[r.Class].maxQueueTime.of(r.overQuota)
+	longest := b.classOf(r).maxQueueTime.of(r.overQuota)
 	return len(r.attempts) == 0 && b.now-r.begun > longest
 }
 
 // conclude notes that r has its final answer; it is kept while attempts are in flight.
 func (b *Balancer) conclude(r *requestState, inTime bool) {
 	if !r.done {
-		b.classes.entries[r.Class].recordConcluded(inTime)
+		b.classOf(r).recordConcluded(inTime)
 	}
 	r.done = true
 	b.forget(r)
@@ -59,6 +59,6 @@
 // forget drops a concluded request once nothing refers to it.
 func (b *Balancer) forget(r *requestState) {
 	if b.requests.forget(r) {
-		b.classes.entries[r.Class].open--
+		b.classOf(r).open--
 	}
 }
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -43,7 +43,7 @@
 // idempotent may start only if it never ran, a keyed one only in the scope and within the window of each
 // attempt that may have run. The window ends two dispatch intervals early, as an attempt may start that late.
 func (b *Balancer) idempotencyAllows(r *requestState, earlier []attempt, ep *endpointState) bool {
-	c := &b.classes.entries[r.Class]
+	c := b.classOf(r)
 	for i := range earlier {
 		a := &earlier[i]
 		if a.neverRan || c.Idempotency == Idempotent {
@@ -63,5 +63,5 @@
 	if !ep.health.Ejected {
 		return 0
 	}
-	return stats.Scale(b.classes.entries[r.Class].expected, outlierdetection.ProbeTimeoutFactor)
+	return stats.Scale(b.classOf(r).expected, outlierdetection.ProbeTimeoutFactor)
 }
--- a/internal/balancer/watch_test.go
+++ b/internal/balancer/watch_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 	"time"
+
+	"thymebend/internal/backoff"
 )
 
 func TestFailedWatchesBackOff(t *testing.T) {
@@ -39,3 +41,31 @@
 		t.Error("a broken subscription was not renewed")
 	}
 }
+
+func TestWatchTellsHowItEnded(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		prepare     func(*endpointWatch)
+		unreachable bool
+		want        backoff.Failure
+	}{
+		{"no answer", func(w *endpointWatch) { w.start(0) }, false, backoff.Overloaded},
+		{"nobody reached", func(w *endpointWatch) { w.start(0) }, true, backoff.Unreachable},
+		{"changes came", func(w *endpointWatch) { w.start(0); w.answered() }, false, backoff.Ended},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var w endpointWatch
+			c.prepare(&w)
+			if got := w.ended(c.unreachable); got != c.want || w.calling || w.active {
+				t.Errorf("ended as %v, want %v: %+v", got, c.want, w)
+			}
+		})
+	}
+	var w endpointWatch
+	if w.start(0); w.overdue(5*time.Second, 10*time.Second) || !w.overdue(5*time.Second+1, 10*time.Second) {
+		t.Error("a call is not overdue after half of the interval")
+	}
+	if w.answered(); w.overdue(time.Hour, 10*time.Second) {
+		t.Error("an answered call is overdue")
+	}
+}
