--- a/internal/gateway/assignment.go
+++ b/internal/gateway/assignment.go
@@ -109,7 +109,8 @@
 		start += p.rule.ValidFor() // the predecessor takes tokens until it hears that this process serves
 	}
 	p.taker = tokenschedule.NewTaker(p.rule, f.Name, start)
-	p.agreedSince, p.endpointsChanged = s.now-viewConvergence, true // this gateway agrees with itself until others are heard
+	// This gateway's own configuration is agreed on until others are heard.
+	p.agreedSince, p.endpointsChanged = s.now-viewConvergence, true
 	s.state = p
 	s.updateConfigHash()
 	s.balancer.AssignEndpoints(s.now, nil)
@@ -284,7 +285,7 @@
 		Gateways:     len(p.tracker.Gateways()),
 		RelativeLoad: p.tracker.RelativeLoad(),
 		Tokens:       p.tokens,
-		TokensActive: p.agreedSince > 0 && s.now-p.agreedSince >= viewConvergence,
+		TokensActive: s.agreed(),
 		Demand:       s.balancer.LoadReport(s.now).Demand,
 		Hosts:        []admin.AssignedEndpoint{},
 	}
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -44,7 +44,8 @@
 	conn     *upstream.Conn
 	began    time.Duration
 	deadline time.Duration // awaited until then
-	// invariantIndex is its number in the request's invariant record, notWritten before its first byte is written.
+	// invariantIndex is its number in the request's invariant record, notWritten before its first byte is
+	// written.
 	invariantIndex int
 }
 
@@ -129,8 +130,7 @@
 	a.byConn[conn.ID] = att
 }
 
-// writeRequest writes the request to the endpoint, if it may still be written. Nothing goes to an endpoint
-// that has left meanwhile: see endpointsChanged.
+// writeRequest writes the request to the endpoint, if it may still be written.
 func (a *attemptTable) writeRequest(att *attempt, op loop.Op) {
 	if end, suppress := a.suppressed(att); suppress {
 		a.end(att, end, nil)
@@ -154,9 +154,9 @@
 	att.conn = nil
 }
 
-// end ends an attempt, with its connection if it still has one: a late answer on it must not reach another
-// request. The balancer is notified once it has returned.
-func (a *attemptTable) end(att *attempt, end TerminationReason, answer *upstream.Response) {
+// end ends an attempt and closes its connection, if it still has one. Guards against a late response on it
+// that reaches another request. The balancer is notified at the end of the Step.
+func (a *attemptTable) end(att *attempt, end TerminationReason, resp *upstream.Response) {
 	if conn := att.conn; conn != nil {
 		a.unbind(att)
 		a.dropConn(conn, end)
@@ -176,7 +176,7 @@
 	if end != ReasonServed && end != ReasonRejected {
 		a.logAttemptEnd(att, end)
 	}
-	a.ended = append(a.ended, attemptEnd{attempt: att, reason: end, response: answer})
+	a.ended = append(a.ended, attemptEnd{attempt: att, reason: end, response: resp})
 }
 
 func (a *attemptTable) timerDue(id uint64) {
@@ -192,8 +192,8 @@
 	}
 }
 
-// suppressed decides whether an attempt may not be written now, and how it ends then. Time has passed since
-// the balancer decided: its endpoint may have left, its window or its client's time may be over.
+// suppressed decides whether an attempt must not be written now, and how it ends then. Time has passed since
+// the balancer decided: its endpoint may have left, its retry window or its client's time may be over.
 func (a *attemptTable) suppressed(att *attempt) (end TerminationReason, suppress bool) {
 	endpoint := a.discovery.endpoints.Find(att.endpoint)
 	switch {
--- a/internal/gateway/classes.go
+++ b/internal/gateway/classes.go
@@ -40,7 +40,8 @@
 	for i, old := range t.cfg.Settings.Config.Classes {
 		for _, c := range fresh.Config.Classes {
 			if c.Name == old.Name && c.Idempotency != old.Idempotency {
-				t.previous[c.Name] = previousClass{class: old, index: t.indices[i], until: t.now + previousClassTTL}
+				t.previous[c.Name] = previousClass{class: old, index: t.indices[i],
+					until: t.now + previousClassTTL}
 			}
 		}
 	}
@@ -50,14 +51,15 @@
 	t.stats.countClasses(fresh.Config.Classes)
 }
 
-// find finds the class that a request names, as its method words it. Just after the idempotency of a class has
-// changed, requests worded for the old one still come; the stricter of the two holds for them.
+// find finds the class that a request names, as its method words it. Just after the idempotency of a class
+// has changed, requests worded for the old one still come; the stricter of the two holds for them.
 func (t *classTable) find(name, method string) (downstream.Class, bool) {
 	for i, c := range t.cfg.Settings.Config.Classes {
 		if c.Name != name {
 			continue
 		}
-		found := downstream.Class{Name: name, Index: t.indices[i], Method: downstream.MethodOf(c.Idempotency), Class: c}
+		found := downstream.Class{Name: name, Index: t.indices[i],
+			Method: downstream.MethodOf(c.Idempotency), Class: c}
 		previous, ok := t.previous[name]
 		if ok && t.now < previous.until && method == previous.method() && method != found.Method {
 			found.Method = method
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -66,8 +66,8 @@
 	c.emit(loop.Effect{Op: loop.Bind, Conn: loop.Gossip, Addr: c.cfg.Gossip.Listen, Urgent: true})
 }
 
-// quit ends the membership: silently, for the successor speaks under this identity, or by announcing that this
-// gateway leaves.
+// quit ends the membership: silently, for the successor speaks under this identity, or by announcing that
+// this gateway leaves.
 func (c *cluster) quit(leave bool) {
 	v := c.membership
 	if v == nil {
@@ -89,7 +89,8 @@
 	case c.membership == nil:
 	case e.Kind == loop.Listening:
 		c.socketOpen = true
-		c.log.Info().Str(fieldCluster, c.cfg.Gossip.Cluster).Stringer(fieldListen, c.cfg.Gossip.Listen).Msg("cluster: joining")
+		c.log.Info().Str(fieldCluster, c.cfg.Gossip.Cluster).Stringer(fieldListen, c.cfg.Gossip.Listen).
+			Msg("cluster: joining")
 		c.timerDue()
 	case e.Kind == loop.Readable:
 		c.emit(loop.Effect{Op: loop.Read, Conn: loop.Gossip})
@@ -133,7 +134,8 @@
 	}
 }
 
-// reload takes new seed peers. A faulty file changes nothing; what else the file says holds from the next start.
+// reload takes new seed peers. A faulty file changes nothing; what else the file says holds from the next
+// start.
 func (c *cluster) reload(raw []byte, err error) {
 	var f *gossipconfig.Config
 	if err == nil {
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -25,8 +25,8 @@
 	stats      statistics
 }
 
-// pauseListener accepts nothing for a moment on the admin or hot-restart socket. Guards against spinning while a
-// connection waits for which there is no descriptor.
+// pauseListener accepts nothing for a moment on the admin or hot-restart socket. Guards against spinning
+// while a connection waits for which there is no descriptor.
 func (c *core) pauseListener(conn loop.Conn) {
 	c.emit(loop.Effect{Op: loop.Mute, Conn: conn})
 	c.setTimer(timerListenerPause, uint64(conn), c.now+acceptPauseDuration)
@@ -48,7 +48,8 @@
 	c.emit(loop.Effect{Op: loop.StopTimer, Timer: loop.Timer{Kind: kind, ID: id}})
 }
 
-// discoveryPushed reports whether endpoint lists are pushed by an agent on this machine, not polled.
+// discoveryPushed reports whether endpoint lists come from an agent on this machine, to which they are
+// pushed. The balancer does not poll then: the gateway itself watches the agent from its start on.
 func (c *core) discoveryPushed() bool { return !c.cfg.Settings.Config.PollDiscovery }
 
 // longestDeadline is the longest deadline of the classes.
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -12,21 +12,20 @@
 	"thymebend/internal/starttime"
 )
 
-// redialInterval is how soon discovery's new address is asked again after a call that failed, while the old
-// watch stands: what discovery has to tell counts as told 4 s after a reload, and the old address is about to
-// close.
+// redialInterval is the least time between two polls of discovery's new address while the old watch stands.
+// Short, for changes count as notified 4 s after a reload and the old address is about to close.
 const redialInterval = 200 * time.Millisecond
 
-// randStream tells the gateway's own random draws from others of the same seed.
+// randStream separates the gateway's own random draws from others of the same seed.
 const randStream = 0x6c697374
 
 // watchLoss is how the watch was lost.
 type watchLoss uint8
 
 const (
-	notLost watchLoss = iota
-	lostConnected
-	lostUnreachable // its connection never came up
+	notLost         watchLoss = iota
+	lostConnected             // it ended, or was not answered in time
+	lostUnreachable           // its connection never came up
 )
 
 // discoveryWatch keeps a watch on discovery and the endpoint list that it brings.
@@ -40,16 +39,16 @@
 	current     *discovery.Watch
 	replacement *discovery.Watch // polls the new address while the current watch stands
 	unanswered  *discovery.Watch // an older poll that may still wait in discovery's queue beside a younger one
-	loss        watchLoss        // of the current watch; the balancer hears of it once it has returned
+	loss        watchLoss        // of the current watch, until the balancer is notified at the end of the Step
 
 	pollNotBefore time.Duration // discovery has asked for no poll until then
-	silentSince   time.Duration // the watch ended then, and no poll since was answered or failed; 0 otherwise
-	staleSince    time.Duration // the agent has had an older list than this gateway since then; 0 if it has not
+	silentSince   time.Duration // the watch ended then, and no poll was answered or failed since; 0 otherwise
+	staleSince    time.Duration // the agent has had an older list than this gateway since then; 0 if not
 	backoff       backoff.Backoff
 	rand          *rand.Rand // of the gateway itself; the balancer has its own
 }
 
-// dial calls discovery where the configuration now has it.
+// dial opens a watch at the address that the configuration gives now.
 func (d *discoveryWatch) dial() *discovery.Watch {
 	w := discovery.NewWatch(d.attempts.pool.NextID(), d.cfg.Discovery, d.now)
 	d.emit(loop.Effect{Op: loop.Dial, Conn: w.Conn, Addr: w.Addr, Urgent: true})
@@ -66,8 +65,8 @@
 	return nil
 }
 
-// redial asks discovery's address at once. A watch that has answered stands until the new one has: a gap in
-// it would be a gap in what drains.
+// redial polls discovery's address at once. A watch that has answered stands until the new one has. Guards
+// against a gap in which draining endpoints go unnoticed.
 func (d *discoveryWatch) redial() {
 	d.stopTimer(timerRedial, 0)
 	if d.replacement != nil {
@@ -97,7 +96,7 @@
 	}
 }
 
-// answered makes the call that is answered first the watch in force. A call to a new address goes on beside
+// answered makes the poll that is answered first the current watch. A poll of a new address goes on beside
 // the old address's watch.
 func (d *discoveryWatch) answered(w *discovery.Watch) {
 	if d.current != nil && d.current != w {
@@ -117,14 +116,15 @@
 	d.endSilence()
 }
 
-// keepUnanswered deals with a call that was not answered in time. It may still wait in discovery's queue, and
-// a call that is given up there costs discovery its turn for nothing: it keeps its place, and another goes
-// out beside it, in case it is lost. It reports whether the call was kept; there is one such place.
+// keepUnanswered deals with a poll that was not answered in time, and reports whether it was kept. It may
+// still wait in discovery's queue, where giving up wastes its place: one such poll is kept, and another goes
+// out beside it in case the first is lost.
 func (d *discoveryWatch) keepUnanswered(w *discovery.Watch) bool {
 	if d.discoveryPushed() || w.Started() || !w.Connected() || d.unanswered != nil {
 		return false
 	}
-	d.log.Info().Stringer(fieldDiscovery, w.Addr).Msg("no answer yet, the poll keeps its place and another is made")
+	d.log.Info().Stringer(fieldDiscovery, w.Addr).
+		Msg("no answer yet, the poll keeps its place and another is made")
 	d.unanswered = w
 	d.setTimer(timerWatch, uint64(w.Conn), d.now+discovery.AbandonTimeout)
 	switch {
@@ -137,20 +137,21 @@
 	return true
 }
 
-// redialLater sets the time of the next call to the new address.
+// redialLater sets the time of the next poll of the new address.
 func (d *discoveryWatch) redialLater(failure backoff.Failure) {
 	after := redialInterval
 	if !d.discoveryPushed() {
-		after = max(redialInterval, d.backoff.Failed(failure, d.cfg.Settings.Config.Gateways, 0, d.rand.Float64(), d.rand.Float64()))
+		gateways := d.cfg.Settings.Config.Gateways
+		after = max(after, d.backoff.Failed(failure, gateways, 0, d.rand.Float64(), d.rand.Float64()))
 	}
 	d.setTimer(timerRedial, 0, max(d.now+after, d.pollNotBefore))
 }
 
-// watchEnded ends a watch. Where no other is left, the balancer is told and asks again when it sees fit.
+// watchEnded ends a watch. Where no other is left the balancer is notified, and polls again when it sees fit.
 func (d *discoveryWatch) watchEnded(w *discovery.Watch, end TerminationReason, err error) {
-	var refusal *discovery.StatusError
-	if errors.As(err, &refusal) && refusal.RetryAfter > 0 {
-		d.pollNotBefore = d.now + refusal.RetryAfter
+	var status *discovery.StatusError
+	if errors.As(err, &status) && status.RetryAfter > 0 {
+		d.pollNotBefore = d.now + status.RetryAfter
 	}
 	failure := backoff.Overloaded
 	if !w.Connected() {
@@ -161,9 +162,9 @@
 	}
 	if w == d.unanswered {
 		d.drop(w, end, err)
-		return // the balancer was told when the call was not answered in time
+		return // the balancer was notified when the poll was not answered in time
 	}
-	moving := w == d.replacement
+	wasReplacement := w == d.replacement
 	d.drop(w, end, err)
 	switch {
 	case d.current == nil && d.replacement != nil:
@@ -178,17 +179,19 @@
 		if w.Started() && end != ReasonWatchSilent {
 			d.startSilence()
 		}
-	case moving && d.current.Addr == d.cfg.Discovery && d.discoveryPushed():
-		d.setTimer(timerWatch, uint64(d.current.Conn), d.now+redialInterval) // the watch is silent: the agent is asked beside it again
-	case moving && d.current.Addr == d.cfg.Discovery:
-		// The watch stands, with the time that it has.
-	case moving:
+	case wasReplacement && d.current.Addr == d.cfg.Discovery && d.discoveryPushed():
+		// The current watch is silent: the agent is polled beside it again.
+		d.setTimer(timerWatch, uint64(d.current.Conn), d.now+redialInterval)
+	case wasReplacement && d.current.Addr == d.cfg.Discovery:
+		// The current watch stands, with the timer that it has.
+	case wasReplacement:
 		d.redialLater(failure)
 	}
 }
 
 func (d *discoveryWatch) drop(w *discovery.Watch, end TerminationReason, err error) {
-	d.log.Info().Stringer(fieldEnd, end).Stringer(fieldDiscovery, w.Addr).AnErr(fieldCause, err).Msg("watch ended")
+	d.log.Info().Stringer(fieldEnd, end).Stringer(fieldDiscovery, w.Addr).AnErr(fieldCause, err).
+		Msg("watch ended")
 	d.stopTimer(timerWatch, uint64(w.Conn))
 	d.closeConn(w.Conn)
 	switch w {
@@ -201,15 +204,15 @@
 	}
 }
 
-// isReady reports whether the list in force has an endpoint as up.
+// isReady reports whether the list in force says that an endpoint takes new requests.
 func (d *discoveryWatch) isReady(id balancer.EndpointID) bool {
-	h := d.endpoints.Find(id)
-	return h != nil && h.State == balancer.EndpointReady
+	found := d.endpoints.Find(id)
+	return found != nil && found.State == balancer.EndpointReady
 }
 
-// heartbeatMissed deals with a watch that has missed its beat. An agent's silence is no news: it has heard
-// nothing itself, the list stays in force and the watch stays open. Lest it is the watch that is dead, the
-// agent is asked once more beside it; what answers first goes on.
+// heartbeatMissed deals with a watch whose heartbeat is late. An agent is silent when it has heard nothing
+// itself: the list stays in force and the watch open. In case the watch is dead the agent is polled beside
+// it, and the first to be answered goes on.
 func (d *discoveryWatch) heartbeatMissed(w *discovery.Watch) {
 	if d.keepUnanswered(w) {
 		return
@@ -243,7 +246,7 @@
 	}
 }
 
-// poll has the changes of the list come from now on, as the balancer asks.
+// poll starts a watch for the balancer.
 func (d *discoveryWatch) poll() {
 	if d.replacement != nil || d.current != nil && !d.current.Started() {
 		return // the poll under way answers this one
@@ -258,7 +261,7 @@
 	d.current = d.dial()
 }
 
-// reportLoss tells the balancer of a watch that ended while the balancer was busy.
+// reportLoss notifies the balancer of a watch that was lost during this Step.
 func (d *discoveryWatch) reportLoss() {
 	if d.loss == notLost {
 		return
--- a/internal/gateway/discovery_silence.go
+++ b/internal/gateway/discovery_silence.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// silenceBeforePause is how long after the end of a watch a change counts as told, unless a call since then
-// has failed: a call that waits in discovery's queue does not put it off. From then on nothing new is sent
-// until that call's fate is known.
+// silenceBeforePause is the time after the end of a watch from which changes count as notified, unless a poll
+// has failed since. From then on attempts are paused until the poll is answered or fails: guards against
+// attempts at an endpoint whose removal waits behind a poll in discovery's queue.
 const silenceBeforePause = 2 * time.Second
 
-// maxPause bounds that wait: a discovery that is mute for longer is out of order, and its last list is the
+// maxPause bounds that pause: a discovery that is silent for longer is out of order, and its last list is the
 // best there is.
 const maxPause = 2 * time.Second
 
-// startSilence notes that the watch has ended.
+// startSilence notes that the watch has ended. A pushed list has no queue in which a poll could wait.
 func (d *discoveryWatch) startSilence() {
 	if d.discoveryPushed() {
 		return
@@ -20,7 +20,7 @@
 	d.setTimer(timerSilence, 0, d.now+silenceBeforePause)
 }
 
-// silenceDue begins the wait for the call's fate, or ends it.
+// silenceDue begins the pause, or ends it.
 func (d *discoveryWatch) silenceDue() {
 	if d.now >= d.silentSince+silenceBeforePause+maxPause {
 		d.endSilence()
@@ -31,7 +31,7 @@
 	d.setTimer(timerSilence, 0, d.now+maxPause)
 }
 
-// endSilence notes that a call since the watch's end was answered, failed or took too long.
+// endSilence notes that a poll since the watch's end was answered, failed or took too long.
 func (d *discoveryWatch) endSilence() {
 	if d.silentSince == 0 {
 		return
--- a/internal/gateway/discovery_updates.go
+++ b/internal/gateway/discovery_updates.go
@@ -7,24 +7,20 @@
 	"thymebend/internal/discovery"
 )
 
-// Where lists are pushed, discovery's address is that of an agent on this machine, which has what it was sent
-// and answers at no cost. The balancer asks for nothing there, so the gateway itself watches the agent, from
-// its start on. What the agent has counts as told, whether this gateway has heard it or not.
-
-// staleAgentTimeout is how long the agent may have an older list than this gateway before its numbers are
-// taken to have begun anew: several times what a change takes to come. An agent that was restarted has old
-// news until it is sent the rest.
+// staleAgentTimeout is how long the agent may have an older list than this gateway before its list numbers
+// are taken to have begun anew: several times what a change takes to come. A restarted agent has an old list
+// until it is sent the rest.
 const staleAgentTimeout = 30 * time.Second
 
-// handleData applies complete lines. The first line answers the call even if it is a mere beat. Lines that
-// came complete beside a fault count as told: those before it are applied, and of those after it the
-// departures.
+// handleData applies complete lines. The first line answers the poll even if it is a mere heartbeat. Complete
+// lines count as notified though one of them is malformed: those before it are applied, and the removals of
+// those after it.
 func (d *discoveryWatch) handleData(w *discovery.Watch, data []byte) {
 	first := !w.Started()
 	lines, ended, malformed := w.Feed(d.now, data)
-	faulty := false
+	skip := false // lines after a malformed one
 	for _, line := range lines {
-		if faulty {
+		if skip {
 			d.applyRemovals(d.endpoints.Removals(line))
 			continue
 		}
@@ -35,7 +31,7 @@
 			continue
 		}
 		if err := d.applyLine(w, line, first); err != nil {
-			malformed, faulty = err, true
+			malformed, skip = err, true
 			continue
 		}
 		first = false
@@ -50,13 +46,13 @@
 	}
 }
 
-// applyLine takes one line of a watch. Of a faulty object it takes who leaves.
+// applyLine applies one line of a watch; of a malformed one the removals.
 func (d *discoveryWatch) applyLine(w *discovery.Watch, line []byte, first bool) error {
 	var update discovery.Update
 	switch {
 	case len(line) == 0 || d.staleSince != 0:
 	case w != d.current && d.endpoints.Outdated(w, line):
-		update = d.endpoints.Removals(line) // what the standing watch has told since must not be taken back
+		update = d.endpoints.Removals(line) // must not undo what the current watch has brought since
 	default:
 		var err error
 		if update, err = d.endpoints.Apply(line); err != nil {
@@ -80,16 +76,16 @@
 	return nil
 }
 
-// notifyBalancer tells the balancer news of the list, with starts on this process's clock.
+// notifyBalancer passes changes of the list on, with start times on this process's clock.
 func (d *discoveryWatch) notifyBalancer(kind balancer.EndpointUpdate, entries []balancer.Endpoint) {
 	d.startTimes.Adjust(d.now, kind, entries)
 	d.balancer.UpdateEndpoints(d.now, kind, entries)
 }
 
-// isStale looks at a line of the agent for one that is older than what this gateway has: such a line would
-// bring back endpoints that are known to drain or to be gone, so only those leave by it that have not started
-// anew since. It reports whether the numbers are taken to have begun anew instead: then the watch has ended,
-// and the complete list is asked for.
+// isStale checks a line of the agent against a newer list that this gateway has. Guards against an old line
+// that brings back endpoints known to drain or to be gone: only its removals are applied. It reports whether
+// the list numbers are taken to have begun anew instead: then the watch has ended, and the full list is
+// requested.
 func (d *discoveryWatch) isStale(w *discovery.Watch, line []byte) bool {
 	if !d.discoveryPushed() {
 		d.staleSince = 0
@@ -98,7 +94,7 @@
 	if len(line) > 0 {
 		older, err := d.endpoints.Older(line)
 		if err != nil || !older {
-			d.staleSince = 0 // a faulty line is found out where it is applied
+			d.staleSince = 0 // a malformed line is found where it is applied
 			return false
 		}
 		if d.staleSince == 0 {
@@ -110,15 +106,16 @@
 	if d.staleSince == 0 || d.now-d.staleSince < staleAgentTimeout {
 		return false
 	}
-	d.log.Warn().Stringer(fieldDiscovery, w.Addr).Dur(fieldStaleFor, d.now-d.staleSince).Msg("the agent's list numbers began anew")
+	d.log.Warn().Stringer(fieldDiscovery, w.Addr).Dur(fieldStaleFor, d.now-d.staleSince).
+		Msg("the agent's list numbers began anew")
 	d.staleSince = 0
 	d.endpoints.Renumber()
 	d.watchEnded(w, ReasonWatchReplaced, nil)
 	return true
 }
 
-// applyRemovals has endpoints leave of which a line says so that is not taken otherwise: what the agent has
-// counts as told.
+// applyRemovals removes the endpoints that leave by a line which is not applied otherwise: the line counts as
+// notified all the same.
 func (d *discoveryWatch) applyRemovals(update discovery.Update) {
 	if len(update.Entries) > 0 {
 		d.attempts.endpointsChanged(update.Changed)
--- a/internal/gateway/downstream.go
+++ b/internal/gateway/downstream.go
@@ -21,6 +21,7 @@
 	conns *downstream.Conns
 }
 
+// accepted takes a new connection.
 func (d *downstreamConns) accepted(c loop.Conn) {
 	added := d.conns.Add(c, d.now)
 	d.logAccepted(added)
@@ -47,8 +48,7 @@
 	case loop.Data:
 		conn.FinalRead = false
 		if conn.Ended || conn.DiscardBody {
-			// What comes after the last answer belongs to no request. A client that is still sending is given
-			// time.
+			// What comes after the last answer is no request. A client that is still sending is given time.
 			if conn.Ended && conn.DiscardBody && d.now < conn.Since+downstream.MaxLinger {
 				d.setDeadline(conn, d.now+downstream.LingerTimeout)
 			}
@@ -84,7 +84,7 @@
 	}
 }
 
-// flushed goes on once an answer is written out: with the next request, or with the end of the connection.
+// flushed goes on once an answer is written out, with the next request or the end of the connection.
 func (d *downstreamConns) flushed(conn *downstream.Conn) {
 	if r := d.relays.byConn[conn.ID]; r != nil {
 		d.relays.flushed(r)
@@ -95,8 +95,8 @@
 	}
 	conn.Busy, conn.Since = false, d.now
 	if conn.Closing {
-		// Only the sending ends yet: to close a socket on which bytes are still unread would reset it, and
-		// could take the answer from the client.
+		// Only sending ends yet: closing with bytes unread would reset the connection and could lose the
+		// answer.
 		conn.Ended = true
 		d.resumeReading(conn)
 		d.emit(loop.Effect{Op: loop.Shutdown, Conn: conn.ID})
@@ -104,12 +104,12 @@
 		return
 	}
 	d.resumeReading(conn)
-	rest := downstream.IdleTimeout
+	idleTimeout := downstream.IdleTimeout
 	if conn.Requests == 1 && d.conns.OverReuseLimit() && d.restart.alone() {
-		rest = downstream.SingleUseIdleTimeout // no new process may be left to close it, see Conns.SingleUse
+		idleTimeout = downstream.SingleUseIdleTimeout // there may be no new connection that closes it: see accepted
 	}
 	if !conn.Pending() { // else the time of the next request begins, see awaitRequest
-		d.setDeadline(conn, d.now+rest)
+		d.setDeadline(conn, d.now+idleTimeout)
 	}
 	d.restart.idlePending = true
 	d.conns.Place(conn)
@@ -119,25 +119,23 @@
 	d.advance(conn)
 }
 
-// readThenClose closes an idle connection after one more look: a request that lies in it unread would be
-// lost. One that comes between that look and the close, or after it, is read by nobody, and the system resets
-// the connection: that tells the client that it was not taken. To linger here, as after a last answer, would
-// read it and say nothing; and there is no answer to protect, for a client that asks again has read the one
-// before.
+// readThenClose closes an idle connection after one more read. Guards against losing a request that lies in
+// it unread. One that comes after that read is reset, which tells the client that it was not taken; lingering
+// here would read it and say nothing.
 func (d *downstreamConns) readThenClose(conn *downstream.Conn) {
 	conn.FinalRead = true
 	d.conns.Place(conn)
 	d.emit(loop.Effect{Op: loop.Read, Conn: conn.ID})
 }
 
-// drop ends a downstream connection. A request in work on it has lapsed, and its attempts end with it.
+// drop ends a connection. A request that waits on it is abandoned with its attempts.
 func (d *downstreamConns) drop(conn *downstream.Conn, end TerminationReason) {
 	d.logClientEnd(conn, end)
 	d.checkClose(conn, end)
 	d.clearDeadline(conn)
 	d.conns.Remove(conn)
 	if r := d.relays.byConn[conn.ID]; r != nil {
-		// Half an answer is out: the client must be able to tell, however it is framed.
+		// Half an answer is out. Guards against a cut response that looks complete to the client.
 		d.relays.remove(r, outcomeFailed)
 		if !r.upstreamClosed {
 			d.attempts.dropConn(r.upstream, end)
@@ -152,12 +150,13 @@
 	}
 }
 
-// pauseReading reads a connection no further. Its client's end is still told, though it lies behind what is
-// not read: nothing may be sent on for one who has left.
+// pauseReading reads a connection no further. Its client's close is still noticed, though it lies behind what
+// is unread: nothing may be forwarded for a client that has left.
 func (d *downstreamConns) pauseReading(conn *downstream.Conn) {
 	if !conn.Muted {
 		conn.PauseReading(d.now)
-		d.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Msg("downstream connection is read no further for now")
+		d.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).
+			Msg("downstream connection is read no further for now")
 		d.emit(loop.Effect{Op: loop.Mute, Conn: conn.ID, Leaving: true})
 	}
 }
--- a/internal/gateway/downstream_request.go
+++ b/internal/gateway/downstream_request.go
@@ -10,7 +10,10 @@
 // statusBadRequest answers a request that cannot be taken as it is.
 const statusBadRequest = 400
 
-// advance takes the next request of a connection, if it is complete and none is in work.
+// overloadedEighths of the downstream connections in requests are an overload.
+const overloadedEighths = 7
+
+// advance takes the next request of a connection, if it is complete and none is in progress.
 func (d *downstreamConns) advance(conn *downstream.Conn) {
 	for !conn.Busy && !conn.Ended {
 		incoming, whole := conn.Next(d.classes.find)
@@ -26,9 +29,9 @@
 	}
 }
 
-// awaitRequest bounds the time for the rest of a request, from its first byte on; timerDue gives more for
-// what has come meanwhile. That of a first request has run since the accept. It is set in any case: the timer
-// of a new connection may just have fallen due, and its last look has brought the first byte.
+// awaitRequest bounds the time for the rest of a request from its first byte on; that of a first request has
+// run since the accept. Guards against a new connection whose timer has just fallen due and whose last read
+// brought the first byte: it is set in any case.
 func (d *downstreamConns) awaitRequest(conn *downstream.Conn) {
 	if !conn.Pending() {
 		return
@@ -45,39 +48,47 @@
 	}
 }
 
-// takeRequest answers a request itself or makes it a request of the balancer's.
+// takeRequest answers a request itself or passes it to the balancer.
 func (d *downstreamConns) takeRequest(conn *downstream.Conn, incoming downstream.Incoming) {
 	conn.RequestTimed, conn.HasRequested, conn.RequestBytes = false, true, 0
-	conn.DiscardBody = incoming.Fault != nil && incoming.Closes // where its body ends, and the next request begins, is not known
+	// Where the body of a malformed request ends, and the next one begins, is not known.
+	conn.DiscardBody = incoming.Fault != nil && incoming.Closes
+	class := incoming.Request.Class.Name
 	switch {
 	case incoming.Fault != nil:
-		if incoming.Request.Class.Name != "" {
-			d.stats.countResult(incoming.Request.Class.Name, outcomeFailed)
+		if class != "" {
+			d.stats.countResult(class, outcomeFailed)
 		}
 		d.logFaulty(conn, incoming.Request.ID, incoming.Fault.Status, incoming.Fault.Text)
 		d.reply(conn, downstream.AppendBadRequest(incoming.Fault, !conn.Closing))
 		return
 	case incoming.Health:
-		d.reply(conn, downstream.AppendHealth(d.discovery.endpoints.Len() > 0 && (!d.shutdown.stopping() || d.restart.handedOver()), !conn.Closing))
+		d.reply(conn, downstream.AppendHealth(d.healthy(), !conn.Closing))
 		return
 	case d.requests.openIDs[incoming.Request.ID]:
-		// Two requests of one id could not be told apart at an endpoint: the second would run in the first
-		// one's name.
-		d.stats.countResult(incoming.Request.Class.Name, outcomeFailed)
+		// An endpoint could not tell two requests of one id apart: the second would run in the first one's
+		// name.
+		d.stats.countResult(class, outcomeFailed)
 		d.logFaulty(conn, incoming.Request.ID, statusBadRequest, "the id of an open request")
 		conn.Upload = incoming.Large
 		keep := d.keepAlive(conn)
 		d.reply(conn, downstream.AppendConflict(keep))
 		return
 	}
-	if reason, refused := d.rejects(conn.TimeLeft(d.now, incoming.Request.ClientTimeout)); refused {
-		d.stats.countResult(incoming.Request.Class.Name, outcomeRejected)
-		d.logRejected(incoming.Request.ID, reason, d.cfg.Settings.Config.MaxRetryAfter)
+	if reason, rejected := d.rejects(conn.TimeLeft(d.now, incoming.Request.ClientTimeout)); rejected {
+		after := d.cfg.Settings.Config.MaxRetryAfter
+		d.stats.countResult(class, outcomeRejected)
+		d.logRejected(incoming.Request.ID, reason, after)
 		conn.Upload = incoming.Large
 		keep := d.keepAlive(conn)
-		d.reply(conn, downstream.AppendRejected(d.cfg.Settings.Config.MaxRetryAfter, keep))
+		d.reply(conn, downstream.AppendRejected(after, keep))
 		return
 	}
+	d.admit(conn, incoming)
+}
+
+// admit passes a request to the balancer.
+func (d *downstreamConns) admit(conn *downstream.Conn, incoming downstream.Incoming) {
 	d.clearDeadline(conn)
 	read := incoming.Request
 	d.requests.nextID++
@@ -91,8 +102,18 @@
 		d.uploads.begin(req, conn)
 	}
 	d.notified = true
-	d.balancer.RequestArrived(d.now, balancer.Request{ID: req.id, Class: read.Class.Index, ClientTimeout: read.ClientTimeout,
-		Retry: read.Retry, Elapsed: d.now + read.ClientTimeout - req.deadline})
+	d.balancer.RequestArrived(d.now, balancer.Request{
+		ID:            req.id,
+		Class:         read.Class.Index,
+		ClientTimeout: read.ClientTimeout,
+		Retry:         read.Retry,
+		Elapsed:       d.now + read.ClientTimeout - req.deadline,
+	})
+}
+
+// healthy reports whether this gateway can serve: it has endpoints, and it or its successor takes clients.
+func (d *downstreamConns) healthy() bool {
+	return d.discovery.endpoints.Len() > 0 && (!d.shutdown.stopping() || d.restart.handedOver())
 }
 
 // rejects reports whether a request is rejected before the balancer hears of it, and why. left is what its
@@ -112,36 +133,36 @@
 }
 
 // overloaded reports whether requests hold nearly all connections, so that hardly any could give way to those
-// that wait. Guards against an overload that fills every connection with held requests: whoever comes then
-// would wait unheard, longer than he has time, where a rejection at once frees a connection. With a successor
-// nobody waits here: see resize.
+// that wait at the listener. Guards against an overload of queued requests in which new clients wait unread
+// for longer than they have; rejecting at once frees a connection. With a successor nobody waits here: see
+// resize.
 func (d *downstreamConns) overloaded() bool {
-	return d.restart.successor == nil && len(d.requests.byID) > d.conns.Max*7/8
+	return d.restart.successor == nil && len(d.requests.byID) > d.conns.Max*overloadedEighths/8
 }
 
-// reply writes an answer of the gateway's own, to what is no request.
+// reply writes an answer of the gateway's own to what never went to the balancer.
 func (d *downstreamConns) reply(conn *downstream.Conn, data []byte) {
 	conn.Busy = true
 	d.writeFinal(conn, data)
 }
 
-// writeFinal writes an answer and bounds the time for the client to take it: one that never reads must not
-// hold its connection, nor the program's end, for ever.
+// writeFinal writes an answer and bounds the time for the client to take it. Guards against a client that
+// never reads and holds its connection, and the exit, for ever.
 func (d *downstreamConns) writeFinal(conn *downstream.Conn, data []byte) {
 	conn.Request = 0
 	d.setDeadline(conn, d.now+downstream.ResponseWriteTimeout)
 	d.write(conn.ID, data)
 }
 
-// answer writes a request's final answer.
+// answer writes the final answer of a request.
 func (d *downstreamConns) answer(req *request, conn *downstream.Conn, data []byte) {
 	req.client = 0
 	d.writeFinal(conn, data)
 }
 
-// keepAlive reports whether a connection stays open after the answer that is worded now. One whose body has
-// not ended must not: where its next request begins is not known. What still comes of the body is read and
-// dropped. Nor does one for whose descriptor clients wait.
+// keepAlive reports whether a connection stays open after the answer that is written next. It does not if its
+// request's body has not ended, for where the next request begins is not known (the rest of the body is
+// discarded), nor if clients wait for its descriptor.
 func (d *downstreamConns) keepAlive(conn *downstream.Conn) bool {
 	if conn.Upload {
 		conn.Upload, conn.Closing, conn.DiscardBody = false, true, true
--- a/internal/gateway/downstream_timeouts.go
+++ b/internal/gateway/downstream_timeouts.go
@@ -7,6 +7,7 @@
 	"thymebend/internal/loop"
 )
 
+// timerDue decides what happens to a connection whose deadline has passed.
 func (d *downstreamConns) timerDue(c loop.Conn) {
 	conn := d.conns.ByConn[c]
 	if conn != nil {
@@ -23,11 +24,11 @@
 	case conn.Ended:
 		d.drop(conn, ReasonAnswered)
 	case d.relays.byConn[c] != nil && !d.relays.byConn[c].writing:
-		d.setDeadline(conn, d.now+downstream.ResponseWriteTimeout) // the client has taken all that there is
+		d.setDeadline(conn, d.now+downstream.ResponseWriteTimeout) // the client has taken all that there was
 	case conn.Busy && conn.Request == 0:
 		d.drop(conn, ReasonClientTimeout)
 	case conn.Upload && !conn.Incomplete():
-		d.setDeadline(conn, d.now+downstream.StreamReadTimeout) // it is the endpoint that is waited for
+		d.setDeadline(conn, d.now+downstream.StreamReadTimeout) // the endpoint is waited for
 	case conn.Upload && d.now < d.requestDeadline(conn):
 		d.setDeadline(conn, d.requestDeadline(conn))
 	case conn.Upload:
@@ -40,17 +41,17 @@
 		conn.Closing = true
 		d.logIncomplete(conn)
 		d.reply(conn, downstream.AppendRequestTimeout())
-	case conn.Requests == 1 && !d.shutdown.closing() && !(d.conns.OverReuseLimit() && d.restart.alone()) && d.now < conn.Since+downstream.IdleTimeout:
-		// There were many connections when it came to rest. Others were closed since, and few are no burden;
-		// or an upgrade began.
+	case conn.Requests == 1 && !d.shutdown.closing() && !(d.conns.OverReuseLimit() && d.restart.alone()) &&
+		d.now < conn.Since+downstream.IdleTimeout:
+		// It got the shorter time as there were many connections. Now there are few, or an upgrade has begun.
 		d.setDeadline(conn, conn.Since+downstream.IdleTimeout)
 	default:
 		d.readThenClose(conn)
 	}
 }
 
-// setDeadline sets the time at which a downstream connection is looked at again. A client that has stopped in
-// the middle of a request is never waited for longer than it is owed.
+// setDeadline sets the time at which a connection is looked at again. Guards against a client that stopped in
+// the middle of a request and is waited for longer than it is owed an error.
 func (d *downstreamConns) setDeadline(conn *downstream.Conn, at time.Duration) {
 	if conn.Incomplete() {
 		at = d.invariants.AllowWait(at, lastProgress(conn), downstream.ErrorDeadline)
@@ -64,14 +65,14 @@
 	return max(conn.LastReceived(), conn.RequestBegan)
 }
 
-// clearDeadline has a downstream connection end by nothing but its request.
+// clearDeadline leaves the end of a connection to its request alone.
 func (d *downstreamConns) clearDeadline(conn *downstream.Conn) {
 	conn.Timer = 0
 	d.stopTimer(timerDownstream, uint64(conn.ID))
 }
 
-// checkDeadline looks at a downstream connection after an event on it: something must end it, and half a
-// request in time. A last look is answered in the same round.
+// checkDeadline checks a connection after an event on it: something must end it, and half a request must end
+// in time. A final read is answered in the same round.
 func (d *downstreamConns) checkDeadline(conn *downstream.Conn) {
 	request := conn.Busy && conn.Request != 0 || conn.FinalRead
 	if !d.invariants.Timed(conn.Timer != 0, request) {
@@ -85,8 +86,7 @@
 	}
 }
 
-// checkClose looks at a downstream connection that the gateway is about to end. A request that waits on it
-// gets its answer.
+// checkClose checks a connection that is about to be closed. A request that waits on it gets its answer.
 func (d *downstreamConns) checkClose(conn *downstream.Conn, end TerminationReason) {
 	req := d.requests.byID[conn.Request]
 	if end == ReasonClientLeft || !conn.Busy || conn.Request == 0 || req == nil {
@@ -97,8 +97,8 @@
 	}
 }
 
-// requestDeadline is the time by which the request that is coming must be complete, or go on. In a graceful
-// shutdown half a request is answered before SIGKILL, so that the process can end by itself.
+// requestDeadline is the time by which the request under way must be complete, or go on. In a graceful
+// shutdown half a request is answered before SIGKILL, so that the process can exit by itself.
 func (d *downstreamConns) requestDeadline(conn *downstream.Conn) time.Duration {
 	until := conn.RequestDeadline()
 	if d.shutdown.stopping() {
@@ -107,7 +107,7 @@
 	return d.invariants.AllowWait(until, lastProgress(conn), downstream.ErrorDeadline)
 }
 
-// lingerDeadline is the time until which the end of a connection waits for its client's own.
+// lingerDeadline is the time until which the end of a connection waits for its client's close.
 func (d *downstreamConns) lingerDeadline() time.Duration {
 	if d.shutdown.stopping() {
 		return min(d.now+downstream.LingerTimeout, max(d.now, d.shutdown.killAt))
--- a/internal/gateway/eviction.go
+++ b/internal/gateway/eviction.go
@@ -2,14 +2,14 @@
 
 import "thymebend/internal/downstream"
 
-// singleUseBatch is how many connections that are not used again are closed as one comes: more, so that they
-// grow fewer.
+// singleUseBatch is how many connections that are not used again are closed as one comes: more than one, so
+// that they grow fewer.
 const singleUseBatch = 2
 
-// evictBatch is how many connections give way at once for those that wait.
+// evictBatch is how many connections give way at once to those that wait at the listener.
 const evictBatch = 4
 
-// evict has downstream connections give way until so many may come, and returns how many may.
+// evict closes connections until wanted new ones may come, and returns how many may.
 func (d *downstreamConns) evict(wanted int) int {
 	room := d.conns.Max - len(d.conns.ByConn)
 	for ; room < wanted; room++ {
@@ -20,7 +20,7 @@
 		case conn.Ended:
 			d.drop(conn, ReasonAnswered)
 		case conn.Pending():
-			// What has come was read: the answer goes out with the close.
+			// All that has come was read, so the answer is not lost by the close.
 			d.logIncomplete(conn)
 			d.write(conn.ID, downstream.AppendRequestTimeout())
 			d.drop(conn, ReasonClientTimeout)
@@ -31,8 +31,8 @@
 	return room
 }
 
-// evictable returns the downstream connection that gives way first, or nil. While there are two processes
-// only those do that have their last answer: see alone.
+// evictable returns the connection that gives way first, or nil. While there are two processes only those do
+// that have their last answer: see alone.
 func (d *downstreamConns) evictable() *downstream.Conn {
 	if d.restart.alone() {
 		return d.conns.Evictable(d.now)
@@ -40,9 +40,9 @@
 	return d.conns.FullyClosed(d.now)
 }
 
-// clientsWaiting reports whether clients wait at the listener for connections while none at rest may be
-// closed for them: there are two processes. Links then end with their answers, so that nobody waits longer
-// than answers take.
+// clientsWaiting reports whether clients wait at the listener while no idle connection may be closed for
+// them, as there are two processes. Connections then end with their answers, so that nobody waits longer than
+// answers take.
 func (d *downstreamConns) clientsWaiting() bool {
 	return d.listener.phase == acceptPaused && !d.restart.alone() && !d.restart.handedOver()
 }
--- a/internal/gateway/hotrestart.go
+++ b/internal/gateway/hotrestart.go
@@ -30,13 +30,13 @@
 	predecessorDescriptors int              // that it needs
 	successor              *hotrestart.Conn // the process that comes next
 	handover               handoverPhase    // to it
-	idlePending            bool             // a downstream connection may have become idle since the last were passed
+	idlePending            bool             // a downstream connection may have become idle since
 	passing                []loop.Conn      // passed and not yet acknowledged
-	reportedDescriptors    int              // what the successor was told last
+	reportedDescriptors    int              // to the successor
 	heapBytes              int64
 }
 
-// send sends a message, with sockets beside it.
+// send sends a message, with the descriptors of sockets beside it.
 func (h *hotRestart) send(conn *hotrestart.Conn, m hotrestart.Message, give []loop.Conn) {
 	m.Passed = len(give)
 	data, err := m.Encode()
@@ -54,23 +54,25 @@
 	h.emit(loop.Effect{Op: op, Conn: conn.ID, Data: data, Give: give})
 }
 
-// receive takes the news of the connection to the other process, until it is lost.
-func (h *hotRestart) receive(link **hotrestart.Conn, e loop.Event, says func(hotrestart.Message), lose func(why string)) {
+// receive handles an event on the connection to the other process. handle may lose the connection.
+func (h *hotRestart) receive(
+	conn **hotrestart.Conn, e loop.Event, handle func(hotrestart.Message), lose func(why string),
+) {
 	switch e.Kind {
 	case loop.Readable:
 		h.emit(loop.Effect{Op: loop.Read, Conn: e.Conn})
 	case loop.Data:
-		(*link).Feed(e.Data, e.Passed)
-		for *link != nil {
-			m, whole, err := (*link).Next()
+		(*conn).Feed(e.Data, e.Passed)
+		for *conn != nil {
+			m, complete, err := (*conn).Next()
 			if err != nil {
 				lose(err.Error())
 				return
 			}
-			if !whole {
+			if !complete {
 				return
 			}
-			says(m)
+			handle(m)
 		}
 	case loop.EOF:
 		lose("it has ended")
@@ -79,16 +81,15 @@
 	}
 }
 
-// ---- what both share ------------------------------------------------------------------------------------
-
 // handedOver reports whether the successor takes the clients.
 func (h *hotRestart) handedOver() bool { return h.handover == successorServes }
 
-// alone reports whether this is the only process of its gateway. While there are two, no connection at rest
-// is closed that could stay: what is gained would be lost to clients who come back in the middle of the
-// upgrade.
+// alone reports whether this is the only process of its gateway. While there are two, idle connections stay
+// open where they can. Guards against clients that come back in the middle of an upgrade to a closed
+// connection.
 func (h *hotRestart) alone() bool { return h.successor == nil && h.predecessor == nil }
 
+// timerDue gives up waiting for the other process.
 func (h *hotRestart) timerDue(kind uint8) {
 	switch {
 	case kind == timerPredecessor && h.predecessor != nil:
--- a/internal/gateway/hotrestart_predecessor.go
+++ b/internal/gateway/hotrestart_predecessor.go
@@ -5,16 +5,13 @@
 	"thymebend/internal/loop"
 )
 
-// offer takes the place at which the successor of this gateway asks.
+// offer listens for a successor.
 func (h *hotRestart) offer() {
 	if h.cfg.HotRestartDir != "" {
 		h.emit(loop.Effect{Op: loop.Listen, Conn: loop.HotRestart, Path: h.cfg.HotRestartDir, Urgent: true})
 	}
 }
 
-// ---- the predecessor's side
-// -----------------------------------------------------------------------------------
-
 func (h *hotRestart) listenerEvent(e loop.Event) {
 	switch e.Kind {
 	case loop.Readable:
@@ -27,8 +24,7 @@
 	}
 }
 
-// successorConnected hears one successor at a time. A second one is told so by the end of its connection, and
-// listens alone.
+// successorConnected accepts one successor at a time. A second one is closed, and listens alone.
 func (h *hotRestart) successorConnected(c loop.Conn) {
 	if h.successor != nil {
 		h.closeConn(c)
@@ -38,38 +34,20 @@
 	h.setTimer(timerSuccessor, 0, h.now+hotrestart.TakeoverTimeout)
 }
 
+func (h *hotRestart) successorEvent(e loop.Event) {
+	h.receive(&h.successor, e, h.fromSuccessor, h.loseSuccessor)
+}
+
 func (h *hotRestart) fromSuccessor(m hotrestart.Message) {
 	switch m.Kind {
 	case hotrestart.Hello:
-		if m.Listen != h.cfg.Listen.String() || h.listener.phase == notListening || h.shutdown.closing() || h.handedOver() {
-			h.send(h.successor, hotrestart.Message{Kind: hotrestart.Decline, Reason: "no listening socket for " + m.Listen}, nil)
-			return
-		}
-		learned := h.balancer.State(h.now)
-		h.handover = listenerPassed
-		h.resize()
-		state := hotrestart.Message{Kind: hotrestart.State, List: h.discovery.endpoints.Encode(), Balancer: &learned, Descriptors: h.descriptors()}
-		if h.cluster.membership != nil {
-			state.FleetStart, state.FleetIncarnation = h.cluster.membership.Identity()
-		}
-		h.send(h.successor, state,
-			[]loop.Conn{loop.Listener})
+		h.passState(m.Listen)
 	case hotrestart.Taking:
 		if h.handover != listenerPassed {
 			h.loseSuccessor("it takes what it was not given")
 			return
 		}
-		h.stopTimer(timerSuccessor, 0)
-		h.log.Info().Msg("the successor takes clients")
-		h.handover, h.idlePending = successorServes, true
-		h.cluster.quit(false)
-		h.closeConn(loop.HotRestart)
-		h.emit(loop.Effect{Op: loop.Mute, Conn: loop.Listener})
-		h.balancer.YieldSlowStart(h.now, true)
-		h.resize()
-		if h.shutdown.stopping() {
-			h.shutdown.closeListener()
-		}
+		h.yield()
 	case hotrestart.Acknowledge:
 		h.stopTimer(timerSuccessor, 0)
 		h.passing, h.idlePending = nil, true
@@ -78,8 +56,47 @@
 	}
 }
 
-// passIdleConns gives the successor the downstream connections that rest, at the end of a round: what was
-// read of a connection has been told by then, and what was not read goes along.
+// passState gives the successor what it needs to serve: the listener, the endpoint list, what the balancer
+// has learned and the identity in the cluster.
+func (h *hotRestart) passState(listen string) {
+	if listen != h.cfg.Listen.String() || h.listener.phase == notListening ||
+		h.shutdown.closing() || h.handedOver() {
+		decline := hotrestart.Message{Kind: hotrestart.Decline, Reason: "no listening socket for " + listen}
+		h.send(h.successor, decline, nil)
+		return
+	}
+	learned := h.balancer.State(h.now)
+	h.handover = listenerPassed
+	h.resize()
+	state := hotrestart.Message{
+		Kind:        hotrestart.State,
+		List:        h.discovery.endpoints.Encode(),
+		Balancer:    &learned,
+		Descriptors: h.descriptors(),
+	}
+	if h.cluster.membership != nil {
+		state.FleetStart, state.FleetIncarnation = h.cluster.membership.Identity()
+	}
+	h.send(h.successor, state, []loop.Conn{loop.Listener})
+}
+
+// yield leaves new clients to the successor.
+func (h *hotRestart) yield() {
+	h.stopTimer(timerSuccessor, 0)
+	h.log.Info().Msg("the successor takes clients")
+	h.handover, h.idlePending = successorServes, true
+	h.cluster.quit(false)
+	h.closeConn(loop.HotRestart)
+	h.emit(loop.Effect{Op: loop.Mute, Conn: loop.Listener})
+	h.balancer.YieldSlowStart(h.now, true)
+	h.resize()
+	if h.shutdown.stopping() {
+		h.shutdown.closeListener()
+	}
+}
+
+// passIdleConns gives the successor the idle downstream connections, at the end of a round: what was read of
+// them has been handled by then, and what is unread goes along with the socket.
 func (h *hotRestart) passIdleConns() {
 	if !h.handedOver() || !h.idlePending || len(h.passing) > 0 {
 		return
@@ -94,16 +111,21 @@
 			h.idlePending = true
 			break
 		}
-		idle = append(idle, hotrestart.IdleConn{HasRequested: conn.HasRequested, Requests: conn.Requests, IdleMS: (h.now - conn.Since).Milliseconds()})
+		idle = append(idle, hotrestart.IdleConn{
+			HasRequested: conn.HasRequested,
+			Requests:     conn.Requests,
+			IdleMS:       (h.now - conn.Since).Milliseconds(),
+		})
 		h.passing = append(h.passing, conn.ID)
 		h.downstream.clearDeadline(conn)
 		h.downstream.conns.Remove(conn)
 	}
 	h.resize()
-	if holds := h.descriptors(); len(idle) > 0 || holds != h.reportedDescriptors {
-		h.reportedDescriptors = holds
+	if needed := h.descriptors(); len(idle) > 0 || needed != h.reportedDescriptors {
+		h.reportedDescriptors = needed
 		h.setTimer(timerSuccessor, 0, h.now+hotrestart.TakeoverTimeout)
-		h.send(h.successor, hotrestart.Message{Kind: hotrestart.PassConns, Idle: idle, Descriptors: holds}, h.passing)
+		pass := hotrestart.Message{Kind: hotrestart.PassConns, Idle: idle, Descriptors: needed}
+		h.send(h.successor, pass, h.passing)
 	}
 }
 
@@ -112,13 +134,14 @@
 	h.log.Warn().Str(fieldDetail, why).Bool(fieldHandedOver, h.handedOver()).Msg("no successor")
 	h.stopTimer(timerSuccessor, 0)
 	for _, c := range h.passing {
-		h.closeConn(c) // those that were not passed after all
+		h.closeConn(c) // what was not passed after all
 	}
 	h.closeConn(h.successor.ID)
-	took := h.handedOver()
-	h.successor, h.handover, h.passing, h.idlePending, h.reportedDescriptors = nil, notHandedOver, nil, false, 0
+	hadYielded := h.handedOver()
+	h.successor, h.handover, h.passing = nil, notHandedOver, nil
+	h.idlePending, h.reportedDescriptors = false, 0
 	h.resize()
-	if !took {
+	if !hadYielded {
 		return
 	}
 	h.balancer.YieldSlowStart(h.now, false)
@@ -133,7 +156,3 @@
 	}
 	h.offer()
 }
-
-func (h *hotRestart) successorEvent(e loop.Event) {
-	h.receive(&h.successor, e, h.fromSuccessor, h.loseSuccessor)
-}
--- a/internal/gateway/hotrestart_successor.go
+++ b/internal/gateway/hotrestart_successor.go
@@ -9,7 +9,7 @@
 	"thymebend/internal/loop"
 )
 
-// begin asks for what a process of this gateway that serves already has to give.
+// begin connects to the process of this gateway that serves already, if any.
 func (h *hotRestart) begin() {
 	if h.cfg.HotRestartDir == "" {
 		h.listener.open()
@@ -20,8 +20,6 @@
 	h.emit(loop.Effect{Op: loop.Dial, Conn: h.predecessor.ID, Path: h.cfg.HotRestartDir, Urgent: true})
 }
 
-// ---- the successor's side --------------------------------------------------------------------------------
-
 func (h *hotRestart) predecessorEvent(e loop.Event) {
 	if e.Kind == loop.Connected {
 		h.send(h.predecessor, hotrestart.Message{Kind: hotrestart.Hello, Listen: h.cfg.Listen.String()}, nil)
@@ -38,17 +36,7 @@
 		h.emit(loop.Effect{Op: loop.Adopt, Conn: m.Conns[0], As: loop.Listener})
 	case hotrestart.PassConns:
 		for i, c := range m.Conns {
-			idleConn := m.Idle[i]
-			idle := time.Duration(idleConn.IdleMS) * time.Millisecond
-			conn := h.downstream.conns.Add(c, h.now-idle)
-			conn.HasRequested, conn.Requests = idleConn.HasRequested, idleConn.Requests
-			h.downstream.conns.Place(conn)
-			left := downstream.IdleTimeout - idle
-			if !conn.HasRequested {
-				left = downstream.RequestReadTimeout - idle
-			}
-			h.downstream.setDeadline(conn, h.now+max(left, 0))
-			h.emit(loop.Effect{Op: loop.Unmute, Conn: c})
+			h.adoptConn(c, m.Idle[i])
 		}
 		h.predecessorDescriptors = m.Descriptors
 		h.resize()
@@ -58,7 +46,21 @@
 	}
 }
 
-// inherit takes what the predecessor knows. Its list gives way to what discovery has told this process
+// adoptConn goes on with an idle downstream connection of the predecessor, with the time that it has left.
+func (h *hotRestart) adoptConn(c loop.Conn, state hotrestart.IdleConn) {
+	idle := time.Duration(state.IdleMS) * time.Millisecond
+	conn := h.downstream.conns.Add(c, h.now-idle)
+	conn.HasRequested, conn.Requests = state.HasRequested, state.Requests
+	h.downstream.conns.Place(conn)
+	left := downstream.IdleTimeout - idle
+	if !conn.HasRequested {
+		left = downstream.RequestReadTimeout - idle
+	}
+	h.downstream.setDeadline(conn, h.now+max(left, 0))
+	h.emit(loop.Effect{Op: loop.Unmute, Conn: c})
+}
+
+// inherit takes what the predecessor knows. Its list gives way to what discovery has brought this process
 // meanwhile.
 func (h *hotRestart) inherit(m hotrestart.Message) {
 	if len(m.List) > 0 && (h.discovery.current == nil || !h.discovery.current.Started()) {
@@ -73,8 +75,8 @@
 	h.resize()
 }
 
-// inheritEndpoints takes the predecessor's list unless it is older than this process's own: the call under
-// way asks for what changed since that, and what changed before it would never be told.
+// inheritEndpoints takes the predecessor's list unless it is older than this process's own. Guards against a
+// gap: the poll under way asks for what changed since this process's list.
 func (h *hotRestart) inheritEndpoints(list []byte) {
 	if older, err := h.discovery.endpoints.Older(list); err == nil && older {
 		return
@@ -88,10 +90,10 @@
 	h.discovery.notifyBalancer(balancer.CachedSnapshot, update.Entries)
 }
 
-// losePredecessor ends what is between this process and its predecessor: the predecessor has gone, or cannot
-// hand over.
+// losePredecessor goes on without the predecessor, which has gone or cannot hand over.
 func (h *hotRestart) losePredecessor(why string) {
-	h.log.Info().Str(fieldDetail, why).Bool(fieldAccepting, h.listener.phase != notListening).Msg("no predecessor")
+	h.log.Info().Str(fieldDetail, why).Bool(fieldAccepting, h.listener.phase != notListening).
+		Msg("no predecessor")
 	h.stopTimer(timerPredecessor, 0)
 	for _, c := range h.predecessor.Unclaimed() {
 		h.closeConn(c)
--- a/internal/gateway/inspect.go
+++ b/internal/gateway/inspect.go
@@ -8,16 +8,29 @@
 	"thymebend/internal/membership"
 )
 
-// Membership is this process's view of its cluster, or nil while it has none. The laboratory holds it against
-// the truth.
+// Inspector is what the simulation sees of a gateway's state to check it. Nothing in the product uses it.
+type Inspector interface {
+	// Membership is this process's view of the cluster, or nil while it is no member.
+	Membership() *membership.Membership
+	// AssignmentTracker is the assignment in force, or nil where the cluster divides nothing.
+	AssignmentTracker() *assignment.Tracker
+	// EndpointKnowledge reports whether this gateway has ejected an endpoint, whether its peers suspect it,
+	// and whether it is assigned to this gateway.
+	EndpointKnowledge(id balancer.EndpointID) (ejected, suspected, assigned bool)
+	// Violations counts the effects that were suppressed since the process began, by the invariant that each
+	// would have broken.
+	Violations() map[string]uint64
+}
+
+var _ Inspector = (*Gateway)(nil)
+
+// Membership implements Inspector.
 func (g *Gateway) Membership() *membership.Membership { return g.cluster.membership }
 
-// Violations counts the effects that were held back since the process began, by the rule that each would have
-// broken.
+// Violations implements Inspector.
 func (g *Gateway) Violations() map[string]uint64 { return g.invariants.Counts() }
 
-// AssignmentTracker is what this gateway goes by now, or nil where the cluster divides nothing. The
-// laboratory holds it against the others'.
+// AssignmentTracker implements Inspector.
 func (g *Gateway) AssignmentTracker() *assignment.Tracker {
 	if g.assignment.state == nil {
 		return nil
@@ -25,8 +38,7 @@
 	return g.assignment.state.tracker
 }
 
-// EndpointKnowledge tells the laboratory whether this gateway uses an endpoint, whether it has ejected it
-// itself, and whether others have it doubt it.
+// EndpointKnowledge implements Inspector.
 func (g *Gateway) EndpointKnowledge(id balancer.EndpointID) (ejected, suspected, assigned bool) {
 	if g.assignment.state == nil {
 		return false, false, false
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -5,32 +5,32 @@
 	"thymebend/internal/loop"
 )
 
-// The budget of descriptors: a few are the program's own, the rest is shared out, so that neither a crowd of
-// clients nor slow endpoints can take what the other side needs.
+// The budget of descriptors is divided. Guards against many clients, or slow endpoints, that take what the
+// other side needs.
 const (
-	ownDescriptors  = 20 + admin.MaxConns
-	downstreamShare = 0.65
+	ownDescriptors  = 20 + admin.MaxConns // of the program itself
+	downstreamShare = 0.65                // of the others
 )
 
-// heapShare of the memory limit is the collector's; the rest is for stacks, sockets and the program itself.
+// heapShare of the memory limit is the heap's; the rest is for stacks, sockets and the program itself.
 const heapShare = 0.6
 
-// reuseLimitDivisor of the descriptors in downstream connections are many: clients may hold a third for their
-// requests.
+// reuseLimitDivisor of the descriptors is the number of downstream connections from which idle ones are
+// closed early.
 const reuseLimitDivisor = 4
 
-// spareUpstreamConns to endpoints are left to an old process beyond one for each of its downstream
-// connections.
+// spareUpstreamConns are left to a predecessor beyond one for each of its downstream connections.
 const spareUpstreamConns = 4
 
-// descriptors is how many descriptors of the limit this process and the one before it need: those in use, and
-// those that it may still take without the other process hearing of it.
+// descriptors is how many descriptors of the limit this process and its predecessor need: those in use, and
+// those that it may still open before the other process hears of it.
 func (h *hotRestart) descriptors() int {
-	return ownDescriptors + max(len(h.downstream.conns.ByConn), h.downstream.conns.Max) + h.attempts.pool.Max() + h.predecessorDescriptors
+	inbound := max(len(h.downstream.conns.ByConn), h.downstream.conns.Max)
+	return ownDescriptors + inbound + h.attempts.pool.Max() + h.predecessorDescriptors
 }
 
-// resize divides the limits between the two processes of an upgrade: until the new one takes clients each has
-// half, then the old one may not grow.
+// resize divides the limits between the two processes of an upgrade: until the successor serves each has
+// half, then the predecessor may not grow.
 func (h *hotRestart) resize() {
 	if h.handedOver() {
 		h.shrink()
@@ -50,8 +50,8 @@
 	}
 }
 
-// divide divides what the other process leaves between clients and endpoints. Client connections that were
-// handed over count though they are more than the clients' part: the endpoints' part is less by them.
+// divide divides the descriptors that the other process leaves. Connections that were handed over count even
+// beyond the downstream share: upstream gets less by them.
 func (h *hotRestart) divide() {
 	sockets := h.cfg.Limits.Sockets - h.predecessorDescriptors
 	if h.successor != nil {
@@ -68,15 +68,14 @@
 }
 
 // shrink leaves this process what its downstream connections need. Each has at most one request, which needs
-// one upstream connection; all else is the new process's, which has clients that wait.
+// one upstream connection; the rest is the successor's, whose clients wait.
 func (h *hotRestart) shrink() {
 	open := len(h.downstream.conns.ByConn)
 	h.downstream.conns.Max = open
 	h.attempts.pool.Resize(min(h.attempts.pool.Budget(), open+spareUpstreamConns))
 }
 
-// closeSurplus closes the idle upstream connections beyond the budget: their descriptors are the other
-// process's.
+// closeSurplus closes idle upstream connections beyond the budget: their descriptors are the other process's.
 func (h *hotRestart) closeSurplus() {
 	for _, conn := range h.attempts.pool.Surplus() {
 		h.attempts.dropConn(conn, ReasonIdleTimeout)
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -7,7 +7,7 @@
 	"thymebend/internal/loop"
 )
 
-// acceptPauseDuration is how long the listener rests when there is no descriptor left, unless a connection
+// acceptPauseDuration is how long nothing is accepted when there is no descriptor left, unless a connection
 // closes before.
 const acceptPauseDuration = 50 * time.Millisecond
 
@@ -37,7 +37,7 @@
 		ln.opened()
 	case loop.Readable:
 		if ln.restart.handedOver() {
-			return // told before the listener was muted
+			return // it became readable before it was muted
 		}
 		ln.accept()
 	case loop.Drained:
@@ -51,7 +51,7 @@
 	}
 }
 
-// accept takes what may come of those that wait. What there is no room for waits on, unread.
+// accept accepts as many connections as there is room for. The others wait, unread.
 func (ln *listener) accept() {
 	room := ln.downstream.conns.Max - len(ln.downstream.conns.ByConn)
 	if room <= 0 {
@@ -64,7 +64,7 @@
 	ln.emit(loop.Effect{Op: loop.Accept, Conn: loop.Listener, Most: room})
 }
 
-// pause stops looking at the listener. Guards against spinning while connections wait that cannot be taken.
+// pause stops accepting. Guards against spinning while connections wait that cannot be accepted.
 func (ln *listener) pause() {
 	if ln.phase != acceptPaused && ln.shutdown.phase != phaseDrained {
 		ln.phase = acceptPaused
@@ -91,7 +91,8 @@
 // opened notes that clients can connect.
 func (ln *listener) opened() {
 	ln.phase = accepting
-	ln.log.Info().Stringer(fieldListen, ln.cfg.Listen).Bool(fieldHandedOver, ln.restart.predecessor != nil).Msg("taking clients")
+	ln.log.Info().Stringer(fieldListen, ln.cfg.Listen).Bool(fieldHandedOver, ln.restart.predecessor != nil).
+		Msg("taking clients")
 	if ln.restart.predecessor != nil {
 		ln.restart.send(ln.restart.predecessor, hotrestart.Message{Kind: hotrestart.Taking}, nil)
 	}
--- a/internal/gateway/loadreports.go
+++ b/internal/gateway/loadreports.go
@@ -6,7 +6,7 @@
 	"thymebend/internal/membership"
 )
 
-// initialPayload are what a view is begun with: the zone, and the mark of the file.
+// initialPayload is what the membership is begun with: the zone, and the config hash.
 func (s *subsetAssignment) initialPayload() []byte {
 	report := loadreport.Report{Zone: s.cfg.Settings.Config.Zone, Demand: -1}
 	if s.state == nil {
@@ -17,11 +17,18 @@
 	return payload
 }
 
-// reportLoad spreads what this gateway has to tell of itself, if that has changed.
+// reportLoad spreads this gateway's load report, if it has changed.
 func (s *subsetAssignment) reportLoad() {
 	signals, st := s.balancer.LoadReport(s.now), s.cluster.membership.Status(s.now)
-	report := loadreport.Report{Zone: s.cfg.Settings.Config.Zone, Known: true, Demand: signals.Demand, Rejected: signals.Rejected, FreeCapacity: signals.FreeCapacity,
-		LocalHealth: st.LocalHealth, ConfigHash: s.state.configHash}
+	report := loadreport.Report{
+		Zone:         s.cfg.Settings.Config.Zone,
+		Known:        true,
+		Demand:       signals.Demand,
+		Rejected:     signals.Rejected,
+		FreeCapacity: signals.FreeCapacity,
+		LocalHealth:  st.LocalHealth,
+		ConfigHash:   s.state.configHash,
+	}
 	if !signals.Known {
 		report.Demand = -1
 	}
@@ -41,21 +48,23 @@
 	s.setTimer(timerCluster, 0, s.cluster.membership.NextWake())
 }
 
-// peerReports reads what each member tells, and which endpoints several others found bad. What cannot be read
-// counts as nothing told.
-func (s *subsetAssignment) peerReports(members []membership.Member) (reports []loadreport.PeerReport, suspected map[uint32]bool) {
+// peerReports reads what each member reports, and which endpoints several others suspect. What cannot be read
+// counts as no report.
+func (s *subsetAssignment) peerReports(
+	members []membership.Member,
+) (reports []loadreport.PeerReport, suspected map[uint32]bool) {
 	var others []loadreport.PeerReport
 	for _, m := range members {
-		w := loadreport.PeerReport{}
+		peer := loadreport.PeerReport{}
 		if report, err := loadreport.Parse(m.Payload); err == nil {
-			w.Report = report
+			peer.Report = report
 		}
 		if m.State != gossipcodec.Alive {
-			w.Silent = max(1, s.now-m.Since)
+			peer.Silent = max(1, s.now-m.Since)
 		}
-		reports = append(reports, w)
+		reports = append(reports, peer)
 		if m.Name != s.cfg.Gossip.Name {
-			others = append(others, w)
+			others = append(others, peer)
 		}
 	}
 	return reports, loadreport.SuspectedByPeers(others)
--- a/internal/gateway/logging.go
+++ b/internal/gateway/logging.go
@@ -9,7 +9,8 @@
 
 // logViolation logs an effect that was suppressed.
 func (c *core) logViolation(v invariant.Violation) {
-	c.log.Error().Stringer(fieldRule, v.Rule).Str(fieldID, v.Request).Str(fieldDetail, v.Detail).Msg("suppressed: it would break an invariant")
+	c.log.Error().Stringer(fieldRule, v.Rule).Str(fieldID, v.Request).Str(fieldDetail, v.Detail).
+		Msg("suppressed: it would break an invariant")
 }
 
 // logAccepted logs a downstream connection's begin.
@@ -19,30 +20,35 @@
 
 // logFirstByte logs that a request begins to come.
 func (c *core) logFirstByte(conn *downstream.Conn, bytes int) {
-	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Int(fieldBytes, bytes).Int(fieldRequestsBefore, conn.Requests).
+	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Int(fieldBytes, bytes).
+		Int(fieldRequestsBefore, conn.Requests).
 		Dur(fieldAge, c.now-conn.Accepted).Msg("request begins to come")
 }
 
 // logTaken logs that a request goes to the balancer.
 func (c *core) logTaken(req *request) {
-	c.log.Debug().Uint64(fieldDownstreamConn, uint64(req.client)).Uint32(fieldRequest, uint32(req.id)).Str(fieldID, req.ID).Str(fieldClass, req.Class.Name).
+	c.log.Debug().Uint64(fieldDownstreamConn, uint64(req.client)).Uint32(fieldRequest, uint32(req.id)).
+		Str(fieldID, req.ID).Str(fieldClass, req.Class.Name).
 		Dur(fieldClientTimeout, req.ClientTimeout).Msg("request accepted")
 }
 
 // logFaulty logs that a request was answered with an error and goes no further.
 func (c *core) logFaulty(conn *downstream.Conn, id string, status int, why string) {
-	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Str(fieldID, id).Int(fieldStatus, status).Str(fieldDetail, why).Msg("request malformed")
+	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Str(fieldID, id).Int(fieldStatus, status).
+		Str(fieldDetail, why).Msg("request malformed")
 }
 
 // logRejected counts a rejection and logs its reason.
 func (c *core) logRejected(id string, reason rejectionReason, after time.Duration) {
 	c.stats.rejections[reason]++
-	c.log.Debug().Str(fieldID, id).Stringer(fieldReason, reason).Dur(fieldRetryAfter, after).Msg("request rejected")
+	c.log.Debug().Str(fieldID, id).Stringer(fieldReason, reason).Dur(fieldRetryAfter, after).
+		Msg("request rejected")
 }
 
 // logAnswered logs the final answer of a request.
 func (c *core) logAnswered(req *request, r outcome) {
-	c.log.Debug().Uint32(fieldRequest, uint32(req.id)).Str(fieldID, req.ID).Stringer(fieldOutcome, r).Int(fieldAttempts, req.started).
+	c.log.Debug().Uint32(fieldRequest, uint32(req.id)).Str(fieldID, req.ID).Stringer(fieldOutcome, r).
+		Int(fieldAttempts, req.started).
 		Dur(fieldTimeLeft, req.deadline-c.now).Msg("request ended")
 }
 
@@ -51,31 +57,39 @@
 	if att.number > 0 {
 		c.stats.retries++
 	}
-	c.log.Debug().Uint32(fieldRequest, uint32(att.request.id)).Str(fieldID, att.request.ID).Int(fieldAttempt, att.number).
+	c.log.Debug().Uint32(fieldRequest, uint32(att.request.id)).Str(fieldID, att.request.ID).
+		Int(fieldAttempt, att.number).
 		Uint64(fieldEndpoint, uint64(att.endpoint)).Dur(fieldTimeLeft, att.deadline-c.now).Msg("attempt begins")
 }
 
 // logAttemptEnd logs how an attempt failed.
 func (c *core) logAttemptEnd(att *attempt, end TerminationReason) {
 	c.log.Debug().Uint32(fieldRequest, uint32(att.request.id)).Str(fieldID, att.request.ID).
-		Int(fieldAttempt, att.number).Stringer(fieldEnd, end).Dur(fieldAfter, c.now-att.began).Msg("attempt ended")
+		Int(fieldAttempt, att.number).Stringer(fieldEnd, end).Dur(fieldAfter, c.now-att.began).
+		Msg("attempt ended")
 }
 
 // logIncomplete logs that a request was not complete in time.
 func (c *core) logIncomplete(conn *downstream.Conn) {
-	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Int(fieldBytes, conn.RequestBytes).Int(fieldRequestsBefore, conn.Requests).
-		Dur(fieldAfter, c.now-conn.RequestBegan).Dur(fieldSilent, conn.IdleFor(c.now)).Msg("request not complete in time")
+	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Int(fieldBytes, conn.RequestBytes).
+		Int(fieldRequestsBefore, conn.Requests).
+		Dur(fieldAfter, c.now-conn.RequestBegan).Dur(fieldSilent, conn.IdleFor(c.now)).
+		Msg("request not complete in time")
 }
 
 // logRelayCut logs why a large response could not be passed on to its end.
 func (c *core) logRelayCut(r *relay, why string, err error) {
-	c.log.Debug().Str(fieldID, r.id).Str(fieldDetail, why).AnErr(fieldCause, err).Int64(fieldLength, r.length).Int(fieldReceived, r.received).
-		Bool(fieldDownstreamWriting, r.writing).Bool(fieldUpstreamPaused, r.paused).Dur(fieldAfter, c.now-r.began).Msg("large response cut")
+	c.log.Debug().Str(fieldID, r.id).Str(fieldDetail, why).AnErr(fieldCause, err).
+		Int64(fieldLength, r.length).Int(fieldReceived, r.received).
+		Bool(fieldDownstreamWriting, r.writing).Bool(fieldUpstreamPaused, r.paused).
+		Dur(fieldAfter, c.now-r.began).Msg("large response cut")
 }
 
 // logClientEnd counts the end of a downstream connection and logs its reason.
 func (c *core) logClientEnd(conn *downstream.Conn, end TerminationReason) {
 	c.stats.countEnd(end)
-	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Stringer(fieldEnd, end).Int(fieldRequests, conn.Requests).Bool(fieldPartlyRead, conn.Pending()).
-		Bool(fieldWaiting, conn.Busy).Dur(fieldAge, c.now-conn.Accepted).Dur(fieldSilent, conn.IdleFor(c.now)).Msg("downstream connection ended")
+	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Stringer(fieldEnd, end).
+		Int(fieldRequests, conn.Requests).Bool(fieldPartlyRead, conn.Pending()).
+		Bool(fieldWaiting, conn.Busy).Dur(fieldAge, c.now-conn.Accepted).
+		Dur(fieldSilent, conn.IdleFor(c.now)).Msg("downstream connection ended")
 }
--- a/internal/gateway/rejections.go
+++ b/internal/gateway/rejections.go
@@ -1,18 +1,19 @@
 package gateway
 
-// rejectionReason is why this gateway turned a request away. The first is the balancer's word, the others are
-// this package's own.
+// rejectionReason is why a request was rejected: by the balancer, or by this package before the balancer
+// heard of it.
 type rejectionReason uint8
 
 const (
-	rejectedByBalancer   rejectionReason = iota
-	rejectedTooManyOpen                  // as many requests are open as the settings allow
-	rejectedOverloaded                   // requests hold nearly all downstream connections
-	rejectedTooLate                      // it could still be in work at SIGKILL
-	rejectedExpired                      // its client's time was over before it was taken
-	rejectionReasonCount                 // how many there are
+	rejectedByBalancer  rejectionReason = iota
+	rejectedTooManyOpen                 // as many requests are open as the settings allow
+	rejectedOverloaded                  // requests hold nearly all downstream connections
+	rejectedTooLate                     // it could still be in work at SIGKILL
+	rejectedExpired                     // its client's time was over before it was taken
+	rejectionReasonCount
 )
 
+// String is the reason in log lines and in /ops/stats, whose texts are fixed.
 func (r rejectionReason) String() string {
 	switch r {
 	case rejectedByBalancer:
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -9,9 +9,9 @@
 	"thymebend/internal/upstream"
 )
 
-// What is read of large responses ahead of their clients: an endpoint whose machine resets a connection soon
-// after its last byte takes with it what lies unread here, and an answer that it has given complete would be
-// cut off. Both bound memory, of one answer and of all.
+// What is read of large responses ahead of their clients, of one and of all. Guards against losing the end of
+// a response whose endpoint resets the connection soon after its last byte, which takes what lies unread with
+// it.
 const (
 	maxRelayBuffer      = 256 << 10
 	maxTotalRelayBuffer = 2 << 20
@@ -32,7 +32,7 @@
 }
 
 // relay is a large response on its way from an endpoint to a client, one piece at a time. For the balancer
-// the attempt has ended.
+// its attempt has ended.
 type relay struct {
 	downstream     *downstream.Conn
 	upstream       *upstream.Conn
@@ -50,8 +50,8 @@
 	upstreamClosed bool // the endpoint's connection has ended, and all of the answer was read before
 }
 
-// begin takes an endpoint's answer that is too large to be held. A 200 is passed on as it comes; of others
-// only the head matters.
+// begin takes a response that is too large to be held. A 200 is passed on as it comes; of others only the
+// head matters.
 func (t *relayTable) begin(att *attempt, a *upstream.Response) {
 	req, conn := att.request, att.conn
 	c := t.downstream.conns.ByConn[req.client]
@@ -63,7 +63,7 @@
 	length := conn.Begin()
 	chunked := length < 0 && req.Message.Minor > 0
 	keep := t.downstream.keepAlive(c)
-	if length < 0 && !chunked { // a client too old for chunks knows the end by the connection's
+	if length < 0 && !chunked { // HTTP/1.0 has no chunks: the connection's end is the body's
 		keep, c.Closing = false, true
 	}
 	r := &relay{
@@ -82,7 +82,7 @@
 	t.setTimer(timerUpstream, uint64(conn.ID), t.now+relayReadTimeout)
 }
 
-// handleEvent takes the news of the endpoint's side.
+// handleEvent handles an event on the upstream connection.
 func (t *relayTable) handleEvent(r *relay, e loop.Event) {
 	if r.complete && (e.Kind == loop.EOF || e.Kind == loop.Broken) {
 		r.reusable = false
@@ -90,7 +90,8 @@
 	}
 	switch e.Kind {
 	case loop.Readable:
-		if r.writing && !r.paused && !t.mayReadAhead(r) { // one that is muted and has news is broken: see loop.Mute
+		// An event on a muted connection means that it is broken: see loop.Mute.
+		if r.writing && !r.paused && !t.mayReadAhead(r) {
 			r.paused = true
 			t.emit(loop.Effect{Op: loop.Mute, Conn: e.Conn})
 			return
@@ -120,14 +121,14 @@
 	}
 }
 
-// mayReadAhead reports whether more of an answer may be read though its client has not taken what was read
+// mayReadAhead reports whether more of a response may be read though its client has not taken what was read
 // before.
 func (t *relayTable) mayReadAhead(r *relay) bool {
 	return r.buffered < maxRelayBuffer && t.buffered < maxTotalRelayBuffer
 }
 
-// upstreamEnded ends the endpoint's side of an answer that has been read to its end. What is left of it goes
-// to the client as that takes it.
+// upstreamEnded ends the upstream side of a response that was read to its end. The rest goes out as the
+// client takes it.
 func (t *relayTable) upstreamEnded(r *relay) {
 	r.upstreamClosed, r.reusable = true, false
 	delete(t.byConn, r.upstream.ID)
@@ -135,7 +136,7 @@
 	t.pump(r)
 }
 
-// pump writes what has come of an answer to the client.
+// pump writes what has come of a response to the client.
 func (t *relayTable) pump(r *relay) {
 	if r.writing || r.complete {
 		return
@@ -171,7 +172,7 @@
 	t.write(r.downstream.ID, data)
 }
 
-// flushed goes on once a piece is written out, or ends the answer with the last one.
+// flushed goes on once a piece is written out, or ends the response with the last one.
 func (t *relayTable) flushed(r *relay) {
 	r.writing = false
 	if !r.complete {
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -12,8 +12,8 @@
 	pending []string // files asked for and not yet read
 }
 
-// apply takes the configuration's new text: where discovery is and the settings; the rest is fixed at the
-// start. A faulty file changes nothing: the program is worth more running as before.
+// apply takes the configuration's new text: the address of discovery and the settings; the rest is fixed at
+// the start. A faulty file changes nothing.
 func (r *reloader) apply(raw []byte, err error) {
 	fresh := r.cfg
 	if err == nil {
@@ -37,14 +37,14 @@
 	}
 	r.cfg.Discovery = fresh.Discovery
 	r.discovery.backoff.Succeeded()
-	r.discovery.pollNotBefore = 0 // another address asked for that
+	r.discovery.pollNotBefore = 0 // the old address asked for that
 	if r.discovery.unanswered != nil {
 		r.discovery.drop(r.discovery.unanswered, ReasonWatchReplaced, nil)
 	}
 	r.discovery.redial()
 }
 
-// begin asks for the files that a reload takes anew. They come in the order in which they were asked for.
+// begin reads the files that a reload takes. They come in this order.
 func (r *reloader) begin() {
 	paths := []string{r.cfg.Path}
 	if r.cfg.GossipPath != "" {
@@ -56,6 +56,7 @@
 	}
 }
 
+// fileRead takes the oldest file that is pending.
 func (r *reloader) fileRead(e loop.Event) {
 	path := r.pending[0]
 	if r.pending = r.pending[1:]; path == r.cfg.GossipPath {
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -20,21 +20,20 @@
 	nextID  balancer.RequestID
 }
 
-// request is a request that this gateway has taken.
+// request is one request from its acceptance to the end of its last attempt.
 type request struct {
 	downstream.Request
 	id         balancer.RequestID
 	client     loop.Conn // 0 once the client is gone
 	deadline   time.Duration
-	done       bool // has its final answer, or its client is gone
-	started    int
-	running    []*attempt // under way
+	done       bool       // has its final answer, or its client is gone
+	started    int        // attempts
+	running    []*attempt // of them
 	upload     *upload    // its body, where that is too large to be held
 	invariants invariant.Request
 }
 
-// finish concludes a request and returns the connection on which its answer goes out, if the client is still
-// there.
+// finish concludes a request and returns the connection for its answer, nil if its client is gone.
 func (t *requestTable) finish(id balancer.RequestID, r outcome) (*request, *downstream.Conn) {
 	req := t.byID[id]
 	if req == nil || req.done || !t.invariants.AllowAnswer(&req.invariants) {
@@ -55,7 +54,7 @@
 	}
 }
 
-// abandon ends a request that gets no answer of the balancer's any more, and its attempts.
+// abandon ends a request to which the balancer owes no answer any more, and its attempts.
 func (t *requestTable) abandon(req *request) {
 	req.done, req.client = true, 0
 	req.invariants.ClientLeft()
@@ -71,11 +70,21 @@
 }
 
 // newRequest is a request that is taken now, with the rules of its class as they are now.
-func newRequest(read downstream.Request, id balancer.RequestID, conn *downstream.Conn, now time.Duration) *request {
+func newRequest(
+	read downstream.Request, id balancer.RequestID, conn *downstream.Conn, now time.Duration,
+) *request {
 	deadline := now + conn.TimeLeft(now, read.ClientTimeout)
 	class := read.Class.Class
-	return &request{Request: read, id: id, client: conn.ID, deadline: deadline,
-		invariants: invariant.Request{ID: read.ID, Idempotency: class.Idempotency, DedupScope: class.DedupScope, DedupWindow: class.DedupWindow, Deadline: deadline}}
+	return &request{
+		Request: read, id: id, client: conn.ID, deadline: deadline,
+		invariants: invariant.Request{
+			ID:          read.ID,
+			Idempotency: class.Idempotency,
+			DedupScope:  class.DedupScope,
+			DedupWindow: class.DedupWindow,
+			Deadline:    deadline,
+		},
+	}
 }
 
 // timeLeft is what the client of a request with a large body has left.
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -6,8 +6,9 @@
 	"thymebend/internal/loop"
 )
 
-// acceptAfterSIGTERM is how long new connections are taken after SIGTERM: the front goes on bringing them for
-// 0.4 s. What comes later than 0.7 s would have to be answered before a SIGKILL that may come too soon.
+// acceptAfterSIGTERM is how long new connections are accepted after SIGTERM: the load balancer in front goes
+// on bringing them for 0.4 s. What comes after 0.7 s would have to be answered before a SIGKILL that may come
+// too soon.
 const acceptAfterSIGTERM = 550 * time.Millisecond
 
 // What the platform promises of a graceful shutdown: SIGKILL comes no sooner after SIGTERM than the longest
@@ -18,15 +19,14 @@
 	killAfter = 700 * time.Millisecond
 )
 
-// endBeforeKill is what the end of a connection takes before SIGKILL: the answer to half a request, and the
-// wait for its client's close.
+// endBeforeKill is what ending a connection takes before SIGKILL: to answer half a request and wait for the
+// close.
 const endBeforeKill = 300 * time.Millisecond
 
 // killMargin is what a final answer and its way to the client take, on a busy processor.
 const killMargin = 100 * time.Millisecond
 
-// backlogDrainTimeout is how long after that what waits at the listener may take to be accepted, where
-// connections are short.
+// backlogDrainTimeout is how long after that the listener's backlog may take to be accepted.
 const backlogDrainTimeout = 700 * time.Millisecond
 
 // shutdownPhase is how far the end of this process has come. Phases only grow.
@@ -56,8 +56,8 @@
 
 func (s *shutdown) closing() bool { return s.phase >= phaseClosing }
 
-// begin begins a graceful shutdown. Every answer from now on ends its connection; idle connections stay open
-// while the front may still bring new ones, for a client whose connection closes would only come back here.
+// begin begins a graceful shutdown. Every answer from now on ends its connection; idle ones stay open while
+// the load balancer in front may still bring new ones, for a client that is closed would only come back here.
 func (s *shutdown) begin() {
 	if s.stopping() {
 		return
@@ -72,7 +72,7 @@
 		}
 	}
 	if s.restart.handedOver() {
-		// The successor takes clients, and the connections after their answers: there is no one to wait for.
+		// The successor takes clients, and connections after their answers: there is no one to wait for.
 		s.phase, s.restart.idlePending = phaseClosing, true
 		s.endListener()
 		return
@@ -84,14 +84,14 @@
 	s.setTimer(timerStop, 0, s.now+acceptAfterSIGTERM)
 }
 
-// tooLate reports whether a request that comes during a graceful shutdown might still be in work at SIGKILL,
-// which would lose it: a half request that is completed once the listener is closed, or one on a connection
-// that has stood until then. It is refused at once. What comes before counts as lost to nobody.
+// tooLate reports whether a request might still be in progress at SIGKILL, which would lose it. Guards
+// against half a request that is completed once the listener is closed, and against one on a connection that
+// stood until then.
 func (s *shutdown) tooLate(timeout time.Duration) bool {
 	return s.closing() && !s.restart.handedOver() && s.now+timeout > s.killAt
 }
 
-// closeListener takes what still waits at the listener, then closes it and the idle downstream connections.
+// closeListener accepts the listener's backlog, then closes it and the idle downstream connections.
 func (s *shutdown) closeListener() {
 	s.phase = max(s.phase, phaseClosing)
 	if s.restart.handedOver() || s.listener.phase == notListening {
@@ -118,7 +118,7 @@
 	s.closeConn(loop.Listener)
 }
 
-// exitIfDone ends the program once all that was taken is answered and every client has its answer.
+// exitIfDone ends the process once all requests are finished and every client has its answer.
 func (s *shutdown) exitIfDone() {
 	if s.phase == phaseDrained && len(s.requests.byID) == 0 && len(s.downstream.conns.ByConn) == 0 &&
 		len(s.restart.passing) == 0 && s.invariants.AllowExit(len(s.requests.openIDs)) {
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -16,7 +16,7 @@
 	retries         uint64 // attempts beyond a request's first
 }
 
-// classCounts is what the admins are told of one class.
+// classCounts are the final answers of one class.
 type classCounts struct{ served, rejected, failed int64 }
 
 // outcome is how a request ended for its client.
@@ -54,6 +54,7 @@
 	}
 }
 
+// class returns the counts of a class.
 func (s *statistics) class(class string) *classCounts {
 	t := s.classes[class]
 	if t == nil {
--- a/internal/gateway/termination.go
+++ b/internal/gateway/termination.go
@@ -8,12 +8,12 @@
 // The ends of attempts come first: those that prove that the request never ran, then those that leave it
 // open, then the one that served it. The ends of downstream connections and of the watch follow.
 const (
-	ReasonRequestOver       TerminationReason = iota // not begun: the request was over, out of time or out of attempts
-	ReasonDedupWindowOver                            // its connection came up after the window for repeats: nothing was written
+	ReasonRequestOver       TerminationReason = iota // not begun: the request was done, out of time or of attempts
+	ReasonDedupWindowOver                            // connected after the window for retries: nothing was written
 	ReasonEndpointLeft                               // the endpoint drains or is gone: nothing was written
 	ReasonNoDescriptor                               // no descriptor was left for a connection
 	ReasonConnectFailed                              // the connection was refused or broke while it came up
-	ReasonLocalResources                             // this machine has run out of something that a connection needs
+	ReasonLocalResources                             // this machine lacks something that a connection needs
 	ReasonConnectTimeout                             // the connection did not come up in time
 	ReasonResetBeforeSent                            // the connection broke before the last byte was written
 	ReasonRejected                                   // the endpoint says that it did not begin
@@ -26,15 +26,16 @@
 	ReasonServed                                     // a complete 200
 	ReasonIdleTimeout                                // an idle connection was closed in good time, or by the peer
 	ReasonAnswered                                   // a downstream connection ended after its last answer
-	ReasonClientTimeout                              // a client did not finish its request or take its answer in time
+	ReasonClientTimeout                              // a client did not finish its request, or read its answer, in time
 	ReasonWatchBroken                                // the watch broke, ended or never came up
-	ReasonWatchSilent                                // the watch missed its beat
-	ReasonMalformedUpdate                            // the watch brought what is no list
-	ReasonWatchReplaced                              // the watch gave way to a new one
-	reasonCount                                      // how many there are
+	ReasonWatchSilent                                // the watch missed its heartbeat
+	ReasonMalformedUpdate                            // the watch brought no valid list
+	ReasonWatchReplaced                              // another watch took its place
+	reasonCount
 )
 
-// outcome maps an attempt's end to what the balancer is told, and reports whether there is anything to tell.
+// outcome maps the end of an attempt to what the balancer is notified of. It is false for ends of other
+// things.
 func (e TerminationReason) outcome() (balancer.Outcome, bool) {
 	switch e {
 	case ReasonRequestOver, ReasonDedupWindowOver, ReasonLocalResources:
@@ -57,11 +58,33 @@
 	return 0, false
 }
 
-// String is for log lines.
+// String is the reason in log lines and in the ends of /ops/stats, whose texts are fixed.
 func (e TerminationReason) String() string {
-	names := [...]string{"over", "window over", "host left", "no room", "unreached", "local", "not up", "unsent", "turned away", "timed out",
-		"cut", "garbled", "faulty", "called off", "client gone", "served", "link idle", "answered", "client slow",
-		"list lost", "list silent", "list garbled", "list replaced"}
+	names := [...]string{
+		ReasonRequestOver:       "over",
+		ReasonDedupWindowOver:   "window over",
+		ReasonEndpointLeft:      "host left",
+		ReasonNoDescriptor:      "no room",
+		ReasonConnectFailed:     "unreached",
+		ReasonLocalResources:    "local",
+		ReasonConnectTimeout:    "not up",
+		ReasonResetBeforeSent:   "unsent",
+		ReasonRejected:          "turned away",
+		ReasonResponseTimeout:   "timed out",
+		ReasonReset:             "cut",
+		ReasonMalformedResponse: "garbled",
+		ReasonErrorResponse:     "faulty",
+		ReasonCancelled:         "called off",
+		ReasonClientLeft:        "client gone",
+		ReasonServed:            "served",
+		ReasonIdleTimeout:       "link idle",
+		ReasonAnswered:          "answered",
+		ReasonClientTimeout:     "client slow",
+		ReasonWatchBroken:       "list lost",
+		ReasonWatchSilent:       "list silent",
+		ReasonMalformedUpdate:   "list garbled",
+		ReasonWatchReplaced:     "list replaced",
+	}
 	if int(e) < len(names) {
 		return names[e]
 	}
--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -11,17 +11,18 @@
 	"thymebend/internal/tokenschedule"
 )
 
-// warmingEndpoint is one that warms up. Nothing of it is this gateway's before next.
+// warmingEndpoint is an endpoint in slow start. None of its tokens is this gateway's before nextLook.
 type warmingEndpoint struct {
 	tokenschedule.Endpoint
 	nextLook time.Duration
 }
 
-// updateAgreement notes since when more than half of the living have this gateway's mark.
+// updateAgreement notes since when more than half of the living members have this gateway's config hash.
 func (s *subsetAssignment) updateAgreement(members []membership.Member, reports []loadreport.PeerReport) {
 	living, same := 0, 0
 	for i, m := range members {
-		if m.State > gossipcodec.Suspect || !reports[i].Known && m.Name != s.cfg.Gossip.Name && len(m.Payload) == 0 {
+		if m.State > gossipcodec.Suspect || !reports[i].Known && m.Name != s.cfg.Gossip.Name &&
+			len(m.Payload) == 0 {
 			continue // nothing was heard of it but its name
 		}
 		living++
@@ -37,8 +38,8 @@
 	}
 }
 
-// updateOwners tells who may own slow-start tokens: the seed peers, or in a flat cluster all that are known
-// and have not left.
+// updateOwners notes who may own tokens: the seed peers, and in a flat cluster all members that are known and
+// have not left.
 func (s *subsetAssignment) updateOwners(members []membership.Member) {
 	names := s.seedNames()
 	if s.cfg.Gossip.Flat {
@@ -51,14 +52,20 @@
 	s.state.owners.Know(s.now, names)
 }
 
-// grantTokens gives the balancer the slow-start tokens that have begun, before it dispatches. It dispatches
-// every few milliseconds while it holds a request, so no timer is needed, and nothing is looked at while
-// nobody asks. After news of the list it waits for the next look: an endpoint that has started again has
-// other slow-start tokens.
+// agreed reports whether this gateway's config hash has had a majority for long enough that tokens are valid.
+func (s *subsetAssignment) agreed() bool {
+	return s.state.agreedSince > 0 && s.now-s.state.agreedSince >= viewConvergence
+}
+
+// grantTokens gives the balancer the tokens that are valid from now, before it dispatches. It dispatches
+// every few milliseconds while requests are queued, so no timer is needed. After a change of the endpoint
+// list it waits for the next update: an endpoint that has started anew has other tokens.
 func (s *subsetAssignment) grantTokens() {
 	p := s.state
-	if p == nil || s.cluster.membership == nil || p.endpointsChanged || p.agreedSince == 0 || s.now-p.agreedSince < viewConvergence || !p.rule.Usable() ||
-		s.cfg.Gossip.Flat && p.tracker.Stage() == assignment.Waiting {
+	if p == nil || s.cluster.membership == nil || p.endpointsChanged || !s.agreed() || !p.rule.Usable() {
+		return
+	}
+	if s.cfg.Gossip.Flat && p.tracker.Stage() == assignment.Waiting {
 		return
 	}
 	for i := range p.warming {
--- a/internal/gateway/upload.go
+++ b/internal/gateway/upload.go
@@ -8,9 +8,9 @@
 	"thymebend/internal/upstream"
 )
 
-// uploadWriteTimeout is how long an endpoint may take nothing of a body that is written to it. Its client is
-// not read meanwhile and may have stopped, which then cannot be told: it is owed an error within
-// downstream.ErrorDeadline whatever its endpoint does.
+// uploadWriteTimeout is how long an endpoint may take nothing of a body that is written to it. Guards against
+// a client that stopped meanwhile and is not read: it is owed an error within downstream.ErrorDeadline
+// whatever its endpoint does.
 const uploadWriteTimeout = 2500 * time.Millisecond
 
 // uploads passes request bodies on that are too large to be held. Each upload's state is with its request.
@@ -31,9 +31,9 @@
 	completedAt time.Duration // with complete: when the client had written its last byte, at the earliest
 }
 
-// begin has a connection wait, with the first part of a body, until the balancer has chosen an endpoint. The
-// connection is read no further once more of the body has come: until then a client that has stopped can be
-// told from one that waits.
+// begin has a connection wait, with the first part of a body, until the balancer has chosen an endpoint. It
+// is read no further once more has come: until then a client that has stopped can be told from one that
+// waits.
 func (u *uploads) begin(req *request, conn *downstream.Conn) {
 	req.upload = &upload{length: conn.Begin()}
 	u.downstream.setDeadline(conn, u.downstream.requestDeadline(conn))
@@ -82,8 +82,7 @@
 		u.pump(att.request)
 		return
 	}
-	// The last byte is written: from here on the endpoint works. The client has waited since its own last
-	// byte.
+	// The endpoint works from now on. The client has waited since its own last byte.
 	att.conn.Phase = upstream.Awaiting
 	u.stats.forwarded++
 	att.began, att.deadline = u.now, up.completedAt+att.request.ClientTimeout
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -9,8 +9,8 @@
 	"thymebend/internal/upstream"
 )
 
-// idleTimeoutFraction of the time after which endpoints close idle connections: closed by then, none is
-// reused too late.
+// idleTimeoutFraction of the time after which endpoints close idle connections. Guards against reusing one
+// too late.
 const idleTimeoutFraction = 0.7
 
 func (a *attemptTable) handleEvent(conn *upstream.Conn, e loop.Event) {
@@ -30,8 +30,7 @@
 			a.stats.forwarded++
 		}
 	case loop.Stale:
-		// Nothing was written. The endpoint closed this connection while it was idle; the next one may be
-		// better.
+		// Nothing was written: the endpoint closed this connection while it was idle. Another may serve.
 		att.request.invariants.Ended(att.invariantIndex, true)
 		att.invariantIndex = notWritten
 		a.dropConn(conn, ReasonIdleTimeout)
@@ -48,13 +47,13 @@
 		a.dropConn(conn, ReasonMalformedResponse) // bytes that no request asked for
 		return
 	}
-	answer, err := conn.Feed(data)
+	resp, err := conn.Feed(data)
 	switch {
 	case err != nil:
 		a.log.Debug().Err(err).Msg("response of an endpoint")
 		a.end(att, ReasonMalformedResponse, nil)
-	case answer != nil:
-		a.responded(att, answer)
+	case resp != nil:
+		a.responded(att, resp)
 	default:
 		if head := conn.Large(); head != nil {
 			a.relays.begin(att, head)
@@ -62,7 +61,7 @@
 	}
 }
 
-// connBroke ends what is under way on a connection that broke or was ended by its endpoint.
+// connBroke ends what is under way on a connection that broke or was closed by its endpoint.
 func (a *attemptTable) connBroke(conn *upstream.Conn, att *attempt, e loop.Event) {
 	if att == nil {
 		a.dropConn(conn, ReasonIdleTimeout)
@@ -77,8 +76,8 @@
 		a.end(att, ReasonResetBeforeSent, nil)
 	default:
 		if e.Kind == loop.EOF {
-			if answer := conn.End(); answer != nil {
-				a.responded(att, answer)
+			if resp := conn.End(); resp != nil {
+				a.responded(att, resp)
 				return
 			}
 		}
@@ -86,7 +85,7 @@
 	}
 }
 
-// responded takes an endpoint's complete answer. The first 200 goes to the client as it is.
+// responded takes the complete response of an endpoint. The first 200 goes to the client as it is.
 func (a *attemptTable) responded(att *attempt, resp *upstream.Response) {
 	end := ReasonErrorResponse
 	switch {
@@ -122,19 +121,20 @@
 	a.setTimer(timerUpstream, uint64(conn.ID), a.now+scale(a.cfg.Settings.Gateway.ConnIdle, idleTimeoutFraction))
 }
 
-// dropConn closes a upstream connection.
+// dropConn closes an upstream connection.
 func (a *attemptTable) dropConn(conn *upstream.Conn, end TerminationReason) {
-	a.log.Debug().Uint64(fieldUpstreamConn, uint64(conn.ID)).Stringer(fieldEnd, end).Msg("upstream connection closed")
+	a.log.Debug().Uint64(fieldUpstreamConn, uint64(conn.ID)).Stringer(fieldEnd, end).
+		Msg("upstream connection closed")
 	a.stopTimer(timerUpstream, uint64(conn.ID))
 	a.pool.Remove(conn)
 	delete(a.byConn, conn.ID)
 	a.closeConn(conn.ID)
 }
 
-// endpointsChanged closes the idle upstream connections that drain, are gone, have moved or have started
-// anew, and ends the attempts that still connect to one: not a byte may go to an endpoint after the gateway
-// has been told that it leaves, and what was decided for one start of an endpoint must not reach the next,
-// which is cold.
+// endpointsChanged closes the idle connections to endpoints that drain, are removed, have moved or have
+// started anew, and ends the attempts that still connect to one. Guards against a byte written to an endpoint
+// after this gateway was notified that it leaves, and against an attempt at a new start of an endpoint, in
+// slow start, that was meant for the old.
 func (a *attemptTable) endpointsChanged(changed []balancer.EndpointID) {
 	if len(changed) == 0 {
 		return
@@ -153,6 +153,7 @@
 	}
 }
 
+// scale is a fraction of a duration.
 func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
 
 // idleTimerDue closes an idle connection before its endpoint does.
