--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -26,17 +26,7 @@
 		a.log.Error().Uint32(fieldRequest, uint32(id)).Msg("attempt for an unknown request")
 		return
 	}
-	a.attempts.nextID++
-	att := &attempt{
-		request: req, number: req.started, id: a.attempts.nextID, endpoint: to,
-		began: a.now, deadline: req.deadline, invariantIndex: notWritten,
-	}
-	req.started++
-	req.running = append(req.running, att)
-	a.attempts.byID[att.id] = att
-	if timeout != 0 {
-		att.deadline = min(att.deadline, a.now+timeout)
-	}
+	att := a.attempts.add(req, to, timeout)
 	if req.done || att.deadline <= a.now || att.number >= a.cfg.Settings.Config.MaxAttempts {
 		a.attempts.end(att, ReasonRequestOver, nil)
 		return
--- a/internal/gateway/assignment.go
+++ b/internal/gateway/assignment.go
@@ -117,6 +117,17 @@
 	s.notified = true
 }
 
+// end is called as this process leaves the cluster. The endpoints in use stay; tokens are others' or
+// nobody's.
+func (s *subsetAssignment) end() { s.state = nil }
+
+// endpointListChanged has the assignment follow the endpoint list at the next update.
+func (s *subsetAssignment) endpointListChanged() {
+	if s.state != nil {
+		s.state.endpointsChanged = true
+	}
+}
+
 // seedNames are the names of the seed peers and the own one, sorted.
 func (s *subsetAssignment) seedNames() []string {
 	names := []string{s.cfg.Gossip.Name}
@@ -130,6 +141,9 @@
 // updateConfigHash hashes the configuration on which slow-start tokens rest.
 func (s *subsetAssignment) updateConfigHash() {
 	p := s.state
+	if p == nil {
+		return
+	}
 	h := xxh3.New()
 	fmt.Fprintf(h, "%s %v %d", p.rule.Canonical(), p.warmRate, p.config.Users) // a hash never fails
 	for _, name := range s.seedNames() {
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -98,6 +98,22 @@
 	a.balancer.AttemptEnded(a.now, end)
 }
 
+// add returns a new attempt of a request. A timeout of 0 lasts until the request's deadline.
+func (a *attemptTable) add(req *request, to balancer.EndpointID, timeout time.Duration) *attempt {
+	a.nextID++
+	att := &attempt{
+		request: req, number: req.started, id: a.nextID, endpoint: to,
+		began: a.now, deadline: req.deadline, invariantIndex: notWritten,
+	}
+	req.started++
+	req.running = append(req.running, att)
+	a.byID[att.id] = att
+	if timeout != 0 {
+		att.deadline = min(att.deadline, a.now+timeout)
+	}
+	return att
+}
+
 // start writes an attempt on an idle connection to its endpoint, or opens one.
 func (a *attemptTable) start(att *attempt) {
 	if !a.discovery.isReady(att.endpoint) {
@@ -125,6 +141,11 @@
 	a.emit(loop.Effect{Op: loop.Dial, Conn: conn.ID, Addr: a.discovery.endpoints.Find(att.endpoint).Addr})
 }
 
+// noteProgress keeps progress of an upload for the balancer. done: its last byte is written.
+func (a *attemptTable) noteProgress(att *attempt, done bool) {
+	a.progress = append(a.progress, writeProgress{attempt: att, done: done})
+}
+
 func (a *attemptTable) bind(att *attempt, conn *upstream.Conn) {
 	att.conn = conn
 	a.byConn[conn.ID] = att
@@ -139,7 +160,7 @@
 	att.conn.Phase = upstream.Writing
 	if req := att.request; req.upload != nil {
 		// The head goes alone: nothing of the body is lost if the connection turns out to be dead.
-		a.progress = append(a.progress, writeProgress{attempt: att})
+		a.noteProgress(att, false)
 		a.setTimer(timerAttempt, att.id, a.now+uploadWriteTimeout)
 		head := upstream.AppendHead(nil, req.Message, req.upload.length, a.requests.timeLeft(req))
 		a.emit(loop.Effect{Op: op, Conn: att.conn.ID, Data: head})
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -54,7 +54,7 @@
 	}, c.now)
 	if err != nil {
 		c.log.Error().Err(err).Msg("cluster: not joined")
-		c.assignment.state = nil
+		c.assignment.end()
 		return
 	}
 	c.membership = view
@@ -62,6 +62,11 @@
 	c.openSocket()
 }
 
+// inherit takes the identity of the predecessor, under which this process will speak.
+func (c *cluster) inherit(startID, incarnation uint64) {
+	c.startID, c.incarnation = startID, incarnation
+}
+
 func (c *cluster) openSocket() {
 	c.emit(loop.Effect{Op: loop.Bind, Conn: loop.Gossip, Addr: c.cfg.Gossip.Listen, Urgent: true})
 }
@@ -79,7 +84,7 @@
 	}
 	c.startID, c.incarnation = v.Identity()
 	c.membership, c.socketOpen = nil, false
-	c.assignment.state = nil // its endpoints stay in use, its slow-start tokens are others' or nobody's
+	c.assignment.end()
 	c.stopTimer(timerCluster, 0)
 	c.closeConn(loop.Gossip)
 }
@@ -149,9 +154,7 @@
 		return
 	}
 	c.cfg.Gossip.SeedPeers = f.SeedPeers
-	if c.assignment.state != nil {
-		c.assignment.updateConfigHash()
-	}
+	c.assignment.updateConfigHash()
 	c.log.Info().Int(fieldSeedPeers, len(f.SeedPeers)).Msg("reload: seed peers")
 }
 
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"math/rand/v2"
+	"net/netip"
 	"time"
 
 	"thymebend/internal/backoff"
@@ -82,6 +83,21 @@
 	}
 }
 
+// reload goes to the address of a new configuration. An agent that is not watched is dialled again in any
+// case.
+func (d *discoveryWatch) reload(addr netip.AddrPort) {
+	if d.cfg.Discovery == addr && (!d.discoveryPushed() || d.current != nil) {
+		return
+	}
+	d.cfg.Discovery = addr
+	d.backoff.Succeeded()
+	d.pollNotBefore = 0 // the old address asked for that
+	if d.unanswered != nil {
+		d.drop(d.unanswered, ReasonWatchReplaced, nil)
+	}
+	d.redial()
+}
+
 func (d *discoveryWatch) handleEvent(w *discovery.Watch, e loop.Event) {
 	switch e.Kind {
 	case loop.Connected:
--- a/internal/gateway/discovery_updates.go
+++ b/internal/gateway/discovery_updates.go
@@ -68,9 +68,7 @@
 		kind = balancer.Snapshot
 	}
 	d.attempts.endpointsChanged(update.Changed)
-	if d.assignment.state != nil {
-		d.assignment.state.endpointsChanged = true
-	}
+	d.assignment.endpointListChanged()
 	d.notified = true
 	d.notifyBalancer(kind, update.Entries)
 	return nil
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -9,8 +9,8 @@
 //
 // # State machines
 //
-// [Gateway] routes events to machines. Each owns its state; the others may read it, and change it only by its
-// methods.
+// [Gateway] routes events to machines. Each owns its state: the others may read it, and change it by its
+// methods. A request, its attempts and the connections that carry them are records that machines pass on.
 //
 //	downstreamConns   connections of clients and the requests read on them   downstream*.go, eviction.go
 //	requestTable      requests taken and not yet finished                    requests.go
--- a/internal/gateway/downstream.go
+++ b/internal/gateway/downstream.go
@@ -1,7 +1,10 @@
 package gateway
 
 import (
+	"time"
+
 	"thymebend/internal/downstream"
+	"thymebend/internal/hotrestart"
 	"thymebend/internal/loop"
 )
 
@@ -84,6 +87,60 @@
 	}
 }
 
+// adopt goes on with an idle connection of the predecessor, for the time that it has left.
+func (d *downstreamConns) adopt(c loop.Conn, state hotrestart.IdleConn) {
+	idle := time.Duration(state.IdleMS) * time.Millisecond
+	conn := d.conns.Add(c, d.now-idle)
+	conn.HasRequested, conn.Requests = state.HasRequested, state.Requests
+	d.conns.Place(conn)
+	left := downstream.IdleTimeout - idle
+	if !conn.HasRequested {
+		left = downstream.RequestReadTimeout - idle
+	}
+	d.setDeadline(conn, d.now+max(left, 0))
+	d.emit(loop.Effect{Op: loop.Unmute, Conn: c})
+}
+
+// release gives up an idle connection that is passed to the successor.
+func (d *downstreamConns) release(conn *downstream.Conn) {
+	d.clearDeadline(conn)
+	d.conns.Remove(conn)
+}
+
+// limit sets how many connections there may be, and from how many on idle ones are closed early.
+func (d *downstreamConns) limit(most, reuseLimit int) {
+	d.conns.Max, d.conns.ReuseLimit = most, reuseLimit
+}
+
+// beginShutdown gives half requests the time that is left before SIGKILL.
+func (d *downstreamConns) beginShutdown() {
+	for _, conn := range d.conns.InOrder() {
+		if conn.Incomplete() {
+			d.setDeadline(conn, d.requestDeadline(conn))
+		}
+	}
+}
+
+// closeAfterAnswers has connections with a request close after its answer.
+func (d *downstreamConns) closeAfterAnswers() {
+	for _, conn := range d.conns.ByConn {
+		conn.Closing = conn.Closing || conn.Busy
+	}
+}
+
+// closeIdle closes the idle connections, and the others after their answers.
+func (d *downstreamConns) closeIdle() {
+	for _, conn := range d.conns.InOrder() {
+		switch {
+		case conn.Busy:
+			conn.Closing = true
+		case conn.Pending(): // it has its deadline
+		default:
+			d.readThenClose(conn)
+		}
+	}
+}
+
 // flushed goes on once an answer is written out, with the next request or the end of the connection.
 func (d *downstreamConns) flushed(conn *downstream.Conn) {
 	if r := d.relays.byConn[conn.ID]; r != nil {
@@ -111,7 +168,7 @@
 	if !conn.Pending() { // else the time of the next request begins, see awaitRequest
 		d.setDeadline(conn, d.now+idleTimeout)
 	}
-	d.restart.idlePending = true
+	d.restart.connIdle()
 	d.conns.Place(conn)
 	if d.shutdown.closing() && !d.restart.handedOver() {
 		d.readThenClose(conn)
--- a/internal/gateway/downstream_request.go
+++ b/internal/gateway/downstream_request.go
@@ -91,10 +91,7 @@
 func (d *downstreamConns) admit(conn *downstream.Conn, incoming downstream.Incoming) {
 	d.clearDeadline(conn)
 	read := incoming.Request
-	d.requests.nextID++
-	req := newRequest(read, d.requests.nextID, conn, d.now)
-	d.requests.byID[req.id] = req
-	d.requests.openIDs[read.ID] = true
+	req := d.requests.add(read, conn)
 	conn.Busy, conn.Request = true, req.id
 	conn.Requests++
 	d.logTaken(req)
--- a/internal/gateway/hotrestart.go
+++ b/internal/gateway/hotrestart.go
@@ -84,6 +84,9 @@
 // handedOver reports whether the successor takes the clients.
 func (h *hotRestart) handedOver() bool { return h.handover == successorServes }
 
+// connIdle notes that a downstream connection may have become idle, to be passed on at the end of the round.
+func (h *hotRestart) connIdle() { h.idlePending = true }
+
 // alone reports whether this is the only process of its gateway. While there are two, idle connections stay
 // open where they can. Guards against clients that come back in the middle of an upgrade to a closed
 // connection.
--- a/internal/gateway/hotrestart_predecessor.go
+++ b/internal/gateway/hotrestart_predecessor.go
@@ -117,8 +117,7 @@
 			IdleMS:       (h.now - conn.Since).Milliseconds(),
 		})
 		h.passing = append(h.passing, conn.ID)
-		h.downstream.clearDeadline(conn)
-		h.downstream.conns.Remove(conn)
+		h.downstream.release(conn)
 	}
 	h.resize()
 	if needed := h.descriptors(); len(idle) > 0 || needed != h.reportedDescriptors {
--- a/internal/gateway/hotrestart_successor.go
+++ b/internal/gateway/hotrestart_successor.go
@@ -1,10 +1,7 @@
 package gateway
 
 import (
-	"time"
-
 	"thymebend/internal/balancer"
-	"thymebend/internal/downstream"
 	"thymebend/internal/hotrestart"
 	"thymebend/internal/loop"
 )
@@ -36,7 +33,7 @@
 		h.emit(loop.Effect{Op: loop.Adopt, Conn: m.Conns[0], As: loop.Listener})
 	case hotrestart.PassConns:
 		for i, c := range m.Conns {
-			h.adoptConn(c, m.Idle[i])
+			h.downstream.adopt(c, m.Idle[i])
 		}
 		h.predecessorDescriptors = m.Descriptors
 		h.resize()
@@ -46,20 +43,6 @@
 	}
 }
 
-// adoptConn goes on with an idle downstream connection of the predecessor, with the time that it has left.
-func (h *hotRestart) adoptConn(c loop.Conn, state hotrestart.IdleConn) {
-	idle := time.Duration(state.IdleMS) * time.Millisecond
-	conn := h.downstream.conns.Add(c, h.now-idle)
-	conn.HasRequested, conn.Requests = state.HasRequested, state.Requests
-	h.downstream.conns.Place(conn)
-	left := downstream.IdleTimeout - idle
-	if !conn.HasRequested {
-		left = downstream.RequestReadTimeout - idle
-	}
-	h.downstream.setDeadline(conn, h.now+max(left, 0))
-	h.emit(loop.Effect{Op: loop.Unmute, Conn: c})
-}
-
 // inherit takes what the predecessor knows. Its list gives way to what discovery has brought this process
 // meanwhile.
 func (h *hotRestart) inherit(m hotrestart.Message) {
@@ -70,7 +53,7 @@
 		h.balancer.Restore(h.now, *m.Balancer)
 	}
 	h.notified = true
-	h.cluster.startID, h.cluster.incarnation = m.FleetStart, m.FleetIncarnation
+	h.cluster.inherit(m.FleetStart, m.FleetIncarnation)
 	h.predecessorDescriptors = m.Descriptors
 	h.resize()
 }
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -59,7 +59,7 @@
 	}
 	sockets = max(sockets-ownDescriptors, 2*spareUpstreamConns)
 	inbound := int(float64(sockets) * downstreamShare)
-	h.downstream.conns.Max, h.downstream.conns.ReuseLimit = inbound, h.cfg.Limits.Sockets/reuseLimitDivisor
+	h.downstream.limit(inbound, h.cfg.Limits.Sockets/reuseLimitDivisor)
 	outbound := sockets - inbound
 	if h.predecessor != nil {
 		outbound = max(spareUpstreamConns, sockets-max(inbound, len(h.downstream.conns.ByConn)))
@@ -71,7 +71,7 @@
 // one upstream connection; the rest is the successor's, whose clients wait.
 func (h *hotRestart) shrink() {
 	open := len(h.downstream.conns.ByConn)
-	h.downstream.conns.Max = open
+	h.downstream.limit(open, h.downstream.conns.ReuseLimit)
 	h.attempts.pool.Resize(min(h.attempts.pool.Budget(), open+spareUpstreamConns))
 }
 
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -202,9 +202,8 @@
 func (t *relayTable) remove(r *relay, how outcome) {
 	delete(t.byConn, r.downstream.ID)
 	delete(t.byConn, r.upstream.ID)
-	delete(t.requests.openIDs, r.id)
 	t.releaseBuffer(r)
-	t.stats.countResult(r.class, how)
+	t.requests.relayEnded(r.id, r.class, how)
 }
 
 // timerDue bounds how long an endpoint may send nothing while it may.
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -32,16 +32,7 @@
 	r.notified = true
 	r.classes.apply(fresh.Settings, indices)
 	r.log.Info().Stringer(fieldDiscovery, fresh.Discovery).Int(fieldClasses, len(indices)).Msg("reload")
-	if r.cfg.Discovery == fresh.Discovery && (!r.discoveryPushed() || r.discovery.current != nil) {
-		return
-	}
-	r.cfg.Discovery = fresh.Discovery
-	r.discovery.backoff.Succeeded()
-	r.discovery.pollNotBefore = 0 // the old address asked for that
-	if r.discovery.unanswered != nil {
-		r.discovery.drop(r.discovery.unanswered, ReasonWatchReplaced, nil)
-	}
-	r.discovery.redial()
+	r.discovery.reload(fresh.Discovery)
 }
 
 // begin reads the files that a reload takes. They come in this order.
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -33,16 +33,47 @@
 	invariants invariant.Request
 }
 
+// add takes a request, with the rules of its class as they are now.
+func (t *requestTable) add(read downstream.Request, conn *downstream.Conn) *request {
+	t.nextID++
+	deadline := t.now + conn.TimeLeft(t.now, read.ClientTimeout)
+	class := read.Class.Class
+	req := &request{
+		Request: read, id: t.nextID, client: conn.ID, deadline: deadline,
+		invariants: invariant.Request{
+			ID:          read.ID,
+			Idempotency: class.Idempotency,
+			DedupScope:  class.DedupScope,
+			DedupWindow: class.DedupWindow,
+			Deadline:    deadline,
+		},
+	}
+	t.byID[req.id] = req
+	t.openIDs[read.ID] = true
+	return req
+}
+
+// conclude notes how a request has ended for its client. Each request passes here once, or is relayed.
+func (t *requestTable) conclude(req *request, r outcome) {
+	req.done = true
+	delete(t.openIDs, req.ID)
+	t.stats.countResult(req.Class.Name, r)
+	t.logAnswered(req, r)
+}
+
+// relayEnded notes how a request has ended whose response was relayed.
+func (t *requestTable) relayEnded(id, class string, r outcome) {
+	delete(t.openIDs, id)
+	t.stats.countResult(class, r)
+}
+
 // finish concludes a request and returns the connection for its answer, nil if its client is gone.
 func (t *requestTable) finish(id balancer.RequestID, r outcome) (*request, *downstream.Conn) {
 	req := t.byID[id]
 	if req == nil || req.done || !t.invariants.AllowAnswer(&req.invariants) {
 		return nil, nil
 	}
-	req.done = true
-	delete(t.openIDs, req.ID)
-	t.stats.countResult(req.Class.Name, r)
-	t.logAnswered(req, r)
+	t.conclude(req, r)
 	t.release(req)
 	return req, t.downstream.conns.ByConn[req.client]
 }
@@ -56,11 +87,9 @@
 
 // abandon ends a request to which the balancer owes no answer any more, and its attempts.
 func (t *requestTable) abandon(req *request) {
-	req.done, req.client = true, 0
+	req.client = 0
 	req.invariants.ClientLeft()
-	delete(t.openIDs, req.ID)
-	t.stats.countResult(req.Class.Name, outcomeFailed) // the client has left; it may stand under any count
-	t.logAnswered(req, outcomeFailed)
+	t.conclude(req, outcomeFailed) // its client has left: any outcome would do
 	t.notified = true
 	t.balancer.RequestAbandoned(t.now, req.id)
 	for _, att := range append([]*attempt(nil), req.running...) {
@@ -69,24 +98,6 @@
 	t.release(req)
 }
 
-// newRequest is a request that is taken now, with the rules of its class as they are now.
-func newRequest(
-	read downstream.Request, id balancer.RequestID, conn *downstream.Conn, now time.Duration,
-) *request {
-	deadline := now + conn.TimeLeft(now, read.ClientTimeout)
-	class := read.Class.Class
-	return &request{
-		Request: read, id: id, client: conn.ID, deadline: deadline,
-		invariants: invariant.Request{
-			ID:          read.ID,
-			Idempotency: class.Idempotency,
-			DedupScope:  class.DedupScope,
-			DedupWindow: class.DedupWindow,
-			Deadline:    deadline,
-		},
-	}
-}
-
 // timeLeft is what the client of a request with a large body has left.
 func (t *requestTable) timeLeft(req *request) time.Duration {
 	if conn := t.downstream.conns.ByConn[req.client]; conn != nil {
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -66,20 +66,15 @@
 	s.phase = phaseStopping
 	s.killAt = s.now + min(maxGrace, s.longestDeadline()) + killAfter - killMargin
 	s.cluster.quit(true)
-	for _, conn := range s.downstream.conns.InOrder() {
-		if conn.Incomplete() {
-			s.downstream.setDeadline(conn, s.downstream.requestDeadline(conn))
-		}
-	}
+	s.downstream.beginShutdown()
 	if s.restart.handedOver() {
 		// The successor takes clients, and connections after their answers: there is no one to wait for.
-		s.phase, s.restart.idlePending = phaseClosing, true
+		s.phase = phaseClosing
+		s.restart.connIdle()
 		s.endListener()
 		return
 	}
-	for _, conn := range s.downstream.conns.ByConn {
-		conn.Closing = conn.Closing || conn.Busy
-	}
+	s.downstream.closeAfterAnswers()
 	s.listener.resume()
 	s.setTimer(timerStop, 0, s.now+acceptAfterSIGTERM)
 }
@@ -100,15 +95,7 @@
 	}
 	s.listener.accept()
 	s.setTimer(timerStop, 0, s.now+backlogDrainTimeout)
-	for _, conn := range s.downstream.conns.InOrder() {
-		switch {
-		case conn.Busy:
-			conn.Closing = true
-		case conn.Pending(): // it has its time
-		default:
-			s.downstream.readThenClose(conn)
-		}
-	}
+	s.downstream.closeIdle()
 }
 
 // endListener closes the listener for good.
--- a/internal/gateway/upload.go
+++ b/internal/gateway/upload.go
@@ -88,7 +88,7 @@
 	att.began, att.deadline = u.now, up.completedAt+att.request.ClientTimeout
 	att.request.deadline, att.request.invariants.Deadline = att.deadline, att.deadline
 	u.setTimer(timerAttempt, att.id, att.deadline)
-	u.attempts.progress = append(u.attempts.progress, writeProgress{attempt: att, done: true})
+	u.attempts.noteProgress(att, true)
 }
 
 // abort ends a request whose client does not send its body as it should, and answers it.
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -100,10 +100,7 @@
 		a.keepIdle(conn)
 	}
 	if end == ReasonServed && !req.done && a.invariants.AllowAnswer(&req.invariants) {
-		req.done = true
-		delete(a.requests.openIDs, req.ID)
-		a.stats.countResult(req.Class.Name, outcomeServed)
-		a.logAnswered(req, outcomeServed)
+		a.requests.conclude(req, outcomeServed)
 		if c := a.downstream.conns.ByConn[req.client]; c != nil {
 			keep := a.downstream.keepAlive(c)
 			a.downstream.answer(req, c, downstream.AppendServed(resp.Forwarded(), resp.Body, keep))
