--- a/internal/gateway/assignment.go
+++ b/internal/gateway/assignment.go
@@ -109,13 +109,25 @@
 		start += p.rule.ValidFor() // the predecessor takes tokens until it hears that this process serves
 	}
 	p.taker = tokenschedule.NewTaker(p.rule, f.Name, start)
-	p.agreedSince, p.endpointsChanged = s.now-viewConvergence, true // this gateway agrees with itself until others are heard
+	// This gateway's own configuration is agreed on until others are heard.
+	p.agreedSince, p.endpointsChanged = s.now-viewConvergence, true
 	s.state = p
 	s.updateConfigHash()
 	s.balancer.AssignEndpoints(s.now, nil)
 	s.notified = true
 }
 
+// end is called as this process leaves the cluster. The endpoints in use stay; tokens are others' or
+// nobody's.
+func (s *subsetAssignment) end() { s.state = nil }
+
+// endpointListChanged has the assignment follow the endpoint list at the next update.
+func (s *subsetAssignment) endpointListChanged() {
+	if s.state != nil {
+		s.state.endpointsChanged = true
+	}
+}
+
 // seedNames are the names of the seed peers and the own one, sorted.
 func (s *subsetAssignment) seedNames() []string {
 	names := []string{s.cfg.Gossip.Name}
@@ -129,6 +141,9 @@
 // updateConfigHash hashes the configuration on which slow-start tokens rest.
 func (s *subsetAssignment) updateConfigHash() {
 	p := s.state
+	if p == nil {
+		return
+	}
 	h := xxh3.New()
 	fmt.Fprintf(h, "%s %v %d", p.rule.Canonical(), p.warmRate, p.config.Users) // a hash never fails
 	for _, name := range s.seedNames() {
@@ -284,7 +299,7 @@
 		Gateways:     len(p.tracker.Gateways()),
 		RelativeLoad: p.tracker.RelativeLoad(),
 		Tokens:       p.tokens,
-		TokensActive: p.agreedSince > 0 && s.now-p.agreedSince >= viewConvergence,
+		TokensActive: s.agreed(),
 		Demand:       s.balancer.LoadReport(s.now).Demand,
 		Hosts:        []admin.AssignedEndpoint{},
 	}
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -44,7 +44,8 @@
 	conn     *upstream.Conn
 	began    time.Duration
 	deadline time.Duration // awaited until then
-	// invariantIndex is its number in the request's invariant record, notWritten before its first byte is written.
+	// invariantIndex is its number in the request's invariant record, notWritten before its first byte is
+	// written.
 	invariantIndex int
 }
 
@@ -97,6 +98,22 @@
 	a.balancer.AttemptEnded(a.now, end)
 }
 
+// add returns a new attempt of a request. A timeout of 0 lasts until the request's deadline.
+func (a *attemptTable) add(req *request, to balancer.EndpointID, timeout time.Duration) *attempt {
+	a.nextID++
+	att := &attempt{
+		request: req, number: req.started, id: a.nextID, endpoint: to,
+		began: a.now, deadline: req.deadline, invariantIndex: notWritten,
+	}
+	req.started++
+	req.running = append(req.running, att)
+	a.byID[att.id] = att
+	if timeout != 0 {
+		att.deadline = min(att.deadline, a.now+timeout)
+	}
+	return att
+}
+
 // start writes an attempt on an idle connection to its endpoint, or opens one.
 func (a *attemptTable) start(att *attempt) {
 	if !a.discovery.isReady(att.endpoint) {
@@ -124,13 +141,17 @@
 	a.emit(loop.Effect{Op: loop.Dial, Conn: conn.ID, Addr: a.discovery.endpoints.Find(att.endpoint).Addr})
 }
 
+// noteProgress keeps progress of an upload for the balancer. done: its last byte is written.
+func (a *attemptTable) noteProgress(att *attempt, done bool) {
+	a.progress = append(a.progress, writeProgress{attempt: att, done: done})
+}
+
 func (a *attemptTable) bind(att *attempt, conn *upstream.Conn) {
 	att.conn = conn
 	a.byConn[conn.ID] = att
 }
 
-// writeRequest writes the request to the endpoint, if it may still be written. Nothing goes to an endpoint
-// that has left meanwhile: see endpointsChanged.
+// writeRequest writes the request to the endpoint, if it may still be written.
 func (a *attemptTable) writeRequest(att *attempt, op loop.Op) {
 	if end, suppress := a.suppressed(att); suppress {
 		a.end(att, end, nil)
@@ -139,7 +160,7 @@
 	att.conn.Phase = upstream.Writing
 	if req := att.request; req.upload != nil {
 		// The head goes alone: nothing of the body is lost if the connection turns out to be dead.
-		a.progress = append(a.progress, writeProgress{attempt: att})
+		a.noteProgress(att, false)
 		a.setTimer(timerAttempt, att.id, a.now+uploadWriteTimeout)
 		head := upstream.AppendHead(nil, req.Message, req.upload.length, a.requests.timeLeft(req))
 		a.emit(loop.Effect{Op: op, Conn: att.conn.ID, Data: head})
@@ -154,9 +175,9 @@
 	att.conn = nil
 }
 
-// end ends an attempt, with its connection if it still has one: a late answer on it must not reach another
-// request. The balancer is notified once it has returned.
-func (a *attemptTable) end(att *attempt, end TerminationReason, answer *upstream.Response) {
+// end ends an attempt and closes its connection, if it still has one. Guards against a late response on it
+// that reaches another request. The balancer is notified at the end of the Step.
+func (a *attemptTable) end(att *attempt, end TerminationReason, resp *upstream.Response) {
 	if conn := att.conn; conn != nil {
 		a.unbind(att)
 		a.dropConn(conn, end)
@@ -176,7 +197,7 @@
 	if end != ReasonServed && end != ReasonRejected {
 		a.logAttemptEnd(att, end)
 	}
-	a.ended = append(a.ended, attemptEnd{attempt: att, reason: end, response: answer})
+	a.ended = append(a.ended, attemptEnd{attempt: att, reason: end, response: resp})
 }
 
 func (a *attemptTable) timerDue(id uint64) {
@@ -192,8 +213,8 @@
 	}
 }
 
-// suppressed decides whether an attempt may not be written now, and how it ends then. Time has passed since
-// the balancer decided: its endpoint may have left, its window or its client's time may be over.
+// suppressed decides whether an attempt must not be written now, and how it ends then. Time has passed since
+// the balancer decided: its endpoint may have left, its retry window or its client's time may be over.
 func (a *attemptTable) suppressed(att *attempt) (end TerminationReason, suppress bool) {
 	endpoint := a.discovery.endpoints.Find(att.endpoint)
 	switch {
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -54,7 +54,7 @@
 	}, c.now)
 	if err != nil {
 		c.log.Error().Err(err).Msg("cluster: not joined")
-		c.assignment.state = nil
+		c.assignment.end()
 		return
 	}
 	c.membership = view
@@ -62,12 +62,17 @@
 	c.openSocket()
 }
 
+// inherit takes the identity of the predecessor, under which this process will speak.
+func (c *cluster) inherit(startID, incarnation uint64) {
+	c.startID, c.incarnation = startID, incarnation
+}
+
 func (c *cluster) openSocket() {
 	c.emit(loop.Effect{Op: loop.Bind, Conn: loop.Gossip, Addr: c.cfg.Gossip.Listen, Urgent: true})
 }
 
-// quit ends the membership: silently, for the successor speaks under this identity, or by announcing that this
-// gateway leaves.
+// quit ends the membership: silently, for the successor speaks under this identity, or by announcing that
+// this gateway leaves.
 func (c *cluster) quit(leave bool) {
 	v := c.membership
 	if v == nil {
@@ -79,7 +84,7 @@
 	}
 	c.startID, c.incarnation = v.Identity()
 	c.membership, c.socketOpen = nil, false
-	c.assignment.state = nil // its endpoints stay in use, its slow-start tokens are others' or nobody's
+	c.assignment.end()
 	c.stopTimer(timerCluster, 0)
 	c.closeConn(loop.Gossip)
 }
@@ -89,7 +94,8 @@
 	case c.membership == nil:
 	case e.Kind == loop.Listening:
 		c.socketOpen = true
-		c.log.Info().Str(fieldCluster, c.cfg.Gossip.Cluster).Stringer(fieldListen, c.cfg.Gossip.Listen).Msg("cluster: joining")
+		c.log.Info().Str(fieldCluster, c.cfg.Gossip.Cluster).Stringer(fieldListen, c.cfg.Gossip.Listen).
+			Msg("cluster: joining")
 		c.timerDue()
 	case e.Kind == loop.Readable:
 		c.emit(loop.Effect{Op: loop.Read, Conn: loop.Gossip})
@@ -133,7 +139,8 @@
 	}
 }
 
-// reload takes new seed peers. A faulty file changes nothing; what else the file says holds from the next start.
+// reload takes new seed peers. A faulty file changes nothing; what else the file says holds from the next
+// start.
 func (c *cluster) reload(raw []byte, err error) {
 	var f *gossipconfig.Config
 	if err == nil {
@@ -147,9 +154,7 @@
 		return
 	}
 	c.cfg.Gossip.SeedPeers = f.SeedPeers
-	if c.assignment.state != nil {
-		c.assignment.updateConfigHash()
-	}
+	c.assignment.updateConfigHash()
 	c.log.Info().Int(fieldSeedPeers, len(f.SeedPeers)).Msg("reload: seed peers")
 }
 
--- a/internal/lab/cli/early_test.go
+++ b/internal/lab/cli/early_test.go
@@ -36,7 +36,7 @@
 // Each of these would run for a minute or more. Told to end, it does so with what it has, says that it is partial, and ends
 // with a code of its own.
 func TestLongCommandsEndEarly(t *testing.T) {
-	plan := filepath.Join("..", "virtual", "testdata", "turned-away-burst.json")
+	plan := filepath.Join("..", "simulation", "testdata", "turned-away-burst.json")
 	for name, command := range map[string]interface{ Run(*env) error }{
 		"view":         viewCmd{Nodes: 400, Seed: 1, Loss: 0.05, Without: "none"},
 		"view --plots": viewCmd{Nodes: 400, Seed: 1, Loss: 0.05, Without: "none", Plots: t.TempDir()},
