--- a/internal/lab/mutationtest/cluster.go
+++ b/internal/lab/mutationtest/cluster.go
@@ -46,7 +46,8 @@
 			"		m.next.probe = m.now + protocolPeriod/100\n"),
 		one("compare no views", "members", "internal/membership/antientropy.go",
 			"	m.next.repair = m.now + repairInterval\n"+
-				"	m.send(peer, &gossipcodec.Message{Kind: gossipcodec.Digest, BucketSums: m.table.bucketSums[:]}, nil)\n",
+				"	m.send(peer, &gossipcodec.Message{Kind: gossipcodec.Digest, "+
+				"BucketSums: m.table.bucketSums[:]}, nil)\n",
 			""),
 		one("call those it doubts its majority", "views", "internal/membership/status.go",
 			"2*(s.Alive-suspects) > s.Known && s.Answering > 0.5", "2*s.Alive > s.Known"),
