--- a/internal/lab/cli/seeds.go
+++ b/internal/lab/cli/seeds.go
@@ -153,7 +153,7 @@
 	failures := []failure{}
 	var calls uint64
 	played := c.each(e, func(seed uint64) bool {
-		o := membershipsim.Play(e.ctx, seed, c.Gateways)
+		o := membershipsim.PlayRandom(e.ctx, seed, c.Gateways)
 		mu.Lock()
 		defer mu.Unlock()
 		calls += o.Calls
@@ -188,7 +188,7 @@
 		if err := c.viewOnly(c.Trace, c.Shrink); err != nil {
 			return err
 		}
-		o := membershipsim.Play(e.ctx, c.Seed, c.Gateways)
+		o := membershipsim.PlayRandom(e.ctx, c.Seed, c.Gateways)
 		fmt.Fprintf(e.out, "seed %d, %s: %v\n%s\n", c.Seed, c.Profile, o, strings.Join(o.Findings, "\n"))
 		if o.Partial {
 			return early()
--- a/internal/lab/membershipsim/heartbeats.go
+++ b/internal/lab/membershipsim/heartbeats.go
@@ -13,77 +13,63 @@
 	"thymebend/internal/membership"
 )
 
-// Mind is what a node believes by: members.View, or the baseline that it is compared with.
-type Mind interface {
-	Advance(now time.Duration)
-	Receive(now time.Duration, from netip.AddrPort, data []byte)
-	Take() []membership.Datagram
-	NextWake() time.Duration
-	Members() []membership.Member
-	Find(name string) (membership.Member, bool)
-	Others() iter.Seq[*membership.Member]
-	Status(now time.Duration) membership.Status
-	Counts() membership.Counts
-	Leave(now time.Duration)
-}
-
 // Heartbeats is the baseline: each node tells every other one every beat that it lives, and judges each alone by how
 // unlikely its present silence is after the intervals seen so far (phi-accrual, Hayashibara and others, 2004).
 type Heartbeats struct {
-	name   string
-	start  uint64
-	all    []*peer // by name
-	byName map[string]*peer
-	byAddr map[netip.AddrPort]*peer
-	next   time.Duration
-	out    []membership.Datagram
-	counts membership.Counts
-	gone   bool
+	name     string
+	start    uint64
+	peers    []*peer // by name
+	byName   map[string]*peer
+	byAddr   map[netip.AddrPort]*peer
+	nextBeat time.Duration
+	out      []membership.Datagram
+	counts   membership.Counts
+	left     bool
 }
 
 type peer struct {
 	membership.Member
-	heard     time.Duration
+	lastHeard time.Duration
 	intervals []float64 // seconds, the last ones
 }
 
-// Figures of the baseline: a beat as often as a view asks, and the usual threshold.
+// Figures of the baseline: a beat as often as a membership probes, and the usual threshold.
 const (
-	beatEvery    = 400 * time.Millisecond
-	phiMost      = 8.0
-	intervalsOf  = 20
-	leastSpread  = 0.1 // seconds of standard deviation, at least
-	firstMeaning = 0.4 // seconds, before intervals are known
+	heartbeatInterval = 400 * time.Millisecond
+	phiThreshold      = 8.0
+	intervalWindow    = 20
+	minDeviation      = 0.1 // seconds of standard deviation, at least
+	firstInterval     = 0.4 // seconds, before intervals are known
 )
 
-// NewHeartbeats starts one with the book.
+// NewHeartbeats starts one with the seed peers.
 func NewHeartbeats(cfg membership.Config, now time.Duration) *Heartbeats {
 	h := &Heartbeats{name: cfg.Name, start: cfg.Start, byName: make(map[string]*peer),
-		byAddr: make(map[netip.AddrPort]*peer), next: now}
+		byAddr: make(map[netip.AddrPort]*peer), nextBeat: now}
 	for _, p := range cfg.SeedPeers {
 		if p.Name == cfg.Name {
 			continue
 		}
 		q := &peer{Member: membership.Member{Name: p.Name, Addr: p.Addr, State: gossipcodec.Gone, Since: now}}
-		h.all = append(h.all, q)
+		h.peers = append(h.peers, q)
 		h.byName[p.Name], h.byAddr[p.Addr] = q, q
 	}
-	slices.SortFunc(h.all, func(a, b *peer) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(h.peers, func(a, b *peer) int { return cmp.Compare(a.Name, b.Name) })
 	return h
 }
 
-// Advance implements Mind.
+// Advance implements Protocol.
 func (h *Heartbeats) Advance(now time.Duration) {
-	if now < h.next || h.gone {
+	if now < h.nextBeat || h.left {
 		return
 	}
-	h.next = now + beatEvery
+	h.nextBeat = now + heartbeatInterval
 	beat := binary.AppendUvarint([]byte{1}, h.start)
 	beat = append(beat, 5) // as much as a small payload
-	for _, p := range h.all {
+	for _, p := range h.peers {
 		h.out = append(h.out, membership.Datagram{To: p.Addr, Data: beat})
 		h.counts.Sent++
-		if p.State == gossipcodec.Alive && p.phi(now) > phiMost {
+		if p.State == gossipcodec.Alive && p.phi(now) > phiThreshold {
 			p.State, p.Since = gossipcodec.Gone, now
 		}
 	}
@@ -91,7 +77,7 @@
 
 // phi is the negative logarithm of the chance that a beat still comes after such a silence.
 func (p *peer) phi(now time.Duration) float64 {
-	mean, spread := firstMeaning, leastSpread
+	mean, spread := firstInterval, minDeviation
 	if n := len(p.intervals); n > 0 {
 		sum, squares := 0.0, 0.0
 		for _, v := range p.intervals {
@@ -99,16 +85,16 @@
 			squares += v * v
 		}
 		mean = sum / float64(n)
-		spread = max(leastSpread, math.Sqrt(max(0, squares/float64(n)-mean*mean)))
+		spread = max(minDeviation, math.Sqrt(max(0, squares/float64(n)-mean*mean)))
 	}
-	z := ((now - p.heard).Seconds() - mean) / spread
+	z := ((now - p.lastHeard).Seconds() - mean) / spread
 	return -math.Log10(max(1e-300, 0.5*math.Erfc(z/math.Sqrt2)))
 }
 
-// Receive implements Mind.
+// Receive implements Protocol.
 func (h *Heartbeats) Receive(now time.Duration, from netip.AddrPort, data []byte) {
 	p := h.byAddr[from]
-	if p == nil || h.gone || len(data) < 2 {
+	if p == nil || h.left || len(data) < 2 {
 		return
 	}
 	start, _ := binary.Uvarint(data[1:])
@@ -122,35 +108,37 @@
 		p.intervals, p.Start = nil, start
 		p.Since = now
 	default:
-		if p.intervals = append(p.intervals, (now - p.heard).Seconds()); len(p.intervals) > intervalsOf {
+		if p.intervals = append(p.intervals, (now - p.lastHeard).Seconds()); len(p.intervals) > intervalWindow {
 			p.intervals = p.intervals[1:]
 		}
 	}
-	p.State, p.heard = gossipcodec.Alive, now
+	p.State, p.lastHeard = gossipcodec.Alive, now
 }
 
-// Take implements Mind.
+// Take implements Protocol.
 func (h *Heartbeats) Take() []membership.Datagram {
 	out := h.out
 	h.out = nil
 	return out
 }
 
-// NextWake implements Mind.
-func (h *Heartbeats) NextWake() time.Duration { return h.next }
+// NextWake implements Protocol.
+func (h *Heartbeats) NextWake() time.Duration { return h.nextBeat }
 
-// Members implements Mind.
+// Members implements Protocol.
 func (h *Heartbeats) Members() []membership.Member {
-	out := make([]membership.Member, 0, len(h.all)+1)
-	for _, p := range h.all {
+	out := make([]membership.Member, 0, len(h.peers)+1)
+	for _, p := range h.peers {
 		out = append(out, p.Member)
 	}
 	self := membership.Member{Name: h.name, Start: h.start}
-	at, _ := slices.BinarySearchFunc(out, h.name, func(m membership.Member, name string) int { return cmp.Compare(m.Name, name) })
+	at, _ := slices.BinarySearchFunc(out, h.name, func(m membership.Member, name string) int {
+		return cmp.Compare(m.Name, name)
+	})
 	return slices.Insert(out, at, self)
 }
 
-// Find implements Mind.
+// Find implements Protocol.
 func (h *Heartbeats) Find(name string) (membership.Member, bool) {
 	if name == h.name {
 		return membership.Member{Name: h.name, Start: h.start}, true
@@ -162,10 +150,10 @@
 	return p.Member, true
 }
 
-// Others implements Mind.
+// Others implements Protocol.
 func (h *Heartbeats) Others() iter.Seq[*membership.Member] {
 	return func(yield func(*membership.Member) bool) {
-		for _, p := range h.all {
+		for _, p := range h.peers {
 			if !yield(&p.Member) {
 				return
 			}
@@ -173,10 +161,10 @@
 	}
 }
 
-// Status implements Mind: it knows only how many it holds alive.
+// Status implements Protocol: it knows only how many it holds alive.
 func (h *Heartbeats) Status(time.Duration) membership.Status {
-	s := membership.Status{Alive: 1, Known: len(h.all) + 1, Answering: 1}
-	for _, p := range h.all {
+	s := membership.Status{Alive: 1, Known: len(h.peers) + 1, Answering: 1}
+	for _, p := range h.peers {
 		if p.State == gossipcodec.Alive {
 			s.Alive++
 		}
@@ -185,13 +173,13 @@
 	return s
 }
 
-// Counts implements Mind.
+// Counts implements Protocol.
 func (h *Heartbeats) Counts() membership.Counts { return h.counts }
 
-// Leave implements Mind.
+// Leave implements Protocol.
 func (h *Heartbeats) Leave(time.Duration) {
-	h.gone = true
-	for _, p := range h.all {
+	h.left = true
+	for _, p := range h.peers {
 		h.out = append(h.out, membership.Datagram{To: p.Addr, Data: []byte{0, 0}})
 	}
 }
--- /dev/null
+++ b/internal/lab/membershipsim/protocol.go
@@ -0,0 +1,23 @@
+package membershipsim
+
+import (
+	"iter"
+	"net/netip"
+	"time"
+
+	"thymebend/internal/membership"
+)
+
+// Protocol is what a node runs: a membership.Membership, or the baseline that it is compared with.
+type Protocol interface {
+	Advance(now time.Duration)
+	Receive(now time.Duration, from netip.AddrPort, data []byte)
+	Take() []membership.Datagram
+	NextWake() time.Duration
+	Members() []membership.Member
+	Find(name string) (membership.Member, bool)
+	Others() iter.Seq[*membership.Member]
+	Status(now time.Duration) membership.Status
+	Counts() membership.Counts
+	Leave(now time.Duration)
+}
--- a/internal/lab/scale/changes.go
+++ b/internal/lab/scale/changes.go
@@ -99,7 +99,7 @@
 func (r *run) lookAtChange(c *change) {
 	lived, have := 0, 0
 	for n, g := range r.rollouts.Gateways {
-		if !r.sim.Runs(n) || r.knowledge.born[n] > c.submitted {
+		if !r.sim.Running(n) || r.knowledge.born[n] > c.submitted {
 			continue
 		}
 		lived++
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -85,7 +85,7 @@
 
 // start starts a gateway's process; replaced says that another machine does, which has kept nothing.
 func (f *fleet) start(n int, replaced bool) {
-	if f.sim.Nodes[n].View != nil {
+	if f.sim.Nodes[n].Membership != nil {
 		return
 	}
 	f.sim.Start(n)
@@ -104,7 +104,7 @@
 
 // crash ends a gateway's process without a word.
 func (f *fleet) crash(n int) {
-	if f.sim.Nodes[n].View == nil {
+	if f.sim.Nodes[n].Membership == nil {
 		return
 	}
 	f.sim.Kill(n)
@@ -116,7 +116,7 @@
 
 // leave ends it as SIGTERM does.
 func (f *fleet) leave(n int) {
-	if !f.sim.Runs(n) {
+	if !f.sim.Running(n) {
 		return
 	}
 	f.sim.Leave(n)
@@ -127,7 +127,7 @@
 
 func (f *fleet) stall(n int, length time.Duration) {
 	f.sim.Stop(n, length)
-	if f.rollouts != nil && f.sim.Nodes[n].View != nil {
+	if f.rollouts != nil && f.sim.Nodes[n].Membership != nil {
 		f.rollouts.StallGateway(n, length)
 	}
 }
--- a/internal/lab/scale/full.go
+++ b/internal/lab/scale/full.go
@@ -107,11 +107,11 @@
 
 // look follows the view as a gateway does with its samples: what moved in it may divide the hosts anew.
 func (g *fullGateway) look(sim *membershipsim.Sim) {
-	if !sim.Runs(g.number) {
+	if !sim.Running(g.number) {
 		return
 	}
 	began := cputime.Thread()
-	view := sim.Nodes[g.number].View
+	view := sim.Nodes[g.number].Membership
 	now := sim.Now()
 	status := view.Status(now + membershipsim.Epoch)
 	due, timed := g.keeper.Due()
--- a/internal/lab/scale/knowledge.go
+++ b/internal/lab/scale/knowledge.go
@@ -98,21 +98,21 @@
 // lookAt reports whether a watch is over: all know, or the subject has gone on to something else.
 func (k *knowledge) lookAt(w *watch) bool {
 	subject := k.sim.Nodes[w.subject]
-	if subject.Starts != w.life || w.joined != (subject.View != nil) {
+	if subject.Starts != w.life || w.joined != (subject.Membership != nil) {
 		return true
 	}
 	started := uint64(0)
 	if w.joined {
-		self, _ := subject.View.Find(subject.Name)
+		self, _ := subject.Membership.Find(subject.Name)
 		started = self.Start
 	}
 	can, know := 0, 0
 	for n, node := range k.sim.Nodes {
-		if n == w.subject || !k.sim.Runs(n) || k.born[n] > w.began {
+		if n == w.subject || !k.sim.Running(n) || k.born[n] > w.began {
 			continue
 		}
 		can++
-		if m, known := node.View.Find(subject.Name); w.knows(m, known, started) {
+		if m, known := node.Membership.Find(subject.Name); w.knows(m, known, started) {
 			know++
 		}
 	}
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -92,12 +92,12 @@
 	r.sim.Run(r.sim.Now() + length)
 	last := r.sim.Now()
 	r.told(Progress{Phase: "joining", Of: joinWithin})
-	if _, ok := r.sim.Until(joinWithin); ok {
+	if _, ok := r.sim.RunUntilConverged(joinWithin); ok {
 		r.result.Start.Settled = seconds(r.sim.Now() - last)
 	}
 	var sent, used []float64
 	for n := range o.Gateways {
-		sent, used = append(sent, float64(r.sim.Sent(n))), append(used, r.sim.Spent(n).Seconds())
+		sent, used = append(sent, float64(r.sim.Sent(n))), append(used, r.sim.CPUTime(n).Seconds())
 	}
 	r.result.Start.Sent, r.result.Start.Processor = amount(sent), amount(used)
 }
@@ -141,7 +141,7 @@
 
 // lookForHealing notes when all views are true after regions were parted. Restarts and failures meanwhile put it off.
 func (r *run) lookForHealing() {
-	if r.mendedAt == 0 || r.parted || r.sim.Wrong() != "" {
+	if r.mendedAt == 0 || r.parted || r.sim.Divergence() != "" {
 		return
 	}
 	r.result.Healed = append(r.result.Healed, seconds(r.sim.Now()-r.mendedAt))
@@ -165,7 +165,7 @@
 		if r.sentAt != nil {
 			rates = append(rates, float64(sent[n]-r.sentAt[n])/secondEvery.Seconds())
 		}
-		if r.sim.Runs(n) {
+		if r.sim.Running(n) {
 			s.Alive++
 		}
 	}
@@ -183,14 +183,14 @@
 	r.result.Observers = len(observers)
 	now := make(map[[2]int]bool)
 	for _, n := range observers {
-		if !r.sim.Runs(n) {
+		if !r.sim.Running(n) {
 			continue
 		}
 		for subject, node := range r.sim.Nodes {
-			if node.View == nil || r.sim.Now()-r.knowledge.born[subject] < removalGrace || r.sim.Net.Cut(n, subject) {
+			if node.Membership == nil || r.sim.Now()-r.knowledge.born[subject] < removalGrace || r.sim.Net.Cut(n, subject) {
 				continue
 			}
-			if m, known := r.sim.Nodes[n].View.Find(node.Name); known && m.State == gossipcodec.Gone {
+			if m, known := r.sim.Nodes[n].Membership.Find(node.Name); known && m.State == gossipcodec.Gone {
 				pair := [2]int{n, subject}
 				if now[pair] = true; !r.removed[pair] {
 					r.result.Removals++
@@ -206,7 +206,7 @@
 	r.parted = false
 	r.setLoss(0)
 	r.told(Progress{Phase: "recovering", Of: recoverWithin})
-	took, ok := r.sim.Until(recoverWithin)
+	took, ok := r.sim.RunUntilConverged(recoverWithin)
 	switch {
 	case r.sim.Interrupted():
 	case ok:
@@ -218,8 +218,8 @@
 
 func (r *run) doubts() (sum int) {
 	for _, node := range r.sim.Nodes {
-		if node.View != nil {
-			sum += int(node.View.Counts().FalseAlarms)
+		if node.Membership != nil {
+			sum += int(node.Membership.Counts().FalseAlarms)
 		}
 	}
 	return sum
@@ -240,7 +240,7 @@
 
 func (r *run) meter() (m reading) {
 	for n := range r.options.Gateways {
-		used := r.sim.Spent(n)
+		used := r.sim.CPUTime(n)
 		var sent, taken uint64
 		if r.rollouts != nil {
 			g := r.rollouts.Gateways[n]
