--- a/internal/configdist/agent_test.go
+++ b/internal/configdist/agent_test.go
@@ -200,7 +200,7 @@
 		t.Fatal(err)
 	}
 	for range 30 {
-		now += raft.TickEvery
+		now += raft.TickInterval
 		c.Advance(now)
 		run(t, c)
 	}
@@ -302,7 +302,7 @@
 	}
 	check()
 	for now < silent+silentAfter+time.Second {
-		now += raft.TickEvery
+		now += raft.TickInterval
 		c.Advance(now)
 		run(t, c)
 	}
--- a/internal/configdist/conductor.go
+++ b/internal/configdist/conductor.go
@@ -83,7 +83,7 @@
 // conduct moves the rollout on, where this control machine leads.
 func (c *Controller) conduct() {
 	d := &c.conductor
-	if c.log.IsLeader(c.now) != nil || c.now < c.quietUntil {
+	if c.log.CheckLeader(c.now) != nil || c.now < c.quietUntil {
 		d.key, d.leads = stageKey{idle: true}, false
 		return
 	}
--- a/internal/configdist/controller.go
+++ b/internal/configdist/controller.go
@@ -102,12 +102,12 @@
 	cfg.MostSubscribers = cmp.Or(cfg.MostSubscribers, mostSubscribers)
 	cfg.PageBytes = cmp.Or(cfg.PageBytes, pageSize)
 	m := &machine{store: NewStore(), waiting: make(map[uint64]bool)}
-	log, err := raft.NewReplica(raft.Config{ID: cfg.ID, Voters: cfg.Voters, Learners: cfg.Standbys, Restored: cfg.Kept, Seed: cfg.Seed, MostSnapshot: mostSnapshot,
-		SnapshotEach: cfg.SnapshotEach}, m, now)
+	log, err := raft.NewReplica(raft.Config{ID: cfg.ID, Voters: cfg.Voters, Learners: cfg.Standbys, Restored: cfg.Kept, Seed: cfg.Seed, MaxSnapshot: mostSnapshot,
+		SnapshotEvery: cfg.SnapshotEach}, m, now)
 	if err != nil {
 		return nil, err
 	}
-	return &Controller{cfg: cfg, log: log, machine: m, now: now, tickAt: now + raft.TickEvery, quietUntil: now + quietAfterStall,
+	return &Controller{cfg: cfg, log: log, machine: m, now: now, tickAt: now + raft.TickInterval, quietUntil: now + quietAfterStall,
 		subscribers: make(map[string]*subscriber), conductor: newConductor(cfg.Policy)}, nil
 }
 
@@ -124,7 +124,7 @@
 // which must not be 0. What can be refused at once is.
 func (c *Controller) Propose(now time.Duration, command Command) error {
 	c.pass(now)
-	if err := c.log.IsLeader(now); err != nil {
+	if err := c.log.CheckLeader(now); err != nil {
 		return err
 	}
 	if len(c.machine.waiting) >= mostResults {
@@ -173,7 +173,7 @@
 	if c.now < c.tickAt {
 		return
 	}
-	c.tickAt = c.now + raft.TickEvery
+	c.tickAt = c.now + raft.TickInterval
 	c.log.Tick(c.now)
 	c.serve()
 	c.report()
@@ -401,7 +401,7 @@
 	changed bool
 }
 
-// Apply implements consensus.Machine. An entry that is no command changes nothing, at each replica alike.
+// Apply implements raft.StateMachine. An entry that is no command changes nothing, at each replica alike.
 func (m *machine) Apply(e raft.Entry) error {
 	command, err := ParseCommand(e.Data)
 	if err != nil {
@@ -416,10 +416,10 @@
 	return nil
 }
 
-// Snapshot implements consensus.Machine.
+// Snapshot implements raft.StateMachine.
 func (m *machine) Snapshot() ([]byte, error) { return m.store.Snapshot(), nil }
 
-// Restore implements consensus.Machine.
+// Restore implements raft.StateMachine.
 func (m *machine) Restore(data []byte) error {
 	store, err := RestoreStore(data)
 	if err == nil {
@@ -428,14 +428,14 @@
 	return err
 }
 
-// Validate implements consensus.Machine.
+// Validate implements raft.StateMachine.
 func (m *machine) Validate(data []byte) error {
 	_, err := RestoreStore(data)
 	return err
 }
 
-// Lead implements consensus.Machine.
-func (m *machine) Lead(_ time.Duration, leads bool) {
+// LeadershipChanged implements raft.StateMachine.
+func (m *machine) LeadershipChanged(_ time.Duration, leads bool) {
 	if !leads {
 		clear(m.waiting)
 	}
--- a/internal/configdist/rapid_test.go
+++ b/internal/configdist/rapid_test.go
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	for range 25 { // until it leads
-		p.now += raft.TickEvery
+		p.now += raft.TickInterval
 		p.c.Advance(p.now)
 		p.take(t)
 	}
@@ -96,7 +96,7 @@
 // pass lets time pass by ticks, with some of the messages underway.
 func (p *pair) pass(t *rapid.T) {
 	for range rapid.SampledFrom([]int{1, 5, 20}).Draw(t, "ticks") {
-		p.now += raft.TickEvery
+		p.now += raft.TickInterval
 		p.c.Advance(p.now)
 		if p.a.Next() <= p.now {
 			p.a.Advance(p.now)
@@ -117,7 +117,7 @@
 // run lets time pass with every message arriving at once.
 func (p *pair) run(t *rapid.T) {
 	for range rapid.IntRange(1, 30).Draw(t, "ticks") {
-		p.now += raft.TickEvery
+		p.now += raft.TickInterval
 		p.c.Advance(p.now)
 		if p.a.Next() <= p.now {
 			p.a.Advance(p.now)
--- a/internal/raft/memory.go
+++ b/internal/raft/memory.go
@@ -7,7 +7,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// MemoryStorage keeps what a voter gives it, in place of a disk: for tests and runs on a virtual clock.
+// MemoryStorage keeps what a voter persists, in place of a disk: for tests and runs with virtual time.
 type MemoryStorage struct {
 	state    raftpb.HardState
 	snapshot raftpb.Snapshot
@@ -15,27 +15,32 @@
 	writes   int
 }
 
-// Save keeps what Take gives it.
-func (d *MemoryStorage) Save(k PersistentState) error {
-	d.writes++
-	if !raft.IsEmptyHardState(k.State) {
-		d.state = k.State
+// Save persists what Ready gives it.
+func (m *MemoryStorage) Save(p PersistentState) error {
+	m.writes++
+	if !raft.IsEmptyHardState(p.State) {
+		m.state = p.State
 	}
-	if !raft.IsEmptySnap(k.Snapshot) {
-		d.snapshot = k.Snapshot
-		d.entries = slices.DeleteFunc(slices.Clone(d.entries), func(e raftpb.Entry) bool { return e.Index <= k.Snapshot.Metadata.Index })
+	if !raft.IsEmptySnap(p.Snapshot) {
+		m.snapshot = p.Snapshot
+		m.drop(func(index uint64) bool { return index <= p.Snapshot.Metadata.Index })
 	}
-	if len(k.Entries) > 0 {
-		d.entries = slices.DeleteFunc(slices.Clone(d.entries), func(e raftpb.Entry) bool { return e.Index >= k.Entries[0].Index })
-		d.entries = append(d.entries, k.Entries...)
+	if len(p.Entries) > 0 {
+		m.drop(func(index uint64) bool { return index >= p.Entries[0].Index })
+		m.entries = append(m.entries, p.Entries...)
 	}
 	return nil
 }
 
-// Load is what the next process starts from, nil where nothing was kept.
-func (d *MemoryStorage) Load() *PersistentState {
-	if d.writes == 0 {
+// drop removes entries by their index. What Load has returned stays.
+func (m *MemoryStorage) drop(dropped func(index uint64) bool) {
+	m.entries = slices.DeleteFunc(slices.Clone(m.entries), func(e raftpb.Entry) bool { return dropped(e.Index) })
+}
+
+// Load is what the next process starts from, nil where nothing was saved.
+func (m *MemoryStorage) Load() *PersistentState {
+	if m.writes == 0 {
 		return nil
 	}
-	return &PersistentState{State: d.state, Snapshot: d.snapshot, Entries: slices.Clone(d.entries)}
+	return &PersistentState{State: m.state, Snapshot: m.snapshot, Entries: slices.Clone(m.entries)}
 }
