--- a/internal/raft/cluster_test.go
+++ b/internal/raft/cluster_test.go
@@ -271,4 +271,3 @@
 		}
 	}
 }
-
