--- a/internal/configdist/agent_test.go
+++ b/internal/configdist/agent_test.go
@@ -87,20 +87,21 @@
 	a := newTestAgent(t, AgentConfig{Seed: 5})
 	var asked []uint64
 	var pauses []time.Duration
-	for last := time.Duration(0); a.Next() < 40*time.Second; {
+	for last := time.Duration(0); a.NextWake() < 40*time.Second; {
 		for _, m := range a.Take().Messages {
 			if len(asked) == 0 || asked[len(asked)-1] != m.To {
 				asked, pauses = append(asked, m.To), append(pauses, a.now-last)
 				last = a.now
 			}
 		}
-		a.Advance(a.Next())
+		a.Advance(a.NextWake())
 	}
-	if len(asked) < 9 || !slices.Equal(asked[:4], asked[4:8]) || len(slices.Compact(slices.Sorted(slices.Values(asked[:4])))) != 4 {
+	if len(asked) < 9 || !slices.Equal(asked[:4], asked[4:8]) ||
+		len(slices.Compact(slices.Sorted(slices.Values(asked[:4])))) != 4 {
 		t.Errorf("asked %v", asked)
 	}
 	for i, p := range pauses {
-		if most := mostTries*answerWithin*11/10 + 3*backoffMost/2; p > most {
+		if most := maxSends*answerTimeout*11/10 + 3*maxBackoff/2; p > most {
 			t.Errorf("pause %d of %v", i, p)
 		}
 	}
@@ -111,7 +112,7 @@
 
 func TestTooManyServicesAreAnError(t *testing.T) {
 	var names []string
-	for i := range mostNamed / 10 {
+	for i := range maxServiceNameBytes / 10 {
 		names = append(names, fmt.Sprintf("service-%05d", i))
 	}
 	if _, err := NewAgent(AgentConfig{Gateway: "g", Controllers: machinesOf(1), Services: names}, 0); err == nil {
@@ -129,7 +130,7 @@
 	five := version(t, 5, one.Tree, service("a", "5"))
 	five.Ref.Term = 3
 	from, _ := a.Controller()
-	a.Hear(0, from, whole(a, five))
+	a.Receive(0, from, whole(a, five))
 	if !take(a, 0, nil) || a.InForce().Ref != five.Ref {
 		t.Fatalf("%v in force", a.InForce().Ref)
 	}
@@ -138,20 +139,21 @@
 	oldTerm := version(t, 6, five.Tree, service("a", "6"))
 	stranger := whole(a, version(t, 7, five.Tree, service("a", "7")))
 	stranger.Session++
-	for name, m := range map[string]codec.Message{"an older one": whole(a, one), "a fork": whole(a, fork), "an older term": whole(a, oldTerm), "another session": stranger,
+	for name, m := range map[string]codec.Message{"an older one": whole(a, one), "a fork": whole(a, fork),
+		"an older term": whole(a, oldTerm), "another session": stranger,
 		"an offer of an older one": &codec.Offer{Session: a.session, Target: one.Ref}} {
-		if a.Hear(0, from, m); take(a, 0, nil) || a.InForce().Ref != five.Ref {
+		if a.Receive(0, from, m); take(a, 0, nil) || a.InForce().Ref != five.Ref {
 			t.Errorf("%s: %v in force", name, a.InForce().Ref)
 		}
 	}
-	a.Hear(0, from+1, whole(a, version(t, 7, five.Tree, service("a", "7"))))
+	a.Receive(0, from+1, whole(a, version(t, 7, five.Tree, service("a", "7"))))
 	if c := a.Counts(); take(a, 0, nil) || c.Fenced != 3 || c.Forked != 1 || c.Stale != 2 {
 		t.Errorf("%+v", c)
 	}
 	kept := a.InForce()
-	next := newTestAgent(t, AgentConfig{Kept: &kept, Session: 1 << 20})
+	next := newTestAgent(t, AgentConfig{LastGood: &kept, Session: 1 << 20})
 	from, _ = next.Controller()
-	if next.Hear(0, from, whole(next, one)); take(next, 0, nil) || next.InForce().Ref != five.Ref {
+	if next.Receive(0, from, whole(next, one)); take(next, 0, nil) || next.InForce().Ref != five.Ref {
 		t.Errorf("after a restart: %v in force", next.InForce().Ref)
 	}
 }
@@ -160,20 +162,21 @@
 	a := newTestAgent(t, AgentConfig{})
 	from, _ := a.Controller()
 	one := version(t, 1, content.Empty(), service("a", "1"))
-	a.Hear(0, from, whole(a, one))
+	a.Receive(0, from, whole(a, one))
 	take(a, 0, nil)
 	page := whole(a, version(t, 2, one.Tree, service("a", "2")))
 	page.Attempt = 1
-	a.Hear(0, from, page)
+	a.Receive(0, from, page)
 	take(a, 0, errors.New("line 3: no such pool"))
-	if s := a.state(); s.InForce != one.Ref || s.Verdict != codec.Refused || s.Version != 2 || s.Reason != "line 3: no such pool" {
+	if s := a.state(); s.InForce != one.Ref || s.Verdict != codec.Rejected || s.Version != 2 ||
+		s.Reason != "line 3: no such pool" {
 		t.Errorf("%+v", s)
 	}
-	if a.Hear(0, from, page); take(a, 0, nil) {
+	if a.Receive(0, from, page); take(a, 0, nil) {
 		t.Error("tried again in the same attempt")
 	}
 	page.Attempt = 2
-	if a.Hear(0, from, page); !take(a, 0, nil) || a.state().Verdict != codec.Fine || a.InForce().Ref != page.Target {
+	if a.Receive(0, from, page); !take(a, 0, nil) || a.state().Verdict != codec.Fine || a.InForce().Ref != page.Target {
 		t.Errorf("%+v", a.state())
 	}
 }
@@ -183,7 +186,7 @@
 	from, _ := a.Controller()
 	page := whole(a, version(t, 1, content.Empty(), service("a", "1")))
 	page.Scope[0]++
-	if a.Hear(0, from, page); take(a, 0, nil) || a.Counts().Mismatched != 1 {
+	if a.Receive(0, from, page); take(a, 0, nil) || a.Counts().Mismatched != 1 {
 		t.Errorf("%+v", a.Counts())
 	}
 	if to, _ := a.Controller(); to == from {
@@ -232,34 +235,35 @@
 func TestAControlMachineThatStoodStillOffersNoStagedVersion(t *testing.T) {
 	c, now := lone(t, ControllerConfig{})
 	propose(t, c, now, Command{Kind: Propose, ID: 1, Changes: []content.Change{service("a", "1")}})
-	_ = c.propose(*stage(1, OneGateway))
+	_ = c.propose(*stage(1, StageCanary))
 	run(t, c)
 	s := &subscriber{gateway: "g"}
-	if v, _ := c.target(s); v.Ref.Number != 1 {
+	if v, _ := c.targetOf(s); v.Ref.Number != 1 {
 		t.Fatalf("before: version %d", v.Ref.Number)
 	}
 	now += 10 * time.Second
-	c.pass(now)
-	if v, _ := c.target(s); v.Ref.Number != 0 {
+	c.advanceClock(now)
+	if v, _ := c.targetOf(s); v.Ref.Number != 0 {
 		t.Errorf("after: version %d", v.Ref.Number)
 	}
-	c.pass(now + quietAfterStall)
-	if v, _ := c.target(s); v.Ref.Number != 1 {
+	c.advanceClock(now + quietAfterStall)
+	if v, _ := c.targetOf(s); v.Ref.Number != 1 {
 		t.Errorf("some time later: version %d", v.Ref.Number)
 	}
 }
 
 func TestAFullControlMachineIsBusyAndAnUnknownSessionIsTold(t *testing.T) {
-	c, now := lone(t, ControllerConfig{MostSubscribers: 1})
+	c, now := lone(t, ControllerConfig{MaxSubscribers: 1})
 	for name, m := range map[string]struct {
 		m    codec.Message
 		want codec.Message
 	}{
-		"the first":           {&codec.Subscribe{Gateway: "g", Session: 4}, &codec.Offer{Session: 4, Target: c.Store().Released().Ref}},
-		"an unknown one":      {&codec.Report{Gateway: "h", Session: 3}, &codec.Unknown{Session: 3}},
-		"a page for a nobody": {&codec.Fetch{Gateway: "h", Session: 3}, &codec.Unknown{Session: 3}},
+		"the first": {&codec.Subscribe{Gateway: "g", Session: 4},
+			&codec.Offer{Session: 4, Target: c.Store().Released().Ref}},
+		"an unknown one":      {&codec.Report{Gateway: "h", Session: 3}, &codec.UnknownSession{Session: 3}},
+		"a page for a nobody": {&codec.Fetch{Gateway: "h", Session: 3}, &codec.UnknownSession{Session: 3}},
 	} {
-		if err := c.Hear(now, 9, m.m); err != nil {
+		if err := c.Receive(now, 9, m.m); err != nil {
 			t.Fatal(err)
 		}
 		out := run(t, c).Gateways
@@ -267,11 +271,12 @@
 			t.Errorf("%s: %+v", name, out)
 		}
 	}
-	_ = c.Hear(now, 9, &codec.Subscribe{Gateway: "second", Session: 5})
+	_ = c.Receive(now, 9, &codec.Subscribe{Gateway: "second", Session: 5})
 	if out := run(t, c).Gateways; len(out) != 1 || fmt.Sprint(out[0].Message) != fmt.Sprint(&codec.Busy{Session: 5}) {
 		t.Errorf("the second: %+v", out)
 	}
-	if c.Hear(now, 9, &codec.PeerLog{}) == nil || c.HearPeer(now, 2, &codec.Report{}) == nil || c.HearPeer(now, 2, &codec.PeerLog{Data: []byte("x")}) == nil {
+	if c.Receive(now, 9, &codec.RaftMessage{}) == nil || c.ReceivePeer(now, 2, &codec.Report{}) == nil ||
+		c.ReceivePeer(now, 2, &codec.RaftMessage{Data: []byte("x")}) == nil {
 		t.Error("messages of the wrong side, or that are none, were taken")
 	}
 }
@@ -280,18 +285,19 @@
 func TestLagSaysWhoAndWhy(t *testing.T) {
 	c, now := lone(t, ControllerConfig{})
 	ref := propose(t, c, now, Command{Kind: Propose, ID: 1, Changes: []content.Change{service("a", "1")}}).Ref
-	states := map[string]codec.State{"has-it": {InForce: ref}, "refuses": {Verdict: codec.Refused, Version: 1, Reason: "no pool"},
-		"fails": {InForce: ref, Verdict: codec.Failed, Version: 1, Reason: "503s"}, "waits": {}}
+	states := map[string]codec.State{"has-it": {InForce: ref},
+		"refuses": {Verdict: codec.Rejected, Version: 1, Reason: "no pool"},
+		"fails":   {InForce: ref, Verdict: codec.Failed, Version: 1, Reason: "503s"}, "waits": {}}
 	silent := now
 	for name, s := range states {
-		_ = c.Hear(now, 1, &codec.Subscribe{Gateway: name, Session: 1, State: s})
+		_ = c.Receive(now, 1, &codec.Subscribe{Gateway: name, Session: 1, State: s})
 	}
-	want := map[string]Reason{"refuses": HasRefused, "fails": HasFailed, "waits": NotItsTurn}
+	want := map[string]Reason{"refuses": ReasonRejected, "fails": ReasonFailed, "waits": ReasonNotItsStage}
 	check := func() {
 		t.Helper()
 		got := make(map[string]Reason)
 		for _, l := range c.Lag(now) {
-			got[l.Gateway] = l.Why
+			got[l.Gateway] = l.Reason
 		}
 		if fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Errorf("%v, want %v", got, want)
@@ -301,11 +307,11 @@
 		t.Errorf("a proposal that does not follow: %v", err)
 	}
 	check()
-	for now < silent+silentAfter+time.Second {
+	for now < silent+silenceTimeout+time.Second {
 		now += raft.TickInterval
 		c.Advance(now)
 		run(t, c)
 	}
-	want = map[string]Reason{"refuses": NotHeard, "fails": NotHeard, "waits": NotHeard}
+	want = map[string]Reason{"refuses": ReasonSilent, "fails": ReasonSilent, "waits": ReasonSilent}
 	check()
 }
--- a/internal/configdist/codec/binary.go
+++ b/internal/configdist/codec/binary.go
@@ -10,7 +10,8 @@
 // ErrMalformed is that of a body that ends too early or has a value out of bounds.
 var ErrMalformed = errors.New("wire: malformed body")
 
-// Reader reads the values of a body one after another. After the first that cannot be read all are zero, and Err says so.
+// Reader reads the values of a body one after another. After the first that cannot be read all are zero, and Err says
+// so.
 type Reader struct {
 	rest   []byte
 	failed bool
@@ -110,7 +111,8 @@
 
 // Entry reads an entry.
 func (r *Reader) Entry() content.Entry {
-	return content.Entry{Kind: r.kind(), Service: r.String(content.MaxName), Name: r.String(content.MaxName), Body: r.String(content.MaxBody)}
+	return content.Entry{Kind: r.kind(), Service: r.String(content.MaxName), Name: r.String(content.MaxName),
+		Body: r.String(content.MaxBody)}
 }
 
 // Changes reads a list of changes.
--- a/internal/configdist/codec/messages.go
+++ b/internal/configdist/codec/messages.go
@@ -15,11 +15,11 @@
 	KindFetch
 	KindOffer
 	KindPage
-	KindUnknown
+	KindUnknownSession
 	KindBusy
-	KindPeerLog
-	KindPeerReports
-	lastKind = KindPeerReports
+	KindRaftMessage
+	KindGatewayReports
+	lastKind = KindGatewayReports
 )
 
 // Message is what a frame holds: one of the types below, as a pointer.
@@ -41,14 +41,14 @@
 		return &Offer{}
 	case KindPage:
 		return &Page{}
-	case KindUnknown:
-		return &Unknown{}
+	case KindUnknownSession:
+		return &UnknownSession{}
 	case KindBusy:
 		return &Busy{}
-	case KindPeerLog:
-		return &PeerLog{}
-	case KindPeerReports:
-		return &PeerReports{}
+	case KindRaftMessage:
+		return &RaftMessage{}
+	case KindGatewayReports:
+		return &GatewayReports{}
 	}
 	return nil
 }
@@ -56,11 +56,11 @@
 // Verdict is what a gateway came to with a version.
 type Verdict uint8
 
-// The verdicts. Refused: the version was not taken, and the one in force is the last good one. Failed: it is in force, and the gateway
-// fails with it.
+// The verdicts. Refused: the version was not taken, and the one in force is the last good one. Failed: it is in
+// force, and the gateway fails with it.
 const (
 	Fine Verdict = iota
-	Refused
+	Rejected
 	Failed
 	lastVerdict = Failed
 )
@@ -98,14 +98,16 @@
 	State         State
 }
 
-// Report is a gateway's acknowledgement, sent when something has changed and as a sign of life. It is answered by an Offer, a Page or Unknown.
+// Report is a gateway's acknowledgement, sent when something has changed and as a sign of life. It is answered by an
+// Offer, a Page or Unknown.
 type Report struct {
 	Gateway string
 	Session uint64
 	State   State
 }
 
-// Fetch asks for a page of the changes from one version to another. It is answered by a Page or, where one of the two is not kept, by an Offer.
+// Fetch asks for a page of the changes from one version to another. It is answered by a Page or, where one of the two
+// is not kept, by an Offer.
 type Fetch struct {
 	Gateway string
 	Session uint64
@@ -134,14 +136,14 @@
 	Changes []content.Change
 }
 
-// Unknown tells a gateway that its session is not known: it is to subscribe again.
-type Unknown struct{ Session uint64 }
+// UnknownSession tells a gateway that its session is not known: it is to subscribe again.
+type UnknownSession struct{ Session uint64 }
 
 // Busy tells a gateway that this control machine takes no more of them.
 type Busy struct{ Session uint64 }
 
-// PeerLog is a message of the replicated log.
-type PeerLog struct{ Data []byte }
+// RaftMessage is a message of the replicated log.
+type RaftMessage struct{ Data []byte }
 
 // GatewayReport is what a control machine tells its leader of one of its gateways.
 type GatewayReport struct {
@@ -149,14 +151,14 @@
 	Session       uint64 // the highest one is where the gateway is subscribed
 	State         State
 	Target        uint64 // version that it was offered
-	Touched       bool   // by what is between the released version and the newest one
+	Affected      bool   // by what is between the released version and the newest one
 	Silent        bool   // it has not been heard of lately
 }
 
-// PeerReports are a control machine's reports to its leader: those that have changed, or all.
-type PeerReports struct {
+// GatewayReports are a control machine's reports to its leader: those that have changed, or all.
+type GatewayReports struct {
 	Head     uint64 // newest version that Touched is about
-	Whole    bool   // who is not listed is no longer subscribed there
+	Full     bool   // who is not listed is no longer subscribed there
 	Gateways []GatewayReport
 }
 
@@ -176,16 +178,16 @@
 func (*Page) Kind() Kind { return KindPage }
 
 // Kind implements Message.
-func (*Unknown) Kind() Kind { return KindUnknown }
+func (*UnknownSession) Kind() Kind { return KindUnknownSession }
 
 // Kind implements Message.
 func (*Busy) Kind() Kind { return KindBusy }
 
 // Kind implements Message.
-func (*PeerLog) Kind() Kind { return KindPeerLog }
+func (*RaftMessage) Kind() Kind { return KindRaftMessage }
 
 // Kind implements Message.
-func (*PeerReports) Kind() Kind { return KindPeerReports }
+func (*GatewayReports) Kind() Kind { return KindGatewayReports }
 
 func (m *Subscribe) appendBody(b []byte) []byte {
 	b = AppendUint(AppendString(AppendString(b, m.Gateway), m.Zone), m.Session)
@@ -233,30 +235,31 @@
 	m.After, m.Next, m.Last, m.Changes = r.Cursor(), r.Cursor(), r.Bool(), r.Changes()
 }
 
-func (m *Unknown) appendBody(b []byte) []byte { return AppendUint(b, m.Session) }
-func (m *Unknown) readBody(r *Reader)         { m.Session = r.Uint() }
-func (m *Busy) appendBody(b []byte) []byte    { return AppendUint(b, m.Session) }
-func (m *Busy) readBody(r *Reader)            { m.Session = r.Uint() }
-func (m *PeerLog) appendBody(b []byte) []byte { return append(b, m.Data...) }
-func (m *PeerLog) readBody(r *Reader)         { m.Data, r.rest = append([]byte(nil), r.rest...), nil }
+func (m *UnknownSession) appendBody(b []byte) []byte { return AppendUint(b, m.Session) }
+func (m *UnknownSession) readBody(r *Reader)         { m.Session = r.Uint() }
+func (m *Busy) appendBody(b []byte) []byte           { return AppendUint(b, m.Session) }
+func (m *Busy) readBody(r *Reader)                   { m.Session = r.Uint() }
+func (m *RaftMessage) appendBody(b []byte) []byte    { return append(b, m.Data...) }
+func (m *RaftMessage) readBody(r *Reader)            { m.Data, r.rest = append([]byte(nil), r.rest...), nil }
 
-func (m *PeerReports) appendBody(b []byte) []byte {
-	b = AppendUint(AppendBool(AppendUint(b, m.Head), m.Whole), uint64(len(m.Gateways)))
+func (m *GatewayReports) appendBody(b []byte) []byte {
+	b = AppendUint(AppendBool(AppendUint(b, m.Head), m.Full), uint64(len(m.Gateways)))
 	for i := range m.Gateways {
 		g := &m.Gateways[i]
 		b = appendState(AppendUint(AppendString(AppendString(b, g.Gateway), g.Zone), g.Session), &g.State)
-		b = AppendBool(AppendBool(AppendUint(b, g.Target), g.Touched), g.Silent)
+		b = AppendBool(AppendBool(AppendUint(b, g.Target), g.Affected), g.Silent)
 	}
 	return b
 }
 
-func (m *PeerReports) readBody(r *Reader) {
-	m.Head, m.Whole = r.Uint(), r.Bool()
+func (m *GatewayReports) readBody(r *Reader) {
+	m.Head, m.Full = r.Uint(), r.Bool()
 	for range r.Count() {
 		if r.failed {
 			return
 		}
-		m.Gateways = append(m.Gateways, GatewayReport{Gateway: r.String(content.MaxName), Zone: r.String(content.MaxName),
-			Session: r.Uint(), State: r.state(), Target: r.Uint(), Touched: r.Bool(), Silent: r.Bool()})
+		m.Gateways = append(m.Gateways, GatewayReport{Gateway: r.String(content.MaxName),
+			Zone:    r.String(content.MaxName),
+			Session: r.Uint(), State: r.state(), Target: r.Uint(), Affected: r.Bool(), Silent: r.Bool()})
 	}
 }
--- a/internal/configdist/codec/wire.go
+++ b/internal/configdist/codec/wire.go
@@ -1,5 +1,6 @@
-// Package codec is the binary frame between gateways and control machines and among these: a header with version, kind, length, fleet, sender's
-// start and number, a body, and a checksum. Bodies grow only at their ends; a reader skips what follows the fields that it knows. It does no I/O.
+// Package codec is the binary frame between gateways and control machines and among these: a header with version,
+// kind, length, fleet, sender's start and number, a body, and a checksum. Bodies grow only at their ends; a reader
+// skips what follows the fields that it knows. It does no I/O.
 package codec
 
 import (
@@ -25,25 +26,25 @@
 
 // Errors of a frame.
 var (
-	ErrTorn     = errors.New("wire: the frame ends too early")
-	ErrTooLong  = errors.New("wire: the frame is too long")
-	ErrVersion  = errors.New("wire: unknown version")
-	ErrKind     = errors.New("wire: unknown kind")
-	ErrFleet    = errors.New("wire: a frame of another fleet")
-	ErrChecksum = errors.New("wire: the checksum is wrong")
-	ErrRepeated = errors.New("wire: the frame has come before, or is too old to know")
+	ErrTruncated = errors.New("wire: the frame ends too early")
+	ErrTooLong   = errors.New("wire: the frame is too long")
+	ErrVersion   = errors.New("wire: unknown version")
+	ErrKind      = errors.New("wire: unknown kind")
+	ErrCluster   = errors.New("wire: a frame of another fleet")
+	ErrChecksum  = errors.New("wire: the checksum is wrong")
+	ErrRepeated  = errors.New("wire: the frame has come before, or is too old to know")
 )
 
-// FleetID is the number by which frames name a fleet.
-func FleetID(name string) uint64 { return xxh3.HashString(name) }
+// ClusterID is the number by which frames name a fleet.
+func ClusterID(name string) uint64 { return xxh3.HashString(name) }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Sender numbers and words the frames of one process to one receiver.
 type Sender struct {
-	Fleet uint64
-	Start uint64 // of the process: a later one has a higher number
-	last  uint64
+	Cluster     uint64
+	Incarnation uint64 // of the process: a later one has a higher number
+	last        uint64
 }
 
 // Append words one message as the next frame.
@@ -51,8 +52,8 @@
 	s.last++
 	begin := len(b)
 	b = append(b, Version, byte(m.Kind()), 0, 0, 0, 0)
-	b = binary.BigEndian.AppendUint64(b, s.Fleet)
-	b = binary.BigEndian.AppendUint64(b, s.Start)
+	b = binary.BigEndian.AppendUint64(b, s.Cluster)
+	b = binary.BigEndian.AppendUint64(b, s.Incarnation)
 	b = binary.BigEndian.AppendUint64(b, s.last)
 	b = m.appendBody(b)
 	binary.BigEndian.PutUint32(b[begin+2:], uint32(len(b)-begin-headerSize))
@@ -61,16 +62,17 @@
 
 // Receiver takes the frames of one sender's processes. Each frame is taken once.
 type Receiver struct {
-	Fleet uint64
-	start uint64
-	high  uint64 // highest number of that start
-	seen  uint64 // bit i: high-i has come
+	Cluster     uint64
+	incarnation uint64
+	high        uint64 // highest number of that start
+	seen        uint64 // bit i: high-i has come
 }
 
-// Receive reads the first frame of b. used is its length, also with most errors; ErrTorn says that more bytes are needed.
+// Receive reads the first frame of b. used is its length, also with most errors; ErrTorn says that more bytes are
+// needed.
 func (r *Receiver) Receive(b []byte) (m Message, used int, err error) {
 	if len(b) < headerSize {
-		return nil, 0, fmt.Errorf("%w: %d bytes", ErrTorn, len(b))
+		return nil, 0, fmt.Errorf("%w: %d bytes", ErrTruncated, len(b))
 	}
 	kind, size := Kind(b[1]), int(binary.BigEndian.Uint32(b[2:]))
 	switch {
@@ -81,15 +83,15 @@
 	case size > maxBody(kind):
 		return nil, len(b), fmt.Errorf("%w: a body of %d bytes, %d at most", ErrTooLong, size, maxBody(kind))
 	case len(b) < size+Overhead:
-		return nil, 0, fmt.Errorf("%w: %d of %d bytes", ErrTorn, len(b), size+Overhead)
+		return nil, 0, fmt.Errorf("%w: %d of %d bytes", ErrTruncated, len(b), size+Overhead)
 	}
 	used = size + Overhead
 	end := headerSize + size
 	if crc32.Checksum(b[:end], castagnoli) != binary.BigEndian.Uint32(b[end:]) {
 		return nil, used, ErrChecksum
 	}
-	if fleet := binary.BigEndian.Uint64(b[6:]); fleet != r.Fleet {
-		return nil, used, fmt.Errorf("%w: %016x", ErrFleet, fleet)
+	if fleet := binary.BigEndian.Uint64(b[6:]); fleet != r.Cluster {
+		return nil, used, fmt.Errorf("%w: %016x", ErrCluster, fleet)
 	}
 	body := NewReader(b[headerSize:end])
 	m = newMessage(kind)
@@ -97,14 +99,14 @@
 		return nil, used, fmt.Errorf("%w: kind %d", ErrMalformed, kind)
 	}
 	start, number := binary.BigEndian.Uint64(b[14:]), binary.BigEndian.Uint64(b[22:])
-	if !r.first(start, number) {
+	if !r.isNew(start, number) {
 		return nil, used, fmt.Errorf("%w: number %d of start %d", ErrRepeated, number, start)
 	}
 	return m, used, nil
 }
 
 func maxBody(k Kind) int {
-	if k >= KindPeerLog {
+	if k >= KindRaftMessage {
 		return MaxPeerBody
 	}
 	return MaxBody
@@ -113,13 +115,13 @@
 // windowSize is how far behind the highest number a frame may come and still be known for new.
 const windowSize = 64
 
-// first notes a number, and reports whether it is new.
-func (r *Receiver) first(start, number uint64) bool {
+// isNew notes a number, and reports whether it is new.
+func (r *Receiver) isNew(start, number uint64) bool {
 	switch {
-	case start < r.start:
+	case start < r.incarnation:
 		return false
-	case start > r.start:
-		r.start, r.high, r.seen = start, number, 1
+	case start > r.incarnation:
+		r.incarnation, r.high, r.seen = start, number, 1
 		return true
 	case number > r.high:
 		r.seen = r.seen<<min(number-r.high, windowSize) | 1
--- a/internal/configdist/command.go
+++ b/internal/configdist/command.go
@@ -10,26 +10,26 @@
 
 // Errors of a command. Those of a proposal's changes are content.ChangeError.
 var (
-	ErrDoesNotFollow = errors.New("rollout: the version that the proposal follows is not the newest one")
-	ErrNoChange      = errors.New("rollout: nothing would change")
-	ErrStopped       = errors.New("rollout: a rollout was stopped; resume it or go back first")
-	ErrNotStopped    = errors.New("rollout: the rollout was not stopped")
-	ErrNoVersion     = errors.New("rollout: no such version is kept")
-	ErrStage         = errors.New("rollout: the rollout is not at a stage from which that follows")
-	ErrCommand       = errors.New("rollout: unknown command")
+	ErrDoesNotFollow = errors.New("configdist: the version that the proposal follows is not the newest one")
+	ErrNoChange      = errors.New("configdist: nothing would change")
+	ErrStopped       = errors.New("configdist: a rollout was stopped; resume it or go back first")
+	ErrNotStopped    = errors.New("configdist: the rollout was not stopped")
+	ErrNoVersion     = errors.New("configdist: no such version is kept")
+	ErrStage         = errors.New("configdist: the rollout is not at a stage from which that follows")
+	ErrCommand       = errors.New("configdist: unknown command")
 )
 
 // FieldError is the refusal of a command for one of its fields.
 type FieldError struct {
-	Field string
-	Value uint64
-	Want  uint64
-	Err   error
+	Field    string
+	Value    uint64
+	Expected uint64
+	Err      error
 }
 
 // Error implements error.
 func (e *FieldError) Error() string {
-	return fmt.Sprintf("%v: %s is %d, not %d", e.Err, e.Field, e.Value, e.Want)
+	return fmt.Sprintf("%v: %s is %d, not %d", e.Err, e.Field, e.Value, e.Expected)
 }
 
 // Unwrap returns the kind of refusal.
@@ -52,17 +52,17 @@
 
 // The stages. Of a Waiting one no gateway has been told; a Stopped one is offered to nobody any more.
 const (
-	Waiting Stage = iota
-	OneGateway
-	OneZone
-	AllGateways
-	Stopped
-	released // as the target of MoveStage: the rollout is over
+	StageWaiting Stage = iota
+	StageCanary
+	StageZone
+	StageAll
+	StageStopped
+	stageReleased // as the target of MoveStage: the rollout is over
 )
 
 // String words a stage.
 func (s Stage) String() string {
-	return [...]string{"waiting", "one gateway", "one zone", "all", "stopped", "released"}[min(s, released)]
+	return [...]string{"waiting", "one gateway", "one zone", "all", "stopped", "released"}[min(s, stageReleased)]
 }
 
 // Command is one entry of the log.
@@ -90,7 +90,8 @@
 func ParseCommand(data []byte) (Command, error) {
 	r := codec.NewReader(data)
 	c := Command{Kind: CommandKind(r.Uint()), ID: r.Uint(), Base: r.Uint(), Version: r.Uint(), Stage: Stage(r.Uint()),
-		Canary: r.String(content.MaxName), Zone: r.String(content.MaxName), Reason: r.String(codec.MaxReason), Changes: r.Changes()}
+		Canary: r.String(content.MaxName), Zone: r.String(content.MaxName), Reason: r.String(codec.MaxReason),
+		Changes: r.Changes()}
 	return c, r.Err()
 }
 
--- a/internal/configdist/content/content.go
+++ b/internal/configdist/content/content.go
@@ -1,5 +1,6 @@
-// Package content is what a configuration holds: services with their settings, routes and tenants, as immutable trees with a
-// content hash that share what is equal. It validates changes, and finds what differs between two trees. It does no I/O.
+// Package content is what a configuration holds: services with their settings, routes and tenants, as immutable trees
+// with a content hash that share what is equal. It validates changes, and finds what differs between two trees. It
+// does no I/O.
 package content
 
 import (
@@ -169,7 +170,8 @@
 // Hash is that of all the tree's services.
 func (t *Tree) Hash() Hash { return t.hash }
 
-// ScopeHash is what the hash of a tree would be that has only these of its services. The names are sorted and each there once.
+// ScopeHash is what the hash of a tree would be that has only these of its services. The names are sorted and each
+// there once.
 func (t *Tree) ScopeHash(services []string) Hash {
 	sum := sha256.New()
 	for _, name := range services {
@@ -224,10 +226,11 @@
 	return bytes
 }
 
-// Touched lists the services that differ between two trees, by name.
-func Touched(a, b *Tree) (services []string) {
+// Affected lists the services that differ between two trees, by name.
+func Affected(a, b *Tree) (services []string) {
 	for _, name := range b.names {
-		if other := a.sections[name]; other != b.sections[name] && (other == nil || other.hash != b.sections[name].hash) {
+		if other := a.sections[name]; other != b.sections[name] &&
+			(other == nil || other.hash != b.sections[name].hash) {
 			services = append(services, name)
 		}
 	}
--- a/internal/configdist/content/content_test.go
+++ b/internal/configdist/content/content_test.go
@@ -25,7 +25,8 @@
 }
 
 func sample(t *testing.T) *Tree {
-	return mustApply(t, Empty(), put(Service, "a", "a", "x"), put(Route, "a", "r1", "1"), put(Tenant, "a", "t1", "1"), put(Service, "b", "b", "y"))
+	return mustApply(t, Empty(), put(Service, "a", "a", "x"), put(Route, "a", "r1", "1"), put(Tenant, "a", "t1", "1"),
+		put(Service, "b", "b", "y"))
 }
 
 func TestFaultyChangesAreNamedAndChangeNothing(t *testing.T) {
@@ -78,7 +79,8 @@
 	if moved := mustApply(t, a, remove(Tenant, "a", "t1"), put(Route, "a", "t1", "1")); moved.Hash() == a.Hash() {
 		t.Error("a tenant that has become a route has the same hash")
 	}
-	if scope := a.Scope([]string{"b", "nothing"}); scope.Hash() != a.ScopeHash([]string{"b", "nothing"}) || scope.Len() != 1 {
+	if scope := a.Scope([]string{"b", "nothing"}); scope.Hash() != a.ScopeHash([]string{"b", "nothing"}) ||
+		scope.Len() != 1 {
 		t.Errorf("scope of %d entries", scope.Len())
 	}
 }
@@ -89,7 +91,8 @@
 	for i := range 40 {
 		a = mustApply(t, a, put(Tenant, "a", fmt.Sprint("u", i), "old"))
 	}
-	b := mustApply(t, a, remove(Tenant, "a", "u3"), remove(Tenant, "a", "u39"), put(Tenant, "a", "u5", "new"), put(Route, "a", "r0", "1"),
+	b := mustApply(t, a, remove(Tenant, "a", "u3"), remove(Tenant, "a", "u39"), put(Tenant, "a", "u5", "new"),
+		put(Route, "a", "r0", "1"),
 		remove(Service, "b", "b"), put(Service, "c", "c", "1"), put(Route, "c", "r", "1"))
 	all := []string{"a", "b", "c"}
 	for _, base := range []*Tree{Empty(), a, b} {
@@ -112,10 +115,10 @@
 			}
 		}
 	}
-	if got := Touched(a, b); fmt.Sprint(got) != "[a b c]" {
+	if got := Affected(a, b); fmt.Sprint(got) != "[a b c]" {
 		t.Errorf("touched %v", got)
 	}
-	if got := Touched(a, mustApply(t, a, put(Service, "b", "b", "z"))); fmt.Sprint(got) != "[b]" {
+	if got := Affected(a, mustApply(t, a, put(Service, "b", "b", "z"))); fmt.Sprint(got) != "[b]" {
 		t.Errorf("touched %v", got)
 	}
 }
--- a/internal/configdist/content/diff.go
+++ b/internal/configdist/content/diff.go
@@ -2,15 +2,17 @@
 
 import "slices"
 
-// Cursor is a place between two changes of a difference: after that of the entry that it names. The zero Cursor is the begin.
+// Cursor is a place between two changes of a difference: after that of the entry that it names. The zero Cursor is
+// the begin.
 type Cursor struct {
 	Service string
 	Kind    Kind
 	Name    string
 }
 
-// Page returns the changes that make one tree of some services into the other, from a cursor on, until their size passes a limit; at least one, if there is
-// one. last reports that none follow. The services are sorted and each there once.
+// Page returns the changes that make one tree of some services into the other, from a cursor on, until their size
+// passes a limit; at least one, if there is one. last reports that none follow. The services are sorted and each
+// there once.
 func Page(from, to *Tree, services []string, after Cursor, limit int) (changes []Change, next Cursor, last bool) {
 	start, _ := slices.BinarySearch(services, after.Service)
 	bytes := 0
--- a/internal/configdist/rapid_test.go
+++ b/internal/configdist/rapid_test.go
@@ -13,8 +13,8 @@
 	"thymebend/internal/raft"
 )
 
-// pair is a control machine that votes alone and one gateway's agent, with what lies between them in no order, and the gateway's own idea of what
-// is in force.
+// pair is a control machine that votes alone and one gateway's agent, with what lies between them in no order, and
+// the gateway's own idea of what is in force.
 type pair struct {
 	now       time.Duration
 	c         *Controller
@@ -25,7 +25,7 @@
 	toAgent   []codec.Message
 	toMachine []codec.Message
 	install   *Install
-	running   Kept
+	running   LastGood
 	committed map[uint64]*Version
 	nextID    uint64
 }
@@ -41,7 +41,8 @@
 
 func (p *pair) startMachine(t *rapid.T) {
 	var err error
-	if p.c, err = NewController(ControllerConfig{ID: 1, Voters: []uint64{1}, Kept: p.disk.Load(), Seed: 1, PageBytes: 64, SnapshotEach: 10}, p.now); err != nil {
+	if p.c, err = NewController(ControllerConfig{ID: 1, Voters: []uint64{1}, Restored: p.disk.Load(), Seed: 1,
+		PageBytes: 64, SnapshotEvery: 10}, p.now); err != nil {
 		t.Fatal(err)
 	}
 	for range 25 { // until it leads
@@ -54,9 +55,10 @@
 func (p *pair) startAgent(t *rapid.T) {
 	p.life++
 	kept := p.running
-	cfg := AgentConfig{Gateway: "g", Zone: "z", Services: p.services, Controllers: []ControlMachine{{ID: 1}}, Session: p.life << 20, Seed: 1}
+	cfg := AgentConfig{Gateway: "g", Zone: "z", Services: p.services, Controllers: []ControlMachine{{ID: 1}},
+		Session: p.life << 20, Seed: 1}
 	if kept.Tree != nil {
-		cfg.Kept = &kept
+		cfg.LastGood = &kept
 	}
 	var err error
 	if p.a, err = NewAgent(cfg, p.now); err != nil {
@@ -98,7 +100,7 @@
 	for range rapid.SampledFrom([]int{1, 5, 20}).Draw(t, "ticks") {
 		p.now += raft.TickInterval
 		p.c.Advance(p.now)
-		if p.a.Next() <= p.now {
+		if p.a.NextWake() <= p.now {
 			p.a.Advance(p.now)
 		}
 		p.take(t)
@@ -119,7 +121,7 @@
 	for range rapid.IntRange(1, 30).Draw(t, "ticks") {
 		p.now += raft.TickInterval
 		p.c.Advance(p.now)
-		if p.a.Next() <= p.now {
+		if p.a.NextWake() <= p.now {
 			p.a.Advance(p.now)
 		}
 		p.take(t)
@@ -133,14 +135,14 @@
 func (p *pair) exchange(t *rapid.T) {
 	for len(p.toAgent)+len(p.toMachine) > 0 {
 		for _, m := range p.toMachine {
-			if err := p.c.Hear(p.now, 7, m); err != nil {
+			if err := p.c.Receive(p.now, 7, m); err != nil {
 				t.Fatal(err)
 			}
 		}
 		p.toMachine = nil
 		p.take(t)
 		for _, m := range p.toAgent {
-			p.a.Hear(p.now, 1, m)
+			p.a.Receive(p.now, 1, m)
 		}
 		p.toAgent = nil
 		p.take(t)
@@ -154,7 +156,8 @@
 	}
 	at := rapid.IntRange(0, len(*post)-1).Draw(t, "message")
 	m := (*post)[at]
-	fate := rapid.SampledFrom([]string{"arrives", "arrives", "arrives", "arrives and comes again", "is lost"}).Draw(t, "it")
+	fate := rapid.SampledFrom([]string{"arrives", "arrives", "arrives", "arrives and comes again", "is lost"}).Draw(t,
+		"it")
 	if fate != "arrives and comes again" {
 		*post = slices.Delete(*post, at, at+1)
 	}
@@ -166,10 +169,10 @@
 
 func (p *pair) deliver(t *rapid.T) {
 	if m := pick(t, &p.toAgent); m != nil {
-		p.a.Hear(p.now, 1, m)
+		p.a.Receive(p.now, 1, m)
 	}
 	if m := pick(t, &p.toMachine); m != nil {
-		if err := p.c.Hear(p.now, 7, m); err != nil {
+		if err := p.c.Receive(p.now, 7, m); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -185,7 +188,8 @@
 		p.a.Installed(p.now, next.Ref, errors.New("refused"))
 		return
 	}
-	if next.Ref.Number < p.running.Ref.Number || next.Ref.Term < p.running.Ref.Term || next.Ref.Number == p.running.Ref.Number && next.Ref != p.running.Ref {
+	if next.Ref.Number < p.running.Ref.Number || next.Ref.Term < p.running.Ref.Term ||
+		next.Ref.Number == p.running.Ref.Number && next.Ref != p.running.Ref {
 		t.Fatalf("version %v in force after %v", next.Ref, p.running.Ref)
 	}
 	v := p.committed[next.Ref.Number]
@@ -207,7 +211,7 @@
 	p.nextID++
 	head := p.c.Store().Head().Ref.Number
 	kinds := []CommandKind{Propose, Propose, Propose, Propose, Stop, Revert}
-	if p.c.Store().Rollout().Stage == Stopped {
+	if p.c.Store().Rollout().Stage == StageStopped {
 		kinds = []CommandKind{Resume, Revert}
 	}
 	c := Command{ID: p.nextID, Kind: rapid.SampledFrom(kinds).Draw(t, "command"), Base: head}
@@ -216,11 +220,13 @@
 		for range rapid.IntRange(1, 4).Draw(t, "changes") {
 			name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "service")
 			c.Changes = append(c.Changes, service(name, "kept"))
-			e := content.Entry{Kind: content.Kind(rapid.IntRange(1, 3).Draw(t, "kind")), Service: name, Name: name, Body: rapid.StringMatching("[a-z]{0,30}").Draw(t, "body")}
+			e := content.Entry{Kind: content.Kind(rapid.IntRange(1, 3).Draw(t, "kind")), Service: name, Name: name,
+				Body: rapid.StringMatching("[a-z]{0,30}").Draw(t, "body")}
 			if e.Kind != content.Service {
 				e.Name = rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name")
 			}
-			c.Changes = append(c.Changes, content.Change{Remove: rapid.IntRange(0, 3).Draw(t, "removes") == 0, Entry: e})
+			c.Changes = append(c.Changes, content.Change{Remove: rapid.IntRange(0, 3).Draw(t, "removes") == 0,
+				Entry: e})
 		}
 	case Revert:
 		c.Version = rapid.Uint64Range(0, head).Draw(t, "back to")
@@ -261,7 +267,7 @@
 	for range 600 {
 		p.now += 50 * time.Millisecond
 		p.c.Advance(p.now)
-		if p.a.Next() <= p.now {
+		if p.a.NextWake() <= p.now {
 			p.a.Advance(p.now)
 		}
 		p.take(t)
@@ -273,24 +279,26 @@
 		}
 	}
 	store := p.c.Store()
-	if s := store.Rollout(); s.Stage == Stopped {
+	if s := store.Rollout(); s.Stage == StageStopped {
 		return
 	}
 	if store.Released() != store.Head() {
 		t.Fatalf("version %v is released, not %v: %+v", store.Released().Ref, store.Head().Ref, store.Rollout())
 	}
-	refused := p.a.verdict.Verdict == codec.Refused && p.a.verdict.Version == store.Head().Ref.Number
+	refused := p.a.lastVerdict.Verdict == codec.Rejected && p.a.lastVerdict.Version == store.Head().Ref.Number
 	if p.running.Ref != store.Head().Ref && !refused && store.Head().Ref.Number > 0 {
 		t.Fatalf("version %v is in force, not %v", p.running.Ref, store.Head().Ref)
 	}
 }
 
-// Store, control machine and agent with messages that are lost, repeated and overtaken, restarts, stalls, refusals and failures: what is in force is committed,
-// whole and never older than before; and when all is well again it is the newest.
+// Store, control machine and agent with messages that are lost, repeated and overtaken, restarts, stalls, refusals
+// and failures: what is in force is committed, whole and never older than before; and when all is well again it is
+// the newest.
 func TestStoreAndAgent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPair(t)
-		t.Repeat(map[string]func(*rapid.T){"": p.take, "pass": p.pass, "deliver": p.deliver, "run": p.run, "run more": p.run, "answer": p.answer, "propose": p.propose, "propose more": p.propose,
+		t.Repeat(map[string]func(*rapid.T){"": p.take, "pass": p.pass, "deliver": p.deliver, "run": p.run,
+			"run more": p.run, "answer": p.answer, "propose": p.propose, "propose more": p.propose,
 			"stall": p.stall, "restart": p.restart, "serve others": p.serveOthers, "fail": p.fail})
 		p.settle(t)
 		if n := p.a.Counts().Mismatched; n > 0 {
--- /dev/null
+++ b/internal/configdist/report.go
@@ -0,0 +1,120 @@
+package configdist
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"thymebend/internal/configdist/codec"
+	"thymebend/internal/configdist/content"
+)
+
+// impact is which services differ between the released version and the one that is rolled out, or is to be next.
+// Reports say of a gateway whether that affects it.
+type impact struct {
+	from, to uint64 // versions
+	services map[string]bool
+}
+
+// affects reports whether a gateway has one of the services.
+func (i *impact) affects(s *subscriber) bool {
+	if len(s.services) == 0 {
+		return len(i.services) > 0
+	}
+	return slices.ContainsFunc(s.services, func(name string) bool { return i.services[name] })
+}
+
+// updateImpact works out which gateways are affected, where the store has changed.
+func (c *Controller) updateImpact() {
+	store := c.machine.store
+	to := store.Candidate()
+	if to == nil {
+		to = store.Head()
+	}
+	if c.impact.services != nil && c.impact.from == store.released.Ref.Number && c.impact.to == to.Ref.Number {
+		return
+	}
+	c.coordinator.impactReports = reportRepeats
+	c.impact = impact{from: store.released.Ref.Number, to: to.Ref.Number, services: make(map[string]bool)}
+	for _, name := range content.Affected(store.released.Tree, to.Tree) {
+		c.impact.services[name] = true
+	}
+	for _, s := range c.subscribers {
+		if affected := c.impact.affects(s); affected != s.affected {
+			s.affected, s.reportsLeft = affected, reportRepeats
+		}
+	}
+}
+
+// reportToLeader sends the leader what has changed of this control machine's gateways, and everything now and then.
+func (c *Controller) reportToLeader() {
+	status := c.log.Status()
+	if status.IsLeader || status.Leader == 0 {
+		c.reportedTo = 0
+		return
+	}
+	full := c.reportedTo != status.Leader || c.now >= c.nextFullReport
+	m := &codec.GatewayReports{Head: c.impact.to, Full: full}
+	for _, name := range c.names {
+		if s := c.subscribers[name]; full || s.reportsLeft > 0 {
+			s.reportsLeft = max(0, s.reportsLeft-1)
+			m.Gateways = append(m.Gateways, c.reportOf(s))
+		}
+	}
+	if !full && len(m.Gateways) == 0 && c.coordinator.impactReports == 0 {
+		return
+	}
+	c.coordinator.impactReports = max(0, c.coordinator.impactReports-1)
+	if full {
+		c.reportedTo, c.nextFullReport = status.Leader, c.now+fullReportInterval
+	}
+	c.output.Peers = append(c.output.Peers, ToPeer{status.Leader, m})
+}
+
+// reportOf is what the leader is told of a gateway.
+func (c *Controller) reportOf(s *subscriber) codec.GatewayReport {
+	r := codec.GatewayReport{Gateway: s.gateway, Zone: s.zone, Session: s.session, State: s.state,
+		Affected: s.affected, Silent: c.now-s.lastSeen > silenceTimeout}
+	if s.offered != nil {
+		r.Target = s.offered.Ref.Number
+	}
+	return r
+}
+
+// peer is what another control machine has reported.
+type peer struct {
+	head     uint64 // version that its reports' Affected is about
+	lastSeen time.Duration
+	gateways map[string]codec.GatewayReport
+}
+
+// gatewayStatus is a gateway's report with the control machine where it is subscribed.
+type gatewayStatus struct {
+	codec.GatewayReport
+	Controller uint64
+}
+
+// gateways lists what is known of every gateway, by name. Where two control machines report one, the later session
+// counts.
+func (c *Controller) gateways() []gatewayStatus {
+	all := make(map[string]gatewayStatus)
+	add := func(controller uint64, r codec.GatewayReport) {
+		if other, ok := all[r.Gateway]; !ok || r.Session > other.Session {
+			all[r.Gateway] = gatewayStatus{r, controller}
+		}
+	}
+	for _, s := range c.subscribers {
+		add(c.cfg.ID, c.reportOf(s))
+	}
+	for id, p := range c.coordinator.peers {
+		for _, r := range p.gateways {
+			r.Silent = r.Silent || c.now-p.lastSeen > silenceTimeout
+			add(id, r)
+		}
+	}
+	list := make([]gatewayStatus, 0, len(all))
+	for _, name := range slices.Sorted(maps.Keys(all)) {
+		list = append(list, all[name])
+	}
+	return list
+}
--- a/internal/configdist/snapshot.go
+++ b/internal/configdist/snapshot.go
@@ -10,7 +10,8 @@
 // snapshotVersion is that of the form below.
 const snapshotVersion = 1
 
-// Snapshot words the store: the oldest kept version whole, and each other one by what differs from the one before. Equal stores have equal words.
+// Snapshot words the store: the oldest kept version whole, and each other one by what differs from the one before.
+// Equal stores have equal words.
 func (s *Store) Snapshot() []byte {
 	b := codec.AppendUint(nil, snapshotVersion)
 	r := &s.rollout
@@ -20,7 +21,7 @@
 	before := content.Empty()
 	for _, v := range s.versions {
 		b = codec.AppendUint(codec.AppendRef(b, v.Ref), v.Proposal)
-		changes, _, _ := content.Page(before, v.Tree, content.Touched(before, v.Tree), content.Cursor{}, maxInt)
+		changes, _, _ := content.Page(before, v.Tree, content.Affected(before, v.Tree), content.Cursor{}, maxInt)
 		b = codec.AppendChanges(b, changes)
 		before = v.Tree
 	}
@@ -33,36 +34,40 @@
 func RestoreStore(data []byte) (*Store, error) {
 	r := codec.NewReader(data)
 	if version := r.Uint(); version != snapshotVersion {
-		return nil, fmt.Errorf("rollout: snapshot of version %d, %d is known", version, snapshotVersion)
+		return nil, fmt.Errorf("configdist: snapshot of version %d, %d is known", version, snapshotVersion)
 	}
 	released := r.Uint()
-	s := &Store{rollout: Rollout{Version: r.Uint(), Stage: Stage(r.Uint()), Canary: r.String(content.MaxName), Zone: r.String(content.MaxName),
+	s := &Store{rollout: Rollout{Version: r.Uint(), Stage: Stage(r.Uint()), Canary: r.String(content.MaxName),
+		Zone:   r.String(content.MaxName),
 		Reason: r.String(codec.MaxReason), Attempt: r.Uint()}}
 	tree := content.Empty()
 	for range r.Count() {
 		v := &Version{Ref: r.Ref(), Proposal: r.Uint()}
 		changes := r.Changes()
 		if err := r.Err(); err != nil {
-			return nil, fmt.Errorf("rollout: snapshot: %w", err)
+			return nil, fmt.Errorf("configdist: snapshot: %w", err)
 		}
 		var err error
 		if tree, err = tree.Patch(changes); err != nil {
-			return nil, fmt.Errorf("rollout: snapshot: version %d: %w", v.Ref.Number, err)
+			return nil, fmt.Errorf("configdist: snapshot: version %d: %w", v.Ref.Number, err)
 		}
 		if tree.Hash() != v.Ref.Hash {
-			return nil, fmt.Errorf("rollout: snapshot: version %v has content %v", v.Ref, tree.Hash())
+			return nil, fmt.Errorf("configdist: snapshot: version %v has content %v", v.Ref, tree.Hash())
 		}
 		if n := len(s.versions); n > 0 && v.Ref.Number <= s.versions[n-1].Ref.Number {
-			return nil, fmt.Errorf("rollout: snapshot: version %d after %d", v.Ref.Number, s.versions[n-1].Ref.Number)
+			return nil, fmt.Errorf("configdist: snapshot: version %d after %d", v.Ref.Number,
+				s.versions[n-1].Ref.Number)
 		}
 		v.Tree = tree
 		s.versions = append(s.versions, v)
 	}
 	if err := r.Err(); err != nil {
-		return nil, fmt.Errorf("rollout: snapshot: %w", err)
+		return nil, fmt.Errorf("configdist: snapshot: %w", err)
 	}
-	if s.released = s.Version(released); s.released == nil || s.rollout.Version != 0 && s.Candidate() == nil || s.rollout.Stage > Stopped {
-		return nil, fmt.Errorf("rollout: snapshot: released %d, rolled out %d, of %d versions", released, s.rollout.Version, len(s.versions))
+	if s.released = s.Version(released); s.released == nil || s.rollout.Version != 0 && s.Candidate() == nil ||
+		s.rollout.Stage > StageStopped {
+		return nil, fmt.Errorf("configdist: snapshot: released %d, rolled out %d, of %d versions", released,
+			s.rollout.Version, len(s.versions))
 	}
 	return s, nil
 }
--- a/internal/configdist/store.go
+++ b/internal/configdist/store.go
@@ -1,6 +1,3 @@
-// Package configdist brings versions of a configuration from a replicated log to all gateways. Store is the state that the log
-// replicates; Controller is a control machine's part; Agent is a gateway's. All are reducers: events in, effects out, no clock and no I/O.
-// docs/design/configuration.md says why it is so.
 package configdist
 
 import (
@@ -9,8 +6,8 @@
 	"thymebend/internal/configdist/content"
 )
 
-// keepVersions is how many versions are kept, beside those that are released or being rolled out.
-const keepVersions = 64
+// keptVersions is how many versions are kept, beside those that are released or being rolled out.
+const keptVersions = 64
 
 // Version is one version with its content.
 type Version struct {
@@ -29,7 +26,8 @@
 	Attempt uint64 // grows with each rollout and resumption
 }
 
-// Store is the configuration's history and the state of its rollout. The same commands in the same order give the same store.
+// Store is the configuration's history and the state of its rollout. The same commands in the same order give the
+// same store.
 type Store struct {
 	versions []*Version // ascending
 	released *Version   // in force everywhere, or to be
@@ -54,7 +52,8 @@
 
 // Version returns a kept version, or nil.
 func (s *Store) Version(number uint64) *Version {
-	at, found := slices.BinarySearchFunc(s.versions, number, func(v *Version, n uint64) int { return int(int64(v.Ref.Number) - int64(n)) })
+	at, found := slices.BinarySearchFunc(s.versions, number,
+		func(v *Version, n uint64) int { return int(int64(v.Ref.Number) - int64(n)) })
 	if !found {
 		return nil
 	}
@@ -69,8 +68,8 @@
 	return s.Version(s.rollout.Version)
 }
 
-// probe is what a command would come to now.
-func (s *Store) probe(c *Command) Result {
+// dryRun is what a command would come to now.
+func (s *Store) dryRun(c *Command) Result {
 	copied := *s
 	copied.versions = slices.Clone(s.versions)
 	return copied.Apply(c, 0)
@@ -98,12 +97,12 @@
 }
 
 func (s *Store) propose(c *Command, term uint64) (content.Ref, error) {
-	if again := s.proposed(c.ID); again != nil {
+	if again := s.versionOf(c.ID); again != nil {
 		return again.Ref, nil
 	}
 	head := s.Head()
 	switch {
-	case s.rollout.Stage == Stopped:
+	case s.rollout.Stage == StageStopped:
 		return content.Ref{}, &FieldError{"version", s.rollout.Version, s.released.Ref.Number, ErrStopped}
 	case c.Base != head.Ref.Number:
 		return content.Ref{}, &FieldError{"base", c.Base, head.Ref.Number, ErrDoesNotFollow}
@@ -118,8 +117,8 @@
 	return s.add(tree, term, c.ID).Ref, nil
 }
 
-// proposed finds the version that a command has made already.
-func (s *Store) proposed(id uint64) *Version {
+// versionOf finds the version that a command has made already.
+func (s *Store) versionOf(id uint64) *Version {
 	if id == 0 {
 		return nil
 	}
@@ -131,7 +130,8 @@
 }
 
 func (s *Store) add(tree *content.Tree, term, id uint64) *Version {
-	v := &Version{Ref: content.Ref{Term: term, Number: s.Head().Ref.Number + 1, Hash: tree.Hash()}, Tree: tree, Proposal: id}
+	v := &Version{Ref: content.Ref{Term: term, Number: s.Head().Ref.Number + 1, Hash: tree.Hash()}, Tree: tree,
+		Proposal: id}
 	s.versions = append(s.versions, v)
 	s.compact()
 	return v
@@ -139,15 +139,17 @@
 
 // compact forgets the oldest versions beyond those that are kept.
 func (s *Store) compact() {
-	excess := len(s.versions) - keepVersions
+	excess := len(s.versions) - keptVersions
 	if excess <= 0 {
 		return
 	}
-	old := slices.DeleteFunc(slices.Clone(s.versions[:excess]), func(v *Version) bool { return v != s.released && v.Ref.Number != s.rollout.Version })
+	old := slices.DeleteFunc(slices.Clone(s.versions[:excess]),
+		func(v *Version) bool { return v != s.released && v.Ref.Number != s.rollout.Version })
 	s.versions = slices.Concat(old, s.versions[excess:])
 }
 
-// moveStage begins the rollout of a version that is newer than the released one, or moves the one under way on. A stage may be begun again with another gateway or zone.
+// moveStage begins the rollout of a version that is newer than the released one, or moves the one under way on. A
+// stage may be begun again with another gateway or zone.
 func (s *Store) moveStage(c *Command) (content.Ref, error) {
 	if len(c.Canary) > content.MaxName || len(c.Zone) > content.MaxName {
 		return content.Ref{}, ErrCommand
@@ -161,12 +163,12 @@
 		return content.Ref{}, &FieldError{"version", c.Version, max(wanted, s.released.Ref.Number+1), ErrStage}
 	case s.Version(c.Version) == nil:
 		return content.Ref{}, &FieldError{"version", c.Version, s.Head().Ref.Number, ErrNoVersion}
-	case c.Stage < OneGateway || c.Stage > released || c.Stage == Stopped || s.rollout.Stage == Stopped,
-		c.Stage < s.rollout.Stage, c.Stage == released && s.rollout.Stage != AllGateways:
+	case c.Stage < StageCanary || c.Stage > stageReleased || c.Stage == StageStopped || s.rollout.Stage == StageStopped,
+		c.Stage < s.rollout.Stage, c.Stage == stageReleased && s.rollout.Stage != StageAll:
 		return content.Ref{}, &FieldError{"stage", uint64(c.Stage), uint64(s.rollout.Stage) + 1, ErrStage}
 	}
 	v := s.Version(c.Version)
-	if c.Stage == released {
+	if c.Stage == stageReleased {
 		s.released = v
 		s.rollout = Rollout{Attempt: s.rollout.Attempt}
 		s.compact()
@@ -179,8 +181,8 @@
 	return v.Ref, nil
 }
 
-// running is the rollout's version if it is the one that a command is about.
-func (s *Store) running(c *Command) (*Version, error) {
+// rolledOut is the rollout's version if it is the one that a command is about.
+func (s *Store) rolledOut(c *Command) (*Version, error) {
 	if c.Version == 0 || c.Version != s.rollout.Version {
 		return nil, &FieldError{"version", c.Version, s.rollout.Version, ErrStage}
 	}
@@ -188,37 +190,37 @@
 }
 
 func (s *Store) stop(c *Command) (content.Ref, error) {
-	v, err := s.running(c)
+	v, err := s.rolledOut(c)
 	if err != nil {
 		return content.Ref{}, err
 	}
-	if s.rollout.Stage != Stopped {
-		s.rollout.Stage, s.rollout.Reason = Stopped, c.Reason
+	if s.rollout.Stage != StageStopped {
+		s.rollout.Stage, s.rollout.Reason = StageStopped, c.Reason
 	}
 	return v.Ref, nil
 }
 
 // resume begins a stopped rollout again. Gateways that refused its version try it again, for the attempt is another.
 func (s *Store) resume(c *Command) (content.Ref, error) {
-	v, err := s.running(c)
+	v, err := s.rolledOut(c)
 	switch {
 	case err != nil:
 		return content.Ref{}, err
-	case s.rollout.Stage != Stopped:
+	case s.rollout.Stage != StageStopped:
 		return content.Ref{}, &FieldError{"version", c.Version, c.Version, ErrNotStopped}
 	}
 	s.rollout = Rollout{Version: c.Version, Attempt: s.rollout.Attempt + 1}
 	return v.Ref, nil
 }
 
-// revert makes a new version with the content of an older one. Back to the released one from a stopped rollout it goes to all at once: that
-// content is known. Back to another one it is rolled out like any change.
+// revert makes a new version with the content of an older one. Back to the released one from a stopped rollout it
+// goes to all at once: that content is known. Back to another one it is rolled out like any change.
 func (s *Store) revert(c *Command, term uint64) (content.Ref, error) {
-	if again := s.proposed(c.ID); again != nil {
+	if again := s.versionOf(c.ID); again != nil {
 		return again.Ref, nil
 	}
 	old := s.Version(c.Version)
-	stopped := s.rollout.Stage == Stopped
+	stopped := s.rollout.Stage == StageStopped
 	switch {
 	case old == nil:
 		return content.Ref{}, &FieldError{"version", c.Version, s.Head().Ref.Number, ErrNoVersion}
@@ -229,7 +231,7 @@
 	if stopped {
 		s.rollout = Rollout{Attempt: s.rollout.Attempt}
 		if old == s.released {
-			s.rollout = Rollout{Version: v.Ref.Number, Stage: AllGateways, Attempt: s.rollout.Attempt + 1}
+			s.rollout = Rollout{Version: v.Ref.Number, Stage: StageAll, Attempt: s.rollout.Attempt + 1}
 		}
 		s.compact()
 	}
--- /dev/null
+++ b/internal/configdist/tally.go
@@ -0,0 +1,74 @@
+package configdist
+
+import (
+	"fmt"
+
+	"thymebend/internal/configdist/codec"
+)
+
+// stageTally is how the gateways of a stage stand.
+type stageTally struct {
+	live        int            // that are heard of, or failed
+	acked       int            // that have the version in force
+	failed      int            // that rejected it or fail with it
+	firstFailed *gatewayStatus // by name; nil if none has
+	zone        string         // of the canary
+}
+
+// enough reports whether a share of the gateways that are heard of have the version in force.
+func (t *stageTally) enough(share float64) bool { return float64(t.acked) >= share*float64(t.live) }
+
+// tally counts the gateways that a stage is about: those that the change affects.
+func tally(gateways []gatewayStatus, r Rollout) (t stageTally) {
+	for i := range gateways {
+		g := &gateways[i]
+		if g.Gateway == r.Canary {
+			t.zone = g.Zone
+		}
+		if !g.Affected || !r.includes(g) {
+			continue
+		}
+		s := &g.State
+		rejected := s.Verdict == codec.Rejected && s.Version == r.Version && s.Attempt == r.Attempt
+		failed := s.Verdict == codec.Failed && s.Version == r.Version
+		switch {
+		case rejected || failed:
+			if t.failed++; t.firstFailed == nil {
+				t.firstFailed = g
+			}
+		case g.Silent:
+			continue
+		case s.InForce.Number >= r.Version:
+			t.acked++
+		}
+		t.live++
+	}
+	return t
+}
+
+// includes reports whether a gateway belongs to the rollout's stage.
+func (r *Rollout) includes(g *gatewayStatus) bool {
+	switch r.Stage {
+	case StageCanary:
+		return g.Gateway == r.Canary
+	case StageZone:
+		return g.Zone == r.Zone || g.Gateway == r.Canary
+	}
+	return true
+}
+
+// failure is the rule by which a rollout stops: when its canary failed, or more than a share of the gateways that
+// answered.
+func (t *stageTally) failure(stage Stage, share float64) (reason string, stop bool) {
+	if t.failed == 0 {
+		return "", false
+	}
+	answered := t.failed + t.acked
+	if stage != StageCanary && float64(t.failed) <= share*float64(answered) {
+		return "", false
+	}
+	if stage == StageCanary {
+		return fmt.Sprintf(reasonOfOne, t.firstFailed.Gateway, t.firstFailed.State.Reason), true
+	}
+	return fmt.Sprintf(reasonOfFailures, t.failed, answered, t.firstFailed.Gateway, t.firstFailed.State.Reason), true
+}
--- a/internal/lab/configsim/author.go
+++ b/internal/lab/configsim/author.go
@@ -136,7 +136,7 @@
 		}
 		store := leader.Controller.Store()
 		r := store.Rollout()
-		if r.Stage != configdist.Stopped || r.Attempt == handled {
+		if r.Stage != configdist.StageStopped || r.Attempt == handled {
 			return
 		}
 		handled = r.Attempt
@@ -155,7 +155,7 @@
 		return
 	}
 	store := leader.Controller.Store()
-	if now := store.Rollout(); now.Stage != configdist.Stopped || now.Attempt != r.Attempt {
+	if now := store.Rollout(); now.Stage != configdist.StageStopped || now.Attempt != r.Attempt {
 		return
 	}
 	command := configdist.Command{Kind: configdist.Revert, Version: store.Released().Ref.Number}
--- a/internal/lab/configsim/fleet.go
+++ b/internal/lab/configsim/fleet.go
@@ -49,11 +49,11 @@
 	process
 	Name, Zone, Region string
 	Services           []string
-	Agent              *configdist.Agent // nil while no process runs
-	Running            configdist.Kept   // what its process has in force
-	disk               *configdist.Kept  // the last good configuration
-	fence              content.Ref       // the newest that was ever in force under this name
-	born               int               // how often the place was given to a new machine
+	Agent              *configdist.Agent    // nil while no process runs
+	Running            configdist.LastGood  // what its process has in force
+	disk               *configdist.LastGood // the last good configuration
+	fence              content.Ref          // the newest that was ever in force under this name
+	born               int                  // how often the place was given to a new machine
 }
 
 // Fleet is control machines and gateways.
@@ -121,8 +121,8 @@
 		return
 	}
 	c.start()
-	controller, err := configdist.NewController(configdist.ControllerConfig{ID: c.ID, Voters: []uint64{1, 2, 3}, Standbys: []uint64{4}, Kept: c.disk.Load(),
-		Seed: f.rng.Uint64(), Policy: f.cfg.Policy, PageBytes: f.cfg.PageBytes, SnapshotEach: f.cfg.Snapshots}, f.clock.Now())
+	controller, err := configdist.NewController(configdist.ControllerConfig{ID: c.ID, Voters: []uint64{1, 2, 3}, Standbys: []uint64{4}, Restored: c.disk.Load(),
+		Seed: f.rng.Uint64(), Policy: f.cfg.Policy, PageBytes: f.cfg.PageBytes, SnapshotEvery: f.cfg.Snapshots}, f.clock.Now())
 	if err != nil {
 		panic(err) // the configuration is ours
 	}
@@ -189,14 +189,14 @@
 	for _, m := range out.Peers {
 		to := f.Controls[m.To-1]
 		c.post(&to.process, m.Message, func(heard codec.Message) {
-			to.spend(func() { _ = to.Controller.HearPeer(f.clock.Now(), c.ID, heard) }) // one that has just failed says so; Take does too
+			to.spend(func() { _ = to.Controller.ReceivePeer(f.clock.Now(), c.ID, heard) }) // one that has just failed says so; Take does too
 			to.called()
 		})
 	}
 	for _, m := range out.Gateways {
 		to := f.Gateways[m.Link]
 		c.post(&to.process, m.Message, func(heard codec.Message) {
-			to.spend(func() { to.Agent.Hear(f.clock.Now(), c.ID, heard) })
+			to.spend(func() { to.Agent.Receive(f.clock.Now(), c.ID, heard) })
 			to.called()
 		})
 	}
@@ -206,7 +206,7 @@
 			answer(r)
 		}
 	}
-	c.wake(c.Controller.Next(), c.advance)
+	c.wake(c.Controller.NextWake(), c.advance)
 }
 
 // StartGateway starts a gateway's process with its last good configuration.
@@ -221,7 +221,7 @@
 		list = append(list, configdist.ControlMachine{ID: c.ID, Region: c.Region})
 	}
 	agent, err := configdist.NewAgent(configdist.AgentConfig{Gateway: g.Name, Zone: g.Zone, Region: g.Region, Services: g.Services, Controllers: list,
-		Kept: g.disk, Session: uint64(g.life) << 20, Seed: f.rng.Uint64()}, f.clock.Now())
+		LastGood: g.disk, Session: uint64(g.life) << 20, Seed: f.rng.Uint64()}, f.clock.Now())
 	if err != nil {
 		panic(err) // the configuration is ours
 	}
@@ -264,7 +264,7 @@
 		to := f.Controls[m.To-1]
 		link := uint64(g.at.Index)
 		g.post(&to.process, m.Message, func(heard codec.Message) {
-			to.spend(func() { _ = to.Controller.Hear(f.clock.Now(), link, heard) }) // a gateway's messages are none of a control machine's
+			to.spend(func() { _ = to.Controller.Receive(f.clock.Now(), link, heard) }) // a gateway's messages are none of a control machine's
 			to.called()
 		})
 	}
@@ -274,7 +274,7 @@
 	if has := g.Agent.InForce(); has.Ref != g.Running.Ref {
 		f.Find("%s: its agent has %v in force, the gateway %v", g.Name, has.Ref, g.Running.Ref)
 	}
-	g.wake(g.Agent.Next(), g.advance)
+	g.wake(g.Agent.NextWake(), g.advance)
 }
 
 // install validates and installs a configuration after the time that this takes, and tells the agent.
@@ -292,7 +292,7 @@
 			err := refusal(g, next)
 			if err == nil {
 				f.ledger.installed(f, g, next)
-				g.Running = configdist.Kept{Ref: next.Ref, Services: g.Services, Tree: next.Tree}
+				g.Running = configdist.LastGood{Ref: next.Ref, Services: g.Services, Tree: next.Tree}
 			}
 			g.Agent.Installed(f.clock.Now(), next.Ref, err)
 			if err == nil {
--- a/internal/lab/configsim/measure.go
+++ b/internal/lab/configsim/measure.go
@@ -285,7 +285,7 @@
 	for _, c := range m.Fleet.Controls {
 		f.Subscribers = max(f.Subscribers, c.Controller.Subscribers())
 	}
-	if leader := m.Fleet.Leader(); leader != nil && leader.Controller.Store().Rollout().Stage == configdist.Stopped {
+	if leader := m.Fleet.Leader(); leader != nil && leader.Controller.Store().Rollout().Stage == configdist.StageStopped {
 		m.Fleet.Find("the run ends with a stopped rollout: %s", leader.Controller.Store().Rollout().Reason)
 	}
 	f.Findings = m.Fleet.Findings
--- a/internal/lab/configsim/play.go
+++ b/internal/lab/configsim/play.go
@@ -399,7 +399,7 @@
 		bytes += g.Sent + g.Received
 		o.Repeated += g.Repeated
 		counts := g.Agent.Counts()
-		o.Refused += counts.Refused
+		o.Refused += counts.Rejected
 		o.Fenced += counts.Fenced
 		o.Stalls += counts.Stalls
 		if counts.Forked > 0 {
@@ -427,8 +427,8 @@
 func (r *run) checkLag(leader *configdist.Controller) {
 	for _, l := range leader.Lag(r.Now()) {
 		for _, g := range r.Fleet.Gateways {
-			if g.Name == l.Gateway && g.Running.Ref.Number >= l.Newest && l.Why != configdist.HasFailed {
-				r.Fleet.Find("the leader says that %s lags: %s", g.Name, cmp.Or(l.Detail, string(l.Why)))
+			if g.Name == l.Gateway && g.Running.Ref.Number >= l.Newest && l.Reason != configdist.ReasonFailed {
+				r.Fleet.Find("the leader says that %s lags: %s", g.Name, cmp.Or(l.Detail, string(l.Reason)))
 			}
 		}
 	}
--- a/internal/lab/configsim/process.go
+++ b/internal/lab/configsim/process.go
@@ -63,7 +63,7 @@
 func (p *process) post(to *process, m codec.Message, hear func(codec.Message)) {
 	s := p.senders[to.at]
 	if s == nil {
-		s = &codec.Sender{Fleet: codec.FleetID(p.fleet.cfg.Name), Start: uint64(p.life)}
+		s = &codec.Sender{Cluster: codec.ClusterID(p.fleet.cfg.Name), Incarnation: uint64(p.life)}
 		p.senders[to.at] = s
 	}
 	frame := s.Append(nil, m)
@@ -81,7 +81,7 @@
 func (p *process) take(from Endpoint, frame []byte, hear func(codec.Message)) {
 	r := p.receivers[from]
 	if r == nil {
-		r = &codec.Receiver{Fleet: codec.FleetID(p.fleet.cfg.Name)}
+		r = &codec.Receiver{Cluster: codec.ClusterID(p.fleet.cfg.Name)}
 		p.receivers[from] = r
 	}
 	m, _, err := r.Receive(frame)
--- a/internal/lab/configsim/rules.go
+++ b/internal/lab/configsim/rules.go
@@ -142,11 +142,11 @@
 	if r.Zone != "" {
 		v.zones[r.Zone] = true
 	}
-	v.all = v.all || r.Stage == configdist.AllGateways
+	v.all = v.all || r.Stage == configdist.StageAll
 	switch {
-	case r.Stage == configdist.Stopped && v.stoppedAt == 0 && r.Attempt >= l.attempt:
+	case r.Stage == configdist.StageStopped && v.stoppedAt == 0 && r.Attempt >= l.attempt:
 		v.stoppedAt = f.clock.Now()
-	case r.Stage != configdist.Stopped && r.Attempt > l.attempt:
+	case r.Stage != configdist.StageStopped && r.Attempt > l.attempt:
 		v.stoppedAt = 0 // resumed
 	}
 	l.attempt = max(l.attempt, r.Attempt)
