--- a/internal/ci/docs_test.go
+++ b/internal/ci/docs_test.go
@@ -174,12 +174,14 @@
 		{"struct tag in camelCase", "idleShare", false},
 		{"string literal", "cmdQueue.Limit", false},
 		{"wire's field", "drain_grace_ms", false},
+		{"unknown wire's field", "drain_grace_s", true},
 		{"field of settings with a path", "classes[].late_worth", false},
 		{"key of a data file", "warmRate", false},
 		{"standard library", "errors.Is", false},
 		{"standard library with a path", "net/http", false},
 		{"header", "X-Trace-Id", false},
 		{"environment", "LB_FLEET", false},
+		{"unknown environment", "LB_FLOTILLA", true},
 		{"local or unexported word", "queue", false},
 		{"unknown plain word", "quarter", true},
 		{"plain words of a sentence", "quarter of a queue", false},
@@ -274,7 +276,7 @@
 	writeFile(t, root, "internal/gateway/gateway_test.go", "package gateway\n\nconst message = \"only in tests\"\n\nfunc TestGatewayStops() {}\nfunc BenchmarkStep() {}\n")
 	writeFile(t, root, "internal/discovery/endpoint/endpoint.go", "package endpoint\n\n"+
 		"type Endpoint struct {\n\tCapacity float64 `json:\"idleShare\"`\n}\n\ntype Watch struct{}\n\nfunc (w *Watch) Started() {}\n")
-	writeFile(t, root, "experiments/calm.toml", "warmRate = 3\nrate = 4\n")
+	writeFile(t, root, "experiments/calm.toml", "warmRate = 3\nrate = 4\n# LB_FLEET, drain_grace_ms\n")
 	return readTree(t, root)
 }
 
--- a/internal/ci/docstree_test.go
+++ b/internal/ci/docstree_test.go
@@ -392,7 +392,7 @@
 var (
 	reasonField  = regexp.MustCompile(`^"?end"?: ?`)
 	figure       = regexp.MustCompile(`\bN\b|[0-9]+`)
-	plainWord    = regexp.MustCompile(`^[a-z]+$`)
+	plainWord    = regexp.MustCompile(`^[a-z]+$|^[A-Za-z]+(_[A-Za-z0-9]+)+$`)
 	word         = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_]*$`)
 	dotted       = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_/]*(\.[A-Za-z_][A-Za-z0-9_]*)+$`)
 	testFunction = regexp.MustCompile(`^(Test|Benchmark|Fuzz|Example)[A-Z_]`)
