--- a/internal/lab/cli/cli.go
+++ b/internal/lab/cli/cli.go
@@ -75,10 +75,12 @@
 func Main(args []string, out, errOut io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	e := &env{ctx: ctx, out: out, err: errOut, log: zerolog.New(zerolog.ConsoleWriter{Out: errOut, TimeFormat: time.TimeOnly,
-		NoColor: !terminal(errOut)}).With().Timestamp().Logger()}
+	e := &env{ctx: ctx, out: out, err: errOut,
+		log: zerolog.New(zerolog.ConsoleWriter{Out: errOut, TimeFormat: time.TimeOnly,
+			NoColor: !terminal(errOut)}).With().Timestamp().Logger()}
 	exited := -1
-	parser, err := kong.New(&grammar{}, kong.Name("thymelab"), kong.Bind(e), kong.Vars(scaleVars()), kong.Writers(out, errOut),
+	parser, err := kong.New(&grammar{}, kong.Name("thymelab"), kong.Bind(e), kong.Vars(scaleVars()),
+		kong.Writers(out, errOut),
 		kong.Exit(func(code int) { exited = code }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
 		kong.Description("The laboratory of thymebend: emulated hosts and discovery, an open-loop load tool, experiments and reports.\n\n"+
 			"A first try: thymelab run experiments/calm.toml --out /tmp/calm"))
@@ -119,15 +121,19 @@
 		return func(p load.Progress) {
 			if p.At >= next && p.At < length+time.Second {
 				next += 5 * time.Second
-				e.log.Info().Stringer("at", p.At.Round(time.Second)).Int("due", p.Scheduled).Int("ok", p.OK).Int("refused", p.Refused).
+				e.log.Info().Stringer("at", p.At.Round(time.Second)).Int("due", p.Scheduled).Int("ok",
+					p.OK).Int("refused", p.Refused).
 					Int("failed", p.Failed).Int("in_flight", p.Flight).Int("connections", p.Open).Msg("running")
 			}
 		}
 	}
-	bar := progressbar.NewOptions64(length.Milliseconds(), progressbar.OptionSetWriter(e.err), progressbar.OptionSetWidth(24),
-		progressbar.OptionSetPredictTime(false), progressbar.OptionClearOnFinish(), progressbar.OptionSetElapsedTime(false))
+	bar := progressbar.NewOptions64(length.Milliseconds(), progressbar.OptionSetWriter(e.err),
+		progressbar.OptionSetWidth(24),
+		progressbar.OptionSetPredictTime(false), progressbar.OptionClearOnFinish(),
+		progressbar.OptionSetElapsedTime(false))
 	return func(p load.Progress) {
-		bar.Describe(fmt.Sprintf("%3.0f s  due %d  ok %d  refused %d  failed %d  in flight %d", p.At.Seconds(), p.Scheduled, p.OK,
+		bar.Describe(fmt.Sprintf("%3.0f s  due %d  ok %d  refused %d  failed %d  in flight %d", p.At.Seconds(),
+			p.Scheduled, p.OK,
 			p.Refused, p.Failed, p.Flight))
 		_ = bar.Set64(min(p.At.Milliseconds(), length.Milliseconds()))
 	}
--- a/internal/lab/cli/cli_test.go
+++ b/internal/lab/cli/cli_test.go
@@ -27,7 +27,8 @@
 		t.Errorf("%d %s", code, out)
 	}
 	for _, c := range []string{"run", "load", "fleet", "compare", "trace", "drill", "shares", "view", "scale"} {
-		if code, out, _ := call(c, "--help"); code != 0 || !strings.Contains(out, "Example") || !strings.Contains(out, "thymelab "+c) {
+		if code, out, _ := call(c, "--help"); code != 0 || !strings.Contains(out, "Example") ||
+			!strings.Contains(out, "thymelab "+c) {
 			t.Errorf("%s: %d %s", c, code, out)
 		}
 	}
@@ -47,7 +48,8 @@
 		{[]string{"fleet", bad}, bad + ":2:1"},
 		{[]string{"drill", bad, "--out", t.TempDir()}, bad + ":2:1: nmae: unknown field, did you mean name?"},
 		{[]string{"drill", "/no/such.toml", "--out", t.TempDir()}, "no such file"},
-		{[]string{"drill", "../../../experiments/drills/stop.toml", "--out", t.TempDir(), "--gateway", "/no/such"}, "make build builds it"},
+		{[]string{"drill", "../../../experiments/drills/stop.toml", "--out", t.TempDir(), "--gateway",
+			"/no/such"}, "make build builds it"},
 		{[]string{"shares", "--gateways", "5"}, "go together"},
 		{[]string{"load"}, "--target"},
 		{[]string{"load", "--target", "127.0.0.1:1", "--class", "x"}, "NAME=SHARE"},
@@ -71,7 +73,8 @@
 	addr := ln.Addr().String()
 	ln.Close()
 	path := filepath.Join(t.TempDir(), "out.json")
-	code, out, errs := call("load", "--target", addr, "--rate", "50", "--for", "200ms", "--class", "view=1", "--json", path)
+	code, out, errs := call("load", "--target", addr, "--rate", "50", "--for", "200ms", "--class", "view=1",
+		"--json", path)
 	raw, err := os.ReadFile(path)
 	if code != 0 || err != nil || !strings.Contains(out, "connection refused") {
 		t.Fatalf("%d %v %s %s", code, err, out, errs)
@@ -80,7 +83,8 @@
 	if err := json.Unmarshal(raw, &fields); err != nil {
 		t.Fatal(err)
 	}
-	for _, name := range []string{"scheduled", "sent", "answered", "ok", "refused", "failed", "unanswered", "self_late_ms", "latency_ms"} {
+	for _, name := range []string{"scheduled", "sent", "answered", "ok", "refused", "failed", "unanswered",
+		"self_late_ms", "latency_ms"} {
 		if _, ok := fields[name]; !ok {
 			t.Errorf("%s is missing", name)
 		}
--- a/internal/lab/cli/drill.go
+++ b/internal/lab/cli/drill.go
@@ -37,9 +37,11 @@
 		return input(err)
 	}
 	length := f.Length()
-	e.log.Info().Str("drill", f.Name).Stringer("for", length).Int("gateways", f.Gateways.Count).Int("faults", len(f.Faults)).Msg("running")
-	res, err := drill.Run(e.ctx, f, drill.Options{Gateway: c.Gateway, Dir: c.Out, Seed: c.Seed, Progress: e.progress(length),
-		Found: func(f requestrecord.Finding) { e.log.Warn().Str("rule", f.Rule).Str("gateway", f.ID).Msg(f.Detail) }})
+	e.log.Info().Str("drill", f.Name).Stringer("for", length).Int("gateways", f.Gateways.Count).Int("faults",
+		len(f.Faults)).Msg("running")
+	res, err := drill.Run(e.ctx, f, drill.Options{Gateway: c.Gateway, Dir: c.Out, Seed: c.Seed,
+		Progress: e.progress(length),
+		Found:    func(f requestrecord.Finding) { e.log.Warn().Str("rule", f.Rule).Str("gateway", f.ID).Msg(f.Detail) }})
 	if err != nil {
 		return input(err)
 	}
--- a/internal/lab/cli/load.go
+++ b/internal/lab/cli/load.go
@@ -61,8 +61,10 @@
 		return input(err)
 	}
 	tries := requestrecord.NewClients()
-	res, err := load.Run(e.ctx, load.Options{Targets: c.Target, Classes: classes, Schedule: schedule, Clients: clients, Seed: c.Seed,
-		Prefix: fmt.Sprintf("%08x", uint32(time.Now().UnixNano())), // ids are new in every run: the target may know old ones
+	res, err := load.Run(e.ctx, load.Options{Targets: c.Target, Classes: classes, Schedule: schedule,
+		Clients: clients, Seed: c.Seed,
+		// ids are new in every run: the target may know old ones
+		Prefix: fmt.Sprintf("%08x", uint32(time.Now().UnixNano())),
 		Notice: c.Notice, Ledger: tries, Progress: e.progress(length)})
 	if err != nil {
 		return input(err)
@@ -70,7 +72,8 @@
 	return c.conclude(e, res, tries)
 }
 
-// schedule is when requests leave, how clients act and how long the load lasts: by a trace, a shape, or the rate.
+// schedule is when requests leave, how clients act and how long the load lasts: by a trace, a shape, or
+// the rate.
 func (c loadCmd) schedule(classes []load.Class) (load.Schedule, load.Clients, time.Duration, error) {
 	clients := load.Clients{Retries: c.Retries, Backoff: c.Backoff, Wait: c.Wait, Honour: c.Honour, Marks: true,
 		Connections: c.Connections}
@@ -109,7 +112,8 @@
 		if !ok || err != nil || !(part >= 0 && part < 1e9) || name == "" || strings.ContainsAny(name, " /?") {
 			return nil, fmt.Errorf("--class %q: wanted NAME=SHARE, such as tender-view=0.64", text)
 		}
-		k := load.Class{Name: name, Share: part, Unsafe: slices.Contains(c.Unsafe, name), Worth: 1, Aim: c.Aim, Patience: c.Patience}
+		k := load.Class{Name: name, Share: part, Unsafe: slices.Contains(c.Unsafe, name), Worth: 1, Aim: c.Aim,
+			Patience: c.Patience}
 		if k.Unsafe {
 			k.Body = c.Body
 		}
@@ -167,7 +171,8 @@
 	return nil
 }
 
-// loopback refuses targets that are not on this machine: the tool sends load, and must not be pointed elsewhere.
+// loopback refuses targets that are not on this machine: the tool sends load, and must not be pointed
+// elsewhere.
 func loopback(target string) error {
 	host, _, err := net.SplitHostPort(target)
 	if err != nil {
--- a/internal/lab/cli/rollouts.go
+++ b/internal/lab/cli/rollouts.go
@@ -73,7 +73,8 @@
 	if int(played.Load()) < c.Seeds {
 		partial = fmt.Sprintf(" (partial: %d were asked for)", c.Seeds)
 	}
-	fmt.Fprintf(e.out, "%d runs from seed %d, %d broke a rule, %.1f s%s\n", played.Load(), c.From, broken.Load(), time.Since(began).Seconds(), partial)
+	fmt.Fprintf(e.out, "%d runs from seed %d, %d broke a rule, %.1f s%s\n", played.Load(), c.From,
+		broken.Load(), time.Since(began).Seconds(), partial)
 	if broken.Load() > 0 {
 		return coded{exitBroken, "a rule was broken"}
 	}
@@ -85,8 +86,10 @@
 	f := configsim.Measure(configsim.FleetSize(c.Length, c.Loss, c.From))
 	fmt.Fprintf(e.out, "%d gateways of %d services each, %d services, %d routes, %d tenants, loss %.0f%%, seed %d\n", f.Gateways, f.ServicesEach, f.Size.Services,
 		f.Size.Routes, f.Size.Tenants, 100*f.Loss, f.Seed)
-	fmt.Fprintf(e.out, "all start with nothing: whole configuration in force everywhere after %.2f s\n", f.First.Seconds())
-	fmt.Fprintf(e.out, "one change alone, from its submission: half %.2f s, 99%% %.2f s, all %.2f s\n", f.Single[0].Seconds(), f.Single[1].Seconds(), f.Single[2].Seconds())
+	fmt.Fprintf(e.out, "all start with nothing: whole configuration in force everywhere after %.2f s\n",
+		f.First.Seconds())
+	fmt.Fprintf(e.out, "one change alone, from its submission: half %.2f s, 99%% %.2f s, all %.2f s\n",
+		f.Single[0].Seconds(), f.Single[1].Seconds(), f.Single[2].Seconds())
 	fmt.Fprintf(e.out, "%d changes, %d restarts, %d failures in %v, median / 99%% / worst change: half %v, 99%% %v, all %v; from commitment %v\n", f.Changes, f.Restarts, f.Failures,
 		f.Length, f.Half, f.Most, f.All, f.FromCommit)
 	fmt.Fprintf(e.out, "later than 8 s: %d, unfinished: %d, stopped: %d\n", f.Late, f.Unfinished, f.Stopped)
--- a/internal/lab/cli/run.go
+++ b/internal/lab/cli/run.go
@@ -30,8 +30,10 @@
 		return input(err)
 	}
 	length := f.Length()
-	e.log.Info().Str("experiment", f.Name).Stringer("for", length).Int("hosts", hosts(f)).Int("gateways", f.Gateways.Count).Msg("running")
-	res, err := experiment.Run(e.ctx, f, experiment.Options{Gateway: c.Gateway, Dir: c.Out, Seed: c.Seed, Progress: e.progress(length)})
+	e.log.Info().Str("experiment", f.Name).Stringer("for", length).Int("hosts", hosts(f)).Int("gateways",
+		f.Gateways.Count).Msg("running")
+	res, err := experiment.Run(e.ctx, f, experiment.Options{Gateway: c.Gateway, Dir: c.Out, Seed: c.Seed,
+		Progress: e.progress(length)})
 	if err != nil {
 		return input(err)
 	}
--- a/internal/lab/cli/scale.go
+++ b/internal/lab/cli/scale.go
@@ -42,7 +42,8 @@
 func scaleVars() map[string]string {
 	d := scale.Defaults()
 	vars := make(map[string]string)
-	for name, value := range map[string]int{"gateways": d.Gateways, "hosts": d.Hosts, "services": d.Services, "tenants": d.Tenants, "routes": d.Routes,
+	for name, value := range map[string]int{"gateways": d.Gateways, "hosts": d.Hosts, "services": d.Services,
+		"tenants": d.Tenants, "routes": d.Routes,
 		"zones": d.Zones, "regions": d.Regions, "full": d.Full} {
 		vars["scale_"+name] = fmt.Sprint(value)
 	}
@@ -74,8 +75,10 @@
 	for _, given := range []struct {
 		to          *int
 		value, none int
-	}{{&o.Gateways, c.Gateways, 0}, {&o.Hosts, c.Hosts, 0}, {&o.Services, c.Services, 0}, {&o.Tenants, c.Tenants, -1}, {&o.Routes, c.Routes, 0},
-		{&o.Zones, c.Zones, 0}, {&o.Regions, c.Regions, 0}, {&o.Full, c.Full, -1}, {&o.Restarts, c.Restarts, -1}, {&o.Failures, c.Failures, -1},
+	}{{&o.Gateways, c.Gateways, 0}, {&o.Hosts, c.Hosts, 0}, {&o.Services, c.Services, 0},
+		{&o.Tenants, c.Tenants, -1}, {&o.Routes, c.Routes, 0},
+		{&o.Zones, c.Zones, 0}, {&o.Regions, c.Regions, 0}, {&o.Full, c.Full, -1},
+		{&o.Restarts, c.Restarts, -1}, {&o.Failures, c.Failures, -1},
 		{&o.Changes, c.Changes, -1}} {
 		if given.value != given.none {
 			*given.to = given.value
@@ -214,8 +217,10 @@
 	return func(p scale.Progress) {
 		if bar == nil || p.Phase != phase {
 			phase = p.Phase
-			bar = progressbar.NewOptions64(p.Of.Milliseconds(), progressbar.OptionSetWriter(e.err), progressbar.OptionSetWidth(24),
-				progressbar.OptionSetPredictTime(false), progressbar.OptionClearOnFinish(), progressbar.OptionSetDescription(phase))
+			bar = progressbar.NewOptions64(p.Of.Milliseconds(), progressbar.OptionSetWriter(e.err),
+				progressbar.OptionSetWidth(24),
+				progressbar.OptionSetPredictTime(false), progressbar.OptionClearOnFinish(),
+				progressbar.OptionSetDescription(phase))
 		}
 		_ = bar.Set64(min(p.At, p.Of).Milliseconds())
 	}
--- a/internal/lab/cli/scale_test.go
+++ b/internal/lab/cli/scale_test.go
@@ -10,15 +10,18 @@
 	"thymebend/internal/lab/scale"
 )
 
-// The file's sizes go over the defaults, and the command line's over the file's; figures and plot are written.
+// The file's sizes go over the defaults, and the command line's over the file's; figures and plot are
+// written.
 func TestScaleWritesItsFigures(t *testing.T) {
 	dir := t.TempDir()
-	file, figures, plot := filepath.Join(dir, "scale.toml"), filepath.Join(dir, "out.json"), filepath.Join(dir, "out.svg")
+	file, figures, plot := filepath.Join(dir, "scale.toml"), filepath.Join(dir, "out.json"),
+		filepath.Join(dir, "out.svg")
 	text := "gateways = 24\nhosts = 60\nservices = 10\ntenants = 50\nroutes = 30\nfor = \"3s\"\n[[fault]]\ndo = \"rack\"\nat = \"1s\"\nfor = \"1s\"\n"
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	code, out, errs := call("scale", "--file", file, "--gateways", "20", "--changes", "1", "--json", figures, "--plot", plot)
+	code, out, errs := call("scale", "--file", file, "--gateways", "20", "--changes", "1", "--json", figures,
+		"--plot", plot)
 	if code != 0 || !strings.Contains(out, "20 gateways") {
 		t.Fatalf("%d %s %s", code, out, errs)
 	}
@@ -30,7 +33,8 @@
 	if err := json.Unmarshal(raw, &r); err != nil {
 		t.Fatal(err)
 	}
-	if o := r.Options; o.Gateways != 20 || o.Hosts != 60 || len(o.Faults) != 1 || o.Changes != 1 || r.Configuration == nil || r.Crash.Count == 0 {
+	if o := r.Options; o.Gateways != 20 || o.Hosts != 60 || len(o.Faults) != 1 || o.Changes != 1 ||
+		r.Configuration == nil || r.Crash.Count == 0 {
 		t.Errorf("%+v", r)
 	}
 	if drawn, err := os.ReadFile(plot); err != nil || !strings.Contains(string(drawn), "<svg") {
@@ -41,7 +45,8 @@
 // Sizes are fitted, and the one that is left out is shown beside what the others say of it.
 func TestScaleOfSeveralSizes(t *testing.T) {
 	code, out, errs := call("scale", "--sizes", "8,16,32", "--leave-out", "16", "--full", "0", "--for", "2s")
-	if code != 0 || !strings.Contains(out, "residual") || !strings.Contains(out, "at 16, left out of the fit: predicted") {
+	if code != 0 || !strings.Contains(out, "residual") || !strings.Contains(out,
+		"at 16, left out of the fit: predicted") {
 		t.Errorf("%d %s %s", code, out, errs)
 	}
 }
@@ -69,7 +74,8 @@
 		{[]string{"--sizes", "2,10"}, "--sizes 2: gateways: 2"},
 		{[]string{"--sizes", "10,20", "--leave-out", "30"}, "--leave-out 30 is none of --sizes"},
 	} {
-		if code, _, errs := call(append([]string{"scale", "--json", written}, c.args...)...); code != 2 || !strings.Contains(errs, c.want) {
+		if code, _, errs := call(append([]string{"scale", "--json", written}, c.args...)...); code != 2 ||
+			!strings.Contains(errs, c.want) {
 			t.Errorf("%v: %d %s", c.args, code, errs)
 		}
 	}
--- a/internal/lab/cli/seeds.go
+++ b/internal/lab/cli/seeds.go
@@ -44,7 +44,8 @@
 
 // Help implements kong's.
 func (seedsCmd) Help() string {
-	return "Example:\n  thymelab seeds --from 1 --count 1000 --profile drain-retry\n\nProfiles: " + fmt.Sprint(simulation.Profiles()) +
+	return "Example:\n  thymelab seeds --from 1 --count 1000 --profile drain-retry\n\nProfiles: " +
+		fmt.Sprint(simulation.Profiles()) +
 		" and members, which plays the fleet's view alone" +
 		"\nExit codes: 0 no failure, 1 a failure, 2 unusable input, 4 told to end: partial."
 }
@@ -77,17 +78,20 @@
 		if len(o.Findings) > 0 {
 			f := failure{seed, p.Profile, o.Findings[0], len(o.Findings) - 1}
 			failures = append(failures, f)
-			fmt.Fprintf(e.out, "seed %d (%s): %s: %s: %s (and %d more)\n", f.Seed, f.Profile, f.Rule, f.ID, f.Detail, f.More)
+			fmt.Fprintf(e.out, "seed %d (%s): %s: %s: %s (and %d more)\n", f.Seed, f.Profile, f.Rule, f.ID,
+				f.Detail, f.More)
 		}
 		return !o.Partial
 	})
 	took := time.Since(began).Seconds()
 	fmt.Fprintf(e.out, "%d seeds, %d failures, %d requests in %.1f s: %.0f simulated seconds and %.0f requests a second\n", played,
 		len(failures), tries, took, lasted.Seconds()/took, float64(tries)/took)
-	return c.end(e, failures, played, map[string]any{"requests": tries, "simulated_s": lasted.Seconds(), "steps": steps, "took_s": took})
+	return c.end(e, failures, played, map[string]any{"requests": tries, "simulated_s": lasted.Seconds(),
+		"steps": steps, "took_s": took})
 }
 
-// each hands the seeds out to so many runs at once, waits for their ends and returns how many were played whole.
+// each hands the seeds out to so many runs at once, waits for their ends and returns how many were
+// played whole.
 func (c seedsCmd) each(e *env, play func(seed uint64) (whole bool)) (played uint64) {
 	var all sync.WaitGroup
 	var whole atomic.Uint64
@@ -113,7 +117,8 @@
 func (c seedsCmd) end(e *env, failures []failure, played uint64, figures map[string]any) error {
 	if c.JSON != "" {
 		slices.SortFunc(failures, func(a, b failure) int { return cmp.Compare(a.Seed, b.Seed) })
-		figures["from"], figures["count"], figures["profile"], figures["failures"] = c.From, c.Count, c.Profile, failures
+		figures["from"], figures["count"], figures["profile"], figures["failures"] = c.From, c.Count, c.Profile,
+			failures
 		figures["played"], figures["partial"] = played, played < c.Count
 		raw, err := json.MarshalIndent(figures, "", " ")
 		if err != nil {
@@ -164,7 +169,8 @@
 		}
 		return !o.Partial
 	})
-	fmt.Fprintf(e.out, "%d seeds, %d failures, %d calls of views in %.1f s\n", played, len(failures), calls, time.Since(began).Seconds())
+	fmt.Fprintf(e.out, "%d seeds, %d failures, %d calls of views in %.1f s\n", played, len(failures), calls,
+		time.Since(began).Seconds())
 	return c.end(e, failures, played, map[string]any{"calls": calls})
 }
 
@@ -218,7 +224,8 @@
 		if err := small.Write(c.Shrink); err != nil {
 			return input(err)
 		}
-		fmt.Fprintf(e.out, "%s: %d faults and %d requests of %d and %d, after %d runs\n", c.Shrink, len(small.Faults), len(small.Requests),
+		fmt.Fprintf(e.out, "%s: %d faults and %d requests of %d and %d, after %d runs\n", c.Shrink,
+			len(small.Faults), len(small.Requests),
 			len(p.Faults), len(p.Requests), runs)
 		if e.ctx.Err() != nil {
 			return early()
--- a/internal/lab/cli/shares.go
+++ b/internal/lab/cli/shares.go
@@ -27,13 +27,16 @@
 // Run implements kong's.
 func (c sharesCmd) Run(e *env) error {
 	given := c.Gateways != 0 || c.Hosts != 0
-	if given && (c.Gateways < 2 || c.Hosts < 2 || c.Gateways > assignment.MaxGateways || c.Hosts > assignment.MaxEndpoints) {
-		return input(fmt.Errorf("--gateways and --hosts go together, 2 to %d and 2 to %d", assignment.MaxGateways, assignment.MaxEndpoints))
+	if given && (c.Gateways < 2 || c.Hosts < 2 || c.Gateways > assignment.MaxGateways ||
+		c.Hosts > assignment.MaxEndpoints) {
+		return input(fmt.Errorf("--gateways and --hosts go together, 2 to %d and 2 to %d",
+			assignment.MaxGateways, assignment.MaxEndpoints))
 	}
 	if c.Gateway {
 		return c.whole(e)
 	}
-	sizes := [][2]int{{3, 200}, {10, 10}, {10, 50}, {50, 2}, {50, 50}, {50, 200}, {300, 50}, {300, 200}, {300, 500}, {1000, 200}, {1000, 500}}
+	sizes := [][2]int{{3, 200}, {10, 10}, {10, 50}, {50, 2}, {50, 50}, {50, 200}, {300, 50}, {300, 200},
+		{300, 500}, {1000, 200}, {1000, 500}}
 	if c.Gateways > 0 {
 		sizes = [][2]int{{c.Gateways, c.Hosts}}
 	}
@@ -47,7 +50,8 @@
 				if way == assignmentsim.MeanOnly && !zipf {
 					continue
 				}
-				f, err := assignmentsim.Measure(assignmentsim.Case{Gateways: size[0], Hosts: size[1], Zipf: zipf, Mixed: true, Seed: c.Seed}, way)
+				f, err := assignmentsim.Measure(assignmentsim.Case{Gateways: size[0], Hosts: size[1],
+					Zipf: zipf, Mixed: true, Seed: c.Seed}, way)
 				if err != nil {
 					return input(err)
 				}
@@ -55,7 +59,8 @@
 				if zipf {
 					traffic = "Zipf"
 				}
-				fmt.Fprintf(e.out, "| %d | %d | %s | %s | %.2f | %.1f%% | %d | %d | %.1f | %.1f | %v |\n", size[0], size[1], traffic, way, f.Crowd, 100*f.Refused,
+				fmt.Fprintf(e.out, "| %d | %d | %s | %s | %.2f | %.1f%% | %d | %d | %.1f | %.1f | %v |\n",
+					size[0], size[1], traffic, way, f.Crowd, 100*f.Refused,
 					f.Links, f.MostLinks, f.GatewayGone, f.HostGone, f.Took.Round(100*time.Microsecond))
 			}
 		}
@@ -63,7 +68,7 @@
 	return nil
 }
 
-// whole plays whole gateways, with hearsay of bad hosts and without.
+// whole plays whole gateways, with peer reports of bad hosts and without.
 func (c sharesCmd) whole(e *env) error {
 	if c.Gateways == 0 {
 		return input(fmt.Errorf("--gateway needs --gateways and --hosts"))
@@ -81,7 +86,8 @@
 		if at, ok := f.Median(); ok {
 			known = at.String()
 		}
-		fmt.Fprintf(e.out, "| %d | %d | %v | %s | %d | %.0f | %.2f | %.1f%% | %d |\n", c.Gateways, c.Hosts, hearsay, known, f.Asked, f.Bytes, f.Cold, 100*f.Refuse, len(f.Broken))
+		fmt.Fprintf(e.out, "| %d | %d | %v | %s | %d | %.0f | %.2f | %.1f%% | %d |\n", c.Gateways, c.Hosts,
+			hearsay, known, f.Asked, f.Bytes, f.Cold, 100*f.Refuse, len(f.Broken))
 		for _, x := range f.Broken[:min(3, len(f.Broken))] {
 			fmt.Fprintln(e.err, x.Rule, x.ID, x.Detail)
 		}
--- a/internal/lab/cli/soak.go
+++ b/internal/lab/cli/soak.go
@@ -91,7 +91,8 @@
 		len(f.Faults), len(f.Events), f.Length(), res.Load.OK, res.Load.Scheduled, len(res.Findings))
 	slices.SortStableFunc(res.Findings, func(a, b requestrecord.Finding) int { return cmp.Compare(a.At, b.At) })
 	for _, found := range res.Findings[:min(5, len(res.Findings))] {
-		fmt.Fprintf(e.out, "  %s at %.2f s: %s: %s\n", found.Rule, found.At.Seconds(), found.ID, strings.TrimSpace(found.Detail))
+		fmt.Fprintf(e.out, "  %s at %.2f s: %s: %s\n", found.Rule, found.At.Seconds(), found.ID,
+			strings.TrimSpace(found.Detail))
 	}
 	return res.Held, nil
 }
--- a/internal/lab/cli/view.go
+++ b/internal/lab/cli/view.go
@@ -49,7 +49,8 @@
 		return c.plots(e.ctx)
 	}
 	began := time.Now()
-	f := membershipsim.Measure(e.ctx, membershipsim.Case{Seed: c.Seed, Nodes: c.Nodes, Loss: c.Loss, Stalls: c.Stalls, Heal: c.Heal, Baseline: c.Beats,
+	f := membershipsim.Measure(e.ctx, membershipsim.Case{Seed: c.Seed, Nodes: c.Nodes, Loss: c.Loss,
+		Stalls: c.Stalls, Heal: c.Heal, Baseline: c.Beats,
 		Without: refinements[c.Without]})
 	kind := "view"
 	if c.Beats {
@@ -62,7 +63,8 @@
 		f.Stalls, kind, middleAndMost(f.Crash), middleAndMost(f.Join), f.Heal.Seconds(),
 		f.FalseDoubts, f.FalseRemoval, f.Rest, f.Most, 100*f.CPU, time.Since(began).Seconds())
 	if f.Partial {
-		fmt.Fprintf(e.out, "partial: %.1f s of the quiet minute, %d of 5 crashes, %d of 5 joins\n", f.Quiet.Seconds(), len(f.Crash), len(f.Join))
+		fmt.Fprintf(e.out, "partial: %.1f s of the quiet minute, %d of 5 crashes, %d of 5 joins\n",
+			f.Quiet.Seconds(), len(f.Crash), len(f.Join))
 		return early()
 	}
 	return nil
@@ -93,7 +95,8 @@
 		found[k] = make([]membershipsim.Figures, len(sizes))
 		for i, n := range sizes {
 			all.Go(func() {
-				found[k][i] = membershipsim.Measure(ctx, membershipsim.Case{Seed: c.Seed, Nodes: n, Loss: c.Loss, Stalls: c.Stalls, Baseline: k == 1})
+				found[k][i] = membershipsim.Measure(ctx, membershipsim.Case{Seed: c.Seed, Nodes: n,
+					Loss: c.Loss, Stalls: c.Stalls, Baseline: k == 1})
 			})
 		}
 	}
@@ -105,9 +108,11 @@
 		file, title, y string
 		of             func(f membershipsim.Figures) float64
 	}{
-		{"crash.svg", "Until the last knows of a crash, worst of five", "seconds", func(f membershipsim.Figures) float64 { return slices.Max(f.Crash).Seconds() }},
+		{"crash.svg", "Until the last knows of a crash, worst of five", "seconds",
+			func(f membershipsim.Figures) float64 { return slices.Max(f.Crash).Seconds() }},
 		{"bytes.svg", "Sent by a gateway", "bytes a second", func(f membershipsim.Figures) float64 { return f.Rest }},
-		{"removals.svg", "Living gateways held for gone, four looks a second over a minute", "count", func(f membershipsim.Figures) float64 { return float64(f.FalseRemoval) }},
+		{"removals.svg", "Living gateways held for gone, four looks a second over a minute", "count",
+			func(f membershipsim.Figures) float64 { return float64(f.FalseRemoval) }},
 	} {
 		var lines []report.Series
 		for k, name := range kinds {
@@ -118,7 +123,8 @@
 			lines = append(lines, s)
 		}
 		err := writeFile(filepath.Join(c.Plots, p.file), func(w io.Writer) error {
-			return report.Plot(w, fmt.Sprintf("%s (%.0f%% loss, stalls %v)", p.title, 100*c.Loss, c.Stalls), "gateways", p.y, lines)
+			return report.Plot(w, fmt.Sprintf("%s (%.0f%% loss, stalls %v)", p.title, 100*c.Loss, c.Stalls),
+				"gateways", p.y, lines)
 		})
 		if err != nil {
 			return input(err)
--- a/internal/lab/cputime/cputime.go
+++ b/internal/lab/cputime/cputime.go
@@ -1,5 +1,5 @@
-// Package cputime reads the processor time of the calling thread, so that a measurement on a busy machine does not count
-// the time of other programs.
+// Package cputime reads the processor time of the calling thread, so that a measurement on a busy
+// machine does not count the time of other programs.
 package cputime
 
 import (
--- a/internal/lab/drill/datagrams.go
+++ b/internal/lab/drill/datagrams.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// pair is the two sockets between two names: at[0] is where the first sends to for the second, and from where the first
-// hears the second.
+// pair is the two sockets between two names: at[0] is where the first sends to for the second, and from
+// where the first hears the second.
 type pair struct {
 	names [2]string
 	at    [2]*net.UDPConn
--- a/internal/lab/drill/drill_test.go
+++ b/internal/lab/drill/drill_test.go
@@ -75,7 +75,8 @@
 		defer close(p.done)
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 		defer cancel()
-		p.r, p.err = Run(ctx, f, Options{Gateway: program, Dir: p.dir, Found: func(f requestrecord.Finding) { p.seen <- f }})
+		p.r, p.err = Run(ctx, f, Options{Gateway: program, Dir: p.dir,
+			Found: func(f requestrecord.Finding) { p.seen <- f }})
 	}()
 	return p
 }
@@ -84,12 +85,16 @@
 func TestDrillsHoldTheRules(t *testing.T) {
 	t.Parallel()
 	var all []*played
-	for _, name := range []string{"kill", "stop", "partition", "halves", "one-way", "alone", "twin", "upgrade", "join", "restarts",
+	for _, name := range []string{"kill", "stop", "partition", "halves", "one-way", "alone", "twin", "upgrade",
+		"join", "restarts",
 		"shares-third", "shares-partition", "shares-restart", "shares-stop"} {
 		all = append(all, begin(t, name, func(text string) string { return text }))
 	}
 	// The partition does not end here: what is expected after it cannot come.
-	broken := begin(t, "halves", func(text string) string { return strings.Replace(text, "for = \"20s\"", "for = \"40s\"", 1) })
+	broken := begin(t, "halves", func(text string) string {
+		return strings.Replace(text, "for = \"20s\"",
+			"for = \"40s\"", 1)
+	})
 	for _, p := range all {
 		<-p.done
 		t.Run(p.name, func(t *testing.T) {
@@ -107,7 +112,8 @@
 				t.Errorf("told on the way: %+v", <-p.seen)
 			}
 			if r.Held != (len(r.Findings) == 0) || len(r.Looks) < 100 || r.Load.OK < r.Load.Scheduled/2 {
-				t.Errorf("held %v with %d findings, %d looks, %d of %d served", r.Held, len(r.Findings), len(r.Looks), r.Load.OK, r.Load.Scheduled)
+				t.Errorf("held %v with %d findings, %d looks, %d of %d served", r.Held, len(r.Findings),
+					len(r.Looks), r.Load.OK, r.Load.Scheduled)
 			}
 			for g := range r.Names {
 				if len(r.Cells(g)) == 0 {
@@ -133,7 +139,8 @@
 			t.Fatal("gateway-2 does not come up")
 		}
 		for _, pid := range processes(p.dir) {
-			if env, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid)); err == nil && strings.Contains(string(env), "LB_NAME=gateway-2\x00") {
+			if env, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid)); err == nil &&
+				strings.Contains(string(env), "LB_NAME=gateway-2\x00") {
 				hung = pid
 			}
 		}
@@ -152,7 +159,8 @@
 	}
 	select {
 	case f := <-p.seen:
-		if f.Rule != membershipcheck.ThrownOut && f.Rule != membershipcheck.NotAgreed || !strings.Contains(f.Detail, "gateway-2") {
+		if f.Rule != membershipcheck.ThrownOut && f.Rule != membershipcheck.NotAgreed ||
+			!strings.Contains(f.Detail, "gateway-2") {
 			t.Errorf("%+v", f)
 		}
 	case <-p.done:
@@ -198,7 +206,8 @@
 	until("one to be stopped", func() bool {
 		list := processes(dir)
 		for _, pid := range list {
-			if stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err == nil && strings.Contains(string(stat), ") T ") {
+			if stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err == nil &&
+				strings.Contains(string(stat), ") T ") {
 				return len(list) == 5
 			}
 		}
--- a/internal/lab/drill/excuses.go
+++ b/internal/lab/drill/excuses.go
@@ -42,7 +42,8 @@
 		}
 	}
 	for _, e := range r.shuts { // the process was dead: its end is known a moment later
-		if e.gateway == n && t.Sent-began <= e.to+shutSpread && t.Ended-began >= e.from-shutSpread && r.history.Dead(n, e.to+shutSpread) {
+		if e.gateway == n && t.Sent-began <= e.to+shutSpread && t.Ended-began >= e.from-shutSpread &&
+			r.history.Dead(n, e.to+shutSpread) {
 			return true
 		}
 	}
@@ -58,7 +59,8 @@
 	bad := c.cut || c.stall
 	switch {
 	case fromGateway && toGateway:
-		r.history.Path(a, b, membershipcheck.PathAt{At: at, Cut: bad || c.Delay.Duration+c.Jitter.Duration > slowest, Loss: c.Loss})
+		r.history.Path(a, b, membershipcheck.PathAt{At: at,
+			Cut: bad || c.Delay.Duration+c.Jitter.Duration > slowest, Loss: c.Loss})
 	case from == experiment.NodeClients && toGateway:
 		r.excuse(b, at, bad || c.Delay.Duration > 0 || c.Loss > 0)
 	case to == experiment.NodeClients && fromGateway:
@@ -66,7 +68,8 @@
 	}
 }
 
-// shut notes that a relay took a connection for somebody who was not there, as a dead process's machine would not have.
+// shut notes that a relay took a connection for somebody who was not there, as a dead process's machine
+// would not have.
 func (r *rig) shut(from, to string) {
 	if g, ok := r.index[to]; ok && from == experiment.NodeClients {
 		r.mu.Lock()
--- a/internal/lab/drill/expect.go
+++ b/internal/lab/drill/expect.go
@@ -53,7 +53,8 @@
 		}
 		return ""
 	}
-	for _, text := range []string{flag("settled", e.Settled, l.Settled), flag("majority", e.Major, l.Majority), flag("twin", e.Twin, l.Twin)} {
+	for _, text := range []string{flag("settled", e.Settled, l.Settled), flag("majority", e.Major, l.Majority),
+		flag("twin", e.Twin, l.Twin)} {
 		if text != "" {
 			return text
 		}
--- a/internal/lab/drill/expect_test.go
+++ b/internal/lab/drill/expect_test.go
@@ -8,12 +8,14 @@
 	"thymebend/internal/lab/membershipcheck"
 )
 
-// told is a history of four gateways with a look each second at views that are the truth but for what edit makes of them.
+// told is a history of four gateways with a look each second at views that are the truth but for what
+// edit makes of them.
 func told(edit func(l *membershipcheck.Look)) *membershipcheck.History {
 	h := membershipcheck.NewHistory([]string{"gateway-0", "gateway-1", "gateway-2", "gateway-3"})
 	for at := time.Second; at <= 20*time.Second; at += time.Second {
 		for g := range 4 {
-			l := membershipcheck.Look{At: at, Gateway: g, PID: 100 + g, Speaking: true, Settled: true, Majority: true, Alive: 4}
+			l := membershipcheck.Look{At: at, Gateway: g, PID: 100 + g, Speaking: true, Settled: true,
+				Majority: true, Alive: 4}
 			for range 4 {
 				l.States = append(l.States, membershipcheck.Held{State: "alive", Start: 1, Incarnation: 1})
 			}
--- a/internal/lab/drill/faults.go
+++ b/internal/lab/drill/faults.go
@@ -12,8 +12,8 @@
 	"thymebend/internal/lab/experiment"
 )
 
-// kind is what a fault may and must state, and what it does. To add a fault: one more line here and what it does below; a
-// fault of the network says what it makes of a path.
+// kind is what a fault may and must state, and what it does. To add a fault: one more line here and
+// what it does below; a fault of the network says what it makes of a path.
 type kind struct {
 	fields []string // beside at and do
 	needs  []string
@@ -24,7 +24,8 @@
 
 func faultKinds() map[string]kind {
 	gateways := func(needs []string, act func(context.Context, *rig, *Fault, int) error, more ...string) kind {
-		return kind{fields: append([]string{"gateways", "every"}, more...), needs: append([]string{"gateways"}, needs...), act: act}
+		return kind{fields: append([]string{"gateways", "every"}, more...), needs: append([]string{"gateways"},
+			needs...), act: act}
 	}
 	paths := func(needs []string, change func(*Fault, *condition), more ...string) kind {
 		return kind{fields: append([]string{"for", "from", "to", "both"}, more...), needs: needs, path: change}
@@ -38,15 +39,17 @@
 		"gateway-slow":    gateways([]string{"for", "share"}, slowGateway, "for", "share"),
 		"gateway-upgrade": gateways(nil, upgradeGateway),
 		"gateway-twin":    gateways([]string{"for"}, twinGateway, "for"),
-		"traffic-heavy":   {fields: []string{"gateways", "share", "for"}, needs: []string{"gateways", "share"}, whole: heavyTraffic},
-		"net-loss":        paths([]string{"loss"}, func(f *Fault, c *condition) { c.Loss = f.Loss }, "loss"),
+		"traffic-heavy": {fields: []string{"gateways", "share", "for"}, needs: []string{"gateways", "share"},
+			whole: heavyTraffic},
+		"net-loss": paths([]string{"loss"}, func(f *Fault, c *condition) { c.Loss = f.Loss }, "loss"),
 		"net-delay": paths([]string{"delay"}, func(f *Fault, c *condition) { c.Delay, c.Jitter = f.Delay, f.Jitter },
 			"delay", "jitter"),
-		"net-double":    paths([]string{"double"}, func(f *Fault, c *condition) { c.Double = f.Double }, "double"),
-		"net-reorder":   paths([]string{"reorder"}, func(f *Fault, c *condition) { c.Reorder = f.Reorder }, "reorder"),
-		"net-cut":       paths([]string{"from"}, func(_ *Fault, c *condition) { c.cut = true }),
-		"net-stall":     paths([]string{"from"}, func(_ *Fault, c *condition) { c.stall = true }),
-		"net-partition": {fields: []string{"for", "groups"}, needs: []string{"groups"}, path: func(_ *Fault, c *condition) { c.cut = true }},
+		"net-double":  paths([]string{"double"}, func(f *Fault, c *condition) { c.Double = f.Double }, "double"),
+		"net-reorder": paths([]string{"reorder"}, func(f *Fault, c *condition) { c.Reorder = f.Reorder }, "reorder"),
+		"net-cut":     paths([]string{"from"}, func(_ *Fault, c *condition) { c.cut = true }),
+		"net-stall":   paths([]string{"from"}, func(_ *Fault, c *condition) { c.stall = true }),
+		"net-partition": {fields: []string{"for", "groups"}, needs: []string{"groups"},
+			path: func(_ *Fault, c *condition) { c.cut = true }},
 	}
 }
 
--- a/internal/lab/drill/network.go
+++ b/internal/lab/drill/network.go
@@ -55,13 +55,14 @@
 }
 
 func newNetwork(base Path, ip netip.Addr, seed uint64, change func(pathChange), shut func(string, string)) *network {
-	return &network{base: base, ip: ip, ways: make(map[[2]string]*way), pairs: make(map[[2]string]*pair), doors: make(map[[3]string]*door),
-		ends: make(map[string][]*net.UDPAddr), rand: rand.New(rand.NewPCG(seed, 0x9e7)), change: change, shut: shut}
+	return &network{base: base, ip: ip, ways: make(map[[2]string]*way), pairs: make(map[[2]string]*pair),
+		doors: make(map[[3]string]*door),
+		ends:  make(map[string][]*net.UDPAddr), rand: rand.New(rand.NewPCG(seed, 0x9e7)), change: change, shut: shut}
 }
 
-// rigAddress is an address of the loopback that no other rig uses, on this machine or in this process: a port that a process or a
-// relay gives up for a moment must not become another one's. Processes (n is 0), relays (n is 1) and hosts (n is 2) have one each. The directory
-// that a rig writes to is its own.
+// rigAddress is an address of the loopback that no other rig uses, on this machine or in this process:
+// a port that a process or a relay gives up for a moment must not become another one's. Processes (n is
+// 0), relays (n is 1) and hosts (n is 2) have one each. The directory that a rig writes to is its own.
 func rigAddress(dir string, n int) netip.Addr {
 	h := xxh3.HashSeed([]byte(dir), uint64(os.Getpid()))
 	return netip.AddrFrom4([4]byte{127, byte(64 + 64*n + int(h>>16%64)), byte(h >> 8), byte(h)})
@@ -192,7 +193,8 @@
 // lookAgain is how soon a door whose other side is not there looks for it again.
 const lookAgain = 25 * time.Millisecond
 
-// chunk is what a relay reads at once; readFor is how long a read waits before it looks whether the network has ended.
+// chunk is what a relay reads at once; readFor is how long a read waits before it looks whether the
+// network has ended.
 const (
 	chunk   = 32 << 10
 	readFor = 250 * time.Millisecond
--- a/internal/lab/drill/network_test.go
+++ b/internal/lab/drill/network_test.go
@@ -64,7 +64,8 @@
 // Whoever is told of a change may take long: what is under way on other paths is carried meanwhile.
 func TestPathsCarryWhileAChangeIsNoted(t *testing.T) {
 	noting, noted := make(chan bool), make(chan bool)
-	n := newNetwork(Path{}, rigAddress(t.TempDir(), 1), 1, func(pathChange) { close(noting); <-noted }, func(string, string) {})
+	n := newNetwork(Path{}, rigAddress(t.TempDir(), 1), 1, func(pathChange) { close(noting); <-noted },
+		func(string, string) {})
 	t.Cleanup(n.close)
 	t.Cleanup(func() { close(noted) })
 	ear := udp(t, n, "b")
@@ -79,7 +80,8 @@
 	}
 }
 
-// Rigs of one process have addresses of their own: a port that one gives up for a moment must not become the other's.
+// Rigs of one process have addresses of their own: a port that one gives up for a moment must not
+// become the other's.
 func TestRigsHaveAddressesOfTheirOwn(t *testing.T) {
 	seen := make(map[netip.Addr]bool)
 	for range 20 {
@@ -251,7 +253,8 @@
 	}
 }
 
-// A request that crosses its server's end is told by a reset, as without the relay; one that comes to no end sees a regular one.
+// A request that crosses its server's end is told by a reset, as without the relay; one that comes to
+// no end sees a regular one.
 func TestARequestThatCrossesAnEndSeesAReset(t *testing.T) {
 	n := testNet(t)
 	ln := tcp(t, n)
@@ -259,7 +262,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// One of some thousands still ends regularly, why is not traced; without the relay's care nearly every second one does.
+	// One of some thousands still ends regularly, why is not traced; without the relay's care nearly
+	// every second one does.
 	regular, turn := 0, false
 	for range 200 {
 		c := dial(t, at)
--- a/internal/lab/drill/portions.go
+++ b/internal/lab/drill/portions.go
@@ -12,7 +12,8 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// NotWhole is broken where gateways that all go by a settled division give a host away more than once, or not whole.
+// NotWhole is broken where gateways that all go by a settled division give a host away more than once,
+// or not whole.
 const NotWhole = "portions do not agree"
 
 // The rule in figures.
@@ -27,7 +28,8 @@
 	if p == nil {
 		return nil
 	}
-	out := &membershipcheck.Portion{Stage: p.Stage, Turns: p.Tokens, Crowd: p.RelativeLoad, Parts: make(map[string]float64)}
+	out := &membershipcheck.Portion{Stage: p.Stage, Turns: p.Tokens, Crowd: p.RelativeLoad,
+		Parts: make(map[string]float64)}
 	for _, h := range p.Hosts {
 		if h.SlowStart {
 			out.Cold = append(out.Cold, h.Name)
@@ -38,8 +40,8 @@
 	return out
 }
 
-// whole goes through all moments at which every gateway that looked lately went by a settled division, and had for a while: the
-// parts of each host add up to one.
+// whole goes through all moments at which every gateway that looked lately went by a settled division,
+// and had for a while: the parts of each host add up to one.
 func whole(h *membershipcheck.History) (found []requestrecord.Finding) {
 	last := make(map[int]*membershipcheck.Look)
 	var since time.Duration // all settled, and nobody's parts changed
@@ -49,7 +51,8 @@
 		l := &looks[i]
 		was := last[l.Gateway]
 		last[l.Gateway] = l
-		if l.Portion == nil || l.Portion.Stage != assignment.Settled.String() || was == nil || was.Portion == nil || !maps.Equal(was.Portion.Parts, l.Portion.Parts) {
+		if l.Portion == nil || l.Portion.Stage != assignment.Settled.String() || was == nil ||
+			was.Portion == nil || !maps.Equal(was.Portion.Parts, l.Portion.Parts) {
 			since = l.At
 		}
 		sums, n := make(map[string]float64), 0
@@ -76,7 +79,8 @@
 		for _, host := range slices.Sorted(maps.Keys(sums)) {
 			if sum := sums[host]; (sum < 1-wholeBy || sum > 1+wholeBy) && !told[host] {
 				told[host] = true
-				found = append(found, requestrecord.Finding{Rule: NotWhole, ID: host, At: l.At, Detail: fmt.Sprintf("at %v its parts at %d gateways add up to %.3f", l.At, n, sum)})
+				found = append(found, requestrecord.Finding{Rule: NotWhole, ID: host, At: l.At,
+					Detail: fmt.Sprintf("at %v its parts at %d gateways add up to %.3f", l.At, n, sum)})
 			}
 		}
 	}
--- a/internal/lab/drill/portions_test.go
+++ b/internal/lab/drill/portions_test.go
@@ -16,7 +16,8 @@
 	parts := map[string]float64{"h-0": 1.0 / 3, "h-1": 1.0 / 3}
 	for at := 100 * time.Millisecond; at <= 10*time.Second; at += 100 * time.Millisecond {
 		for g := range 3 {
-			l := membershipcheck.Look{At: at, Gateway: g, PID: 100 + g, Speaking: true, Settled: true, Alive: 3, States: make([]membershipcheck.Held, 3),
+			l := membershipcheck.Look{At: at, Gateway: g, PID: 100 + g, Speaking: true, Settled: true, Alive: 3,
+				States:  make([]membershipcheck.Held, 3),
 				Portion: &membershipcheck.Portion{Stage: "settled", Parts: maps.Clone(parts), Turns: 4, Crowd: 1.1}}
 			edit(&l)
 			h.Looked(l)
@@ -25,7 +26,8 @@
 	return h
 }
 
-// A host that settled gateways give away twice, or to nobody, is found; one whose division changes, or of which not all have told, is not.
+// A host that settled gateways give away twice, or to nobody, is found; one whose division changes, or
+// of which not all have told, is not.
 func TestPortionsAreHeldAgainstEachOther(t *testing.T) {
 	from := func(seconds float64, l *membershipcheck.Look) bool { return l.At.Seconds() >= seconds }
 	for name, c := range map[string]struct {
@@ -75,7 +77,7 @@
 	}
 }
 
-// What is expected of a portion has to be seen.
+// What is expected of an assignment has to be seen.
 func TestExpectationsOfPortions(t *testing.T) {
 	h := divided(func(l *membershipcheck.Look) {
 		if l.Gateway == 2 {
@@ -103,7 +105,8 @@
 	for _, c := range [][4]string{
 		{"warm_rate = 5.0", "alive = 1", "gateways = [0]\nshare = 0.5", "fleet.warm_rate"},
 		{"shares = false", "portion = \"settled\"", "gateways = [0]\nshare = 0.5", "need shares in [fleet]"},
-		{"shares = true", "portion = \"setled\"", "gateways = [0]\nshare = 0.5", "is none of waiting, settled, kept, changing"},
+		{"shares = true", "portion = \"setled\"", "gateways = [0]\nshare = 0.5",
+			"is none of waiting, settled, kept, changing"},
 		{"shares = true", "crowd = 1.1", "share = 0.5", "traffic-heavy needs gateways"},
 		{"shares = true", "crowd = 1.1", "gateways = [0]\nshare = 1.5", "must be 0 to 1"},
 	} {
--- a/internal/lab/drill/rig.go
+++ b/internal/lab/drill/rig.go
@@ -24,7 +24,7 @@
 	file    *File
 	dir     string
 	seed    uint64
-	tmp     string     // of the processes: where the next one of an upgrade finds its elder
+	tmp     string     // of the processes: where the next one of an upgrade finds its predecessor
 	ip      netip.Addr // of the processes; the relays have another, so that none takes what a process will listen at
 	names   []string
 	index   map[string]int
@@ -60,8 +60,10 @@
 )
 
 func newRig(ctx context.Context, f *File, dir string, seed uint64, clock func() time.Duration) (*rig, error) {
-	r := &rig{file: f, dir: dir, seed: seed, ip: rigAddress(dir, 0), taken: make(map[string]bool), names: experiment.GatewayNames(f.Gateways.Count), index: make(map[string]int),
-		control: make(map[int]string), kinds: make(map[int]int), starting: make(map[int]string), launched: make(map[int]time.Duration), watching: ctx, now: clock}
+	r := &rig{file: f, dir: dir, seed: seed, ip: rigAddress(dir, 0), taken: make(map[string]bool),
+		names: experiment.GatewayNames(f.Gateways.Count), index: make(map[string]int),
+		control: make(map[int]string), kinds: make(map[int]int), starting: make(map[int]string),
+		launched: make(map[int]time.Duration), watching: ctx, now: clock}
 	for i, name := range r.names {
 		r.index[name] = i
 	}
@@ -80,7 +82,8 @@
 		for a := range r.names {
 			for b := range r.names {
 				if a != b {
-					r.history.Path(a, b, membershipcheck.PathAt{At: -2 * time.Hour, Cut: bad.Delay.Duration+bad.Jitter.Duration > slowest, Loss: bad.Loss})
+					r.history.Path(a, b, membershipcheck.PathAt{At: -2 * time.Hour,
+						Cut: bad.Delay.Duration+bad.Jitter.Duration > slowest, Loss: bad.Loss})
 				}
 			}
 		}
@@ -131,8 +134,8 @@
 	return b.String()
 }
 
-// name has the books name a gateway from now on, or no more, where they follow who runs: each running gateway gets a new file and
-// SIGHUP, one after another.
+// name has the books name a gateway from now on, or no more, where they follow who runs: each running
+// gateway gets a new file and SIGHUP, one after another.
 func (r *rig) name(g int, present bool) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -235,7 +238,8 @@
 	}
 	r.mu.Lock()
 	kind, listen := r.kinds[n], r.listens[n]
-	r.starting[n], r.launched[n] = control, r.now() // before it can speak: when Started is called others may know it already
+	// before it can speak: when Started is called others may know it already
+	r.starting[n], r.launched[n] = control, r.now()
 	r.mu.Unlock()
 	tmp, file := r.tmp, r.path(gateway)
 	if kind == twin { // it knows nothing of the other: neither where it listens nor where it would hand over
@@ -280,13 +284,16 @@
 // lookEvery is how often each process tells its view.
 const lookEvery = 100 * time.Millisecond
 
-// slowest is the delay from which on a path counts as cut for the rules: no answer comes within the time that is waited.
+// slowest is the delay from which on a path counts as cut for the rules: no answer comes within the
+// time that is waited.
 const slowest = 100 * time.Millisecond
 
-// excuseAfter is how long after a stop or a cut a client's try may still be lost by it: what waited is answered late.
+// excuseAfter is how long after a stop or a cut a client's try may still be lost by it: what waited is
+// answered late.
 const excuseAfter = 500 * time.Millisecond
 
-// shutSpread is how far apart the end of a process, a connection to it and the client's word on it may be seen.
+// shutSpread is how far apart the end of a process, a connection to it and the client's word on it may
+// be seen.
 const shutSpread = 60 * time.Millisecond
 
 func (r *rig) began() time.Duration {
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -106,7 +106,8 @@
 	}
 	defer func() { stop(); r.close() }()
 	r.found = o.Found
-	res, err := experiment.Run(ctx, &f.File, experiment.Options{Gateway: o.Gateway, Dir: o.Dir, Seed: seed, Progress: o.Progress, Rig: r, Clock: clock,
+	res, err := experiment.Run(ctx, &f.File, experiment.Options{Gateway: o.Gateway, Dir: o.Dir, Seed: seed,
+		Progress: o.Progress, Rig: r, Clock: clock,
 		Beside: func(ctx context.Context, run *experiment.Handles) error {
 			r.begin(run)
 			began.Store(int64(run.Began))
@@ -192,7 +193,10 @@
 	found := slices.Clone(r.findings)
 	r.mu.Unlock()
 	for _, name := range r.names {
-		if slices.ContainsFunc(found, func(f requestrecord.Finding) bool { return f.Rule == HeldBack && f.ID == name }) {
+		if slices.ContainsFunc(found, func(f requestrecord.Finding) bool {
+			return f.Rule == HeldBack &&
+				f.ID == name
+		}) {
 			continue
 		}
 		text, err := os.ReadFile(filepath.Join(r.dir, name+".log"))
@@ -215,7 +219,10 @@
 		res.Paths = append(res.Paths, Carry{w.from, w.to, w.carried.Load(), w.lost.Load()})
 	}
 	r.net.mu.Unlock()
-	slices.SortFunc(res.Paths, func(a, b Carry) int { return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.To, b.To)) })
+	slices.SortFunc(res.Paths, func(a, b Carry) int {
+		return cmp.Or(cmp.Compare(a.From, b.From),
+			cmp.Compare(a.To, b.To))
+	})
 	counts := make(map[string]int)
 	for _, x := range found {
 		counts[x.Rule]++
--- a/internal/lab/drill/stopped.go
+++ b/internal/lab/drill/stopped.go
@@ -17,7 +17,8 @@
 	"thymebend/internal/tomlfile"
 )
 
-// NotHeard is broken where a client that stopped in the middle of a request got neither an error nor a close in time.
+// NotHeard is broken where a client that stopped in the middle of a request got neither an error nor a
+// close in time.
 const NotHeard = "stopped client not heard"
 
 // The rule in figures: 3 s, and 50 ms as for every time limit on sockets.
@@ -77,7 +78,8 @@
 
 // drawStopped draws a client: where it goes, and where in its request it stops.
 func (r *rig) drawStopped(draws *rand.Rand, number int) stoppedClient {
-	c := stoppedClient{id: fmt.Sprintf("stopped-%d", number), gateway: draws.IntN(len(r.names)), pause: time.Duration(draws.Int64N(int64(mostPause)))}
+	c := stoppedClient{id: fmt.Sprintf("stopped-%d", number), gateway: draws.IntN(len(r.names)),
+		pause: time.Duration(draws.Int64N(int64(mostPause)))}
 	class := r.file.Classes[draws.IntN(len(r.file.Classes))]
 	method, body := "GET", 0
 	if class.Unsafe || class.Keyed {
@@ -86,7 +88,8 @@
 			body = largeBody
 		}
 	}
-	text := fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: h\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %dm\r\n", method, class.Name, c.id, class.Name,
+	text := fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: h\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %dm\r\n",
+		method, class.Name, c.id, class.Name,
 		class.Patience.Milliseconds())
 	if body > 0 {
 		text += fmt.Sprintf("Content-Length: %d\r\n", body)
@@ -109,14 +112,17 @@
 	}
 	ended := r.now()
 	began := r.began()
-	if r.Excuses(r.names[c.gateway], requestrecord.Attempt{ID: c.id, Sent: ended - owedWithin - limitSlack + began, Ended: ended + began}) {
+	if r.Excuses(r.names[c.gateway], requestrecord.Attempt{ID: c.id, Sent: ended - owedWithin - limitSlack +
+		began, Ended: ended + began}) {
 		return
 	}
 	r.find(requestrecord.Finding{Rule: NotHeard, ID: c.id, At: ended - owedWithin,
-		Detail: fmt.Sprintf("%s told it nothing for %v after its last byte (%d pieces, %v apart)", r.names[c.gateway], owedWithin, len(c.pieces), c.pause)})
+		Detail: fmt.Sprintf("%s told it nothing for %v after its last byte (%d pieces, %v apart)",
+			r.names[c.gateway], owedWithin, len(c.pieces), c.pause)})
 }
 
-// heard has the client send its pieces to an address, and reports whether it heard an error or a close in time after the last of them.
+// heard has the client send its pieces to an address, and reports whether it heard an error or a close
+// in time after the last of them.
 func (c stoppedClient) heard(addr string) bool {
 	conn, err := net.DialTimeout("tcp4", addr, owedWithin)
 	if err != nil {
--- a/internal/lab/drill/stopped_test.go
+++ b/internal/lab/drill/stopped_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// The rule on stopped clients can fail: whoever reads and says nothing is found, who answers or closes is not.
+// The rule on stopped clients can fail: whoever reads and says nothing is found, who answers or closes
+// is not.
 func TestStoppedClientsHear(t *testing.T) {
 	for name, c := range map[string]struct {
 		serve func(conn net.Conn)
@@ -39,12 +40,13 @@
 	}
 }
 
-// What a process logged as held back is found though it did not live to tell.
+// What a process logged as suppressed is found though it did not live to tell.
 func TestViolationsAreReadFromLogs(t *testing.T) {
 	r := &rig{}
 	found := r.logged("gateway-0", `{"level":"info","message":"started"}`+"\n"+
 		`{"level":"error","rule":"ran twice","id":"7","detail":"attempt 0 may have run","message":"suppressed: it would break an invariant"}`+"\n")
-	if len(found) != 1 || found[0].Rule != HeldBack || found[0].ID != "gateway-0" || !strings.Contains(found[0].Detail, "ran twice") {
+	if len(found) != 1 || found[0].Rule != HeldBack || found[0].ID != "gateway-0" ||
+		!strings.Contains(found[0].Detail, "ran twice") {
 		t.Errorf("%+v", found)
 	}
 }
--- a/internal/lab/drill/streams.go
+++ b/internal/lab/drill/streams.go
@@ -96,7 +96,7 @@
 	_ = out.Close()
 }
 
-// wait holds back what a path does not carry now, and reports whether it may go on.
+// wait suppresses what a path does not carry now, and reports whether it may go on.
 func (d *door) wait(w *way, stop chan bool) bool {
 	for {
 		over := d.n.changed(w)
@@ -163,8 +163,9 @@
 
 func (j *joint) reset() { j.once.Do(func() { close(j.stop); reset(j.c); reset(j.out) }) }
 
-// serverEnds ends the client's connection as the server's end would have without the relay: with a reset if something that the
-// client sent crossed it. A client tells by that whether its request was read.
+// serverEnds ends the client's connection as the server's end would have without the relay: with a
+// reset if something that the client sent crossed it. A client tells by that whether its request was
+// read.
 func (j *joint) serverEnds() {
 	j.ending.Store(true)
 	_ = j.c.SetReadDeadline(time.Now())
@@ -234,7 +235,10 @@
 		return true
 	}
 	pending := 0
-	if err := raw.Control(func(fd uintptr) { pending, _ = syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR) }); err != nil {
+	if err := raw.Control(func(fd uintptr) {
+		pending, _ = syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET,
+			syscall.SO_ERROR)
+	}); err != nil {
 		return true
 	}
 	return pending != 0
--- a/internal/lab/drill/violations.go
+++ b/internal/lab/drill/violations.go
@@ -13,13 +13,15 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// HeldBack is broken where a gateway's guard held back an effect that would have broken a rule.
+// HeldBack is broken where a gateway's invariant checker suppressed an effect that would have broken a
+// rule.
 const HeldBack = "held back by the guard"
 
 // askEvery is how often each process is asked for its figures.
 const askEvery = 500 * time.Millisecond
 
-// askGuard asks a process for what its guard has held back, and finds fault with each rule once.
+// askGuard asks a process for what its invariant checker has suppressed, and finds fault with each rule
+// once.
 func (r *rig) askGuard(gateway int, control string, told map[string]bool) {
 	figures, err := r.figures(control)
 	if err != nil {
@@ -49,7 +51,8 @@
 	return f, err
 }
 
-// logged finds the violations that processes logged and did not live to tell: their last figures may be older.
+// logged finds the violations that processes logged and did not live to tell: their last figures may be
+// older.
 func (r *rig) logged(name, text string) (found []requestrecord.Finding) {
 	for line := range strings.SplitSeq(text, "\n") {
 		if !strings.Contains(line, `"suppressed: it would break an invariant"`) {
@@ -59,7 +62,8 @@
 		if err := json.Unmarshal([]byte(line), &entry); err != nil {
 			entry.Detail = line
 		}
-		found = append(found, requestrecord.Finding{Rule: HeldBack, ID: name, Detail: fmt.Sprintf("%s: %s %s", entry.Rule, entry.ID, entry.Detail)})
+		found = append(found, requestrecord.Finding{Rule: HeldBack, ID: name, Detail: fmt.Sprintf("%s: %s %s",
+			entry.Rule, entry.ID, entry.Detail)})
 	}
 	return found
 }
--- a/internal/lab/drill/watch.go
+++ b/internal/lab/drill/watch.go
@@ -30,14 +30,16 @@
 		if err != nil {
 			continue
 		}
-		l := membershipcheck.Look{At: at, Gateway: n, PID: pid, Speaking: v.Active, Joined: v.Joined, Settled: v.Settled, Majority: v.Majority, Twin: v.DuplicateName, Alive: v.Alive,
+		l := membershipcheck.Look{At: at, Gateway: n, PID: pid, Speaking: v.Active, Joined: v.Joined,
+			Settled: v.Settled, Majority: v.Majority, Twin: v.DuplicateName, Alive: v.Alive,
 			Sent: v.SentBytes, States: make([]membershipcheck.Held, len(r.names))}
 		for _, m := range v.Members {
 			i, ok := r.index[m.Name]
 			if !ok {
 				l.Strange++
 			} else {
-				l.States[i] = membershipcheck.Held{State: m.State, Start: m.Start, Incarnation: m.Incarnation, Since: at - time.Duration(m.SinceMS)*time.Millisecond,
+				l.States[i] = membershipcheck.Held{State: m.State, Start: m.Start, Incarnation: m.Incarnation,
+					Since:    at - time.Duration(m.SinceMS)*time.Millisecond,
 					Previous: m.Previous, SuspectedBy: m.SuspectedBy}
 			}
 		}
--- a/internal/lab/emulation/discovery.go
+++ b/internal/lab/emulation/discovery.go
@@ -32,8 +32,8 @@
 // moveGrace is how long the old address of discovery keeps its open connections after a move.
 const moveGrace = 1500 * time.Millisecond
 
-// Discovery plays discovery: the list, watches with beats, and its failures. Each gateway has a door of its
-// own, so that what each was told is known.
+// Discovery plays discovery: the list, watches with heartbeats, and its failures. Each gateway has a
+// door of its own, so that what each was told is known.
 type Discovery struct {
 	clock Clock
 
@@ -41,14 +41,16 @@
 	changed *sync.Cond
 	list    *registry.Registry
 	down    bool
-	mute    bool // beats and changes stay inside
-	pushed  bool // each door is an agent's: it answers from what it has been sent, and is silent while discovery is down
-	lag     time.Duration
-	unsent  []Entry // where lists are pushed: what discovery knows and no agent does
-	doors   map[string]*entrance
-	calls   int
-	closed  bool
-	served  sync.WaitGroup
+	mute    bool // heartbeats and changes stay inside
+	// each door is an agent's: it answers from what it has been sent, and is silent while discovery is
+	// down
+	pushed bool
+	lag    time.Duration
+	unsent []Entry // where lists are pushed: what discovery knows and no agent does
+	doors  map[string]*entrance
+	calls  int
+	closed bool
+	served sync.WaitGroup
 }
 
 type entrance struct {
@@ -150,7 +152,8 @@
 	}
 }
 
-// watch writes what changed after a version, then each change as it comes, and a beat while nothing does.
+// watch writes what changed after a version, then each change as it comes, and a heartbeat while
+// nothing does.
 func (d *Discovery) watch(gateway string, c net.Conn, after int, gone chan bool) {
 	if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 		return
@@ -226,7 +229,8 @@
 	d.put(entries)
 }
 
-// put changes the list. Where it is pushed it counts as told then, whether the gateway reads it or not.
+// put changes the list. Where it is pushed it counts as notified then, whether the gateway reads it or
+// not.
 func (d *Discovery) put(entries []Entry) {
 	d.list.Put(entries...)
 	if d.pushed {
@@ -254,7 +258,7 @@
 // SetDown takes discovery down or brings it back: calls get 503, watches end.
 func (d *Discovery) SetDown(on bool) { d.set(func() { d.down = on }) }
 
-// SetMute makes discovery say nothing more on its open watches, beats included, or speak again.
+// SetMute makes discovery say nothing more on its open watches, heartbeats included, or speak again.
 func (d *Discovery) SetMute(on bool) { d.set(func() { d.mute = on }) }
 
 // SetLag changes how late changes show.
--- a/internal/lab/emulation/emulation_test.go
+++ b/internal/lab/emulation/emulation_test.go
@@ -83,7 +83,8 @@
 		if err != nil || r.StatusCode != 200 || !strings.HasPrefix(body, "id="+id+" host=h1") || len(body) != 200 {
 			t.Fatalf("%v %v %q", r, err, body)
 		}
-		if load := r.Header.Get("Endpoint-Load-Metrics"); !strings.HasPrefix(load, "TEXT busy_reqs=") || !strings.Contains(load, "pending=") {
+		if load := r.Header.Get("Endpoint-Load-Metrics"); !strings.HasPrefix(load, "TEXT busy_reqs=") ||
+			!strings.Contains(load, "pending=") {
 			t.Errorf("load report %q", load)
 		}
 	}
@@ -100,7 +101,8 @@
 		t.Errorf("draining: %v", r)
 	}
 	l := h.Close()
-	if len(heard) != 3 || heard[0] != "h1ga" || l.Of("a").Ended != 1 || l.Of("c").TurnedAway != 1 || l.Of("c").Begun != 0 {
+	if len(heard) != 3 || heard[0] != "h1ga" || l.Of("a").Ended != 1 || l.Of("c").TurnedAway != 1 ||
+		l.Of("c").Begun != 0 {
 		t.Errorf("heard %v; ledger %+v %+v", heard, *l.Of("a"), *l.Of("c"))
 	}
 }
@@ -347,8 +349,8 @@
 	}
 }
 
-// Where lists are pushed the door is an agent's: silent while discovery is down, it answers with what it has, and what it
-// is sent counts as told without a watch.
+// Where lists are pushed the door is an agent's: silent while discovery is down, it answers with what
+// it has, and what it is sent counts as notified without a watch.
 func TestPushedDiscovery(t *testing.T) {
 	d := NewDiscovery(NewClock(), 0)
 	defer d.Close()
--- a/internal/lab/emulation/faults.go
+++ b/internal/lab/emulation/faults.go
@@ -110,7 +110,8 @@
 	return noise
 }
 
-// Spoil makes a share of the answers faulty, of one class or, with an empty class, of all. A zero share ends it.
+// Spoil makes a share of the answers faulty, of one class or, with an empty class, of all. A zero share
+// ends it.
 func (h *Host) Spoil(f Fault, share float64, class string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/emulation/host.go
+++ b/internal/lab/emulation/host.go
@@ -1,5 +1,5 @@
-// Package emulation plays the gateway's peers on real loopback sockets: hosts that run the fleet's model, with
-// every failure that sockets have, and discovery. Everything can be changed while it runs.
+// Package emulation plays the gateway's peers on real loopback sockets: hosts that run the fleet's
+// model, with every failure that sockets have, and discovery. Everything can be changed while it runs.
 package emulation
 
 import (
@@ -283,7 +283,8 @@
 }
 
 func message(status int, fields string, length int, body []byte) []byte {
-	head := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n", status, http.StatusText(status), fields, length)
+	head := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n", status, http.StatusText(status),
+		fields, length)
 	return append(head, body...)
 }
 
@@ -337,7 +338,7 @@
 // Conns is the number of open connections.
 func (h *Host) Conns() int { h.mu.Lock(); defer h.mu.Unlock(); return len(h.conns) }
 
-// Close ends the host and returns its ledger, at rest.
+// Close ends the host and returns its record, at rest.
 func (h *Host) Close() *requestrecord.EndpointRecord {
 	h.mu.Lock()
 	h.closed = true
--- a/internal/lab/emulation/mode.go
+++ b/internal/lab/emulation/mode.go
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// restart begins anew, at the same addresses and with the same ledger. Called with the lock held.
+// restart begins anew, at the same addresses and with the same record. Called with the lock held.
 func (h *Host) restart(now time.Duration, cold bool) error {
 	model, err := hostmodel.New(h.model.Spec(), h.rand.Uint64(), now, cold, h.ledger)
 	if err != nil {
--- a/internal/lab/experiment/check.go
+++ b/internal/lab/experiment/check.go
@@ -42,11 +42,13 @@
 func (c *checker) checkClients() {
 	f := c.file
 	c.need(f.Clients.Retries >= 0 && f.Clients.Retries <= 100, "clients.retries", "must be 0 to 100")
-	c.need(f.Clients.Backoff == "fixed" || f.Clients.Backoff == "exp", "clients.backoff", "%q is none of fixed, exp", f.Clients.Backoff)
+	c.need(f.Clients.Backoff == "fixed" || f.Clients.Backoff == "exp", "clients.backoff",
+		"%q is none of fixed, exp", f.Clients.Backoff)
 	c.need(f.Clients.Honour >= 0 && f.Clients.Honour <= 1, "clients.honour", "must be 0 to 1")
 	c.need(f.Clients.TryShare >= 0 && f.Clients.TryShare <= 1, "clients.try_share", "must be 0 to 1")
 	c.need(f.Clients.SlowShare >= 0 && f.Clients.SlowShare <= 1, "clients.slow_share", "must be 0 to 1")
-	c.need(f.Clients.Connections >= 0 && f.Clients.Silent >= 0 && f.Clients.KeepFor >= 0, "clients", "counts must not be negative")
+	c.need(f.Clients.Connections >= 0 && f.Clients.Silent >= 0 && f.Clients.KeepFor >= 0, "clients",
+		"counts must not be negative")
 	c.need(f.Clients.Wait.Duration >= 0 && f.Clients.SlowFor.Duration >= 0, "clients", "times must not be negative")
 }
 
@@ -57,8 +59,10 @@
 	c.need(k.Share > 0, at("share"), "must be positive")
 	c.need(k.Worth >= 0, at("worth"), "must not be negative")
 	c.need(k.Patience.Duration > 0, at("patience"), "must be positive")
-	c.need(k.Aim.Duration > 0 && k.Aim.Duration <= k.Patience.Duration, at("aim"), "must be over 0 and at most patience")
-	c.need(k.Body >= 0 && k.Body <= 64<<10 && (k.Unsafe || k.Keyed || k.Body == 0), at("body"), "must be 0 to 65536, for unsafe and keyed classes only")
+	c.need(k.Aim.Duration > 0 && k.Aim.Duration <= k.Patience.Duration, at("aim"),
+		"must be over 0 and at most patience")
+	c.need(k.Body >= 0 && k.Body <= 64<<10 && (k.Unsafe || k.Keyed || k.Body == 0), at("body"),
+		"must be 0 to 65536, for unsafe and keyed classes only")
 	c.need(!k.Unsafe || !k.Keyed, at("keyed"), "does not go with unsafe")
 	c.need(k.Window.Duration >= 0 && (k.Keyed || k.Window.Duration == 0), at("window"), "goes with keyed")
 	c.need(k.Late >= 0 && k.Late <= 1, at("late_worth"), "must be 0 to 1")
@@ -73,7 +77,8 @@
 	c.need(h.Kind != "" && !strings.ContainsAny(h.Kind, " /,"), at("kind"), "must be one word")
 	c.need(!slices.Contains(c.kinds, h.Kind), at("kind"), "%q is there already", h.Kind)
 	c.need(h.Count >= 1 && h.Count <= 500, at("count"), "must be 1 to 500")
-	c.need(h.Cores >= 1 && h.Slots >= 1 && h.Queue >= 0, at("cores"), "cores and slots must be at least 1, queue at least 0")
+	c.need(h.Cores >= 1 && h.Slots >= 1 && h.Queue >= 0, at("cores"),
+		"cores and slots must be at least 1, queue at least 0")
 	c.need(h.Speed > 0, at("speed"), "must be positive")
 	c.need(h.Cell >= 0, at("cell"), "must not be negative")
 	c.need(h.ColdFrom >= 0 && h.ColdFrom <= 1, at("cold_from"), "must be 0 to 1")
@@ -92,8 +97,10 @@
 
 func (c *checker) checkPhase(i int, p Phase) {
 	path := fmt.Sprintf("phase.%d", i)
-	c.need(p.Arrive == "" || p.Arrive == "poisson" || p.Arrive == "even", path+".arrivals", "%q is none of poisson, even", p.Arrive)
-	c.need(p.Rush == "" || slices.Contains(c.classes, p.Rush), path+".rush", "%q is no class, known are %s", p.Rush, strings.Join(c.classes, ", "))
+	c.need(p.Arrive == "" || p.Arrive == "poisson" || p.Arrive == "even", path+".arrivals",
+		"%q is none of poisson, even", p.Arrive)
+	c.need(p.Rush == "" || slices.Contains(c.classes, p.Rush), path+".rush", "%q is no class, known are %s",
+		p.Rush, strings.Join(c.classes, ", "))
 	if err := p.model().Check(); err != nil {
 		c.in.Fault(path, "%v", err)
 	}
@@ -111,20 +118,25 @@
 	for _, field := range optionalEventFields() {
 		c.need(!c.in.Has(path+"."+field) || slices.Contains(fields, field), path+"."+field, "does not go with %s", e.Do)
 	}
-	c.need(e.Host == "" || slices.Contains(c.hosts, e.Host), path+".host", "%q is no host, known are %s", e.Host, strings.Join(c.hosts, ", "))
-	c.need(e.Kind == "" || slices.Contains(c.kinds, e.Kind), path+".kind", "%q is no kind, known are %s", e.Kind, strings.Join(c.kinds, ", "))
-	c.need(e.Class == "" || slices.Contains(c.classes, e.Class), path+".class", "%q is no class, known are %s", e.Class, strings.Join(c.classes, ", "))
+	c.need(e.Host == "" || slices.Contains(c.hosts, e.Host), path+".host", "%q is no host, known are %s",
+		e.Host, strings.Join(c.hosts, ", "))
+	c.need(e.Kind == "" || slices.Contains(c.kinds, e.Kind), path+".kind", "%q is no kind, known are %s",
+		e.Kind, strings.Join(c.kinds, ", "))
+	c.need(e.Class == "" || slices.Contains(c.classes, e.Class), path+".class", "%q is no class, known are %s",
+		e.Class, strings.Join(c.classes, ", "))
 	c.need(e.Part >= 0 && e.Part <= 1, path+".part", "must be 0 to 1")
 	c.need(e.Count >= 0, path+".count", "must not be negative")
 	c.need(e.Share >= 0 && e.Share <= 1, path+".share", "must be 0 to 1")
-	c.need(e.Gateway >= -1 && e.Gateway < c.file.Gateways.Count, path+".gateway", "must be -1 to %d", c.file.Gateways.Count-1)
+	c.need(e.Gateway >= -1 && e.Gateway < c.file.Gateways.Count, path+".gateway", "must be -1 to %d",
+		c.file.Gateways.Count-1)
 	c.need(e.For.Duration >= 0, path+".for", "must not be negative")
 	c.checkEventNeeds(path, e)
 }
 
 // checkEventNeeds notes what an event lacks.
 func (c *checker) checkEventNeeds(path string, e Event) {
-	c.need(e.Do != "host-spoil" || slices.Contains(c.faults, e.Fault), path+".fault", "%q is none of %s", e.Fault, strings.Join(c.faults, ", "))
+	c.need(e.Do != "host-spoil" || slices.Contains(c.faults, e.Fault), path+".fault", "%q is none of %s",
+		e.Fault, strings.Join(c.faults, ", "))
 	c.need((e.Do != "host-slow" && e.Do != "heavy") || e.Factor > 0, path+".factor", "must be positive")
 	c.need(e.Do != "heavy" || e.Class != "", path+".class", "heavy needs a class")
 	c.need(e.Do != "host-pause" && e.Do != "heavy" || e.For.Duration > 0, path+".for", "%s needs a time", e.Do)
--- a/internal/lab/experiment/events.go
+++ b/internal/lab/experiment/events.go
@@ -16,8 +16,8 @@
 	"thymebend/internal/lab/hostmodel"
 )
 
-// play carries out the timeline, from began on, until ctx is done or everything has happened. Events that need
-// gateways are left out where there are none.
+// play carries out the timeline, from began on, until ctx is done or everything has happened. Events
+// that need gateways are left out where there are none.
 func (w *World) play(ctx context.Context, began time.Duration) {
 	events := slices.Clone(w.File.Events)
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At.Duration, b.At.Duration) })
--- a/internal/lab/experiment/format_test.go
+++ b/internal/lab/experiment/format_test.go
@@ -24,7 +24,8 @@
 // Every fault names file, line and column; several come in one go.
 func TestFaultyExperimentsAreNamed(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
-		{strings.Replace(small, "count = 2", "cuont = 2", 1), "x.toml:8:1: hosts.cuont: unknown field, did you mean count?"},
+		{strings.Replace(small, "count = 2", "cuont = 2", 1),
+			"x.toml:8:1: hosts.cuont: unknown field, did you mean count?"},
 		{strings.Replace(small, `for = "1s"`, `for = "1"`, 1), "x.toml:10:7"},
 		{strings.Replace(small, `for = "1s"`, `for = 1`, 1), "x.toml:10:1: phase.0.for: a time such as"},
 		{strings.Replace(small, `"fixed"`, `"normal"`, 1), `x.toml:5:1: class.0.work: dist "normal" is none of`},
@@ -34,12 +35,15 @@
 		{small + "[[event]]\nat = \"9s\"\ndo = \"host-down\"\nhost = \"box-2\"\nlag = \"1s\"\n",
 			"x.toml:13:1: event.0.at: must be within the phases, 0s to 1s\nx.toml:15:1: event.0.host: \"box-2\" is no host, known are " +
 				"box-0, box-1\nx.toml:16:1: event.0.lag: does not go with host-down"},
-		{small + "[[event]]\nat = \"1s\"\ndo = \"host-spoil\"\nfault = \"nonsense\"\n", "event.0.fault: \"nonsense\" is none of reset-before"},
-		{small + "[[event]]\nat = \"0s\"\ndo = \"gateway-kill\"\ngateway = 1\n", "x.toml:15:1: event.0.gateway: must be -1 to 0"},
+		{small + "[[event]]\nat = \"1s\"\ndo = \"host-spoil\"\nfault = \"nonsense\"\n",
+			"event.0.fault: \"nonsense\" is none of reset-before"},
+		{small + "[[event]]\nat = \"0s\"\ndo = \"gateway-kill\"\ngateway = 1\n",
+			"x.toml:15:1: event.0.gateway: must be -1 to 0"},
 		{small + "rush = \"bids\"\n", "x.toml:12:1: phase.0.rush: \"bids\" is no class, known are view"},
 		{"name = \"a b\"\n", "x.toml:1:1: name: must be one word"},
 		{"[[class]\n", "x.toml:1:"},
-		{strings.Replace(small, "kind = \"box\"", "kind = \"box\"\ncold = true", 1), "x.toml:8:1: hosts.0.cold: goes with cold_from"},
+		{strings.Replace(small, "kind = \"box\"", "kind = \"box\"\ncold = true", 1),
+			"x.toml:8:1: hosts.0.cold: goes with cold_from"},
 	} {
 		_, err := Parse("x.toml", []byte(c.text))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
@@ -53,13 +57,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Gateways.Count != 1 || f.Classes[0].Aim.Duration != 800*time.Millisecond || f.Hosts[0].Queue != 12 || f.Clients.Honour != 1 {
+	if f.Gateways.Count != 1 || f.Classes[0].Aim.Duration != 800*time.Millisecond || f.Hosts[0].Queue != 12 ||
+		f.Clients.Honour != 1 {
 		t.Errorf("%+v", f)
 	}
 }
 
-// Every experiment of the repository can be read, and each event that the format knows is played by one of them
-// or named here.
+// Every experiment of the repository can be read, and each event that the format knows is played by one
+// of them or named here.
 func TestExperimentsOfTheRepository(t *testing.T) {
 	files, err := filepath.Glob("../../../experiments/*.toml")
 	if err != nil || len(files) < 8 {
--- a/internal/lab/experiment/gateways.go
+++ b/internal/lab/experiment/gateways.go
@@ -193,7 +193,8 @@
 		}
 		if !p.planned.Load() {
 			w.mu.Lock()
-			w.findings = append(w.findings, requestrecord.Finding{Rule: requestrecord.GatewayDied, ID: g.name, At: w.Clock(),
+			w.findings = append(w.findings, requestrecord.Finding{Rule: requestrecord.GatewayDied, ID: g.name,
+				At:     w.Clock(),
 				Detail: fmt.Sprintf("ended by itself: %v, see %s", p.err, g.log)})
 			w.mu.Unlock()
 		}
@@ -240,7 +241,8 @@
 	})
 	if !killed && p.err != nil {
 		w.mu.Lock()
-		w.findings = append(w.findings, requestrecord.Finding{Rule: requestrecord.GatewayDied, ID: g.name, At: w.Clock(),
+		w.findings = append(w.findings, requestrecord.Finding{Rule: requestrecord.GatewayDied, ID: g.name,
+			At:     w.Clock(),
 			Detail: fmt.Sprintf("after SIGTERM: %v, see %s", p.err, g.log)})
 		w.mu.Unlock()
 	}
--- a/internal/lab/experiment/models.go
+++ b/internal/lab/experiment/models.go
@@ -28,7 +28,8 @@
 }
 
 func (p Phase) model() load.Phase {
-	return load.Phase{For: p.For.Duration, Rate: p.Rate, To: p.To, Steps: p.Steps, Jump: p.Jump, JumpAt: p.JumpAt.Duration,
+	return load.Phase{For: p.For.Duration, Rate: p.Rate, To: p.To, Steps: p.Steps, Jump: p.Jump,
+		JumpAt:  p.JumpAt.Duration,
 		JumpFor: p.JumpFor.Duration, Rush: p.Rush, RushTo: p.RushTo, Poisson: p.Arrive != "even"}
 }
 
@@ -42,8 +43,8 @@
 		KeepFor: c.KeepFor, SlowShare: c.SlowShare, SlowFor: c.SlowFor.Duration, Silent: c.Silent}
 }
 
-// cell is the number of a host's cell over the whole fleet. A host that replaces another gets the cell that its number
-// falls into.
+// cell is the number of a host's cell over the whole fleet. A host that replaces another gets the cell
+// that its number falls into.
 func (f *File) cell(h Hosts, n int) int {
 	before := 0
 	for _, other := range f.Hosts {
@@ -65,14 +66,17 @@
 	for _, c := range f.Classes {
 		work[c.Name] = c.Work.model()
 	}
-	return hostmodel.Spec{Name: HostName(h.Kind, n), Site: h.Site, Kind: h.Kind, Cores: h.Cores, Speed: h.Speed, Slots: h.Slots,
+	return hostmodel.Spec{Name: HostName(h.Kind, n), Site: h.Site, Kind: h.Kind, Cores: h.Cores, Speed: h.Speed,
+		Slots: h.Slots,
 		Queue: h.Queue, ThrashAt: h.ThrashAt, Thrash: h.Thrash,
-		Cold: hostmodel.Cold{From: h.ColdFrom, For: h.ColdFor.Duration, ByWork: h.WarmBy == "work", FallMultiple: h.Fall,
-			FallFor: h.FallFor.Duration},
+		Cold: hostmodel.Cold{From: h.ColdFrom, For: h.ColdFor.Duration, ByWork: h.WarmBy == "work",
+			FallMultiple: h.Fall,
+			FallFor:      h.FallFor.Duration},
 		Pause:     hostmodel.Pause{Every: h.PauseEvery.Duration, For: h.PauseFor.Duration, Grow: h.PauseGrow},
 		ErrorRate: h.ErrorRate, Conns: h.Conns, FullTax: h.FullTax, HandshakeWork: h.Handshake.Duration,
-		Report: hostmodel.Report{Least: h.ReportMin.Duration, Most: h.ReportMax.Duration, Delay: h.ReportLate.Duration, Noise: h.Noise},
-		Body:   h.Body, Work: work}
+		Report: hostmodel.Report{Least: h.ReportMin.Duration, Most: h.ReportMax.Duration,
+			Delay: h.ReportLate.Duration, Noise: h.Noise},
+		Body: h.Body, Work: work}
 }
 
 // HostName names a host of a kind by its number.
--- a/internal/lab/experiment/rig.go
+++ b/internal/lab/experiment/rig.go
@@ -9,16 +9,16 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// Rig adds to a run what stands between the processes, and sees what becomes of them. All may be called from several
-// goroutines.
+// Rig adds to a run what stands between the processes, and sees what becomes of them. All may be called
+// from several goroutines.
 type Rig interface {
-	// Path returns the address by which a node reaches another one that listens at addr. Nodes are gateways, hosts,
-	// "discovery" and "clients".
+	// Path returns the address by which a node reaches another one that listens at addr. Nodes are
+	// gateways, hosts, "discovery" and "clients".
 	Path(from, to, addr string) (string, error)
 	// Listen returns where a gateway is to listen.
 	Listen(gateway string) (string, error)
-	// HostAddress is the address, without a port, at which hosts listen. Nobody else may listen there or call from there: a host that
-	// restarts needs its ports again.
+	// HostAddress is the address, without a port, at which hosts listen. Nobody else may listen there
+	// or call from there: a host that restarts needs its ports again.
 	HostAddress() string
 	// Environment is what a process of a gateway gets beside the usual, each process anew.
 	Environment(gateway string) ([]string, error)
@@ -101,8 +101,8 @@
 	return h.Start(ctx, n)
 }
 
-// Upgrade starts a second process of a gateway, waits until ready tells that it takes clients, ends the first one and
-// waits for that.
+// Upgrade starts a second process of a gateway, waits until ready tells that it takes clients, ends the
+// first one and waits for that.
 func (h *Handles) Upgrade(ctx context.Context, n int, ready func(pid int) bool) error {
 	w, g := h.w, h.w.gateways[n]
 	elder := g.present()
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// Twin starts a second process under a gateway's name that knows nothing of the first one and has an address of its own for
-// clients, who do not know it. The returned function kills it.
+// Twin starts a second process under a gateway's name that knows nothing of the first one and has an
+// address of its own for clients, who do not know it. The returned function kills it.
 func (h *Handles) Twin(ctx context.Context, n int, ready func(pid int) bool) (end func(), err error) {
 	addr, err := h.w.rig.Listen(h.w.gateways[n].name)
 	if err != nil {
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -37,7 +37,7 @@
 	Work        HostWork                `json:"work"`
 }
 
-// HostWork sums the hosts' ledgers up.
+// HostWork sums the hosts' records up.
 type HostWork struct {
 	Arrivals   int     `json:"arrivals"`
 	Begun      int     `json:"begun"`
@@ -144,7 +144,8 @@
 }
 
 // runLoad plays the load, with the events of the file, the samples and what is to be played beside it.
-func (w *World) runLoad(ctx context.Context, o Options, began time.Duration, options load.Options) (load.Result, error) {
+func (w *World) runLoad(ctx context.Context, o Options, began time.Duration, options load.Options) (load.Result,
+	error) {
 	running, stop := context.WithCancel(ctx)
 	defer stop()
 	go w.sample(running, began)
@@ -172,7 +173,7 @@
 	return result, nil
 }
 
-// conclude compares the ledgers and fills in the result.
+// conclude compares the records and fills in the result.
 func (w *World) conclude(res *Result, clients *requestrecord.ClientRecord, began time.Duration) error {
 	var found []requestrecord.Finding
 	res.Hosts, res.Gateways, found = w.results()
--- a/internal/lab/experiment/run_test.go
+++ b/internal/lab/experiment/run_test.go
@@ -43,7 +43,8 @@
 	if err := r.WriteJSON(dir); err != nil {
 		t.Fatal(err)
 	}
-	if again, err := ReadJSON(dir); err != nil || again.Load.Scheduled != r.Load.Scheduled || len(again.Rules) != len(requestrecord.Rules()) {
+	if again, err := ReadJSON(dir); err != nil || again.Load.Scheduled != r.Load.Scheduled ||
+		len(again.Rules) != len(requestrecord.Rules()) {
 		t.Errorf("result.json: %v", err)
 	}
 	var trace bytes.Buffer
@@ -110,7 +111,8 @@
 	if err == nil || !strings.Contains(err.Error(), "gateway-0 ended before it was ready") {
 		t.Errorf("%v", err)
 	}
-	if _, err = Run(context.Background(), f, Options{Gateway: "/no/such", Dir: t.TempDir()}); err == nil || !strings.Contains(err.Error(), "make build") {
+	if _, err = Run(context.Background(), f, Options{Gateway: "/no/such", Dir: t.TempDir()}); err == nil ||
+		!strings.Contains(err.Error(), "make build") {
 		t.Errorf("%v", err)
 	}
 }
@@ -162,14 +164,16 @@
 
 // Lost tries are excused by a kill that fell into their time, and by nothing else.
 func TestOnlyCrashesExcuse(t *testing.T) {
-	w := &World{gateways: []*gateway{{front: "a", kills: []time.Duration{10 * time.Second}, stops: []time.Duration{30 * time.Second}}}}
+	w := &World{gateways: []*gateway{{front: "a", kills: []time.Duration{10 * time.Second},
+		stops: []time.Duration{30 * time.Second}}}}
 	for _, c := range []struct {
 		target      string
 		sent, ended time.Duration
 		want        bool
 	}{{"a", 9 * time.Second, 10 * time.Second, true}, {"a", 9 * time.Second, 9500 * time.Millisecond, false},
 		{"a", 11 * time.Second, 12 * time.Second, false}, {"b", 9 * time.Second, 10 * time.Second, false},
-		{"a", 30*time.Second + 100*time.Millisecond, 31 * time.Second, false}, {"a", 30*time.Second + 900*time.Millisecond, 31 * time.Second, true}} {
+		{"a", 30*time.Second + 100*time.Millisecond, 31 * time.Second, false},
+		{"a", 30*time.Second + 900*time.Millisecond, 31 * time.Second, true}} {
 		if got := w.excused(requestrecord.Attempt{Target: c.target, Sent: c.sent, Ended: c.ended}); got != c.want {
 			t.Errorf("%+v: excused %v", c, got)
 		}
--- a/internal/lab/experiment/sample.go
+++ b/internal/lab/experiment/sample.go
@@ -67,8 +67,8 @@
 
 type usage struct{ at, used time.Duration }
 
-// cpuOver is how many looks back the use of the processor is counted: the system counts in steps of 10 ms, and
-// a single interval would show little but these.
+// cpuOver is how many looks back the use of the processor is counted: the system counts in steps of 10
+// ms, and a single interval would show little but these.
 const cpuOver = 4
 
 // sample looks at hosts and gateways until ctx is done.
@@ -166,7 +166,8 @@
 	}
 	limit := w.File.Gateways
 	for _, g := range w.gateways {
-		r := GatewayResult{Name: g.name, Starts: g.starts, CPUSeconds: g.series.total.Seconds(), Samples: g.series.samples}
+		r := GatewayResult{Name: g.name, Starts: g.starts, CPUSeconds: g.series.total.Seconds(),
+			Samples: g.series.samples}
 		for _, s := range r.Samples {
 			r.PeakMemoryMB = max(r.PeakMemoryMB, s.MemoryMB)
 			r.PeakDescriptors = max(r.PeakDescriptors, s.Descriptors)
--- a/internal/lab/experiment/settings.go
+++ b/internal/lab/experiment/settings.go
@@ -56,7 +56,8 @@
 	return classes
 }
 
-// guaranteeSettings hold for all hosts: the coldest start, the longest warm-up, the least overload that fells one.
+// guaranteeSettings hold for all hosts: the coldest start, the longest warm-up, the least overload that
+// fells one.
 func (f *File) guaranteeSettings() map[string]any {
 	from, warm, multiple, overload := 1.0, time.Duration(0), 1.0, time.Second
 	for _, h := range f.Hosts {
--- a/internal/lab/experiment/tries.go
+++ b/internal/lab/experiment/tries.go
@@ -20,12 +20,13 @@
 const triesFile = "tries.tsv"
 
 func triesHead() []string {
-	return []string{"id", "request", "try", "class", "target", "due_us", "sent_us", "ended_us", "status", "answers", "patience_ms",
+	return []string{"id", "request", "try", "class", "target", "due_us", "sent_us", "ended_us", "status",
+		"answers", "patience_ms",
 		"body_bytes", "cause"}
 }
 
-// writeTries writes the clients' ledger as tab-separated text. Times count from the load's begin; a try that was
-// never written whole has sent_us -1.
+// writeTries writes the clients' record as tab-separated text. Times count from the load's begin; a try
+// that was never written whole has sent_us -1.
 func writeTries(path string, tries []requestrecord.Attempt, began time.Duration) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -42,7 +43,8 @@
 		}
 		_ = out.Write([]string{t.ID, strconv.Itoa(t.Request), strconv.Itoa(t.Number), t.Class, t.Target,
 			fmt.Sprint((t.Due - began).Microseconds()), fmt.Sprint(sent), fmt.Sprint((t.Ended - began).Microseconds()),
-			strconv.Itoa(t.Status), strconv.Itoa(t.Answers), fmt.Sprint(t.Patience.Milliseconds()), strconv.Itoa(t.Body), t.Cause})
+			strconv.Itoa(t.Status), strconv.Itoa(t.Answers), fmt.Sprint(t.Patience.Milliseconds()),
+			strconv.Itoa(t.Body), t.Cause})
 	}
 	out.Flush()
 	if err := out.Error(); err != nil {
--- a/internal/lab/experiment/world.go
+++ b/internal/lab/experiment/world.go
@@ -17,7 +17,7 @@
 // The rules in figures.
 const (
 	drainGrace = 300 * time.Millisecond // 250 ms, and 50 ms as for every time limit on sockets
-	killAfter  = 700 * time.Millisecond // after SIGTERM and the longest patience
+	killAfter  = 700 * time.Millisecond // after SIGTERM and the longest client timeout
 	leaveFront = 300 * time.Millisecond // the front sends on for so long after SIGTERM
 	readyWait  = 15 * time.Second
 )
@@ -100,7 +100,8 @@
 		return nil, err
 	}
 	m := &member{Host: host, spec: h, n: n}
-	m.entry = emulation.Entry{Host: spec.Name, Site: spec.Site, Kind: spec.Kind, State: emulation.StateUp, Dial: make(map[string]string),
+	m.entry = emulation.Entry{Host: spec.Name, Site: spec.Site, Kind: spec.Kind, State: emulation.StateUp,
+		Dial: make(map[string]string),
 		Cell: w.File.cell(h, n)}
 	if cold {
 		m.entry.Born = time.Now().UnixMilli()
@@ -133,7 +134,8 @@
 	if late := first - told.At; ok && late > drainGrace {
 		w.mu.Lock()
 		w.findings = append(w.findings, requestrecord.Finding{Rule: requestrecord.LateToDrained, ID: id, At: first,
-			Detail: fmt.Sprintf("%s sent to %s %v after it was told %s", via, host, late.Round(time.Millisecond), told.State)})
+			Detail: fmt.Sprintf("%s sent to %s %v after it was told %s", via, host,
+				late.Round(time.Millisecond), told.State)})
 		w.mu.Unlock()
 	}
 }
@@ -177,14 +179,15 @@
 func (w *World) Config(name string, rank int, listen, discovery string) ([]byte, error) {
 	g := w.File.Gateways
 	return json.MarshalIndent(map[string]any{
-		"name": name, "listen": listen, "discovery": discovery, "seed": fmt.Sprintf("%016x", w.seed*2654435761+uint64(rank)),
+		"name": name, "listen": listen, "discovery": discovery,
+		"seed":     fmt.Sprintf("%016x", w.seed*2654435761+uint64(rank)),
 		"limits":   map[string]any{"cores": g.Cores, "memory_mb": g.MemoryMB, "sockets": g.Sockets},
 		"known":    json.RawMessage(w.known(name)),
 		"settings": w.File.Settings(rank),
 	}, "", " ")
 }
 
-// longest is the longest patience of a client.
+// longest is the longest client timeout of a client.
 func (w *World) longest() (out time.Duration) {
 	for _, c := range w.File.Classes {
 		out = max(out, c.Patience.Duration)
@@ -192,8 +195,8 @@
 	return out
 }
 
-// excused tells whether a try was lost for a reason that no rule forbids: its gateway was killed while it held
-// the try, or the try came to it long after SIGTERM.
+// excused tells whether a try was lost for a reason that no rule forbids: its gateway was killed while
+// it held the try, or the try came to it long after SIGTERM.
 func (w *World) excused(t requestrecord.Attempt) bool {
 	for _, g := range w.gateways {
 		if g.front != t.Target {
@@ -212,7 +215,7 @@
 // killSpread is how far apart the clock was read from the kill itself.
 const killSpread = 20 * time.Millisecond
 
-// Close ends everything and returns the hosts' ledgers, at rest.
+// Close ends everything and returns the hosts' records, at rest.
 func (w *World) Close() []*requestrecord.EndpointRecord {
 	for _, g := range w.gateways {
 		if p := g.present(); p != nil {
--- a/internal/lab/hostmodel/faults.go
+++ b/internal/lab/hostmodel/faults.go
@@ -39,7 +39,7 @@
 // SetSpeed changes the speed of the cores.
 func (h *Host) SetSpeed(now time.Duration, speed float64) { h.run(now); h.spec.Speed = speed }
 
-// SetErrors changes the share of executions that fail.
+// SetErrors changes the share of attempts that fail.
 func (h *Host) SetErrors(now time.Duration, rate float64) { h.run(now); h.spec.ErrorRate = rate }
 
 // Heavy makes a share of a class's requests cost a multiple of their work, until a time.
--- a/internal/lab/hostmodel/host.go
+++ b/internal/lab/hostmodel/host.go
@@ -1,7 +1,7 @@
-// Package hostmodel is a pure model of one host: cores, slots and a bounded waiting room, work drawn by class, and
-// what troubles hosts in service. It does no I/O and has no clock: time is passed in, counted from the run's
-// start, and never runs backward. The same seed and the same calls give the same replies. The stand-in hosts
-// run it on sockets; simulations run it on a virtual clock.
+// Package hostmodel is a pure model of one host: cores, slots and a bounded waiting room, work drawn by
+// class, and what troubles hosts in service. It does no I/O and has no clock: time is passed in,
+// counted from the run's start, and never runs backward. The same seed and the same calls give the same
+// replies. The stand-in hosts run it on sockets; simulations run it on a virtual clock.
 package hostmodel
 
 import (
@@ -85,8 +85,8 @@
 
 const never = time.Duration(math.MaxInt64)
 
-// New starts a host. A cold one begins at its cold share, others are warm. What it is sent and makes goes into
-// the ledger.
+// New starts a host. A cold one begins at its cold share, others are warm. What it is sent and makes
+// goes into the record.
 func New(spec Spec, seed uint64, born time.Duration, cold bool, into *requestrecord.EndpointRecord) (*Host, error) {
 	switch {
 	case spec.Cores < 1 || spec.Slots < 1 || spec.Queue < 0:
@@ -122,8 +122,8 @@
 	return max(time.Millisecond, time.Duration(h.rand.ExpFloat64()*float64(mean)))
 }
 
-// Arrive takes a whole request. Its end comes from Advance, under the token; a host that is full, drains or is
-// down turns it away at once.
+// Arrive takes a whole request. Its end comes from Advance, under the token; a host that is full,
+// drains or is down turns it away at once.
 func (h *Host) Arrive(now time.Duration, r Request) (token uint64) {
 	h.run(now)
 	h.tokens++
@@ -252,7 +252,7 @@
 	}
 }
 
-// finish ends the executions whose work is done.
+// finish ends the attempts whose work is done.
 func (h *Host) finish() {
 	kept := h.running[:0]
 	var over []*execution
--- a/internal/lab/hostmodel/host_test.go
+++ b/internal/lab/hostmodel/host_test.go
@@ -177,7 +177,11 @@
 
 // Reports show late, as of the time at which they were taken.
 func TestReportsAreLate(t *testing.T) {
-	h, _ := host(t, false, func(s *Spec) { s.Report = Report{Least: 100 * ms, Most: 100 * ms, Delay: 30 * ms}; s.Queue = 5 })
+	h, _ := host(t, false, func(s *Spec) {
+		s.Report = Report{Least: 100 * ms, Most: 100 * ms,
+			Delay: 30 * ms}
+		s.Queue = 5
+	})
 	if _, ok := h.Report(10 * ms); ok {
 		t.Error("a report before its delay")
 	}
@@ -241,7 +245,8 @@
 	}
 	a, b, c := play(6*ms), play(6*ms), play(ms)
 	if len(a) < 400 || !reflect.DeepEqual(a, b) || !reflect.DeepEqual(a, c) {
-		t.Errorf("%d replies; alike in one step size: %v, in another: %v", len(a), reflect.DeepEqual(a, b), reflect.DeepEqual(a, c))
+		t.Errorf("%d replies; alike in one step size: %v, in another: %v", len(a), reflect.DeepEqual(a, b),
+			reflect.DeepEqual(a, c))
 	}
 }
 
--- a/internal/lab/hostmodel/rate.go
+++ b/internal/lab/hostmodel/rate.go
@@ -38,8 +38,8 @@
 
 func (h *Host) perCore() float64 { return float64(h.InFlight()) / float64(h.spec.Cores) }
 
-// budget counts the work sent to a cold host, and lets it fall over when that is too much. It counts the class's
-// mean, not the draw: nobody who sends can know the draw.
+// budget counts the work sent to a cold host, and lets it fall over when that is too much. It counts
+// the class's mean, not the draw: nobody who sends can know the draw.
 func (h *Host) budget(work float64) {
 	c := h.spec.Cold
 	if !h.cold || h.down || c.FallMultiple <= 0 || c.FallFor <= 0 || h.warm >= 1 {
--- a/internal/lab/hostmodel/spec.go
+++ b/internal/lab/hostmodel/spec.go
@@ -18,7 +18,7 @@
 	Cold      Cold
 	Pause     Pause
 	Neighbour Neighbour
-	ErrorRate float64 // share of executions that end with an error
+	ErrorRate float64 // share of attempts that end with an error
 
 	Conns         int           // connections held at most; 0 means no limit
 	FullTax       float64       // share of the capacity that a full table of connections takes
@@ -31,10 +31,11 @@
 
 // Cold is the weakness of a host that has just started.
 type Cold struct {
-	From         float64       // share of the capacity at birth; 0 or 1 mean that it is born warm
-	For          time.Duration // it is warm after this long at the latest
-	ByWork       bool          // it warms with the work done as well: half of what it could do in For is enough
-	FallMultiple float64       // sent over this multiple of what it can do, for FallFor, it falls over for good; 0 never
+	From   float64       // share of the capacity at birth; 0 or 1 mean that it is born warm
+	For    time.Duration // it is warm after this long at the latest
+	ByWork bool          // it warms with the work done as well: half of what it could do in For is enough
+	// sent over this multiple of what it can do, for FallFor, it falls over for good; 0 never
+	FallMultiple float64
 	FallFor      time.Duration
 }
 
--- a/internal/lab/load/attempt.go
+++ b/internal/lab/load/attempt.go
@@ -39,12 +39,16 @@
 	a := attempt{id: fmt.Sprintf("%s%08x", g.Prefix, g.ids.Add(1)), request: r, class: class, number: number,
 		patience: patience, target: g.Front.pick()}
 	err := g.Ledger.Add(requestrecord.Attempt{ID: a.id, Request: r.number, Number: number, Class: class.Name,
-		Unsafe: class.Unsafe, Keyed: class.Keyed, Target: a.target.addr, Body: r.Body, Due: g.began + r.At, Patience: patience})
+		Unsafe: class.Unsafe, Keyed: class.Keyed, Target: a.target.addr, Body: r.Body, Due: g.began + r.At,
+		Patience: patience})
 	if err != nil {
 		return tried{fate: Unsent, cause: err.Error()}
 	}
 	defer func() {
-		g.Ledger.Update(a.id, func(t *requestrecord.Attempt) { t.Ended, t.Whole, t.Cause = g.now(), a.whole, out.cause })
+		g.Ledger.Update(a.id, func(t *requestrecord.Attempt) {
+			t.Ended, t.Whole, t.Cause = g.now(), a.whole,
+				out.cause
+		})
 	}()
 	for again := 0; ; again++ {
 		if result, ended := g.sendOn(ctx, &a, again); ended {
@@ -53,7 +57,8 @@
 	}
 }
 
-// sendOn sends an attempt on a link to its target. ended is false where the link closed without having read it.
+// sendOn sends an attempt on a link to its target. ended is false where the link closed without having
+// read it.
 func (g *generator) sendOn(ctx context.Context, a *attempt, again int) (result tried, ended bool) {
 	l, used, err := g.linkTo(ctx, a.target, a.patience, again > 0)
 	if errors.Is(err, errNoRoom) {
@@ -132,7 +137,8 @@
 
 // cause words an error without what differs from one connection to the next.
 func cause(err error) string {
-	for _, known := range []error{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EPIPE, os.ErrDeadlineExceeded, net.ErrClosed} {
+	for _, known := range []error{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EPIPE,
+		os.ErrDeadlineExceeded, net.ErrClosed} {
 		if errors.Is(err, known) {
 			return known.Error()
 		}
@@ -144,7 +150,8 @@
 }
 
 // linkTo returns a link to a target, an idle one unless fresh.
-func (g *generator) linkTo(ctx context.Context, t *target, within time.Duration, fresh bool) (l *link, used bool, err error) {
+func (g *generator) linkTo(ctx context.Context, t *target, within time.Duration, fresh bool) (l *link,
+	used bool, err error) {
 	if !fresh {
 		if l := t.pool.take(); l != nil {
 			return l, true, nil
@@ -174,7 +181,8 @@
 		method, path = "POST", "/"+c.Name
 	}
 	b := make([]byte, 0, 256+r.Body)
-	b = fmt.Appendf(b, "%s %s HTTP/1.1\r\nHost: lab\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %dm\r\n", method, path, id,
+	b = fmt.Appendf(b, "%s %s HTTP/1.1\r\nHost: lab\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %dm\r\n",
+		method, path, id,
 		c.Name, patience.Milliseconds())
 	if number > 0 && g.Clients.Marks {
 		b = append(b, "X-Second-Try: 1\r\n"...)
--- a/internal/lab/load/front.go
+++ b/internal/lab/load/front.go
@@ -64,8 +64,8 @@
 	return f.targets[f.turn%len(f.targets)]
 }
 
-// Heavy has some targets get a share of all requests beside their turns, as where a site has most of the clients. None, or a share
-// of 0, deals alike again.
+// Heavy has some targets get a share of all requests beside their turns, as where a site has most of
+// the clients. None, or a share of 0, deals alike again.
 func (f *Front) Heavy(addrs []string, share float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/lab/load/generator.go
+++ b/internal/lab/load/generator.go
@@ -13,8 +13,8 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// grace is how much longer than its patience a client looks for an answer, to tell a late one from none. The
-// rules on sockets give every time limit as much.
+// grace is how much longer than its client timeout a client looks for an answer, to tell a late one
+// from none. The rules on sockets give every time limit as much.
 const grace = 50 * time.Millisecond
 
 // reserve of descriptors is left for all but client connections.
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -22,7 +22,8 @@
 
 func classes() []Class {
 	return []Class{{Name: "view", Share: 0.6, Worth: 1, Aim: 800 * time.Millisecond, Patience: 5 * time.Second},
-		{Name: "lodge", Share: 0.4, Unsafe: true, Worth: 8, Aim: 800 * time.Millisecond, Patience: 5 * time.Second, Body: 300}}
+		{Name: "lodge", Share: 0.4, Unsafe: true, Worth: 8, Aim: 800 * time.Millisecond,
+			Patience: 5 * time.Second, Body: 300}}
 }
 
 // quickHost answers at once, a thousand at a time.
@@ -118,7 +119,8 @@
 		}
 		return n
 	}
-	if first, last, after := count(1, 0, s), count(1, 9*s, 10*s), count(1, 10*s, 11*s); last < 6*first || after > first+30 {
+	if first, last, after := count(1, 0, s), count(1, 9*s, 10*s), count(1, 10*s, 11*s); last < 6*first ||
+		after > first+30 {
 		t.Errorf("bids in the first, the last and the next second: %d, %d, %d", first, last, after)
 	}
 	if first, last := count(0, 0, 2*s), count(0, 8*s, 10*s); last > first*5/4 {
@@ -145,9 +147,12 @@
 			t.Fatalf("%d: %+v, was %+v", i, got[i], want[i])
 		}
 	}
-	for bad, want := range map[string]string{"# head\n5 view 100\n": "t:2: 3 words", "5 vew 100 0\n": "t:1: class \"vew\"",
-		"9 view 100 0\n8 view 100 0\n": "t:2: due_us", "1 view 0 0\n": "t:1: patience_ms", "1 lodge 9 99999\n": "t:1: body_bytes"} {
-		if _, err := ReadTrace("t", strings.NewReader(bad), classes()); err == nil || !strings.Contains(err.Error(), want) {
+	for bad, want := range map[string]string{"# head\n5 view 100\n": "t:2: 3 words",
+		"5 vew 100 0\n":                "t:1: class \"vew\"",
+		"9 view 100 0\n8 view 100 0\n": "t:2: due_us", "1 view 0 0\n": "t:1: patience_ms",
+		"1 lodge 9 99999\n": "t:1: body_bytes"} {
+		if _, err := ReadTrace("t", strings.NewReader(bad), classes()); err == nil ||
+			!strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
@@ -198,7 +203,8 @@
 
 func TestGeneratorOwnsUpToItsOwnLateness(t *testing.T) {
 	_, addr := quickHost(t, emulation.NewClock())
-	r := run(t, Options{Targets: []string{addr}, Schedule: &stuck{Schedule: phasesOf(t, Phase{For: time.Second, Rate: 200})}})
+	r := run(t, Options{Targets: []string{addr},
+		Schedule: &stuck{Schedule: phasesOf(t, Phase{For: time.Second, Rate: 200})}})
 	if !r.FellBehind || r.Behind == "" || r.SelfLate.Max < 600 || r.Latency.Max < 600 {
 		t.Errorf("behind %v (%s), own lateness %+v, latencies %+v", r.FellBehind, r.Behind, r.SelfLate, r.Latency)
 	}
@@ -276,7 +282,8 @@
 							}
 							text, _ := io.ReadAll(resp.Body)
 							resp.Body.Close()
-							answer = fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", resp.StatusCode, len(text), text)
+							answer = fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s",
+								resp.StatusCode, len(text), text)
 						}
 						return answer
 					}
@@ -288,14 +295,18 @@
 	return ln.Addr().String()
 }
 
-// The ledgers name the very ids on which a gateway went wrong, and no others.
+// The records name the very ids on which a gateway went wrong, and no others.
 func TestLedgersCatchPlantedDefects(t *testing.T) {
 	for _, c := range []struct {
 		rule   string
 		defect func(forward func(int) string, c net.Conn)
 	}{
 		{requestrecord.RanTwice, func(f func(int) string, c net.Conn) { _, _ = io.WriteString(c, f(2)) }},
-		{requestrecord.AnsweredTwice, func(f func(int) string, c net.Conn) { a := f(1); _, _ = io.WriteString(c, a+a) }},
+		{requestrecord.AnsweredTwice, func(f func(int) string, c net.Conn) {
+			a := f(1)
+			_,
+				_ = io.WriteString(c, a+a)
+		}},
 		{requestrecord.Unanswered, func(f func(int) string, c net.Conn) { f(1) }},
 		{requestrecord.ForeignBody, func(f func(int) string, c net.Conn) {
 			_, _ = io.WriteString(c, strings.Replace(f(1), "execution=", "execution:", 1))
@@ -401,7 +412,8 @@
 				}
 			}()
 			bids := classes()[1:]
-			two := Record([]Arrival{{At: 0, Patience: 2 * time.Second, Body: 10}, {At: 100 * time.Millisecond, Patience: 2 * time.Second, Body: 10}})
+			two := Record([]Arrival{{At: 0, Patience: 2 * time.Second, Body: 10},
+				{At: 100 * time.Millisecond, Patience: 2 * time.Second, Body: 10}})
 			r := run(t, Options{Targets: []string{ln.Addr().String()}, Classes: bids, Schedule: two})
 			if got := map[bool]Fate{true: OK, false: Failed}[r.OK == 2]; got != c.want {
 				t.Errorf("%+v %v", r.Counts, r.Causes)
--- a/internal/lab/load/options.go
+++ b/internal/lab/load/options.go
@@ -15,7 +15,7 @@
 	Wait        time.Duration // before the first retry
 	Honour      float64       // share that waits as long as Retry-After tells
 	MostAfter   time.Duration // the longest Retry-After that is followed; beyond it the client gives up. 0: no limit
-	TryShare    float64       // a client leaves after a share between this and 1 of its patience; 0 means 1
+	TryShare    float64       // a client leaves after a share between this and 1 of its client timeout; 0 means 1
 	Marks       bool          // retries are marked as such
 	Connections int           // open from the start, dealt out among the targets
 	KeepFor     int           // requests on one connection; 0 means no limit
--- a/internal/lab/load/record.go
+++ b/internal/lab/load/record.go
@@ -81,7 +81,8 @@
 	}
 	ms := func(us int64) float64 { return float64(us) / 1000 }
 	p := h.ValueAtPercentiles([]float64{50, 90, 99, 99.9})
-	return Latency{Count: h.TotalCount(), P50: ms(p[50]), P90: ms(p[90]), P99: ms(p[99]), P999: ms(p[99.9]), Max: ms(h.Max())}
+	return Latency{Count: h.TotalCount(), P50: ms(p[50]), P90: ms(p[90]), P99: ms(p[99]), P999: ms(p[99.9]),
+		Max: ms(h.Max())}
 }
 
 // Percentile of a latency curve.
@@ -209,8 +210,9 @@
 	PartialInput bool           `json:"stopped_early"`
 }
 
-// The generator has fallen behind when a tenth of a percent of its requests left later than behindMost, or the
-// 99th percentile is over behindP99. What it then measures is its own delay as much as the target's.
+// The generator has fallen behind when a tenth of a percent of its requests left later than behindMost,
+// or the 99th percentile is over behindP99. What it then measures is its own delay as much as the
+// target's.
 const (
 	behindP99  = 25 * time.Millisecond
 	behindMost = 250 * time.Millisecond
@@ -228,7 +230,8 @@
 		for n := range r.seconds[i] {
 			s := &r.seconds[i][n]
 			cr.add(s.Counts)
-			cr.Seconds = append(cr.Seconds, SecondResult{Second: n, Counts: s.Counts, Tries: s.Tries, Latency: latency(s.hist),
+			cr.Seconds = append(cr.Seconds, SecondResult{Second: n, Counts: s.Counts, Tries: s.Tries,
+				Latency: latency(s.hist),
 				Goodput: share(s.InAim, s.Scheduled)})
 			out.Tries += s.Tries
 		}
--- a/internal/lab/load/schedule.go
+++ b/internal/lab/load/schedule.go
@@ -26,8 +26,8 @@
 	Body     int           // bytes of a POST's body
 }
 
-// Phase is a stretch of time with a rate. The zero value of each field but For and Rate means that it does not
-// apply.
+// Phase is a stretch of time with a rate. The zero value of each field but For and Rate means that it
+// does not apply.
 type Phase struct {
 	For   time.Duration
 	Rate  float64 // requests a second at its begin
@@ -202,8 +202,8 @@
 // traceHead is a trace's first line.
 const traceHead = "# thymelab trace 1: due_us class patience_ms body_bytes"
 
-// WriteTrace records arrivals, one a line: when it was due in microseconds after the begin, the class, the
-// client's patience in milliseconds, the bytes of its body.
+// WriteTrace records arrivals, one a line: when it was due in microseconds after the begin, the class,
+// the client's client timeout in milliseconds, the bytes of its body.
 func WriteTrace(w io.Writer, classes []Class, s Schedule) error {
 	out := bufio.NewWriter(w)
 	fmt.Fprintln(out, traceHead)
@@ -241,7 +241,8 @@
 		}
 		words := strings.Fields(text)
 		if len(words) != 4 {
-			return nil, fmt.Errorf("%s:%d: %d words, wanted 4: due_us class patience_ms body_bytes", name, n, len(words))
+			return nil, fmt.Errorf("%s:%d: %d words, wanted 4: due_us class patience_ms body_bytes", name, n,
+				len(words))
 		}
 		a := Arrival{Class: -1}
 		for i, c := range classes {
@@ -257,7 +258,8 @@
 		case a.Class < 0:
 			return nil, fmt.Errorf("%s:%d: class %q is not there", name, n, words[1])
 		case err1 != nil || due < 0 || due > 1e12 || len(out) > 0 && a.At < out[len(out)-1].At:
-			return nil, fmt.Errorf("%s:%d: due_us %q must be a whole number, not before the line above's", name, n, words[0])
+			return nil, fmt.Errorf("%s:%d: due_us %q must be a whole number, not before the line above's", name,
+				n, words[0])
 		case err2 != nil || patience <= 0 || patience > 3600e3:
 			return nil, fmt.Errorf("%s:%d: patience_ms %q must be 1 to 3600000", name, n, words[2])
 		case err3 != nil || body < 0 || body > 64<<10:
--- a/internal/lab/registry/registry.go
+++ b/internal/lab/registry/registry.go
@@ -1,5 +1,5 @@
-// Package registry is discovery's state without its sockets: the list in its versions, and what each gateway has
-// been told. It does no I/O and has no clock.
+// Package registry is discovery's state without its sockets: the list in its versions, and what each
+// gateway has been told. It does no I/O and has no clock.
 package registry
 
 import (
@@ -44,7 +44,8 @@
 
 // New returns a roster that lists nothing.
 func New() *Registry {
-	return &Registry{entries: make(map[string]Entry), changed: make(map[string]int), told: make(map[string]map[string]Notification)}
+	return &Registry{entries: make(map[string]Entry), changed: make(map[string]int),
+		told: make(map[string]map[string]Notification)}
 }
 
 // Seq is the present version.
@@ -61,14 +62,15 @@
 	}
 }
 
-// Flap goes on in a version far ahead without the history, as a discovery does that restarts without its memory:
-// whoever has an older version gets the whole list.
+// Flap goes on in a version far ahead without the history, as a discovery does that restarts without
+// its memory: whoever has an older version gets the whole list.
 func (r *Registry) Flap() {
 	r.seq += 1000
 	r.forgot = r.seq
 }
 
-// Anew begins the versions anew, as a discovery does that was restored from nothing: the list as it stands is version 1.
+// Anew begins the versions anew, as a discovery does that was restored from nothing: the list as it
+// stands is version 1.
 func (r *Registry) Anew() {
 	r.seq, r.forgot = 1, 0
 	for name := range r.changed {
@@ -104,8 +106,8 @@
 	Born   int64   `json:"born_ms"`
 }
 
-// Line is the list for a gateway in discovery's form: what changed after a version, or all of it for version 0
-// and for versions that never were or whose changes are forgotten.
+// Line is the list for a gateway in discovery's form: what changed after a version, or all of it for
+// version 0 and for versions that never were or whose changes are forgotten.
 func (r *Registry) Line(gateway string, after int) []byte {
 	return r.line(gateway, r.changedAfter(after), r.wholeFor(after))
 }
@@ -125,7 +127,10 @@
 // changedAfter is the hosts that who has a version is sent.
 func (r *Registry) changedAfter(after int) []Entry {
 	whole := r.wholeFor(after)
-	return r.entriesWhere(func(e Entry) bool { return whole && e.State != Removed || !whole && r.changed[e.Host] > after })
+	return r.entriesWhere(func(e Entry) bool {
+		return whole && e.State != Removed || !whole &&
+			r.changed[e.Host] > after
+	})
 }
 
 func (r *Registry) serving() []Entry {
--- a/internal/lab/report/drill.go
+++ b/internal/lab/report/drill.go
@@ -24,7 +24,8 @@
 	if err != nil {
 		return err
 	}
-	views := section{Title: "What each gateway believed", Text: "A picture for each gateway, a row for each of the others: what it held of that one at each moment. Its own row shows whether it called its view settled. Nothing is drawn while it did not answer. Dashed lines are the events of the list above."}
+	views := section{Title: "What each gateway believed",
+		Text: "A picture for each gateway, a row for each of the others: what it held of that one at each moment. Its own row shows whether it called its view settled. Nothing is drawn while it did not answer. Dashed lines are the events of the list above."}
 	for g := range r.Names {
 		picture, err := strips(r, g)
 		if err != nil {
@@ -47,7 +48,8 @@
 	}{
 		{"alive", "alive", color.RGBA{0, 158, 115, 255}}, {"suspect", "suspect", color.RGBA{230, 159, 0, 255}},
 		{"gone", "gone", color.RGBA{213, 94, 0, 255}}, {"left", "left", color.RGBA{130, 130, 130, 255}},
-		{"self", "itself, settled", color.RGBA{0, 114, 178, 255}}, {"unsettled", "itself, not settled", color.RGBA{86, 180, 233, 255}},
+		{"self", "itself, settled", color.RGBA{0, 114, 178, 255}}, {"unsettled", "itself, not settled",
+			color.RGBA{86, 180, 233, 255}},
 		{"twin", "itself, its name is used twice", color.RGBA{204, 121, 167, 255}}}
 }
 
@@ -69,11 +71,13 @@
 			}
 			row := float64(s.rows - 1 - cell.Of)
 			left, right := x(cell.From), max(x(cell.To), x(cell.From)+0.5)
-			c.FillPolygon(k.color, []vg.Point{{X: left, Y: y(row + 0.1)}, {X: right, Y: y(row + 0.1)}, {X: right, Y: y(row + 0.9)}, {X: left, Y: y(row + 0.9)}})
+			c.FillPolygon(k.color, []vg.Point{{X: left, Y: y(row + 0.1)}, {X: right, Y: y(row + 0.1)},
+				{X: right, Y: y(row + 0.9)}, {X: left, Y: y(row + 0.9)}})
 		}
 	}
 	for _, m := range s.marks {
-		c.StrokeLine2(draw.LineStyle{Color: grey(), Width: 0.6, Dashes: []vg.Length{2, 3}}, x(m.At), y(0), x(m.At), y(float64(s.rows)))
+		c.StrokeLine2(draw.LineStyle{Color: grey(), Width: 0.6, Dashes: []vg.Length{2, 3}}, x(m.At), y(0),
+			x(m.At), y(float64(s.rows)))
 	}
 }
 
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -45,7 +45,8 @@
 // palette is distinguishable for the colour-blind (Okabe and Ito).
 func palette() []color.Color {
 	return []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255},
-		color.RGBA{204, 121, 167, 255}, color.RGBA{230, 159, 0, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{90, 90, 90, 255},
+		color.RGBA{204, 121, 167, 255}, color.RGBA{230, 159, 0, 255}, color.RGBA{86, 180, 233, 255},
+		color.RGBA{90, 90, 90, 255},
 		color.RGBA{150, 100, 40, 255}}
 }
 
@@ -213,8 +214,8 @@
 	return out
 }
 
-// numbers label the events, as the list below the plots has them. Where they would lie on one another only the
-// first is shown.
+// numbers label the events, as the list below the plots has them. Where they would lie on one another
+// only the first is shown.
 func (c chart) numbers(top float64) *plotter.XYLabels {
 	if len(c.marks) == 0 {
 		return nil
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -75,7 +75,8 @@
 // Compare writes the page of two runs side by side.
 func Compare(out io.Writer, a, b *experiment.Result) error {
 	p := page{Title: fmt.Sprintf("%s: A against B", a.Name), About: "A: " + facts(a) + " · B: " + facts(b),
-		Verdict: "A: " + verdict(a) + " · B: " + verdict(b), Bad: !a.Held || !b.Held, Head: []string{"", "A", "B", "B - A"}}
+		Verdict: "A: " + verdict(a) + " · B: " + verdict(b), Bad: !a.Held || !b.Held,
+		Head: []string{"", "A", "B", "B - A"}}
 	if a.Name != b.Name {
 		p.Title = fmt.Sprintf("%s (A) against %s (B)", a.Name, b.Name)
 	}
@@ -85,11 +86,13 @@
 		if i < len(b.Rules) {
 			other = b.Rules[i].Broken
 		}
-		p.Rules = append(p.Rules, row{Name: c.Rule, Cells: []string{fmt.Sprint(c.Broken), fmt.Sprint(other)}, Broken: c.Broken+other > 0})
+		p.Rules = append(p.Rules, row{Name: c.Rule, Cells: []string{fmt.Sprint(c.Broken), fmt.Sprint(other)},
+			Broken: c.Broken+other > 0})
 	}
 	for n, r := range []*experiment.Result{a, b} {
 		for i, m := range r.Events {
-			p.Events = append(p.Events, row{Name: fmt.Sprintf("%c%d", 'A'+n, i+1), Cells: []string{fmt.Sprintf("%.2f s", m.At), m.Text}})
+			p.Events = append(p.Events, row{Name: fmt.Sprintf("%c%d", 'A'+n, i+1),
+				Cells: []string{fmt.Sprintf("%.2f s", m.At), m.Text}})
 		}
 	}
 	draw := drawing{length: max(length(a), length(b))}
@@ -102,15 +105,20 @@
 					continue
 				}
 				name := string(rune('A' + n))
-				good = append(good, seconds(name, k, func(s load.SecondResult) float64 { return orNone(s.Goodput*100, s.Scheduled) }))
-				tail = append(tail, seconds(name, k, func(s load.SecondResult) float64 { return orNone(s.Latency.P99, int(s.Latency.Count)) }))
+				good = append(good, seconds(name, k,
+					func(s load.SecondResult) float64 { return orNone(s.Goodput*100, s.Scheduled) }))
+				tail = append(tail, seconds(name, k,
+					func(s load.SecondResult) float64 { return orNone(s.Latency.P99, int(s.Latency.Count)) }))
 				curve = append(curve, hdr(name, k))
 			}
 		}
 		both.Plots = append(both.Plots,
-			draw.plot(chart{title: c.Name + ": goodput", x: "time of the run (s)", y: "served in time (%)", lines: good, to: 100}),
-			draw.plot(chart{title: c.Name + ": 99th percentile of latency", x: "time of the run (s)", y: "latency (ms)", lines: tail}),
-			draw.plot(chart{title: c.Name + ": latency by percentile", x: "percentile", y: "latency (ms)", lines: curve, hdr: true}))
+			draw.plot(chart{title: c.Name + ": goodput", x: "time of the run (s)", y: "served in time (%)",
+				lines: good, to: 100}),
+			draw.plot(chart{title: c.Name + ": 99th percentile of latency", x: "time of the run (s)",
+				y: "latency (ms)", lines: tail}),
+			draw.plot(chart{title: c.Name + ": latency by percentile", x: "percentile", y: "latency (ms)",
+				lines: curve, hdr: true}))
 	}
 	p.Sections = append(p.Sections, both)
 	p.Sections = append(p.Sections, draw.load(a, "A: ")...)
@@ -134,8 +142,10 @@
 }
 
 func facts(r *experiment.Result) string {
-	return fmt.Sprintf("%s, seed %d, %s, %d gateways of %.2g cores, %.0f MB and %d descriptors, %d hosts", r.Name, r.Seed,
-		r.Started.Format(time.DateTime), r.Limits.Count, r.Limits.Cores, r.Limits.MemoryMB, r.Limits.Sockets, len(r.Hosts))
+	return fmt.Sprintf("%s, seed %d, %s, %d gateways of %.2g cores, %.0f MB and %d descriptors, %d hosts",
+		r.Name, r.Seed,
+		r.Started.Format(time.DateTime), r.Limits.Count, r.Limits.Cores, r.Limits.MemoryMB, r.Limits.Sockets,
+		len(r.Hosts))
 }
 
 func verdict(r *experiment.Result) string {
@@ -218,38 +228,53 @@
 
 func (d *drawing) load(r *experiment.Result, prefix string) []section {
 	const time = "time of the run (s)"
-	good := section{Title: prefix + "Service", Text: "A request counts in the second in which it was due. Served in time means a 200 within the class's aim, counted from the due time. Dashed lines are events, numbered as in the list."}
+	good := section{Title: prefix + "Service",
+		Text: "A request counts in the second in which it was due. Served in time means a 200 within the class's aim, counted from the due time. Dashed lines are events, numbered as in the list."}
 	var lines, curves []line
 	for _, c := range r.Load.Classes {
-		lines = append(lines, seconds(c.Name, c, func(s load.SecondResult) float64 { return orNone(s.Goodput*100, s.Scheduled) }))
+		lines = append(lines,
+			seconds(c.Name, c, func(s load.SecondResult) float64 { return orNone(s.Goodput*100, s.Scheduled) }))
 		curves = append(curves, hdr(c.Name, c))
 	}
-	good.Plots = append(good.Plots, d.plot(chart{title: "Goodput by class", x: time, y: "served in time (%)", lines: lines, marks: r.Events, to: 100}))
+	good.Plots = append(good.Plots, d.plot(chart{title: "Goodput by class", x: time, y: "served in time (%)",
+		lines: lines, marks: r.Events, to: 100}))
 	for _, c := range r.Load.Classes {
-		good.Plots = append(good.Plots, d.plot(chart{title: c.Name + ": what was due, and how it ended", x: time, y: "requests a second", marks: r.Events,
+		good.Plots = append(good.Plots, d.plot(chart{title: c.Name + ": what was due, and how it ended",
+			x: time, y: "requests a second", marks: r.Events,
 			lines: []line{
 				seconds("first tries due", c, func(s load.SecondResult) float64 { return float64(s.Scheduled) }),
-				seconds("tries sent, retries included", c, func(s load.SecondResult) float64 { return float64(s.Tries) }),
+				seconds("tries sent, retries included", c,
+					func(s load.SecondResult) float64 { return float64(s.Tries) }),
 				seconds("ok", c, func(s load.SecondResult) float64 { return float64(s.OK) }),
 				seconds("refused", c, func(s load.SecondResult) float64 { return float64(s.Refused) }),
-				seconds("failed or unanswered", c, func(s load.SecondResult) float64 { return float64(s.Failed + s.Unanswered) }),
+				seconds("failed or unanswered", c,
+					func(s load.SecondResult) float64 { return float64(s.Failed + s.Unanswered) }),
 			}}))
 	}
-	late := section{Title: prefix + "Latency", Text: "Counted from the due time to the last byte. What stayed unanswered counts with the time that its client waited; refusals and failures are left out."}
+	late := section{Title: prefix + "Latency",
+		Text: "Counted from the due time to the last byte. What stayed unanswered counts with the time that its client waited; refusals and failures are left out."}
 	for _, c := range r.Load.Classes {
 		pick := func(name string, of func(load.Latency) float64) line {
-			return seconds(name, c, func(s load.SecondResult) float64 { return orNone(of(s.Latency), int(s.Latency.Count)) })
+			return seconds(name, c, func(s load.SecondResult) float64 {
+				return orNone(of(s.Latency),
+					int(s.Latency.Count))
+			})
 		}
-		late.Plots = append(late.Plots, d.plot(chart{title: c.Name + ": latency over time", x: time, y: "latency (ms)", marks: r.Events, lines: []line{
-			pick("p50", func(l load.Latency) float64 { return l.P50 }), pick("p90", func(l load.Latency) float64 { return l.P90 }),
-			pick("p99", func(l load.Latency) float64 { return l.P99 }), pick("max", func(l load.Latency) float64 { return l.Max })}}))
-	}
-	late.Plots = append(late.Plots, d.plot(chart{title: "Latency by percentile", x: "percentile", y: "latency (ms)", lines: curves, hdr: true}))
+		late.Plots = append(late.Plots, d.plot(chart{title: c.Name + ": latency over time", x: time,
+			y: "latency (ms)", marks: r.Events, lines: []line{
+				pick("p50", func(l load.Latency) float64 { return l.P50 }),
+				pick("p90", func(l load.Latency) float64 { return l.P90 }),
+				pick("p99", func(l load.Latency) float64 { return l.P99 }),
+				pick("max", func(l load.Latency) float64 { return l.Max })}}))
+	}
+	late.Plots = append(late.Plots, d.plot(chart{title: "Latency by percentile", x: "percentile",
+		y: "latency (ms)", lines: curves, hdr: true}))
 	return []section{good, late}
 }
 
 func (d *drawing) hosts(r *experiment.Result) section {
-	s := section{Title: "Hosts", Small: true, Text: "Requests held by each host, by all gateways together, against the requests that it can work on at full speed at that moment: its cores times their speed, less what cold, crowding, neighbours and connections take."}
+	s := section{Title: "Hosts", Small: true,
+		Text: "Requests held by each host, by all gateways together, against the requests that it can work on at full speed at that moment: its cores times their speed, less what cold, crowding, neighbours and connections take."}
 	for i, h := range r.Hosts {
 		if i == mostHosts {
 			s.Text += fmt.Sprintf(" %d further hosts are in result.json only.", len(r.Hosts)-mostHosts)
@@ -263,14 +288,16 @@
 		if len(held.xs) == 0 {
 			continue
 		}
-		s.Plots = append(s.Plots, d.plot(chart{title: h.Name, x: "time of the run (s)", y: "requests", lines: []line{held, can},
+		s.Plots = append(s.Plots, d.plot(chart{title: h.Name, x: "time of the run (s)", y: "requests",
+			lines: []line{held, can},
 			marks: r.Events, width: 11.6 * vg.Centimeter, height: 4.6 * vg.Centimeter}))
 	}
 	return s
 }
 
 func (d *drawing) gateways(r *experiment.Result) section {
-	s := section{Title: "Gateways", Text: fmt.Sprintf("Each was given %.2g cores, %.0f MB and %d descriptors.", r.Limits.Cores, r.Limits.MemoryMB, r.Limits.Sockets)}
+	s := section{Title: "Gateways", Text: fmt.Sprintf("Each was given %.2g cores, %.0f MB and %d descriptors.",
+		r.Limits.Cores, r.Limits.MemoryMB, r.Limits.Sockets)}
 	for _, k := range []struct {
 		title, unit string
 		of          func(experiment.GatewaySample) float64
@@ -289,7 +316,8 @@
 				lines = append(lines, l)
 			}
 		}
-		s.Plots = append(s.Plots, d.plot(chart{title: k.title, x: "time of the run (s)", y: k.unit, lines: lines, marks: r.Events, height: 5.5 * vg.Centimeter}))
+		s.Plots = append(s.Plots, d.plot(chart{title: k.title, x: "time of the run (s)", y: k.unit,
+			lines: lines, marks: r.Events, height: 5.5 * vg.Centimeter}))
 	}
 	return s
 }
@@ -302,16 +330,20 @@
 		fmt.Fprintf(&b, "  partial: told to end after %.1f s\n", r.Load.Lasted)
 	}
 	for _, c := range r.Load.Classes {
-		fmt.Fprintf(&b, "  %-14s %7d due, %.2f%% served in time; %d refused, %d failed, %d unanswered\n", c.Name, c.Scheduled,
+		fmt.Fprintf(&b, "  %-14s %7d due, %.2f%% served in time; %d refused, %d failed, %d unanswered\n",
+			c.Name, c.Scheduled,
 			c.Goodput*100, c.Refused, c.Failed, c.Unanswered)
 		if !r.Load.FellBehind {
-			fmt.Fprintf(&b, "  %-14s latency p50 %.1f, p90 %.1f, p99 %.1f, max %.1f ms\n", "", c.Latency.P50, c.Latency.P90, c.Latency.P99, c.Latency.Max)
+			fmt.Fprintf(&b, "  %-14s latency p50 %.1f, p90 %.1f, p99 %.1f, max %.1f ms\n", "", c.Latency.P50,
+				c.Latency.P90, c.Latency.P99, c.Latency.Max)
 		}
 	}
-	fmt.Fprintf(&b, "  goodput by worth %.4f, worst 10 s %.4f; %.3f arrivals at hosts for a request\n", r.Load.Goodput, r.Load.WorstWindow,
+	fmt.Fprintf(&b, "  goodput by worth %.4f, worst 10 s %.4f; %.3f arrivals at hosts for a request\n",
+		r.Load.Goodput, r.Load.WorstWindow,
 		r.Work.PerRequest)
 	for _, g := range r.Gateways {
-		fmt.Fprintf(&b, "  %-14s %.1f s of processor time, at most %.1f MB and %d descriptors, %d starts\n", g.Name, g.CPUSeconds,
+		fmt.Fprintf(&b, "  %-14s %.1f s of processor time, at most %.1f MB and %d descriptors, %d starts\n",
+			g.Name, g.CPUSeconds,
 			g.PeakMemoryMB, g.PeakDescriptors, g.Starts)
 	}
 	fmt.Fprintf(&b, "  %s\n", verdict(r))
--- a/internal/lab/report/tables.go
+++ b/internal/lab/report/tables.go
@@ -29,7 +29,8 @@
 
 func table() []figure {
 	return []figure{
-		{"goodput by worth", func(r *experiment.Result) float64 { return r.Load.Goodput }, func(c load.ClassResult) float64 { return c.Goodput }, "%.4f"},
+		{"goodput by worth", func(r *experiment.Result) float64 { return r.Load.Goodput },
+			func(c load.ClassResult) float64 { return c.Goodput }, "%.4f"},
 		{"goodput of the worst 10 s", func(r *experiment.Result) float64 { return r.Load.WorstWindow }, nil, "%.4f"},
 		counts("scheduled", func(c load.Counts) int { return c.Scheduled }),
 		counts("sent", func(c load.Counts) int { return c.Sent }),
@@ -44,8 +45,10 @@
 		latencies("latency p99 (ms)", func(l load.Latency) float64 { return l.P99 }),
 		latencies("latency p99.9 (ms)", func(l load.Latency) float64 { return l.P999 }),
 		latencies("latency max (ms)", func(l load.Latency) float64 { return l.Max }),
-		{"generator's own lateness p99 (ms)", func(r *experiment.Result) float64 { return r.Load.SelfLate.P99 }, nil, "%.2f"},
-		{"arrivals at hosts for a request", func(r *experiment.Result) float64 { return r.Work.PerRequest }, nil, "%.3f"},
+		{"generator's own lateness p99 (ms)", func(r *experiment.Result) float64 { return r.Load.SelfLate.P99 },
+			nil, "%.2f"},
+		{"arrivals at hosts for a request", func(r *experiment.Result) float64 { return r.Work.PerRequest },
+			nil, "%.3f"},
 	}
 }
 
@@ -67,7 +70,8 @@
 func differences(a, b *experiment.Result) (rows []row) {
 	say := func(name, format string, x, y float64) {
 		signed := strings.Replace(format, "%", "%+", 1)
-		rows = append(rows, row{Name: name, Cells: []string{fmt.Sprintf(format, x), fmt.Sprintf(format, y), fmt.Sprintf(signed, y-x)}})
+		rows = append(rows, row{Name: name, Cells: []string{fmt.Sprintf(format, x), fmt.Sprintf(format, y),
+			fmt.Sprintf(signed, y-x)}})
 	}
 	for _, f := range table() {
 		say(f.name, f.format, f.all(a), f.all(b))
--- a/internal/lab/requestrecord/compare.go
+++ b/internal/lab/requestrecord/compare.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Compare sets the clients' record against the hosts'. excused tells which unanswered attempts were lost for a
-// reason that no rule forbids, as with a gateway that was killed; the number of those is returned. The hosts'
-// records must be at rest.
+// Compare sets the clients' record against the hosts'. excused tells which unanswered attempts were
+// lost for a reason that no rule forbids, as with a gateway that was killed; the number of those is
+// returned. The hosts' records must be at rest.
 func Compare(attempts []Attempt, hosts []*EndpointRecord, excused func(Attempt) bool) (found []Finding, crashed int) {
 	known := make(map[string]bool, len(attempts))
 	for _, t := range attempts {
@@ -70,7 +70,8 @@
 }
 
 func (c *comparison) broken(rule, format string, args ...any) {
-	c.found = append(c.found, Finding{Rule: rule, ID: c.attempt.ID, At: c.attempt.Ended, Detail: fmt.Sprintf(format, args...)})
+	c.found = append(c.found, Finding{Rule: rule, ID: c.attempt.ID, At: c.attempt.Ended,
+		Detail: fmt.Sprintf(format, args...)})
 }
 
 // compare notes the rules that were broken.
@@ -108,11 +109,17 @@
 	Detail string        `json:"detail"`
 }
 
-// Excuses tells whether a try was lost for a reason that no rule forbids: its gateway was killed while it held the
-// try, or the try came long after SIGTERM. News of a kill may take the spread to be seen.
+// Excuses tells whether a try was lost for a reason that no rule forbids: its gateway was killed while
+// it held the try, or the try came long after SIGTERM. News of a kill may take the spread to be seen.
 func (t Attempt) Excuses(kills, stops []time.Duration, spread time.Duration) bool {
-	return slices.ContainsFunc(kills, func(k time.Duration) bool { return t.Sent <= k+spread && t.Ended >= k-spread }) ||
-		slices.ContainsFunc(stops, func(s time.Duration) bool { return t.Sent >= s+lateTaken && t.Sent <= s+10*time.Second })
+	return slices.ContainsFunc(kills, func(k time.Duration) bool {
+		return t.Sent <= k+spread &&
+			t.Ended >= k-spread
+	}) ||
+		slices.ContainsFunc(stops, func(s time.Duration) bool {
+			return t.Sent >= s+lateTaken &&
+				t.Sent <= s+10*time.Second
+		})
 }
 
 // lateTaken is how long after SIGTERM a gateway still has to answer what comes.
--- a/internal/lab/requestrecord/record.go
+++ b/internal/lab/requestrecord/record.go
@@ -1,5 +1,6 @@
-// Package requestrecord keeps what clients sent and got, and what hosts were sent and made, each by the request's id,
-// and compares the two. The comparison is the laboratory's judge: neither side's own figures are believed.
+// Package requestrecord keeps what clients sent and got, and what hosts were sent and made, each by the
+// request's id, and compares the two. The comparison is the laboratory's judge: neither side's own
+// figures are believed.
 //
 // The package does no I/O and has no clock; times are those of the run, counted from its start.
 package requestrecord
@@ -42,7 +43,7 @@
 	order []*Attempt
 }
 
-// NewClients returns an empty ledger.
+// NewClients returns an empty record.
 func NewClients() *ClientRecord { return &ClientRecord{tries: make(map[string]*Attempt)} }
 
 // Add enters a try before it is sent. An id in use already is refused: the generator must not reuse ids.
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// Update changes a try under the ledger's lock. Unknown ids are ignored.
+// Update changes a try under the record's lock. Unknown ids are ignored.
 func (c *ClientRecord) Update(id string, change func(*Attempt)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,20 +81,21 @@
 // Entry is what one host knows of one id.
 type Entry struct {
 	Arrivals   int      // whole requests with this id
-	Begun      int      // executions begun
-	Ended      int      // executions ended
+	Begun      int      // attempts begun
+	Ended      int      // attempts ended
 	TurnedAway int      // arrivals answered that they never ran
 	Returned   []uint64 // hashes of the bodies made for it
 }
 
-// EndpointRecord is the side of one host. It has no lock: the host's model is used by one goroutine at a time.
+// EndpointRecord is the side of one host. It has no lock: the host's model is used by one goroutine at
+// a time.
 type EndpointRecord struct {
 	Name    string
 	Cell    int // of those that drop one another's repeats
 	entries map[string]*Entry
 }
 
-// NewEndpointRecord returns an empty ledger.
+// NewEndpointRecord returns an empty record.
 func NewEndpointRecord(name string) *EndpointRecord {
 	return &EndpointRecord{Name: name, entries: make(map[string]*Entry)}
 }
--- a/internal/lab/requestrecord/record_test.go
+++ b/internal/lab/requestrecord/record_test.go
@@ -46,7 +46,8 @@
 	made(b, "nobody-sent", 1)
 
 	found, crashed := Compare(tries, []*EndpointRecord{a, b}, func(t Attempt) bool { return t.Target == "killed" })
-	want := map[string]string{"bid-twice": RanTwice, "foreign": ForeignBody, "dropped": Unanswered, "double": AnsweredTwice,
+	want := map[string]string{"bid-twice": RanTwice, "foreign": ForeignBody, "dropped": Unanswered,
+		"double":      AnsweredTwice,
 		"refused-ran": RefusedRan, "nobody-sent": InventedID}
 	for _, f := range found {
 		if want[f.ID] != f.Rule {
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -10,8 +10,8 @@
 	"thymebend/internal/lab/report"
 )
 
-// Line is a figure as a function of the number of gateways, fitted by least squares: Base + Slope*n, or where that leaves
-// less, Base*n^Slope.
+// Line is a figure as a function of the number of gateways, fitted by least squares: Base + Slope*n, or
+// where that leaves less, Base*n^Slope.
 type Line struct {
 	Figure   string    `json:"figure"`
 	Power    bool      `json:"power"` // the second form
@@ -127,10 +127,14 @@
 // controlFigures are those of runs with control machines.
 func controlFigures() []figure {
 	return []figure{
-		{"configuration, bytes received a second, mean", func(r *Result) float64 { return r.Gateway.Configuration.Received.Mean }},
-		{"control machine, bytes sent a second, mean", func(r *Result) float64 { return r.Configuration.ControlSent.Mean }},
-		{"control machine, bytes received a second, mean", func(r *Result) float64 { return r.Configuration.ControlTaken.Mean }},
-		{"control machine, share of a core, worst", func(r *Result) float64 { return r.Configuration.ControlUsed.Worst }},
+		{"configuration, bytes received a second, mean",
+			func(r *Result) float64 { return r.Gateway.Configuration.Received.Mean }},
+		{"control machine, bytes sent a second, mean",
+			func(r *Result) float64 { return r.Configuration.ControlSent.Mean }},
+		{"control machine, bytes received a second, mean",
+			func(r *Result) float64 { return r.Configuration.ControlTaken.Mean }},
+		{"control machine, share of a core, worst",
+			func(r *Result) float64 { return r.Configuration.ControlUsed.Worst }},
 		{"a change in force at all, s, median", func(r *Result) float64 { return r.Configuration.Median.All }},
 		{"a change in force at all, s, worst", func(r *Result) float64 { return r.Configuration.Worst.All }},
 	}
@@ -175,7 +179,8 @@
 		fmt.Fprintf(&b, "%-45s %-24s residual %.1f%%\n", l.Figure, form, 100*l.Residual)
 	}
 	for _, p := range s.Predictions {
-		fmt.Fprintf(&b, "%-45s at %d, left out of the fit: predicted %.4g, measured %.4g\n", p.Figure, p.Size, p.Predicted, p.Measured)
+		fmt.Fprintf(&b, "%-45s at %d, left out of the fit: predicted %.4g, measured %.4g\n", p.Figure, p.Size,
+			p.Predicted, p.Measured)
 	}
 	if s.Partial {
 		fmt.Fprintln(&b, "partial: told to end before all sizes were played")
@@ -207,7 +212,8 @@
 		r.Start.Sent.Mean, r.Start.Sent.Worst, r.Start.Processor.Mean, r.Start.Processor.Worst)
 	fmt.Fprintf(&b, "  a gateway, mean / worst: sent %.0f / %.0f bytes a second (view %.0f / %.0f), received %.0f / %.0f\n", g.All.Sent.Mean, g.All.Sent.Worst,
 		g.View.Sent.Mean, g.View.Sent.Worst, g.All.Received.Mean, g.All.Received.Worst)
-	fmt.Fprintf(&b, "  processor %.4f%% / %.4f%% of a core, heap %.2f MB in the mean\n", 100*g.Processor.Mean, 100*g.Processor.Worst, float64(g.HeapMean)/1e6)
+	fmt.Fprintf(&b, "  processor %.4f%% / %.4f%% of a core, heap %.2f MB in the mean\n", 100*g.Processor.Mean,
+		100*g.Processor.Worst, float64(g.HeapMean)/1e6)
 	fmt.Fprintf(&b, "  crash known: %s\n  join known:  %s\n", r.Crash, r.Join)
 	fmt.Fprintf(&b, "  false doubts %d, false removals seen by %d observers %d; all views true %.2f s after the run\n", r.Doubts, r.Observers, r.Removals, r.Recovered)
 	if len(r.Healed) > 0 {
@@ -217,11 +223,13 @@
 		fmt.Fprintf(&b, "  configuration: first in force everywhere after %.2f s; %d changes, %d unfinished, %d later than 8 s; median %s, worst %s\n", c.First,
 			c.Submitted, c.Unfinished, c.Late, c.Median, c.Worst)
 		fmt.Fprintf(&b, "  control machine, mean / worst: sent %.0f / %.0f, received %.0f / %.0f bytes a second, %.2f%% / %.2f%% of a core, %d gateways at most\n",
-			c.ControlSent.Mean, c.ControlSent.Worst, c.ControlTaken.Mean, c.ControlTaken.Worst, 100*c.ControlUsed.Mean, 100*c.ControlUsed.Worst, c.MostLinks)
+			c.ControlSent.Mean, c.ControlSent.Worst, c.ControlTaken.Mean, c.ControlTaken.Worst,
+			100*c.ControlUsed.Mean, 100*c.ControlUsed.Worst, c.MostLinks)
 	}
 	if f := r.Full; f != nil {
 		fmt.Fprintf(&b, "  full gateway: settings %.3f s and %.1f MB, list %.3f s and %.1f MB, division %.3f s at most and %.2f%% of a core in the run\n", f.SettingsTime,
-			float64(f.SettingsHeap)/1e6, f.ListTime, float64(f.ListHeap)/1e6, f.DivisionLongest, 100*f.DivisionShare.Mean)
+			float64(f.SettingsHeap)/1e6, f.ListTime, float64(f.ListHeap)/1e6, f.DivisionLongest,
+			100*f.DivisionShare.Mean)
 		for _, p := range f.Problems {
 			fmt.Fprintln(&b, "    "+p)
 		}
@@ -249,7 +257,8 @@
 		average.Xs, average.Ys = append(average.Xs, s.At), append(average.Ys, s.Mean)
 		most.Xs, most.Ys = append(most.Xs, s.At), append(most.Ys, s.Worst)
 	}
-	return report.Plot(out, fmt.Sprintf("Sent by a gateway of %d (%.0f%% loss)", r.Options.Gateways, 100*r.Options.Loss), "s", "bytes a second",
+	return report.Plot(out, fmt.Sprintf("Sent by a gateway of %d (%.0f%% loss)", r.Options.Gateways,
+		100*r.Options.Loss), "s", "bytes a second",
 		[]report.Series{average, most})
 }
 
@@ -261,5 +270,6 @@
 		average.Xs, average.Ys = append(average.Xs, n), append(average.Ys, r.Gateway.All.Sent.Mean)
 		most.Xs, most.Ys = append(most.Xs, n), append(most.Ys, r.Gateway.All.Sent.Worst)
 	}
-	return report.Plot(out, "Sent by a gateway for control", "gateways", "bytes a second", []report.Series{average, most})
+	return report.Plot(out, "Sent by a gateway for control", "gateways", "bytes a second",
+		[]report.Series{average, most})
 }
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -43,7 +43,8 @@
 	f.sim.Net.Cut = func(from, to int) bool { return f.parted && f.places.region(from) != f.places.region(to) }
 	f.knowledge = &knowledge{sim: f.sim, born: make([]time.Duration, o.Gateways)}
 	for n := range o.Gateways {
-		f.sim.SetPayload(n, loadreport.Append(nil, loadreport.Report{Zone: f.places.zone(n), Demand: demand, FreeCapacity: 0.5, Known: true, ConfigHash: 1}))
+		f.sim.SetPayload(n, loadreport.Append(nil, loadreport.Report{Zone: f.places.zone(n), Demand: demand,
+			FreeCapacity: 0.5, Known: true, ConfigHash: 1}))
 	}
 	for _, n := range spread(o.Full, o.Gateways) {
 		g, cost, err := newFullGateway(n, f.sim.Nodes[n].Name, &o, f.places, f.sim.Now())
@@ -65,7 +66,8 @@
 	f.network.Cut = func(from, to configsim.Endpoint) bool {
 		return f.parted && f.places.regionOf(from) != f.places.regionOf(to)
 	}
-	f.rollouts = configsim.New(configsim.Config{Name: "scale", Gateways: o.Gateways, Zones: o.Zones, Regions: o.Regions, Seed: o.Seed,
+	f.rollouts = configsim.New(configsim.Config{Name: "scale", Gateways: o.Gateways, Zones: o.Zones,
+		Regions: o.Regions, Seed: o.Seed,
 		Services: f.servicesOf}, f.sim, f.network)
 	f.rollouts.Operate(time.Second, 0)
 }
@@ -143,7 +145,8 @@
 func (f *fleet) plain() int {
 	for {
 		n := f.rng.IntN(f.options.Gateways)
-		if len(f.full) >= f.options.Gateways || !slices.ContainsFunc(f.full, func(g *fullGateway) bool { return g.number == n }) {
+		if len(f.full) >= f.options.Gateways || !slices.ContainsFunc(f.full,
+			func(g *fullGateway) bool { return g.number == n }) {
 			return n
 		}
 	}
--- a/internal/lab/scale/full.go
+++ b/internal/lab/scale/full.go
@@ -22,7 +22,8 @@
 // demand is what each gateway carries, in requests a second: 220,000 over 870.
 const demand = 250
 
-// fullGateway holds, beside its view, what a gateway has of hosts and settings. Its processor time is counted apart.
+// fullGateway holds, beside its view, what a gateway has of hosts and settings. Its processor time is
+// counted apart.
 type fullGateway struct {
 	number   int
 	group    *discovery.Endpoints
@@ -94,7 +95,8 @@
 		g.hosts = append(g.hosts, assignment.Endpoint{ID: uint64(h.ID), Capacity: h.Capacity, Zone: h.Zone})
 	}
 	usual := gossipconfig.DefaultAssignment()
-	rule := assignment.Rule{Users: float64(usual.Users), MaxUsers: usual.MaxUsers, MinEndpoints: usual.MinEndpoints, RemoteZoneOdds: usual.RemoteZoneOdds}
+	rule := assignment.Rule{Users: float64(usual.Users), MaxUsers: usual.MaxUsers,
+		MinEndpoints: usual.MinEndpoints, RemoteZoneOdds: usual.RemoteZoneOdds}
 	g.keeper = assignment.NewTracker(rule, name, newsWithin, nil)
 	return g, cost, nil
 }
@@ -125,7 +127,8 @@
 			alive = append(alive, assignment.Gateway{Name: m.Name, Demand: demand, Zone: g.places.zone(n)})
 		}
 	}
-	changed, err := g.keeper.Observe(now, assignment.Observation{Alive: alive, Settled: status.Settled, Endpoints: g.hosts})
+	changed, err := g.keeper.Observe(now, assignment.Observation{Alive: alive, Settled: status.Settled,
+		Endpoints: g.hosts})
 	if err != nil && len(g.problems) < 5 {
 		g.problems = append(g.problems, err.Error())
 	}
@@ -162,7 +165,8 @@
 	var entries []registry.Entry
 	for i := range o.Hosts {
 		dial := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 8080)
-		entries = append(entries, registry.Entry{Host: fmt.Sprintf("host-%05d.service-%03d", i, i%o.Services), Site: zoneName(i % o.Zones),
+		entries = append(entries, registry.Entry{Host: fmt.Sprintf("host-%05d.service-%03d", i, i%o.Services),
+			Site: zoneName(i % o.Zones),
 			Cell: i % cells, State: registry.Up, Dial: map[string]string{via: dial.String()}})
 	}
 	list.Put(entries...)
@@ -187,7 +191,8 @@
 		Zones     []string `json:"zones"`
 		Classes   []class  `json:"classes"`
 		Tenants   []tenant `json:"tenants,omitempty"`
-	}{Balancers: o.Gateways, Classes: []class{{"view", 800, 2000, 1, "repeatable"}, {"lodge", 800, 2500, 8, "once"}, {"bulk", 5000, 9000, 0.5, "repeatable"}}}
+	}{Balancers: o.Gateways, Classes: []class{{"view", 800, 2000, 1, "repeatable"},
+		{"lodge", 800, 2500, 8, "once"}, {"bulk", 5000, 9000, 0.5, "repeatable"}}}
 	for zone := range o.Zones {
 		doc.Zones = append(doc.Zones, zoneName(zone))
 	}
--- a/internal/lab/scale/knowledge.go
+++ b/internal/lab/scale/knowledge.go
@@ -24,7 +24,8 @@
 	Worst      Times `json:"worst"`
 }
 
-// milestones are when something had come to half, to 99 in 100 and to all of those that it can come to; 0 until then.
+// milestones are when something had come to half, to 99 in 100 and to all of those that it can come to;
+// 0 until then.
 type milestones struct{ half, most, all time.Duration }
 
 // note takes how many of those that can have it have it after some time, and reports whether all do.
@@ -81,7 +82,8 @@
 
 // begin follows an event of a gateway from now on. What was followed of it before is overtaken.
 func (k *knowledge) begin(subject int, joined bool) {
-	k.open = append(k.open, &watch{subject: subject, life: k.sim.Nodes[subject].Starts, joined: joined, began: k.sim.Now()})
+	k.open = append(k.open, &watch{subject: subject, life: k.sim.Nodes[subject].Starts, joined: joined,
+		began: k.sim.Now()})
 }
 
 // look counts who knows what. Those count that ran before the event and are not stopped.
--- a/internal/lab/scale/options.go
+++ b/internal/lab/scale/options.go
@@ -1,7 +1,7 @@
-// Package scale plays a whole fleet's control in one process on a virtual clock: hollow gateways, which have the real
-// reducers of the fleet's view and of the distribution of configuration, and no client traffic; some of them also hold
-// the whole list of hosts, divide it and read the settings. It measures bytes, processor time, memory, and how soon
-// what happens is known.
+// Package scale plays a whole fleet's control in one process on a virtual clock: hollow gateways, which
+// have the real reducers of the fleet's view and of the distribution of configuration, and no client
+// traffic; some of them also hold the whole list of hosts, divide it and read the settings. It measures
+// bytes, processor time, memory, and how soon what happens is known.
 package scale
 
 import (
@@ -26,8 +26,9 @@
 	Loss                                       float64       // share of the datagrams and frames
 	Stalls                                     float64       // share of the gateways stopped for 2 s in every 10
 	Restarts, Failures                         int           // pressed into the measured time
-	Changes                                    int           // of configuration, pressed into it; below 0: no control machines
-	Faults                                     []Fault
+	// of configuration, pressed into it; below 0: no control machines
+	Changes int
+	Faults  []Fault
 }
 
 // FaultKind is a trouble with a time of its own.
@@ -57,7 +58,8 @@
 
 // Defaults is the size that the fleet is to have in two years, without troubles.
 func Defaults() Options {
-	return Options{Gateways: 870, Hosts: 7700, Services: 390, Tenants: 44_000, Routes: 4100, Zones: 7, Regions: 2, Full: 2, Seed: 1,
+	return Options{Gateways: 870, Hosts: 7700, Services: 390, Tenants: 44_000, Routes: 4100, Zones: 7,
+		Regions: 2, Full: 2, Seed: 1,
 		For: 60 * time.Second, Changes: -1}
 }
 
--- a/internal/lab/scale/place.go
+++ b/internal/lab/scale/place.go
@@ -5,8 +5,8 @@
 // gatewaysOfRack is how many gateways stand in a rack.
 const gatewaysOfRack = 16
 
-// places tells where gateways and control machines stand: gateways lie over the zones in turn, zones over the regions in
-// runs. The simulator of rollouts places them alike.
+// places tells where gateways and control machines stand: gateways lie over the zones in turn, zones
+// over the regions in runs. The simulator of rollouts places them alike.
 type places struct{ gateways, zones, regions int }
 
 func (p places) zone(gateway int) int { return gateway % p.zones }
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -29,8 +29,8 @@
 	// Processor is in shares of a core, without divisions of hosts. It is the thread's time for views; the
 	// configuration's is counted by the clock, with the time in which other programs had the processor.
 	Processor Amount `json:"processor"`
-	// HeapMean is the heap of the whole process after a collection over the gateways, in bytes: the simulator's own state
-	// counts as theirs. Full gateways' lists and settings do not.
+	// HeapMean is the heap of the whole process after a collection over the gateways, in bytes: the
+	// simulator's own state counts as theirs. Full gateways' lists and settings do not.
 	HeapMean uint64 `json:"heap_mean_bytes"`
 }
 
@@ -93,7 +93,8 @@
 	// Observers are the gateways at which false removals were looked for, each second.
 	Observers int     `json:"observers"`
 	Recovered float64 `json:"recovered_s"` // from the end of the measured time until each view is the truth; below 0: not within 60 s
-	// Healed is, for each time that regions were parted, from its end until each view is the truth, if that came.
+	// Healed is, for each time that regions were parted, from its end until each view is the truth, if
+	// that came.
 	Healed        []float64      `json:"healed_s"`
 	Configuration *Configuration `json:"configuration,omitempty"`
 	Full          *Full          `json:"full,omitempty"`
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -28,7 +28,8 @@
 	Of    time.Duration
 }
 
-// Run plays a fleet. Once ctx is done it returns what it has, marked partial. told is called now and then; it may be nil.
+// Run plays a fleet. Once ctx is done it returns what it has, marked partial. told is called now and
+// then; it may be nil.
 func Run(ctx context.Context, o Options, told func(Progress)) (*Result, error) {
 	if wrong := o.Check(); len(wrong) > 0 {
 		return nil, wrong[0]
@@ -42,7 +43,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &run{fleet: f, told: told, result: &Result{Version: ResultVersion, Options: o, Seconds: []Second{}, Healed: []float64{}}}
+	r := &run{fleet: f, told: told, result: &Result{Version: ResultVersion, Options: o, Seconds: []Second{},
+		Healed: []float64{}}}
 	r.play()
 	r.result.Partial = f.sim.Interrupted()
 	r.result.Took = time.Since(began).Seconds()
@@ -139,7 +141,8 @@
 	}
 }
 
-// lookForHealing notes when all views are true after regions were parted. Restarts and failures meanwhile put it off.
+// lookForHealing notes when all views are true after regions were parted. Restarts and failures
+// meanwhile put it off.
 func (r *run) lookForHealing() {
 	if r.mendedAt == 0 || r.parted || r.sim.Divergence() != "" {
 		return
@@ -187,7 +190,8 @@
 			continue
 		}
 		for subject, node := range r.sim.Nodes {
-			if node.Membership == nil || r.sim.Now()-r.knowledge.born[subject] < removalGrace || r.sim.Net.Cut(n, subject) {
+			if node.Membership == nil || r.sim.Now()-r.knowledge.born[subject] < removalGrace ||
+				r.sim.Net.Cut(n, subject) {
 				continue
 			}
 			if m, known := r.sim.Nodes[n].Membership.Find(node.Name); known && m.State == gossipcodec.Gone {
@@ -282,8 +286,10 @@
 	if r.result.Lasted = seconds(length); length <= 0 {
 		return
 	}
-	viewSent, viewTaken := rates(before.viewSent, after.viewSent, length), rates(before.viewTaken, after.viewTaken, length)
-	sent, taken := rates(before.configSent, after.configSent, length), rates(before.configTaken, after.configTaken, length)
+	viewSent, viewTaken := rates(before.viewSent, after.viewSent, length),
+		rates(before.viewTaken, after.viewTaken, length)
+	sent, taken := rates(before.configSent, after.configSent, length),
+		rates(before.configTaken, after.configTaken, length)
 	b := &r.result.Gateway
 	b.View = Traffic{amount(viewSent), amount(viewTaken)}
 	b.Configuration = Traffic{amount(sent), amount(taken)}
@@ -316,8 +322,9 @@
 }
 
 func (r *run) sumFull(before, after reading, length time.Duration) {
-	full := &Full{Gateways: len(r.full), SettingsTime: seconds(r.begun.SettingsTime), SettingsHeap: r.begun.SettingsHeap,
-		ListTime: seconds(r.begun.ListTime), ListHeap: r.begun.ListHeap, Problems: []string{}}
+	full := &Full{Gateways: len(r.full), SettingsTime: seconds(r.begun.SettingsTime),
+		SettingsHeap: r.begun.SettingsHeap,
+		ListTime:     seconds(r.begun.ListTime), ListHeap: r.begun.ListHeap, Problems: []string{}}
 	for _, g := range r.full {
 		full.Divisions += g.divided
 		full.DivisionLongest = max(full.DivisionLongest, g.longest.Seconds())
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -32,8 +32,8 @@
 	return r
 }
 
-// What a gateway sends for its view does not grow with the fleet while nothing happens, and its heap grows by what one
-// more member takes, not with the square.
+// What a gateway sends for its view does not grow with the fleet while nothing happens, and its heap
+// grows by what one more member takes, not with the square.
 func TestSlopesOfAFleetAtRest(t *testing.T) {
 	var s Sweep
 	for _, n := range []int{16, 32, 64} {
@@ -85,7 +85,8 @@
 func TestZonesAndRegionsRecover(t *testing.T) {
 	o := small()
 	o.Full, o.For = 0, 30*time.Second
-	o.Faults = []Fault{{Kind: ZoneFails, At: 0, For: 8 * time.Second}, {Kind: RegionsPart, At: 12 * time.Second, For: 12 * time.Second}}
+	o.Faults = []Fault{{Kind: ZoneFails, At: 0, For: 8 * time.Second}, {Kind: RegionsPart, At: 12 * time.Second,
+		For: 12 * time.Second}}
 	r := mustRun(t, o)
 	if r.Crash.Count < 9 || r.Join.Count < 9 || r.Recovered < 0 {
 		t.Errorf("crashes %d, joins %d, recovered after %v s", r.Crash.Count, r.Join.Count, r.Recovered)
@@ -178,7 +179,8 @@
 func TestFiles(t *testing.T) {
 	good := "gateways = 100\nfor = \"2m\"\n[[fault]]\ndo = \"zone\"\nat = \"10s\"\nfor = \"30s\"\n"
 	o, err := Parse("x.toml", []byte(good), Defaults())
-	if err != nil || o.Gateways != 100 || o.Hosts != 7700 || len(o.Faults) != 1 || o.Faults[0].Kind != ZoneFails || o.For != 2*time.Minute {
+	if err != nil || o.Gateways != 100 || o.Hosts != 7700 || len(o.Faults) != 1 ||
+		o.Faults[0].Kind != ZoneFails || o.For != 2*time.Minute {
 		t.Fatalf("%+v %v", o, err)
 	}
 	for text, want := range map[string]string{
@@ -195,13 +197,15 @@
 			t.Errorf("%q: %v", text, err)
 		}
 	}
-	for text, want := range map[string]string{"zone": "is not KIND", "zone@1s": "is not KIND", "zone@x+1s": "\"x\" is no time",
+	for text, want := range map[string]string{"zone": "is not KIND", "zone@1s": "is not KIND",
+		"zone@x+1s": "\"x\" is no time",
 		"zone@1s+y": "\"y\" is no time", "loss@1s+1s=z": "\"z\" is no share"} {
 		if _, err := ParseFault(text); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
-	if f, err := ParseFault("loss@1s+2s=0.25"); err != nil || f != (Fault{LossRises, time.Second, 2 * time.Second, 0.25}) {
+	if f, err := ParseFault("loss@1s+2s=0.25"); err != nil ||
+		f != (Fault{LossRises, time.Second, 2 * time.Second, 0.25}) {
 		t.Errorf("%+v %v", f, err)
 	}
 }
--- a/internal/lab/simulation/agents.go
+++ b/internal/lab/simulation/agents.go
@@ -6,9 +6,9 @@
 	"thymebend/internal/lab/registry"
 )
 
-// Where lists are pushed, each gateway's machine has an agent: it answers at once with the list that it has been sent,
-// is sent changes late and each at its own time, and hears nothing while discovery is down or mute. What it has counts
-// as told.
+// Where lists are pushed, each gateway's machine has an agent: it answers at once with the list that it
+// has been sent, is sent changes late and each at its own time, and hears nothing while discovery is
+// down or mute. What it has counts as notified.
 
 // pushSpread is how much later than the first agent the last is sent a change.
 const pushSpread = 120 * time.Millisecond
@@ -25,8 +25,8 @@
 	since   time.Duration // and when
 }
 
-// settle is how long an agent is left alone before it goes, or goes again: a gateway that could not have asked in
-// between could not have been told.
+// settle is how long an agent is left alone before it goes, or goes again: a gateway that could not
+// have asked in between could not have been told.
 const settle = 500 * time.Millisecond
 
 // maxPast is how many versions back an agent may return with.
@@ -40,7 +40,7 @@
 	return d.agents[via].list
 }
 
-// notification is when a gateway was told, or counts as told, that a host drains or is gone.
+// notification is when a gateway was told, or counts as notified, that a host drains or is gone.
 func (d *discoveryServer) notification(gateway int, host string) (registry.Notification, bool) {
 	t, ok := d.of(gateway).Told(gatewayName(gateway), host)
 	if by, over := d.latest.notified(host); over && (!ok || by.At < t.At) {
@@ -73,7 +73,7 @@
 	a.notify()
 }
 
-// notify has what the agent has count as told, and writes it to whoever watches.
+// notify has what the agent has count as notified, and writes it to whoever watches.
 func (a *agent) notify() {
 	if a.d.w.gateways[a.via].up && !a.away {
 		a.list.Note(gatewayName(a.via), a.d.w.sim.Now())
@@ -92,8 +92,9 @@
 	a.d.reset(func(c *watch) bool { return c.via == a.via })
 }
 
-// restart takes the agent away, with its watches, and has it come back; old says with an earlier list, which the next
-// push replaces a while later. Only what its gateway has read is forgotten so: nobody could know of the rest.
+// restart takes the agent away, with its watches, and has it come back; old says with an earlier list,
+// which the next push replaces a while later. Only what its gateway has read is forgotten so: nobody
+// could know of the rest.
 func (a *agent) restart(after time.Duration, old bool) {
 	if a.away || a.written < a.list.Seq() || a.d.w.sim.Now()-a.since < settle || !a.d.w.gateways[a.via].up {
 		return
--- a/internal/lab/simulation/assignments.go
+++ b/internal/lab/simulation/assignments.go
@@ -9,23 +9,26 @@
 	"thymebend/internal/lab/registry"
 )
 
-// Gateways that divide hosts by their view: what all of them together send a cold host is held against its turns, and at the
-// end of a day their portions against each other.
+// Gateways that divide hosts by their view: what all of them together send a cold host is held against
+// its turns, and at the end of a day their assignments against each other.
 
 // sharesProfile is gateways with a view that divide hosts, among troubles of both.
 const sharesProfile = "shares"
 
-// Rules of portions.
+// Rules of assignments.
 const (
-	OverTurns = "more than its turns"   // sent a cold host in a window, by all gateways together
-	NotWhole  = "portions do not agree" // of a host, at the end of a day without troubles: more than one whole, or nobody's
-	Undivided = "nothing divided"       // a gateway with a settled view goes by count and number
+	OverTurns = "more than its turns" // sent a cold host in a window, by all gateways together
+	// of a host, at the end of a day without troubles: more than one whole, or nobody's
+	NotWhole  = "portions do not agree"
+	Undivided = "nothing divided" // a gateway with a settled view goes by count and number
 )
 
-// warmRate is what a host of the plans does when it is warm, in requests a second of the class with the most work.
+// warmRate is what a host of the plans does when it is warm, in requests a second of the class with the
+// most work.
 const warmRate = 17.0
 
-// turnSlack is by how much arrivals may bunch up on their way, beyond the network's own jitter: a new connection comes first.
+// turnSlack is by how much arrivals may bunch up on their way, beyond the network's own jitter: a new
+// connection comes first.
 const turnSlack = 30 * time.Millisecond
 
 // budget is what one start of a host was sent while it was cold.
@@ -36,7 +39,8 @@
 	over bool
 }
 
-// cold counts an arrival at a cold host: no window of the rule may hold more than what the host may get at that time.
+// cold counts an arrival at a cold host: no window of the rule may hold more than what the host may get
+// at that time.
 func (w *simulator) cold(h *host, now time.Duration) {
 	e, ok := w.disc.list.Find(h.name)
 	if !w.plan.Shares || !ok || e.Born == 0 || w.views.done {
@@ -61,11 +65,13 @@
 	most := cold.FallMultiple * warmRate * can * cold.FallFor.Seconds()
 	if float64(len(b.came)) > math.Ceil(most) {
 		b.over = true
-		w.find(OverTurns, h.name, "%d in %v at %v after its start, it may get %.1f", len(b.came), window, now-born, most)
+		w.find(OverTurns, h.name, "%d in %v at %v after its start, it may get %.1f", len(b.came), window,
+			now-born, most)
 	}
 }
 
-// checkAssignments holds what each gateway goes by against the others', after a time in which nothing happened.
+// checkAssignments holds what each gateway goes by against the others', after a time in which nothing
+// happened.
 func (w *simulator) checkAssignments() {
 	if !w.plan.Shares {
 		return
@@ -97,7 +103,8 @@
 	}
 	for _, h := range w.hosts {
 		e, ok := w.disc.list.Find(h.name)
-		if !h.up || h.gone || !ok || e.State != registry.Up || e.Born > 0 && w.sim.Now() < time.Duration(e.Born)*time.Millisecond+h.spec.Cold.For+time.Second {
+		if !h.up || h.gone || !ok || e.State != registry.Up || e.Born > 0 &&
+			w.sim.Now() < time.Duration(e.Born)*time.Millisecond+h.spec.Cold.For+time.Second {
 			continue
 		}
 		if sum := sums[uint64(discovery.Identity(h.name))]; sum < 0.999 || sum > 1.001 {
--- a/internal/lab/simulation/assignments_test.go
+++ b/internal/lab/simulation/assignments_test.go
@@ -48,12 +48,13 @@
 		}
 	}
 	p.Requests = calm
-	p.Faults = []Fault{{AtMS: 9000, Do: "host-errors", Who: 4, ForMS: 4000, Share: 0.5}, {AtMS: 10000, Do: "host-replace", Who: 2}}
+	p.Faults = []Fault{{AtMS: 9000, Do: "host-errors", Who: 4, ForMS: 4000, Share: 0.5},
+		{AtMS: 10000, Do: "host-replace", Who: 2}}
 	return p
 }
 
-// One gateway that reports every host as bad, or as idle with no traffic of its own, or as having all traffic, or nonsense, costs the
-// others next to nothing and breaks no rule.
+// One gateway that reports every host as bad, or as idle with no traffic of its own, or as having all
+// traffic, or nonsense, costs the others next to nothing and breaks no rule.
 func TestOneLyingGatewayChangesLittle(t *testing.T) {
 	p := steady(t)
 	var all []uint64
--- a/internal/lab/simulation/build.go
+++ b/internal/lab/simulation/build.go
@@ -19,18 +19,23 @@
 	f.Classes = []experiment.Class{
 		{Name: "tender-view", Share: 0.64, Worth: 1, Aim: d(800 * time.Millisecond), Patience: d(2 * time.Second),
 			Work: experiment.Work{Dist: "pareto", Mean: d(35 * time.Millisecond), CV: 2}},
-		{Name: "bid-lodge", Share: 0.36, Unsafe: true, Worth: 8, Aim: d(800 * time.Millisecond), Patience: d(2500 * time.Millisecond),
-			Work: experiment.Work{Dist: "lognormal", Mean: d(70 * time.Millisecond), CV: 2}}}
+		{Name: "bid-lodge", Share: 0.36, Unsafe: true, Worth: 8, Aim: d(800 * time.Millisecond),
+			Patience: d(2500 * time.Millisecond),
+			Work:     experiment.Work{Dist: "lognormal", Mean: d(70 * time.Millisecond), CV: 2}}}
 	if p.DeadlineMS > 0 {
 		for i := range f.Classes {
 			f.Classes[i].Patience = d(msec(p.DeadlineMS))
 			f.Classes[i].Aim = d(min(f.Classes[i].Aim.Duration, msec(p.DeadlineMS)))
 		}
 	}
-	f.Hosts = []experiment.Hosts{{Kind: "h", Count: p.Hosts, Site: "suva", Cores: 1, Speed: 1.2, Slots: 1, Queue: 14, ThrashAt: 8, Thrash: 0.04,
-		ColdFrom: 0.2, ColdFor: d(12 * time.Second), WarmBy: "work", Fall: 3, FallFor: d(time.Second), PauseEvery: d(6 * time.Second),
-		PauseFor: d(30 * time.Millisecond), ErrorRate: 0.0005, Idle: d(30 * time.Second), ReportMin: d(50 * time.Millisecond),
-		ReportMax: d(300 * time.Millisecond), ReportLate: d(40 * time.Millisecond), Noise: 0.1, Body: 60, Handshake: d(2 * time.Millisecond)}}
+	f.Hosts = []experiment.Hosts{{Kind: "h", Count: p.Hosts, Site: "suva", Cores: 1, Speed: 1.2, Slots: 1,
+		Queue: 14, ThrashAt: 8, Thrash: 0.04,
+		ColdFrom: 0.2, ColdFor: d(12 * time.Second), WarmBy: "work", Fall: 3, FallFor: d(time.Second),
+		PauseEvery: d(6 * time.Second),
+		PauseFor:   d(30 * time.Millisecond), ErrorRate: 0.0005, Idle: d(30 * time.Second),
+		ReportMin: d(50 * time.Millisecond),
+		ReportMax: d(300 * time.Millisecond), ReportLate: d(40 * time.Millisecond), Noise: 0.1, Body: 60,
+		Handshake: d(2 * time.Millisecond)}}
 	if p.Zones > 0 {
 		f.Hosts[0].Conns = maxConnections
 	}
@@ -52,7 +57,8 @@
 
 func (w *simulator) build() {
 	p := w.plan
-	w.disc = &discoveryServer{w: w, list: registry.New(), doors: make([]*Listener, p.Gateways), addrs: make([]netip.AddrPort, p.Gateways), port: 8500}
+	w.disc = &discoveryServer{w: w, list: registry.New(), doors: make([]*Listener, p.Gateways),
+		addrs: make([]netip.AddrPort, p.Gateways), port: 8500}
 	for n := range p.Gateways {
 		w.disc.open(n)
 		w.gateways = append(w.gateways, &gatewayNode{w: w, n: n, name: gatewayName(n),
@@ -89,10 +95,13 @@
 // addHost starts a host; it takes over another's addresses if they are given.
 func (w *simulator) addHost(n int, addrs []netip.AddrPort, cold bool) {
 	spec := w.file.Spec(w.zone(n), n)
-	h := &host{w: w, n: n, name: spec.Name, spec: spec, record: requestrecord.NewEndpointRecord(spec.Name), addrs: addrs, share: make(map[string]float64)}
+	h := &host{w: w, n: n, name: spec.Name, spec: spec, record: requestrecord.NewEndpointRecord(spec.Name),
+		addrs: addrs, share: make(map[string]float64)}
 	if addrs == nil {
 		for g := range w.gateways {
-			h.addrs = append(h.addrs, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 3 + byte(n>>8), byte(n), byte(g%250 + 1)}), uint16(9000+g/250)))
+			h.addrs = append(h.addrs,
+				netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 3 + byte(n>>8), byte(n), byte(g%250 + 1)}),
+					uint16(9000+g/250)))
 		}
 	}
 	h.start(cold)
--- a/internal/lab/simulation/callqueue.go
+++ b/internal/lab/simulation/callqueue.go
@@ -5,15 +5,17 @@
 	"time"
 )
 
-// CallQueue describes a discovery that works through calls one after another with a limited capacity. A call whose gateway
-// has given it up still costs its turn: discovery learns of the closed connection only when it writes the answer.
+// CallQueue describes a discovery that works through calls one after another with a limited capacity. A
+// call whose gateway has given it up still costs its turn: discovery learns of the closed connection
+// only when it writes the answer.
 type CallQueue struct {
-	// LinesPerSecond is the capacity. A call's work is CallLines and HostLines for each host on the line that answers it.
+	// LinesPerSecond is the capacity. A call's work is CallLines and HostLines for each host on the
+	// line that answers it.
 	LinesPerSecond float64 `json:"lines_per_second"`
 	CallLines      float64 `json:"call_lines"`
 	HostLines      float64 `json:"host_lines,omitempty"`
-	// TimeoutMS bounds the wait for a turn: a call whose turn does not begin by then is answered 503, when the time-out has
-	// come, or at once with ShedAtOnce.
+	// TimeoutMS bounds the wait for a turn: a call whose turn does not begin by then is answered 503,
+	// when the time-out has come, or at once with ShedAtOnce.
 	TimeoutMS  int  `json:"timeout_ms"`
 	ShedAtOnce bool `json:"shed_at_once,omitempty"`
 	// EndWatches is the chance that a watch ends when the list changes, instead of telling.
--- a/internal/lab/simulation/callqueue_test.go
+++ b/internal/lab/simulation/callqueue_test.go
@@ -17,8 +17,8 @@
 	"thymebend/internal/loop"
 )
 
-// Calls are worked off in turn. One that would wait for its turn longer than the time-out is refused, costs nothing and is told
-// so at once or when the time-out has come.
+// Calls are worked off in turn. One that would wait for its turn longer than the time-out is refused,
+// costs nothing and is told so at once or when the time-out has come.
 func TestCallsAreAnsweredInTurn(t *testing.T) {
 	const second = time.Second
 	q := callQueue{CallQueue: CallQueue{LinesPerSecond: 30, CallLines: 25, HostLines: 1, TimeoutMS: 3000}}
@@ -48,7 +48,8 @@
 	}
 }
 
-// A change counts as told after 6 s, or after the time that discovery needs for the calls that it has caused.
+// A change counts as notified after 6 s, or after the time that discovery needs for the calls that it
+// has caused.
 func TestWhenAChangeCountsAsTold(t *testing.T) {
 	sim := NewSim(1, nil)
 	latest := &notificationDeadlines{sim: sim, work: 100 * time.Millisecond}
@@ -63,7 +64,8 @@
 		t.Errorf("told early: %v", told)
 	}
 	after(notifiedAtTheLatest)
-	if told, ok := latest.notified("a"); !ok || told.At != start+notifiedAtTheLatest || told.State != registry.Draining {
+	if told, ok := latest.notified("a"); !ok || told.At != start+notifiedAtTheLatest ||
+		told.State != registry.Draining {
 		t.Errorf("%v, %v", told, ok)
 	}
 	latest.changed(registry.Entry{Host: "b", State: registry.Draining})
@@ -85,7 +87,8 @@
 // watchers starts a world of gateways with a discovery that works in turn, and lets each have its list.
 func watchers(t *testing.T, calls CallQueue) *simulator {
 	t.Helper()
-	w := newSimulator(Plan{Seed: 1, Gateways: 4, Hosts: 3, Sockets: 300, LatencyUS: 200, CostUS: 10, Calls: &calls}, nil,
+	w := newSimulator(Plan{Seed: 1, Gateways: 4, Hosts: 3, Sockets: 300, LatencyUS: 200, CostUS: 10,
+		Calls: &calls}, nil,
 		func(r loop.Reducer) loop.Reducer { return r })
 	w.build()
 	w.sim.Run(epoch + 3*time.Second)
@@ -106,9 +109,11 @@
 	return list
 }
 
-// Watches end when the list changes, are all reset, or fall silent; the list that answers the next call leaves out who drains.
+// Watches end when the list changes, are all reset, or fall silent; the list that answers the next call
+// leaves out who drains.
 func TestWatchesThatEndAndListsWithoutDrainingHosts(t *testing.T) {
-	calls := CallQueue{LinesPerSecond: 1000, CallLines: 20, HostLines: 1, TimeoutMS: 3000, EndWatches: 1, WholeFirst: true}
+	calls := CallQueue{LinesPerSecond: 1000, CallLines: 20, HostLines: 1, TimeoutMS: 3000, EndWatches: 1,
+		WholeFirst: true}
 	w := watchers(t, calls)
 	before := slices.Clone(w.disc.watches)
 	w.list(w.hosts[0], registry.Draining, false)
@@ -138,7 +143,10 @@
 		old := w.disc.watches
 		storm.do()
 		w.sim.Run(w.sim.Now() + storm.after)
-		silent := slices.ContainsFunc(w.disc.watches, func(c *watch) bool { return slices.Contains(old, c) && c.silent > 0 })
+		silent := slices.ContainsFunc(w.disc.watches, func(c *watch) bool {
+			return slices.Contains(old, c) &&
+				c.silent > 0
+		})
 		if len(w.disc.listed()) != 4 || silent {
 			t.Errorf("%d of 4 gateways have a list", len(w.disc.listed()))
 		}
@@ -176,7 +184,8 @@
 	}
 }
 
-// impatientClient is a gateway with a planted defect: it gives a call up that waits in discovery's queue, and calls again.
+// impatientClient is a gateway with a planted defect: it gives a call up that waits in discovery's
+// queue, and calls again.
 type impatientClient struct {
 	loop.Reducer
 	waiting map[loop.Conn]bool // calls that nothing has been heard of
@@ -215,7 +224,8 @@
 	return &impatientClient{Reducer: r, waiting: make(map[loop.Conn]bool)}
 }
 
-// The rule on when a change counts as told can fail: gateways that give up calls in the queue break it.
+// The rule on when a change counts as notified can fail: gateways that give up calls in the queue break
+// it.
 func TestCallsGivenUpInTheQueueAreCaught(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		o := play(draw(t, seed, discoveryLoadProfile), nil, makeImpatient)
--- a/internal/lab/simulation/calls_test.go
+++ b/internal/lab/simulation/calls_test.go
@@ -15,10 +15,12 @@
 	toldAt   []time.Duration
 }
 
-// newCaller prepares a scriptedDiscovery that treats calls one by one as listed, and those after the list as served.
+// newCaller prepares a scriptedDiscovery that treats calls one by one as listed, and those after the
+// list as served.
 func newCaller(seed uint64, calls ...treat) *caller {
 	sim := NewSim(seed, nil)
-	c := &caller{scriptedDiscovery: scriptedDiscovery{sim: sim, net: NewNet(sim), at: netip.MustParseAddrPort("10.2.0.1:8500"), open: make(map[*End]bool)}}
+	c := &caller{scriptedDiscovery: scriptedDiscovery{sim: sim, net: NewNet(sim),
+		at: netip.MustParseAddrPort("10.2.0.1:8500"), open: make(map[*End]bool)}}
 	c.told = func() { c.toldAt = append(c.toldAt, sim.Now()-epoch) }
 	c.treat = func(call int) treat {
 		if call > 0 && len(c.calledAt) < call {
@@ -33,8 +35,8 @@
 	return c
 }
 
-// A call that waits in discovery's queue keeps its place though it is made good by another: its late answer is used, and the
-// younger call given up.
+// A call that waits in discovery's queue keeps its place though it is made good by another: its late
+// answer is used, and the younger call given up.
 func TestACallKeepsItsPlaceInTheQueue(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newCaller(seed, queued, mute, mute, mute)
@@ -45,25 +47,28 @@
 			t.Fatalf("seed %d: told at %v, want once, with the answer to the first call", seed, c.toldAt)
 		}
 		if len(c.calledAt) != 3 || c.calledAt[1] > 3500*time.Millisecond {
-			t.Errorf("seed %d: called at %v, want a second call soon after 3.1 s and a third 3 s later", seed, c.calledAt)
+			t.Errorf("seed %d: called at %v, want a second call soon after 3.1 s and a third 3 s later", seed,
+				c.calledAt)
 		}
 	}
 }
 
-// Discovery says when it wants to be called again. It is heeded as long as a change is still heard of in the 6 s after which it counts as
-// told; a longer time is cut to that.
+// Discovery says when it wants to be called again. It is heeded as long as a change is still heard of
+// in the 6 s after which it counts as notified; a longer time is cut to that.
 func TestCallsHeedRetryAfter(t *testing.T) {
 	for _, c := range []struct {
 		again       string
 		least, most time.Duration
-	}{{"4.5", 4500 * time.Millisecond, 5 * time.Second}, {"7.5", 5 * time.Second, 5500 * time.Millisecond}, {"60", 5 * time.Second, 5500 * time.Millisecond}} {
+	}{{"4.5", 4500 * time.Millisecond, 5 * time.Second}, {"7.5", 5 * time.Second, 5500 * time.Millisecond},
+		{"60", 5 * time.Second, 5500 * time.Millisecond}} {
 		for seed := range uint64(20) {
 			d := newCaller(seed, shed)
 			d.again = c.again
 			gatewayOn(t, d.sim, d.net, d.at, "subscribe", nil)
 			d.sim.Run(epoch + 20*time.Second)
 			if len(d.calledAt) != 2 || d.calledAt[1]-d.calledAt[0] < c.least || d.calledAt[1]-d.calledAt[0] > c.most {
-				t.Errorf("asked for %s s, seed %d: called at %v, want %v to %v apart", c.again, seed, d.calledAt, c.least, c.most)
+				t.Errorf("asked for %s s, seed %d: called at %v, want %v to %v apart", c.again, seed,
+					d.calledAt, c.least, c.most)
 			}
 		}
 	}
@@ -77,13 +82,15 @@
 		gatewayOn(t, c.sim, c.net, c.at, "subscribe", nil)
 		c.sim.Run(epoch + 20*time.Second)
 		if len(c.calledAt) != 2 || len(c.toldAt) != 1 {
-			t.Errorf("seed %d: called at %v, told at %v, want one call after the refusal, and its answer", seed, c.calledAt, c.toldAt)
+			t.Errorf("seed %d: called at %v, told at %v, want one call after the refusal, and its answer", seed,
+				c.calledAt, c.toldAt)
 		}
 	}
 }
 
-// From the time at which a change counts as told after a watch has ended, nothing is sent while the call after it waits: its answer may
-// name the very host. A call that fails, or waits for too long, lets requests go on by the list there is.
+// From the time at which a change counts as notified after a watch has ended, nothing is sent while the
+// call after it waits: its answer may name the very host. A call that fails, or waits for too long,
+// lets requests go on by the list there is.
 func TestNothingIsSentWhileTheCallAfterAWatchWaits(t *testing.T) {
 	const list = `{"seq":2,"whole":true,"hosts":[{"host":"h","dial":"10.3.0.1:80","site":"a","class":"c","block":0,"health":"up","share":1,"born_ms":0}]}`
 	for _, play := range []struct {
@@ -96,7 +103,8 @@
 	}{
 		{"the call waits and is served", []treat{served, queued}, 2800 * time.Millisecond, true, true, true},
 		{"the call fails", []treat{served, failed, mute}, 0, false, true, true},
-		{"the call is kept, and fails while a younger one waits", []treat{served, expired, mute, mute}, 3400 * time.Millisecond, true, true, true},
+		{"the call is kept, and fails while a younger one waits", []treat{served, expired, mute, mute},
+			3400 * time.Millisecond, true, true, true},
 		{"the call is never answered", []treat{served, mute, mute, mute}, 0, true, false, true},
 		{"the call is served", []treat{served, served}, 0, false, true, true},
 	} {
@@ -116,7 +124,10 @@
 			requestsOn(c.sim, c.net, netip.MustParseAddrPort("10.1.0.1:8443"), 40*time.Millisecond)
 			c.sim.Run(epoch + 12*time.Second)
 			between := func(from, until time.Duration) bool {
-				return slices.ContainsFunc(*sent, func(at time.Duration) bool { return at >= ended+from && at < ended+until })
+				return slices.ContainsFunc(*sent, func(at time.Duration) bool {
+					return at >= ended+from &&
+						at < ended+until
+				})
 			}
 			if !between(time.Second, 1900*time.Millisecond) {
 				t.Fatal("nothing is sent though the list is known")
@@ -143,7 +154,8 @@
 			var inbox []byte
 			e.ready = func() {
 				inbox = append(inbox, e.Read(1<<16)...)
-				for _, _, rest, whole, err := message(inbox); whole && err == nil; _, _, rest, whole, err = message(inbox) {
+				for _, _, rest, whole, err := message(inbox); whole && err == nil; _, _, rest, whole,
+					err = message(inbox) {
 					inbox = rest
 					*came = append(*came, sim.Now())
 					_, _ = e.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -13,7 +13,8 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// slack is how much later than its patience a client still looks, as for every time limit on sockets.
+// slack is how much later than its client timeout a client still looks, as for every time limit on
+// sockets.
 const slack = 50 * time.Millisecond
 
 // noticeDead is how long the front goes on sending to a gateway that has died.
@@ -49,7 +50,8 @@
 		class = "bid-lodge"
 	}
 	c.strict = w.strict
-	_ = w.clients.Add(requestrecord.Attempt{ID: c.id, Request: n, Number: try, Class: class, Unsafe: r.Unsafe || c.strict, Target: c.gw.name,
+	_ = w.clients.Add(requestrecord.Attempt{ID: c.id, Request: n, Number: try, Class: class, Unsafe: r.Unsafe ||
+		c.strict, Target: c.gw.name,
 		Due: w.sim.Now()})
 	w.sim.Note("client %s asks %s", c.id, c.gw.name)
 	w.asked++
@@ -114,7 +116,8 @@
 		body = append(body, bytes.Repeat([]byte{'b'}, c.req.Body)...)
 	}
 	if !c.req.Unsafe && !c.strict {
-		return fmt.Appendf(nil, "GET %s%s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %dm\r\n%s\r\n",
+		return fmt.Appendf(nil,
+			"GET %s%s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %dm\r\n%s\r\n",
 			path, query, c.id, class, c.req.Patient, mark)
 	}
 	head := fmt.Appendf(nil, "POST %s%s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %dm\r\n%s",
@@ -193,7 +196,8 @@
 // owedWithin is how soon a client that stops in the middle of a request is owed an error or a close.
 const owedWithin = 3 * time.Second
 
-// stop sends a part of a request in pieces, and then nothing more. Its client is owed an error or a close from then on.
+// stop sends a part of a request in pieces, and then nothing more. Its client is owed an error or a
+// close from then on.
 func (c *client) stop(text []byte, pieces int) {
 	if c.over {
 		return
@@ -213,7 +217,8 @@
 	}
 	c.w.sim.After(owedWithin+slack, func() {
 		if !c.over {
-			c.w.find(NotHeard, c.id, "%s told a client that stopped neither an error nor a close within %v", c.gw.name, owedWithin)
+			c.w.find(NotHeard, c.id, "%s told a client that stopped neither an error nor a close within %v",
+				c.gw.name, owedWithin)
 			c.finish("not heard")
 		}
 	})
@@ -295,7 +300,8 @@
 	if status == 200 {
 		body = unpadded(body, c.req.Pad)
 	}
-	if (status == 400 || status == 404 || status == 405 || status == 413) && (c.req.Act == "" || c.req.Act == "trickle") {
+	if (status == 400 || status == 404 || status == 405 || status == 413) &&
+		(c.req.Act == "" || c.req.Act == "trickle") {
 		c.w.find(Wronged, c.id, "a good request got %d", status)
 	}
 	c.w.sim.Note("client %s got %d %x", c.id, status, requestrecord.Hash(body))
@@ -338,7 +344,8 @@
 		}
 		if l.end.Gone() {
 			// What counts is when the gateway ended it, not when that shows.
-			if p := l.end.peer; p != nil && !l.end.cut && p.ended > 0 && p.ended >= l.gw.since && p.ended <= l.gw.until {
+			if p := l.end.peer; p != nil && !l.end.cut && p.ended > 0 && p.ended >= l.gw.since &&
+				p.ended <= l.gw.until {
 				c.w.find(ShutDoor, id, "%s closed a link at rest during an upgrade", l.gw.name)
 			}
 			l.end.Close()
--- a/internal/lab/simulation/clusterrates.go
+++ b/internal/lab/simulation/clusterrates.go
@@ -7,8 +7,9 @@
 	"thymebend/internal/lab/registry"
 )
 
-// Standing checks of a fleet: what all gateways together ask of one host or of discovery within one second. A gateway alone
-// keeps each of these easily; what is held here is the sum. Gateways choose their hosts by zones, so hosts are counted by zones.
+// Standing checks of a fleet: what all gateways together ask of one host or of discovery within one
+// second. A gateway alone keeps each of these easily; what is held here is the sum. Gateways choose
+// their hosts by zones, so hosts are counted by zones.
 
 // Rules of the sums.
 const (
@@ -17,14 +18,15 @@
 	OverAsked  = "too many calls"       // at discovery in a second
 )
 
-// The sums in figures. Those at a host hold while half of the hosts of its zone are left. With half, each has twice its part of
-// the gateways, and the bounds leave half as much again; with fewer the gateways have to use the same few, and sends and
-// connections opened may grow as the hosts get fewer.
+// The sums in figures. Those at a host hold while half of the hosts of its zone are left. With half,
+// each has twice its part of the gateways, and the bounds leave half as much again; with fewer the
+// gateways have to use the same few, and sends and connections opened may grow as the hosts get fewer.
 const (
-	// maxAttempts a second: a host of the plans does 25 of mean work and queues 14, and what it turns away has to be asked
-	// for before it is known to be full.
+	// maxAttempts a second: a host of the plans does 25 of mean work and queues 14, and what it turns
+	// away has to be asked for before it is known to be full.
 	maxAttempts = 120
-	// maxOpened is one for each connection that it may hold, twice over: a second may see a host restart and all come back.
+	// maxOpened is one for each connection that it may hold, twice over: a second may see a host
+	// restart and all come back.
 	maxOpened = 2 * maxConnections
 )
 
@@ -44,11 +46,12 @@
 }
 
 func newClusterRates(w *simulator) *clusterRates {
-	return &clusterRates{w: w, sums: make(map[sumOf]int), broken: make(map[sumOf]bool), strain: make(map[int]float64), most: make(map[string]int)}
+	return &clusterRates{w: w, sums: make(map[sumOf]int), broken: make(map[sumOf]bool),
+		strain: make(map[int]float64), most: make(map[string]int)}
 }
 
-// strained is how many times more gateways use a host of this zone than where half of the zone's hosts run and are listed as up:
-// 1 while so many are left.
+// strained is how many times more gateways use a host of this zone than where half of the zone's hosts
+// run and are listed as up: 1 while so many are left.
 func (w *simulator) strained(zone int) float64 {
 	all, left := 0, 0
 	for _, h := range w.hosts {
@@ -96,8 +99,8 @@
 	}
 }
 
-// strainOf is how strained a zone was at most in this second, as far as it was asked for: a zone that had few hosts left may have
-// more at each of them in all of it.
+// strainOf is how strained a zone was at most in this second, as far as it was asked for: a zone that
+// had few hosts left may have more at each of them in all of it.
 func (r *clusterRates) strainOf(zone int) float64 {
 	r.strain[zone] = max(r.strain[zone], r.w.strained(zone))
 	return r.strain[zone]
@@ -120,5 +123,6 @@
 	if r == nil {
 		return ""
 	}
-	return fmt.Sprintf("most in a second: %d sends and %d connections at one host, %d calls at discovery", r.most[OverSent], r.most[OverOpened], r.mostCalls)
+	return fmt.Sprintf("most in a second: %d sends and %d connections at one host, %d calls at discovery",
+		r.most[OverSent], r.most[OverOpened], r.mostCalls)
 }
--- a/internal/lab/simulation/clusterrates_test.go
+++ b/internal/lab/simulation/clusterrates_test.go
@@ -6,7 +6,8 @@
 	"thymebend/internal/lab/registry"
 )
 
-// twoZones is a world of twelve hosts that all run: eight in the first zone, four in the second. It counts what is asked of them.
+// twoZones is a world of twelve hosts that all run: eight in the first zone, four in the second. It
+// counts what is asked of them.
 func twoZones(t *testing.T) *simulator {
 	t.Helper()
 	w := newSimulator(Plan{Seed: 1, Gateways: 2, Hosts: 12, Sockets: 200, Zones: 2, LatencyUS: 200}, nil, nil)
@@ -34,8 +35,8 @@
 	return left
 }
 
-// The bounds of a host's sums hold while half of the hosts of its zone are left, whatever is left of the others; with fewer they
-// grow as the hosts get fewer.
+// The bounds of a host's sums hold while half of the hosts of its zone are left, whatever is left of
+// the others; with fewer they grow as the hosts get fewer.
 func TestBoundsOfAHostFollowItsZone(t *testing.T) {
 	for _, c := range []struct {
 		name        string
