--- a/internal/lab/simulation/conform_test.go
+++ b/internal/lab/simulation/conform_test.go
@@ -33,7 +33,8 @@
 }
 
 func (s *script) name(c loop.Conn) string {
-	if name := map[loop.Conn]string{loop.Listener: "listener", loop.Admin: "control", loop.HotRestart: "handover"}[c]; name != "" {
+	if name := map[loop.Conn]string{loop.Listener: "listener", loop.Admin: "control",
+		loop.HotRestart: "handover"}[c]; name != "" {
 		return name
 	}
 	if s.names[c] == "" {
@@ -46,8 +47,10 @@
 func (s *script) Step(now time.Duration, e loop.Event) []loop.Effect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	kinds := map[loop.Kind]string{loop.Accepted: "accepted", loop.Connected: "connected", loop.Data: "data", loop.EOF: "eof",
-		loop.Broken: "broken", loop.Flushed: "flushed", loop.Stale: "stale", loop.TimerDue: "timer", loop.File: "file", loop.Stop: "stop",
+	kinds := map[loop.Kind]string{loop.Accepted: "accepted", loop.Connected: "connected", loop.Data: "data",
+		loop.EOF:    "eof",
+		loop.Broken: "broken", loop.Flushed: "flushed", loop.Stale: "stale", loop.TimerDue: "timer",
+		loop.File: "file", loop.Stop: "stop",
 		loop.Reload: "reload", loop.AcceptFailed: "accept failed", loop.Leaving: "leaving"}
 	if k := kinds[e.Kind]; k != "" {
 		text := k
@@ -118,26 +121,30 @@
 		}
 		return nil
 	}
-	plain := func(more func(s *script, now time.Duration, e loop.Event) []loop.Effect) func(peer) func(*script, time.Duration, loop.Event) []loop.Effect {
+	plain := func(more func(s *script, now time.Duration, e loop.Event) []loop.Effect) func(peer) func(*script,
+		time.Duration, loop.Event) []loop.Effect {
 		return func(peer) func(*script, time.Duration, loop.Event) []loop.Effect {
 			return func(s *script, now time.Duration, e loop.Event) []loop.Effect {
 				return append(accept(e), more(s, now, e)...)
 			}
 		}
 	}
-	// A listener and a client's connection go over a Unix socket of the loop's own, as from process to process: the
-	// listener is adopted as another, the client's first bytes came before and are read after.
+	// A listener and a client's connection go over a Unix socket of the loop's own, as from process to
+	// process: the listener is adopted as another, the client's first bytes came before and are read
+	// after.
 	path := filepath.Join(os.TempDir(), fmt.Sprintf("conform-%d", os.Getpid()))
 	over := func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
 		switch {
 		case e.Kind == loop.Start:
-			return []loop.Effect{{Op: loop.Dial, Conn: 7, Path: path + "-none"}, {Op: loop.Listen, Conn: loop.HotRestart, Path: path}}
+			return []loop.Effect{{Op: loop.Dial, Conn: 7, Path: path + "-none"},
+				{Op: loop.Listen, Conn: loop.HotRestart, Path: path}}
 		case e.Kind == loop.Listening && e.Conn == loop.HotRestart:
 			return []loop.Effect{{Op: loop.Dial, Conn: 8, Path: path}}
 		case e.Kind == loop.Readable && (e.Conn == loop.HotRestart || e.Conn == loop.Admin):
 			return []loop.Effect{{Op: loop.Accept, Conn: e.Conn, Most: 1}}
 		case e.Kind == loop.Accepted && e.Via == loop.HotRestart:
-			return []loop.Effect{{Op: loop.Pass, Conn: e.Conn, Data: []byte("go"), Give: []loop.Conn{loop.Listener}}, {Op: loop.Close, Conn: loop.Listener}}
+			return []loop.Effect{{Op: loop.Pass, Conn: e.Conn, Data: []byte("go"),
+				Give: []loop.Conn{loop.Listener}}, {Op: loop.Close, Conn: loop.Listener}}
 		case e.Kind == loop.Data && len(e.Passed) == 1:
 			return []loop.Effect{{Op: loop.Adopt, Conn: e.Passed[0], As: loop.Admin}, {Op: loop.Heap, Bytes: 1 << 30}}
 		}
@@ -168,7 +175,8 @@
 		return nil
 	}
 	connect := step{func(p peer) { p.connect() }, []string{"accepted c1"}}
-	dialTo := func(port func(p peer) uint16, more func(e loop.Event) []loop.Effect) func(peer) func(*script, time.Duration, loop.Event) []loop.Effect {
+	dialTo := func(port func(p peer) uint16, more func(e loop.Event) []loop.Effect) func(peer) func(*script,
+		time.Duration, loop.Event) []loop.Effect {
 		return func(p peer) func(*script, time.Duration, loop.Event) []loop.Effect {
 			return func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
 				if e.Kind == loop.Start {
@@ -182,10 +190,12 @@
 	var muted loop.Conn
 	return []testCase{
 		{name: "data, then the peer's end", on: plain(closeAtEnd), steps: []step{connect,
-			{func(p peer) { p.send(5) }, []string{"data c1 5"}}, {func(p peer) { p.shut() }, []string{"eof c1"}}}, end: "eof"},
+			{func(p peer) { p.send(5) }, []string{"data c1 5"}},
+			{func(p peer) { p.shut() }, []string{"eof c1"}}}, end: "eof"},
 		{name: "more than a buffer", on: plain(closeAtEnd), steps: []step{connect,
 			{func(p peer) { p.send(150 << 10); p.shut() }, []string{"data c1 153600", "eof c1"}}}, end: "eof"},
-		{name: "a reset", on: plain(closeAtEnd), steps: []step{connect, {func(p peer) { p.reset() }, []string{"broken c1 false"}}}},
+		{name: "a reset", on: plain(closeAtEnd),
+			steps: []step{connect, {func(p peer) { p.reset() }, []string{"broken c1 false"}}}},
 		{name: "closed with bytes unread", on: func(peer) func(*script, time.Duration, loop.Event) []loop.Effect {
 			return func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
 				if e.Kind == loop.Readable && e.Conn != loop.Listener {
@@ -193,11 +203,13 @@
 				}
 				return accept(e)
 			}
-		}, steps: []step{{func(p peer) { p.connect() }, []string{"accepted c1"}}, {func(p peer) { p.send(70 << 10) }, []string{}}}, end: "reset"},
+		}, steps: []step{{func(p peer) { p.connect() }, []string{"accepted c1"}},
+			{func(p peer) { p.send(70 << 10) }, []string{}}}, end: "reset"},
 		{name: "our sending ends first", on: plain(func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
 			switch e.Kind {
 			case loop.Data:
-				return []loop.Effect{{Op: loop.Write, Conn: e.Conn, Data: []byte("bye")}, {Op: loop.Shutdown, Conn: e.Conn}}
+				return []loop.Effect{{Op: loop.Write, Conn: e.Conn, Data: []byte("bye")},
+					{Op: loop.Shutdown, Conn: e.Conn}}
 			case loop.EOF:
 				return []loop.Effect{{Op: loop.Close, Conn: e.Conn}}
 			}
@@ -215,102 +227,121 @@
 			switch e.Kind {
 			case loop.Accepted:
 				muted = e.Conn
-				return []loop.Effect{{Op: loop.Mute, Conn: e.Conn}, {Op: loop.SetTimer, Timer: loop.Timer{ID: 1}, At: now + 200*time.Millisecond}}
+				return []loop.Effect{{Op: loop.Mute, Conn: e.Conn},
+					{Op: loop.SetTimer, Timer: loop.Timer{ID: 1}, At: now + 200*time.Millisecond}}
 			case loop.TimerDue:
 				return []loop.Effect{{Op: loop.Unmute, Conn: muted}}
 			}
 			return nil
 		}), steps: []step{{func(p peer) { p.connect(); p.send(4) }, []string{"accepted c1", "timer 1", "data c1 4"}}}},
-		{name: "muted, the peer's end behind unread bytes", on: plain(func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
-			switch e.Kind {
-			case loop.Accepted:
-				return []loop.Effect{{Op: loop.Mute, Conn: e.Conn, Leaving: true}}
-			case loop.Leaving:
-				return []loop.Effect{{Op: loop.Unmute, Conn: e.Conn}}
-			case loop.EOF:
-				return []loop.Effect{{Op: loop.Close, Conn: e.Conn}}
-			}
-			return nil
-		}), steps: []step{{func(p peer) { p.connect(); p.send(4) }, []string{"accepted c1"}},
-			{func(p peer) { p.shut() }, []string{"leaving c1", "data c1 4", "eof c1"}}}, end: "eof"},
-		{name: "muted, the peer's end not asked for", on: plain(func(_ *script, now time.Duration, e loop.Event) []loop.Effect {
-			switch e.Kind {
-			case loop.Accepted:
-				muted = e.Conn
-				return []loop.Effect{{Op: loop.Mute, Conn: e.Conn}, {Op: loop.SetTimer, Timer: loop.Timer{ID: 1}, At: now + 200*time.Millisecond}}
-			case loop.TimerDue:
-				return []loop.Effect{{Op: loop.Unmute, Conn: muted}}
-			case loop.EOF:
-				return []loop.Effect{{Op: loop.Close, Conn: e.Conn}}
-			}
-			return nil
-		}), steps: []step{{func(p peer) { p.connect(); p.send(4); p.shut() }, []string{"accepted c1", "timer 1", "data c1 4", "eof c1"}}}, end: "eof"},
-		{name: "an end behind data is told in the same round", on: plain(func(s *script, now time.Duration, e loop.Event) []loop.Effect {
-			switch e.Kind {
-			case loop.Accepted:
-				muted = e.Conn
-				return []loop.Effect{{Op: loop.Mute, Conn: e.Conn}, {Op: loop.SetTimer, Timer: loop.Timer{ID: 1}, At: now + 200*time.Millisecond}}
-			case loop.TimerDue:
-				return []loop.Effect{{Op: loop.Unmute, Conn: muted}}
-			case loop.Turn:
-				if n := len(s.log); n > 0 && strings.HasPrefix(s.log[n-1], "data") {
-					s.log = append(s.log, "turn")
+		{name: "muted, the peer's end behind unread bytes",
+			on: plain(func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
+				switch e.Kind {
+				case loop.Accepted:
+					return []loop.Effect{{Op: loop.Mute, Conn: e.Conn, Leaving: true}}
+				case loop.Leaving:
+					return []loop.Effect{{Op: loop.Unmute, Conn: e.Conn}}
+				case loop.EOF:
+					return []loop.Effect{{Op: loop.Close, Conn: e.Conn}}
 				}
-			case loop.EOF:
-				return []loop.Effect{{Op: loop.Close, Conn: e.Conn}}
-			}
-			return nil
-		}), steps: []step{{func(p peer) { p.connect(); p.send(4); p.shut() }, []string{"accepted c1", "timer 1", "data c1 4", "eof c1"}}}, end: "eof"},
-		{name: "a quiet write to one who has left", on: plain(func(_ *script, now time.Duration, e loop.Event) []loop.Effect {
-			switch e.Kind {
-			case loop.Accepted:
-				muted = e.Conn
-				return []loop.Effect{{Op: loop.Mute, Conn: e.Conn}, {Op: loop.SetTimer, Timer: loop.Timer{ID: 1}, At: now + 200*time.Millisecond}}
-			case loop.TimerDue:
-				return []loop.Effect{{Op: loop.WriteQuiet, Conn: muted, Data: []byte("x")}}
-			}
-			return nil
-		}), steps: []step{{func(p peer) { p.connect(); p.shut() }, []string{"accepted c1", "timer 1", "stale c1"}}}},
-		{name: "a refused connection", on: dialTo(peer.closedPort, nothing), steps: []step{{func(peer) {}, []string{"broken c1 true"}}}},
+				return nil
+			}), steps: []step{{func(p peer) { p.connect(); p.send(4) }, []string{"accepted c1"}},
+				{func(p peer) { p.shut() }, []string{"leaving c1", "data c1 4", "eof c1"}}}, end: "eof"},
+		{name: "muted, the peer's end not asked for",
+			on: plain(func(_ *script, now time.Duration, e loop.Event) []loop.Effect {
+				switch e.Kind {
+				case loop.Accepted:
+					muted = e.Conn
+					return []loop.Effect{{Op: loop.Mute, Conn: e.Conn},
+						{Op: loop.SetTimer, Timer: loop.Timer{ID: 1}, At: now + 200*time.Millisecond}}
+				case loop.TimerDue:
+					return []loop.Effect{{Op: loop.Unmute, Conn: muted}}
+				case loop.EOF:
+					return []loop.Effect{{Op: loop.Close, Conn: e.Conn}}
+				}
+				return nil
+			}), steps: []step{{func(p peer) { p.connect(); p.send(4); p.shut() }, []string{"accepted c1", "timer 1",
+				"data c1 4", "eof c1"}}}, end: "eof"},
+		{name: "an end behind data is told in the same round",
+			on: plain(func(s *script, now time.Duration, e loop.Event) []loop.Effect {
+				switch e.Kind {
+				case loop.Accepted:
+					muted = e.Conn
+					return []loop.Effect{{Op: loop.Mute, Conn: e.Conn},
+						{Op: loop.SetTimer, Timer: loop.Timer{ID: 1}, At: now + 200*time.Millisecond}}
+				case loop.TimerDue:
+					return []loop.Effect{{Op: loop.Unmute, Conn: muted}}
+				case loop.Turn:
+					if n := len(s.log); n > 0 && strings.HasPrefix(s.log[n-1], "data") {
+						s.log = append(s.log, "turn")
+					}
+				case loop.EOF:
+					return []loop.Effect{{Op: loop.Close, Conn: e.Conn}}
+				}
+				return nil
+			}), steps: []step{{func(p peer) { p.connect(); p.send(4); p.shut() }, []string{"accepted c1", "timer 1",
+				"data c1 4", "eof c1"}}}, end: "eof"},
+		{name: "a quiet write to one who has left",
+			on: plain(func(_ *script, now time.Duration, e loop.Event) []loop.Effect {
+				switch e.Kind {
+				case loop.Accepted:
+					muted = e.Conn
+					return []loop.Effect{{Op: loop.Mute, Conn: e.Conn},
+						{Op: loop.SetTimer, Timer: loop.Timer{ID: 1}, At: now + 200*time.Millisecond}}
+				case loop.TimerDue:
+					return []loop.Effect{{Op: loop.WriteQuiet, Conn: muted, Data: []byte("x")}}
+				}
+				return nil
+			}), steps: []step{{func(p peer) { p.connect(); p.shut() }, []string{"accepted c1", "timer 1", "stale c1"}}}},
+		{name: "a refused connection", on: dialTo(peer.closedPort, nothing),
+			steps: []step{{func(peer) {}, []string{"broken c1 true"}}}},
 		{name: "a connection that comes up", on: dialTo(peer.port, func(e loop.Event) []loop.Effect {
 			if e.Kind == loop.Connected {
 				return []loop.Effect{{Op: loop.Write, Conn: e.Conn, Data: []byte("ask")}}
 			}
 			return nil
-		}), steps: []step{{func(peer) {}, []string{"connected c1", "flushed c1"}}, {func(p peer) { p.send(9) }, []string{"data c1 9"}}}},
-		{name: "timers in order, moved and stopped", on: plain(func(_ *script, now time.Duration, e loop.Event) []loop.Effect {
-			if e.Kind != loop.Start {
-				return nil
-			}
-			set := func(id uint64, ms int) loop.Effect {
-				return loop.Effect{Op: loop.SetTimer, Timer: loop.Timer{ID: id}, At: now + time.Duration(ms)*time.Millisecond}
-			}
-			return []loop.Effect{set(1, 60), set(2, 20), set(3, 40), set(4, 5), set(2, 80), {Op: loop.StopTimer, Timer: loop.Timer{ID: 4}}}
-		}), steps: []step{{func(peer) {}, []string{"timer 3", "timer 1", "timer 2"}}}},
-		{name: "datagrams, one to nobody, one too long, and a second socket at an address", on: func(p peer) func(*script, time.Duration, loop.Event) []loop.Effect {
-			at := func(n uint16) netip.AddrPort { return netip.AddrPortFrom(p.addr(), p.closedPort()+n) }
-			return func(s *script, now time.Duration, e loop.Event) []loop.Effect {
-				switch {
-				case e.Kind == loop.Start:
-					return []loop.Effect{{Op: loop.Bind, Conn: 7, Addr: at(0)}, {Op: loop.Bind, Conn: 8, Addr: at(1)}}
-				case e.Kind == loop.Listening && e.Conn == 8:
-					return []loop.Effect{{Op: loop.Mute, Conn: 8}, {Op: loop.SendTo, Conn: 7, Addr: at(2), Data: []byte("nobody")},
-						{Op: loop.SendTo, Conn: 7, Addr: at(1), Data: make([]byte, 3000)},
-						{Op: loop.SendTo, Conn: 7, Addr: at(1), Data: []byte("hello")},
-						{Op: loop.SetTimer, Timer: loop.Timer{ID: 1}, At: now + 50*time.Millisecond}}
-				case e.Kind == loop.TimerDue && e.Timer.ID == 1:
-					return []loop.Effect{{Op: loop.Unmute, Conn: 8}}
-				case e.Kind == loop.Readable && (e.Conn == 7 || e.Conn == 8):
-					return []loop.Effect{{Op: loop.Read, Conn: e.Conn}}
-				case e.Kind == loop.Data && e.Conn == 8 && e.From == at(0):
-					return []loop.Effect{{Op: loop.SendTo, Conn: 8, Addr: e.From, Data: append([]byte("answer to "), e.Data...)}}
-				case e.Kind == loop.Data && e.Conn == 7 && e.From == at(1):
-					return []loop.Effect{{Op: loop.Close, Conn: 8}, {Op: loop.SendTo, Conn: 7, Addr: at(1), Data: []byte("gone")},
-						{Op: loop.SetTimer, Timer: loop.Timer{ID: 2}, At: now + 50*time.Millisecond}}
+		}), steps: []step{{func(peer) {}, []string{"connected c1", "flushed c1"}},
+			{func(p peer) { p.send(9) }, []string{"data c1 9"}}}},
+		{name: "timers in order, moved and stopped",
+			on: plain(func(_ *script, now time.Duration, e loop.Event) []loop.Effect {
+				if e.Kind != loop.Start {
+					return nil
 				}
-				return nil
-			}
-		}, steps: []step{{func(peer) {}, []string{"timer 1", "data c1 5", "data c2 15", "timer 2"}}}},
+				set := func(id uint64, ms int) loop.Effect {
+					return loop.Effect{Op: loop.SetTimer, Timer: loop.Timer{ID: id},
+						At: now + time.Duration(ms)*time.Millisecond}
+				}
+				return []loop.Effect{set(1, 60), set(2, 20), set(3, 40), set(4, 5), set(2, 80),
+					{Op: loop.StopTimer, Timer: loop.Timer{ID: 4}}}
+			}), steps: []step{{func(peer) {}, []string{"timer 3", "timer 1", "timer 2"}}}},
+		{name: "datagrams, one to nobody, one too long, and a second socket at an address",
+			on: func(p peer) func(*script, time.Duration, loop.Event) []loop.Effect {
+				at := func(n uint16) netip.AddrPort { return netip.AddrPortFrom(p.addr(), p.closedPort()+n) }
+				return func(s *script, now time.Duration, e loop.Event) []loop.Effect {
+					switch {
+					case e.Kind == loop.Start:
+						return []loop.Effect{{Op: loop.Bind, Conn: 7, Addr: at(0)}, {Op: loop.Bind, Conn: 8, Addr: at(1)}}
+					case e.Kind == loop.Listening && e.Conn == 8:
+						return []loop.Effect{{Op: loop.Mute, Conn: 8}, {Op: loop.SendTo, Conn: 7, Addr: at(2),
+							Data: []byte("nobody")},
+							{Op: loop.SendTo, Conn: 7, Addr: at(1), Data: make([]byte, 3000)},
+							{Op: loop.SendTo, Conn: 7, Addr: at(1), Data: []byte("hello")},
+							{Op: loop.SetTimer, Timer: loop.Timer{ID: 1}, At: now + 50*time.Millisecond}}
+					case e.Kind == loop.TimerDue && e.Timer.ID == 1:
+						return []loop.Effect{{Op: loop.Unmute, Conn: 8}}
+					case e.Kind == loop.Readable && (e.Conn == 7 || e.Conn == 8):
+						return []loop.Effect{{Op: loop.Read, Conn: e.Conn}}
+					case e.Kind == loop.Data && e.Conn == 8 && e.From == at(0):
+						return []loop.Effect{{Op: loop.SendTo, Conn: 8, Addr: e.From,
+							Data: append([]byte("answer to "), e.Data...)}}
+					case e.Kind == loop.Data && e.Conn == 7 && e.From == at(1):
+						return []loop.Effect{{Op: loop.Close, Conn: 8}, {Op: loop.SendTo, Conn: 7, Addr: at(1),
+							Data: []byte("gone")},
+							{Op: loop.SetTimer, Timer: loop.Timer{ID: 2}, At: now + 50*time.Millisecond}}
+					}
+					return nil
+				}
+			}, steps: []step{{func(peer) {}, []string{"timer 1", "data c1 5", "data c2 15", "timer 2"}}}},
 		{name: "a listener passed and adopted", on: plain(over), steps: []step{
 			{func(peer) {}, []string{"broken c1 false", "connected c2", "accepted c3", "flushed c3", "data c2 2"}},
 			{func(p peer) { p.connect(); p.send(3) }, []string{"accepted c4", "data c4 3"}}}},
@@ -323,7 +354,8 @@
 				return []loop.Effect{{Op: loop.Write, Conn: e.Conn, Data: []byte("x")}, {Op: loop.Abort, Conn: e.Conn}}
 			}
 			return nil
-		}), steps: []step{connect, {func(p peer) { p.drain(); p.send(1) }, []string{"data c1 1", "flushed c1"}}}, end: "reset"},
+		}), steps: []step{connect, {func(p peer) { p.drain(); p.send(1) },
+			[]string{"data c1 1", "flushed c1"}}}, end: "reset"},
 		{name: "a file that is not there", on: plain(func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
 			if e.Kind == loop.Start {
 				return []loop.Effect{{Op: loop.ReadFile, Path: "/no/such/file"}}
@@ -331,14 +363,18 @@
 			return nil
 		}), steps: []step{{func(peer) {}, []string{"file true"}}}},
 		{name: "signals, one after another", on: plain(closeAtEnd), steps: []step{
-			{func(p peer) { p.signal(loop.Reload) }, []string{"reload"}}, {func(p peer) { p.signal(loop.Stop) }, []string{"stop"}},
+			{func(p peer) { p.signal(loop.Reload) }, []string{"reload"}}, {func(p peer) { p.signal(loop.Stop) },
+				[]string{"stop"}},
 			{func(p peer) { p.connect(); p.send(2) }, []string{"accepted c1", "data c1 2"}}}},
-		{name: "news of a socket closed in the same round", on: plain(func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
-			if e.Kind == loop.Data {
-				return []loop.Effect{{Op: loop.Write, Conn: e.Conn, Data: []byte("x")}, {Op: loop.Close, Conn: e.Conn}, {Op: loop.Read, Conn: e.Conn}}
-			}
-			return nil
-		}), steps: []step{connect, {func(p peer) { p.drain(); p.send(1) }, []string{"data c1 1", "flushed c1"}}}, end: "eof"},
+		{name: "news of a socket closed in the same round",
+			on: plain(func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
+				if e.Kind == loop.Data {
+					return []loop.Effect{{Op: loop.Write, Conn: e.Conn, Data: []byte("x")},
+						{Op: loop.Close, Conn: e.Conn}, {Op: loop.Read, Conn: e.Conn}}
+				}
+				return nil
+			}), steps: []step{connect, {func(p peer) { p.drain(); p.send(1) },
+				[]string{"data c1 1", "flushed c1"}}}, end: "eof"},
 	}
 }
 
@@ -356,8 +392,9 @@
 	}
 }
 
-// taken is a port of this machine that a socket has for as long as the test lasts, which does not listen: connections to
-// it are refused. Nobody else gets it, unless it is shared, and then only who asks for it by SO_REUSEPORT, as the loop does.
+// taken is a port of this machine that a socket has for as long as the test lasts, which does not
+// listen: connections to it are refused. Nobody else gets it, unless it is shared, and then only who
+// asks for it by SO_REUSEPORT, as the loop does.
 func taken(t *testing.T, shared bool) uint16 {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -478,7 +515,8 @@
 		}
 		// A wake-up every few milliseconds lets the loop see that the test is over.
 		if e.Kind == loop.Start || e.Kind == loop.TimerDue && e.Timer.Kind == 9 {
-			list = append(list, loop.Effect{Op: loop.SetTimer, Timer: loop.Timer{Kind: 9, ID: 99}, At: now + 10*time.Millisecond})
+			list = append(list, loop.Effect{Op: loop.SetTimer, Timer: loop.Timer{Kind: 9, ID: 99},
+				At: now + 10*time.Millisecond})
 		}
 		return list
 	}
--- a/internal/lab/simulation/datagrams.go
+++ b/internal/lab/simulation/datagrams.go
@@ -35,7 +35,8 @@
 
 func (s *datagramSocket) isReady() bool { return !s.muted && len(s.inbox) > 0 }
 
-// bind opens a datagram socket. Where two processes have one address the later one hears; the real kernel deals them out.
+// bind opens a datagram socket. Where two processes have one address the later one hears; the real
+// kernel deals them out.
 func (l *Loop) bind(f loop.Effect) {
 	if l.full() {
 		l.queueEvent(loop.Event{Kind: loop.Broken, Conn: f.Conn, Err: unix.EMFILE})
@@ -79,10 +80,12 @@
 
 // bindings returns the datagram sockets in order.
 func (l *Loop) bindings() []*datagramSocket {
-	return slices.SortedFunc(maps.Values(l.datagrams), func(a, b *datagramSocket) int { return cmp.Compare(a.conn, b.conn) })
+	return slices.SortedFunc(maps.Values(l.datagrams),
+		func(a, b *datagramSocket) int { return cmp.Compare(a.conn, b.conn) })
 }
 
-// datagram carries one datagram, or loses, doubles or delays it. Each takes its own time, so they may overtake one another.
+// datagram carries one datagram, or loses, doubles or delays it. Each takes its own time, so they may
+// overtake one another.
 func (n *Net) datagram(from *datagramSocket, to netip.AddrPort, data []byte) {
 	copies := 1
 	if n.sim.Chance(n.DoubleDatagrams) {
--- a/internal/lab/simulation/discovery_load_test.go
+++ b/internal/lab/simulation/discovery_load_test.go
@@ -9,8 +9,9 @@
 	"thymebend/internal/loop"
 )
 
-// A fleet's watches are all reset at once while discovery works through calls in turn. The least time in which every gateway
-// can have a list again is gateways / calls a second, if no call is wasted. What is asked for is half as much again, and 6 s.
+// A fleet's watches are all reset at once while discovery works through calls in turn. The least time
+// in which every gateway can have a list again is gateways / calls a second, if no call is wasted. What
+// is asked for is half as much again, and 6 s.
 const (
 	recoveryStretch = 1.5
 	recoverySpare   = 6 * time.Second
@@ -101,7 +102,8 @@
 	}
 }
 
-// A change is kept to 6 s after discovery had it, while discovery works through calls in turn and all watches break.
+// A change is kept to 6 s after discovery had it, while discovery works through calls in turn and all
+// watches break.
 func TestDiscoveryUnderLoadHoldsTheRules(t *testing.T) {
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/lab/simulation/draw.go
+++ b/internal/lab/simulation/draw.go
@@ -8,7 +8,8 @@
 	"strings"
 )
 
-// drawing is a plan under way. The order of its random draws must not change: kept seeds go on playing what they did.
+// drawing is a plan under way. The order of its random draws must not change: kept seeds go on playing
+// what they did.
 type drawing struct {
 	rng    *rand.Rand
 	plan   Plan
@@ -53,8 +54,8 @@
 	}
 }
 
-// drawKinds turns a subset of the profile's faults on (swarm testing): faults that are always on together hide one
-// another.
+// drawKinds turns a subset of the profile's faults on (swarm testing): faults that are always on
+// together hide one another.
 func (d *drawing) drawKinds() {
 	for _, kind := range d.kinds {
 		if d.rng.IntN(2) == 0 {
@@ -135,8 +136,8 @@
 	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return cmp.Compare(a.AtMS, b.AtMS) })
 }
 
-// isState reports whether a kind of fault is none of a moment: it holds for the run, is drawn with the requests, or
-// befalls many at once.
+// isState reports whether a kind of fault is none of a moment: it holds for the run, is drawn with the
+// requests, or befalls many at once.
 func isState(kind string) bool {
 	for _, prefix := range [...]string{"net-", "flee", "load", "rude"} {
 		if strings.HasPrefix(kind, prefix) {
@@ -238,7 +239,8 @@
 	if gatewaysFit && hostsFit && s.Requests >= 0 && s.Requests <= maxRequests {
 		return nil
 	}
-	return fmt.Errorf("gateways must be 1 to %d, hosts 1 to %d, requests at most %d", maxGateways, maxHosts, maxRequests)
+	return fmt.Errorf("gateways must be 1 to %d, hosts 1 to %d, requests at most %d", maxGateways, maxHosts,
+		maxRequests)
 }
 
 // Draw makes the plan of a seed. An empty profile takes one by the seed.
@@ -277,8 +279,8 @@
 // drawClockError is how many seconds a machine's wall clock is ahead.
 func drawClockError(rng *rand.Rand) int { return []int{-3600, 3600, -7, 0}[rng.IntN(4)] }
 
-// fleetFaults are what befalls many at once: every other host replaced within some seconds, seven in ten gateways killed
-// within moments, all hosts of a zone gone for seconds and back cold.
+// fleetFaults are what befalls many at once: every other host replaced within some seconds, seven in
+// ten gateways killed within moments, all hosts of a zone gone for seconds and back cold.
 func (p *Plan) fleetFaults(on map[string]bool, between func(int, int) int) []Fault {
 	var list []Fault
 	if on["fleet-replace"] {
@@ -291,7 +293,8 @@
 		at := between(2000, 8000)
 		for n := range p.Gateways {
 			if between(1, 10) <= 7 {
-				list = append(list, Fault{AtMS: at + between(0, 300), Do: "gateway-kill", Who: n, ForMS: between(200, 1500)})
+				list = append(list, Fault{AtMS: at + between(0, 300), Do: "gateway-kill", Who: n,
+					ForMS: between(200, 1500)})
 			}
 		}
 	}
@@ -308,7 +311,8 @@
 
 // drawCalls is a discovery that needs 1 to 4 s for a call of each gateway, one in four up to 10 s.
 func (p *Plan) drawCalls(on map[string]bool, rng *rand.Rand) *CallQueue {
-	calls := &CallQueue{CallLines: float64(20 + rng.IntN(41)), HostLines: 1, TimeoutMS: 3000, ShedAtOnce: on["load-at-once"], WholeFirst: on["load-whole"]}
+	calls := &CallQueue{CallLines: float64(20 + rng.IntN(41)), HostLines: 1, TimeoutMS: 3000,
+		ShedAtOnce: on["load-at-once"], WholeFirst: on["load-whole"]}
 	all := 1 + 3*rng.Float64()
 	if rng.IntN(4) == 0 {
 		all = 4 + 6*rng.Float64()
@@ -329,14 +333,16 @@
 			list = append(list, Fault{AtMS: at, Do: "discovery-reset"})
 		}
 		if on["load-silence"] {
-			list = append(list, Fault{AtMS: at + between(-500, 2000), Do: "discovery-silence", ForMS: between(1000, 6000)})
+			list = append(list, Fault{AtMS: at + between(-500, 2000), Do: "discovery-silence",
+				ForMS: between(1000, 6000)})
 		}
 		for range between(1, 2) {
 			if 2*leaving >= p.Hosts-1 {
 				break
 			}
 			how := []string{"host-drain", "host-replace"}[between(0, 1)]
-			list = append(list, Fault{AtMS: at + between(-500, 3000), Do: how, Who: leaving, ForMS: between(9000, 15000)})
+			list = append(list, Fault{AtMS: at + between(-500, 3000), Do: how, Who: leaving,
+				ForMS: between(9000, 15000)})
 			leaving++
 		}
 	}
--- a/internal/lab/simulation/effects.go
+++ b/internal/lab/simulation/effects.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// carryOutOnConn does what an effect asks for on a socket of any kind. One that is closed meanwhile is passed over.
+// carryOutOnConn does what an effect asks for on a socket of any kind. One that is closed meanwhile is
+// passed over.
 func (l *Loop) carryOutOnConn(f loop.Effect) {
 	if p := l.ports[f.Conn]; p != nil {
 		l.carryOutOnPort(p, f)
--- a/internal/lab/simulation/gatewayfaults.go
+++ b/internal/lab/simulation/gatewayfaults.go
@@ -48,7 +48,8 @@
 	m.ended()
 }
 
-// reload has a gateway read its configuration anew: one that moves discovery, or one that is cut off in the middle.
+// reload has a gateway read its configuration anew: one that moves discovery, or one that is cut off in
+// the middle.
 func (w *simulator) reload(m *gatewayNode, faulty bool) {
 	if faulty {
 		w.reloadFaulty(m)
@@ -77,7 +78,8 @@
 	})
 }
 
-// upgrade starts the next process of a gateway beside the one that serves. A stillborn one dies within its first moments.
+// upgrade starts the next process of a gateway beside the one that serves. A stillborn one dies within
+// its first moments.
 func (w *simulator) upgrade(m *gatewayNode, f Fault) {
 	elder := m.loop
 	m.predecessor = elder
@@ -128,8 +130,8 @@
 	})
 }
 
-// retune changes the settings of every gateway: views become unsafe and a class comes, or the other way round. Clients
-// go by the new ones 1.2 s later.
+// retune changes the settings of every gateway: views become unsafe and a class comes, or the other way
+// round. Clients go by the new ones 1.2 s later.
 func (w *simulator) retune(f Fault) {
 	strict := !w.strict
 	for _, m := range w.gateways {
@@ -191,5 +193,5 @@
 			w.sim.After(100*time.Millisecond, func() { wait(tries - 1) })
 		}
 	}
-	wait(37) // the longest patience, the time to take more, and half a second
+	wait(37) // the longest client timeout, the time to take more, and half a second
 }
--- a/internal/lab/simulation/gatewaynode.go
+++ b/internal/lab/simulation/gatewaynode.go
@@ -33,10 +33,11 @@
 	stops       []time.Duration
 	halts       [][2]time.Duration // stopped from, to
 	life        int
-	// clockError is how far the machine's wall clock is ahead now. A process that runs does not notice a step.
+	// clockError is how far the machine's wall clock is ahead now. A process that runs does not notice
+	// a step.
 	clockError time.Duration
 
-	process, before process // the one that was started last, and its elder
+	process, before process // the one that was started last, and its predecessor
 }
 
 // start starts a gateway's process, which knows nothing but its last list.
@@ -178,10 +179,11 @@
 	return m.w.disc.of(m.n)
 }
 
-// noteInitialList has the list that a gateway starts with and that of its agent, if that is newer, count as told now.
+// noteInitialList has the list that a gateway starts with and that of its agent, if that is newer,
+// count as notified now.
 func (m *gatewayNode) noteInitialList() {
 	list := m.w.disc.of(m.n)
-	if m.last != nil && m.predecessor == nil { // the next process of an upgrade hears from its elder
+	if m.last != nil && m.predecessor == nil { // the next process of an upgrade hears from its predecessor
 		now := list.Copy()
 		list.Follow(m.last)
 		list.Note(m.name, m.w.sim.Now())
@@ -200,7 +202,7 @@
 	return zerolog.New(logLine{m.w.sim}).Level(zerolog.InfoLevel).With().Str("name", m.name).Logger()
 }
 
-// checkedGateway is a process that ran, whose guard is asked at the end.
+// checkedGateway is a process that ran, whose invariant checker is asked at the end.
 type checkedGateway struct {
 	name    string
 	gateway *gateway.Gateway
--- a/internal/lab/simulation/hostfaults.go
+++ b/internal/lab/simulation/hostfaults.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// drainsFor is how long a host drains before it is removed. It is longer than a change takes to count as told where the rule
-// on that is held.
+// drainsFor is how long a host drains before it is removed. It is longer than a change takes to count
+// as notified where the rule on that is held.
 func (w *simulator) drainsFor(f Fault) time.Duration {
 	if w.plan.Calls == nil {
 		return 4 * time.Second
@@ -109,7 +109,8 @@
 // addHostAt puts a new host with a name of its own in another's place, at its addresses.
 func (w *simulator) addHostAt(place, n int, addrs []netip.AddrPort) {
 	spec := w.file.Spec(w.zone(place), n)
-	h := &host{w: w, n: place, name: spec.Name, spec: spec, record: requestrecord.NewEndpointRecord(spec.Name), addrs: addrs, share: make(map[string]float64)}
+	h := &host{w: w, n: place, name: spec.Name, spec: spec, record: requestrecord.NewEndpointRecord(spec.Name),
+		addrs: addrs, share: make(map[string]float64)}
 	h.start(true)
 	w.hosts[place] = h
 	w.list(h, registry.Up, true)
--- a/internal/lab/simulation/hosts.go
+++ b/internal/lab/simulation/hosts.go
@@ -58,8 +58,8 @@
 	budget  budget
 }
 
-// maxConnections is how many all gateways of a fleet may have at one host: three times the twelve that use it by their
-// parts, for what reaches it and for several requests of one gateway.
+// maxConnections is how many all gateways of a fleet may have at one host: three times the twelve that
+// use it by their parts, for what reaches it and for several requests of one gateway.
 const maxConnections = 36
 
 type hostConn struct {
@@ -154,7 +154,8 @@
 	if !c.busy && !c.closing {
 		r, body, rest, whole, err := message(c.inbox)
 		switch {
-		case err == nil && !whole && len(c.inbox) > 20_000 && h.w.sim.Chance(h.share["host-cut"]/20): // while a body comes
+		// while a body comes
+		case err == nil && !whole && len(c.inbox) > 20_000 && h.w.sim.Chance(h.share["host-cut"]/20):
 			c.end.Reset()
 			h.drop(c)
 			return
@@ -163,7 +164,8 @@
 			c.end.Close()
 			h.drop(c)
 			return
-		case whole && r.URL.Path == "/bid-lodge" && (len(body) < 40 || strings.Trim(string(body[:40]), "0123456789") != ""):
+		case whole && r.URL.Path == "/bid-lodge" && (len(body) < 40 || strings.Trim(string(body[:40]),
+			"0123456789") != ""):
 			h.w.find("garbled request", h.name, "a bid came without the beginning of its body")
 			c.end.Close()
 			h.drop(c)
@@ -231,7 +233,8 @@
 		load = fmt.Sprintf("Endpoint-Load-Metrics: TEXT %s=%.3g, %s=%.3g\r\n", f.InFlight, l.InFlight, f.Queue, l.Queue)
 	}
 	say := func(status int, fields string, body []byte) []byte {
-		return append(fmt.Appendf(nil, "HTTP/1.1 %d X\r\n%s%sContent-Length: %d\r\n\r\n", status, load, fields, len(body)), body...)
+		return append(fmt.Appendf(nil, "HTTP/1.1 %d X\r\n%s%sContent-Length: %d\r\n\r\n", status, load, fields,
+			len(body)), body...)
 	}
 	var out []byte
 	switch r.Kind {
@@ -247,7 +250,8 @@
 		if c.pad > 0 {
 			body := append(append([]byte(nil), r.Body...), bytes.Repeat([]byte{'p'}, c.pad)...)
 			if out = say(200, "", body); c.chunks {
-				out = append(fmt.Appendf(nil, "HTTP/1.1 200 X\r\n%sTransfer-Encoding: chunked\r\n\r\n", load), chunked(body)...)
+				out = append(fmt.Appendf(nil, "HTTP/1.1 200 X\r\n%sTransfer-Encoding: chunked\r\n\r\n", load),
+					chunked(body)...)
 			}
 			break
 		}
@@ -305,7 +309,8 @@
 		}
 		more()
 	case "long-length":
-		_, _ = c.end.Write(append(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body)+50), body...))
+		_, _ = c.end.Write(append(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n",
+			len(body)+50), body...))
 		c.end.Close()
 		h.drop(c)
 	case "close-after":
--- a/internal/lab/simulation/hunt_test.go
+++ b/internal/lab/simulation/hunt_test.go
@@ -32,8 +32,10 @@
 	allowed := ordered()
 	fset := token.NewFileSet()
 	imports := importer.ForCompiler(fset, "source", nil)
-	for _, dir := range []string{".", "internal/gateway", "internal/downstream", "internal/upstream", "internal/discovery", "internal/http1",
-		"internal/admin", "internal/hotrestart", "internal/assignment", "internal/loadreport", "internal/tokenschedule", "internal/subset",
+	for _, dir := range []string{".", "internal/gateway", "internal/downstream", "internal/upstream",
+		"internal/discovery", "internal/http1",
+		"internal/admin", "internal/hotrestart", "internal/assignment", "internal/loadreport",
+		"internal/tokenschedule", "internal/subset",
 		"internal/settings"} {
 		names, err := filepath.Glob(filepath.Join("../../..", dir, "*.go"))
 		if err != nil || len(names) == 0 {
@@ -79,7 +81,8 @@
 							break
 						}
 						switch p := fun.Pkg().Path(); {
-						case p == "time" && (fun.Name() == "Now" || fun.Name() == "Since" || fun.Name() == "After" || fun.Name() == "Sleep"),
+						case p == "time" && (fun.Name() == "Now" || fun.Name() == "Since" ||
+							fun.Name() == "After" || fun.Name() == "Sleep"),
 							strings.HasPrefix(p, "math/rand") && !strings.HasPrefix(fun.Name(), "New"),
 							p == "maps" && !strings.Contains(text(fset, n), "slices.Sorted"):
 							t.Errorf("%s: %s uses %s.%s", fset.Position(n.Pos()), name, p, fun.Name())
--- a/internal/lab/simulation/invariants.go
+++ b/internal/lab/simulation/invariants.go
@@ -22,7 +22,8 @@
 func (w *simulator) arrived(h *host, via int, id string, first time.Duration) {
 	w.rates.send(h)
 	if told, ok := w.disc.notification(via, h.name); ok && first-told.At > drainGrace {
-		w.find(requestrecord.LateToDrained, id, "%s got it from %s %v after it counted as told %s", h.name, gatewayName(via), first-told.At, told.State)
+		w.find(requestrecord.LateToDrained, id, "%s got it from %s %v after it counted as told %s", h.name,
+			gatewayName(via), first-told.At, told.State)
 	}
 }
 
@@ -42,7 +43,8 @@
 	for _, m := range w.gateways {
 		if m.up {
 			sockets, timers := m.loop.OpenCounts()
-			w.find(Stuck, m.name, "alive %v after SIGTERM at rest, with %d sockets and %d timers", endWithin, sockets, timers)
+			w.find(Stuck, m.name, "alive %v after SIGTERM at rest, with %d sockets and %d timers", endWithin,
+				sockets, timers)
 		}
 	}
 }
@@ -73,7 +75,8 @@
 			}
 		}
 		sockets, timers := m.loop.OpenCounts()
-		// Each server link at rest has a timer, each client link too; the watch and the module have a few.
+		// Each upstream connection at rest has a timer, each downstream connection too; the watch and
+		// the balancer have a few.
 		if most := 2*resting + sockets + 60; timers > most {
 			w.find(Leaked, m.name, "%d timers with %d sockets and %d client links at rest", timers, sockets, resting)
 		}
@@ -104,7 +107,8 @@
 	for _, h := range w.hosts {
 		hosts = append(hosts, h.record)
 		if h.model.ColdPeak() > 1 {
-			w.find(requestrecord.PushedOver, h.name, "sent %.2f times the most that it survives while cold", h.model.ColdPeak())
+			w.find(requestrecord.PushedOver, h.name, "sent %.2f times the most that it survives while cold",
+				h.model.ColdPeak())
 		}
 	}
 	hosts = append(hosts, w.formerHosts...)
@@ -114,7 +118,7 @@
 	}
 }
 
-// checkSuppressed finds what the gateways' guards held back.
+// checkSuppressed finds what the gateways' guards suppressed.
 func (w *simulator) checkSuppressed() {
 	for _, process := range w.checkers {
 		violations := process.gateway.Violations()
@@ -125,7 +129,8 @@
 }
 
 func (w *simulator) outcome() Outcome {
-	o := Outcome{Hash: w.sim.Hash(), Findings: w.found, Tries: w.asked, Steps: w.sim.Steps(), Lasted: w.sim.Since(), Sums: w.rates.String(),
+	o := Outcome{Hash: w.sim.Hash(), Findings: w.found, Tries: w.asked, Steps: w.sim.Steps(),
+		Lasted: w.sim.Since(), Sums: w.rates.String(),
 		Partial: w.sim.interrupted()}
 	for s, n := range w.statuses {
 		switch {
--- a/internal/lab/simulation/loop.go
+++ b/internal/lab/simulation/loop.go
@@ -70,8 +70,8 @@
 	rounds     uint64
 	silent     *bool
 	onExit     func(error)
-	// ClockError is how far the machine's wall clock was ahead of the true time when the process began. The process's own clock starts
-	// there and is monotonic from then on.
+	// ClockError is how far the machine's wall clock was ahead of the true time when the process began.
+	// The process's own clock starts there and is monotonic from then on.
 	ClockError time.Duration
 }
 
@@ -89,9 +89,11 @@
 
 // NewLoop starts a process.
 func NewLoop(sim *Sim, net *Net, silent *bool, onExit func(error)) *Loop {
-	return &Loop{sim: sim, net: net, socks: make(map[loop.Conn]*socket), accepted: firstAccepted, byKey: make(map[loop.Timer]*timer),
-		datagrams: make(map[loop.Conn]*datagramSocket), ports: make(map[loop.Conn]*port), offered: make(map[loop.Conn]*Listener),
-		silent: silent, onExit: onExit, Files: func(path string) ([]byte, error) { return nil, os.ErrNotExist }}
+	return &Loop{sim: sim, net: net, socks: make(map[loop.Conn]*socket), accepted: firstAccepted,
+		byKey:     make(map[loop.Timer]*timer),
+		datagrams: make(map[loop.Conn]*datagramSocket), ports: make(map[loop.Conn]*port),
+		offered: make(map[loop.Conn]*Listener),
+		silent:  silent, onExit: onExit, Files: func(path string) ([]byte, error) { return nil, os.ErrNotExist }}
 }
 
 // listening returns the open listening sockets in order.
@@ -192,7 +194,8 @@
 		return
 	}
 	now := l.sim.Now()
-	if l.again || len(l.ready()) > 0 || l.listenerReady() || slices.ContainsFunc(l.bindings(), (*datagramSocket).isReady) {
+	if l.again || len(l.ready()) > 0 || l.listenerReady() || slices.ContainsFunc(l.bindings(),
+		(*datagramSocket).isReady) {
 		l.wake(now)
 		return
 	}
--- a/internal/lab/simulation/loopsockets.go
+++ b/internal/lab/simulation/loopsockets.go
@@ -43,7 +43,8 @@
 // closePort ends this process's part in a listening socket, which closes with the last.
 func (l *Loop) closePort(p *port) {
 	delete(l.ports, p.conn)
-	if p.holders = slices.DeleteFunc(p.holders, func(h *port) bool { return h == p }); len(p.holders) == 0 && p.flying == 0 {
+	if p.holders = slices.DeleteFunc(p.holders, func(h *port) bool { return h == p }); len(p.holders) == 0 &&
+		p.flying == 0 {
 		p.Close()
 	}
 }
--- a/internal/lab/simulation/measure.go
+++ b/internal/lab/simulation/measure.go
@@ -12,13 +12,16 @@
 	"thymebend/internal/loop"
 )
 
-// AssignmentFigures are what a division of hosts by the fleet's view comes to in a run without other troubles.
+// AssignmentFigures are what a division of hosts by the fleet's view comes to in a run without other
+// troubles.
 type AssignmentFigures struct {
-	Known  []time.Duration // from a host's going bad until 95% of the gateways that use it have ejected it or doubt it, by host; 0: never
-	Asked  int             // requests asked of hosts while they were bad
-	Bytes  float64         // a gateway sends in datagrams, a second, from the eighth second on
-	Cold   float64         // what cold hosts were sent, over what they may get
-	Refuse float64         // share of the tries
+	// from a host's going bad until 95% of the gateways that use it have ejected it or doubt it, by
+	// host; 0: never
+	Known  []time.Duration
+	Asked  int     // requests asked of hosts while they were bad
+	Bytes  float64 // a gateway sends in datagrams, a second, from the eighth second on
+	Cold   float64 // what cold hosts were sent, over what they may get
+	Refuse float64 // share of the tries
 	Broken []Finding
 }
 
@@ -31,9 +34,9 @@
 	badHosts = 5
 )
 
-// MeasureAssignment plays gateways that divide hosts. Some hosts fail all requests from the ninth second on, and as
-// many are replaced with cold ones; without peer reports nobody names hosts found bad. Once ctx is done it ends with
-// ctx's error.
+// MeasureAssignment plays gateways that divide hosts. Some hosts fail all requests from the ninth
+// second on, and as many are replaced with cold ones; without peer reports nobody names hosts found
+// bad. Once ctx is done it ends with ctx's error.
 func MeasureAssignment(ctx context.Context, seed uint64, gateways, hosts int, reports bool) (AssignmentFigures, error) {
 	p, err := assignmentPlan(seed, gateways, hosts)
 	if err != nil {
@@ -133,7 +136,8 @@
 	}
 }
 
-// known is the share of the gateways that use a host which have ejected it themselves, or are told to doubt it.
+// known is the share of the gateways that use a host which have ejected it themselves, or are told to
+// doubt it.
 func (w *simulator) known(h *host) float64 {
 	id := discovery.Identity(h.name)
 	users, know := 0, 0
--- a/internal/lab/simulation/net.go
+++ b/internal/lab/simulation/net.go
@@ -30,7 +30,8 @@
 
 // NewNet returns a network without faults.
 func NewNet(sim *Sim) *Net {
-	return &Net{sim: sim, listeners: make(map[netip.AddrPort]*Listener), bound: make(map[netip.AddrPort]*datagramSocket), Latency: 100 * time.Microsecond,
+	return &Net{sim: sim, listeners: make(map[netip.AddrPort]*Listener),
+		bound: make(map[netip.AddrPort]*datagramSocket), Latency: 100 * time.Microsecond,
 		paths: make(map[string]*Listener), unix: &Net{sim: sim, Latency: 20 * time.Microsecond}}
 }
 
--- a/internal/lab/simulation/notificationdeadlines.go
+++ b/internal/lab/simulation/notificationdeadlines.go
@@ -6,15 +6,17 @@
 	"thymebend/internal/lab/registry"
 )
 
-// The rule on drains for a discovery that works through calls in turn: a change counts as told to every gateway at the latest
-// 6 s after discovery had it and could be reached, whatever has become of the gateway's calls. The settings' grace comes on
-// top. A gateway that was told sooner has to keep to it from then on.
+// The rule on drains for a discovery that works through calls in turn: a change counts as notified to
+// every gateway at the latest 6 s after discovery had it and could be reached, whatever has become of
+// the gateway's calls. The settings' grace comes on top. A gateway that was told sooner has to keep to
+// it from then on.
 //
-// Excluded is what no gateway could do: where discovery's capacity does not suffice to answer, within that time, all the calls
-// that it has caused itself. These are the calls of gateways whose watches it ended, reset or let fall silent, and the first
-// calls of all gateways. They need gateways x work of a call / capacity, added up where one storm follows another before the
-// work is done. The change then counts as told silenceNoticed + workStretch x that time after discovery had it, if that is
-// later than 6 s. Calls that gateways begin again by their own decision extend nothing.
+// Excluded is what no gateway could do: where discovery's capacity does not suffice to answer, within
+// that time, all the calls that it has caused itself. These are the calls of gateways whose watches it
+// ended, reset or let fall silent, and the first calls of all gateways. They need gateways x work of a
+// call / capacity, added up where one storm follows another before the work is done. The change then
+// counts as notified silenceNoticed + workStretch x that time after discovery had it, if that is later
+// than 6 s. Calls that gateways begin again by their own decision extend nothing.
 //
 // A discovery that is down or mute is not played with this rule: no fault of the profile is one.
 const (
@@ -23,14 +25,14 @@
 	workStretch         = 1.5                     // refused calls come again up to 1.5 s later, in no order
 )
 
-// departure is a host that drains or is gone, and when that counts as told at the latest.
+// departure is a host that drains or is gone, and when that counts as notified at the latest.
 type departure struct {
 	host  string
 	state string
 	by    time.Duration
 }
 
-// notificationDeadlines keeps when changes count as told at the latest.
+// notificationDeadlines keeps when changes count as notified at the latest.
 type notificationDeadlines struct {
 	sim        *Sim
 	work       time.Duration // of one call
@@ -63,7 +65,8 @@
 	}
 }
 
-// caused notes calls that discovery has caused, which put off what does not yet count as told where there are too many.
+// caused notes calls that discovery has caused, which put off what does not yet count as notified where
+// there are too many.
 func (t *notificationDeadlines) caused(calls int) {
 	if t == nil || calls == 0 {
 		return
@@ -80,7 +83,8 @@
 	}
 }
 
-// notified is when a host's leaving counts as told at the latest; ok is false if it does not leave or the time is not over.
+// notified is when a host's leaving counts as notified at the latest; ok is false if it does not leave
+// or the time is not over.
 func (t *notificationDeadlines) notified(host string) (at registry.Notification, ok bool) {
 	if t == nil {
 		return registry.Notification{}, false
--- a/internal/lab/simulation/ready.go
+++ b/internal/lab/simulation/ready.go
@@ -42,7 +42,8 @@
 		return s.up
 	}
 	e := s.end
-	return !s.muted && (len(e.inbox) > 0 || e.fin) || s.leaving && e.fin || e.reset || e.fin && e.shut || len(s.out) > 0 && e.room > 0
+	return !s.muted && (len(e.inbox) > 0 || e.fin) || s.leaving && e.fin || e.reset || e.fin && e.shut ||
+		len(s.out) > 0 && e.room > 0
 }
 
 func (l *Loop) listenerReady() bool {
--- a/internal/lab/simulation/shrink.go
+++ b/internal/lab/simulation/shrink.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Shrink drops faults and requests as long as the run still breaks the rule, halves first. It plays at most so
-// many runs, and none once ctx is done: the plan is then the smallest so far.
+// Shrink drops faults and requests as long as the run still breaks the rule, halves first. It plays at
+// most so many runs, and none once ctx is done: the plan is then the smallest so far.
 func Shrink(ctx context.Context, p Plan, rule string, most int) (Plan, int) {
 	runs := 0
 	breaks := func(q Plan) bool {
--- a/internal/lab/simulation/sim.go
+++ b/internal/lab/simulation/sim.go
@@ -1,6 +1,7 @@
-// Package simulation runs the real gateway's reducer on a virtual clock: a loop that carries out every loop.Effect
-// on simulated sockets, a network with faults, and peers made of the laboratory's models. A run is one
-// goroutine; everything random is drawn from one seed, so the same seed is the same run to the letter.
+// Package simulation runs the real gateway's reducer on a virtual clock: a loop that carries out every
+// loop.Effect on simulated sockets, a network with faults, and peers made of the laboratory's models. A
+// run is one goroutine; everything random is drawn from one seed, so the same seed is the same run to
+// the letter.
 package simulation
 
 import (
--- a/internal/lab/simulation/simulator.go
+++ b/internal/lab/simulation/simulator.go
@@ -12,7 +12,7 @@
 	"thymebend/internal/loop"
 )
 
-// Rules beyond those of the ledgers.
+// Rules beyond those of the records.
 const (
 	Panicked  = "panic"
 	Stuck     = "stuck"      // a gateway did not end after SIGTERM though nothing was left to answer
@@ -24,7 +24,7 @@
 	Crowded   = "crowded"    // more connections at one host than the parts of a fleet come to
 	ShutDoor  = "shut door"  // an upgrade closed a link under its client
 	NotHeard  = "not heard"  // a client that stopped in the middle of a request was not told in time
-	HeldBack  = "held back"  // a gateway's guard held back an effect that would have broken a rule
+	HeldBack  = "held back"  // a gateway's invariant checker suppressed an effect that would have broken a rule
 )
 
 // The rules in figures; see the operators' pages.
@@ -33,7 +33,7 @@
 	leaveFront = 300 * time.Millisecond
 	killSpread = 5 * time.Millisecond // what news of a kill may take
 	quietFor   = 8 * time.Second      // of nothing at the end of the day
-	maxRounds  = 40                   // of a gateway in the last half of that: beats, and the module's own
+	maxRounds  = 40                   // of a gateway in the last half of that: heartbeats, and the balancer's own
 	endWithin  = 12 * time.Second     // of SIGTERM
 )
 
@@ -85,8 +85,8 @@
 // Play runs a plan. trace gets a line for each thing that happens; it may be nil.
 func Play(p Plan, trace io.Writer) Outcome { return PlayContext(context.Background(), p, trace) }
 
-// PlayContext runs a plan until it is over or ctx is done. In the second case the outcome is Partial: it holds what was
-// found until then, and nothing was compared at the end.
+// PlayContext runs a plan until it is over or ctx is done. In the second case the outcome is Partial:
+// it holds what was found until then, and nothing was compared at the end.
 func PlayContext(ctx context.Context, p Plan, trace io.Writer) Outcome {
 	w := newSimulator(p, trace, func(r loop.Reducer) loop.Reducer { return r })
 	w.sim.ctx = ctx
@@ -100,8 +100,10 @@
 
 func newSimulator(p Plan, trace io.Writer, wrap func(loop.Reducer) loop.Reducer) *simulator {
 	sim := NewSim(p.Seed, trace)
-	w := &simulator{plan: p, sim: sim, net: NewNet(sim), clients: requestrecord.NewClients(), statuses: make(map[int]int), file: day(p), wrap: wrap}
-	w.net.Latency, w.net.Jitter = time.Duration(p.LatencyUS)*time.Microsecond, time.Duration(p.JitterUS)*time.Microsecond
+	w := &simulator{plan: p, sim: sim, net: NewNet(sim), clients: requestrecord.NewClients(),
+		statuses: make(map[int]int), file: day(p), wrap: wrap}
+	w.net.Latency, w.net.Jitter = time.Duration(p.LatencyUS)*time.Microsecond,
+		time.Duration(p.JitterUS)*time.Microsecond
 	return w
 }
 
@@ -155,7 +157,8 @@
 	seen := false
 	for _, l := range lines {
 		seen = seen || strings.HasPrefix(l, "panic(")
-		if at := strings.LastIndex(l, "/"); seen && strings.HasPrefix(l, "\t") && strings.Contains(l, ".go:") && !strings.Contains(l, "/runtime/") {
+		if at := strings.LastIndex(l, "/"); seen && strings.HasPrefix(l, "\t") && strings.Contains(l, ".go:") &&
+			!strings.Contains(l, "/runtime/") {
 			return strings.Fields(l[at+1:])[0]
 		}
 	}
--- a/internal/lab/simulation/simulator_test.go
+++ b/internal/lab/simulation/simulator_test.go
@@ -77,7 +77,8 @@
 	}
 }
 
-// Gateways with a fleet file through kills, stops, upgrades that come to nothing, cuts and noise: what they believe is true.
+// Gateways with a fleet file through kills, stops, upgrades that come to nothing, cuts and noise: what
+// they believe is true.
 func TestViewsHoldTheRules(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -90,8 +91,9 @@
 	}
 }
 
-// Gateways that divide hosts by their view, through the same and while hosts are replaced, all at once too: what they send cold
-// hosts together keeps to the turns, and their parts add up. Two hosts for many gateways, and many for few.
+// Gateways that divide hosts by their view, through the same and while hosts are replaced, all at once
+// too: what they send cold hosts together keeps to the turns, and their parts add up. Two hosts for
+// many gateways, and many for few.
 func TestSharesHoldTheRules(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -183,11 +185,13 @@
 }
 
 func toHost(f loop.Effect, head string) bool {
-	return (f.Op == loop.Write || f.Op == loop.WriteQuiet) && f.Conn < firstAccepted && bytes.HasPrefix(f.Data, []byte(head))
+	return (f.Op == loop.Write || f.Op == loop.WriteQuiet) && f.Conn < firstAccepted && bytes.HasPrefix(f.Data,
+		[]byte(head))
 }
 
 // rewrite changes each effect into others.
-func rewrite(change func(d *defect, f loop.Effect) []loop.Effect) func(*defect, loop.Event, []loop.Effect) []loop.Effect {
+func rewrite(change func(d *defect, f loop.Effect) []loop.Effect) func(*defect, loop.Event,
+	[]loop.Effect) []loop.Effect {
 	return func(d *defect, _ loop.Event, list []loop.Effect) (out []loop.Effect) {
 		for _, f := range list {
 			out = append(out, change(d, f)...)
@@ -202,57 +206,67 @@
 		name, profile, rule string
 		defect              defect
 	}{
-		{"answers twice", "reload", requestrecord.AnsweredTwice, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
-			if toClient(f, "HTTP/1.1 200") && d.every(50) {
-				f.Data = slices.Concat(f.Data, f.Data)
-			}
-			return []loop.Effect{f}
-		})}},
-		{"loses answers", "reload", requestrecord.Unanswered, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
-			if toClient(f, "HTTP/1.1 ") && d.every(100) {
-				return nil
-			}
-			return []loop.Effect{f}
-		})}},
-		{"sends a bid twice", "reload", requestrecord.RanTwice, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
-			if toHost(f, "POST") && d.every(30) {
-				f.Data = slices.Concat(f.Data, f.Data)
-			}
-			return []loop.Effect{f}
-		})}},
-		{"refuses what may have run", "bad-hosts", requestrecord.RefusedRan, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
-			if toClient(f, "HTTP/1.1 502") {
-				f.Data = bytes.Replace(f.Data, []byte("502"), []byte("503"), 1)
-			}
-			return []loop.Effect{f}
-		})}},
-		{"spoils a body", "reload", requestrecord.ForeignBody, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
-			if toClient(f, "HTTP/1.1 200") && bytes.Contains(f.Data, []byte("id=")) && d.every(100) {
-				f.Data = bytes.Replace(f.Data, []byte("id="), []byte("ID="), 1)
-			}
-			return []loop.Effect{f}
-		})}},
-		{"invents an id", "reload", requestrecord.InventedID, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
-			if toHost(f, "GET /tender") && d.every(50) {
-				f.Data = bytes.Replace(f.Data, []byte("X-Trace-Id: "), []byte("X-Trace-Id: z"), 1)
-			}
-			return []loop.Effect{f}
-		})}},
-		{"hears no drains", "drain-retry", requestrecord.LateToDrained, defect{hear: func(d *defect, e *loop.Event) bool {
-			return e.Kind != loop.Data || !bytes.Contains(e.Data, []byte(`"draining"`))
-		}}},
-		{"a timer that never stops", "reload", NotAsleep, defect{effects: func(d *defect, e loop.Event, list []loop.Effect) []loop.Effect {
-			if e.Kind == loop.Start || e.Kind == loop.TimerDue && e.Timer.Kind == 200 {
-				list = append(list, loop.Effect{Op: loop.SetTimer, Timer: loop.Timer{Kind: 200}, At: d.now + 5*time.Millisecond})
-			}
-			return list
-		}}},
-		{"forgets to stop timers", "reload", Leaked, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
-			if f.Op == loop.StopTimer {
-				return []loop.Effect{{Op: loop.SetTimer, Timer: f.Timer, At: 1 << 62}}
-			}
-			return []loop.Effect{f}
-		})}},
+		{"answers twice", "reload", requestrecord.AnsweredTwice,
+			defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
+				if toClient(f, "HTTP/1.1 200") && d.every(50) {
+					f.Data = slices.Concat(f.Data, f.Data)
+				}
+				return []loop.Effect{f}
+			})}},
+		{"loses answers", "reload", requestrecord.Unanswered,
+			defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
+				if toClient(f, "HTTP/1.1 ") && d.every(100) {
+					return nil
+				}
+				return []loop.Effect{f}
+			})}},
+		{"sends a bid twice", "reload", requestrecord.RanTwice,
+			defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
+				if toHost(f, "POST") && d.every(30) {
+					f.Data = slices.Concat(f.Data, f.Data)
+				}
+				return []loop.Effect{f}
+			})}},
+		{"refuses what may have run", "bad-hosts", requestrecord.RefusedRan,
+			defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
+				if toClient(f, "HTTP/1.1 502") {
+					f.Data = bytes.Replace(f.Data, []byte("502"), []byte("503"), 1)
+				}
+				return []loop.Effect{f}
+			})}},
+		{"spoils a body", "reload", requestrecord.ForeignBody,
+			defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
+				if toClient(f, "HTTP/1.1 200") && bytes.Contains(f.Data, []byte("id=")) && d.every(100) {
+					f.Data = bytes.Replace(f.Data, []byte("id="), []byte("ID="), 1)
+				}
+				return []loop.Effect{f}
+			})}},
+		{"invents an id", "reload", requestrecord.InventedID,
+			defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
+				if toHost(f, "GET /tender") && d.every(50) {
+					f.Data = bytes.Replace(f.Data, []byte("X-Trace-Id: "), []byte("X-Trace-Id: z"), 1)
+				}
+				return []loop.Effect{f}
+			})}},
+		{"hears no drains", "drain-retry", requestrecord.LateToDrained,
+			defect{hear: func(d *defect, e *loop.Event) bool {
+				return e.Kind != loop.Data || !bytes.Contains(e.Data, []byte(`"draining"`))
+			}}},
+		{"a timer that never stops", "reload", NotAsleep,
+			defect{effects: func(d *defect, e loop.Event, list []loop.Effect) []loop.Effect {
+				if e.Kind == loop.Start || e.Kind == loop.TimerDue && e.Timer.Kind == 200 {
+					list = append(list, loop.Effect{Op: loop.SetTimer, Timer: loop.Timer{Kind: 200},
+						At: d.now + 5*time.Millisecond})
+				}
+				return list
+			}}},
+		{"forgets to stop timers", "reload", Leaked,
+			defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
+				if f.Op == loop.StopTimer {
+					return []loop.Effect{{Op: loop.SetTimer, Timer: f.Timer, At: 1 << 62}}
+				}
+				return []loop.Effect{f}
+			})}},
 		{"never ends", "restart-surge", Stuck, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
 			if f.Op == loop.Exit {
 				return nil
@@ -265,40 +279,49 @@
 			}
 			return true
 		}}},
-		{"loses a query at SIGTERM", "restart-surge", requestrecord.Unanswered, defect{effects: func(d *defect, e loop.Event, list []loop.Effect) []loop.Effect {
-			if e.Kind == loop.Stop {
-				list = append(list, loop.Effect{Op: loop.Exit})
-			}
-			return list
-		}}},
-		{"forgets a link that was handed over", "upgrade", requestrecord.Unanswered, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
-			if f.Op == loop.Unmute && f.Conn >= firstAccepted && d.every(5) {
-				return nil
-			}
-			return []loop.Effect{f}
-		})}},
-		{"hears no datagram", viewsProfile, membershipcheck.NotAgreed, defect{hear: func(_ *defect, e *loop.Event) bool {
-			return e.Kind != loop.Data || e.Conn != loop.Gossip
-		}}},
-		{"is heard by none at times", viewsProfile, membershipcheck.ThrownOut, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
-			if f.Op == loop.SendTo && d.now%(40*time.Second) > 12*time.Second && d.now%(40*time.Second) < 24*time.Second {
-				return nil
-			}
-			return []loop.Effect{f}
-		})}},
-		{"says everything many times", viewsProfile, membershipcheck.OverBudget, defect{effects: rewrite(func(_ *defect, f loop.Effect) []loop.Effect {
-			if f.Op == loop.SendTo {
-				return []loop.Effect{f, f, f, f, f, f, f, f}
-			}
-			return []loop.Effect{f}
-		})}},
-		{"takes no new settings", "retune", Wronged, defect{hear: func(_ *defect, e *loop.Event) bool { return e.Kind != loop.File }}},
-		{"skips a piece of a large body", "bulk", requestrecord.ForeignBody, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
-			if f.Op == loop.Write && f.Conn >= firstAccepted && len(f.Data) > 10_000 && bytes.HasSuffix(f.Data, []byte("ppp")) {
-				f.Data = slices.Concat(f.Data[:len(f.Data)-1], []byte("q"))
-			}
-			return []loop.Effect{f}
-		})}},
+		{"loses a query at SIGTERM", "restart-surge", requestrecord.Unanswered,
+			defect{effects: func(d *defect, e loop.Event, list []loop.Effect) []loop.Effect {
+				if e.Kind == loop.Stop {
+					list = append(list, loop.Effect{Op: loop.Exit})
+				}
+				return list
+			}}},
+		{"forgets a link that was handed over", "upgrade", requestrecord.Unanswered,
+			defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
+				if f.Op == loop.Unmute && f.Conn >= firstAccepted && d.every(5) {
+					return nil
+				}
+				return []loop.Effect{f}
+			})}},
+		{"hears no datagram", viewsProfile, membershipcheck.NotAgreed,
+			defect{hear: func(_ *defect, e *loop.Event) bool {
+				return e.Kind != loop.Data || e.Conn != loop.Gossip
+			}}},
+		{"is heard by none at times", viewsProfile, membershipcheck.ThrownOut,
+			defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
+				if f.Op == loop.SendTo && d.now%(40*time.Second) > 12*time.Second &&
+					d.now%(40*time.Second) < 24*time.Second {
+					return nil
+				}
+				return []loop.Effect{f}
+			})}},
+		{"says everything many times", viewsProfile, membershipcheck.OverBudget,
+			defect{effects: rewrite(func(_ *defect, f loop.Effect) []loop.Effect {
+				if f.Op == loop.SendTo {
+					return []loop.Effect{f, f, f, f, f, f, f, f}
+				}
+				return []loop.Effect{f}
+			})}},
+		{"takes no new settings", "retune", Wronged,
+			defect{hear: func(_ *defect, e *loop.Event) bool { return e.Kind != loop.File }}},
+		{"skips a piece of a large body", "bulk", requestrecord.ForeignBody,
+			defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
+				if f.Op == loop.Write && f.Conn >= firstAccepted && len(f.Data) > 10_000 && bytes.HasSuffix(f.Data,
+					[]byte("ppp")) {
+					f.Data = slices.Concat(f.Data[:len(f.Data)-1], []byte("q"))
+				}
+				return []loop.Effect{f}
+			})}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -371,8 +394,9 @@
 	}
 }
 
-// Clients that stop in the middle of their requests and stay, beside stops, upgrades and hosts that hang, with deadlines from 0.9
-// to 12 s. The last seeds once left large requests unanswered in their clients' time.
+// Clients that stop in the middle of their requests and stay, beside stops, upgrades and hosts that
+// hang, with deadlines from 0.9 to 12 s. The last seeds once left large requests unanswered in their
+// clients' time.
 func TestStoppedClientsHoldTheRules(t *testing.T) {
 	seeds := []uint64{69, 95, 118}
 	for seed := range uint64(40) {
@@ -389,7 +413,8 @@
 	}
 }
 
-// Machines whose clocks are an hour or some seconds wrong when processes begin, while hosts start cold. Seed 164 once pushed one over.
+// Machines whose clocks are an hour or some seconds wrong when processes begin, while hosts start cold.
+// Seed 164 once pushed one over.
 func TestWrongClocksHoldTheRules(t *testing.T) {
 	seeds := []uint64{164}
 	for seed := range uint64(25) {
@@ -408,15 +433,16 @@
 	for _, c := range []struct {
 		seed    uint64
 		profile string
-	}{{770064, "upgrade"}, {623, "upgrade"}, {1317, "upgrade"}, {881660, "retune"}, {882393, "upgrade"}, {174, "pushed"}, {1092, "pushed"}, {2275, "pushed"}} {
+	}{{770064, "upgrade"}, {623, "upgrade"}, {1317, "upgrade"}, {881660, "retune"}, {882393, "upgrade"},
+		{174, "pushed"}, {1092, "pushed"}, {2275, "pushed"}} {
 		if o := Play(draw(t, c.seed, c.profile), nil); len(o.Findings) > 0 {
 			t.Errorf("%d of %s: %+v", c.seed, c.profile, o.Findings[0])
 		}
 	}
 }
 
-// Seeds of sixty gateways at which a cold host was sent more than it survives by first requests that many gateways had
-// saved up before they came to use it.
+// Seeds of sixty gateways at which a cold host was sent more than it survives by first requests that
+// many gateways had saved up before they came to use it.
 func TestFleetSeedsThatPushedAColdHostHold(t *testing.T) {
 	for _, seed := range []uint64{27, 40, 73, 103, 129, 229, 284} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -430,7 +456,8 @@
 	}
 }
 
-// Half of the hosts are replaced while a zone is lost: of the hosts of that zone three are left, which all its gateways use.
+// Half of the hosts are replaced while a zone is lost: of the hosts of that zone three are left, which
+// all its gateways use.
 func TestFleetSeedThatCrowdsAHost(t *testing.T) {
 	p, err := DrawSized(258, fleetProfile, Size{Gateways: 60, Hosts: 40})
 	if err != nil {
@@ -439,8 +466,8 @@
 	holds(t, p)
 }
 
-// Three gateways over two hundred hosts, each with all its descriptors in use, are upgraded: the two processes together keep
-// to them.
+// Three gateways over two hundred hosts, each with all its descriptors in use, are upgraded: the two
+// processes together keep to them.
 func TestUpgradesWithManyHostsKeepToTheirDescriptors(t *testing.T) {
 	for _, c := range []struct {
 		seed    uint64
@@ -450,7 +477,8 @@
 	}
 }
 
-// The new process of such an upgrade has few descriptors for the clients that wait, and may close no link at rest.
+// The new process of such an upgrade has few descriptors for the clients that wait, and may close no
+// link at rest.
 func TestUpgradesWithManyHostsAnswerAll(t *testing.T) {
 	for _, seed := range []uint64{6, 8} {
 		manyHosts(t, seed, "upgrade")
@@ -468,21 +496,24 @@
 	})
 }
 
-// Gateways hear that one is suspected which was just upgraded: by another that is cut off from it, and so are those that it asks.
+// Gateways hear that one is suspected which was just upgraded: by another that is cut off from it, and
+// so are those that it asks.
 func TestUpgradeIsNoEndThoughDatagramsAreLost(t *testing.T) {
 	holds(t, draw(t, 156, sharesProfile))
 }
 
 // pushedDay is a day of pushed lists with stated faults and a request every 80 ms.
 func pushedDay(hosts, ms int, faults ...Fault) Plan {
-	p := Plan{Seed: 1, Profile: "pushed", Pushed: true, Gateways: 2, Hosts: hosts, Sockets: 400, LagMS: 300, LatencyUS: 200, CostUS: 10, Faults: faults}
+	p := Plan{Seed: 1, Profile: "pushed", Pushed: true, Gateways: 2, Hosts: hosts, Sockets: 400, LagMS: 300,
+		LatencyUS: 200, CostUS: 10, Faults: faults}
 	for at := 0; at < ms; at += 80 {
 		p.Requests = append(p.Requests, Request{AtMS: at, Unsafe: at%240 == 0, Patient: 2000, Retries: 1})
 	}
 	return p
 }
 
-// A gateway comes back on its last list while all hosts of it but one are gone and others stand in their places.
+// A gateway comes back on its last list while all hosts of it but one are gone and others stand in
+// their places.
 func TestARestartOnAListOfTheGone(t *testing.T) {
 	faults := []Fault{{AtMS: 1000, Do: "gateway-kill", Who: 0, ForMS: 9000}}
 	for n := range 5 {
@@ -494,10 +525,12 @@
 	}
 }
 
-// Versions that begin anew are passed over for half a minute, then taken: what is told later holds, new hosts are used.
+// Versions that begin anew are passed over for half a minute, then taken: what is told later holds, new
+// hosts are used.
 func TestVersionsThatBeginAnew(t *testing.T) {
 	o := holds(t, pushedDay(4, 50000, Fault{AtMS: 3000, Do: "discovery-anew"},
-		Fault{AtMS: 38000, Do: "host-replace", Who: 0}, Fault{AtMS: 38100, Do: "host-replace", Who: 1}, Fault{AtMS: 38200, Do: "host-replace", Who: 2}))
+		Fault{AtMS: 38000, Do: "host-replace", Who: 0}, Fault{AtMS: 38100, Do: "host-replace", Who: 1},
+		Fault{AtMS: 38200, Do: "host-replace", Who: 2}))
 	if o.Served < o.Tries*9/10 {
 		t.Errorf("%+v", o)
 	}
--- a/internal/lab/simulation/times_test.go
+++ b/internal/lab/simulation/times_test.go
@@ -16,15 +16,16 @@
 	"thymebend/internal/loop"
 )
 
-// How long a gateway takes to hear of a change that discovery has, from when discovery can be reached: the worst case of
-// each state that its watch may be in. What counts as told then is in the operators' page: 6 s.
+// How long a gateway takes to hear of a change that discovery has, from when discovery can be reached:
+// the worst case of each state that its watch may be in. What counts as notified then is in the
+// operators' page: 6 s.
 const notifyWithin = 6 * time.Second
 
 // How the stand-in treats one call.
 type treat uint8
 
 const (
-	served  treat = iota // answered at once with the list, then a beat every 2 s
+	served  treat = iota // answered at once with the list, then a heartbeat every 2 s
 	refused              // nobody listens
 	never                // its connection never comes up
 	mute                 // it comes up and nothing is answered
@@ -36,7 +37,8 @@
 	expired              // 503 once it has waited its turn
 )
 
-// scriptedDiscovery is a discovery of few words. Each call is treated as its place says; those after the last as the last.
+// scriptedDiscovery is a discovery of few words. Each call is treated as its place says; those after
+// the last as the last.
 type scriptedDiscovery struct {
 	sim    *Sim
 	net    *Net
@@ -107,7 +109,7 @@
 
 const chunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// serve answers a call with the list and then a beat every 2 s.
+// serve answers a call with the list and then a heartbeat every 2 s.
 func (r *scriptedDiscovery) serve(e *End) {
 	if e.closed || e.reset || e.Gone() {
 		return
@@ -128,15 +130,18 @@
 }
 
 // gatewayOn starts a gateway that asks, or is told by, a scriptedDiscovery.
-func gatewayOn(t *testing.T, sim *Sim, net *Net, at netip.AddrPort, mode string, wrap func(*Loop, loop.Reducer) loop.Reducer) *Loop {
+func gatewayOn(t *testing.T, sim *Sim, net *Net, at netip.AddrPort, mode string,
+	wrap func(*Loop, loop.Reducer) loop.Reducer) *Loop {
 	t.Helper()
 	return gatewayByGossipAddr(t, sim, net, at, mode, 1, wrap)
 }
 
 // gatewayByGossipAddr starts one of so many gateways.
-func gatewayByGossipAddr(t *testing.T, sim *Sim, net *Net, at netip.AddrPort, mode string, gateways int, wrap func(*Loop, loop.Reducer) loop.Reducer) *Loop {
+func gatewayByGossipAddr(t *testing.T, sim *Sim, net *Net, at netip.AddrPort, mode string, gateways int,
+	wrap func(*Loop, loop.Reducer) loop.Reducer) *Loop {
 	t.Helper()
-	raw, err := json.Marshal(map[string]any{"name": "g", "listen": "10.1.0.1:8443", "discovery": at.String(), "seed": fmt.Sprintf("%016x", sim.Rand.Uint64()),
+	raw, err := json.Marshal(map[string]any{"name": "g", "listen": "10.1.0.1:8443", "discovery": at.String(),
+		"seed":   fmt.Sprintf("%016x", sim.Rand.Uint64()),
 		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256}, "known": json.RawMessage(`{"seq":1,"whole":true,"hosts":[]}`),
 		"settings": json.RawMessage(`{"balancers":` + fmt.Sprint(gateways) + `,"rank":0,"zone":0,"zones":["a"],"tick_ms":5,"registry_mode":"` + mode + `",
 		"bounds":{"connect_timeout_ms":250,"most_tries":4},"classes":[{"name":"view","aim_ms":800,"give_up_ms":2000,"repeat":"repeatable"}]}`)})
@@ -156,8 +161,9 @@
 	return l
 }
 
-// A large fleet, too, hears of a change in time after a long outage: a discovery that is down turns calls away at once, which costs it
-// nothing and says nothing of how many calls it bears. Neither does the time that it asks for put off the next call for longer.
+// A large fleet, too, hears of a change in time after a long outage: a discovery that is down turns
+// calls away at once, which costs it nothing and says nothing of how many calls it bears. Neither does
+// the time that it asks for put off the next call for longer.
 func TestAChangeIsHeardOfAfterALongOutage(t *testing.T) {
 	for _, outage := range []time.Duration{10 * time.Second, 40 * time.Second, 2 * time.Minute} {
 		for _, how := range []treat{failed, reset, refused, shed} {
@@ -182,8 +188,8 @@
 	}
 }
 
-// A change is heard of within the time, whatever state the watch is in when discovery can be reached, and though one call
-// after that is lost.
+// A change is heard of within the time, whatever state the watch is in when discovery can be reached,
+// and though one call after that is lost.
 func TestAChangeIsHeardOfInTime(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -256,7 +262,8 @@
 		clear(r.open)
 		r.prepare()
 	})
-	// A connection that never comes up is no call that the stand-in sees: one step after it was begun it counts as one.
+	// A connection that never comes up is no call that the stand-in sees: one step after it was begun
+	// it counts as one.
 	var look func()
 	seen := loop.Conn(0)
 	look = func() {
@@ -277,24 +284,27 @@
 	return told - from
 }
 
-// A request comes between the gateway's last look at a resting connection and its close: it is taken by nobody, and a reset
-// tells its client so. No kernel can be held there, so the look's answer is.
+// A request comes between the gateway's last look at a resting connection and its close: it is taken by
+// nobody, and a reset tells its client so. No kernel can be held there, so the look's answer is.
 func TestRequestBetweenTheLastLookAndTheClose(t *testing.T) {
-	const health, crossed = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n", "GET /view HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: view\r\nX-Expires-In: 900m\r\n\r\n"
+	const health, crossed = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n",
+		"GET /view HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: view\r\nX-Expires-In: 900m\r\n\r\n"
 	sim := NewSim(1, nil)
 	net := NewNet(sim)
 	came := false
-	gatewayOn(t, sim, net, netip.MustParseAddrPort("10.2.0.1:8500"), "subscribe", func(l *Loop, r loop.Reducer) loop.Reducer {
-		return &defect{Reducer: r, hear: func(_ *defect, e *loop.Event) bool {
-			if s := l.socks[e.Conn]; e.Kind == loop.Drained && s != nil && e.Conn >= firstAccepted {
-				came = true
-				s.end.inbox = append(s.end.inbox, crossed...)
-			}
-			return true
-		}}
-	})
+	gatewayOn(t, sim, net, netip.MustParseAddrPort("10.2.0.1:8500"), "subscribe",
+		func(l *Loop, r loop.Reducer) loop.Reducer {
+			return &defect{Reducer: r, hear: func(_ *defect, e *loop.Event) bool {
+				if s := l.socks[e.Conn]; e.Kind == loop.Drained && s != nil && e.Conn >= firstAccepted {
+					came = true
+					s.end.inbox = append(s.end.inbox, crossed...)
+				}
+				return true
+			}}
+		})
 	var client *End
-	client = net.Dial(netip.MustParseAddrPort("10.1.0.1:8443"), nil, func(error) { _, _ = client.Write([]byte(health)) })
+	client = net.Dial(netip.MustParseAddrPort("10.1.0.1:8443"), nil,
+		func(error) { _, _ = client.Write([]byte(health)) })
 	sim.Run(epoch + 10*time.Second)
 	if client.Gone() || !strings.Contains(string(client.Read(1<<10)), " 503 ") { // it has no host
 		t.Fatal("the gateway does not answer")
--- a/internal/lab/simulation/upgrade_test.go
+++ b/internal/lab/simulation/upgrade_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// upgradedAtItsLimit is a day on which clients hold all links that a gateway may have. It is upgraded, hosts that hang
-// keep the old process from its end, and clients come on new links while others go on using theirs.
+// upgradedAtItsLimit is a day on which clients hold all links that a gateway may have. It is upgraded,
+// hosts that hang keep the old process from its end, and clients come on new links while others go on
+// using theirs.
 func upgradedAtItsLimit() Plan {
 	const opened, upgraded, ended = 1000, 2000, 4000
 	p := Plan{Seed: 1, Profile: "upgrade", Gateways: 1, Hosts: 60, Sockets: 256, LatencyUS: 200, CostUS: 10}
@@ -41,8 +42,8 @@
 	}
 }
 
-// upgradedAmongNewLinks is a day on which every client comes on a new link and keeps it, so that links at rest are closed
-// for being many, and the gateway is upgraded again and again in the midst of that.
+// upgradedAmongNewLinks is a day on which every client comes on a new link and keeps it, so that links
+// at rest are closed for being many, and the gateway is upgraded again and again in the midst of that.
 func upgradedAmongNewLinks(seed uint64) Plan {
 	const begin, end = 1000, 9000
 	p := Plan{Seed: seed, Profile: "upgrade", Gateways: 1, Hosts: 60, Sockets: 256, LatencyUS: 200, CostUS: 30}
--- a/internal/lab/simulation/viewchecker.go
+++ b/internal/lab/simulation/viewchecker.go
@@ -13,8 +13,8 @@
 	"thymebend/internal/membership"
 )
 
-// Gateways that know of each other: each has a fleet file, the network carries their datagrams, and what they believe is
-// held against what was done to them.
+// Gateways that know of each other: each has a fleet file, the network carries their datagrams, and
+// what they believe is held against what was done to them.
 
 // viewsProfile is gateways with a fleet file among ordinary troubles and those of datagrams.
 const viewsProfile = "views"
@@ -138,14 +138,16 @@
 				p.view, p.joined = v, p.joined+1
 			}
 			st := v.Status(b.w.sim.Now())
-			l := membershipcheck.Look{At: b.w.sim.Since(), Gateway: m.n, PID: p.pid, Speaking: true, Joined: p.joined, Settled: st.Settled, Majority: st.Majority, Twin: st.DuplicateName,
+			l := membershipcheck.Look{At: b.w.sim.Since(), Gateway: m.n, PID: p.pid, Speaking: true,
+				Joined: p.joined, Settled: st.Settled, Majority: st.Majority, Twin: st.DuplicateName,
 				Alive: st.Alive, Sent: v.Counts().SentBytes, States: make([]membershipcheck.Held, len(b.names))}
 			for _, o := range v.Members() {
 				i, ok := b.index[o.Name]
 				if !ok {
 					l.Strange++
 				} else {
-					l.States[i] = membershipcheck.Held{State: o.State.String(), Start: o.Start, Incarnation: o.Incarnation, Since: o.Since - epoch,
+					l.States[i] = membershipcheck.Held{State: o.State.String(), Start: o.Start,
+						Incarnation: o.Incarnation, Since: o.Since - epoch,
 						Previous: o.Previous.String(), SuspectedBy: o.SuspectedBy}
 				}
 			}
@@ -215,16 +217,19 @@
 	}
 }
 
-// nonsense sends a gateway datagrams that nobody meant: of another fleet, spoilt, cut short, or from a stranger.
+// nonsense sends a gateway datagrams that nobody meant: of another fleet, spoilt, cut short, or from a
+// stranger.
 func (b *viewChecker) nonsense(n int) {
 	r := b.w.sim.Rand
 	from := &datagramSocket{addr: gossipAddr((n + 1) % len(b.names))}
-	foreign := gossipcodec.Append(nil, &gossipcodec.Message{Cluster: "other", From: gatewayName((n + 1) % len(b.names)), Start: 1 << 45, Kind: gossipcodec.Gossip})
+	foreign := gossipcodec.Append(nil, &gossipcodec.Message{Cluster: "other",
+		From: gatewayName((n + 1) % len(b.names)), Start: 1 << 45, Kind: gossipcodec.Gossip})
 	noise := make([]byte, r.IntN(300))
 	for i := range noise {
 		noise[i] = byte(r.Uint32())
 	}
-	whole := gossipcodec.Append(nil, &gossipcodec.Message{Cluster: "virtual", From: "nobody", Start: 1 << 45, Kind: gossipcodec.Ping, Seq: 9})
+	whole := gossipcodec.Append(nil, &gossipcodec.Message{Cluster: "virtual", From: "nobody", Start: 1 << 45,
+		Kind: gossipcodec.Ping, Seq: 9})
 	for _, data := range [][]byte{foreign, noise, whole, whole[:len(whole)/2]} {
 		b.w.net.datagram(from, gossipAddr(n), data)
 	}
--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -1,6 +1,6 @@
-// Package soak draws drills at random: 10 to 40 real gateways with faults of processes, hosts, discovery, the network and clients
-// that overlap in time. The drill's rules are the oracle. A seed always draws the same drill, as text, so that one which
-// fails can be kept and reduced by hand.
+// Package soak draws drills at random: 10 to 40 real gateways with faults of processes, hosts,
+// discovery, the network and clients that overlap in time. The drill's rules are the oracle. A seed
+// always draws the same drill, as text, so that one which fails can be kept and reduced by hand.
 package soak
 
 import (
@@ -41,7 +41,8 @@
 	if err := o.Check(); err != nil {
 		return "", err
 	}
-	d := &drawing{draws: rand.New(rand.NewPCG(o.Seed, 0x50a7)), gateways: o.Gateways, length: o.Length, faulty: make(map[int]bool)}
+	d := &drawing{draws: rand.New(rand.NewPCG(o.Seed, 0x50a7)), gateways: o.Gateways, length: o.Length,
+		faulty: make(map[int]bool)}
 	if d.gateways == 0 {
 		d.gateways = d.between(LeastGateways, MostGateways)
 	}
@@ -74,7 +75,8 @@
 	gateways int
 	hosts    int
 	length   time.Duration
-	// faulty are the gateways whose configuration lies there faulty for a moment: a process that begins then cannot run, and should not.
+	// faulty are the gateways whose configuration lies there faulty for a moment: a process that begins
+	// then cannot run, and should not.
 	faulty map[int]bool
 	text   strings.Builder
 }
@@ -111,16 +113,19 @@
 	d.line("name = \"soak-%d\"", seed)
 	d.line("title = \"Random faults that overlap, seed %d\"", seed)
 	d.line("seed = %d", seed%(1<<62)+1)
-	d.line("\n[gateways]\ncount = %d\nlog = \"debug\"\nsockets = %d\nspread = %v", d.gateways, d.between(256, 600), d.draws.IntN(2) == 0)
+	d.line("\n[gateways]\ncount = %d\nlog = \"debug\"\nsockets = %d\nspread = %v", d.gateways,
+		d.between(256, 600), d.draws.IntN(2) == 0)
 	d.line("\n[discovery]\nlag = %q", d.span(0, 400))
 	d.line("\n[clients]\nretries = 1\nconnections = %d\nmarks_retry = true\nslow_share = 0.05\nslow_for = \"1500ms\"\nsilent = %d", 6*d.gateways, d.between(0, 2*d.gateways))
 	d.line("\n[stopped_clients]\nevery = %q\n", d.span(20, 120))
 	patience := []int{900, 2000, 2500, 3700, 4600}
 	view, bid := patience[d.draws.IntN(len(patience))], patience[d.draws.IntN(len(patience))]
-	d.table("class", text("name", "view"), number("share", 0.6), text("aim", fmt.Sprintf("%dms", min(800, view))), text("patience", fmt.Sprintf("%dms", view)),
+	d.table("class", text("name", "view"), number("share", 0.6),
+		text("aim", fmt.Sprintf("%dms", min(800, view))), text("patience", fmt.Sprintf("%dms", view)),
 		`work = { dist = "lognormal", mean = "8ms", cv = 1 }`)
 	kind := d.pick("unsafe = true", "unsafe = true", "keyed = true")
-	d.table("class", text("name", "bid"), number("share", 0.4), kind, number("worth", 8), text("aim", fmt.Sprintf("%dms", min(800, bid))),
+	d.table("class", text("name", "bid"), number("share", 0.4), kind, number("worth", 8),
+		text("aim", fmt.Sprintf("%dms", min(800, bid))),
 		text("patience", fmt.Sprintf("%dms", bid)), number("body", d.between(10, 4000)), `work = { dist = "lognormal", mean = "12ms", cv = 1 }`)
 }
 
@@ -130,16 +135,19 @@
 	for site := range sites {
 		count := d.between(3, 5)
 		d.hosts += count
-		d.table("hosts", text("kind", fmt.Sprintf("h%d", site)), number("count", count), text("site", fmt.Sprintf("site-%d", site)), number("cores", 2),
+		d.table("hosts", text("kind", fmt.Sprintf("h%d", site)), number("count", count),
+			text("site", fmt.Sprintf("site-%d", site)), number("cores", 2),
 			number("queue", 24), number("cold_from", 0.3), text("cold_for", "6s"), number("fall_multiple", 3))
 	}
-	d.table("phase", text("for", fmt.Sprintf("%dms", d.length.Milliseconds())), number("rate", d.hosts*d.between(30, 60)),
+	d.table("phase", text("for", fmt.Sprintf("%dms", d.length.Milliseconds())),
+		number("rate", d.hosts*d.between(30, 60)),
 		number("jump", 1+d.draws.Float64()), text("jump_at", d.span(1000, 8000)), text("jump_for", d.span(500, 3000)))
 }
 
 // hostEvent draws what befalls one or two hosts.
 func (d *drawing) hostEvent() {
-	do := d.pick("host-drain", "host-replace", "host-down", "host-cold", "host-cut", "host-hang", "host-noreply", "host-pause", "host-slow",
+	do := d.pick("host-drain", "host-replace", "host-down", "host-cold", "host-cut", "host-hang",
+		"host-noreply", "host-pause", "host-slow",
 		"host-errors", "host-spoil", "host-spoil")
 	fields := []string{text("at", d.moment()), text("do", do), number("count", d.between(1, 2))}
 	if do != "host-cold" {
@@ -151,9 +159,11 @@
 	case "host-errors":
 		fields = append(fields, number("share", d.draws.Float64()))
 	case "host-spoil":
-		// Not "short-length": by HTTP's framing an answer that states too short a length is whole, so no rule can be held on it.
-		fields = append(fields, number("share", 0.5*d.draws.Float64()), text("fault", d.pick("reset-before", "reset-middle", "trickle",
-			"long-length", "extra-bytes", "interim", "garbage", "endless", "close-idle", "half-close", "no-length")))
+		// Not "short-length": by HTTP's framing an answer that states too short a length is whole, so
+		// no rule can be held on it.
+		fields = append(fields, number("share", 0.5*d.draws.Float64()),
+			text("fault", d.pick("reset-before", "reset-middle", "trickle",
+				"long-length", "extra-bytes", "interim", "garbage", "endless", "close-idle", "half-close", "no-length")))
 	}
 	d.table("event", fields...)
 }
@@ -176,20 +186,24 @@
 	d.table("event", text("at", at), text("do", "gateway-reload"), number("gateway", gateway), number("faulty", faulty))
 }
 
-// recovery is what a gateway has after the end of one fault of its process before the next begins: one process cannot be ended twice
-// at once. Faults of different gateways, of hosts, discovery and paths overlap as they come.
+// recovery is what a gateway has after the end of one fault of its process before the next begins: one
+// process cannot be ended twice at once. Faults of different gateways, of hosts, discovery and paths
+// overlap as they come.
 const recovery = 5 * time.Second
 
-// processFaults draws what befalls a gateway's process: with others about half of the time something, each after the other.
+// processFaults draws what befalls a gateway's process: with others about half of the time something,
+// each after the other.
 func (d *drawing) processFaults(gateway int) {
 	if d.draws.IntN(2) == 0 || d.faulty[gateway] {
 		return
 	}
 	end := d.length - 4*time.Second
 	for at := time.Duration(d.between(500, int(d.length.Milliseconds()))) * time.Millisecond; at < end; {
-		do := d.pick("gateway-kill", "gateway-term", "gateway-term", "gateway-stop", "gateway-slow", "gateway-upgrade", "gateway-old")
+		do := d.pick("gateway-kill", "gateway-term", "gateway-term", "gateway-stop", "gateway-slow",
+			"gateway-upgrade", "gateway-old")
 		takes := time.Duration(d.between(200, 2500)) * time.Millisecond
-		fields := []string{text("at", fmt.Sprintf("%dms", at.Milliseconds())), text("do", do), fmt.Sprintf("gateways = [%d]", gateway)}
+		fields := []string{text("at", fmt.Sprintf("%dms", at.Milliseconds())), text("do", do),
+			fmt.Sprintf("gateways = [%d]", gateway)}
 		if do != "gateway-upgrade" {
 			fields = append(fields, text("for", fmt.Sprintf("%dms", takes.Milliseconds())))
 		}
@@ -201,8 +215,9 @@
 	}
 }
 
-// networkFault breaks paths between gateways, or between clients and some. Paths to hosts and from discovery stay whole: what hosts were
-// sent, and what gateways were told, is judged by when it went over them.
+// networkFault breaks paths between gateways, or between clients and some. Paths to hosts and from
+// discovery stay whole: what hosts were sent, and what gateways were told, is judged by when it went
+// over them.
 func (d *drawing) networkFault() {
 	if d.draws.IntN(2) == 0 {
 		do := d.pick("net-loss", "net-delay", "net-double", "net-reorder")
--- a/internal/lab/timeline/timeline.go
+++ b/internal/lab/timeline/timeline.go
@@ -1,4 +1,5 @@
-// Package timeline is a virtual clock: what is to happen is done in the order of its time, and what has the same time in the order in which it was asked for.
+// Package timeline is a virtual clock: what is to happen is done in the order of its time, and what has
+// the same time in the order in which it was asked for.
 package timeline
 
 import (
