--- a/internal/balancer/concurrency/limit.go
+++ b/internal/balancer/concurrency/limit.go
@@ -7,40 +7,9 @@
 	"thymebend/internal/balancer/stats"
 )
 
-// Constants of the integral loop on service time.
-const (
-	integralGain  = 0.16 // c(1-c) for a closed-loop pole c = 0.8; equation 11
-	gainMemory    = 0.5  // weight of the old gain estimate in the new one
-	failureFactor = 2.0  // a failure counts as a service time of this multiple of the setpoint
-)
-
 // MinAnswers is how many answers a mean of service times needs before it is relied on.
 const MinAnswers = 8
 
-// smoothingAnswers is how many answers the smoothed service time of an endpoint remembers.
-const smoothingAnswers = 64
-
-// uncrowdedForgetting is the share, a sample, by which the uncrowded service time follows the smoothed one: a
-// machine that got slower for good is believed after some minutes.
-const uncrowdedForgetting = 1e-3
-
-// Bounds of the setpoint over the uncrowded service time.
-const (
-	crowdingFactor = 1.4 // of the uncrowded service time: room for noise
-	crowdingShare  = 0.6 // of the service time budget: the most over the uncrowded service time
-)
-
-// Constants of the queue that endpoints report.
-const (
-	queueLengthWeight = 0.25 // weight of one report in the smoothed length
-	crowdedLength     = 1.5  // requests waiting, from which an endpoint is crowded: more than one by chance
-	crowdedStep       = 0.08 // least cut of the limit of a crowded endpoint, a sample; a report may be late
-)
-
-// minEndpointConcurrency is the least number of requests that all gateways together let an endpoint have in
-// flight: some cores' worth.
-const minEndpointConcurrency = 5.0
-
 // ServiceTarget is what the service times of the endpoints are held to.
 type ServiceTarget struct {
 	BudgetMS float64 // the part of the shortest latency objective meant for service, ms of the average class
@@ -70,6 +39,10 @@
 	Limited           bool    // the endpoint was full while requests were queued
 }
 
+// minEndpointConcurrency is the least number of requests that all gateways together let an endpoint have in
+// flight: some cores' worth.
+const minEndpointConcurrency = 5.0
+
 // MinLimit is where limits start, and their least: one, or this gateway's part of a few requests over all the
 // gateways that use the endpoint (users, at least 1). Guards against many gateways that each take for
 // uncrowded what they find crowded from their first request on.
@@ -90,6 +63,13 @@
 // RecordFailure counts an attempt that failed or was rejected.
 func (l *Limit) RecordFailure() { l.Sample.Failures++ }
 
+// Constants of the queue that endpoints report.
+const (
+	queueLengthWeight = 0.25 // weight of one report in the smoothed length
+	crowdedLength     = 1.5  // requests waiting, from which an endpoint is crowded: more than one by chance
+	crowdedStep       = 0.08 // least cut of the limit of a crowded endpoint, a sample; a report may be late
+)
+
 // RecordQueueLength takes the number of waiting requests that an answer reports.
 func (l *Limit) RecordQueueLength(length float64) {
 	l.QueueLength += (length - l.QueueLength) * queueLengthWeight
@@ -98,6 +78,13 @@
 // MarkLimited notes that the limit stands in the way of a queued request. Only such a limit may grow.
 func (l *Limit) MarkLimited() { l.Sample.Limited = true }
 
+// Constants of the integral loop on service time.
+const (
+	integralGain  = 0.16 // c(1-c) for a closed-loop pole c = 0.8; equation 11
+	gainMemory    = 0.5  // weight of the old gain estimate in the new one
+	failureFactor = 2.0  // a failure counts as a service time of this multiple of the setpoint
+)
+
 // CloseSample ends a sampling period and moves the limit: u(k+1) = u(k) + 0.16/K (setpoint - service time),
 // equation 11. A sample without answers or failures changes nothing; failures stay out of the averages and of
 // the gain estimate.
@@ -122,6 +109,9 @@
 	}
 }
 
+// smoothingAnswers is how many answers the smoothed service time of an endpoint remembers.
+const smoothingAnswers = 64
+
 // learnService updates the gain estimate and the averages of the service time:
 // K(k+1) = 0.5 K(k) + 0.5 service time / ceil(u).
 func (l *Limit) learnService(meanMS float64, answers int) {
@@ -134,6 +124,10 @@
 	l.learnUncrowded()
 }
 
+// uncrowdedForgetting is the share, a sample, by which the uncrowded service time follows the smoothed one: a
+// machine that got slower for good is believed after some minutes.
+const uncrowdedForgetting = 1e-3
+
 // learnUncrowded keeps the least smoothed service time, slowly forgotten.
 func (l *Limit) learnUncrowded() {
 	if l.Service.N <= MinAnswers || l.Service.Value < l.UncrowdedMS {
@@ -152,6 +146,12 @@
 // to the paper: gateways grow their limits together, and may overload endpoints before service times tell.
 func (l *Limit) crowded() bool { return l.QueueLength >= crowdedLength }
 
+// Bounds of the setpoint over the uncrowded service time.
+const (
+	crowdingFactor = 1.4 // of the uncrowded service time: room for noise
+	crowdingShare  = 0.6 // of the service time budget: the most over the uncrowded service time
+)
+
 // SetpointMS is the service time that the limit is steered to, in ms of the average class. Exception to the
 // paper: it is never under a multiple of the uncrowded service time, or the limit would stay at one where the
 // budget is less than the bare work takes. Short objectives leave little for that excess either: requests
--- a/internal/balancer/subsetting.go
+++ b/internal/balancer/subsetting.go
@@ -7,11 +7,12 @@
 	"thymebend/internal/subset"
 )
 
-// subsetRule says how many gateways use an endpoint, and how many endpoints a gateway uses at least. With few
-// gateways each uses all.
-var subsetRule = subset.Rule{Local: 8, Remote: 4, Min: minSubset}
-
-const minSubset = 2.0
+// Sizes of the subsets. Where gateways are few each uses all endpoints.
+const (
+	localUsers  = 8.0 // gateways of its own zone that use an endpoint
+	remoteUsers = 4.0 // gateways of the other zones that use it
+	minSubset   = 2.0 // endpoints that a gateway uses at least, if there are so many
+)
 
 // choose picks the subset of endpoints that this gateway uses and returns those used before. Endpoints accept
 // fewer connections than there are gateways, and the answers of few tell more of each. Ejected endpoints are
@@ -21,7 +22,7 @@
 	before = s.subset
 	s.subset, s.localWeight, s.anyZoneWeight = make([]*endpointState, 0, len(before)), 0, 0
 	zones := subset.Count(cfg.Zone, s.zones)
-	subsetRule.Subsets(cfg.Gateways, zones)
+	subset.Rule{Local: localUsers, Remote: remoteUsers, Min: minSubset}.Subsets(cfg.Gateways, zones)
 	for _, ep := range s.all {
 		ep.subset = membership{
 			wasRegular: ep.subset.regular, relativeLoad: ep.subset.relativeLoad,
