--- a/internal/gateway/assignment.go
+++ b/internal/gateway/assignment.go
@@ -70,24 +70,13 @@
 	if f.Assignment == nil {
 		return
 	}
-	c := &s.cfg.Settings.Config
-	p := &assignmentState{
-		config:   f.Assignment,
-		warmRate: f.Assignment.WarmRate,
-		rule: tokenschedule.Rule{
-			InitialFraction:  c.SlowStartFraction,
-			Duration:         c.SlowStartDuration,
-			OverloadMultiple: c.OverloadMultiple,
-			Window:           c.OverloadWindow,
-			ClockSkew:        f.Assignment.ClockSkew,
-		},
-	}
-	if p.warmRate == 0 {
-		p.warmRate = s.balancer.MinCoreRate()
+	state := &assignmentState{config: f.Assignment, warmRate: f.Assignment.WarmRate, rule: s.tokenRule()}
+	if state.warmRate == 0 {
+		state.warmRate = s.balancer.MinCoreRate()
 	}
-	if !p.rule.Usable() {
-		s.log.Warn().Dur(fieldOverloadWindow, c.OverloadWindow).Dur(fieldClockSkew, f.Assignment.ClockSkew).
-			Float64(fieldSlowStartFraction, c.SlowStartFraction).
+	if !state.rule.Usable() {
+		s.log.Warn().Dur(fieldOverloadWindow, state.rule.Window).Dur(fieldClockSkew, state.rule.ClockSkew).
+			Float64(fieldSlowStartFraction, state.rule.InitialFraction).
 			Msg("assignment: no slow-start tokens can be given, new endpoints wait until they are warm")
 	}
 	var seeds []assignment.Gateway // of unknown zone, which is the same to all
@@ -97,26 +86,38 @@
 		}
 	}
 	rule := assignment.Rule{
-		Users:          float64(p.config.Users),
-		MaxUsers:       p.config.MaxUsers,
-		MinEndpoints:   p.config.MinEndpoints,
-		RemoteZoneOdds: p.config.RemoteZoneOdds,
+		Users:          float64(state.config.Users),
+		MaxUsers:       state.config.MaxUsers,
+		MinEndpoints:   state.config.MinEndpoints,
+		RemoteZoneOdds: state.config.RemoteZoneOdds,
 	}
-	p.tracker = assignment.NewTracker(rule, f.Name, viewPropagation, seeds)
-	p.owners = tokenschedule.NewOwners(p.config.Users, viewConvergence)
+	state.tracker = assignment.NewTracker(rule, f.Name, viewPropagation, seeds)
+	state.owners = tokenschedule.NewOwners(state.config.Users, viewConvergence)
 	start := s.now
 	if s.restart.predecessor != nil {
-		start += p.rule.ValidFor() // the predecessor takes tokens until it hears that this process serves
+		start += state.rule.ValidFor() // the predecessor takes tokens until it hears that this process serves
 	}
-	p.taker = tokenschedule.NewTaker(p.rule, f.Name, start)
+	state.taker = tokenschedule.NewTaker(state.rule, f.Name, start)
 	// This gateway's own configuration is agreed on until others are heard.
-	p.agreedSince, p.endpointsChanged = s.now-viewConvergence, true
-	s.state = p
+	state.agreedSince, state.endpointsChanged = s.now-viewConvergence, true
+	s.state = state
 	s.updateConfigHash()
 	s.balancer.AssignEndpoints(s.now, nil)
 	s.notified = true
 }
 
+// tokenRule is the rule by which slow-start tokens are scheduled, the same on all gateways of one configuration.
+func (s *subsetAssignment) tokenRule() tokenschedule.Rule {
+	c := &s.cfg.Settings.Config
+	return tokenschedule.Rule{
+		InitialFraction:  c.SlowStartFraction,
+		Duration:         c.SlowStartDuration,
+		OverloadMultiple: c.OverloadMultiple,
+		Window:           c.OverloadWindow,
+		ClockSkew:        s.cfg.Gossip.Assignment.ClockSkew,
+	}
+}
+
 // end is called as this process leaves the cluster. The endpoints in use stay; tokens are others' or
 // nobody's.
 func (s *subsetAssignment) end() { s.state = nil }
@@ -140,21 +141,21 @@
 
 // updateConfigHash hashes the configuration on which slow-start tokens rest.
 func (s *subsetAssignment) updateConfigHash() {
-	p := s.state
-	if p == nil {
+	state := s.state
+	if state == nil {
 		return
 	}
 	h := xxh3.New()
-	fmt.Fprintf(h, "%s %v %d", p.rule.Canonical(), p.warmRate, p.config.Users) // a hash never fails
+	fmt.Fprintf(h, "%s %v %d", state.rule.Canonical(), state.warmRate, state.config.Users) // a hash never fails
 	for _, name := range s.seedNames() {
 		_, _ = h.Write(binary.AppendUvarint(nil, uint64(len(name))))
 		_, _ = h.WriteString(name)
 	}
 	sum := uint32(h.Sum64())
-	if p.configHash != 0 && sum != p.configHash {
-		p.agreedSince = 0 // the others have another file, or will have this one in a moment
+	if state.configHash != 0 && sum != state.configHash {
+		state.agreedSince = 0 // the others have another file, or will have this one in a moment
 	}
-	p.configHash = sum
+	state.configHash = sum
 }
 
 // update follows the view and the endpoint list, with every sample of the balancer.
@@ -185,19 +186,19 @@
 
 // updateDue reports whether anything has changed since the last update on which an assignment rests.
 func (s *subsetAssignment) updateDue(st membership.Status) bool {
-	p := s.state
-	due, timed := p.tracker.Due()
-	warm := slices.ContainsFunc(p.warming, func(e warmingEndpoint) bool {
-		return s.now >= e.StartedAt+p.rule.Duration
+	state := s.state
+	due, timed := state.tracker.Due()
+	warm := slices.ContainsFunc(state.warming, func(e warmingEndpoint) bool {
+		return s.now >= e.StartedAt+state.rule.Duration
 	})
-	viewChanged := (st.Version != p.version || p.agreedSince == 0) && s.now-p.updatedAt >= updateInterval
-	if !viewChanged && !p.endpointsChanged && !warm && st.Settled == p.settled && !(timed && s.now >= due) {
+	viewChanged := (st.Version != state.version || state.agreedSince == 0) && s.now-state.updatedAt >= updateInterval
+	if !viewChanged && !state.endpointsChanged && !warm && st.Settled == state.settled && !(timed && s.now >= due) {
 		return false
 	}
 	if viewChanged {
-		p.updatedAt = s.now
+		state.updatedAt = s.now
 	}
-	p.version, p.settled, p.endpointsChanged = st.Version, st.Settled, false
+	state.version, state.settled, state.endpointsChanged = st.Version, st.Settled, false
 	return true
 }
 
@@ -216,17 +217,17 @@
 // updateEndpoints returns the warm endpoints, which are divided among the gateways, and notes those in slow
 // start for which this gateway may own tokens.
 func (s *subsetAssignment) updateEndpoints() []assignment.Endpoint {
-	p := s.state
+	state := s.state
 	var endpoints []assignment.Endpoint
-	p.warming = p.warming[:0]
+	state.warming = state.warming[:0]
 	for _, h := range s.discovery.endpoints.All() {
 		switch {
 		case h.State != balancer.EndpointReady:
 		case s.warmingUp(h):
-			slot := tokenschedule.Endpoint{ID: uint64(h.ID), StartedAt: h.StartedAt, Capacity: p.warmRate}
-			d := p.owners.Divisions(s.now, slot.ID)
+			slot := tokenschedule.Endpoint{ID: uint64(h.ID), StartedAt: h.StartedAt, Capacity: state.warmRate}
+			d := state.owners.Divisions(s.now, slot.ID)
 			if len(d) > 0 && tokenschedule.Share(d[len(d)-1], s.cfg.Gossip.Name) > 0 {
-				p.warming = append(p.warming, warmingEndpoint{Endpoint: slot})
+				state.warming = append(state.warming, warmingEndpoint{Endpoint: slot})
 			}
 		default:
 			e := assignment.Endpoint{ID: uint64(h.ID), Capacity: h.Capacity, Zone: h.Zone}
@@ -238,8 +239,8 @@
 		h := s.discovery.endpoints.Find(balancer.EndpointID(id))
 		return h != nil && s.warmingUp(h)
 	}
-	p.taker.Forget(inSlowStart)
-	p.owners.Forget(inSlowStart)
+	state.taker.Forget(inSlowStart)
+	state.owners.Forget(inSlowStart)
 	return endpoints
 }
 
@@ -257,7 +258,7 @@
 
 // apply tells the balancer which endpoints are this gateway's, if that has changed.
 func (s *subsetAssignment) apply(suspected map[uint32]bool) {
-	p := s.state
+	state := s.state
 	var assigned []balancer.AssignedEndpoint
 	add := func(id uint64, weight, share float64) {
 		assigned = append(assigned, balancer.AssignedEndpoint{
@@ -265,7 +266,7 @@
 			SuspectedByPeers: suspected[loadreport.EndpointHash(id)],
 		})
 	}
-	if uses := p.tracker.Assigned(); len(p.tracker.Gateways()) > 0 {
+	if uses := state.tracker.Assigned(); len(state.tracker.Gateways()) > 0 {
 		mean := 1.0
 		if len(uses) > 0 {
 			mean = 1 / float64(len(uses))
@@ -273,16 +274,16 @@
 		for _, u := range uses {
 			add(u.Endpoint, u.Weight, u.Share)
 		}
-		for _, c := range p.warming {
-			d := p.owners.Divisions(s.now, c.ID)
+		for _, c := range state.warming {
+			d := state.owners.Divisions(s.now, c.ID)
 			add(c.ID, mean, tokenschedule.Share(d[len(d)-1], s.cfg.Gossip.Name))
 		}
-		for _, id := range p.tracker.Spares(s.cfg.Settings.Config.Zone) {
+		for _, id := range state.tracker.Spares(s.cfg.Settings.Config.Zone) {
 			add(id, mean, 0)
 		}
 	}
-	if !slices.Equal(assigned, p.assigned) {
-		p.assigned = assigned
+	if !slices.Equal(assigned, state.assigned) {
+		state.assigned = assigned
 		s.balancer.AssignEndpoints(s.now, assigned)
 		s.notified = true
 	}
@@ -290,20 +291,20 @@
 
 // report is what /ops/fleet says of the assignment, nil where there is none.
 func (s *subsetAssignment) report() *admin.Assignment {
-	p := s.state
-	if p == nil {
+	state := s.state
+	if state == nil {
 		return nil
 	}
 	out := &admin.Assignment{
-		Stage:        p.tracker.Stage().String(),
-		Gateways:     len(p.tracker.Gateways()),
-		RelativeLoad: p.tracker.RelativeLoad(),
-		Tokens:       p.tokens,
+		Stage:        state.tracker.Stage().String(),
+		Gateways:     len(state.tracker.Gateways()),
+		RelativeLoad: state.tracker.RelativeLoad(),
+		Tokens:       state.tokens,
 		TokensActive: s.agreed(),
 		Demand:       s.balancer.LoadReport(s.now).Demand,
 		Hosts:        []admin.AssignedEndpoint{},
 	}
-	for _, endpoint := range p.assigned {
+	for _, endpoint := range state.assigned {
 		if endpoint.Share == 0 {
 			out.Spares++
 			continue
--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -61,28 +61,28 @@
 // every few milliseconds while requests are queued, so no timer is needed. After a change of the endpoint
 // list it waits for the next update: an endpoint that has started anew has other tokens.
 func (s *subsetAssignment) grantTokens() {
-	p := s.state
-	if p == nil || s.cluster.membership == nil || p.endpointsChanged || !s.agreed() || !p.rule.Usable() {
+	state := s.state
+	if state == nil || s.cluster.membership == nil || state.endpointsChanged || !s.agreed() || !state.rule.Usable() {
 		return
 	}
-	if s.cfg.Gossip.Flat && p.tracker.Stage() == assignment.Waiting {
+	if s.cfg.Gossip.Flat && state.tracker.Stage() == assignment.Waiting {
 		return
 	}
-	for i := range p.warming {
-		c := &p.warming[i]
-		if s.now < c.nextLook || s.now >= c.StartedAt+p.rule.Duration {
+	for i := range state.warming {
+		c := &state.warming[i]
+		if s.now < c.nextLook || s.now >= c.StartedAt+state.rule.Duration {
 			continue
 		}
-		divisions := p.owners.Divisions(s.now, c.ID)
+		divisions := state.owners.Divisions(s.now, c.ID)
 		for {
-			until, ok := p.taker.Take(s.now, c.Endpoint, divisions...)
+			until, ok := state.taker.Take(s.now, c.Endpoint, divisions...)
 			if !ok {
 				break
 			}
-			p.tokens++
+			state.tokens++
 			s.balancer.GrantSlowStartToken(s.now, balancer.EndpointID(c.ID), until)
 		}
-		if c.nextLook, _ = p.taker.Next(s.now, c.Endpoint, tokenLookahead, divisions...); c.nextLook == 0 {
+		if c.nextLook, _ = state.taker.Next(s.now, c.Endpoint, tokenLookahead, divisions...); c.nextLook == 0 {
 			c.nextLook = s.now + tokenLookahead
 		}
 	}
