--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/discovery_watch_test.go
@@ -9,8 +9,7 @@
 	"thymebend/internal/loop"
 )
 
-// silentFor lets time pass until the watch on a connection has ended or another call was made beside it, and returns how long
-// that took.
+// silentFor lets time pass until a watch has ended or was polled beside, and returns how long that took.
 func (r *rig) silentFor(watch loop.Conn, most time.Duration) time.Duration {
 	r.t.Helper()
 	from := r.now
@@ -20,17 +19,19 @@
 	return r.now - from
 }
 
-// Bytes that are no whole line do not put off the moment at which a watch counts as silent: what discovery has to tell counts as
-// told 6 s later whether or not it arrived.
-func TestPartOfALineIsNoBeat(t *testing.T) {
+// Guards against bytes that are no complete line and put off the moment at which a watch counts as silent.
+func TestPartOfALineIsNoHeartbeat(t *testing.T) {
 	for name, c := range map[string]struct {
 		started bool
 		pieces  []string
 		most    time.Duration
 	}{
-		"of a watch that stands":         {true, []string{"40\r\n{\"seq\"", ":2,", "\"whole\""}, discovery.HeartbeatTimeout},
-		"of the first answer":            {false, []string{"HTTP/1.1 200 OK\r\n", "Transfer-Encoding: chunked\r\n\r\n", "40\r\n{\"seq\""}, discovery.AnswerTimeout},
-		"of the first answer, a headful": {false, []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"}, discovery.AnswerTimeout},
+		"of a watch that stands": {true, []string{"40\r\n{\"seq\"", ":2,", "\"whole\""},
+			discovery.HeartbeatTimeout},
+		"of the first answer": {false, []string{"HTTP/1.1 200 OK\r\n",
+			"Transfer-Encoding: chunked\r\n\r\n", "40\r\n{\"seq\""}, discovery.AnswerTimeout},
+		"of the first answer, a headful": {false,
+			[]string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"}, discovery.AnswerTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
@@ -55,8 +56,8 @@
 	}
 }
 
-// A long list that goes on coming is no silence.
-func TestALongLineIsWaitedFor(t *testing.T) {
+// Guards against giving up a watch on which a long list still comes.
+func TestLongLineIsWaitedFor(t *testing.T) {
 	r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
 	w := r.watch()
 	r.line(w, object(1, false))
@@ -70,20 +71,21 @@
 	}
 }
 
-// A call beside the standing watch that ends, after a reload to another address and back, does not put off the moment at which
-// the watch counts as silent.
-func TestAnEndedCallIsNoBeat(t *testing.T) {
+// Guards against a poll beside the current watch whose end puts off the moment at which the watch counts as
+// silent.
+func TestEndedPollIsNoHeartbeat(t *testing.T) {
 	r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
 	w := r.watch()
 	r.line(w, object(1, false))
 	from := r.now
 	for _, at := range []string{"10.9.0.2:80", discoveryAddr} {
 		r.step(loop.Event{Kind: loop.Reload})
-		r.step(loop.Event{Kind: loop.File, Data: rigConfig(t, "subscribe", object(1, true, entry(1, "up", 0)), at)})
+		r.step(loop.Event{Kind: loop.File, Data: rigConfig(t, "subscribe",
+			object(1, true, entry(1, "up", 0)), at)})
 	}
 	beside := r.g.discovery.replacement
 	if beside == nil || r.closed[w] {
-		t.Fatal("no call beside the standing watch")
+		t.Fatal("no poll beside the current watch")
 	}
 	r.pass(2 * time.Second)
 	if r.g.discovery.replacement == beside {
--- a/internal/gateway/trace_test.go
+++ b/internal/gateway/logging_test.go
@@ -9,20 +9,22 @@
 	"thymebend/internal/loop"
 )
 
-// Every request, refusal and close can be followed by its id, its connection and a reason, in the log and in the figures.
+// Guards against a request, rejection or close that cannot be followed by its id, its connection and a
+// reason.
 func TestReasonsAreLoggedAndCounted(t *testing.T) {
 	r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
 	r.g.log = zerolog.New(&r.log).Level(zerolog.DebugLevel)
 	r.request(0, 0)
 	r.turn()
-	host := r.connecting(hostAddr(1))
+	host := r.connecting(endpointAddr(1))
 	r.connected(host)
 	r.answer(host, "500 Bad")
 	r.turn()
 	r.step(loop.Event{Kind: loop.Accepted, Conn: r.clients + 1, Via: loop.Listener})
 	r.step(loop.Event{Kind: loop.Data, Conn: r.clients + 1, Data: []byte("GET /vi")})
 	r.step(loop.Event{Kind: loop.EOF, Conn: r.clients + 1})
-	for _, want := range []string{`"message":"downstream connection accepted"`, `"message":"request begins to come"`,
+	for _, want := range []string{`"message":"downstream connection accepted"`,
+		`"message":"request begins to come"`,
 		`"id":"0000000000000001","class":"view"`, `"attempt":0`, `"end":"faulty"`,
 		`"end":"client gone","requests":0,"partly_read":true`} {
 		if !strings.Contains(r.log.String(), want) {
@@ -35,13 +37,13 @@
 	}
 }
 
-// What the gateway refuses by itself is counted with the reason.
-func TestRefusalsAreCountedByReason(t *testing.T) {
+// Guards against a rejection by the gateway itself that is missing in the figures.
+func TestRejectionsAreCountedByReason(t *testing.T) {
 	r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
 	r.g.cfg.Settings.Gateway.MaxUpstreamConns = 1
 	r.request(0, 0)
 	r.request(0, 0)
 	if f := r.g.admin.statsReport(); f.Rejections["too many open"] != 1 {
-		t.Errorf("refusals %v", f.Rejections)
+		t.Errorf("rejections %v", f.Rejections)
 	}
 }
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -10,13 +10,13 @@
 	"thymebend/internal/loop"
 )
 
-// largeAnswer plays a host's large answer whose client takes nothing, until as much of it has been read as the gateway reads. It
-// returns the two connections and what was left unread.
-func (r *rig) largeAnswer(head string, size int) (client, host loop.Conn, unread int) {
+// largeResponse plays a large response whose client reads nothing, until the gateway reads no further. It
+// returns the two connections and how many bytes are unread.
+func (r *rig) largeResponse(head string, size int) (client, host loop.Conn, unread int) {
 	r.t.Helper()
 	r.request(0, 0)
 	r.turn()
-	client, host = r.clients, r.connecting(hostAddr(1))
+	client, host = r.clients, r.connecting(endpointAddr(1))
 	r.connected(host)
 	r.step(loop.Event{Kind: loop.Flushed, Conn: host})
 	data := []byte("HTTP/1.1 200 OK\r\n" + head + "\r\n\r\n" + strings.Repeat("x", size))
@@ -49,9 +49,9 @@
 	return bytes.Count(body, []byte("x"))
 }
 
-// An answer that its host has given whole reaches its client, though the host's machine resets the connection before the client has
-// taken it. One that is cut shows as no whole answer, and an answer with no length ends with the end alone.
-func TestAnswersWhoseHostResetsSoonAfter(t *testing.T) {
+// Guards against losing the end of a complete response whose endpoint resets, and against passing a cut one
+// for complete.
+func TestResponseWhoseEndpointResetsSoonAfter(t *testing.T) {
 	const size = 190_598
 	reset := loop.Event{Kind: loop.Broken, Err: errors.New("connection reset by peer")}
 	end := loop.Event{Kind: loop.EOF}
@@ -70,9 +70,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
-			client, host, unread := r.largeAnswer(c.head, size)
+			client, host, unread := r.largeResponse(c.head, size)
 			if unread > 0 {
-				t.Fatalf("%d bytes are left with the host's machine", unread)
+				t.Fatalf("%d bytes are left with the endpoint", unread)
 			}
 			c.event.Conn = host
 			r.step(c.event)
@@ -81,19 +81,21 @@
 				t.Errorf("%d of %d bytes, whole %v, want %v", got, size, whole, c.whole)
 			}
 			if r.g.relays.buffered != 0 || len(r.g.relays.byConn) != 0 {
-				t.Errorf("%d bytes still count as read ahead, %d relays", r.g.relays.buffered, len(r.g.relays.byConn))
+				t.Errorf("%d bytes still count as read ahead, %d relays", r.g.relays.buffered,
+					len(r.g.relays.byConn))
 			}
 		})
 	}
 }
 
-// What is read ahead is bounded for each answer and for all together.
-func TestReadingAheadIsBounded(t *testing.T) {
+// Guards against memory that grows with clients that do not read: read-ahead is bounded for each response and
+// in all.
+func TestReadAheadIsBounded(t *testing.T) {
 	r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
 	for range 30 {
-		_, _, unread := r.largeAnswer("Content-Length: 4000000", 4_000_000)
+		_, _, unread := r.largeResponse("Content-Length: 4000000", 4_000_000)
 		if read := 4_000_000 - unread; read > maxRelayBuffer+3*loop.ReadSize {
-			t.Fatalf("%d bytes of one answer were read", read)
+			t.Fatalf("%d bytes of one response were read", read)
 		}
 		if r.g.relays.buffered > maxTotalRelayBuffer+loop.ReadSize {
 			t.Fatalf("%d bytes are read ahead", r.g.relays.buffered)
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -35,7 +35,7 @@
 	asked   int // requests
 }
 
-// newRig starts a gateway that asks for its list, or has it pushed, with a list from its configuration.
+// newRig starts a gateway that polls its list, or has it pushed, with a list from its configuration.
 func newRig(t testing.TB, mode, known string) *rig {
 	t.Helper()
 	raw := rigConfig(t, mode, known, discoveryAddr)
@@ -54,7 +54,8 @@
 // rigConfig is the configuration file of a rig.
 func rigConfig(t testing.TB, mode, known, discovery string) []byte {
 	t.Helper()
-	raw, err := json.Marshal(map[string]any{"name": "g", "listen": "10.1.0.1:8443", "discovery": discovery, "seed": "1",
+	raw, err := json.Marshal(map[string]any{"name": "g", "listen": "10.1.0.1:8443", "discovery": discovery,
+		"seed":   "1",
 		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256}, "known": json.RawMessage(known),
 		"settings": json.RawMessage(`{"balancers":1,"rank":0,"zone":0,"zones":["a"],"tick_ms":5,"registry_mode":"` + mode + `",
 		"bounds":{"connect_timeout_ms":250,"most_tries":4},"classes":[
@@ -94,7 +95,7 @@
 	return last
 }
 
-// connecting is the connection that an attempt to a host waits for.
+// connecting is the connection that an attempt at an endpoint waits for.
 func (r *rig) connecting(addr string) loop.Conn {
 	r.t.Helper()
 	c := r.to(addr)
@@ -109,10 +110,11 @@
 	r.t.Helper()
 	c := r.to(discoveryAddr)
 	if c == 0 {
-		r.t.Fatal("discovery is not called")
+		r.t.Fatal("discovery is not polled")
 	}
 	r.step(loop.Event{Kind: loop.Connected, Conn: c})
-	r.step(loop.Event{Kind: loop.Data, Conn: c, Data: []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")})
+	r.step(loop.Event{Kind: loop.Data, Conn: c,
+		Data: []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")})
 	return c
 }
 
@@ -143,10 +145,11 @@
 // connected brings a connection up.
 func (r *rig) connected(c loop.Conn) { r.step(loop.Event{Kind: loop.Connected, Conn: c}) }
 
-// answer has a host take the request on a connection and answer it.
+// answer has an endpoint take the request on a connection and answer it.
 func (r *rig) answer(c loop.Conn, head string) {
 	r.step(loop.Event{Kind: loop.Flushed, Conn: c})
-	r.step(loop.Event{Kind: loop.Data, Conn: c, Data: []byte("HTTP/1.1 " + head + "\r\nContent-Length: 0\r\n\r\n")})
+	r.step(loop.Event{Kind: loop.Data, Conn: c,
+		Data: []byte("HTTP/1.1 " + head + "\r\nContent-Length: 0\r\n\r\n")})
 }
 
 // requests is how many requests were begun to be written to an address.
@@ -159,12 +162,13 @@
 	return n
 }
 
-// entry is one entry of a list, of a host at 10.0.0.N:80.
+// entry is one entry of a list, of an endpoint at 10.0.0.N:80.
 func entry(n int, health string, born int) string {
-	return fmt.Sprintf(`{"host":"s-%d","dial":"%s","site":"a","block":1,"health":%q,"share":1,"born_ms":%d}`, n, hostAddr(n), health, born)
+	return fmt.Sprintf(`{"host":"s-%d","dial":"%s","site":"a","block":1,"health":%q,"share":1,"born_ms":%d}`,
+		n, endpointAddr(n), health, born)
 }
 
-func hostAddr(n int) string { return fmt.Sprintf("10.0.%d.%d:80", n/250, n%250+1) }
+func endpointAddr(n int) string { return fmt.Sprintf("10.0.%d.%d:80", n/250, n%250+1) }
 
 func object(seq int, whole bool, entries ...string) string {
 	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, whole, strings.Join(entries, ","))
@@ -174,7 +178,8 @@
 func (r *rig) pass(d time.Duration) {
 	for until := r.now + d; r.now < until; {
 		r.now += 5 * time.Millisecond
-		for _, key := range slices.SortedFunc(maps.Keys(r.timers), func(a, b loop.Timer) int { return cmp.Compare(r.timers[a], r.timers[b]) }) {
+		for _, key := range slices.SortedFunc(maps.Keys(r.timers),
+			func(a, b loop.Timer) int { return cmp.Compare(r.timers[a], r.timers[b]) }) {
 			if at, set := r.timers[key]; set && at <= r.now {
 				delete(r.timers, key)
 				r.step(loop.Event{Kind: loop.TimerDue, Timer: key})
@@ -184,7 +189,7 @@
 	}
 }
 
-// stateMessage is what an elder gives a newcomer, with its list.
+// stateMessage is what a predecessor gives its successor, with its list.
 func stateMessage(list string) hotrestart.Message {
 	return hotrestart.Message{Kind: hotrestart.State, List: json.RawMessage(list)}
 }
