--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -38,7 +38,7 @@
 
 // Reject implements balancer.Actions. A rejection goes out at once.
 func (a *balancerActions) Reject(id balancer.RequestID, after time.Duration) {
-	if req := a.requests.byID[id]; req != nil && !req.done && !a.invariants.MayPromise(&req.invariants) {
+	if req := a.requests.byID[id]; req != nil && !req.done && !a.invariants.AllowReject(&req.invariants) {
 		a.Fail(id)
 		return
 	}
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -186,7 +186,7 @@
 	delete(a.byID, att.id)
 	req := att.request
 	if outcome, _ := end.outcome(); att.invariantIndex != notWritten {
-		req.invariants.Ended(att.invariantIndex, outcome.NeverRan())
+		req.invariants.AttemptEnded(att.invariantIndex, outcome.NeverRan())
 	}
 	if req.upload != nil {
 		req.upload.attempt, req.upload.writing = nil, false
--- a/internal/gateway/downstream_timeouts.go
+++ b/internal/gateway/downstream_timeouts.go
@@ -54,7 +54,7 @@
 // the middle of a request and is waited for longer than it is owed an error.
 func (d *downstreamConns) setDeadline(conn *downstream.Conn, at time.Duration) {
 	if conn.Incomplete() {
-		at = d.invariants.AllowWait(at, lastProgress(conn), downstream.ErrorDeadline)
+		at = d.invariants.LimitWait(at, lastProgress(conn), downstream.ErrorDeadline)
 	}
 	conn.Timer = at
 	d.setTimer(timerDownstream, uint64(conn.ID), at)
@@ -75,13 +75,13 @@
 // in time. A final read is answered in the same round.
 func (d *downstreamConns) checkDeadline(conn *downstream.Conn) {
 	request := conn.Busy && conn.Request != 0 || conn.FinalRead
-	if !d.invariants.Timed(conn.Timer != 0, request) {
+	if !d.invariants.CheckDeadline(conn.Timer != 0, request) {
 		d.setDeadline(conn, d.now+downstream.RequestReadTimeout)
 	}
 	if conn.Timer == 0 || !conn.Incomplete() {
 		return
 	}
-	if at := d.invariants.AllowWait(conn.Timer, lastProgress(conn), downstream.ErrorDeadline); at < conn.Timer {
+	if at := d.invariants.LimitWait(conn.Timer, lastProgress(conn), downstream.ErrorDeadline); at < conn.Timer {
 		d.setDeadline(conn, at)
 	}
 }
@@ -104,7 +104,7 @@
 	if d.shutdown.stopping() {
 		until = min(until, d.shutdown.killAt-endBeforeKill)
 	}
-	return d.invariants.AllowWait(until, lastProgress(conn), downstream.ErrorDeadline)
+	return d.invariants.LimitWait(until, lastProgress(conn), downstream.ErrorDeadline)
 }
 
 // lingerDeadline is the time until which the end of a connection waits for its client's close.
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -31,7 +31,7 @@
 		}
 	case loop.Stale:
 		// Nothing was written: the endpoint closed this connection while it was idle. Another may serve.
-		att.request.invariants.Ended(att.invariantIndex, true)
+		att.request.invariants.AttemptEnded(att.invariantIndex, true)
 		att.invariantIndex = notWritten
 		a.dropConn(conn, ReasonIdleTimeout)
 		a.start(att)
