--- /dev/null
+++ b/internal/balancer/report_test.go
@@ -0,0 +1,33 @@
+package balancer
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// A load report tells the traffic, whatever the age of the process, and the ejected endpoints.
+func TestLoadReportIsWhatIsSeen(t *testing.T) {
+	r := newRig(t, testConfig(), warmEndpoints(3)...)
+	if r.b.LoadReport(r.now + time.Second).Known {
+		t.Error("a process of a second knows its traffic")
+	}
+	for seconds := range 40 {
+		r.play(RequestID(1+seconds*25), 25, fine) // 35 ms each: 28 a second
+		report := r.b.LoadReport(r.now)
+		if seconds >= 3 && (!report.Known || report.Demand < 24 || report.Demand > 33) {
+			t.Fatalf("after %d rounds: %+v, wanted 28 a second", seconds, report)
+		}
+	}
+	r.play(5000, 30, func(id EndpointID) Outcome {
+		if id == 2 {
+			return OutcomeError
+		}
+		return OutcomeOK
+	})
+	report := r.b.LoadReport(r.now)
+	if !slices.Equal(report.Ejected, []EndpointID{2}) || report.FreeCapacity <= 0 || report.FreeCapacity > 1 ||
+		report.Rejected > 0.2 {
+		t.Errorf("%+v", report)
+	}
+}
