--- a/internal/lab/drill/drill_test.go
+++ b/internal/lab/drill/drill_test.go
@@ -152,7 +152,7 @@
 	}
 	select {
 	case f := <-p.seen:
-		if f.Rule != membershipcheck.ThrownOut && f.Rule != membershipcheck.NotAgreed || !strings.Contains(f.Detail, "gateway-2") {
+		if f.Rule != membershipcheck.WronglyRemoved && f.Rule != membershipcheck.Diverged || !strings.Contains(f.Detail, "gateway-2") {
 			t.Errorf("%+v", f)
 		}
 	case <-p.done:
--- a/internal/lab/drill/expect.go
+++ b/internal/lab/drill/expect.go
@@ -12,7 +12,7 @@
 
 // expected returns what a scenario expects and nobody saw.
 func expected(h *membershipcheck.History, list []Expect) (found []requestrecord.Finding) {
-	looks := h.Looks()
+	looks := h.Observations()
 	for _, e := range list {
 		for _, by := range e.By {
 			at, to := e.At.Duration, e.At.Duration+e.Within.Duration
@@ -41,9 +41,9 @@
 }
 
 // lacks says in what a look is not what was expected, or nothing.
-func (e Expect) lacks(h *membershipcheck.History, l *membershipcheck.Look) string {
+func (e Expect) lacks(h *membershipcheck.History, l *membershipcheck.Observation) string {
 	for _, m := range e.Of {
-		if s := l.States[m].State; s != e.State && !(s == "" && e.State == "unknown") {
+		if s := l.Beliefs[m].State; s != e.State && !(s == "" && e.State == "unknown") {
 			return fmt.Sprintf("%s is %q, not %s", h.Name(m), s, e.State)
 		}
 	}
@@ -53,21 +53,21 @@
 		}
 		return ""
 	}
-	for _, text := range []string{flag("settled", e.Settled, l.Settled), flag("majority", e.Major, l.Majority), flag("twin", e.Twin, l.Twin)} {
+	for _, text := range []string{flag("settled", e.Settled, l.Settled), flag("majority", e.Major, l.Majority), flag("twin", e.Twin, l.DuplicateName)} {
 		if text != "" {
 			return text
 		}
 	}
 	if e.Portion != "" || e.Turns > 0 || e.Crowd > 0 {
-		switch p := l.Portion; {
+		switch p := l.Assignment; {
 		case p == nil:
 			return "it divides nothing"
 		case e.Portion != "" && p.Stage != e.Portion:
 			return fmt.Sprintf("its portion is %s, not %s", p.Stage, e.Portion)
-		case p.Turns < e.Turns:
-			return fmt.Sprintf("it has taken %d turns, not %d", p.Turns, e.Turns)
-		case e.Crowd > 0 && p.Crowd > e.Crowd:
-			return fmt.Sprintf("its division's crowd is %.2f, over %.2f", p.Crowd, e.Crowd)
+		case p.Tokens < e.Turns:
+			return fmt.Sprintf("it has taken %d turns, not %d", p.Tokens, e.Turns)
+		case e.Crowd > 0 && p.RelativeLoad > e.Crowd:
+			return fmt.Sprintf("its division's crowd is %.2f, over %.2f", p.RelativeLoad, e.Crowd)
 		}
 	}
 	if e.Alive > 0 && l.Alive != e.Alive {
--- a/internal/lab/drill/expect_test.go
+++ b/internal/lab/drill/expect_test.go
@@ -9,16 +9,16 @@
 )
 
 // told is a history of four gateways with a look each second at views that are the truth but for what edit makes of them.
-func told(edit func(l *membershipcheck.Look)) *membershipcheck.History {
+func told(edit func(l *membershipcheck.Observation)) *membershipcheck.History {
 	h := membershipcheck.NewHistory([]string{"gateway-0", "gateway-1", "gateway-2", "gateway-3"})
 	for at := time.Second; at <= 20*time.Second; at += time.Second {
 		for g := range 4 {
-			l := membershipcheck.Look{At: at, Gateway: g, PID: 100 + g, Speaking: true, Settled: true, Majority: true, Alive: 4}
+			l := membershipcheck.Observation{At: at, Gateway: g, PID: 100 + g, Speaking: true, Settled: true, Majority: true, Alive: 4}
 			for range 4 {
-				l.States = append(l.States, membershipcheck.Held{State: "alive", Start: 1, Incarnation: 1})
+				l.Beliefs = append(l.Beliefs, membershipcheck.Belief{State: "alive", Start: 1, Incarnation: 1})
 			}
 			edit(&l)
-			h.Looked(l)
+			h.Observe(l)
 		}
 	}
 	return h
@@ -27,10 +27,10 @@
 // What a scenario expects has to be seen by each that it names, within the stated time.
 func TestExpectations(t *testing.T) {
 	no, yes := false, true
-	h := told(func(l *membershipcheck.Look) {
+	h := told(func(l *membershipcheck.Observation) {
 		switch {
 		case l.Gateway == 1 && l.At >= 10*time.Second && l.At <= 12*time.Second:
-			l.States[3].State = "gone"
+			l.Beliefs[3].State = "gone"
 		case l.Gateway == 2 && l.At >= 10*time.Second:
 			l.Settled, l.Alive = false, 3
 		}
--- a/internal/lab/drill/faults.go
+++ b/internal/lab/drill/faults.go
@@ -176,11 +176,11 @@
 	s := syscall.SIGCONT
 	if on {
 		s = syscall.SIGSTOP
-		r.history.Halted(g, r.now(), true)
+		r.history.Stopped(g, r.now(), true)
 	}
 	err := r.run.Signal(g, s)
 	if !on {
-		r.history.Halted(g, r.now(), false)
+		r.history.Stopped(g, r.now(), false)
 	}
 	return err
 }
@@ -208,8 +208,8 @@
 const slice = 40 * time.Millisecond
 
 func slowGateway(ctx context.Context, r *rig, f *Fault, g int) error {
-	r.history.Halted(g, r.now(), true)
-	defer func() { r.history.Halted(g, r.now(), false) }()
+	r.history.Stopped(g, r.now(), true)
+	defer func() { r.history.Stopped(g, r.now(), false) }()
 	runs := time.Duration(f.Share * float64(slice))
 	for end := time.Now().Add(f.For.Duration); time.Now().Before(end); {
 		if err := r.run.Signal(g, syscall.SIGSTOP); err != nil {
--- a/internal/lab/drill/portions.go
+++ b/internal/lab/drill/portions.go
@@ -23,16 +23,16 @@
 )
 
 // portionOf takes a process's word on what it has of the hosts.
-func portionOf(p *admin.Assignment) *membershipcheck.Portion {
+func portionOf(p *admin.Assignment) *membershipcheck.Assignment {
 	if p == nil {
 		return nil
 	}
-	out := &membershipcheck.Portion{Stage: p.Stage, Turns: p.Tokens, Crowd: p.RelativeLoad, Parts: make(map[string]float64)}
+	out := &membershipcheck.Assignment{Stage: p.Stage, Tokens: p.Tokens, RelativeLoad: p.RelativeLoad, Shares: make(map[string]float64)}
 	for _, h := range p.Hosts {
 		if h.SlowStart {
-			out.Cold = append(out.Cold, h.Name)
+			out.SlowStart = append(out.SlowStart, h.Name)
 		} else {
-			out.Parts[h.Name] = h.Share
+			out.Shares[h.Name] = h.Share
 		}
 	}
 	return out
@@ -41,15 +41,15 @@
 // whole goes through all moments at which every gateway that looked lately went by a settled division, and had for a while: the
 // parts of each host add up to one.
 func whole(h *membershipcheck.History) (found []requestrecord.Finding) {
-	last := make(map[int]*membershipcheck.Look)
+	last := make(map[int]*membershipcheck.Observation)
 	var since time.Duration // all settled, and nobody's parts changed
 	told := make(map[string]bool)
-	looks := h.Looks()
+	looks := h.Observations()
 	for i := range looks {
 		l := &looks[i]
 		was := last[l.Gateway]
 		last[l.Gateway] = l
-		if l.Portion == nil || l.Portion.Stage != assignment.Settled.String() || was == nil || was.Portion == nil || !maps.Equal(was.Portion.Parts, l.Portion.Parts) {
+		if l.Assignment == nil || l.Assignment.Stage != assignment.Settled.String() || was == nil || was.Assignment == nil || !maps.Equal(was.Assignment.Shares, l.Assignment.Shares) {
 			since = l.At
 		}
 		sums, n := make(map[string]float64), 0
@@ -61,12 +61,12 @@
 				since = l.At
 				continue
 			}
-			if o.Portion == nil || o.Alive != l.Alive {
+			if o.Assignment == nil || o.Alive != l.Alive {
 				since = l.At
 				continue
 			}
 			n++
-			for host, part := range o.Portion.Parts {
+			for host, part := range o.Assignment.Shares {
 				sums[host] += part
 			}
 		}
--- a/internal/lab/drill/portions_test.go
+++ b/internal/lab/drill/portions_test.go
@@ -11,15 +11,15 @@
 )
 
 // divided is a history of three gateways that divide two hosts, but for what edit makes of a look.
-func divided(edit func(l *membershipcheck.Look)) *membershipcheck.History {
+func divided(edit func(l *membershipcheck.Observation)) *membershipcheck.History {
 	h := membershipcheck.NewHistory([]string{"gateway-0", "gateway-1", "gateway-2"})
 	parts := map[string]float64{"h-0": 1.0 / 3, "h-1": 1.0 / 3}
 	for at := 100 * time.Millisecond; at <= 10*time.Second; at += 100 * time.Millisecond {
 		for g := range 3 {
-			l := membershipcheck.Look{At: at, Gateway: g, PID: 100 + g, Speaking: true, Settled: true, Alive: 3, States: make([]membershipcheck.Held, 3),
-				Portion: &membershipcheck.Portion{Stage: "settled", Parts: maps.Clone(parts), Turns: 4, Crowd: 1.1}}
+			l := membershipcheck.Observation{At: at, Gateway: g, PID: 100 + g, Speaking: true, Settled: true, Alive: 3, Beliefs: make([]membershipcheck.Belief, 3),
+				Assignment: &membershipcheck.Assignment{Stage: "settled", Shares: maps.Clone(parts), Tokens: 4, RelativeLoad: 1.1}}
 			edit(&l)
-			h.Looked(l)
+			h.Observe(l)
 		}
 	}
 	return h
@@ -27,40 +27,40 @@
 
 // A host that settled gateways give away twice, or to nobody, is found; one whose division changes, or of which not all have told, is not.
 func TestPortionsAreHeldAgainstEachOther(t *testing.T) {
-	from := func(seconds float64, l *membershipcheck.Look) bool { return l.At.Seconds() >= seconds }
+	from := func(seconds float64, l *membershipcheck.Observation) bool { return l.At.Seconds() >= seconds }
 	for name, c := range map[string]struct {
-		edit func(l *membershipcheck.Look)
+		edit func(l *membershipcheck.Observation)
 		want string
 	}{
-		"all is well": {func(*membershipcheck.Look) {}, ""},
-		"twice": {func(l *membershipcheck.Look) {
+		"all is well": {func(*membershipcheck.Observation) {}, ""},
+		"twice": {func(l *membershipcheck.Observation) {
 			if l.Gateway == 1 && from(4, l) {
-				l.Portion.Parts["h-1"] = 1
+				l.Assignment.Shares["h-1"] = 1
 			}
 		}, "h-1: 1.667"},
-		"nobody's third": {func(l *membershipcheck.Look) {
+		"nobody's third": {func(l *membershipcheck.Observation) {
 			if l.Gateway == 1 && from(4, l) {
-				delete(l.Portion.Parts, "h-0")
+				delete(l.Assignment.Shares, "h-0")
 			}
 		}, "h-0: 0.667"},
-		"for a moment": {func(l *membershipcheck.Look) {
+		"for a moment": {func(l *membershipcheck.Observation) {
 			if l.Gateway == 1 && from(4, l) && !from(5.5, l) {
-				l.Portion.Parts["h-1"] = 1
+				l.Assignment.Shares["h-1"] = 1
 			}
 		}, ""},
-		"while it changes": {func(l *membershipcheck.Look) {
+		"while it changes": {func(l *membershipcheck.Observation) {
 			if l.Gateway == 1 && from(4, l) {
-				l.Portion.Parts["h-1"], l.Portion.Stage = 1, "changing"
+				l.Assignment.Shares["h-1"], l.Assignment.Stage = 1, "changing"
 			}
 		}, ""},
-		"one does not tell": {func(l *membershipcheck.Look) {
+		"one does not tell": {func(l *membershipcheck.Observation) {
 			if l.Gateway == 1 && from(4, l) {
-				l.Portion = nil
+				l.Assignment = nil
 			}
 		}, ""},
-		"views differ": {func(l *membershipcheck.Look) {
+		"views differ": {func(l *membershipcheck.Observation) {
 			if l.Gateway == 1 && from(4, l) {
-				l.Portion.Parts["h-1"], l.Alive = 1, 2
+				l.Assignment.Shares["h-1"], l.Alive = 1, 2
 			}
 		}, ""},
 	} {
@@ -77,9 +77,9 @@
 
 // What is expected of a portion has to be seen.
 func TestExpectationsOfPortions(t *testing.T) {
-	h := divided(func(l *membershipcheck.Look) {
+	h := divided(func(l *membershipcheck.Observation) {
 		if l.Gateway == 2 {
-			l.Portion = nil
+			l.Assignment = nil
 		}
 	})
 	for want, e := range map[string]Expect{
--- a/internal/lab/drill/rig.go
+++ b/internal/lab/drill/rig.go
@@ -75,7 +75,7 @@
 	}
 	r.history = membershipcheck.NewHistory(r.names)
 	if f.Fleet.Shares {
-		r.history.Tells()
+		r.history.ReportsLoad()
 	}
 	r.net = newNetwork(f.Network, rigAddress(dir, 1), seed, r.changed, r.shut)
 	// Dial by dial: a connection that rests would keep an operator's link of a gateway.
@@ -88,7 +88,7 @@
 		for a := range r.names {
 			for b := range r.names {
 				if a != b {
-					r.history.Path(a, b, membershipcheck.PathAt{At: -2 * time.Hour, Cut: bad.Delay.Duration+bad.Jitter.Duration > slowest, Loss: bad.Loss})
+					r.history.Path(a, b, membershipcheck.PathState{At: -2 * time.Hour, Cut: bad.Delay.Duration+bad.Jitter.Duration > slowest, Loss: bad.Loss})
 				}
 			}
 		}
@@ -323,20 +323,20 @@
 		if err != nil {
 			continue
 		}
-		l := membershipcheck.Look{At: at, Gateway: n, PID: pid, Speaking: v.Active, Joined: v.Joined, Settled: v.Settled, Majority: v.Majority, Twin: v.DuplicateName, Alive: v.Alive,
-			Sent: v.SentBytes, States: make([]membershipcheck.Held, len(r.names))}
+		l := membershipcheck.Observation{At: at, Gateway: n, PID: pid, Speaking: v.Active, Join: v.Joined, Settled: v.Settled, Majority: v.Majority, DuplicateName: v.DuplicateName, Alive: v.Alive,
+			Sent: v.SentBytes, Beliefs: make([]membershipcheck.Belief, len(r.names))}
 		for _, m := range v.Members {
 			i, ok := r.index[m.Name]
 			if !ok {
-				l.Strange++
+				l.Strangers++
 			} else {
-				l.States[i] = membershipcheck.Held{State: m.State, Start: m.Start, Incarnation: m.Incarnation, Since: at - time.Duration(m.SinceMS)*time.Millisecond,
+				l.Beliefs[i] = membershipcheck.Belief{State: m.State, Start: m.Start, Incarnation: m.Incarnation, Since: at - time.Duration(m.SinceMS)*time.Millisecond,
 					Previous: m.Previous, SuspectedBy: m.SuspectedBy}
 			}
 		}
-		l.Portion = portionOf(v.Assignment)
+		l.Assignment = portionOf(v.Assignment)
 		if v.Active && at >= 0 {
-			r.history.Looked(l)
+			r.history.Observe(l)
 		}
 	}
 }
@@ -366,7 +366,7 @@
 	bad := c.cut || c.stall
 	switch {
 	case fromGateway && toGateway:
-		r.history.Path(a, b, membershipcheck.PathAt{At: at, Cut: bad || c.Delay.Duration+c.Jitter.Duration > slowest, Loss: c.Loss})
+		r.history.Path(a, b, membershipcheck.PathState{At: at, Cut: bad || c.Delay.Duration+c.Jitter.Duration > slowest, Loss: c.Loss})
 	case from == experiment.NodeClients && toGateway:
 		r.excuse(b, at, bad || c.Delay.Duration > 0 || c.Loss > 0)
 	case to == experiment.NodeClients && fromGateway:
@@ -417,11 +417,11 @@
 		}
 	}
 	for _, e := range r.shuts { // the process was dead: its end is known a moment later
-		if e.gateway == n && t.Sent-began <= e.to+shutSpread && t.Ended-began >= e.from-shutSpread && r.history.Dead(n, e.to+shutSpread) {
+		if e.gateway == n && t.Sent-began <= e.to+shutSpread && t.Ended-began >= e.from-shutSpread && r.history.Absent(n, e.to+shutSpread) {
 			return true
 		}
 	}
-	return r.history.Over(n, t.Sent-began, t.Ended-began, excuseAfter)
+	return r.history.StoppedDuring(n, t.Sent-began, t.Ended-began, excuseAfter)
 }
 
 func (r *rig) began() time.Duration {
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -22,10 +22,10 @@
 // Result is a drill, as result.json holds it: an experiment's, and the views over time.
 type Result struct {
 	*experiment.Result
-	Names []string               `json:"gateway_names"`
-	Looks []membershipcheck.Look `json:"views"`
-	Lives []membershipcheck.Life `json:"processes"`
-	Paths []Carry                `json:"paths"`
+	Names []string                      `json:"gateway_names"`
+	Looks []membershipcheck.Observation `json:"views"`
+	Lives []membershipcheck.Process     `json:"processes"`
+	Paths []Carry                       `json:"paths"`
 }
 
 // Carry is what a path carried.
@@ -56,12 +56,12 @@
 			clear(open)
 		}
 		last = at
-		for m, s := range l.States {
+		for m, s := range l.Beliefs {
 			state := s.State
 			if m == gateway {
 				state = "self"
 				switch {
-				case l.Twin:
+				case l.DuplicateName:
 					state = "twin"
 				case !l.Settled:
 					state = "unsettled"
@@ -126,7 +126,7 @@
 // begin has the load's begin as the begin of time: what came before lies before it.
 func (r *rig) begin(run *experiment.Handles) {
 	r.run = run
-	r.history.Begin(time.Hour - run.Began)
+	r.history.Rebase(time.Hour - run.Began)
 	for n := range r.names {
 		r.known = append(r.known, run.Known(n))
 	}
@@ -171,7 +171,7 @@
 		if !experiment.Sleep(ctx, min(left, judgeEvery)) {
 			return
 		}
-		for _, f := range membershipcheck.Judge(r.history) {
+		for _, f := range membershipcheck.Check(r.history) {
 			if r.now()-f.At < settles {
 				continue // what was done just now may not be noted yet: it is judged again in a moment
 			}
@@ -206,10 +206,10 @@
 // conclude judges what was seen.
 func (res *Result) conclude(r *rig, f *File) {
 	h := r.history
-	found := append(membershipcheck.Judge(h), expected(h, f.Expect)...)
+	found := append(membershipcheck.Check(h), expected(h, f.Expect)...)
 	found = append(found, whole(h)...)
 	found = append(found, r.seen()...)
-	res.Looks, res.Lives = h.Looks(), h.Lives()
+	res.Looks, res.Lives = h.Observations(), h.Processes()
 	r.net.mu.Lock()
 	for _, w := range r.net.ways {
 		res.Paths = append(res.Paths, Carry{w.from, w.to, w.carried.Load(), w.lost.Load()})
--- a/internal/lab/simulation/beliefs.go
+++ b/internal/lab/simulation/beliefs.go
@@ -59,14 +59,14 @@
 	}
 	b.history = membershipcheck.NewHistory(b.names)
 	if w.plan.Shares {
-		b.history.Tells()
+		b.history.ReportsLoad()
 	}
 	w.net.LoseDatagrams, w.net.DoubleDatagrams = w.plan.LoseData, w.plan.DoubleData
 	w.net.CutDatagrams = func(from, to netip.AddrPort) bool { return b.cut(place4(from), place4(to)) }
 	if w.plan.LoseData > 0 {
 		for x := range b.names {
 			for y := range b.names {
-				b.history.Path(x, y, membershipcheck.PathAt{Loss: w.plan.LoseData})
+				b.history.Path(x, y, membershipcheck.PathState{Loss: w.plan.LoseData})
 			}
 		}
 	}
@@ -138,18 +138,18 @@
 				p.view, p.joined = v, p.joined+1
 			}
 			st := v.Status(b.w.sim.Now())
-			l := membershipcheck.Look{At: b.w.sim.Since(), Gateway: m.n, PID: p.pid, Speaking: true, Joined: p.joined, Settled: st.Settled, Majority: st.Majority, Twin: st.DuplicateName,
-				Alive: st.Alive, Sent: v.Counts().SentBytes, States: make([]membershipcheck.Held, len(b.names))}
+			l := membershipcheck.Observation{At: b.w.sim.Since(), Gateway: m.n, PID: p.pid, Speaking: true, Join: p.joined, Settled: st.Settled, Majority: st.Majority, DuplicateName: st.DuplicateName,
+				Alive: st.Alive, Sent: v.Counts().SentBytes, Beliefs: make([]membershipcheck.Belief, len(b.names))}
 			for _, o := range v.Members() {
 				i, ok := b.index[o.Name]
 				if !ok {
-					l.Strange++
+					l.Strangers++
 				} else {
-					l.States[i] = membershipcheck.Held{State: o.State.String(), Start: o.Start, Incarnation: o.Incarnation, Since: o.Since - epoch,
+					l.Beliefs[i] = membershipcheck.Belief{State: o.State.String(), Start: o.Start, Incarnation: o.Incarnation, Since: o.Since - epoch,
 						Previous: o.Previous.String(), SuspectedBy: o.SuspectedBy}
 				}
 			}
-			b.history.Looked(l)
+			b.history.Observe(l)
 			break
 		}
 	}
@@ -187,7 +187,7 @@
 	for x := range b.names {
 		for y := range b.names {
 			if is := b.cut(x, y); x != y && is != was[[2]int{x, y}] {
-				b.history.Path(x, y, membershipcheck.PathAt{At: b.w.sim.Since(), Cut: is, Loss: b.w.plan.LoseData})
+				b.history.Path(x, y, membershipcheck.PathState{At: b.w.sim.Since(), Cut: is, Loss: b.w.plan.LoseData})
 			}
 		}
 	}
@@ -197,12 +197,12 @@
 func (b *beliefs) halt(m *machine, length time.Duration) {
 	now := b.w.sim.Now()
 	m.halts = append(m.halts, [2]time.Duration{now, now + length})
-	b.history.Halted(m.n, b.w.sim.Since(), true)
+	b.history.Stopped(m.n, b.w.sim.Since(), true)
 	m.loop.Halt(length)
 	pid := m.process.pid
 	b.w.sim.After(length, func() {
 		if m.process.pid == pid {
-			b.history.Halted(m.n, b.w.sim.Since(), false)
+			b.history.Stopped(m.n, b.w.sim.Since(), false)
 		}
 	})
 }
@@ -210,7 +210,7 @@
 // judge finds the rules on views that were broken.
 func (b *beliefs) judge() {
 	b.done = true
-	for _, f := range membershipcheck.Judge(b.history) {
+	for _, f := range membershipcheck.Check(b.history) {
 		b.w.find(f.Rule, f.ID, "%s", f.Detail)
 	}
 }
--- a/internal/lab/simulation/virtual_test.go
+++ b/internal/lab/simulation/virtual_test.go
@@ -277,10 +277,10 @@
 			}
 			return []loop.Effect{f}
 		})}},
-		{"hears no datagram", viewsProfile, membershipcheck.NotAgreed, defect{hear: func(_ *defect, e *loop.Event) bool {
+		{"hears no datagram", viewsProfile, membershipcheck.Diverged, defect{hear: func(_ *defect, e *loop.Event) bool {
 			return e.Kind != loop.Data || e.Conn != loop.Gossip
 		}}},
-		{"is heard by none at times", viewsProfile, membershipcheck.ThrownOut, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
+		{"is heard by none at times", viewsProfile, membershipcheck.WronglyRemoved, defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
 			if f.Op == loop.SendTo && d.now%(40*time.Second) > 12*time.Second && d.now%(40*time.Second) < 24*time.Second {
 				return nil
 			}
