--- a/internal/lab/drill/drill_test.go
+++ b/internal/lab/drill/drill_test.go
@@ -159,7 +159,7 @@
 	}
 	select {
 	case f := <-p.seen:
-		if f.Rule != membershipcheck.ThrownOut && f.Rule != membershipcheck.NotAgreed ||
+		if f.Rule != membershipcheck.WronglyRemoved && f.Rule != membershipcheck.Diverged ||
 			!strings.Contains(f.Detail, "gateway-2") {
 			t.Errorf("%+v", f)
 		}
--- a/internal/lab/drill/excuses.go
+++ b/internal/lab/drill/excuses.go
@@ -43,11 +43,11 @@
 	}
 	for _, e := range r.shuts { // the process was dead: its end is known a moment later
 		if e.gateway == n && t.Sent-began <= e.to+shutSpread && t.Ended-began >= e.from-shutSpread &&
-			r.history.Dead(n, e.to+shutSpread) {
+			r.history.Absent(n, e.to+shutSpread) {
 			return true
 		}
 	}
-	return r.history.Over(n, t.Sent-began, t.Ended-began, excuseAfter)
+	return r.history.StoppedDuring(n, t.Sent-began, t.Ended-began, excuseAfter)
 }
 
 // changed is told of every path that changes.
--- a/internal/lab/drill/rig.go
+++ b/internal/lab/drill/rig.go
@@ -69,7 +69,7 @@
 	}
 	r.history = membershipcheck.NewHistory(r.names)
 	if f.Fleet.Shares {
-		r.history.Tells()
+		r.history.ReportsLoad()
 	}
 	r.net = newNetwork(f.Network, rigAddress(dir, 1), seed, r.changed, r.shut)
 	// Dial by dial: a connection that rests would keep an operator's link of a gateway.
@@ -82,7 +82,7 @@
 		for a := range r.names {
 			for b := range r.names {
 				if a != b {
-					r.history.Path(a, b, membershipcheck.PathAt{At: -2 * time.Hour,
+					r.history.Path(a, b, membershipcheck.PathState{At: -2 * time.Hour,
 						Cut: bad.Delay.Duration+bad.Jitter.Duration > slowest, Loss: bad.Loss})
 				}
 			}
--- a/internal/lab/drill/watch.go
+++ b/internal/lab/drill/watch.go
@@ -30,22 +30,22 @@
 		if err != nil {
 			continue
 		}
-		l := membershipcheck.Look{At: at, Gateway: n, PID: pid, Speaking: v.Active, Joined: v.Joined,
-			Settled: v.Settled, Majority: v.Majority, Twin: v.DuplicateName, Alive: v.Alive,
-			Sent: v.SentBytes, States: make([]membershipcheck.Held, len(r.names))}
+		l := membershipcheck.Observation{At: at, Gateway: n, PID: pid, Speaking: v.Active, Join: v.Joined,
+			Settled: v.Settled, Majority: v.Majority, DuplicateName: v.DuplicateName, Alive: v.Alive,
+			Sent: v.SentBytes, Beliefs: make([]membershipcheck.Belief, len(r.names))}
 		for _, m := range v.Members {
 			i, ok := r.index[m.Name]
 			if !ok {
-				l.Strange++
+				l.Strangers++
 			} else {
-				l.States[i] = membershipcheck.Held{State: m.State, Start: m.Start, Incarnation: m.Incarnation,
+				l.Beliefs[i] = membershipcheck.Belief{State: m.State, Start: m.Start, Incarnation: m.Incarnation,
 					Since:    at - time.Duration(m.SinceMS)*time.Millisecond,
 					Previous: m.Previous, SuspectedBy: m.SuspectedBy}
 			}
 		}
-		l.Portion = portionOf(v.Assignment)
+		l.Assignment = portionOf(v.Assignment)
 		if v.Active && at >= 0 {
-			r.history.Looked(l)
+			r.history.Observe(l)
 		}
 	}
 }
