--- a/internal/configdist/agent_test.go
+++ b/internal/configdist/agent_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"math"
 	"slices"
 	"testing"
 	"time"
@@ -46,7 +47,7 @@
 
 // whole words a page with all of a version.
 func whole(a *Agent, v *Version) *codec.Page {
-	changes, _, _ := content.Page(content.Empty(), v.Tree, v.Tree.Services(), content.Cursor{}, maxInt)
+	changes, _, _ := content.Page(content.Empty(), v.Tree, v.Tree.Services(), content.Cursor{}, math.MaxInt)
 	return &codec.Page{Session: a.session, Target: v.Ref, Scope: v.Tree.Hash(), Last: true, Changes: changes}
 }
 
--- a/internal/configdist/codec/wire.go
+++ b/internal/configdist/codec/frame.go
@@ -1,6 +1,3 @@
-// Package codec is the binary frame between gateways and control machines and among these: a header with version,
-// kind, length, fleet, sender's start and number, a body, and a checksum. Bodies grow only at their ends; a reader
-// skips what follows the fields that it knows. It does no I/O.
 package codec
 
 import (
@@ -17,7 +14,7 @@
 
 // Sizes of a frame.
 const (
-	headerSize   = 1 + 1 + 4 + 8 + 8 + 8 // version, kind, length, fleet, start, number
+	headerSize   = 1 + 1 + 4 + 8 + 8 + 8 // version, kind, length, cluster, incarnation, number
 	checksumSize = 4
 	Overhead     = headerSize + checksumSize
 	MaxBody      = 128 << 10 // of a gateway's frames
@@ -26,28 +23,28 @@
 
 // Errors of a frame.
 var (
-	ErrTruncated = errors.New("wire: the frame ends too early")
-	ErrTooLong   = errors.New("wire: the frame is too long")
-	ErrVersion   = errors.New("wire: unknown version")
-	ErrKind      = errors.New("wire: unknown kind")
-	ErrCluster   = errors.New("wire: a frame of another fleet")
-	ErrChecksum  = errors.New("wire: the checksum is wrong")
-	ErrRepeated  = errors.New("wire: the frame has come before, or is too old to know")
+	ErrTruncated = errors.New("codec: the frame ends too early")
+	ErrTooLong   = errors.New("codec: the frame is too long")
+	ErrVersion   = errors.New("codec: unknown version")
+	ErrKind      = errors.New("codec: unknown kind")
+	ErrCluster   = errors.New("codec: a frame of another cluster")
+	ErrChecksum  = errors.New("codec: the checksum is wrong")
+	ErrRepeated  = errors.New("codec: the frame has come before, or is too old to know")
 )
 
-// ClusterID is the number by which frames name a fleet.
+// ClusterID is the number by which frames name a cluster.
 func ClusterID(name string) uint64 { return xxh3.HashString(name) }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Sender numbers and words the frames of one process to one receiver.
+// Sender numbers and encodes the frames of one process to one receiver.
 type Sender struct {
 	Cluster     uint64
 	Incarnation uint64 // of the process: a later one has a higher number
 	last        uint64
 }
 
-// Append words one message as the next frame.
+// Append encodes one message as the next frame.
 func (s *Sender) Append(b []byte, m Message) []byte {
 	s.last++
 	begin := len(b)
@@ -64,7 +61,7 @@
 type Receiver struct {
 	Cluster     uint64
 	incarnation uint64
-	high        uint64 // highest number of that start
+	high        uint64 // highest number of that incarnation
 	seen        uint64 // bit i: high-i has come
 }
 
@@ -90,17 +87,17 @@
 	if crc32.Checksum(b[:end], castagnoli) != binary.BigEndian.Uint32(b[end:]) {
 		return nil, used, ErrChecksum
 	}
-	if fleet := binary.BigEndian.Uint64(b[6:]); fleet != r.Cluster {
-		return nil, used, fmt.Errorf("%w: %016x", ErrCluster, fleet)
+	if cluster := binary.BigEndian.Uint64(b[6:]); cluster != r.Cluster {
+		return nil, used, fmt.Errorf("%w: %016x", ErrCluster, cluster)
 	}
 	body := NewReader(b[headerSize:end])
 	m = newMessage(kind)
 	if m.readBody(body); body.Err() != nil {
 		return nil, used, fmt.Errorf("%w: kind %d", ErrMalformed, kind)
 	}
-	start, number := binary.BigEndian.Uint64(b[14:]), binary.BigEndian.Uint64(b[22:])
-	if !r.isNew(start, number) {
-		return nil, used, fmt.Errorf("%w: number %d of start %d", ErrRepeated, number, start)
+	incarnation, number := binary.BigEndian.Uint64(b[14:]), binary.BigEndian.Uint64(b[22:])
+	if !r.isNew(incarnation, number) {
+		return nil, used, fmt.Errorf("%w: number %d of incarnation %d", ErrRepeated, number, incarnation)
 	}
 	return m, used, nil
 }
@@ -116,12 +113,12 @@
 const windowSize = 64
 
 // isNew notes a number, and reports whether it is new.
-func (r *Receiver) isNew(start, number uint64) bool {
+func (r *Receiver) isNew(incarnation, number uint64) bool {
 	switch {
-	case start < r.incarnation:
+	case incarnation < r.incarnation:
 		return false
-	case start > r.incarnation:
-		r.incarnation, r.high, r.seen = start, number, 1
+	case incarnation > r.incarnation:
+		r.incarnation, r.high, r.seen = incarnation, number, 1
 		return true
 	case number > r.high:
 		r.seen = r.seen<<min(number-r.high, windowSize) | 1
--- a/internal/configdist/codec/messages.go
+++ b/internal/configdist/codec/messages.go
@@ -2,7 +2,7 @@
 
 import "thymebend/internal/configdist/content"
 
-// MaxReason bounds the text of a refusal or failure.
+// MaxReason bounds the text of a rejection or failure, in bytes.
 const MaxReason = 256
 
 // Kind is what a frame holds.
@@ -111,7 +111,7 @@
 type Fetch struct {
 	Gateway string
 	Session uint64
-	From    content.Ref // zero for the whole
+	From    content.Ref // zero for a snapshot
 	Target  uint64
 	After   content.Cursor
 }
@@ -126,7 +126,7 @@
 // Page is a part of the changes from one version to another, of the services that the gateway serves.
 type Page struct {
 	Session uint64
-	From    content.Ref // zero for the whole
+	From    content.Ref // zero for a snapshot
 	Target  content.Ref
 	Attempt uint64
 	Scope   content.Hash // of the gateway's services at Target
--- a/internal/configdist/codec/binary.go
+++ b/internal/configdist/codec/reader.go
@@ -8,7 +8,7 @@
 )
 
 // ErrMalformed is that of a body that ends too early or has a value out of bounds.
-var ErrMalformed = errors.New("wire: malformed body")
+var ErrMalformed = errors.New("codec: malformed body")
 
 // Reader reads the values of a body one after another. After the first that cannot be read all are zero, and Err says
 // so.
@@ -63,9 +63,9 @@
 }
 
 // String reads a text of at most so many bytes.
-func (r *Reader) String(most int) string {
+func (r *Reader) String(maxBytes int) string {
 	n := r.Count()
-	if n > most {
+	if n > maxBytes {
 		r.fail()
 		return ""
 	}
@@ -75,11 +75,11 @@
 }
 
 // Strings reads a list of texts of at most so many bytes each.
-func (r *Reader) Strings(most int) []string {
+func (r *Reader) Strings(maxBytes int) []string {
 	n := r.Count()
 	list := make([]string, 0, n)
 	for range n {
-		list = append(list, r.String(most))
+		list = append(list, r.String(maxBytes))
 	}
 	return list
 }
@@ -133,10 +133,10 @@
 	return content.Cursor{Service: r.String(content.MaxName), Kind: r.kind(), Name: r.String(content.MaxName)}
 }
 
-// AppendUint words a number.
+// AppendUint encodes a number.
 func AppendUint(b []byte, v uint64) []byte { return binary.AppendUvarint(b, v) }
 
-// AppendBool words a truth value.
+// AppendBool encodes a truth value.
 func AppendBool(b []byte, v bool) []byte {
 	if v {
 		return append(b, 1)
@@ -144,12 +144,12 @@
 	return append(b, 0)
 }
 
-// AppendString words a text.
+// AppendString encodes a text.
 func AppendString(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// AppendStrings words a list of texts.
+// AppendStrings encodes a list of texts.
 func AppendStrings(b []byte, list []string) []byte {
 	b = AppendUint(b, uint64(len(list)))
 	for _, s := range list {
@@ -158,18 +158,18 @@
 	return b
 }
 
-// AppendRef words a version's name.
+// AppendRef encodes a version's name.
 func AppendRef(b []byte, ref content.Ref) []byte {
 	return append(AppendUint(AppendUint(b, ref.Term), ref.Number), ref.Hash[:]...)
 }
 
-// AppendEntry words an entry.
+// AppendEntry encodes an entry.
 func AppendEntry(b []byte, e *content.Entry) []byte {
 	b = AppendUint(b, uint64(e.Kind))
 	return AppendString(AppendString(AppendString(b, e.Service), e.Name), e.Body)
 }
 
-// AppendChanges words a list of changes.
+// AppendChanges encodes a list of changes.
 func AppendChanges(b []byte, changes []content.Change) []byte {
 	b = AppendUint(b, uint64(len(changes)))
 	for i := range changes {
@@ -178,7 +178,7 @@
 	return b
 }
 
-// AppendCursor words a place in a difference.
+// AppendCursor encodes a place in a difference.
 func AppendCursor(b []byte, c content.Cursor) []byte {
 	return AppendString(AppendUint(AppendString(b, c.Service), uint64(c.Kind)), c.Name)
 }
--- a/internal/configdist/command.go
+++ b/internal/configdist/command.go
@@ -60,7 +60,7 @@
 	stageReleased // as the target of MoveStage: the rollout is over
 )
 
-// String words a stage.
+// String words a stage for operators.
 func (s Stage) String() string {
 	return [...]string{"waiting", "one gateway", "one zone", "all", "stopped", "released"}[min(s, stageReleased)]
 }
@@ -68,17 +68,17 @@
 // Command is one entry of the log.
 type Command struct {
 	Kind    CommandKind
-	ID      uint64           // of the author's; a proposal that comes twice under one is one version
+	ID      uint64           // of the publisher's; a proposal that comes twice under one is one version
 	Base    uint64           // Propose: the version that it follows
 	Changes []content.Change // Propose
 	Version uint64           // MoveStage, Stop, Resume: of the rollout; Revert: whose content is wanted again
 	Stage   Stage            // MoveStage
-	Canary  string           // MoveStage: the one gateway
+	Canary  string           // MoveStage: the gateway
 	Zone    string           // MoveStage
 	Reason  string           // Stop
 }
 
-// AppendTo words a command.
+// AppendTo appends the encoded command.
 func (c *Command) AppendTo(b []byte) []byte {
 	b = codec.AppendUint(codec.AppendUint(append(b, byte(c.Kind)), c.ID), c.Base)
 	b = codec.AppendUint(codec.AppendUint(b, c.Version), uint64(c.Stage))
--- a/internal/configdist/snapshot.go
+++ b/internal/configdist/snapshot.go
@@ -1,17 +1,19 @@
 package configdist
 
 import (
-	"fmt"
+	"errors"
+	"math"
 
 	"thymebend/internal/configdist/codec"
 	"thymebend/internal/configdist/content"
+	"thymebend/internal/fielderror"
 )
 
 // snapshotVersion is that of the form below.
 const snapshotVersion = 1
 
-// Snapshot words the store: the oldest kept version whole, and each other one by what differs from the one before.
-// Equal stores have equal words.
+// Snapshot encodes the store: the oldest kept version whole, and each other one by what differs from the one before.
+// Equal stores have equal snapshots.
 func (s *Store) Snapshot() []byte {
 	b := codec.AppendUint(nil, snapshotVersion)
 	r := &s.rollout
@@ -21,53 +23,70 @@
 	before := content.Empty()
 	for _, v := range s.versions {
 		b = codec.AppendUint(codec.AppendRef(b, v.Ref), v.Proposal)
-		changes, _, _ := content.Page(before, v.Tree, content.Affected(before, v.Tree), content.Cursor{}, maxInt)
+		changes, _, _ := content.Page(before, v.Tree, content.Affected(before, v.Tree), content.Cursor{}, math.MaxInt)
 		b = codec.AppendChanges(b, changes)
 		before = v.Tree
 	}
 	return b
 }
 
-const maxInt = int(^uint(0) >> 1)
+// ErrSnapshot is a text that no store encodes.
+var ErrSnapshot = errors.New("unusable snapshot")
 
-// RestoreStore reads a store back. What no store words is an error.
+func snapshotError(format string, args ...any) error {
+	return fielderror.Worded(ErrSnapshot, "configdist: snapshot"+format, args...)
+}
+
+// RestoreStore reads a store back. What no store encodes is an ErrSnapshot.
 func RestoreStore(data []byte) (*Store, error) {
 	r := codec.NewReader(data)
 	if version := r.Uint(); version != snapshotVersion {
-		return nil, fmt.Errorf("configdist: snapshot of version %d, %d is known", version, snapshotVersion)
+		return nil, snapshotError(" of version %d, %d is known", version, snapshotVersion)
 	}
 	released := r.Uint()
-	s := &Store{rollout: Rollout{Version: r.Uint(), Stage: Stage(r.Uint()), Canary: r.String(content.MaxName),
-		Zone:   r.String(content.MaxName),
-		Reason: r.String(codec.MaxReason), Attempt: r.Uint()}}
+	s := &Store{rollout: Rollout{
+		Version: r.Uint(),
+		Stage:   Stage(r.Uint()),
+		Canary:  r.String(content.MaxName),
+		Zone:    r.String(content.MaxName),
+		Reason:  r.String(codec.MaxReason),
+		Attempt: r.Uint(),
+	}}
+	if err := s.readVersions(r); err != nil {
+		return nil, err
+	}
+	s.released = s.Version(released)
+	if s.released == nil || s.rollout.Version != 0 && s.Candidate() == nil || s.rollout.Stage > StageStopped {
+		return nil, snapshotError(": released %d, rolled out %d, of %d versions",
+			released, s.rollout.Version, len(s.versions))
+	}
+	return s, nil
+}
+
+// readVersions reads the versions, each as what differs from the one before.
+func (s *Store) readVersions(r *codec.Reader) error {
 	tree := content.Empty()
 	for range r.Count() {
 		v := &Version{Ref: r.Ref(), Proposal: r.Uint()}
 		changes := r.Changes()
 		if err := r.Err(); err != nil {
-			return nil, fmt.Errorf("configdist: snapshot: %w", err)
+			return snapshotError(": %w", err)
 		}
 		var err error
 		if tree, err = tree.Patch(changes); err != nil {
-			return nil, fmt.Errorf("configdist: snapshot: version %d: %w", v.Ref.Number, err)
+			return snapshotError(": version %d: %w", v.Ref.Number, err)
 		}
 		if tree.Hash() != v.Ref.Hash {
-			return nil, fmt.Errorf("configdist: snapshot: version %v has content %v", v.Ref, tree.Hash())
+			return snapshotError(": version %v has content %v", v.Ref, tree.Hash())
 		}
 		if n := len(s.versions); n > 0 && v.Ref.Number <= s.versions[n-1].Ref.Number {
-			return nil, fmt.Errorf("configdist: snapshot: version %d after %d", v.Ref.Number,
-				s.versions[n-1].Ref.Number)
+			return snapshotError(": version %d after %d", v.Ref.Number, s.versions[n-1].Ref.Number)
 		}
 		v.Tree = tree
 		s.versions = append(s.versions, v)
 	}
 	if err := r.Err(); err != nil {
-		return nil, fmt.Errorf("configdist: snapshot: %w", err)
+		return snapshotError(": %w", err)
 	}
-	if s.released = s.Version(released); s.released == nil || s.rollout.Version != 0 && s.Candidate() == nil ||
-		s.rollout.Stage > StageStopped {
-		return nil, fmt.Errorf("configdist: snapshot: released %d, rolled out %d, of %d versions", released,
-			s.rollout.Version, len(s.versions))
-	}
-	return s, nil
+	return nil
 }
--- a/internal/configdist/store.go
+++ b/internal/configdist/store.go
@@ -20,7 +20,7 @@
 type Rollout struct {
 	Version uint64 // that is rolled out; 0 where no rollout is under way
 	Stage   Stage
-	Canary  string // the one gateway
+	Canary  string // the gateway of StageCanary
 	Zone    string
 	Reason  string // of a stop
 	Attempt uint64 // grows with each rollout and resumption
