--- a/internal/lab/cli/rollouts.go
+++ b/internal/lab/cli/rollouts.go
@@ -58,11 +58,11 @@
 				if c.Each {
 					fmt.Fprintf(e.out, "seed %d: %v\n", seed, o)
 				}
-				for _, f := range o.Findings[:min(3, len(o.Findings))] {
+				for _, f := range o.Violations[:min(3, len(o.Violations))] {
 					fmt.Fprintf(e.out, "seed %d: %s\n", seed, f)
 				}
 				mu.Unlock()
-				if len(o.Findings) > 0 {
+				if len(o.Violations) > 0 {
 					broken.Add(1)
 				}
 			}
@@ -90,14 +90,14 @@
 	fmt.Fprintf(e.out, "%d changes, %d restarts, %d failures in %v, median / 99%% / worst change: half %v, 99%% %v, all %v; from commitment %v\n", f.Changes, f.Restarts, f.Failures,
 		f.Length, f.Half, f.Most, f.All, f.FromCommit)
 	fmt.Fprintf(e.out, "later than 8 s: %d, unfinished: %d, stopped: %d\n", f.Late, f.Unfinished, f.Stopped)
-	fmt.Fprintf(e.out, "bytes a second: gateway %.0f at rest, %.0f in the run, %.0f at most; control machine sends %.0f, %.0f at most, to %d gateways at most\n", f.Quiet, f.Mean, f.Worst,
-		f.Control, f.ControlTo, f.Subscribers)
+	fmt.Fprintf(e.out, "bytes a second: gateway %.0f at rest, %.0f in the run, %.0f at most; control machine sends %.0f, %.0f at most, to %d gateways at most\n", f.IdleRate, f.MeanRate, f.MaxRate,
+		f.ControlRate, f.MaxControlRate, f.Subscribers)
 	fmt.Fprintf(e.out, "processor: gateway %.4f%% of a core, control machine %.2f%%; heap of everything over gateways %d KiB; took %.1f s\n", 100*f.GatewayCPU, 100*f.ControlCPU,
 		f.HeapEach>>10, time.Since(began).Seconds())
-	for _, x := range f.Findings[:min(5, len(f.Findings))] {
+	for _, x := range f.Violations[:min(5, len(f.Violations))] {
 		fmt.Fprintln(e.out, x)
 	}
-	if len(f.Findings) > 0 {
+	if len(f.Violations) > 0 {
 		return coded{exitBroken, "a rule was broken"}
 	}
 	return nil
--- /dev/null
+++ b/internal/lab/configsim/changes.go
@@ -0,0 +1,72 @@
+package configsim
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"thymebend/internal/configdist/content"
+)
+
+// faulty words a change that a share of the gateways refuse or fail with, or takes it back.
+func (r *run) faulty() []content.Change {
+	c := content.Change{Entry: content.Entry{Kind: content.Route, Service: ServiceName(r.rng.IntN(r.size.Services)),
+		Name: faultyRoute}}
+	word := rejectedByWord
+	if r.rng.IntN(2) == 0 {
+		word = failsAtWord
+	}
+	c.Entry.Body = fmt.Sprint(word, []int{3, 50, 100}[r.rng.IntN(3)])
+	return []content.Change{c}
+}
+
+// changeGuest has a tenant come, or go where it is there.
+func (r *run) changeGuest() []content.Change {
+	service := ServiceName(r.rng.IntN(r.size.Services))
+	c := content.Change{Entry: content.Entry{Kind: content.Tenant, Service: service, Name: "guest", Body: body(r.rng)}}
+	if leader := r.Cluster.Leader(); leader != nil {
+		entries := leader.Controller.Store().Head().Tree.Entries(service)
+		c.Remove = slices.ContainsFunc(entries, func(e content.Entry) bool { return e.Name == c.Entry.Name })
+	}
+	return []content.Change{c}
+}
+
+func (r *run) drawChanges() {
+	pause := 300*time.Millisecond + r.upTo(4*time.Second)
+	faulty := r.rng.IntN(2) == 0
+	for at := startPhase; at < startPhase+faultPhase; at += pause/2 + r.upTo(pause) {
+		bad := faulty && r.rng.IntN(6) == 0
+		r.At(at, func() {
+			switch {
+			case r.rng.IntN(4) == 0:
+				r.submit(r.changeGuest())
+				return
+			case !bad:
+				r.submit(Change(r.size, r.rng))
+				return
+			}
+			change := r.faulty()
+			r.Cluster.Submit(change, func(_ content.Ref, err error) {
+				if err == nil { // its author takes it back, whether it was stopped or not
+					r.At(r.Now()+2*time.Second, func() { r.takeBack(change) })
+				}
+			})
+		})
+	}
+}
+
+// takeBack has a faulty route replaced by one that is none. One that is not there any more does no harm by it.
+func (r *run) takeBack(change []content.Change) {
+	c := change[0]
+	c.Entry.Body = body(r.rng)
+	r.submit([]content.Change{c})
+}
+
+// repair words a change after which no service has a faulty route.
+func (r *run) repair() (list []content.Change) {
+	for i := range r.size.Services {
+		list = append(list, content.Change{Entry: content.Entry{Kind: content.Route, Service: ServiceName(i),
+			Name: faultyRoute, Body: body(r.rng)}})
+	}
+	return list
+}
--- /dev/null
+++ b/internal/lab/configsim/cluster.go
@@ -0,0 +1,108 @@
+package configsim
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+
+	"thymebend/internal/configdist"
+	"thymebend/internal/configdist/content"
+	"thymebend/internal/raft"
+)
+
+// Config is a cluster's size and ways.
+type Config struct {
+	Name      string
+	Gateways  int
+	Zones     int
+	Regions   int
+	Services  func(gateway int) []string // that a gateway serves; nil for all
+	Policy    configdist.Policy
+	PageBytes int // see rollout.ControllerConfig
+	Snapshots int // entries between two of the log's; 0 for the default
+	Seed      uint64
+	Installed func(g *Gateway, ref content.Ref) // is told of each version in force, or nil
+}
+
+// machines is how many control machines there are: three voters and a standby.
+const machines = 4
+
+// Cluster is control machines and gateways.
+type Cluster struct {
+	ControlMachines []*ControlMachine
+	Gateways        []*Gateway
+	Violations      []string
+
+	cfg        Config
+	clock      Clock
+	net        Network
+	rng        *rand.Rand
+	invariants invariants
+	answer     map[uint64]func(configdist.Result) // by the command's ID
+	nextID     uint64
+}
+
+// New makes a cluster. None of its processes runs yet.
+func New(cfg Config, clock Clock, net Network) *Cluster {
+	cl := &Cluster{cfg: cfg, clock: clock, net: net, rng: rand.New(rand.NewPCG(cfg.Seed, 0x4011)),
+		invariants: newInvariants(), answer: make(map[uint64]func(configdist.Result))}
+	for i := range machines {
+		c := &ControlMachine{process: process{cluster: cl, endpoint: Endpoint{true, i}}, ID: uint64(i + 1),
+			Region: regionName(i * cfg.Regions / machines), disk: &raft.MemoryStorage{}}
+		cl.ControlMachines = append(cl.ControlMachines, c)
+	}
+	for i := range cfg.Gateways {
+		zone := i % cfg.Zones
+		g := &Gateway{process: process{cluster: cl, endpoint: Endpoint{false, i}}, Zone: fmt.Sprint("zone-", zone),
+			Region: regionName(zone * cfg.Regions / cfg.Zones)}
+		g.Name = fmt.Sprintf("g-%04d", i)
+		if cfg.Services != nil {
+			g.Services = slices.Sorted(slices.Values(cfg.Services(i)))
+		}
+		cl.Gateways = append(cl.Gateways, g)
+	}
+	return cl
+}
+
+func regionName(i int) string { return fmt.Sprint("region-", i) }
+
+// RegionOf is the region of a place.
+func (cl *Cluster) RegionOf(e Endpoint) string {
+	if e.Control {
+		return cl.ControlMachines[e.Index].Region
+	}
+	return cl.Gateways[e.Index].Region
+}
+
+// Violate notes a broken rule.
+func (cl *Cluster) Violate(format string, args ...any) {
+	cl.Violations = append(cl.Violations, fmt.Sprintf("%.3f s: ", cl.clock.Now().Seconds())+fmt.Sprintf(format,
+		args...))
+}
+
+// InForce counts the gateways that are up, and those of them that have a version or a newer one in force.
+func (cl *Cluster) InForce(number uint64) (have, up int) {
+	for _, g := range cl.Gateways {
+		if !g.up {
+			continue
+		}
+		up++
+		if g.Running.Ref.Number >= number {
+			have++
+		}
+	}
+	return have, up
+}
+
+// Newest is the highest version that was seen to be committed.
+func (cl *Cluster) Newest() uint64 { return cl.invariants.newest }
+
+// lagging names a living gateway that has not a version in force, or a newer one, and would not refuse either.
+func (cl *Cluster) lagging(number uint64) string {
+	for _, g := range cl.Gateways {
+		if g.up && g.Running.Ref.Number < number && !cl.invariants.rejects(g, number) {
+			return fmt.Sprintf("%s has version %v in force, not %d", g.Name, g.Running.Ref, number)
+		}
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/lab/configsim/control.go
@@ -0,0 +1,118 @@
+package configsim
+
+import (
+	"time"
+
+	"thymebend/internal/configdist"
+	"thymebend/internal/configdist/codec"
+	"thymebend/internal/raft"
+)
+
+// ControlMachine is a control machine's place.
+type ControlMachine struct {
+	process
+	ID         uint64
+	Region     string
+	Controller *configdist.Controller // nil while no process runs
+	disk       *raft.MemoryStorage
+	seen       storeView
+}
+
+// StartControl starts a control machine's process with what it has kept.
+func (cl *Cluster) StartControl(i int) {
+	c := cl.ControlMachines[i]
+	if c.up {
+		return
+	}
+	c.start()
+	controller, err := configdist.NewController(configdist.ControllerConfig{ID: c.ID, Voters: []uint64{1, 2, 3},
+		Standbys: []uint64{4}, Restored: c.disk.Load(),
+		Seed: cl.rng.Uint64(), Policy: cl.cfg.Policy, PageBytes: cl.cfg.PageBytes, SnapshotEvery: cl.cfg.Snapshots},
+		cl.clock.Now())
+	if err != nil {
+		panic(err) // the configuration is ours
+	}
+	c.Controller = controller
+	c.called()
+}
+
+// KillControl ends a control machine's process without a word. What it kept stays.
+func (cl *Cluster) KillControl(i int) {
+	cl.ControlMachines[i].end()
+	cl.ControlMachines[i].Controller = nil
+}
+
+// StallControl has a control machine stand still for a while.
+func (cl *Cluster) StallControl(i int, length time.Duration) {
+	c := cl.ControlMachines[i]
+	c.stall(length, c.advance)
+}
+
+// Leader is a control machine that leads and is heard by most, or nil.
+func (cl *Cluster) Leader() *ControlMachine {
+	for _, c := range cl.ControlMachines {
+		if c.Controller != nil && !c.stalled {
+			if s := c.Controller.Status(); s.IsLeader && s.Quorum {
+				return c
+			}
+		}
+	}
+	return nil
+}
+
+// Propose proposes a command to a control machine, under a new ID if it has none. answer is told how it went, if that
+// is ever known.
+func (cl *Cluster) Propose(c *ControlMachine, command *configdist.Command, answer func(configdist.Result)) error {
+	if c.Controller == nil || c.stalled {
+		return raft.ErrNotLeader
+	}
+	if command.ID == 0 {
+		cl.nextID++
+		command.ID = cl.nextID
+	}
+	if answer != nil {
+		cl.answer[command.ID] = answer
+	}
+	err := c.Controller.Propose(cl.clock.Now(), *command)
+	c.called()
+	return err
+}
+
+func (c *ControlMachine) advance() {
+	c.spend(func() { c.Controller.Advance(c.cluster.clock.Now()) })
+	c.called()
+}
+
+// called sends what a control machine wants sent, looks at its store, and has it called when it wants.
+func (c *ControlMachine) called() {
+	cl := c.cluster
+	var out configdist.ControllerOutput
+	var err error
+	c.spend(func() { out, err = c.Controller.Take(c.disk.Save) })
+	if err != nil {
+		cl.Violate("control machine %d: %v", c.ID, err)
+	}
+	cl.invariants.observe(cl, c)
+	for _, m := range out.Peers {
+		to := cl.ControlMachines[m.To-1]
+		c.send(&to.process, m.Message, func(heard codec.Message) {
+			// one that has just failed says so; Take does too
+			to.spend(func() { _ = to.Controller.ReceivePeer(cl.clock.Now(), c.ID, heard) })
+			to.called()
+		})
+	}
+	for _, m := range out.Gateways {
+		to := cl.Gateways[m.Link]
+		c.send(&to.process, m.Message, func(heard codec.Message) {
+			to.spend(func() { to.Agent.Receive(cl.clock.Now(), c.ID, heard) })
+			to.called()
+		})
+	}
+	for _, r := range out.Results {
+		if answer := cl.answer[r.ID]; answer != nil {
+			delete(cl.answer, r.ID)
+			answer(r)
+		}
+	}
+	c.wake(c.Controller.NextWake(), c.advance)
+}
--- a/internal/lab/configsim/measure.go
+++ b/internal/lab/configsim/measure.go
@@ -1,70 +1,14 @@
 package configsim
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"runtime"
-	"slices"
 	"time"
 
 	"thymebend/internal/configdist"
 	"thymebend/internal/configdist/content"
 )
 
-// Case is a fleet to be measured.
-type Case struct {
-	Gateways, Zones, Regions int
-	Size                     Size
-	ServicesEach             int           // that a gateway serves; 0 for all
-	Changes                  int           // pressed into the run
-	Restarts, Failures       int           // of gateways, pressed into the run; a tenth of the restarts are replacements by machines that have kept nothing
-	Length                   time.Duration // of the run
-	Loss                     float64
-	Seed                     uint64
-}
-
-// FleetSize is the size that the fleet is to have in two years, with a day of it pressed into a run.
-func FleetSize(length time.Duration, loss float64, seed uint64) Case {
-	return Case{Gateways: 870, Zones: 7, Regions: 2, Size: Size{Services: 390, Routes: 4100, Tenants: 44_000}, ServicesEach: 40, Changes: 720, Restarts: 490,
-		Failures: 21, Length: length, Loss: loss, Seed: seed}
-}
-
-// Spread is how long something took, over many of it.
-type Spread struct{ Median, P99, Worst time.Duration }
-
-func spreadOf(list []time.Duration) (s Spread) {
-	if len(list) == 0 {
-		return s
-	}
-	slices.Sort(list)
-	return Spread{list[len(list)/2], list[min(len(list)-1, len(list)*99/100)], list[len(list)-1]}
-}
-
-// String words it.
-func (s Spread) String() string {
-	return fmt.Sprintf("%.2f / %.2f / %.2f s", s.Median.Seconds(), s.P99.Seconds(), s.Worst.Seconds())
-}
-
-// Figures are what a fleet came to.
-type Figures struct {
-	Case
-	First              time.Duration // until all have the first whole configuration, from the start of all
-	Quiet              float64       // bytes a second and gateway without changes
-	Single             [3]time.Duration
-	Half, Most, All    Spread // of the changes, from their submission until in force at half, 99% and all of the gateways that lived all the while
-	FromCommit         Spread // the last of these from the commitment
-	Late               int    // changes not in force at all of them 8 s after their submission
-	Unfinished         int    // at the end of the run
-	Stopped            int
-	Mean, Worst        float64 // bytes a second and gateway over the run, and those of the gateway with most
-	Control, ControlTo float64 // bytes a second that a control machine sent, mean and most
-	GatewayCPU         float64 // share of a core of an agent, by this machine's clock
-	ControlCPU         float64 // of the control machine that used most
-	HeapEach           uint64  // bytes of heap in use over the number of gateways, control machines included
-	Subscribers        int     // of the control machine with most
-	Findings           []string
-}
-
 // change is one that is followed until it is in force everywhere.
 type change struct {
 	submitted, committed time.Duration
@@ -81,7 +25,7 @@
 	born    []time.Duration // since when each gateway's process runs
 }
 
-// Measure plays a fleet: all start with nothing, one change is followed alone, then a day is pressed into the run.
+// Measure plays a cluster: all start with nothing, one change is followed alone, then a day is pressed into the run.
 func Measure(c Case) Figures {
 	m := &measurement{c: c, rng: rand.New(rand.NewPCG(c.Seed, 0x3ea5)), born: make([]time.Duration, c.Gateways)}
 	cfg := Config{Name: "measure", Gateways: c.Gateways, Zones: c.Zones, Regions: c.Regions, Seed: c.Seed}
@@ -95,11 +39,11 @@
 	}
 	m.World = NewWorld(cfg)
 	f := Figures{Case: c}
-	m.Fleet.Operate(time.Second, 0)
+	m.Cluster.RunOperator(time.Second, 0)
 	f.First = m.begin()
 	before := m.traffic()
 	m.Run(m.Now() + 20*time.Second)
-	f.Quiet = m.rate(before, 20*time.Second).mean
+	f.IdleRate = m.rate(before, 20*time.Second).mean
 	m.Net.Loss = c.Loss
 	one := m.submit()
 	m.follow(m.Now() + 15*time.Second)
@@ -112,7 +56,7 @@
 	m.follow(begin + c.Length)
 	length := m.Now() - begin
 	rate := m.rate(before, length)
-	f.Mean, f.Worst, f.Control, f.ControlTo = rate.mean, rate.most, rate.control, rate.controlMost
+	f.MeanRate, f.MaxRate, f.ControlRate, f.MaxControlRate = rate.mean, rate.most, rate.control, rate.controlMost
 	gatewayUsed, controlUsed := m.used()
 	f.GatewayCPU = (gatewayUsed - used).Seconds() / float64(c.Gateways) / length.Seconds()
 	for i := range controlUsed {
@@ -126,8 +70,8 @@
 
 // begin starts everything, proposes the whole configuration, and waits until it is in force.
 func (m *measurement) begin() time.Duration {
-	for i := range m.Fleet.Controls {
-		m.Fleet.StartControl(i)
+	for i := range m.Cluster.ControlMachines {
+		m.Cluster.StartControl(i)
 	}
 	m.Run(5 * time.Second)
 	done := false
@@ -137,7 +81,7 @@
 			done = true
 			return
 		}
-		m.Fleet.Submit(list[0], func(content.Ref, error) { next(list[1:]) })
+		m.Cluster.Submit(list[0], func(content.Ref, error) { next(list[1:]) })
 	}
 	next(Bootstrap(m.c.Size, m.rng))
 	for !done {
@@ -145,10 +89,10 @@
 	}
 	m.Run(m.Now() + 5*time.Second)
 	begin := m.Now()
-	for i := range m.Fleet.Gateways {
-		m.Fleet.StartGateway(i)
+	for i := range m.Cluster.Gateways {
+		m.Cluster.StartGateway(i)
 	}
-	for m.Fleet.behind(m.Fleet.ledger.newest) != "" && m.Now()-begin < 5*time.Minute {
+	for m.Cluster.lagging(m.Cluster.invariants.newest) != "" && m.Now()-begin < 5*time.Minute {
 		m.Run(m.Now() + 50*time.Millisecond)
 	}
 	return m.Now() - begin
@@ -158,7 +102,10 @@
 func (m *measurement) submit() *change {
 	c := &change{submitted: m.Now()}
 	m.changes = append(m.changes, c)
-	m.Fleet.Submit(Change(m.c.Size, m.rng), func(ref content.Ref, err error) { c.number, c.committed = ref.Number, m.Now() })
+	m.Cluster.Submit(Change(m.c.Size, m.rng), func(ref content.Ref, err error) {
+		c.number, c.committed = ref.Number,
+			m.Now()
+	})
 	return c
 }
 
@@ -170,12 +117,12 @@
 	}
 	end := func(at, away time.Duration, replaced bool) {
 		who := m.rng.IntN(m.c.Gateways)
-		m.At(at, func() { m.Fleet.KillGateway(who) })
+		m.At(at, func() { m.Cluster.KillGateway(who) })
 		m.At(at+away, func() {
 			if m.born[who] = m.Now(); replaced {
-				m.Fleet.ReplaceGateway(who)
+				m.Cluster.ReplaceGateway(who)
 			} else {
-				m.Fleet.StartGateway(who)
+				m.Cluster.StartGateway(who)
 			}
 		})
 	}
@@ -205,7 +152,7 @@
 // look counts the gateways that have lived since a change was submitted, and those of them that have it.
 func (m *measurement) look(c *change) {
 	lived, have := 0, 0
-	for i, g := range m.Fleet.Gateways {
+	for i, g := range m.Cluster.Gateways {
 		if !g.up || m.born[i] > c.submitted {
 			continue
 		}
@@ -227,10 +174,10 @@
 }
 
 func (m *measurement) traffic() (list []uint64) {
-	for _, g := range m.Fleet.Gateways {
+	for _, g := range m.Cluster.Gateways {
 		list = append(list, g.Sent+g.Received)
 	}
-	for _, c := range m.Fleet.Controls {
+	for _, c := range m.Cluster.ControlMachines {
 		list = append(list, c.Sent)
 	}
 	return list
@@ -254,11 +201,11 @@
 }
 
 func (m *measurement) used() (gateways time.Duration, controls []time.Duration) {
-	for _, g := range m.Fleet.Gateways {
-		gateways += g.Used
+	for _, g := range m.Cluster.Gateways {
+		gateways += g.CPUTime
 	}
-	for _, c := range m.Fleet.Controls {
-		controls = append(controls, c.Used)
+	for _, c := range m.Cluster.ControlMachines {
+		controls = append(controls, c.CPUTime)
 	}
 	return gateways, controls
 }
@@ -272,23 +219,24 @@
 		}
 		half, most, all = append(half, c.half), append(most, c.most), append(all, c.all)
 		committed = append(committed, c.submitted+c.all-c.committed)
-		if c.all > forceWithin {
+		if c.all > convergeWithin {
 			f.Late++
 		}
 	}
 	f.Half, f.Most, f.All, f.FromCommit = spreadOf(half), spreadOf(most), spreadOf(all), spreadOf(committed)
-	for _, v := range m.Fleet.ledger.versions {
+	for _, v := range m.Cluster.invariants.versions {
 		if v.stoppedAt != 0 {
 			f.Stopped++
 		}
 	}
-	for _, c := range m.Fleet.Controls {
+	for _, c := range m.Cluster.ControlMachines {
 		f.Subscribers = max(f.Subscribers, c.Controller.Subscribers())
 	}
-	if leader := m.Fleet.Leader(); leader != nil && leader.Controller.Store().Rollout().Stage == configdist.StageStopped {
-		m.Fleet.Find("the run ends with a stopped rollout: %s", leader.Controller.Store().Rollout().Reason)
+	if leader := m.Cluster.Leader(); leader != nil &&
+		leader.Controller.Store().Rollout().Stage == configdist.StageStopped {
+		m.Cluster.Violate("the run ends with a stopped rollout: %s", leader.Controller.Store().Rollout().Reason)
 	}
-	f.Findings = m.Fleet.Findings
+	f.Violations = m.Cluster.Violations
 	m.changes = nil
 	var memory runtime.MemStats
 	runtime.GC()
--- a/internal/lab/configsim/net.go
+++ b/internal/lab/configsim/net.go
@@ -8,8 +8,8 @@
 // Net is a virtual network: frames are late, lost, doubled, overtaken and cut off.
 type Net struct {
 	Latency, Jitter time.Duration
-	Between         time.Duration // regions, more than Latency
-	Loss, Double    float64
+	RegionLatency   time.Duration // regions, more than Latency
+	Loss, Duplicate float64
 	Cut             func(from, to Endpoint) bool // nil is no cut
 	Region          func(e Endpoint) string      // of a place
 
@@ -19,7 +19,8 @@
 
 // NewNet returns a network without troubles.
 func NewNet(clock Clock, seed uint64) *Net {
-	return &Net{Latency: 500 * time.Microsecond, Jitter: 4 * time.Millisecond, Between: 20 * time.Millisecond, clock: clock, rng: rand.New(rand.NewPCG(seed, 0x2e7))}
+	return &Net{Latency: 500 * time.Microsecond, Jitter: 4 * time.Millisecond, RegionLatency: 20 * time.Millisecond,
+		clock: clock, rng: rand.New(rand.NewPCG(seed, 0x2e7))}
 }
 
 // Send implements Network.
@@ -28,13 +29,13 @@
 		return
 	}
 	copies := 1
-	if n.Double > 0 && n.rng.Float64() < n.Double {
+	if n.Duplicate > 0 && n.rng.Float64() < n.Duplicate {
 		copies = 2
 	}
 	for range copies {
 		late := n.Latency + time.Duration(n.rng.Int64N(int64(n.Jitter)+1))
 		if n.Region != nil && n.Region(from) != n.Region(to) {
-			late += n.Between
+			late += n.RegionLatency
 		}
 		n.clock.At(n.clock.Now()+late, deliver)
 	}
--- a/internal/lab/configsim/play_test.go
+++ b/internal/lab/configsim/play_test.go
@@ -10,11 +10,11 @@
 	stops, refused, fenced, stalls, repeated := 0, uint64(0), uint64(0), uint64(0), uint64(0)
 	for seed := uint64(1); seed <= 30; seed++ {
 		o := Play(seed)
-		for _, f := range o.Findings[:min(3, len(o.Findings))] {
+		for _, f := range o.Violations[:min(3, len(o.Violations))] {
 			t.Errorf("seed %d: %s", seed, f)
 		}
 		stops += o.Stops
-		refused, fenced, stalls, repeated = refused+o.Refused, fenced+o.Fenced, stalls+o.Stalls, repeated+o.Repeated
+		refused, fenced, stalls, repeated = refused+o.Rejected, fenced+o.Fenced, stalls+o.Stalls, repeated+o.Repeated
 	}
 	t.Logf("%d stops, %d refused, %d fenced, %d stalls, %d repeated frames", stops, refused, fenced, stalls, repeated)
 	if stops == 0 || refused == 0 || fenced == 0 || stalls == 0 || repeated == 0 {
@@ -28,16 +28,19 @@
 	}
 }
 
-// A small fleet with changes and restarts pressed into it: what is held are bytes and times of the virtual clock, which are the same on every machine.
+// A small cluster with changes and restarts pressed into it: what is held are bytes and times of the virtual clock,
+// which are the same on every machine.
 func TestMeasureHoldsTheSlopes(t *testing.T) {
-	c := Case{Gateways: 64, Zones: 7, Regions: 2, Size: Size{Services: 40, Routes: 200, Tenants: 800}, ServicesEach: 8, Changes: 30, Restarts: 20, Failures: 2,
+	c := Case{Gateways: 64, Zones: 7, Regions: 2, Size: Size{Services: 40, Routes: 200, Tenants: 800},
+		ServicesEach: 8, Changes: 30, Restarts: 20, Failures: 2,
 		Length: 30 * time.Second, Loss: 0.05, Seed: 1}
 	f := Measure(c)
 	t.Logf("%+v", f)
-	if len(f.Findings) > 0 || f.Unfinished > 0 || f.Late > 0 || f.Stopped > 0 {
-		t.Errorf("%v, %d unfinished, %d late, %d stopped", f.Findings, f.Unfinished, f.Late, f.Stopped)
+	if len(f.Violations) > 0 || f.Unfinished > 0 || f.Late > 0 || f.Stopped > 0 {
+		t.Errorf("%v, %d unfinished, %d late, %d stopped", f.Violations, f.Unfinished, f.Late, f.Stopped)
 	}
-	if f.Quiet > 150 || f.Mean > 1000 || f.Single[2] > 4*time.Second || f.Subscribers > 40 {
-		t.Errorf("%.0f bytes a second at rest, %.0f in the run, a change alone %v, %d subscribers", f.Quiet, f.Mean, f.Single, f.Subscribers)
+	if f.IdleRate > 150 || f.MeanRate > 1000 || f.Single[2] > 4*time.Second || f.Subscribers > 40 {
+		t.Errorf("%.0f bytes a second at rest, %.0f in the run, a change alone %v, %d subscribers", f.IdleRate,
+			f.MeanRate, f.Single, f.Subscribers)
 	}
 }
--- a/internal/lab/configsim/process.go
+++ b/internal/lab/configsim/process.go
@@ -7,7 +7,7 @@
 	"thymebend/internal/configdist/codec"
 )
 
-// Clock is what a fleet lives by. timeline.Timeline is one.
+// Clock is what a cluster lives by. timeline.Timeline is one.
 type Clock interface {
 	Now() time.Duration
 	At(at time.Duration, do func())
@@ -29,64 +29,64 @@
 
 // process is what gateways and control machines have in common: lives, stalls, and frames.
 type process struct {
-	fleet   *Fleet
-	at      Endpoint
-	life    int // grows with each start and end
-	up      bool
-	stalled bool
-	waiting []func()
-	due     bool
-	next    time.Duration
+	cluster     *Cluster
+	endpoint    Endpoint
+	incarnation int // grows with each start and end
+	up          bool
+	stalled     bool
+	queued      []func()
+	wakeDue     bool
+	nextWake    time.Duration
 
 	senders   map[Endpoint]*codec.Sender
 	receivers map[Endpoint]*codec.Receiver
 
 	// Traffic so far, in bytes, headers included.
 	Sent, Received uint64
-	Refused        uint64 // frames that were not taken
+	Rejected       uint64 // frames that were not taken
 	Repeated       uint64 // of those, frames that had come before
-	Used           time.Duration
+	CPUTime        time.Duration
 }
 
 func (p *process) start() {
-	p.life++
-	p.up, p.stalled, p.waiting, p.due, p.next = true, false, nil, false, 0
+	p.incarnation++
+	p.up, p.stalled, p.queued, p.wakeDue, p.nextWake = true, false, nil, false, 0
 	p.senders, p.receivers = make(map[Endpoint]*codec.Sender), make(map[Endpoint]*codec.Receiver)
 }
 
 func (p *process) end() {
-	p.life++
+	p.incarnation++
 	p.up = false
 }
 
-// post words a message and sends it to another process, which takes it once.
-func (p *process) post(to *process, m codec.Message, hear func(codec.Message)) {
-	s := p.senders[to.at]
+// send words a message and sends it to another process, which takes it once.
+func (p *process) send(to *process, m codec.Message, hear func(codec.Message)) {
+	s := p.senders[to.endpoint]
 	if s == nil {
-		s = &codec.Sender{Cluster: codec.ClusterID(p.fleet.cfg.Name), Incarnation: uint64(p.life)}
-		p.senders[to.at] = s
+		s = &codec.Sender{Cluster: codec.ClusterID(p.cluster.cfg.Name), Incarnation: uint64(p.incarnation)}
+		p.senders[to.endpoint] = s
 	}
 	frame := s.Append(nil, m)
 	p.Sent += uint64(len(frame) + frameOverhead)
-	p.fleet.net.Send(p.at, to.at, len(frame)+frameOverhead, func() {
+	p.cluster.net.Send(p.endpoint, to.endpoint, len(frame)+frameOverhead, func() {
 		if !to.up {
 			return
 		}
 		to.Received += uint64(len(frame) + frameOverhead)
-		to.run(func() { to.take(p.at, frame, hear) })
+		to.run(func() { to.receive(p.endpoint, frame, hear) })
 	})
 }
 
-// take reads a frame, and has it heard if it is one.
-func (p *process) take(from Endpoint, frame []byte, hear func(codec.Message)) {
+// receive reads a frame, and has it heard if it is one.
+func (p *process) receive(from Endpoint, frame []byte, hear func(codec.Message)) {
 	r := p.receivers[from]
 	if r == nil {
-		r = &codec.Receiver{Cluster: codec.ClusterID(p.fleet.cfg.Name)}
+		r = &codec.Receiver{Cluster: codec.ClusterID(p.cluster.cfg.Name)}
 		p.receivers[from] = r
 	}
 	m, _, err := r.Receive(frame)
 	if err != nil {
-		p.Refused++
+		p.Rejected++
 		if errors.Is(err, codec.ErrRepeated) {
 			p.Repeated++
 		}
@@ -95,8 +95,8 @@
 	hear(m)
 }
 
-// mostWaiting is how many frames a process that stands still finds when it goes on.
-const mostWaiting = 1000
+// maxQueued is how many frames a process that stands still finds when it goes on.
+const maxQueued = 1000
 
 // run does something now, or when the process goes on after a stall.
 func (p *process) run(do func()) {
@@ -104,20 +104,21 @@
 	case !p.up:
 	case !p.stalled:
 		do()
-	case len(p.waiting) < mostWaiting:
-		p.waiting = append(p.waiting, do)
+	case len(p.queued) < maxQueued:
+		p.queued = append(p.queued, do)
 	}
 }
 
-// stall has the process stand still for a while, as SIGSTOP and SIGCONT do. Timers are late, then what has waited comes.
+// stall has the process stand still for a while, as SIGSTOP and SIGCONT do. Timers are late, then what has waited
+// comes.
 func (p *process) stall(length time.Duration, advance func()) {
 	if !p.up || p.stalled {
 		return
 	}
 	p.stalled = true
-	life := p.life
-	p.fleet.clock.At(p.fleet.clock.Now()+length, func() {
-		if p.life == life {
+	life := p.incarnation
+	p.cluster.clock.At(p.cluster.clock.Now()+length, func() {
+		if p.incarnation == life {
 			p.resume(advance)
 		}
 	})
@@ -129,10 +130,10 @@
 		return
 	}
 	p.stalled = false
-	waiting := p.waiting
-	p.waiting = nil
-	if p.due {
-		p.due = false
+	waiting := p.queued
+	p.queued = nil
+	if p.wakeDue {
+		p.wakeDue = false
 		advance()
 	}
 	for _, do := range waiting {
@@ -142,20 +143,20 @@
 
 // wake has advance called at a time, in this life.
 func (p *process) wake(at time.Duration, advance func()) {
-	now := p.fleet.clock.Now()
-	if p.next > now && p.next <= at {
+	now := p.cluster.clock.Now()
+	if p.nextWake > now && p.nextWake <= at {
 		return // an earlier call is under way, after which this is asked for again
 	}
 	at = max(at, now+100*time.Microsecond)
-	p.next = at
-	life := p.life
-	p.fleet.clock.At(at, func() {
-		if p.life != life || p.next != at {
+	p.nextWake = at
+	life := p.incarnation
+	p.cluster.clock.At(at, func() {
+		if p.incarnation != life || p.nextWake != at {
 			return
 		}
-		p.next = 0
+		p.nextWake = 0
 		if p.stalled {
-			p.due = true
+			p.wakeDue = true
 			return
 		}
 		advance()
@@ -166,5 +167,5 @@
 func (p *process) spend(call func()) {
 	began := time.Now()
 	call()
-	p.Used += time.Since(began)
+	p.CPUTime += time.Since(began)
 }
--- a/internal/lab/scale/changes.go
+++ b/internal/lab/scale/changes.go
@@ -24,7 +24,7 @@
 
 // startControl starts the control machines and has them take the whole configuration.
 func (r *run) startControl() {
-	for i := range r.rollouts.Controls {
+	for i := range r.rollouts.ControlMachines {
 		r.rollouts.StartControl(i)
 	}
 	r.told(Progress{Phase: "storing the configuration", Of: bootWithin})
@@ -126,10 +126,10 @@
 	}
 	out.Submitted = len(list)
 	out.Median, out.Worst, out.Unfinished = summary(list)
-	for _, c := range r.rollouts.Controls {
+	for _, c := range r.rollouts.ControlMachines {
 		if c.Controller != nil {
 			out.MostLinks = max(out.MostLinks, c.Controller.Subscribers())
 		}
 	}
-	out.BrokenRules = append(out.BrokenRules, r.rollouts.Findings...)
+	out.BrokenRules = append(out.BrokenRules, r.rollouts.Violations...)
 }
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -28,8 +28,8 @@
 	full      []*fullGateway
 	begun     begun // what the last full gateway took
 
-	rollouts *configsim.Fleet // nil without control machines
-	network  *configsim.Net   // of the rollouts
+	rollouts *configsim.Cluster // nil without control machines
+	network  *configsim.Net     // of the rollouts
 
 	parted    bool          // regions do not hear each other
 	mendedAt  time.Duration // since then they hear each other again, and not all views are true yet; else 0
@@ -67,7 +67,7 @@
 	}
 	f.rollouts = configsim.New(configsim.Config{Name: "scale", Gateways: o.Gateways, Zones: o.Zones, Regions: o.Regions, Seed: o.Seed,
 		Services: f.servicesOf}, f.sim, f.network)
-	f.rollouts.Operate(time.Second, 0)
+	f.rollouts.RunOperator(time.Second, 0)
 }
 
 func (f *fleet) servicesOf(gateway int) (list []string) {
@@ -233,7 +233,7 @@
 	if f.rollouts == nil {
 		return
 	}
-	for i := range f.rollouts.Controls {
+	for i := range f.rollouts.ControlMachines {
 		if f.places.controlZone(i) == zone {
 			f.sim.At(at, func() { f.rollouts.KillControl(i) })
 			f.sim.At(over, func() { f.rollouts.StartControl(i) })
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -244,7 +244,7 @@
 		var sent, taken uint64
 		if r.rollouts != nil {
 			g := r.rollouts.Gateways[n]
-			sent, taken, used = g.Sent, g.Received, used+g.Used
+			sent, taken, used = g.Sent, g.Received, used+g.CPUTime
 		}
 		m.viewSent, m.viewTaken = append(m.viewSent, r.sim.Sent(n)), append(m.viewTaken, r.sim.Received(n))
 		m.configSent, m.configTaken = append(m.configSent, sent), append(m.configTaken, taken)
@@ -254,8 +254,8 @@
 		m.divided = append(m.divided, g.spent)
 	}
 	if r.rollouts != nil {
-		for _, c := range r.rollouts.Controls {
-			m.control = append(m.control, controlReading{c.Sent, c.Received, c.Used})
+		for _, c := range r.rollouts.ControlMachines {
+			m.control = append(m.control, controlReading{c.Sent, c.Received, c.CPUTime})
 		}
 	}
 	return m
