--- a/internal/lab/drill/excuses.go
+++ b/internal/lab/drill/excuses.go
@@ -59,7 +59,7 @@
 	bad := c.cut || c.stall
 	switch {
 	case fromGateway && toGateway:
-		r.history.Path(a, b, membershipcheck.PathAt{At: at,
+		r.history.Path(a, b, membershipcheck.PathState{At: at,
 			Cut: bad || c.Delay.Duration+c.Jitter.Duration > slowest, Loss: c.Loss})
 	case from == experiment.NodeClients && toGateway:
 		r.excuse(b, at, bad || c.Delay.Duration > 0 || c.Loss > 0)
