--- a/internal/lab/cli/scale.go
+++ b/internal/lab/cli/scale.go
@@ -72,6 +72,26 @@
 			return o, input(err)
 		}
 	}
+	c.override(&o)
+	for _, text := range c.Fault {
+		f, err := scale.ParseFault(text)
+		if err != nil {
+			return o, input(fmt.Errorf("--fault: %w", err))
+		}
+		o.Faults = append(o.Faults, f)
+	}
+	var wrong []string
+	for _, w := range o.Check() {
+		wrong = append(wrong, "--"+w.Error())
+	}
+	if len(wrong) > 0 {
+		return o, coded{exitInput, strings.Join(wrong, "\n")}
+	}
+	return o, nil
+}
+
+// override takes what the command line states.
+func (c scaleCmd) override(o *scale.Options) {
 	for _, given := range []struct {
 		to          *int
 		value, none int
@@ -96,21 +116,6 @@
 	if c.Stalls != -1 {
 		o.Stalls = c.Stalls
 	}
-	for _, text := range c.Fault {
-		f, err := scale.ParseFault(text)
-		if err != nil {
-			return o, input(fmt.Errorf("--fault: %w", err))
-		}
-		o.Faults = append(o.Faults, f)
-	}
-	var wrong []string
-	for _, w := range o.Check() {
-		wrong = append(wrong, "--"+w.Error())
-	}
-	if len(wrong) > 0 {
-		return o, coded{exitInput, strings.Join(wrong, "\n")}
-	}
-	return o, nil
 }
 
 // Run implements kong's.
--- a/internal/lab/cli/view.go
+++ b/internal/lab/cli/view.go
@@ -89,31 +89,11 @@
 		sizes = append(sizes, c.Nodes)
 	}
 	kinds := []string{"views", "heartbeats from all to all"}
-	found := make([][]membershipsim.Figures, len(kinds))
-	var all sync.WaitGroup
-	for k := range kinds {
-		found[k] = make([]membershipsim.Figures, len(sizes))
-		for i, n := range sizes {
-			all.Go(func() {
-				found[k][i] = membershipsim.Measure(ctx, membershipsim.Case{Seed: c.Seed, Nodes: n,
-					Loss: c.Loss, Stalls: c.Stalls, Baseline: k == 1})
-			})
-		}
-	}
-	all.Wait()
+	found := c.measureSizes(ctx, len(kinds), sizes)
 	if ctx.Err() != nil {
 		return early() // lines through sizes that were not measured whole would mislead
 	}
-	for _, p := range []struct {
-		file, title, y string
-		of             func(f membershipsim.Figures) float64
-	}{
-		{"crash.svg", "Until the last knows of a crash, worst of five", "seconds",
-			func(f membershipsim.Figures) float64 { return slices.Max(f.Crash).Seconds() }},
-		{"bytes.svg", "Sent by a gateway", "bytes a second", func(f membershipsim.Figures) float64 { return f.Rest }},
-		{"removals.svg", "Living gateways held for gone, four looks a second over a minute", "count",
-			func(f membershipsim.Figures) float64 { return float64(f.FalseRemoval) }},
-	} {
+	for _, p := range viewPlots() {
 		var lines []report.Series
 		for k, name := range kinds {
 			s := report.Series{Name: name}
@@ -132,3 +112,36 @@
 	}
 	return nil
 }
+
+// measureSizes measures each size, with membership and then with heartbeats from all to all.
+func (c viewCmd) measureSizes(ctx context.Context, kinds int, sizes []int) [][]membershipsim.Figures {
+	found := make([][]membershipsim.Figures, kinds)
+	var all sync.WaitGroup
+	for k := range kinds {
+		found[k] = make([]membershipsim.Figures, len(sizes))
+		for i, n := range sizes {
+			all.Go(func() {
+				found[k][i] = membershipsim.Measure(ctx, membershipsim.Case{Seed: c.Seed, Nodes: n,
+					Loss: c.Loss, Stalls: c.Stalls, Baseline: k == 1})
+			})
+		}
+	}
+	all.Wait()
+	return found
+}
+
+// viewPlot is one chart of the measurements.
+type viewPlot struct {
+	file, title, y string
+	of             func(f membershipsim.Figures) float64
+}
+
+func viewPlots() []viewPlot {
+	return []viewPlot{
+		{"crash.svg", "Until the last knows of a crash, worst of five", "seconds",
+			func(f membershipsim.Figures) float64 { return slices.Max(f.Crash).Seconds() }},
+		{"bytes.svg", "Sent by a gateway", "bytes a second", func(f membershipsim.Figures) float64 { return f.Rest }},
+		{"removals.svg", "Living gateways held for gone, four looks a second over a minute", "count",
+			func(f membershipsim.Figures) float64 { return float64(f.FalseRemoval) }},
+	}
+}
--- a/internal/lab/drill/rig.go
+++ b/internal/lab/drill/rig.go
@@ -37,19 +37,24 @@
 	client  *http.Client
 
 	mu       sync.Mutex
-	taken    map[string]bool       // addresses that were given out
-	books    [][]string            // of each gateway: an entry for each other one
-	present  []bool                // named by the books; all, unless these follow who runs
-	listens  []netip.AddrPort      // of datagrams, the serving process's
-	control  map[int]string        // by process
-	kinds    map[int]int           // of a gateway's next process
-	starting map[int]string        // control of a process that is being started, by gateway
-	launched map[int]time.Duration // when it was
+	taken    map[string]bool // addresses that were given out
 	watches  sync.WaitGroup
 	watching context.Context
 	excuses  []excuse
 	findings []requestrecord.Finding // seen on the way
 	shuts    []excuse                // moments at which a client's connection found nobody behind its relay
+	processTable
+}
+
+// processTable holds the gateways' processes, as far as the rig starts and addresses them.
+type processTable struct {
+	peers    [][]string            // of each gateway: an entry for each other one
+	present  []bool                // named as peers; all, unless these follow who runs
+	listens  []netip.AddrPort      // of datagrams, the serving process's
+	control  map[int]string        // admin address, by process
+	kinds    map[int]int           // of a gateway's next process
+	starting map[int]string        // admin address of a process that is being started, by gateway
+	launched map[int]time.Duration // when it was
 }
 
 // What the next process of a gateway is.
@@ -60,10 +65,14 @@
 )
 
 func newRig(ctx context.Context, f *File, dir string, seed uint64, clock func() time.Duration) (*rig, error) {
-	r := &rig{file: f, dir: dir, seed: seed, ip: rigAddress(dir, 0), taken: make(map[string]bool),
+	r := &rig{
+		file: f, dir: dir, seed: seed, ip: rigAddress(dir, 0), taken: make(map[string]bool), watching: ctx, now: clock,
 		names: experiment.GatewayNames(f.Gateways.Count), index: make(map[string]int),
-		control: make(map[int]string), kinds: make(map[int]int), starting: make(map[int]string),
-		launched: make(map[int]time.Duration), watching: ctx, now: clock}
+		processTable: processTable{
+			control: make(map[int]string), kinds: make(map[int]int),
+			starting: make(map[int]string), launched: make(map[int]time.Duration),
+		},
+	}
 	for i, name := range r.names {
 		r.index[name] = i
 	}
@@ -113,7 +122,7 @@
 			}
 			entries[i] = fmt.Sprintf("[[peer]]\nname = %q\naddr = %q\n", other, at)
 		}
-		r.books = append(r.books, entries)
+		r.peers = append(r.peers, entries)
 		r.present = append(r.present, !r.file.Fleet.Follow || !r.Late(name))
 	}
 	return nil
@@ -126,7 +135,7 @@
 	if f := r.file.Fleet; f.Shares {
 		fmt.Fprintf(&b, "[shares]\nwarm_rate = %.3f\n", f.WarmRate)
 	}
-	for i, entry := range r.books[n] {
+	for i, entry := range r.peers[n] {
 		if r.present[i] {
 			b.WriteString(entry)
 		}
--- a/internal/lab/hostmodel/host.go
+++ b/internal/lab/hostmodel/host.go
@@ -54,30 +54,51 @@
 	rand    *rand.Rand
 	ledger  *requestrecord.EndpointRecord
 	at      time.Duration // the model stands at this time
-	born    time.Duration
-	cold    bool // born cold
 	down    bool
 	drain   bool
 	running []*execution
 	waiting []*execution
 	replies []Reply
 	tokens  uint64
-	done    float64 // work done since birth
-	warm    float64 // share of the capacity reached, as of the last step of warming
 	conns   int
+	heavy   []heavy
 
-	pauseAt, pauseEnd  time.Duration
-	held               bool // stopped until told otherwise
-	neighbour          float64
-	flipAt             time.Duration
-	neighbourOn        bool
-	nextReport, warmAt time.Duration
-	reports            []shown // the first is the one that shows
-	errors             []time.Duration
-	window             []sent
-	windowWork         float64
-	heavy              []heavy
-	peak               float64 // largest share of the cold budget used
+	warming
+	pausing
+	neighbouring
+	reporting
+}
+
+// warming is how a host warms up, and what it was sent meanwhile.
+type warming struct {
+	born       time.Duration
+	cold       bool    // born cold
+	done       float64 // work done since birth
+	warm       float64 // share of the capacity reached, as of the last step of warming
+	warmAt     time.Duration
+	window     []sent
+	windowWork float64
+	peak       float64 // largest share of the slow-start budget used
+}
+
+// pausing is when a host stands still.
+type pausing struct {
+	pauseAt, pauseEnd time.Duration
+	held              bool // stopped until it is resumed
+}
+
+// neighbouring is what another program takes of the machine.
+type neighbouring struct {
+	neighbour   float64
+	flipAt      time.Duration
+	neighbourOn bool
+}
+
+// reporting is what a host says of its load.
+type reporting struct {
+	nextReport time.Duration
+	reports    []shown // the first is the one that shows
+	errors     []time.Duration
 }
 
 // warmStep is how finely the warming of a host is followed.
@@ -99,8 +120,9 @@
 			return nil, fmt.Errorf("host %s: work of %s: %w", spec.Name, class, err)
 		}
 	}
-	h := &Host{spec: spec, ledger: into, at: born, born: born,
+	h := &Host{spec: spec, ledger: into, at: born,
 		rand: rand.New(rand.NewPCG(seed, xxh3.HashString(spec.Name)))}
+	h.born = born
 	h.cold = cold && spec.Cold.From > 0 && spec.Cold.From < 1 && spec.Cold.For > 0
 	h.pauseAt, h.flipAt, h.nextReport, h.warmAt = never, never, never, never
 	if spec.Pause.Every > 0 && spec.Pause.For > 0 {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -96,6 +96,17 @@
 		}
 	}
 	draw := drawing{length: max(length(a), length(b))}
+	p.Sections = append(p.Sections, draw.sideBySide(a, b))
+	p.Sections = append(p.Sections, draw.load(a, "A: ")...)
+	p.Sections = append(p.Sections, draw.load(b, "B: ")...)
+	if draw.err != nil {
+		return draw.err
+	}
+	return layout().Execute(out, p)
+}
+
+// sideBySide draws each class of two runs in one chart.
+func (d *drawing) sideBySide(a, b *experiment.Result) section {
 	both := section{Title: "Side by side"}
 	for _, c := range a.Load.Classes {
 		var good, tail, curve []line
@@ -113,20 +124,14 @@
 			}
 		}
 		both.Plots = append(both.Plots,
-			draw.plot(chart{title: c.Name + ": goodput", x: "time of the run (s)", y: "served in time (%)",
+			d.plot(chart{title: c.Name + ": goodput", x: "time of the run (s)", y: "served in time (%)",
 				lines: good, to: 100}),
-			draw.plot(chart{title: c.Name + ": 99th percentile of latency", x: "time of the run (s)",
+			d.plot(chart{title: c.Name + ": 99th percentile of latency", x: "time of the run (s)",
 				y: "latency (ms)", lines: tail}),
-			draw.plot(chart{title: c.Name + ": latency by percentile", x: "percentile", y: "latency (ms)",
+			d.plot(chart{title: c.Name + ": latency by percentile", x: "percentile", y: "latency (ms)",
 				lines: curve, hdr: true}))
 	}
-	p.Sections = append(p.Sections, both)
-	p.Sections = append(p.Sections, draw.load(a, "A: ")...)
-	p.Sections = append(p.Sections, draw.load(b, "B: ")...)
-	if draw.err != nil {
-		return draw.err
-	}
-	return layout().Execute(out, p)
+	return both
 }
 
 func length(r *experiment.Result) float64 {
--- a/internal/lab/simulation/draw.go
+++ b/internal/lab/simulation/draw.go
@@ -261,7 +261,7 @@
 	d := drawing{rng: rng, kinds: kinds, on: make(map[string]bool)}
 	d.plan = Plan{
 		Seed: seed, Profile: profile, Gateways: 1 + rng.IntN(3), Hosts: 2 + rng.IntN(7), Sockets: 256 + rng.IntN(512),
-		LagMS: rng.IntN(1500), LatencyUS: 50 + rng.IntN(400), CostUS: 5 + rng.IntN(30),
+		LagMS: rng.IntN(1500), NetworkPlan: NetworkPlan{LatencyUS: 50 + rng.IntN(400)}, CostUS: 5 + rng.IntN(30),
 	}
 	if err := size.check(); err != nil {
 		return Plan{}, err
--- a/internal/lab/simulation/loop.go
+++ b/internal/lab/simulation/loop.go
@@ -45,36 +45,46 @@
 	Cost    time.Duration // processor time of one event
 	Partial float64       // chance that a read brings less than has come
 
-	datagrams map[loop.Conn]*datagramSocket
+	Beside  func() int // descriptors of the other process of this gateway
+	Listens func()     // called when the process has the clients' listening socket; may be nil
 
-	ports      map[loop.Conn]*port
-	offered    map[loop.Conn]*Listener // passed and not yet adopted
-	Beside     func() int              // descriptors of the other process of this gateway
-	Listens    func()                  // called when the process has the clients' listening socket; may be nil
-	socks      map[loop.Conn]*socket
-	maybeReady []*socket // those that may be ready
-	accepted   loop.Conn
-	seq        uint64
-	timers     timerHeap
-	byKey      map[loop.Timer]*timer
-	events     []loop.Event
-	signals    []loop.Kind
-	again      bool
-	exited     bool
-	failed     error
-	killed     bool
-	busy       time.Duration
-	waking     uint64 // number of the wake-up that counts
-	wakeAt     time.Duration
-	asleep     bool
-	rounds     uint64
-	silent     *bool
-	onExit     func(error)
+	sockets
+	sleeping
+	seq     uint64
+	timers  timerHeap
+	byKey   map[loop.Timer]*timer
+	events  []loop.Event
+	signals []loop.Kind
+	again   bool
+	exited  bool
+	failed  error
+	killed  bool
+	silent  *bool
+	onExit  func(error)
 	// ClockError is how far the machine's wall clock was ahead of the true time when the process began.
 	// The process's own clock starts there and is monotonic from then on.
 	ClockError time.Duration
 }
 
+// sockets are what a process has open.
+type sockets struct {
+	socks      map[loop.Conn]*socket
+	maybeReady []*socket // of socks, those that may be ready
+	accepted   loop.Conn // number of the socket accepted last
+	ports      map[loop.Conn]*port
+	offered    map[loop.Conn]*Listener // passed and not yet adopted
+	datagrams  map[loop.Conn]*datagramSocket
+}
+
+// sleeping is when a process runs next.
+type sleeping struct {
+	busy   time.Duration // until then the processor works on what came before
+	waking uint64        // number of the wake-up that counts
+	wakeAt time.Duration
+	asleep bool
+	rounds uint64 // how often it woke up
+}
+
 // port is a listening socket.
 type port struct {
 	*Listener
@@ -89,11 +99,14 @@
 
 // NewLoop starts a process.
 func NewLoop(sim *Sim, net *Net, silent *bool, onExit func(error)) *Loop {
-	return &Loop{sim: sim, net: net, socks: make(map[loop.Conn]*socket), accepted: firstAccepted,
-		byKey:     make(map[loop.Timer]*timer),
-		datagrams: make(map[loop.Conn]*datagramSocket), ports: make(map[loop.Conn]*port),
-		offered: make(map[loop.Conn]*Listener),
-		silent:  silent, onExit: onExit, Files: func(path string) ([]byte, error) { return nil, os.ErrNotExist }}
+	return &Loop{
+		sim: sim, net: net, silent: silent, onExit: onExit, byKey: make(map[loop.Timer]*timer),
+		Files: func(string) ([]byte, error) { return nil, os.ErrNotExist },
+		sockets: sockets{
+			socks: make(map[loop.Conn]*socket), accepted: firstAccepted, ports: make(map[loop.Conn]*port),
+			offered: make(map[loop.Conn]*Listener), datagrams: make(map[loop.Conn]*datagramSocket),
+		},
+	}
 }
 
 // listening returns the open listening sockets in order.
--- a/internal/lab/simulation/plan.go
+++ b/internal/lab/simulation/plan.go
@@ -36,27 +36,20 @@
 
 // Plan is a whole run: what it consists of, and every fault and request in it.
 type Plan struct {
-	Seed       uint64  `json:"seed"`
-	Profile    string  `json:"profile"`
-	Gateways   int     `json:"gateways"`
-	Hosts      int     `json:"hosts"`
-	Sockets    int     `json:"sockets"`
-	LagMS      int     `json:"lag_ms"`
-	LatencyUS  int     `json:"latency_us"`
-	JitterUS   int     `json:"jitter_us"`
-	Split      float64 `json:"split,omitempty"`
-	Partial    float64 `json:"partial,omitempty"`
-	Resets     float64 `json:"resets,omitempty"`
-	LoseDials  float64 `json:"lose_dials,omitempty"`
-	CostUS     int     `json:"cost_us,omitempty"`
-	Cold       bool    `json:"cold,omitempty"`
-	Zones      int     `json:"zones,omitempty"`  // of a fleet; 0 is one zone for all
-	Barren     bool    `json:"barren,omitempty"` // the last zone has gateways and no hosts
-	Views      bool    `json:"views,omitempty"`  // gateways know of each other
-	Shares     bool    `json:"shares,omitempty"` // and divide hosts among them, with Views
-	LoseData   float64 `json:"lose_datagrams,omitempty"`
-	DoubleData float64 `json:"double_datagrams,omitempty"`
-	Pushed     bool    `json:"pushed,omitempty"` // lists come by an agent on each gateway's machine
+	Seed     uint64 `json:"seed"`
+	Profile  string `json:"profile"`
+	Gateways int    `json:"gateways"`
+	Hosts    int    `json:"hosts"`
+	Sockets  int    `json:"sockets"`
+	LagMS    int    `json:"lag_ms"`
+	NetworkPlan
+	CostUS int  `json:"cost_us,omitempty"`
+	Cold   bool `json:"cold,omitempty"`
+	Zones  int  `json:"zones,omitempty"`  // of a fleet; 0 is one zone for all
+	Barren bool `json:"barren,omitempty"` // the last zone has gateways and no hosts
+	Views  bool `json:"views,omitempty"`  // gateways know of each other
+	Shares bool `json:"shares,omitempty"` // and divide hosts among them, with Views
+	Pushed bool `json:"pushed,omitempty"` // lists come by an agent on each gateway's machine
 	// DeadlineMS is the longest deadline of every class; 0 is the usual ones.
 	DeadlineMS int `json:"deadline_ms,omitempty"`
 	// ClockErrors are how many seconds the machines' wall clocks are ahead at the begin, by gateway.
@@ -67,6 +60,18 @@
 	Requests []Request  `json:"requests"`
 }
 
+// NetworkPlan is how the network behaves. Chances are 0 to 1.
+type NetworkPlan struct {
+	LatencyUS  int     `json:"latency_us"`
+	JitterUS   int     `json:"jitter_us"`
+	Split      float64 `json:"split,omitempty"`      // chance that a write arrives in pieces
+	Partial    float64 `json:"partial,omitempty"`    // chance that a read brings less than has come
+	Resets     float64 `json:"resets,omitempty"`     // chance that a connection is reset
+	LoseDials  float64 `json:"lose_dials,omitempty"` // chance that a connection never comes up
+	LoseData   float64 `json:"lose_datagrams,omitempty"`
+	DoubleData float64 `json:"double_datagrams,omitempty"`
+}
+
 // Bounds of a plan's size. The addresses of the virtual network have room for so many gateways.
 const (
 	maxGateways = 500
--- a/internal/lab/simulation/simulator_test.go
+++ b/internal/lab/simulation/simulator_test.go
@@ -504,7 +504,7 @@
 // pushedDay is a day of pushed lists with stated faults and a request every 80 ms.
 func pushedDay(hosts, ms int, faults ...Fault) Plan {
 	p := Plan{Seed: 1, Profile: "pushed", Pushed: true, Gateways: 2, Hosts: hosts, Sockets: 400, LagMS: 300,
-		LatencyUS: 200, CostUS: 10, Faults: faults}
+		NetworkPlan: NetworkPlan{LatencyUS: 200}, CostUS: 10, Faults: faults}
 	for at := 0; at < ms; at += 80 {
 		p.Requests = append(p.Requests, Request{AtMS: at, Unsafe: at%240 == 0, Patient: 2000, Retries: 1})
 	}
