--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -120,8 +120,7 @@
 			b.endpoints.signals.Full = true
 		}
 	case OutcomeRejected:
-		// The endpoint is there and says that it has enough: that is for the limit to learn, not for its
-		// health.
+		// The endpoint is there and has enough: that is for its limit to learn, not for its health.
 		ep.limit.RecordFailure()
 		ep.health.LastHeard = b.now
 		ep.cooldown.afterRejection(b.now, b.classes.referenceMS, b.classes.meanObjective())
--- a/internal/balancer/classes.go
+++ b/internal/balancer/classes.go
@@ -21,14 +21,14 @@
 // classState is what is learnt about one class.
 type classState struct {
 	Class
-	service   stats.Mean    // service time, ms
-	deviation stats.Mean    // its mean absolute deviation, ms
-	arrivals  float64       // requests taken, with a decay
-	served    stats.Mean    // share answered within the objective or, with a LateWeight, the client timeout
-	expected  time.Duration // service time of the next request
-	timeouts  timeoutVotes
-	open      int           // requests not yet forgotten
-	retiredAt time.Duration // no longer in the settings since then; 0 if it is
+	serviceMS   stats.Mean    // service time
+	deviationMS stats.Mean    // its mean absolute deviation
+	arrivals    float64       // requests taken, with a decay
+	served      stats.Mean    // share answered within the objective or, with a LateWeight, the client timeout
+	expected    time.Duration // service time of the next request
+	timeouts    timeoutVotes
+	open        int           // requests not yet forgotten
+	retiredAt   time.Duration // no longer in the settings since then; 0 if it is
 
 	goalDensity  float64      // what serving it adds to the operators' goal, for a ms of work
 	maxQueueTime maxQueueTime // while room is short
@@ -38,11 +38,11 @@
 // recordService learns the service time of an answer and returns it as it counts, in ms.
 func (c *classState) recordService(latency time.Duration) (ms float64) {
 	ms = stats.Milliseconds(latency)
-	if c.service.N >= concurrency.MinAnswers {
-		ms = min(ms, maxServiceFactor*c.service.Value)
+	if c.serviceMS.N >= concurrency.MinAnswers {
+		ms = min(ms, maxServiceFactor*c.serviceMS.Value)
 	}
-	c.service.Add(ms, classMemory)
-	c.deviation.Add(math.Abs(ms-c.service.Value), classMemory)
+	c.serviceMS.Add(ms, classMemory)
+	c.deviationMS.Add(math.Abs(ms-c.serviceMS.Value), classMemory)
 	return ms
 }
 
@@ -59,8 +59,8 @@
 func (c *classState) refresh() {
 	c.arrivals *= 1 - arrivalDecay
 	c.expected = stats.Scale(c.LatencyObjective, concurrency.ServiceShare)
-	if c.service.N >= concurrency.MinAnswers {
-		c.expected = stats.FromMilliseconds(c.service.Value)
+	if c.serviceMS.N >= concurrency.MinAnswers {
+		c.expected = stats.FromMilliseconds(c.serviceMS.Value)
 	}
 }
 
@@ -95,8 +95,8 @@
 func (t *classTable) learnReference() {
 	var all stats.Mean
 	for c := range t.current {
-		if c.service.N >= concurrency.MinAnswers {
-			all.Add(c.service.Value, 0)
+		if c.serviceMS.N >= concurrency.MinAnswers {
+			all.Add(c.serviceMS.Value, 0)
 		}
 	}
 	t.referenceMS = all.Value
@@ -104,10 +104,10 @@
 
 // relativeCost is a class's service time over that of the average class.
 func (t *classTable) relativeCost(c *classState) float64 {
-	if c.service.N < concurrency.MinAnswers || t.referenceMS == 0 {
+	if c.serviceMS.N < concurrency.MinAnswers || t.referenceMS == 0 {
 		return 1
 	}
-	return c.service.Value / t.referenceMS
+	return c.serviceMS.Value / t.referenceMS
 }
 
 // meanObjective is the mean of the classes' latency objectives.
--- a/internal/balancer/classes_test.go
+++ b/internal/balancer/classes_test.go
@@ -13,7 +13,7 @@
 	r := newRig(t, testConfig(), ready(1, 0, 0))
 	s := r.b.endpoints.all[0]
 	for i := range r.b.classes.entries {
-		r.b.classes.entries[i].service = stats.Mean{N: 1000, Value: 50 * float64(i+1)}
+		r.b.classes.entries[i].serviceMS = stats.Mean{N: 1000, Value: 50 * float64(i+1)}
 	}
 	r.b.classes.learnReference()
 	near(t, "reference", r.b.classes.referenceMS, 100)
@@ -28,7 +28,7 @@
 func TestHeavyRequestsAreClipped(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0))
 	s := r.b.endpoints.all[0]
-	r.b.classes.entries[0].service = stats.Mean{N: 1000, Value: 100}
+	r.b.classes.entries[0].serviceMS = stats.Mean{N: 1000, Value: 100}
 	r.b.classes.referenceMS = 100
 	r.b.recordAnswer(&requestState{}, s, 2700*millisecond)
 	if ms := s.limit.Sample.ServiceSumMS; ms > maxServiceFactor*100*1.01 || ms < maxServiceFactor*90 {
@@ -40,7 +40,7 @@
 // tries do not have.
 func TestClientRetriesCountFromTheFirstTry(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0))
-	r.b.classes.entries[0].service = stats.Mean{N: concurrency.MinAnswers, Value: 100}
+	r.b.classes.entries[0].serviceMS = stats.Mean{N: concurrency.MinAnswers, Value: 100}
 	r.b.updateQueueTimes()
 	for id := RequestID(1); id <= 10; id++ {
 		r.b.RequestArrived(r.now, Request{ID: id, ClientTimeout: (1990 - time.Duration(id)) * millisecond})
--- a/internal/balancer/concurrency/limit.go
+++ b/internal/balancer/concurrency/limit.go
@@ -27,7 +27,7 @@
 	Value       float64    // the limit before rounding up, above 0; the paper's u
 	GainMS      float64    // ms of service for each request in flight; 0 is unknown; the paper's K
 	UncrowdedMS float64    // service time while the endpoint is not crowded; 0 is unknown
-	Service     stats.Mean // smoothed service time, ms
+	ServiceMS   stats.Mean // smoothed service time, ms
 	QueueLength float64    // requests waiting at the endpoint as its answers report, smoothed; else 0
 	Sample      Sample     // of the running sampling period
 }
@@ -120,7 +120,7 @@
 		l.GainMS = ratio
 	}
 	l.GainMS = gainMemory*l.GainMS + (1-gainMemory)*ratio
-	l.Service.Add(meanMS, float64(answers)/float64(answers+smoothingAnswers))
+	l.ServiceMS.Add(meanMS, float64(answers)/float64(answers+smoothingAnswers))
 	l.learnUncrowded()
 }
 
@@ -130,10 +130,10 @@
 
 // learnUncrowded keeps the least smoothed service time, slowly forgotten.
 func (l *Limit) learnUncrowded() {
-	if l.Service.N <= MinAnswers || l.Service.Value < l.UncrowdedMS {
-		l.UncrowdedMS = l.Service.Value
+	if l.ServiceMS.N <= MinAnswers || l.ServiceMS.Value < l.UncrowdedMS {
+		l.UncrowdedMS = l.ServiceMS.Value
 	}
-	l.UncrowdedMS += (l.Service.Value - l.UncrowdedMS) * uncrowdedForgetting
+	l.UncrowdedMS += (l.ServiceMS.Value - l.UncrowdedMS) * uncrowdedForgetting
 }
 
 // move applies a step. Exception to the paper: below one, where one request of each gateway already crowds an
--- a/internal/balancer/concurrency/limit_test.go
+++ b/internal/balancer/concurrency/limit_test.go
@@ -31,7 +31,7 @@
 func newLimit(value, gainMS float64) *Limit {
 	return &Limit{
 		Value: value, GainMS: gainMS, UncrowdedMS: uncrowdedMS,
-		Service: stats.Mean{N: 1 << 60, Value: uncrowdedMS},
+		ServiceMS: stats.Mean{N: 1 << 60, Value: uncrowdedMS},
 	}
 }
 
@@ -83,7 +83,7 @@
 	} {
 		l.RecordAnswer(100)
 		l.MarkLimited()
-		l.UncrowdedMS, l.Service.Value = uncrowdedMS, uncrowdedMS
+		l.UncrowdedMS, l.ServiceMS.Value = uncrowdedMS, uncrowdedMS
 		l.CloseSample(oneSecond, MinLimit(1))
 		near(t, "gain estimate", l.GainMS, want.gain)
 		about(t, "limit", l.Value, want.limit)
--- a/internal/balancer/dispatch_test.go
+++ b/internal/balancer/dispatch_test.go
@@ -69,7 +69,7 @@
 	for i := range r.b.classes.entries {
 		c := &r.b.classes.entries[i]
 		// By these nothing is left of the objective for the queue.
-		c.service, c.deviation = stats.Mean{N: 100, Value: 90}, stats.Mean{N: 100, Value: 100}
+		c.serviceMS, c.deviationMS = stats.Mean{N: 100, Value: 90}, stats.Mean{N: 100, Value: 100}
 	}
 	r.b.classes.referenceMS = 90
 	r.b.updateQueueTimes()
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -66,9 +66,8 @@
 	return retryable && ep.inFlight == 0 && ep.health.ProbeDue(b.now)
 }
 
-// cancelAttempts cancels what is in flight on a silent endpoint and may be retried. A single long attempt
-// elsewhere is waited for: work is spread widely, a cancel seldom stops it, and the retry would be paid
-// twice.
+// cancelAttempts cancels what is in flight on a silent endpoint and may be retried. A long attempt on any
+// other is waited for: a cancel seldom stops work, and the retry would be paid twice.
 func (b *Balancer) cancelAttempts(ep *endpointState) {
 	if !b.cfg.CancelAllowed {
 		return
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -42,12 +42,12 @@
 // usualMS is the service time that an attempt may be expected to take at most, in ms: that of the class or of
 // the endpoint.
 func (ep *endpointState) usualMS(c *classState) float64 {
-	return max(stats.Milliseconds(c.expected), ep.limit.Service.Value)
+	return max(stats.Milliseconds(c.expected), ep.limit.ServiceMS.Value)
 }
 
 // serviceMS is the service time of the endpoint or of the average class, whichever is longer, in ms.
 func (ep *endpointState) serviceMS(referenceMS float64) float64 {
-	return max(referenceMS, ep.limit.Service.Value)
+	return max(referenceMS, ep.limit.ServiceMS.Value)
 }
 
 // allowed is the number of requests that this gateway may have in flight there.
--- a/internal/balancer/harness_test.go
+++ b/internal/balancer/harness_test.go
@@ -151,7 +151,7 @@
 
 func warmUp(r *rig) {
 	for i := range r.b.classes.entries {
-		r.b.classes.entries[i].service = stats.Mean{N: 1000, Value: 100}
+		r.b.classes.entries[i].serviceMS = stats.Mean{N: 1000, Value: 100}
 	}
 	r.b.classes.referenceMS = 100
 	r.b.updateQueueTimes()
--- a/internal/balancer/loadshedding.go
+++ b/internal/balancer/loadshedding.go
@@ -106,7 +106,7 @@
 // latestStart is the queue time after which an answer of this class would likely come too late. The margin
 // shrinks by what a late answer still earns: only the rest is at risk.
 func latestStart(c *classState, turnover time.Duration) time.Duration {
-	margin := stats.FromMilliseconds(lateMargin * (1 - c.LateWeight) * c.deviation.Value)
+	margin := stats.FromMilliseconds(lateMargin * (1 - c.LateWeight) * c.deviationMS.Value)
 	longest := max(c.LatencyObjective-c.expected, 0)
 	return max(c.LatencyObjective-(c.expected+margin),
 		stats.Scale(c.LatencyObjective, concurrency.ServiceShare),
--- a/internal/balancer/loadshedding_test.go
+++ b/internal/balancer/loadshedding_test.go
@@ -12,7 +12,7 @@
 	cfg := testConfig()
 	r := newRig(t, cfg)
 	c := &r.b.classes.entries[0]
-	c.service, c.deviation = stats.Mean{N: 100, Value: 90}, stats.Mean{N: 100, Value: 60}
+	c.serviceMS, c.deviationMS = stats.Mean{N: 100, Value: 90}, stats.Mean{N: 100, Value: 60}
 	for late, want := range map[float64]time.Duration{0: 1000 - 90 - 240, 0.5: 1000 - 90 - 120, 1: 1000 - 90} {
 		c.LateWeight = late
 		r.b.updateQueueTimes()
@@ -117,7 +117,7 @@
 func TestRequestsAreQueuedForSomeTurnovers(t *testing.T) {
 	c := classState{Class: Class{LatencyObjective: time.Second}}
 	c.refresh()
-	c.deviation.Add(1000, 0) // nothing is left of the objective
+	c.deviationMS.Add(1000, 0) // nothing is left of the objective
 	for turnover, want := range map[time.Duration]time.Duration{
 		0: 100 * millisecond, 200 * millisecond: 600 * millisecond, time.Second: 900 * millisecond,
 	} {
--- a/internal/balancer/sampling_test.go
+++ b/internal/balancer/sampling_test.go
@@ -17,7 +17,7 @@
 	s := r.b.endpoints.all[0]
 	near(t, "u at the start", s.limit.Value, 0.5)
 	s.limit.Value, s.limit.GainMS, s.limit.UncrowdedMS = 0.8, 100, 100
-	s.limit.Service = stats.Mean{N: 1000, Value: 200}
+	s.limit.ServiceMS = stats.Mean{N: 1000, Value: 200}
 	r.b.classes.referenceMS = 100
 	s.limit.Sample.Answers, s.limit.Sample.ServiceSumMS = 1, 280 // K = 50+140; step = 0.16/190 x (140-280), times u
 	s.closeSample(r.b.serviceTarget())
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -96,7 +96,7 @@
 
 func (c *classState) state() ClassState {
 	return ClassState{
-		Name: c.Name, Answers: c.service.N, ServiceMS: c.service.Value, DeviationMS: c.deviation.Value,
+		Name: c.Name, Answers: c.serviceMS.N, ServiceMS: c.serviceMS.Value, DeviationMS: c.deviationMS.Value,
 		Concluded: c.served.N, Served: c.served.Value, Arrivals: c.arrivals,
 		ClientTimeout: c.timeouts.common, ClientTimeoutVotes: c.timeouts.votes,
 	}
@@ -107,8 +107,8 @@
 		!plausible(in.ServiceMS, in.DeviationMS, in.Served, in.Arrivals) {
 		return
 	}
-	c.service = stats.Mean{N: in.Answers, Value: in.ServiceMS}
-	c.deviation = stats.Mean{N: in.Answers, Value: in.DeviationMS}
+	c.serviceMS = stats.Mean{N: in.Answers, Value: in.ServiceMS}
+	c.deviationMS = stats.Mean{N: in.Answers, Value: in.DeviationMS}
 	c.served = stats.Mean{N: in.Concluded, Value: min(in.Served, 1)}
 	c.arrivals = in.Arrivals
 	c.timeouts = timeoutVotes{common: in.ClientTimeout, votes: min(in.ClientTimeoutVotes, maxTimeoutVotes)}
@@ -118,7 +118,7 @@
 	return EndpointStats{
 		ID: ep.ID, StartedAt: ep.StartedAt,
 		Limit: ep.limit.Value, Gain: ep.limit.GainMS, UncrowdedMS: ep.limit.UncrowdedMS,
-		Answers: ep.limit.Service.N, ServiceMS: ep.limit.Service.Value,
+		Answers: ep.limit.ServiceMS.N, ServiceMS: ep.limit.ServiceMS.Value,
 		FailureRate: ep.health.FailureRate, Ejected: ep.health.Ejected, Silent: ep.health.Silent,
 		Ejections: ep.health.Ejections, ProbeIn: max(0, ep.health.ProbeAt-now),
 		SlowStartTokens: ep.warmUp.Tokens,
@@ -132,7 +132,7 @@
 	}
 	ep.limit.Value = max(ep.minLimit(), in.Limit)
 	ep.limit.GainMS, ep.limit.UncrowdedMS = in.Gain, in.UncrowdedMS
-	ep.limit.Service = stats.Mean{N: in.Answers, Value: in.ServiceMS}
+	ep.limit.ServiceMS = stats.Mean{N: in.Answers, Value: in.ServiceMS}
 	ep.health.FailureRate = min(in.FailureRate, 1)
 	ep.health.Ejected, ep.health.Silent, ep.health.Ejections = in.Ejected, in.Silent, in.Ejections
 	ep.health.ProbeAt = now + in.ProbeIn
