--- a/cmd/thymebend/main.go
+++ b/cmd/thymebend/main.go
@@ -1,5 +1,8 @@
-// Command thymebend is the real gateway. Alone it reads its configuration, wires the loop to the gateway's state and runs
-// until it is stopped; with arguments it asks a running one, see thymebend --help.
+// Command thymebend is the gateway. Without arguments it reads its configuration, serves, and exits when it
+// is stopped; with arguments it asks a running gateway, see thymebend --help.
+//
+// Environment: LB_CONFIG names the configuration file, see internal/config for the others; LB_LOG is the
+// level of the log on standard error (debug, info, warn, error; default info).
 package main
 
 import (
@@ -17,19 +20,26 @@
 
 func main() {
 	if len(os.Args) > 1 {
-		os.Exit(command(os.Args[1:], os.Stdout, os.Stderr))
+		os.Exit(runCommand(os.Args[1:], os.Stdout, os.Stderr))
 	}
-	log := zerolog.New(os.Stderr).With().Timestamp().Logger().Level(zerolog.InfoLevel)
-	if level, err := zerolog.ParseLevel(os.Getenv("LB_LOG")); err == nil && os.Getenv("LB_LOG") != "" {
-		log = log.Level(level)
-	}
-	if err := run(log); err != nil {
+	log := newLogger(os.Getenv("LB_LOG"))
+	if err := serve(log); err != nil {
 		log.Error().Err(err).Msg("thymebend cannot run")
 		os.Exit(1)
 	}
 }
 
-func run(log zerolog.Logger) error {
+// newLogger logs to standard error, at info where level is empty or unknown.
+func newLogger(level string) zerolog.Logger {
+	log := zerolog.New(os.Stderr).With().Timestamp().Logger().Level(zerolog.InfoLevel)
+	if parsed, err := zerolog.ParseLevel(level); err == nil && level != "" {
+		log = log.Level(parsed)
+	}
+	return log
+}
+
+// serve runs the gateway until it is stopped.
+func serve(log zerolog.Logger) error {
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
 		return err
