--- a/cmd/thymebend/deploy_test.go
+++ b/cmd/thymebend/deploy_test.go
@@ -10,8 +10,7 @@
 	"testing"
 )
 
-// The platform loads a library into the gateway, which a program without a dynamic loader would not see: it would
-// run on unheard. Built as the deploy file says, but into a folder of the test's own.
+// Guards against a static program, into which the platform cannot load its library.
 func TestDeployedProgramIsLinkedDynamically(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -22,7 +21,8 @@
 		t.Fatal("deploy/balancer.toml: no build")
 	}
 	dir := t.TempDir()
-	build := exec.Command("sh", "-c", strings.NewReplacer(" bin ", " "+dir+" ", " bin/ ", " "+dir+"/ ").Replace(string(line[1])))
+	intoDir := strings.NewReplacer(" bin ", " "+dir+" ", " bin/ ", " "+dir+"/ ")
+	build := exec.CommandContext(t.Context(), "sh", "-c", intoDir.Replace(string(line[1])))
 	build.Dir = "../.."
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
--- a/cmd/thymebend/fleet.go
+++ b/cmd/thymebend/fleet.go
@@ -51,10 +51,10 @@
 		}
 		return no
 	}
-	fmt.Fprintf(out, "%s in fleet %s: %s, %s, %d of %d alive, %.0f%% of those asked answer, quiet for %v, own health %d\n",
-		f.Name, f.Cluster, choose(f.Settled, "settled", "NOT SETTLED"), choose(f.Majority, "a majority",
-			"NO MAJORITY"),
-		f.Alive, f.Known, 100*f.Answering, roundedMS(f.QuietMS), f.Health)
+	fmt.Fprintf(out, "%s in fleet %s: %s, %s, %d of %d alive, ", f.Name, f.Cluster,
+		choose(f.Settled, "settled", "NOT SETTLED"), choose(f.Majority, "a majority", "NO MAJORITY"), f.Alive, f.Known)
+	fmt.Fprintf(out, "%.0f%% of those asked answer, quiet for %v, own health %d\n",
+		100*f.Answering, roundedMS(f.QuietMS), f.Health)
 	if !f.Active {
 		fmt.Fprintln(out, "it does not speak: its socket is not open, or another process speaks for it")
 	}
@@ -120,8 +120,9 @@
 	if !p.TokensActive {
 		tokens += ", NONE NOW: most of the living do not have this file, or have not for 3 s"
 	}
-	fmt.Fprintf(out, "\nportion: %s (%s) of %d gateways, most loaded host %.2f of the mean, own demand %.1f a second, %d spares\n%s\n\n",
-		p.Stage, why, p.Gateways, p.RelativeLoad, p.Demand, p.Spares, tokens)
+	fmt.Fprintf(out, "\nportion: %s (%s) of %d gateways, most loaded host %.2f of the mean, ",
+		p.Stage, why, p.Gateways, p.RelativeLoad)
+	fmt.Fprintf(out, "own demand %.1f a second, %d spares\n%s\n\n", p.Demand, p.Spares, tokens)
 	rank := func(h admin.AssignedEndpoint) int {
 		switch {
 		case h.SuspectedByPeers:
--- a/cmd/thymebend/imports_test.go
+++ b/cmd/thymebend/imports_test.go
@@ -6,15 +6,17 @@
 	"testing"
 )
 
-// The gateway stays lean: nothing of the laboratory, no network library, and of others only those named here.
+// Guards against the laboratory, a network library or another unnamed package in the gateway.
 func TestImports(t *testing.T) {
-	out, err := exec.Command("go", "list", "-deps", ".").Output()
+	out, err := exec.CommandContext(t.Context(), "go", "list", "-deps", ".").Output()
 	if err != nil {
 		t.Fatal(err)
 	}
-	allowed := []string{"thymebend", "github.com/rs/zerolog", "github.com/mattn/go-colorable", "github.com/mattn/go-isatty", "golang.org/x/sys",
-		// of the fleet's view and its file
-		"google.golang.org/protobuf", "github.com/zeebo/xxh3", "github.com/klauspost/cpuid/v2", "github.com/pelletier/go-toml/v2",
+	allowed := []string{"thymebend", "github.com/rs/zerolog", "github.com/mattn/go-colorable",
+		"github.com/mattn/go-isatty", "golang.org/x/sys",
+		// of the cluster's view and its file
+		"google.golang.org/protobuf", "github.com/zeebo/xxh3", "github.com/klauspost/cpuid/v2",
+		"github.com/pelletier/go-toml/v2",
 		"github.com/agnivade/levenshtein",
 		// of the command line
 		"github.com/alecthomas/kong"}
--- a/cmd/thymebend/large_test.go
+++ b/cmd/thymebend/large_test.go
@@ -47,51 +47,6 @@
 	return fmt.Sprintf("%d %x", n, h.Sum(nil)[:8])
 }
 
-// bulkHost reads bodies as they come and answers with what the target's query asks for.
-func bulkHost(t *testing.T, name string, begun func(r *http.Request, c net.Conn) bool) *host {
-	h := &host{name: name, ln: listen(t)}
-	go each(h.ln, func(c net.Conn) {
-		in := bufio.NewReaderSize(c, 4096)
-		for {
-			r, err := http.ReadRequest(in)
-			if err != nil || begun != nil && !begun(r, c) {
-				return
-			}
-			sum := sha256.New()
-			n, err := io.Copy(sum, r.Body)
-			if err != nil {
-				return
-			}
-			got := fmt.Sprintf("%d %x", n, sum.Sum(nil)[:8])
-			h.count(func() { h.asked = append(h.asked, r.Header.Get("X-Trace-Id")) })
-			size, out := 0, bufio.NewWriter(c)
-			fmt.Sscan(r.URL.Query().Get("size"), &size)
-			switch r.URL.Query().Get("how") {
-			case "chunks":
-				fmt.Fprintf(out, "HTTP/1.1 200 OK\r\nX-Got: %s\r\nTransfer-Encoding: chunked\r\n\r\n", got)
-				for left := size; left > 0; left -= 5000 {
-					n := min(left, 5000)
-					fmt.Fprintf(out, "%x;ext=1\r\n%s\r\n", n, strings.Repeat("z", n))
-				}
-				fmt.Fprint(out, "0\r\nTrailer: t\r\n\r\n")
-			case "close":
-				fmt.Fprintf(out, "HTTP/1.1 200 OK\r\nX-Got: %s\r\n\r\n%s", got, strings.Repeat("z", size))
-				out.Flush()
-				return
-			case "break":
-				fmt.Fprintf(out, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("z", size/2))
-				out.Flush()
-				return
-			default:
-				fmt.Fprintf(out, "HTTP/1.1 200 OK\r\nX-Got: %s\r\nContent-Length: %d\r\n\r\n", got, size)
-				_, _ = io.Copy(out, pattern(size))
-			}
-			out.Flush()
-		}
-	})
-	return h
-}
-
 // large words a bid with a body of n bytes to follow, or of chunks if n is 0.
 func large(id, query string, n int) string {
 	head := strings.Replace(lodge(id, ""), "POST /lodge", "POST /lodge?"+query, 1)
@@ -101,9 +56,10 @@
 	return strings.Replace(head, "Length: 0", fmt.Sprintf("Length: %d", n), 1)
 }
 
-// Bodies of 32 MB go both ways, in every framing, with memory far under the limit and the links reused.
+// Guards against bodies of 32 MB that are held in memory, in any framing, or cost their connections.
 func TestLargeBodiesAreStreamed(t *testing.T) {
-	g := start(t, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 1024}}, bulkHost(t, "s-1", nil))
+	g := start(t, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 1024}},
+		bulkEndpoint(t, "s-1", nil))
 	const most = 32 << 20
 	for i, how := range []string{"length", "chunks", "close"} {
 		c := g.dial()
@@ -145,18 +101,17 @@
 	}
 }
 
-// A host that fails before the last byte never ran the request: it is refused, which is harmless, and never resent.
-// One that answers early is heard. Whoever breaks, others are served.
+// Guards against retrying an upload whose first bytes are gone, and against missing an early response.
 func TestUploadsThatBreak(t *testing.T) {
 	var tries atomic.Int32
-	h := bulkHost(t, "s-1", func(r *http.Request, c net.Conn) bool {
+	h := bulkEndpoint(t, "s-1", func(r *http.Request, c net.Conn) bool {
 		switch id := r.Header.Get("X-Trace-Id"); {
 		case strings.HasPrefix(id, "cut"):
 			tries.Add(1)
 			_, _ = io.CopyN(io.Discard, r.Body, 100<<10)
 			return false
 		case strings.HasPrefix(id, "early"):
-			say(c, "503 Full", "X-Never-Ran: 1\r\n", "")
+			writeResponse(c, "503 Full", "X-Never-Ran: 1\r\n", "")
 			_, _ = io.Copy(io.Discard, c)
 			return false
 		}
@@ -195,10 +150,10 @@
 	}
 }
 
-// A host that breaks half way through an answer, or gives one too large, shows as no whole answer, in every framing.
-// A client that reads slowly gets all of it, and holds up nobody.
-func TestAnswersThatBreakOrGoSlowly(t *testing.T) {
-	g := start(t, nil, bulkHost(t, "s-1", nil))
+// Guards against a cut response that looks complete in any framing, and against a slow reader that holds up
+// others.
+func TestResponsesThatBreakOrAreReadSlowly(t *testing.T) {
+	g := start(t, nil, bulkEndpoint(t, "s-1", nil))
 	for _, old := range []bool{false, true} {
 		c := g.dial()
 		raw := strings.Replace(view("b", 1500), "q=1", "how=break&size=400000", 1)
--- a/cmd/thymebend/crowd_test.go
+++ b/cmd/thymebend/overload_test.go
@@ -1,10 +1,13 @@
 package main
 
 import (
+	"bufio"
 	"fmt"
+	"io"
 	"net"
 	"net/http"
 	"os"
+	"strings"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -12,11 +15,52 @@
 	"time"
 )
 
-// Thousands connect and never finish a request, with few descriptors and little memory, and a stop in the middle. Each
-// true request has a new link, and some are written slowly: all are answered, and so is the second address.
-func TestCrowdThatNeverFinishes(t *testing.T) {
+// Guards against clients that flood or send garbage and keep others from being served, or reach an endpoint.
+func TestFloodsLeaveOthersServed(t *testing.T) {
+	h := newEndpoint(t, "s-1", ok)
+	g := start(t, nil, h)
+	noise := strings.Repeat("noise and no request\r\n", 15<<10)
+	var floods sync.WaitGroup
+	for i := range 100 {
+		floods.Go(func() {
+			c, err := net.Dial("tcp", g.addr)
+			if err != nil {
+				return // the queue of those that wait is full, which is the flood's own affair
+			}
+			defer c.Close()
+			_ = c.SetDeadline(time.Now().Add(testTimeout))
+			if i%2 == 0 {
+				_, _ = io.WriteString(c, view(fmt.Sprint("bad", i), 900)[:30]+noise) // and goes
+				return
+			}
+			_, _ = io.WriteString(c, noise[:100])
+			if r, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil && r.StatusCode < 400 {
+				t.Errorf("noise was answered %d", r.StatusCode)
+			}
+		})
+	}
+	c := g.dial()
+	for i := range 50 {
+		if status, _, _ := ask(t, c, view(fmt.Sprint("good", i), 1900)); status != 200 {
+			t.Errorf("view %d beside the flood: %d", i, status)
+		}
+	}
+	floods.Wait()
+	h.count(func() {
+		for _, id := range h.ids {
+			if !strings.HasPrefix(id, "good") {
+				t.Errorf("a host was asked for %q", id)
+			}
+		}
+	})
+}
+
+// Guards against thousands of unfinished requests that keep true ones, the admin endpoint or a shutdown from
+// being served.
+func TestClientsThatNeverFinish(t *testing.T) {
 	control := freePort(t)
-	g := start(t, map[string]any{"control": control, "limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": 192}}, newHost(t, "s-1", ok))
+	g := start(t, map[string]any{"control": control, "limits": map[string]any{"cores": 1, "memory_mb": 32,
+		"sockets": 192}}, newEndpoint(t, "s-1", ok))
 	ask(t, g.dial(), view("first", 1500)) // the patience of the others
 	var stop atomic.Bool
 	var crowd, trueOnes sync.WaitGroup
@@ -89,13 +133,15 @@
 	if code := g.exit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
-	t.Logf("%d of the crowd came, %d true requests served, %d MB at the highest", came.Load(), served.Load(), g.cmd.ProcessState.SysUsage().(*syscall.Rusage).Maxrss/1024)
+	t.Logf("%d of the crowd came, %d true requests served, %d MB at the highest", came.Load(), served.Load(),
+		g.cmd.ProcessState.SysUsage().(*syscall.Rusage).Maxrss/1024)
 }
 
-// Half-read requests that have stood still give way to what waits, long before their time is over; one that goes on
-// coming does not.
+// Guards against half-read requests that stand still and keep new clients out, and against evicting one that
+// goes on.
 func TestHalfReadRequestsGiveWayByProgress(t *testing.T) {
-	g := start(t, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": 192}}, newHost(t, "s-1", ok))
+	g := start(t, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": 192}},
+		newEndpoint(t, "s-1", ok))
 	ask(t, g.dial(), view("first", 1500))
 	slow, raw := g.dial(), view("slow", 1500)
 	done := make(chan int)
@@ -110,7 +156,8 @@
 	for range 300 {
 		fmt.Fprint(g.dial(), "GET /view/x HTTP/1.1\r\nHost: o\r\nX-Tra")
 	}
-	// A crowd must not take the descriptors that hosts and operators are to have: 105 of these 192 are the clients'.
+	// A crowd must not take the descriptors that endpoints and operators are to have: 105 of these 192 are
+	// the clients'.
 	if fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", g.cmd.Process.Pid)); err != nil || len(fds) > 135 {
 		t.Errorf("%d descriptors: %v", len(fds), err)
 	}
@@ -126,10 +173,13 @@
 	}
 }
 
-// An overload that fills every link with held queries must not keep those that come then waiting unheard: each gets an
-// answer, a refusal at once if need be.
-func TestOverloadedLinksAnswerAll(t *testing.T) {
-	h := newHost(t, "s-1", func(c net.Conn, r *http.Request, body string) { time.Sleep(400 * time.Millisecond); ok(c, r, body) })
+// Guards against queued requests that hold every connection while new clients wait unheard.
+func TestOverloadAnswersAll(t *testing.T) {
+	h := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request,
+		body string) {
+		time.Sleep(400 * time.Millisecond)
+		ok(c, r, body)
+	})
 	g := start(t, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": 96}}, h)
 	var all sync.WaitGroup
 	var answered, late atomic.Int64
@@ -154,43 +204,3 @@
 		t.Errorf("%d of 300 answered, %d of them late", answered.Load(), late.Load())
 	}
 }
-
-// Clients that open a link for each query and keep all may hold a third of the descriptors and then have none left:
-// where there are many links, one that brought one query and rests is closed. One in use stays, and so do few.
-func TestLinksOfOneQueryAreClosedWhereThereAreMany(t *testing.T) {
-	g := start(t, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": 192}}, newHost(t, "s-1", ok))
-	used := g.dial()
-	for i := range 3 {
-		ask(t, used, view(fmt.Sprint("u", i), 1500))
-	}
-	var links []net.Conn
-	for i := range 90 { // fewer than there is room for
-		if i == 192/4 || i == 80 {
-			// The last ones find the first rested for long enough to close two each, while those between, which came to
-			// rest while there were many, are not due yet: when they are, there are few.
-			time.Sleep(60 * time.Millisecond)
-		}
-		c := g.dial()
-		if status, _, _ := ask(t, c, view(fmt.Sprint("o", i), 1500)); status != 200 {
-			t.Errorf("query %d: %d", i, status)
-		}
-		links = append(links, c)
-	}
-	open := func() (n int) {
-		for _, c := range links {
-			_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
-			if _, err := c.Read(make([]byte, 1)); os.IsTimeout(err) {
-				n++
-			}
-		}
-		return n
-	}
-	until(t, "links of one query to be closed", func() bool { return open() <= 192/4 })
-	time.Sleep(300 * time.Millisecond)
-	if n := open(); n < 192/4-3 {
-		t.Errorf("%d of 90 links are open: few are no burden", n)
-	}
-	if status, _, _ := ask(t, used, view("again", 1500)); status != 200 {
-		t.Errorf("the link in use: %d", status)
-	}
-}
--- a/cmd/thymebend/pushed_test.go
+++ b/cmd/thymebend/pushed_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"io"
 	"net"
-	"strings"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -15,20 +14,20 @@
 	return map[string]any{"settings": settingsWith(`"registry_mode":"subscribe"`, `"registry_mode":"automatic"`)}
 }
 
-// Without a question of the module the agent is watched from the start, again after every end, and what it tells holds.
+// Guards against an agent that is not watched from the start, or not again after an end.
 func TestPushedListsAreWatched(t *testing.T) {
-	a, b := newHost(t, "s-1", ok), newHost(t, "s-2", ok)
-	whole := list(7, true, entry(a, "up"))
+	a, b := newEndpoint(t, "s-1", ok), newEndpoint(t, "s-2", ok)
+	whole := endpointList(7, true, entry(a, "up"))
 	lines := []string{"", "{broken", whole, whole}
 	d := newDiscovery(t, func(n int) string { return lines[min(n, len(lines))-1] })
 	g := startWith(t, pushedSettings(), whole, d)
 	for n := range 3 {
-		if call := <-d.calls; call != "/v1/servers?stream=1&index=7" {
+		if call := <-d.polls; call != "/v1/servers?stream=1&index=7" {
 			t.Errorf("call %d asks %q, want the changes after the known list", n, call)
 		}
 	}
-	d.tell <- list(8, false, entry(a, "draining"), entry(b, "up"))
-	d.tell <- list(9, false) // taken once the one before has been
+	d.send <- endpointList(8, false, entry(a, "draining"), entry(b, "up"))
+	d.send <- endpointList(9, false) // taken once the one before has been
 	_, before, _ := a.seen()
 	c := g.dial()
 	for i := range 4 {
@@ -39,16 +38,16 @@
 	if _, after, _ := a.seen(); after != before {
 		t.Errorf("%d executions went to a host that drains", after-before)
 	}
-	d.tell <- "cut"
-	if call := <-d.calls; call != "/v1/servers?stream=1&index=9" {
+	d.send <- "cut"
+	if call := <-d.polls; call != "/v1/servers?stream=1&index=9" {
 		t.Errorf("after a cut: %q", call)
 	}
 }
 
-// An agent that says nothing has heard nothing: its watch is kept, and asked beside once in a while; the first to
-// speak goes on.
-func TestSilenceOfTheAgentIsNoNews(t *testing.T) {
-	h := newHost(t, "s-1", ok)
+// Guards against giving up the watch of an agent that has nothing to say, and against never checking a dead
+// one.
+func TestSilentAgentKeepsItsWatch(t *testing.T) {
+	h := newEndpoint(t, "s-1", ok)
 	ln := listen(t)
 	var calls, closed atomic.Int32
 	speak := make(chan bool)
@@ -63,28 +62,27 @@
 		_, _ = io.Copy(io.Discard, c)
 		closed.Add(1)
 	})
-	g := startWith(t, pushedSettings(), list(1, true, entry(h, "up")), &discovery{ln: ln})
+	g := startWith(t, pushedSettings(), endpointList(1, true, entry(h, "up")), &fakeDiscovery{ln: ln})
 	until(t, "a second call", func() bool { return calls.Load() >= 2 })
 	if status, _, _ := ask(t, g.dial(), view("v", 900)); status != 200 || closed.Load() > 0 {
 		t.Errorf("in silence: %d, %d watches closed", status, closed.Load())
 	}
 	speak <- true
 	until(t, "the silent watch to give way", func() bool { return closed.Load() == 1 })
-	if calls.Load() != 2 || !strings.Contains(g.log.String(), "list replaced") {
+	if calls.Load() != 2 || !g.logs("list replaced") {
 		t.Errorf("%d calls", calls.Load())
 	}
 }
 
-// An agent that has come back with an older list than the gateway had brings nothing back from the dead; what it hears
-// from then on holds.
-func TestOlderListOfTheAgentIsPassedOver(t *testing.T) {
-	gone, drains, c := newHost(t, "s-1", ok), newHost(t, "s-2", ok), newHost(t, "s-3", ok)
-	known := list(9, true, entry(drains, "draining"), entry(c, "up"))
-	old := list(4, true, entry(gone, "up"), entry(drains, "up"))
+// Guards against an agent that comes back with an older list and brings removed endpoints up again.
+func TestOlderListOfTheAgentIsIgnored(t *testing.T) {
+	gone, drains, c := newEndpoint(t, "s-1", ok), newEndpoint(t, "s-2", ok), newEndpoint(t, "s-3", ok)
+	known := endpointList(9, true, entry(drains, "draining"), entry(c, "up"))
+	old := endpointList(4, true, entry(gone, "up"), entry(drains, "up"))
 	g := startWith(t, pushedSettings(), known, newDiscovery(t, func(int) string { return old }))
-	<-g.disc.calls
-	g.disc.tell <- list(5, false, entry(gone, "up"))
-	g.disc.tell <- ""
+	<-g.discovery.polls
+	g.discovery.send <- endpointList(5, false, entry(gone, "up"))
+	g.discovery.send <- ""
 	conn := g.dial()
 	for i := range 6 {
 		if status, _, _ := ask(t, conn, view(fmt.Sprint("v", i), 900)); status != 200 {
@@ -96,8 +94,8 @@
 	if x+y > 0 {
 		t.Errorf("%d and %d executions went to hosts gone and draining", x, y)
 	}
-	g.disc.tell <- list(10, false, entry(drains, "removed"), entry(c, "draining"), entry(gone, "up"))
-	g.disc.tell <- ""
+	g.discovery.send <- endpointList(10, false, entry(drains, "removed"), entry(c, "draining"), entry(gone, "up"))
+	g.discovery.send <- ""
 	until(t, "the newer list to hold", func() bool {
 		ask(t, conn, view(fmt.Sprint("w", time.Now().UnixNano()), 900))
 		_, x, _ := gone.seen()
@@ -105,16 +103,16 @@
 	})
 }
 
-// The mode of lists is the file's: a reload to pushed lists opens the watch, and one back has the module ask.
-func TestReloadChangesHowListsCome(t *testing.T) {
-	h := newHost(t, "s-1", ok)
+// Guards against a reload to pushed lists that opens no watch, or back that starts no poll.
+func TestReloadChangesTheRegistryMode(t *testing.T) {
+	h := newEndpoint(t, "s-1", ok)
 	g := start(t, nil, h)
-	<-g.disc.calls
+	<-g.discovery.polls
 	g.reload("settings", pushedSettings()["settings"])
-	g.disc.tell <- "cut"
-	<-g.disc.calls
+	g.discovery.send <- "cut"
+	<-g.discovery.polls
 	g.reload("settings", settingsWith("", ""))
-	<-g.disc.calls
+	<-g.discovery.polls
 	if status, _, _ := ask(t, g.dial(), view("v", 900)); status != 200 {
 		t.Errorf("view: %d", status)
 	}
--- /dev/null
+++ b/cmd/thymebend/response_test.go
@@ -0,0 +1,182 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// Guards against taking a reset for the end of a response without a length, against one that never ends, and
+// against retrying what may have run.
+func TestResponsesWithoutALength(t *testing.T) {
+	const open = "HTTP/1.1 200 OK\r\n\r\n"
+	reset := func(c net.Conn) {
+		_ = c.(*net.TCPConn).SetLinger(0)
+		c.Close()
+	}
+	for name, c := range map[string]struct {
+		host func(c net.Conn, seen <-chan bool)
+		want int
+		body string
+	}{
+		"ends by the end": {func(c net.Conn, _ <-chan bool) {
+			fmt.Fprint(c,
+				open+"whole")
+			c.Close()
+		}, 200, "whole"},
+		"reset in the middle": {func(c net.Conn, _ <-chan bool) { fmt.Fprint(c, open+"half"); reset(c) },
+			502, ""},
+		"reset long after": {func(c net.Conn, seen <-chan bool) {
+			fmt.Fprint(c,
+				open+"half")
+			<-seen
+			reset(c)
+		}, 502, ""},
+		"reset without an answer": {func(c net.Conn, seen <-chan bool) { <-seen; reset(c) }, 502, ""},
+		"reset after a short one": {func(c net.Conn, _ <-chan bool) {
+			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
+			reset(c)
+		}, 502, ""},
+		"drips and never ends": {drip, 502, ""},
+		"hints and never answers": {func(c net.Conn, _ <-chan bool) {
+			fmt.Fprint(c, "HTTP/1.1 102 Processing\r\n\r\n")
+			_, _ = io.Copy(io.Discard, c)
+		}, 502, ""},
+		"half a line, then a reset": {func(c net.Conn, seen <-chan bool) {
+			fmt.Fprint(c,
+				"HTTP/1.1 200 O")
+			<-seen
+			reset(c)
+		}, 502, ""},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			asked, seen := make(chan bool, 8), make(chan bool)
+			h := newEndpoint(t, "s-1", func(conn net.Conn, _ *http.Request,
+				_ string) {
+				asked <- true
+				c.host(conn, seen)
+			})
+			g := start(t, nil, h)
+			client := g.dial()
+			if _, err := io.WriteString(client, strings.Replace(lodge("bid", "x"), "2500m", "1500m",
+				1)); err != nil {
+				t.Fatal(err)
+			}
+			<-asked // the endpoint has it whole
+			close(seen)
+			status, _, body := answer(client)
+			if status != c.want || c.want == 200 && body != c.body {
+				t.Errorf("%d %q, want %d %q", status, body, c.want, c.body)
+			}
+			if _, n, _ := h.seen(); n != 1 {
+				t.Errorf("sent %d times", n)
+			}
+		})
+	}
+}
+
+// drip answers in small chunks until nobody takes them.
+func drip(c net.Conn, _ <-chan bool) {
+	_, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+	for tick := time.NewTicker(20 * time.Millisecond); err == nil; <-tick.C {
+		_, err = fmt.Fprint(c, "1\r\nx\r\n")
+	}
+}
+
+// Guards against a second response that reaches another request.
+func TestSecondResponseOnAnIdleConnection(t *testing.T) {
+	second := make(chan bool)
+	h := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) {
+		ok(c, r, body)
+		if r.Header.Get("X-Trace-Id") == "first" {
+			<-second
+			ok(c, r, "not asked for")
+		}
+	})
+	g := start(t, nil, h)
+	c := g.dial()
+	if status, _, body := ask(t, c, lodge("first", "x")); status != 200 || body != "first:x" {
+		t.Fatal(status, body)
+	}
+	close(second)
+	until(t, "the gateway to end that connection", func() bool { _, _, ends := h.seen(); return ends == 1 })
+	if status, _, body := ask(t, c, lodge("next", "y")); status != 200 || body != "next:y" {
+		t.Errorf("%d %q", status, body)
+	}
+	if conns, _, _ := h.seen(); conns != 2 {
+		t.Errorf("%d connections", conns)
+	}
+}
+
+// Guards against answers that reach another client, however their bytes come together.
+func TestManyClientsGetTheirOwnAnswers(t *testing.T) {
+	var hosts []*fakeEndpoint
+	for i := range 4 {
+		hosts = append(hosts, newEndpoint(t, fmt.Sprint("s-", i), ok))
+	}
+	g := start(t, nil, hosts...)
+	done := make(chan string, 40)
+	for i := range cap(done) {
+		c := g.dial()
+		go func() {
+			fault := ""
+			for j := range 20 {
+				id := fmt.Sprintf("c%d-%d", i, j)
+				if status, _, body := ask(t, c, lodge(id, id)); status == 200 && body != id+":"+id ||
+					status == 0 {
+					fault = fmt.Sprintf("%s: %d %q", id, status, body)
+				}
+			}
+			done <- fault
+		}()
+	}
+	for range cap(done) {
+		if fault := <-done; fault != "" {
+			t.Error(fault)
+		}
+	}
+}
+
+// Guards against a reported queue that is not read by the settings' names.
+func TestReportedQueueKeepsTheLimitLow(t *testing.T) {
+	var most, mostOther atomic.Int32
+	crowded := newEndpoint(t, "s-1",
+		singleCore(&most, "Endpoint-Load-Metrics: TEXT pending=9.5, busy_reqs=10\r\n"))
+	start(t, nil, crowded, newEndpoint(t, "s-2", singleCore(&mostOther, ""))).load(3 * time.Second)
+	if n, other := most.Load(), mostOther.Load(); n > 2 || other < 3 {
+		t.Errorf("%d at once at a crowded host, %d at another", n, other)
+	}
+}
+
+// Guards against a late response on a connection that another request uses.
+func TestLateResponseReachesNobodyElse(t *testing.T) {
+	release := make(chan bool)
+	var late atomic.Bool
+	h := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) {
+		if late.CompareAndSwap(false, true) {
+			<-release
+		}
+		ok(c, r, body)
+	})
+	g := start(t, nil, h)
+	c := g.dial()
+	began := time.Now()
+	status, _, _ := ask(t, c, view("slow", 300))
+	if took := time.Since(began); status == 200 || status == 0 || took > 2*time.Second {
+		t.Errorf("a request out of time: status %d after %v", status, took)
+	}
+	close(release)
+	until(t, "another answer", func() bool {
+		status, _, body := ask(t, c, view("next", 900))
+		if status == 200 && body != "next:" {
+			t.Fatalf("the next query got %q", body)
+		}
+		return status == 200
+	})
+}
--- a/cmd/thymebend/stopped_test.go
+++ b/cmd/thymebend/stopped_clients_test.go
@@ -20,14 +20,15 @@
 // owedWithin is how soon a client that stops in the middle of a request is owed an error or a close.
 const owedWithin = 3 * time.Second
 
-// longDeadlines are the settings of the tests with the deadlines of the incident of stopped clients: 3.682 and 4.603 s.
+// longDeadlines are the settings of the tests with the deadlines of the incident of stopped clients: 3.682
+// and 4.603 s.
 func longDeadlines() json.RawMessage {
 	text := strings.Replace(testSettings, `"give_up_ms":2000`, `"give_up_ms":3682`, 1)
 	return json.RawMessage(strings.Replace(text, `"give_up_ms":2500`, `"give_up_ms":4603`, 1))
 }
 
-// stallingProxy takes clients to an address, and passes on only so many bytes of what each sends. The gateway behind it has
-// a client that stops there and stays.
+// stallingProxy takes clients to an address, and passes on only so many bytes of what each sends. The gateway
+// behind it has a client that stops there and stays.
 func stallingProxy(t *testing.T, to string, bytesPassed int64) string {
 	t.Helper()
 	ln := listen(t)
@@ -46,16 +47,16 @@
 	return ln.Addr().String()
 }
 
-// stop is a way in which a client stops in the middle of a request.
-type stop struct {
+// stall is a way in which a client stops in the middle of a request.
+type stall struct {
 	name   string
 	before string // asked and answered first, on the same connection
 	sends  []string
 	pause  time.Duration // between the pieces
 }
 
-// stops are the places in a request at which a client may stop.
-func stops(prefix string) []stop {
+// stalls are the places in a request at which a client may stop.
+func stalls(prefix string) []stall {
 	body := func(sent, stated int) string {
 		whole := lodge(fmt.Sprintf("%s%d-%d", prefix, sent, stated), strings.Repeat("x", stated))
 		return whole[:len(whole)-stated+sent]
@@ -64,7 +65,7 @@
 	expects := strings.Replace(body(0, 50), "Host: o", "Host: o\r\nExpect: 100-continue", 1)
 	half := view(prefix+"half", 900)
 	half = half[:len(half)/2]
-	list := []stop{
+	list := []stall{
 		{name: "nothing sent"},
 		{name: "half a request line", sends: []string{"GET /vi"}},
 		{name: "half a head", sends: []string{half}},
@@ -75,26 +76,29 @@
 		{name: "no last chunk", sends: []string{chunked + "3\r\nabc\r\n"}},
 		{name: "asked to go on", sends: []string{expects}},
 		{name: "a body that is streamed", sends: []string{body(100<<10, 300<<10)}},
-		{name: "a streamed body in pieces", sends: []string{body(80<<10, 300<<10), strings.Repeat("x", 10<<10), strings.Repeat("x", 10<<10)},
+		{name: "a streamed body in pieces", sends: []string{body(80<<10, 300<<10),
+			strings.Repeat("x", 10<<10), strings.Repeat("x", 10<<10)},
 			pause: 300 * time.Millisecond},
-		{name: "half a request behind an answered one", before: view(prefix+"answered", 900), sends: []string{half}},
-		{name: "half a body behind an answered one", before: view(prefix+"answered-too", 900), sends: []string{body(40, 101)}},
+		{name: "half a request behind an answered one", before: view(prefix+"answered", 900),
+			sends: []string{half}},
+		{name: "half a body behind an answered one", before: view(prefix+"answered-too", 900),
+			sends: []string{body(40, 101)}},
 		{name: "half a request in one piece with a whole one", sends: []string{view(prefix+"whole", 900) + half}},
 		{name: "a slow head", sends: []string{half[:10], half[10:20], half[20:]}, pause: 600 * time.Millisecond},
 	}
 	return list
 }
 
-// play has a client stop, and returns how long it then waits for an error or a close, from when it sent its last byte, or from
-// its connecting if it never sent any.
-func (s stop) play(addr string) (time.Duration, error) {
+// play has a client stop, and returns how long it then waits for an error or a close, from when it sent its
+// last byte, or from its connecting if it never sent any.
+func (s stall) play(addr string) (time.Duration, error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return 0, err
 	}
 	defer c.Close()
 	stopped := time.Now()
-	_ = c.SetDeadline(stopped.Add(patience))
+	_ = c.SetDeadline(stopped.Add(testTimeout))
 	if s.before != "" {
 		if _, err := io.WriteString(c, s.before); err != nil {
 			return 0, err
@@ -117,8 +121,9 @@
 		n, err := c.Read(raw[:])
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			return 0, fmt.Errorf("neither an error nor a close within %v", patience)
-		case err != nil, bytes.HasPrefix(raw[:n], []byte("HTTP/1.1 4")), bytes.HasPrefix(raw[:n], []byte("HTTP/1.1 5")):
+			return 0, fmt.Errorf("neither an error nor a close within %v", testTimeout)
+		case err != nil, bytes.HasPrefix(raw[:n], []byte("HTTP/1.1 4")), bytes.HasPrefix(raw[:n],
+			[]byte("HTTP/1.1 5")):
 			return time.Since(stopped), nil
 		}
 	}
@@ -133,23 +138,24 @@
 	return nil
 }
 
-// playStops has clients stop in every way at once, and returns how long each waited.
-func playStops(t *testing.T, addr string, list []stop) {
+// playStalls has clients stop in every way at once, and returns how long each waited.
+func playStalls(t *testing.T, addr string, list []stall) {
 	t.Helper()
 	var all sync.WaitGroup
 	for _, s := range list {
 		all.Go(func() {
 			if waited, err := s.play(addr); err != nil || waited > owedWithin {
-				t.Errorf("%s: an error or a close after %v (%v), owed within %v", s.name, waited.Round(time.Millisecond), err, owedWithin)
+				t.Errorf("%s: an error or a close after %v (%v), owed within %v", s.name,
+					waited.Round(time.Millisecond), err, owedWithin)
 			}
 		})
 	}
 	all.Wait()
 }
 
-// A client that stops in the middle of a request and stays gets an error or a close within 3 s, whatever the deadlines of the
-// settings are, wherever it stops, behind a proxy too, through a reload and in a planned end. Other clients are served
-// meanwhile, and nothing of the half requests reaches a host whole.
+// Guards against a client that stops in the middle of a request and hears nothing for over 3 s, wherever it
+// stops, behind a proxy, through a reload or in a shutdown; others are served and no endpoint gets a complete
+// request of it.
 func TestStoppedClientsGetAnErrorOrAClose(t *testing.T) {
 	for name, settings := range map[string]json.RawMessage{
 		"deadlines of 2.5 s": json.RawMessage(testSettings),
@@ -158,9 +164,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h := newHost(t, "s-1", ok)
+			h := newEndpoint(t, "s-1", ok)
 			g := start(t, map[string]any{"settings": settings}, h)
-			playStops(t, g.addr, stops("a"))
+			playStalls(t, g.addr, stalls("a"))
 			if status, _, _ := ask(t, g.dial(), view("other", 900)); status != 200 {
 				t.Errorf("another client: %d", status)
 			}
@@ -168,30 +174,33 @@
 	}
 	t.Run("behind a proxy", func(t *testing.T) {
 		t.Parallel()
-		g := start(t, map[string]any{"settings": longDeadlines()}, newHost(t, "s-1", ok))
+		g := start(t, map[string]any{"settings": longDeadlines()}, newEndpoint(t, "s-1", ok))
 		whole := lodge("proxied", strings.Repeat("x", 500))
 		for _, passed := range []int64{0, 20, int64(len(whole)) - 500, int64(len(whole)) - 1} {
-			playStops(t, stallingProxy(t, g.addr, passed), []stop{{name: fmt.Sprint(passed, " bytes passed"), sends: []string{whole}}})
+			playStalls(t, stallingProxy(t, g.addr, passed), []stall{{name: fmt.Sprint(passed,
+				" bytes passed"), sends: []string{whole}}})
 		}
 	})
 	t.Run("through a reload to longer deadlines", func(t *testing.T) {
 		t.Parallel()
-		g := start(t, nil, newHost(t, "s-1", ok))
+		g := start(t, nil, newEndpoint(t, "s-1", ok))
 		c := g.dial()
 		fmt.Fprint(c, view("before", 900)[:30])
 		g.reload("settings", longDeadlines())
 		until(t, "the reload", func() bool { return g.logs(`"message":"reload"`) })
-		playStops(t, g.addr, stops("r"))
+		playStalls(t, g.addr, stalls("r"))
 		if status, _, _ := answer(c); status != 408 {
 			t.Errorf("half a request from before the reload: %d, want 408", status)
 		}
 	})
 	t.Run("in a planned end", func(t *testing.T) {
 		t.Parallel()
-		g := start(t, map[string]any{"settings": longDeadlines()}, newHost(t, "s-1", ok))
+		g := start(t, map[string]any{"settings": longDeadlines()}, newEndpoint(t, "s-1", ok))
 		var all sync.WaitGroup
-		all.Go(func() { playStops(t, g.addr, stops("e")) })
-		until(t, "half requests to come", func() bool { return strings.Count(g.log.String(), "request begins to come") >= 10 })
+		all.Go(func() { playStalls(t, g.addr, stalls("e")) })
+		until(t, "half requests to come", func() bool {
+			return strings.Count(g.log.String(), "request begins to come") >= 10
+		})
 		g.signal(syscall.SIGTERM)
 		all.Wait()
 		if code := g.exit(); code != 0 {
@@ -200,7 +209,7 @@
 	})
 	t.Run("behind a host that takes nothing", func(t *testing.T) {
 		t.Parallel()
-		h := &host{name: "s-1", ln: listen(t)}
+		h := &fakeEndpoint{name: "s-1", ln: listen(t)}
 		held := make(chan bool)
 		t.Cleanup(func() { close(held) })
 		go each(h.ln, func(net.Conn) { <-held }) // its machine takes what its buffers hold
@@ -221,18 +230,18 @@
 		release := make(chan bool)
 		t.Cleanup(func() { close(release) })
 		var hung atomic.Int32
-		h := newHost(t, "s-1", func(c net.Conn, r *http.Request, body string) { hung.Add(1); <-release })
+		h := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) { hung.Add(1); <-release })
 		g := start(t, map[string]any{"settings": longDeadlines()}, h)
 		for i := range 8 {
 			fmt.Fprint(g.dial(), view(fmt.Sprint("hangs", i), 3600))
 		}
 		until(t, "requests to hang", func() bool { return hung.Load() > 0 })
-		var list []stop
-		for _, s := range stops("h") {
+		var list []stall
+		for _, s := range stalls("h") {
 			if s.before == "" && !strings.Contains(s.name, "whole one") { // these wait for an answer first
 				list = append(list, s)
 			}
 		}
-		playStops(t, g.addr, list)
+		playStalls(t, g.addr, list)
 	})
 }
--- /dev/null
+++ b/cmd/thymebend/timeouts_test.go
@@ -0,0 +1,98 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Guards against a time to read a request that depends on the deadlines of the settings.
+func TestRequestReadTimeoutIsFixed(t *testing.T) {
+	for _, deadline := range []string{"700", "12000"} {
+		t.Run(deadline, func(t *testing.T) {
+			t.Parallel()
+			settings := strings.Replace(testSettings, `"aim_ms":800,"give_up_ms":2000`,
+				`"aim_ms":500,"give_up_ms":`+deadline, 1)
+			settings = strings.Replace(settings, `"aim_ms":800,"give_up_ms":2500`,
+				`"aim_ms":500,"give_up_ms":`+deadline, 1)
+			g := start(t, map[string]any{"settings": json.RawMessage(settings)}, newEndpoint(t, "s-1", ok))
+			silent, slow := g.dial(), g.dial()
+			began, ended := time.Now(), make(chan time.Duration, 1)
+			go func() {
+				_, _, _ = answer(silent)
+				ended <- time.Since(began)
+			}()
+			raw := lodge("slow", strings.Repeat("x", 40<<10))
+			head := strings.Index(raw, "\r\n\r\n") + 4
+			for _, part := range []string{raw[:head/3], raw[head/3 : 2*head/3], raw[2*head/3 : head]} {
+				fmt.Fprint(slow, part)
+				time.Sleep(700 * time.Millisecond) // a slow client is what is played here
+			}
+			for rest := raw[head:]; len(rest) > 0; time.Sleep(50 * time.Millisecond) {
+				n := min(len(rest), 3200)
+				fmt.Fprint(slow, rest[:n])
+				rest = rest[n:]
+			}
+			if status, _, _ := answer(slow); status != 200 {
+				t.Errorf("a slow client: %d after %v", status, time.Since(began))
+			}
+			if took := <-ended; took < 2*time.Second || took > owedWithin {
+				t.Errorf("a connection that says nothing was ended after %v", took)
+			}
+		})
+	}
+}
+
+// Guards against giving up a client that is slow but goes on.
+func TestSlowClientsHaveTheirTime(t *testing.T) {
+	g := start(t, nil, newEndpoint(t, "s-1", ok))
+	c := g.dial()
+	raw := lodge("slow", strings.Repeat("x", 60<<10))
+	head := strings.Index(raw, "\r\n\r\n") + 4
+	fmt.Fprint(c, raw[:20])
+	time.Sleep(2 * time.Second)
+	fmt.Fprint(c, raw[20:head])
+	for rest := raw[head:]; len(rest) > 0; time.Sleep(50 * time.Millisecond) {
+		n := min(len(rest), 3200)
+		fmt.Fprint(c, rest[:n])
+		rest = rest[n:]
+	}
+	if status, _, _ := answer(c); status != 200 {
+		t.Errorf("a slow client's bid: %d", status)
+	}
+}
+
+// Guards against a connection that says nothing, or sends a head without end, and holds a descriptor for
+// long.
+func TestFirstRequestIsBoundedFromTheAccept(t *testing.T) {
+	g := start(t, nil, newEndpoint(t, "s-1", ok))
+	asked, silent, trickle := g.dial(), g.dial(), g.dial()
+	ask(t, asked, view("before", 900))
+	began, ended := time.Now(), make(chan bool)
+	go func() { // a byte each time: none of them may renew the bound
+		for _, err := io.WriteString(trickle,
+			"GET /view HTTP/1.1\r\nX-Pad: "); err == nil; _, err = io.WriteString(trickle, "x") {
+			select {
+			case <-ended:
+				return
+			case <-time.After(20 * time.Millisecond):
+			}
+		}
+	}()
+	if status, _, _ := answer(trickle); status != 408 {
+		t.Errorf("a head without end: status %d, want 408", status)
+	}
+	close(ended)
+	if status, _, _ := answer(silent); status != 0 {
+		t.Errorf("a silent connection: status %d, want a close", status)
+	}
+	if took := time.Since(began); took > 3*time.Second {
+		t.Errorf("both ended after %v", took)
+	}
+	if status, _, _ := ask(t, asked, view("after", 900)); status != 200 {
+		t.Errorf("a link that has asked: %d", status)
+	}
+}
--- a/cmd/thymebend/upgrade_test.go
+++ b/cmd/thymebend/upgrade_test.go
@@ -18,7 +18,7 @@
 const readiness = "GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n"
 
 // upgradable starts a gateway with a directory for the hand-over.
-func upgradable(t *testing.T, edit map[string]any, hosts ...*host) (*rig, string) {
+func upgradable(t *testing.T, edit map[string]any, hosts ...*fakeEndpoint) (*rig, string) {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "up") // short: a Unix socket's path holds 107 bytes
 	if err != nil {
@@ -33,13 +33,14 @@
 	return start(t, edit, hosts...), edit["control"].(string)
 }
 
-// again starts the program once more as an upgrade does: the same addresses but for the second one.
-func (r *rig) again() (*rig, string) {
+// upgrade starts the program once more as an upgrade does: the same addresses but for the second one.
+func (r *rig) upgrade() (*rig, string) {
 	r.t.Helper()
 	control := freePort(r.t)
 	cmd := exec.Command(program)
 	cmd.Env = append(append([]string(nil), r.cmd.Env...), "LB_CONTROL="+control)
-	next := &rig{t: r.t, cmd: cmd, addr: r.addr, path: r.path, log: &logBuffer{}, disc: r.disc, done: make(chan error, 1)}
+	next := &rig{t: r.t, cmd: cmd, addr: r.addr, path: r.path, log: &logBuffer{}, discovery: r.discovery,
+		done: make(chan error, 1)}
 	cmd.Stderr = next.log
 	if err := cmd.Start(); err != nil {
 		r.t.Fatal(err)
@@ -48,7 +49,8 @@
 	r.t.Cleanup(func() {
 		_ = cmd.Process.Kill()
 		<-next.done
-		if text := next.log.String(); strings.Contains(text, "DATA RACE") || strings.Contains(text, "panic:") || r.t.Failed() {
+		if text := next.log.String(); strings.Contains(text, "DATA RACE") ||
+			strings.Contains(text, "panic:") || r.t.Failed() {
 			r.t.Errorf("log of a process that came later:\n%s", text)
 		}
 	})
@@ -56,13 +58,13 @@
 }
 
 func ready(t *testing.T, control string) bool {
-	status, _ := operator(t, control, readiness)
+	status, _ := askAdmin(t, control, readiness)
 	return status == 200
 }
 
 func (r *rig) logs(text string) bool { return strings.Contains(r.log.String(), text) }
 
-// upgradeLoad keeps clients asking, some on links that stay, some on a new link for each request.
+// upgradeLoad keeps clients asking, some on connections that stay, some on a new connection for each request.
 type upgradeLoad struct {
 	stop        atomic.Bool
 	done        sync.WaitGroup
@@ -106,19 +108,24 @@
 	}
 }
 
-// Three upgrades in a row under load, one with a newcomer that dies after it took clients: nothing lost, nothing turned
-// back, nothing run twice, and every elder exits with 0.
+// Guards against requests that upgrades under load lose, reject or run twice, also where a successor dies
+// after it took clients.
 func TestUpgradesLoseNothing(t *testing.T) {
-	h := newHost(t, "s-1", func(c net.Conn, r *http.Request, body string) { time.Sleep(2 * time.Millisecond); ok(c, r, body) })
-	g, control := upgradable(t, nil, h, newHost(t, "s-2", ok))
+	h := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request,
+		body string) {
+		time.Sleep(2 * time.Millisecond)
+		ok(c, r, body)
+	})
+	g, control := upgradable(t, nil, h, newEndpoint(t, "s-2", ok))
 	var u upgradeLoad
 	u.start(t, g.addr, 24)
 	for n := range 3 {
 		began := time.Now()
-		next, after := g.again()
+		next, after := g.upgrade()
 		until(t, "the newcomer to say yes", func() bool { return ready(t, after) })
 		t.Logf("upgrade %d: yes after %v", n, time.Since(began))
-		until(t, "the newcomer to say that it does not listen alone", func() bool { return next.logs("\"handed_over\":true") })
+		until(t, "the newcomer to say that it does not listen alone",
+			func() bool { return next.logs("\"handed_over\":true") })
 		until(t, "the elder to yield", func() bool { return !ready(t, control) })
 		if n == 1 { // it dies between two requests of the load, or with some: those are lost with it, no others
 			u.stop.Store(true)
@@ -127,7 +134,7 @@
 			until(t, "the elder to go on", func() bool { return ready(t, control) })
 			u.stop.Store(false)
 			u.start(t, g.addr, 24)
-			next, after = g.again()
+			next, after = g.upgrade()
 			until(t, "the next newcomer to say yes", func() bool { return ready(t, after) })
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -149,7 +156,7 @@
 	}
 	seen := map[string]bool{}
 	h.count(func() {
-		for _, id := range h.asked {
+		for _, id := range h.ids {
 			if strings.HasPrefix(id, "l") && seen[id] {
 				t.Errorf("%s ran twice", id)
 			}
@@ -158,10 +165,10 @@
 	})
 }
 
-// An idle link goes to the newcomer and never closes; one whose request is half sent is answered by the elder, and one
-// whose answer is awaited goes over after it.
-func TestLinksGoOverOpen(t *testing.T) {
-	h := newHost(t, "s-1", func(c net.Conn, r *http.Request, body string) {
+// Guards against an idle connection that an upgrade closes, and against one in use that is passed on too
+// early.
+func TestConnectionsAreHandedOverOpen(t *testing.T) {
+	h := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) {
 		if strings.HasPrefix(r.Header.Get("X-Trace-Id"), "slow") {
 			time.Sleep(700 * time.Millisecond)
 		}
@@ -174,7 +181,7 @@
 	fmt.Fprint(half, whole[:40])
 	fmt.Fprint(busy, lodge("slow", "x"))
 	until(t, "the slow bid to be under way", func() bool { _, asked, _ := h.seen(); return asked == 2 })
-	next, after := g.again()
+	next, after := g.upgrade()
 	until(t, "the newcomer to say yes", func() bool { return ready(t, after) })
 	_ = g.cmd.Process.Signal(syscall.SIGTERM)
 	fmt.Fprint(half, whole[40:])
@@ -197,16 +204,28 @@
 	_ = next
 }
 
-// Whatever sits at the socket, a newcomer takes clients well within its time.
-func TestNewcomersWithoutAnElder(t *testing.T) {
+// Guards against a process that does not take clients in time, whatever sits at the hot-restart socket.
+func TestStartWithoutAPredecessor(t *testing.T) {
 	frame := func(text string) string { return fmt.Sprintf("\x00\x00\x00%c%s", len(text), text) }
 	for name, play := range map[string]func(net.Conn){
-		"hangs":           func(c net.Conn) { time.Sleep(3 * time.Second) },
-		"breaks off":      func(c net.Conn) { fmt.Fprint(c, frame(`{"version":1,"kind":"state"}`)[:9]); c.Close() },
-		"another version": func(c net.Conn) { fmt.Fprint(c, frame(`{"version":99,"kind":"state"}`)); time.Sleep(time.Second) },
-		"no socket":       func(c net.Conn) { fmt.Fprint(c, frame(`{"version":1,"kind":"state"}`)); time.Sleep(time.Second) },
-		"too long":        func(c net.Conn) { fmt.Fprint(c, "\xff\xff\xff\xff"); time.Sleep(time.Second) },
-		"stale":           nil,
+		"hangs": func(c net.Conn) { time.Sleep(3 * time.Second) },
+		"breaks off": func(c net.Conn) {
+			fmt.Fprint(c,
+				frame(`{"version":1,"kind":"state"}`)[:9])
+			c.Close()
+		},
+		"another version": func(c net.Conn) {
+			fmt.Fprint(c,
+				frame(`{"version":99,"kind":"state"}`))
+			time.Sleep(time.Second)
+		},
+		"no socket": func(c net.Conn) {
+			fmt.Fprint(c,
+				frame(`{"version":1,"kind":"state"}`))
+			time.Sleep(time.Second)
+		},
+		"too long": func(c net.Conn) { fmt.Fprint(c, "\xff\xff\xff\xff"); time.Sleep(time.Second) },
+		"stale":    nil,
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir, err := os.MkdirTemp("", "up")
@@ -216,7 +235,8 @@
 			defer os.RemoveAll(dir)
 			t.Setenv("TMPDIR", dir)
 			control := freePort(t)
-			cmd, addr := configure(t, list(1, true), listen(t).Addr().String(), map[string]any{"control": control})
+			cmd, addr := configure(t, endpointList(1, true), listen(t).Addr().String(),
+				map[string]any{"control": control})
 			path := filepath.Join(dir, "thymebend-"+strings.Replace(addr, ":", "-", 1)+".sock")
 			ln, err := net.Listen("unix", path)
 			if err != nil {
@@ -245,11 +265,12 @@
 	}
 }
 
-// An elder is not held up by newcomers that say nothing, say what they should not, or die at once.
-func TestElderOutlivesBadNewcomers(t *testing.T) {
-	g, control := upgradable(t, nil, newHost(t, "s-1", ok))
+// Guards against a predecessor that is held up by successors that are silent, faulty or die.
+func TestPredecessorSurvivesBadSuccessors(t *testing.T) {
+	g, control := upgradable(t, nil, newEndpoint(t, "s-1", ok))
 	path := filepath.Join(os.Getenv("TMPDIR"), "thymebend-"+strings.Replace(g.addr, ":", "-", 1)+".sock")
-	for _, say := range []string{"", "\x00\x00\x00\x02{}", "\xff\xff\xff\xff", "\x00\x00\x00\x1d{\"version\":1,\"kind\":\"taking\"}"} {
+	for _, say := range []string{"", "\x00\x00\x00\x02{}", "\xff\xff\xff\xff",
+		"\x00\x00\x00\x1d{\"version\":1,\"kind\":\"taking\"}"} {
 		c, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
@@ -262,6 +283,6 @@
 		}
 		until(t, "the elder to take clients", func() bool { return ready(t, control) })
 	}
-	_, after := g.again()
+	_, after := g.upgrade()
 	until(t, "a good newcomer to say yes", func() bool { return ready(t, after) })
 }
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -71,6 +71,7 @@
 	}
 }
 
+// accepted takes a new connection. Where there are too many the oldest gives way.
 func (a *adminEndpoint) accepted(c loop.Conn) {
 	if out := a.conns.Add(c); out != nil {
 		a.drop(out)
@@ -119,6 +120,7 @@
 	return a.listener.phase != notListening && !a.shutdown.stopping() && !a.restart.handedOver()
 }
 
+// unreadyReason is the text of /ops/readiness while this process takes no clients.
 func (a *adminEndpoint) unreadyReason() string {
 	switch {
 	case a.shutdown.stopping():
@@ -135,6 +137,7 @@
 	a.closeConn(conn.ID)
 }
 
+// timerDue drops a connection whose client has not sent its request, or not closed, in time.
 func (a *adminEndpoint) timerDue(c loop.Conn) {
 	if conn := a.conns.Find(c); conn != nil {
 		a.drop(conn)
--- a/internal/gateway/assignment.go
+++ b/internal/gateway/assignment.go
@@ -106,7 +106,8 @@
 	s.notified = true
 }
 
-// tokenRule is the rule by which slow-start tokens are scheduled, the same on all gateways of one configuration.
+// tokenRule is the rule by which slow-start tokens are scheduled, the same on all gateways of one
+// configuration.
 func (s *subsetAssignment) tokenRule() tokenschedule.Rule {
 	c := &s.cfg.Settings.Config
 	return tokenschedule.Rule{
@@ -191,8 +192,10 @@
 	warm := slices.ContainsFunc(state.warming, func(e warmingEndpoint) bool {
 		return s.now >= e.StartedAt+state.rule.Duration
 	})
-	viewChanged := (st.Version != state.version || state.agreedSince == 0) && s.now-state.updatedAt >= updateInterval
-	if !viewChanged && !state.endpointsChanged && !warm && st.Settled == state.settled && !(timed && s.now >= due) {
+	viewChanged := (st.Version != state.version || state.agreedSince == 0) &&
+		s.now-state.updatedAt >= updateInterval
+	if !viewChanged && !state.endpointsChanged && !warm && st.Settled == state.settled &&
+		!(timed && s.now >= due) {
 		return false
 	}
 	if viewChanged {
@@ -244,6 +247,7 @@
 	return endpoints
 }
 
+// logError logs that the subset could not be worked out, at most once in errorLogInterval.
 func (s *subsetAssignment) logError(err error) {
 	if s.now-s.state.errorLoggedAt >= errorLogInterval {
 		s.state.errorLoggedAt = s.now
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -146,6 +146,7 @@
 	a.progress = append(a.progress, writeProgress{attempt: att, done: done})
 }
 
+// bind gives an attempt its connection.
 func (a *attemptTable) bind(att *attempt, conn *upstream.Conn) {
 	att.conn = conn
 	a.byConn[conn.ID] = att
@@ -170,6 +171,7 @@
 	a.emit(loop.Effect{Op: op, Conn: att.conn.ID, Data: data})
 }
 
+// unbind takes the connection from an attempt.
 func (a *attemptTable) unbind(att *attempt) {
 	delete(a.byConn, att.conn.ID)
 	att.conn = nil
@@ -200,6 +202,7 @@
 	a.ended = append(a.ended, attemptEnd{attempt: att, reason: end, response: resp})
 }
 
+// timerDue ends an attempt whose time is over, by how far it has come.
 func (a *attemptTable) timerDue(id uint64) {
 	att := a.byID[id]
 	switch {
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -32,6 +32,7 @@
 	c.setTimer(timerListenerPause, uint64(conn), c.now+acceptPauseDuration)
 }
 
+// emit adds an effect to those of the event under way.
 func (c *core) emit(f loop.Effect) { c.effects = append(c.effects, f) }
 
 func (c *core) closeConn(conn loop.Conn) { c.emit(loop.Effect{Op: loop.Close, Conn: conn}) }
--- a/internal/gateway/deadlines_test.go
+++ b/internal/gateway/deadlines_test.go
@@ -94,7 +94,8 @@
 	r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
 	c := loop.Conn(1<<63 + 50)
 	ask := func(id string) []byte {
-		return []byte("GET /view HTTP/1.1\r\nHost: h\r\nX-Trace-Id: " + id + "\r\nX-Qos: view\r\nX-Expires-In: 2000m\r\n\r\n")
+		return []byte("GET /view HTTP/1.1\r\nHost: h\r\nX-Trace-Id: " + id +
+			"\r\nX-Qos: view\r\nX-Expires-In: 2000m\r\n\r\n")
 	}
 	r.step(loop.Event{Kind: loop.Accepted, Conn: c, Via: loop.Listener})
 	r.step(loop.Event{Kind: loop.Data, Conn: c, Data: append(ask("a"), ask("b")...)})
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -57,6 +57,7 @@
 	return w
 }
 
+// find returns the watch on a connection, or nil.
 func (d *discoveryWatch) find(c loop.Conn) *discovery.Watch {
 	for _, w := range [...]*discovery.Watch{d.current, d.replacement, d.unanswered} {
 		if w != nil && w.Conn == c {
@@ -205,6 +206,7 @@
 	}
 }
 
+// drop closes a watch, and forgets it.
 func (d *discoveryWatch) drop(w *discovery.Watch, end TerminationReason, err error) {
 	d.log.Info().Stringer(fieldEnd, end).Stringer(fieldDiscovery, w.Addr).AnErr(fieldCause, err).
 		Msg("watch ended")
@@ -242,6 +244,7 @@
 	}
 }
 
+// timerDue handles the timers of the watch.
 func (d *discoveryWatch) timerDue(t loop.Timer) {
 	switch t.Kind {
 	case timerWatch:
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -129,16 +129,18 @@
 	moved := strings.Replace(entry(1, "up", 0), endpointAddr(1), endpointAddr(9), 1)
 	for name, text := range map[string]string{"started anew": object(2, false, entry(1, "up", 3_599_000)),
 		"moved": object(2, false, moved)} {
-		r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
-		w := r.watch()
-		r.request(0, 0)
-		r.turn()
-		c := r.connecting(endpointAddr(1))
-		r.line(w, text)
-		r.connected(c)
-		if r.requests(endpointAddr(1)) > 0 || !r.closed[c] {
-			t.Errorf("%s: the attempt begins", name)
-		}
+		t.Run(name, func(t *testing.T) {
+			r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
+			w := r.watch()
+			r.request(0, 0)
+			r.turn()
+			c := r.connecting(endpointAddr(1))
+			r.line(w, text)
+			r.connected(c)
+			if r.requests(endpointAddr(1)) > 0 || !r.closed[c] {
+				t.Error("the attempt begins")
+			}
+		})
 	}
 }
 
@@ -159,7 +161,8 @@
 	if r.closed[moving] || !r.closed[standing] {
 		t.Error("the poll that was answered is not the current watch")
 	}
-	if r.g.discovery.isReady(r.g.discovery.endpoints.All()[0].ID) == r.g.discovery.isReady(r.g.discovery.endpoints.All()[1].ID) {
+	all := r.g.discovery.endpoints.All()
+	if r.g.discovery.isReady(all[0].ID) == r.g.discovery.isReady(all[1].ID) {
 		t.Error("the drain is undone")
 	}
 	r.line(moving, object(5, false, entry(2, "draining", 0)))
@@ -203,20 +206,22 @@
 		"drained in the start before": {object(3, false, entry(1, "draining", 5)), true},
 		"left out":                    {object(3, true), true},
 	} {
-		r := newRig(t, "automatic", object(9, true, entry(1, "up", 7), entry(2, "draining", 0)))
-		w := r.watch()
-		r.request(0, 0)
-		r.turn()
-		host := r.connecting(endpointAddr(1))
-		r.line(w, c.line)
-		r.line(w, object(4, false, entry(2, "up", 0)))
-		r.connected(host)
-		if sent := r.requests(endpointAddr(1)) > 0; sent != c.sent || r.closed[w] {
-			t.Errorf("%s: sent %v, want %v", name, sent, c.sent)
-		}
-		if h := r.g.discovery.endpoints.Find(discovery.Identity("s-2")); h.State != balancer.EndpointDraining {
-			t.Errorf("%s: an older line brings an endpoint up", name)
-		}
+		t.Run(name, func(t *testing.T) {
+			r := newRig(t, "automatic", object(9, true, entry(1, "up", 7), entry(2, "draining", 0)))
+			w := r.watch()
+			r.request(0, 0)
+			r.turn()
+			host := r.connecting(endpointAddr(1))
+			r.line(w, c.line)
+			r.line(w, object(4, false, entry(2, "up", 0)))
+			r.connected(host)
+			if sent := r.requests(endpointAddr(1)) > 0; sent != c.sent || r.closed[w] {
+				t.Errorf("sent %v, want %v", sent, c.sent)
+			}
+			if h := r.g.discovery.endpoints.Find(discovery.Identity("s-2")); h.State != balancer.EndpointDraining {
+				t.Error("an older line brings an endpoint up")
+			}
+		})
 	}
 }
 
--- a/internal/gateway/downstream.go
+++ b/internal/gateway/downstream.go
@@ -40,6 +40,8 @@
 	d.setDeadline(added, until)
 }
 
+// handleEvent handles an event on a connection. A response that is relayed and a body that is uploaded have
+// machines of their own.
 func (d *downstreamConns) handleEvent(conn *downstream.Conn, e loop.Event) {
 	switch e.Kind {
 	case loop.Readable:
@@ -218,6 +220,7 @@
 	}
 }
 
+// resumeReading undoes pauseReading.
 func (d *downstreamConns) resumeReading(conn *downstream.Conn) {
 	if conn.Muted {
 		conn.ResumeReading(d.now)
--- a/internal/gateway/hotrestart_predecessor.go
+++ b/internal/gateway/hotrestart_predecessor.go
@@ -38,6 +38,8 @@
 	h.receive(&h.successor, e, h.fromSuccessor, h.loseSuccessor)
 }
 
+// fromSuccessor handles a message of the successor, by which it takes over in three steps: Hello, Taking, and
+// Acknowledge for each batch of connections.
 func (h *hotRestart) fromSuccessor(m hotrestart.Message) {
 	switch m.Kind {
 	case hotrestart.Hello:
--- a/internal/gateway/hotrestart_successor.go
+++ b/internal/gateway/hotrestart_successor.go
@@ -25,6 +25,8 @@
 	h.receive(&h.predecessor, e, h.fromPredecessor, h.losePredecessor)
 }
 
+// fromPredecessor handles a message of the predecessor: its state with the listener, then batches of
+// connections.
 func (h *hotRestart) fromPredecessor(m hotrestart.Message) {
 	switch m.Kind {
 	case hotrestart.State:
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -73,6 +73,7 @@
 	}
 }
 
+// resume accepts again as soon as a descriptor may be free.
 func (ln *listener) resume() {
 	if ln.phase == acceptPaused {
 		ln.phase = accepting
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -160,6 +160,7 @@
 	r.buffered = 0
 }
 
+// writePiece writes a piece of the response to the client.
 func (t *relayTable) writePiece(r *relay, piece []byte, last bool) {
 	r.complete = last
 	data := framed(piece, r.chunked, last)
@@ -199,6 +200,7 @@
 	t.downstream.flushed(c)
 }
 
+// remove forgets a relay that has ended.
 func (t *relayTable) remove(r *relay, how outcome) {
 	delete(t.byConn, r.downstream.ID)
 	delete(t.byConn, r.upstream.ID)
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -136,7 +136,8 @@
 	if length > 0 {
 		method, class, body = "POST", "bid", fmt.Sprintf("Content-Length: %d\r\n", length)
 	}
-	text := fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: h\r\nX-Trace-Id: %016x\r\nX-Qos: %s\r\nX-Expires-In: 2000m\r\n%s\r\n%s",
+	text := fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: h\r\n"+
+		"X-Trace-Id: %016x\r\nX-Qos: %s\r\nX-Expires-In: 2000m\r\n%s\r\n%s",
 		method, class, r.asked, class, body, strings.Repeat("x", part))
 	r.step(loop.Event{Kind: loop.Accepted, Conn: r.clients, Via: loop.Listener})
 	r.step(loop.Event{Kind: loop.Data, Conn: r.clients, Data: []byte(text)})
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -52,8 +52,10 @@
 	killAt time.Duration // once stopping: SIGKILL may come from then on
 }
 
+// stopping reports whether SIGTERM has come.
 func (s *shutdown) stopping() bool { return s.phase >= phaseStopping }
 
+// closing reports whether nothing new is taken but what waits at the listener.
 func (s *shutdown) closing() bool { return s.phase >= phaseClosing }
 
 // begin begins a graceful shutdown. Every answer from now on ends its connection; idle ones stay open while
@@ -114,6 +116,7 @@
 	}
 }
 
+// timerDue closes the listener for new connections, then for those that wait.
 func (s *shutdown) timerDue() {
 	if s.closing() {
 		s.endListener()
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -32,8 +32,8 @@
 				r.g.cfg.Settings.Config.Classes[i].Deadline = c.longest
 			}
 			client := loop.Conn(1<<63 + 50)
-			text := fmt.Sprintf("GET /view HTTP/1.1\r\nHost: h\r\nX-Trace-Id: a\r\nX-Qos: view\r\nX-Expires-In: %dm\r\n\r\n",
-				c.timeout.Milliseconds())
+			text := fmt.Sprintf("GET /view HTTP/1.1\r\nHost: h\r\n"+
+				"X-Trace-Id: a\r\nX-Qos: view\r\nX-Expires-In: %dm\r\n\r\n", c.timeout.Milliseconds())
 			r.step(loop.Event{Kind: loop.Accepted, Conn: client, Via: loop.Listener})
 			r.step(loop.Event{Kind: loop.Data, Conn: client, Data: []byte(text[:30])})
 			r.step(loop.Event{Kind: loop.Stop})
--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -62,7 +62,8 @@
 // list it waits for the next update: an endpoint that has started anew has other tokens.
 func (s *subsetAssignment) grantTokens() {
 	state := s.state
-	if state == nil || s.cluster.membership == nil || state.endpointsChanged || !s.agreed() || !state.rule.Usable() {
+	if state == nil || s.cluster.membership == nil || state.endpointsChanged || !s.agreed() ||
+		!state.rule.Usable() {
 		return
 	}
 	if s.cfg.Gossip.Flat && state.tracker.Stage() == assignment.Waiting {
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -13,6 +13,7 @@
 // too late.
 const idleTimeoutFraction = 0.7
 
+// handleEvent handles an event on an upstream connection. An idle one has no attempt.
 func (a *attemptTable) handleEvent(conn *upstream.Conn, e loop.Event) {
 	att := a.byConn[conn.ID]
 	switch e.Kind {
@@ -42,6 +43,7 @@
 	}
 }
 
+// handleData takes bytes of a response.
 func (a *attemptTable) handleData(conn *upstream.Conn, att *attempt, data []byte) {
 	if att == nil {
 		a.dropConn(conn, ReasonMalformedResponse) // bytes that no request asked for
@@ -109,10 +111,12 @@
 	a.end(att, end, resp)
 }
 
+// mayKeepIdle reports whether a connection may stay open for the next request to its endpoint.
 func (a *attemptTable) mayKeepIdle(conn *upstream.Conn) bool {
 	return a.discovery.isReady(conn.Endpoint) && !a.shutdown.stopping() && !a.pool.Over()
 }
 
+// keepIdle keeps a connection for the next request, until shortly before its endpoint would close it.
 func (a *attemptTable) keepIdle(conn *upstream.Conn) {
 	a.pool.Release(conn)
 	a.setTimer(timerUpstream, uint64(conn.ID), a.now+scale(a.cfg.Settings.Gateway.ConnIdle, idleTimeoutFraction))
