--- a/internal/lab/cli/rollouts.go
+++ b/internal/lab/cli/rollouts.go
@@ -58,11 +58,11 @@
 				if c.Each {
 					fmt.Fprintf(e.out, "seed %d: %v\n", seed, o)
 				}
-				for _, f := range o.Findings[:min(3, len(o.Findings))] {
+				for _, f := range o.Violations[:min(3, len(o.Violations))] {
 					fmt.Fprintf(e.out, "seed %d: %s\n", seed, f)
 				}
 				mu.Unlock()
-				if len(o.Findings) > 0 {
+				if len(o.Violations) > 0 {
 					broken.Add(1)
 				}
 			}
@@ -73,7 +73,8 @@
 	if int(played.Load()) < c.Seeds {
 		partial = fmt.Sprintf(" (partial: %d were asked for)", c.Seeds)
 	}
-	fmt.Fprintf(e.out, "%d runs from seed %d, %d broke a rule, %.1f s%s\n", played.Load(), c.From, broken.Load(), time.Since(began).Seconds(), partial)
+	fmt.Fprintf(e.out, "%d runs from seed %d, %d broke a rule, %.1f s%s\n", played.Load(), c.From,
+		broken.Load(), time.Since(began).Seconds(), partial)
 	if broken.Load() > 0 {
 		return coded{exitBroken, "a rule was broken"}
 	}
@@ -85,19 +86,21 @@
 	f := configsim.Measure(configsim.FleetSize(c.Length, c.Loss, c.From))
 	fmt.Fprintf(e.out, "%d gateways of %d services each, %d services, %d routes, %d tenants, loss %.0f%%, seed %d\n", f.Gateways, f.ServicesEach, f.Size.Services,
 		f.Size.Routes, f.Size.Tenants, 100*f.Loss, f.Seed)
-	fmt.Fprintf(e.out, "all start with nothing: whole configuration in force everywhere after %.2f s\n", f.First.Seconds())
-	fmt.Fprintf(e.out, "one change alone, from its submission: half %.2f s, 99%% %.2f s, all %.2f s\n", f.Single[0].Seconds(), f.Single[1].Seconds(), f.Single[2].Seconds())
+	fmt.Fprintf(e.out, "all start with nothing: whole configuration in force everywhere after %.2f s\n",
+		f.First.Seconds())
+	fmt.Fprintf(e.out, "one change alone, from its submission: half %.2f s, 99%% %.2f s, all %.2f s\n",
+		f.Single[0].Seconds(), f.Single[1].Seconds(), f.Single[2].Seconds())
 	fmt.Fprintf(e.out, "%d changes, %d restarts, %d failures in %v, median / 99%% / worst change: half %v, 99%% %v, all %v; from commitment %v\n", f.Changes, f.Restarts, f.Failures,
 		f.Length, f.Half, f.Most, f.All, f.FromCommit)
 	fmt.Fprintf(e.out, "later than 8 s: %d, unfinished: %d, stopped: %d\n", f.Late, f.Unfinished, f.Stopped)
-	fmt.Fprintf(e.out, "bytes a second: gateway %.0f at rest, %.0f in the run, %.0f at most; control machine sends %.0f, %.0f at most, to %d gateways at most\n", f.Quiet, f.Mean, f.Worst,
-		f.Control, f.ControlTo, f.Subscribers)
+	fmt.Fprintf(e.out, "bytes a second: gateway %.0f at rest, %.0f in the run, %.0f at most; control machine sends %.0f, %.0f at most, to %d gateways at most\n", f.IdleRate, f.MeanRate, f.MaxRate,
+		f.ControlRate, f.MaxControlRate, f.Subscribers)
 	fmt.Fprintf(e.out, "processor: gateway %.4f%% of a core, control machine %.2f%%; heap of everything over gateways %d KiB; took %.1f s\n", 100*f.GatewayCPU, 100*f.ControlCPU,
 		f.HeapEach>>10, time.Since(began).Seconds())
-	for _, x := range f.Findings[:min(5, len(f.Findings))] {
+	for _, x := range f.Violations[:min(5, len(f.Violations))] {
 		fmt.Fprintln(e.out, x)
 	}
-	if len(f.Findings) > 0 {
+	if len(f.Violations) > 0 {
 		return coded{exitBroken, "a rule was broken"}
 	}
 	return nil
--- a/internal/lab/simulation/viewchecker.go
+++ b/internal/lab/simulation/viewchecker.go
@@ -13,8 +13,8 @@
 	"thymebend/internal/membership"
 )
 
-// Gateways that know of each other: each has a fleet file, the network carries their datagrams, and what they believe is
-// held against what was done to them.
+// Gateways that know of each other: each has a fleet file, the network carries their datagrams, and
+// what they believe is held against what was done to them.
 
 // viewsProfile is gateways with a fleet file among ordinary troubles and those of datagrams.
 const viewsProfile = "views"
@@ -59,14 +59,14 @@
 	}
 	b.history = membershipcheck.NewHistory(b.names)
 	if w.plan.Shares {
-		b.history.Tells()
+		b.history.ReportsLoad()
 	}
 	w.net.LoseDatagrams, w.net.DoubleDatagrams = w.plan.LoseData, w.plan.DoubleData
 	w.net.CutDatagrams = func(from, to netip.AddrPort) bool { return b.cut(place4(from), place4(to)) }
 	if w.plan.LoseData > 0 {
 		for x := range b.names {
 			for y := range b.names {
-				b.history.Path(x, y, membershipcheck.PathAt{Loss: w.plan.LoseData})
+				b.history.Path(x, y, membershipcheck.PathState{Loss: w.plan.LoseData})
 			}
 		}
 	}
@@ -138,18 +138,20 @@
 				p.view, p.joined = v, p.joined+1
 			}
 			st := v.Status(b.w.sim.Now())
-			l := membershipcheck.Look{At: b.w.sim.Since(), Gateway: m.n, PID: p.pid, Speaking: true, Joined: p.joined, Settled: st.Settled, Majority: st.Majority, Twin: st.DuplicateName,
-				Alive: st.Alive, Sent: v.Counts().SentBytes, States: make([]membershipcheck.Held, len(b.names))}
+			l := membershipcheck.Observation{At: b.w.sim.Since(), Gateway: m.n, PID: p.pid, Speaking: true,
+				Join: p.joined, Settled: st.Settled, Majority: st.Majority, DuplicateName: st.DuplicateName,
+				Alive: st.Alive, Sent: v.Counts().SentBytes, Beliefs: make([]membershipcheck.Belief, len(b.names))}
 			for _, o := range v.Members() {
 				i, ok := b.index[o.Name]
 				if !ok {
-					l.Strange++
+					l.Strangers++
 				} else {
-					l.States[i] = membershipcheck.Held{State: o.State.String(), Start: o.Start, Incarnation: o.Incarnation, Since: o.Since - epoch,
+					l.Beliefs[i] = membershipcheck.Belief{State: o.State.String(), Start: o.Start,
+						Incarnation: o.Incarnation, Since: o.Since - epoch,
 						Previous: o.Previous.String(), SuspectedBy: o.SuspectedBy}
 				}
 			}
-			b.history.Looked(l)
+			b.history.Observe(l)
 			break
 		}
 	}
@@ -187,7 +189,7 @@
 	for x := range b.names {
 		for y := range b.names {
 			if is := b.cut(x, y); x != y && is != was[[2]int{x, y}] {
-				b.history.Path(x, y, membershipcheck.PathAt{At: b.w.sim.Since(), Cut: is, Loss: b.w.plan.LoseData})
+				b.history.Path(x, y, membershipcheck.PathState{At: b.w.sim.Since(), Cut: is, Loss: b.w.plan.LoseData})
 			}
 		}
 	}
@@ -197,12 +199,12 @@
 func (b *viewChecker) halt(m *gatewayNode, length time.Duration) {
 	now := b.w.sim.Now()
 	m.halts = append(m.halts, [2]time.Duration{now, now + length})
-	b.history.Halted(m.n, b.w.sim.Since(), true)
+	b.history.Stopped(m.n, b.w.sim.Since(), true)
 	m.loop.Halt(length)
 	pid := m.process.pid
 	b.w.sim.After(length, func() {
 		if m.process.pid == pid {
-			b.history.Halted(m.n, b.w.sim.Since(), false)
+			b.history.Stopped(m.n, b.w.sim.Since(), false)
 		}
 	})
 }
@@ -210,21 +212,24 @@
 // check finds the rules on views that were broken.
 func (b *viewChecker) check() {
 	b.done = true
-	for _, f := range membershipcheck.Judge(b.history) {
+	for _, f := range membershipcheck.Check(b.history) {
 		b.w.find(f.Rule, f.ID, "%s", f.Detail)
 	}
 }
 
-// nonsense sends a gateway datagrams that nobody meant: of another fleet, spoilt, cut short, or from a stranger.
+// nonsense sends a gateway datagrams that nobody meant: of another fleet, spoilt, cut short, or from a
+// stranger.
 func (b *viewChecker) nonsense(n int) {
 	r := b.w.sim.Rand
 	from := &datagramSocket{addr: gossipAddr((n + 1) % len(b.names))}
-	foreign := gossipcodec.Append(nil, &gossipcodec.Message{Cluster: "other", From: gatewayName((n + 1) % len(b.names)), Start: 1 << 45, Kind: gossipcodec.Gossip})
+	foreign := gossipcodec.Append(nil, &gossipcodec.Message{Cluster: "other",
+		From: gatewayName((n + 1) % len(b.names)), Start: 1 << 45, Kind: gossipcodec.Gossip})
 	noise := make([]byte, r.IntN(300))
 	for i := range noise {
 		noise[i] = byte(r.Uint32())
 	}
-	whole := gossipcodec.Append(nil, &gossipcodec.Message{Cluster: "virtual", From: "nobody", Start: 1 << 45, Kind: gossipcodec.Ping, Seq: 9})
+	whole := gossipcodec.Append(nil, &gossipcodec.Message{Cluster: "virtual", From: "nobody", Start: 1 << 45,
+		Kind: gossipcodec.Ping, Seq: 9})
 	for _, data := range [][]byte{foreign, noise, whole, whole[:len(whole)/2]} {
 		b.w.net.datagram(from, gossipAddr(n), data)
 	}
