--- /dev/null
+++ b/internal/lab/assignmentsim/assignmentsim_test.go
@@ -0,0 +1,28 @@
+package assignmentsim
+
+import "testing"
+
+// Guards against figures that do not tell strategies apart: fitted weights are the fairest, and rendezvous hashing moves
+// fewer pairs than ranks when a gateway goes.
+func TestFiguresTellStrategiesApart(t *testing.T) {
+	figures := make(map[Strategy]Figures)
+	for _, strategy := range Strategies() {
+		f, err := Measure(Case{Gateways: 30, Endpoints: 20, Zipf: true, Mixed: true, Seed: 1}, strategy)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if f.Pairs == 0 || f.MaxUsers == 0 || f.MaxUsers > 36 {
+			t.Errorf("%s: %+v", strategy, f)
+		}
+		figures[strategy] = f
+	}
+	fitted := figures[Fitted]
+	for _, other := range []Strategy{ByRank, Unweighted, UnknownDemand} {
+		if figures[other].RelativeLoad <= fitted.RelativeLoad {
+			t.Errorf("%s: relative load %.2f, fitted %.2f", other, figures[other].RelativeLoad, fitted.RelativeLoad)
+		}
+	}
+	if figures[ByRank].GatewayGone <= fitted.GatewayGone {
+		t.Errorf("a gateway goes: %.1f by rank, %.1f fitted", figures[ByRank].GatewayGone, fitted.GatewayGone)
+	}
+}
--- a/internal/lab/cli/shares.go
+++ b/internal/lab/cli/shares.go
@@ -40,14 +40,14 @@
 	fmt.Fprintln(e.out, "| gateways | hosts | traffic | way | crowd | refused | pairs | most users | moved by a gateway | by a host | time |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, size := range sizes {
 		for _, zipf := range []bool{false, true} {
-			for _, way := range assignmentsim.Ways() {
+			for _, way := range assignmentsim.Strategies() {
 				if e.ctx.Err() != nil {
 					return early()
 				}
-				if way == assignmentsim.MeanOnly && !zipf {
+				if way == assignmentsim.UnknownDemand && !zipf {
 					continue
 				}
-				f, err := assignmentsim.Measure(assignmentsim.Case{Gateways: size[0], Hosts: size[1], Zipf: zipf, Mixed: true, Seed: c.Seed}, way)
+				f, err := assignmentsim.Measure(assignmentsim.Case{Gateways: size[0], Endpoints: size[1], Zipf: zipf, Mixed: true, Seed: c.Seed}, way)
 				if err != nil {
 					return input(err)
 				}
@@ -55,8 +55,8 @@
 				if zipf {
 					traffic = "Zipf"
 				}
-				fmt.Fprintf(e.out, "| %d | %d | %s | %s | %.2f | %.1f%% | %d | %d | %.1f | %.1f | %v |\n", size[0], size[1], traffic, way, f.Crowd, 100*f.Refused,
-					f.Links, f.MostLinks, f.GatewayGone, f.HostGone, f.Took.Round(100*time.Microsecond))
+				fmt.Fprintf(e.out, "| %d | %d | %s | %s | %.2f | %.1f%% | %d | %d | %.1f | %.1f | %v |\n", size[0], size[1], traffic, way, f.RelativeLoad, 100*f.Rejected,
+					f.Pairs, f.MaxUsers, f.GatewayGone, f.EndpointGone, f.Took.Round(100*time.Microsecond))
 			}
 		}
 	}
