--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -1,6 +1,6 @@
 // Package assignment works out which endpoints each gateway of a cluster uses and for how much of its traffic, from
 // which gateways are alive, what traffic each has and what endpoints can do: weighted subset assignment. Every gateway
-// that knows the same works out the same, without a word between them. It does no I/O and reads no clock.
+// that knows the same works out the same, without a message between them. It does no I/O and reads no clock.
 //
 // # How
 //
--- a/internal/assignment/tracker.go
+++ b/internal/assignment/tracker.go
@@ -22,7 +22,7 @@
 	return [...]string{"waiting", "settled", "kept", "changing"}[min(s, Changing)]
 }
 
-// Observation is what membership and discovery tell at a moment.
+// Observation is what membership and discovery say at a moment.
 type Observation struct {
 	Alive     []Gateway  // the own one included
 	Settled   bool       // the membership is settled, and that of a majority
--- a/internal/lab/membershipcheck/observation.go
+++ b/internal/lab/membershipcheck/observation.go
@@ -40,5 +40,5 @@
 	SuspectedBy string `json:"suspected_by,omitempty"`
 }
 
-// removed tells that a state is no living one.
+// removed reports whether the gateway is held gone or left.
 func (b Belief) removed() bool { return b.State == "gone" || b.State == "left" }
--- a/internal/lab/membershipcheck/rules_test.go
+++ b/internal/lab/membershipcheck/rules_test.go
@@ -132,8 +132,8 @@
 		{"a duplicate name that nobody uses", Diverged, func(h *History) {
 			change(h, 3, 16*second, 30*second, func(l *Observation) { l.DuplicateName = true })
 		}},
-		{"a part is no majority and says so", "", func(h *History) { partition(h, false) }},
-		{"a part is no majority and says it is one", FalseMajority, func(h *History) { partition(h, true) }},
+		{"a component is no majority and says so", "", func(h *History) { partition(h, false) }},
+		{"a component is no majority and says it is one", FalseMajority, func(h *History) { partition(h, true) }},
 		{"an incarnation that goes back", IncarnationWentBack, func(h *History) {
 			change(h, 1, 9*second, 30*second, func(l *Observation) { l.Beliefs[2].Incarnation = 4 })
 			change(h, 1, 14*second, 30*second, func(l *Observation) { l.Beliefs[2].Incarnation = 3 })
@@ -237,7 +237,7 @@
 	h.observations = slices.DeleteFunc(h.observations, func(l Observation) bool { return l.PID == pid && l.At >= from })
 }
 
-// partition has two gateways cut off from three, with views that say so; lying has the two claim a majority.
+// partition has two gateways cut off from three, with observations that say so; lying has the two claim a majority.
 func partition(h *History, lying bool) {
 	few, many := []int{3, 4}, []int{0, 1, 2}
 	cut(h, few, many, 3*second, true)
--- a/internal/loadreport/codec.go
+++ b/internal/loadreport/codec.go
@@ -60,7 +60,7 @@
 	return byte(math.Round(min(share, 1) * shareSteps))
 }
 
-// Append appends a report to a payload. What is out of its bounds is told at the bound.
+// Append appends a report to a payload. What is out of its bounds is reported at the bound.
 func Append(b []byte, r Report) []byte {
 	zone := uint64(min(max(r.Zone, 0), maxZone))
 	if !r.Known {
--- a/internal/loadreport/report.go
+++ b/internal/loadreport/report.go
@@ -1,4 +1,4 @@
-// Package loadreport encodes what a gateway tells the others of its own state in the payload that its membership
+// Package loadreport encodes what a gateway reports to the others of its own state in the payload that its membership
 // spreads, and reads theirs with care: old reports fade, and one gateway's report counts only so far. It does no I/O
 // and reads no clock.
 //
@@ -14,14 +14,14 @@
 // MaxEjected is how many endpoints a report names.
 const MaxEjected = 12
 
-// Report is what a gateway tells of itself.
+// Report is what a gateway reports of itself.
 type Report struct {
 	Zone         int
 	Demand       float64 // weighted requests a second; 0: none, below 0: not known yet
 	Rejected     float64 // share of the demand, 0 to 1
 	FreeCapacity float64 // share of its endpoints' limits that is free, 0 to 1
 	LocalHealth  int     // 0 is well, 8 is worst
-	Known        bool    // demand and the rest were told; else the zone alone
+	Known        bool    // demand and the rest were reported; else the zone alone
 	// ConfigHash is a hash of what slow-start tokens rest on, so that gateways whose files differ find out.
 	ConfigHash uint32
 	// Ejected are the endpoints that this gateway has ejected, by EndpointHash, sorted, MaxEjected at most.
--- a/internal/membership/antientropy.go
+++ b/internal/membership/antientropy.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// claimsInDifferingBuckets words what this gateway knows of names in buckets whose sums differ, itself first.
+// claimsInDifferingBuckets is what this gateway knows of names in buckets whose sums differ, itself first.
 func (m *Membership) claimsInDifferingBuckets(sums []uint32) []gossipcodec.Claim {
 	differs := func(name string) bool {
 		b := bucket(name)
--- a/internal/membership/claims.go
+++ b/internal/membership/claims.go
@@ -11,7 +11,7 @@
 // refuted, as no process begins later.
 const maxClockLead = 24 * time.Hour
 
-// claim words what this gateway believes of the member; by is who suspects it, or empty.
+// claim is what this gateway believes of the member; by is who suspects it, or empty.
 func (p *member) claim(by string) gossipcodec.Claim {
 	c := gossipcodec.Claim{Name: p.Name, Start: p.Start, Incarnation: p.Incarnation, State: p.State, SuspectedBy: by}
 	if p.State == gossipcodec.Alive {
@@ -97,7 +97,7 @@
 	m.adopt(peer, c)
 }
 
-// verifyHearsay has this gateway probe a member itself that another says is gone. To take the other's word would remove
+// verifyHearsay has this gateway probe a member itself that another says is gone. To believe the other would remove
 // members that came back at that moment, and let a cut-off half remove those whom the other half sees alive.
 func (m *Membership) verifyHearsay(peer *member, c *gossipcodec.Claim, from string) {
 	suspect := *c
--- a/internal/membership/dissemination.go
+++ b/internal/membership/dissemination.go
@@ -11,7 +11,7 @@
 	// While claims wait, gossipFanout random members get some every gossipInterval, beside those on other datagrams.
 	gossipInterval = 200 * time.Millisecond
 	gossipFanout   = 2
-	// leaveFanout is how many members are told directly of the own leave.
+	// leaveFanout is how many members are sent the own leave directly.
 	leaveFanout = 8
 	// retransmitMultiplier is SWIM's lambda: a member sends a claim so often, times the logarithm of the members.
 	retransmitMultiplier = 1.0
@@ -26,7 +26,7 @@
 }
 
 // transmitLimit is how often one member sends a claim. A suspicion has to reach the suspect and some who probe it too,
-// not everybody: what becomes of it is told to all.
+// not everybody: its end, either way, goes to all.
 func (m *Membership) transmitLimit(state gossipcodec.State) int {
 	n := 1 + int(retransmitMultiplier*float64(bits.Len(uint(len(m.table.sorted)+1))))
 	if state == gossipcodec.Suspect {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -108,7 +108,7 @@
 	return m.self.Start, m.self.Incarnation + 1
 }
 
-// Leave tells the others that this gateway goes for good. Nothing but the datagrams that it leaves in Take is sent
+// Leave announces that this gateway goes for good. Nothing but the datagrams that it leaves in Take is sent
 // afterwards.
 func (m *Membership) Leave(now time.Duration) {
 	m.advanceClock(now)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -49,7 +49,7 @@
 	originSeq   uint64         // and under which number
 }
 
-// probes are those that wait, and what the finished ones told.
+// probes are those that wait for an answer, and the results of those that are over.
 type probes struct {
 	pending  map[uint64]*probe // by sequence number
 	periodic uint64            // sequence number of the period's probe; 0 for none
@@ -102,12 +102,12 @@
 	p.periodic = 0
 }
 
-// smooth moves a mean round-trip time by a part of the difference to a new measurement; the first one counts whole.
-func smooth(mean, trip time.Duration, part int64) time.Duration {
+// smooth moves a mean round-trip time by a fraction of the difference to a new measurement; the first one counts whole.
+func smooth(mean, trip time.Duration, divisor int64) time.Duration {
 	if mean == 0 {
 		mean = trip
 	}
-	return mean + (trip-mean)/time.Duration(part)
+	return mean + (trip-mean)/time.Duration(divisor)
 }
 
 // answerTimeout is how long an answer may take before others are asked.
@@ -116,8 +116,8 @@
 	return m.stretch(min(max(usual, minAnswerTimeout), maxAnswerTimeout))
 }
 
-// startProbe sends a Ping. It tells a member that is not believed alive so, for only that one can refute it. Unless it
-// is answered by retryAt, it goes out again and others are asked to ping too.
+// startProbe sends a Ping. To a member that is not believed alive the Ping carries that claim, for only that one can
+// refute it. Unless it is answered by retryAt, it goes out again and others are asked to ping too.
 func (m *Membership) startProbe(peer *member, kind probeKind, deadline, retryAt time.Duration) (seq uint64) {
 	seq = m.probes.add(&probe{kind: kind, target: peer.Name, sentAt: m.now, deadline: deadline, retryAt: retryAt})
 	var about *gossipcodec.Claim
@@ -168,8 +168,8 @@
 	}
 }
 
-// probeIndirectly asks helpers to ping a member. They tell a suspect of the suspicion, for it alone can refute it, and
-// this gateway's own datagrams may not reach it.
+// probeIndirectly asks helpers to ping a member. They pass a suspicion on to the suspect, for it alone can refute it,
+// and this gateway's own datagrams may not reach it.
 func (m *Membership) probeIndirectly(seq uint64, one *probe, peer *member) {
 	var about *gossipcodec.Claim
 	if peer.State == gossipcodec.Suspect {
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -87,7 +87,8 @@
 }
 
 // answerEarlierProcess answers a process that began before the one known under its name. Where that one is dead, the
-// clock of its machine went back: told so, it takes a later start. Where both live, each is told of the other.
+// clock of its machine went back: by that claim it learns to take a later start. Where both live, each is notified of
+// the other.
 func (m *Membership) answerEarlierProcess(peer *member, from netip.AddrPort, msg *gossipcodec.Message) {
 	if m.now-peer.duplicateNotified <= duplicateNotifyInterval {
 		return
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -25,7 +25,7 @@
 	Incarnation uint64
 	Since       time.Duration     // in this state
 	Previous    gossipcodec.State // before it; Left for one that was just entered
-	SuspectedBy string            // who raised the last suspicion, empty where that was not told
+	SuspectedBy string            // who raised the last suspicion; empty where unknown
 	Payload     []byte            // as it spreads it; not to be changed
 	Addr        netip.AddrPort
 	RTT         time.Duration // smoothed; 0 while none was measured
@@ -55,7 +55,7 @@
 	FalseAlarms                            uint64 // suspicions of this gateway that it refuted
 }
 
-// Counts tells what came and went.
+// Counts returns what came and went since the start.
 func (m *Membership) Counts() Counts { return m.counts }
 
 // Members lists all that are known, by name, this gateway included.
@@ -122,7 +122,7 @@
 			s.Known++
 		}
 	}
-	// Who hears nobody doubts itself first and holds the others suspect for long: it must not call them its majority.
+	// A gateway that hears nobody suspects itself first and the others for long: they must not count as its majority.
 	s.Majority = 2*(s.Alive-suspects) > s.Known && s.Answering > 0.5
 	s.Settled = s.Isolated >= settledAfter && suspects == 0 && s.Majority && !s.DuplicateName
 	return s
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// suspicionMax is how long a member stays suspect on one gateway's word, and suspicionMin once expectedConfirmers
+	// suspicionMax is how long a member stays suspect by one gateway's claim, and suspicionMin once expectedConfirmers
 	// more suspect it independently.
 	suspicionMax       = 5400 * time.Millisecond
 	suspicionMin       = 1800 * time.Millisecond
@@ -65,7 +65,7 @@
 	s.until = now + timeout
 }
 
-// beginSuspicion makes a member suspect on the word of one gateway.
+// beginSuspicion makes a member suspect by the claim of one gateway.
 func (m *Membership) beginSuspicion(peer *member, by string) {
 	peer.suspicion, peer.SuspectedBy = &suspicion{since: m.now}, by
 	m.suspects = append(m.suspects, peer)
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -20,7 +20,7 @@
 	hash              uint64        // its part of the table's digest
 	lastHeard         time.Duration // from itself
 	lastCalledBack    time.Duration // when it was last probed because it spoke though it was believed gone
-	duplicateNotified time.Duration // when a second process of its name was last told
+	duplicateNotified time.Duration // when a second process of its name was last notified
 }
 
 // live reports whether it is a member that may be sent to.
@@ -100,7 +100,7 @@
 	m.table.removeIf(func(peer *member) bool {
 		old := peer.State >= gossipcodec.Gone && m.now-peer.Since > reapAfter
 		if old {
-			m.queue.drop(peer.Name) // its claim may still wait where nobody lives to be told
+			m.queue.drop(peer.Name) // its claim may still wait where nobody is left to send it to
 		}
 		return old
 	})
