--- a/internal/membership/awareness.go
+++ b/internal/membership/awareness.go
@@ -5,7 +5,7 @@
 // maxHealthScore is the worst local health.
 const maxHealthScore = 8
 
-// awareness is Lifeguard's local health multiplier: how much this gateway has reason to blame itself, not others, for
+// awareness is Lifeguard's Local Health Multiplier: how much this gateway has reason to blame itself, not others, for
 // what it does not hear. Unanswered probes whose helpers did not answer either, refutations and late timers raise it;
 // answered probes lower it.
 type awareness struct {
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -18,7 +18,7 @@
 	verificationTimeout = 250 * time.Millisecond
 )
 
-// suspicion runs while a member is suspect (Lifeguard's dynamic suspicion timeout).
+// suspicion runs while a member is suspect (Lifeguard's LHA-Suspicion).
 type suspicion struct {
 	since          time.Duration
 	until          time.Duration
@@ -50,7 +50,8 @@
 	return true
 }
 
-// timeout falls with the logarithm of the suspectors, from longest to suspicionMin (Lifeguard, section 4.2).
+// timeout falls with the logarithm of the suspectors, from longest to suspicionMin, by Lifeguard's equation
+// max(Min, Max - (Max-Min)*log(C+1)/log(K+1)), where C is how many confirmed the first and K is expectedConfirmers.
 func (s *suspicion) timeout(longest time.Duration) time.Duration {
 	share := math.Log(float64(max(1, len(s.suspectors)))) / math.Log(expectedConfirmers+1)
 	return max(suspicionMin, longest-time.Duration(share*float64(suspicionMax-suspicionMin)))
