--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -117,8 +117,8 @@
 }
 
 // startProbe sends a Ping. To a member that is not believed alive the Ping carries that claim, for only that one can
-// refute it (Lifeguard's Buddy System). Unless it is answered by retryAt, it goes out again and others are asked to ping
-// too.
+// refute it (Lifeguard's Buddy System). Unless it is answered by retryAt, it goes out again and others are asked to
+// ping too.
 func (m *Membership) startProbe(peer *member, kind probeKind, deadline, retryAt time.Duration) (seq uint64) {
 	seq = m.probes.add(&probe{kind: kind, target: peer.Name, sentAt: m.now, deadline: deadline, retryAt: retryAt})
 	var about *gossipcodec.Claim
