--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// suspicionMax is how long a member stays suspect on one gateway's word, and suspicionMin once expectedConfirmers
+	// suspicionMax is how long a member stays suspect by one gateway's claim, and suspicionMin once expectedConfirmers
 	// more suspect it independently.
 	suspicionMax       = 5400 * time.Millisecond
 	suspicionMin       = 1800 * time.Millisecond
@@ -18,7 +18,7 @@
 	verificationTimeout = 250 * time.Millisecond
 )
 
-// suspicion runs while a member is suspect (Lifeguard's dynamic suspicion timeout).
+// suspicion runs while a member is suspect (Lifeguard's LHA-Suspicion).
 type suspicion struct {
 	since          time.Duration
 	until          time.Duration
@@ -50,7 +50,8 @@
 	return true
 }
 
-// timeout falls with the logarithm of the suspectors, from longest to suspicionMin (Lifeguard, section 4.2).
+// timeout falls with the logarithm of the suspectors, from longest to suspicionMin, by Lifeguard's equation
+// max(Min, Max - (Max-Min)*log(C+1)/log(K+1)), where C is how many confirmed the first and K is expectedConfirmers.
 func (s *suspicion) timeout(longest time.Duration) time.Duration {
 	share := math.Log(float64(max(1, len(s.suspectors)))) / math.Log(expectedConfirmers+1)
 	return max(suspicionMin, longest-time.Duration(share*float64(suspicionMax-suspicionMin)))
@@ -65,7 +66,7 @@
 	s.until = now + timeout
 }
 
-// beginSuspicion makes a member suspect on the word of one gateway.
+// beginSuspicion makes a member suspect by the claim of one gateway.
 func (m *Membership) beginSuspicion(peer *member, by string) {
 	peer.suspicion, peer.SuspectedBy = &suspicion{since: m.now}, by
 	m.suspects = append(m.suspects, peer)
