--- a/internal/ci/knownred_test.go
+++ b/internal/ci/knownred_test.go
@@ -37,10 +37,12 @@
 		"./internal/loop Thing | it fails | issue 28":     ":1: want a package",
 		line(1) + "./a TestMissing | it fails | issue 28": ":2: no such test",
 	} {
-		list, err := readKnownRed(write(t, text), there)
-		if err == nil || !strings.Contains(err.Error(), "KNOWN-RED.txt"+want) || list != nil {
-			t.Errorf("%q: %v, want %q", text, err, want)
-		}
+		t.Run(want, func(t *testing.T) {
+			list, err := readKnownRed(write(t, text), there)
+			if err == nil || !strings.Contains(err.Error(), "KNOWN-RED.txt"+want) || list != nil {
+				t.Errorf("%q: %v, want %q", text, err, want)
+			}
+		})
 	}
 	list, err := readKnownRed(write(t, line(1)+line(2)), there)
 	if err != nil || pattern(list) != "^(TestThing1|TestThing2)$" {
--- a/internal/ci/site.go
+++ b/internal/ci/site.go
@@ -18,11 +18,11 @@
 
 // site is what can be checked of a variant without the operators' bench. Other fields are the bench's affair.
 type site struct {
-	Name  string     `toml:"name"`
-	Wire  string     `toml:"wire"`
-	Class []class    `toml:"class"`
-	Tier  []struct{} `toml:"tier"`
-	Net   struct {
+	Name    string     `toml:"name"`
+	Wire    string     `toml:"wire"`
+	Classes []class    `toml:"class"`
+	Tiers   []struct{} `toml:"tier"`
+	Net     struct {
 		Zones []string `toml:"zones"`
 	} `toml:"net"`
 	Rules struct {
@@ -32,16 +32,17 @@
 	} `toml:"rules"`
 }
 
+// class is one class of requests. Times are in milliseconds.
 type class struct {
-	Name     string  `toml:"name"`
-	Share    any     `toml:"share"`
-	Aim      float64 `toml:"aim_ms"`
-	Deadline float64 `toml:"deadline_ms"`
-	Worth    float64 `toml:"worth"`
-	Late     float64 `toml:"late_worth"`
-	Effect   string  `toml:"effect"`
-	Group    string  `toml:"group"`
-	Window   float64 `toml:"window_ms"`
+	Name        string  `toml:"name"`
+	Share       any     `toml:"share"`
+	Objective   float64 `toml:"aim_ms"`
+	Deadline    float64 `toml:"deadline_ms"`
+	Weight      float64 `toml:"worth"`
+	LateWeight  float64 `toml:"late_worth"`
+	Idempotency string  `toml:"effect"`
+	DedupScope  string  `toml:"group"`
+	DedupWindow float64 `toml:"window_ms"`
 }
 
 // checkSites checks every folder of a folder as a variant, and says which it found.
@@ -58,7 +59,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(w, "site %s: %d classes, %d zones\n", s.Name, len(s.Class), len(s.Net.Zones))
+		fmt.Fprintf(w, "site %s: %d classes, %d zones\n", s.Name, len(s.Classes), len(s.Net.Zones))
 	}
 	return nil
 }
@@ -98,7 +99,7 @@
 	switch {
 	case s.Name != name:
 		return s, faultAt(file, lineOf(text, "name"), fmt.Errorf("name is %q, want that of the folder", s.Name))
-	case len(s.Class) == 0 || len(s.Tier) == 0:
+	case len(s.Classes) == 0 || len(s.Tiers) == 0:
 		return s, faultAt(file, 0, errors.New("no class, or no tier"))
 	case !(s.Rules.Grace > 0 && s.Rules.Multiple >= 1 && s.Rules.Within > 0):
 		return s, faultAt(file, lineOf(text, "[rules]"),
@@ -106,7 +107,7 @@
 	}
 	lines := classLines(text)
 	seen := make(map[string]bool)
-	for i, c := range s.Class {
+	for i, c := range s.Classes {
 		if err := c.check(); err != nil {
 			return s, faultAt(file, lines[i], fmt.Errorf("class %q: %w", c.Name, err))
 		}
@@ -163,27 +164,27 @@
 		return errors.New("its name must do as the first part of a path")
 	case !ok || low <= 0 || high < low || high > 1:
 		return fmt.Errorf("share is %v, want one or two ascending parts of 1", c.Share)
-	case !(c.Aim > 0 && c.Deadline >= c.Aim):
-		return fmt.Errorf("deadline_ms is %v and aim_ms %v, want a deadline of the aim at least", c.Deadline, c.Aim)
-	case !(c.Worth > 0 && c.Late >= 0 && c.Late <= 1):
-		return fmt.Errorf("worth is %v and late_worth %v, want above 0, and from 0 to 1", c.Worth, c.Late)
+	case !(c.Objective > 0 && c.Deadline >= c.Objective):
+		return fmt.Errorf("deadline_ms is %v and aim_ms %v, want a deadline of the aim at least", c.Deadline, c.Objective)
+	case !(c.Weight > 0 && c.LateWeight >= 0 && c.LateWeight <= 1):
+		return fmt.Errorf("worth is %v and late_worth %v, want above 0, and from 0 to 1", c.Weight, c.LateWeight)
 	}
-	switch c.Effect {
+	switch c.Idempotency {
 	case "safe", "unsafe":
-		if c.Group != "" || c.Window != 0 {
+		if c.DedupScope != "" || c.DedupWindow != 0 {
 			return errors.New("group and window_ms are for keyed classes")
 		}
 	case "keyed":
-		if c.Window <= 0 || c.Group != "all" && c.Group != "zone" && c.Group != "cell" {
+		if c.DedupWindow <= 0 || c.DedupScope != "all" && c.DedupScope != "zone" && c.DedupScope != "cell" {
 			return errors.New("a keyed class needs window_ms above 0 and group all, zone or cell")
 		}
 	default:
-		return fmt.Errorf("effect is %q, want safe, keyed or unsafe", c.Effect)
+		return fmt.Errorf("effect is %q, want safe, keyed or unsafe", c.Idempotency)
 	}
 	return nil
 }
 
-// span reads one number or two.
+// span reads one number or two: a value or its bounds.
 func span(v any) (low, high float64, ok bool) {
 	number := func(v any) (float64, bool) {
 		switch v := v.(type) {
--- a/internal/configdist/codec/messages.go
+++ b/internal/configdist/codec/messages.go
@@ -56,7 +56,7 @@
 // Verdict is what a gateway came to with a version.
 type Verdict uint8
 
-// The verdicts. Refused: the version was not taken, and the one in force is the last good one. Failed: it is in
+// The verdicts. Rejected: the version was not taken, and the one in force is the last good one. Failed: it is in
 // force, and the gateway fails with it.
 const (
 	Fine Verdict = iota
@@ -157,7 +157,7 @@
 
 // GatewayReports are a control machine's reports to its leader: those that have changed, or all.
 type GatewayReports struct {
-	Head     uint64 // newest version that Touched is about
+	Head     uint64 // newest version that Affected is about
 	Full     bool   // who is not listed is no longer subscribed there
 	Gateways []GatewayReport
 }
--- a/internal/configdist/store.go
+++ b/internal/configdist/store.go
@@ -200,7 +200,7 @@
 	return v.Ref, nil
 }
 
-// resume begins a stopped rollout again. Gateways that refused its version try it again, for the attempt is another.
+// resume begins a stopped rollout again. Gateways that rejected its version try it again, for the attempt is another.
 func (s *Store) resume(c *Command) (content.Ref, error) {
 	v, err := s.rolledOut(c)
 	switch {
--- a/internal/gossipconfig/gossipconfig_test.go
+++ b/internal/gossipconfig/gossipconfig_test.go
@@ -26,9 +26,11 @@
 		good + "[[peer]]\nname = \"b\"\naddr = \"127.0.0.1:7947\"\n": "address of a already",
 		good + "adress = 1\n":                                        "peer.adress: unknown field",
 	} {
-		if _, err := Parse("x.toml", []byte(text), "me"); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("want %q: %v", want, err)
-		}
+		t.Run(want, func(t *testing.T) {
+			if _, err := Parse("x.toml", []byte(text), "me"); err == nil || !strings.Contains(err.Error(), want) {
+				t.Errorf("want %q: %v", want, err)
+			}
+		})
 	}
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -75,10 +75,12 @@
 		`bounds.cancel="si" is none of`:       {"cancel=true", "cancel=si"},
 		"classes.2.aim_ms is missing":         {"classes.count=2", "classes.count=1000000"},
 	} {
-		_, err := Parse(strings.Replace(settingsText, edit[0], edit[1], 1))
-		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("err = %v, want %q in it", err, want)
-		}
+		t.Run(want, func(t *testing.T) {
+			_, err := Parse(strings.Replace(settingsText, edit[0], edit[1], 1))
+			if err == nil || !strings.Contains(err.Error(), want) {
+				t.Errorf("err = %v, want %q in it", err, want)
+			}
+		})
 	}
 }
 
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -110,12 +110,14 @@
 		"hosts: bytes 4294967295 to": frame(1, nil, to(0),
 			join([]byte{5, 2}, make([]byte, 8), u32(math.MaxUint32), u32(math.MaxUint32/4))),
 	} {
-		_, err := all(data)
-		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: err = %v", want, err)
-		} else if !strings.Contains(err.Error(), want) {
-			t.Errorf("err = %v, want %q in it", err, want)
-		}
+		t.Run(want, func(t *testing.T) {
+			_, err := all(data)
+			if err == nil || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%s: err = %v", want, err)
+			} else if !strings.Contains(err.Error(), want) {
+				t.Errorf("err = %v, want %q in it", err, want)
+			}
+		})
 	}
 }
 
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -31,11 +31,13 @@
 		{"name = \"a\"\n[[event]]\nat = \"1s\"\n[[event]]\nat = \"2s\"\nkinds = { share = 1 }\n",
 			"x.toml:6:1: event.kinds: unknown field, did you mean kind?"},
 	} {
-		var s sample
-		err := Read("x.toml", []byte(c.text), &s).Err()
-		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: got %v, want %q", c.text, err, c.want)
-		}
+		t.Run(c.want, func(t *testing.T) {
+			var s sample
+			err := Read("x.toml", []byte(c.text), &s).Err()
+			if err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("%q: got %v, want %q", c.text, err, c.want)
+			}
+		})
 	}
 }
 
