--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -61,6 +61,7 @@
 	return acts
 }
 
+// Guards against events or actions that reach another instance than their own.
 func TestInstancesAreSeparate(t *testing.T) {
 	in := bytes.Join([][]byte{
 		batch(10, siteSettings, []byte{8, 1}, start(len(siteSettings)), []byte{8, 2}, start(len(siteSettings))),
@@ -85,6 +86,7 @@
 	}
 }
 
+// Guards against a faulty batch that is answered in part, or whose fault is not named.
 func TestFaultsEndTheRunWithoutAHalfReply(t *testing.T) {
 	ok := batch(10, siteSettings, []byte{8, 1}, start(len(siteSettings)))
 	for want, bad := range map[string][]byte{
--- a/internal/ci/knownred_test.go
+++ b/internal/ci/knownred_test.go
@@ -19,6 +19,7 @@
 	return path
 }
 
+// Guards against a faulty list that is taken, or whose line is not named.
 func TestKnownRedNamesTheLineOfAFault(t *testing.T) {
 	line := func(n int) string { return fmt.Sprintf("./internal/loop TestThing%d | it fails | issue 28\n", n) }
 	there := func(_, test string) error {
--- a/internal/ci/site_test.go
+++ b/internal/ci/site_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// Guards against a faulty site variant that passes, or whose file and line are not named.
 func TestSiteVariants(t *testing.T) {
 	var out bytes.Buffer
 	if err := checkSites(&out, "../../deploy/sites"); err != nil {
--- a/internal/configdist/agent_test.go
+++ b/internal/configdist/agent_test.go
@@ -60,6 +60,7 @@
 	return out.Install != nil
 }
 
+// Guards against control machines with too many agents, and agents that prefer another region.
 func TestAgentsSpreadOverControlMachines(t *testing.T) {
 	const agents = 870
 	first, second := make(map[uint64]int), make(map[uint64]int)
@@ -84,6 +85,7 @@
 	}
 }
 
+// Guards against an agent that stays with a silent control machine, or asks without backoff.
 func TestAnAgentGoesOnFromSilentMachinesWithBackoff(t *testing.T) {
 	a := newTestAgent(t, AgentConfig{Seed: 5})
 	var asked []uint64
@@ -111,6 +113,7 @@
 	}
 }
 
+// Guards against a subscription that no frame can hold.
 func TestTooManyServicesAreAnError(t *testing.T) {
 	var names []string
 	for i := range maxServiceNameBytes / 10 {
@@ -125,6 +128,7 @@
 	}
 }
 
+// Guards against an older or forked version in force after a newer one.
 func TestTheFence(t *testing.T) {
 	a := newTestAgent(t, AgentConfig{})
 	one := version(t, 1, content.Empty(), service("a", "1"))
@@ -159,6 +163,7 @@
 	}
 }
 
+// Guards against a rejected version that is installed again and again.
 func TestARefusedVersionIsTriedAgainInAnotherAttemptOnly(t *testing.T) {
 	a := newTestAgent(t, AgentConfig{})
 	from, _ := a.Controller()
@@ -182,6 +187,7 @@
 	}
 }
 
+// Guards against content in force that is not what its version says.
 func TestContentThatIsNotItsVersionsIsNotTaken(t *testing.T) {
 	a := newTestAgent(t, AgentConfig{})
 	from, _ := a.Controller()
@@ -233,6 +239,7 @@
 	return out.Results[0]
 }
 
+// Guards against an offer of a stage that has passed while the control machine stood still.
 func TestAControlMachineThatStoodStillOffersNoStagedVersion(t *testing.T) {
 	c, now := lone(t, ControllerConfig{})
 	propose(t, c, now, Command{Kind: Propose, ID: 1, Changes: []content.Change{service("a", "1")}})
@@ -253,6 +260,7 @@
 	}
 }
 
+// Guards against gateways that wait for a control machine that does not serve them.
 func TestAFullControlMachineIsBusyAndAnUnknownSessionIsTold(t *testing.T) {
 	c, now := lone(t, ControllerConfig{MaxSubscribers: 1})
 	for name, m := range map[string]struct {
--- a/internal/configdist/codec/frame_test.go
+++ b/internal/configdist/codec/frame_test.go
@@ -33,6 +33,7 @@
 	}
 }
 
+// Guards against a field that is encoded and not read back.
 func TestWhatIsWordedIsRead(t *testing.T) {
 	s, r := Sender{Cluster: fleet, Incarnation: 1}, Receiver{Cluster: fleet}
 	var stream []byte
@@ -57,6 +58,7 @@
 	return change(s.Append(nil, &UnknownSession{Session: 300}))
 }
 
+// Guards against a faulty frame that is taken, or that changes the receiver.
 func TestFaultyFramesAreNamed(t *testing.T) {
 	set := func(at int, v byte) func([]byte) []byte {
 		return func(b []byte) []byte { b[at] = v; return b }
@@ -93,6 +95,7 @@
 	}
 }
 
+// Guards against a frame that is taken twice, or for an earlier process.
 func TestEachFrameIsTakenOnce(t *testing.T) {
 	s, r := Sender{Cluster: fleet, Incarnation: 5}, Receiver{Cluster: fleet}
 	var frames [][]byte
@@ -118,6 +121,7 @@
 	take(before.Append(nil, &UnknownSession{}), ErrRepeated)
 }
 
+// Guards against a reader that fails at the fields of a later version.
 func TestLaterFieldsAreSkipped(t *testing.T) {
 	body := append((&Offer{Session: 5, Attempt: 3}).appendBody(nil), "more"...)
 	var m Offer
--- a/internal/configdist/content/tree_test.go
+++ b/internal/configdist/content/tree_test.go
@@ -29,6 +29,7 @@
 		put(Service, "b", "b", "y"))
 }
 
+// Guards against a faulty change that is taken in part, or whose field is not named.
 func TestFaultyChangesAreNamedAndChangeNothing(t *testing.T) {
 	tree := sample(t)
 	before := tree.Hash()
@@ -65,6 +66,7 @@
 	}
 }
 
+// Guards against replicas whose hashes differ for the same content.
 func TestEqualContentHasEqualHashes(t *testing.T) {
 	a := sample(t)
 	b := mustApply(t, Empty(), put(Service, "b", "b", "y"))
--- a/internal/configdist/store_test.go
+++ b/internal/configdist/store_test.go
@@ -52,6 +52,7 @@
 	}
 }
 
+// Guards against proposals that do not follow the newest version, or are taken twice.
 func TestProposals(t *testing.T) {
 	s := NewStore()
 	first := must(t, s, proposal(1, 0, service("a", "x")))
@@ -66,6 +67,7 @@
 	refused(t, s, &Command{Kind: 99}, ErrCommand, "kind")
 }
 
+// Guards against a rollout that skips a stage.
 func TestStagesFollowEachOther(t *testing.T) {
 	s := NewStore()
 	must(t, s, proposal(1, 0, service("a", "1")))
@@ -90,6 +92,7 @@
 	release(t, s, 2)
 }
 
+// Guards against a stopped rollout that goes on by itself.
 func TestStopResumeAndRevert(t *testing.T) {
 	s := NewStore()
 	must(t, s, proposal(1, 0, service("a", "1")))
@@ -124,6 +127,7 @@
 	refused(t, s, &Command{Kind: Revert, Version: 4}, ErrNoChange, "")
 }
 
+// Guards against a history that grows without bound, and snapshots that lose a part of it.
 func TestHistoryIsBoundedAndComesBack(t *testing.T) {
 	s := NewStore()
 	must(t, s, proposal(0, 0, service("a", "0")))
@@ -158,6 +162,7 @@
 	}
 }
 
+// Guards against a field of a command that is encoded and not read back.
 func TestCommandsAreReadBack(t *testing.T) {
 	c := Command{Kind: Stop, ID: 3, Base: 4, Changes: []content.Change{service("a", "b")}, Version: 5,
 		Stage: StageZone, Canary: "g", Zone: "z", Reason: "r"}
--- a/internal/gossipconfig/gossipconfig_test.go
+++ b/internal/gossipconfig/gossipconfig_test.go
@@ -12,6 +12,7 @@
 	"thymebend/internal/tomlfile"
 )
 
+// Guards against a faulty file that is taken, or whose line and column are not named.
 func TestFaultsNameLineAndColumn(t *testing.T) {
 	const good = "fleet = \"f\"\nlisten = \"127.0.0.1:7946\"\n[[peer]]\nname = \"a\"\naddr = \"127.0.0.1:7947\"\n"
 	if f, err := Parse("x.toml", []byte(good), "me"); err != nil || f.Name != "me" || len(f.SeedPeers) != 1 ||
--- a/internal/lab/configsim/play_test.go
+++ b/internal/lab/configsim/play_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// Guards against a broken invariant in drawn runs, and against runs that do not reach the faults that they are there
+// for.
 func TestPlay(t *testing.T) {
 	stops, refused, fenced, stalls, repeated := 0, uint64(0), uint64(0), uint64(0), uint64(0)
 	for seed := uint64(1); seed <= 30; seed++ {
@@ -22,6 +24,7 @@
 	}
 }
 
+// Guards against a run that depends on more than its seed.
 func TestASeedIsOneRun(t *testing.T) {
 	if a, b := Play(7), Play(7); !reflect.DeepEqual(a, b) {
 		t.Errorf("%v, then %v", a, b)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -32,6 +32,7 @@
 some.unknown.key=whatever
 `
 
+// Guards against a setting that is mapped to another field, or in another unit.
 func TestParseSettings(t *testing.T) {
 	set, err := Parse(settingsText)
 	c := set.Config
@@ -50,6 +51,7 @@
 	}
 }
 
+// Guards against a load report whose queue length is read from another column.
 func TestQueueLengthColumn(t *testing.T) {
 	for text, want := range map[string]int{
 		"report.columns=pending,svc_ms\n": 0, "zone=1\nreport.columns=svc_ms,pending": 1,
@@ -62,6 +64,7 @@
 	}
 }
 
+// Guards against a faulty setting that is taken, or that is not named.
 func TestSettingsFaultsNameTheKey(t *testing.T) {
 	for want, edit := range map[string][2]string{
 		"balancers is missing":                {"balancers=4\n", ""},
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -96,7 +96,7 @@
 		case time.Duration:
 			to.SetInt(int64(Millis(v.positiveNumber(path, f, v.number(path, f.number, f.required)))))
 		case float64:
-			to.SetFloat(v.number(path, f.number, f.required))
+			to.SetFloat(v.positiveNumber(path, f, v.number(path, f.number, f.required)))
 		case int:
 			number := v.integer(path, int(f.number), f.required)
 			to.SetInt(int64(v.positiveNumber(path, f, float64(number))))
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -55,6 +55,7 @@
 	}
 }
 
+// Guards against a field that is read from another byte, or in another unit.
 func TestDecodeEvents(t *testing.T) {
 	entry := join(u32(0), []byte{2, 7, 0, 10, 18, 74, 7, 0x2b, 0x23, 1}, f64(1500), []byte{0})
 	request := join([]byte{7}, u32(77), u32(1), make([]byte, 8), f64(110), []byte{2, 0, 2})
@@ -88,6 +89,7 @@
 	}
 }
 
+// Guards against a faulty frame that is taken, or whose fault is not named.
 func TestDecodeFaultsSayWhatAndWhere(t *testing.T) {
 	good := frame(1, nil, to(0), []byte{2, 1, 0, 0, 0})
 	longer := bytes.Clone(good)
@@ -147,6 +149,7 @@
 	}
 }
 
+// Guards against a frame that is cut short and taken for the end of the input.
 func TestReaderFaults(t *testing.T) {
 	good := frame(1, nil, to(0))
 	r := NewReader(bytes.NewReader(good[:30]))
@@ -172,6 +175,7 @@
 	}
 }
 
+// Guards against an action that is written to other bytes.
 func TestReplyFrame(t *testing.T) {
 	var r Reply
 	r.Reset()
@@ -213,6 +217,7 @@
 	}
 }
 
+// Guards against a load that is read from a value that the report does not have.
 func TestQueueLengthOfLoadReports(t *testing.T) {
 	f32 := func(v float32) []byte { return u32(math.Float32bits(v)) }
 	rec := join([]byte{1}, make([]byte, 12), []byte{100, 0}, f64(5), []byte{1, 2}, f32(80), f32(2.5))
