--- a/internal/lease/play_test.go
+++ b/internal/lease/play_test.go
@@ -12,8 +12,15 @@
 	fromReply, noDrift, revive, noFence, timerOnly, fenceBack, forgetSeq, fastLog, oldProcess, keepReleased bool
 }
 
+const (
+	probe         = "probe" // the lease that the play is about
+	probeDuration = second
+	playLength    = 40 * second
+	playStep      = 5 * time.Millisecond
+)
+
 // actor is a gateway: a client of the table, whose clock runs wrong within the bound, that stands still at times and
-// does its duty otherwise.
+// does its task otherwise.
 type actor struct {
 	*Client
 	rate    float64
@@ -23,173 +30,237 @@
 	inbox   []func()
 }
 
-// play has clients, a table whose leader changes, a network that loses, doubles and delays, and a receiver that keeps
-// the account. It returns what was wrong.
+// delivery is something that happens at a time.
+type delivery struct {
+	at time.Duration
+	do func()
+}
+
+// leader is the clock of the log, which goes on from the last applied time when another leads.
+type leader struct {
+	since time.Duration // true time
+	base  time.Duration // the log's time then
+	rate  float64
+	down  time.Duration // until then nobody leads
+}
+
+// simulation has clients, a table whose leader changes, a network that loses, doubles and delays, and a receiver that
+// keeps the account.
+type simulation struct {
+	rng     *rand.Rand
+	defect  defect
+	clock   time.Duration // true
+	table   *Table
+	guard   *Guard
+	leader  leader
+	actors  []*actor
+	started uint64 // processes so far
+	network []delivery
+
+	highest  uint64            // fencing token that the receiver has seen
+	holderOf map[uint64]string // by fencing token
+	wrong    []string
+	effects  int
+}
+
+// play plays a seed. It returns what was wrong.
 func play(seed uint64, d defect) (wrong []string, effects int) {
-	rng := rand.New(rand.NewPCG(seed, 5))
-	const duty, lease = "probe", second
-	var clock time.Duration // true
-	tab, guard := NewTable(), NewGuard(10)
-	leads := time.Duration(0) // the leader's rate of time follows from here
-	base, rate := time.Duration(0), 1.0
-	down := time.Duration(0)
-	var actors []*actor
-	start := uint64(0)
-	fresh := func(i int) *actor {
-		start++
-		a := &actor{Client: NewClient(fmt.Sprint("g", i), start), rate: 1 + (rng.Float64()*2-1)*MaxClockDrift/2.2}
-		if d.noDrift {
-			a.rate = 1 - 0.5*float64(i%2)
-		}
-		_ = a.SetRequests(0, []Request{{duty, 1, lease}})
-		return a
-	}
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 5)), defect: d, table: NewTable(), guard: NewGuard(10),
+		leader: leader{rate: 1}, holderOf: make(map[uint64]string)}
 	for i := range 4 {
-		actors = append(actors, fresh(i))
-	}
-	local := func(a *actor) time.Duration { return time.Duration(float64(clock) * a.rate) }
-	type mail struct {
-		at time.Duration
-		do func()
-	}
-	var post []mail
-	send := func(do func()) {
-		for n := 1 + rng.IntN(5)/4; n > 0; n-- {
-			if rng.IntN(5) > 0 {
-				post = append(post, mail{clock + time.Duration(rng.Int64N(int64(60*time.Millisecond))), do})
+		s.actors = append(s.actors, s.newActor(i))
+	}
+	for s.clock = 0; s.clock < playLength; s.clock += playStep {
+		if s.rng.IntN(1200) == 0 {
+			s.changeLeader()
+		}
+		s.deliver()
+		for i := range s.actors {
+			if s.alive(i) {
+				s.step(s.actors[i])
 			}
 		}
 	}
-	highest, holderOf := uint64(0), make(map[uint64]string)
-	for clock = 0; clock < 40*second; clock += 5 * time.Millisecond {
-		if rng.IntN(1200) == 0 { // another leader, after a while without any; it goes on from the last applied time
-			base, leads, down = tab.Now(), clock, clock+time.Duration(rng.Int64N(int64(800*time.Millisecond)))
-			rate = 1 + (rng.Float64()*2-1)*MaxClockDrift/2.2
-			if d.fastLog {
-				rate = 1.6
-			}
+	return s.wrong, s.effects
+}
+
+func (s *simulation) newActor(i int) *actor {
+	s.started++
+	a := &actor{Client: NewClient(fmt.Sprint("g", i), s.started), rate: s.drawRate()}
+	if s.defect.noDrift {
+		a.rate = 1 - 0.5*float64(i%2)
+	}
+	_ = a.SetRequests(0, []Request{{probe, 1, probeDuration}})
+	return a
+}
+
+// drawRate draws the rate of a clock within the bound.
+func (s *simulation) drawRate() float64 { return 1 + (s.rng.Float64()*2-1)*MaxClockDrift/2.2 }
+
+// upTo draws a time up to a bound.
+func (s *simulation) upTo(bound time.Duration) time.Duration {
+	return time.Duration(s.rng.Int64N(int64(bound)))
+}
+
+// local is the time on an actor's clock.
+func (s *simulation) local(a *actor) time.Duration { return time.Duration(float64(s.clock) * a.rate) }
+
+// changeLeader has another lead, after a while without any.
+func (s *simulation) changeLeader() {
+	s.leader = leader{since: s.clock, base: s.table.Now(), down: s.clock + s.upTo(800*time.Millisecond)}
+	s.leader.rate = s.drawRate()
+	if s.defect.fastLog {
+		s.leader.rate = 1.6
+	}
+}
+
+// send has something happen soon: once, twice or never.
+func (s *simulation) send(do func()) {
+	for n := 1 + s.rng.IntN(5)/4; n > 0; n-- {
+		if s.rng.IntN(5) > 0 {
+			s.network = append(s.network, delivery{s.clock + s.upTo(60*time.Millisecond), do})
 		}
-		kept := post[:0]
-		var now []mail
-		for _, m := range post {
-			if m.at <= clock {
-				now = append(now, m)
-			} else {
-				kept = append(kept, m)
-			}
+	}
+}
+
+// deliver does what has arrived.
+func (s *simulation) deliver() {
+	var arrived, later []delivery
+	for _, m := range s.network {
+		if m.at <= s.clock {
+			arrived = append(arrived, m)
+		} else {
+			later = append(later, m)
 		}
-		post = kept
-		for _, m := range now {
-			m.do()
+	}
+	s.network = later
+	for _, m := range arrived {
+		m.do()
+	}
+}
+
+// alive has an actor stand still or be killed at times, and reports whether it does something now.
+func (s *simulation) alive(i int) bool {
+	a := s.actors[i]
+	switch {
+	case s.clock < a.stopped:
+		return false
+	case s.rng.IntN(900) == 0:
+		a.stopped = s.clock + s.upTo(2500*time.Millisecond)
+		return false
+	case s.rng.IntN(2500) == 0: // killed, and back under its name
+		s.actors[i] = s.newActor(i)
+		if s.defect.oldProcess {
+			s.actors[i].Client = a.Client
+			s.actors[i].Client.incarnation = s.started
 		}
-		for i, a := range actors {
-			switch {
-			case clock < a.stopped:
-				continue
-			case rng.IntN(900) == 0:
-				a.stopped = clock + time.Duration(rng.Int64N(int64(2500*time.Millisecond)))
-				continue
-			case rng.IntN(2500) == 0: // killed, and back under its name
-				was := a.Client
-				actors[i] = fresh(i)
-				a = actors[i]
-				if d.oldProcess {
-					a.Client = was
-					a.Client.incarnation = start
-				}
-			}
-			for _, do := range a.inbox {
-				do()
-			}
-			a.inbox = nil
-			me := a
-			if cmd, ok := a.NextCommand(local(a)); ok {
-				send(func() {
-					if clock < down {
-						return
-					}
-					cmd.At = base + time.Duration(float64(clock-leads)*rate)
-					if d.forgetSeq {
-						delete(tab.clients, cmd.Client)
-					}
-					if h := tab.leases[duty]; d.revive && cmd.Kind == Renew && h != nil && h.grantOf(cmd) == nil {
-						h.Holders = append(h.Holders,
-							holder{cmd.Client, cmd.Incarnation, cmd.FencingToken, cmd.At + second})
-					}
-					answer := tab.Apply(cmd)
-					if d.fenceBack && answer.Verdict == Granted && cmd.Kind == Acquire && rng.IntN(4) == 0 {
-						tab.lastToken--
-					}
-					send(func() {
-						me.inbox = append(me.inbox, func() {
-							me.Receive(local(me), cmd.Seq, answer)
-							if h := me.leases[duty]; h != nil && h.token > 0 && d.fromReply &&
-								answer.Verdict == Granted {
-								h.expires = local(me) + lease
-							}
-						})
-					})
-				})
-			}
-			if d.keepReleased {
-				if h := a.leases[duty]; h != nil && h.token > 0 && h.expires > 0 && rng.IntN(200) == 0 {
-					fence := h.token
-					tab.Apply(Command{Kind: Release, Client: a.name, Incarnation: a.incarnation, Seq: 1 << 40,
-						Lease: duty, FencingToken: fence, At: tab.Now()})
-				}
-			}
-			fence, ok := a.Token(local(a), duty)
-			if d.timerOnly { // it looks at its clock every 300 ms, and goes by that
-				if clock-a.cleared >= 300*time.Millisecond {
-					a.cleared, a.sees = clock, ok
-				} else if h := a.leases[duty]; h != nil && a.sees && h.token > 0 {
-					fence, ok = h.token, true
-				}
-			}
-			if !ok {
-				continue
-			}
-			// Its effect comes at once, or late.
-			name := a.name + fmt.Sprint(a.incarnation)
-			arrive := func() {
-				admitted := guard.Admit(duty, fence)
-				if d.noFence {
-					admitted = true
-				}
-				if !admitted {
-					return
-				}
-				effects++
-				if fence < highest {
-					wrong = append(wrong, fmt.Sprintf("at %v: an effect with number %d after %d", clock, fence,
-						highest))
-				}
-				highest = max(highest, fence)
-				if was, ok := holderOf[fence]; ok && was != name {
-					wrong = append(wrong, fmt.Sprintf("at %v: number %d of %s and of %s", clock, fence, was, name))
-				}
-				holderOf[fence] = name
-			}
-			if rng.IntN(10) == 0 {
-				post = append(post, mail{clock + time.Duration(rng.Int64N(int64(1500*time.Millisecond))), arrive})
-			} else {
-				arrive()
-			}
-			for _, o := range actors {
-				if _, both := o.Token(local(o), duty); o != a && both && clock >= o.stopped && !d.timerOnly {
-					wrong = append(wrong, fmt.Sprintf("at %v: %s and %s hold it", clock, a.name, o.name))
-				}
-			}
-			if d.timerOnly {
-				for _, o := range actors {
-					if _, both := o.Token(local(o), duty); o != a && both {
-						wrong = append(wrong, fmt.Sprintf("at %v: %s acts while %s holds it", clock, a.name, o.name))
-					}
-				}
+	}
+	return true
+}
+
+// step has an actor take its answers, send its next command, and act if it may.
+func (s *simulation) step(a *actor) {
+	for _, do := range a.inbox {
+		do()
+	}
+	a.inbox = nil
+	if command, ok := a.NextCommand(s.local(a)); ok {
+		s.send(func() { s.apply(a, command) })
+	}
+	if l := a.leases[probe]; s.defect.keepReleased && l != nil && l.token > 0 && l.expires > 0 && s.rng.IntN(200) == 0 {
+		s.table.Apply(Command{Kind: Release, Client: a.name, Incarnation: a.incarnation, Seq: 1 << 40,
+			Lease: probe, FencingToken: l.token, At: s.table.Now()})
+	}
+	token, held := s.token(a)
+	if !held {
+		return
+	}
+	name := a.name + fmt.Sprint(a.incarnation)
+	effect := func() { s.effect(name, token) }
+	if s.rng.IntN(10) == 0 {
+		s.network = append(s.network, delivery{s.clock + s.upTo(1500*time.Millisecond), effect})
+	} else {
+		effect()
+	}
+	s.checkAlone(a)
+}
+
+// apply has the leader apply a command, and answer it.
+func (s *simulation) apply(a *actor, command Command) {
+	if s.clock < s.leader.down {
+		return
+	}
+	command.At = s.leader.base + time.Duration(float64(s.clock-s.leader.since)*s.leader.rate)
+	if s.defect.forgetSeq {
+		delete(s.table.clients, command.Client)
+	}
+	if l := s.table.leases[probe]; s.defect.revive && command.Kind == Renew && l != nil && l.grantOf(command) == nil {
+		l.Holders = append(l.Holders,
+			holder{command.Client, command.Incarnation, command.FencingToken, command.At + second})
+	}
+	answer := s.table.Apply(command)
+	if s.defect.fenceBack && answer.Verdict == Granted && command.Kind == Acquire && s.rng.IntN(4) == 0 {
+		s.table.lastToken--
+	}
+	s.send(func() {
+		a.inbox = append(a.inbox, func() {
+			a.Receive(s.local(a), command.Seq, answer)
+			l := a.leases[probe]
+			if l != nil && l.token > 0 && s.defect.fromReply && answer.Verdict == Granted {
+				l.expires = s.local(a) + probeDuration
 			}
+		})
+	})
+}
+
+// token is the one under which an actor acts now.
+func (s *simulation) token(a *actor) (token uint64, held bool) {
+	token, held = a.Token(s.local(a), probe)
+	if !s.defect.timerOnly {
+		return token, held
+	}
+	// It looks at its clock every 300 ms, and goes by that.
+	if s.clock-a.cleared >= 300*time.Millisecond {
+		a.cleared, a.sees = s.clock, held
+	} else if l := a.leases[probe]; l != nil && a.sees && l.token > 0 {
+		token, held = l.token, true
+	}
+	return token, held
+}
+
+// effect is one that arrives at the receiver.
+func (s *simulation) effect(name string, token uint64) {
+	admitted := s.guard.Admit(probe, token)
+	if !admitted && !s.defect.noFence {
+		return
+	}
+	s.effects++
+	if token < s.highest {
+		s.fail("an effect with number %d after %d", token, s.highest)
+	}
+	s.highest = max(s.highest, token)
+	if was, ok := s.holderOf[token]; ok && was != name {
+		s.fail("number %d of %s and of %s", token, was, name)
+	}
+	s.holderOf[token] = name
+}
+
+// checkAlone holds that no other actor holds the lease while one acts.
+func (s *simulation) checkAlone(a *actor) {
+	for _, other := range s.actors {
+		_, both := other.Token(s.local(other), probe)
+		switch {
+		case other == a || !both:
+		case s.defect.timerOnly:
+			s.fail("%s acts while %s holds it", a.name, other.name)
+		case s.clock >= other.stopped:
+			s.fail("%s and %s hold it", a.name, other.name)
 		}
 	}
-	return wrong, effects
+}
+
+func (s *simulation) fail(format string, args ...any) {
+	s.wrong = append(s.wrong, fmt.Sprintf("at %v: ", s.clock)+fmt.Sprintf(format, args...))
 }
 
 // Whatever is lost, late or doubled, whoever stands still, dies or leads: one holds at a time, and the receiver sees
