--- a/internal/configdist/command.go
+++ b/internal/configdist/command.go
@@ -89,9 +89,17 @@
 // ParseCommand reads a command back.
 func ParseCommand(data []byte) (Command, error) {
 	r := codec.NewReader(data)
-	c := Command{Kind: CommandKind(r.Uint()), ID: r.Uint(), Base: r.Uint(), Version: r.Uint(), Stage: Stage(r.Uint()),
-		Canary: r.String(content.MaxName), Zone: r.String(content.MaxName), Reason: r.String(codec.MaxReason),
-		Changes: r.Changes()}
+	c := Command{
+		Kind:    CommandKind(r.Uint()),
+		ID:      r.Uint(),
+		Base:    r.Uint(),
+		Version: r.Uint(),
+		Stage:   Stage(r.Uint()),
+		Canary:  r.String(content.MaxName),
+		Zone:    r.String(content.MaxName),
+		Reason:  r.String(codec.MaxReason),
+		Changes: r.Changes(),
+	}
 	return c, r.Err()
 }
 
--- a/internal/lab/configsim/cluster.go
+++ b/internal/lab/configsim/cluster.go
@@ -44,18 +44,30 @@
 
 // New makes a cluster. None of its processes runs yet.
 func New(cfg Config, clock Clock, net Network) *Cluster {
-	cl := &Cluster{cfg: cfg, clock: clock, net: net, rng: rand.New(rand.NewPCG(cfg.Seed, 0x4011)),
-		invariants: newInvariants(), answer: make(map[uint64]func(configdist.Result))}
+	cl := &Cluster{
+		cfg:        cfg,
+		clock:      clock,
+		net:        net,
+		rng:        rand.New(rand.NewPCG(cfg.Seed, 0x4011)),
+		invariants: newInvariants(),
+		answer:     make(map[uint64]func(configdist.Result)),
+	}
 	for i := range machines {
-		c := &ControlMachine{process: process{cluster: cl, endpoint: Endpoint{true, i}}, ID: uint64(i + 1),
-			Region: regionName(i * cfg.Regions / machines), disk: &raft.MemoryStorage{}}
-		cl.ControlMachines = append(cl.ControlMachines, c)
+		cl.ControlMachines = append(cl.ControlMachines, &ControlMachine{
+			process: process{cluster: cl, endpoint: Endpoint{true, i}},
+			ID:      uint64(i + 1),
+			Region:  regionName(i * cfg.Regions / machines),
+			disk:    &raft.MemoryStorage{},
+		})
 	}
 	for i := range cfg.Gateways {
 		zone := i % cfg.Zones
-		g := &Gateway{process: process{cluster: cl, endpoint: Endpoint{false, i}}, Zone: fmt.Sprint("zone-", zone),
-			Region: regionName(zone * cfg.Regions / cfg.Zones)}
-		g.Name = fmt.Sprintf("g-%04d", i)
+		g := &Gateway{
+			process: process{cluster: cl, endpoint: Endpoint{false, i}},
+			Name:    fmt.Sprintf("g-%04d", i),
+			Zone:    fmt.Sprint("zone-", zone),
+			Region:  regionName(zone * cfg.Regions / cfg.Zones),
+		}
 		if cfg.Services != nil {
 			g.Services = slices.Sorted(slices.Values(cfg.Services(i)))
 		}
--- a/internal/lab/configsim/control.go
+++ b/internal/lab/configsim/control.go
@@ -25,10 +25,16 @@
 		return
 	}
 	c.start()
-	controller, err := configdist.NewController(configdist.ControllerConfig{ID: c.ID, Voters: []uint64{1, 2, 3},
-		Standbys: []uint64{4}, Restored: c.disk.Load(),
-		Seed: cl.rng.Uint64(), Policy: cl.cfg.Policy, PageBytes: cl.cfg.PageBytes, SnapshotEvery: cl.cfg.Snapshots},
-		cl.clock.Now())
+	controller, err := configdist.NewController(configdist.ControllerConfig{
+		ID:            c.ID,
+		Voters:        []uint64{1, 2, 3},
+		Standbys:      []uint64{4},
+		Restored:      c.disk.Load(),
+		Seed:          cl.rng.Uint64(),
+		Policy:        cl.cfg.Policy,
+		PageBytes:     cl.cfg.PageBytes,
+		SnapshotEvery: cl.cfg.Snapshots,
+	}, cl.clock.Now())
 	if err != nil {
 		panic(err) // the configuration is ours
 	}
--- a/internal/lab/configsim/figures.go
+++ b/internal/lab/configsim/figures.go
@@ -21,9 +21,10 @@
 
 // FleetSize is the size that the cluster is to have in two years, with a day of it pressed into a run.
 func FleetSize(length time.Duration, loss float64, seed uint64) Case {
-	return Case{Gateways: 870, Zones: 7, Regions: 2, Size: Size{Services: 390, Routes: 4100, Tenants: 44_000},
-		ServicesEach: 40, Changes: 720, Restarts: 490,
-		Failures: 21, Length: length, Loss: loss, Seed: seed}
+	return Case{
+		Gateways: 870, Zones: 7, Regions: 2, Size: Size{Services: 390, Routes: 4100, Tenants: 44_000},
+		ServicesEach: 40, Changes: 720, Restarts: 490, Failures: 21, Length: length, Loss: loss, Seed: seed,
+	}
 }
 
 // Spread is how long something took, over many of it.
--- a/internal/lab/configsim/gateway.go
+++ b/internal/lab/configsim/gateway.go
@@ -32,9 +32,16 @@
 	for _, c := range cl.ControlMachines {
 		list = append(list, configdist.ControlMachine{ID: c.ID, Region: c.Region})
 	}
-	agent, err := configdist.NewAgent(configdist.AgentConfig{Gateway: g.Name, Zone: g.Zone, Region: g.Region,
-		Services: g.Services, Controllers: list,
-		LastGood: g.disk, Session: uint64(g.incarnation) << 20, Seed: cl.rng.Uint64()}, cl.clock.Now())
+	agent, err := configdist.NewAgent(configdist.AgentConfig{
+		Gateway:     g.Name,
+		Zone:        g.Zone,
+		Region:      g.Region,
+		Services:    g.Services,
+		Controllers: list,
+		LastGood:    g.disk,
+		Session:     uint64(g.incarnation) << 20,
+		Seed:        cl.rng.Uint64(),
+	}, cl.clock.Now())
 	if err != nil {
 		panic(err) // the configuration is ours
 	}
--- a/internal/lease/table_test.go
+++ b/internal/lease/table_test.go
@@ -146,11 +146,16 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"command": func(t *rapid.T) {
 				now += time.Duration(rapid.Int64Range(0, int64(2*second)).Draw(t, "passes"))
-				c := Command{Kind: Kind(rapid.IntRange(1, 3).Draw(t, "kind")),
-					Client:      rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "client"),
-					Incarnation: uint64(rapid.IntRange(1, 2).Draw(t, "start")),
-					Lease:       rapid.SampledFrom([]string{"x", "y"}).Draw(t, "duty"), Slots: 1,
-					Duration: second, FencingToken: uint64(rapid.IntRange(0, 6).Draw(t, "fence")), At: now}
+				c := Command{
+					Kind:         Kind(rapid.IntRange(1, 3).Draw(t, "kind")),
+					Client:       rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "client"),
+					Incarnation:  uint64(rapid.IntRange(1, 2).Draw(t, "incarnation")),
+					Lease:        rapid.SampledFrom([]string{"x", "y"}).Draw(t, "lease"),
+					Slots:        1,
+					Duration:     second,
+					FencingToken: uint64(rapid.IntRange(0, 6).Draw(t, "token")),
+					At:           now,
+				}
 				if c.Lease == "y" {
 					c.Slots = 2
 				}
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -70,8 +70,13 @@
 	t := reflect.TypeFor[T]()
 	for i := range t.NumField() {
 		tag := t.Field(i).Tag
-		f := field{index: i, name: tag.Get("setting"), fallback: tag.Get("default"),
-			required: tag.Get("required") == "true", positive: tag.Get("above") == "0"}
+		f := field{
+			index:    i,
+			name:     tag.Get("setting"),
+			fallback: tag.Get("default"),
+			required: tag.Get("required") == "true",
+			positive: tag.Get("above") == "0",
+		}
 		if words := tag.Get("oneof"); words != "" {
 			f.words = strings.Split(words, ",")
 		}
