--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -41,12 +41,13 @@
 	c.emit(loop.Effect{Op: loop.Write, Conn: conn, Data: data})
 }
 
-func (c *core) setTimer(kind uint8, id uint64, at time.Duration) {
-	c.emit(loop.Effect{Op: loop.SetTimer, Timer: loop.Timer{Kind: kind, ID: id}, At: at})
+// setTimer sets the timer of a kind and an id, in place of the one before.
+func (c *core) setTimer(kind timerKind, id uint64, at time.Duration) {
+	c.emit(loop.Effect{Op: loop.SetTimer, Timer: loop.Timer{Kind: uint8(kind), ID: id}, At: at})
 }
 
-func (c *core) stopTimer(kind uint8, id uint64) {
-	c.emit(loop.Effect{Op: loop.StopTimer, Timer: loop.Timer{Kind: kind, ID: id}})
+func (c *core) stopTimer(kind timerKind, id uint64) {
+	c.emit(loop.Effect{Op: loop.StopTimer, Timer: loop.Timer{Kind: uint8(kind), ID: id}})
 }
 
 // discoveryPushed reports whether endpoint lists come from an agent on this machine, to which they are
--- a/internal/gateway/deadlines_test.go
+++ b/internal/gateway/deadlines_test.go
@@ -32,7 +32,7 @@
 	r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
 	c := loop.Conn(1<<63 + 50)
 	r.step(loop.Event{Kind: loop.Accepted, Conn: c, Via: loop.Listener})
-	key := loop.Timer{Kind: timerDownstream, ID: uint64(c)}
+	key := loop.Timer{Kind: uint8(timerDownstream), ID: uint64(c)}
 	r.now = r.timers[key]
 	delete(r.timers, key)
 	r.step(loop.Event{Kind: loop.TimerDue, Timer: key}) // the final read begins
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -245,10 +245,10 @@
 }
 
 // timerDue handles the timers of the watch.
-func (d *discoveryWatch) timerDue(t loop.Timer) {
-	switch t.Kind {
+func (d *discoveryWatch) timerDue(kind timerKind, c loop.Conn) {
+	switch kind {
 	case timerWatch:
-		if w := d.find(loop.Conn(t.ID)); w != nil {
+		if w := d.find(c); w != nil {
 			d.heartbeatMissed(w)
 		}
 	case timerRedial:
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -151,7 +151,7 @@
 	standing := r.watch()
 	r.line(standing, object(2, true, entry(1, "up", 0), entry(2, "up", 0)))
 	r.g.cfg.Discovery = netip.MustParseAddrPort(endpointAddr(99))
-	r.step(loop.Event{Kind: loop.TimerDue, Timer: loop.Timer{Kind: timerRedial}})
+	r.step(loop.Event{Kind: loop.TimerDue, Timer: loop.Timer{Kind: uint8(timerRedial)}})
 	moving := r.to(endpointAddr(99))
 	r.step(loop.Event{Kind: loop.Connected, Conn: moving})
 	r.line(standing, object(4, false, entry(1, "draining", 0)))
--- a/internal/gateway/downstream.go
+++ b/internal/gateway/downstream.go
@@ -51,25 +51,9 @@
 		}
 		d.emit(loop.Effect{Op: loop.Read, Conn: conn.ID})
 	case loop.Data:
-		conn.FinalRead = false
-		if conn.Ended || conn.DiscardBody {
-			// What comes after the last answer is no request. A client that is still sending is given time.
-			if conn.Ended && conn.DiscardBody && d.now < conn.Since+downstream.MaxLinger {
-				d.setDeadline(conn, d.now+downstream.LingerTimeout)
-			}
+		if !d.handleData(conn, e.Data) {
 			return
 		}
-		if !conn.Busy && !conn.Pending() {
-			d.logFirstByte(conn, len(e.Data))
-		}
-		conn.Feed(d.now, e.Data)
-		if conn.Upload {
-			d.setDeadline(conn, d.requestDeadline(conn))
-			d.uploads.pump(d.requests.byID[conn.Request])
-			return
-		}
-		conn.RequestBytes += len(e.Data)
-		d.advance(conn)
 	case loop.Drained:
 		if conn.FinalRead && !conn.Busy && !conn.Pending() {
 			d.drop(conn, ReasonIdleTimeout)
@@ -89,6 +73,32 @@
 	}
 }
 
+// handleData takes what a client sent. It reports whether that belongs to requests that are read completely
+// before they are forwarded; the rest of a body, or what is discarded, leaves the connection's place and
+// deadline as they are.
+func (d *downstreamConns) handleData(conn *downstream.Conn, data []byte) bool {
+	conn.FinalRead = false
+	if conn.Ended || conn.DiscardBody {
+		// What comes after the last answer is no request. A client that is still sending is given time.
+		if conn.Ended && conn.DiscardBody && d.now < conn.Since+downstream.MaxLinger {
+			d.setDeadline(conn, d.now+downstream.LingerTimeout)
+		}
+		return false
+	}
+	if !conn.Busy && !conn.Pending() {
+		d.logFirstByte(conn, len(data))
+	}
+	conn.Feed(d.now, data)
+	if conn.Upload {
+		d.setDeadline(conn, d.requestDeadline(conn))
+		d.uploads.pump(d.requests.byID[conn.Request])
+		return false
+	}
+	conn.RequestBytes += len(data)
+	d.advance(conn)
+	return true
+}
+
 // adopt goes on with an idle connection of the predecessor, for the time that it has left.
 func (d *downstreamConns) adopt(c loop.Conn, state hotrestart.IdleConn) {
 	idle := time.Duration(state.IdleMS) * time.Millisecond
--- a/internal/gateway/hotrestart.go
+++ b/internal/gateway/hotrestart.go
@@ -93,7 +93,7 @@
 func (h *hotRestart) alone() bool { return h.successor == nil && h.predecessor == nil }
 
 // timerDue gives up waiting for the other process.
-func (h *hotRestart) timerDue(kind uint8) {
+func (h *hotRestart) timerDue(kind timerKind) {
 	switch {
 	case kind == timerPredecessor && h.predecessor != nil:
 		h.losePredecessor("it does not answer")
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -2,28 +2,31 @@
 
 import "thymebend/internal/loop"
 
+// timerKind tells the timers of a gateway apart.
+type timerKind uint8
+
 // Timers by kind, with what their ids are. The order is in the hash that same-behaviour compares.
 const (
-	timerBalancer uint8 = iota // a token of the balancer
-	timerDownstream
-	timerUpstream
-	timerAttempt
-	timerWatch
+	timerBalancer   timerKind = iota // a token of the balancer
+	timerDownstream                  // a downstream connection
+	timerUpstream                    // an upstream connection
+	timerAttempt                     // an attempt
+	timerWatch                       // the connection of a watch
 	timerAccept
 	timerStop
 	timerRedial
 	timerPoll
 	timerSilence
-	timerAdmin
+	timerAdmin // a connection to the admin endpoint
 	timerPredecessor
 	timerSuccessor
-	timerListenerPause
+	timerListenerPause // a listener
 	timerCluster
 )
 
 // timerDue hands a timer to the machine that set it.
 func (g *Gateway) timerDue(t loop.Timer) {
-	switch t.Kind {
+	switch kind := timerKind(t.Kind); kind {
 	case timerBalancer:
 		g.notified = true
 		g.balancer.TimerFired(g.now, uint32(t.ID))
@@ -39,9 +42,9 @@
 	case timerAttempt:
 		g.attempts.timerDue(t.ID)
 	case timerWatch, timerRedial, timerPoll, timerSilence:
-		g.discovery.timerDue(t)
+		g.discovery.timerDue(kind, loop.Conn(t.ID))
 	case timerPredecessor, timerSuccessor:
-		g.restart.timerDue(t.Kind)
+		g.restart.timerDue(kind)
 	case timerAdmin:
 		g.admin.timerDue(loop.Conn(t.ID))
 	case timerCluster:
