--- a/internal/gateway/hotrestart.go
+++ b/internal/gateway/hotrestart.go
@@ -30,13 +30,13 @@
 	predecessorDescriptors int              // that it needs
 	successor              *hotrestart.Conn // the process that comes next
 	handover               handoverPhase    // to it
-	idlePending            bool             // a downstream connection may have become idle since
+	idlePending            bool             // a downstream connection may be idle and not yet passed
 	passing                []loop.Conn      // passed and not yet acknowledged
 	reportedDescriptors    int              // to the successor
 	heapBytes              int64
 }
 
-// send sends a message, with the descriptors of sockets beside it.
+// send sends a message, and the sockets of give beside it.
 func (h *hotRestart) send(conn *hotrestart.Conn, m hotrestart.Message, give []loop.Conn) {
 	m.Passed = len(give)
 	data, err := m.Encode()
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -15,8 +15,8 @@
 // heapShare of the memory limit is the heap's; the rest is for stacks, sockets and the program itself.
 const heapShare = 0.6
 
-// reuseLimitDivisor of the descriptors is the number of downstream connections from which idle ones are
-// closed early.
+// reuseLimitDivisor divides the descriptors: with more downstream connections than that, those that have
+// brought one request and are idle are closed early.
 const reuseLimitDivisor = 4
 
 // spareUpstreamConns are left to a predecessor beyond one for each of its downstream connections.
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -91,7 +91,7 @@
 
 // opened notes that clients can connect.
 func (ln *listener) opened() {
-	ln.phase = accepting
+	ln.phase = max(ln.phase, accepting)
 	ln.log.Info().Stringer(fieldListen, ln.cfg.Listen).Bool(fieldHandedOver, ln.restart.predecessor != nil).
 		Msg("taking clients")
 	if ln.restart.predecessor != nil {
