--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -34,7 +34,7 @@
 	case outcomeServed:
 		return "served"
 	case outcomeRejected:
-		return "refused"
+		return "rejected"
 	case outcomeFailed:
 		return "failed"
 	}
