--- a/internal/gossipconfig/gossipconfig_test.go
+++ b/internal/gossipconfig/gossipconfig_test.go
@@ -12,6 +12,7 @@
 	"thymebend/internal/tomlfile"
 )
 
+// Guards against a faulty file that is taken, or whose line and column are not named.
 func TestFaultsNameLineAndColumn(t *testing.T) {
 	const good = "fleet = \"f\"\nlisten = \"127.0.0.1:7946\"\n[[peer]]\nname = \"a\"\naddr = \"127.0.0.1:7947\"\n"
 	if f, err := Parse("x.toml", []byte(good), "me"); err != nil || f.Name != "me" || len(f.SeedPeers) != 1 ||
@@ -26,9 +27,11 @@
 		good + "[[peer]]\nname = \"b\"\naddr = \"127.0.0.1:7947\"\n": "address of a already",
 		good + "adress = 1\n":                                        "peer.adress: unknown field",
 	} {
-		if _, err := Parse("x.toml", []byte(text), "me"); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("want %q: %v", want, err)
-		}
+		t.Run(want, func(t *testing.T) {
+			if _, err := Parse("x.toml", []byte(text), "me"); err == nil || !strings.Contains(err.Error(), want) {
+				t.Errorf("want %q: %v", want, err)
+			}
+		})
 	}
 }
 
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -70,8 +70,13 @@
 	t := reflect.TypeFor[T]()
 	for i := range t.NumField() {
 		tag := t.Field(i).Tag
-		f := field{index: i, name: tag.Get("setting"), fallback: tag.Get("default"),
-			required: tag.Get("required") == "true", positive: tag.Get("above") == "0"}
+		f := field{
+			index:    i,
+			name:     tag.Get("setting"),
+			fallback: tag.Get("default"),
+			required: tag.Get("required") == "true",
+			positive: tag.Get("above") == "0",
+		}
 		if words := tag.Get("oneof"); words != "" {
 			f.words = strings.Split(words, ",")
 		}
@@ -96,7 +101,7 @@
 		case time.Duration:
 			to.SetInt(int64(Millis(v.positiveNumber(path, f, v.number(path, f.number, f.required)))))
 		case float64:
-			to.SetFloat(v.number(path, f.number, f.required))
+			to.SetFloat(v.positiveNumber(path, f, v.number(path, f.number, f.required)))
 		case int:
 			number := v.integer(path, int(f.number), f.required)
 			to.SetInt(int64(v.positiveNumber(path, f, float64(number))))
