--- /dev/null
+++ b/internal/gateway/hotrestart_predecessor.go
@@ -0,0 +1,157 @@
+package gateway
+
+import (
+	"thymebend/internal/hotrestart"
+	"thymebend/internal/loop"
+)
+
+// offer listens for a successor.
+func (h *hotRestart) offer() {
+	if h.cfg.HotRestartDir != "" {
+		h.emit(loop.Effect{Op: loop.Listen, Conn: loop.HotRestart, Path: h.cfg.HotRestartDir, Urgent: true})
+	}
+}
+
+func (h *hotRestart) listenerEvent(e loop.Event) {
+	switch e.Kind {
+	case loop.Readable:
+		h.emit(loop.Effect{Op: loop.Accept, Conn: loop.HotRestart, Most: 1})
+	case loop.AcceptFailed:
+		h.log.Warn().Err(e.Err).Msg("accept of the successor")
+		h.pauseListener(e.Conn)
+	case loop.Broken:
+		h.log.Warn().Err(e.Err).Msg("no hot restart is possible")
+	}
+}
+
+// successorConnected accepts one successor at a time. A second one is closed, and listens alone.
+func (h *hotRestart) successorConnected(c loop.Conn) {
+	if h.successor != nil {
+		h.closeConn(c)
+		return
+	}
+	h.successor = &hotrestart.Conn{ID: c}
+	h.setTimer(timerSuccessor, 0, h.now+hotrestart.TakeoverTimeout)
+}
+
+func (h *hotRestart) successorEvent(e loop.Event) {
+	h.receive(&h.successor, e, h.fromSuccessor, h.loseSuccessor)
+}
+
+func (h *hotRestart) fromSuccessor(m hotrestart.Message) {
+	switch m.Kind {
+	case hotrestart.Hello:
+		h.passState(m.Listen)
+	case hotrestart.Taking:
+		if h.handover != listenerPassed {
+			h.loseSuccessor("it takes what it was not given")
+			return
+		}
+		h.yield()
+	case hotrestart.Acknowledge:
+		h.stopTimer(timerSuccessor, 0)
+		h.passing, h.idlePending = nil, true
+	default:
+		h.loseSuccessor("it says " + string(m.Kind))
+	}
+}
+
+// passState gives the successor what it needs to serve: the listener, the endpoint list, what the balancer
+// has learned and the identity in the cluster.
+func (h *hotRestart) passState(listen string) {
+	if listen != h.cfg.Listen.String() || h.listener.phase == notListening ||
+		h.shutdown.closing() || h.handedOver() {
+		decline := hotrestart.Message{Kind: hotrestart.Decline, Reason: "no listening socket for " + listen}
+		h.send(h.successor, decline, nil)
+		return
+	}
+	learned := h.balancer.State(h.now)
+	h.handover = listenerPassed
+	h.resize()
+	state := hotrestart.Message{
+		Kind:        hotrestart.State,
+		List:        h.discovery.endpoints.Encode(),
+		Balancer:    &learned,
+		Descriptors: h.descriptors(),
+	}
+	if h.cluster.membership != nil {
+		state.FleetStart, state.FleetIncarnation = h.cluster.membership.Identity()
+	}
+	h.send(h.successor, state, []loop.Conn{loop.Listener})
+}
+
+// yield leaves new clients to the successor.
+func (h *hotRestart) yield() {
+	h.stopTimer(timerSuccessor, 0)
+	h.log.Info().Msg("the successor takes clients")
+	h.handover, h.idlePending = successorServes, true
+	h.cluster.quit(false)
+	h.closeConn(loop.HotRestart)
+	h.emit(loop.Effect{Op: loop.Mute, Conn: loop.Listener})
+	h.balancer.YieldSlowStart(h.now, true)
+	h.resize()
+	if h.shutdown.stopping() {
+		h.shutdown.closeListener()
+	}
+}
+
+// passIdleConns gives the successor the idle downstream connections, at the end of a round: what was read of
+// them has been handled by then, and what is unread goes along with the socket.
+func (h *hotRestart) passIdleConns() {
+	if !h.handedOver() || !h.idlePending || len(h.passing) > 0 {
+		return
+	}
+	h.idlePending = false
+	var idle []hotrestart.IdleConn
+	for _, conn := range h.downstream.conns.InOrder() {
+		if conn.Busy || conn.Ended || conn.Muted || conn.FinalRead || conn.Pending() {
+			continue
+		}
+		if len(idle) == hotrestart.Batch {
+			h.idlePending = true
+			break
+		}
+		idle = append(idle, hotrestart.IdleConn{
+			HasRequested: conn.HasRequested,
+			Requests:     conn.Requests,
+			IdleMS:       (h.now - conn.Since).Milliseconds(),
+		})
+		h.passing = append(h.passing, conn.ID)
+		h.downstream.release(conn)
+	}
+	h.resize()
+	if needed := h.descriptors(); len(idle) > 0 || needed != h.reportedDescriptors {
+		h.reportedDescriptors = needed
+		h.setTimer(timerSuccessor, 0, h.now+hotrestart.TakeoverTimeout)
+		pass := hotrestart.Message{Kind: hotrestart.PassConns, Idle: idle, Descriptors: needed}
+		h.send(h.successor, pass, h.passing)
+	}
+}
+
+// loseSuccessor goes on alone: the successor has gone, or does not answer.
+func (h *hotRestart) loseSuccessor(why string) {
+	h.log.Warn().Str(fieldDetail, why).Bool(fieldHandedOver, h.handedOver()).Msg("no successor")
+	h.stopTimer(timerSuccessor, 0)
+	for _, c := range h.passing {
+		h.closeConn(c) // what was not passed after all
+	}
+	h.closeConn(h.successor.ID)
+	hadYielded := h.handedOver()
+	h.successor, h.handover, h.passing = nil, notHandedOver, nil
+	h.idlePending, h.reportedDescriptors = false, 0
+	h.resize()
+	if !hadYielded {
+		return
+	}
+	h.balancer.YieldSlowStart(h.now, false)
+	h.notified = true
+	h.cluster.join()
+	if h.shutdown.stopping() {
+		h.shutdown.closeListener()
+		return
+	}
+	if h.listener.phase != acceptPaused {
+		h.emit(loop.Effect{Op: loop.Unmute, Conn: loop.Listener})
+	}
+	h.offer()
+}
--- /dev/null
+++ b/internal/gateway/upstream.go
@@ -0,0 +1,161 @@
+package gateway
+
+import (
+	"time"
+
+	"thymebend/internal/balancer"
+	"thymebend/internal/downstream"
+	"thymebend/internal/loop"
+	"thymebend/internal/upstream"
+)
+
+// idleTimeoutFraction of the time after which endpoints close idle connections. Guards against reusing one
+// too late.
+const idleTimeoutFraction = 0.7
+
+func (a *attemptTable) handleEvent(conn *upstream.Conn, e loop.Event) {
+	att := a.byConn[conn.ID]
+	switch e.Kind {
+	case loop.Readable:
+		a.emit(loop.Effect{Op: loop.Read, Conn: conn.ID})
+	case loop.Connected:
+		a.setTimer(timerAttempt, att.id, att.deadline)
+		a.writeRequest(att, loop.Write)
+	case loop.Flushed:
+		switch {
+		case att != nil && att.request.upload != nil && conn.Phase == upstream.Writing:
+			a.uploads.flushed(att)
+		case conn.Phase == upstream.Writing:
+			conn.Phase = upstream.Awaiting
+			a.stats.forwarded++
+		}
+	case loop.Stale:
+		// Nothing was written: the endpoint closed this connection while it was idle. Another may serve.
+		att.request.invariants.AttemptEnded(att.invariantIndex, true)
+		att.invariantIndex = notWritten
+		a.dropConn(conn, ReasonIdleTimeout)
+		a.start(att)
+	case loop.Data:
+		a.handleData(conn, att, e.Data)
+	case loop.EOF, loop.Broken:
+		a.connBroke(conn, att, e)
+	}
+}
+
+func (a *attemptTable) handleData(conn *upstream.Conn, att *attempt, data []byte) {
+	if att == nil {
+		a.dropConn(conn, ReasonMalformedResponse) // bytes that no request asked for
+		return
+	}
+	resp, err := conn.Feed(data)
+	switch {
+	case err != nil:
+		a.log.Debug().Err(err).Msg("response of an endpoint")
+		a.end(att, ReasonMalformedResponse, nil)
+	case resp != nil:
+		a.responded(att, resp)
+	default:
+		if head := conn.Large(); head != nil {
+			a.relays.begin(att, head)
+		}
+	}
+}
+
+// connBroke ends what is under way on a connection that broke or was closed by its endpoint.
+func (a *attemptTable) connBroke(conn *upstream.Conn, att *attempt, e loop.Event) {
+	if att == nil {
+		a.dropConn(conn, ReasonIdleTimeout)
+		return
+	}
+	switch {
+	case conn.Phase == upstream.Connecting && e.Local:
+		a.end(att, ReasonLocalResources, nil)
+	case conn.Phase == upstream.Connecting:
+		a.end(att, ReasonConnectFailed, nil)
+	case conn.Phase == upstream.Writing:
+		a.end(att, ReasonResetBeforeSent, nil)
+	default:
+		if e.Kind == loop.EOF {
+			if resp := conn.End(); resp != nil {
+				a.responded(att, resp)
+				return
+			}
+		}
+		a.end(att, ReasonReset, nil)
+	}
+}
+
+// responded takes the complete response of an endpoint. The first 200 goes to the client as it is.
+func (a *attemptTable) responded(att *attempt, resp *upstream.Response) {
+	end := ReasonErrorResponse
+	switch {
+	case resp.Status == 200:
+		end = ReasonServed
+	case resp.NeverRan && (resp.Status == 503 || resp.Status == 504):
+		end = ReasonRejected
+	}
+	conn, req := att.conn, att.request
+	if conn.Phase == upstream.Awaiting && conn.Reusable(resp) && a.mayKeepIdle(conn) {
+		a.unbind(att)
+		a.keepIdle(conn)
+	}
+	if end == ReasonServed && !req.done && a.invariants.AllowAnswer(&req.invariants) {
+		a.requests.conclude(req, outcomeServed)
+		if c := a.downstream.conns.ByConn[req.client]; c != nil {
+			keep := a.downstream.keepAlive(c)
+			a.downstream.answer(req, c, downstream.AppendServed(resp.Forwarded(), resp.Body, keep))
+		}
+	}
+	a.end(att, end, resp)
+}
+
+func (a *attemptTable) mayKeepIdle(conn *upstream.Conn) bool {
+	return a.discovery.isReady(conn.Endpoint) && !a.shutdown.stopping() && !a.pool.Over()
+}
+
+func (a *attemptTable) keepIdle(conn *upstream.Conn) {
+	a.pool.Release(conn)
+	a.setTimer(timerUpstream, uint64(conn.ID), a.now+scale(a.cfg.Settings.Gateway.ConnIdle, idleTimeoutFraction))
+}
+
+// dropConn closes an upstream connection.
+func (a *attemptTable) dropConn(conn *upstream.Conn, end TerminationReason) {
+	a.log.Debug().Uint64(fieldUpstreamConn, uint64(conn.ID)).Stringer(fieldEnd, end).
+		Msg("upstream connection closed")
+	a.stopTimer(timerUpstream, uint64(conn.ID))
+	a.pool.Remove(conn)
+	delete(a.byConn, conn.ID)
+	a.closeConn(conn.ID)
+}
+
+// endpointsChanged closes the idle connections to endpoints that drain, are removed, have moved or have
+// started anew, and ends the attempts that still connect to one. Guards against a byte written to an endpoint
+// after this gateway was notified that it leaves, and against an attempt at a new start of an endpoint, in
+// slow start, that was meant for the old.
+func (a *attemptTable) endpointsChanged(changed []balancer.EndpointID) {
+	if len(changed) == 0 {
+		return
+	}
+	left := make(map[balancer.EndpointID]bool, len(changed))
+	for _, id := range changed {
+		left[id] = true
+		for _, conn := range a.pool.IdleTo(id) {
+			a.dropConn(conn, ReasonEndpointLeft)
+		}
+	}
+	for _, conn := range a.pool.ConnectingTo(left) {
+		if att := a.byConn[conn.ID]; att != nil {
+			a.end(att, ReasonEndpointLeft, nil)
+		}
+	}
+}
+
+// scale is a fraction of a duration.
+func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
+
+// idleTimerDue closes an idle connection before its endpoint does.
+func (a *attemptTable) idleTimerDue(c loop.Conn) {
+	if conn := a.pool.Find(c); conn != nil && conn.Phase == upstream.Idle {
+		a.dropConn(conn, ReasonIdleTimeout)
+	}
+}
--- a/internal/lab/cli/drill.go
+++ b/internal/lab/cli/drill.go
@@ -7,10 +7,10 @@
 	"path/filepath"
 	"strings"
 
+	"thymebend/internal/fielderror"
 	"thymebend/internal/lab/drill"
 	"thymebend/internal/lab/report"
 	"thymebend/internal/lab/requestrecord"
-	"thymebend/internal/tomlfile"
 )
 
 type drillCmd struct {
@@ -30,16 +30,18 @@
 func (c drillCmd) Run(e *env) error {
 	f, err := drill.Load(c.Drill)
 	if err != nil {
-		var faults tomlfile.Faults
+		var faults fielderror.List
 		if errors.As(err, &faults) {
 			return coded{exitInput, faults.Error()}
 		}
 		return input(err)
 	}
 	length := f.Length()
-	e.log.Info().Str("drill", f.Name).Stringer("for", length).Int("gateways", f.Gateways.Count).Int("faults", len(f.Faults)).Msg("running")
-	res, err := drill.Run(e.ctx, f, drill.Options{Gateway: c.Gateway, Dir: c.Out, Seed: c.Seed, Progress: e.progress(length),
-		Found: func(f requestrecord.Finding) { e.log.Warn().Str("rule", f.Rule).Str("gateway", f.ID).Msg(f.Detail) }})
+	e.log.Info().Str("drill", f.Name).Stringer("for", length).Int("gateways", f.Gateways.Count).Int("faults",
+		len(f.Faults)).Msg("running")
+	res, err := drill.Run(e.ctx, f, drill.Options{Gateway: c.Gateway, Dir: c.Out, Seed: c.Seed,
+		Progress: e.progress(length),
+		Found:    func(f requestrecord.Finding) { e.log.Warn().Str("rule", f.Rule).Str("gateway", f.ID).Msg(f.Detail) }})
 	if err != nil {
 		return input(err)
 	}
--- a/internal/lab/drill/expect_test.go
+++ b/internal/lab/drill/expect_test.go
@@ -13,7 +13,8 @@
 	h := membershipcheck.NewHistory([]string{"gateway-0", "gateway-1", "gateway-2", "gateway-3"})
 	for at := time.Second; at <= 20*time.Second; at += time.Second {
 		for g := range 4 {
-			l := membershipcheck.Observation{At: at, Gateway: g, PID: 100 + g, Speaking: true, Settled: true, Majority: true, Alive: 4}
+			l := membershipcheck.Observation{At: at, Gateway: g, PID: 100 + g, Speaking: true, Settled: true,
+				Majority: true, Alive: 4}
 			for range 4 {
 				l.Beliefs = append(l.Beliefs, membershipcheck.Belief{State: "alive", Start: 1, Incarnation: 1})
 			}
--- a/internal/lab/experiment/events.go
+++ b/internal/lab/experiment/events.go
@@ -16,8 +16,8 @@
 	"thymebend/internal/lab/hostmodel"
 )
 
-// play carries out the timeline, from began on, until ctx is done or everything has happened. Events that need
-// gateways are left out where there are none.
+// play carries out the timeline, from began on, until ctx is done or everything has happened. Events
+// that need gateways are left out where there are none.
 func (w *World) play(ctx context.Context, began time.Duration) {
 	events := slices.Clone(w.File.Events)
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At.Duration, b.At.Duration) })
@@ -111,84 +111,6 @@
 	return nil
 }
 
-func (w *World) toHost(ctx context.Context, e Event, m *member) error {
-	mode := func(to emulation.Mode, what string) error {
-		var err error
-		_ = w.forA(ctx, e, m.Name+" "+what, func() { err = m.SetMode(to) }, func() {
-			if back := m.SetMode(emulation.Up); back != nil {
-				err = back
-			}
-		})
-		return err
-	}
-	model := func(what string, do, undo func(now time.Duration, h *hostmodel.Host)) error {
-		return w.forA(ctx, e, m.Name+" "+what, func() { m.Do(do) }, func() { m.Do(undo) })
-	}
-	switch e.Do {
-	case "host-down":
-		w.mark("%s down", m.Name)
-		if err := m.SetMode(emulation.Refuse); err != nil {
-			return err
-		}
-		w.list(m, emulation.StateRemoved, m.entry.Born)
-		if e.For.Duration > 0 && Sleep(ctx, e.For.Duration) {
-			return w.again(m)
-		}
-		return nil
-	case "host-cold":
-		if err := m.SetMode(emulation.Refuse); err != nil {
-			return err
-		}
-		return w.again(m)
-	case "host-drain":
-		w.drain(ctx, e, m)
-		return nil
-	case "host-replace":
-		w.drain(ctx, e, m)
-		w.mu.Lock()
-		n := m.spec.Count + w.replaced
-		w.replaced++
-		w.mu.Unlock()
-		fresh, err := w.start(m.spec, n, GatewayNames(len(m.entry.Dial)), m.entry.Dial, m.spec.ColdFrom > 0)
-		if err == nil {
-			w.mark("%s in place of %s", fresh.Name, m.Name)
-		}
-		return err
-	case "host-cut":
-		return mode(emulation.Silent, "cut off")
-	case "host-hang":
-		return mode(emulation.Hung, "hangs")
-	case "host-noreply":
-		return mode(emulation.NoReply, "answers nothing")
-	case "host-pause":
-		w.mark("%s pauses for %v", m.Name, e.For)
-		m.Do(func(now time.Duration, h *hostmodel.Host) { h.PauseFor(now, e.For.Duration) })
-		return nil
-	case "host-slow":
-		speed := m.spec.Speed
-		return model(fmt.Sprintf("at %.2f of its speed", e.Factor), func(now time.Duration, h *hostmodel.Host) { h.SetSpeed(now, speed*e.Factor) },
-			func(now time.Duration, h *hostmodel.Host) { h.SetSpeed(now, speed) })
-	case "host-errors":
-		return model(fmt.Sprintf("errs in %.0f%%", e.Share*100), func(now time.Duration, h *hostmodel.Host) { h.SetErrors(now, e.Share) },
-			func(now time.Duration, h *hostmodel.Host) { h.SetErrors(now, m.spec.ErrorRate) })
-	case "neighbour":
-		n := hostmodel.Neighbour{Share: e.Share, On: e.On.Duration, Off: e.Off.Duration}
-		return model(fmt.Sprintf("has a neighbour of %.0f%%", e.Share*100), func(now time.Duration, h *hostmodel.Host) { h.SetNeighbour(now, n) },
-			func(now time.Duration, h *hostmodel.Host) { h.SetNeighbour(now, hostmodel.Neighbour{}) })
-	case "heavy":
-		w.mark("%s: %.1f%% of %s cost %.0f times", m.Name, e.Share*100, e.Class, e.Factor)
-		m.Do(func(now time.Duration, h *hostmodel.Host) {
-			h.Heavy(now, e.Class, e.Share, e.Factor, now+e.For.Duration)
-		})
-		return nil
-	case "host-spoil":
-		f := emulation.Fault(e.Fault)
-		return w.forA(ctx, e, fmt.Sprintf("%s: %.0f%% %s", m.Name, e.Share*100, f), func() { m.Spoil(f, e.Share, e.Class) },
-			func() { m.Spoil(f, 0, "") })
-	}
-	return fmt.Errorf("unknown event %s", e.Do)
-}
-
 // list has discovery tell a host's state.
 func (w *World) list(m *member, state string, born int64) {
 	w.mu.Lock()
--- a/internal/lab/hostmodel/host_test.go
+++ b/internal/lab/hostmodel/host_test.go
@@ -22,9 +22,9 @@
 	return s
 }
 
-func host(t *testing.T, cold bool, edit func(*Spec)) (*Host, *requestrecord.Host) {
+func host(t *testing.T, cold bool, edit func(*Spec)) (*Host, *requestrecord.EndpointRecord) {
 	t.Helper()
-	l := requestrecord.NewHost("h")
+	l := requestrecord.NewEndpointRecord("h")
 	h, err := New(spec(edit), 7, 0, cold, l)
 	if err != nil {
 		t.Fatal(err)
@@ -177,7 +177,11 @@
 
 // Reports show late, as of the time at which they were taken.
 func TestReportsAreLate(t *testing.T) {
-	h, _ := host(t, false, func(s *Spec) { s.Report = Report{Least: 100 * ms, Most: 100 * ms, Delay: 30 * ms}; s.Queue = 5 })
+	h, _ := host(t, false, func(s *Spec) {
+		s.Report = Report{Least: 100 * ms, Most: 100 * ms,
+			Delay: 30 * ms}
+		s.Queue = 5
+	})
 	if _, ok := h.Report(10 * ms); ok {
 		t.Error("a report before its delay")
 	}
@@ -241,13 +245,14 @@
 	}
 	a, b, c := play(6*ms), play(6*ms), play(ms)
 	if len(a) < 400 || !reflect.DeepEqual(a, b) || !reflect.DeepEqual(a, c) {
-		t.Errorf("%d replies; alike in one step size: %v, in another: %v", len(a), reflect.DeepEqual(a, b), reflect.DeepEqual(a, c))
+		t.Errorf("%d replies; alike in one step size: %v, in another: %v", len(a), reflect.DeepEqual(a, b),
+			reflect.DeepEqual(a, c))
 	}
 }
 
 // BenchmarkHost is a host's share of a simulation: one request, arrival to reply.
 func BenchmarkHost(b *testing.B) {
-	l := requestrecord.NewHost("h")
+	l := requestrecord.NewEndpointRecord("h")
 	h, err := New(spec(func(s *Spec) { s.Cores, s.Slots, s.Queue = 4, 8, 50 }), 1, 0, false, l)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/lab/simulation/portions_test.go
+++ b/internal/lab/simulation/assignments_test.go
@@ -10,8 +10,8 @@
 	"thymebend/internal/loop"
 )
 
-// telling changes the payload that one gateway tells of itself, in every datagram of its own.
-func telling(gateway int, change func(payload []byte) []byte) func(loop.Reducer) loop.Reducer {
+// notifying changes the payload that one gateway tells of itself, in every datagram of its own.
+func notifying(gateway int, change func(payload []byte) []byte) func(loop.Reducer) loop.Reducer {
 	started := 0
 	name := gatewayName(gateway)
 	return func(r loop.Reducer) loop.Reducer {
@@ -48,12 +48,13 @@
 		}
 	}
 	p.Requests = calm
-	p.Faults = []Fault{{AtMS: 9000, Do: "host-errors", Who: 4, ForMS: 4000, Share: 0.5}, {AtMS: 10000, Do: "host-replace", Who: 2}}
+	p.Faults = []Fault{{AtMS: 9000, Do: "host-errors", Who: 4, ForMS: 4000, Share: 0.5},
+		{AtMS: 10000, Do: "host-replace", Who: 2}}
 	return p
 }
 
-// One gateway that reports every host as bad, or as idle with no traffic of its own, or as having all traffic, or nonsense, costs the
-// others next to nothing and breaks no rule.
+// One gateway that reports every host as bad, or as idle with no traffic of its own, or as having all
+// traffic, or nonsense, costs the others next to nothing and breaks no rule.
 func TestOneLyingGatewayChangesLittle(t *testing.T) {
 	p := steady(t)
 	var all []uint64
@@ -87,7 +88,7 @@
 			return b
 		},
 	} {
-		o := play(p, nil, telling(1, lie))
+		o := play(p, nil, notifying(1, lie))
 		for _, f := range o.Findings {
 			if f.Rule != NotWhole { // who lies of its traffic goes by another division than those who believe it
 				t.Errorf("%s: %+v", name, f)
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -13,7 +13,8 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// slack is how much later than its patience a client still looks, as for every time limit on sockets.
+// slack is how much later than its client timeout a client still looks, as for every time limit on
+// sockets.
 const slack = 50 * time.Millisecond
 
 // noticeDead is how long the front goes on sending to a gateway that has died.
@@ -21,12 +22,12 @@
 
 // client is one try of one request.
 type client struct {
-	w       *world
+	w       *simulator
 	req     Request
 	number  int // of the request
 	try     int
 	id      string
-	gw      *machine
+	gw      *gatewayNode
 	end     *End
 	used    bool // the connection carried a request before
 	inbox   []byte
@@ -38,13 +39,7 @@
 	out     []byte
 }
 
-// link is a client connection at rest.
-type link struct {
-	end *End
-	gw  *machine
-}
-
-func (w *world) arrive(n int, r Request, try int) {
+func (w *simulator) arrive(n int, r Request, try int) {
 	w.lastID++
 	c := &client{w: w, req: r, number: n, try: try, id: fmt.Sprintf("%08x", w.lastID)}
 	if c.gw = w.front(); c.gw == nil {
@@ -55,14 +50,15 @@
 		class = "bid-lodge"
 	}
 	c.strict = w.strict
-	_ = w.clients.Add(requestrecord.Try{ID: c.id, Request: n, Number: try, Class: class, Unsafe: r.Unsafe || c.strict, Target: c.gw.name,
+	_ = w.clients.Add(requestrecord.Attempt{ID: c.id, Request: n, Number: try, Class: class, Unsafe: r.Unsafe ||
+		c.strict, Target: c.gw.name,
 		Due: w.sim.Now()})
 	w.sim.Note("client %s asks %s", c.id, c.gw.name)
 	w.asked++
 	if r.Act == "" && !r.Fresh || r.Act == "stop" && r.Pieces%2 == 0 {
 		if l := w.rest(c.gw); l != nil {
 			c.end, c.used = l.end, true
-			c.end.ready = c.heard
+			c.end.ready = c.received
 			c.write()
 			return
 		}
@@ -71,7 +67,7 @@
 }
 
 // rest takes an idle connection to a gateway.
-func (w *world) rest(gw *machine) *link {
+func (w *simulator) rest(gw *gatewayNode) *link {
 	for i, l := range w.idle {
 		if l.gw == gw && !l.end.Gone() && len(l.end.inbox) == 0 {
 			w.idle = append(w.idle[:i:i], w.idle[i+1:]...)
@@ -91,7 +87,7 @@
 			c.finish("connect refused")
 			return
 		}
-		c.end.ready = c.heard
+		c.end.ready = c.received
 		c.write()
 	})
 	end := c.end
@@ -120,7 +116,8 @@
 		body = append(body, bytes.Repeat([]byte{'b'}, c.req.Body)...)
 	}
 	if !c.req.Unsafe && !c.strict {
-		return fmt.Appendf(nil, "GET %s%s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %dm\r\n%s\r\n",
+		return fmt.Appendf(nil,
+			"GET %s%s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %dm\r\n%s\r\n",
 			path, query, c.id, class, c.req.Patient, mark)
 	}
 	head := fmt.Appendf(nil, "POST %s%s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %dm\r\n%s",
@@ -199,7 +196,8 @@
 // owedWithin is how soon a client that stops in the middle of a request is owed an error or a close.
 const owedWithin = 3 * time.Second
 
-// stop sends a part of a request in pieces, and then nothing more. Its client is owed an error or a close from then on.
+// stop sends a part of a request in pieces, and then nothing more. Its client is owed an error or a
+// close from then on.
 func (c *client) stop(text []byte, pieces int) {
 	if c.over {
 		return
@@ -219,7 +217,8 @@
 	}
 	c.w.sim.After(owedWithin+slack, func() {
 		if !c.over {
-			c.w.find(NotHeard, c.id, "%s told a client that stopped neither an error nor a close within %v", c.gw.name, owedWithin)
+			c.w.find(NotHeard, c.id, "%s told a client that stopped neither an error nor a close within %v",
+				c.gw.name, owedWithin)
 			c.finish("not heard")
 		}
 	})
@@ -244,11 +243,11 @@
 func (c *client) wasSent() {
 	c.sent = true
 	now := c.w.sim.Now()
-	c.w.clients.Update(c.id, func(t *requestrecord.Try) { t.Whole, t.Sent = true, now })
+	c.w.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Whole, t.Sent = true, now })
 	c.w.sim.After(msec(c.req.Patient)+slack, func() { c.finish("silence") })
 }
 
-func (c *client) heard() {
+func (c *client) received() {
 	if c.over {
 		return
 	}
@@ -259,7 +258,7 @@
 	if len(c.inbox) > 0 {
 		if status, body, keep, extra, whole := answer(c.inbox, c.end.fin); whole {
 			if extra { // an answer that nobody asked for
-				c.w.clients.Update(c.id, func(t *requestrecord.Try) { t.Answers++ })
+				c.w.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Answers++ })
 			}
 			c.answered(status, body, keep && !extra)
 			return
@@ -301,20 +300,21 @@
 	if status == 200 {
 		body = unpadded(body, c.req.Pad)
 	}
-	if (status == 400 || status == 404 || status == 405 || status == 413) && (c.req.Act == "" || c.req.Act == "trickle") {
+	if (status == 400 || status == 404 || status == 405 || status == 413) &&
+		(c.req.Act == "" || c.req.Act == "trickle") {
 		c.w.find(Wronged, c.id, "a good request got %d", status)
 	}
 	c.w.sim.Note("client %s got %d %x", c.id, status, requestrecord.Hash(body))
-	c.w.clients.Update(c.id, func(t *requestrecord.Try) {
+	c.w.clients.Update(c.id, func(t *requestrecord.Attempt) {
 		t.Answers++
 		t.Status, t.Hash = status, requestrecord.Hash(body)
 	})
 	c.w.statuses[status]++
 	c.over = true
 	now := c.w.sim.Now()
-	c.w.clients.Update(c.id, func(t *requestrecord.Try) { t.Ended = now })
+	c.w.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Ended = now })
 	if keep {
-		c.keep()
+		c.keepAlive()
 	} else {
 		c.end.ready = nil
 		c.end.Close()
@@ -332,19 +332,20 @@
 	return body
 }
 
-// keep rests the link. What comes on it now is an answer that nobody asked for.
-func (c *client) keep() {
+// keepAlive rests the link. What comes on it now is an answer that nobody asked for.
+func (c *client) keepAlive() {
 	l := &link{end: c.end, gw: c.gw}
 	c.w.idle = append(c.w.idle, l)
 	id := c.id
 	c.end.ready = func() {
 		if len(l.end.inbox) > 0 {
 			l.end.Read(1 << 20)
-			c.w.clients.Update(id, func(t *requestrecord.Try) { t.Answers++ })
+			c.w.clients.Update(id, func(t *requestrecord.Attempt) { t.Answers++ })
 		}
 		if l.end.Gone() {
 			// What counts is when the gateway ended it, not when that shows.
-			if p := l.end.peer; p != nil && !l.end.cut && p.ended > 0 && p.ended >= l.gw.since && p.ended <= l.gw.until {
+			if p := l.end.peer; p != nil && !l.end.cut && p.ended > 0 && p.ended >= l.gw.since &&
+				p.ended <= l.gw.until {
 				c.w.find(ShutDoor, id, "%s closed a link at rest during an upgrade", l.gw.name)
 			}
 			l.end.Close()
@@ -374,7 +375,7 @@
 	}
 	if c.used && !c.crossed && len(c.inbox) == 0 && c.end.reset && !c.end.cut {
 		c.crossed, c.sent = true, false
-		c.w.clients.Update(c.id, func(t *requestrecord.Try) { t.Whole = false })
+		c.w.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Whole = false })
 		c.end.Close()
 		c.dial()
 		return
@@ -396,7 +397,7 @@
 	c.over = true
 	c.w.sim.Note("client %s ends: %s", c.id, why)
 	now := c.w.sim.Now()
-	c.w.clients.Update(c.id, func(t *requestrecord.Try) { t.Ended, t.Cause = now, why })
+	c.w.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Ended, t.Cause = now, why })
 	if c.end != nil {
 		c.end.ready = nil
 		c.end.Close()
@@ -414,7 +415,7 @@
 }
 
 // front deals requests out in turn among the gateways that it does not know to be dead.
-func (w *world) front() *machine {
+func (w *simulator) front() *gatewayNode {
 	for range w.gateways {
 		w.turn++
 		m := w.gateways[w.turn%len(w.gateways)]
--- a/internal/lab/simulation/discovery_load_test.go
+++ b/internal/lab/simulation/discovery_load_test.go
@@ -9,8 +9,9 @@
 	"thymebend/internal/loop"
 )
 
-// A fleet's watches are all reset at once while discovery works through calls in turn. The least time in which every gateway
-// can have a list again is gateways / calls a second, if no call is wasted. What is asked for is half as much again, and 6 s.
+// A fleet's watches are all reset at once while discovery works through calls in turn. The least time
+// in which every gateway can have a list again is gateways / calls a second, if no call is wasted. What
+// is asked for is half as much again, and 6 s.
 const (
 	recoveryStretch = 1.5
 	recoverySpare   = 6 * time.Second
@@ -44,7 +45,7 @@
 // recoverFleet starts gateways, resets their watches and waits until all have a list, for at most so long.
 func recoverFleet(seed uint64, gateways int, queue CallQueue, most time.Duration) recovery {
 	var r recovery
-	w := newWorld(Plan{Seed: seed, Gateways: gateways, Hosts: 2, Sockets: 300, LatencyUS: 200, CostUS: 10}, nil,
+	w := newSimulator(Plan{Seed: seed, Gateways: gateways, Hosts: 2, Sockets: 300, LatencyUS: 200, CostUS: 10}, nil,
 		func(gw loop.Reducer) loop.Reducer { return callCounter{gw, &r.calls} })
 	w.build()
 	w.sim.Run(epoch + 5*time.Second + w.sim.Between(0, 2*time.Second)) // each call has been answered at once until now
@@ -101,7 +102,8 @@
 	}
 }
 
-// A change is kept to 6 s after discovery had it, while discovery works through calls in turn and all watches break.
+// A change is kept to 6 s after discovery had it, while discovery works through calls in turn and all
+// watches break.
 func TestDiscoveryUnderLoadHoldsTheRules(t *testing.T) {
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
