--- a/internal/lab/assignmentsim/assignmentsim_test.go
+++ b/internal/lab/assignmentsim/assignmentsim_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against figures that do not tell strategies apart: fitted weights are the fairest, and rendezvous hashing moves
-// fewer pairs than ranks when a gateway goes.
+// Guards against figures that do not tell strategies apart: fitted weights are the fairest, and rendezvous hashing
+// moves fewer pairs than ranks when a gateway goes.
 func TestFiguresTellStrategiesApart(t *testing.T) {
 	figures := make(map[Strategy]Figures)
 	for _, strategy := range Strategies() {
