--- a/internal/ci/site.go
+++ b/internal/ci/site.go
@@ -165,7 +165,8 @@
 	case !ok || low <= 0 || high < low || high > 1:
 		return fmt.Errorf("share is %v, want one or two ascending parts of 1", c.Share)
 	case !(c.Objective > 0 && c.Deadline >= c.Objective):
-		return fmt.Errorf("deadline_ms is %v and aim_ms %v, want a deadline of the aim at least", c.Deadline, c.Objective)
+		return fmt.Errorf("deadline_ms is %v and aim_ms %v, want a deadline of the aim at least",
+			c.Deadline, c.Objective)
 	case !(c.Weight > 0 && c.LateWeight >= 0 && c.LateWeight <= 1):
 		return fmt.Errorf("worth is %v and late_worth %v, want above 0, and from 0 to 1", c.Weight, c.LateWeight)
 	}
--- a/internal/settings/deployment.go
+++ b/internal/settings/deployment.go
@@ -188,9 +188,9 @@
 
 // tenants reads all tenants, up to the first fault.
 func (v *values) tenants() (tenants []balancer.Tenant) {
+	var t tenant // each read sets all of it
 	for i := range v.count(tenantsPath, false) {
 		prefix := join(tenantsPath, strconv.Itoa(i)) + "."
-		var t tenant
 		v.read(prefix, tenantFields, &t)
 		tenants = append(tenants, balancer.Tenant{Name: v.byPath[prefix+nameField], Quota: t.Quota})
 		if v.fault != nil {
