--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -31,7 +31,7 @@
 	n := ep.inFlight
 	for i := range ep.classes {
 		c := &ep.classes[i]
-		if c.StalledSince(b.now, ep.health.LastHeard, ep.usualMS(&b.classes.entries[i])) {
+		if c.InFlight > 0 && c.StalledSince(b.now, ep.health.LastHeard, ep.usualMS(&b.classes.entries[i])) {
 			n -= c.InFlight
 		}
 	}
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -190,9 +190,8 @@
 
 // usable reports whether ep may get r now.
 func (b *Balancer) usable(ep *endpointState, r *requestState) bool {
-	usual := ep.usualMS(b.classOf(r))
 	return ep.State == EndpointReady && !ep.cooldown.active(b.now) && b.busy(ep) < ep.allowed() &&
-		ep.classes[r.Class].Allows(b.now, usual) &&
+		ep.classes[r.Class].Allows(b.now, ep.usualMS(b.classOf(r))) &&
 		(!ep.health.Ejected || b.mayProbe(ep, r)) && b.mayStart(r, ep) && b.slowStartAllows(ep)
 }
 
--- a/internal/balancer/outlierdetection/class.go
+++ b/internal/balancer/outlierdetection/class.go
@@ -27,10 +27,10 @@
 	return c.since > 0 && now-c.since > stats.FromMilliseconds(stalledFactor*usualMS)
 }
 
-// StalledSince reports whether the class is stalled, with attempts in flight, while other work of the
-// endpoint was answered after its first attempt.
+// StalledSince reports whether the class is stalled while other work of the endpoint was answered, at
+// lastHeard, after the first attempt.
 func (c *ClassHealth) StalledSince(now, lastHeard time.Duration, usualMS float64) bool {
-	return c.InFlight > 0 && lastHeard > c.since && c.Stalled(now, usualMS)
+	return lastHeard > c.since && c.Stalled(now, usualMS)
 }
 
 // Allows reports whether an attempt may start: any while the class is not stalled, else one probe at a time.
