--- a/internal/balancer/loadshedding_test.go
+++ b/internal/balancer/loadshedding_test.go
@@ -83,7 +83,7 @@
 			[2]maxQueueTime{{300, 300}, {300, 225}},
 		},
 		{
-			"weight by work makes long work worth its time", loadShedding{overQuotaWeight: 1, weightByWork: true}, 2,
+			"weight by work counts long work by its time", loadShedding{overQuotaWeight: 1, weightByWork: true}, 2,
 			func(heavy, light *classState) { heavy.Weight, light.expected = 1, 200*millisecond },
 			// The light class leaves less time before its objective, and adds as much for each ms of work.
 			[2]maxQueueTime{{900, 900}, {800, 800}},
--- a/internal/balancer/retry_test.go
+++ b/internal/balancer/retry_test.go
@@ -35,7 +35,7 @@
 				switch {
 				case idempotency == Idempotent || o.NeverRan():
 					if !sent {
-						t.Error("was not tried again though it may be")
+						t.Error("was not retried though it may be")
 					}
 				case sent:
 					t.Error("was sent again though it may have run outside its scope")
@@ -63,21 +63,22 @@
 		{"other cell", DedupCell, ready(2, 0, 1), false},
 	} {
 		for _, late := range []bool{false, true} {
-			cfg := testConfig()
-			cfg.Classes[1].DedupScope = c.scope
-			cfg.Classes[1].LatencyObjective, cfg.Classes[1].DedupWindow = 1900*millisecond, 500*millisecond
-			r := newRig(t, cfg, ready(1, 0, 0))
-			r.request(1, 1)
-			r.b.UpdateEndpoints(r.now, Delta, []Endpoint{c.other, {ID: 1, State: EndpointRemoved}})
-			if r.now += 300 * millisecond; late {
-				r.now += 195 * millisecond // within two ticks of the window's end
-			}
-			r.rec.acts = nil
-			r.end(1, 0, 1, OutcomeTimeout, 300*millisecond)
-			sent := len(r.take("start")) == 1
-			if sent != (c.want && !late) {
-				t.Errorf("%s, late %v: sent again = %v", c.name, late, sent)
-			}
+			t.Run(fmt.Sprintf("%s, late %v", c.name, late), func(t *testing.T) {
+				cfg := testConfig()
+				cfg.Classes[1].DedupScope = c.scope
+				cfg.Classes[1].LatencyObjective, cfg.Classes[1].DedupWindow = 1900*millisecond, 500*millisecond
+				r := newRig(t, cfg, ready(1, 0, 0))
+				r.request(1, 1)
+				r.b.UpdateEndpoints(r.now, Delta, []Endpoint{c.other, {ID: 1, State: EndpointRemoved}})
+				if r.now += 300 * millisecond; late {
+					r.now += 195 * millisecond // within two dispatch intervals of the window's end
+				}
+				r.rec.acts = nil
+				r.end(1, 0, 1, OutcomeTimeout, 300*millisecond)
+				if retried := len(r.take("start")) == 1; retried != (c.want && !late) {
+					t.Errorf("retried = %v", retried)
+				}
+			})
 		}
 	}
 }
@@ -96,19 +97,21 @@
 		{"keyed, never ran", 1, OutcomeRejected, 900 * millisecond, true},
 		{"idempotent", 0, OutcomeReset, 900 * millisecond, true},
 	} {
-		cfg := testConfig()
-		cfg.Classes[1].LatencyObjective, cfg.Classes[1].DedupWindow = 1900*millisecond, 500*millisecond
-		r := newRig(t, cfg, ready(1, 0, 0), ready(2, 0, 0))
-		r.request(1, c.class)
-		first := r.take("start")[0].endpoint
-		r.now += 300 * millisecond
-		r.end(1, 0, first, c.outcome, 300*millisecond)
-		if len(r.take("start")) != 1 {
-			t.Fatalf("%s: not sent again", c.name)
-		}
-		if r.now += c.after; r.b.MayStartAttempt(r.now, 1, 1) != c.want {
-			t.Errorf("%s: may begin = %v", c.name, !c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			cfg := testConfig()
+			cfg.Classes[1].LatencyObjective, cfg.Classes[1].DedupWindow = 1900*millisecond, 500*millisecond
+			r := newRig(t, cfg, ready(1, 0, 0), ready(2, 0, 0))
+			r.request(1, c.class)
+			first := r.take("start")[0].endpoint
+			r.now += 300 * millisecond
+			r.end(1, 0, first, c.outcome, 300*millisecond)
+			if len(r.take("start")) != 1 {
+				t.Fatal("not retried")
+			}
+			if r.now += c.after; r.b.MayStartAttempt(r.now, 1, 1) != c.want {
+				t.Errorf("may start = %v", !c.want)
+			}
+		})
 	}
 	if r := newRig(t, testConfig()); r.b.MayStartAttempt(r.now, 9, 0) {
 		t.Error("an attempt of no request may begin")
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -66,7 +66,7 @@
 		for _, a := range r.take("start") {
 			if a.endpoint == 2 {
 				sent++
-				// It turns work away at once, which counts as well and must not open room for more.
+				// It rejects at once, which counts as well and must not open room for more.
 				r.b.AttemptEnded(r.now, AttemptEnd{
 					Request: a.id, Endpoint: 2, Outcome: OutcomeRejected, Latency: millisecond,
 				})
--- a/internal/balancer/state_test.go
+++ b/internal/balancer/state_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// What a successor is told is used, and what no run of the balancer gives is not.
+// What a successor gets is used, and what no run of the balancer gives is not.
 func TestRestoreTakesWhatIsPlausible(t *testing.T) {
 	a := newRig(t, testConfig(), ready(1, 0, 0), ready(2, 0, 0))
 	for _, s := range a.b.endpoints.all {
