--- a/internal/balancer/api.go
+++ b/internal/balancer/api.go
@@ -14,8 +14,8 @@
 	Class  int // index into Config.Classes, see Reload
 	Tenant int // index into Config.Tenants
 	// ClientTimeout is the time until the client gives up on this try. A client's retry was first tried
-	// Deadline-ClientTimeout ago. Where retries are not marked, first tries of a class should share one value
-	// (to a few parts in a hundred); another value is taken for a retry.
+	// Deadline-ClientTimeout ago. Where retries are not marked, first tries of a class should share one
+	// value (to a few parts in a hundred); another value is taken for a retry.
 	ClientTimeout time.Duration
 	Retry         bool // marked by the client as a retry
 	// Elapsed is how much of the client timeout had passed before the gateway could take the request.
--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -7,9 +7,9 @@
 	"thymebend/internal/balancer/stats"
 )
 
-// occupy counts an attempt of r among what ep works on; vacate takes it back.
-func (b *Balancer) occupy(r *requestState, ep *endpointState) {
-	if b.busy(ep) == 0 {
+// addInFlight counts an attempt of r among what ep works on; vacate takes it back.
+func (b *Balancer) addInFlight(r *requestState, ep *endpointState) {
+	if b.effectiveInFlight(ep) == 0 {
 		ep.health.LastHeard = b.now
 	}
 	ep.inFlight++
@@ -18,16 +18,16 @@
 	ep.classes[r.Class].Started(b.now, usual, b.classes.meanObjective())
 }
 
-func (b *Balancer) vacate(r *requestState, ep *endpointState) {
+func (b *Balancer) removeInFlight(r *requestState, ep *endpointState) {
 	ep.inFlight--
 	at := slices.Index(ep.requests, r.ID)
 	ep.requests = slices.Delete(ep.requests, at, at+1)
 	ep.classes[r.Class].Ended()
 }
 
-// busy is what ep has in flight. Attempts of a stalled class do not count while other work is answered: they
-// must not take the place of that work.
-func (b *Balancer) busy(ep *endpointState) int {
+// effectiveInFlight is what ep has in flight. Attempts of a stalled class do not count while other work
+// is answered: they must not take the place of that work.
+func (b *Balancer) effectiveInFlight(ep *endpointState) int {
 	n := ep.inFlight
 	for i := range ep.classes {
 		c := &ep.classes[i]
@@ -51,12 +51,12 @@
 		return
 	}
 	if a.writing = !done; a.writing {
-		b.vacate(r, a.endpoint)
+		b.removeInFlight(r, a.endpoint)
 		a.endpoint.classes[r.Class].Withdrawn()
 		return
 	}
-	b.occupy(r, a.endpoint)
-	a.started, r.arrived, r.begun, r.deadline = now, now, now, now+r.ClientTimeout
+	b.addInFlight(r, a.endpoint)
+	a.started, r.arrivedAt, r.firstTriedAt, r.deadline = now, now, now, now+r.ClientTimeout
 }
 
 // MayStartAttempt reports whether an attempt of which nothing is written may still be: connections come up
@@ -82,7 +82,7 @@
 	ep, class := a.endpoint, b.classOf(r)
 	a.ended, a.neverRan = true, end.Outcome.NeverRan()
 	if r.inFlight--; !a.writing {
-		b.vacate(r, ep)
+		b.removeInFlight(r, ep)
 	}
 	b.recordOutcome(r, a, end)
 	ep.classes[r.Class].Settle(b.now, ep.usualMS(class))
@@ -91,15 +91,15 @@
 	}
 	switch {
 	case end.RequestDone || r.done:
-		b.conclude(r, end.Outcome == OutcomeOK && b.now <= class.usefulUntil(r.begun, r.deadline))
+		b.conclude(r, end.Outcome == OutcomeOK && b.now <= class.usefulUntil(r.firstTriedAt, r.deadline))
 	case r.inFlight == 0 && end.BodyConsumed:
-		b.finish(r)
+		b.rejectOrFail(r)
 	case r.inFlight == 0:
 		b.retry(r)
 	}
 }
 
-// recordOutcome lets the end of an attempt speak for or against the endpoint.
+// recordOutcome updates the limit, the health and the cooldown of the endpoint with the end of an attempt.
 func (b *Balancer) recordOutcome(r *requestState, a *attempt, end AttemptEnd) {
 	ep := a.endpoint
 	if end.Reported {
@@ -143,7 +143,7 @@
 	c := b.classOf(r)
 	ms := c.recordService(latency)
 	ep.limit.RecordAnswer(ms / b.classes.relativeCost(c))
-	b.response.Record(float64(b.now-r.arrived) / float64(c.LatencyObjective))
+	b.response.Record(float64(b.now-r.arrivedAt) / float64(c.LatencyObjective))
 }
 
 // rest keeps attempts from an endpoint with a limit below one after one that kept it busy for so many ms.
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -66,8 +66,8 @@
 	return b, nil
 }
 
-// resetQuotas gives each tenant a full bucket. This gateway sees only its own part of a tenant's requests and
-// takes it to be an even one.
+// resetQuotas gives each tenant a full bucket. This gateway sees only its own part of a tenant's
+// requests and takes it to be an even one.
 func (b *Balancer) resetQuotas() {
 	b.tenants = b.tenants[:0]
 	for _, t := range b.cfg.Tenants {
@@ -95,11 +95,11 @@
 	}
 	class := &b.classes.entries[in.Class]
 	r := b.requests.add(in)
-	r.arrived = now - in.Elapsed
-	r.begun, r.deadline = r.arrived, r.arrived+in.ClientTimeout
-	elapsed := class.timeouts.sinceFirstTry(in.ClientTimeout, class.Deadline)
+	r.arrivedAt = now - in.Elapsed
+	r.firstTriedAt, r.deadline = r.arrivedAt, r.arrivedAt+in.ClientTimeout
+	elapsed := class.timeouts.observe(in.ClientTimeout, class.Deadline)
 	if in.Retry || !b.cfg.ClientsMarkRetries { // a first try with a short timeout is no retry
-		r.begun -= elapsed
+		r.firstTriedAt -= elapsed
 	}
 	r.overQuota = b.overQuota(in.Tenant)
 	class.arrivals++
@@ -127,11 +127,11 @@
 // PauseAttempts stops new attempts, or lets them go on.
 func (b *Balancer) PauseAttempts(paused bool) { b.paused = paused }
 
-// AssignEndpoints takes what the cluster of gateways assigns to this one: its endpoints, and behind them its
-// spares, the next to be used first. From the first time on, endpoints in slow start get requests by
-// GrantSlowStartToken alone. With no endpoints the subset follows from the rank again.
+// AssignEndpoints takes what the cluster of gateways assigns to this one: its endpoints, and behind
+// them its spares, the next to be used first. From the first time on, endpoints in slow start get
+// requests by GrantSlowStartToken alone. With no endpoints the subset follows from the rank again.
 func (b *Balancer) AssignEndpoints(now time.Duration, endpoints []AssignedEndpoint) {
-	b.now, b.slowStart.byGrant, b.endpoints.stale = now, true, true
+	b.now, b.slowStart.tokensRequired, b.endpoints.stale = now, true, true
 	b.endpoints.assigned = append(b.endpoints.assigned[:0], endpoints...)
 }
 
--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -24,8 +24,8 @@
 func (s *silent) WatchEndpoints()                 {}
 func (s *silent) Log(string)                      {}
 
-// steadyRequest returns a function that plays one request from arrival to answer over so many endpoints, with a
-// sample now and then.
+// steadyRequest returns a function that plays one request from arrival to answer over so many
+// endpoints, with a sample now and then.
 func steadyRequest(tb testing.TB, endpoints int) func() {
 	out := &silent{}
 	now := time.Second
@@ -81,8 +81,8 @@
 	}
 }
 
-// BenchmarkRequestOverEndpoints shows what a decision costs where one gateway uses all endpoints, a fifth of a
-// sample included.
+// BenchmarkRequestOverEndpoints shows what a decision costs where one gateway uses all endpoints, a
+// fifth of a sample included.
 func BenchmarkRequestOverEndpoints(b *testing.B) {
 	for _, endpoints := range []int{10, 100, 1000, 7700} {
 		b.Run(strconv.Itoa(endpoints), func(b *testing.B) {
--- a/internal/balancer/classes.go
+++ b/internal/balancer/classes.go
@@ -12,7 +12,7 @@
 const classMemory = 1.0 / 256
 
 // maxServiceFactor is the multiple of the class's mean service time that one answer counts for at most, so
-// that a heavy request does not look like a crowded endpoint.
+// that a heavy request does not look like a congested endpoint.
 const maxServiceFactor = 4.0
 
 // arrivalDecay is the share of the counted arrivals that each sampling period forgets.
@@ -30,9 +30,9 @@
 	open        int           // requests not yet forgotten
 	retiredAt   time.Duration // no longer in the settings since then; 0 if it is
 
-	goalDensity  float64      // what serving it adds to the operators' goal, for a ms of work
-	maxQueueTime maxQueueTime // while room is short
-	noRoom       noRoom       // in this Dispatch
+	goalDensity  float64         // what serving it adds to the operators' goal, for a ms of work
+	maxQueueTime queueTimeLimits // while capacity is short
+	misses       dispatchMisses  // in this Dispatch
 }
 
 // recordService learns the service time of an answer and returns it as it counts, in ms.
@@ -90,8 +90,8 @@
 	}
 }
 
-// learnReference sets the reference to the plain mean over the classes. It must not follow the mix of what is
-// served: work shed more in one class than another would look like endpoints getting slower.
+// learnReference sets the reference to the plain mean over the classes. It must not follow the mix of
+// what is served: work shed more in one class than another would look like endpoints getting slower.
 func (t *classTable) learnReference() {
 	var all stats.Mean
 	for c := range t.current {
@@ -142,10 +142,10 @@
 	votes  int           // how many more had it lately than had not
 }
 
-// sinceFirstTry takes the client timeout of a request and returns how long ago its client first tried: 0 with
-// the common timeout, else what is gone of the deadline. Guards against serving clients' retries whose
-// objective was half spent before they came.
-func (v *timeoutVotes) sinceFirstTry(timeout, deadline time.Duration) time.Duration {
+// observe records the client timeout of a request and returns how long ago its client first tried: 0
+// with the common timeout, else what is gone of the deadline (deadline - timeout). Guards against
+// serving clients' retries whose latency objective was half spent before they came.
+func (v *timeoutVotes) observe(timeout, deadline time.Duration) (sinceFirstTry time.Duration) {
 	near := stats.Scale(v.common, timeoutTolerance)
 	if timeout >= v.common-near && timeout <= v.common+near {
 		v.votes = min(v.votes+1, maxTimeoutVotes)
--- a/internal/balancer/classes_test.go
+++ b/internal/balancer/classes_test.go
@@ -56,7 +56,7 @@
 			t.Errorf("request %d: queued is not %v", c.id, c.queued)
 		}
 	}
-	if q := r.b.requests.byID[20]; q == nil || q.begun != r.now-500*millisecond {
+	if q := r.b.requests.byID[20]; q == nil || q.firstTriedAt != r.now-500*millisecond {
 		t.Errorf("request 20 does not count from its client's first try: %+v", q)
 	}
 }
@@ -65,7 +65,7 @@
 	const deadline = 2 * time.Second
 	var v timeoutVotes
 	for range 100 {
-		if since := v.sinceFirstTry(1900*millisecond, deadline); since != 0 {
+		if since := v.observe(1900*millisecond, deadline); since != 0 {
 			t.Fatalf("a first try began %v ago", since)
 		}
 	}
@@ -78,15 +78,15 @@
 		{"longer than the deadline", 3 * time.Second, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if since := v.sinceFirstTry(c.timeout, deadline); since != c.want {
+			if since := v.observe(c.timeout, deadline); since != c.want {
 				t.Errorf("began %v ago, want %v", since, c.want)
 			}
 		})
 	}
 	for range maxTimeoutVotes + 1 {
-		v.sinceFirstTry(1000*millisecond, deadline)
+		v.observe(1000*millisecond, deadline)
 	}
-	if since := v.sinceFirstTry(1000*millisecond, deadline); since != 0 || v.common != 1000*millisecond {
+	if since := v.observe(1000*millisecond, deadline); since != 0 || v.common != 1000*millisecond {
 		t.Errorf("a changed timeout is not seen after %d requests: %+v", maxTimeoutVotes, v)
 	}
 }
--- a/internal/balancer/cluster_test.go
+++ b/internal/balancer/cluster_test.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// withoutCluster is the hash of what the balancer did before there were clusters, in the play below. A change
-// of what it does without one is another number here, and has to say why.
+// withoutCluster is the hash of what the balancer did before there were clusters, in the play below. A
+// change of what it does without one is another number here, and has to say why.
 const withoutCluster = 0xcb74930173923571
 
 // hashed spells an action as it stood in the hash from the start.
--- a/internal/balancer/concurrency/limit.go
+++ b/internal/balancer/concurrency/limit.go
@@ -26,7 +26,7 @@
 type Limit struct {
 	Value       float64    // the limit before rounding up, above 0; the paper's u
 	GainMS      float64    // ms of service for each request in flight; 0 is unknown; the paper's K
-	UncrowdedMS float64    // service time while the endpoint is not crowded; 0 is unknown
+	BaselineMS  float64    // service time while the endpoint is not congested; 0 is unknown
 	ServiceMS   stats.Mean // smoothed service time, ms
 	QueueLength float64    // requests waiting at the endpoint as its answers report, smoothed; else 0
 	Sample      Sample     // of the running sampling period
@@ -43,9 +43,9 @@
 // flight: some cores' worth.
 const minEndpointConcurrency = 5.0
 
-// MinLimit is where limits start, and their least: one, or this gateway's part of a few requests over all the
-// gateways that use the endpoint (users, at least 1). Guards against many gateways that each take for
-// uncrowded what they find crowded from their first request on.
+// MinLimit is where limits start, and their least: one, or this gateway's part of a few requests over
+// all the gateways that use the endpoint (users, at least 1). Guards against many gateways that each
+// take for uncongested what they find congested from their first request on.
 func MinLimit(users float64) float64 { return min(1, minEndpointConcurrency/users) }
 
 // Reset sets the limit to its least.
@@ -66,8 +66,10 @@
 // Constants of the queue that endpoints report.
 const (
 	queueLengthWeight = 0.25 // weight of one report in the smoothed length
-	crowdedLength     = 1.5  // requests waiting, from which an endpoint is crowded: more than one by chance
-	crowdedStep       = 0.08 // least cut of the limit of a crowded endpoint, a sample; a report may be late
+	// requests waiting, from which an endpoint is congested: more than one by chance
+	congestedQueueLength = 1.5
+	// least cut of the limit of a congested endpoint, a sample; a report may be late
+	congestedStep = 0.08
 )
 
 // RecordQueueLength takes the number of waiting requests that an answer reports.
@@ -85,9 +87,9 @@
 	failureFactor = 2.0  // a failure counts as a service time of this multiple of the setpoint
 )
 
-// CloseSample ends a sampling period and moves the limit: u(k+1) = u(k) + 0.16/K (setpoint - service time),
-// equation 11. A sample without answers or failures changes nothing; failures stay out of the averages and of
-// the gain estimate.
+// CloseSample ends a sampling period and moves the limit: u(k+1) = u(k) + 0.16/K (setpoint - service
+// time), equation 11. A sample without answers or failures changes nothing; failures stay out of the
+// averages and of the gain estimate.
 func (l *Limit) CloseSample(target ServiceTarget, minLimit float64) {
 	seen := l.Sample
 	l.Sample = Sample{}
@@ -101,8 +103,8 @@
 	service := (seen.ServiceSumMS + float64(seen.Failures)*failureFactor*setpoint) /
 		float64(seen.Answers+seen.Failures)
 	step := integralGain / l.GainMS * (setpoint - service)
-	if l.crowded() {
-		step = min(step, -crowdedStep)
+	if l.congested() {
+		step = min(step, -congestedStep)
 	}
 	if step < 0 || seen.Limited {
 		l.move(step, minLimit)
@@ -121,44 +123,46 @@
 	}
 	l.GainMS = gainMemory*l.GainMS + (1-gainMemory)*ratio
 	l.ServiceMS.Add(meanMS, float64(answers)/float64(answers+smoothingAnswers))
-	l.learnUncrowded()
+	l.learnBaseline()
 }
 
-// uncrowdedForgetting is the share, a sample, by which the uncrowded service time follows the smoothed one: a
+// baselineForgetting is the share, a sample, by which the baseline service time follows the smoothed one: a
 // machine that got slower for good is believed after some minutes.
-const uncrowdedForgetting = 1e-3
+const baselineForgetting = 1e-3
 
-// learnUncrowded keeps the least smoothed service time, slowly forgotten.
-func (l *Limit) learnUncrowded() {
-	if l.ServiceMS.N <= MinAnswers || l.ServiceMS.Value < l.UncrowdedMS {
-		l.UncrowdedMS = l.ServiceMS.Value
+// learnBaseline keeps the least smoothed service time, slowly forgotten.
+func (l *Limit) learnBaseline() {
+	if l.ServiceMS.N <= MinAnswers || l.ServiceMS.Value < l.BaselineMS {
+		l.BaselineMS = l.ServiceMS.Value
 	}
-	l.UncrowdedMS += (l.ServiceMS.Value - l.UncrowdedMS) * uncrowdedForgetting
+	l.BaselineMS += (l.ServiceMS.Value - l.BaselineMS) * baselineForgetting
 }
 
-// move applies a step. Exception to the paper: below one, where one request of each gateway already crowds an
-// endpoint, the limit is the share of time in which a limit of one is open, and steps shrink with it.
+// move applies a step. Exception to the paper: below one, where one request of each gateway already
+// congests an endpoint, the limit is the share of time in which a limit of one is open, and steps
+// shrink with it.
 func (l *Limit) move(step, minLimit float64) {
 	l.Value = max(minLimit, l.Value+step*min(1, l.Value))
 }
 
-// crowded reports whether requests wait at the endpoint although they should wait at the gateways. Exception
-// to the paper: gateways grow their limits together, and may overload endpoints before service times tell.
-func (l *Limit) crowded() bool { return l.QueueLength >= crowdedLength }
+// congested reports whether requests wait at the endpoint although they should wait at the gateways.
+// Exception to the paper: gateways grow their limits together, and may overload endpoints before
+// service times tell.
+func (l *Limit) congested() bool { return l.QueueLength >= congestedQueueLength }
 
-// Bounds of the setpoint over the uncrowded service time.
+// Bounds of the setpoint over the baseline service time.
 const (
-	crowdingFactor = 1.4 // of the uncrowded service time: room for noise
-	crowdingShare  = 0.6 // of the service time budget: the most over the uncrowded service time
+	setpointFactor = 1.4 // of the baseline service time: room for noise
+	setpointShare  = 0.6 // of the service time budget: the most over the baseline service time
 )
 
-// SetpointMS is the service time that the limit is steered to, in ms of the average class. Exception to the
-// paper: it is never under a multiple of the uncrowded service time, or the limit would stay at one where the
-// budget is less than the bare work takes. Short objectives leave little for that excess either: requests
-// then wait at the gateway, which can still choose.
+// SetpointMS is the service time that the limit is steered to, in ms of the average class. Exception to
+// the paper: it is never under a multiple of the baseline service time, or the limit would stay at one
+// where the budget is less than the bare work takes. Short objectives leave little for that excess
+// either: requests then wait at the gateway, which can still choose.
 func (l *Limit) SetpointMS(target ServiceTarget) float64 {
-	uncrowded, budget := l.UncrowdedMS, target.BudgetMS
-	return max(budget*target.Response, min(crowdingFactor*uncrowded, uncrowded+crowdingShare*budget))
+	baseline, budget := l.BaselineMS, target.BudgetMS
+	return max(budget*target.Response, min(setpointFactor*baseline, baseline+setpointShare*budget))
 }
 
 // RestAfter is how long an endpoint with a limit below one rests after an attempt that kept it busy for so
--- a/internal/balancer/concurrency/limit_test.go
+++ b/internal/balancer/concurrency/limit_test.go
@@ -22,15 +22,16 @@
 	}
 }
 
-// The setpoint in these cases is 150 ms, from the uncrowded time, as (1-0.9) x 1 x 1000 ms = 100 ms is less.
-const uncrowdedMS = 150 / crowdingFactor
+// The setpoint in these cases is 150 ms, from the uncrowded time, as (1-0.9) x 1 x 1000 ms = 100 ms is
+// less.
+const uncrowdedMS = 150 / setpointFactor
 
 var oneSecond = NewServiceTarget(1000, 1)
 
-// newLimit returns a limit of an endpoint whose uncrowded service time is well known.
+// newLimit returns a limit of an endpoint whose baseline service time is well known.
 func newLimit(value, gainMS float64) *Limit {
 	return &Limit{
-		Value: value, GainMS: gainMS, UncrowdedMS: uncrowdedMS,
+		Value: value, GainMS: gainMS, BaselineMS: uncrowdedMS,
 		ServiceMS: stats.Mean{N: 1 << 60, Value: uncrowdedMS},
 	}
 }
@@ -83,15 +84,16 @@
 	} {
 		l.RecordAnswer(100)
 		l.MarkLimited()
-		l.UncrowdedMS, l.ServiceMS.Value = uncrowdedMS, uncrowdedMS
+		l.BaselineMS, l.ServiceMS.Value = uncrowdedMS, uncrowdedMS
 		l.CloseSample(oneSecond, MinLimit(1))
 		near(t, "gain estimate", l.GainMS, want.gain)
 		about(t, "limit", l.Value, want.limit)
 	}
 }
 
-// Until something is known of an endpoint the setpoint is a share of the objective, here 40 ms, less than any
-// answer takes. Guards against a start that loses a second until the running mean serves as the uncrowded time.
+// Until something is known of an endpoint the setpoint is a share of the objective, here 40 ms, less
+// than any answer takes. Guards against a start that loses a second until the running mean serves as
+// the uncrowded time.
 func TestLimitGrowsFromTheSecondSample(t *testing.T) {
 	l := &Limit{}
 	l.Reset(MinLimit(1))
@@ -113,7 +115,7 @@
 	l.RecordAnswer(50)
 	l.MarkLimited()
 	l.CloseSample(oneSecond, MinLimit(1))
-	near(t, "limit", l.Value, 3-crowdedStep)
+	near(t, "limit", l.Value, 3-congestedStep)
 }
 
 func TestMinLimitIsAPartOfAFewRequests(t *testing.T) {
--- a/internal/balancer/concurrency/setpoints.go
+++ b/internal/balancer/concurrency/setpoints.go
@@ -12,8 +12,8 @@
 	thresholdMaximum = 2.0  // the threshold stays under this multiple of its setpoint
 )
 
-// QueueThreshold bounds the time that a request may be queued, as a multiple of its class's latency objective
-// (the paper's psi). An integral loop holds the mean queue time at its setpoint.
+// QueueThreshold bounds the time that a request may be queued, as a multiple of its class's latency
+// objective (the paper's psi). An integral loop holds the mean queue time at its setpoint.
 type QueueThreshold struct {
 	Value float64
 	waits stats.Mean // queue times of this sampling period, as multiples of the objectives
@@ -63,8 +63,8 @@
 // Restore takes over a setpoint that another process had reached, at least MinResponse.
 func (s *ResponseSetpoint) Restore(value float64) { s.Value = min(value, 1) }
 
-// Record takes the response time of an answered request, as a multiple of its objective. What comes after the
-// 64th since the last step is not needed.
+// Record takes the response time of an answered request, as a multiple of its objective. What comes
+// after the 64th since the last step is not needed.
 func (s *ResponseSetpoint) Record(response float64) {
 	if s.n < len(s.responses) {
 		s.responses[s.n] = response
@@ -72,7 +72,8 @@
 	}
 }
 
-// CloseSample ends a sampling period: R(k+1) = R(k) + 0.01 (1 - percentile), once 64 responses were recorded.
+// CloseSample ends a sampling period: R(k+1) = R(k) + 0.01 (1 - percentile), once 64 responses were
+// recorded.
 func (s *ResponseSetpoint) CloseSample() {
 	if s.n < len(s.responses) {
 		return
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -97,6 +97,10 @@
 	mustBeAFraction   = "must be from 0 to 1"
 )
 
+// dispatchSlack is the time by which deadlines and windows are taken to end early: a decision may be
+// carried out as late as the dispatch after next.
+func (c *Config) dispatchSlack() time.Duration { return 2 * c.DispatchInterval }
+
 // Validate returns a *ConfigError for the first field that cannot work, else nil.
 func (c *Config) Validate() error {
 	fault := func(field string, value any, reason string) error {
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -7,27 +7,28 @@
 	"thymebend/internal/balancer/stats"
 )
 
-// crossZoneShare is the longest wait before a request may go to another zone, as a share of its maximum queue
-// time: an endpoint there takes time to find.
+// crossZoneShare is the longest wait before a request may go to another zone, as a share of its maximum
+// queue time: an endpoint there takes time to find.
 const crossZoneShare = 0.5
 
-// noRoom says that a request was looked at in this Dispatch and found no room, in the local zone or anywhere.
-type noRoom struct{ local, anyZone bool }
+// dispatchMisses notes that a request of a class was looked at in this Dispatch and found no free
+// capacity, in the local zone or anywhere: others of the class need not be looked at.
+type dispatchMisses struct{ local, anyZone bool }
 
 // in returns the flag of the zones that a request may go to.
-func (n *noRoom) in(crossZone bool) *bool {
+func (n *dispatchMisses) in(crossZone bool) *bool {
 	if crossZone {
 		return &n.anyZone
 	}
 	return &n.local
 }
 
-// Dispatch starts attempts of the queued requests for which there is room, and answers those that are past
-// their deadline or are shed. It is called once after the events that arrived together.
+// Dispatch starts attempts of the queued requests for which there is capacity, and answers those that
+// are past their deadline or are shed. It is called once after the events that arrived together.
 func (b *Balancer) Dispatch(now time.Duration) {
 	b.now = now
 	for i := range b.classes.entries {
-		b.classes.entries[i].noRoom = noRoom{}
+		b.classes.entries[i].misses = dispatchMisses{}
 	}
 	if b.endpoints.stale {
 		b.chooseSubset()
@@ -47,9 +48,9 @@
 		b.forget(r)
 		return false
 	}
-	if b.pastDeadline(r) {
+	if b.tooLateToStart(r) {
 		b.recordWait(r)
-		b.finish(r)
+		b.rejectOrFail(r)
 		return false
 	}
 	if ep := b.pick(r); ep != nil {
@@ -59,11 +60,11 @@
 	}
 	if b.shed(r) {
 		b.recordWait(r)
-		b.finish(r)
+		b.rejectOrFail(r)
 		return false
 	}
 	longest := b.classOf(r).maxQueueTime.of(r.overQuota)
-	if b.now-r.begun > longest/2 {
+	if b.now-r.firstTriedAt > longest/2 {
 		b.endpoints.signals.Short = true
 	}
 	return true
@@ -73,7 +74,7 @@
 func (b *Balancer) recordWait(r *requestState) {
 	if len(r.attempts) == 0 {
 		objective := b.classOf(r).LatencyObjective
-		b.queueThreshold.RecordWait(float64(b.now-r.arrived) / float64(objective))
+		b.queueThreshold.RecordWait(float64(b.now-r.arrivedAt) / float64(objective))
 	}
 }
 
@@ -89,7 +90,7 @@
 // markLimited notes which limits stand in the way of queued requests.
 func (b *Balancer) markLimited() {
 	for _, ep := range b.endpoints.subset {
-		if b.busy(ep) >= ep.allowed() || ep.cooldown.active(b.now) {
+		if b.effectiveInFlight(ep) >= ep.allowed() || ep.cooldown.active(b.now) {
 			ep.limit.MarkLimited()
 		}
 	}
@@ -99,18 +100,19 @@
 func (b *Balancer) setQueueTimer() {
 	if !b.queueTimerSet {
 		b.queueTimerSet = true
-		b.out.SetTimer(2*b.cfg.DispatchInterval, queueTimer)
+		b.out.SetTimer(b.cfg.dispatchSlack(), queueTimer)
 	}
 }
 
-// preference orders endpoints before their room is compared; the least goes first.
+// preference orders endpoints before their free capacity is compared; the least goes first.
 type preference int
 
 const (
-	preferProbe         preference = iota // ejected, and its probe is due; it would never be probed otherwise
-	preferLocalZone                       // of the subset and the local zone
-	preferRemoteZone                      // of the subset
-	preferOutsideSubset                   // for a retry that the subset may not take
+	// ejected, and its probe is due; it would never be probed otherwise
+	preferProbe         preference = iota
+	preferLocalZone                // of the subset and the local zone
+	preferRemoteZone               // of the subset
+	preferOutsideSubset            // for a retry that the subset may not take
 )
 
 func (b *Balancer) preference(ep *endpointState) preference {
@@ -135,23 +137,23 @@
 	if !first && class.Idempotency == KeyedIdempotent {
 		candidates = b.endpoints.all // its retry may have to go where the subset has nothing
 	}
-	crossZone := !first || b.now-r.arrived >= b.crossZoneWait(class, r)
-	full := class.noRoom.in(crossZone)
+	crossZone := !first || b.now-r.arrivedAt >= b.crossZoneWait(class, r)
+	full := class.misses.in(crossZone)
 	if len(candidates) == 0 || first && *full || b.paused {
 		return nil
 	}
 	var best *endpointState
 	var bestTier preference
-	var bestRoom int
+	var bestFree int
 	start := b.startIndex(len(candidates), first, crossZone)
 	for i := range candidates {
 		ep := candidates[(start+i)%len(candidates)]
 		if ep.Zone != b.cfg.Zone && !crossZone || !b.usable(ep, r) {
 			continue
 		}
-		tier, room := b.preference(ep), ep.allowed()-b.busy(ep)
-		if best == nil || tier < bestTier || tier == bestTier && room > bestRoom {
-			best, bestTier, bestRoom = ep, tier, room
+		tier, free := b.preference(ep), ep.allowed()-b.effectiveInFlight(ep)
+		if best == nil || tier < bestTier || tier == bestTier && free > bestFree {
+			best, bestTier, bestFree = ep, tier, free
 		}
 	}
 	if first {
@@ -190,7 +192,8 @@
 
 // usable reports whether ep may get r now.
 func (b *Balancer) usable(ep *endpointState, r *requestState) bool {
-	return ep.State == EndpointReady && !ep.cooldown.active(b.now) && b.busy(ep) < ep.allowed() &&
+	return ep.State == EndpointReady && !ep.cooldown.active(b.now) &&
+		b.effectiveInFlight(ep) < ep.allowed() &&
 		ep.classes[r.Class].Allows(b.now, ep.usualMS(b.classOf(r))) &&
 		(!ep.health.Ejected || b.mayProbe(ep, r)) && b.mayStart(r, ep) && b.slowStartAllows(ep)
 }
@@ -204,7 +207,7 @@
 	r.attempts = append(r.attempts, attempt{endpoint: ep, started: b.now})
 	r.inFlight++
 	r.queued = false
-	b.occupy(r, ep)
+	b.addInFlight(r, ep)
 	if b.warmUpFraction(ep) < 1 {
 		ep.warmUp.Spend()
 	}
--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -16,15 +16,16 @@
 // whose connection came up late. Every request that arrived gets one final answer: that of an endpoint,
 // Reject, Fail, or none if it was abandoned.
 //
-// A Balancer is not safe for concurrent use, keeps nothing outside itself, and holds no memory of the caller
-// after a call returns. The same calls with the same seed give the same actions.
+// A Balancer is not safe for concurrent use, keeps nothing outside itself, and holds no memory of the
+// caller after a call returns. The same calls with the same seed give the same actions.
 //
 // # Units
 //
-// Moments are a monotonic time.Duration since any fixed moment, the same for all calls; they never go back.
-// Spans are a time.Duration. Service times that are averaged are float64 milliseconds, and their names end in
-// MS or their comments say so. Queue and response times that the loops compare are multiples of the latency
-// objective. Rates are requests a second. Shares and fractions are from 0 to 1.
+// Moments are a monotonic time.Duration since any fixed moment, the same for all calls; they never go
+// back. Spans are a time.Duration. Service times that are averaged are float64 milliseconds, and their
+// names end in MS or their comments say so. Queue and response times that the loops compare are
+// multiples of the latency objective. Rates are requests a second. Shares and fractions are from 0 to
+// 1.
 //
 // # Algorithm
 //
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -27,7 +27,7 @@
 // checkSilence ejects an endpoint that has work and is silent, and takes back the work that may be retried.
 func (b *Balancer) checkSilence(ep *endpointState) {
 	reference := b.classes.referenceMS
-	if reference == 0 || b.busy(ep) == 0 || !ep.health.IsSilent(b.now, ep.serviceMS(reference)) {
+	if reference == 0 || b.effectiveInFlight(ep) == 0 || !ep.health.IsSilent(b.now, ep.serviceMS(reference)) {
 		return
 	}
 	b.eject(ep, "is silent")
@@ -38,7 +38,7 @@
 }
 
 // eject keeps ordinary requests from ep, until a probe is answered, unless too many of the subset look bad.
-// An expansion is ejected in any case, and tells nothing of the others: it is taken where others left off.
+// An expansion is ejected in any case and without a log line, and does not count among those that look bad.
 func (b *Balancer) eject(ep *endpointState, why string) {
 	if !ep.health.Ejected && !ep.subset.expansion {
 		ejected, ready := 1, 0
@@ -59,8 +59,9 @@
 	ep.health.Eject(b.now, b.classes.meanObjective(), b.rng.Float64())
 }
 
-// mayProbe reports whether r may probe an ejected endpoint: one request at a time, when the probe is due, and
-// only one that can be retried if it fails.
+// mayProbe reports whether r may probe an ejected endpoint: one request at a time, when the probe is
+// due, and only the first attempt of a request that can be retried if it fails. So an ejected endpoint
+// does not come back while all requests are non-idempotent.
 func (b *Balancer) mayProbe(ep *endpointState, r *requestState) bool {
 	retryable := b.classOf(r).Idempotency != NonIdempotent && len(r.attempts) == 0
 	return retryable && ep.inFlight == 0 && ep.health.ProbeDue(b.now)
@@ -76,7 +77,7 @@
 		r := b.requests.byID[id]
 		c := b.classOf(r)
 		if r.done || c.Idempotency == NonIdempotent || len(r.attempts) >= b.cfg.MaxAttempts ||
-			b.pastDeadline(r) {
+			b.tooLateToStart(r) {
 			continue
 		}
 		for i := range r.attempts {
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -25,22 +25,22 @@
 	health   outlierdetection.Health
 	cooldown cooldown
 	warmUp   slowstart.Budget
-	subset   membership
+	subset   subsetPlace
 }
 
-// membership is an endpoint's place in the subset that this gateway uses.
-type membership struct {
+// subsetPlace is an endpoint's place in the subset that this gateway uses.
+type subsetPlace struct {
 	used         bool    // in the subset
 	regular      bool    // in its regular part, which users counts
 	wasRegular   bool    // and before the last choice
-	expansion    bool    // used beyond the regular part, because this gateway is short of room
+	expansion    bool    // used beyond the regular part, because this gateway is short of capacity
 	users        float64 // gateways that use the endpoint in their regular part, at least 1
 	relativeLoad float64 // by how much more of these use it than the mean
 	weight       float64 // among the subset, by the cluster; 0 without one
 }
 
-// usualMS is the service time that an attempt may be expected to take at most, in ms: that of the class or of
-// the endpoint.
+// usualMS is the service time that an attempt may be expected to take at most, in ms: that of the class
+// or of the endpoint.
 func (ep *endpointState) usualMS(c *classState) float64 {
 	return max(stats.Milliseconds(c.expected), ep.limit.ServiceMS.Value)
 }
@@ -138,8 +138,8 @@
 	s.all = append(s.all, ep)
 }
 
-// place gives newly listed endpoints their places. A successor takes the place of one that drains or is gone,
-// so that the subsets of all gateways are replaced one for one.
+// place gives newly listed endpoints their places. A successor takes the place of one that drains or is
+// gone, so that the subsets of all gateways are replaced one for one.
 func (s *endpointSet) place(fresh []*endpointState, zone int) {
 	slices.SortFunc(fresh, func(x, y *endpointState) int {
 		return cmp.Compare(x.ID, y.ID) // mixes zones and cells, so that one lost is no gateway's whole subset
@@ -176,7 +176,7 @@
 	return n
 }
 
-// turnover is the mean time between two openings of room in the subset; 0 is unknown.
+// turnover is the mean time between two openings of capacity in the subset; 0 is unknown.
 func (s *endpointSet) turnover(referenceMS float64) time.Duration {
 	perMS := 0.0
 	for _, ep := range s.subset {
--- a/internal/balancer/endpoints_test.go
+++ b/internal/balancer/endpoints_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Guards against a deploy that shifts the subsets of all gateways: a successor takes the place of the endpoint
-// that left.
+// Guards against a deploy that shifts the subsets of all gateways: a successor takes the place of the
+// endpoint that left.
 func TestSuccessorsTakeThePlacesOfThoseThatLeft(t *testing.T) {
 	set := endpointSet{byID: make(map[EndpointID]*endpointState)}
 	update := func(entries ...Endpoint) { set.update(time.Second, Delta, entries, 0, 1) }
--- a/internal/balancer/harness_test.go
+++ b/internal/balancer/harness_test.go
@@ -209,8 +209,8 @@
 	r.b.Dispatch(r.now)
 }
 
-// play starts so many requests one after another, each answered as the endpoints' outcomes say, and returns who
-// got them.
+// play starts so many requests one after another, each answered as the endpoints' outcomes say, and
+// returns who got them.
 func (r *rig) play(from RequestID, n int, outcome func(EndpointID) Outcome) map[EndpointID]int {
 	got := make(map[EndpointID]int)
 	for i := range n {
--- a/internal/balancer/loadshedding.go
+++ b/internal/balancer/loadshedding.go
@@ -12,15 +12,15 @@
 // leave.
 const lateMargin = 4.0
 
-// minTurnovers is how many openings of room a request is queued for at least, if its objective allows it:
-// otherwise a gateway that sees few would shed what the next opening could have served.
+// minTurnovers is how many openings of capacity a request is queued for at least, if its objective
+// allows it: otherwise a gateway that sees few would shed what the next opening could have served.
 const minTurnovers = 3.0
 
-// maxQueueTime is how long requests of a class are queued while room is short.
-type maxQueueTime struct{ withinQuota, overQuota time.Duration }
+// queueTimeLimits is how long requests of a class are queued while capacity is short.
+type queueTimeLimits struct{ withinQuota, overQuota time.Duration }
 
 // of returns the time for a request beyond its tenant's quota, or within it.
-func (m maxQueueTime) of(overQuota bool) time.Duration {
+func (m queueTimeLimits) of(overQuota bool) time.Duration {
 	if overQuota {
 		return m.overQuota
 	}
@@ -44,11 +44,11 @@
 }
 
 // setMaxQueueTimes works out the times of all classes. threshold is the queue-time threshold in multiples
-// of the objectives, turnover the mean time between two openings of room.
+// of the objectives, turnover the mean time between two openings of capacity.
 //
-// A request is queued until the threshold, but no longer than its answer would still come in time, and one
-// that adds less to the goal for the work it takes gives way sooner to those that add more (exceptions to the
-// paper, which has one class).
+// A request is queued until the threshold, but no longer than its answer would still come in time, and
+// one that adds less to the goal for the work it takes has a shorter maximum queue time than those that
+// add more (exceptions to the paper, which has one class).
 func (p loadShedding) setMaxQueueTimes(classes *classTable, threshold float64, turnover time.Duration) {
 	best := p.setGoalDensities(classes)
 	for i := range classes.entries {
@@ -65,7 +65,7 @@
 			}
 			return min(limit, stats.Scale(c.LatencyObjective, threshold))
 		}
-		c.maxQueueTime = maxQueueTime{
+		c.maxQueueTime = queueTimeLimits{
 			withinQuota: longest(c.goalDensity), overQuota: longest(c.goalDensity * p.overQuotaWeight),
 		}
 	}
--- a/internal/balancer/loadshedding_test.go
+++ b/internal/balancer/loadshedding_test.go
@@ -71,29 +71,29 @@
 		policy    loadShedding
 		threshold float64
 		prepare   func(heavy, light *classState)
-		want      [2]maxQueueTime // in ms, of the heavy and of the light class
+		want      [2]queueTimeLimits // in ms, of the heavy and of the light class
 	}{
 		{
 			"a request over quota counts a quarter", loadShedding{overQuotaWeight: 0.25}, 2, nil,
 			// 900 ms are left before the answer is late; the root of a quarter of the best is a half.
-			[2]maxQueueTime{{900, 450}, {450, 225}},
+			[2]queueTimeLimits{{900, 450}, {450, 225}},
 		},
 		{
 			"the threshold bounds all", loadShedding{overQuotaWeight: 0.25}, 0.3, nil,
-			[2]maxQueueTime{{300, 300}, {300, 225}},
+			[2]queueTimeLimits{{300, 300}, {300, 225}},
 		},
 		{
 			"weight by work counts long work by its time", loadShedding{overQuotaWeight: 1, weightByWork: true}, 2,
 			func(heavy, light *classState) { heavy.Weight, light.expected = 1, 200*millisecond },
 			// The light class leaves less time before its objective, and adds as much for each ms of work.
-			[2]maxQueueTime{{900, 900}, {800, 800}},
+			[2]queueTimeLimits{{900, 900}, {800, 800}},
 		},
 		{
 			"the class served worst has a weight of its own",
 			loadShedding{overQuotaWeight: 1, totalGoalWeight: 1, worstClassGoalWeight: 3}, 2,
 			func(heavy, light *classState) { heavy.served.Add(1, 0); light.served.Add(0, 0) },
 			// The light class adds 1 + 3x5 for 4 of the heavy one.
-			[2]maxQueueTime{{450, 450}, {900, 900}},
+			[2]queueTimeLimits{{450, 450}, {900, 900}},
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -113,7 +113,8 @@
 	}
 }
 
-// Guards against a gateway that sees few openings of room and sheds what the next one could have served.
+// Guards against a gateway that sees few openings of capacity and sheds what the next one could have
+// served.
 func TestRequestsAreQueuedForSomeTurnovers(t *testing.T) {
 	c := classState{Class: Class{LatencyObjective: time.Second}}
 	c.refresh()
--- a/internal/balancer/outlierdetection/class.go
+++ b/internal/balancer/outlierdetection/class.go
@@ -12,8 +12,9 @@
 	maxProbeDoubling = 4                 // doublings of the time between two probes
 )
 
-// ClassHealth is how one class of requests fares at one endpoint. Guards against an endpoint that answers one
-// class at once and another never, and looks healthy as a whole. The zero value has nothing in flight.
+// ClassHealth is how one class of requests fares at one endpoint. Guards against an endpoint that
+// answers one class at once and another never, and looks healthy as a whole. The zero value has nothing
+// in flight.
 type ClassHealth struct {
 	InFlight int           // attempts
 	since    time.Duration // first attempt since the last answer, while in flight or stalled; else 0
@@ -21,8 +22,8 @@
 	probeAt  time.Duration // when a stalled class may be probed
 }
 
-// Stalled reports whether the endpoint leaves the class unanswered. usualMS is the usual service time of the
-// class or of the endpoint, whichever is longer.
+// Stalled reports whether the endpoint leaves the class unanswered. usualMS is the usual service time
+// of the class or of the endpoint, whichever is longer.
 func (c *ClassHealth) Stalled(now time.Duration, usualMS float64) bool {
 	return c.since > 0 && now-c.since > stats.FromMilliseconds(stalledFactor*usualMS)
 }
@@ -33,7 +34,8 @@
 	return lastHeard > c.since && c.Stalled(now, usualMS)
 }
 
-// Allows reports whether an attempt may start: any while the class is not stalled, else one probe at a time.
+// Allows reports whether an attempt may start: any while the class is not stalled, else one probe at a
+// time.
 func (c *ClassHealth) Allows(now time.Duration, usualMS float64) bool {
 	return !c.Stalled(now, usualMS) || c.InFlight == 0 && now >= c.probeAt
 }
@@ -57,8 +59,8 @@
 	*c = ClassHealth{InFlight: c.InFlight, since: now}
 }
 
-// Settle forgets when the first attempt started once none is in flight. A class that stalled stays so until a
-// probe is answered: a timeout shows nothing good.
+// Settle forgets when the first attempt started once none is in flight. A class that stalled stays so
+// until a probe is answered: a timeout shows nothing good.
 func (c *ClassHealth) Settle(now time.Duration, usualMS float64) {
 	if c.InFlight == 0 && !c.Stalled(now, usualMS) {
 		c.since = 0
--- a/internal/balancer/outlierdetection/class_test.go
+++ b/internal/balancer/outlierdetection/class_test.go
@@ -7,7 +7,8 @@
 
 const usualMS = 100.0
 
-// Guards against an endpoint that answers one class and never another: the one is stalled, and probed seldom.
+// Guards against an endpoint that answers one class and never another: the one is stalled, and probed
+// seldom.
 func TestStalledClassIsProbed(t *testing.T) {
 	var c ClassHealth
 	now := time.Minute
--- a/internal/balancer/outlierdetection/health.go
+++ b/internal/balancer/outlierdetection/health.go
@@ -1,6 +1,6 @@
-// Package outlierdetection decides which endpoints are out of rotation because they fail or are silent, when
-// such an endpoint is probed, and which classes of requests an endpoint leaves unanswered. The types have no
-// clock, draw no random numbers, log nothing and are not safe for concurrent use.
+// Package outlierdetection decides which endpoints are out of rotation because they fail or are silent,
+// when such an endpoint is probed, and which classes of requests an endpoint leaves unanswered. The
+// types have no clock, draw no random numbers, log nothing and are not safe for concurrent use.
 package outlierdetection
 
 import (
@@ -51,8 +51,8 @@
 // RecordFailure notes a failure. See ShouldEject for what follows.
 func (h *Health) RecordFailure() { h.FailureRate += (1 - h.FailureRate) * failureWeight }
 
-// ShouldEject reports whether the endpoint is to be ejected after a failure: its failure rate is too high, or
-// the failure was that of a probe.
+// ShouldEject reports whether the endpoint is to be ejected after a failure: its failure rate is too
+// high, or the failure was that of a probe.
 func (h *Health) ShouldEject() bool {
 	return h.Ejected || h.FailureRate > maxFailureRate*h.evidence()
 }
@@ -72,8 +72,8 @@
 	return 1
 }
 
-// TooManyEjected reports whether so many endpoints look bad, of so many that are ready, that the load is more
-// likely the cause. None is ejected then.
+// TooManyEjected reports whether so many endpoints look bad, of so many that are ready, that the load
+// is more likely the cause. None is ejected then.
 func TooManyEjected(ejected, ready int) bool {
 	return float64(ejected) > maxEjectedShare*float64(ready)
 }
--- a/internal/balancer/rejection.go
+++ b/internal/balancer/rejection.go
@@ -6,9 +6,9 @@
 	"thymebend/internal/balancer/stats"
 )
 
-// finish gives r its final answer without an endpoint's: a rejection if trying again is harmless, else a
-// failure.
-func (b *Balancer) finish(r *requestState) {
+// rejectOrFail gives r its final answer without an endpoint's: a rejection if trying again is harmless,
+// else a failure.
+func (b *Balancer) rejectOrFail(r *requestState) {
 	r.queued = false
 	if b.mayReject(r) {
 		b.out.Reject(r.ID, b.retryAfter())
@@ -25,26 +25,33 @@
 		!r.mayHaveRun()
 }
 
+// minRetryAfter is the least Retry-After in mean latency objectives; up to one more is drawn at random,
+// so that clients do not come back together.
+const minRetryAfter = 0.5
+
 // retryAfter asks clients to stay away until the queue has had time to drain.
 func (b *Balancer) retryAfter() time.Duration {
 	if !b.cfg.RetryAfter {
 		return 0
 	}
-	return min(stats.Scale(b.classes.meanObjective(), 0.5+b.rng.Float64()), b.cfg.MaxRetryAfter)
+	return min(stats.Scale(b.classes.meanObjective(), minRetryAfter+b.rng.Float64()), b.cfg.MaxRetryAfter)
 }
 
-// pastDeadline reports whether an answer to r could no longer count if an attempt started now. To reject it
-// at once tells the client sooner and leaves the endpoints to work that counts. It also keeps the deadline.
-func (b *Balancer) pastDeadline(r *requestState) bool {
+// tooLateToStart reports whether the answer to an attempt of r that started now would come after it
+// still earns weight: after the latency objective, counted from the client's first try, or after the
+// client's deadline where a late answer earns something (LateWeight). Such a request is rejected at
+// once: its client hears sooner, and the endpoints are left to work that counts.
+func (b *Balancer) tooLateToStart(r *requestState) bool {
 	c := b.classOf(r)
-	return b.now+c.expected+2*b.cfg.DispatchInterval >= c.usefulUntil(r.begun, r.deadline)
+	return b.now+c.expected+b.cfg.dispatchSlack() >= c.usefulUntil(r.firstTriedAt, r.deadline)
 }
 
-// shed reports whether a queued request has waited for its maximum queue time. A request that was attempted
-// is not shed.
+// shed reports whether a queued request is past its maximum queue time, which is counted from its
+// client's first try, not from its arrival here: a client's retry may be shed at once. A request that
+// was attempted is not shed.
 func (b *Balancer) shed(r *requestState) bool {
 	longest := b.classOf(r).maxQueueTime.of(r.overQuota)
-	return len(r.attempts) == 0 && b.now-r.begun > longest
+	return len(r.attempts) == 0 && b.now-r.firstTriedAt > longest
 }
 
 // conclude notes that r has its final answer; it is kept while attempts are in flight.
--- a/internal/balancer/reload.go
+++ b/internal/balancer/reload.go
@@ -7,8 +7,9 @@
 	"thymebend/internal/balancer/outlierdetection"
 )
 
-// retiredFor is how long the index of a class that left the settings is not given to another: requests made
-// for it may still arrive.
+// retiredFor is how long the index of a class that left the settings is not given to another: requests
+// made for it may still arrive. It must exceed previousClassTTL of internal/gateway, which finds the
+// class of those.
 const retiredFor = 5 * time.Second
 
 // Reload takes new settings between two events and returns the index of each class of cfg.Classes, which is
@@ -55,8 +56,8 @@
 	}
 }
 
-// replace makes these the current classes and returns their indices. reused is called for each index that is
-// given to another class.
+// replace makes these the current classes and returns their indices. reused is called for each index
+// that is given to another class.
 func (t *classTable) replace(now time.Duration, classes []Class, reused func(index int)) []int {
 	before := slices.Clone(t.entries) // what was learnt, by the indices before
 	for i := range t.entries {
--- a/internal/balancer/report.go
+++ b/internal/balancer/report.go
@@ -46,7 +46,7 @@
 		}
 		if ep.subset.used && !ep.health.Ejected {
 			limits += ep.allowed()
-			free += max(0, ep.allowed()-b.busy(ep))
+			free += max(0, ep.allowed()-b.effectiveInFlight(ep))
 		}
 	}
 	out.FreeCapacity = float64(free) / float64(max(1, limits))
--- a/internal/balancer/requests.go
+++ b/internal/balancer/requests.go
@@ -8,14 +8,14 @@
 // requestState is a request taken and not yet concluded, or one with attempts still in flight.
 type requestState struct {
 	Request
-	arrived   time.Duration // at the gateway
-	begun     time.Duration // when its client first tried
-	deadline  time.Duration // when its client gives up
-	overQuota bool          // beyond its tenant's quota
-	done      bool          // has its final answer
-	queued    bool
-	inFlight  int // attempts
-	attempts  []attempt
+	arrivedAt    time.Duration // at the gateway
+	firstTriedAt time.Duration // when its client first tried
+	deadline     time.Duration // when its client gives up
+	overQuota    bool          // beyond its tenant's quota
+	done         bool          // has its final answer
+	queued       bool
+	inFlight     int // attempts
+	attempts     []attempt
 }
 
 // attempt is one attempt of a request.
@@ -83,7 +83,7 @@
 // insert queues a request by its arrival: one that is queued again goes before those that came later.
 func (q *requestQueue) insert(r *requestState) {
 	at := len(*q)
-	for at > 0 && (*q)[at-1].arrived > r.arrived {
+	for at > 0 && (*q)[at-1].arrivedAt > r.arrivedAt {
 		at--
 	}
 	*q = slices.Insert(*q, at, r)
--- a/internal/balancer/requests_test.go
+++ b/internal/balancer/requests_test.go
@@ -9,7 +9,7 @@
 func TestQueueIsInOrderOfArrival(t *testing.T) {
 	var q requestQueue
 	for id, arrived := range []time.Duration{10, 30, 20, 20, 5} {
-		q.insert(&requestState{Request: Request{ID: RequestID(id)}, arrived: arrived})
+		q.insert(&requestState{Request: Request{ID: RequestID(id)}, arrivedAt: arrived})
 	}
 	var got []RequestID
 	q.retain(func(r *requestState) bool {
--- a/internal/balancer/retrybudget/retrybudget.go
+++ b/internal/balancer/retrybudget/retrybudget.go
@@ -20,5 +20,6 @@
 // Available reports whether a retry is left.
 func (b *Budget) Available() bool { return b.retries >= 1 }
 
-// Spend takes a retry that starts. Several may have found the same one left, so the budget may be overdrawn.
+// Spend takes a retry that starts. Several may have found the same one left, so the budget may be
+// overdrawn.
 func (b *Budget) Spend() { b.retries-- }
--- a/internal/balancer/sampling_test.go
+++ b/internal/balancer/sampling_test.go
@@ -16,7 +16,7 @@
 	r := newRig(t, cfg, ready(1, 0, 0))
 	s := r.b.endpoints.all[0]
 	near(t, "u at the start", s.limit.Value, 0.5)
-	s.limit.Value, s.limit.GainMS, s.limit.UncrowdedMS = 0.8, 100, 100
+	s.limit.Value, s.limit.GainMS, s.limit.BaselineMS = 0.8, 100, 100
 	s.limit.ServiceMS = stats.Mean{N: 1000, Value: 200}
 	r.b.classes.referenceMS = 100
 	s.limit.Sample.Answers, s.limit.Sample.ServiceSumMS = 1, 280 // K = 50+140; step = 0.16/190 x (140-280), times u
@@ -55,7 +55,7 @@
 		r.request(1, 0)
 		r.b.AttemptEnded(r.now, AttemptEnd{Request: 1, Endpoint: 1, Outcome: OutcomeOK, Latency: 50 * millisecond,
 			RequestDone: true, Reported: true, QueueLength: c.waiting})
-		s.limit.Value, s.limit.GainMS, s.limit.UncrowdedMS, s.limit.Sample.Limited = 3, 50, 150/1.4, true
+		s.limit.Value, s.limit.GainMS, s.limit.BaselineMS, s.limit.Sample.Limited = 3, 50, 150/1.4, true
 		s.closeSample(r.b.serviceTarget())
 		if grew := s.limit.Value > 3; grew != c.grows || s.limit.Value < 3-0.08 || s.limit.Value == 3 {
 			t.Errorf("%v waiting: u = %v, want growth %v", c.waiting, s.limit.Value, c.grows)
@@ -63,7 +63,7 @@
 	}
 }
 
-// The setpoint is a multiple of the uncrowded service time, but with short objectives it exceeds that by a
+// The setpoint is a multiple of the baseline service time, but with short objectives it exceeds that by a
 // part of them only.
 func TestShortObjectivesLeaveLittleRoomForCrowding(t *testing.T) {
 	for objective, want := range map[time.Duration]float64{
@@ -77,7 +77,7 @@
 		}
 		r := newRig(t, cfg, ready(1, 0, 0))
 		s := r.b.endpoints.byID[1]
-		s.limit.UncrowdedMS = 100
+		s.limit.BaselineMS = 100
 		near(t, fmt.Sprint("setpoint at an objective of ", objective), s.limit.SetpointMS(r.b.serviceTarget()), want)
 	}
 }
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -9,12 +9,13 @@
 
 // slowStart is what the budgets of endpoints that are warming up share.
 type slowStart struct {
-	warmRate slowstart.WarmRate
-	byGrant  bool // gateways speak with each other: budgets are what GrantSlowStartToken gives
-	yielded  bool // another process of this gateway has the budgets
+	warmRate       slowstart.WarmRate
+	tokensRequired bool // since the first AssignEndpoints: only GrantSlowStartToken lets requests through
+	yielded        bool // another process of this gateway has the budgets
 }
 
-// GrantSlowStartToken gives this gateway one request for an endpoint in slow start, to be sent before a time.
+// GrantSlowStartToken gives this gateway one request for an endpoint in slow start, to be sent before a
+// time.
 func (b *Balancer) GrantSlowStartToken(now time.Duration, id EndpointID, until time.Duration) {
 	b.now = now
 	if ep := b.endpoints.byID[id]; ep != nil && !b.slowStart.yielded {
@@ -39,8 +40,10 @@
 	return schedule.Fraction(b.now, ep.StartedAt)
 }
 
-// slowStartAllows reports whether an endpoint may get one more request, as far as it is warming up. Gateways
-// that use it as an expansion send it nothing: budgets are worked out without them.
+// slowStartAllows reports whether the slow-start budget of an endpoint allows one more request; it
+// always does for a warm endpoint. One that is warming up gets nothing while another process of this
+// gateway has the budgets, without a token where tokens are required, from gateways that use it as an
+// expansion, and when this gateway's part of its budget is used up.
 func (b *Balancer) slowStartAllows(ep *endpointState) bool {
 	fraction := b.warmUpFraction(ep)
 	switch {
@@ -48,7 +51,7 @@
 		return true
 	case b.slowStart.yielded:
 		return false
-	case b.slowStart.byGrant:
+	case b.slowStart.tokensRequired:
 		return ep.warmUp.HasGrant(b.now)
 	}
 	// A gateway that has just started knows no more than what one core answers.
--- a/internal/balancer/slowstart/slowstart.go
+++ b/internal/balancer/slowstart/slowstart.go
@@ -1,7 +1,7 @@
-// Package slowstart bounds what an endpoint gets that has just started and is warming up. Its capacity rises
-// evenly over a stated time; what all gateways together send it must stay under what would overload it. Each
-// gateway spends a part of that budget of its own, or, where gateways share the endpoint by a token schedule,
-// the tokens that it is granted.
+// Package slowstart bounds what an endpoint gets that has just started and is warming up. Its capacity
+// rises evenly over a stated time; what all gateways together send it must stay under what would
+// overload it. Each gateway spends a part of that budget of its own, or, where gateways share the
+// endpoint by a token schedule, the tokens that it is granted.
 //
 // The types have no clock, draw no random numbers and are not safe for concurrent use.
 package slowstart
@@ -34,7 +34,7 @@
 }
 
 // WarmRate is how many requests a second a warm endpoint answers to all gateways, as far as seen here; 0 is
-// unknown. Answers are counted, not their times, which are longer where endpoints are crowded.
+// unknown. Answers are counted, not their times, which are longer where endpoints are congested.
 type WarmRate float64
 
 // Observe takes the mean number of answers of the warm endpoints in one sampling period, over all gateways.
@@ -52,8 +52,8 @@
 }
 
 // TokenRate is how many requests a second this gateway may send to an endpoint that is warming up.
-// overloadMultiple is the multiple of its capacity that overloads it, capacity the requests a second that it
-// answers when warm, and users the number of gateways that share the budget.
+// overloadMultiple is the multiple of its capacity that overloads it, capacity the requests a second
+// that it answers when warm, and users the number of gateways that share the budget.
 func TokenRate(overloadMultiple, fraction, capacity, users float64) float64 {
 	return safetyShare * overloadMultiple * fraction * capacity / users
 }
--- a/internal/balancer/slowstart/slowstart_test.go
+++ b/internal/balancer/slowstart/slowstart_test.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// Guards against requests of many gateways that come at one moment, as an endpoint comes into their subsets.
+// Guards against requests of many gateways that come at one moment, as an endpoint comes into their
+// subsets.
 func TestBudgetBeginsInDebt(t *testing.T) {
 	b := NewBudget(0)
 	b.Refill(time.Hour, 1, 2*time.Second)
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -113,8 +113,8 @@
 				}
 			}
 		}
-		// Warm endpoints get 4 a second of each user; 2.5 times 0.3 of that for 2 s overloads the endpoint. Of one
-		// that is not known no more is sure than one core: ten a second of 100 ms.
+		// Warm endpoints get 4 a second of each user; 2.5 times 0.3 of that for 2 s overloads the
+		// endpoint. Of one that is not known no more is sure than one core: ten a second of 100 ms.
 		limit := 2.5 * 0.3 * 2 * rate * float64(users)
 		if restarted {
 			limit = 2.5 * 0.3 * 2 * 10
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -37,7 +37,7 @@
 	StartedAt       time.Duration `json:"born_ns"`
 	Limit           float64       `json:"limit"`
 	Gain            float64       `json:"gain"`
-	UncrowdedMS     float64       `json:"base_ms"`
+	BaselineMS      float64       `json:"base_ms"`
 	Answers         int           `json:"answers"`
 	ServiceMS       float64       `json:"service_ms"`
 	FailureRate     float64       `json:"fail_share"`
@@ -117,7 +117,7 @@
 func (ep *endpointState) state(now time.Duration) EndpointStats {
 	return EndpointStats{
 		ID: ep.ID, StartedAt: ep.StartedAt,
-		Limit: ep.limit.Value, Gain: ep.limit.GainMS, UncrowdedMS: ep.limit.UncrowdedMS,
+		Limit: ep.limit.Value, Gain: ep.limit.GainMS, BaselineMS: ep.limit.BaselineMS,
 		Answers: ep.limit.ServiceMS.N, ServiceMS: ep.limit.ServiceMS.Value,
 		FailureRate: ep.health.FailureRate, Ejected: ep.health.Ejected, Silent: ep.health.Silent,
 		Ejections: ep.health.Ejections, ProbeIn: max(0, ep.health.ProbeAt-now),
@@ -126,12 +126,12 @@
 }
 
 func (ep *endpointState) restore(now time.Duration, in EndpointStats) {
-	if in.Answers < 0 || !plausible(in.Limit, in.Gain, in.UncrowdedMS, in.ServiceMS, in.FailureRate,
+	if in.Answers < 0 || !plausible(in.Limit, in.Gain, in.BaselineMS, in.ServiceMS, in.FailureRate,
 		math.Abs(in.SlowStartTokens)) {
 		return
 	}
 	ep.limit.Value = max(ep.minLimit(), in.Limit)
-	ep.limit.GainMS, ep.limit.UncrowdedMS = in.Gain, in.UncrowdedMS
+	ep.limit.GainMS, ep.limit.BaselineMS = in.Gain, in.BaselineMS
 	ep.limit.ServiceMS = stats.Mean{N: in.Answers, Value: in.ServiceMS}
 	ep.health.FailureRate = min(in.FailureRate, 1)
 	ep.health.Ejected, ep.health.Silent, ep.health.Ejections = in.Ejected, in.Silent, in.Ejections
--- a/internal/balancer/state_test.go
+++ b/internal/balancer/state_test.go
@@ -60,7 +60,7 @@
 func TestRestoreTakesWhatIsPlausible(t *testing.T) {
 	a := newRig(t, testConfig(), ready(1, 0, 0), ready(2, 0, 0))
 	for _, s := range a.b.endpoints.all {
-		s.limit.Value, s.limit.GainMS, s.limit.UncrowdedMS = 7.5, 3, 40
+		s.limit.Value, s.limit.GainMS, s.limit.BaselineMS = 7.5, 3, 40
 	}
 	a.b.endpoints.all[1].health.Ejected, a.b.endpoints.all[1].health.ProbeAt = true, a.now+time.Second
 	b := newRig(t, testConfig(), ready(1, 0, 0), ready(2, 0, 0))
--- a/internal/balancer/subsetting.go
+++ b/internal/balancer/subsetting.go
@@ -14,9 +14,9 @@
 	minSubset   = 2.0 // endpoints that a gateway uses at least, if there are so many
 )
 
-// choose picks the subset of endpoints that this gateway uses and returns those used before. Endpoints accept
-// fewer connections than there are gateways, and the answers of few tell more of each. Ejected endpoints are
-// replaced by the next ones.
+// choose picks the subset of endpoints that this gateway uses and returns those used before. Endpoints
+// accept fewer connections than there are gateways, and the answers of few tell more of each. Ejected
+// endpoints are replaced by the next ones.
 func (s *endpointSet) choose(now time.Duration, cfg *Config, rng *rand.Rand) (before []*endpointState) {
 	s.stale = false
 	before = s.subset
@@ -24,7 +24,7 @@
 	zones := subset.Count(cfg.Zone, s.zones)
 	subset.Rule{Local: localUsers, Remote: remoteUsers, Min: minSubset}.Subsets(cfg.Gateways, zones)
 	for _, ep := range s.all {
-		ep.subset = membership{
+		ep.subset = subsetPlace{
 			wasRegular: ep.subset.regular, relativeLoad: ep.subset.relativeLoad,
 			users: subset.Users(cfg.Gateways, ep.Zone, zones),
 		}
@@ -57,7 +57,7 @@
 }
 
 // chooseAssigned adds the endpoints that the cluster assigns to this gateway, and its spares where one of
-// these is ejected or this gateway is short of room.
+// these is ejected or this gateway is short of capacity.
 func (s *endpointSet) chooseAssigned(now time.Duration, zone int) {
 	places, part := make([]*endpointState, 0, len(s.assigned)), 0.0
 	for _, a := range s.assigned {
@@ -100,8 +100,8 @@
 	return s.take(now, places, subset.Start(rank, len(places)), subset.RoundByRank(rank, part), expansion)
 }
 
-// take adds endpoints from a place on, see choosePart. One that would be an expansion while it is ejected is
-// left out until its probe is due.
+// take adds endpoints from a place on, see choosePart. One that would be an expansion while it is
+// ejected is left out until its probe is due.
 func (s *endpointSet) take(
 	now time.Duration, places []*endpointState, start int, part, expansion float64,
 ) (usable float64) {
--- a/internal/balancer/subsetting_test.go
+++ b/internal/balancer/subsetting_test.go
@@ -97,7 +97,7 @@
 }
 
 // Guards against endpoints that idle while gateways of a zone with few endpoints, or with much traffic, are
-// short of room.
+// short of capacity.
 func TestAGatewayShortOfRoomExpandsToOtherZones(t *testing.T) {
 	r := cluster(t, 300, twoZones(40))[0]
 	warmUp(r)
@@ -130,7 +130,8 @@
 		}
 		s.StartedAt = 0
 	}
-	// A full one tells that all gateways are short: hundreds of gateways would take each other's connections.
+	// A full one tells that all gateways are short: hundreds of gateways would take each other's
+	// connections.
 	size := r.b.endpoints.expansion.Size
 	at := slices.IndexFunc(out, func(a act) bool { return r.b.endpoints.byID[a.endpoint].subset.expansion })
 	r.end(out[at].id, 0, out[at].endpoint, OutcomeRejected, 5*millisecond)
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -171,7 +171,7 @@
 	st, counts := v.Status(c.now), v.Counts()
 	out.Active, out.Settled, out.Majority, out.DuplicateName = c.socketOpen, st.Settled, st.Majority, st.DuplicateName
 	out.Alive, out.Known, out.Answering = st.Alive, st.Known, st.Answering
-	out.Health, out.QuietMS = st.LocalHealth, st.Isolated.Milliseconds()
+	out.Health, out.QuietMS = st.LocalHealth, st.StableFor.Milliseconds()
 	out.Sent, out.SentBytes = counts.Sent, counts.SentBytes
 	out.Received, out.ReceivedBytes = counts.Received, counts.ReceivedBytes
 	out.Refused = map[string]uint64{
--- a/internal/loadreport/peers.go
+++ b/internal/loadreport/peers.go
@@ -13,11 +13,11 @@
 	// One gateway's demand counts for so much at most and at least, over the median of those known.
 	maxOverMedian = 8.0
 	minOverMedian = 1.0 / 64
-	// minWitnesses have to eject an endpoint for it to be suspected: one gateway that lies or is slow must not change
+	// minSuspectors have to eject an endpoint for it to be suspected: one gateway that lies or is slow must not change
 	// its fate.
-	minWitnesses = 2
-	// maxWitnessHealth is the local health from which on a gateway is no witness.
-	maxWitnessHealth = 4
+	minSuspectors = 2
+	// maxReporterHealth is the local health from which on a gateway is no witness.
+	maxReporterHealth = 4
 )
 
 // PeerReport is a member's last report, and for how long the member has not been alive; 0 while it is.
@@ -33,7 +33,7 @@
 
 // witnesses reports whether what the peer ejects counts: it is alive now and well itself.
 func (p *PeerReport) witnesses() bool {
-	return p.Known && p.Silent <= 0 && p.LocalHealth < maxWitnessHealth
+	return p.Known && p.Silent <= 0 && p.LocalHealth < maxReporterHealth
 }
 
 // SuspectedByPeers are the hashes of endpoints that several other gateways have ejected. The reports must not hold the
@@ -50,7 +50,7 @@
 	}
 	suspected := make(map[uint32]bool)
 	for hash, n := range witnesses {
-		if n >= minWitnesses {
+		if n >= minSuspectors {
 			suspected[hash] = true
 		}
 	}
--- a/internal/membership/claims_test.go
+++ b/internal/membership/claims_test.go
@@ -154,7 +154,7 @@
 	if got, _ := m.Find("b"); got.Incarnation != 1 || string(got.Payload) != "\x01" {
 		t.Fatalf("%+v", got)
 	}
-	if st := m.Status(later); st.Isolated != time.Second {
+	if st := m.Status(later); st.StableFor != time.Second {
 		t.Errorf("%+v", st)
 	}
 }
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -37,7 +37,7 @@
 	Alive         int           // this gateway and suspects included
 	Known         int           // alive, gone but not yet forgotten, and seed peers never heard of
 	Answering     float64       // share of the last periodic probes that were answered, 0 to 1
-	Isolated      time.Duration // since a state last changed
+	StableFor     time.Duration // since a state last changed
 	Majority      bool          // more than half of the known are alive and no suspects, and most probes are answered
 	Settled       bool          // no change for 2 s, no suspect, a majority, no duplicate of the own name
 	DuplicateName bool          // another living process uses this name
@@ -100,7 +100,7 @@
 		Version:       m.version,
 		Alive:         1,
 		Known:         1,
-		Isolated:      max(0, now-m.lastChange),
+		StableFor:     max(0, now-m.lastChange),
 		LocalHealth:   m.awareness.score,
 		DuplicateName: m.duplicateSeen > 0 && now-m.duplicateSeen < duplicateNameFor,
 		Answering:     m.probes.outcomes.answering(),
@@ -124,6 +124,6 @@
 	}
 	// A gateway that hears nobody suspects itself first and the others for long: they must not count as its majority.
 	s.Majority = 2*(s.Alive-suspects) > s.Known && s.Answering > 0.5
-	s.Settled = s.Isolated >= settledAfter && suspects == 0 && s.Majority && !s.DuplicateName
+	s.Settled = s.StableFor >= settledAfter && suspects == 0 && s.Majority && !s.DuplicateName
 	return s
 }
