--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -136,6 +136,6 @@
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", e.Instance, err)
 	}
-	a.instances[e.Instance] = &instance{Balancer: b, queueLengthColumn: set.Gateway.Waiting}
+	a.instances[e.Instance] = &instance{Balancer: b, queueLengthColumn: set.Gateway.QueueLengthColumn}
 	return nil
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -23,16 +23,16 @@
 	return http1.AppendResponse(nil, status, nil, []byte(words+"\n"), false)
 }
 
-// AppendReadiness encodes whether this process takes clients.
-func AppendReadiness(yes bool, why string) []byte {
+// ReadinessResponse encodes whether this process takes clients.
+func ReadinessResponse(yes bool, why string) []byte {
 	if yes {
 		return textResponse(200, "ready")
 	}
 	return textResponse(503, why)
 }
 
-// NoCluster answers where there is no fleet file.
-func NoCluster() []byte { return textResponse(404, "no fleet: LB_FLEET names no file") }
+// NoClusterResponse answers where there is no fleet file.
+func NoClusterResponse() []byte { return textResponse(404, "no fleet: LB_FLEET names no file") }
 
 func jsonResponse(f any) []byte {
 	body, err := json.Marshal(f)
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -45,7 +45,7 @@
 			return nil, err
 		}
 		if rank != s.Config.Rank {
-			gossip.SeedPeers = append(gossip.SeedPeers, membership.Peer{Name: peerName(rank), Addr: at})
+			gossip.SeedPeers = append(gossip.SeedPeers, membership.SeedPeer{Name: peerName(rank), Addr: at})
 		}
 	}
 	return gossip, nil
--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -41,7 +41,7 @@
 func (s *Conns) Add(id loop.Conn, now time.Duration) *Conn {
 	c := &Conn{ID: id, Accepted: now, Since: now, RequestBegan: now, lastReceived: now}
 	s.ByConn[id] = c
-	s.Place(c)
+	s.Requeue(c)
 	return c
 }
 
@@ -51,10 +51,10 @@
 	c.unqueue()
 }
 
-// Place has a connection stand where it belongs, behind those that stood there before. It is to be
+// Requeue has a connection stand where it belongs, behind those that stood there before. It is to be
 // called when the connection has changed: a request came or a part of one, an answer was written, it is
 // looked at once more.
-func (s *Conns) Place(c *Conn) {
+func (s *Conns) Requeue(c *Conn) {
 	c.unqueue()
 	switch {
 	case c.Busy, c.FinalRead:
--- a/internal/downstream/responses.go
+++ b/internal/downstream/responses.go
@@ -7,16 +7,16 @@
 	"thymebend/internal/http1"
 )
 
-// AppendContinue asks for the body.
-func AppendContinue() []byte { return []byte("HTTP/1.1 100 Continue\r\n\r\n") }
+// ContinueResponse asks for the body.
+func ContinueResponse() []byte { return []byte("HTTP/1.1 100 Continue\r\n\r\n") }
 
-// AppendServed encodes an endpoint's answer for the client.
-func AppendServed(fields []http1.Field, body []byte, keepAlive bool) []byte {
+// ServedResponse encodes an endpoint's answer for the client.
+func ServedResponse(fields []http1.Field, body []byte, keepAlive bool) []byte {
 	return http1.AppendResponse(nil, 200, fields, body, keepAlive)
 }
 
-// AppendRejected encodes a rejection: trying again is harmless, after the time stated.
-func AppendRejected(after time.Duration, keepAlive bool) []byte {
+// RejectedResponse encodes a rejection: trying again is harmless, after the time stated.
+func RejectedResponse(after time.Duration, keepAlive bool) []byte {
 	var fields []http1.Field
 	if after > 0 {
 		seconds := strconv.FormatFloat(after.Seconds(), 'f', 3, 64)
@@ -25,29 +25,29 @@
 	return http1.AppendResponse(nil, 503, fields, []byte("refused, trying again is harmless\n"), keepAlive)
 }
 
-// AppendFailed encodes a failure that promises nothing. It must be neither 429 nor 503: the request may
+// FailedResponse encodes a failure that promises nothing. It must be neither 429 nor 503: the request may
 // have run.
-func AppendFailed(keepAlive bool) []byte {
+func FailedResponse(keepAlive bool) []byte {
 	return http1.AppendResponse(nil, 502, nil, []byte("failed, the request may have run\n"), keepAlive)
 }
 
-// AppendBadRequest encodes what is wrong with a request.
-func AppendBadRequest(f *http1.Fault, keepAlive bool) []byte {
+// FaultResponse encodes what is wrong with a request.
+func FaultResponse(f *http1.Fault, keepAlive bool) []byte {
 	return http1.AppendResponse(nil, f.Status, nil, []byte(f.Text+"\n"), keepAlive)
 }
 
-// AppendConflict encodes that a request bears the id of one that is still open.
-func AppendConflict(keepAlive bool) []byte {
-	return AppendBadRequest(badRequest(fieldID+" is that of an open request"), keepAlive)
+// DuplicateIDResponse encodes that a request bears the id of one that is still open.
+func DuplicateIDResponse(keepAlive bool) []byte {
+	return FaultResponse(badRequest(fieldID+" is that of an open request"), keepAlive)
 }
 
-// AppendRequestTimeout encodes that a request did not come whole in time.
-func AppendRequestTimeout() []byte {
-	return AppendBadRequest(&http1.Fault{Status: 408, Text: "the request did not come whole"}, false)
+// TimeoutResponse encodes that a request did not come whole in time.
+func TimeoutResponse() []byte {
+	return FaultResponse(&http1.Fault{Status: 408, Text: "the request did not come whole"}, false)
 }
 
-// AppendHealth encodes the answer to a look at this gateway's health.
-func AppendHealth(ready, keepAlive bool) []byte {
+// HealthResponse encodes the answer to a look at this gateway's health.
+func HealthResponse(ready, keepAlive bool) []byte {
 	if ready {
 		return http1.AppendResponse(nil, 200, nil, []byte("ready\n"), keepAlive)
 	}
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -47,14 +47,14 @@
 		a.logRejected(req.ID, rejectedByBalancer, after)
 	}
 	if conn != nil {
-		a.downstream.answer(req, conn, downstream.AppendRejected(after, a.downstream.keepAlive(conn)))
+		a.downstream.answer(req, conn, downstream.RejectedResponse(after, a.downstream.keepAlive(conn)))
 	}
 }
 
 // Fail implements balancer.Actions.
 func (a *balancerActions) Fail(id balancer.RequestID) {
 	if req, conn := a.requests.finish(id, outcomeFailed); conn != nil {
-		a.downstream.answer(req, conn, downstream.AppendFailed(a.downstream.keepAlive(conn)))
+		a.downstream.answer(req, conn, downstream.FailedResponse(a.downstream.keepAlive(conn)))
 	}
 }
 
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -92,11 +92,11 @@
 		case admin.NoRequest:
 			return
 		case admin.ReadinessRequest:
-			answer = admin.AppendReadiness(a.ready(), a.unreadyReason())
+			answer = admin.ReadinessResponse(a.ready(), a.unreadyReason())
 		case admin.StatsRequest:
 			answer = a.statsReport().Encode()
 		case admin.ClusterRequest:
-			if answer = admin.NoCluster(); a.cfg.Gossip != nil {
+			if answer = admin.NoClusterResponse(); a.cfg.Gossip != nil {
 				answer = a.cluster.report().Encode()
 			}
 		}
--- a/internal/gateway/assignment.go
+++ b/internal/gateway/assignment.go
@@ -228,8 +228,8 @@
 		case h.State != balancer.EndpointReady:
 		case s.warmingUp(h):
 			slot := tokenschedule.Endpoint{ID: uint64(h.ID), StartedAt: h.StartedAt, Capacity: state.warmRate}
-			d := state.owners.Divisions(s.now, slot.ID)
-			if len(d) > 0 && tokenschedule.Share(d[len(d)-1], s.cfg.Gossip.Name) > 0 {
+			d := state.owners.Ownerships(s.now, slot.ID)
+			if len(d) > 0 && tokenschedule.ShareOf(d[len(d)-1], s.cfg.Gossip.Name) > 0 {
 				state.warming = append(state.warming, warmingEndpoint{Endpoint: slot})
 			}
 		default:
@@ -279,8 +279,8 @@
 			add(u.Endpoint, u.Weight, u.Share)
 		}
 		for _, c := range state.warming {
-			d := state.owners.Divisions(s.now, c.ID)
-			add(c.ID, mean, tokenschedule.Share(d[len(d)-1], s.cfg.Gossip.Name))
+			d := state.owners.Ownerships(s.now, c.ID)
+			add(c.ID, mean, tokenschedule.ShareOf(d[len(d)-1], s.cfg.Gossip.Name))
 		}
 		for _, id := range state.tracker.Spares(s.cfg.Settings.Config.Zone) {
 			add(id, mean, 0)
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -91,7 +91,7 @@
 		RequestDone:  req.done,
 		BodyConsumed: req.upload != nil && req.upload.consumed,
 	}
-	if p.response != nil && a.cfg.Settings.Gateway.Waiting >= 0 {
+	if p.response != nil && a.cfg.Settings.Gateway.QueueLengthColumn >= 0 {
 		end.Reported, end.QueueLength = p.response.Reported, p.response.QueueLength
 	}
 	a.notified = true
--- a/internal/gateway/downstream.go
+++ b/internal/gateway/downstream.go
@@ -68,7 +68,7 @@
 		d.flushed(conn)
 	}
 	if d.conns.ByConn[conn.ID] == conn {
-		d.conns.Place(conn)
+		d.conns.Requeue(conn)
 		d.checkDeadline(conn)
 	}
 }
@@ -104,7 +104,7 @@
 	idle := time.Duration(state.IdleMS) * time.Millisecond
 	conn := d.conns.Add(c, d.now-idle)
 	conn.HasRequested, conn.Requests = state.HasRequested, state.Requests
-	d.conns.Place(conn)
+	d.conns.Requeue(conn)
 	left := downstream.IdleTimeout - idle
 	if !conn.HasRequested {
 		left = downstream.RequestReadTimeout - idle
@@ -181,7 +181,7 @@
 		d.setDeadline(conn, d.now+idleTimeout)
 	}
 	d.restart.connIdle()
-	d.conns.Place(conn)
+	d.conns.Requeue(conn)
 	if d.shutdown.closing() && !d.restart.handedOver() {
 		d.readThenClose(conn)
 	}
@@ -193,7 +193,7 @@
 // here would read it and say nothing.
 func (d *downstreamConns) readThenClose(conn *downstream.Conn) {
 	conn.FinalRead = true
-	d.conns.Place(conn)
+	d.conns.Requeue(conn)
 	d.emit(loop.Effect{Op: loop.Read, Conn: conn.ID})
 }
 
--- a/internal/gateway/downstream_request.go
+++ b/internal/gateway/downstream_request.go
@@ -44,7 +44,7 @@
 		d.setDeadline(conn, d.requestDeadline(conn))
 	}
 	if conn.AwaitsContinue() {
-		d.write(conn.ID, downstream.AppendContinue())
+		d.write(conn.ID, downstream.ContinueResponse())
 	}
 }
 
@@ -60,10 +60,10 @@
 			d.stats.countResult(class, outcomeFailed)
 		}
 		d.logFaulty(conn, incoming.Request.ID, incoming.Fault.Status, incoming.Fault.Text)
-		d.reply(conn, downstream.AppendBadRequest(incoming.Fault, !conn.Closing))
+		d.reply(conn, downstream.FaultResponse(incoming.Fault, !conn.Closing))
 		return
 	case incoming.Health:
-		d.reply(conn, downstream.AppendHealth(d.healthy(), !conn.Closing))
+		d.reply(conn, downstream.HealthResponse(d.healthy(), !conn.Closing))
 		return
 	case d.requests.openIDs[incoming.Request.ID]:
 		// An endpoint could not tell two requests of one id apart: the second would run in the first one's
@@ -72,7 +72,7 @@
 		d.logFaulty(conn, incoming.Request.ID, statusBadRequest, "the id of an open request")
 		conn.Upload = incoming.Large
 		keep := d.keepAlive(conn)
-		d.reply(conn, downstream.AppendConflict(keep))
+		d.reply(conn, downstream.DuplicateIDResponse(keep))
 		return
 	}
 	if reason, rejected := d.rejects(conn.TimeLeft(d.now, incoming.Request.ClientTimeout)); rejected {
@@ -81,7 +81,7 @@
 		d.logRejected(incoming.Request.ID, reason, after)
 		conn.Upload = incoming.Large
 		keep := d.keepAlive(conn)
-		d.reply(conn, downstream.AppendRejected(after, keep))
+		d.reply(conn, downstream.RejectedResponse(after, keep))
 		return
 	}
 	d.admit(conn, incoming)
@@ -119,7 +119,7 @@
 	switch {
 	case left <= 0:
 		return rejectedExpired, true
-	case len(d.requests.byID) >= d.cfg.Settings.Gateway.MaxUpstreamConns:
+	case len(d.requests.byID) >= d.cfg.Settings.Gateway.MaxOpenRequests:
 		return rejectedTooManyOpen, true
 	case d.overloaded():
 		return rejectedOverloaded, true
--- a/internal/gateway/downstream_timeouts.go
+++ b/internal/gateway/downstream_timeouts.go
@@ -14,7 +14,7 @@
 		conn.Timer = 0
 		defer func() {
 			if d.conns.ByConn[c] == conn {
-				d.conns.Place(conn)
+				d.conns.Requeue(conn)
 				d.checkDeadline(conn)
 			}
 		}()
@@ -33,14 +33,14 @@
 		d.setDeadline(conn, d.requestDeadline(conn))
 	case conn.Upload:
 		d.logIncomplete(conn)
-		d.uploads.abort(d.requests.byID[conn.Request], conn, downstream.AppendRequestTimeout())
+		d.uploads.abort(d.requests.byID[conn.Request], conn, downstream.TimeoutResponse())
 	case conn.Busy:
 	case conn.Pending() && d.now < d.requestDeadline(conn):
 		d.setDeadline(conn, d.requestDeadline(conn))
 	case conn.Pending():
 		conn.Closing = true
 		d.logIncomplete(conn)
-		d.reply(conn, downstream.AppendRequestTimeout())
+		d.reply(conn, downstream.TimeoutResponse())
 	case conn.Requests == 1 && !d.shutdown.closing() && !(d.conns.OverReuseLimit() && d.restart.alone()) &&
 		d.now < conn.Since+downstream.IdleTimeout:
 		// It got the shorter time as there were many connections. Now there are few, or an upgrade has begun.
@@ -93,7 +93,7 @@
 		return
 	}
 	if !d.invariants.AllowClose(&req.invariants) {
-		d.write(conn.ID, downstream.AppendFailed(false))
+		d.write(conn.ID, downstream.FailedResponse(false))
 	}
 }
 
--- a/internal/gateway/eviction.go
+++ b/internal/gateway/eviction.go
@@ -22,7 +22,7 @@
 		case conn.Pending():
 			// All that has come was read, so the answer is not lost by the close.
 			d.logIncomplete(conn)
-			d.write(conn.ID, downstream.AppendRequestTimeout())
+			d.write(conn.ID, downstream.TimeoutResponse())
 			d.drop(conn, ReasonClientTimeout)
 		default:
 			d.readThenClose(conn)
--- a/internal/gateway/hotrestart_predecessor.go
+++ b/internal/gateway/hotrestart_predecessor.go
@@ -77,7 +77,7 @@
 		Descriptors: h.descriptors(),
 	}
 	if h.cluster.membership != nil {
-		state.FleetStart, state.FleetIncarnation = h.cluster.membership.Identity()
+		state.ClusterStartID, state.ClusterIncarnation = h.cluster.membership.Identity()
 	}
 	h.send(h.successor, state, []loop.Conn{loop.Listener})
 }
@@ -109,7 +109,7 @@
 		if conn.Busy || conn.Ended || conn.Muted || conn.FinalRead || conn.Pending() {
 			continue
 		}
-		if len(idle) == hotrestart.Batch {
+		if len(idle) == hotrestart.MaxBatch {
 			h.idlePending = true
 			break
 		}
--- a/internal/gateway/hotrestart_successor.go
+++ b/internal/gateway/hotrestart_successor.go
@@ -55,7 +55,7 @@
 		h.balancer.Restore(h.now, *m.Balancer)
 	}
 	h.notified = true
-	h.cluster.inherit(m.FleetStart, m.FleetIncarnation)
+	h.cluster.inherit(m.ClusterStartID, m.ClusterIncarnation)
 	h.predecessorDescriptors = m.Descriptors
 	h.resize()
 }
--- a/internal/gateway/logging_test.go
+++ b/internal/gateway/logging_test.go
@@ -40,7 +40,7 @@
 // Guards against a rejection by the gateway itself that is missing in the figures.
 func TestRejectionsAreCountedByReason(t *testing.T) {
 	r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
-	r.g.cfg.Settings.Gateway.MaxUpstreamConns = 1
+	r.g.cfg.Settings.Gateway.MaxOpenRequests = 1
 	r.request(0, 0)
 	r.request(0, 0)
 	if f := r.g.admin.statsReport(); f.Rejections["too many open"] != 1 {
--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -49,7 +49,7 @@
 			}
 		}
 	}
-	s.state.owners.Know(s.now, names)
+	s.state.owners.SetGateways(s.now, names)
 }
 
 // agreed reports whether this gateway's config hash has had a majority for long enough that tokens are valid.
@@ -74,7 +74,7 @@
 		if s.now < c.nextLook || s.now >= c.StartedAt+state.rule.Duration {
 			continue
 		}
-		divisions := state.owners.Divisions(s.now, c.ID)
+		divisions := state.owners.Ownerships(s.now, c.ID)
 		for {
 			until, ok := state.taker.Take(s.now, c.Endpoint, divisions...)
 			if !ok {
--- a/internal/gateway/upload.go
+++ b/internal/gateway/upload.go
@@ -56,7 +56,7 @@
 	}
 	piece, done, fault := conn.Pieces()
 	if fault != nil {
-		u.abort(req, conn, downstream.AppendBadRequest(fault, false))
+		u.abort(req, conn, downstream.FaultResponse(fault, false))
 		return
 	}
 	if len(piece) == 0 && !done {
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -105,7 +105,7 @@
 		a.requests.conclude(req, outcomeServed)
 		if c := a.downstream.conns.ByConn[req.client]; c != nil {
 			keep := a.downstream.keepAlive(c)
-			a.downstream.answer(req, c, downstream.AppendServed(resp.Forwarded(), resp.Body, keep))
+			a.downstream.answer(req, c, downstream.ServedResponse(resp.Forwarded(), resp.Body, keep))
 		}
 	}
 	a.end(att, end, resp)
@@ -119,7 +119,7 @@
 // keepIdle keeps a connection for the next request, until shortly before its endpoint would close it.
 func (a *attemptTable) keepIdle(conn *upstream.Conn) {
 	a.pool.Release(conn)
-	a.setTimer(timerUpstream, uint64(conn.ID), a.now+scale(a.cfg.Settings.Gateway.ConnIdle, idleTimeoutFraction))
+	a.setTimer(timerUpstream, uint64(conn.ID), a.now+scale(a.cfg.Settings.Gateway.IdleTimeout, idleTimeoutFraction))
 }
 
 // dropConn closes an upstream connection.
--- a/internal/gossipcodec/decode.go
+++ b/internal/gossipcodec/decode.go
@@ -132,9 +132,9 @@
 	switch {
 	case m.Start > MaxStart:
 		return fieldErrorf("start", "from a process started at %d", m.Start)
-	case !Name(m.From):
+	case !ValidName(m.From):
 		return fieldErrorf("from", "from %q is no name", m.From)
-	case m.Target != "" && !Name(m.Target):
+	case m.Target != "" && !ValidName(m.Target):
 		return fieldErrorf("target", "target %q is no name", m.Target)
 	case m.Kind == 0 || m.Kind > lastKind:
 		return fieldErrorf("kind", "unknown kind %d", m.Kind)
@@ -175,9 +175,9 @@
 	switch {
 	case err != nil:
 		return c, err
-	case !Name(c.Name):
+	case !ValidName(c.Name):
 		return c, fieldErrorf("name", "a claim about %q by %q", c.Name, c.SuspectedBy)
-	case c.SuspectedBy != "" && !Name(c.SuspectedBy):
+	case c.SuspectedBy != "" && !ValidName(c.SuspectedBy):
 		return c, fieldErrorf("by", "a claim about %q by %q", c.Name, c.SuspectedBy)
 	case state > uint64(lastState):
 		return c, fieldErrorf("state", "unknown state %d of %s", state, c.Name)
--- a/internal/gossipcodec/message.go
+++ b/internal/gossipcodec/message.go
@@ -107,9 +107,9 @@
 	claimAddr
 )
 
-// Name reports whether a text can name a member or a cluster: 1 to [MaxName] printable ASCII characters, without
+// ValidName reports whether a text can name a member or a cluster: 1 to [MaxName] printable ASCII characters, without
 // spaces.
-func Name(s string) bool {
+func ValidName(s string) bool {
 	if len(s) == 0 || len(s) > MaxName {
 		return false
 	}
--- a/internal/gossipconfig/gossipconfig.go
+++ b/internal/gossipconfig/gossipconfig.go
@@ -33,7 +33,7 @@
 	// Flat says that every gateway is reached at one address from everywhere, and that those that are no seed
 	// peers may join.
 	Flat       bool
-	SeedPeers  []membership.Peer
+	SeedPeers  []membership.SeedPeer
 	Assignment *Assignment // nil where the file does not ask for subsets
 }
 
@@ -93,7 +93,7 @@
 }
 
 func (r reader) checkName(field, name string) bool {
-	ok := gossipcodec.Name(name)
+	ok := gossipcodec.ValidName(name)
 	if !ok {
 		r.fail(ErrName, field, "%q is no name of 1 to %d printable ASCII characters", name, gossipcodec.MaxName)
 	}
@@ -109,7 +109,7 @@
 }
 
 // peers reads the seed peers: no name and no address may be there twice.
-func (r reader) peers(list []filePeer) (peers []membership.Peer) {
+func (r reader) peers(list []filePeer) (peers []membership.SeedPeer) {
 	if len(list) > membership.MaxMembers {
 		r.fail(ErrTooMany, "peer", "%d peers, %d at most", len(list), membership.MaxMembers)
 	}
@@ -125,7 +125,7 @@
 			r.fail(ErrDuplicate, addrField, "%s is the address of %s already", at, other)
 		}
 		names[p.Name], nameAt[at] = true, p.Name
-		peers = append(peers, membership.Peer{Name: p.Name, Addr: at})
+		peers = append(peers, membership.SeedPeer{Name: p.Name, Addr: at})
 	}
 	return peers
 }
--- a/internal/hotrestart/conn.go
+++ b/internal/hotrestart/conn.go
@@ -59,8 +59,8 @@
 	// TakeoverTimeout is how long a predecessor waits for the successor to take clients, or to
 	// acknowledge.
 	TakeoverTimeout = 3 * time.Second
-	// Batch is the most downstream connections passed at once.
-	Batch = 64
+	// MaxBatch is the most downstream connections passed at once.
+	MaxBatch = 64
 	// maxMessage bounds a message, in bytes: of a list of 8,000 endpoints with long names and all that
 	// is learnt of them, 4.7 MB.
 	maxMessage = 16 << 20
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -41,10 +41,10 @@
 	Descriptors int             `json:"holds,omitempty"` // descriptors that the predecessor needs
 	Idle        []IdleConn      `json:"links,omitempty"`
 	// With State: what the next process is in the fleet; 0 where this one is in none.
-	FleetStart       uint64      `json:"fleet_start,omitempty"`
-	FleetIncarnation uint64      `json:"fleet_incarnation,omitempty"`
-	Passed           int         `json:"passed,omitempty"` // descriptors beside this message
-	Conns            []loop.Conn `json:"-"`                // those, as received
+	ClusterStartID     uint64      `json:"fleet_start,omitempty"`
+	ClusterIncarnation uint64      `json:"fleet_incarnation,omitempty"`
+	Passed             int         `json:"passed,omitempty"` // descriptors beside this message
+	Conns              []loop.Conn `json:"-"`                // those, as received
 }
 
 // IdleConn is what is told of a downstream connection.
--- a/internal/lab/membershipsim/sim.go
+++ b/internal/lab/membershipsim/sim.go
@@ -44,7 +44,7 @@
 	queue     queue
 	lastOrder uint64
 	ctx       context.Context
-	seedPeers []membership.Peer
+	seedPeers []membership.SeedPeer
 	clockBack time.Duration // how far the clock of what starts now has gone back
 
 	sent         []uint64 // bytes by node, with those of IP and UDP
@@ -70,7 +70,7 @@
 		node := &Node{Name: fmt.Sprintf(namePrefix+"%04d", i), addr: addr, payload: []byte{byte(i)},
 			highest: make([]process, n)}
 		s.Nodes = append(s.Nodes, node)
-		s.seedPeers = append(s.seedPeers, membership.Peer{Name: node.Name, Addr: addr})
+		s.seedPeers = append(s.seedPeers, membership.SeedPeer{Name: node.Name, Addr: addr})
 	}
 	return s
 }
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -10,8 +10,8 @@
 // MaxMembers bounds the members known and the seed peers.
 const MaxMembers = 2000
 
-// Peer is a seed peer: another gateway that the configuration names, and how it is reached.
-type Peer struct {
+// SeedPeer is a seed peer: another gateway that the configuration names, and how it is reached.
+type SeedPeer struct {
 	Name string
 	Addr netip.AddrPort
 }
@@ -27,7 +27,7 @@
 	// Incarnation is 0, or what the process before handed over together with its Start; see [Membership.Identity].
 	Incarnation uint64
 	// SeedPeers are the gateways to join by. An entry with the own name is passed over.
-	SeedPeers []Peer
+	SeedPeers []SeedPeer
 	// Flat says that any address may be used that other members state, and that datagrams may come from any address.
 	// Otherwise only the addresses of the seed peers count.
 	Flat bool
@@ -52,10 +52,10 @@
 
 func (c *Config) validate() error {
 	switch {
-	case !gossipcodec.Name(c.Cluster):
+	case !gossipcodec.ValidName(c.Cluster):
 		return configErrorf("Cluster", "fleet %q is no name of 1 to %d printable characters",
 			c.Cluster, gossipcodec.MaxName)
-	case !gossipcodec.Name(c.Name):
+	case !gossipcodec.ValidName(c.Name):
 		return configErrorf("Name", "name %q is no name of 1 to %d printable characters", c.Name, gossipcodec.MaxName)
 	case c.Start == 0 || c.Start > gossipcodec.MaxStart:
 		return configErrorf("Start", "start %d must be above 0, in ms of Unix time", c.Start)
--- a/internal/membership/config_test.go
+++ b/internal/membership/config_test.go
@@ -21,15 +21,15 @@
 		{"no start", func(c *Config) { c.Start = 0 }, "Start", "start"},
 		{"impossible start", func(c *Config) { c.Start = gossipcodec.MaxStart + 1 }, "Start", "start"},
 		{"long payload", func(c *Config) { c.Payload = make([]byte, 65) }, "Payload", "payload"},
-		{"seed peer twice", func(c *Config) { c.SeedPeers = append(c.SeedPeers, Peer{"b", addr(9)}) },
+		{"seed peer twice", func(c *Config) { c.SeedPeers = append(c.SeedPeers, SeedPeer{"b", addr(9)}) },
 			"SeedPeers", "b stands twice"},
-		{"address twice", func(c *Config) { c.SeedPeers = append(c.SeedPeers, Peer{"d", addr(2)}) },
+		{"address twice", func(c *Config) { c.SeedPeers = append(c.SeedPeers, SeedPeer{"d", addr(2)}) },
 			"SeedPeers", "one address"},
-		{"seed peer without address", func(c *Config) { c.SeedPeers = append(c.SeedPeers, Peer{Name: "d"}) },
+		{"seed peer without address", func(c *Config) { c.SeedPeers = append(c.SeedPeers, SeedPeer{Name: "d"}) },
 			"SeedPeers", "d has no address"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			cfg := Config{Cluster: "f", Name: "a", Start: 1, SeedPeers: []Peer{{"b", addr(2)}}}
+			cfg := Config{Cluster: "f", Name: "a", Start: 1, SeedPeers: []SeedPeer{{"b", addr(2)}}}
 			test.edit(&cfg)
 			_, err := New(cfg, epoch)
 			var faulty *ConfigError
@@ -43,7 +43,7 @@
 // Guards against faulty seed peers that change those in force.
 func TestFaultySeedPeersChangeNothing(t *testing.T) {
 	m := newMembership(t, nil)
-	err := m.SetSeedPeers(epoch, []Peer{{"b", addr(2)}, {"b", addr(4)}})
+	err := m.SetSeedPeers(epoch, []SeedPeer{{"b", addr(2)}, {"b", addr(4)}})
 	if err == nil || m.seeds["c"] != addr(3) {
 		t.Errorf("%v, seed peers %v", err, m.seeds)
 	}
--- a/internal/membership/helpers_test.go
+++ b/internal/membership/helpers_test.go
@@ -20,7 +20,7 @@
 func newMembership(t *testing.T, edit func(*Config), options ...Option) *Membership {
 	t.Helper()
 	cfg := Config{Cluster: "f", Name: "a", Start: 1000, Seed: 1,
-		SeedPeers: []Peer{{"a", addr(1)}, {"b", addr(2)}, {"c", addr(3)}}}
+		SeedPeers: []SeedPeer{{"a", addr(1)}, {"b", addr(2)}, {"c", addr(3)}}}
 	if edit != nil {
 		edit(&cfg)
 	}
--- a/internal/membership/probe_test.go
+++ b/internal/membership/probe_test.go
@@ -75,7 +75,7 @@
 
 // Guards against a member that died and stays alive, or that is gone without a suspicion, helpers and a last probe.
 func TestAnUnansweredMemberIsSuspectedVerifiedAndGone(t *testing.T) {
-	m := newMembership(t, func(c *Config) { c.SeedPeers = append(c.SeedPeers, Peer{"d", addr(4)}) })
+	m := newMembership(t, func(c *Config) { c.SeedPeers = append(c.SeedPeers, SeedPeer{"d", addr(4)}) })
 	m.Receive(epoch, addr(2), datagram("b", 900, gossipcodec.Ping))
 	m.Receive(epoch, addr(3), datagram("c", 900, gossipcodec.Ping))
 	m.Take()
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -19,7 +19,7 @@
 	*Membership
 	at        time.Duration
 	flat      bool
-	seedPeers []Peer
+	seedPeers []SeedPeer
 	strongest map[string]process // the strongest claim that anybody could have made, by name
 	own       process
 	left      bool
@@ -52,7 +52,7 @@
 
 func newMachine(t *rapid.T) *machine {
 	d := &machine{at: epoch, flat: rapid.Bool().Draw(t, "flat"), strongest: make(map[string]process),
-		own: process{1000, 1}, seedPeers: []Peer{{"b", addr(2)}, {"c", addr(3)}, {"d", addr(4)}}}
+		own: process{1000, 1}, seedPeers: []SeedPeer{{"b", addr(2)}, {"c", addr(3)}, {"d", addr(4)}}}
 	m, err := New(Config{Cluster: "f", Name: "a", Start: 1000, SeedPeers: d.seedPeers, Flat: d.flat,
 		Payload: []byte{7}, Seed: rapid.Uint64().Draw(t, "seed")}, epoch)
 	if err != nil {
@@ -130,7 +130,7 @@
 	if err := d.SetSeedPeers(d.at, list); err != nil {
 		t.Fatal(err)
 	}
-	if err := d.SetSeedPeers(d.at, append(list, Peer{Name: "z"})); err == nil {
+	if err := d.SetSeedPeers(d.at, append(list, SeedPeer{Name: "z"})); err == nil {
 		t.Fatal("faulty seed peers were taken")
 	}
 	if len(d.seeds) != len(list) {
@@ -175,7 +175,7 @@
 			t.Fatalf("it speaks as %s of %s", msg.From, msg.Cluster)
 		case d.left:
 			t.Fatal("it speaks after it has left")
-		case !d.flat && !slices.ContainsFunc(d.seedPeers, func(p Peer) bool { return p.Addr == sent.To }):
+		case !d.flat && !slices.ContainsFunc(d.seedPeers, func(p SeedPeer) bool { return p.Addr == sent.To }):
 			t.Fatalf("it sends to %v, which is no seed peer", sent.To)
 		}
 	}
@@ -279,7 +279,7 @@
 
 // believed is what a membership believes after some claims.
 func believed(t *rapid.T, claims []gossipcodec.Claim) (out []string) {
-	m, err := New(Config{Cluster: "f", Name: "a", Start: 1000, SeedPeers: []Peer{{"b", addr(2)}}, Flat: true}, epoch)
+	m, err := New(Config{Cluster: "f", Name: "a", Start: 1000, SeedPeers: []SeedPeer{{"b", addr(2)}}, Flat: true}, epoch)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/membership/seeds.go
+++ b/internal/membership/seeds.go
@@ -23,14 +23,14 @@
 type seedPeers map[string]netip.AddrPort
 
 // newSeedPeers checks a list of seed peers.
-func newSeedPeers(list []Peer, own string) (seedPeers, error) {
+func newSeedPeers(list []SeedPeer, own string) (seedPeers, error) {
 	const field = "SeedPeers"
 	byName, byAddr := make(seedPeers, len(list)), make(map[netip.AddrPort]string, len(list))
 	for _, p := range list {
 		_, twice := byName[p.Name]
 		other, taken := byAddr[p.Addr]
 		switch {
-		case !gossipcodec.Name(p.Name):
+		case !gossipcodec.ValidName(p.Name):
 			return nil, configErrorf(field, "%q in the book is no name", p.Name)
 		case !p.Addr.IsValid() || p.Addr.Port() == 0:
 			return nil, configErrorf(field, "%s has no address in the book", p.Name)
@@ -61,12 +61,12 @@
 }
 
 // SetSeedPeers takes new seed peers. Its errors are of type [*ConfigError] and change nothing.
-func (m *Membership) SetSeedPeers(now time.Duration, list []Peer) error {
+func (m *Membership) SetSeedPeers(now time.Duration, list []SeedPeer) error {
 	m.advanceClock(now)
 	return m.setSeedPeers(list)
 }
 
-func (m *Membership) setSeedPeers(list []Peer) error {
+func (m *Membership) setSeedPeers(list []SeedPeer) error {
 	seeds, err := newSeedPeers(list, m.cfg.Name)
 	if err != nil {
 		return err
--- a/internal/settings/deployment.go
+++ b/internal/settings/deployment.go
@@ -204,12 +204,12 @@
 	var t transport
 	v.read("", transportFields, &t)
 	return Gateway{
-		Zones:            v.list(zonesPath),
-		ConnectTimeout:   t.ConnectTimeout,
-		ConnIdle:         t.IdleTimeout,
-		Peers:            t.Peers,
-		MaxUpstreamConns: t.MaxOpen,
-		Waiting:          slices.Index(v.list(reportColumnsPath), queueLengthColumn),
+		Zones:             v.list(zonesPath),
+		ConnectTimeout:    t.ConnectTimeout,
+		IdleTimeout:       t.IdleTimeout,
+		Peers:             t.Peers,
+		MaxOpenRequests:   t.MaxOpen,
+		QueueLengthColumn: slices.Index(v.list(reportColumnsPath), queueLengthColumn),
 	}
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -25,12 +25,12 @@
 
 // Gateway is what the gateway itself needs of the settings, beside the balancer.
 type Gateway struct {
-	Zones            []string      // the zone names; a zone is known by its index
-	ConnectTimeout   time.Duration // a connection not up by then has failed
-	ConnIdle         time.Duration // an endpoint closes a connection idle for this long
-	Peers            bool          // gateways may send each other datagrams
-	MaxUpstreamConns int           // requests held open at once
-	Waiting          int           // column of the load reports with the requests waiting; -1 if there is none
+	Zones             []string      // the zone names; a zone is known by its index
+	ConnectTimeout    time.Duration // a connection not up by then has failed
+	IdleTimeout       time.Duration // an endpoint closes a connection idle for this long
+	Peers             bool          // gateways may send each other datagrams
+	MaxOpenRequests   int           // requests held open at once
+	QueueLengthColumn int           // column of the load reports with the requests waiting; -1 if there is none
 }
 
 // Parse reads the path=value text of a start event. Unknown keys are ignored, optional ones have defaults. The
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -58,7 +58,7 @@
 		"report.columns=svc_ms,busy_reqs": -1, "report.columns=": -1, "": -1,
 	} {
 		set, _ := Parse(text) // the rest of the settings is missing
-		if got := set.Gateway.Waiting; got != want {
+		if got := set.Gateway.QueueLengthColumn; got != want {
 			t.Errorf("%q: column %d, want %d", text, got, want)
 		}
 	}
--- a/internal/tokenschedule/owners.go
+++ b/internal/tokenschedule/owners.go
@@ -17,8 +17,8 @@
 	Share float64
 }
 
-// Share is a gateway's share among the owners of an endpoint, 0 where it is none.
-func Share(owners []OwnerShare, name string) float64 {
+// ShareOf is a gateway's share among the owners of an endpoint, 0 where it is none.
+func ShareOf(owners []OwnerShare, name string) float64 {
 	for _, one := range owners {
 		if one.Name == name {
 			return one.Share
@@ -67,8 +67,8 @@
 	return &Owners{perEndpoint: max(perEndpoint, 1), hold: hold}
 }
 
-// Know takes who may own tokens from now on.
-func (o *Owners) Know(now time.Duration, names []string) {
+// SetGateways takes who may own tokens from now on.
+func (o *Owners) SetGateways(now time.Duration, names []string) {
 	names = slices.Compact(slices.Sorted(slices.Values(names)))
 	if n := len(o.sets); n == 0 || !slices.Equal(o.sets[n-1].names, names) {
 		o.sets = append(o.sets, knownSet{since: now, names: names, owners: make(map[uint64][]OwnerShare)})
@@ -83,9 +83,9 @@
 	}
 }
 
-// Divisions are the ownerships of an endpoint that may hold now, one for each set of known gateways. A token must be
+// Ownerships are the ownerships of an endpoint that may hold now, one for each set of known gateways. A token must be
 // owned in all.
-func (o *Owners) Divisions(now time.Duration, endpoint uint64) [][]OwnerShare {
+func (o *Owners) Ownerships(now time.Duration, endpoint uint64) [][]OwnerShare {
 	o.expire(now)
 	ownerships := make([][]OwnerShare, 0, len(o.sets))
 	for i := range o.sets {
--- a/internal/tokenschedule/owners_test.go
+++ b/internal/tokenschedule/owners_test.go
@@ -48,11 +48,11 @@
 func TestOwnersFollowFromTheEndpointAndWhoIsKnown(t *testing.T) {
 	all, fewer := NewOwners(12, 3*time.Second), NewOwners(12, 3*time.Second)
 	names := gatewayNames(100)
-	all.Know(0, names)
-	fewer.Know(0, append(names[:50:50], names[51:]...))
+	all.SetGateways(0, names)
+	fewer.SetGateways(0, append(names[:50:50], names[51:]...))
 	owned, moved := make(map[string]int), 0
 	for endpoint := range uint64(200) {
-		sets, setsOfFewer := all.Divisions(0, endpoint), fewer.Divisions(0, endpoint)
+		sets, setsOfFewer := all.Ownerships(0, endpoint), fewer.Ownerships(0, endpoint)
 		if len(sets) != 1 || len(sets[0]) != 12 {
 			t.Fatalf("endpoint %d: %d sets of owners", endpoint, len(sets))
 		}
@@ -60,7 +60,7 @@
 		for _, one := range sets[0] {
 			sum += one.Share
 			owned[one.Name]++
-			if Share(setsOfFewer[0], one.Name) == 0 && one.Name != "g050" {
+			if ShareOf(setsOfFewer[0], one.Name) == 0 && one.Name != "g050" {
 				moved++
 			}
 		}
@@ -76,7 +76,7 @@
 			t.Errorf("%s owns tokens of %d endpoints of 200", name, n)
 		}
 	}
-	if sets := NewOwners(3, 0).Divisions(0, 1); sets == nil || len(sets) != 0 {
+	if sets := NewOwners(3, 0).Ownerships(0, 1); sets == nil || len(sets) != 0 {
 		t.Error("owners where nobody is known")
 	}
 }
@@ -84,15 +84,15 @@
 // Guards against a former set that is dropped while somebody may still go by it, or kept for longer.
 func TestFormerSetsCountForAWhile(t *testing.T) {
 	o := NewOwners(12, 3*time.Second)
-	o.Know(0, gatewayNames(5))
-	o.Know(time.Second, gatewayNames(5))
-	o.Know(10*time.Second, gatewayNames(6))
-	o.Know(11*time.Second, gatewayNames(7))
+	o.SetGateways(0, gatewayNames(5))
+	o.SetGateways(time.Second, gatewayNames(5))
+	o.SetGateways(10*time.Second, gatewayNames(6))
+	o.SetGateways(11*time.Second, gatewayNames(7))
 	for _, test := range []struct {
 		at   time.Duration
 		want int
 	}{{12 * time.Second, 3}, {13 * time.Second, 3}, {13500 * time.Millisecond, 2}, {20 * time.Second, 1}} {
-		if got := len(o.Divisions(test.at, 1)); got != test.want {
+		if got := len(o.Ownerships(test.at, 1)); got != test.want {
 			t.Errorf("after %v: %d sets, wanted %d", test.at, got, test.want)
 		}
 	}
