--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -14,7 +14,7 @@
 //     out its demand and, as far as the pairs allow, each endpoint gets its part of all capacity.
 //
 // A [Tracker] is what a gateway goes by over time: the assignment of the last settled membership, and while one gives
-// way to another no more than both allow (tracker.go). docs/design/shares.md gives the reasons.
+// way to another no more than both allow (tracker.go). docs/design/assignment.md gives the reasons.
 package assignment
 
 import (
--- a/internal/ci/docs_test.go
+++ b/internal/ci/docs_test.go
@@ -42,6 +42,16 @@
 	}
 }
 
+// Guards against comments that send their reader to a page which is no more.
+func TestDocsNamedInCodeExist(t *testing.T) {
+	tree := readTree(t, repository)
+	for _, p := range tree.named {
+		if !slices.Contains(tree.files, p.text) {
+			t.Errorf("%s:%d: no page %s", p.file, p.line, p.text)
+		}
+	}
+}
+
 // Guards against packages that the page on the architecture does not show. Parts of a package stand for themselves in it; the
 // laboratory's are listed in a page of their own.
 func TestDocsShowEveryPackage(t *testing.T) {
--- a/internal/ci/docstree_test.go
+++ b/internal/ci/docstree_test.go
@@ -38,9 +38,16 @@
 	data     map[string]bool // words of string literals, struct tags and data files
 	keys     map[string]bool // those of them in struct tags and data files
 	literals []string        // of programs, not of tests
+	named    []mention       // pages that comments name
 	standard map[string]bool // names of the packages imported from elsewhere
 }
 
+// mention is a page that a comment names.
+type mention struct {
+	file string
+	located
+}
+
 // goPackage is a package's declarations: of each name at the top level, the names that may follow it.
 type goPackage struct {
 	name    string
@@ -96,10 +103,18 @@
 
 // readGo takes in the declarations and literals of one file.
 func (r *tree) readGo(name, rel string) error {
-	file, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.SkipObjectResolution)
+	files := token.NewFileSet()
+	file, err := parser.ParseFile(files, name, nil, parser.SkipObjectResolution|parser.ParseComments)
 	if err != nil {
 		return err
 	}
+	for _, group := range file.Comments {
+		for _, comment := range group.List {
+			for _, p := range docsPage.FindAllString(comment.Text, -1) {
+				r.named = append(r.named, mention{rel, located{files.Position(comment.Pos()).Line, p}})
+			}
+		}
+	}
 	folder := path.Dir(rel)
 	p := r.packages[folder]
 	if p == nil {
@@ -393,6 +408,7 @@
 	reasonField  = regexp.MustCompile(`^"?end"?: ?`)
 	figure       = regexp.MustCompile(`\bN\b|[0-9]+`)
 	plainWord    = regexp.MustCompile(`^[a-z]+$|^[A-Za-z]+(_[A-Za-z0-9]+)+$`)
+	docsPage     = regexp.MustCompile(`\bdocs/[A-Za-z0-9/_-]+\.md\b`)
 	word         = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_]*$`)
 	dotted       = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_/]*(\.[A-Za-z_][A-Za-z0-9_]*)+$`)
 	testFunction = regexp.MustCompile(`^(Test|Benchmark|Fuzz|Example)[A-Z_]`)
--- a/internal/gossipcodec/message.go
+++ b/internal/gossipcodec/message.go
@@ -2,7 +2,7 @@
 // a version, unknown fields skipped, 256 bytes at most. It does no I/O.
 //
 // A datagram is begun by [Append] and filled with [AppendClaim] as far as there is room; [Parse] reads it.
-// docs/reference/fleetwire.md has the schema. The wire's names for what this package calls the cluster, PingRequest,
+// docs/reference/gossip.md has the schema. The wire's names for what this package calls the cluster, PingRequest,
 // DuplicateName, Digest and BucketSums are fleet, ask, twin, view and sums.
 package gossipcodec
 
--- a/internal/loadreport/report.go
+++ b/internal/loadreport/report.go
@@ -6,7 +6,7 @@
 //   - reporter.go: [Reporter], when a gateway reports anew.
 //   - peers.go: [Demands] and [SuspectedByPeers], what the others' reports come to.
 //
-// docs/design/shares.md gives the reasons.
+// docs/design/assignment.md gives the reasons.
 package loadreport
 
 import "slices"
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -23,5 +23,5 @@
 //   - receive.go, send.go: datagrams in and out, and the limit on what is sent.
 //   - ablation.go: leaves a refinement out, for the laboratory.
 //
-// docs/design/fleet-view.md gives the reasons.
+// docs/design/membership.md gives the reasons.
 package membership
--- a/internal/raft/doc.go
+++ b/internal/raft/doc.go
@@ -2,6 +2,6 @@
 // commands go in; what has to be persisted, messages and answers come out. What the log replicates is a
 // StateMachine; Node is the log of the lease table.
 //
-// It does no I/O and has no clock. The running gateway does not use it yet. docs/design/duties.md says why it is
+// It does no I/O and has no clock. The running gateway does not use it yet. docs/design/leases.md says why it is
 // as it is.
 package raft
--- a/internal/tokenschedule/schedule.go
+++ b/internal/tokenschedule/schedule.go
@@ -9,7 +9,7 @@
 // shares ([Owner], [Owners], owners.go). A token is good for a stated time, for which the budget is smaller by as much,
 // so that any window of the rule's length holds no more than the rule allows ([Taker], taker.go).
 //
-// docs/design/shares.md gives the reasons.
+// docs/design/assignment.md gives the reasons.
 package tokenschedule
 
 import (
