--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -50,12 +50,12 @@
 	CachedEndpoints json.RawMessage // the endpoint list as last had, in discovery's form; may be empty
 	Settings        settings.Settings
 	Path            string // of the file, to be read again at a reload
-	// HotRestartDir is where the next process of this gateway asks to take over; empty where there is no
+	// HotRestartSocket is where the next process of this gateway asks to take over; empty where there is no
 	// directory for it.
-	HotRestartDir string
-	Gossip        *gossipconfig.Config // nil where LB_FLEET asks for none
-	GossipPath    string               // empty where the cluster stands in the configuration file
-	fields        []string             // what the file holds at its top
+	HotRestartSocket string
+	Gossip           *gossipconfig.Config // nil where LB_FLEET asks for none
+	GossipPath       string               // empty where the cluster stands in the configuration file
+	fields           []string             // what the file holds at its top
 }
 
 // Limits are those of the machine.
@@ -87,7 +87,7 @@
 		return cfg, err
 	}
 	if dir := getenv(envTempDir); dir != "" {
-		cfg.HotRestartDir = hotrestart.Path(dir, cfg.Listen)
+		cfg.HotRestartSocket = hotrestart.Path(dir, cfg.Listen)
 	}
 	switch gossipPath := getenv(envGossip); gossipPath {
 	case "":
@@ -112,7 +112,7 @@
 	if err != nil {
 		return fresh, err
 	}
-	fresh.Admin, fresh.HotRestartDir = c.Admin, c.HotRestartDir // listening sockets are opened at the start only
+	fresh.Admin, fresh.HotRestartSocket = c.Admin, c.HotRestartSocket // listening sockets are opened at the start only
 	for _, field := range c.fields {
 		if !slices.Contains(fresh.fields, field) {
 			return fresh, fielderror.Inline(field, settings.ErrNoLongerSet)
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -42,19 +42,19 @@
 		a.Fail(id)
 		return
 	}
-	req, conn := a.requests.finish(id, outcomeRejected)
+	req, conn := a.requests.concludeForAnswer(id, outcomeRejected)
 	if req != nil {
 		a.logRejected(req.ID, rejectedByBalancer, after)
 	}
 	if conn != nil {
-		a.downstream.answer(req, conn, downstream.RejectedResponse(after, a.downstream.keepAlive(conn)))
+		a.downstream.answer(req, conn, downstream.RejectedResponse(after, a.downstream.finishRequest(conn)))
 	}
 }
 
 // Fail implements balancer.Actions.
 func (a *balancerActions) Fail(id balancer.RequestID) {
-	if req, conn := a.requests.finish(id, outcomeFailed); conn != nil {
-		a.downstream.answer(req, conn, downstream.FailedResponse(a.downstream.keepAlive(conn)))
+	if req, conn := a.requests.concludeForAnswer(id, outcomeFailed); conn != nil {
+		a.downstream.answer(req, conn, downstream.FailedResponse(a.downstream.finishRequest(conn)))
 	}
 }
 
@@ -75,7 +75,7 @@
 // CloseIdle implements balancer.Actions.
 func (a *balancerActions) CloseIdle(to balancer.EndpointID) {
 	for _, conn := range a.attempts.pool.IdleTo(to) {
-		a.attempts.dropConn(conn, ReasonIdleTimeout)
+		a.attempts.dropConn(conn, ReasonIdleClosed)
 	}
 }
 
--- a/internal/gateway/assignment.go
+++ b/internal/gateway/assignment.go
@@ -21,11 +21,11 @@
 
 // How long news of the cluster takes, and how often it is looked at.
 const (
-	viewPropagation  = time.Second     // a change of the view reaches the last gateway
-	viewConvergence  = 3 * time.Second // and surely has reached it, also through losses
-	updateInterval   = time.Second     // between two looks at a view in which only figures changed
-	tokenLookahead   = time.Second     // for which the next slow-start token is looked for
-	errorLogInterval = time.Second
+	membershipPropagation = time.Second     // a change of the view reaches the last gateway
+	membershipConvergence = 3 * time.Second // and surely has reached it, also through losses
+	updateInterval        = time.Second     // between two looks at a view in which only figures changed
+	tokenLookahead        = time.Second     // for which the next slow-start token is looked for
+	errorLogInterval      = time.Second
 )
 
 // subsetAssignment follows what the cluster's view means for this gateway, where the gossip file has a table
@@ -91,19 +91,19 @@
 		MinEndpoints:   state.config.MinEndpoints,
 		RemoteZoneOdds: state.config.RemoteZoneOdds,
 	}
-	state.tracker = assignment.NewTracker(rule, f.Name, viewPropagation, seeds)
-	state.owners = tokenschedule.NewOwners(state.config.Users, viewConvergence)
+	state.tracker = assignment.NewTracker(rule, f.Name, membershipPropagation, seeds)
+	state.owners = tokenschedule.NewOwners(state.config.Users, membershipConvergence)
 	start := s.now
 	if s.restart.predecessor != nil {
 		start += state.rule.ValidFor() // the predecessor takes tokens until it hears that this process serves
 	}
 	state.taker = tokenschedule.NewTaker(state.rule, f.Name, start)
 	// This gateway's own configuration is agreed on until others are heard.
-	state.agreedSince, state.endpointsChanged = s.now-viewConvergence, true
+	state.agreedSince, state.endpointsChanged = s.now-membershipConvergence, true
 	s.state = state
 	s.updateConfigHash()
 	s.balancer.AssignEndpoints(s.now, nil)
-	s.notified = true
+	s.dispatchNeeded = true
 }
 
 // tokenRule is the rule by which slow-start tokens are scheduled, the same on all gateways of one
@@ -289,7 +289,7 @@
 	if !slices.Equal(assigned, state.assigned) {
 		state.assigned = assigned
 		s.balancer.AssignEndpoints(s.now, assigned)
-		s.notified = true
+		s.dispatchNeeded = true
 	}
 }
 
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -67,7 +67,7 @@
 // more.
 func (a *attemptTable) reportEnds() {
 	for _, n := range a.progress {
-		a.notified = true
+		a.dispatchNeeded = true
 		a.balancer.RequestWriting(a.now, n.attempt.request.id, n.attempt.number, n.done)
 	}
 	clear(a.progress)
@@ -81,7 +81,7 @@
 
 func (a *attemptTable) reportEnd(p attemptEnd) {
 	req := p.attempt.request
-	outcome, _ := p.reason.outcome()
+	outcome, _ := p.reason.attemptOutcome()
 	end := balancer.AttemptEnd{
 		Request:      req.id,
 		Attempt:      p.attempt.number,
@@ -94,7 +94,7 @@
 	if p.response != nil && a.cfg.Settings.Gateway.QueueLengthColumn >= 0 {
 		end.Reported, end.QueueLength = p.response.Reported, p.response.QueueLength
 	}
-	a.notified = true
+	a.dispatchNeeded = true
 	a.balancer.AttemptEnded(a.now, end)
 }
 
@@ -132,7 +132,7 @@
 			a.end(att, ReasonNoDescriptor, nil)
 			return
 		}
-		a.dropConn(oldest, ReasonIdleTimeout)
+		a.dropConn(oldest, ReasonIdleClosed)
 	}
 	conn := a.pool.Open(att.endpoint)
 	a.bind(att, conn)
@@ -187,7 +187,7 @@
 	a.stopTimer(timerAttempt, att.id)
 	delete(a.byID, att.id)
 	req := att.request
-	if outcome, _ := end.outcome(); att.invariantIndex != notWritten {
+	if outcome, _ := end.attemptOutcome(); att.invariantIndex != notWritten {
 		req.invariants.AttemptEnded(att.invariantIndex, outcome.NeverRan())
 	}
 	if req.upload != nil {
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	socketRetryInterval = time.Second // until a socket that failed is opened again
-	viewLogInterval     = time.Second // between two log lines about the view
+	socketRetryInterval   = time.Second // until a socket that failed is opened again
+	membershipLogInterval = time.Second // between two log lines about the view
 )
 
 // cluster is this process's membership in the cluster of gateways, where a gossip file asks for it: the
@@ -128,7 +128,7 @@
 		c.emit(loop.Effect{Op: loop.SendTo, Conn: loop.Gossip, Addr: d.To, Data: d.Data})
 	}
 	c.setTimer(timerCluster, 0, v.NextWake())
-	if c.now-c.loggedAt < viewLogInterval {
+	if c.now-c.loggedAt < membershipLogInterval {
 		return
 	}
 	if st := v.Status(c.now); st.Version != c.loggedVersion {
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -15,14 +15,14 @@
 // core is what all state machines of a gateway share: its configuration, the time of the event under way, the
 // balancer and the effects collected so far.
 type core struct {
-	cfg        config.Config
-	log        zerolog.Logger
-	balancer   *balancer.Balancer
-	now        time.Duration
-	effects    []loop.Effect
-	notified   bool // the balancer heard of something since its last Dispatch
-	invariants invariant.Checker
-	stats      statistics
+	cfg            config.Config
+	log            zerolog.Logger
+	balancer       *balancer.Balancer
+	now            time.Duration
+	effects        []loop.Effect
+	dispatchNeeded bool // the balancer heard of something since its last Dispatch
+	invariants     invariant.Checker
+	stats          statistics
 }
 
 // pauseListener accepts nothing for a moment on the admin or hot-restart socket. Guards against spinning
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -130,7 +130,7 @@
 	}
 	d.current, d.unanswered = w, nil
 	d.backoff.Succeeded()
-	d.endSilence()
+	d.pollSettled()
 }
 
 // keepUnanswered deals with a poll that was not answered in time, and reports whether it was kept. It may
@@ -175,7 +175,7 @@
 		failure = backoff.Unreachable
 	}
 	if !w.Started() {
-		d.endSilence()
+		d.pollSettled()
 	}
 	if w == d.unanswered {
 		d.drop(w, end, err)
@@ -194,7 +194,7 @@
 			d.loss = lostUnreachable
 		}
 		if w.Started() && end != ReasonWatchSilent {
-			d.startSilence()
+			d.watchLost()
 		}
 	case wasReplacement && d.current.Addr == d.cfg.Discovery && d.discoveryPushed():
 		// The current watch is silent: the agent is polled beside it again.
@@ -261,7 +261,7 @@
 			d.balancer.WatchStarted(d.now)
 		}
 	case timerSilence:
-		d.silenceDue()
+		d.pauseDue()
 	}
 }
 
@@ -290,6 +290,6 @@
 		kind = balancer.WatchUnreachable
 	}
 	d.loss = notLost
-	d.notified = true
+	d.dispatchNeeded = true
 	d.balancer.UpdateEndpoints(d.now, kind, nil)
 }
--- a/internal/gateway/discovery_silence.go
+++ b/internal/gateway/discovery_silence.go
@@ -11,8 +11,9 @@
 // best there is.
 const maxPause = 2 * time.Second
 
-// startSilence notes that the watch has ended. A pushed list has no queue in which a poll could wait.
-func (d *discoveryWatch) startSilence() {
+// watchLost notes that the watch has ended, and starts the time until attempts are paused. A pushed
+// list has no queue in which a poll could wait.
+func (d *discoveryWatch) watchLost() {
 	if d.discoveryPushed() {
 		return
 	}
@@ -20,10 +21,10 @@
 	d.setTimer(timerSilence, 0, d.now+silenceBeforePause)
 }
 
-// silenceDue begins the pause, or ends it.
-func (d *discoveryWatch) silenceDue() {
+// pauseDue begins the pause of new attempts, or ends it after maxPause.
+func (d *discoveryWatch) pauseDue() {
 	if d.now >= d.silentSince+silenceBeforePause+maxPause {
-		d.endSilence()
+		d.pollSettled()
 		return
 	}
 	d.log.Info().Dur(fieldSilent, d.now-d.silentSince).Msg("new attempts wait for discovery's answer")
@@ -31,13 +32,13 @@
 	d.setTimer(timerSilence, 0, d.now+maxPause)
 }
 
-// endSilence notes that a poll since the watch's end was answered, failed or took too long.
-func (d *discoveryWatch) endSilence() {
+// pollSettled ends the pause: a poll since the end of the watch was answered, failed or took too long.
+func (d *discoveryWatch) pollSettled() {
 	if d.silentSince == 0 {
 		return
 	}
 	d.silentSince = 0
 	d.stopTimer(timerSilence, 0)
 	d.balancer.PauseAttempts(false)
-	d.notified = true
+	d.dispatchNeeded = true
 }
--- a/internal/gateway/discovery_updates.go
+++ b/internal/gateway/discovery_updates.go
@@ -69,7 +69,7 @@
 	}
 	d.attempts.endpointsChanged(update.Changed)
 	d.assignment.endpointListChanged()
-	d.notified = true
+	d.dispatchNeeded = true
 	d.notifyBalancer(kind, update.Entries)
 	return nil
 }
@@ -117,7 +117,7 @@
 func (d *discoveryWatch) applyRemovals(update discovery.Update) {
 	if len(update.Entries) > 0 {
 		d.attempts.endpointsChanged(update.Changed)
-		d.notified = true
+		d.dispatchNeeded = true
 		d.notifyBalancer(balancer.Delta, update.Entries)
 	}
 }
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -5,7 +5,7 @@
 // [Gateway.Step] takes one event of internal/loop (a socket, a timer, a file, a signal) and returns the
 // effects to carry out, in order: connect, write, close, set a timer, exit. It does nothing else: no sockets,
 // no files, no clock, no goroutines. The same events at the same times give the same effects, which is what
-// the simulation and same-behaviour rely on.
+// the simulation and `thymelab replay` rely on.
 //
 // # State machines
 //
@@ -37,7 +37,7 @@
 // The balancer (internal/balancer) decides; this package tells it what happened and carries out its actions.
 // It must not be called from one of its own actions, so what it has to hear of then is kept
 // (attemptTable.ended and progress, discoveryWatch.loss) and reported at the end of the Step. Notifications
-// set core.notified; at the end of each round of events, loop.Turn, the balancer dispatches if it is set.
+// set core.dispatchNeeded; at the end of each round of events, loop.Turn, the balancer dispatches if it is set.
 //
 // # Invariants
 //
@@ -46,6 +46,8 @@
 //
 // # Concurrency and time
 //
-// A Gateway belongs to one goroutine, that of the loop, and needs no locks. Times are monotonic, counted from
-// an origin of the loop's choice, and are the same within one Step. Wall clocks are never read.
+// A Gateway belongs to one goroutine, that of the loop, and needs no locks. Time is the
+// Unix time at the start of the process plus what has passed since on the monotonic clock, and is the same
+// within one Step. It does not follow steps of the wall clock; membership and slow-start tokens rely on its
+// origin.
 package gateway
--- a/internal/gateway/downstream.go
+++ b/internal/gateway/downstream.go
@@ -56,7 +56,7 @@
 		}
 	case loop.Drained:
 		if conn.FinalRead && !conn.Busy && !conn.Pending() {
-			d.drop(conn, ReasonIdleTimeout)
+			d.drop(conn, ReasonIdleClosed)
 		}
 	case loop.EOF, loop.Broken, loop.Leaving:
 		end := ReasonClientLeft
--- a/internal/gateway/downstream_request.go
+++ b/internal/gateway/downstream_request.go
@@ -71,7 +71,7 @@
 		d.stats.countResult(class, outcomeFailed)
 		d.logFaulty(conn, incoming.Request.ID, statusBadRequest, "the id of an open request")
 		conn.Upload = incoming.Large
-		keep := d.keepAlive(conn)
+		keep := d.finishRequest(conn)
 		d.reply(conn, downstream.DuplicateIDResponse(keep))
 		return
 	}
@@ -80,7 +80,7 @@
 		d.stats.countResult(class, outcomeRejected)
 		d.logRejected(incoming.Request.ID, reason, after)
 		conn.Upload = incoming.Large
-		keep := d.keepAlive(conn)
+		keep := d.finishRequest(conn)
 		d.reply(conn, downstream.RejectedResponse(after, keep))
 		return
 	}
@@ -98,7 +98,7 @@
 	if incoming.Large {
 		d.uploads.begin(req, conn)
 	}
-	d.notified = true
+	d.dispatchNeeded = true
 	d.balancer.RequestArrived(d.now, balancer.Request{
 		ID:            req.id,
 		Class:         read.Class.Index,
@@ -157,10 +157,10 @@
 	d.writeFinal(conn, data)
 }
 
-// keepAlive reports whether a connection stays open after the answer that is written next. It does not if its
+// finishRequest reports whether a connection stays open after the answer that is written next. It does not if its
 // request's body has not ended, for where the next request begins is not known (the rest of the body is
 // discarded), nor if clients wait for its descriptor.
-func (d *downstreamConns) keepAlive(conn *downstream.Conn) bool {
+func (d *downstreamConns) finishRequest(conn *downstream.Conn) bool {
 	if conn.Upload {
 		conn.Upload, conn.Closing, conn.DiscardBody = false, true, true
 		d.resumeReading(conn)
--- a/internal/gateway/downstream_timeouts.go
+++ b/internal/gateway/downstream_timeouts.go
@@ -102,7 +102,7 @@
 func (d *downstreamConns) requestDeadline(conn *downstream.Conn) time.Duration {
 	until := conn.RequestDeadline()
 	if d.shutdown.stopping() {
-		until = min(until, d.shutdown.killAt-endBeforeKill)
+		until = min(until, d.shutdown.answerBy-endBeforeKill)
 	}
 	return d.invariants.LimitWait(until, lastProgress(conn), downstream.ErrorDeadline)
 }
@@ -110,7 +110,7 @@
 // lingerDeadline is the time until which the end of a connection waits for its client's close.
 func (d *downstreamConns) lingerDeadline() time.Duration {
 	if d.shutdown.stopping() {
-		return min(d.now+downstream.LingerTimeout, max(d.now, d.shutdown.killAt))
+		return min(d.now+downstream.LingerTimeout, max(d.now, d.shutdown.answerBy))
 	}
 	return d.now + downstream.LingerTimeout
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -136,8 +136,8 @@
 	case loop.TimerDue:
 		g.timerDue(e.Timer)
 	case loop.Turn:
-		if g.notified {
-			g.notified = false
+		if g.dispatchNeeded {
+			g.dispatchNeeded = false
 			g.assignment.grantTokens()
 			g.balancer.Dispatch(now)
 		}
@@ -147,7 +147,7 @@
 	g.attempts.reportEnds()
 	g.discovery.reportLoss()
 	if e.Kind == loop.Turn {
-		if g.notified {
+		if g.dispatchNeeded {
 			g.emit(loop.Effect{Op: loop.Again})
 		}
 		g.restart.passIdleConns()
@@ -170,7 +170,7 @@
 		g.emit(loop.Effect{Op: loop.Listen, Conn: loop.Admin, Addr: g.cfg.Admin, Urgent: true})
 	}
 	g.restart.resize()
-	g.notified = true
+	g.dispatchNeeded = true
 	g.discovery.takeCached()
 	g.restart.begin()
 	if g.discoveryPushed() {
--- a/internal/gateway/hotrestart_predecessor.go
+++ b/internal/gateway/hotrestart_predecessor.go
@@ -7,8 +7,8 @@
 
 // offer listens for a successor.
 func (h *hotRestart) offer() {
-	if h.cfg.HotRestartDir != "" {
-		h.emit(loop.Effect{Op: loop.Listen, Conn: loop.HotRestart, Path: h.cfg.HotRestartDir, Urgent: true})
+	if h.cfg.HotRestartSocket != "" {
+		h.emit(loop.Effect{Op: loop.Listen, Conn: loop.HotRestart, Path: h.cfg.HotRestartSocket, Urgent: true})
 	}
 }
 
@@ -146,7 +146,7 @@
 		return
 	}
 	h.balancer.YieldSlowStart(h.now, false)
-	h.notified = true
+	h.dispatchNeeded = true
 	h.cluster.join()
 	if h.shutdown.stopping() {
 		h.shutdown.closeListener()
--- a/internal/gateway/hotrestart_successor.go
+++ b/internal/gateway/hotrestart_successor.go
@@ -8,13 +8,13 @@
 
 // begin connects to the process of this gateway that serves already, if any.
 func (h *hotRestart) begin() {
-	if h.cfg.HotRestartDir == "" {
+	if h.cfg.HotRestartSocket == "" {
 		h.listener.open()
 		return
 	}
 	h.predecessor = &hotrestart.Conn{ID: h.attempts.pool.NextID()}
 	h.setTimer(timerPredecessor, 0, h.now+hotrestart.AnswerTimeout)
-	h.emit(loop.Effect{Op: loop.Dial, Conn: h.predecessor.ID, Path: h.cfg.HotRestartDir, Urgent: true})
+	h.emit(loop.Effect{Op: loop.Dial, Conn: h.predecessor.ID, Path: h.cfg.HotRestartSocket, Urgent: true})
 }
 
 func (h *hotRestart) predecessorEvent(e loop.Event) {
@@ -54,7 +54,7 @@
 	if m.Balancer != nil {
 		h.balancer.Restore(h.now, *m.Balancer)
 	}
-	h.notified = true
+	h.dispatchNeeded = true
 	h.cluster.inherit(m.ClusterStartID, m.ClusterIncarnation)
 	h.predecessorDescriptors = m.Descriptors
 	h.resize()
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -78,6 +78,6 @@
 // closeSurplus closes idle upstream connections beyond the budget: their descriptors are the other process's.
 func (h *hotRestart) closeSurplus() {
 	for _, conn := range h.attempts.pool.Surplus() {
-		h.attempts.dropConn(conn, ReasonIdleTimeout)
+		h.attempts.dropConn(conn, ReasonIdleClosed)
 	}
 }
--- a/internal/gateway/logging.go
+++ b/internal/gateway/logging.go
@@ -46,7 +46,7 @@
 }
 
 // logAnswered logs the final answer of a request.
-func (c *core) logAnswered(req *request, r outcome) {
+func (c *core) logAnswered(req *request, r finalResult) {
 	c.log.Debug().Uint32(fieldRequest, uint32(req.id)).Str(fieldID, req.ID).Stringer(fieldOutcome, r).
 		Int(fieldAttempts, req.started).
 		Dur(fieldTimeLeft, req.deadline-c.now).Msg("request ended")
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -62,7 +62,7 @@
 	reusable := a.KeepAlive && conn.Phase == upstream.Awaiting
 	length := conn.Begin()
 	chunked := length < 0 && req.Message.Minor > 0
-	keep := t.downstream.keepAlive(c)
+	keep := t.downstream.finishRequest(c)
 	if length < 0 && !chunked { // HTTP/1.0 has no chunks: the connection's end is the body's
 		keep, c.Closing = false, true
 	}
@@ -201,7 +201,7 @@
 }
 
 // remove forgets a relay that has ended.
-func (t *relayTable) remove(r *relay, how outcome) {
+func (t *relayTable) remove(r *relay, how finalResult) {
 	delete(t.byConn, r.downstream.ID)
 	delete(t.byConn, r.upstream.ID)
 	t.releaseBuffer(r)
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -29,7 +29,7 @@
 		return
 	}
 	r.stats.configsAccepted++
-	r.notified = true
+	r.dispatchNeeded = true
 	r.classes.apply(fresh.Settings, indices)
 	r.log.Info().Stringer(fieldDiscovery, fresh.Discovery).Int(fieldClasses, len(indices)).Msg("reload")
 	r.discovery.reload(fresh.Discovery)
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -54,7 +54,7 @@
 }
 
 // conclude notes how a request has ended for its client. Each request passes here once, or is relayed.
-func (t *requestTable) conclude(req *request, r outcome) {
+func (t *requestTable) conclude(req *request, r finalResult) {
 	req.done = true
 	delete(t.openIDs, req.ID)
 	t.stats.countResult(req.Class.Name, r)
@@ -62,13 +62,13 @@
 }
 
 // relayEnded notes how a request has ended whose response was relayed.
-func (t *requestTable) relayEnded(id, class string, r outcome) {
+func (t *requestTable) relayEnded(id, class string, r finalResult) {
 	delete(t.openIDs, id)
 	t.stats.countResult(class, r)
 }
 
-// finish concludes a request and returns the connection for its answer, nil if its client is gone.
-func (t *requestTable) finish(id balancer.RequestID, r outcome) (*request, *downstream.Conn) {
+// concludeForAnswer concludes a request and returns the connection for its answer, nil if its client is gone.
+func (t *requestTable) concludeForAnswer(id balancer.RequestID, r finalResult) (*request, *downstream.Conn) {
 	req := t.byID[id]
 	if req == nil || req.done || !t.invariants.AllowAnswer(&req.invariants) {
 		return nil, nil
@@ -89,8 +89,8 @@
 func (t *requestTable) abandon(req *request) {
 	req.client = 0
 	req.invariants.ClientLeft()
-	t.conclude(req, outcomeFailed) // its client has left: any outcome would do
-	t.notified = true
+	t.conclude(req, outcomeFailed) // counted under `faulted`, as /ops/stats has no class for clients that left
+	t.dispatchNeeded = true
 	t.balancer.RequestAbandoned(t.now, req.id)
 	for _, att := range append([]*attempt(nil), req.running...) {
 		t.attempts.end(att, ReasonClientLeft, nil)
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -6,6 +6,10 @@
 	"thymebend/internal/loop"
 )
 
+// The times of a graceful shutdown, from SIGTERM on: until 0.55 s new connections are accepted; until 1.25 s the
+// listener's backlog is drained, then the listener is closed; at the shorter of 3 s and the longest deadline, plus
+// 0.6 s, the last answer is due; 0.1 s later SIGKILL may come.
+
 // acceptAfterSIGTERM is how long new connections are accepted after SIGTERM: the load balancer in front goes
 // on bringing them for 0.4 s. What comes after 0.7 s would have to be answered before a SIGKILL that may come
 // too soon.
@@ -26,7 +30,7 @@
 // killMargin is what a final answer and its way to the client take, on a busy processor.
 const killMargin = 100 * time.Millisecond
 
-// backlogDrainTimeout is how long after that the listener's backlog may take to be accepted.
+// backlogDrainTimeout is how long after acceptAfterSIGTERM the listener's backlog may take to be accepted.
 const backlogDrainTimeout = 700 * time.Millisecond
 
 // shutdownPhase is how far the end of this process has come. Phases only grow.
@@ -48,8 +52,8 @@
 	requests   *requestTable
 	restart    *hotRestart
 
-	phase  shutdownPhase
-	killAt time.Duration // once stopping: SIGKILL may come from then on
+	phase    shutdownPhase
+	answerBy time.Duration // once stopping: the last moment for a final answer, killMargin before SIGKILL may come
 }
 
 // stopping reports whether SIGTERM has come.
@@ -66,7 +70,7 @@
 	}
 	s.log.Info().Int(fieldRequests, len(s.requests.byID)).Msg("stopping")
 	s.phase = phaseStopping
-	s.killAt = s.now + min(maxGrace, s.longestDeadline()) + killAfter - killMargin
+	s.answerBy = s.now + min(maxGrace, s.longestDeadline()) + killAfter - killMargin
 	s.cluster.quit(true)
 	s.downstream.beginShutdown()
 	if s.restart.handedOver() {
@@ -85,7 +89,7 @@
 // against half a request that is completed once the listener is closed, and against one on a connection that
 // stood until then.
 func (s *shutdown) tooLate(timeout time.Duration) bool {
-	return s.closing() && !s.restart.handedOver() && s.now+timeout > s.killAt
+	return s.closing() && !s.restart.handedOver() && s.now+timeout > s.answerBy
 }
 
 // closeListener accepts the listener's backlog, then closes it and the idle downstream connections.
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -19,17 +19,17 @@
 // classCounts are the final answers of one class.
 type classCounts struct{ served, rejected, failed int64 }
 
-// outcome is how a request ended for its client.
-type outcome uint8
+// finalResult is how a request ended for its client.
+type finalResult uint8
 
 const (
-	outcomeServed outcome = iota
+	outcomeServed finalResult = iota
 	outcomeRejected
 	outcomeFailed
 )
 
 // String is for log lines.
-func (r outcome) String() string {
+func (r finalResult) String() string {
 	switch r {
 	case outcomeServed:
 		return "served"
@@ -42,7 +42,7 @@
 }
 
 // countResult counts the end of a request. Every final answer passes here, once.
-func (s *statistics) countResult(class string, r outcome) {
+func (s *statistics) countResult(class string, r finalResult) {
 	t := s.class(class)
 	switch r {
 	case outcomeServed:
--- a/internal/gateway/termination.go
+++ b/internal/gateway/termination.go
@@ -8,35 +8,39 @@
 // The ends of attempts come first: those that prove that the request never ran, then those that leave it
 // open, then the one that served it. The ends of downstream connections and of the watch follow.
 const (
-	ReasonRequestOver       TerminationReason = iota // not begun: the request was done, out of time or of attempts
-	ReasonDedupWindowOver                            // connected after the window for retries: nothing was written
-	ReasonEndpointLeft                               // the endpoint drains or is gone: nothing was written
-	ReasonNoDescriptor                               // no descriptor was left for a connection
-	ReasonConnectFailed                              // the connection was refused or broke while it came up
-	ReasonLocalResources                             // this machine lacks something that a connection needs
-	ReasonConnectTimeout                             // the connection did not come up in time
-	ReasonResetBeforeSent                            // the connection broke before the last byte was written
-	ReasonRejected                                   // the endpoint says that it did not begin
-	ReasonResponseTimeout                            // no answer in time
-	ReasonReset                                      // the connection broke or ended before a complete answer
-	ReasonMalformedResponse                          // what came is no answer
-	ReasonErrorResponse                              // an answer that is neither served nor rejected
-	ReasonCancelled                                  // the balancer cancelled
-	ReasonClientLeft                                 // the client left: its attempts and its connection end
-	ReasonServed                                     // a complete 200
-	ReasonIdleTimeout                                // an idle connection was closed in good time, or by the peer
-	ReasonAnswered                                   // a downstream connection ended after its last answer
-	ReasonClientTimeout                              // a client did not finish its request, or read its answer, in time
-	ReasonWatchBroken                                // the watch broke, ended or never came up
-	ReasonWatchSilent                                // the watch missed its heartbeat
-	ReasonMalformedUpdate                            // the watch brought no valid list
-	ReasonWatchReplaced                              // another watch took its place
+	ReasonRequestOver     TerminationReason = iota // not begun: the request was done, out of time or of attempts
+	ReasonDedupWindowOver                          // connected after the window for retries: nothing was written
+	ReasonEndpointLeft                             // the endpoint drains or is gone: nothing was written
+	ReasonNoDescriptor                             // no descriptor was left for a connection
+	ReasonConnectFailed                            // the connection was refused or broke before it was established
+	ReasonLocalResources                           // this machine lacks something that a connection needs
+	// the connection was not established in time, or too late for the attempt
+	ReasonConnectTimeout
+	// the connection broke, or the write timed out, before the last byte was written
+	ReasonResetBeforeSent
+	ReasonRejected          // the endpoint says that it did not begin
+	ReasonResponseTimeout   // no answer in time
+	ReasonReset             // the connection broke or ended before a complete answer
+	ReasonMalformedResponse // what came is no answer
+	ReasonErrorResponse     // an answer that is neither served nor rejected
+	ReasonCancelled         // the balancer cancelled
+	ReasonClientLeft        // the client left: its attempts and its connection end
+	ReasonServed            // a complete 200
+	// closed while idle: by a timeout, the pool limit, a change of the subset, an upgrade or the peer
+	ReasonIdleClosed
+	ReasonAnswered        // a downstream connection ended after its last answer
+	ReasonClientTimeout   // a client did not finish its request, or read its answer, in time
+	ReasonWatchBroken     // the watch broke, ended or was never established
+	ReasonWatchSilent     // the watch missed its heartbeat
+	ReasonMalformedUpdate // the watch brought no valid list
+	ReasonWatchReplaced   // another watch took its place
 	reasonCount
 )
 
-// outcome maps the end of an attempt to what the balancer is notified of. It is false for ends of other
-// things.
-func (e TerminationReason) outcome() (balancer.Outcome, bool) {
+// attemptOutcome maps the end of an attempt to what the balancer is notified of. It is false for ends of other
+// things. ReasonNoDescriptor, ReasonEndpointLeft and ReasonConnectTimeout count as failures of the endpoint, also
+// where this gateway was short of descriptors or of time.
+func (e TerminationReason) attemptOutcome() (balancer.Outcome, bool) {
 	switch e {
 	case ReasonRequestOver, ReasonDedupWindowOver, ReasonLocalResources:
 		return balancer.OutcomeNotStarted, true
@@ -77,7 +81,7 @@
 		ReasonCancelled:         "called off",
 		ReasonClientLeft:        "client gone",
 		ReasonServed:            "served",
-		ReasonIdleTimeout:       "link idle",
+		ReasonIdleClosed:        "link idle",
 		ReasonAnswered:          "answered",
 		ReasonClientTimeout:     "client slow",
 		ReasonWatchBroken:       "list lost",
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -5,7 +5,7 @@
 // timerKind tells the timers of a gateway apart.
 type timerKind uint8
 
-// Timers by kind, with what their ids are. The order is in the hash that same-behaviour compares.
+// Timers by kind, with what their ids are. The order is in the hash that `thymelab replay` prints.
 const (
 	timerBalancer   timerKind = iota // a token of the balancer
 	timerDownstream                  // a downstream connection
@@ -28,7 +28,7 @@
 func (g *Gateway) timerDue(t loop.Timer) {
 	switch kind := timerKind(t.Kind); kind {
 	case timerBalancer:
-		g.notified = true
+		g.dispatchNeeded = true
 		g.balancer.TimerFired(g.now, uint32(t.ID))
 		g.assignment.update()
 	case timerDownstream:
--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -14,7 +14,7 @@
 // warmingEndpoint is an endpoint in slow start. None of its tokens is this gateway's before nextLook.
 type warmingEndpoint struct {
 	tokenschedule.Endpoint
-	nextLook time.Duration
+	nextTokenCheck time.Duration
 }
 
 // updateAgreement notes since when more than half of the living members have this gateway's config hash.
@@ -54,7 +54,7 @@
 
 // agreed reports whether this gateway's config hash has had a majority for long enough that tokens are valid.
 func (s *subsetAssignment) agreed() bool {
-	return s.state.agreedSince > 0 && s.now-s.state.agreedSince >= viewConvergence
+	return s.state.agreedSince > 0 && s.now-s.state.agreedSince >= membershipConvergence
 }
 
 // grantTokens gives the balancer the tokens that are valid from now, before it dispatches. It dispatches
@@ -71,7 +71,7 @@
 	}
 	for i := range state.warming {
 		c := &state.warming[i]
-		if s.now < c.nextLook || s.now >= c.StartedAt+state.rule.Duration {
+		if s.now < c.nextTokenCheck || s.now >= c.StartedAt+state.rule.Duration {
 			continue
 		}
 		divisions := state.owners.Ownerships(s.now, c.ID)
@@ -83,8 +83,9 @@
 			state.tokens++
 			s.balancer.GrantSlowStartToken(s.now, balancer.EndpointID(c.ID), until)
 		}
-		if c.nextLook, _ = state.taker.Next(s.now, c.Endpoint, tokenLookahead, divisions...); c.nextLook == 0 {
-			c.nextLook = s.now + tokenLookahead
+		if c.nextTokenCheck, _ = state.taker.Next(s.now, c.Endpoint, tokenLookahead,
+			divisions...); c.nextTokenCheck == 0 {
+			c.nextTokenCheck = s.now + tokenLookahead
 		}
 	}
 }
--- a/internal/gateway/upload.go
+++ b/internal/gateway/upload.go
@@ -94,7 +94,7 @@
 // abort ends a request whose client does not send its body as it should, and answers it.
 func (u *uploads) abort(req *request, conn *downstream.Conn, answer []byte) {
 	u.requests.abandon(req)
-	u.downstream.keepAlive(conn)
+	u.downstream.finishRequest(conn)
 	conn.Closing = true
 	u.downstream.reply(conn, answer)
 }
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -34,7 +34,7 @@
 		// Nothing was written: the endpoint closed this connection while it was idle. Another may serve.
 		att.request.invariants.AttemptEnded(att.invariantIndex, true)
 		att.invariantIndex = notWritten
-		a.dropConn(conn, ReasonIdleTimeout)
+		a.dropConn(conn, ReasonIdleClosed)
 		a.start(att)
 	case loop.Data:
 		a.handleData(conn, att, e.Data)
@@ -66,7 +66,7 @@
 // connBroke ends what is under way on a connection that broke or was closed by its endpoint.
 func (a *attemptTable) connBroke(conn *upstream.Conn, att *attempt, e loop.Event) {
 	if att == nil {
-		a.dropConn(conn, ReasonIdleTimeout)
+		a.dropConn(conn, ReasonIdleClosed)
 		return
 	}
 	switch {
@@ -104,7 +104,7 @@
 	if end == ReasonServed && !req.done && a.invariants.AllowAnswer(&req.invariants) {
 		a.requests.conclude(req, outcomeServed)
 		if c := a.downstream.conns.ByConn[req.client]; c != nil {
-			keep := a.downstream.keepAlive(c)
+			keep := a.downstream.finishRequest(c)
 			a.downstream.answer(req, c, downstream.ServedResponse(resp.Forwarded(), resp.Body, keep))
 		}
 	}
@@ -160,6 +160,6 @@
 // idleTimerDue closes an idle connection before its endpoint does.
 func (a *attemptTable) idleTimerDue(c loop.Conn) {
 	if conn := a.pool.Find(c); conn != nil && conn.Phase == upstream.Idle {
-		a.dropConn(conn, ReasonIdleTimeout)
+		a.dropConn(conn, ReasonIdleClosed)
 	}
 }
--- a/internal/lab/simulation/gatewaynode.go
+++ b/internal/lab/simulation/gatewaynode.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		panic(err)
 	}
-	cfg.HotRestartDir = "/tmp/" + m.name
+	cfg.HotRestartSocket = "/tmp/" + m.name
 	if w.views != nil {
 		cfg.Gossip, cfg.GossipPath = w.views.file(m.n), w.views.path(m.n)
 	}
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -55,7 +55,7 @@
 	periodic uint64            // sequence number of the period's probe; 0 for none
 	seq      uint64            // the last given
 	rtt      time.Duration     // smoothed over all members; 0 while none was measured
-	outcomes outcomes
+	outcomes probeResults
 }
 
 func (p *probes) add(one *probe) (seq uint64) {
--- a/internal/membership/probe_schedule.go
+++ b/internal/membership/probe_schedule.go
@@ -9,19 +9,19 @@
 // outcomeWindow is how many of the last periodic probes the share of those answered is taken over.
 const outcomeWindow = 16
 
-// outcomes remembers whether the last periodic probes were answered.
-type outcomes struct {
+// probeResults remembers whether the last periodic probes were answered.
+type probeResults struct {
 	answered [outcomeWindow]bool
 	count    int // since the start
 }
 
-func (o *outcomes) add(answered bool) {
+func (o *probeResults) add(answered bool) {
 	o.answered[o.count%outcomeWindow] = answered
 	o.count++
 }
 
 // answering is the share that was answered, 0 to 1; 1 while there is none.
-func (o *outcomes) answering() float64 {
+func (o *probeResults) answering() float64 {
 	n := min(o.count, outcomeWindow)
 	if n == 0 {
 		return 1
--- a/internal/membership/probe_schedule_test.go
+++ b/internal/membership/probe_schedule_test.go
@@ -5,7 +5,7 @@
 )
 
 func TestOutcomesKeepTheLastOnes(t *testing.T) {
-	var o outcomes
+	var o probeResults
 	if o.answering() != 1 {
 		t.Errorf("without a probe: %v", o.answering())
 	}
