--- a/internal/hotrestart/conn.go
+++ b/internal/hotrestart/conn.go
@@ -16,25 +16,25 @@
 	unclaimed []loop.Conn // received and not yet claimed by a message
 }
 
-// Feed takes what has come.
+// Feed adds received bytes and the sockets passed beside them.
 func (c *Conn) Feed(data []byte, passed []loop.Conn) {
 	c.received = append(c.received, data...)
 	c.unclaimed = append(c.unclaimed, passed...)
 }
 
-// Next returns the next message if it is whole.
+// Next returns the next message once it has been received completely.
 func (c *Conn) Next() (m Message, whole bool, err error) {
-	if len(c.received) < 4 {
+	if len(c.received) < lengthPrefix {
 		return m, false, nil
 	}
 	size := int(binary.BigEndian.Uint32(c.received))
 	if size > maxMessage {
 		return m, false, &SizeError{Bytes: size}
 	}
-	if len(c.received) < 4+size {
+	if len(c.received) < lengthPrefix+size {
 		return m, false, nil
 	}
-	if err := json.Unmarshal(c.received[4:4+size], &m); err != nil {
+	if err := json.Unmarshal(c.received[lengthPrefix:lengthPrefix+size], &m); err != nil {
 		return m, false, fmt.Errorf("hand-over message: %w", err)
 	}
 	switch {
@@ -45,11 +45,11 @@
 			m.Kind, m.Passed, len(c.unclaimed))
 	}
 	m.Conns, c.unclaimed = c.unclaimed[:m.Passed:m.Passed], c.unclaimed[m.Passed:]
-	c.received = append([]byte(nil), c.received[4+size:]...)
+	c.received = append([]byte(nil), c.received[lengthPrefix+size:]...)
 	return m, true, nil
 }
 
-// Unclaimed returns the sockets that no message has claimed, to be closed with the connection.
+// Unclaimed returns the sockets that no message has claimed; they are to be closed with the connection.
 func (c *Conn) Unclaimed() []loop.Conn { return c.unclaimed }
 
 // Limits between the two.
@@ -61,7 +61,9 @@
 	TakeoverTimeout = 3 * time.Second
 	// Batch is the most downstream connections passed at once.
 	Batch = 64
-	// maxMessage bounds a message, in bytes: of a list of 8,000 endpoints with long names and all that
-	// is learnt of them, 4.7 MB.
+	// maxMessage bounds a message, in bytes. A list of 8,000 endpoints with long names, and all that the
+	// balancer has learnt of them, takes 4.7 MB.
 	maxMessage = 16 << 20
+	// lengthPrefix is the size of the length in front of each message, in bytes.
+	lengthPrefix = 4
 )
--- a/internal/hotrestart/errors.go
+++ b/internal/hotrestart/errors.go
@@ -12,7 +12,7 @@
 	return fmt.Sprintf("a hand-over message of %d bytes, at most %d", e.Bytes, maxMessage)
 }
 
-// VersionError is a message of a process that hands over in another version.
+// VersionError is a message from a process that uses another version of the messages.
 type VersionError struct {
 	Theirs int
 }
--- a/internal/loop/calls.go
+++ b/internal/loop/calls.go
@@ -7,8 +7,8 @@
 )
 
 // syscalls are the system calls on sockets that fail for reasons of their own while the program runs.
-// There is one set of them, the kernel's; tests put others in their place. docs/design/system-calls.md
-// tells what each failure means.
+// There is one set of them, the kernel's; tests replace it. docs/design/system-calls.md explains what
+// each failure means.
 type syscalls struct {
 	accept      func(fd int) (int, error)
 	socket      func(family, kind int) (int, error)
@@ -46,10 +46,10 @@
 	}
 }
 
-// maxInterrupts bounds how often a call that was interrupted is made again at once.
+// maxInterrupts bounds how often an interrupted call is repeated at once.
 const maxInterrupts = 16
 
-// retryInterrupted makes a call anew while a signal interrupts it.
+// retryInterrupted repeats a call while a signal interrupts it.
 func retryInterrupted[T any](call func() (T, error)) (result T, err error) {
 	for range maxInterrupts {
 		if result, err = call(); !errors.Is(err, unix.EINTR) {
@@ -82,13 +82,13 @@
 }
 
 // isResourceError reports whether a connection failed for want of something that this machine or
-// process has run out of: it tells nothing of the peer.
+// process has run out of: the peer may be well.
 func isResourceError(err error) bool {
 	return isAny(err, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EAGAIN)
 }
 
-// isEarlierDatagramError reports whether receiving failed for what the network brought back for a
-// datagram sent before, or for the moment.
+// isEarlierDatagramError reports whether receiving failed because of a datagram sent earlier, or only for the
+// moment.
 func isEarlierDatagramError(err error) bool {
 	return isAny(err, unix.EINTR, unix.ECONNREFUSED, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.EMSGSIZE,
 		unix.ENOBUFS, unix.ENOMEM, unix.ENETDOWN, unix.EHOSTDOWN, unix.ENONET, unix.EPROTO, unix.ETIMEDOUT, unix.EPERM)
--- a/internal/loop/datagrams.go
+++ b/internal/loop/datagrams.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Datagrams are small, and many: a socket is read in batches, so that others get their turn, and what
-// does not fit into mostDatagram is no datagram of ours.
+// Datagrams are small, and many: a socket is read in batches, so that others get their turn. A datagram larger
+// than maxDatagram comes from no gateway.
 const (
 	maxDatagram   = 2048
 	datagramBatch = 32
@@ -25,7 +25,7 @@
 		return err
 	}
 	// Two processes of an upgrade have the address at once; the predecessor closes its own when the
-	// next one speaks.
+	// successor starts to send.
 	if err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1); err == nil {
 		err = unix.Bind(fd, sockaddr(f.Addr))
 	}
@@ -37,9 +37,9 @@
 	return nil
 }
 
-// datagrams tells what has come, a batch at most: the next Readable brings the rest. One that was cut
-// short is dropped. An error that the network brought back for an earlier datagram, as from a port
-// where nobody listens, is not the socket's.
+// datagrams queues the datagrams received, one batch at most: the next Readable brings the rest. A truncated
+// one is dropped. An error that the network returned for an earlier datagram, as from a port where nobody
+// listens, does not break the socket.
 func (l *Loop) datagrams(s *socket) {
 	for range datagramBatch {
 		buf := make([]byte, maxDatagram)
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// ReadSize is how much one read brings at most. A read that brings less has taken all that there was.
+// ReadSize is the most that one read returns, in bytes. A read that returns less has taken all that there was.
 const ReadSize = 64 << 10
 
 // Sizes of one turn of the loop.
@@ -27,14 +27,14 @@
 type socket struct {
 	conn       Conn
 	fd         int
-	generation int32 // tells it from an earlier socket with the same descriptor
+	generation int32 // distinguishes it from an earlier socket with the same descriptor
 	connecting bool
 	muted      bool
 	ending     bool // the peer has ended its sending
-	leaving    bool // while muted: the end of the peer's sending is to be told
+	leaving    bool // while muted: the end of the peer's sending is to be reported
 	urgent     bool
-	shared     bool // was passed: another process has it, or had it
-	unix       bool // a Unix socket, by which others are passed
+	shared     bool // was passed between processes: another process has it, or had it
+	unix       bool // a Unix socket, over which sockets can be passed
 	datagrams  bool
 	armed      uint32 // events that epoll watches for
 	unwritten  []byte // accepted for writing and not yet written
@@ -46,17 +46,17 @@
 	syscalls   syscalls
 	epoll      int
 	wake       int            // an eventfd, written when a signal came
-	signals    chan os.Signal // those not told yet
+	signals    chan os.Signal // those not delivered yet
 	reload     os.Signal
 	byConn     map[Conn]*socket
 	byFD       map[int]*socket
-	urgent     []*socket // those of byConn that are, oldest first: a few
+	urgent     []*socket // the few urgent sockets of byConn, oldest first
 	accepted   Conn
 	generation int32
 	timers     timers
-	events     []Event // told before anything else
+	events     []Event // delivered before anything else
 	buf        []byte
-	bufInUse   bool // buf holds data not yet told
+	bufInUse   bool // buf holds data not yet delivered
 	ready      []unix.EpollEvent
 	again      bool
 	exit       bool
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// Notify tells the reducer Reload each time that the one signal comes, and Stop when one of the others does.
+// Notify delivers Reload each time the signal reload arrives, and Stop when one of the others does.
 func (l *Loop) Notify(reload os.Signal, stop ...os.Signal) {
 	came := make(chan os.Signal, maxSignals)
 	l.reload, l.signals = reload, make(chan os.Signal, maxSignals)
@@ -128,8 +128,8 @@
 	}()
 }
 
-// Run tells the reducer what happens until it asks for Exit. Sockets come before timers: an answer that lies
-// in a socket already must not be overtaken by its own time-out.
+// Run delivers events to the reducer until it returns Exit. Sockets come before timers: an answer that has
+// already arrived must not be overtaken by its own time-out.
 func (l *Loop) Run(r Reducer) error {
 	l.queueEvent(Event{Kind: Start})
 	l.deliver(r)
@@ -150,7 +150,7 @@
 	return l.failed
 }
 
-// wait sleeps until a socket is ready or a timer falls due, and returns how many sockets are ready.
+// wait sleeps until a socket is ready or a timer expires, and returns how many sockets are ready.
 func (l *Loop) wait() (int, error) {
 	wait := l.timers.wait(l.clock.Now())
 	if l.again {
@@ -164,8 +164,8 @@
 	return max(n, 0), nil
 }
 
-// deliverReady reports what is ready on the urgent sockets and of signals, or on all other sockets. A descriptor
-// that was closed in this round may be another socket's by now, which the generation tells.
+// deliverReady delivers the events of the ready sockets: of the urgent ones and of signals, or of all others. A
+// descriptor that was closed in this round may be another socket's by now, which the generation shows.
 func (l *Loop) deliverReady(r Reducer, ready []unix.EpollEvent, urgent bool) {
 	for _, e := range ready {
 		if s := l.byFD[int(e.Fd)]; s != nil && s.generation == e.Pad && s.urgent == urgent {
@@ -178,7 +178,7 @@
 	}
 }
 
-// deliverDueTimers reports the timers that have fallen due.
+// deliverDueTimers delivers the timers that have expired.
 func (l *Loop) deliverDueTimers(r Reducer) {
 	now := l.clock.Now()
 	for {
@@ -191,8 +191,8 @@
 	}
 }
 
-// pollUrgent tells what has come on urgent sockets where more are ready than epoll tells of at once:
-// discovery's lines and operators' calls must not wait for turns of a crowd.
+// pollUrgent delivers data on urgent sockets where more sockets are ready than epoll reports at once:
+// discovery's lines and operators' calls must not wait behind thousands of other sockets.
 func (l *Loop) pollUrgent(r Reducer) {
 	for _, s := range slices.Clone(l.urgent) {
 		if l.byConn[s.conn] == s && s.isReadable() && !l.isQuiet(s.fd) {
@@ -202,7 +202,7 @@
 	}
 }
 
-// queueEvent queues an event. Effects never call the reducer: what they bring about is told after them.
+// queueEvent queues an event. Effects never call the reducer: the events that they cause are delivered after them.
 func (l *Loop) queueEvent(e Event) { l.events = append(l.events, e) }
 
 func (l *Loop) deliver(r Reducer) {
@@ -223,9 +223,9 @@
 	l.events = l.events[:0]
 }
 
-// resolveMore turns the news that something lies behind what was read into what the reducer is notified
-// of it: an end is told in the round in which it is known, so that nothing is dispatched meanwhile for
-// one who has left, or against the rest of a list.
+// resolveMore turns a more event into the one that the reducer gets, or reports that there is none. An end is
+// delivered in the round in which it is known, so that nothing is dispatched meanwhile for a client that has
+// left, or to an endpoint that the rest of a list removes.
 func (l *Loop) resolveMore(e *Event) bool {
 	s := l.byConn[e.Conn]
 	switch {
@@ -243,7 +243,7 @@
 
 func (l *Loop) signalled() {
 	var count [8]byte
-	_, _ = unix.Read(l.wake, count[:]) // empties it; nothing else reads it
+	_, _ = unix.Read(l.wake, count[:]) // resets the counter; nothing else reads it
 	for {
 		select {
 		case s := <-l.signals:
@@ -258,7 +258,7 @@
 	}
 }
 
-// socketReady turns what epoll says of a socket into events.
+// socketReady turns what epoll reports of a socket into events.
 func (l *Loop) socketReady(s *socket, events uint32) {
 	if s.connecting {
 		l.finishDial(s)
@@ -280,7 +280,7 @@
 	}
 }
 
-// carryOut does what an effect asks for. What it brings about is queued as events.
+// carryOut performs an effect. Its results are queued as events.
 func (l *Loop) carryOut(f Effect) {
 	switch f.Op {
 	case Dial:
@@ -327,7 +327,7 @@
 	l.opened(f.Conn, l.listen(f), "listen on", f.Addr.String())
 }
 
-// opened reports whether a socket could be opened at an address, and if not what was being done.
+// opened queues Listening for a socket that was opened at an address, or Broken with what was being done.
 func (l *Loop) opened(c Conn, err error, doing, where string) {
 	if err != nil {
 		l.queueEvent(Event{Kind: Broken, Conn: c, Err: fmt.Errorf("%s %s: %w", doing, where, err)})
@@ -336,7 +336,7 @@
 	l.queueEvent(Event{Kind: Listening, Conn: c})
 }
 
-// carryOutOn does what an effect asks for on an open socket.
+// carryOutOn performs an effect on an open socket.
 func (l *Loop) carryOutOn(s *socket, f Effect) {
 	switch f.Op {
 	case Accept:
@@ -354,7 +354,7 @@
 	case Adopt:
 		l.adopt(s, f.As)
 	case Shutdown:
-		_ = unix.Shutdown(s.fd, unix.SHUT_WR) // a socket that is broken already tells so when read
+		_ = unix.Shutdown(s.fd, unix.SHUT_WR) // a socket that is already broken reports it when read
 	case Abort:
 		l.abort(s)
 	case Close:
@@ -365,7 +365,7 @@
 	}
 }
 
-// writeIfQuiet writes unless the peer has spoken or left meanwhile.
+// writeIfQuiet writes unless the peer has sent data or closed meanwhile.
 func (l *Loop) writeIfQuiet(s *socket, data []byte) {
 	if !l.isQuiet(s.fd) {
 		l.queueEvent(Event{Kind: Stale, Conn: s.conn})
@@ -374,8 +374,8 @@
 	l.write(s, data)
 }
 
-// abort closes a socket so that its peer sees a reset. Where the option fails the peer sees an end; with a stated
-// length or chunks that still tells it enough.
+// abort closes a socket so that its peer sees a reset. Where the option fails the peer sees an end; the stated
+// length or the chunks still show it that the message is cut short.
 func (l *Loop) abort(s *socket) {
 	_ = unix.SetsockoptLinger(s.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	l.remove(s)
--- a/internal/loop/sockets.go
+++ b/internal/loop/sockets.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// isReadable reports whether the socket is a connection that is up and read.
+// isReadable reports whether the socket is an established connection that is not muted.
 func (s *socket) isReadable() bool {
 	return !s.connecting && !s.muted && !s.datagrams && s.conn != Listener && s.conn != Admin && s.conn != HotRestart
 }
@@ -82,21 +82,21 @@
 	delete(l.byFD, s.fd)
 	l.urgent = slices.DeleteFunc(l.urgent, func(other *socket) bool { return other == s })
 	if s.shared {
-		// Another process has the socket too: epoll would go on telling of it after this descriptor is
+		// Another process has the socket too: epoll would go on reporting it after this descriptor is
 		// closed, and refuse its number to the next socket.
 		_ = unix.EpollCtl(l.epoll, unix.EPOLL_CTL_DEL, s.fd, nil)
 	}
 	_ = unix.Close(s.fd) // leaves epoll with it; the descriptor is gone whatever close says
 }
 
-// breakSocket ends a socket and tells why.
+// breakSocket closes a socket and queues Broken with the reason.
 func (l *Loop) breakSocket(s *socket, err error) {
 	l.remove(s)
 	l.queueEvent(Event{Kind: Broken, Conn: s.conn, Err: err})
 }
 
-// accept takes what waits at the listener. Out of descriptors, it tells so: the reducer mutes the
-// listener, or epoll would report it without end.
+// accept takes the connections that wait at the listener. Out of descriptors, it queues AcceptFailed: the
+// reducer then mutes the listener, or epoll would report it without end.
 func (l *Loop) accept(s *socket, most int) {
 	for range min(cmp.Or(most, maxAcceptPerTurn), maxAcceptPerTurn) {
 		fd, err := l.syscalls.accept(s.fd)
@@ -108,7 +108,7 @@
 				noDelay(fd)
 			}
 			l.accepted++
-			// Before add, which may report that it is broken.
+			// Before add, which may queue Broken.
 			l.queueEvent(Event{Kind: Accepted, Conn: l.accepted, Via: s.conn})
 			l.add(&socket{conn: l.accepted, fd: fd, urgent: s.urgent, unix: s.unix})
 		case errors.Is(err, unix.EAGAIN):
@@ -131,7 +131,7 @@
 	noDelay(fd)
 	s := &socket{conn: f.Conn, fd: fd, connecting: true, urgent: f.Urgent}
 	err = l.syscalls.connect(fd, sockaddr(f.Addr))
-	if err != nil && !isAny(err, unix.EINPROGRESS, unix.EINTR) { // an interrupted one goes on as one in progress
+	if err != nil && !isAny(err, unix.EINPROGRESS, unix.EINTR) { // an interrupted connect goes on in the background
 		_ = unix.Close(fd) // never connected
 		l.queueEvent(Event{Kind: Broken, Conn: f.Conn, Err: err, Local: isResourceError(err)})
 		return
@@ -153,10 +153,9 @@
 	l.queueEvent(Event{Kind: Connected, Conn: s.conn})
 }
 
-// read tells one buffer of what has come. The next Readable brings the rest; on an urgent socket that
-// comes at once, so that a long list is told whole before the turn's dispatch. Where data of another
-// socket is not yet told, it needs a buffer of its own, or the one would be told with the bytes of the
-// other.
+// read queues one buffer of data. The next Readable brings the rest; on an urgent socket that follows at
+// once, so that a long list is delivered whole before the turn's dispatch. Where data of another socket is
+// not delivered yet, read takes a new buffer: the shared one still holds that data.
 func (l *Loop) read(s *socket) {
 	if s.datagrams {
 		l.datagrams(s)
@@ -211,7 +210,7 @@
 	}
 }
 
-// send writes until the socket takes no more. It reports false where that ended the socket.
+// send writes until the socket takes no more. It returns false where an error closed the socket.
 func (l *Loop) send(s *socket, data []byte) (n int, ok bool) {
 	for n < len(data) {
 		m, err := l.syscalls.send(s.fd, data[n:])
@@ -227,8 +226,8 @@
 	return n, true
 }
 
-// afterWrite waits for room for what is left, or tells that nothing is. A buffer that grew large goes
-// with its last byte.
+// afterWrite waits for room for what is left, or queues Flushed if nothing is. A buffer that grew large is
+// released with its last byte.
 func (l *Loop) afterWrite(s *socket) {
 	if len(s.unwritten) == 0 {
 		if cap(s.unwritten) > maxKeptBuffer {
@@ -239,7 +238,7 @@
 	l.updateEvents(s)
 }
 
-// isQuiet reports whether an idle peer has neither spoken nor left. Guards against sending a request on
+// isQuiet reports whether an idle peer has neither sent data nor closed. Guards against sending a request on
 // a connection whose end has arrived since epoll was last asked: the request would end as a reset.
 func (l *Loop) isQuiet(fd int) bool {
 	var one [1]byte
--- a/internal/loop/timers.go
+++ b/internal/loop/timers.go
@@ -5,7 +5,10 @@
 	"time"
 )
 
-// timers is a heap of timers by time; a stopped one leaves it at once, so that none outlives its use.
+// maxWaitMS bounds one sleep of epoll, in ms.
+const maxWaitMS = 60_000
+
+// timers is a heap of timers by time; a stopped timer is removed at once, so that none outlives its use.
 type timers struct {
 	order []*timerEntry
 	byKey map[Timer]*timerEntry
@@ -54,7 +57,7 @@
 	}
 }
 
-// due removes and returns the next timer that fell due by now.
+// due removes and returns the next timer that has expired by now.
 func (t *timers) due(now time.Duration) (Timer, bool) {
 	if len(t.order) == 0 || t.order[0].at > now {
 		return Timer{}, false
@@ -64,7 +67,8 @@
 	return e.key, true
 }
 
-// wait is how long epoll may sleep, in ms rounded up: waking early would spin until the timer is due.
+// wait returns how long epoll may sleep, in ms rounded up: waking early would spin until the timer expires. It is
+// -1 where no timer is set.
 func (t *timers) wait(now time.Duration) int {
 	if len(t.order) == 0 {
 		return -1
@@ -73,5 +77,5 @@
 	if left <= 0 {
 		return 0
 	}
-	return int(min((left+time.Millisecond-1)/time.Millisecond, 60_000))
+	return int(min((left+time.Millisecond-1)/time.Millisecond, maxWaitMS))
 }
--- a/internal/loop/types.go
+++ b/internal/loop/types.go
@@ -1,5 +1,5 @@
-// Package loop is the edge of the program: one epoll loop that owns every socket and timer, tells a reducer
-// what happened and carries out the effects that it asks for. It knows no peer and keeps no protocol.
+// Package loop is the edge of the program: one epoll loop that owns every socket and timer, delivers
+// events to a reducer and carries out the effects that it returns. It knows no peer and implements no protocol.
 package loop
 
 import (
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Conn names a socket. A number is never used twice, so that news of a closed socket cannot reach a
-// later one.
+// Conn names a socket. A number is never used twice, so that an event of a closed socket cannot be
+// taken for one of a later socket.
 type Conn uint64
 
-// Listener is the socket that clients connect to, Control the one for operators, Handover that for the
-// next process of this gateway, Fleet that for datagrams of other gateways. Accepted sockets are
-// numbered by the loop from firstAccepted on, dialled ones by the reducer from 1 on.
+// Listener accepts clients, Admin operators, HotRestart the next process of this gateway; Gossip is the
+// datagram socket of the cluster. Accepted sockets are numbered by the loop from firstAccepted on, dialled
+// ones by the reducer from 1 on.
 const (
 	Listener      Conn = 0
 	Admin         Conn = 1 << 62
@@ -22,18 +22,18 @@
 	firstAccepted Conn = 1 << 63
 )
 
-// Timer names a timer by what it is for and whom. Setting it again moves it.
+// Timer identifies a timer by its purpose and by what it belongs to. Setting it again moves it.
 type Timer struct {
 	Kind uint8
 	ID   uint64
 }
 
-// Kind says what an event tells.
+// Kind is the type of an event.
 type Kind uint8
 
 // The events. Data, Drained, EOF and Broken answer a Read; Flushed and Broken answer a Write; Connected
 // and Broken answer a Dial; Listening and Broken answer a Listen and a Bind; Stale answers a WriteQuiet
-// on a socket whose peer has spoken or left meanwhile; File answers a ReadFile.
+// on a socket whose peer has sent data or closed meanwhile; File answers a ReadFile.
 const (
 	Readable Kind = iota
 	Accepted
@@ -45,47 +45,47 @@
 	Broken
 	Flushed
 	Stale
-	Leaving // the peer of a muted socket has ended its sending, behind what lies unread; see Effect.Leaving
+	Leaving // the peer of a muted socket has ended its sending, after data not yet read; see Effect.Leaving
 	Listening
 	TimerDue
 	Start // once, before anything else
 	Stop
-	Reload // the program is told to read its configuration anew
+	Reload // the operator's signal to read the configuration again
 	File
-	Turn // all that was ready has been told
-	// more is of this package alone: the end of the stream, or more of what is urgent, is known to lie behind what
-	// was just read.
+	Turn // every event of the sockets that were ready has been delivered
+	// more is internal to this package: the end of the stream, or more data of an urgent socket, is known to
+	// follow the data just read.
 	more
 )
 
-// Event is one thing that happened. Data is valid only while the reducer handles it.
+// Event reports one thing that happened. Data is valid only while the reducer handles the event.
 type Event struct {
 	Kind  Kind
 	Conn  Conn
-	Via   Conn // with Accepted: the listening socket that it came by
+	Via   Conn // with Accepted: the listening socket that accepted it
 	Timer Timer
 	Data  []byte
-	// Passed, with Data on a Unix socket: sockets that came beside it, muted. Adopt makes one a
-	// listening socket.
+	// Passed, with Data on a Unix socket: sockets that were passed beside it, muted. Adopt makes one of
+	// them a listening socket.
 	Passed []Conn
-	From   netip.AddrPort // with Data on a datagram socket, which tells one event for each datagram
+	From   netip.AddrPort // with Data on a datagram socket, which delivers one event for each datagram
 	Err    error
-	// Local, with Broken in answer to a Dial: this machine has run out of something, which tells nothing of the peer.
+	// Local, with Broken in answer to a Dial: this machine has run out of a resource; the peer may be well.
 	Local bool
 }
 
-// Op says what an effect does.
+// Op is the type of an effect.
 type Op uint8
 
-// The effects. Mute stops Readable events of a socket until Unmute, but for those of one that is
+// The effects. Mute stops Readable events of a socket until Unmute, except for a socket that is
 // broken. Again asks for one more Turn at once.
 const (
 	Accept Op = iota
 	Dial      // Addr, or Path as a Unix socket
 	Listen    // at Addr, or at Path as a Unix socket of mode 0600, as Conn
 	Bind      // a datagram socket at Addr, as Conn
-	SendTo    // Data as one datagram to Addr; what the socket or the network does not take is lost without a word
-	Pass      // writes Data on a Unix socket with the sockets of Give beside it, and closes those here but for Listener
+	SendTo    // Data as one datagram to Addr; what the socket or the network does not take is lost without an event
+	Pass      // writes Data on a Unix socket with the sockets of Give beside it, and closes them here, except Listener
 	Adopt     // makes the passed socket Conn the listening socket As
 	Heap      // bounds the program's heap softly, by Bytes
 	Read
@@ -103,22 +103,22 @@
 	Exit
 )
 
-// Effect is one thing that the reducer wants done. Data is written or copied before the next Step.
+// Effect is one operation that the reducer requests. Data is written or copied before the next Step.
 type Effect struct {
 	Op      Op
 	Conn    Conn
-	Urgent  bool // with Dial and Listen: its news, and those of what it accepts, are told before those of other sockets
+	Urgent  bool // with Dial and Listen: its events, and those of what it accepts, go first
 	Addr    netip.AddrPort
 	Data    []byte
 	Path    string
-	Leaving bool // with Mute: Leaving is told, once, when the peer ends its sending meanwhile
-	Most    int  // with Accept: so many sockets at most, 0 for as many as get a turn
+	Leaving bool // with Mute: a Leaving event is delivered once, when the peer ends its sending meanwhile
+	Most    int  // with Accept: at most so many sockets; 0 for the loop's own limit
 	Give    []Conn
 	As      Conn
 	Bytes   int64
 	Timer   Timer
 	At      time.Duration
-	Failed  error // with Exit: what the program could not start for
+	Failed  error // with Exit: why the program could not start
 }
 
 // Reducer holds all state. Step takes one event and returns the effects, valid until the next Step.
@@ -133,7 +133,7 @@
 // NewClock starts a clock.
 func NewClock() Clock { return Clock{start: time.Now()} }
 
-// Now is the time.
+// Now returns the time.
 func (c Clock) Now() time.Duration {
 	return time.Duration(c.start.UnixNano()) + time.Since(c.start)
 }
--- a/internal/loop/unix.go
+++ b/internal/loop/unix.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Faults in passing sockets between processes.
+// Errors in passing sockets between processes.
 var (
 	errCannotPass   = errors.New("sockets to pass are gone, or earlier data is not yet written")
 	errNotListening = errors.New("the socket passed does not listen")
@@ -17,8 +17,11 @@
 // maxPassed bounds the sockets passed beside one piece of data; the kernel's own bound is 253.
 const maxPassed = 128
 
+// descriptorSize is the size of one descriptor in a control message, in bytes.
+const descriptorSize = 4
+
 // sameUser reports whether the other side of a Unix socket is a process of the same user. Guards
-// against a stranger who asks for the gateway's sockets, or offers some.
+// against another user's process that asks for the gateway's sockets, or offers some.
 func sameUser(fd int) bool {
 	peer, err := unix.GetsockoptUcred(fd, unix.SOL_SOCKET, unix.SO_PEERCRED)
 	return err == nil && int(peer.Uid) == os.Getuid()
@@ -28,8 +31,8 @@
 	return unix.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 }
 
-// listenUnix takes the place at a path, whoever had it: the socket is made beside it and renamed over
-// it, so that there is always one, and it cannot be reached before its mode is set.
+// listenUnix listens at a path, replacing any earlier socket: the new one is made under another name and
+// renamed to the path, so that there is always one, and it cannot be reached before its mode is set.
 func (l *Loop) listenUnix(f Effect) error {
 	fd, err := openUnix()
 	if err != nil {
@@ -100,9 +103,9 @@
 	l.write(s, f.Data[n:])
 }
 
-// receive reads from a Unix socket, with the descriptors of the sockets that come beside.
+// receive reads from a Unix socket, with the descriptors of the sockets passed beside the data.
 func (l *Loop) receive(s *socket, buf []byte) (n int, passed []int, err error) {
-	beside := make([]byte, unix.CmsgSpace(4*maxPassed))
+	beside := make([]byte, unix.CmsgSpace(descriptorSize*maxPassed))
 	n, at, _, _, err := unix.Recvmsg(s.fd, buf, beside, unix.MSG_CMSG_CLOEXEC)
 	if err != nil || at == 0 {
 		return n, nil, err
@@ -121,8 +124,8 @@
 	return n, passed, nil
 }
 
-// reportPassed tells what came with sockets beside it, and then adds these: one that cannot be added is
-// told to be broken after it has been heard of.
+// reportPassed queues the data that came with sockets beside it, and then adds the sockets: a Broken event of
+// one that cannot be added follows the event that names it.
 func (l *Loop) reportPassed(s *socket, data []byte, passed []int) {
 	e := Event{Kind: Data, Conn: s.conn, Data: data}
 	for range passed {
@@ -135,7 +138,7 @@
 	}
 }
 
-// adopt makes a passed socket a listening one of this process.
+// adopt makes a passed socket a listening socket of this process.
 func (l *Loop) adopt(s *socket, as Conn) {
 	accepts, err := unix.GetsockoptInt(s.fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
 	if err != nil || accepts == 0 || l.byConn[as] != nil {
