--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,4 +1,5 @@
-// Package admin speaks to the operators at the second address: calls, one a connection, and their answers.
+// Package admin is the operators' interface at the second address: requests, one on each connection, and their
+// answers.
 package admin
 
 import (
@@ -7,10 +8,10 @@
 	"thymebend/internal/http1"
 )
 
-// Request is what an operator asks.
+// Request is what an operator requests.
 type Request uint8
 
-// The calls. NoRequest is not yet complete, BadRequest has its answer already.
+// The requests. NoRequest is one not yet complete, BadRequest one for which Feed returns the answer.
 const (
 	NoRequest Request = iota
 	ReadinessRequest
@@ -19,24 +20,24 @@
 	BadRequest
 )
 
-func textResponse(status int, words string) []byte {
-	return http1.AppendResponse(nil, status, nil, []byte(words+"\n"), false)
+func textResponse(status int, text string) []byte {
+	return http1.AppendResponse(nil, status, nil, []byte(text+"\n"), false)
 }
 
-// AppendReadiness encodes whether this process takes clients.
-func AppendReadiness(yes bool, why string) []byte {
-	if yes {
+// AppendReadiness encodes whether this process accepts clients, and if not why.
+func AppendReadiness(ready bool, reason string) []byte {
+	if ready {
 		return textResponse(200, "ready")
 	}
-	return textResponse(503, why)
+	return textResponse(503, reason)
 }
 
-// NoCluster answers where there is no fleet file.
+// NoCluster encodes the answer of a gateway without a cluster file.
 func NoCluster() []byte { return textResponse(404, "no fleet: LB_FLEET names no file") }
 
-func jsonResponse(f any) []byte {
-	body, err := json.Marshal(f)
-	if err != nil { // maps of numbers: cannot be
+func jsonResponse(document any) []byte {
+	body, err := json.Marshal(document)
+	if err != nil { // strings and finite numbers always encode
 		return textResponse(500, err.Error())
 	}
 	return http1.AppendResponse(nil, 200, []http1.Field{{Name: "Content-Type", Value: "application/json"},
--- a/internal/admin/conn.go
+++ b/internal/admin/conn.go
@@ -11,15 +11,15 @@
 
 // Limits of an admin connection.
 const (
-	// MaxConns is how many calls are heard at once. Each has a descriptor that clients cannot take.
+	// MaxConns bounds the admin connections. Their descriptors are reserved: clients cannot use them up.
 	MaxConns = 10
-	// RequestTimeout is how long a call may take to come whole, and its answer to be taken.
+	// RequestTimeout is how long a request may take to be received, and its answer to be written out.
 	RequestTimeout = time.Second
-	// LingerTimeout is how long the end of a connection waits for the caller's own.
+	// LingerTimeout is how long we wait, after our sending has ended, for the operator's side to close.
 	LingerTimeout = 200 * time.Millisecond
 )
 
-// Conn is one admin connection. It carries one call.
+// Conn is one admin connection. It carries one request.
 type Conn struct {
 	ID       loop.Conn
 	Answered bool
@@ -34,7 +34,7 @@
 	"/ops/fleet":     ClusterRequest,
 }
 
-// Feed takes what has come and returns the call, and for a faulty one its answer.
+// Feed takes received bytes and returns the request, and for a faulty one its answer.
 func (c *Conn) Feed(data []byte) (Request, []byte) {
 	c.reader.Feed(data)
 	m, fault := c.reader.Next()
@@ -45,23 +45,23 @@
 		return NoRequest, nil
 	}
 	path, _, _ := strings.Cut(m.Target, "?")
-	call := requestPaths[path]
+	request := requestPaths[path]
 	switch {
-	case call == NoRequest:
+	case request == NoRequest:
 		return BadRequest, textResponse(404, "no such path: /ops/readiness, /ops/stats and /ops/fleet are there")
 	case m.Method != "GET":
 		allow := []http1.Field{{Name: "Allow", Value: "GET"}}
 		return BadRequest, http1.AppendResponse(nil, 405, allow, []byte("GET only\n"), false)
 	}
-	return call, nil
+	return request, nil
 }
 
-// Conns are the admin connections, the oldest first.
+// Conns holds the admin connections, the oldest first.
 type Conns struct {
 	conns []*Conn
 }
 
-// Find returns the connection of a connection, or nil.
+// Find returns the connection of a number, or nil.
 func (s *Conns) Find(id loop.Conn) *Conn {
 	for _, c := range s.conns {
 		if c.ID == id {
@@ -71,16 +71,15 @@
 	return nil
 }
 
-// Len is how many there are.
+// Len returns the number of connections.
 func (s *Conns) Len() int { return len(s.conns) }
 
-// Add takes a new connection. Where that makes too many, the one that is evicted is returned: the
-// oldest that has asked nothing, so that those who say nothing never keep out one who asks, else the
-// oldest.
+// Add adds a new connection. Where there are too many, it returns the one to evict: the oldest that is not yet
+// answered, so that silent connections never keep out a request, else the oldest.
 func (s *Conns) Add(id loop.Conn) (evicted *Conn) {
 	if len(s.conns) >= MaxConns {
-		at := max(0, slices.IndexFunc(s.conns, func(c *Conn) bool { return !c.Answered }))
-		evicted = s.conns[at]
+		index := max(0, slices.IndexFunc(s.conns, func(c *Conn) bool { return !c.Answered }))
+		evicted = s.conns[index]
 	}
 	s.conns = append(s.conns, &Conn{ID: id})
 	return evicted
@@ -88,5 +87,5 @@
 
 // Remove forgets a connection.
 func (s *Conns) Remove(c *Conn) {
-	s.conns = slices.DeleteFunc(s.conns, func(m *Conn) bool { return m == c })
+	s.conns = slices.DeleteFunc(s.conns, func(other *Conn) bool { return other == c })
 }
--- a/internal/discovery/endpoints.go
+++ b/internal/discovery/endpoints.go
@@ -1,6 +1,6 @@
-// Package discovery follows the endpoint list that the discovery service keeps: its format, the list as this
-// gateway has it, and the watch that brings its changes. It does no I/O: the caller feeds it what a connection
-// brought, with the time of the read.
+// Package discovery follows the endpoint list of the discovery service: its format, this gateway's copy of the
+// list, and the watch that receives its changes. It does no I/O: the caller feeds it the bytes received on a
+// connection, with the time of the read.
 //
 // A second source of endpoint lists would be a package beside this one.
 package discovery
@@ -15,24 +15,24 @@
 	"thymebend/internal/balancer"
 )
 
-// Endpoint is one endpoint as the gateway reaches it.
+// Endpoint is one endpoint of the list, with its address.
 type Endpoint struct {
 	balancer.Endpoint
 	Name string
 	Addr netip.AddrPort
-	// Capacity is what the list says it can do, in any unit that all endpoints have; 1 where it says
+	// Capacity is the capacity that the list states, in a unit common to all endpoints; 1 where it states
 	// nothing usable.
 	Capacity float64
 }
 
-// Endpoints is the list as this gateway has it.
+// Endpoints is this gateway's copy of the list.
 type Endpoints struct {
 	zones   []string
 	byID    map[balancer.EndpointID]*Endpoint
 	version uint64
 }
 
-// NewEndpoints returns an empty group. An endpoint's zone is the place of its site among zones.
+// NewEndpoints returns an empty list. An endpoint's zone is the index of its site in zones.
 func NewEndpoints(zones []string) *Endpoints {
 	return &Endpoints{zones: zones, byID: make(map[balancer.EndpointID]*Endpoint)}
 }
@@ -40,12 +40,12 @@
 // Find returns an endpoint of the list, or nil.
 func (eps *Endpoints) Find(id balancer.EndpointID) *Endpoint { return eps.byID[id] }
 
-// All lists the endpoints by number.
+// All returns the endpoints, sorted by number.
 func (eps *Endpoints) All() []*Endpoint {
 	return slices.SortedFunc(maps.Values(eps.byID), func(a, b *Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Encode returns the list as it is now, in discovery's form and sorted by name.
+// Encode returns the current list in discovery's format, sorted by name.
 func (eps *Endpoints) Encode() json.RawMessage {
 	byName := func(a, b *Endpoint) int { return cmp.Compare(a.Name, b.Name) }
 	doc := document{Seq: &eps.version, Snapshot: true, Hosts: []entry{}}
@@ -54,12 +54,12 @@
 	}
 	raw, err := json.Marshal(doc)
 	if err != nil {
-		return nil // texts and numbers: cannot be; the other process goes on with the list that it knows
+		return nil // strings and numbers always encode; else the other process keeps the list that it has
 	}
 	return raw
 }
 
-// entryOf is an endpoint in discovery's form.
+// entryOf returns an endpoint in discovery's format.
 func (eps *Endpoints) entryOf(ep *Endpoint) entry {
 	e := entry{
 		Host: ep.Name, Dial: ep.Addr.String(), Block: ep.Cell, Health: healthUp,
@@ -74,29 +74,29 @@
 	return e
 }
 
-// Older reports whether an object in discovery's form is of an earlier version than the list in force.
+// Older reports whether an object in discovery's format has an earlier version than the list in force.
 func (eps *Endpoints) Older(raw []byte) (bool, error) {
 	seq, err := versionOf(raw)
 	return seq != nil && *seq < eps.version, err
 }
 
-// Outdated reports whether an object that answers a call is of an earlier version than the list in
-// force, though not than that of the call: another call has brought newer ones since.
+// Outdated reports whether an object that answers a watch has an earlier version than the list in force, but
+// not an earlier one than the watch asked for: another watch has brought a newer list since.
 func (eps *Endpoints) Outdated(w *Watch, raw []byte) bool {
 	seq, err := versionOf(raw)
 	return err == nil && seq != nil && *seq >= w.sinceVersion && *seq < eps.version
 }
 
-// Renumber forgets the version of the list in force: the next call asks for the snapshot.
+// Renumber forgets the version of the list in force: the next watch asks for a snapshot.
 func (eps *Endpoints) Renumber() { eps.version = 0 }
 
-// Len is the number of endpoints listed.
+// Len returns the number of endpoints in the list.
 func (eps *Endpoints) Len() int { return len(eps.byID) }
 
-// zone is the place of a site among the zones; an unknown one lies in a zone of its own.
+// zone returns the index of a site in the zones; unknown sites share one further zone.
 func (eps *Endpoints) zone(site string) int {
-	if at := slices.Index(eps.zones, site); at >= 0 {
-		return at
+	if index := slices.Index(eps.zones, site); index >= 0 {
+		return index
 	}
 	return len(eps.zones)
 }
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Faults of what discovery wrote.
+// Faults in what discovery sends.
 var (
 	// ErrNoVersion is an endpoint list without its version, the field seq.
 	ErrNoVersion = errors.New("host list: seq is missing")
-	// ErrTornString is a string that does not end on its line.
+	// ErrTornString is a string that does not end on its line: the object was cut off.
 	ErrTornString = errors.New("discovery wrote a text that does not end on its line")
-	// ErrTornObject is an object in which a heartbeat came.
+	// ErrTornObject is an object interrupted by a heartbeat: the rest of it is lost.
 	ErrTornObject = errors.New("discovery wrote an object that does not end")
 )
 
 // EntryError is a faulty entry of an endpoint list.
 type EntryError struct {
-	Host    string // as the entry names it; empty where it names none
+	Host    string // the entry's field host; empty where it is missing
 	Problem string // the field and its value
 }
 
@@ -30,10 +30,10 @@
 	return fmt.Sprintf("host list: %s has %s", e.Host, e.Problem)
 }
 
-// StatusError is an answer of discovery that is not the list.
+// StatusError is an answer of discovery with a status other than 200.
 type StatusError struct {
 	Status     int
-	RetryAfter time.Duration // when it asks to be called again; 0 if it does not say
+	RetryAfter time.Duration // how long to wait before the next call; 0 if not stated
 }
 
 // Error implements error.
--- a/internal/discovery/format.go
+++ b/internal/discovery/format.go
@@ -10,14 +10,15 @@
 	"thymebend/internal/balancer"
 )
 
-// What an entry says of its endpoint's health.
+// The values of an entry's field health.
 const (
 	healthUp       = "up"
 	healthDraining = "draining"
 	healthRemoved  = "removed"
 )
 
-// document is an endpoint list, or a change of it, as discovery writes it. A document without whole is a delta.
+// document is an endpoint list, or a change of it, as discovery writes it. A document without the
+// field whole is a delta.
 type document struct {
 	Seq      *uint64 `json:"seq"`
 	Snapshot bool    `json:"whole"`
@@ -36,12 +37,12 @@
 	Share  float64 `json:"share"`
 }
 
-// startedAt is when the endpoint last started.
+// startedAt returns when the endpoint last started.
 func (e *entry) startedAt() time.Duration {
 	return time.Duration(math.Round(e.BornMS*1000)) * time.Microsecond
 }
 
-// stateOf reads what an entry says of its endpoint's health.
+// stateOf returns the state that a value of the field health stands for.
 func stateOf(health string) (state balancer.EndpointState, known bool) {
 	switch health {
 	case healthUp:
@@ -54,7 +55,7 @@
 	return 0, false
 }
 
-// versionOf is that of an object in discovery's form, nil where it has none.
+// versionOf returns the version of an object in discovery's format, nil where it has none.
 func versionOf(raw []byte) (*uint64, error) {
 	var doc struct {
 		Seq *uint64 `json:"seq"`
@@ -65,12 +66,11 @@
 	return doc.Seq, nil
 }
 
-// maxCapacity bounds what a list may say that an endpoint can do, both ways: beyond it the figure is
-// none.
+// maxCapacity bounds the capacity that a list may state: a figure above it, or below its inverse, is ignored.
 const maxCapacity = 1000.0
 
 // Identity derives an endpoint's number from its name alone, so that it is the same at every gateway:
-// gateways pick their servers by it.
+// gateways divide the endpoints among themselves by it.
 func Identity(name string) balancer.EndpointID {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(name)) // a hash never fails
--- a/internal/discovery/framing.go
+++ b/internal/discovery/framing.go
@@ -7,7 +7,7 @@
 	"thymebend/internal/http1"
 )
 
-// scan looks at the next byte and reports whether it ends a heartbeat or an object.
+// scan processes the next byte and reports whether it ends a heartbeat or an object.
 func (w *Watch) scan(b byte) (end bool, err error) {
 	switch {
 	case b == '\n' && w.inString:
@@ -27,13 +27,14 @@
 	case b == '{' || b == '[':
 		w.depth++
 	case b == '}' || b == ']':
-		w.depth = max(0, w.depth-1) // one too many is found out where the object is applied
+		w.depth = max(0, w.depth-1) // a bracket too many is found when the object is applied
 	}
 	w.blankLine = w.blankLine && (b == ' ' || b == '\t' || b == '\r')
 	return false, nil
 }
 
-// retryAfter reads the field of that name in seconds. What is no such number, such as a date, says nothing.
+// retryAfter reads the field Retry-After in seconds. A value that is no positive number, such as a date, counts
+// as 0.
 func retryAfter(head *http1.Head) time.Duration {
 	value, _ := head.Get("Retry-After")
 	seconds, err := strconv.ParseFloat(value, 64)
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -9,13 +9,13 @@
 	"thymebend/internal/balancer"
 )
 
-// encodes is one object in discovery's form.
-func words(seq int, whole bool, entries ...string) []byte {
+// encodedList is one object in discovery's form.
+func encodedList(seq int, whole bool, entries ...string) []byte {
 	return fmt.Appendf(nil, `{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, whole, strings.Join(entries, ","))
 }
 
 // endpoint is one entry. An empty health leaves out all but the name.
-func host(name, health string, born int) string {
+func entryText(name, health string, born int) string {
 	return fmt.Sprintf(`{"host":%q,"dial":"10.0.0.1:80","site":"a","class":"m","block":1,"health":%q,"share":1,"born_ms":%d}`, name, health, born)
 }
 
@@ -48,26 +48,26 @@
 		entries []string
 		want    string
 	}{
-		"a delta's last entry holds, up":          {false, []string{host("a", "draining", 5), host("a", "up", 5)}, "a1/5 b1/5"},
-		"a delta's last entry holds, draining":    {false, []string{host("a", "up", 5), host("a", "draining", 5)}, "a2/5 b1/5"},
-		"a delta removes and starts anew":         {false, []string{host("a", "removed", 5), host("a", "up", 9)}, "a1/9 b1/5"},
-		"a delta starts anew and removes":         {false, []string{host("a", "up", 9), host("a", "removed", 5)}, "b1/5"},
-		"a whole list drains and has it up":       {true, []string{host("a", "draining", 5), host("a", "up", 5), host("b", "up", 5)}, "a2/5 b1/5"},
-		"a whole list has it up and drains":       {true, []string{host("a", "up", 5), host("b", "up", 5), host("a", "draining", 5)}, "a2/5 b1/5"},
-		"a whole list names two starts":           {true, []string{host("a", "up", 5), host("a", "up", 9)}, "a1/9"},
-		"removed, of an earlier start":            {false, []string{host("a", "removed", 2)}, "b1/5"},
-		"removed, of a later start":               {false, []string{host("a", "removed", 9)}, "b1/5"},
-		"removed, of no start that can be":        {false, []string{host("a", "removed", -1)}, "b1/5"},
-		"draining, of an earlier start":           {false, []string{host("a", "draining", 2)}, "a2/2 b1/5"},
-		"draining, of a later start":              {false, []string{host("a", "draining", 9)}, "a2/9 b1/5"},
-		"draining in a whole list, other start":   {true, []string{host("a", "draining", 2)}, "a2/2"},
-		"removed in a whole list, where nobody's": {true, []string{host("a", "removed", 5)}, ""},
+		"a delta's last entry holds, up":          {false, []string{entryText("a", "draining", 5), entryText("a", "up", 5)}, "a1/5 b1/5"},
+		"a delta's last entry holds, draining":    {false, []string{entryText("a", "up", 5), entryText("a", "draining", 5)}, "a2/5 b1/5"},
+		"a delta removes and starts anew":         {false, []string{entryText("a", "removed", 5), entryText("a", "up", 9)}, "a1/9 b1/5"},
+		"a delta starts anew and removes":         {false, []string{entryText("a", "up", 9), entryText("a", "removed", 5)}, "b1/5"},
+		"a whole list drains and has it up":       {true, []string{entryText("a", "draining", 5), entryText("a", "up", 5), entryText("b", "up", 5)}, "a2/5 b1/5"},
+		"a whole list has it up and drains":       {true, []string{entryText("a", "up", 5), entryText("b", "up", 5), entryText("a", "draining", 5)}, "a2/5 b1/5"},
+		"a whole list names two starts":           {true, []string{entryText("a", "up", 5), entryText("a", "up", 9)}, "a1/9"},
+		"removed, of an earlier start":            {false, []string{entryText("a", "removed", 2)}, "b1/5"},
+		"removed, of a later start":               {false, []string{entryText("a", "removed", 9)}, "b1/5"},
+		"removed, of no start that can be":        {false, []string{entryText("a", "removed", -1)}, "b1/5"},
+		"draining, of an earlier start":           {false, []string{entryText("a", "draining", 2)}, "a2/2 b1/5"},
+		"draining, of a later start":              {false, []string{entryText("a", "draining", 9)}, "a2/9 b1/5"},
+		"draining in a whole list, other start":   {true, []string{entryText("a", "draining", 2)}, "a2/2"},
+		"removed in a whole list, where nobody's": {true, []string{entryText("a", "removed", 5)}, ""},
 	} {
 		g := NewEndpoints([]string{"a"})
-		take(t, g, words(4, true, host("a", "up", 5), host("b", "up", 5)))
+		take(t, g, encodedList(4, true, entryText("a", "up", 5), entryText("b", "up", 5)))
 		module := newModule(t)
-		module.UpdateEndpoints(time.Second, balancer.Snapshot, take(t, NewEndpoints([]string{"a"}), words(4, true, host("a", "up", 5), host("b", "up", 5))).Entries)
-		news := take(t, g, words(5, c.whole, c.entries...))
+		module.UpdateEndpoints(time.Second, balancer.Snapshot, take(t, NewEndpoints([]string{"a"}), encodedList(4, true, entryText("a", "up", 5), entryText("b", "up", 5))).Entries)
+		news := take(t, g, encodedList(5, c.whole, c.entries...))
 		if got := states(g); got != c.want {
 			t.Errorf("%s: the group has %q, want %q", name, got, c.want)
 		}
@@ -95,20 +95,20 @@
 // leaves: discovery has written that. The version stays, so that the next call brings what was passed
 // over.
 func TestFaultyObjectStillTellsWhoLeaves(t *testing.T) {
-	leaving := host("a", "draining", 5) + "," + host("b", "removed", 5)
+	leaving := entryText("a", "draining", 5) + "," + entryText("b", "removed", 5)
 	faulty := map[string]string{
 		"unknown health":   `{"host":"c","dial":"10.0.0.1:80","health":"resting"}`,
 		"no dial":          `{"host":"c","health":"up"}`,
 		"no name":          `{"dial":"10.0.0.1:80","health":"up"}`,
-		"a start below 0":  host("c", "up", -1),
+		"a start below 0":  entryText("c", "up", -1),
 		"a start as text":  `{"host":"c","dial":"10.0.0.1:80","health":"up","born_ms":"now"}`,
 		"no object at all": `17`,
 	}
 	for name, entry := range faulty {
 		for _, whole := range []bool{false, true} {
-			for _, raw := range [][]byte{words(5, whole, leaving, entry), words(5, whole, entry, leaving)} {
+			for _, raw := range [][]byte{encodedList(5, whole, leaving, entry), encodedList(5, whole, entry, leaving)} {
 				g := NewEndpoints([]string{"a"})
-				take(t, g, words(4, true, host("a", "up", 5), host("b", "up", 5), host("c", "up", 5)))
+				take(t, g, encodedList(4, true, entryText("a", "up", 5), entryText("b", "up", 5), entryText("c", "up", 5)))
 				news, err := g.Apply(raw)
 				if err == nil {
 					t.Fatalf("%s: %s was taken", name, raw)
@@ -124,12 +124,12 @@
 		}
 	}
 	for name, raw := range map[string][]byte{
-		"cut short":               words(5, false, leaving)[:80],
-		"of hosts nobody has":     words(5, false, host("x", "draining", 5), `17`),
-		"which it has up at last": words(5, false, host("a", "draining", 5), host("a", "up", 5), `17`),
+		"cut short":               encodedList(5, false, leaving)[:80],
+		"of hosts nobody has":     encodedList(5, false, entryText("x", "draining", 5), `17`),
+		"which it has up at last": encodedList(5, false, entryText("a", "draining", 5), entryText("a", "up", 5), `17`),
 	} {
 		g := NewEndpoints([]string{"a"})
-		take(t, g, words(4, true, host("a", "up", 5), host("b", "up", 5)))
+		take(t, g, encodedList(4, true, entryText("a", "up", 5), entryText("b", "up", 5)))
 		if news, err := g.Apply(raw); err == nil || states(g) != "a1/5 b1/5" || len(news.Changed)+len(news.Entries) > 0 {
 			t.Errorf("%s: %v, news %+v, the group has %q", name, err, news, states(g))
 		}
@@ -142,17 +142,17 @@
 // snapshot is complete, and is taken.
 func TestVersionThatGoesBack(t *testing.T) {
 	g := NewEndpoints([]string{"a"})
-	take(t, g, words(9, true, host("a", "draining", 5), host("b", "up", 5)))
-	news := take(t, g, words(7, false, host("a", "up", 5), host("b", "draining", 5), host("c", "up", 5)))
+	take(t, g, encodedList(9, true, entryText("a", "draining", 5), entryText("b", "up", 5)))
+	news := take(t, g, encodedList(7, false, entryText("a", "up", 5), entryText("b", "draining", 5), entryText("c", "up", 5)))
 	if got := states(g); got != "a2/5 b2/5" || len(news.Entries) != 1 || g.version != 7 {
 		t.Errorf("the group has %q at version %d, news %+v", got, g.version, news)
 	}
-	take(t, g, words(8, false, host("c", "up", 9)))
-	take(t, g, words(8, false, host("b", "up", 9))) // once more: some lists repeat a version
+	take(t, g, encodedList(8, false, entryText("c", "up", 9)))
+	take(t, g, encodedList(8, false, entryText("b", "up", 9))) // once more: some lists repeat a version
 	if got := states(g); got != "a2/5 b1/9 c1/9" {
 		t.Errorf("after the lines that follow the group has %q", got)
 	}
-	take(t, g, words(3, true, host("c", "up", 9)))
+	take(t, g, encodedList(3, true, entryText("c", "up", 9)))
 	if got := states(g); got != "c1/9" || g.version != 3 {
 		t.Errorf("after an earlier whole list the group has %q at version %d", got, g.version)
 	}
--- a/internal/discovery/size_test.go
+++ b/internal/discovery/size_test.go
@@ -36,9 +36,9 @@
 func list(seq, hosts, from int, health string) []byte {
 	entries := make([]string, hosts)
 	for i := range entries {
-		entries[i] = host(fmt.Sprintf("s-%08x", from+i), health, 5)
+		entries[i] = entryText(fmt.Sprintf("s-%08x", from+i), health, 5)
 	}
-	return words(seq, true, entries...)
+	return encodedList(seq, true, entries...)
 }
 
 // A snapshot of any size that is aimed at is taken in one object, indented or not, and work for it
@@ -78,7 +78,7 @@
 	if _, _, err := w.Feed(0, []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	piece := strings.Repeat(host("a", "draining", 5)+",", 400)
+	piece := strings.Repeat(entryText("a", "draining", 5)+",", 400)
 	if _, _, err := w.Feed(0, []byte("1\r\n{\r\n")); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -10,24 +10,27 @@
 	"thymebend/internal/balancer"
 )
 
-// Update is one object that discovery wrote, applied to the list.
+// maxBornMS bounds a start time, in milliseconds of Unix time: some 139 years.
+const maxBornMS = 1 << 42
+
+// Update is the change of the list that one object from discovery made.
 type Update struct {
 	Snapshot bool
 	Entries  []balancer.Endpoint
-	Changed  []balancer.EndpointID // endpoints whose idle connections must not be used again
+	Changed  []balancer.EndpointID // endpoints whose idle connections must not be reused
 }
 
-// Apply takes one object in discovery's form. Entries of a delta hold in their order, so that the last
-// one on an endpoint decides, whatever start of it they name. A snapshot has no order: an endpoint that
-// it names twice is up only if both entries say so.
+// Apply applies one object in discovery's format. The entries of a delta are applied in order: the last one for
+// an endpoint decides, whichever start of it they name. A snapshot has no order: an endpoint that it names twice
+// is up only if both entries say so.
 //
-// A faulty object is an error and changes nothing but this: endpoints of the list that it says drain or
-// are removed do so, as Update tells beside the error. Discovery has written it, so they counts as
-// notified. The version in force stays, so that the next call asks for all of it again.
+// A faulty object is an error and has only one effect: endpoints of the list that it reports as draining or
+// removed become so, and the update is returned beside the error. Discovery has sent these changes, so they count
+// as notified. The version in force stays, so that the next watch asks for the whole object again.
 //
-// A delta of an earlier version than the one in force tells what this gateway knew before: its
-// endpoints that leave do so, and none comes up by it. The version goes back with it, for discovery
-// goes on from there. An earlier snapshot is taken.
+// A delta with an earlier version than the one in force is an older state of the list: the endpoints that it
+// reports as draining or removed become so, and it marks none as up. The version goes back with it, because
+// discovery continues from there. An earlier snapshot is applied.
 func (eps *Endpoints) Apply(raw []byte) (Update, error) {
 	var doc document
 	if err := json.Unmarshal(raw, &doc); err != nil {
@@ -75,13 +78,12 @@
 			delete(eps.byID, id)
 		}
 	}
-	slices.Sort(gone) // maps are walked in no order; the same news must have the same effects
+	slices.Sort(gone) // map order is random; the same events must have the same effects
 	return gone
 }
 
-// Removals takes from an object that is not believed otherwise, for it is older than the list in force,
-// which endpoints drain or are removed in the start that the list has. It returns the update; the
-// version stays.
+// Removals applies only part of an object that is older than the list in force: the endpoints that it reports as
+// draining or removed, where it names the same start as the list. It returns the update; the version stays.
 func (eps *Endpoints) Removals(raw []byte) Update {
 	var doc document
 	if err := json.Unmarshal(raw, &doc); err != nil {
@@ -93,8 +95,8 @@
 	}))
 }
 
-// applyRemovals has those endpoints of the list leave that some entries say drain or are removed, and
-// returns the update.
+// applyRemovals marks the endpoints of the list that the entries report as draining or removed, and returns the
+// update.
 func (eps *Endpoints) applyRemovals(entries []entry) (update Update) {
 	states := make(map[balancer.EndpointID]balancer.EndpointState)
 	for i := range entries {
@@ -118,10 +120,10 @@
 	return update
 }
 
-// parseAll reads the entries of an object. Of a snapshot it returns one for each endpoint.
+// parseAll reads the entries of an object. For a snapshot it returns one for each endpoint.
 func (eps *Endpoints) parseAll(doc *document) ([]*Endpoint, error) {
 	fresh := make([]*Endpoint, 0, len(doc.Hosts))
-	places := make(map[balancer.EndpointID]int)
+	indexes := make(map[balancer.EndpointID]int) // in fresh
 	for i := range doc.Hosts {
 		ep, err := eps.parse(&doc.Hosts[i])
 		if err != nil {
@@ -131,10 +133,10 @@
 			fresh = append(fresh, ep)
 			continue
 		}
-		at, twice := places[ep.ID]
+		at, twice := indexes[ep.ID]
 		switch {
 		case !twice:
-			places[ep.ID] = len(fresh)
+			indexes[ep.ID] = len(fresh)
 			fresh = append(fresh, ep)
 		case fresh[at].State == balancer.EndpointReady:
 			fresh[at] = ep
@@ -164,7 +166,7 @@
 	if ep.Addr, err = netip.ParseAddrPort(e.Dial); err != nil {
 		return nil, &EntryError{Host: e.Host, Problem: fmt.Sprintf("dial %q", e.Dial)}
 	}
-	if !(e.BornMS >= 0 && e.BornMS < 1<<42) { // some 139 years of milliseconds
+	if !(e.BornMS >= 0 && e.BornMS < maxBornMS) {
 		return nil, &EntryError{Host: e.Host, Problem: fmt.Sprintf("born_ms %v", e.BornMS)}
 	}
 	return ep, nil
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -12,65 +12,66 @@
 )
 
 // Timeouts of a watch. A change counts as notified 6 s after discovery had it and could be reached, so a watch
-// that falls silent, the call after it that is never answered, and the one after that must all fit in.
+// that falls silent, the next one if it is never answered, and the one after that must all fit into that time.
 const (
-	// ConnectTimeout is how long the connection may take to come up: one resend of the kernel's is within it.
+	// ConnectTimeout is how long the connection may take to be established: it allows for one retransmission of
+	// the kernel's.
 	ConnectTimeout = 1200 * time.Millisecond
 	// AnswerTimeout is how long the first line may take after the request was written.
 	AnswerTimeout = 3100 * time.Millisecond
-	// HeartbeatTimeout is how long a watch that was answered may bring no line. Heartbeats come every 2 s.
+	// HeartbeatTimeout is how long a watch that was answered may receive no line. Heartbeats come every 2 s.
 	HeartbeatTimeout = 2400 * time.Millisecond
 	// AbandonTimeout is how long an unanswered call keeps its place in discovery's queue, from AnswerTimeout on.
 	AbandonTimeout = 30 * time.Second
 )
 
-// minUpdateRate is the least at which a long object of the list comes, in bytes a second: so much more
-// time it has.
+// minUpdateRate is the lowest rate, in bytes a second, at which a long object of the list may arrive: the deadline
+// of the watch moves with the bytes received at this rate.
 const minUpdateRate = 64 << 10
 
-// maxRetryAfter bounds what a rejection may ask for: a change counts as notified 6 s after discovery
-// could be reached, whatever it has asked for, and it may be back at once.
+// maxRetryAfter bounds the Retry-After of a rejection: a change counts as notified 6 s after discovery could be
+// reached, whatever it has asked for, and discovery may recover at once.
 const maxRetryAfter = 5 * time.Second
 
-// maxPending bounds an unfinished line of the watch: thousands of endpoints.
+// maxPending bounds an unfinished object of the watch, in bytes: enough for thousands of endpoints.
 const maxPending = 4 << 20
 
-// Watch is one call for the changes of the list.
+// Watch is one request to discovery for the changes of the list, with the answer that streams them.
 type Watch struct {
 	Conn         loop.Conn
 	Addr         netip.AddrPort
 	reader       http1.Reader
-	pending      []byte
-	scanned      int  // of these bytes
-	depth        int  // of the object that they belong to; 0 between two
-	inString     bool // they are in one of its texts
-	escaped      bool
-	blankLine    bool          // nothing has come on the line under way
-	connected    bool          // its connection has come up
-	sinceVersion uint64        // the version since which it has asked for changes
-	started      bool          // its first line has come
-	lastProgress time.Duration // of its last whole line, or of what came before its first: the request, the call
-	partialBytes int           // bytes that have come since then
+	pending      []byte        // received bytes of an object that is not complete
+	scanned      int           // bytes of pending that scan has processed
+	depth        int           // brackets open after them; 0 between two objects
+	inString     bool          // they end within a string
+	escaped      bool          // they end with a backslash in a string
+	blankLine    bool          // the current line is blank so far
+	connected    bool          // its connection is established
+	sinceVersion uint64        // the version since which it asks for changes
+	started      bool          // its first line has been received
+	lastProgress time.Duration // time of its last whole line; before the first, of its request or its start
+	partialBytes int           // bytes received since then
 }
 
-// NewWatch prepares a watch of discovery at an address, on a connection that is opened now.
+// NewWatch prepares a watch of discovery at an address, on a connection that is being opened.
 func NewWatch(conn loop.Conn, at netip.AddrPort, now time.Duration) *Watch {
 	reader := http1.Reader{Response: true, Stream: true}
 	return &Watch{Conn: conn, Addr: at, lastProgress: now, blankLine: true, reader: reader}
 }
 
-// Request is the call for what changed since the list that the list has, once the watch's connection is
-// up.
+// Request returns the watch's request for the changes since the version in force, once its connection is
+// established.
 func (eps *Endpoints) Request(w *Watch, now time.Duration) []byte {
 	w.connected, w.sinceVersion, w.lastProgress = true, eps.version, now
 	return http1.AppendRequest(nil, "GET", "/v1/servers?stream=1&index="+strconv.FormatUint(eps.version, 10),
 		[]http1.Field{{Name: "Host", Value: w.Addr.String()}}, nil)
 }
 
-// Feed takes what discovery wrote and returns the whole objects, each of one line or, where it is
-// indented, of several. An empty line is a heartbeat; within an object it tells that the object was
-// torn. ended tells that the answer is over, which a watch's never is while all is well. Beside an
-// error stand the lines that came whole before the fault.
+// Feed takes received bytes and returns the complete objects, each of one line or, where it is indented, of
+// several. An empty line is a heartbeat; within an object it shows that the object was cut off. ended reports that
+// the answer is over, which never happens while discovery works. Beside an error, lines holds those complete before
+// the fault.
 func (w *Watch) Feed(now time.Duration, data []byte) (lines [][]byte, ended bool, err error) {
 	w.partialBytes += len(data)
 	defer func() {
@@ -81,7 +82,7 @@
 	w.reader.Feed(data)
 	head, piece, done, fault := w.reader.Pieces()
 	if fault != nil {
-		err = fault // what came before it is whole all the same
+		err = fault // the lines before the fault are complete all the same
 	}
 	if head != nil && head.Status != 200 {
 		return nil, false, &StatusError{Status: head.Status, RetryAfter: retryAfter(head)}
@@ -109,16 +110,16 @@
 // Started reports whether discovery has begun to answer.
 func (w *Watch) Started() bool { return w.started }
 
-// Connected reports whether the connection has come up.
+// Connected reports whether the connection is established.
 func (w *Watch) Connected() bool { return w.connected }
 
-// Deadline is the time at which the watch counts as silent. Part of a line puts it off by no more than
-// so many bytes take: what discovery has to tell counts as notified whether or not it has arrived.
+// Deadline returns the time at which the watch counts as silent. Part of a line extends it only by the time that
+// its bytes take at minUpdateRate: a change counts as notified whether or not it has arrived.
 func (w *Watch) Deadline() time.Duration {
 	return w.lastProgress + w.timeout() + time.Duration(w.partialBytes)*time.Second/minUpdateRate
 }
 
-// timeout is how long the next whole line may take.
+// timeout returns how long the next whole line may take.
 func (w *Watch) timeout() time.Duration {
 	switch {
 	case w.started:
--- a/internal/downstream/arrivals.go
+++ b/internal/downstream/arrivals.go
@@ -6,51 +6,51 @@
 	"thymebend/internal/loop"
 )
 
-// A request's time starts when its client has written its last byte. What is read late was written
-// earlier: behind a request in work, or while the connection was not read.
+// A request's client timeout runs from the time when its client sent its last byte. Bytes that are read late were
+// sent earlier: behind a request in work, or while the connection was not read. All times of sending here are the
+// earliest possible ones.
 
-// markInterval is how far apart two marks of a connection are at least: what comes in between counts as
-// written with the first.
+// markInterval is the least distance between two marks of a connection: bytes received in between count as sent
+// with the first.
 const markInterval = 5 * time.Millisecond
 
-// maxMarks bounds the marks of a connection; past it neighbours become one, with the time of the earlier.
+// maxMarks bounds the marks of a connection; past it, neighbours are merged, with the time of the earlier.
 const maxMarks = 256
 
-// maxUnread is how many bytes may have waited in the system's buffer while the connection was not read.
+// maxUnread is how many bytes may wait in the kernel's receive buffer while the connection is not read.
 const maxUnread = 256 << 10
 
-// mark notes that a connection's bytes up to an offset were written no earlier than a time.
+// mark records that a connection's bytes up to an offset were sent no earlier than a time.
 type mark struct {
 	offset int64
 	at     time.Duration
 }
 
-// arrivals keeps when the bytes of a connection may have been written, at the earliest.
+// arrivals records when the bytes of a connection were sent, at the earliest.
 type arrivals struct {
-	bytesFed int64 // bytes so far
+	bytesFed int64 // bytes read so far
 	marks    []mark
 	backlog  backlog
 }
 
-// backlog is a time in which bytes waited in the system's buffer, since reading last stopped with more
-// to come.
+// backlog records that bytes wait in the kernel's receive buffer, since reading was last paused with more to read.
 type backlog struct {
 	active        bool
-	since         time.Duration // the bytes read now were written after it
-	nextSince     time.Duration // takes its place after maxUnread bytes
-	bytes         int           // read since nextSince
-	lastShortRead time.Duration // when a read last did not fill its buffer: most likely all was taken; 0 if none did
+	since         time.Duration // the bytes read now were sent after it
+	nextSince     time.Duration // replaces since after maxUnread bytes
+	bytes         int           // bytes read since nextSince
+	lastShortRead time.Duration // when a read last did not fill its buffer: most likely nothing is left; 0 if none did
 }
 
-// pause notes that the connection is read no further though more waits.
+// pause records that the connection is not read for now though more may wait.
 func (a *arrivals) pause(now time.Duration) {
 	if !a.backlog.pending(now) {
 		a.backlog = backlog{active: true, since: now, nextSince: now}
 	}
 }
 
-// add notes bytes that were read now. A read that did not fill its buffer has taken all that there was,
-// unless another follows at once: system calls may bring less than there is.
+// add records bytes that were read now. A read that did not fill its buffer has emptied the kernel's, unless
+// another follows at once: system calls may return less than there is.
 func (a *arrivals) add(now time.Duration, n int) {
 	at := now
 	if !a.backlog.pending(now) {
@@ -71,7 +71,7 @@
 	}
 }
 
-// mergeMarks makes one mark of each two.
+// mergeMarks merges each two neighbouring marks.
 func (a *arrivals) mergeMarks() {
 	kept := a.marks[:0]
 	for i := 0; i+1 < len(a.marks); i += 2 {
@@ -83,24 +83,23 @@
 	a.marks = kept
 }
 
-// pending reports whether bytes may still be waiting that were there when reading stopped.
-func (u *backlog) pending(now time.Duration) bool {
-	return u.active && (u.lastShortRead == 0 || now-u.lastShortRead < markInterval)
+// pending reports whether bytes that arrived while reading was paused may still wait.
+func (b *backlog) pending(now time.Duration) bool {
+	return b.active && (b.lastShortRead == 0 || now-b.lastShortRead < markInterval)
 }
 
-// consume notes bytes of those that waited.
-func (u *backlog) consume(now time.Duration, n int) {
-	u.lastShortRead = 0
+// consume records that n of the waiting bytes were read.
+func (b *backlog) consume(now time.Duration, n int) {
+	b.lastShortRead = 0
 	if n < loop.ReadSize {
-		u.lastShortRead = now
+		b.lastShortRead = now
 	}
-	if u.bytes += n; u.bytes >= maxUnread {
-		u.since, u.nextSince, u.bytes = u.nextSince, now, 0
+	if b.bytes += n; b.bytes >= maxUnread {
+		b.since, b.nextSince, b.bytes = b.nextSince, now, 0
 	}
 }
 
-// sentAt is when the last byte before an offset was written, at the earliest. What lies before it is
-// forgotten.
+// sentAt returns when the last byte before an offset was sent, at the earliest. Earlier marks are dropped.
 func (a *arrivals) sentAt(offset int64) time.Duration {
 	for len(a.marks) > 1 && a.marks[0].offset < offset {
 		a.marks = a.marks[1:]
@@ -111,14 +110,13 @@
 	return a.marks[0].at
 }
 
-// LastByteSent is when the last byte of what was taken from the connection so far was written, at the
-// earliest.
+// LastByteSent returns when the last byte that the reader has consumed was sent, at the earliest.
 func (c *Conn) LastByteSent() time.Duration {
 	return c.arrivals.sentAt(c.arrivals.bytesFed - int64(c.reader.Buffered()))
 }
 
-// TimeLeft is what a client has left of its client timeout. While a body is coming its time has not
-// begun, unless the rest may lie unread.
+// TimeLeft returns what is left of a request's client timeout. While a body is being received the timeout has not
+// begun, unless the rest may already wait in the kernel's buffer.
 func (c *Conn) TimeLeft(now, clientTimeout time.Duration) time.Duration {
 	switch {
 	case c.Upload && c.reader.Complete():
@@ -131,7 +129,7 @@
 	return c.LastByteSent() + clientTimeout - now
 }
 
-// PauseReading notes that the connection is read no further.
+// PauseReading records that the connection is not read for now.
 func (c *Conn) PauseReading(now time.Duration) {
 	c.Muted = true
 	c.arrivals.pause(now)
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -10,88 +10,115 @@
 
 // Limits of a downstream connection.
 const (
-	// MaxPipelined bounds what a client may send ahead of an answer; past it the connection is not
+	// MaxPipelined bounds the bytes that a client may send ahead of an answer; past it the connection is not
 	// read.
 	MaxPipelined = http1.MaxHead + http1.MaxHeld
-	// IdleTimeout closes a connection on which nothing was asked for this long.
+	// IdleTimeout is how long a connection may be idle before it is closed.
 	IdleTimeout = 90 * time.Second
 	// FirstRequestGrace is how soon a client that connects for a request usually sends it.
 	FirstRequestGrace = 500 * time.Millisecond
-	// FirstByteGrace is the least that a new connection has to bring its first byte, however short
-	// connections run.
+	// FirstByteGrace is the least time that a new connection has to send its first byte, however few
+	// connections are left. A client also has it to read its last answer.
 	FirstByteGrace = 50 * time.Millisecond
-	// SingleUseIdleTimeout is how soon a client that goes on using a connection usually does, where it
-	// has many.
+	// SingleUseIdleTimeout is how soon a client that reuses its connections usually does so, where it has many.
 	SingleUseIdleTimeout = 100 * time.Millisecond
-	// HealthCheckGrace is how long a connection that only asked for health may wait for its first
-	// request before it is like others.
+	// HealthCheckGrace is how long a connection with health checks only is kept for its first request: after it,
+	// the connection is evicted before idle ones.
 	HealthCheckGrace = 2 * time.Second
-	// StalledRequestGrace is how soon the next piece of a request usually comes, from a client that
-	// writes slowly.
+	// StalledRequestGrace is how soon the next part of a request usually arrives from a client that writes slowly.
 	StalledRequestGrace = 700 * time.Millisecond
 	// ResponseWriteTimeout is how long an answer may take to be written out.
 	ResponseWriteTimeout = 10 * time.Second
-	// LingerTimeout is how long the end of a connection waits for the client's own; where the client is
-	// still sending a body that is no longer wanted, MaxLinger at most.
+	// LingerTimeout is how long we wait, after our sending has ended, for the client to close.
 	LingerTimeout = time.Second
-	MaxLinger     = 5 * time.Second
+	// MaxLinger bounds that wait for a client that is still sending a body that is discarded.
+	MaxLinger = 5 * time.Second
 )
 
-// Conn is one downstream connection.
+// Conn is one downstream connection. The gateway sets its exported fields; after a change of them it calls
+// Conns.Place. Times are those of loop.Clock.
 type Conn struct {
-	ID            loop.Conn
-	Request       balancer.RequestID // the request in work, with Busy
-	Busy          bool               // a request is in work or its answer not yet written out
-	Closing       bool               // ends after the answer now written
-	Ended         bool               // our sending has ended; what still comes is dropped
-	Muted         bool
-	HasRequested  bool          // a whole request has come on it
-	Requests      int           // how many requests came on it
-	Since         time.Duration // of its accept or its last answer
-	Accepted      time.Duration
-	Timer         time.Duration  // when it is looked at again, or ended; 0 if no timer is set
-	RequestTimed  bool           // the rest of a request is awaited for a limited time
-	FinalRead     bool           // is looked at once more before it ends
-	Upload        bool           // a body is being taken in pieces and has not ended
-	DiscardBody   bool           // what still comes is of a body that nobody wants
-	RequestBegan  time.Duration  // of the request that is coming
-	RequestBytes  int            // bytes of it
-	lastReceived  time.Duration  // last byte
-	evictionQueue *evictionQueue // that it stands in
+	ID loop.Conn
+
+	// Request is the request in work, while Busy; 0 for an answer of the gateway's own, and once the
+	// endpoint's answer is being written out.
+	Request balancer.RequestID
+	// Busy reports that a request is in work or its answer is not yet written out.
+	Busy bool
+	// Closing reports that the connection ends after the current answer.
+	Closing bool
+	// Ended reports that our sending has ended; data received after that is dropped.
+	Ended bool
+	// FinalRead reports that the connection is closed unless the read now requested finds a request.
+	FinalRead bool
+	// Muted reports that the connection is not read for now.
+	Muted bool
+	// Upload reports that the body of the request in work is streamed and has not ended.
+	Upload bool
+	// DiscardBody reports that the data now received is part of a body that is discarded.
+	DiscardBody bool
+
+	// HasRequested reports that a complete request, a health check or a malformed request has been received.
+	HasRequested bool
+	// Requests counts the requests passed to the balancer.
+	Requests int
+	// RequestTimed reports that the deadline of the request being received is set.
+	RequestTimed bool
+	// RequestBytes counts the bytes received of the request being received.
+	RequestBytes int
+
+	// Accepted is when the connection was accepted.
+	Accepted time.Duration
+	// Since is when it became idle: the time of its accept or of the end of its last answer.
+	Since time.Duration
+	// RequestBegan is when the time of the request being received began: at its first byte, for the first
+	// request at the accept.
+	RequestBegan time.Duration
+	// Timer is when the connection is looked at again, or ended; 0 if no timer is set.
+	Timer time.Duration
+	// lastReceived is when the last byte was received, or when reading resumed after a pause.
+	lastReceived time.Duration
+
+	// Place in an eviction queue, nil while it is in none. See Conns.Place.
+	evictionQueue *evictionQueue
 	previous      *Conn
 	next          *Conn
-	arrivals      arrivals
-	reader        http1.Reader
-	large         *Incoming // the request under way, whose body is too large to be held
+
+	arrivals arrivals
+	reader   http1.Reader
+	large    *Incoming // the request being received whose body is too large to buffer
 }
 
-// Feed takes what the client wrote.
+// Feed takes bytes received from the client now.
 func (c *Conn) Feed(now time.Duration, data []byte) {
 	c.lastReceived = now
 	c.arrivals.add(now, len(data))
 	c.reader.Feed(data)
 }
 
-// Begin has the body of the request just asked for taken in pieces. length is -1 where it is not stated.
+// Begin switches the body of the request that Next returned to streaming: from now on Pieces returns its chunks.
+// length is that of the body, -1 where it is not stated.
 func (c *Conn) Begin() (length int64) {
 	c.Upload = true
 	return c.reader.Begin()
 }
 
-// Pieces returns what has come of the body, valid until the next call, and whether it has ended.
+// Pieces returns the next chunk of a streamed body, all that has arrived since the last call, valid until the next
+// call, and whether the body has ended.
 func (c *Conn) Pieces() (piece []byte, done bool, fault *http1.Fault) {
 	_, piece, done, fault = c.reader.Pieces()
 	return piece, done, fault
 }
 
-// IdleFor is how long nothing has come.
+// IdleFor returns how long nothing has been received.
 func (c *Conn) IdleFor(now time.Duration) time.Duration { return now - c.lastReceived }
 
-// Pending reports whether a part of a request has come.
+// Pending reports whether part of a request has been received.
 func (c *Conn) Pending() bool { return c.reader.Pending() }
 
-// Overfull reports whether the client has sent more than it may ahead of an answer.
+// Overfull reports whether the client has sent more than MaxPipelined bytes ahead of an answer.
 func (c *Conn) Overfull() bool { return c.reader.Buffered() > MaxPipelined }
 
-// AwaitsContinue reports whether the client waits to be asked for the body.
+// AwaitsContinue reports, once for each request, whether the client waits for 100 Continue before it sends the
+// body.
 func (c *Conn) AwaitsContinue() bool { return c.reader.AwaitsContinue() }
--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -9,35 +9,34 @@
 	"thymebend/internal/loop"
 )
 
-// Conns are the downstream connections. Those that may is evicted where connections run short stand in
-// queues, so that the one that does is found, and every change made, in constant time: a crowd of
-// thousands must not cost a walk for each accept.
+// Conns holds the downstream connections. Those that may be evicted where connections run short are in queues,
+// so that the one to evict is found, and every change made, in constant time: an accept must not cost a walk
+// over thousands of connections.
 type Conns struct {
 	ByConn     map[loop.Conn]*Conn
-	Max        int
-	ReuseLimit int // past it connections that are not used again are closed, see SingleUse
+	Max        int // how many connections there may be
+	ReuseLimit int // with more connections than this, those that are not reused are closed, see SingleUse
 
 	fullyClosed   evictionQueue // our sending has ended, after the last answer
-	unused        evictionQueue // nothing has come yet, by their accept
-	partialFirst  evictionQueue // a first request is partly read, by its last byte
+	unused        evictionQueue // nothing received yet, by the time of the accept
+	partialFirst  evictionQueue // a first request is incomplete, by its last byte
 	usedOnce      evictionQueue // idle after one request
 	usedAgain     evictionQueue // idle after several
-	partialLater  evictionQueue // a later request is partly read
-	healthChecked evictionQueue // idle after health checks alone: the first request is to come
+	partialLater  evictionQueue // a later request is incomplete, by its last byte
+	healthChecked evictionQueue // idle after health checks only: the first request is still to come
 }
 
-// NewConns returns room for so many connections.
+// NewConns returns an empty set of at most so many connections.
 func NewConns(most int) *Conns {
 	return &Conns{ByConn: make(map[loop.Conn]*Conn), Max: most}
 }
 
-// InOrder returns the connections, oldest first. Maps are walked in no order; the same events must have
-// the same effects.
+// InOrder returns the connections, oldest first. Map order is random; the same events must have the same effects.
 func (s *Conns) InOrder() []*Conn {
 	return slices.SortedFunc(maps.Values(s.ByConn), func(a, b *Conn) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Add takes a new downstream connection.
+// Add adds a new downstream connection.
 func (s *Conns) Add(id loop.Conn, now time.Duration) *Conn {
 	c := &Conn{ID: id, Accepted: now, Since: now, RequestBegan: now, lastReceived: now}
 	s.ByConn[id] = c
@@ -51,9 +50,9 @@
 	c.unqueue()
 }
 
-// Place has a connection stand where it belongs, behind those that stood there before. It is to be
-// called when the connection has changed: a request came or a part of one, an answer was written, it is
-// looked at once more.
+// Place puts a connection at the end of the eviction queue that it belongs to, or in none. It is to be called
+// when the connection has changed: a request or a part of one was received, an answer was written out, or the
+// final read begins.
 func (s *Conns) Place(c *Conn) {
 	c.unqueue()
 	switch {
@@ -75,17 +74,25 @@
 	}
 }
 
-// Evictable returns the connection that is evicted first where connections run short, or nil if none
-// may. Guards against crowds that connect and ask nothing, ask once and stay, or never end a request.
-// Those go before all that have their last answer and whose client has had time to take it, then those
-// that have said nothing for FirstSoon, then those at rest, which costs their clients a new connection
-// and no request, those that brought one request before those that brought more, then those whose
-// request has stood still for StalledRequestGrace. Those that are young or have only asked for health
-// go last, as their first request is to come and would be lost with them. A request that goes on coming
-// is never cut.
+// Evictable returns the connection to evict where connections run short, or nil if none may be evicted. Guards
+// against clients that connect and send nothing, send one request and stay, or never complete a request.
+// The first of these that there is:
+//
+//  1. answered and ended by us, FirstByteGrace ago
+//  2. silent since its accept for FirstRequestGrace
+//  3. only health checks so far, and silent for HealthCheckGrace
+//  4. idle after one request
+//  5. idle after several requests
+//  6. its first request incomplete, and silent for StalledRequestGrace
+//  7. a later request incomplete, and silent for StalledRequestGrace
+//  8. only health checks so far, and silent for less than HealthCheckGrace
+//  9. silent since its accept for FirstByteGrace
+//
+// Idle clients lose a connection and no request. Those of 8 and 9 are about to send their first request, which
+// would be lost. A request of which data keeps arriving is never cut.
 func (s *Conns) Evictable(now time.Duration) *Conn {
-	quiet := func(q *evictionQueue, since time.Duration) bool {
-		return q.head != nil && now-q.head.lastReceived >= since
+	quiet := func(queue *evictionQueue, grace time.Duration) bool {
+		return queue.head != nil && now-queue.head.lastReceived >= grace
 	}
 	switch {
 	case s.FullyClosed(now) != nil:
@@ -110,7 +117,7 @@
 	return nil
 }
 
-// FullyClosed returns a connection that has its last answer and whose client has had time to take it,
+// FullyClosed returns a connection whose last answer is written out and whose client has had time to read it,
 // or nil.
 func (s *Conns) FullyClosed(now time.Duration) *Conn {
 	if c := s.fullyClosed.head; c != nil && now-c.Since >= FirstByteGrace {
@@ -119,10 +126,9 @@
 	return nil
 }
 
-// SingleUse returns a connection that brought one request and has rested since, where there are many
-// connections, or nil. Guards against clients that open a connection for each request and keep all:
-// where they may hold so many and no more, they have none left for their next request long before
-// connections run short here.
+// SingleUse returns a connection that is idle after one request, where there are many connections, or nil. Guards
+// against clients that open a connection for each request and keep them all: where a client's own limit is
+// reached, it cannot send its next request, long before connections run short here.
 func (s *Conns) SingleUse(now time.Duration) *Conn {
 	if c := s.usedOnce.head; c != nil && s.OverReuseLimit() && now-c.Since >= SingleUseIdleTimeout {
 		return c
@@ -130,5 +136,5 @@
 	return nil
 }
 
-// OverReuseLimit reports whether there are many connections.
+// OverReuseLimit reports whether there are more connections than ReuseLimit.
 func (s *Conns) OverReuseLimit() bool { return len(s.ByConn) > s.ReuseLimit }
--- a/internal/downstream/evictionqueue.go
+++ b/internal/downstream/evictionqueue.go
@@ -1,6 +1,7 @@
 package downstream
 
-// evictionQueue is a list of connections, the one that came first at its head.
+// evictionQueue is a linked list of connections, the one that was added first at its head. A connection is in at
+// most one.
 type evictionQueue struct{ head, tail *Conn }
 
 func (q *evictionQueue) push(c *Conn) {
--- a/internal/downstream/incoming.go
+++ b/internal/downstream/incoming.go
@@ -6,30 +6,29 @@
 	"thymebend/internal/http1"
 )
 
-// Incoming is what a client asks: a request, a look at the gateway's health, or what cannot be made
-// out.
+// Incoming is what a client has sent: a request, a health check, or a malformed request.
 type Incoming struct {
 	Request Request
-	Health  bool
-	Fault   *http1.Fault
-	Closes  bool // the connection ends after the answer
-	Large   bool // its body is to be taken in pieces
+	Health  bool         // it is a health check
+	Fault   *http1.Fault // why it is malformed, or nil
+	Closes  bool         // the connection ends after the answer
+	Large   bool         // its body is to be streamed, see Conn.Begin
 }
 
-// Next returns what the client asks next, once it is whole.
+// Next returns what the client has sent next, once that is complete or its body is too large to buffer.
 func (c *Conn) Next(classes Classes) (asked Incoming, whole bool) {
 	m, fault := c.reader.Next()
 	switch {
 	case fault != nil:
-		return Incoming{Fault: fault, Closes: true}, true // where the next request begins is not known
+		return Incoming{Fault: fault, Closes: true}, true // the start of the next request is unknown
 	case m == nil:
 		return c.nextLarge(classes)
 	}
 	return parseRequest(m, classes), true
 }
 
-// nextLarge returns a request whose body is too large to be held, once as much of it has come as is
-// held, and at once what is wrong with it.
+// nextLarge returns a request whose body is too large to buffer, once the buffer is full; a faulty one it returns
+// at once.
 func (c *Conn) nextLarge(classes Classes) (Incoming, bool) {
 	head := c.reader.Large()
 	if head == nil {
@@ -66,5 +65,5 @@
 	return asked
 }
 
-// healthPath is where the front asks whether this gateway is ready.
+// healthPath is the path of the health checks.
 const healthPath = "/healthz"
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -1,6 +1,6 @@
 // Package downstream is the clients' side of the gateway: their connections, what a request must state, how long
-// an incomplete one is waited for, and how final responses are encoded. It does no I/O: the caller feeds it the bytes
-// that a connection brought, with the time of the read, and writes what it returns. Nothing in it is safe for
+// an incomplete one is waited for, and how final responses are encoded. It does no I/O: the caller feeds it the
+// bytes received on a connection, with the time of the read, and writes what it returns. Nothing in it is safe for
 // concurrent use.
 //
 // A second protocol for clients would be a package beside this one.
@@ -16,7 +16,7 @@
 	"thymebend/internal/http1"
 )
 
-// The header fields of this peer.
+// The header fields that clients send.
 const (
 	fieldID       = "X-Trace-Id"
 	fieldClass    = "X-Qos"
@@ -24,23 +24,26 @@
 	fieldRetry    = "X-Second-Try"
 )
 
-// maxClientTimeout bounds what a client may state. No class of any deployment waits longer.
+// maxClientTimeout bounds the timeout that a client may state. No class of any deployment waits longer.
 const maxClientTimeout = time.Hour
 
-// Class is what a request's class means here.
+// maxIDLength bounds a request's id, in bytes.
+const maxIDLength = 128
+
+// Class is a request class of the settings.
 type Class struct {
 	Name   string
-	Index  int    // the balancer's
-	Method string // that its requests have
+	Index  int    // the class's number at the balancer
+	Method string // the HTTP method of its requests
 	Class  balancer.Class
 }
 
 // Classes finds a class by the name and the method of a request.
 type Classes func(name, method string) (Class, bool)
 
-// MethodOf is the method of the requests of an effect.
-func MethodOf(e balancer.Idempotency) string {
-	if e == balancer.Idempotent {
+// MethodOf returns the HTTP method of requests with an idempotency.
+func MethodOf(idempotency balancer.Idempotency) string {
+	if idempotency == balancer.Idempotent {
 		return "GET"
 	}
 	return "POST"
@@ -48,15 +51,15 @@
 
 // Request is a valid request of a client.
 type Request struct {
-	ID            string // the client's, unique among what is open
+	ID            string // the client's, unique among the open requests
 	Class         Class
 	ClientTimeout time.Duration
 	Retry         bool // the client marks it as a retry
 	Message       *http1.Message
 }
 
-// validate checks a request against the classes. What it refuses never reaches the balancer nor an
-// endpoint.
+// validate checks a request against the classes. A request that it refuses reaches neither the balancer nor
+// an endpoint.
 func validate(message *http1.Message, classes Classes) (Request, *http1.Fault) {
 	request := Request{Message: message}
 	path, _, _ := strings.Cut(message.Target, "?")
@@ -76,7 +79,7 @@
 		return request, badRequest("a GET has no body")
 	}
 	id, times := message.Get(fieldID)
-	if times != 1 || id == "" || len(id) > 128 || strings.ContainsAny(id, " \t,") {
+	if times != 1 || id == "" || len(id) > maxIDLength || strings.ContainsAny(id, " \t,") {
 		return request, badRequest(fieldID + " is missing or malformed")
 	}
 	request.ID = id
--- a/internal/downstream/responses.go
+++ b/internal/downstream/responses.go
@@ -7,7 +7,7 @@
 	"thymebend/internal/http1"
 )
 
-// AppendContinue asks for the body.
+// AppendContinue encodes the interim response that asks for the body.
 func AppendContinue() []byte { return []byte("HTTP/1.1 100 Continue\r\n\r\n") }
 
 // AppendServed encodes an endpoint's answer for the client.
@@ -15,7 +15,7 @@
 	return http1.AppendResponse(nil, 200, fields, body, keepAlive)
 }
 
-// AppendRejected encodes a rejection: trying again is harmless, after the time stated.
+// AppendRejected encodes a rejection: the request has not run and may be retried after the time stated.
 func AppendRejected(after time.Duration, keepAlive bool) []byte {
 	var fields []http1.Field
 	if after > 0 {
@@ -25,28 +25,28 @@
 	return http1.AppendResponse(nil, 503, fields, []byte("refused, trying again is harmless\n"), keepAlive)
 }
 
-// AppendFailed encodes a failure that promises nothing. It must be neither 429 nor 503: the request may
-// have run.
+// AppendFailed encodes a failure after which the request may have run. Its status must be neither 429 nor 503,
+// which allow a retry.
 func AppendFailed(keepAlive bool) []byte {
 	return http1.AppendResponse(nil, 502, nil, []byte("failed, the request may have run\n"), keepAlive)
 }
 
-// AppendBadRequest encodes what is wrong with a request.
+// AppendBadRequest encodes the fault of a request.
 func AppendBadRequest(f *http1.Fault, keepAlive bool) []byte {
 	return http1.AppendResponse(nil, f.Status, nil, []byte(f.Text+"\n"), keepAlive)
 }
 
-// AppendConflict encodes that a request bears the id of one that is still open.
+// AppendConflict encodes that a request has the id of one that is still open.
 func AppendConflict(keepAlive bool) []byte {
 	return AppendBadRequest(badRequest(fieldID+" is that of an open request"), keepAlive)
 }
 
-// AppendRequestTimeout encodes that a request did not come whole in time.
+// AppendRequestTimeout encodes that a request was not received completely in time.
 func AppendRequestTimeout() []byte {
 	return AppendBadRequest(&http1.Fault{Status: 408, Text: "the request did not come whole"}, false)
 }
 
-// AppendHealth encodes the answer to a look at this gateway's health.
+// AppendHealth encodes the answer to a health check.
 func AppendHealth(ready, keepAlive bool) []byte {
 	if ready {
 		return http1.AppendResponse(nil, 200, nil, []byte("ready\n"), keepAlive)
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// framing says how a body ends.
+// framing is how the end of a body is found.
 type framing uint8
 
 const (
@@ -14,29 +14,29 @@
 	byClose
 )
 
-// maxLine bounds a chunk's size line and the trailers.
+// maxLine bounds a chunk's size line and the trailers, in bytes.
 const maxLine = 4 << 10
 
-// body decodes a body as it comes.
+// body decodes a body incrementally.
 type body struct {
-	framing framing
-	left    int64 // of the body or of the chunk
-	inChunk bool
-	trailer int // bytes of trailers read; -1 before the last chunk
-	done    bool
+	framing      framing
+	remaining    int64 // bytes still to come of the body or of the chunk
+	inChunk      bool  // a chunk has begun and its final line end has not been read
+	trailerBytes int   // bytes of trailers read; -1 before the last chunk
+	done         bool
 }
 
-// frame finds how the body of a message is framed. A message that says it twice is refused: two readers that
-// believe different halves would see different requests.
+// frame returns the body that the fields of a head describe. A message that states its framing twice is refused:
+// two readers that follow different statements would see different requests.
 func frame(h *Head, response bool) (body, *Fault) {
-	b := body{trailer: -1}
+	b := body{trailerBytes: -1}
 	length, lengths := h.Get("Content-Length")
 	coding, codings := h.Get("Transfer-Encoding")
 	switch {
 	case lengths > 1, lengths > 0 && codings > 0:
-		return b, bad("the body's length is stated twice")
+		return b, badRequest("the body's length is stated twice")
 	case codings > 0 && h.Minor == 0:
-		return b, bad("HTTP/1.0 has no transfer codings")
+		return b, badRequest("HTTP/1.0 has no transfer codings")
 	case response && (h.Status < 200 || h.Status == 204 || h.Status == 304):
 		b.done = true
 	case codings == 1 && strings.EqualFold(coding, "chunked"):
@@ -44,14 +44,14 @@
 	case codings > 0:
 		return b, &Fault{501, "unknown transfer coding"}
 	case lengths == 1:
-		n, ok := decimal(length, MaxBody)
+		n, ok := parseDecimal(length, MaxBody)
 		if !ok {
-			return b, bad("malformed Content-Length")
+			return b, badRequest("malformed Content-Length")
 		}
 		if n > MaxBody {
 			return b, &Fault{413, "body too large"}
 		}
-		b.left, b.done = n, n == 0
+		b.remaining, b.done = n, n == 0
 	case response:
 		b.framing = byClose
 	default:
@@ -60,29 +60,29 @@
 	return b, nil
 }
 
-// take decodes what it can of in and returns a piece of the body and how much of in it used. It has to be
-// called until it uses nothing.
+// take decodes part of in and returns a piece of the body and how many bytes of in it used. It is to be called
+// until it uses none.
 func (b *body) take(in []byte) (piece []byte, used int, fault *Fault) {
 	switch {
 	case b.done || len(in) == 0:
 		return nil, 0, nil
 	case b.framing == byClose:
 		return in, len(in), nil
-	case b.framing == byLength || b.inChunk && b.left > 0:
-		n := min(int64(len(in)), b.left)
-		b.left -= n
-		b.done = b.framing == byLength && b.left == 0
+	case b.framing == byLength || b.inChunk && b.remaining > 0:
+		n := min(int64(len(in)), b.remaining)
+		b.remaining -= n
+		b.done = b.framing == byLength && b.remaining == 0
 		return in[:n], int(n), nil
 	}
-	return b.line(in)
+	return b.takeLine(in)
 }
 
-// line reads a line of the chunked coding: the end of a chunk, a size, or a trailer.
-func (b *body) line(in []byte) (piece []byte, used int, fault *Fault) {
+// takeLine reads a line of the chunked coding: the end of a chunk, a size, or a trailer.
+func (b *body) takeLine(in []byte) (piece []byte, used int, fault *Fault) {
 	at := bytes.Index(in, []byte("\r\n"))
 	if at < 0 {
 		if len(in) > maxLine {
-			return nil, 0, bad("chunk line too long")
+			return nil, 0, badRequest("chunk line too long")
 		}
 		return nil, 0, nil
 	}
@@ -90,34 +90,37 @@
 	switch {
 	case b.inChunk:
 		if at != 0 {
-			return nil, 0, bad("chunk longer than its size")
+			return nil, 0, badRequest("chunk longer than its size")
 		}
 		b.inChunk = false
-	case b.trailer >= 0:
+	case b.trailerBytes >= 0:
 		b.done = at == 0
-		if b.trailer += used; b.trailer > maxLine {
+		if b.trailerBytes += used; b.trailerBytes > maxLine {
 			return nil, 0, &Fault{431, "trailers too large"}
 		}
 	default:
-		size, ok := hex(line)
+		size, ok := parseHex(line)
 		if !ok {
-			return nil, 0, bad("malformed chunk size")
+			return nil, 0, badRequest("malformed chunk size")
 		}
-		if b.left, b.inChunk = size, true; size == 0 {
-			b.inChunk, b.trailer = false, 0
+		if b.remaining, b.inChunk = size, true; size == 0 {
+			b.inChunk, b.trailerBytes = false, 0
 		}
 	}
 	return nil, used, nil
 }
 
-// hex reads a chunk's size, without its extensions.
-func hex(line []byte) (int64, bool) {
+// maxBeforeDigit bounds a chunk's size before one more digit is added: it cannot overflow.
+const maxBeforeDigit = 1 << 30
+
+// parseHex reads a chunk's size, without its extensions.
+func parseHex(line []byte) (int64, bool) {
 	line, _, _ = bytes.Cut(line, []byte(";"))
 	line = bytes.TrimRight(line, " \t")
 	n := int64(0)
 	for _, c := range line {
 		digit := strings.IndexByte("0123456789abcdef", c|0x20)
-		if digit < 0 || n > 1<<30 {
+		if digit < 0 || n > maxBeforeDigit {
 			return 0, false
 		}
 		n = n<<4 | int64(digit)
--- a/internal/http1/cut_test.go
+++ b/internal/http1/cut_test.go
@@ -95,7 +95,7 @@
 // Interim answers are passed over up to a bound, and nothing switches protocols.
 func TestInterimAnswersAreBounded(t *testing.T) {
 	final, interim := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 103 Early\r\n\r\n"
-	for n, want := range map[int]bool{0: true, mostInterim: true, mostInterim + 1: false} {
+	for n, want := range map[int]bool{0: true, maxInterim: true, maxInterim + 1: false} {
 		r := Reader{Response: true}
 		r.Feed(append(bytes.Repeat([]byte(interim), n), final...))
 		if m, fault := r.Next(); (m != nil && fault == nil) != want {
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -1,5 +1,5 @@
-// Package http1 reads and writes HTTP/1.1 messages. Reading is incremental and bounded: a peer can neither
-// make it hold more than the limits nor make it panic. It keeps nothing of the gateway.
+// Package http1 reads and writes HTTP/1.1 messages. Reading is incremental and bounded: a peer can
+// neither make it buffer more than the limits nor make it panic. It knows nothing of the gateway.
 package http1
 
 import (
@@ -10,12 +10,12 @@
 // Limits of a message, in bytes.
 const (
 	MaxHead   = 16 << 10
-	MaxHeld   = 64 << 10 // a body is held whole up to this, and handed out in pieces past it
+	MaxHeld   = 64 << 10 // a body up to this size is buffered whole, a larger one is streamed
 	MaxBody   = 32 << 20
 	maxFields = 100
 )
 
-// Fault is what is wrong with a message, with the status that tells a client so.
+// Fault describes what is wrong with a message, with the status of the response to it.
 type Fault struct {
 	Status int
 	Text   string
@@ -24,9 +24,9 @@
 // Error implements error.
 func (f *Fault) Error() string { return f.Text }
 
-func bad(text string) *Fault { return &Fault{Status: 400, Text: text} }
+func badRequest(text string) *Fault { return &Fault{Status: 400, Text: text} }
 
-// Field is one header field as it came.
+// Field is one header field as received.
 type Field struct{ Name, Value string }
 
 // Head is a parsed message head. Requests have Method and Target, responses Status.
@@ -35,8 +35,8 @@
 	Status         int
 	Fields         []Field
 	KeepAlive      bool
-	Minor          int // of the version: HTTP/1.Minor
-	authority      string
+	Minor          int    // of the version: HTTP/1.Minor
+	authority      string // of a target in the absolute form
 }
 
 // Get returns a field's value and how often it occurs.
@@ -65,7 +65,7 @@
 	return false
 }
 
-// Hop reports whether a field speaks of this connection only and must not be passed on.
+// Hop reports whether a field applies to this connection only and must not be forwarded.
 func (h *Head) Hop(name string) bool {
 	for _, hop := range [...]string{"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer",
 		"Transfer-Encoding", "Upgrade", "Content-Length", "Expect"} {
@@ -80,9 +80,9 @@
 func parseHead(raw []byte, response bool) (*Head, *Fault) {
 	line, rest, _ := bytes.Cut(raw, []byte("\r\n"))
 	h := &Head{}
-	parse := h.requestLine
+	parse := h.parseRequestLine
 	if response {
-		parse = h.statusLine
+		parse = h.parseStatusLine
 	}
 	minor, fault := parse(string(line))
 	if fault != nil {
@@ -93,14 +93,14 @@
 		if len(h.Fields) == maxFields {
 			return nil, &Fault{431, "too many header fields"}
 		}
-		if fault := h.field(string(line)); fault != nil {
+		if fault := h.addField(string(line)); fault != nil {
 			return nil, fault
 		}
 	}
 	h.Minor = minor
-	h.KeepAlive = minor == 1 && !h.has("Connection", "close") // HTTP/1.0's is not offered: Connection: close says so
+	h.KeepAlive = minor == 1 && !h.has("Connection", "close") // HTTP/1.0 keep-alive is not supported
 	if _, hosts := h.Get("Host"); !response && (hosts > 1 || hosts == 0 && minor == 1) {
-		return nil, bad("a request needs one Host")
+		return nil, badRequest("a request needs one Host")
 	}
 	for i := range h.Fields {
 		if h.authority != "" && strings.EqualFold(h.Fields[i].Name, "Host") {
@@ -110,20 +110,20 @@
 	return h, nil
 }
 
-func (h *Head) field(line string) *Fault {
+func (h *Head) addField(line string) *Fault {
 	name, value, ok := strings.Cut(line, ":")
-	if !ok || !token(name) {
-		return bad("malformed header field")
+	if !ok || !isToken(name) {
+		return badRequest("malformed header field")
 	}
 	value = strings.Trim(value, " \t")
-	if !text(value) {
-		return bad("header field with control characters")
+	if !isText(value) {
+		return badRequest("header field with control characters")
 	}
 	h.Fields = append(h.Fields, Field{name, value})
 	return nil
 }
 
-func version(s string) (minor int, ok bool) {
+func parseVersion(s string) (minor int, ok bool) {
 	switch s {
 	case "HTTP/1.1":
 		return 1, true
@@ -133,15 +133,15 @@
 	return 0, false
 }
 
-func (h *Head) requestLine(line string) (int, *Fault) {
+func (h *Head) parseRequestLine(line string) (int, *Fault) {
 	parts := strings.Split(line, " ")
-	if len(parts) != 3 || !token(parts[0]) || !visible(parts[1]) {
-		return 0, bad("malformed request line")
+	if len(parts) != 3 || !isToken(parts[0]) || !isVisible(parts[1]) {
+		return 0, badRequest("malformed request line")
 	}
-	if !h.target(parts[1]) {
-		return 0, bad("malformed request target")
+	if !h.parseTarget(parts[1]) {
+		return 0, badRequest("malformed request target")
 	}
-	minor, ok := version(parts[2])
+	minor, ok := parseVersion(parts[2])
 	if !ok {
 		return 0, &Fault{505, "not HTTP/1.0 or HTTP/1.1"}
 	}
@@ -149,8 +149,8 @@
 	return minor, nil
 }
 
-// target takes the origin form, or the absolute form, whose authority goes before the field Host.
-func (h *Head) target(s string) bool {
+// parseTarget parses a target in the origin form, or in the absolute form, whose authority replaces the field Host.
+func (h *Head) parseTarget(s string) bool {
 	if scheme, rest, ok := strings.Cut(s, "://"); ok && !strings.HasPrefix(s, "/") {
 		if !strings.EqualFold(scheme, "http") && !strings.EqualFold(scheme, "https") {
 			return false
@@ -170,36 +170,36 @@
 	return strings.HasPrefix(s, "/")
 }
 
-func (h *Head) statusLine(line string) (int, *Fault) {
+func (h *Head) parseStatusLine(line string) (int, *Fault) {
 	v, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
-	minor, ok := version(v)
+	minor, ok := parseVersion(v)
 	if !ok || len(code) != 3 {
-		return 0, bad("malformed status line")
+		return 0, badRequest("malformed status line")
 	}
-	n, ok := decimal(code, 999)
+	n, ok := parseDecimal(code, 999)
 	if !ok || n < 100 {
-		return 0, bad("malformed status")
+		return 0, badRequest("malformed status")
 	}
 	h.Status = int(n)
 	return minor, nil
 }
 
-// decimal reads digits only: no sign, no space, no overflow past most.
-func decimal(s string, most int64) (int64, bool) {
+// parseDecimal reads a number of digits only, without sign or space. A number above limit reads as limit+1.
+func parseDecimal(s string, limit int64) (int64, bool) {
 	n := int64(0)
 	for i := range len(s) {
 		if s[i] < '0' || s[i] > '9' {
 			return 0, false
 		}
-		if n = n*10 + int64(s[i]-'0'); n > most {
-			return most + 1, true
+		if n = n*10 + int64(s[i]-'0'); n > limit {
+			return limit + 1, true
 		}
 	}
 	return n, len(s) > 0
 }
 
-func token(s string) bool {
+func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
 		if c <= ' ' || c >= 0x7f || strings.IndexByte(`"(),/:;<=>?@[\]{}`, c) >= 0 {
@@ -209,7 +209,7 @@
 	return s != ""
 }
 
-func visible(s string) bool {
+func isVisible(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] == 0x7f {
 			return false
@@ -218,7 +218,7 @@
 	return true
 }
 
-func text(s string) bool {
+func isText(s string) bool {
 	for i := range len(s) {
 		if s[i] < ' ' && s[i] != '\t' || s[i] == 0x7f {
 			return false
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -2,45 +2,45 @@
 
 import "bytes"
 
-// mostInterim bounds the interim responses before a final one.
-const mostInterim = 64
+// maxInterim bounds the interim responses before a final one.
+const maxInterim = 64
 
 // Reader reads the messages of one connection, one after another.
 type Reader struct {
-	Response bool // reads responses rather than requests
-	Stream   bool // a body is handed out in pieces and has no limit
-	in       []byte
-	scanned  int // bytes of in without an end of the head
-	head     *Head
-	body     body
-	payload  []byte
-	came     int64 // of the body
-	interim  int
-	asked    bool // AwaitsContinue has looked at this head
-	bulk     bool // this message's body is handed out in pieces
+	Response        bool   // reads responses rather than requests
+	Stream          bool   // every body is streamed and has no limit
+	buffer          []byte // received and not yet decoded
+	scanned         int    // bytes of buffer known to hold no end of the head
+	head            *Head  // of the message under way, nil until it is complete
+	body            body   // decodes the body of that message
+	payload         []byte // decoded and not yet returned
+	bodyBytes       int64  // decoded bytes of the body, returned or not
+	interimCount    int    // interim responses before this one
+	continueChecked bool   // AwaitsContinue has looked at this head
+	streamed        bool   // this message's body is streamed, see Begin
 }
 
-// Message is one whole message.
+// Message is one complete message.
 type Message struct {
 	*Head
 	Body []byte
 }
 
-// Feed adds what has come. The bytes are copied.
-func (r *Reader) Feed(data []byte) { r.in = append(r.in, data...) }
+// Feed adds received bytes. They are copied.
+func (r *Reader) Feed(data []byte) { r.buffer = append(r.buffer, data...) }
 
-// Pending reports whether a part of a message has come.
-func (r *Reader) Pending() bool { return r.head != nil || len(r.in) > 0 }
+// Pending reports whether part of a message has been received.
+func (r *Reader) Pending() bool { return r.head != nil || len(r.buffer) > 0 }
 
-// Buffered is how many bytes wait to be read.
-func (r *Reader) Buffered() int { return len(r.in) }
+// Buffered returns how many received bytes are not yet decoded.
+func (r *Reader) Buffered() int { return len(r.buffer) }
 
-// Next returns the next message if it is whole. Its body is valid for good: it is not reused.
+// Next returns the next message once it is complete, else nil. Its body remains valid: the buffer is not reused.
 func (r *Reader) Next() (*Message, *Fault) {
 	if fault := r.advance(); fault != nil {
 		return nil, fault
 	}
-	if r.head == nil || !r.body.done || r.bulk || len(r.payload) > MaxHeld {
+	if r.head == nil || !r.body.done || r.streamed || len(r.payload) > MaxHeld {
 		return nil, nil
 	}
 	m := &Message{r.head, r.payload}
@@ -48,30 +48,30 @@
 	return m, nil
 }
 
-// Large returns the head of the message under way if its body is too large to be held, else nil. Where
-// the length is not stated, that shows once so much has come.
+// Large returns the head of the message under way if its body is too large to buffer, else nil. Where the length
+// is not stated, this is known only once more than MaxHeld bytes have been received.
 func (r *Reader) Large() *Head {
-	if r.head == nil || r.body.framing == byLength && r.body.left+r.came <= MaxHeld ||
-		r.body.framing != byLength && r.came <= MaxHeld {
+	if r.head == nil || r.body.framing == byLength && r.body.remaining+r.bodyBytes <= MaxHeld ||
+		r.body.framing != byLength && r.bodyBytes <= MaxHeld {
 		return nil
 	}
 	return r.head
 }
 
-// HeadRead reports whether the head of the message under way has come whole.
+// HeadRead reports whether the head of the message under way is complete.
 func (r *Reader) HeadRead() bool { return r.head != nil }
 
-// Complete reports whether all of the message under way has come, though not all of it may have been
-// handed out.
+// Complete reports whether all of the message under way has been received, though Pieces may not have returned all
+// of it.
 func (r *Reader) Complete() bool {
 	if r.head == nil {
 		return false
 	}
 	rest := r.body
-	for in := r.in; !rest.done; {
+	for in := r.buffer; !rest.done; {
 		_, used, fault := rest.take(in)
 		if fault != nil {
-			return true // nothing that is still to come mends it
+			return true // no further byte can mend it
 		}
 		if used == 0 {
 			return false
@@ -81,32 +81,32 @@
 	return true
 }
 
-// Full reports whether as much of the body waits as is held.
+// Full reports whether the buffer for the body is full.
 func (r *Reader) Full() bool { return len(r.payload) >= MaxHeld }
 
-// Begin hands out the body of the message under way in pieces from now on, see Pieces. length is -1
-// where it is not stated.
+// Begin switches the body of the message under way to streaming: from now on Pieces returns its chunks. length is
+// that of the body, -1 where it is not stated.
 func (r *Reader) Begin() (length int64) {
-	r.bulk = true
+	r.streamed = true
 	if r.body.framing != byLength {
 		return -1
 	}
-	return r.came + r.body.left
+	return r.bodyBytes + r.body.remaining
 }
 
-// Pieces returns the head of a streamed message once it is there, what has come of the body since the
-// last call, valid until the next call, and whether the body has ended. A message that Begin began is
-// over with it.
+// Pieces returns the head of a streamed message once it is complete, the next chunk of its body, all that has
+// arrived since the last call, valid until the next call, and whether the body has ended. After the end of a
+// message that Begin switched to streaming, the next message follows.
 func (r *Reader) Pieces() (head *Head, piece []byte, done bool, fault *Fault) {
 	fault = r.advance()
 	head, piece, done = r.head, r.payload, fault == nil && r.head != nil && r.body.done
-	if r.payload = r.payload[:0]; done && r.bulk {
+	if r.payload = r.payload[:0]; done && r.streamed {
 		r.reset()
 	}
 	return head, piece, done, fault
 }
 
-// End tells that the peer has ended its sending, and returns the message that this completes, if any.
+// End is to be called when the peer has ended its sending. It returns the message that this completes, or nil.
 func (r *Reader) End() *Message {
 	if !r.EndsByClose() {
 		return nil
@@ -122,14 +122,16 @@
 	return r.head != nil && r.body.framing == byClose && !r.body.done
 }
 
-func (r *Reader) reset() { r.head, r.payload, r.came, r.interim, r.bulk = nil, nil, 0, 0, false }
+func (r *Reader) reset() {
+	r.head, r.payload, r.bodyBytes, r.interimCount, r.streamed = nil, nil, 0, 0, false
+}
 
-// AwaitsContinue reports, once a message, whether the peer holds back its body until it is asked for.
+// AwaitsContinue reports, once for each message, whether the peer waits for 100 Continue before it sends the body.
 func (r *Reader) AwaitsContinue() bool {
-	if r.head == nil || r.asked || r.body.done || len(r.in)+len(r.payload) > 0 {
+	if r.head == nil || r.continueChecked || r.body.done || len(r.buffer)+len(r.payload) > 0 {
 		return false
 	}
-	r.asked = true
+	r.continueChecked = true
 	return r.head.has("Expect", "100-continue")
 }
 
@@ -139,20 +141,20 @@
 			return fault
 		}
 		if r.Response && r.head.Status < 200 { // an interim response: the final one follows
-			if r.interim++; r.head.Status == 101 || r.interim > mostInterim {
-				return bad("an interim response out of place")
+			if r.interimCount++; r.head.Status == 101 || r.interimCount > maxInterim {
+				return badRequest("an interim response out of place")
 			}
 			r.head = nil
 		}
 	}
-	used, held := 0, r.Stream || r.bulk
-	for held || len(r.payload) <= MaxHeld { // what is too large to be held waits until it is known where to
-		piece, n, fault := r.body.take(r.in[used:])
+	used, streamed := 0, r.Stream || r.streamed
+	for streamed || len(r.payload) <= MaxHeld { // a body too large to buffer waits undecoded until Begin
+		piece, n, fault := r.body.take(r.buffer[used:])
 		if fault != nil {
 			return fault
 		}
 		r.payload = append(r.payload, piece...)
-		if r.came += int64(len(piece)); !r.Stream && r.came > MaxBody {
+		if r.bodyBytes += int64(len(piece)); !r.Stream && r.bodyBytes > MaxBody {
 			return &Fault{413, "body too large"}
 		}
 		if used += n; n == 0 {
@@ -164,12 +166,12 @@
 }
 
 func (r *Reader) readHead() *Fault {
-	for len(r.in) >= 2 && r.in[0] == '\r' && r.in[1] == '\n' && !r.Response {
+	for len(r.buffer) >= 2 && r.buffer[0] == '\r' && r.buffer[1] == '\n' && !r.Response {
 		r.consume(2) // empty lines before a request are skipped
 	}
-	at := bytes.Index(r.in[max(0, r.scanned-3):], []byte("\r\n\r\n"))
+	at := bytes.Index(r.buffer[max(0, r.scanned-3):], []byte("\r\n\r\n"))
 	if at < 0 {
-		if r.scanned = len(r.in); r.scanned > MaxHead {
+		if r.scanned = len(r.buffer); r.scanned > MaxHead {
 			return &Fault{431, "head too large"}
 		}
 		return nil
@@ -178,22 +180,22 @@
 	if at > MaxHead {
 		return &Fault{431, "head too large"}
 	}
-	head, fault := parseHead(r.in[:at], r.Response)
+	head, fault := parseHead(r.buffer[:at], r.Response)
 	if fault != nil {
 		return fault
 	}
 	if r.body, fault = frame(head, r.Response); fault != nil {
 		return fault
 	}
-	r.head, r.scanned, r.asked = head, 0, false
+	r.head, r.scanned, r.continueChecked = head, 0, false
 	r.consume(at + 4)
 	return nil
 }
 
-// consume drops what was read, and the buffer with it if it grew for one large message.
+// consume drops n decoded bytes, and with the last of them a buffer that grew for one large message.
 func (r *Reader) consume(n int) {
-	r.in = r.in[:copy(r.in, r.in[n:])]
-	if len(r.in) == 0 && cap(r.in) > MaxHead && !r.bulk {
-		r.in = nil
+	r.buffer = r.buffer[:copy(r.buffer, r.buffer[n:])]
+	if len(r.buffer) == 0 && cap(r.buffer) > MaxHead && !r.streamed {
+		r.buffer = nil
 	}
 }
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -11,8 +11,8 @@
 	return append(append(dst, "\r\n"...), body...)
 }
 
-// AppendRequestHead writes the head of a request whose body follows in pieces: of a length, or in
-// chunks if that is -1.
+// AppendRequestHead writes the head of a request whose body follows: of a stated length, or in chunks if length
+// is -1.
 func AppendRequestHead(dst []byte, method, target string, fields []Field, length int64) []byte {
 	return append(appendFraming(appendRequestStart(dst, method, target, fields), length), "\r\n"...)
 }
@@ -24,13 +24,13 @@
 	return appendFields(append(dst, " HTTP/1.1\r\n"...), fields)
 }
 
-// AppendResponseHead writes the head of a response whose body follows in pieces: of a length, or in
-// chunks if that is -1, or until the end of the connection if the reader is too old for chunks.
+// AppendResponseHead writes the head of a response whose body follows: of a stated length, or in chunks if length
+// is -1, or until the end of the connection if the client's version, HTTP/1.minor, has no chunks.
 func AppendResponseHead(dst []byte, status int, fields []Field, length int64, minor int, keepAlive bool) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
 	dst = append(dst, ' ')
-	dst = append(dst, reason(status)...)
+	dst = append(dst, statusText(status)...)
 	dst = append(dst, "\r\n"...)
 	dst = appendFields(dst, fields)
 	if length >= 0 || minor > 0 {
@@ -51,7 +51,7 @@
 	return append(dst, "\r\n"...)
 }
 
-// AppendChunk writes a piece of a body in chunks, and the end of the body with the last one.
+// AppendChunk writes a piece of a body as a chunk, and after the last one the end of the body.
 func AppendChunk(dst, piece []byte, last bool) []byte {
 	if len(piece) > 0 {
 		dst = strconv.AppendInt(dst, int64(len(piece)), 16)
@@ -80,7 +80,7 @@
 	return dst
 }
 
-func reason(status int) string {
+func statusText(status int) string {
 	switch status {
 	case 200:
 		return "OK"
--- a/internal/loop/calls_test.go
+++ b/internal/loop/calls_test.go
@@ -26,12 +26,12 @@
 
 // played is a loop whose calls fail as planted, and what it told.
 type played struct {
-	told []Event
-	data []byte
+	events []Event
+	data   []byte
 }
 
 func (p *played) kinds(conn Conn) (list []Kind) {
-	for _, e := range p.told {
+	for _, e := range p.events {
 		if e.Conn == conn {
 			list = append(list, e.Kind)
 		}
@@ -50,7 +50,7 @@
 	p := &played{}
 	end := time.Now().Add(5 * time.Second)
 	err = l.Run(stepper(func(_ time.Duration, e Event) []Effect {
-		p.told = append(p.told, e)
+		p.events = append(p.events, e)
 		if e.Kind == Data {
 			p.data = append(p.data, e.Data...)
 		}
@@ -286,7 +286,7 @@
 			"connect": func(s *syscalls) { s.connect = func(int, unix.Sockaddr) error { return c.err } },
 		} {
 			p, _ := dialOne(t, plant, []byte("x"))
-			last := p.told[len(p.told)-1]
+			last := p.events[len(p.events)-1]
 			if last.Kind != Broken || last.Local != c.local {
 				t.Errorf("%s fails with %v: told %v, local %v", name, c.err, last.Kind, last.Local)
 			}
--- a/internal/loop/datagrams.go
+++ b/internal/loop/datagrams.go
@@ -37,10 +37,10 @@
 	return nil
 }
 
-// datagrams queues the datagrams received, one batch at most: the next Readable brings the rest. A truncated
+// readDatagrams queues the datagrams received, one batch at most: the next Readable brings the rest. A truncated
 // one is dropped. An error that the network returned for an earlier datagram, as from a port where nobody
 // listens, does not break the socket.
-func (l *Loop) datagrams(s *socket) {
+func (l *Loop) readDatagrams(s *socket) {
 	for range datagramBatch {
 		buf := make([]byte, maxDatagram)
 		n, _, flags, from, err := unix.Recvmsg(s.fd, buf, nil, 0)
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -91,7 +91,7 @@
 
 // listen opens a listening socket. Other processes may listen at the same address: an upgrade's two do.
 func (l *Loop) listen(f Effect) error {
-	fd, err := l.open(f.Addr)
+	fd, err := l.openTCP(f.Addr)
 	if err != nil {
 		return err
 	}
@@ -172,7 +172,7 @@
 			l.socketReady(s, e.Events)
 			l.deliver(r)
 		} else if int(e.Fd) == l.wake && urgent {
-			l.signalled()
+			l.queueSignals()
 			l.deliver(r)
 		}
 	}
@@ -241,7 +241,7 @@
 	return true
 }
 
-func (l *Loop) signalled() {
+func (l *Loop) queueSignals() {
 	var count [8]byte
 	_, _ = unix.Read(l.wake, count[:]) // resets the counter; nothing else reads it
 	for {
--- a/internal/loop/sockets.go
+++ b/internal/loop/sockets.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-func (l *Loop) open(at netip.AddrPort) (int, error) {
+func (l *Loop) openTCP(at netip.AddrPort) (int, error) {
 	family := unix.AF_INET
 	if at.Addr().Is6() {
 		family = unix.AF_INET6
@@ -123,7 +123,7 @@
 }
 
 func (l *Loop) dial(f Effect) {
-	fd, err := l.open(f.Addr)
+	fd, err := l.openTCP(f.Addr)
 	if err != nil {
 		l.queueEvent(Event{Kind: Broken, Conn: f.Conn, Err: err, Local: isResourceError(err)})
 		return
@@ -158,7 +158,7 @@
 // not delivered yet, read takes a new buffer: the shared one still holds that data.
 func (l *Loop) read(s *socket) {
 	if s.datagrams {
-		l.datagrams(s)
+		l.readDatagrams(s)
 		return
 	}
 	buf := l.buf
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -6,17 +6,16 @@
 	"thymebend/internal/loop"
 )
 
-// Phase is how far a upstream connection is.
+// Phase is how far an upstream connection is.
 type Phase uint8
 
-// A connection connects, stands idle, writes a request, and awaits its answer. Where that is large it
-// relays it.
+// A connection connects, is idle, writes a request, and awaits its answer. A large answer is relayed.
 const (
 	Connecting Phase = iota
 	Idle
 	Writing
 	Awaiting
-	Relaying // its answer is passed on as it comes
+	Relaying // its answer is passed on as it arrives
 )
 
 // Conn is one upstream connection. It carries one attempt at a time.
@@ -27,7 +26,7 @@
 	reader   http1.Reader
 }
 
-// Feed takes what an endpoint wrote and returns its answer once it is whole.
+// Feed takes received bytes and returns the endpoint's answer once it is complete, else nil.
 func (c *Conn) Feed(data []byte) (*Response, error) {
 	c.reader.Feed(data)
 	m, fault := c.reader.Next()
@@ -48,7 +47,7 @@
 	return nil
 }
 
-// Large returns the head of an answer that is too large to be held, or nil.
+// Large returns the head of an answer that is too large to buffer, or nil.
 func (c *Conn) Large() *Response {
 	if head := c.reader.Large(); head != nil {
 		return newResponse(&http1.Message{Head: head})
@@ -56,13 +55,15 @@
 	return nil
 }
 
-// Begin has the answer under way handed out in pieces. length is -1 where it is not stated.
+// Begin switches the answer under way to streaming: from now on Take feeds it and Pieces returns its chunks.
+// length is that of the body, -1 where it is not stated.
 func (c *Conn) Begin() (length int64) { return c.reader.Begin() }
 
-// Take takes what an endpoint wrote of an answer that is handed out in pieces.
+// Take takes received bytes of a streamed answer.
 func (c *Conn) Take(data []byte) { c.reader.Feed(data) }
 
-// Pieces returns what has come of the answer, valid until the next call, and whether it has ended.
+// Pieces returns the next chunk of a streamed answer, all that has arrived since the last call, valid until the
+// next call, and whether the answer has ended.
 func (c *Conn) Pieces() (piece []byte, done bool, err error) {
 	_, piece, done, fault := c.reader.Pieces()
 	if fault != nil {
@@ -71,14 +72,14 @@
 	return piece, done, nil
 }
 
-// Complete reports whether all of the answer under way has come, though not all of it may have been
-// handed out.
+// Complete reports whether all of the answer under way has been received, though Pieces may not have returned
+// all of it.
 func (c *Conn) Complete() bool { return c.reader.Complete() }
 
 // EndsByClose reports whether the end of the endpoint's sending is the regular end of the answer.
 func (c *Conn) EndsByClose() bool { return c.reader.EndsByClose() }
 
-// Clean reports whether no byte lies past the answer just ended.
+// Clean reports whether no byte was received past the answer just ended.
 func (c *Conn) Clean() bool { return !c.reader.Pending() }
 
 // Reusable reports whether the connection may carry another request after this answer. Bytes past an
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -22,49 +22,48 @@
 	return &Pool{conns: make(map[loop.Conn]*Conn), idle: make(map[balancer.EndpointID][]*Conn), max: most}
 }
 
-// Resize changes how many connections there may be. Those that are too many go as they end, or is
-// evicted.
+// Resize changes the limit. Connections above the limit are closed when they finish or are evicted.
 func (p *Pool) Resize(most int) { p.max = most }
 
-// Budget is how many connections there may be.
+// Budget returns the limit.
 func (p *Pool) Budget() int { return p.max }
 
-// Max is how many connections there may be, or are.
+// Max returns the limit, or the number of connections where there are more.
 func (p *Pool) Max() int { return max(p.max, len(p.conns)) }
 
-// Len is how many connections there are.
+// Len returns the number of connections.
 func (p *Pool) Len() int { return len(p.conns) }
 
-// Find returns the connection of a connection, or nil.
+// Find returns the connection of a number, or nil.
 func (p *Pool) Find(c loop.Conn) *Conn { return p.conns[c] }
 
-// NextID names a new connection.
+// NextID returns the number of a new connection.
 func (p *Pool) NextID() loop.Conn {
 	p.lastID++
 	return p.lastID
 }
 
-// Full reports whether the budget of descriptors is used up.
+// Full reports whether the limit is reached.
 func (p *Pool) Full() bool { return len(p.conns) >= p.max }
 
-// Over reports whether there are more connections than there may be, since that was lowered.
+// Over reports whether there are more connections than the limit, after it was lowered.
 func (p *Pool) Over() bool { return len(p.conns) > p.max }
 
-// Acquire returns the idle connection to an endpoint that was used last, or nil. The newest goes first,
-// so that connections that are not needed grow old and are closed.
-func (p *Pool) Acquire(host balancer.EndpointID) *Conn {
-	links := p.idle[host]
-	if len(links) == 0 {
+// Acquire returns the idle connection to an endpoint that was released last, or nil. The newest is used
+// first, so that connections that are not needed grow old and are closed.
+func (p *Pool) Acquire(endpoint balancer.EndpointID) *Conn {
+	conns := p.idle[endpoint]
+	if len(conns) == 0 {
 		return nil
 	}
-	c := links[len(links)-1]
+	c := conns[len(conns)-1]
 	p.removeIdle(c)
 	return c
 }
 
-// Open adds a connection that connects.
-func (p *Pool) Open(host balancer.EndpointID) *Conn {
-	c := &Conn{ID: p.NextID(), Endpoint: host, reader: http1.Reader{Response: true}}
+// Open adds a connection that is being established.
+func (p *Pool) Open(endpoint balancer.EndpointID) *Conn {
+	c := &Conn{ID: p.NextID(), Endpoint: endpoint, reader: http1.Reader{Response: true}}
 	p.conns[c.ID] = c
 	return c
 }
@@ -82,12 +81,12 @@
 }
 
 func (p *Pool) removeIdle(c *Conn) {
-	links := p.idle[c.Endpoint]
-	for i, other := range links {
+	conns := p.idle[c.Endpoint]
+	for i, other := range conns {
 		if other == c {
-			copy(links[i:], links[i+1:])
-			links[len(links)-1] = nil
-			p.idle[c.Endpoint] = links[:len(links)-1]
+			copy(conns[i:], conns[i+1:])
+			conns[len(conns)-1] = nil
+			p.idle[c.Endpoint] = conns[:len(conns)-1]
 			break
 		}
 	}
@@ -97,14 +96,16 @@
 }
 
 // IdleTo returns the idle connections to an endpoint, oldest first.
-func (p *Pool) IdleTo(host balancer.EndpointID) []*Conn { return append([]*Conn(nil), p.idle[host]...) }
+func (p *Pool) IdleTo(endpoint balancer.EndpointID) []*Conn {
+	return append([]*Conn(nil), p.idle[endpoint]...)
+}
 
-// ConnectingTo returns the connections to any of some endpoints that are not up yet, oldest first. It
-// walks all connections once.
-func (p *Pool) ConnectingTo(hosts map[balancer.EndpointID]bool) []*Conn {
+// ConnectingTo returns the connections to any of some endpoints that are not yet established, oldest first.
+// It visits all connections once.
+func (p *Pool) ConnectingTo(endpoints map[balancer.EndpointID]bool) []*Conn {
 	var found []*Conn
 	for _, c := range p.conns {
-		if c.Phase == Connecting && hosts[c.Endpoint] {
+		if c.Phase == Connecting && endpoints[c.Endpoint] {
 			found = append(found, c)
 		}
 	}
@@ -112,12 +113,12 @@
 	return found
 }
 
-// Oldest returns the idle connection that was opened first, or nil: the one to close where the budget
-// is short.
+// Oldest returns the idle connection that was opened first, or nil: the one to close where the limit
+// is reached.
 func (p *Pool) Oldest() *Conn {
 	var oldest *Conn
-	for _, links := range p.idle {
-		for _, c := range links {
+	for _, conns := range p.idle {
+		for _, c := range conns {
 			if oldest == nil || c.ID < oldest.ID {
 				oldest = c
 			}
@@ -126,16 +127,15 @@
 	return oldest
 }
 
-// Surplus returns the idle connections that are to be closed for the pool to keep to its budget, those
-// opened first first.
+// Surplus returns the idle connections that are to be closed for the pool to keep to its limit, oldest first.
 func (p *Pool) Surplus() []*Conn {
 	over := len(p.conns) - p.max
 	if over <= 0 {
 		return nil
 	}
 	var idle []*Conn
-	for _, links := range p.idle {
-		idle = append(idle, links...)
+	for _, conns := range p.idle {
+		idle = append(idle, conns...)
 	}
 	slices.SortFunc(idle, func(a, b *Conn) int { return cmp.Compare(a.ID, b.ID) })
 	return idle[:min(over, len(idle))]
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -9,20 +9,20 @@
 // What a smaller budget has no room for goes, oldest first, but never a connection in use.
 func TestPoolSurplus(t *testing.T) {
 	pool := NewPool(6)
-	var links []*Conn
+	var conns []*Conn
 	for n := range 6 {
-		links = append(links, pool.Open(balancer.EndpointID(n%2)))
+		conns = append(conns, pool.Open(balancer.EndpointID(n%2)))
 	}
 	for _, n := range []int{3, 1, 4, 2} {
-		pool.Release(links[n])
+		pool.Release(conns[n])
 	}
 	for _, c := range []struct {
 		budget int
 		want   []*Conn
 	}{
 		{6, nil},
-		{4, []*Conn{links[1], links[2]}},
-		{0, []*Conn{links[1], links[2], links[3], links[4]}},
+		{4, []*Conn{conns[1], conns[2]}},
+		{0, []*Conn{conns[1], conns[2], conns[3], conns[4]}},
 	} {
 		pool.Resize(c.budget)
 		got := pool.Surplus()
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -1,5 +1,5 @@
-// Package upstream is the endpoints' side of the gateway: the pool of connections and their reuse, requests as
-// endpoints get them, responses and load reports as they come back. It does no I/O, and nothing in it is safe for
+// Package upstream is the endpoints' side of the gateway: the pool of connections and their reuse, the encoding
+// of requests to endpoints, the decoding of responses and load reports. It does no I/O, and nothing in it is safe for
 // concurrent use.
 package upstream
 
@@ -17,15 +17,19 @@
 	fieldLoad     = "Endpoint-Load-Metrics"
 )
 
-// loadQueueLength is the field of a load report with the requests waiting, named as in the settings.
+// loadQueueLength is the field of a load report that states the number of requests waiting, named as in the
+// settings.
 const loadQueueLength = "pending"
 
-// Response is an endpoint's whole answer.
+// maxQueueLength bounds a plausible load report; a larger figure is ignored.
+const maxQueueLength = 1e9
+
+// Response is an endpoint's complete answer, or the head of one that is streamed.
 type Response struct {
 	*http1.Message
-	NeverRan    bool // the endpoint says that the request did not run
-	Reported    bool // the answer carries the requests waiting
-	QueueLength float64
+	NeverRan    bool    // the endpoint states that the request did not run
+	Reported    bool    // the answer states QueueLength
+	QueueLength float64 // requests waiting at the endpoint
 }
 
 func newResponse(message *http1.Message) *Response {
@@ -37,7 +41,7 @@
 	return response
 }
 
-// queueLength finds the requests waiting in a load report such as 'TEXT busy_reqs=7, pending=2'.
+// queueLength reads the number of requests waiting from a load report such as 'TEXT busy_reqs=7, pending=2'.
 func queueLength(report string) (float64, bool) {
 	list, ok := strings.CutPrefix(report, "TEXT ")
 	if !ok {
@@ -49,12 +53,12 @@
 			continue
 		}
 		v, err := strconv.ParseFloat(value, 64)
-		return v, err == nil && v >= 0 && v < 1e9
+		return v, err == nil && v >= 0 && v < maxQueueLength
 	}
 	return 0, false
 }
 
-// Forwarded are the fields of an answer that go on to the client.
+// Forwarded returns the fields of an answer that are passed on to the client.
 func (r *Response) Forwarded() []http1.Field {
 	passed := make([]http1.Field, 0, len(r.Fields))
 	for _, f := range r.Fields {
