--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -9,17 +9,18 @@
 	"thymebend/internal/balancer"
 )
 
-// encodedList is one object in discovery's form.
+// encodedList returns one object in discovery's format.
 func encodedList(seq int, whole bool, entries ...string) []byte {
 	return fmt.Appendf(nil, `{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, whole, strings.Join(entries, ","))
 }
 
-// endpoint is one entry. An empty health leaves out all but the name.
+// entryText returns one entry of an object.
 func entryText(name, health string, born int) string {
-	return fmt.Sprintf(`{"host":%q,"dial":"10.0.0.1:80","site":"a","class":"m","block":1,"health":%q,"share":1,"born_ms":%d}`, name, health, born)
+	return fmt.Sprintf(`{"host":%q,"dial":"10.0.0.1:80","site":"a","class":"m","block":1,"health":%q,`+
+		`"share":1,"born_ms":%d}`, name, health, born)
 }
 
-// states names the endpoints of a group with their states, for comparison.
+// states returns the names and states of the endpoints of a list, for comparison.
 func states(g *Endpoints) string {
 	var out []string
 	for _, name := range []string{"a", "b", "c"} {
@@ -30,31 +31,40 @@
 	return strings.Join(out, " ")
 }
 
-// take applies an object that has to be taken.
+// take applies an object that must be valid.
 func take(t *testing.T, g *Endpoints, raw []byte) Update {
 	t.Helper()
-	news, err := g.Apply(raw)
+	update, err := g.Apply(raw)
 	if err != nil {
 		t.Fatalf("%s: %v", raw, err)
 	}
-	return news
+	return update
 }
 
-// What one object says of an endpoint more than once, or of another start of it than the one in force,
-// is decided the same way by the list and by the entries that the balancer gets.
+// Several entries of one object for an endpoint, or entries for another start of it than the one in force, have the
+// same result in the list and, by the entries of the update, in the balancer.
 func TestContradictoryEntries(t *testing.T) {
 	for name, c := range map[string]struct {
 		whole   bool
 		entries []string
 		want    string
 	}{
-		"a delta's last entry holds, up":          {false, []string{entryText("a", "draining", 5), entryText("a", "up", 5)}, "a1/5 b1/5"},
-		"a delta's last entry holds, draining":    {false, []string{entryText("a", "up", 5), entryText("a", "draining", 5)}, "a2/5 b1/5"},
-		"a delta removes and starts anew":         {false, []string{entryText("a", "removed", 5), entryText("a", "up", 9)}, "a1/9 b1/5"},
-		"a delta starts anew and removes":         {false, []string{entryText("a", "up", 9), entryText("a", "removed", 5)}, "b1/5"},
-		"a whole list drains and has it up":       {true, []string{entryText("a", "draining", 5), entryText("a", "up", 5), entryText("b", "up", 5)}, "a2/5 b1/5"},
-		"a whole list has it up and drains":       {true, []string{entryText("a", "up", 5), entryText("b", "up", 5), entryText("a", "draining", 5)}, "a2/5 b1/5"},
-		"a whole list names two starts":           {true, []string{entryText("a", "up", 5), entryText("a", "up", 9)}, "a1/9"},
+		"a delta's last entry holds, up": {false, []string{entryText("a", "draining", 5), entryText("a", "up", 5)},
+			"a1/5 b1/5"},
+		"a delta's last entry holds, draining": {false, []string{entryText("a", "up", 5), entryText("a", "draining", 5)},
+			"a2/5 b1/5"},
+		"a delta removes and starts anew": {false, []string{entryText("a", "removed", 5), entryText("a", "up", 9)},
+			"a1/9 b1/5"},
+		"a delta starts anew and removes": {false, []string{entryText("a", "up", 9), entryText("a", "removed", 5)},
+			"b1/5"},
+		"a whole list drains and has it up": {true,
+			[]string{entryText("a", "draining", 5), entryText("a", "up", 5), entryText("b", "up", 5)},
+			"a2/5 b1/5"},
+		"a whole list has it up and drains": {true,
+			[]string{entryText("a", "up", 5), entryText("b", "up", 5), entryText("a", "draining", 5)},
+			"a2/5 b1/5"},
+		"a whole list names two starts": {true, []string{entryText("a", "up", 5), entryText("a", "up", 9)},
+			"a1/9"},
 		"removed, of an earlier start":            {false, []string{entryText("a", "removed", 2)}, "b1/5"},
 		"removed, of a later start":               {false, []string{entryText("a", "removed", 9)}, "b1/5"},
 		"removed, of no start that can be":        {false, []string{entryText("a", "removed", -1)}, "b1/5"},
@@ -66,34 +76,35 @@
 		g := NewEndpoints([]string{"a"})
 		take(t, g, encodedList(4, true, entryText("a", "up", 5), entryText("b", "up", 5)))
 		module := newModule(t)
-		module.UpdateEndpoints(time.Second, balancer.Snapshot, take(t, NewEndpoints([]string{"a"}), encodedList(4, true, entryText("a", "up", 5), entryText("b", "up", 5))).Entries)
-		news := take(t, g, encodedList(5, c.whole, c.entries...))
+		other := NewEndpoints([]string{"a"})
+		first := take(t, other, encodedList(4, true, entryText("a", "up", 5), entryText("b", "up", 5)))
+		module.UpdateEndpoints(time.Second, balancer.Snapshot, first.Entries)
+		update := take(t, g, encodedList(5, c.whole, c.entries...))
 		if got := states(g); got != c.want {
-			t.Errorf("%s: the group has %q, want %q", name, got, c.want)
+			t.Errorf("%s: the list has %q, want %q", name, got, c.want)
 		}
 		kind := balancer.Delta
 		if c.whole {
 			kind = balancer.Snapshot
 		}
-		module.UpdateEndpoints(2*time.Second, kind, news.Entries)
+		module.UpdateEndpoints(2*time.Second, kind, update.Entries)
 		learned := make(map[balancer.EndpointID]time.Duration)
 		for _, s := range module.State(2 * time.Second).Endpoints {
 			learned[s.ID] = s.StartedAt
 		}
 		if len(learned) != g.Len() {
-			t.Errorf("%s: the module has %d hosts, the group %d", name, len(learned), g.Len())
+			t.Errorf("%s: the module has %d hosts, the list %d", name, len(learned), g.Len())
 		}
 		for _, h := range g.All() {
 			if learned[h.ID] != h.StartedAt {
-				t.Errorf("%s: the module has %s from %v, the group from %v", name, h.Name, learned[h.ID], h.StartedAt)
+				t.Errorf("%s: the module has %s from %v, the list from %v", name, h.Name, learned[h.ID], h.StartedAt)
 			}
 		}
 	}
 }
 
-// A faulty object is an error and brings nothing new, but no endpoint stays up of which it says that it
-// leaves: discovery has written that. The version stays, so that the next call brings what was passed
-// over.
+// A faulty object is an error and adds nothing, but no endpoint stays up that it reports as draining or removed:
+// discovery has sent that. The version stays, so that the next watch brings the rest.
 func TestFaultyObjectStillTellsWhoLeaves(t *testing.T) {
 	leaving := entryText("a", "draining", 5) + "," + entryText("b", "removed", 5)
 	faulty := map[string]string{
@@ -109,16 +120,16 @@
 			for _, raw := range [][]byte{encodedList(5, whole, leaving, entry), encodedList(5, whole, entry, leaving)} {
 				g := NewEndpoints([]string{"a"})
 				take(t, g, encodedList(4, true, entryText("a", "up", 5), entryText("b", "up", 5), entryText("c", "up", 5)))
-				news, err := g.Apply(raw)
+				update, err := g.Apply(raw)
 				if err == nil {
 					t.Fatalf("%s: %s was taken", name, raw)
 				}
 				if got := states(g); got != "a2/5 c1/5" || g.version != 4 {
-					t.Errorf("%s, whole %v: the group has %q at version %d", name, whole, got, g.version)
+					t.Errorf("%s, whole %v: the list has %q at version %d", name, whole, got, g.version)
 				}
-				if len(news.Changed) != 2 || len(news.Entries) != 2 || news.Snapshot || news.Entries[0].State == balancer.EndpointReady ||
-					news.Entries[1].State == balancer.EndpointReady {
-					t.Errorf("%s: news %+v", name, news)
+				if len(update.Changed) != 2 || len(update.Entries) != 2 || update.Snapshot ||
+					update.Entries[0].State == balancer.EndpointReady || update.Entries[1].State == balancer.EndpointReady {
+					t.Errorf("%s: update %+v", name, update)
 				}
 			}
 		}
@@ -130,30 +141,31 @@
 	} {
 		g := NewEndpoints([]string{"a"})
 		take(t, g, encodedList(4, true, entryText("a", "up", 5), entryText("b", "up", 5)))
-		if news, err := g.Apply(raw); err == nil || states(g) != "a1/5 b1/5" || len(news.Changed)+len(news.Entries) > 0 {
-			t.Errorf("%s: %v, news %+v, the group has %q", name, err, news, states(g))
+		update, err := g.Apply(raw)
+		if err == nil || states(g) != "a1/5 b1/5" || len(update.Changed)+len(update.Entries) > 0 {
+			t.Errorf("%s: %v, update %+v, the list has %q", name, err, update, states(g))
 		}
 	}
 }
 
-// Changes of an earlier version than the one in force are an older state of some endpoints, from a
-// second watch or a discovery that is behind: none comes up by them, and those that leave leave. The
-// lines that follow them are taken, whether the numbers go on from there or began anew. An earlier
-// snapshot is complete, and is taken.
+// A delta with an earlier version than the one in force is an older state of some endpoints, from a second watch or
+// a discovery that lags: it marks none as up, and its draining and removed ones become so. The lines after it are
+// applied, whether the versions go on from there or began anew. An earlier snapshot is complete, and is applied.
 func TestVersionThatGoesBack(t *testing.T) {
 	g := NewEndpoints([]string{"a"})
 	take(t, g, encodedList(9, true, entryText("a", "draining", 5), entryText("b", "up", 5)))
-	news := take(t, g, encodedList(7, false, entryText("a", "up", 5), entryText("b", "draining", 5), entryText("c", "up", 5)))
-	if got := states(g); got != "a2/5 b2/5" || len(news.Entries) != 1 || g.version != 7 {
-		t.Errorf("the group has %q at version %d, news %+v", got, g.version, news)
+	update := take(t, g, encodedList(7, false,
+		entryText("a", "up", 5), entryText("b", "draining", 5), entryText("c", "up", 5)))
+	if got := states(g); got != "a2/5 b2/5" || len(update.Entries) != 1 || g.version != 7 {
+		t.Errorf("the list has %q at version %d, update %+v", got, g.version, update)
 	}
 	take(t, g, encodedList(8, false, entryText("c", "up", 9)))
 	take(t, g, encodedList(8, false, entryText("b", "up", 9))) // once more: some lists repeat a version
 	if got := states(g); got != "a2/5 b1/9 c1/9" {
-		t.Errorf("after the lines that follow the group has %q", got)
+		t.Errorf("after the lines that follow the list has %q", got)
 	}
 	take(t, g, encodedList(3, true, entryText("c", "up", 9)))
 	if got := states(g); got != "c1/9" || g.version != 3 {
-		t.Errorf("after an earlier whole list the group has %q at version %d", got, g.version)
+		t.Errorf("after an earlier whole list the list has %q at version %d", got, g.version)
 	}
 }
--- a/internal/discovery/pieces_test.go
+++ b/internal/discovery/pieces_test.go
@@ -6,10 +6,12 @@
 	"testing"
 )
 
-// A watch's lines come whole wherever the network cuts them.
+// A watch returns whole lines wherever the network cuts them.
 func TestWatchLinesInPieces(t *testing.T) {
-	lines := []string{`{"seq":1,"whole":false,"hosts":[]}`, `{"seq":2,"whole":false,"hosts":[{"host":"a","health":"removed"}]}`, ``,
-		"{\n  \"seq\": 3,\n  \"whole\": true,\n\t\"hosts\": [\n    {\"host\": \"a}\\\"{\", \"health\": \"removed\"}\n  ]\n}", ``, `{"seq":4,"whole":false,"hosts":[]}`}
+	lines := []string{`{"seq":1,"whole":false,"hosts":[]}`,
+		`{"seq":2,"whole":false,"hosts":[{"host":"a","health":"removed"}]}`, ``,
+		"{\n  \"seq\": 3,\n  \"whole\": true,\n\t\"hosts\": [\n    {\"host\": \"a}\\\"{\", \"health\": \"removed\"}\n  ]\n}",
+		``, `{"seq":4,"whole":false,"hosts":[]}`}
 	stream := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, l := range lines {
 		stream += fmt.Sprintf("%x\r\n%s\n\r\n", len(l)+1, l)
@@ -38,8 +40,7 @@
 	}
 }
 
-// An object that was torn is found out by the next beat, however it was torn: what follows must not be
-// waited for.
+// An object that was cut off is detected at the next heartbeat, wherever it was cut: the rest must not be waited for.
 func TestTornObjectIsFoundOutByTheNextBeat(t *testing.T) {
 	const whole = `{"seq":1,"whole":false,"hosts":[{"host":"a","health":"removed"}]}`
 	for at := 1; at < len(whole); at++ {
--- a/internal/discovery/size_test.go
+++ b/internal/discovery/size_test.go
@@ -10,7 +10,7 @@
 	"thymebend/internal/balancer"
 )
 
-// quiet takes what the balancer asks for and does nothing.
+// quiet ignores every call of the balancer.
 type quiet struct{}
 
 func (quiet) StartAttempt(balancer.RequestID, balancer.EndpointID, time.Duration) {}
@@ -24,15 +24,17 @@
 
 func newModule(tb testing.TB) *balancer.Balancer {
 	tb.Helper()
-	b, err := balancer.New(balancer.Config{Gateways: 1, MaxAttempts: 2, SlowStartFraction: 1, OverloadMultiple: 1, OverQuotaWeight: 1, TotalGoalWeight: 1,
-		Classes: []balancer.Class{{Name: "c", LatencyObjective: time.Second, Deadline: 2 * time.Second, Weight: 1}}}, 1, time.Second, quiet{})
+	b, err := balancer.New(balancer.Config{
+		Gateways: 1, MaxAttempts: 2, SlowStartFraction: 1, OverloadMultiple: 1, OverQuotaWeight: 1, TotalGoalWeight: 1,
+		Classes: []balancer.Class{{Name: "c", LatencyObjective: time.Second, Deadline: 2 * time.Second, Weight: 1}},
+	}, 1, time.Second, quiet{})
 	if err != nil {
 		tb.Fatal(err)
 	}
 	return b
 }
 
-// list is a snapshot of so many endpoints, each named by its number and so many more.
+// list returns a snapshot of so many endpoints, named by the numbers from from on.
 func list(seq, hosts, from int, health string) []byte {
 	entries := make([]string, hosts)
 	for i := range entries {
@@ -41,15 +43,15 @@
 	return encodedList(seq, true, entries...)
 }
 
-// A snapshot of any size that is aimed at is taken in one object, indented or not, and work for it
-// grows with its length alone: what an entry allocates is counted, which no busy machine changes.
+// A snapshot of any supported size is applied as one object, indented or not, and the work grows only with its
+// length: allocations per entry are counted, which do not depend on the machine's load.
 func TestLongListsAreTakenWhole(t *testing.T) {
 	perHost := func(hosts int) float64 {
 		first, second := list(1, hosts, 0, "up"), list(2, hosts, hosts/2, "up")
 		g := NewEndpoints([]string{"a"})
 		return testing.AllocsPerRun(1, func() {
 			for _, raw := range [][]byte{first, second} {
-				if news := take(t, g, raw); g.Len() != hosts || len(news.Entries) != hosts {
+				if update := take(t, g, raw); g.Len() != hosts || len(update.Entries) != hosts {
 					t.Fatalf("%d hosts of %d", g.Len(), hosts)
 				}
 			}
@@ -72,7 +74,7 @@
 	}
 }
 
-// An object beyond the bound is an error that names the bound. What came of it is not applied.
+// An object larger than the bound is an error that names the bound. Its beginning is not applied.
 func TestObjectBeyondTheBound(t *testing.T) {
 	w := NewWatch(1, netip.AddrPort{}, 0)
 	if _, _, err := w.Feed(0, []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")); err != nil {
@@ -98,11 +100,11 @@
 
 // indented encodes an object on many lines.
 func indented(raw []byte) []byte {
-	text := strings.NewReplacer(`[{`, "[\n  {\n", `},{`, "\n  },\n  {\n", `,"`, ",\n    \"", `}]`, "\n  }\n]").Replace(string(raw))
-	return []byte(text)
+	lines := strings.NewReplacer(`[{`, "[\n  {\n", `},{`, "\n  },\n  {\n", `,"`, ",\n    \"", `}]`, "\n  }\n]")
+	return []byte(lines.Replace(string(raw)))
 }
 
-// feedWatch brings an object to a watch in pieces as sockets give them.
+// feedWatch feeds an object to a watch in pieces as sockets deliver them, and returns the lines.
 func feedWatch(t *testing.T, w *Watch, raw []byte) (lines [][]byte) {
 	t.Helper()
 	stream := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(raw)+1, raw)
@@ -122,7 +124,7 @@
 	return lines
 }
 
-// BenchmarkApply is a snapshot of which each second endpoint is another than before.
+// BenchmarkApply applies snapshots in which half of the endpoints are new.
 func BenchmarkApply(b *testing.B) {
 	for _, hosts := range []int{10, 100, 1000, 7700} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
@@ -139,23 +141,23 @@
 	}
 }
 
-// BenchmarkModuleList gives such lists to the decision module.
+// BenchmarkModuleList passes such lists to the balancer.
 func BenchmarkModuleList(b *testing.B) {
 	for _, hosts := range []int{10, 100, 1000, 7700} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
 			g := NewEndpoints([]string{"a"})
-			var news [2][]balancer.Endpoint
-			for i := range news {
+			var entries [2][]balancer.Endpoint
+			for i := range entries {
 				got, err := g.Apply(list(i+1, hosts, i*hosts/2, "up"))
 				if err != nil {
 					b.Fatal(err)
 				}
-				news[i] = got.Entries
+				entries[i] = got.Entries
 			}
 			module, n := newModule(b), 0
 			b.ReportAllocs()
 			for b.Loop() {
-				module.UpdateEndpoints(time.Second, balancer.Snapshot, news[n%2])
+				module.UpdateEndpoints(time.Second, balancer.Snapshot, entries[n%2])
 				module.Dispatch(time.Second)
 				n++
 			}
--- a/internal/downstream/arrivals_test.go
+++ b/internal/downstream/arrivals_test.go
@@ -10,7 +10,7 @@
 
 const someView = "GET /view HTTP/1.1\r\nHost: h\r\nX-Trace-Id: a\r\nX-Qos: view\r\nX-Expires-In: 900m\r\n\r\n"
 
-// A request that lies behind another one was written when its last byte came, not when it is taken.
+// A request received behind another one was sent when its last byte arrived, not when it is parsed.
 func TestWrittenBehindAnother(t *testing.T) {
 	l := NewConns(1).Add(1, 0)
 	l.Feed(ms(100), []byte(someView+someView[:10]))
@@ -28,8 +28,7 @@
 	}
 }
 
-// What is read after the connection was not read for a while was written since then, until all of it is
-// taken.
+// Bytes read after a pause count as sent when the pause began, until the kernel's buffer is empty.
 func TestWrittenWhileUnread(t *testing.T) {
 	var a arrivals
 	a.add(ms(10), 100)
@@ -51,7 +50,7 @@
 	}
 }
 
-// The system's buffer holds so much: what is read after that much was written later.
+// The kernel's buffer is bounded: bytes read after that many were sent later.
 func TestWrittenBehindAFullBuffer(t *testing.T) {
 	var a arrivals
 	a.pause(ms(0))
@@ -63,7 +62,7 @@
 	}
 }
 
-// A connection's marks are bounded, and err only to the client's gain.
+// A connection's marks are bounded, and err only in the client's favour.
 func TestMarksAreBounded(t *testing.T) {
 	var a arrivals
 	for i := range 10_000 {
@@ -80,7 +79,7 @@
 	}
 }
 
-// While a body comes its client's time has not begun; once all of it has come, or may have, it has.
+// While a body is being received its client timeout has not begun; once all of it has arrived, or may have, it has.
 func TestLeftOfAStream(t *testing.T) {
 	l := NewConns(1).Add(1, 0)
 	raw := halfBid(300<<10, 300<<10)
--- a/internal/downstream/readtimeout_test.go
+++ b/internal/downstream/readtimeout_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// someClasses knows one class of each method.
+// someClasses finds one class for each method.
 func someClasses(name, method string) (Class, bool) {
 	return Class{Name: name, Method: method}, name == "view" || name == "bid"
 }
 
-// halfBid is a request with a body of so many bytes, of which a part is sent.
+// halfBid returns a request with a stated body length, of whose body only part is sent.
 func halfBid(length, sent int) []byte {
-	return []byte(fmt.Sprintf("POST /bid HTTP/1.1\r\nHost: h\r\nX-Trace-Id: a\r\nX-Qos: bid\r\nX-Expires-In: 900m\r\nContent-Length: %d\r\n\r\n", length) +
-		strings.Repeat("x", sent))
+	head := "POST /bid HTTP/1.1\r\nHost: h\r\nX-Trace-Id: a\r\nX-Qos: bid\r\nX-Expires-In: 900m\r\n"
+	return fmt.Appendf(nil, "%sContent-Length: %d\r\n\r\n%s", head, length, strings.Repeat("x", sent))
 }
 
-// piece is what comes of a request at a time after the accept.
+// piece is a part of a request that arrives at a time after the accept.
 type piece struct {
 	at   time.Duration
 	data []byte
@@ -26,8 +26,8 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// A client that stops gets its error within 3 s of stopping, and of connecting where it stops within
-// the first 2.5 s; one that goes on at the least rate is waited for.
+// A client that stops gets its error within 3 s of stopping, or of connecting where it stops within the first
+// 2.5 s; one that goes on at the lowest rate is waited for.
 func TestUntil(t *testing.T) {
 	head, body := halfBid(60<<10, 0), halfBid(60<<10, 60<<10-1)
 	steady := []piece{{ms(2000), head}}
@@ -65,8 +65,8 @@
 	}
 }
 
-// A streamed body may stand still for StreamPause while it is read. What has come and waits for an
-// endpoint is not the client's silence.
+// A client may pause within a streamed body for StreamReadTimeout while the connection is read. Data received but
+// not yet forwarded to an endpoint is not waited for.
 func TestIncompleteStreams(t *testing.T) {
 	for name, c := range map[string]struct {
 		raw  []byte
@@ -100,10 +100,11 @@
 	}
 }
 
-// chunkedBid is a request of so many chunks of 16 KiB, with the last one or without.
+// chunkedBid returns a request of so many chunks of 16 KiB, with or without the last one.
 func chunkedBid(chunks int, whole bool) []byte {
 	var b strings.Builder
-	b.WriteString("POST /bid HTTP/1.1\r\nHost: h\r\nX-Trace-Id: a\r\nX-Qos: bid\r\nX-Expires-In: 900m\r\nTransfer-Encoding: chunked\r\n\r\n")
+	b.WriteString("POST /bid HTTP/1.1\r\nHost: h\r\nX-Trace-Id: a\r\nX-Qos: bid\r\nX-Expires-In: 900m\r\n")
+	b.WriteString("Transfer-Encoding: chunked\r\n\r\n")
 	for range chunks {
 		fmt.Fprintf(&b, "%x\r\n%s\r\n", 16<<10, strings.Repeat("x", 16<<10))
 	}
--- a/internal/http1/cut_test.go
+++ b/internal/http1/cut_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// read feeds a stream in the pieces that cuts says and encodes what comes out. Large bodies are begun
-// at once.
+// read feeds a stream in pieces of the sizes that cuts gives and returns a text of the messages read. Large bodies
+// are streamed at once.
 func read(response bool, stream []byte, cuts []byte) string {
 	r := Reader{Response: response}
 	var out, body bytes.Buffer
@@ -42,7 +42,8 @@
 				if len(m.Body) > MaxHeld {
 					kind = "large"
 				}
-				fmt.Fprintf(&out, "%s %s %d %v %s %d %x;", kind, m.Target, m.Status, m.KeepAlive, m.Method, len(m.Body), crc(m.Body))
+				fmt.Fprintf(&out, "%s %s %d %v %s %d %x;", kind, m.Target, m.Status, m.KeepAlive, m.Method,
+					len(m.Body), crc(m.Body))
 				continue
 			}
 			if r.Large() == nil {
@@ -65,22 +66,27 @@
 	return sum
 }
 
-// FuzzCuts: however a stream is cut, the same messages come out, and nothing panics.
+// FuzzCuts checks that the same messages come out however a stream is cut, and that nothing panics.
 func FuzzCuts(f *testing.F) {
-	big := fmt.Sprintf("POST /a HTTP/1.1\r\nHost: o\r\nTransfer-Encoding: chunked\r\n\r\n%x;x=\"y\"\r\n%s\r\n3\r\nabc\r\n0\r\nT: r\r\n\r\n",
+	big := fmt.Sprintf("POST /a HTTP/1.1\r\nHost: o\r\nTransfer-Encoding: chunked\r\n\r\n"+
+		"%x;x=\"y\"\r\n%s\r\n3\r\nabc\r\n0\r\nT: r\r\n\r\n",
 		70000, bytes.Repeat([]byte("b"), 70000))
 	for _, s := range []string{
 		"GET /x HTTP/1.1\r\nHost: o\r\n\r\nGET http://h/y?z HTTP/1.1\r\nHost: o\r\nConnection: a, close\r\n\r\n",
 		"POST /a HTTP/1.1\r\nHost: o\r\nContent-Length: 5\r\n\r\nhelloGET / HTTP/1.0\r\n\r\n", big + big,
-		fmt.Sprintf("POST /a HTTP/1.1\r\nHost: o\r\nContent-Length: 80000\r\n\r\n%sGET /n HTTP/1.1\r\nHost: o\r\n\r\n", bytes.Repeat([]byte("c"), 80000)),
-		"POST /a HTTP/1.1\r\nHost: o\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\nhello", "POST /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+		fmt.Sprintf("POST /a HTTP/1.1\r\nHost: o\r\nContent-Length: 80000\r\n\r\n%sGET /n HTTP/1.1\r\nHost: o\r\n\r\n",
+			bytes.Repeat([]byte("c"), 80000)),
+		"POST /a HTTP/1.1\r\nHost: o\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\nhello",
+		"POST /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 	} {
 		f.Add(false, []byte(s), []byte{0})
 		f.Add(false, []byte(s), []byte{3, 0, 255})
 	}
 	for _, s := range []string{
-		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 204 No\r\n\r\n",
-		"HTTP/1.1 200 OK\r\n\r\nuntil the end", "HTTP/1.1 101 Switching\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
+		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n" +
+			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 204 No\r\n\r\n",
+		"HTTP/1.1 200 OK\r\n\r\nuntil the end", "HTTP/1.1 101 Switching\r\n\r\n",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
 	} {
 		f.Add(true, []byte(s), []byte{0})
 		f.Add(true, []byte(s), []byte{1, 2})
@@ -92,7 +98,7 @@
 	})
 }
 
-// Interim answers are passed over up to a bound, and nothing switches protocols.
+// Interim responses are skipped up to a bound, and 101 is refused.
 func TestInterimAnswersAreBounded(t *testing.T) {
 	final, interim := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 103 Early\r\n\r\n"
 	for n, want := range map[int]bool{0: true, maxInterim: true, maxInterim + 1: false} {
--- a/internal/loop/calls_test.go
+++ b/internal/loop/calls_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// played is a loop whose calls fail as planted, and what it told.
+// played is the record of a loop whose system calls fail as planted: the events that it delivered, and their data.
 type played struct {
 	events []Event
 	data   []byte
@@ -39,7 +39,7 @@
 	return list
 }
 
-// run plays a loop until step asks for its end, for some seconds at most.
+// run runs a loop until step returns Exit, for some seconds at most.
 func run(t *testing.T, plant func(c *syscalls), step func(e Event) []Effect) *played {
 	t.Helper()
 	l, err := New(NewClock())
@@ -70,7 +70,7 @@
 	return p
 }
 
-// peer listens and gives its address and each connection that comes.
+// peer listens and returns its address and a channel of the accepted connections.
 func peer(t *testing.T) (netip.AddrPort, chan net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -91,7 +91,7 @@
 	return netip.MustParseAddrPort(ln.Addr().String()), came
 }
 
-// acceptOne plays a listener to which one client connects, until its connection is told of or broken.
+// acceptOne runs a loop with a listener to which one client connects, until over reports that an event is the last.
 func acceptOne(t *testing.T, plant func(c *syscalls), over func(e Event) bool) *played {
 	t.Helper()
 	at := netip.MustParseAddrPort("127.0.0.1:0")
@@ -122,7 +122,8 @@
 
 // An error that waits at one new connection, or an interruption, is no failure of the listener.
 func TestAcceptPassesOverOneConnection(t *testing.T) {
-	fail := failing(unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENETUNREACH, unix.EHOSTUNREACH, unix.EPERM, unix.ETIMEDOUT)
+	fail := failing(unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENETUNREACH, unix.EHOSTUNREACH, unix.EPERM,
+		unix.ETIMEDOUT)
 	p := acceptOne(t, func(c *syscalls) {
 		accept := c.accept
 		c.accept = func(fd int) (int, error) {
@@ -133,11 +134,11 @@
 		}
 	}, func(e Event) bool { return e.Kind == Accepted })
 	if slices.Contains(p.kinds(Listener), AcceptFailed) {
-		t.Errorf("told %v", p.kinds(Listener))
+		t.Errorf("events %v", p.kinds(Listener))
 	}
 }
 
-// Out of descriptors the listener tells so, and goes on where there are some again.
+// Out of descriptors the listener reports it, and goes on once there are some again.
 func TestAcceptGoesOnAfterENFILE(t *testing.T) {
 	fail := failing(unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM)
 	p := acceptOne(t, func(c *syscalls) {
@@ -156,12 +157,12 @@
 		}
 	}
 	if failed != 4 {
-		t.Errorf("told of %d failures, want 4: %v", failed, p.kinds(Listener))
+		t.Errorf("%d failures reported, want 4: %v", failed, p.kinds(Listener))
 	}
 }
 
-// A connection that cannot be watched is told to have come before it is told to be broken: else it
-// would be waited for for good.
+// A connection that epoll cannot watch is reported as accepted before it is reported as broken: else the reducer
+// would wait for it for ever.
 func TestAnAcceptedConnectionThatCannotBeWatched(t *testing.T) {
 	added := 0
 	p := acceptOne(t, func(c *syscalls) {
@@ -176,11 +177,11 @@
 		}
 	}, func(e Event) bool { return e.Kind == Broken })
 	if got := p.kinds(firstAccepted + 1); !slices.Equal(got, []Kind{Accepted, Broken}) {
-		t.Errorf("told %v, want that it came and then that it is broken", got)
+		t.Errorf("events %v, want Accepted and then Broken", got)
 	}
 }
 
-// dialOne plays a connection to a peer, which writes a word and reads what comes.
+// dialOne runs a loop with a connection to a peer, which writes four bytes and reads all that it is sent.
 func dialOne(t *testing.T, plant func(c *syscalls), write []byte) (*played, []byte) {
 	t.Helper()
 	at, came := peer(t)
@@ -218,8 +219,7 @@
 	}
 }
 
-// Interrupted and short calls lose nothing: not the connection, not what came, not the rest of what was
-// written.
+// Interrupted and short calls lose nothing: neither the connection, nor received data, nor the rest of written data.
 func TestInterruptedAndShortCalls(t *testing.T) {
 	large := bytes.Repeat([]byte("0123456789"), 20_000)
 	for name, plant := range map[string]func(c *syscalls){
@@ -267,20 +267,22 @@
 		t.Run(name, func(t *testing.T) {
 			p, got := dialOne(t, plant, large)
 			if !bytes.Equal(got, large) || string(p.data) != "word" {
-				t.Errorf("%d of %d bytes arrived, %q came; told %v", len(got), len(large), p.data, p.kinds(1))
+				t.Errorf("%d of %d bytes arrived, %q came; events %v", len(got), len(large), p.data, p.kinds(1))
 			}
 		})
 	}
 }
 
-// A connection that fails for want of something on this machine is told apart from one whose peer
+// A connection that fails because this machine has run out of a resource is distinguished from one whose peer
 // cannot be reached.
 func TestFailuresOfThisMachineAreToldApart(t *testing.T) {
 	for _, c := range []struct {
 		err   unix.Errno
 		local bool
-	}{{unix.EMFILE, true}, {unix.ENFILE, true}, {unix.ENOBUFS, true}, {unix.EADDRNOTAVAIL, true}, {unix.ENETUNREACH, false}, {unix.ECONNREFUSED, false},
-		{unix.EHOSTUNREACH, false}, {unix.ETIMEDOUT, false}} {
+	}{
+		{unix.EMFILE, true}, {unix.ENFILE, true}, {unix.ENOBUFS, true}, {unix.EADDRNOTAVAIL, true},
+		{unix.ENETUNREACH, false}, {unix.ECONNREFUSED, false}, {unix.EHOSTUNREACH, false}, {unix.ETIMEDOUT, false},
+	} {
 		for name, plant := range map[string]func(*syscalls){
 			"socket":  func(s *syscalls) { s.socket = func(int, int) (int, error) { return -1, c.err } },
 			"connect": func(s *syscalls) { s.connect = func(int, unix.Sockaddr) error { return c.err } },
@@ -288,14 +290,14 @@
 			p, _ := dialOne(t, plant, []byte("x"))
 			last := p.events[len(p.events)-1]
 			if last.Kind != Broken || last.Local != c.local {
-				t.Errorf("%s fails with %v: told %v, local %v", name, c.err, last.Kind, last.Local)
+				t.Errorf("%s fails with %v: event %v, local %v", name, c.err, last.Kind, last.Local)
 			}
 		}
 	}
 }
 
-// A peer that has said nothing is quiet though the look at it is interrupted: its connection is used,
-// not closed.
+// A peer that has sent nothing is quiet though the peek at its socket is interrupted: its connection is used, not
+// closed.
 func TestAnInterruptedLookIsNoWord(t *testing.T) {
 	at, _ := peer(t)
 	p := run(t, func(c *syscalls) {
@@ -318,11 +320,11 @@
 		return nil
 	})
 	if slices.Contains(p.kinds(1), Stale) {
-		t.Errorf("told %v", p.kinds(1))
+		t.Errorf("events %v", p.kinds(1))
 	}
 }
 
-// The calls cost what the kernel's cost: one jump more, and no allocation.
+// BenchmarkRead compares the kernel's call with the replaceable one: one jump more, and no allocation.
 func BenchmarkRead(b *testing.B) {
 	fd, err := unix.Open("/dev/zero", unix.O_RDONLY|unix.O_CLOEXEC, 0)
 	if err != nil {
--- a/internal/loop/crowd_test.go
+++ b/internal/loop/crowd_test.go
@@ -10,9 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// A line of discovery's that comes behind a crowd of ready sockets, more than epoll tells of at once,
-// is told first in the next turn. Between turns there are dispatches: a drain must not go unheard for
-// as many turns as the crowd fills.
+// A line from discovery that arrives behind more ready sockets than epoll reports at once is delivered first in the
+// next turn. Between turns there are dispatches: a drain must not wait for as many turns as the other sockets fill.
 func TestALineBehindACrowdIsToldInTheNextTurn(t *testing.T) {
 	const crowd, watch = 3*maxReady + 10, Conn(1)
 	far, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,7 +38,7 @@
 			t.Cleanup(func() { c.Close() })
 			if e.Conn == watch {
 				line = c
-			} else if _, err := c.Write([]byte{1}); err != nil { // its byte is never read: it stays ready
+			} else if _, err := c.Write([]byte{1}); err != nil { // its byte is never read: the socket stays ready
 				t.Fatal(err)
 			}
 			if up++; up <= crowd {
@@ -51,7 +50,7 @@
 			turns = 0
 		case e.Kind == Readable && e.Conn == watch:
 			if !first {
-				t.Error("others were told before the line in its turn")
+				t.Error("events of other sockets came before the line in its turn")
 			}
 			return []Effect{{Op: Read, Conn: watch}}
 		case e.Kind == Data && e.Conn == watch:
@@ -75,12 +74,11 @@
 		t.Fatal(err)
 	}
 	if worst > 1 {
-		t.Errorf("a line was told after %d turns, behind %d ready sockets", worst, crowd)
+		t.Errorf("a line was delivered after %d turns, behind %d ready sockets", worst, crowd)
 	}
 }
 
-// What has come on an urgent connection is told whole before the turn ends, though it is more than one
-// buffer holds.
+// Data on an urgent connection is delivered whole before the turn ends, even if it is larger than one buffer.
 func TestALongListIsToldInOneTurn(t *testing.T) {
 	const length = 2*ReadSize + 1000
 	far, err := net.Listen("tcp", "127.0.0.1:0")
@@ -133,6 +131,6 @@
 		t.Fatal(err)
 	}
 	if came != length {
-		t.Errorf("%d of %d bytes were told in the first turn", came, length)
+		t.Errorf("%d of %d bytes were delivered in the first turn", came, length)
 	}
 }
--- a/internal/loop/nodelay_test.go
+++ b/internal/loop/nodelay_test.go
@@ -15,7 +15,7 @@
 func (s stepper) Step(now time.Duration, e Event) []Effect { return s(now, e) }
 
 // Small writes must leave at once on every socket, those that are accepted and those that are dialed:
-// what the system held back goes with a close over unread bytes.
+// bytes that the kernel holds back are lost when the socket is closed with unread data.
 func TestNoSocketHoldsSmallWritesBack(t *testing.T) {
 	far, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -6,7 +6,7 @@
 	"thymebend/internal/balancer"
 )
 
-// What a smaller budget has no room for goes, oldest first, but never a connection in use.
+// Idle connections above a lowered limit are to be closed, oldest first, but never a connection in use.
 func TestPoolSurplus(t *testing.T) {
 	pool := NewPool(6)
 	var conns []*Conn
@@ -27,11 +27,11 @@
 		pool.Resize(c.budget)
 		got := pool.Surplus()
 		if len(got) != len(c.want) {
-			t.Fatalf("budget %d: %d links are too many, want %d", c.budget, len(got), len(c.want))
+			t.Fatalf("budget %d: %d connections are too many, want %d", c.budget, len(got), len(c.want))
 		}
 		for n := range got {
 			if got[n] != c.want[n] {
-				t.Errorf("budget %d: link %d goes in place %d, want link %d", c.budget, got[n].ID, n, c.want[n].ID)
+				t.Errorf("budget %d: connection %d goes in place %d, want %d", c.budget, got[n].ID, n, c.want[n].ID)
 			}
 		}
 	}
