--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -21,10 +21,10 @@
 }
 
 // states returns the names and states of the endpoints of a list, for comparison.
-func states(g *Endpoints) string {
+func states(endpoints *Endpoints) string {
 	var out []string
 	for _, name := range []string{"a", "b", "c"} {
-		if h := g.Find(Identity(name)); h != nil {
+		if h := endpoints.Find(Identity(name)); h != nil {
 			out = append(out, fmt.Sprintf("%s%d/%d", name, h.State, h.StartedAt.Milliseconds()))
 		}
 	}
@@ -32,9 +32,9 @@
 }
 
 // take applies an object that must be valid.
-func take(t *testing.T, g *Endpoints, raw []byte) Update {
+func take(t *testing.T, endpoints *Endpoints, raw []byte) Update {
 	t.Helper()
-	update, err := g.Apply(raw)
+	update, err := endpoints.Apply(raw)
 	if err != nil {
 		t.Fatalf("%s: %v", raw, err)
 	}
@@ -51,7 +51,8 @@
 	}{
 		"a delta's last entry holds, up": {false, []string{entryText("a", "draining", 5), entryText("a", "up", 5)},
 			"a1/5 b1/5"},
-		"a delta's last entry holds, draining": {false, []string{entryText("a", "up", 5), entryText("a", "draining", 5)},
+		"a delta's last entry holds, draining": {false,
+			[]string{entryText("a", "up", 5), entryText("a", "draining", 5)},
 			"a2/5 b1/5"},
 		"a delta removes and starts anew": {false, []string{entryText("a", "removed", 5), entryText("a", "up", 9)},
 			"a1/9 b1/5"},
@@ -73,14 +74,14 @@
 		"draining in a whole list, other start":   {true, []string{entryText("a", "draining", 2)}, "a2/2"},
 		"removed in a whole list, where nobody's": {true, []string{entryText("a", "removed", 5)}, ""},
 	} {
-		g := NewEndpoints([]string{"a"})
-		take(t, g, encodedList(4, true, entryText("a", "up", 5), entryText("b", "up", 5)))
+		endpoints := NewEndpoints([]string{"a"})
+		take(t, endpoints, encodedList(4, true, entryText("a", "up", 5), entryText("b", "up", 5)))
 		module := newModule(t)
 		other := NewEndpoints([]string{"a"})
 		first := take(t, other, encodedList(4, true, entryText("a", "up", 5), entryText("b", "up", 5)))
 		module.UpdateEndpoints(time.Second, balancer.Snapshot, first.Entries)
-		update := take(t, g, encodedList(5, c.whole, c.entries...))
-		if got := states(g); got != c.want {
+		update := take(t, endpoints, encodedList(5, c.whole, c.entries...))
+		if got := states(endpoints); got != c.want {
 			t.Errorf("%s: the list has %q, want %q", name, got, c.want)
 		}
 		kind := balancer.Delta
@@ -92,10 +93,10 @@
 		for _, s := range module.State(2 * time.Second).Endpoints {
 			learned[s.ID] = s.StartedAt
 		}
-		if len(learned) != g.Len() {
-			t.Errorf("%s: the module has %d hosts, the list %d", name, len(learned), g.Len())
+		if len(learned) != endpoints.Len() {
+			t.Errorf("%s: the module has %d hosts, the list %d", name, len(learned), endpoints.Len())
 		}
-		for _, h := range g.All() {
+		for _, h := range endpoints.All() {
 			if learned[h.ID] != h.StartedAt {
 				t.Errorf("%s: the module has %s from %v, the list from %v", name, h.Name, learned[h.ID], h.StartedAt)
 			}
@@ -118,17 +119,19 @@
 	for name, entry := range faulty {
 		for _, whole := range []bool{false, true} {
 			for _, raw := range [][]byte{encodedList(5, whole, leaving, entry), encodedList(5, whole, entry, leaving)} {
-				g := NewEndpoints([]string{"a"})
-				take(t, g, encodedList(4, true, entryText("a", "up", 5), entryText("b", "up", 5), entryText("c", "up", 5)))
-				update, err := g.Apply(raw)
+				endpoints := NewEndpoints([]string{"a"})
+				take(t, endpoints, encodedList(4, true,
+					entryText("a", "up", 5), entryText("b", "up", 5), entryText("c", "up", 5)))
+				update, err := endpoints.Apply(raw)
 				if err == nil {
 					t.Fatalf("%s: %s was taken", name, raw)
 				}
-				if got := states(g); got != "a2/5 c1/5" || g.version != 4 {
-					t.Errorf("%s, whole %v: the list has %q at version %d", name, whole, got, g.version)
+				if got := states(endpoints); got != "a2/5 c1/5" || endpoints.version != 4 {
+					t.Errorf("%s, whole %v: the list has %q at version %d", name, whole, got, endpoints.version)
 				}
 				if len(update.Changed) != 2 || len(update.Entries) != 2 || update.Snapshot ||
-					update.Entries[0].State == balancer.EndpointReady || update.Entries[1].State == balancer.EndpointReady {
+					update.Entries[0].State == balancer.EndpointReady ||
+					update.Entries[1].State == balancer.EndpointReady {
 					t.Errorf("%s: update %+v", name, update)
 				}
 			}
@@ -139,11 +142,11 @@
 		"of hosts nobody has":     encodedList(5, false, entryText("x", "draining", 5), `17`),
 		"which it has up at last": encodedList(5, false, entryText("a", "draining", 5), entryText("a", "up", 5), `17`),
 	} {
-		g := NewEndpoints([]string{"a"})
-		take(t, g, encodedList(4, true, entryText("a", "up", 5), entryText("b", "up", 5)))
-		update, err := g.Apply(raw)
-		if err == nil || states(g) != "a1/5 b1/5" || len(update.Changed)+len(update.Entries) > 0 {
-			t.Errorf("%s: %v, update %+v, the list has %q", name, err, update, states(g))
+		endpoints := NewEndpoints([]string{"a"})
+		take(t, endpoints, encodedList(4, true, entryText("a", "up", 5), entryText("b", "up", 5)))
+		update, err := endpoints.Apply(raw)
+		if err == nil || states(endpoints) != "a1/5 b1/5" || len(update.Changed)+len(update.Entries) > 0 {
+			t.Errorf("%s: %v, update %+v, the list has %q", name, err, update, states(endpoints))
 		}
 	}
 }
@@ -152,20 +155,20 @@
 // a discovery that lags: it marks none as up, and its draining and removed ones become so. The lines after it are
 // applied, whether the versions go on from there or began anew. An earlier snapshot is complete, and is applied.
 func TestVersionThatGoesBack(t *testing.T) {
-	g := NewEndpoints([]string{"a"})
-	take(t, g, encodedList(9, true, entryText("a", "draining", 5), entryText("b", "up", 5)))
-	update := take(t, g, encodedList(7, false,
+	endpoints := NewEndpoints([]string{"a"})
+	take(t, endpoints, encodedList(9, true, entryText("a", "draining", 5), entryText("b", "up", 5)))
+	update := take(t, endpoints, encodedList(7, false,
 		entryText("a", "up", 5), entryText("b", "draining", 5), entryText("c", "up", 5)))
-	if got := states(g); got != "a2/5 b2/5" || len(update.Entries) != 1 || g.version != 7 {
-		t.Errorf("the list has %q at version %d, update %+v", got, g.version, update)
+	if got := states(endpoints); got != "a2/5 b2/5" || len(update.Entries) != 1 || endpoints.version != 7 {
+		t.Errorf("the list has %q at version %d, update %+v", got, endpoints.version, update)
 	}
-	take(t, g, encodedList(8, false, entryText("c", "up", 9)))
-	take(t, g, encodedList(8, false, entryText("b", "up", 9))) // once more: some lists repeat a version
-	if got := states(g); got != "a2/5 b1/9 c1/9" {
+	take(t, endpoints, encodedList(8, false, entryText("c", "up", 9)))
+	take(t, endpoints, encodedList(8, false, entryText("b", "up", 9))) // once more: some lists repeat a version
+	if got := states(endpoints); got != "a2/5 b1/9 c1/9" {
 		t.Errorf("after the lines that follow the list has %q", got)
 	}
-	take(t, g, encodedList(3, true, entryText("c", "up", 9)))
-	if got := states(g); got != "c1/9" || g.version != 3 {
-		t.Errorf("after an earlier whole list the list has %q at version %d", got, g.version)
+	take(t, endpoints, encodedList(3, true, entryText("c", "up", 9)))
+	if got := states(endpoints); got != "c1/9" || endpoints.version != 3 {
+		t.Errorf("after an earlier whole list the list has %q at version %d", got, endpoints.version)
 	}
 }
--- a/internal/discovery/pieces_test.go
+++ b/internal/discovery/pieces_test.go
@@ -10,7 +10,8 @@
 func TestWatchLinesInPieces(t *testing.T) {
 	lines := []string{`{"seq":1,"whole":false,"hosts":[]}`,
 		`{"seq":2,"whole":false,"hosts":[{"host":"a","health":"removed"}]}`, ``,
-		"{\n  \"seq\": 3,\n  \"whole\": true,\n\t\"hosts\": [\n    {\"host\": \"a}\\\"{\", \"health\": \"removed\"}\n  ]\n}",
+		"{\n  \"seq\": 3,\n  \"whole\": true,\n\t\"hosts\": [\n" +
+			"    {\"host\": \"a}\\\"{\", \"health\": \"removed\"}\n  ]\n}",
 		``, `{"seq":4,"whole":false,"hosts":[]}`}
 	stream := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, l := range lines {
--- a/internal/discovery/size_test.go
+++ b/internal/discovery/size_test.go
@@ -34,11 +34,11 @@
 	return b
 }
 
-// list returns a snapshot of so many endpoints, named by the numbers from from on.
-func list(seq, hosts, from int, health string) []byte {
-	entries := make([]string, hosts)
+// list returns a snapshot of count endpoints, named by the numbers from first on.
+func list(seq, count, first int, health string) []byte {
+	entries := make([]string, count)
 	for i := range entries {
-		entries[i] = entryText(fmt.Sprintf("s-%08x", from+i), health, 5)
+		entries[i] = entryText(fmt.Sprintf("s-%08x", first+i), health, 5)
 	}
 	return encodedList(seq, true, entries...)
 }
--- a/internal/downstream/arrivals_test.go
+++ b/internal/downstream/arrivals_test.go
@@ -81,28 +81,28 @@
 
 // While a body is being received its client timeout has not begun; once all of it has arrived, or may have, it has.
 func TestLeftOfAStream(t *testing.T) {
-	l := NewConns(1).Add(1, 0)
+	conn := NewConns(1).Add(1, 0)
 	raw := halfBid(300<<10, 300<<10)
-	l.Feed(ms(10), raw[:100<<10])
-	if asked, whole := l.Next(someClasses); !whole || !asked.Large {
+	conn.Feed(ms(10), raw[:100<<10])
+	if asked, whole := conn.Next(someClasses); !whole || !asked.Large {
 		t.Fatal("not taken as a stream")
 	}
-	l.Begin()
-	if got := l.TimeLeft(ms(500), ms(900)); got != ms(900) {
+	conn.Begin()
+	if got := conn.TimeLeft(ms(500), ms(900)); got != ms(900) {
 		t.Errorf("%v left of a client that has more to send", got)
 	}
-	l.PauseReading(ms(500))
-	if got := l.TimeLeft(ms(700), ms(900)); got != ms(700) {
+	conn.PauseReading(ms(500))
+	if got := conn.TimeLeft(ms(700), ms(900)); got != ms(700) {
 		t.Errorf("%v left of a client whose last byte may lie unread", got)
 	}
-	l.ResumeReading(ms(700))
+	conn.ResumeReading(ms(700))
 	var whole bytes.Buffer
 	for _, part := range [][]byte{raw[100<<10 : 200<<10], raw[200<<10:]} {
-		l.Feed(ms(700), part)
-		piece, _, _ := l.Pieces()
+		conn.Feed(ms(700), part)
+		piece, _, _ := conn.Pieces()
 		whole.Write(piece)
 	}
-	if got := l.LastByteSent(); got != ms(500) {
+	if got := conn.LastByteSent(); got != ms(500) {
 		t.Errorf("written at %v, want when reading stopped", got)
 	}
 }
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -22,8 +22,8 @@
 	FirstByteGrace = 50 * time.Millisecond
 	// SingleUseIdleTimeout is how soon a client that reuses its connections usually does so, where it has many.
 	SingleUseIdleTimeout = 100 * time.Millisecond
-	// HealthCheckGrace is how long a connection with health checks only is kept for its first request: after it,
-	// the connection is evicted before idle ones.
+	// HealthCheckGrace is how long a connection with health checks only is kept for its first request. After that
+	// it is evicted before those idle after a request.
 	HealthCheckGrace = 2 * time.Second
 	// StalledRequestGrace is how soon the next part of a request usually arrives from a client that writes slowly.
 	StalledRequestGrace = 700 * time.Millisecond
@@ -79,7 +79,7 @@
 	// lastReceived is when the last byte was received, or when reading resumed after a pause.
 	lastReceived time.Duration
 
-	// Place in an eviction queue, nil while it is in none. See Conns.Place.
+	// The eviction queue that it is in, nil if none, and its neighbours there. See Conns.Place.
 	evictionQueue *evictionQueue
 	previous      *Conn
 	next          *Conn
--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -23,12 +23,12 @@
 	usedOnce      evictionQueue // idle after one request
 	usedAgain     evictionQueue // idle after several
 	partialLater  evictionQueue // a later request is incomplete, by its last byte
-	healthChecked evictionQueue // idle after health checks only: the first request is still to come
+	healthChecked evictionQueue // idle after health checks or refused requests only
 }
 
 // NewConns returns an empty set of at most so many connections.
-func NewConns(most int) *Conns {
-	return &Conns{ByConn: make(map[loop.Conn]*Conn), Max: most}
+func NewConns(limit int) *Conns {
+	return &Conns{ByConn: make(map[loop.Conn]*Conn), Max: limit}
 }
 
 // InOrder returns the connections, oldest first. Map order is random; the same events must have the same effects.
@@ -80,12 +80,12 @@
 //
 //  1. answered and ended by us, FirstByteGrace ago
 //  2. silent since its accept for FirstRequestGrace
-//  3. only health checks so far, and silent for HealthCheckGrace
+//  3. only health checks or refused requests so far, and silent for HealthCheckGrace
 //  4. idle after one request
 //  5. idle after several requests
 //  6. its first request incomplete, and silent for StalledRequestGrace
 //  7. a later request incomplete, and silent for StalledRequestGrace
-//  8. only health checks so far, and silent for less than HealthCheckGrace
+//  8. as 3, but silent for less than HealthCheckGrace
 //  9. silent since its accept for FirstByteGrace
 //
 // Idle clients lose a connection and no request. Those of 8 and 9 are about to send their first request, which
--- a/internal/downstream/readtimeout_test.go
+++ b/internal/downstream/readtimeout_test.go
@@ -48,18 +48,18 @@
 		"a body far below it":           {[]piece{{ms(2000), head}, {ms(2450), []byte("xx")}}, ms(2503)},
 		"a large one, its head and 1 %": {[]piece{{ms(100), halfBid(1<<20, 10<<10)}}, ms(2500)},
 	} {
-		l := NewConns(1).Add(1, 0)
+		conn := NewConns(1).Add(1, 0)
 		for _, p := range c.pieces {
-			l.RequestBytes += len(p.data)
-			l.Feed(p.at, p.data)
-			if _, whole := l.Next(someClasses); whole {
+			conn.RequestBytes += len(p.data)
+			conn.Feed(p.at, p.data)
+			if _, whole := conn.Next(someClasses); whole {
 				t.Fatalf("%s: whole", name)
 			}
 		}
-		if got := l.RequestDeadline().Truncate(time.Millisecond); got != c.want {
+		if got := conn.RequestDeadline().Truncate(time.Millisecond); got != c.want {
 			t.Errorf("%s: until %v, want %v", name, got, c.want)
 		}
-		if got := l.RequestDeadline(); len(c.pieces) > 0 && got > c.pieces[len(c.pieces)-1].at+ErrorDeadline {
+		if got := conn.RequestDeadline(); len(c.pieces) > 0 && got > c.pieces[len(c.pieces)-1].at+ErrorDeadline {
 			t.Errorf("%s: until %v, over 3 s after the last byte", name, got)
 		}
 	}
@@ -79,22 +79,22 @@
 		"chunked, no way":   {append(chunkedBid(5, false), "zz\r\n"...), false},
 		"chunked, half end": {append(chunkedBid(5, false), "0\r\n"...), true},
 	} {
-		l := NewConns(1).Add(1, 0)
-		l.Feed(0, c.raw)
-		asked, whole := l.Next(someClasses)
+		conn := NewConns(1).Add(1, 0)
+		conn.Feed(0, c.raw)
+		asked, whole := conn.Next(someClasses)
 		if !whole || !asked.Large || asked.Fault != nil {
 			t.Fatalf("%s: %v %+v", name, whole, asked)
 		}
-		l.Begin()
-		if got := l.Incomplete(); got != c.want {
+		conn.Begin()
+		if got := conn.Incomplete(); got != c.want {
 			t.Errorf("%s: incomplete %v, want %v", name, got, c.want)
 		}
-		l.Muted = true
-		if l.Incomplete() {
+		conn.Muted = true
+		if conn.Incomplete() {
 			t.Errorf("%s: waited for though it is not read", name)
 		}
-		l.ResumeReading(ms(9000))
-		if got := l.RequestDeadline(); got != ms(9000)+StreamReadTimeout {
+		conn.ResumeReading(ms(9000))
+		if got := conn.RequestDeadline(); got != ms(9000)+StreamReadTimeout {
 			t.Errorf("%s: until %v", name, got)
 		}
 	}
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -36,7 +36,7 @@
 	Kind        Kind            `json:"kind"`
 	Listen      string          `json:"listen,omitempty"` // with Hello: the clients' address
 	Reason      string          `json:"reason,omitempty"` // with Decline
-	List        json.RawMessage `json:"list,omitempty"`   // with State: the endpoint list in discovery's form
+	List        json.RawMessage `json:"list,omitempty"`   // with State: the endpoint list in discovery's format
 	Balancer    *balancer.State `json:"learned,omitempty"`
 	Descriptors int             `json:"holds,omitempty"` // descriptors that the predecessor needs
 	Idle        []IdleConn      `json:"links,omitempty"`
--- a/internal/http1/cut_test.go
+++ b/internal/http1/cut_test.go
@@ -11,7 +11,7 @@
 func read(response bool, stream []byte, cuts []byte) string {
 	r := Reader{Response: response}
 	var out, body bytes.Buffer
-	bulk := false
+	streamed := false
 	for n := 0; len(stream) > 0; n++ {
 		size := len(stream)
 		if len(cuts) > 0 {
@@ -20,7 +20,7 @@
 		r.Feed(stream[:size])
 		stream = stream[size:]
 		for {
-			if bulk {
+			if streamed {
 				_, piece, done, fault := r.Pieces()
 				body.Write(piece)
 				if fault != nil {
@@ -31,7 +31,7 @@
 				}
 				fmt.Fprintf(&out, "large %d %x;", body.Len(), crc(body.Bytes()))
 				body.Reset()
-				bulk = false
+				streamed = false
 			}
 			m, fault := r.Next()
 			if fault != nil {
@@ -50,7 +50,7 @@
 				break
 			}
 			r.Begin()
-			bulk = true
+			streamed = true
 		}
 	}
 	if m := r.End(); m != nil {
@@ -98,7 +98,7 @@
 	})
 }
 
-// Interim responses are skipped up to a bound, and 101 is refused.
+// Interim responses are skipped up to a bound.
 func TestInterimAnswersAreBounded(t *testing.T) {
 	final, interim := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 103 Early\r\n\r\n"
 	for n, want := range map[int]bool{0: true, maxInterim: true, maxInterim + 1: false} {
--- a/internal/loop/calls.go
+++ b/internal/loop/calls.go
@@ -78,7 +78,8 @@
 // on to accept.
 func isConnectionError(err error) bool {
 	return isAny(err, unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.EPERM, unix.ECONNRESET, unix.ETIMEDOUT,
-		unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH)
+		unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH,
+		unix.EOPNOTSUPP, unix.ENETUNREACH)
 }
 
 // isResourceError reports whether a connection failed for want of something that this machine or
--- a/internal/loop/calls_test.go
+++ b/internal/loop/calls_test.go
@@ -335,7 +335,9 @@
 	buf := make([]byte, 64)
 	for name, read := range map[string]func() (int, error){
 		"kernel": func() (int, error) { return unix.Read(fd, buf) },
-		"calls":  func() (int, error) { return retryInterrupted(func() (int, error) { return l.syscalls.read(fd, buf) }) },
+		"calls": func() (int, error) {
+			return retryInterrupted(func() (int, error) { return l.syscalls.read(fd, buf) })
+		},
 	} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/loop/datagrams.go
+++ b/internal/loop/datagrams.go
@@ -25,7 +25,7 @@
 		return err
 	}
 	// Two processes of an upgrade have the address at once; the predecessor closes its own when the
-	// successor starts to send.
+	// successor starts to gossip.
 	if err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1); err == nil {
 		err = unix.Bind(fd, sockaddr(f.Addr))
 	}
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -42,25 +42,25 @@
 
 // Loop owns the sockets and timers.
 type Loop struct {
-	clock      Clock
-	syscalls   syscalls
-	epoll      int
-	wake       int            // an eventfd, written when a signal came
-	signals    chan os.Signal // those not delivered yet
-	reload     os.Signal
-	byConn     map[Conn]*socket
-	byFD       map[int]*socket
-	urgent     []*socket // the few urgent sockets of byConn, oldest first
-	accepted   Conn
-	generation int32
-	timers     timers
-	events     []Event // delivered before anything else
-	buf        []byte
-	bufInUse   bool // buf holds data not yet delivered
-	ready      []unix.EpollEvent
-	again      bool
-	exit       bool
-	failed     error
+	clock       Clock
+	syscalls    syscalls
+	epoll       int
+	wake        int            // an eventfd, written when a signal came
+	signals     chan os.Signal // those not delivered yet
+	reload      os.Signal
+	byConn      map[Conn]*socket
+	byFD        map[int]*socket
+	urgent      []*socket // the few urgent sockets of byConn, oldest first
+	accepted    Conn
+	generation  int32
+	timers      timers
+	events      []Event // delivered before anything else
+	buffer      []byte
+	bufferInUse bool // buffer holds data not yet delivered
+	ready       []unix.EpollEvent
+	again       bool
+	exit        bool
+	failed      error
 }
 
 // New opens the loop.
@@ -72,7 +72,7 @@
 		byFD:     make(map[int]*socket),
 		accepted: firstAccepted,
 		timers:   timers{byKey: make(map[Timer]*timerEntry)},
-		buf:      make([]byte, ReadSize),
+		buffer:   make([]byte, ReadSize),
 		ready:    make([]unix.EpollEvent, maxReady),
 	}
 	var err error
@@ -212,8 +212,8 @@
 			continue
 		}
 		effects := r.Step(l.clock.Now(), e)
-		if e.Kind == Data && &e.Data[0] == &l.buf[0] {
-			l.bufInUse = false
+		if e.Kind == Data && &e.Data[0] == &l.buffer[0] {
+			l.bufferInUse = false
 		}
 		for _, f := range effects {
 			l.carryOut(f)
--- a/internal/loop/sockets.go
+++ b/internal/loop/sockets.go
@@ -97,8 +97,8 @@
 
 // accept takes the connections that wait at the listener. Out of descriptors, it queues AcceptFailed: the
 // reducer then mutes the listener, or epoll would report it without end.
-func (l *Loop) accept(s *socket, most int) {
-	for range min(cmp.Or(most, maxAcceptPerTurn), maxAcceptPerTurn) {
+func (l *Loop) accept(s *socket, limit int) {
+	for range min(cmp.Or(limit, maxAcceptPerTurn), maxAcceptPerTurn) {
 		fd, err := l.syscalls.accept(s.fd)
 		switch {
 		case err == nil && s.unix && !sameUser(fd):
@@ -161,8 +161,8 @@
 		l.readDatagrams(s)
 		return
 	}
-	buf := l.buf
-	if l.bufInUse {
+	buf := l.buffer
+	if l.bufferInUse {
 		buf = make([]byte, ReadSize)
 	}
 	n, passed, err := 0, []int(nil), error(nil)
@@ -179,7 +179,7 @@
 	case n == 0:
 		l.queueEvent(Event{Kind: EOF, Conn: s.conn})
 	default:
-		l.bufInUse = true
+		l.bufferInUse = true
 		l.reportPassed(s, buf[:n], passed)
 		if s.ending || s.urgent && n == len(buf) {
 			l.queueEvent(Event{Kind: more, Conn: s.conn})
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -18,12 +18,12 @@
 }
 
 // NewPool returns a pool of at most so many connections.
-func NewPool(most int) *Pool {
-	return &Pool{conns: make(map[loop.Conn]*Conn), idle: make(map[balancer.EndpointID][]*Conn), max: most}
+func NewPool(limit int) *Pool {
+	return &Pool{conns: make(map[loop.Conn]*Conn), idle: make(map[balancer.EndpointID][]*Conn), max: limit}
 }
 
 // Resize changes the limit. Connections above the limit are closed when they finish or are evicted.
-func (p *Pool) Resize(most int) { p.max = most }
+func (p *Pool) Resize(limit int) { p.max = limit }
 
 // Budget returns the limit.
 func (p *Pool) Budget() int { return p.max }
