--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -33,7 +33,7 @@
 // StatusError is an answer of discovery with a status other than 200.
 type StatusError struct {
 	Status     int
-	RetryAfter time.Duration // how long to wait before the next call; 0 if not stated
+	RetryAfter time.Duration // how long to wait before the next watch; 0 if not stated
 }
 
 // Error implements error.
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -21,7 +21,7 @@
 	AnswerTimeout = 3100 * time.Millisecond
 	// HeartbeatTimeout is how long a watch that was answered may receive no line. Heartbeats come every 2 s.
 	HeartbeatTimeout = 2400 * time.Millisecond
-	// AbandonTimeout is how long an unanswered call keeps its place in discovery's queue, from AnswerTimeout on.
+	// AbandonTimeout is how long an unanswered watch keeps its place in discovery's queue, from AnswerTimeout on.
 	AbandonTimeout = 30 * time.Second
 )
 
--- a/internal/loop/datagrams.go
+++ b/internal/loop/datagrams.go
@@ -62,7 +62,7 @@
 // sendTo sends one datagram. A full buffer or an unreachable peer loses it, as the network might.
 func (l *Loop) sendTo(s *socket, f Effect) {
 	if s.datagrams {
-		// An error is a loss, as the doc of SendTo says.
+		// An error is a loss, as documented at SendTo.
 		_ = unix.Sendto(s.fd, f.Data, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL, sockaddr(f.Addr))
 	}
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -45,7 +45,7 @@
 	clock       Clock
 	syscalls    syscalls
 	epoll       int
-	wake        int            // an eventfd, written when a signal came
+	wake        int            // an eventfd, written when a signal arrives
 	signals     chan os.Signal // those not delivered yet
 	reload      os.Signal
 	byConn      map[Conn]*socket
--- a/internal/loop/sockets.go
+++ b/internal/loop/sockets.go
@@ -86,7 +86,7 @@
 		// closed, and refuse its number to the next socket.
 		_ = unix.EpollCtl(l.epoll, unix.EPOLL_CTL_DEL, s.fd, nil)
 	}
-	_ = unix.Close(s.fd) // leaves epoll with it; the descriptor is gone whatever close says
+	_ = unix.Close(s.fd) // also removes it from epoll; the descriptor is released even if close fails
 }
 
 // breakSocket closes a socket and queues Broken with the reason.
