--- a/internal/downstream/readtimeout_test.go
+++ b/internal/downstream/readtimeout_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// someClasses knows one class of each method.
+// someClasses finds one class for each method.
 func someClasses(name, method string) (Class, bool) {
 	return Class{Name: name, Method: method}, name == "view" || name == "bid"
 }
 
-// halfBid is a request with a body of so many bytes, of which a part is sent.
+// halfBid returns a request with a stated body length, of whose body only part is sent.
 func halfBid(length, sent int) []byte {
-	return []byte(fmt.Sprintf("POST /bid HTTP/1.1\r\nHost: h\r\nX-Trace-Id: a\r\nX-Qos: bid\r\nX-Expires-In: 900m\r\nContent-Length: %d\r\n\r\n", length) +
-		strings.Repeat("x", sent))
+	head := "POST /bid HTTP/1.1\r\nHost: h\r\nX-Trace-Id: a\r\nX-Qos: bid\r\nX-Expires-In: 900m\r\n"
+	return fmt.Appendf(nil, "%sContent-Length: %d\r\n\r\n%s", head, length, strings.Repeat("x", sent))
 }
 
-// piece is what comes of a request at a time after the accept.
+// piece is a part of a request that arrives at a time after the accept.
 type piece struct {
 	at   time.Duration
 	data []byte
@@ -26,8 +26,8 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// A client that stops gets its error within 3 s of stopping, and of connecting where it stops within
-// the first 2.5 s; one that goes on at the least rate is waited for.
+// A client that stops gets its error within 3 s of stopping, or of connecting where it stops within the first
+// 2.5 s; one that goes on at the lowest rate is waited for.
 func TestUntil(t *testing.T) {
 	head, body := halfBid(60<<10, 0), halfBid(60<<10, 60<<10-1)
 	steady := []piece{{ms(2000), head}}
@@ -48,25 +48,25 @@
 		"a body far below it":           {[]piece{{ms(2000), head}, {ms(2450), []byte("xx")}}, ms(2503)},
 		"a large one, its head and 1 %": {[]piece{{ms(100), halfBid(1<<20, 10<<10)}}, ms(2500)},
 	} {
-		l := NewConns(1).Add(1, 0)
+		conn := NewConns(1).Add(1, 0)
 		for _, p := range c.pieces {
-			l.RequestBytes += len(p.data)
-			l.Feed(p.at, p.data)
-			if _, whole := l.Next(someClasses); whole {
+			conn.RequestBytes += len(p.data)
+			conn.Feed(p.at, p.data)
+			if _, whole := conn.Next(someClasses); whole {
 				t.Fatalf("%s: whole", name)
 			}
 		}
-		if got := l.RequestDeadline().Truncate(time.Millisecond); got != c.want {
+		if got := conn.RequestDeadline().Truncate(time.Millisecond); got != c.want {
 			t.Errorf("%s: until %v, want %v", name, got, c.want)
 		}
-		if got := l.RequestDeadline(); len(c.pieces) > 0 && got > c.pieces[len(c.pieces)-1].at+ErrorDeadline {
+		if got := conn.RequestDeadline(); len(c.pieces) > 0 && got > c.pieces[len(c.pieces)-1].at+ErrorDeadline {
 			t.Errorf("%s: until %v, over 3 s after the last byte", name, got)
 		}
 	}
 }
 
-// A streamed body may stand still for StreamPause while it is read. What has come and waits for an
-// endpoint is not the client's silence.
+// A client may pause within a streamed body for StreamReadTimeout while the connection is read. Data received but
+// not yet forwarded to an endpoint is not waited for.
 func TestIncompleteStreams(t *testing.T) {
 	for name, c := range map[string]struct {
 		raw  []byte
@@ -79,31 +79,32 @@
 		"chunked, no way":   {append(chunkedBid(5, false), "zz\r\n"...), false},
 		"chunked, half end": {append(chunkedBid(5, false), "0\r\n"...), true},
 	} {
-		l := NewConns(1).Add(1, 0)
-		l.Feed(0, c.raw)
-		asked, whole := l.Next(someClasses)
+		conn := NewConns(1).Add(1, 0)
+		conn.Feed(0, c.raw)
+		asked, whole := conn.Next(someClasses)
 		if !whole || !asked.Large || asked.Fault != nil {
 			t.Fatalf("%s: %v %+v", name, whole, asked)
 		}
-		l.Begin()
-		if got := l.Incomplete(); got != c.want {
+		conn.Begin()
+		if got := conn.Incomplete(); got != c.want {
 			t.Errorf("%s: incomplete %v, want %v", name, got, c.want)
 		}
-		l.Muted = true
-		if l.Incomplete() {
+		conn.Muted = true
+		if conn.Incomplete() {
 			t.Errorf("%s: waited for though it is not read", name)
 		}
-		l.ResumeReading(ms(9000))
-		if got := l.RequestDeadline(); got != ms(9000)+StreamReadTimeout {
+		conn.ResumeReading(ms(9000))
+		if got := conn.RequestDeadline(); got != ms(9000)+StreamReadTimeout {
 			t.Errorf("%s: until %v", name, got)
 		}
 	}
 }
 
-// chunkedBid is a request of so many chunks of 16 KiB, with the last one or without.
+// chunkedBid returns a request of so many chunks of 16 KiB, with or without the last one.
 func chunkedBid(chunks int, whole bool) []byte {
 	var b strings.Builder
-	b.WriteString("POST /bid HTTP/1.1\r\nHost: h\r\nX-Trace-Id: a\r\nX-Qos: bid\r\nX-Expires-In: 900m\r\nTransfer-Encoding: chunked\r\n\r\n")
+	b.WriteString("POST /bid HTTP/1.1\r\nHost: h\r\nX-Trace-Id: a\r\nX-Qos: bid\r\nX-Expires-In: 900m\r\n")
+	b.WriteString("Transfer-Encoding: chunked\r\n\r\n")
 	for range chunks {
 		fmt.Fprintf(&b, "%x\r\n%s\r\n", 16<<10, strings.Repeat("x", 16<<10))
 	}
--- a/internal/http1/cut_test.go
+++ b/internal/http1/cut_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// read feeds a stream in the pieces that cuts says and encodes what comes out. Large bodies are begun
-// at once.
+// read feeds a stream in pieces of the sizes that cuts gives and returns a text of the messages read. Large bodies
+// are streamed at once.
 func read(response bool, stream []byte, cuts []byte) string {
 	r := Reader{Response: response}
 	var out, body bytes.Buffer
-	bulk := false
+	streamed := false
 	for n := 0; len(stream) > 0; n++ {
 		size := len(stream)
 		if len(cuts) > 0 {
@@ -20,7 +20,7 @@
 		r.Feed(stream[:size])
 		stream = stream[size:]
 		for {
-			if bulk {
+			if streamed {
 				_, piece, done, fault := r.Pieces()
 				body.Write(piece)
 				if fault != nil {
@@ -31,7 +31,7 @@
 				}
 				fmt.Fprintf(&out, "large %d %x;", body.Len(), crc(body.Bytes()))
 				body.Reset()
-				bulk = false
+				streamed = false
 			}
 			m, fault := r.Next()
 			if fault != nil {
@@ -42,14 +42,15 @@
 				if len(m.Body) > MaxHeld {
 					kind = "large"
 				}
-				fmt.Fprintf(&out, "%s %s %d %v %s %d %x;", kind, m.Target, m.Status, m.KeepAlive, m.Method, len(m.Body), crc(m.Body))
+				fmt.Fprintf(&out, "%s %s %d %v %s %d %x;", kind, m.Target, m.Status, m.KeepAlive, m.Method,
+					len(m.Body), crc(m.Body))
 				continue
 			}
 			if r.Large() == nil {
 				break
 			}
 			r.Begin()
-			bulk = true
+			streamed = true
 		}
 	}
 	if m := r.End(); m != nil {
@@ -65,22 +66,27 @@
 	return sum
 }
 
-// FuzzCuts: however a stream is cut, the same messages come out, and nothing panics.
+// FuzzCuts checks that the same messages come out however a stream is cut, and that nothing panics.
 func FuzzCuts(f *testing.F) {
-	big := fmt.Sprintf("POST /a HTTP/1.1\r\nHost: o\r\nTransfer-Encoding: chunked\r\n\r\n%x;x=\"y\"\r\n%s\r\n3\r\nabc\r\n0\r\nT: r\r\n\r\n",
+	big := fmt.Sprintf("POST /a HTTP/1.1\r\nHost: o\r\nTransfer-Encoding: chunked\r\n\r\n"+
+		"%x;x=\"y\"\r\n%s\r\n3\r\nabc\r\n0\r\nT: r\r\n\r\n",
 		70000, bytes.Repeat([]byte("b"), 70000))
 	for _, s := range []string{
 		"GET /x HTTP/1.1\r\nHost: o\r\n\r\nGET http://h/y?z HTTP/1.1\r\nHost: o\r\nConnection: a, close\r\n\r\n",
 		"POST /a HTTP/1.1\r\nHost: o\r\nContent-Length: 5\r\n\r\nhelloGET / HTTP/1.0\r\n\r\n", big + big,
-		fmt.Sprintf("POST /a HTTP/1.1\r\nHost: o\r\nContent-Length: 80000\r\n\r\n%sGET /n HTTP/1.1\r\nHost: o\r\n\r\n", bytes.Repeat([]byte("c"), 80000)),
-		"POST /a HTTP/1.1\r\nHost: o\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\nhello", "POST /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+		fmt.Sprintf("POST /a HTTP/1.1\r\nHost: o\r\nContent-Length: 80000\r\n\r\n%sGET /n HTTP/1.1\r\nHost: o\r\n\r\n",
+			bytes.Repeat([]byte("c"), 80000)),
+		"POST /a HTTP/1.1\r\nHost: o\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\nhello",
+		"POST /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 	} {
 		f.Add(false, []byte(s), []byte{0})
 		f.Add(false, []byte(s), []byte{3, 0, 255})
 	}
 	for _, s := range []string{
-		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 204 No\r\n\r\n",
-		"HTTP/1.1 200 OK\r\n\r\nuntil the end", "HTTP/1.1 101 Switching\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
+		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n" +
+			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 204 No\r\n\r\n",
+		"HTTP/1.1 200 OK\r\n\r\nuntil the end", "HTTP/1.1 101 Switching\r\n\r\n",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
 	} {
 		f.Add(true, []byte(s), []byte{0})
 		f.Add(true, []byte(s), []byte{1, 2})
@@ -92,10 +98,10 @@
 	})
 }
 
-// Interim answers are passed over up to a bound, and nothing switches protocols.
+// Interim responses are skipped up to a bound.
 func TestInterimAnswersAreBounded(t *testing.T) {
 	final, interim := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 103 Early\r\n\r\n"
-	for n, want := range map[int]bool{0: true, mostInterim: true, mostInterim + 1: false} {
+	for n, want := range map[int]bool{0: true, maxInterim: true, maxInterim + 1: false} {
 		r := Reader{Response: true}
 		r.Feed(append(bytes.Repeat([]byte(interim), n), final...))
 		if m, fault := r.Next(); (m != nil && fault == nil) != want {
--- a/internal/lab/mutationtest/gateway.go
+++ b/internal/lab/mutationtest/gateway.go
@@ -54,7 +54,7 @@
 		one("speak on beside the next process", "views", "internal/gateway/hotrestart_predecessor.go",
 			"	h.cluster.quit(false)\n", ""),
 		one("speak no more after an upgrade that came to nothing", "views", "internal/gateway/hotrestart_predecessor.go",
-			"	h.notified = true\n	h.cluster.join()\n", "	h.notified = true\n"),
+			"	h.dispatchNeeded = true\n	h.cluster.join()\n", "	h.dispatchNeeded = true\n"),
 		one("say nothing at SIGTERM", "views", "internal/gateway/shutdown.go",
 			"	s.cluster.quit(true)\n", "	s.cluster.quit(false)\n"),
 		one("move the view's timer once", "views", "internal/gateway/cluster.go",
