--- a/internal/ci/docs_test.go
+++ b/internal/ci/docs_test.go
@@ -283,7 +283,8 @@
 
 var messages = []string{"endpoint ejected", "watch broken", "host %d is back"}
 `)
-	writeFile(t, root, "internal/gateway/gateway_test.go", "package gateway\n\nconst message = \"only in tests\"\n\nfunc TestGatewayStops() {}\nfunc BenchmarkStep() {}\n")
+	writeFile(t, root, "internal/gateway/gateway_test.go",
+		"package gateway\n\nconst message = \"only in tests\"\n\nfunc TestGatewayStops() {}\nfunc BenchmarkStep() {}\n")
 	writeFile(t, root, "internal/discovery/endpoint/endpoint.go", "package endpoint\n\n"+
 		"type Endpoint struct {\n\tCapacity float64 `json:\"idleShare\"`\n}\n\ntype Watch struct{}\n\nfunc (w *Watch) Started() {}\n")
 	writeFile(t, root, "experiments/calm.toml", "warmRate = 3\nrate = 4\n# LB_FLEET, drain_grace_ms\n")
--- a/internal/ci/docspages_test.go
+++ b/internal/ci/docspages_test.go
@@ -76,7 +76,8 @@
 			for _, m := range codeSpan.FindAllStringSubmatchIndex(paragraph, -1) {
 				group := slices.IndexFunc([]int{m[2], m[4]}, func(at int) bool { return at >= 0 })
 				span := paragraph[m[2+2*group]:m[3+2*group]]
-				all = append(all, located{from + 1 + strings.Count(paragraph[:m[0]], "\n"), strings.ReplaceAll(span, "\n", " ")})
+				all = append(all, located{from + 1 + strings.Count(paragraph[:m[0]], "\n"),
+					strings.ReplaceAll(span, "\n", " ")})
 			}
 		}
 	}
--- a/internal/ci/docstree_test.go
+++ b/internal/ci/docstree_test.go
@@ -58,7 +58,8 @@
 // readTree parses all Go files under a root, and lists the words of the data files.
 func readTree(t *testing.T, root string) *tree {
 	t.Helper()
-	r := &tree{root: root, packages: map[string]*goPackage{}, tests: map[string]bool{}, idents: map[string]bool{}, data: map[string]bool{}, keys: map[string]bool{}, standard: map[string]bool{}}
+	r := &tree{root: root, packages: map[string]*goPackage{}, tests: map[string]bool{},
+		idents: map[string]bool{}, data: map[string]bool{}, keys: map[string]bool{}, standard: map[string]bool{}}
 	err := filepath.WalkDir(root, func(name string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -118,7 +119,8 @@
 	folder := path.Dir(rel)
 	p := r.packages[folder]
 	if p == nil {
-		p = &goPackage{name: strings.TrimSuffix(file.Name.Name, "_test"), members: map[string]map[string]bool{}, embeds: map[string][]string{}}
+		p = &goPackage{name: strings.TrimSuffix(file.Name.Name, "_test"), members: map[string]map[string]bool{},
+			embeds: map[string][]string{}}
 		r.packages[folder] = p
 	}
 	for _, i := range file.Imports {
@@ -255,7 +257,8 @@
 		switch {
 		case option == "-run" || option == "-bench":
 			err = r.checkPattern(w, option == "-bench")
-		case len(words) == 1 && plainWord.MatchString(w) && !r.idents[w] && !r.data[w] && !slices.Contains(benchDays, w) && !slices.Contains(otherProjects, w):
+		case len(words) == 1 && plainWord.MatchString(w) && !r.idents[w] && !r.data[w] &&
+			!slices.Contains(benchDays, w) && !slices.Contains(otherProjects, w):
 			err = fmt.Errorf("nothing is named %s", w)
 		}
 		if err != nil {
--- a/internal/lab/cli/drill.go
+++ b/internal/lab/cli/drill.go
@@ -41,7 +41,10 @@
 		len(f.Faults)).Msg("running")
 	res, err := drill.Run(e.ctx, f, drill.Options{Gateway: c.Gateway, Dir: c.Out, Seed: c.Seed,
 		Progress: e.progress(length),
-		Found:    func(f requestrecord.Finding) { e.log.Warn().Str("rule", f.Rule).Str("gateway", f.ID).Msg(f.Detail) }})
+		Found: func(f requestrecord.Finding) {
+			e.log.Warn().Str("rule", f.Rule).Str("gateway",
+				f.ID).Msg(f.Detail)
+		}})
 	if err != nil {
 		return input(err)
 	}
--- a/internal/lab/mutationtest/peers.go
+++ b/internal/lab/mutationtest/peers.go
@@ -11,10 +11,12 @@
 		one("invent an id", "reload", "internal/upstream/request.go", "	for _, f := range m.Fields {",
 			"	for _, f := range m.Fields {\n		if f.Name == \"X-Trace-Id\" {\n			f.Value += \"x\"\n		}"),
 		one("give up a call in discovery's queue and call again", "discovery-load", "internal/discovery/watch.go",
-			"	case w.connected:\n		return AnswerTimeout\n", "	case w.connected:\n		return 2700 * time.Millisecond\n"),
+			"	case w.connected:\n		return AnswerTimeout\n",
+			"	case w.connected:\n		return 2700 * time.Millisecond\n"),
 		one("wait for half a request by the clock of another bound", stopped, "internal/downstream/readtimeout.go",
 			"	plain := c.RequestBegan + RequestReadTimeout\n", "	plain := c.RequestBegan + 12*time.Second\n"),
 		one("leave half a body without a time", stopped, "internal/downstream/readtimeout.go",
-			"		return max(plain, c.lastReceived+StreamReadTimeout)", "		return max(plain, c.lastReceived+2*StreamReadTimeout)"),
+			"		return max(plain, c.lastReceived+StreamReadTimeout)",
+			"		return max(plain, c.lastReceived+2*StreamReadTimeout)"),
 	}
 }
--- a/internal/lab/mutationtest/sources.go
+++ b/internal/lab/mutationtest/sources.go
@@ -17,10 +17,12 @@
 	kept := all[:0]
 	for _, e := range all {
 		n := e.Name()
-		if e.IsDir() && (strings.HasPrefix(n, ".") || n == "journal" || n == "bin" || n == "out" || n == "docs" || n == "testdata") {
+		if e.IsDir() && (strings.HasPrefix(n, ".") || n == "journal" || n == "bin" || n == "out" ||
+			n == "docs" || n == "testdata") {
 			continue
 		}
-		if e.IsDir() || strings.HasSuffix(n, ".go") && !strings.HasSuffix(n, "_test.go") || n == "go.mod" || n == "go.sum" {
+		if e.IsDir() || strings.HasSuffix(n, ".go") && !strings.HasSuffix(n, "_test.go") || n == "go.mod" ||
+			n == "go.sum" {
 			kept = append(kept, e)
 		}
 	}
--- a/internal/lab/simulation/callqueue_test.go
+++ b/internal/lab/simulation/callqueue_test.go
@@ -87,7 +87,8 @@
 // watchers starts a world of gateways with a discovery that works in turn, and lets each have its list.
 func watchers(t *testing.T, calls CallQueue) *simulator {
 	t.Helper()
-	w := newSimulator(Plan{Seed: 1, Gateways: 4, Hosts: 3, Sockets: 300, NetworkPlan: NetworkPlan{LatencyUS: 200}, CostUS: 10,
+	w := newSimulator(Plan{Seed: 1, Gateways: 4, Hosts: 3, Sockets: 300,
+		NetworkPlan: NetworkPlan{LatencyUS: 200}, CostUS: 10,
 		Calls: &calls}, nil,
 		func(r loop.Reducer) loop.Reducer { return r })
 	w.build()
--- a/internal/lab/simulation/clusterrates_test.go
+++ b/internal/lab/simulation/clusterrates_test.go
@@ -10,7 +10,8 @@
 // counts what is asked of them.
 func twoZones(t *testing.T) *simulator {
 	t.Helper()
-	w := newSimulator(Plan{Seed: 1, Gateways: 2, Hosts: 12, Sockets: 200, Zones: 2, NetworkPlan: NetworkPlan{LatencyUS: 200}}, nil, nil)
+	w := newSimulator(Plan{Seed: 1, Gateways: 2, Hosts: 12, Sockets: 200, Zones: 2,
+		NetworkPlan: NetworkPlan{LatencyUS: 200}}, nil, nil)
 	w.rates = newClusterRates(w)
 	w.disc = &discoveryServer{w: w, list: registry.New()}
 	for n := range w.plan.Hosts {
--- a/internal/lab/simulation/conform_test.go
+++ b/internal/lab/simulation/conform_test.go
@@ -292,7 +292,8 @@
 					return []loop.Effect{{Op: loop.WriteQuiet, Conn: muted, Data: []byte("x")}}
 				}
 				return nil
-			}), steps: []step{{func(p peer) { p.connect(); p.shut() }, []string{"accepted c1", "timer 1", "stale c1"}}}},
+			}), steps: []step{{func(p peer) { p.connect(); p.shut() }, []string{"accepted c1", "timer 1",
+				"stale c1"}}}},
 		{name: "a refused connection", on: dialTo(peer.closedPort, nothing),
 			steps: []step{{func(peer) {}, []string{"broken c1 true"}}}},
 		{name: "a connection that comes up", on: dialTo(peer.port, func(e loop.Event) []loop.Effect {
@@ -320,7 +321,8 @@
 				return func(s *script, now time.Duration, e loop.Event) []loop.Effect {
 					switch {
 					case e.Kind == loop.Start:
-						return []loop.Effect{{Op: loop.Bind, Conn: 7, Addr: at(0)}, {Op: loop.Bind, Conn: 8, Addr: at(1)}}
+						return []loop.Effect{{Op: loop.Bind, Conn: 7, Addr: at(0)},
+							{Op: loop.Bind, Conn: 8, Addr: at(1)}}
 					case e.Kind == loop.Listening && e.Conn == 8:
 						return []loop.Effect{{Op: loop.Mute, Conn: 8}, {Op: loop.SendTo, Conn: 7, Addr: at(2),
 							Data: []byte("nobody")},
--- a/internal/lab/simulation/discovery_load_test.go
+++ b/internal/lab/simulation/discovery_load_test.go
@@ -45,7 +45,8 @@
 // recoverFleet starts gateways, resets their watches and waits until all have a list, for at most so long.
 func recoverFleet(seed uint64, gateways int, queue CallQueue, most time.Duration) recovery {
 	var r recovery
-	w := newSimulator(Plan{Seed: seed, Gateways: gateways, Hosts: 2, Sockets: 300, NetworkPlan: NetworkPlan{LatencyUS: 200}, CostUS: 10}, nil,
+	w := newSimulator(Plan{Seed: seed, Gateways: gateways, Hosts: 2, Sockets: 300,
+		NetworkPlan: NetworkPlan{LatencyUS: 200}, CostUS: 10}, nil,
 		func(gw loop.Reducer) loop.Reducer { return callCounter{gw, &r.calls} })
 	w.build()
 	w.sim.Run(epoch + 5*time.Second + w.sim.Between(0, 2*time.Second)) // each call has been answered at once until now
--- a/internal/lab/simulation/upgrade_test.go
+++ b/internal/lab/simulation/upgrade_test.go
@@ -10,7 +10,8 @@
 // using theirs.
 func upgradedAtItsLimit() Plan {
 	const opened, upgraded, ended = 1000, 2000, 4000
-	p := Plan{Seed: 1, Profile: "upgrade", Gateways: 1, Hosts: 60, Sockets: 256, NetworkPlan: NetworkPlan{LatencyUS: 200}, CostUS: 10}
+	p := Plan{Seed: 1, Profile: "upgrade", Gateways: 1, Hosts: 60, Sockets: 256,
+		NetworkPlan: NetworkPlan{LatencyUS: 200}, CostUS: 10}
 	for host := range 10 {
 		p.Faults = append(p.Faults, Fault{AtMS: upgraded - 100, Do: "host-hang", Who: host, ForMS: 4000})
 	}
@@ -46,7 +47,8 @@
 // at rest are closed for being many, and the gateway is upgraded again and again in the midst of that.
 func upgradedAmongNewLinks(seed uint64) Plan {
 	const begin, end = 1000, 9000
-	p := Plan{Seed: seed, Profile: "upgrade", Gateways: 1, Hosts: 60, Sockets: 256, NetworkPlan: NetworkPlan{LatencyUS: 200}, CostUS: 30}
+	p := Plan{Seed: seed, Profile: "upgrade", Gateways: 1, Hosts: 60, Sockets: 256,
+		NetworkPlan: NetworkPlan{LatencyUS: 200}, CostUS: 30}
 	for at := begin; at < end; at += 4 {
 		for n := range 3 {
 			p.Requests = append(p.Requests, Request{AtMS: at + n, Patient: 2000, Fresh: true})
--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -163,7 +163,8 @@
 		// no rule can be held on it.
 		fields = append(fields, number("share", 0.5*d.draws.Float64()),
 			text("fault", d.pick("reset-before", "reset-middle", "trickle",
-				"long-length", "extra-bytes", "interim", "garbage", "endless", "close-idle", "half-close", "no-length")))
+				"long-length", "extra-bytes", "interim", "garbage", "endless", "close-idle", "half-close",
+				"no-length")))
 	}
 	d.table("event", fields...)
 }
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -279,7 +279,8 @@
 
 // believed is what a membership believes after some claims.
 func believed(t *rapid.T, claims []gossipcodec.Claim) (out []string) {
-	m, err := New(Config{Cluster: "f", Name: "a", Start: 1000, SeedPeers: []SeedPeer{{"b", addr(2)}}, Flat: true}, epoch)
+	m, err := New(Config{Cluster: "f", Name: "a", Start: 1000, SeedPeers: []SeedPeer{{"b", addr(2)}},
+		Flat: true}, epoch)
 	if err != nil {
 		t.Fatal(err)
 	}
