--- a/internal/lab/simulation/hunt_test.go
+++ b/internal/lab/simulation/hunt_test.go
@@ -20,6 +20,7 @@
 		"upstream.ConnectingTo":       "sorts what it found",
 		"upstream.Surplus":            "sorts what it found",
 		"discovery.removeUnlisted":    "sorts what it found",
+		"settings.flatten":            "fills a map by path",
 		"loadreport.SuspectedByPeers": "fills a set",
 		"tokenschedule.Forget":        "deletes from the map that it walks",
 	}
