--- a/internal/loadreport/reporter_test.go
+++ b/internal/loadreport/reporter_test.go
@@ -81,7 +81,11 @@
 
 // Guards against an endpoint that is good again and is not reported so, and against reports though nothing moved.
 func TestReporterReportsAnEndedEjection(t *testing.T) {
-	report := Report{Zone: 70, Demand: 10, Known: true, ConfigHash: 7, Ejected: EndpointHashes([]uint64{1, 2, 3})}
+	var endpoints []uint64 // as many as a report holds, and more
+	for i := range 20 {
+		endpoints = append(endpoints, uint64(i+1)<<33, uint64(i+1)<<33)
+	}
+	report := Report{Zone: 70, Demand: 10, Known: true, ConfigHash: 7, Ejected: EndpointHashes(endpoints)}
 	var reporter Reporter
 	reporter.Next(time.Second, report, 5)
 	if _, due := reporter.Next(3*time.Second, report, 5); due {
