--- a/internal/gossipcodec/codec_test.go
+++ b/internal/gossipcodec/codec_test.go
@@ -70,7 +70,7 @@
 }
 
 // Guards against an error that does not say what is wrong with a datagram.
-func TestParseNamesTheFault(t *testing.T) {
+func TestParseErrorsNameTheField(t *testing.T) {
 	m, claims := fullMessage()
 	message := func(change func(*Message)) []byte {
 		c := *m
@@ -95,7 +95,7 @@
 		{"faulty sender", message(func(m *Message) { m.From = "a b" }), "no name", nil, "from"},
 		{"long target", message(func(m *Message) { m.Target = strings.Repeat("x", MaxName+1) }),
 			"target", nil, "target"},
-		{"unknown kind", message(func(m *Message) { m.Kind = lastKind + 1 }), "unknown kind", nil, "kind"},
+		{"unknown kind", message(func(m *Message) { m.Kind = maxKind + 1 }), "unknown kind", nil, "kind"},
 		{"no target", message(func(m *Message) { m.Target = "" }), "lacks", nil, "target"},
 		{"no sums", message(func(m *Message) { m.Kind = Digest }), "lacks", nil, "sums"},
 		{"faulty name", claim(func(c *Claim) { c.Name = "\x00" }), "a claim about", nil, "name"},
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestAppendClaimStopsAtTheLongestDatagram(t *testing.T) {
+func TestAppendClaimRespectsMaxDatagram(t *testing.T) {
 	m, _ := fullMessage()
 	b, n := Append(nil, m), 0
 	for ok := true; ok; n++ {
--- a/internal/gossipcodec/decode.go
+++ b/internal/gossipcodec/decode.go
@@ -20,36 +20,36 @@
 }
 
 // eachField walks over the fields of a message. Groups and broken fields are of type *FieldError.
-func eachField(b []byte, do func(field) error) error {
+func eachField(b []byte, fn func(field) error) error {
 	for len(b) > 0 {
-		number, kind, used := protowire.ConsumeTag(b)
-		if used < 0 {
-			cause := protowire.ParseError(used)
+		number, wireType, n := protowire.ConsumeTag(b)
+		if n < 0 {
+			cause := protowire.ParseError(n)
 			return &FieldError{reason: cause.Error(), cause: cause}
 		}
-		b = b[used:]
+		b = b[n:]
 		f := field{number: number}
-		switch kind {
+		switch wireType {
 		case protowire.VarintType:
-			f.value, used = protowire.ConsumeVarint(b)
+			f.value, n = protowire.ConsumeVarint(b)
 		case protowire.Fixed64Type:
-			f.value, used = protowire.ConsumeFixed64(b)
+			f.value, n = protowire.ConsumeFixed64(b)
 		case protowire.Fixed32Type:
 			var v uint32
-			v, used = protowire.ConsumeFixed32(b)
+			v, n = protowire.ConsumeFixed32(b)
 			f.value = uint64(v)
 		case protowire.BytesType:
-			f.bytes, used = protowire.ConsumeBytes(b)
+			f.bytes, n = protowire.ConsumeBytes(b)
 		default:
-			return fieldErrorf(strconv.Itoa(int(number)), "field %d has wire type %d", number, kind)
+			return fieldErrorf(strconv.Itoa(int(number)), "field %d has wire type %d", number, wireType)
 		}
-		if used < 0 {
-			cause := protowire.ParseError(used)
+		if n < 0 {
+			cause := protowire.ParseError(n)
 			return &FieldError{Field: strconv.Itoa(int(number)), cause: cause,
 				reason: fmt.Sprintf("field %d: %v", number, cause)}
 		}
-		b = b[used:]
-		if err := do(f); err != nil {
+		b = b[n:]
+		if err := fn(f); err != nil {
 			return err
 		}
 	}
@@ -69,7 +69,7 @@
 			version = f.value
 			return nil
 		}
-		return m.set(f)
+		return m.setField(f)
 	})
 	switch {
 	case err != nil:
@@ -83,8 +83,8 @@
 	return m, nil
 }
 
-// set takes one field of a message.
-func (m *Message) set(f field) (err error) {
+// setField takes one field of a message.
+func (m *Message) setField(f field) (err error) {
 	switch f.number {
 	case fieldCluster:
 		m.Cluster = string(f.bytes)
@@ -98,10 +98,10 @@
 		m.Seq = f.value
 	case fieldTarget:
 		m.Target = string(f.bytes)
-	case fieldView:
+	case fieldDigest:
 		m.Digest = f.value
-	case fieldSums:
-		m.BucketSums, err = parseSums(f.bytes)
+	case fieldBucketSums:
+		m.BucketSums, err = parseBucketSums(f.bytes)
 	case fieldReply:
 		m.Reply = f.value != 0
 	case fieldClaim:
@@ -116,13 +116,13 @@
 	return err
 }
 
-func parseSums(b []byte) ([]uint32, error) {
+func parseBucketSums(b []byte) ([]uint32, error) {
 	if len(b) != 4*Buckets {
 		return nil, fieldErrorf("sums", "%d bytes of sums, want %d", len(b), 4*Buckets)
 	}
 	sums := make([]uint32, 0, Buckets)
-	for rest := b; len(rest) > 0; rest = rest[4:] {
-		v, _ := protowire.ConsumeFixed32(rest) // four bytes are there
+	for remaining := b; len(remaining) > 0; remaining = remaining[4:] {
+		v, _ := protowire.ConsumeFixed32(remaining) // four bytes are there
 		sums = append(sums, v)
 	}
 	return sums, nil
@@ -136,7 +136,7 @@
 		return fieldErrorf("from", "from %q is no name", m.From)
 	case m.Target != "" && !ValidName(m.Target):
 		return fieldErrorf("target", "target %q is no name", m.Target)
-	case m.Kind == 0 || m.Kind > lastKind:
+	case m.Kind == 0 || m.Kind > maxKind:
 		return fieldErrorf("kind", "unknown kind %d", m.Kind)
 	case m.Kind == PingRequest && m.Target == "":
 		return fieldErrorf("target", "kind %d lacks what it needs", m.Kind)
@@ -179,7 +179,7 @@
 		return c, fieldErrorf("name", "a claim about %q by %q", c.Name, c.SuspectedBy)
 	case c.SuspectedBy != "" && !ValidName(c.SuspectedBy):
 		return c, fieldErrorf("by", "a claim about %q by %q", c.Name, c.SuspectedBy)
-	case state > uint64(lastState):
+	case state > uint64(maxState):
 		return c, fieldErrorf("state", "unknown state %d of %s", state, c.Name)
 	case len(c.Payload) > MaxPayload:
 		return c, fieldErrorf("payload", "a payload of %d bytes, %d at most", len(c.Payload), MaxPayload)
--- a/internal/gossipcodec/encode.go
+++ b/internal/gossipcodec/encode.go
@@ -2,8 +2,8 @@
 
 import "google.golang.org/protobuf/encoding/protowire"
 
-// claimHeader is the most bytes that the tag and length of a claim take.
-const claimHeader = 3
+// claimHeaderBytes is the most bytes that the tag and length of a claim take.
+const claimHeaderBytes = 3
 
 // Append appends a message without its claims.
 func Append(b []byte, m *Message) []byte {
@@ -16,11 +16,11 @@
 	b = appendNumber(b, fieldSeq, m.Seq)
 	b = appendString(b, fieldTarget, m.Target)
 	if m.Digest != 0 {
-		b = protowire.AppendTag(b, fieldView, protowire.Fixed64Type)
+		b = protowire.AppendTag(b, fieldDigest, protowire.Fixed64Type)
 		b = protowire.AppendFixed64(b, m.Digest)
 	}
 	if len(m.BucketSums) > 0 {
-		b = protowire.AppendTag(b, fieldSums, protowire.BytesType)
+		b = protowire.AppendTag(b, fieldBucketSums, protowire.BytesType)
 		b = protowire.AppendVarint(b, uint64(4*len(m.BucketSums)))
 		for _, sum := range m.BucketSums {
 			b = protowire.AppendFixed32(b, sum)
@@ -45,7 +45,7 @@
 		raw, port := c.Addr.Addr().As4(), c.Addr.Port()
 		claim = appendString(claim, claimAddr, string(append(raw[:], byte(port>>8), byte(port))))
 	}
-	if len(b)+len(claim)+claimHeader > MaxDatagram {
+	if len(b)+len(claim)+claimHeaderBytes > MaxDatagram {
 		return b, false
 	}
 	b = protowire.AppendTag(b, fieldClaim, protowire.BytesType)
--- a/internal/gossipcodec/message.go
+++ b/internal/gossipcodec/message.go
@@ -33,7 +33,7 @@
 	Gossip                        // carries claims alone
 	Digest                        // has the sums over the sender's membership; Reply is set where it answers one
 	DuplicateName                 // another living process has the receiver's name; Seq is that one's start
-	lastKind      = DuplicateName
+	maxKind       = DuplicateName
 )
 
 // State is what a claim says of a member.
@@ -45,12 +45,12 @@
 	Suspect
 	Gone
 	Left
-	lastState = Left
+	maxState = Left
 )
 
 // String names a state as operators read it.
 func (s State) String() string {
-	if s > lastState {
+	if s > maxState {
 		return "unknown"
 	}
 	return [...]string{"alive", "suspect", "gone", "left"}[s]
@@ -90,8 +90,8 @@
 	fieldKind
 	fieldSeq
 	fieldTarget
-	fieldView
-	fieldSums
+	fieldDigest
+	fieldBucketSums
 	fieldReply
 	fieldClaim
 )
--- a/internal/gossipconfig/assignment.go
+++ b/internal/gossipconfig/assignment.go
@@ -27,7 +27,7 @@
 // What holds where the table [shares] leaves a field out.
 const (
 	defaultUsers          = 12
-	maxUsersPerUser       = 3 // MaxUsers over Users
+	maxUsersFactor        = 3 // MaxUsers over Users
 	defaultMinEndpoints   = 2
 	defaultRemoteZoneOdds = 0.5
 	defaultClockSkew      = 20 * time.Millisecond
@@ -55,7 +55,7 @@
 func DefaultAssignment() *Assignment {
 	return &Assignment{
 		Users:          defaultUsers,
-		MaxUsers:       maxUsersPerUser * defaultUsers,
+		MaxUsers:       maxUsersFactor * defaultUsers,
 		MinEndpoints:   defaultMinEndpoints,
 		RemoteZoneOdds: defaultRemoteZoneOdds,
 		ClockSkew:      defaultClockSkew,
@@ -67,7 +67,7 @@
 	a := DefaultAssignment()
 	a.WarmRate = t.WarmRate
 	if t.Users != nil {
-		a.Users, a.MaxUsers = *t.Users, maxUsersPerUser**t.Users
+		a.Users, a.MaxUsers = *t.Users, maxUsersFactor**t.Users
 	}
 	override(&a.MaxUsers, t.MaxUsers)
 	override(&a.MinEndpoints, t.MinEndpoints)
@@ -76,24 +76,24 @@
 		a.ClockSkew = t.ClockSkew.Duration
 	}
 	if a.Users < 1 || a.Users > maxUsers {
-		r.fail(ErrRange, "shares.users", "must be 1 to %d", maxUsers)
+		r.addFault(ErrRange, "shares.users", "must be 1 to %d", maxUsers)
 	}
 	if a.MaxUsers < a.Users || a.MaxUsers > membership.MaxMembers {
-		r.fail(ErrRange, "shares.most_users", "must be at least users, %d, and at most %d", a.Users,
+		r.addFault(ErrRange, "shares.most_users", "must be at least users, %d, and at most %d", a.Users,
 			membership.MaxMembers)
 	}
 	if a.MinEndpoints < 1 || a.MinEndpoints > maxUsers {
-		r.fail(ErrRange, "shares.least", "must be 1 to %d", maxUsers)
+		r.addFault(ErrRange, "shares.least", "must be 1 to %d", maxUsers)
 	}
 	if !(a.RemoteZoneOdds > 0 && a.RemoteZoneOdds <= 1) {
-		r.fail(ErrRange, "shares.away", "must be above 0 and at most 1")
+		r.addFault(ErrRange, "shares.away", "must be above 0 and at most 1")
 	}
 	if !(a.WarmRate >= 0 && a.WarmRate <= maxWarmRate) {
-		r.fail(ErrRange, "shares.warm_rate", "must be 0 to %v requests a second; 0 is what the classes' aims tell",
+		r.addFault(ErrRange, "shares.warm_rate", "must be 0 to %v requests a second; 0 is what the classes' aims tell",
 			maxWarmRate)
 	}
 	if a.ClockSkew < 0 || a.ClockSkew > maxClockSkew {
-		r.fail(ErrRange, "shares.skew", "must be 0s to %v", maxClockSkew)
+		r.addFault(ErrRange, "shares.skew", "must be 0s to %v", maxClockSkew)
 	}
 	return a
 }
--- a/internal/gossipconfig/gossipconfig.go
+++ b/internal/gossipconfig/gossipconfig.go
@@ -37,35 +37,35 @@
 	Assignment *Assignment // nil where the file does not ask for subsets
 }
 
-// file is the file's text by the protocol's names.
-type file struct {
+// configFile is the file's text by the protocol's names.
+type configFile struct {
 	Cluster    string           `toml:"fleet"`
 	Name       string           `toml:"name"`
 	Listen     string           `toml:"listen"`
 	Flat       bool             `toml:"flat"`
-	Peers      []filePeer       `toml:"peer"`
+	Peers      []peerTable      `toml:"peer"`
 	Assignment *assignmentTable `toml:"shares"`
 }
 
-type filePeer struct {
+type peerTable struct {
 	Name string `toml:"name"`
 	Addr string `toml:"addr"`
 }
 
 // Load reads a file. name is the gateway's where the file names none.
-func Load(path, name string) (*Config, error) {
+func Load(path, defaultName string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("LB_FLEET: %w", err)
 	}
-	return Parse(path, raw, name)
+	return Parse(path, raw, defaultName)
 }
 
 // Parse is Load with the text at hand; path names it in errors.
 func Parse(path string, raw []byte, name string) (*Config, error) {
-	var f file
+	var f configFile
 	r := reader{tomlfile.Read(path, raw, &f)}
-	if err := r.in.Err(); err != nil {
+	if err := r.file.Err(); err != nil {
 		return nil, err
 	}
 	if f.Name != "" {
@@ -78,54 +78,54 @@
 	if f.Assignment != nil {
 		c.Assignment = r.assignment(f.Assignment)
 	}
-	if err := r.in.Err(); err != nil {
+	if err := r.file.Err(); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
 // reader checks a file that was decoded, and collects its faults.
-type reader struct{ in *tomlfile.File }
+type reader struct{ file *tomlfile.File }
 
-// fail reports a fault that errors.Is matches with kind.
-func (r reader) fail(kind error, field, format string, args ...any) {
-	r.in.Fault(field, "%w", fielderror.Worded(kind, format, args...))
+// addFault reports a fault that errors.Is matches with kind.
+func (r reader) addFault(kind error, field, format string, args ...any) {
+	r.file.Fault(field, "%w", fielderror.Worded(kind, format, args...))
 }
 
 func (r reader) checkName(field, name string) bool {
 	ok := gossipcodec.ValidName(name)
 	if !ok {
-		r.fail(ErrName, field, "%q is no name of 1 to %d printable ASCII characters", name, gossipcodec.MaxName)
+		r.addFault(ErrName, field, "%q is no name of 1 to %d printable ASCII characters", name, gossipcodec.MaxName)
 	}
 	return ok
 }
 
 func (r reader) address(field, text string) netip.AddrPort {
-	at, err := netip.ParseAddrPort(text)
-	if err != nil || at.Port() == 0 || !at.Addr().Is4() {
-		r.fail(ErrAddress, field, "%q is no IPv4 address and port", text)
+	addr, err := netip.ParseAddrPort(text)
+	if err != nil || addr.Port() == 0 || !addr.Addr().Is4() {
+		r.addFault(ErrAddress, field, "%q is no IPv4 address and port", text)
 	}
-	return at
+	return addr
 }
 
 // peers reads the seed peers: no name and no address may be there twice.
-func (r reader) peers(list []filePeer) (peers []membership.SeedPeer) {
+func (r reader) peers(list []peerTable) (peers []membership.SeedPeer) {
 	if len(list) > membership.MaxMembers {
-		r.fail(ErrTooMany, "peer", "%d peers, %d at most", len(list), membership.MaxMembers)
+		r.addFault(ErrTooMany, "peer", "%d peers, %d at most", len(list), membership.MaxMembers)
 	}
-	names, nameAt := make(map[string]bool), make(map[netip.AddrPort]string)
+	names, nameByAddr := make(map[string]bool), make(map[netip.AddrPort]string)
 	for i, p := range list {
 		nameField, addrField := fmt.Sprintf("peer.%d.name", i), fmt.Sprintf("peer.%d.addr", i)
-		at := r.address(addrField, p.Addr)
-		switch other := nameAt[at]; {
+		addr := r.address(addrField, p.Addr)
+		switch other := nameByAddr[addr]; {
 		case !r.checkName(nameField, p.Name):
 		case names[p.Name]:
-			r.fail(ErrDuplicate, nameField, "%q is there already", p.Name)
-		case at.IsValid() && other != "":
-			r.fail(ErrDuplicate, addrField, "%s is the address of %s already", at, other)
+			r.addFault(ErrDuplicate, nameField, "%q is there already", p.Name)
+		case addr.IsValid() && other != "":
+			r.addFault(ErrDuplicate, addrField, "%s is the address of %s already", addr, other)
 		}
-		names[p.Name], nameAt[at] = true, p.Name
-		peers = append(peers, membership.SeedPeer{Name: p.Name, Addr: at})
+		names[p.Name], nameByAddr[addr] = true, p.Name
+		peers = append(peers, membership.SeedPeer{Name: p.Name, Addr: addr})
 	}
 	return peers
 }
--- a/internal/gossipconfig/gossipconfig_test.go
+++ b/internal/gossipconfig/gossipconfig_test.go
@@ -13,7 +13,7 @@
 )
 
 // Guards against a faulty file that is taken, or whose line and column are not named.
-func TestFaultsNameLineAndColumn(t *testing.T) {
+func TestErrorsReportLineAndColumn(t *testing.T) {
 	const good = "fleet = \"f\"\nlisten = \"127.0.0.1:7946\"\n[[peer]]\nname = \"a\"\naddr = \"127.0.0.1:7947\"\n"
 	if f, err := Parse("x.toml", []byte(good), "me"); err != nil || f.Name != "me" || len(f.SeedPeers) != 1 ||
 		f.SeedPeers[0].Name != "a" {
@@ -36,7 +36,7 @@
 }
 
 // The table of shares has usual figures where it leaves some out, and faults of its own.
-func TestSharesAreRead(t *testing.T) {
+func TestSharesTableIsParsed(t *testing.T) {
 	const head = "fleet = \"f\"\nlisten = \"127.0.0.1:7946\"\n"
 	read := func(table string) (*Config, error) { return Parse("x.toml", []byte(head+table), "me") }
 	if f, err := read(""); err != nil || f.Assignment != nil {
@@ -63,8 +63,8 @@
 }
 
 // A book of 1,024 gateways is read. One that is longer than a view may be is refused with its size.
-func TestLongBooks(t *testing.T) {
-	book := func(peers int) []byte {
+func TestPeerListSizeLimit(t *testing.T) {
+	fileWith := func(peers int) []byte {
 		text := "fleet = \"f\"\nlisten = \"127.0.0.1:7946\"\n"
 		for n := range peers {
 			text += fmt.Sprintf("[[peer]]\nname = \"gw-%d\"\naddr = \"10.2.%d.%d:7946\"\n", n, n/250, n%250+1)
@@ -72,11 +72,11 @@
 		return []byte(text)
 	}
 	for _, peers := range []int{1024, membership.MaxMembers} {
-		if f, err := Parse("x.toml", book(peers), "me"); err != nil || len(f.SeedPeers) != peers {
+		if f, err := Parse("x.toml", fileWith(peers), "me"); err != nil || len(f.SeedPeers) != peers {
 			t.Errorf("%d peers: %v", peers, err)
 		}
 	}
-	if _, err := Parse("x.toml", book(membership.MaxMembers+1), "me"); err == nil ||
+	if _, err := Parse("x.toml", fileWith(membership.MaxMembers+1), "me"); err == nil ||
 		!strings.Contains(err.Error(), fmt.Sprintf("%d peers, %d at most", membership.MaxMembers+1,
 			membership.MaxMembers)) {
 		t.Errorf("a peer too many: %v", err)
@@ -84,10 +84,10 @@
 }
 
 // Callers can tell the causes apart, and take the place of each fault.
-func TestFaultsCanBeMatched(t *testing.T) {
+func TestErrorsMatchCauseAndPosition(t *testing.T) {
 	const good = "fleet = \"f\"\nlisten = \"127.0.0.1:7946\"\n"
 	const peer = "[[peer]]\nname = \"a\"\naddr = \"127.0.0.1:7947\"\n"
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		text, field string
 		line        int
 		want        error
@@ -99,9 +99,9 @@
 		"unknown":   {good + "adress = 1\n", "adress", 3, tomlfile.ErrUnknownField},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := Parse("x.toml", []byte(c.text), "me")
+			_, err := Parse("x.toml", []byte(test.text), "me")
 			var fault *fielderror.Error
-			if !errors.Is(err, c.want) || !errors.As(err, &fault) || fault.Line != c.line || fault.Field != c.field {
+			if !errors.Is(err, test.want) || !errors.As(err, &fault) || fault.Line != test.line || fault.Field != test.field {
 				t.Errorf("%v: %+v", err, fault)
 			}
 		})
--- a/internal/lab/mutationtest/cluster.go
+++ b/internal/lab/mutationtest/cluster.go
@@ -19,20 +19,20 @@
 func membershipMutants() []mutant {
 	return []mutant{
 		one("refute nothing", "members", "internal/membership/claims.go",
-			"		m.reincarnate(c.Incarnation + 1)\n		m.lastChange = m.now\n		m.next.gossip = m.now",
+			"		m.raiseIncarnation(c.Incarnation + 1)\n		m.lastChange = m.now\n		m.next.gossip = m.now",
 			"		m.lastChange = m.now\n		m.next.gossip = m.now"),
 		one("an incarnation that goes back", "members", "internal/membership/claims.go",
-			"		m.reincarnate(c.Incarnation + 1)\n		m.lastChange = m.now\n		m.next.gossip = m.now",
-			"		m.reincarnate(1)\n		m.lastChange = m.now\n		m.next.gossip = m.now"),
+			"		m.raiseIncarnation(c.Incarnation + 1)\n		m.lastChange = m.now\n		m.next.gossip = m.now",
+			"		m.raiseIncarnation(1)\n		m.lastChange = m.now\n		m.next.gossip = m.now"),
 		one("a later start is nothing", "members", "internal/membership/claims.go",
 			"cmp.Or(cmp.Compare(c.Start, p.Start), ", "cmp.Or("),
 		one("believe any claim", "members", "internal/membership/claims.go",
 			"	if !supersedes(c, peer) {\n		return\n	}\n", ""),
 		one("never call the lost", "members", "internal/membership/membership.go", "		m.reconnect()\n", ""),
 		one("suspect nobody", "members", "internal/membership/probe_schedule.go",
-			"	c := peer.claim(m.cfg.Name)\n	c.State = gossipcodec.Suspect\n	m.adopt(peer, &c)\n", ""),
+			"	c := peer.claim(m.cfg.Name)\n	c.State = gossipcodec.Suspect\n	m.acceptClaim(peer, &c)\n", ""),
 		one("a suspicion without end", "members", "internal/membership/suspicion.go",
-			"			c.State = gossipcodec.Gone\n			m.adopt(peer, &c)\n",
+			"			c.State = gossipcodec.Gone\n			m.acceptClaim(peer, &c)\n",
 			"			_ = c\n			s.verifyingUntil = m.now + verificationTimeout\n"),
 		one("spread no payload", "members", "internal/membership/claims.go", "		c.Payload = p.Payload\n", ""),
 		one("answer no question", "members", "internal/membership/receive.go",
@@ -55,9 +55,9 @@
 			"	if !m.cfg.Flat && (!seeded || addr != from) {", "	if false && addr != from {"),
 		{"throw out at the first silence", "views", []edit{
 			{"internal/membership/suspicion.go",
-				"	case s.verifyingUntil == 0 && !m.without.has(Verification):", "	case false:"},
+				"	case s.verifyingUntil == 0 && !m.disabled.includes(Verification):", "	case false:"},
 			{"internal/membership/suspicion.go",
-				"	s.expireAfter(m.stretch(s.timeout(longest)))",
-				"	s.expireAfter(0 * m.stretch(s.timeout(longest)))"}}},
+				"	s.setTimeout(m.stretch(s.timeout(maxTimeout)))",
+				"	s.setTimeout(0 * m.stretch(s.timeout(maxTimeout)))"}}},
 	}
 }
--- a/internal/membership/ablation.go
+++ b/internal/membership/ablation.go
@@ -20,13 +20,13 @@
 	Reconnection
 )
 
-// has reports whether a refinement is left out.
-func (r Refinement) has(one Refinement) bool { return r&one != 0 }
+// includes reports whether a refinement is left out.
+func (r Refinement) includes(other Refinement) bool { return r&other != 0 }
 
 // Option changes how [New] builds a Membership.
 type Option func(*Membership)
 
 // Without leaves refinements out. Only packages below internal/lab may use it; a test holds them to that.
-func Without(left Refinement) Option {
-	return func(m *Membership) { m.without = left }
+func Without(refinements Refinement) Option {
+	return func(m *Membership) { m.disabled = refinements }
 }
--- a/internal/membership/ablation_test.go
+++ b/internal/membership/ablation_test.go
@@ -14,7 +14,7 @@
 )
 
 // Guards against a gateway that runs without a refinement: only the laboratory may name the ablation.
-func TestOnlyTheLaboratoryLeavesRefinementsOut(t *testing.T) {
+func TestOnlyLabPackagesDisableRefinements(t *testing.T) {
 	root := filepath.Join("..", "..")
 	if _, err := os.Stat(filepath.Join(root, "go.mod")); err != nil {
 		t.Fatal(err)
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	names := make(map[string]bool)
-	note := func(name *ast.Ident) {
+	add := func(name *ast.Ident) {
 		if name.IsExported() {
 			names[name.Name] = true
 		}
@@ -61,15 +61,15 @@
 	for _, declaration := range file.Decls {
 		switch declaration := declaration.(type) {
 		case *ast.FuncDecl:
-			note(declaration.Name)
+			add(declaration.Name)
 		case *ast.GenDecl:
 			for _, spec := range declaration.Specs {
 				switch spec := spec.(type) {
 				case *ast.TypeSpec:
-					note(spec.Name)
+					add(spec.Name)
 				case *ast.ValueSpec:
 					for _, name := range spec.Names {
-						note(name)
+						add(name)
 					}
 				}
 			}
@@ -108,7 +108,7 @@
 	return out
 }
 
-func TestWithoutVerificationHearsayIsBelieved(t *testing.T) {
+func TestReportedGoneIsAcceptedOnlyWithoutVerification(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		options []Option
--- a/internal/membership/antientropy.go
+++ b/internal/membership/antientropy.go
@@ -17,22 +17,22 @@
 // still on their way.
 func (m *Membership) beginRepair(peer *member, msg *gossipcodec.Message) {
 	if msg.Digest == m.table.digest || msg.Kind == gossipcodec.Digest || m.queue.len() > 0 ||
-		m.now < m.next.repair || m.without.has(AntiEntropy) {
+		m.now < m.next.repair || m.disabled.includes(AntiEntropy) {
 		return
 	}
 	m.next.repair = m.now + repairInterval
 	m.send(peer, &gossipcodec.Message{Kind: gossipcodec.Digest, BucketSums: m.table.bucketSums[:]}, nil)
 }
 
-// repair sends a member what lies in the buckets that differ from its own, and asks for the same in return.
-func (m *Membership) repair(peer *member, msg *gossipcodec.Message) {
-	if m.without.has(AntiEntropy) {
+// answerDigest sends a member what lies in the buckets that differ from its own, and asks for the same in return.
+func (m *Membership) answerDigest(peer *member, msg *gossipcodec.Message) {
+	if m.disabled.includes(AntiEntropy) {
 		return
 	}
 	claims := m.claimsInDifferingBuckets(msg.BucketSums)
 	// What does not fit now is for others to send.
 	m.rng.Shuffle(len(claims), func(i, j int) { claims[i], claims[j] = claims[j], claims[i] })
-	for page := 0; len(claims) > 0 && page < maxRepairPages && m.allowed(gossipcodec.Gossip); page++ {
+	for page := 0; len(claims) > 0 && page < maxRepairPages && m.allowSend(gossipcodec.Gossip); page++ {
 		datagram := m.encode(&gossipcodec.Message{Kind: gossipcodec.Gossip})
 		for len(claims) > 0 {
 			longer, ok := gossipcodec.AppendClaim(datagram, &claims[0])
@@ -41,7 +41,7 @@
 			}
 			datagram, claims = longer, claims[1:]
 		}
-		m.post(peer.Addr, datagram)
+		m.enqueue(peer.Addr, datagram)
 	}
 	if !msg.Reply {
 		reply := gossipcodec.Message{Kind: gossipcodec.Digest, BucketSums: m.table.bucketSums[:], Reply: true}
@@ -52,7 +52,7 @@
 // claimsInDifferingBuckets is what this gateway knows of names in buckets whose sums differ, itself first.
 func (m *Membership) claimsInDifferingBuckets(sums []uint32) []gossipcodec.Claim {
 	differs := func(name string) bool {
-		b := bucket(name)
+		b := bucketOf(name)
 		return sums[b] != m.table.bucketSums[b]
 	}
 	var claims []gossipcodec.Claim
--- a/internal/membership/antientropy_test.go
+++ b/internal/membership/antientropy_test.go
@@ -17,7 +17,7 @@
 	}
 	m.Take()
 	m.Receive(epoch+time.Second, addr(3), datagram("c", 900, gossipcodec.Gossip)) // its digest is 0
-	_, digests := sent(t, m, gossipcodec.Digest)
+	_, digests := takeSent(t, m, gossipcodec.Digest)
 	if len(digests) != 1 || digests[0].Reply {
 		t.Fatalf("%d digests", len(digests))
 	}
@@ -28,10 +28,10 @@
 		claims int
 	}{
 		{"equal", func(*gossipcodec.Message) {}, 0},
-		{"other about c", func(msg *gossipcodec.Message) { msg.BucketSums[bucket("c")]++ }, 1},
+		{"other about c", func(msg *gossipcodec.Message) { msg.BucketSums[bucketOf("c")]++ }, 1},
 		{"other about c and a", func(msg *gossipcodec.Message) {
-			msg.BucketSums[bucket("c")]++
-			msg.BucketSums[bucket("a")]++
+			msg.BucketSums[bucketOf("c")]++
+			msg.BucketSums[bucketOf("a")]++
 		}, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/membership/awareness.go
+++ b/internal/membership/awareness.go
@@ -12,7 +12,7 @@
 	score int // 0 is well, maxHealthScore is worst
 }
 
-func (a *awareness) degrade(by int) { a.score = min(maxHealthScore, a.score+by) }
+func (a *awareness) degrade(points int) { a.score = min(maxHealthScore, a.score+points) }
 
 func (a *awareness) improve() { a.score = max(0, a.score-1) }
 
--- a/internal/membership/awareness_test.go
+++ b/internal/membership/awareness_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestAwarenessIsBoundedAndStretches(t *testing.T) {
+func TestAwarenessScoreIsBoundedAndStretchesTimeouts(t *testing.T) {
 	var a awareness
 	a.improve()
 	if a.score != 0 || a.stretch(time.Second) != time.Second {
--- a/internal/membership/broadcast_queue.go
+++ b/internal/membership/broadcast_queue.go
@@ -13,21 +13,21 @@
 type broadcastItem struct {
 	claim     gossipcodec.Claim
 	transmits int
-	order     uint64 // of insertion
-	place     int    // in the heap
+	sequence  uint64 // of insertion
+	heapIndex int    // in the heap
 }
 
 // before orders items: what was sent least often comes first, and of those the latest.
-func (x *broadcastItem) before(y *broadcastItem) bool {
-	return x.transmits < y.transmits || x.transmits == y.transmits && x.order > y.order
+func (b *broadcastItem) before(other *broadcastItem) bool {
+	return b.transmits < other.transmits || b.transmits == other.transmits && b.sequence > other.sequence
 }
 
 // broadcastQueue holds at most one claim for each name, and finds the next one to send in time that grows with the
 // logarithm of their number: while a cluster starts, each member has a claim about every other one.
 type broadcastQueue struct {
-	byName    map[string]*broadcastItem
-	heap      broadcastHeap
-	lastOrder uint64
+	byName       map[string]*broadcastItem
+	heap         broadcastHeap
+	lastSequence uint64
 }
 
 func newBroadcastQueue() broadcastQueue {
@@ -38,13 +38,13 @@
 
 // put adds a claim in place of an earlier one of its name.
 func (q *broadcastQueue) put(c gossipcodec.Claim) {
-	q.lastOrder++
+	q.lastSequence++
 	if item := q.byName[c.Name]; item != nil {
-		item.claim, item.transmits, item.order = c, 0, q.lastOrder
-		heap.Fix(&q.heap, item.place)
+		item.claim, item.transmits, item.sequence = c, 0, q.lastSequence
+		heap.Fix(&q.heap, item.heapIndex)
 		return
 	}
-	item := &broadcastItem{claim: c, order: q.lastOrder}
+	item := &broadcastItem{claim: c, sequence: q.lastSequence}
 	q.byName[c.Name] = item
 	heap.Push(&q.heap, item)
 }
@@ -53,14 +53,14 @@
 func (q *broadcastQueue) setTransmits(name string, transmits int) {
 	if item := q.byName[name]; item != nil {
 		item.transmits = transmits
-		heap.Fix(&q.heap, item.place)
+		heap.Fix(&q.heap, item.heapIndex)
 	}
 }
 
 // drop removes the claim of a name.
 func (q *broadcastQueue) drop(name string) {
 	if item := q.byName[name]; item != nil {
-		heap.Remove(&q.heap, item.place)
+		heap.Remove(&q.heap, item.heapIndex)
 		delete(q.byName, name)
 	}
 }
@@ -97,12 +97,12 @@
 func (h broadcastHeap) Less(i, j int) bool { return h[i].before(h[j]) }
 func (h broadcastHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 func (h *broadcastHeap) Push(x any) {
 	item := x.(*broadcastItem)
-	item.place = len(*h)
+	item.heapIndex = len(*h)
 	*h = append(*h, item)
 }
 
--- a/internal/membership/broadcast_queue_test.go
+++ b/internal/membership/broadcast_queue_test.go
@@ -7,13 +7,13 @@
 	"thymebend/internal/gossipcodec"
 )
 
-func TestBroadcastQueueSendsTheLeastSentFirst(t *testing.T) {
+func TestBroadcastQueueSendsLeastTransmittedFirst(t *testing.T) {
 	q := newBroadcastQueue()
 	for _, name := range []string{"b", "c", "d"} {
 		q.put(gossipcodec.Claim{Name: name, Start: 1})
 	}
 	q.setTransmits("d", 1)
-	first := func(limit int) (names []string) {
+	transmit := func(limit int) (names []string) {
 		header := gossipcodec.Append(nil,
 			&gossipcodec.Message{Cluster: "f", From: "a", Start: 1, Kind: gossipcodec.Gossip})
 		msg, err := gossipcodec.Parse(q.appendTo(header, func(gossipcodec.State) int { return limit }))
@@ -25,12 +25,12 @@
 		}
 		return names
 	}
-	if got := first(2); !slices.Equal(got, []string{"c", "b", "d"}) || q.len() != 2 {
+	if got := transmit(2); !slices.Equal(got, []string{"c", "b", "d"}) || q.len() != 2 {
 		t.Errorf("first %v, %d left", got, q.len())
 	}
 	q.put(gossipcodec.Claim{Name: "b", Start: 2}) // in place of the one before
 	q.drop("c")
-	if got := first(1); !slices.Equal(got, []string{"b"}) || q.len() != 0 {
+	if got := transmit(1); !slices.Equal(got, []string{"b"}) || q.len() != 0 {
 		t.Errorf("then %v, %d left", got, q.len())
 	}
 }
--- a/internal/membership/claims.go
+++ b/internal/membership/claims.go
@@ -26,25 +26,27 @@
 		cmp.Compare(c.State, p.State)) > 0
 }
 
-// latestStart is the latest start of a process that is believed, in ms of Unix time.
-func (m *Membership) latestStart() uint64 { return uint64((m.now + maxClockLead).Milliseconds()) }
+// latestPlausibleStart is the latest start of a process that is believed, in ms of Unix time.
+func (m *Membership) latestPlausibleStart() uint64 {
+	return uint64((m.now + maxClockLead).Milliseconds())
+}
 
-// reincarnate makes a new claim about this gateway itself, stronger than any before.
-func (m *Membership) reincarnate(incarnation uint64) {
+// raiseIncarnation makes a new claim about this gateway itself, stronger than any before.
+func (m *Membership) raiseIncarnation(incarnation uint64) {
 	m.self.Incarnation = incarnation
 	m.table.updateDigest(&m.self)
 	m.version++
 	m.broadcast(m.self.claim(""))
 }
 
-// applyOwn answers what others say of this gateway: it refutes whatever is not so.
-func (m *Membership) applyOwn(c *gossipcodec.Claim) {
+// applySelfClaim answers what others say of this gateway: it refutes whatever is not so.
+func (m *Membership) applySelfClaim(c *gossipcodec.Claim) {
 	switch {
 	case m.leaving:
 	case c.Start > m.self.Start && c.State >= gossipcodec.Gone:
 		// A process of this name that is dead began later by its clock: this machine's clock went back.
 		m.self.Start = c.Start + 1
-		m.reincarnate(1)
+		m.raiseIncarnation(1)
 		m.lastChange = m.now
 	case c.Start > m.self.Start:
 		m.duplicateSeen = m.now
@@ -53,29 +55,29 @@
 	case c.Incarnation >= m.self.Incarnation && c.State != gossipcodec.Alive:
 		m.counts.FalseAlarms++
 		m.awareness.degrade(1)
-		m.reincarnate(c.Incarnation + 1)
+		m.raiseIncarnation(c.Incarnation + 1)
 		m.lastChange = m.now
 		m.next.gossip = m.now // a refutation does not wait
 	case c.Incarnation > m.self.Incarnation:
-		m.reincarnate(c.Incarnation + 1)
+		m.raiseIncarnation(c.Incarnation + 1)
 		m.lastChange = m.now
 	}
 }
 
-// apply takes one claim from a datagram of a member.
-func (m *Membership) apply(c *gossipcodec.Claim, from string) {
-	if c.Start > m.latestStart() || c.Incarnation == gossipcodec.MaxIncarnation { // it could not be refuted
+// applyClaim takes one claim from a datagram of a member.
+func (m *Membership) applyClaim(c *gossipcodec.Claim, from string) {
+	if c.Start > m.latestPlausibleStart() || c.Incarnation == gossipcodec.MaxIncarnation { // it could not be refuted
 		m.counts.Malformed++
 		return
 	}
 	if c.Name == m.cfg.Name {
-		m.applyOwn(c)
+		m.applySelfClaim(c)
 		return
 	}
 	peer := m.table.byName[c.Name]
 	if peer == nil {
-		if peer = m.enter(c); peer != nil {
-			m.adopt(peer, c)
+		if peer = m.addMember(c); peer != nil {
+			m.acceptClaim(peer, c)
 		}
 		return
 	}
@@ -90,28 +92,28 @@
 	if !supersedes(c, peer) {
 		return
 	}
-	if c.State == gossipcodec.Gone && peer.State <= gossipcodec.Suspect && !m.without.has(Verification) {
-		m.verifyHearsay(peer, c, from)
+	if c.State == gossipcodec.Gone && peer.State <= gossipcodec.Suspect && !m.disabled.includes(Verification) {
+		m.verifyReportedGone(peer, c, from)
 		return
 	}
-	m.adopt(peer, c)
+	m.acceptClaim(peer, c)
 }
 
-// verifyHearsay has this gateway probe a member itself that another says is gone. To believe the other would remove
+// verifyReportedGone has this gateway probe a member itself that another says is gone. To believe the other would remove
 // members that came back at that moment, and let a cut-off half remove those whom the other half sees alive.
-func (m *Membership) verifyHearsay(peer *member, c *gossipcodec.Claim, from string) {
+func (m *Membership) verifyReportedGone(peer *member, c *gossipcodec.Claim, from string) {
 	suspect := *c
 	suspect.State, suspect.SuspectedBy = gossipcodec.Suspect, from
 	if supersedes(&suspect, peer) {
-		m.adopt(peer, &suspect)
+		m.acceptClaim(peer, &suspect)
 	}
 	if peer.suspicion != nil && peer.suspicion.verifyingUntil == 0 {
-		m.verify(peer)
+		m.verifySuspect(peer)
 	}
 }
 
-// adopt believes a claim, spreads it, and begins or ends a suspicion.
-func (m *Membership) adopt(peer *member, c *gossipcodec.Claim) {
+// acceptClaim believes a claim, spreads it, and begins or ends a suspicion.
+func (m *Membership) acceptClaim(peer *member, c *gossipcodec.Claim) {
 	changed := peer.State != c.State || peer.Start != c.Start
 	if changed {
 		peer.Since, peer.Previous = m.now, peer.State
--- a/internal/membership/claims_test.go
+++ b/internal/membership/claims_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against a weaker claim that moves anything. The order is: start, incarnation, state.
-func TestClaimsOfOneNameAreOrdered(t *testing.T) {
+func TestClaimPrecedence(t *testing.T) {
 	const alive, suspect, gone, left = gossipcodec.Alive, gossipcodec.Suspect, gossipcodec.Gone, gossipcodec.Left
 	m := newMembership(t, nil)
 	for _, step := range []struct {
@@ -31,7 +31,7 @@
 	} {
 		step.claim.Name = "c"
 		m.Receive(epoch, addr(2), datagram("b", 1, gossipcodec.Gossip, step.claim))
-		got, _ := listed(m, "c")
+		got, _ := findInList(m, "c")
 		if got.State != step.state || got.Start != step.start || got.Incarnation != step.incarnation {
 			t.Errorf("%s: %+v", step.name, got)
 		}
@@ -39,11 +39,11 @@
 }
 
 // Guards against a start that no process can have: believed, no later claim could take it back.
-func TestImpossibleStartsAreMalformed(t *testing.T) {
+func TestImplausibleStartTimesAreRejected(t *testing.T) {
 	m := newMembership(t, nil)
 	m.Receive(epoch, addr(2), datagram("b", 900, gossipcodec.Ping))
-	tomorrow := uint64(epoch.Milliseconds()) + 1<<30
-	for _, start := range []uint64{tomorrow, gossipcodec.MaxStart, gossipcodec.MaxStart + 1, 1 << 63} {
+	tooLate := uint64(epoch.Milliseconds()) + 1<<30
+	for _, start := range []uint64{tooLate, gossipcodec.MaxStart, gossipcodec.MaxStart + 1, 1 << 63} {
 		m.Receive(epoch, addr(2), datagram("b", start, gossipcodec.Ping))
 		m.Receive(epoch, addr(2), datagram("b", 900, gossipcodec.Gossip,
 			gossipcodec.Claim{Name: "c", Start: start},
@@ -51,13 +51,13 @@
 	}
 	m.Receive(epoch, addr(2), datagram("b", 900, gossipcodec.Gossip, gossipcodec.Claim{
 		Name: "a", Start: 1000, Incarnation: gossipcodec.MaxIncarnation, State: gossipcodec.Gone}))
-	if got, _ := listed(m, "b"); got.Start != 900 {
+	if got, _ := findInList(m, "b"); got.Start != 900 {
 		t.Errorf("b started at %d", got.Start)
 	}
-	if got, ok := listed(m, "c"); ok {
+	if got, ok := findInList(m, "c"); ok {
 		t.Errorf("c is known: %+v", got)
 	}
-	if self, _ := listed(m, "a"); self.Start != 1000 || self.Incarnation > 10 {
+	if self, _ := findInList(m, "a"); self.Start != 1000 || self.Incarnation > 10 {
 		t.Errorf("itself: %+v", self)
 	}
 	if c := m.Counts(); c.Malformed < 8 {
@@ -66,11 +66,11 @@
 }
 
 // Guards against a living gateway that lets a claim of its own death stand.
-func TestItRefutesClaimsAboutItself(t *testing.T) {
+func TestFalseClaimsAboutSelfAreRefuted(t *testing.T) {
 	m := newMembership(t, nil)
 	m.Receive(epoch, addr(2), datagram("b", 1, gossipcodec.Ping,
 		gossipcodec.Claim{Name: "a", Start: 1000, Incarnation: 4, State: gossipcodec.Gone}))
-	self, _ := listed(m, "a")
+	self, _ := findInList(m, "a")
 	if self.Incarnation != 5 || self.State != gossipcodec.Alive || m.Counts().FalseAlarms != 1 {
 		t.Errorf("%+v", self)
 	}
@@ -83,69 +83,69 @@
 	// The end of an earlier process is none of this one's business.
 	m.Receive(epoch, addr(2), datagram("b", 1, gossipcodec.Gossip,
 		gossipcodec.Claim{Name: "a", Start: 999, Incarnation: 50, State: gossipcodec.Gone}))
-	if self, _ := listed(m, "a"); self.Incarnation != 5 || self.Start != 1000 {
+	if self, _ := findInList(m, "a"); self.Incarnation != 5 || self.Start != 1000 {
 		t.Errorf("%+v", self)
 	}
 }
 
 // Guards against two living processes of one name that nobody notices: who hears both tells both.
-func TestADuplicateNameIsNoticed(t *testing.T) {
+func TestDuplicateNameIsReported(t *testing.T) {
 	m := newMembership(t, nil)
 	m.Receive(epoch, addr(2), datagram("b", 50, gossipcodec.Ping))
 	m.Take()
 	m.Receive(epoch, addr(2), datagram("b", 40, gossipcodec.Ping)) // the process that began earlier speaks too
-	var told []uint64
+	var notified []uint64
 	for _, d := range m.Take() {
 		if msg, err := gossipcodec.Parse(d.Data); err == nil && msg.Kind == gossipcodec.DuplicateName {
-			told = append(told, msg.Seq)
+			notified = append(notified, msg.Seq)
 		}
 	}
-	if len(told) != 2 || told[0] != 50 || told[1] != 40 {
-		t.Errorf("told %v, want each of the other", told)
+	if len(notified) != 2 || notified[0] != 50 || notified[1] != 40 {
+		t.Errorf("told %v, want each of the other", notified)
 	}
-	if got, _ := listed(m, "b"); got.Start != 50 {
+	if got, _ := findInList(m, "b"); got.Start != 50 {
 		t.Errorf("the later one keeps the name: %+v", got)
 	}
 	m.Receive(epoch, addr(2), datagram("b", 50, gossipcodec.DuplicateName))
 	if st := m.Status(epoch); !st.DuplicateName || st.Settled {
 		t.Errorf("told of a duplicate: %+v", st)
 	}
-	if st := m.Status(epoch + duplicateNameFor); st.DuplicateName {
+	if st := m.Status(epoch + duplicateNameWindow); st.DuplicateName {
 		t.Error("reported for ever")
 	}
 }
 
 // Guards against an upgrade after which the next process is not the same member, with a stronger claim.
-func TestIdentityGoesOverToTheNextProcess(t *testing.T) {
+func TestIdentityIsHandedToTheSuccessor(t *testing.T) {
 	m := newMembership(t, nil)
 	start, incarnation := m.Identity()
-	next := newMembership(t, func(c *Config) { c.Start, c.Incarnation = start, incarnation })
-	was, _ := listed(m, "a")
-	if is, _ := listed(next, "a"); is.Start != was.Start || is.Incarnation <= was.Incarnation {
-		t.Errorf("%+v after %+v", is, was)
+	successor := newMembership(t, func(c *Config) { c.Start, c.Incarnation = start, incarnation })
+	before, _ := findInList(m, "a")
+	if after, _ := findInList(successor, "a"); after.Start != before.Start || after.Incarnation <= before.Incarnation {
+		t.Errorf("%+v after %+v", after, before)
 	}
 }
 
 // Guards against a suspicion that leaves no trace of who raised it once it was refuted.
-func TestARefutedSuspicionIsRemembered(t *testing.T) {
+func TestRefutedSuspicionKeepsItsOrigin(t *testing.T) {
 	m := newMembership(t, nil)
 	m.Receive(epoch, addr(2), datagram("b", 900, gossipcodec.Ping))
 	m.Receive(epoch, addr(3), datagram("c", 900, gossipcodec.Gossip,
 		gossipcodec.Claim{Name: "b", Start: 900, State: gossipcodec.Suspect, SuspectedBy: "c"}))
-	got, _ := listed(m, "b")
+	got, _ := findInList(m, "b")
 	if got.State != gossipcodec.Suspect || got.SuspectedBy != "c" || got.Previous != gossipcodec.Alive {
 		t.Errorf("suspected: %+v", got)
 	}
 	m.Receive(epoch, addr(2), datagram("b", 900, gossipcodec.Gossip,
 		gossipcodec.Claim{Name: "b", Start: 900, Incarnation: 1}))
-	got, _ = listed(m, "b")
+	got, _ = findInList(m, "b")
 	if got.State != gossipcodec.Alive || got.SuspectedBy != "c" || got.Previous != gossipcodec.Suspect {
 		t.Errorf("refuted: %+v", got)
 	}
 }
 
 // Guards against a load report that keeps memberships from settling: a new payload alone is no change of state.
-func TestANewPayloadDoesNotUnsettle(t *testing.T) {
+func TestPayloadChangeDoesNotResetStability(t *testing.T) {
 	m := newMembership(t, nil)
 	m.Receive(epoch, addr(2), datagram("b", 900, gossipcodec.Ping))
 	later := epoch + time.Second
--- a/internal/membership/config_test.go
+++ b/internal/membership/config_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against an error that does not say which setting is wrong.
-func TestNewNamesTheFaultyField(t *testing.T) {
+func TestNewErrorsNameTheInvalidField(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		edit  func(*Config)
@@ -41,7 +41,7 @@
 }
 
 // Guards against faulty seed peers that change those in force.
-func TestFaultySeedPeersChangeNothing(t *testing.T) {
+func TestInvalidSeedPeersChangeNothing(t *testing.T) {
 	m := newMembership(t, nil)
 	err := m.SetSeedPeers(epoch, []SeedPeer{{"b", addr(2)}, {"b", addr(4)}})
 	if err == nil || m.seeds["c"] != addr(3) {
@@ -50,7 +50,7 @@
 }
 
 // Guards against a payload that no datagram can carry.
-func TestSetPayloadRefusesLongOnes(t *testing.T) {
+func TestSetPayloadRejectsOversizedPayloads(t *testing.T) {
 	m := newMembership(t, nil)
 	var faulty *ConfigError
 	err := m.SetPayload(epoch, make([]byte, gossipcodec.MaxPayload+1))
--- a/internal/membership/helpers_test.go
+++ b/internal/membership/helpers_test.go
@@ -40,11 +40,11 @@
 	return b
 }
 
-// listed finds a member in the list that Members gives.
-func listed(m *Membership, name string) (Member, bool) {
-	for _, one := range m.Members() {
-		if one.Name == name {
-			return one, true
+// findInList finds a member in the list that Members gives.
+func findInList(m *Membership, name string) (Member, bool) {
+	for _, member := range m.Members() {
+		if member.Name == name {
+			return member, true
 		}
 	}
 	return Member{}, false
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -21,13 +21,13 @@
 
 // Membership is what one gateway knows of its cluster.
 type Membership struct {
-	cfg     Config
-	without Refinement // left out, by the laboratory alone
-	rng     *rand.Rand
-	now     time.Duration
-	wakeAt  time.Duration // when NextWake last asked for Advance
-	next    deadlines
-	leaving bool
+	cfg      Config
+	disabled Refinement // left out, by the laboratory alone
+	rng      *rand.Rand
+	now      time.Duration
+	wakeAt   time.Duration // when NextWake last asked for Advance
+	next     deadlines
+	leaving  bool
 
 	self      member
 	table     table
@@ -38,7 +38,7 @@
 	awareness awareness
 	queue     broadcastQueue
 	limiter   sendLimiter
-	outbox    []Datagram
+	outgoing  []Datagram
 
 	version       uint64
 	lastChange    time.Duration // of a state or start
@@ -79,7 +79,7 @@
 	// Incarnations begin at 1: what others note of a member that has not spoken of itself has 0.
 	m.self.Member = Member{Name: cfg.Name, Start: cfg.Start, Incarnation: max(1, cfg.Incarnation), Since: now,
 		Payload: slices.Clone(cfg.Payload)}
-	m.probes.seq = m.rng.Uint64() >> 24
+	m.probes.lastSeq = m.rng.Uint64() >> 24
 	if err := m.setSeedPeers(cfg.SeedPeers); err != nil {
 		return nil, err
 	}
@@ -97,7 +97,7 @@
 	m.advanceClock(now)
 	if string(payload) != string(m.self.Payload) {
 		m.self.Payload = slices.Clone(payload)
-		m.reincarnate(m.self.Incarnation + 1)
+		m.raiseIncarnation(m.self.Incarnation + 1)
 	}
 	return nil
 }
@@ -144,23 +144,23 @@
 // advanceClock moves the time on. A process that was stopped has heard nothing meanwhile: all that it waited for waits
 // on, or it would suspect everybody.
 func (m *Membership) advanceClock(now time.Duration) {
-	late := now - m.wakeAt
+	delay := now - m.wakeAt
 	m.now = max(now, m.now)
-	if late < stallThreshold || m.without.has(LocalHealthAwareness) {
+	if delay < stallThreshold || m.disabled.includes(LocalHealthAwareness) {
 		return
 	}
-	m.probes.postpone(late)
+	m.probes.postpone(delay)
 	for _, peer := range m.suspects {
-		peer.suspicion.postpone(late)
+		peer.suspicion.postpone(delay)
 	}
 	m.probes.dropPeriodic() // who did not answer it is not known
-	m.awareness.degrade(1 + int(late/time.Second))
+	m.awareness.degrade(1 + int(delay/time.Second))
 	m.wakeAt = now
 }
 
 // stretch lengthens one of this gateway's own times by its local health.
 func (m *Membership) stretch(d time.Duration) time.Duration {
-	if m.without.has(LocalHealthAwareness) {
+	if m.disabled.includes(LocalHealthAwareness) {
 		return d
 	}
 	return m.awareness.stretch(d)
@@ -172,7 +172,7 @@
 	if m.leaving {
 		return
 	}
-	m.serveProbes()
+	m.handleDueProbes()
 	m.expireSuspicions()
 	if m.now >= m.next.probe {
 		m.endProtocolPeriod()
@@ -197,7 +197,7 @@
 
 // Take returns the datagrams to be sent, in order, and forgets them.
 func (m *Membership) Take() []Datagram {
-	out := m.outbox
-	m.outbox = nil
+	out := m.outgoing
+	m.outgoing = nil
 	return out
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -51,21 +51,21 @@
 
 // probes are those that wait for an answer, and the results of those that are over.
 type probes struct {
-	pending  map[uint64]*probe // by sequence number
-	periodic uint64            // sequence number of the period's probe; 0 for none
-	seq      uint64            // the last given
-	rtt      time.Duration     // smoothed over all members; 0 while none was measured
-	outcomes probeResults
+	pending     map[uint64]*probe // by sequence number
+	periodicSeq uint64            // sequence number of the period's probe; 0 for none
+	lastSeq     uint64            // the last given
+	rtt         time.Duration     // smoothed over all members; 0 while none was measured
+	results     probeResults
 }
 
-func (p *probes) add(one *probe) (seq uint64) {
-	p.seq++
-	p.pending[p.seq] = one
-	return p.seq
+func (p *probes) add(entry *probe) (seq uint64) {
+	p.lastSeq++
+	p.pending[p.lastSeq] = entry
+	return p.lastSeq
 }
 
-// inOrder lists the sequence numbers that wait, oldest first.
-func (p *probes) inOrder() []uint64 {
+// sortedSeqs lists the sequence numbers that wait, oldest first.
+func (p *probes) sortedSeqs() []uint64 {
 	list := make([]uint64, 0, len(p.pending))
 	for seq := range p.pending {
 		list = append(list, seq)
@@ -77,29 +77,29 @@
 // nextDeadline is when a probe has to be seen to. The end of a periodic probe is that of its period.
 func (p *probes) nextDeadline() time.Duration {
 	next := time.Duration(math.MaxInt64)
-	for _, one := range p.pending {
-		if one.kind != periodicProbe {
-			next = min(next, one.deadline)
+	for _, entry := range p.pending {
+		if entry.kind != periodicProbe {
+			next = min(next, entry.deadline)
 		}
-		if one.retryAt > 0 {
-			next = min(next, one.retryAt)
+		if entry.retryAt > 0 {
+			next = min(next, entry.retryAt)
 		}
 	}
 	return next
 }
 
 func (p *probes) postpone(by time.Duration) {
-	for _, one := range p.pending {
-		one.deadline += by
-		if one.retryAt > 0 {
-			one.retryAt += by
+	for _, entry := range p.pending {
+		entry.deadline += by
+		if entry.retryAt > 0 {
+			entry.retryAt += by
 		}
 	}
 }
 
 func (p *probes) dropPeriodic() {
-	delete(p.pending, p.periodic)
-	p.periodic = 0
+	delete(p.pending, p.periodicSeq)
+	p.periodicSeq = 0
 }
 
 // smooth moves a mean round-trip time by a fraction of the difference to a new measurement; the first one counts whole.
@@ -112,8 +112,8 @@
 
 // answerTimeout is how long an answer may take before others are asked.
 func (m *Membership) answerTimeout() time.Duration {
-	usual := time.Duration(answerRoundTrips * float64(m.probes.rtt))
-	return m.stretch(min(max(usual, minAnswerTimeout), maxAnswerTimeout))
+	expected := time.Duration(answerRoundTrips * float64(m.probes.rtt))
+	return m.stretch(min(max(expected, minAnswerTimeout), maxAnswerTimeout))
 }
 
 // startProbe sends a Ping. To a member that is not believed alive the Ping carries that claim, for only that one can
@@ -130,23 +130,23 @@
 	return seq
 }
 
-// serveProbes retransmits probes that are unanswered, and ends those whose deadline has passed.
-func (m *Membership) serveProbes() {
-	for _, seq := range m.probes.inOrder() {
-		one := m.probes.pending[seq]
-		if one.retryAt > 0 && m.now >= one.retryAt {
-			m.retryProbe(seq, one)
+// handleDueProbes retransmits probes that are unanswered, and ends those whose deadline has passed.
+func (m *Membership) handleDueProbes() {
+	for _, seq := range m.probes.sortedSeqs() {
+		p := m.probes.pending[seq]
+		if p.retryAt > 0 && m.now >= p.retryAt {
+			m.retryProbe(seq, p)
 		}
-		if m.now < one.deadline {
+		if m.now < p.deadline {
 			continue
 		}
-		switch one.kind {
+		switch p.kind {
 		case periodicProbe:
 			continue // the end of the period sees to it
 		case relayedProbe:
-			m.sendTo(one.origin, &gossipcodec.Message{Kind: gossipcodec.Nack, Seq: one.originSeq}, nil)
+			m.sendTo(p.origin, &gossipcodec.Message{Kind: gossipcodec.Nack, Seq: p.originSeq}, nil)
 		case verificationProbe:
-			m.confirmUnanswered(one)
+			m.confirmUnanswered(p)
 		}
 		delete(m.probes.pending, seq)
 	}
@@ -154,38 +154,38 @@
 
 // retryProbe sends an unanswered Ping again: the first time through helpers too, and once more half-way to its
 // deadline.
-func (m *Membership) retryProbe(seq uint64, one *probe) {
-	one.retryAt = 0
-	peer := m.table.byName[one.target]
+func (m *Membership) retryProbe(seq uint64, p *probe) {
+	p.retryAt = 0
+	peer := m.table.byName[p.target]
 	if peer == nil {
 		return
 	}
 	m.send(peer, &gossipcodec.Message{Kind: gossipcodec.Ping, Seq: seq}, nil)
-	if one.retransmits++; one.retransmits < maxRetransmits {
-		one.retryAt = m.now + max((one.deadline-m.now)/2, minAnswerTimeout)
+	if p.retransmits++; p.retransmits < maxRetransmits {
+		p.retryAt = m.now + max((p.deadline-m.now)/2, minAnswerTimeout)
 	}
-	if one.retransmits == 1 {
-		m.probeIndirectly(seq, one, peer)
+	if p.retransmits == 1 {
+		m.probeIndirectly(seq, p, peer)
 	}
 }
 
 // probeIndirectly asks helpers to ping a member. They pass a suspicion on to the suspect, for it alone can refute it,
 // and this gateway's own datagrams may not reach it.
-func (m *Membership) probeIndirectly(seq uint64, one *probe, peer *member) {
+func (m *Membership) probeIndirectly(seq uint64, p *probe, peer *member) {
 	var about *gossipcodec.Claim
 	if peer.State == gossipcodec.Suspect {
 		c := peer.claim("")
 		about = &c
 	}
-	for _, helper := range m.randomPeers(indirectProbes, one.target) {
-		one.helpers++
-		m.send(helper, &gossipcodec.Message{Kind: gossipcodec.PingRequest, Seq: seq, Target: one.target}, about)
+	for _, helper := range m.randomPeers(indirectProbes, p.target) {
+		p.helpers++
+		m.send(helper, &gossipcodec.Message{Kind: gossipcodec.PingRequest, Seq: seq, Target: p.target}, about)
 	}
 }
 
 // confirmUnanswered counts this gateway among those that suspect a member, once its own probe was not answered either.
-func (m *Membership) confirmUnanswered(one *probe) {
-	peer := m.table.byName[one.target]
+func (m *Membership) confirmUnanswered(p *probe) {
+	peer := m.table.byName[p.target]
 	if peer != nil && peer.State == gossipcodec.Suspect && peer.suspicion.verifyingUntil == 0 {
 		m.confirmSuspicion(peer, m.cfg.Name)
 	}
@@ -193,31 +193,31 @@
 
 // acknowledge takes the answer to a probe.
 func (m *Membership) acknowledge(msg *gossipcodec.Message) {
-	one := m.probes.pending[msg.Seq]
-	if one == nil {
+	p := m.probes.pending[msg.Seq]
+	if p == nil {
 		return
 	}
-	if one.kind == relayedProbe {
+	if p.kind == relayedProbe {
 		delete(m.probes.pending, msg.Seq)
-		m.sendTo(one.origin, &gossipcodec.Message{Kind: gossipcodec.Ack, Seq: one.originSeq}, nil)
+		m.sendTo(p.origin, &gossipcodec.Message{Kind: gossipcodec.Ack, Seq: p.originSeq}, nil)
 		return
 	}
-	m.noteAnswer(one, msg.From == one.target)
-	if one.kind != periodicProbe {
+	m.recordAnswer(p, msg.From == p.target)
+	if p.kind != periodicProbe {
 		delete(m.probes.pending, msg.Seq)
 	}
 }
 
-// noteAnswer notes that a member lives, as itself or a helper says. A suspect must refute the suspicion itself, as
+// recordAnswer notes that a member lives, as itself or a helper says. A suspect must refute the suspicion itself, as
 // others believe nobody else, and gets another term to do so.
-func (m *Membership) noteAnswer(one *probe, direct bool) {
-	one.answered, one.retryAt = true, 0
-	peer := m.table.byName[one.target]
+func (m *Membership) recordAnswer(p *probe, direct bool) {
+	p.answered, p.retryAt = true, 0
+	peer := m.table.byName[p.target]
 	if peer == nil {
 		return
 	}
 	if direct {
-		trip := m.now - one.sentAt
+		trip := m.now - p.sentAt
 		peer.RTT = smooth(peer.RTT, trip, 4)
 		m.probes.rtt = smooth(m.probes.rtt, trip, 16)
 	}
--- a/internal/membership/probe_schedule.go
+++ b/internal/membership/probe_schedule.go
@@ -6,33 +6,33 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// outcomeWindow is how many of the last periodic probes the share of those answered is taken over.
-const outcomeWindow = 16
+// resultWindow is how many of the last periodic probes the share of those answered is taken over.
+const resultWindow = 16
 
 // probeResults remembers whether the last periodic probes were answered.
 type probeResults struct {
-	answered [outcomeWindow]bool
+	answered [resultWindow]bool
 	count    int // since the start
 }
 
-func (o *probeResults) add(answered bool) {
-	o.answered[o.count%outcomeWindow] = answered
-	o.count++
+func (r *probeResults) add(answered bool) {
+	r.answered[r.count%resultWindow] = answered
+	r.count++
 }
 
-// answering is the share that was answered, 0 to 1; 1 while there is none.
-func (o *probeResults) answering() float64 {
-	n := min(o.count, outcomeWindow)
+// answeredShare is the share that was answered, 0 to 1; 1 while there is none.
+func (r *probeResults) answeredShare() float64 {
+	n := min(r.count, resultWindow)
 	if n == 0 {
 		return 1
 	}
-	yes := 0
-	for _, answered := range o.answered[:n] {
+	answeredCount := 0
+	for _, answered := range r.answered[:n] {
 		if answered {
-			yes++
+			answeredCount++
 		}
 	}
-	return float64(yes) / float64(n)
+	return float64(answeredCount) / float64(n)
 }
 
 // probeSchedule picks whom each protocol period probes: in turn the next member by name, so that somebody probes each
@@ -44,7 +44,7 @@
 
 // nextTarget is whom to probe, or nil while nobody is live.
 func (m *Membership) nextTarget() *member {
-	if m.schedule.period%2 == 0 && !m.without.has(RingProbing) {
+	if m.schedule.period%2 == 0 && !m.disabled.includes(RingProbing) {
 		if peer := m.successor(); peer != nil {
 			return peer
 		}
@@ -74,9 +74,9 @@
 // successor is the next alive member by name after this gateway, round the end; nil if there is none.
 func (m *Membership) successor() *member {
 	sorted := m.table.sorted
-	at := m.table.search(m.cfg.Name)
+	start := m.table.position(m.cfg.Name)
 	for i := range len(sorted) {
-		if peer := sorted[(at+i)%len(sorted)]; peer.live() && peer.State == gossipcodec.Alive {
+		if peer := sorted[(start+i)%len(sorted)]; peer.live() && peer.State == gossipcodec.Alive {
 			return peer
 		}
 	}
@@ -92,33 +92,33 @@
 		return
 	}
 	deadline := m.now + m.stretch(protocolPeriod) - time.Millisecond
-	m.probes.periodic = m.startProbe(peer, periodicProbe, deadline, m.now+m.answerTimeout())
+	m.probes.periodicSeq = m.startProbe(peer, periodicProbe, deadline, m.now+m.answerTimeout())
 }
 
 // endProtocolPeriod takes a probe without an answer for a sign against the member, or against this gateway.
 func (m *Membership) endProtocolPeriod() {
-	one := m.probes.pending[m.probes.periodic]
-	if one == nil {
+	p := m.probes.pending[m.probes.periodicSeq]
+	if p == nil {
 		return
 	}
 	m.probes.dropPeriodic()
-	m.probes.outcomes.add(one.answered)
-	if one.answered {
+	m.probes.results.add(p.answered)
+	if p.answered {
 		m.awareness.improve()
 		return
 	}
-	if one.nacks < one.helpers { // helpers that live would have said so
+	if p.nacks < p.helpers { // helpers that live would have said so
 		m.awareness.degrade(1)
 	}
-	peer := m.table.byName[one.target]
-	if peer == nil || peer.State > gossipcodec.Suspect || peer.lastHeard > one.sentAt+protocolPeriod/4 {
+	peer := m.table.byName[p.target]
+	if peer == nil || peer.State > gossipcodec.Suspect || peer.lastReceived > p.sentAt+protocolPeriod/4 {
 		return
 	}
 	if peer.State == gossipcodec.Suspect {
-		m.confirmUnanswered(one)
+		m.confirmUnanswered(p)
 		return
 	}
 	c := peer.claim(m.cfg.Name)
 	c.State = gossipcodec.Suspect
-	m.adopt(peer, &c)
+	m.acceptClaim(peer, &c)
 }
--- a/internal/membership/probe_schedule_test.go
+++ b/internal/membership/probe_schedule_test.go
@@ -4,20 +4,20 @@
 	"testing"
 )
 
-func TestOutcomesKeepTheLastOnes(t *testing.T) {
-	var o probeResults
-	if o.answering() != 1 {
-		t.Errorf("without a probe: %v", o.answering())
+func TestProbeResultsKeepARollingWindow(t *testing.T) {
+	var r probeResults
+	if r.answeredShare() != 1 {
+		t.Errorf("without a probe: %v", r.answeredShare())
 	}
-	o.add(false)
-	o.add(true)
-	if o.answering() != 0.5 {
-		t.Errorf("one of two: %v", o.answering())
+	r.add(false)
+	r.add(true)
+	if r.answeredShare() != 0.5 {
+		t.Errorf("one of two: %v", r.answeredShare())
 	}
-	for range outcomeWindow {
-		o.add(true)
+	for range resultWindow {
+		r.add(true)
 	}
-	if o.answering() != 1 {
-		t.Errorf("the last ones: %v", o.answering())
+	if r.answeredShare() != 1 {
+		t.Errorf("the last ones: %v", r.answeredShare())
 	}
 }
--- a/internal/membership/probe_test.go
+++ b/internal/membership/probe_test.go
@@ -9,8 +9,8 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// sent parses what a membership wants sent, by kind.
-func sent(t *testing.T, m *Membership, kind gossipcodec.Kind) (to []netip.AddrPort, messages []*gossipcodec.Message) {
+// takeSent parses what a membership wants sent, by kind.
+func takeSent(t *testing.T, m *Membership, kind gossipcodec.Kind) (to []netip.AddrPort, messages []*gossipcodec.Message) {
 	t.Helper()
 	for _, d := range m.Take() {
 		msg, err := gossipcodec.Parse(d.Data)
@@ -31,11 +31,11 @@
 	}
 }
 
-func TestProbesPostponeWhatWaits(t *testing.T) {
-	p := probes{pending: make(map[uint64]*probe), seq: 7}
+func TestPostponeMovesProbeDeadlines(t *testing.T) {
+	p := probes{pending: make(map[uint64]*probe), lastSeq: 7}
 	verification := p.add(&probe{kind: verificationProbe, deadline: 5 * time.Second})
-	p.periodic = p.add(&probe{kind: periodicProbe, deadline: time.Second, retryAt: 2 * time.Second})
-	if got := p.inOrder(); len(got) != 2 || got[0] != verification || got[1] != p.periodic {
+	p.periodicSeq = p.add(&probe{kind: periodicProbe, deadline: time.Second, retryAt: 2 * time.Second})
+	if got := p.sortedSeqs(); len(got) != 2 || got[0] != verification || got[1] != p.periodicSeq {
 		t.Errorf("in order: %v", got)
 	}
 	if got := p.nextDeadline(); got != 2*time.Second { // a periodic probe ends with its period
@@ -46,7 +46,7 @@
 		t.Errorf("next deadline after a stall %v", got)
 	}
 	p.dropPeriodic()
-	if got := p.nextDeadline(); got != 6*time.Second || p.periodic != 0 {
+	if got := p.nextDeadline(); got != 6*time.Second || p.periodicSeq != 0 {
 		t.Errorf("without the periodic one %v", got)
 	}
 }
@@ -74,7 +74,7 @@
 }
 
 // Guards against a member that died and stays alive, or that is gone without a suspicion, helpers and a last probe.
-func TestAnUnansweredMemberIsSuspectedVerifiedAndGone(t *testing.T) {
+func TestUnansweredMemberIsSuspectedVerifiedAndRemoved(t *testing.T) {
 	m := newMembership(t, func(c *Config) { c.SeedPeers = append(c.SeedPeers, SeedPeer{"d", addr(4)}) })
 	m.Receive(epoch, addr(2), datagram("b", 900, gossipcodec.Ping))
 	m.Receive(epoch, addr(3), datagram("c", 900, gossipcodec.Ping))
@@ -119,16 +119,16 @@
 }
 
 // Guards against a process that was stopped and takes the silence that it could not hear for the others' death.
-func TestAStalledProcessSuspectsNobody(t *testing.T) {
+func TestStalledProcessSuspectsNobody(t *testing.T) {
 	m := newMembership(t, nil)
 	m.Receive(epoch, addr(2), datagram("b", 900, gossipcodec.Ping))
 	advance(m, epoch+100*time.Millisecond)
-	pending := m.probes.periodic
+	pending := m.probes.periodicSeq
 	if pending == 0 {
 		t.Fatal("nobody is probed")
 	}
-	stalled := m.NextWake() + 3*time.Second
-	m.Advance(stalled)
+	resumedAt := m.NextWake() + 3*time.Second
+	m.Advance(resumedAt)
 	if got, _ := m.Find("b"); got.State != gossipcodec.Alive {
 		t.Errorf("b is %v", got.State)
 	}
@@ -146,19 +146,19 @@
 	request := gossipcodec.Append(nil, &gossipcodec.Message{
 		Cluster: "f", From: "b", Start: 900, Kind: gossipcodec.PingRequest, Seq: 77, Target: "c"})
 	m.Receive(epoch, addr(2), request)
-	to, pings := sent(t, m, gossipcodec.Ping)
+	to, pings := takeSent(t, m, gossipcodec.Ping)
 	if len(pings) != 1 || to[0] != addr(3) {
 		t.Fatalf("pings to %v", to)
 	}
 	m.Receive(epoch, addr(3), gossipcodec.Append(nil,
 		&gossipcodec.Message{Cluster: "f", From: "c", Start: 900, Kind: gossipcodec.Ack, Seq: pings[0].Seq}))
-	if to, acks := sent(t, m, gossipcodec.Ack); len(acks) != 1 || to[0] != addr(2) || acks[0].Seq != 77 {
+	if to, acks := takeSent(t, m, gossipcodec.Ack); len(acks) != 1 || to[0] != addr(2) || acks[0].Seq != 77 {
 		t.Errorf("acks to %v", to)
 	}
 	m.Receive(epoch, addr(2), request)
 	m.Take()
 	m.Advance(epoch + relayTimeout)
-	if to, nacks := sent(t, m, gossipcodec.Nack); len(nacks) != 1 || to[0] != addr(2) || nacks[0].Seq != 77 {
+	if to, nacks := takeSent(t, m, gossipcodec.Nack); len(nacks) != 1 || to[0] != addr(2) || nacks[0].Seq != 77 {
 		t.Errorf("nacks to %v", to)
 	}
 }
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -13,18 +13,18 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// machine drives one membership by whatever others may send and time may do, beside the little that must hold at any
+// stateMachine drives one membership by whatever others may send and time may do, beside the little that must hold at any
 // moment.
-type machine struct {
+type stateMachine struct {
 	*Membership
-	at        time.Duration
-	flat      bool
-	seedPeers []SeedPeer
-	strongest map[string]process // the strongest claim that anybody could have made, by name
-	own       process
-	left      bool
-	sent      int
-	version   uint64
+	clock       time.Duration
+	flat        bool
+	seedPeers   []SeedPeer
+	strongest   map[string]process // the strongest claim that anybody could have made, by name
+	ownProcess  process
+	hasLeft     bool
+	sentCount   int
+	lastVersion uint64
 }
 
 // process is a process of a member as claims order them.
@@ -50,25 +50,25 @@
 	return out
 }
 
-func newMachine(t *rapid.T) *machine {
-	d := &machine{at: epoch, flat: rapid.Bool().Draw(t, "flat"), strongest: make(map[string]process),
-		own: process{1000, 1}, seedPeers: []SeedPeer{{"b", addr(2)}, {"c", addr(3)}, {"d", addr(4)}}}
-	m, err := New(Config{Cluster: "f", Name: "a", Start: 1000, SeedPeers: d.seedPeers, Flat: d.flat,
+func newMachine(t *rapid.T) *stateMachine {
+	s := &stateMachine{clock: epoch, flat: rapid.Bool().Draw(t, "flat"), strongest: make(map[string]process),
+		ownProcess: process{1000, 1}, seedPeers: []SeedPeer{{"b", addr(2)}, {"c", addr(3)}, {"d", addr(4)}}}
+	m, err := New(Config{Cluster: "f", Name: "a", Start: 1000, SeedPeers: s.seedPeers, Flat: s.flat,
 		Payload: []byte{7}, Seed: rapid.Uint64().Draw(t, "seed")}, epoch)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Membership = m
-	return d
+	s.Membership = m
+	return s
 }
 
-func (d *machine) pass(t *rapid.T) {
-	d.at += rapid.SampledFrom([]time.Duration{0, time.Millisecond, 50 * time.Millisecond, 400 * time.Millisecond,
+func (s *stateMachine) passTime(t *rapid.T) {
+	s.clock += rapid.SampledFrom([]time.Duration{0, time.Millisecond, 50 * time.Millisecond, 400 * time.Millisecond,
 		3 * time.Second, 20 * time.Second, 6 * time.Minute}).Draw(t, "passes")
 }
 
 // receive takes a datagram that some member fills as it likes, from an address that may be another's.
-func (d *machine) receive(t *rapid.T) {
+func (s *stateMachine) receive(t *rapid.T) {
 	from := drawName.Draw(t, "from")
 	source := rapid.SampledFrom([]netip.AddrPort{addr(2), addr(3), addr(4), addr(9)}).Draw(t, "source")
 	msg := gossipcodec.Message{
@@ -94,15 +94,15 @@
 	if rapid.IntRange(0, 9).Draw(t, "corrupt") == 0 && len(b) > 0 {
 		b[rapid.IntRange(0, len(b)-1).Draw(t, "byte")] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 	}
-	d.noteClaims(b)
-	d.Receive(d.at, source, b)
+	s.recordClaims(b)
+	s.Receive(s.clock, source, b)
 }
 
-// noteClaims notes what a datagram says, as it is after it was corrupted.
-func (d *machine) noteClaims(b []byte) {
+// recordClaims notes what a datagram says, as it is after it was corrupted.
+func (s *stateMachine) recordClaims(b []byte) {
 	note := func(name string, p process) {
-		if d.strongest[name].less(p) {
-			d.strongest[name] = p
+		if s.strongest[name].less(p) {
+			s.strongest[name] = p
 		}
 	}
 	msg, err := gossipcodec.Parse(b)
@@ -115,57 +115,57 @@
 	}
 }
 
-func (d *machine) receiveNoise(t *rapid.T) {
-	d.Receive(d.at, addr(2), rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "bytes"))
+func (s *stateMachine) receiveRandomBytes(t *rapid.T) {
+	s.Receive(s.clock, addr(2), rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "bytes"))
 }
 
-func (d *machine) advance(t *rapid.T) {
-	if d.Advance(d.at); d.NextWake() <= d.at {
-		t.Fatalf("advanced in time it wants to be advanced at once, at %v", d.NextWake()-d.at)
+func (s *stateMachine) advance(t *rapid.T) {
+	if s.Advance(s.clock); s.NextWake() <= s.clock {
+		t.Fatalf("advanced in time it wants to be advanced at once, at %v", s.NextWake()-s.clock)
 	}
 }
 
-func (d *machine) setSeedPeers(t *rapid.T) {
-	list := slices.Clone(d.seedPeers[:rapid.IntRange(0, len(d.seedPeers)).Draw(t, "seed peers")])
-	if err := d.SetSeedPeers(d.at, list); err != nil {
+func (s *stateMachine) setSeedPeers(t *rapid.T) {
+	list := slices.Clone(s.seedPeers[:rapid.IntRange(0, len(s.seedPeers)).Draw(t, "seed peers")])
+	if err := s.SetSeedPeers(s.clock, list); err != nil {
 		t.Fatal(err)
 	}
-	if err := d.SetSeedPeers(d.at, append(list, SeedPeer{Name: "z"})); err == nil {
+	if err := s.SetSeedPeers(s.clock, append(list, SeedPeer{Name: "z"})); err == nil {
 		t.Fatal("faulty seed peers were taken")
 	}
-	if len(d.seeds) != len(list) {
-		t.Fatalf("faulty seed peers changed those in force: %d for %d", len(d.seeds), len(list))
+	if len(s.seeds) != len(list) {
+		t.Fatalf("faulty seed peers changed those in force: %d for %d", len(s.seeds), len(list))
 	}
 }
 
-func (d *machine) setPayload(t *rapid.T) {
+func (s *stateMachine) setPayload(t *rapid.T) {
 	payload := rapid.SliceOfN(rapid.Byte(), 0, gossipcodec.MaxPayload).Draw(t, "payload")
-	if err := d.SetPayload(d.at, payload); err != nil {
+	if err := s.SetPayload(s.clock, payload); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (d *machine) leave(t *rapid.T) {
+func (s *stateMachine) leave(t *rapid.T) {
 	if rapid.IntRange(0, 19).Draw(t, "leaves") > 0 {
 		return
 	}
-	d.Leave(d.at)
-	d.Take()
-	d.left = true
+	s.Leave(s.clock)
+	s.Take()
+	s.hasLeft = true
 }
 
 // check is what must hold whatever happened.
-func (d *machine) check(t *rapid.T) {
-	d.checkSent(t)
-	d.checkMembers(t)
-	d.checkStatus(t)
-	d.checkDigest(t)
-	d.checkBounds(t)
+func (s *stateMachine) check(t *rapid.T) {
+	s.checkSent(t)
+	s.checkMembers(t)
+	s.checkStatus(t)
+	s.checkDigest(t)
+	s.checkBounds(t)
 }
 
-func (d *machine) checkSent(t *rapid.T) {
-	out := d.Take()
-	d.sent += len(out)
+func (s *stateMachine) checkSent(t *rapid.T) {
+	out := s.Take()
+	s.sentCount += len(out)
 	for _, sent := range out {
 		msg, err := gossipcodec.Parse(sent.Data)
 		switch {
@@ -173,67 +173,67 @@
 			t.Fatalf("it sends what cannot be read: %v, %d bytes", err, len(sent.Data))
 		case msg.From != "a" || msg.Cluster != "f":
 			t.Fatalf("it speaks as %s of %s", msg.From, msg.Cluster)
-		case d.left:
+		case s.hasLeft:
 			t.Fatal("it speaks after it has left")
-		case !d.flat && !slices.ContainsFunc(d.seedPeers, func(p SeedPeer) bool { return p.Addr == sent.To }):
+		case !s.flat && !slices.ContainsFunc(s.seedPeers, func(p SeedPeer) bool { return p.Addr == sent.To }):
 			t.Fatalf("it sends to %v, which is no seed peer", sent.To)
 		}
 	}
-	if most := sendBurst*2 + sendRate*(d.at-epoch).Seconds() + maxRepairPages; float64(d.sent) > most {
-		t.Fatalf("%d datagrams in %v", d.sent, d.at-epoch)
+	if limit := sendBurst*2 + sendRateLimit*(s.clock-epoch).Seconds() + maxRepairPages; float64(s.sentCount) > limit {
+		t.Fatalf("%d datagrams in %v", s.sentCount, s.clock-epoch)
 	}
 }
 
-func (d *machine) checkMembers(t *rapid.T) {
-	list := d.Members()
-	for i, one := range list {
-		if i > 0 && list[i-1].Name >= one.Name {
-			t.Fatalf("out of order: %s, %s", list[i-1].Name, one.Name)
+func (s *stateMachine) checkMembers(t *rapid.T) {
+	list := s.Members()
+	for i, suspect := range list {
+		if i > 0 && list[i-1].Name >= suspect.Name {
+			t.Fatalf("out of order: %s, %s", list[i-1].Name, suspect.Name)
 		}
-		got := process{one.Start, one.Incarnation}
-		if one.Name == "a" {
-			if one.State != gossipcodec.Alive || got.less(d.own) {
-				t.Fatalf("of itself: %d at %+v after %+v", one.State, got, d.own)
+		got := process{suspect.Start, suspect.Incarnation}
+		if suspect.Name == "a" {
+			if suspect.State != gossipcodec.Alive || got.less(s.ownProcess) {
+				t.Fatalf("of itself: %d at %+v after %+v", suspect.State, got, s.ownProcess)
 			}
-			d.own = got
+			s.ownProcess = got
 			continue
 		}
-		if d.strongest[one.Name].less(got) {
-			t.Fatalf("it has %s at %+v, and nobody claimed more than %+v", one.Name, got, d.strongest[one.Name])
+		if s.strongest[suspect.Name].less(got) {
+			t.Fatalf("it has %s at %+v, and nobody claimed more than %+v", suspect.Name, got, s.strongest[suspect.Name])
 		}
 	}
 }
 
-func (d *machine) checkStatus(t *rapid.T) {
-	st := d.Status(d.at)
-	if st.Version < d.version {
-		t.Fatalf("version %d after %d", st.Version, d.version)
+func (s *stateMachine) checkStatus(t *rapid.T) {
+	st := s.Status(s.clock)
+	if st.Version < s.lastVersion {
+		t.Fatalf("version %d after %d", st.Version, s.lastVersion)
 	}
-	d.version = st.Version
+	s.lastVersion = st.Version
 	if st.Alive < 1 || st.Known < st.Alive || st.Settled && !st.Majority || st.Majority && 2*st.Alive <= st.Known {
 		t.Fatalf("%+v", st)
 	}
 }
 
-func (d *machine) checkDigest(t *rapid.T) {
-	anew := table{}
-	for _, one := range append(slices.Clone(d.table.sorted), &d.self) {
+func (s *stateMachine) checkDigest(t *rapid.T) {
+	recomputed := table{}
+	for _, one := range append(slices.Clone(s.table.sorted), &s.self) {
 		c := *one
 		c.hash = 0
-		anew.updateDigest(&c)
+		recomputed.updateDigest(&c)
 	}
-	if anew.digest != d.table.digest || anew.bucketSums != d.table.bucketSums {
+	if recomputed.digest != s.table.digest || recomputed.bucketSums != s.table.bucketSums {
 		t.Fatal("the digest is not that of the members")
 	}
 }
 
-func (d *machine) checkBounds(t *rapid.T) {
-	known, pending := len(d.table.sorted), len(d.probes.pending)
-	if len(d.suspects) > known || d.queue.len() > known+1 || pending > 64+4*maxReconnectProbes {
+func (s *stateMachine) checkBounds(t *rapid.T) {
+	known, pending := len(s.table.sorted), len(s.probes.pending)
+	if len(s.suspects) > known || s.queue.len() > known+1 || pending > 64+4*maxReconnectProbes {
 		t.Fatalf("%d suspects, %d claims to send, %d probes of %d members",
-			len(d.suspects), d.queue.len(), pending, known)
+			len(s.suspects), s.queue.len(), pending, known)
 	}
-	for _, one := range d.suspects {
+	for _, one := range s.suspects {
 		if one.State != gossipcodec.Suspect || one.suspicion == nil {
 			t.Fatalf("%s is listed as a suspect and is %d", one.Name, one.State)
 		}
@@ -241,25 +241,25 @@
 }
 
 // Guards against any order of datagrams, times and settings that breaks a bound, an order of claims or the digest.
-func TestMembershipAsAStateMachine(t *testing.T) {
+func TestMembershipStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newMachine(t)
+		s := newMachine(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"pass":         d.pass,
-			"receive":      d.receive,
-			"receiveNoise": d.receiveNoise,
-			"advance":      d.advance,
-			"setSeedPeers": d.setSeedPeers,
-			"setPayload":   d.setPayload,
-			"leave":        d.leave,
-			"":             d.check,
+			"pass":         s.passTime,
+			"receive":      s.receive,
+			"receiveNoise": s.receiveRandomBytes,
+			"advance":      s.advance,
+			"setSeedPeers": s.setSeedPeers,
+			"setPayload":   s.setPayload,
+			"leave":        s.leave,
+			"":             s.check,
 		})
 	})
 }
 
 // Guards against memberships that differ for ever: those given the same claims about living members in different orders
 // believe the same.
-func TestOrderOfClaimsDoesNotMatter(t *testing.T) {
+func TestClaimOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var claims []gossipcodec.Claim
 		for range rapid.IntRange(1, 12).Draw(t, "claims") {
@@ -271,14 +271,14 @@
 				State: state, Payload: fmt.Append(nil, start, incarnation)})
 		}
 		permuted := rapid.Permutation(claims).Draw(t, "order")
-		if x, y := believed(t, claims), believed(t, permuted); !slices.Equal(x, y) {
+		if x, y := membersAfter(t, claims), membersAfter(t, permuted); !slices.Equal(x, y) {
 			t.Fatalf("%v\nin another order\n%v", x, y)
 		}
 	})
 }
 
-// believed is what a membership believes after some claims.
-func believed(t *rapid.T, claims []gossipcodec.Claim) (out []string) {
+// membersAfter is what a membership believes after some claims.
+func membersAfter(t *rapid.T, claims []gossipcodec.Claim) (out []string) {
 	m, err := New(Config{Cluster: "f", Name: "a", Start: 1000, SeedPeers: []SeedPeer{{"b", addr(2)}},
 		Flat: true}, epoch)
 	if err != nil {
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -27,15 +27,15 @@
 		m.answerEarlierProcess(peer, from, msg)
 		return
 	}
-	peer.lastHeard = m.now
+	peer.lastReceived = m.now
 	for i := range msg.Claims {
-		m.apply(&msg.Claims[i], msg.From)
+		m.applyClaim(&msg.Claims[i], msg.From)
 	}
 	if peer.Start < msg.Start { // it speaks, and has not said more of itself
-		m.adopt(peer, &gossipcodec.Claim{Name: peer.Name, Start: msg.Start})
+		m.acceptClaim(peer, &gossipcodec.Claim{Name: peer.Name, Start: msg.Start})
 	}
-	if peer.State >= gossipcodec.Gone && m.now-peer.lastCalledBack > reconnectInterval/2 {
-		peer.lastCalledBack = m.now
+	if peer.State >= gossipcodec.Gone && m.now-peer.lastReconnectProbe > reconnectInterval/2 {
+		peer.lastReconnectProbe = m.now
 		m.startProbe(peer, reconnectProbe, m.now+protocolPeriod, 0) // it hears what is said of it, and can refute it
 	}
 	m.answer(peer, from, msg)
@@ -53,7 +53,7 @@
 	case msg.Cluster != m.cfg.Cluster:
 		m.counts.OtherCluster++
 		return nil
-	case msg.Start > m.latestStart():
+	case msg.Start > m.latestPlausibleStart():
 		m.counts.Malformed++
 		return nil
 	case m.leaving:
@@ -76,7 +76,7 @@
 	}
 	peer := m.table.byName[msg.From]
 	if peer == nil {
-		if peer = m.enter(&gossipcodec.Claim{Name: msg.From}); peer == nil {
+		if peer = m.addMember(&gossipcodec.Claim{Name: msg.From}); peer == nil {
 			return nil
 		}
 	}
@@ -90,10 +90,10 @@
 // clock of its machine went back: by that claim it learns to take a later start. Where both live, each is notified of
 // the other.
 func (m *Membership) answerEarlierProcess(peer *member, from netip.AddrPort, msg *gossipcodec.Message) {
-	if m.now-peer.duplicateNotified <= duplicateNotifyInterval {
+	if m.now-peer.duplicateNotifiedAt <= duplicateNotifyInterval {
 		return
 	}
-	peer.duplicateNotified = m.now
+	peer.duplicateNotifiedAt = m.now
 	if peer.State >= gossipcodec.Gone {
 		c := peer.claim("")
 		m.sendTo(from, &gossipcodec.Message{Kind: gossipcodec.Gossip}, &c)
@@ -111,8 +111,8 @@
 	case gossipcodec.Ack:
 		m.acknowledge(msg)
 	case gossipcodec.Nack:
-		if one := m.probes.pending[msg.Seq]; one != nil {
-			one.nacks++
+		if p := m.probes.pending[msg.Seq]; p != nil {
+			p.nacks++
 		}
 	case gossipcodec.PingRequest:
 		m.relayProbe(from, msg)
@@ -121,7 +121,7 @@
 			m.duplicateSeen = m.now
 		}
 	case gossipcodec.Digest:
-		m.repair(peer, msg)
+		m.answerDigest(peer, msg)
 	}
 }
 
--- a/internal/membership/receive_test.go
+++ b/internal/membership/receive_test.go
@@ -29,7 +29,7 @@
 }
 
 // Guards against a flood of new names that takes all memory.
-func TestMembersAreBounded(t *testing.T) {
+func TestMemberCountIsBounded(t *testing.T) {
 	m := newMembership(t, func(c *Config) { c.Flat = true })
 	for n := range MaxMembers + 50 {
 		m.Receive(epoch, addr(9), datagram(fmt.Sprint("x-", n), 1, gossipcodec.Gossip))
@@ -40,7 +40,7 @@
 }
 
 // Guards against a flood of requests that is answered without bound. Acks and repair pages count too.
-func TestFloodsAreAnsweredWithinTheLimit(t *testing.T) {
+func TestRequestFloodsStayWithinTheSendLimit(t *testing.T) {
 	sums := make([]uint32, gossipcodec.Buckets)
 	for i := range sums {
 		sums[i] = uint32(i + 1) // every bucket differs
@@ -71,8 +71,8 @@
 				}
 				sent += len(m.Take())
 			}
-			if most := int(2*sendBurst + seconds*sendRate); sent > most || sent < seconds*int(sendRate)/2 {
-				t.Errorf("%d datagrams in %d s, %d at most", sent, seconds, most)
+			if limit := int(2*sendBurst + seconds*sendRateLimit); sent > limit || sent < seconds*int(sendRateLimit)/2 {
+				t.Errorf("%d datagrams in %d s, %d at most", sent, seconds, limit)
 			}
 		})
 	}
--- a/internal/membership/seeds.go
+++ b/internal/membership/seeds.go
@@ -23,20 +23,20 @@
 type seedPeers map[string]netip.AddrPort
 
 // newSeedPeers checks a list of seed peers.
-func newSeedPeers(list []SeedPeer, own string) (seedPeers, error) {
+func newSeedPeers(list []SeedPeer, ownName string) (seedPeers, error) {
 	const field = "SeedPeers"
 	byName, byAddr := make(seedPeers, len(list)), make(map[netip.AddrPort]string, len(list))
 	for _, p := range list {
-		_, twice := byName[p.Name]
-		other, taken := byAddr[p.Addr]
+		_, duplicateName := byName[p.Name]
+		other, duplicateAddr := byAddr[p.Addr]
 		switch {
 		case !gossipcodec.ValidName(p.Name):
 			return nil, configErrorf(field, "%q in the book is no name", p.Name)
 		case !p.Addr.IsValid() || p.Addr.Port() == 0:
 			return nil, configErrorf(field, "%s has no address in the book", p.Name)
-		case twice:
+		case duplicateName:
 			return nil, configErrorf(field, "%s stands twice in the book", p.Name)
-		case taken:
+		case duplicateAddr:
 			return nil, configErrorf(field, "%s and %s have one address in the book", p.Name, other)
 		}
 		byName[p.Name], byAddr[p.Addr] = p.Addr, p.Name
@@ -44,7 +44,7 @@
 	if len(byName) > MaxMembers {
 		return nil, configErrorf(field, "%d gateways in the book, %d at most", len(byName), MaxMembers)
 	}
-	delete(byName, own)
+	delete(byName, ownName)
 	return byName, nil
 }
 
@@ -90,14 +90,14 @@
 	}
 	slices.Sort(names)
 	for range min(joinFanout, len(names)) {
-		at := m.rng.IntN(len(names))
-		m.greet(names[at])
-		names = slices.Delete(names, at, at+1)
+		index := m.rng.IntN(len(names))
+		m.pingSeedPeer(names[index])
+		names = slices.Delete(names, index, index+1)
 	}
 }
 
-// greet probes a seed peer that was never heard of.
-func (m *Membership) greet(name string) {
+// pingSeedPeer probes a seed peer that was never heard of.
+func (m *Membership) pingSeedPeer(name string) {
 	self := m.self.claim("")
 	seq := m.probes.add(&probe{kind: reconnectProbe, target: name, sentAt: m.now, deadline: m.now + protocolPeriod})
 	m.sendTo(m.seeds[name], &gossipcodec.Message{Kind: gossipcodec.Ping, Seq: seq}, &self)
@@ -106,7 +106,7 @@
 // reconnect probes some of those believed gone or never heard of, so that the halves of a healed partition find each
 // other and each member can refute its removal.
 func (m *Membership) reconnect() {
-	if m.without.has(Reconnection) {
+	if m.disabled.includes(Reconnection) {
 		return
 	}
 	var gone []*member
@@ -121,11 +121,11 @@
 		return
 	}
 	for range min(maxReconnectProbes, 1+lost/lostPerProbe) {
-		at := m.rng.IntN(lost)
-		if at < len(gone) {
-			m.startProbe(gone[at], reconnectProbe, m.now+protocolPeriod, 0)
+		index := m.rng.IntN(lost)
+		if index < len(gone) {
+			m.startProbe(gone[index], reconnectProbe, m.now+protocolPeriod, 0)
 			continue
 		}
-		m.greet(unknown[at-len(gone)])
+		m.pingSeedPeer(unknown[index-len(gone)])
 	}
 }
--- a/internal/membership/send.go
+++ b/internal/membership/send.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	sendRate  = 300.0 // datagrams a second
-	sendBurst = 600.0 // datagrams; answers to pings may go as far below nothing
+	sendRateLimit = 300.0 // datagrams a second
+	sendBurst     = 600.0 // datagrams; answers to pings may go as far below nothing
 )
 
 // sendLimiter is a token bucket over all that is sent. Answers to pings may overdraw it by one burst: a gateway taken
@@ -21,21 +21,21 @@
 
 // allow takes one token, if there is one.
 func (l *sendLimiter) allow(now time.Duration, kind gossipcodec.Kind) bool {
-	l.tokens = min(sendBurst, l.tokens+sendRate*(now-l.refilledAt).Seconds())
+	l.tokens = min(sendBurst, l.tokens+sendRateLimit*(now-l.refilledAt).Seconds())
 	l.refilledAt = now
-	least := 1.0
+	minTokens := 1.0
 	if kind == gossipcodec.Ack {
-		least -= sendBurst
+		minTokens -= sendBurst
 	}
-	if l.tokens < least {
+	if l.tokens < minTokens {
 		return false
 	}
 	l.tokens--
 	return true
 }
 
-// allowed takes one datagram from the limit, or counts that it was not sent.
-func (m *Membership) allowed(kind gossipcodec.Kind) bool {
+// allowSend takes one datagram from the limit, or counts that it was not sent.
+func (m *Membership) allowSend(kind gossipcodec.Kind) bool {
 	ok := m.limiter.allow(m.now, kind)
 	if !ok {
 		m.counts.Deferred++
@@ -52,7 +52,7 @@
 
 // sendTo sends a message, with a claim that must be in it and waiting claims as far as there is room.
 func (m *Membership) sendTo(to netip.AddrPort, msg *gossipcodec.Message, about *gossipcodec.Claim) {
-	if !m.allowed(msg.Kind) {
+	if !m.allowSend(msg.Kind) {
 		return
 	}
 	datagram := m.encode(msg)
@@ -62,7 +62,7 @@
 	if msg.Kind != gossipcodec.Digest {
 		datagram = m.queue.appendTo(datagram, m.transmitLimit)
 	}
-	m.post(to, datagram)
+	m.enqueue(to, datagram)
 }
 
 // encode begins a datagram of this gateway.
@@ -71,8 +71,8 @@
 	return gossipcodec.Append(make([]byte, 0, gossipcodec.MaxDatagram), msg)
 }
 
-func (m *Membership) post(to netip.AddrPort, datagram []byte) {
+func (m *Membership) enqueue(to netip.AddrPort, datagram []byte) {
 	m.counts.Sent++
 	m.counts.SentBytes += uint64(len(datagram))
-	m.outbox = append(m.outbox, Datagram{To: to, Data: datagram})
+	m.outgoing = append(m.outgoing, Datagram{To: to, Data: datagram})
 }
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// settledAfter is how long no state may have changed for a membership to be settled.
-	settledAfter = 2 * time.Second
-	// duplicateNameFor is how long a second process of the own name is reported after it was last heard.
-	duplicateNameFor = 10 * time.Second
+	// convergedAfter is how long no state may have changed for a membership to be settled.
+	convergedAfter = 2 * time.Second
+	// duplicateNameWindow is how long a second process of the own name is reported after it was last heard.
+	duplicateNameWindow = 10 * time.Second
 )
 
 // Member is what is known of one gateway.
@@ -64,10 +64,10 @@
 	for _, peer := range m.table.sorted {
 		out = append(out, peer.Member)
 	}
-	at, _ := slices.BinarySearchFunc(out, m.self.Name, func(one Member, name string) int {
-		return cmp.Compare(one.Name, name)
+	index, _ := slices.BinarySearchFunc(out, m.self.Name, func(peer Member, name string) int {
+		return cmp.Compare(peer.Name, name)
 	})
-	return slices.Insert(out, at, m.self.Member)
+	return slices.Insert(out, index, m.self.Member)
 }
 
 // Find returns what is known of one member by its name, this gateway included.
@@ -102,8 +102,8 @@
 		Known:         1,
 		StableFor:     max(0, now-m.lastChange),
 		LocalHealth:   m.awareness.score,
-		DuplicateName: m.duplicateSeen > 0 && now-m.duplicateSeen < duplicateNameFor,
-		Answering:     m.probes.outcomes.answering(),
+		DuplicateName: m.duplicateSeen > 0 && now-m.duplicateSeen < duplicateNameWindow,
+		Answering:     m.probes.results.answeredShare(),
 	}
 	suspects := 0
 	for _, peer := range m.table.sorted {
@@ -124,6 +124,6 @@
 	}
 	// A gateway that hears nobody suspects itself first and the others for long: they must not count as its majority.
 	s.Majority = 2*(s.Alive-suspects) > s.Known && s.Answering > 0.5
-	s.Settled = s.StableFor >= settledAfter && suspects == 0 && s.Majority && !s.DuplicateName
+	s.Settled = s.StableFor >= convergedAfter && suspects == 0 && s.Majority && !s.DuplicateName
 	return s
 }
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -20,8 +20,8 @@
 
 // suspicion runs while a member is suspect (Lifeguard's LHA-Suspicion).
 type suspicion struct {
-	since          time.Duration
-	until          time.Duration
+	startedAt      time.Duration
+	expiresAt      time.Duration
 	suspectors     []string
 	verifyingUntil time.Duration // 0 while no last probe runs
 }
@@ -31,11 +31,11 @@
 	if s.verifyingUntil > 0 {
 		return s.verifyingUntil
 	}
-	return s.until
+	return s.expiresAt
 }
 
 func (s *suspicion) postpone(by time.Duration) {
-	s.until += by
+	s.expiresAt += by
 	if s.verifyingUntil > 0 {
 		s.verifyingUntil += by
 	}
@@ -52,26 +52,26 @@
 
 // timeout falls with the logarithm of the suspectors, from longest to suspicionMin, by Lifeguard's equation
 // max(Min, Max - (Max-Min)*log(C+1)/log(K+1)), where C is how many confirmed the first and K is expectedConfirmers.
-func (s *suspicion) timeout(longest time.Duration) time.Duration {
-	share := math.Log(float64(max(1, len(s.suspectors)))) / math.Log(expectedConfirmers+1)
-	return max(suspicionMin, longest-time.Duration(share*float64(suspicionMax-suspicionMin)))
+func (s *suspicion) timeout(maxTimeout time.Duration) time.Duration {
+	fraction := math.Log(float64(max(1, len(s.suspectors)))) / math.Log(expectedConfirmers+1)
+	return max(suspicionMin, maxTimeout-time.Duration(fraction*float64(suspicionMax-suspicionMin)))
 }
 
-// expireAfter sets the end of the suspicion, counted from its begin.
-func (s *suspicion) expireAfter(timeout time.Duration) { s.until = s.since + timeout }
+// setTimeout sets the end of the suspicion, counted from its begin.
+func (s *suspicion) setTimeout(timeout time.Duration) { s.expiresAt = s.startedAt + timeout }
 
 // restart gives a suspect that answered another full term to refute.
 func (s *suspicion) restart(now, timeout time.Duration) {
-	s.since, s.verifyingUntil, s.suspectors = now, 0, nil
-	s.until = now + timeout
+	s.startedAt, s.verifyingUntil, s.suspectors = now, 0, nil
+	s.expiresAt = now + timeout
 }
 
 // beginSuspicion makes a member suspect by the claim of one gateway.
 func (m *Membership) beginSuspicion(peer *member, by string) {
-	peer.suspicion, peer.SuspectedBy = &suspicion{since: m.now}, by
+	peer.suspicion, peer.SuspectedBy = &suspicion{startedAt: m.now}, by
 	m.suspects = append(m.suspects, peer)
 	m.confirmSuspicion(peer, by)
-	m.maybeConfirm(peer)
+	m.maybeProbeSuspect(peer)
 }
 
 // endSuspicion forgets a member's suspicion, if there is one.
@@ -80,7 +80,7 @@
 		return
 	}
 	peer.suspicion = nil
-	m.suspects = slices.DeleteFunc(m.suspects, func(o *member) bool { return o == peer })
+	m.suspects = slices.DeleteFunc(m.suspects, func(other *member) bool { return other == peer })
 }
 
 // confirmSuspicion counts who suspects a member, and shortens the suspicion.
@@ -91,16 +91,16 @@
 		// Those who probe too suspect it already.
 		m.queue.setTransmits(peer.Name, m.transmitLimit(gossipcodec.Suspect)*3/4)
 	}
-	longest := suspicionMax
-	if m.without.has(Confirmation) {
-		longest = suspicionMin
+	maxTimeout := suspicionMax
+	if m.disabled.includes(Confirmation) {
+		maxTimeout = suspicionMin
 	}
-	s.expireAfter(m.stretch(s.timeout(longest)))
+	s.setTimeout(m.stretch(s.timeout(maxTimeout)))
 }
 
-// maybeConfirm has some of those that hear of a suspicion probe the suspect themselves: so many that the expected
+// maybeProbeSuspect has some of those that hear of a suspicion probe the suspect themselves: so many that the expected
 // number of confirmers is likely.
-func (m *Membership) maybeConfirm(peer *member) {
+func (m *Membership) maybeProbeSuspect(peer *member) {
 	if m.rng.Float64()*float64(len(m.table.sorted)+1) < 2*expectedConfirmers {
 		m.startProbe(peer, verificationProbe, m.now+m.stretch(protocolPeriod), m.now+m.answerTimeout())
 	}
@@ -113,18 +113,18 @@
 		s := peer.suspicion
 		switch {
 		case m.now < s.deadline():
-		case s.verifyingUntil == 0 && !m.without.has(Verification):
-			m.verify(peer)
+		case s.verifyingUntil == 0 && !m.disabled.includes(Verification):
+			m.verifySuspect(peer)
 		default:
 			c := peer.claim("")
 			c.State = gossipcodec.Gone
-			m.adopt(peer, &c)
+			m.acceptClaim(peer, &c)
 		}
 	}
 }
 
-// verify probes a suspect for the last time, directly and through others.
-func (m *Membership) verify(peer *member) {
+// verifySuspect probes a suspect for the last time, directly and through others.
+func (m *Membership) verifySuspect(peer *member) {
 	s := peer.suspicion
 	s.verifyingUntil = m.now + m.stretch(verificationTimeout)
 	m.startProbe(peer, verificationProbe, s.verifyingUntil+time.Millisecond, m.now+minAnswerTimeout)
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -39,15 +39,15 @@
 	}
 }
 
-func TestSuspicionDeadlineMovesWithAStall(t *testing.T) {
-	s := &suspicion{until: 5 * time.Second}
+func TestStallPostponesSuspicionDeadline(t *testing.T) {
+	s := &suspicion{expiresAt: 5 * time.Second}
 	s.postpone(time.Second)
 	if s.deadline() != 6*time.Second {
 		t.Errorf("%v", s.deadline())
 	}
 	s.verifyingUntil = 7 * time.Second
 	s.postpone(time.Second)
-	if s.deadline() != 8*time.Second || s.until != 7*time.Second {
+	if s.deadline() != 8*time.Second || s.expiresAt != 7*time.Second {
 		t.Errorf("%+v", s)
 	}
 	s.restart(10*time.Second, time.Second)
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -16,11 +16,11 @@
 // member is one gateway with the state that this one keeps for it.
 type member struct {
 	Member
-	suspicion         *suspicion    // nil unless it is suspect
-	hash              uint64        // its part of the table's digest
-	lastHeard         time.Duration // from itself
-	lastCalledBack    time.Duration // when it was last probed because it spoke though it was believed gone
-	duplicateNotified time.Duration // when a second process of its name was last notified
+	suspicion           *suspicion    // nil unless it is suspect
+	hash                uint64        // its part of the table's digest
+	lastReceived        time.Duration // from itself
+	lastReconnectProbe  time.Duration // when it was last probed because it spoke though it was believed gone
+	duplicateNotifiedAt time.Duration // when a second process of its name was last notified
 }
 
 // live reports whether it is a member that may be sent to.
@@ -37,23 +37,23 @@
 
 func newTable() table { return table{byName: make(map[string]*member)} }
 
-// search is where a name stands in the order, or would.
-func (t *table) search(name string) int {
-	at, _ := slices.BinarySearchFunc(t.sorted, name, func(p *member, name string) int {
+// position is where a name stands in the order, or would.
+func (t *table) position(name string) int {
+	index, _ := slices.BinarySearchFunc(t.sorted, name, func(p *member, name string) int {
 		return strings.Compare(p.Name, name)
 	})
-	return at
+	return index
 }
 
 func (t *table) insert(p *member) {
 	t.byName[p.Name] = p
-	t.sorted = slices.Insert(t.sorted, t.search(p.Name), p)
+	t.sorted = slices.Insert(t.sorted, t.position(p.Name), p)
 }
 
 // removeIf removes the members that a test picks, by name.
-func (t *table) removeIf(pick func(*member) bool) {
+func (t *table) removeIf(match func(*member) bool) {
 	t.sorted = slices.DeleteFunc(t.sorted, func(p *member) bool {
-		if !pick(p) {
+		if !match(p) {
 			return false
 		}
 		delete(t.byName, p.Name)
@@ -61,8 +61,8 @@
 	})
 }
 
-// bucket is a name's bucket in the digest, by the top 5 bits of its hash.
-func bucket(name string) int { return int(xxh3.HashString(name) >> 59) }
+// bucketOf is a name's bucket in the digest, by the top 5 bits of its hash.
+func bucketOf(name string) int { return int(xxh3.HashString(name) >> 59) }
 
 // updateDigest brings the digest up to date with one member. It is a sum over those alive, so that one change costs the
 // same in a table of any size. Suspicions end by themselves and the gone are forgotten at different times, so neither
@@ -74,12 +74,12 @@
 		hash *= 0x9e3779b97f4a7c15
 	}
 	t.digest += hash - p.hash
-	t.bucketSums[bucket(p.Name)] += uint32(hash>>32) - uint32(p.hash>>32)
+	t.bucketSums[bucketOf(p.Name)] += uint32(hash>>32) - uint32(p.hash>>32)
 	p.hash = hash
 }
 
-// enter adds a member that was not known, as its first claim has it; nil where the table is full.
-func (m *Membership) enter(c *gossipcodec.Claim) *member {
+// addMember adds a member that was not known, as its first claim has it; nil where the table is full.
+func (m *Membership) addMember(c *gossipcodec.Claim) *member {
 	if len(m.table.sorted) >= MaxMembers {
 		m.counts.Full++
 		return nil
@@ -98,11 +98,11 @@
 // reap forgets members that have been gone for long.
 func (m *Membership) reap() {
 	m.table.removeIf(func(peer *member) bool {
-		old := peer.State >= gossipcodec.Gone && m.now-peer.Since > reapAfter
-		if old {
+		expired := peer.State >= gossipcodec.Gone && m.now-peer.Since > reapAfter
+		if expired {
 			m.queue.drop(peer.Name) // its claim may still wait where nobody is left to send it to
 		}
-		return old
+		return expired
 	})
 }
 
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -19,7 +19,7 @@
 		y.insert(p)
 		y.updateDigest(p)
 	}
-	if x.digest != y.digest || x.bucketSums != y.bucketSums || x.search("c") != 1 {
+	if x.digest != y.digest || x.bucketSums != y.bucketSums || x.position("c") != 1 {
 		t.Error("the order of insertion matters")
 	}
 	suspect := x.byName["c"]
