--- a/internal/membership/ablation.go
+++ b/internal/membership/ablation.go
@@ -1,32 +1,34 @@
 package membership
 
-// Refinement is an addition to plain SWIM. A gateway always runs with all of them; the laboratory leaves one out to
-// show what it is worth.
+// Refinement is a set of additions to plain SWIM. A gateway always runs with all of them; the laboratory disables one
+// to measure its benefit.
 type Refinement uint8
 
-// The refinements.
+// The refinements of plain SWIM.
 const (
-	// RingProbing has every second probe go to the next member by name, so that somebody probes each of them.
+	// RingProbing sends every second periodic probe to the next member by name, so that each member has a gateway
+	// that probes it regularly.
 	RingProbing Refinement = 1 << iota
-	// Confirmation shortens a suspicion with independent confirmations. Without it, one lasts suspicionMin.
+	// Confirmation lets independent confirmations shorten a suspicion. Without it, every suspicion lasts
+	// suspicionMin.
 	Confirmation
-	// Verification has this gateway probe a member once more itself before it takes it for gone.
+	// Verification makes this gateway probe a member once more itself before it considers it gone.
 	Verification
-	// LocalHealthAwareness stretches this gateway's own times while it is slow itself.
+	// LocalHealthAwareness stretches this gateway's timeouts while the gateway itself is slow.
 	LocalHealthAwareness
-	// AntiEntropy compares memberships by their digests.
+	// AntiEntropy compares memberships by their digests and repairs differences.
 	AntiEntropy
-	// Reconnection probes members believed gone and seed peers never heard of.
+	// Reconnection probes members that are considered gone and seed peers without contact yet.
 	Reconnection
 )
 
-// includes reports whether a refinement is left out.
+// includes reports whether the set contains other.
 func (r Refinement) includes(other Refinement) bool { return r&other != 0 }
 
 // Option changes how [New] builds a Membership.
 type Option func(*Membership)
 
-// Without leaves refinements out. Only packages below internal/lab may use it; a test holds them to that.
+// Without disables refinements. Only packages below internal/lab may use it; a test verifies this.
 func Without(refinements Refinement) Option {
 	return func(m *Membership) { m.disabled = refinements }
 }
--- a/internal/membership/antientropy.go
+++ b/internal/membership/antientropy.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// repairInterval is the least time between two repairs that this gateway begins.
+	// repairInterval is the minimum time between two repairs that this gateway initiates.
 	repairInterval = time.Second
-	// maxRepairPages is how many datagrams one repair sends.
+	// maxRepairPages is the maximum number of datagrams with claims that one repair sends.
 	maxRepairPages = 8
 )
 
-// beginRepair sends the own bucket sums to a member that knows something else, unless claims that may explain it are
-// still on their way.
+// beginRepair sends this gateway's bucket sums to a member whose digest differs. It does not while claims are queued
+// for broadcast, since these may explain the difference.
 func (m *Membership) beginRepair(peer *member, msg *gossipcodec.Message) {
 	if msg.Digest == m.table.digest || msg.Kind == gossipcodec.Digest || m.queue.len() > 0 ||
 		m.now < m.next.repair || m.disabled.includes(AntiEntropy) {
@@ -24,13 +24,14 @@
 	m.send(peer, &gossipcodec.Message{Kind: gossipcodec.Digest, BucketSums: m.table.bucketSums[:]}, nil)
 }
 
-// answerDigest sends a member what lies in the buckets that differ from its own, and asks for the same in return.
+// answerDigest sends a member this gateway's claims from the buckets whose sums differ, and requests the same in
+// return unless msg is itself a reply.
 func (m *Membership) answerDigest(peer *member, msg *gossipcodec.Message) {
 	if m.disabled.includes(AntiEntropy) {
 		return
 	}
 	claims := m.claimsInDifferingBuckets(msg.BucketSums)
-	// What does not fit now is for others to send.
+	// The order is random, so that other gateways send the claims that do not fit within maxRepairPages.
 	m.rng.Shuffle(len(claims), func(i, j int) { claims[i], claims[j] = claims[j], claims[i] })
 	for page := 0; len(claims) > 0 && page < maxRepairPages && m.allowSend(gossipcodec.Gossip); page++ {
 		datagram := m.encode(&gossipcodec.Message{Kind: gossipcodec.Gossip})
@@ -49,7 +50,7 @@
 	}
 }
 
-// claimsInDifferingBuckets is what this gateway knows of names in buckets whose sums differ, itself first.
+// claimsInDifferingBuckets returns this gateway's claims about names in buckets whose sums differ, itself first.
 func (m *Membership) claimsInDifferingBuckets(sums []uint32) []gossipcodec.Claim {
 	differs := func(name string) bool {
 		b := bucketOf(name)
--- a/internal/membership/broadcast_queue.go
+++ b/internal/membership/broadcast_queue.go
@@ -6,24 +6,24 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// maxMisfits is how many claims too long for what is left of a datagram are passed over before it counts as full.
+// maxMisfits is how many claims may be too long for the remaining space of a datagram before it counts as full.
 const maxMisfits = 2
 
-// broadcastItem is a claim that is still to be sent some times.
+// broadcastItem is a claim to send, with the number of times that it has been sent.
 type broadcastItem struct {
 	claim     gossipcodec.Claim
 	transmits int
-	sequence  uint64 // of insertion
-	heapIndex int    // in the heap
+	sequence  uint64 // increases with each call of put
+	heapIndex int    // index in the heap
 }
 
-// before orders items: what was sent least often comes first, and of those the latest.
+// before reports whether b is sent before other: the item with fewer transmissions first, among equals the newer one.
 func (b *broadcastItem) before(other *broadcastItem) bool {
 	return b.transmits < other.transmits || b.transmits == other.transmits && b.sequence > other.sequence
 }
 
-// broadcastQueue holds at most one claim for each name, and finds the next one to send in time that grows with the
-// logarithm of their number: while a cluster starts, each member has a claim about every other one.
+// broadcastQueue holds at most one claim for each name. It finds the next claim to send in time that is logarithmic
+// in the number of claims, since each member has a claim about every other one while a cluster starts.
 type broadcastQueue struct {
 	byName       map[string]*broadcastItem
 	heap         broadcastHeap
@@ -36,7 +36,7 @@
 
 func (q *broadcastQueue) len() int { return len(q.heap) }
 
-// put adds a claim in place of an earlier one of its name.
+// put adds a claim, which replaces an earlier claim about the same name.
 func (q *broadcastQueue) put(c gossipcodec.Claim) {
 	q.lastSequence++
 	if item := q.byName[c.Name]; item != nil {
@@ -49,7 +49,7 @@
 	heap.Push(&q.heap, item)
 }
 
-// setTransmits has the claim of a name count as sent so often already.
+// setTransmits sets how often the claim about a name counts as sent.
 func (q *broadcastQueue) setTransmits(name string, transmits int) {
 	if item := q.byName[name]; item != nil {
 		item.transmits = transmits
@@ -57,7 +57,7 @@
 	}
 }
 
-// drop removes the claim of a name.
+// drop removes the claim about a name, if there is one.
 func (q *broadcastQueue) drop(name string) {
 	if item := q.byName[name]; item != nil {
 		heap.Remove(&q.heap, item.heapIndex)
@@ -65,8 +65,8 @@
 	}
 }
 
-// appendTo piggybacks claims on a datagram, the next ones to send first, and drops those that were sent as often as the
-// limit of their state says.
+// appendTo appends claims to a datagram in the order of before, and returns it. It drops claims that have then been
+// sent as often as limit returns for their state.
 func (q *broadcastQueue) appendTo(datagram []byte, limit func(gossipcodec.State) int) []byte {
 	var kept []*broadcastItem
 	for misfits := 0; len(q.heap) > 0 && misfits < maxMisfits; {
@@ -90,7 +90,7 @@
 	return datagram
 }
 
-// broadcastHeap implements heap.Interface.
+// broadcastHeap implements heap.Interface, ordered by before.
 type broadcastHeap []*broadcastItem
 
 func (h broadcastHeap) Len() int           { return len(h) }
--- a/internal/membership/claims.go
+++ b/internal/membership/claims.go
@@ -7,11 +7,11 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// maxClockLead is how far the clock of another machine may be ahead of this one. A claim of a later start could not be
-// refuted, as no process begins later.
+// maxClockLead is the maximum by which the clock of another machine may be ahead of this machine's. A claim with a
+// start later than that is rejected: no process could refute it, since none starts later.
 const maxClockLead = 24 * time.Hour
 
-// claim is what this gateway believes of the member; by is who suspects it, or empty.
+// claim returns this gateway's view of the member as a claim. by names the gateway that suspects it, or is empty.
 func (p *member) claim(by string) gossipcodec.Claim {
 	c := gossipcodec.Claim{Name: p.Name, Start: p.Start, Incarnation: p.Incarnation, State: p.State, SuspectedBy: by}
 	if p.State == gossipcodec.Alive {
@@ -20,18 +20,20 @@
 	return c
 }
 
-// supersedes orders claims about one name: the later start, then the higher incarnation, then the stronger state.
+// supersedes reports whether claim c takes precedence over the known state p of the same name: the later start wins,
+// then the higher incarnation, then the stronger state.
 func supersedes(c *gossipcodec.Claim, p *member) bool {
 	return cmp.Or(cmp.Compare(c.Start, p.Start), cmp.Compare(c.Incarnation, p.Incarnation),
 		cmp.Compare(c.State, p.State)) > 0
 }
 
-// latestPlausibleStart is the latest start of a process that is believed, in ms of Unix time.
+// latestPlausibleStart returns the latest process start that is accepted, in ms of Unix time.
 func (m *Membership) latestPlausibleStart() uint64 {
 	return uint64((m.now + maxClockLead).Milliseconds())
 }
 
-// raiseIncarnation makes a new claim about this gateway itself, stronger than any before.
+// raiseIncarnation sets this gateway's incarnation and broadcasts a new claim about itself, which supersedes the
+// claims with a lower incarnation.
 func (m *Membership) raiseIncarnation(incarnation uint64) {
 	m.self.Incarnation = incarnation
 	m.table.updateDigest(&m.self)
@@ -39,34 +41,34 @@
 	m.broadcast(m.self.claim(""))
 }
 
-// applySelfClaim answers what others say of this gateway: it refutes whatever is not so.
+// applySelfClaim handles a claim of another gateway about this one and refutes it if it is wrong.
 func (m *Membership) applySelfClaim(c *gossipcodec.Claim) {
 	switch {
 	case m.leaving:
 	case c.Start > m.self.Start && c.State >= gossipcodec.Gone:
-		// A process of this name that is dead began later by its clock: this machine's clock went back.
+		// A dead process with this name has a later start than this one: this machine's clock was set back.
 		m.self.Start = c.Start + 1
 		m.raiseIncarnation(1)
 		m.lastChange = m.now
 	case c.Start > m.self.Start:
 		m.duplicateSeen = m.now
 	case c.Start < m.self.Start:
-		m.broadcast(m.self.claim("")) // they have not heard of the restart
+		m.broadcast(m.self.claim("")) // the sender does not know of the restart
 	case c.Incarnation >= m.self.Incarnation && c.State != gossipcodec.Alive:
 		m.counts.FalseAlarms++
 		m.awareness.degrade(1)
 		m.raiseIncarnation(c.Incarnation + 1)
 		m.lastChange = m.now
-		m.next.gossip = m.now // a refutation does not wait
+		m.next.gossip = m.now // send the refutation without delay
 	case c.Incarnation > m.self.Incarnation:
 		m.raiseIncarnation(c.Incarnation + 1)
 		m.lastChange = m.now
 	}
 }
 
-// applyClaim takes one claim from a datagram of a member.
+// applyClaim handles one claim from a datagram of the member named from.
 func (m *Membership) applyClaim(c *gossipcodec.Claim, from string) {
-	if c.Start > m.latestPlausibleStart() || c.Incarnation == gossipcodec.MaxIncarnation { // it could not be refuted
+	if c.Start > m.latestPlausibleStart() || c.Incarnation == gossipcodec.MaxIncarnation { // no process could refute it
 		m.counts.Malformed++
 		return
 	}
@@ -99,8 +101,9 @@
 	m.acceptClaim(peer, c)
 }
 
-// verifyReportedGone has this gateway probe a member itself that another says is gone. To believe the other would remove
-// members that came back at that moment, and let a cut-off half remove those whom the other half sees alive.
+// verifyReportedGone handles the claim of another gateway that peer is gone: this gateway suspects peer and probes it
+// itself. Accepting the claim at once would remove a member that came back at that moment, and would let one half of
+// a partitioned cluster remove members that the other half still sees alive.
 func (m *Membership) verifyReportedGone(peer *member, c *gossipcodec.Claim, from string) {
 	suspect := *c
 	suspect.State, suspect.SuspectedBy = gossipcodec.Suspect, from
@@ -112,7 +115,7 @@
 	}
 }
 
-// acceptClaim believes a claim, spreads it, and begins or ends a suspicion.
+// acceptClaim updates peer from a claim, broadcasts the claim, and starts or ends the suspicion of peer.
 func (m *Membership) acceptClaim(peer *member, c *gossipcodec.Claim) {
 	changed := peer.State != c.State || peer.Start != c.Start
 	if changed {
@@ -128,7 +131,7 @@
 	}
 	m.table.updateDigest(peer)
 	m.version++
-	if changed { // a new payload alone does not count, or a cluster whose members report load would never settle
+	if changed { // a new payload alone does not count: a cluster whose members report load would never converge
 		m.lastChange = m.now
 	}
 	m.broadcast(*c)
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -7,44 +7,46 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// MaxMembers bounds the members known and the seed peers.
+// MaxMembers is the maximum number of other members in the table, and of entries in the list of seed peers.
 const MaxMembers = 2000
 
-// SeedPeer is a seed peer: another gateway that the configuration names, and how it is reached.
+// SeedPeer is a gateway listed in the configuration, with the address at which it is reached.
 type SeedPeer struct {
 	Name string
 	Addr netip.AddrPort
 }
 
-// Config is what a Membership starts from.
+// Config holds the parameters of [New].
 type Config struct {
-	// Cluster names the cluster; datagrams of another one are refused. It is a name as [gossipcodec.Name] has it.
+	// Cluster is the name of the cluster. Datagrams of other clusters are rejected. It must satisfy
+	// [gossipcodec.ValidName].
 	Cluster string
-	// Name is this gateway's own, unique in the cluster.
+	// Name is the name of this gateway, unique in the cluster.
 	Name string
-	// Start is when this process started, in ms of Unix time, above 0.
+	// Start is when this process started, in ms of Unix time. It must be above 0.
 	Start uint64
-	// Incarnation is 0, or what the process before handed over together with its Start; see [Membership.Identity].
+	// Incarnation is 0, or the value that the predecessor process handed over together with its Start; see
+	// [Membership.Identity].
 	Incarnation uint64
-	// SeedPeers are the gateways to join by. An entry with the own name is passed over.
+	// SeedPeers are the gateways to contact when joining. An entry with this gateway's name is ignored.
 	SeedPeers []SeedPeer
-	// Flat says that any address may be used that other members state, and that datagrams may come from any address.
-	// Otherwise only the addresses of the seed peers count.
+	// Flat indicates a flat network: this gateway uses addresses that other members report, and accepts datagrams
+	// from any address. Otherwise it uses and accepts only the addresses of the seed peers.
 	Flat bool
-	// Payload is what this gateway spreads of itself, at most [gossipcodec.MaxPayload] bytes.
+	// Payload is the data that this gateway spreads about itself, at most [gossipcodec.MaxPayload] bytes.
 	Payload []byte
-	// Seed seeds the random draws.
+	// Seed seeds the random number generator, together with Start.
 	Seed uint64
 }
 
-// ConfigError says which field of a [Config] cannot be used, and why.
+// ConfigError reports which field of a [Config] is invalid, and the reason.
 type ConfigError struct {
-	Field  string // of Config
+	Field  string // name of the field in Config
 	Reason string
 }
 
 // Error implements error.
-func (e *ConfigError) Error() string { return "members: " + e.Reason }
+func (e *ConfigError) Error() string { return "membership: " + e.Reason }
 
 func configErrorf(field, format string, args ...any) error {
 	return &ConfigError{Field: field, Reason: fmt.Sprintf(format, args...)}
@@ -53,19 +55,21 @@
 func (c *Config) validate() error {
 	switch {
 	case !gossipcodec.ValidName(c.Cluster):
-		return configErrorf("Cluster", "fleet %q is no name of 1 to %d printable characters",
+		return configErrorf("Cluster", "invalid cluster name %q: need 1 to %d printable ASCII characters without spaces",
 			c.Cluster, gossipcodec.MaxName)
 	case !gossipcodec.ValidName(c.Name):
-		return configErrorf("Name", "name %q is no name of 1 to %d printable characters", c.Name, gossipcodec.MaxName)
+		return configErrorf("Name", "invalid gateway name %q: need 1 to %d printable ASCII characters without spaces",
+			c.Name, gossipcodec.MaxName)
 	case c.Start == 0 || c.Start > gossipcodec.MaxStart:
-		return configErrorf("Start", "start %d must be above 0, in ms of Unix time", c.Start)
+		return configErrorf("Start", "invalid process start %d: need 1 to %d ms of Unix time", c.Start,
+			uint64(gossipcodec.MaxStart))
 	}
 	return validatePayload(c.Payload)
 }
 
 func validatePayload(payload []byte) error {
 	if len(payload) > gossipcodec.MaxPayload {
-		return configErrorf("Payload", "a payload of %d bytes, %d at most", len(payload), gossipcodec.MaxPayload)
+		return configErrorf("Payload", "payload of %d bytes exceeds the maximum of %d bytes", len(payload), gossipcodec.MaxPayload)
 	}
 	return nil
 }
--- a/internal/membership/config_test.go
+++ b/internal/membership/config_test.go
@@ -8,7 +8,7 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// Guards against an error that does not say which setting is wrong.
+// Verifies that an error of New names the invalid field.
 func TestNewErrorsNameTheInvalidField(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -16,17 +16,17 @@
 		field string
 		text  string
 	}{
-		{"no cluster", func(c *Config) { c.Cluster = "" }, "Cluster", "fleet"},
-		{"space in a name", func(c *Config) { c.Name = "a b" }, "Name", "name"},
-		{"no start", func(c *Config) { c.Start = 0 }, "Start", "start"},
-		{"impossible start", func(c *Config) { c.Start = gossipcodec.MaxStart + 1 }, "Start", "start"},
-		{"long payload", func(c *Config) { c.Payload = make([]byte, 65) }, "Payload", "payload"},
+		{"no cluster", func(c *Config) { c.Cluster = "" }, "Cluster", "invalid cluster name"},
+		{"space in a name", func(c *Config) { c.Name = "a b" }, "Name", "invalid gateway name"},
+		{"no start", func(c *Config) { c.Start = 0 }, "Start", "process start 0"},
+		{"impossible start", func(c *Config) { c.Start = gossipcodec.MaxStart + 1 }, "Start", "process start"},
+		{"long payload", func(c *Config) { c.Payload = make([]byte, 65) }, "Payload", "payload of 65 bytes"},
 		{"seed peer twice", func(c *Config) { c.SeedPeers = append(c.SeedPeers, SeedPeer{"b", addr(9)}) },
-			"SeedPeers", "b stands twice"},
+			"SeedPeers", "seed peer b is listed twice"},
 		{"address twice", func(c *Config) { c.SeedPeers = append(c.SeedPeers, SeedPeer{"d", addr(2)}) },
-			"SeedPeers", "one address"},
+			"SeedPeers", "seed peers d and b have the same address"},
 		{"seed peer without address", func(c *Config) { c.SeedPeers = append(c.SeedPeers, SeedPeer{Name: "d"}) },
-			"SeedPeers", "d has no address"},
+			"SeedPeers", "seed peer d has no address"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			cfg := Config{Cluster: "f", Name: "a", Start: 1, SeedPeers: []SeedPeer{{"b", addr(2)}}}
@@ -34,30 +34,30 @@
 			_, err := New(cfg, epoch)
 			var faulty *ConfigError
 			if !errors.As(err, &faulty) || faulty.Field != test.field || !strings.Contains(err.Error(), test.text) {
-				t.Errorf("want field %s and %q: %v", test.field, test.text, err)
+				t.Errorf("error %v, want field %s and a text with %q", err, test.field, test.text)
 			}
 		})
 	}
 }
 
-// Guards against faulty seed peers that change those in force.
+// Verifies that SetSeedPeers keeps the current seed peers when it rejects a list.
 func TestInvalidSeedPeersChangeNothing(t *testing.T) {
 	m := newMembership(t, nil)
 	err := m.SetSeedPeers(epoch, []SeedPeer{{"b", addr(2)}, {"b", addr(4)}})
 	if err == nil || m.seeds["c"] != addr(3) {
-		t.Errorf("%v, seed peers %v", err, m.seeds)
+		t.Errorf("error %v, seed peers %v; want an error and the seed peers unchanged", err, m.seeds)
 	}
 }
 
-// Guards against a payload that no datagram can carry.
+// Verifies that a payload too long for a claim is rejected and changes nothing.
 func TestSetPayloadRejectsOversizedPayloads(t *testing.T) {
 	m := newMembership(t, nil)
 	var faulty *ConfigError
 	err := m.SetPayload(epoch, make([]byte, gossipcodec.MaxPayload+1))
 	if !errors.As(err, &faulty) || faulty.Field != "Payload" {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want a ConfigError of field Payload", err)
 	}
 	if self, _ := m.Find("a"); self.Incarnation != 1 || len(self.Payload) != 0 {
-		t.Errorf("it changed something: %+v", self)
+		t.Errorf("a rejected payload changed the own member: %+v", self)
 	}
 }
--- a/internal/membership/dissemination.go
+++ b/internal/membership/dissemination.go
@@ -8,16 +8,18 @@
 )
 
 const (
-	// While claims wait, gossipFanout random members get some every gossipInterval, beside those on other datagrams.
+	// While claims are queued, gossip datagrams with some of them go to gossipFanout random members every
+	// gossipInterval, in addition to the claims piggybacked on other datagrams.
 	gossipInterval = 200 * time.Millisecond
 	gossipFanout   = 2
-	// leaveFanout is how many members are sent the own leave directly.
+	// leaveFanout is how many members this gateway notifies directly when it leaves.
 	leaveFanout = 8
-	// retransmitMultiplier is SWIM's lambda: a member sends a claim so often, times the logarithm of the members.
+	// retransmitMultiplier is SWIM's lambda: the number of transmissions of a claim by one member grows with lambda
+	// times the logarithm of the number of members.
 	retransmitMultiplier = 1.0
 )
 
-// broadcast spreads a claim in place of what was spread of its name.
+// broadcast queues a claim for dissemination, which replaces a queued claim about the same name.
 func (m *Membership) broadcast(c gossipcodec.Claim) {
 	if m.queue.len() == 0 {
 		m.next.gossip = max(m.next.gossip, m.now)
@@ -25,8 +27,8 @@
 	m.queue.put(c)
 }
 
-// transmitLimit is how often one member sends a claim. A suspicion has to reach the suspect and some who probe it too,
-// not everybody: its end, either way, goes to all.
+// transmitLimit returns how often one member sends a claim of the given state. A suspicion is sent less often: it
+// must reach only the suspect and some members that probe it too, whereas its outcome must reach every member.
 func (m *Membership) transmitLimit(state gossipcodec.State) int {
 	n := 1 + int(retransmitMultiplier*float64(bits.Len(uint(len(m.table.sorted)+1))))
 	if state == gossipcodec.Suspect {
@@ -35,7 +37,7 @@
 	return n
 }
 
-// gossip sends waiting claims to some members.
+// gossip sends queued claims to gossipFanout random members.
 func (m *Membership) gossip() {
 	for _, peer := range m.randomPeers(gossipFanout, "") {
 		m.send(peer, &gossipcodec.Message{Kind: gossipcodec.Gossip}, nil)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -10,28 +10,28 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// stallThreshold is how late a timer has to be for this process to have been stopped meanwhile.
+// stallThreshold is the delay of a wake-up from which on this process is assumed to have been stopped meanwhile.
 const stallThreshold = 250 * time.Millisecond
 
-// Datagram is one to be sent.
+// Datagram is a datagram to send, with its destination.
 type Datagram struct {
 	To   netip.AddrPort
 	Data []byte
 }
 
-// Membership is what one gateway knows of its cluster.
+// Membership is one gateway's view of its cluster, together with the state of the protocol that maintains it.
 type Membership struct {
 	cfg      Config
-	disabled Refinement // left out, by the laboratory alone
+	disabled Refinement // set only by the laboratory
 	rng      *rand.Rand
 	now      time.Duration
-	wakeAt   time.Duration // when NextWake last asked for Advance
+	wakeAt   time.Duration // when Advance is expected, as of the last NextWake
 	next     deadlines
 	leaving  bool
 
 	self      member
 	table     table
-	suspects  []*member // those with a suspicion, oldest first
+	suspects  []*member // members with a suspicion, oldest suspicion first
 	seeds     seedPeers
 	probes    probes
 	schedule  probeSchedule
@@ -41,22 +41,22 @@
 	outgoing  []Datagram
 
 	version       uint64
-	lastChange    time.Duration // of a state or start
-	duplicateSeen time.Duration // when another process last used the own name; 0 for never
+	lastChange    time.Duration // when the state or start of a member last changed
+	duplicateSeen time.Duration // when another process with this gateway's name was last detected; 0 for never
 	counts        Counts
 }
 
-// deadlines are when each periodic duty is due next.
+// deadlines holds the times at which each periodic task is due next.
 type deadlines struct {
 	probe     time.Duration
-	gossip    time.Duration // while the broadcast queue holds something
+	gossip    time.Duration // applies while the broadcast queue is not empty
 	reconnect time.Duration
-	repair    time.Duration // not before
+	repair    time.Duration // earliest time of the next repair
 	reap      time.Duration
 }
 
-// New starts a membership that knows nobody. It has nothing to send before the first Advance. Its errors are of type
-// [*ConfigError].
+// New returns a membership that knows no other member. It has nothing to send before the first [Membership.Advance].
+// Its errors are of type [*ConfigError].
 func New(cfg Config, now time.Duration, options ...Option) (*Membership, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
@@ -76,7 +76,8 @@
 	for _, option := range options {
 		option(m)
 	}
-	// Incarnations begin at 1: what others note of a member that has not spoken of itself has 0.
+	// Incarnations start at 1: other gateways record incarnation 0 for a member that has sent no claim about itself
+	// yet.
 	m.self.Member = Member{Name: cfg.Name, Start: cfg.Start, Incarnation: max(1, cfg.Incarnation), Since: now,
 		Payload: slices.Clone(cfg.Payload)}
 	m.probes.lastSeq = m.rng.Uint64() >> 24
@@ -88,8 +89,8 @@
 	return m, nil
 }
 
-// SetPayload changes what this gateway spreads of itself. A payload over [gossipcodec.MaxPayload] bytes is a
-// [*ConfigError] and changes nothing.
+// SetPayload replaces the payload that this gateway spreads about itself. For a payload over [gossipcodec.MaxPayload]
+// bytes it returns a [*ConfigError] and changes nothing.
 func (m *Membership) SetPayload(now time.Duration, payload []byte) error {
 	if err := validatePayload(payload); err != nil {
 		return err
@@ -102,14 +103,14 @@
 	return nil
 }
 
-// Identity is what goes over to the next process of this gateway at an upgrade, as Config's Start, in ms of Unix time,
-// and Incarnation. The next one speaks under it; this one must not speak again.
+// Identity returns the Start, in ms of Unix time, and Incarnation for the [Config] of the successor at a hot restart.
+// The successor sends under this identity, so the predecessor must not send any datagram afterwards.
 func (m *Membership) Identity() (start, incarnation uint64) {
 	return m.self.Start, m.self.Incarnation + 1
 }
 
-// Leave announces that this gateway goes for good. Nothing but the datagrams that it leaves in Take is sent
-// afterwards.
+// Leave announces that this gateway leaves the cluster. The caller collects the announcements with [Membership.Take];
+// after that, the membership sends nothing more.
 func (m *Membership) Leave(now time.Duration) {
 	m.advanceClock(now)
 	if m.leaving {
@@ -124,7 +125,8 @@
 	}
 }
 
-// NextWake is when Advance is due next. How late Advance then comes tells whether this process was stopped.
+// NextWake returns when [Membership.Advance] is due next. If Advance or another call with a time is delayed by
+// stallThreshold or more, the membership concludes that this process was stopped.
 func (m *Membership) NextWake() time.Duration {
 	if m.leaving {
 		return math.MaxInt64
@@ -141,8 +143,9 @@
 	return next
 }
 
-// advanceClock moves the time on. A process that was stopped has heard nothing meanwhile: all that it waited for waits
-// on, or it would suspect everybody.
+// advanceClock sets the current time. A process that was stopped has received nothing meanwhile, so after a stall
+// advanceClock postpones the deadlines of pending probes and suspicions; otherwise this gateway would suspect every
+// member.
 func (m *Membership) advanceClock(now time.Duration) {
 	delay := now - m.wakeAt
 	m.now = max(now, m.now)
@@ -153,12 +156,12 @@
 	for _, peer := range m.suspects {
 		peer.suspicion.postpone(delay)
 	}
-	m.probes.dropPeriodic() // who did not answer it is not known
+	m.probes.dropPeriodic() // whether its target answered is unknown
 	m.awareness.degrade(1 + int(delay/time.Second))
 	m.wakeAt = now
 }
 
-// stretch lengthens one of this gateway's own times by its local health.
+// stretch lengthens a timeout of this gateway according to its local health.
 func (m *Membership) stretch(d time.Duration) time.Duration {
 	if m.disabled.includes(LocalHealthAwareness) {
 		return d
@@ -166,7 +169,8 @@
 	return m.awareness.stretch(d)
 }
 
-// Advance does what is due.
+// Advance performs all tasks that are due at now: probes, suspicions, reconnections, gossip and the removal of
+// members that have been gone for long.
 func (m *Membership) Advance(now time.Duration) {
 	m.advanceClock(now)
 	if m.leaving {
@@ -195,7 +199,7 @@
 	m.NextWake()
 }
 
-// Take returns the datagrams to be sent, in order, and forgets them.
+// Take returns the datagrams to send, in order, and removes them from the membership.
 func (m *Membership) Take() []Datagram {
 	out := m.outgoing
 	m.outgoing = nil
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -10,51 +10,53 @@
 )
 
 const (
-	// protocolPeriod is SWIM's T': each gateway probes one member in it.
+	// protocolPeriod is SWIM's T': each gateway probes one member per period.
 	protocolPeriod = 400 * time.Millisecond
-	// An answer is due after answerRoundTrips of the mean round-trip time, within these bounds. Then others are asked.
+	// The timeout for an answer is answerRoundTrips times the mean round-trip time, within the bounds below. After
+	// it, other members are requested to ping the target.
 	answerRoundTrips = 3.0
 	minAnswerTimeout = 60 * time.Millisecond
 	maxAnswerTimeout = 200 * time.Millisecond
-	// indirectProbes is SWIM's k: members asked to ping one that has not answered.
+	// indirectProbes is SWIM's k: the number of members that are requested to ping a member that has not answered.
 	indirectProbes = 3
-	// maxRetransmits is how often an unanswered ping goes out again: a lost datagram is far likelier than a death.
+	// maxRetransmits is how often an unanswered ping is resent: a lost datagram is far likelier than a crash.
 	maxRetransmits = 2
-	// relayTimeout is how long a member asked to ping another waits for the answer before it sends a Nack.
+	// relayTimeout is how long a member that pings another one on request waits for the answer before it sends a
+	// Nack.
 	relayTimeout = 200 * time.Millisecond
 )
 
-// probeKind is what a probe is for.
+// probeKind is the purpose of a probe.
 type probeKind uint8
 
 const (
-	periodicProbe     probeKind = iota // of the protocol period
-	verificationProbe                  // of a suspect
-	relayedProbe                       // for another member, as its indirect probe
-	reconnectProbe                     // of a member believed gone, or never heard of
+	periodicProbe     probeKind = iota // the one probe of each protocol period
+	verificationProbe                  // checks a suspect
+	relayedProbe                       // on behalf of another member, as its indirect probe
+	reconnectProbe                     // of a member considered gone, or a seed peer without contact yet
 )
 
-// probe is a Ping that waits for its Ack.
+// probe is a Ping whose Ack is pending.
 type probe struct {
 	kind        probeKind
 	target      string
 	sentAt      time.Duration
 	deadline    time.Duration
-	retryAt     time.Duration // when it goes out again unanswered; 0 for never
+	retryAt     time.Duration // when it is resent if still unanswered; 0 for never
 	retransmits int
-	helpers     int // members asked for an indirect probe
+	helpers     int // number of members that were requested to probe indirectly
 	nacks       int
 	answered    bool
-	origin      netip.AddrPort // of a relayed probe: who asked for it
-	originSeq   uint64         // and under which number
+	origin      netip.AddrPort // of a relayed probe: the address of the requesting member
+	originSeq   uint64         // of a relayed probe: the sequence number of the request
 }
 
-// probes are those that wait for an answer, and the results of those that are over.
+// probes holds the pending probes and the results of finished periodic ones.
 type probes struct {
 	pending     map[uint64]*probe // by sequence number
 	periodicSeq uint64            // sequence number of the period's probe; 0 for none
-	lastSeq     uint64            // the last given
-	rtt         time.Duration     // smoothed over all members; 0 while none was measured
+	lastSeq     uint64            // the last sequence number assigned
+	rtt         time.Duration     // round-trip time, smoothed over all members; 0 before the first measurement
 	results     probeResults
 }
 
@@ -64,7 +66,7 @@
 	return p.lastSeq
 }
 
-// sortedSeqs lists the sequence numbers that wait, oldest first.
+// sortedSeqs returns the sequence numbers of the pending probes, oldest first.
 func (p *probes) sortedSeqs() []uint64 {
 	list := make([]uint64, 0, len(p.pending))
 	for seq := range p.pending {
@@ -74,7 +76,8 @@
 	return list
 }
 
-// nextDeadline is when a probe has to be seen to. The end of a periodic probe is that of its period.
+// nextDeadline returns when the next pending probe must be handled. It ignores the deadlines of periodic probes,
+// since the end of the protocol period handles these.
 func (p *probes) nextDeadline() time.Duration {
 	next := time.Duration(math.MaxInt64)
 	for _, entry := range p.pending {
@@ -102,7 +105,8 @@
 	p.periodicSeq = 0
 }
 
-// smooth moves a mean round-trip time by a fraction of the difference to a new measurement; the first one counts whole.
+// smooth moves a mean round-trip time toward a new measurement by the difference over divisor. A mean of 0 is
+// replaced by the measurement.
 func smooth(mean, trip time.Duration, divisor int64) time.Duration {
 	if mean == 0 {
 		mean = trip
@@ -110,15 +114,15 @@
 	return mean + (trip-mean)/time.Duration(divisor)
 }
 
-// answerTimeout is how long an answer may take before others are asked.
+// answerTimeout returns how long an answer may take before this gateway requests indirect probes.
 func (m *Membership) answerTimeout() time.Duration {
 	expected := time.Duration(answerRoundTrips * float64(m.probes.rtt))
 	return m.stretch(min(max(expected, minAnswerTimeout), maxAnswerTimeout))
 }
 
-// startProbe sends a Ping. To a member that is not believed alive the Ping carries that claim, for only that one can
-// refute it (Lifeguard's Buddy System). Unless it is answered by retryAt, it goes out again and others are asked to
-// ping too.
+// startProbe sends a Ping to peer and returns its sequence number. If peer is not considered alive, the Ping carries
+// the claim that says so, since only peer can refute it (Lifeguard's Buddy System). If the Ping is unanswered at
+// retryAt, it is resent and other members are requested to ping peer too.
 func (m *Membership) startProbe(peer *member, kind probeKind, deadline, retryAt time.Duration) (seq uint64) {
 	seq = m.probes.add(&probe{kind: kind, target: peer.Name, sentAt: m.now, deadline: deadline, retryAt: retryAt})
 	var about *gossipcodec.Claim
@@ -130,7 +134,7 @@
 	return seq
 }
 
-// handleDueProbes retransmits probes that are unanswered, and ends those whose deadline has passed.
+// handleDueProbes resends unanswered probes whose retryAt has passed, and ends probes whose deadline has passed.
 func (m *Membership) handleDueProbes() {
 	for _, seq := range m.probes.sortedSeqs() {
 		p := m.probes.pending[seq]
@@ -142,7 +146,7 @@
 		}
 		switch p.kind {
 		case periodicProbe:
-			continue // the end of the period sees to it
+			continue // endProtocolPeriod handles it
 		case relayedProbe:
 			m.sendTo(p.origin, &gossipcodec.Message{Kind: gossipcodec.Nack, Seq: p.originSeq}, nil)
 		case verificationProbe:
@@ -152,8 +156,8 @@
 	}
 }
 
-// retryProbe sends an unanswered Ping again: the first time through helpers too, and once more half-way to its
-// deadline.
+// retryProbe resends an unanswered Ping. The first time it also requests indirect probes, and schedules another
+// resend halfway to the deadline.
 func (m *Membership) retryProbe(seq uint64, p *probe) {
 	p.retryAt = 0
 	peer := m.table.byName[p.target]
@@ -169,8 +173,8 @@
 	}
 }
 
-// probeIndirectly asks helpers to ping a member. They pass a suspicion on to the suspect, for it alone can refute it,
-// and this gateway's own datagrams may not reach it.
+// probeIndirectly requests helpers to ping peer. If peer is suspect, the requests carry the suspicion and the helpers
+// forward it: only peer can refute it, and this gateway's datagrams may not reach peer.
 func (m *Membership) probeIndirectly(seq uint64, p *probe, peer *member) {
 	var about *gossipcodec.Claim
 	if peer.State == gossipcodec.Suspect {
@@ -183,7 +187,8 @@
 	}
 }
 
-// confirmUnanswered counts this gateway among those that suspect a member, once its own probe was not answered either.
+// confirmUnanswered adds this gateway to the suspectors of a probe's target after this gateway's probe was not
+// answered either.
 func (m *Membership) confirmUnanswered(p *probe) {
 	peer := m.table.byName[p.target]
 	if peer != nil && peer.State == gossipcodec.Suspect && peer.suspicion.verifyingUntil == 0 {
@@ -191,7 +196,7 @@
 	}
 }
 
-// acknowledge takes the answer to a probe.
+// acknowledge handles an Ack for a probe of this gateway. It forwards the Ack of a relayed probe to its origin.
 func (m *Membership) acknowledge(msg *gossipcodec.Message) {
 	p := m.probes.pending[msg.Seq]
 	if p == nil {
@@ -208,8 +213,9 @@
 	}
 }
 
-// recordAnswer notes that a member lives, as itself or a helper says. A suspect must refute the suspicion itself, as
-// others believe nobody else, and gets another term to do so.
+// recordAnswer records that the target of a probe is alive; direct means that the target answered itself, and not a
+// helper. A suspect must refute the suspicion itself, since the other members accept no other refutation. It gets
+// another full suspicion timeout to do so.
 func (m *Membership) recordAnswer(p *probe, direct bool) {
 	p.answered, p.retryAt = true, 0
 	peer := m.table.byName[p.target]
@@ -226,7 +232,7 @@
 	}
 }
 
-// relayProbe pings a member for another one.
+// relayProbe handles a PingRequest: it pings the target on behalf of the member at from.
 func (m *Membership) relayProbe(from netip.AddrPort, msg *gossipcodec.Message) {
 	target := m.table.byName[msg.Target]
 	if target == nil || !target.Addr.IsValid() {
--- a/internal/membership/probe_schedule.go
+++ b/internal/membership/probe_schedule.go
@@ -6,13 +6,13 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// resultWindow is how many of the last periodic probes the share of those answered is taken over.
+// resultWindow is the number of recent periodic probes from which the share of answered probes is computed.
 const resultWindow = 16
 
-// probeResults remembers whether the last periodic probes were answered.
+// probeResults records which of the last resultWindow periodic probes were answered.
 type probeResults struct {
 	answered [resultWindow]bool
-	count    int // since the start
+	count    int // number of results since the start
 }
 
 func (r *probeResults) add(answered bool) {
@@ -20,7 +20,7 @@
 	r.count++
 }
 
-// answeredShare is the share that was answered, 0 to 1; 1 while there is none.
+// answeredShare returns the share of the recorded probes that was answered, 0 to 1. It is 1 before the first result.
 func (r *probeResults) answeredShare() float64 {
 	n := min(r.count, resultWindow)
 	if n == 0 {
@@ -35,14 +35,15 @@
 	return float64(answeredCount) / float64(n)
 }
 
-// probeSchedule picks whom each protocol period probes: in turn the next member by name, so that somebody probes each
-// of them, and the next of a shuffled round (SWIM, section 4.3), which finds runs of dead neighbours.
+// probeSchedule chooses the member that each protocol period probes. Periods alternate between the next member by
+// name, so that each member has a gateway that probes it regularly, and the next member of a shuffled round (SWIM,
+// section 4.3), which detects consecutive dead members.
 type probeSchedule struct {
-	round  []string // names still to be probed in this round, the next one last
-	period uint64
+	round  []string // names not probed yet in this round; the last element is next
+	period uint64   // number of protocol periods begun
 }
 
-// nextTarget is whom to probe, or nil while nobody is live.
+// nextTarget returns the member to probe, or nil while no other member is live.
 func (m *Membership) nextTarget() *member {
 	if m.schedule.period%2 == 0 && !m.disabled.includes(RingProbing) {
 		if peer := m.successor(); peer != nil {
@@ -71,7 +72,8 @@
 	}
 }
 
-// successor is the next alive member by name after this gateway, round the end; nil if there is none.
+// successor returns the next alive member by name after this gateway, wrapping around at the end of the list. It
+// returns nil if there is none.
 func (m *Membership) successor() *member {
 	sorted := m.table.sorted
 	start := m.table.position(m.cfg.Name)
@@ -83,7 +85,7 @@
 	return nil
 }
 
-// beginProtocolPeriod probes one member, or joins while none is known.
+// beginProtocolPeriod probes one member, or contacts seed peers while no other member is live.
 func (m *Membership) beginProtocolPeriod() {
 	m.schedule.period++
 	peer := m.nextTarget()
@@ -95,7 +97,8 @@
 	m.probes.periodicSeq = m.startProbe(peer, periodicProbe, deadline, m.now+m.answerTimeout())
 }
 
-// endProtocolPeriod takes a probe without an answer for a sign against the member, or against this gateway.
+// endProtocolPeriod evaluates the periodic probe. If it was not answered, the target becomes suspect, and this
+// gateway's local health gets worse if helpers were silent too.
 func (m *Membership) endProtocolPeriod() {
 	p := m.probes.pending[m.probes.periodicSeq]
 	if p == nil {
@@ -107,7 +110,7 @@
 		m.awareness.improve()
 		return
 	}
-	if p.nacks < p.helpers { // helpers that live would have said so
+	if p.nacks < p.helpers { // a live helper would have sent a Nack
 		m.awareness.degrade(1)
 	}
 	peer := m.table.byName[p.target]
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -13,8 +13,8 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// stateMachine drives one membership by whatever others may send and time may do, beside the little that must hold at any
-// moment.
+// stateMachine drives one membership by whatever others may send and time may do, beside the little that must hold at
+// any moment.
 type stateMachine struct {
 	*Membership
 	clock       time.Duration
@@ -257,8 +257,8 @@
 	})
 }
 
-// Guards against memberships that differ for ever: those given the same claims about living members in different orders
-// believe the same.
+// Guards against memberships that differ for ever: those given the same claims about living members in different
+// orders believe the same.
 func TestClaimOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var claims []gossipcodec.Claim
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -7,10 +7,12 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// duplicateNotifyInterval is the least time between two notices to a member about a second process of its name.
+// duplicateNotifyInterval is the minimum time between two notifications of a member about a second process with its
+// name.
 const duplicateNotifyInterval = time.Second
 
-// Receive takes a datagram as it came from an address. What is foreign or malformed is counted and changes nothing.
+// Receive handles a datagram that arrived from an address. A datagram that is malformed, or of another cluster or an
+// unknown sender, is counted and has no other effect. The answers are returned by [Membership.Take].
 func (m *Membership) Receive(now time.Duration, from netip.AddrPort, data []byte) {
 	m.advanceClock(now)
 	m.counts.Received++
@@ -31,19 +33,19 @@
 	for i := range msg.Claims {
 		m.applyClaim(&msg.Claims[i], msg.From)
 	}
-	if peer.Start < msg.Start { // it speaks, and has not said more of itself
+	if peer.Start < msg.Start { // it is alive, and its datagram has no claim about itself
 		m.acceptClaim(peer, &gossipcodec.Claim{Name: peer.Name, Start: msg.Start})
 	}
 	if peer.State >= gossipcodec.Gone && m.now-peer.lastReconnectProbe > reconnectInterval/2 {
 		peer.lastReconnectProbe = m.now
-		m.startProbe(peer, reconnectProbe, m.now+protocolPeriod, 0) // it hears what is said of it, and can refute it
+		m.startProbe(peer, reconnectProbe, m.now+protocolPeriod, 0) // the Ping carries the claim about it, so it can refute that
 	}
 	m.answer(peer, from, msg)
 	m.beginRepair(peer, msg)
 	m.NextWake()
 }
 
-// decode reads a datagram, or returns nil where nothing more is to be done about it.
+// decode parses a datagram. It returns nil if the datagram needs no further handling.
 func (m *Membership) decode(data []byte) *gossipcodec.Message {
 	msg, err := gossipcodec.Parse(data)
 	switch {
@@ -67,7 +69,8 @@
 	return msg
 }
 
-// sender finds who sent a datagram, or enters it; nil where it may not speak under that name from there.
+// sender returns the member that sent a datagram, which it adds if unknown. It returns nil if that name may not send
+// from this address, or if the table is full.
 func (m *Membership) sender(from netip.AddrPort, msg *gossipcodec.Message) *member {
 	addr, seeded := m.seeds[msg.From]
 	if !m.cfg.Flat && (!seeded || addr != from) {
@@ -86,9 +89,9 @@
 	return peer
 }
 
-// answerEarlierProcess answers a process that began before the one known under its name. Where that one is dead, the
-// clock of its machine went back: by that claim it learns to take a later start. Where both live, each is notified of
-// the other.
+// answerEarlierProcess answers a process that started before the known process with the same name. If the known one
+// is gone, the clock of the sender's machine was set back: the answer contains the claim about the known process, and
+// the sender then chooses a later start. If both are alive, each is notified of the other.
 func (m *Membership) answerEarlierProcess(peer *member, from netip.AddrPort, msg *gossipcodec.Message) {
 	if m.now-peer.duplicateNotifiedAt <= duplicateNotifyInterval {
 		return
@@ -103,7 +106,7 @@
 	m.send(peer, &gossipcodec.Message{Kind: gossipcodec.DuplicateName, Seq: msg.Start}, nil)
 }
 
-// answer does what a message asks for.
+// answer handles a message according to its kind.
 func (m *Membership) answer(peer *member, from netip.AddrPort, msg *gossipcodec.Message) {
 	switch msg.Kind {
 	case gossipcodec.Ping:
@@ -125,7 +128,8 @@
 	}
 }
 
-// answerPing sends an Ack, with the own claim where the Ping made one about this gateway.
+// answerPing sends an Ack. If the Ping has a claim about this gateway, the Ack carries this gateway's claim about
+// itself.
 func (m *Membership) answerPing(from netip.AddrPort, msg *gossipcodec.Message) {
 	var about *gossipcodec.Claim
 	for i := range msg.Claims {
--- a/internal/membership/seeds.go
+++ b/internal/membership/seeds.go
@@ -9,20 +9,21 @@
 )
 
 const (
-	// reconnectInterval is between two rounds of probes of members that are lost. Each round is drawn up to an eighth
-	// sooner or later.
+	// reconnectInterval is the mean time between two rounds of probes of lost members. Each interval is drawn at
+	// random and differs from it by up to an eighth.
 	reconnectInterval = time.Second
-	// A round probes one of the lost, and one more for each lostPerProbe of them, as after a partition.
+	// lostPerProbe sets the size of a round: it probes one lost member, plus one for every lostPerProbe lost members,
+	// but at most maxReconnectProbes. After a partition many members are lost at once.
 	lostPerProbe       = 20
 	maxReconnectProbes = 8
-	// joinFanout is how many seed peers are greeted at once while nobody is known.
+	// joinFanout is how many seed peers are pinged per protocol period while no other member is live.
 	joinFanout = 2
 )
 
-// seedPeers are the addresses of the seed peers by name, without this gateway.
+// seedPeers maps the names of the seed peers, without this gateway, to their addresses.
 type seedPeers map[string]netip.AddrPort
 
-// newSeedPeers checks a list of seed peers.
+// newSeedPeers validates a list of seed peers and returns them by name, without ownName.
 func newSeedPeers(list []SeedPeer, ownName string) (seedPeers, error) {
 	const field = "SeedPeers"
 	byName, byAddr := make(seedPeers, len(list)), make(map[netip.AddrPort]string, len(list))
@@ -31,24 +32,24 @@
 		other, duplicateAddr := byAddr[p.Addr]
 		switch {
 		case !gossipcodec.ValidName(p.Name):
-			return nil, configErrorf(field, "%q in the book is no name", p.Name)
+			return nil, configErrorf(field, "invalid seed peer name %q", p.Name)
 		case !p.Addr.IsValid() || p.Addr.Port() == 0:
-			return nil, configErrorf(field, "%s has no address in the book", p.Name)
+			return nil, configErrorf(field, "seed peer %s has no address with a port", p.Name)
 		case duplicateName:
-			return nil, configErrorf(field, "%s stands twice in the book", p.Name)
+			return nil, configErrorf(field, "seed peer %s is listed twice", p.Name)
 		case duplicateAddr:
-			return nil, configErrorf(field, "%s and %s have one address in the book", p.Name, other)
+			return nil, configErrorf(field, "seed peers %s and %s have the same address", p.Name, other)
 		}
 		byName[p.Name], byAddr[p.Addr] = p.Addr, p.Name
 	}
 	if len(byName) > MaxMembers {
-		return nil, configErrorf(field, "%d gateways in the book, %d at most", len(byName), MaxMembers)
+		return nil, configErrorf(field, "%d seed peers exceed the maximum of %d", len(byName), MaxMembers)
 	}
 	delete(byName, ownName)
 	return byName, nil
 }
 
-// unknown lists the seed peers that are not in a table, by name.
+// unknown lists the names of the seed peers that are not in t, sorted.
 func (s seedPeers) unknown(t *table) []string {
 	var out []string
 	for name := range s {
@@ -60,7 +61,7 @@
 	return out
 }
 
-// SetSeedPeers takes new seed peers. Its errors are of type [*ConfigError] and change nothing.
+// SetSeedPeers replaces the seed peers. If it returns an error, of type [*ConfigError], nothing has changed.
 func (m *Membership) SetSeedPeers(now time.Duration, list []SeedPeer) error {
 	m.advanceClock(now)
 	return m.setSeedPeers(list)
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// join greets some seed peers while nobody is known.
+// join pings up to joinFanout random seed peers. It is called while no other member is live.
 func (m *Membership) join() {
 	names := make([]string, 0, len(m.seeds))
 	for name := range m.seeds {
@@ -96,15 +97,15 @@
 	}
 }
 
-// pingSeedPeer probes a seed peer that was never heard of.
+// pingSeedPeer sends a Ping with this gateway's claim about itself to a seed peer.
 func (m *Membership) pingSeedPeer(name string) {
 	self := m.self.claim("")
 	seq := m.probes.add(&probe{kind: reconnectProbe, target: name, sentAt: m.now, deadline: m.now + protocolPeriod})
 	m.sendTo(m.seeds[name], &gossipcodec.Message{Kind: gossipcodec.Ping, Seq: seq}, &self)
 }
 
-// reconnect probes some of those believed gone or never heard of, so that the halves of a healed partition find each
-// other and each member can refute its removal.
+// reconnect probes some of the members that are considered gone and of the seed peers that have not been in contact
+// yet, so that the halves of a healed partition find each other and each member can refute its removal.
 func (m *Membership) reconnect() {
 	if m.disabled.includes(Reconnection) {
 		return
--- a/internal/membership/send.go
+++ b/internal/membership/send.go
@@ -9,17 +9,17 @@
 
 const (
 	sendRateLimit = 300.0 // datagrams a second
-	sendBurst     = 600.0 // datagrams; answers to pings may go as far below nothing
+	sendBurst     = 600.0 // datagrams; also how far answers to pings may overdraw the bucket
 )
 
-// sendLimiter is a token bucket over all that is sent. Answers to pings may overdraw it by one burst: a gateway taken
-// for gone because it was busy makes more work than it saves.
+// sendLimiter is a token bucket that limits the rate of all datagrams sent. Answers to pings may overdraw it by one
+// burst: a gateway that is considered gone because it was busy causes more work than the limit saves.
 type sendLimiter struct {
 	tokens     float64
 	refilledAt time.Duration
 }
 
-// allow takes one token, if there is one.
+// allow takes one token and reports whether one was available for a datagram of this kind.
 func (l *sendLimiter) allow(now time.Duration, kind gossipcodec.Kind) bool {
 	l.tokens = min(sendBurst, l.tokens+sendRateLimit*(now-l.refilledAt).Seconds())
 	l.refilledAt = now
@@ -34,7 +34,7 @@
 	return true
 }
 
-// allowSend takes one datagram from the limit, or counts that it was not sent.
+// allowSend takes a token for one datagram. If there is none, it returns false and counts the datagram as not sent.
 func (m *Membership) allowSend(kind gossipcodec.Kind) bool {
 	ok := m.limiter.allow(m.now, kind)
 	if !ok {
@@ -43,14 +43,15 @@
 	return ok
 }
 
-// send sends a message to a member, if its address is known.
+// send sends a message to a member if its address is known.
 func (m *Membership) send(peer *member, msg *gossipcodec.Message, about *gossipcodec.Claim) {
 	if peer.Addr.IsValid() {
 		m.sendTo(peer.Addr, msg, about)
 	}
 }
 
-// sendTo sends a message, with a claim that must be in it and waiting claims as far as there is room.
+// sendTo sends a message, unless the rate limit forbids it. The message carries the claim about, if not nil, and,
+// except for a Digest, as many queued claims as fit.
 func (m *Membership) sendTo(to netip.AddrPort, msg *gossipcodec.Message, about *gossipcodec.Claim) {
 	if !m.allowSend(msg.Kind) {
 		return
@@ -65,7 +66,7 @@
 	m.enqueue(to, datagram)
 }
 
-// encode begins a datagram of this gateway.
+// encode sets the header fields of a message of this gateway and encodes it without claims.
 func (m *Membership) encode(msg *gossipcodec.Message) []byte {
 	msg.Cluster, msg.From, msg.Start, msg.Digest = m.cfg.Cluster, m.cfg.Name, m.self.Start, m.table.digest
 	return gossipcodec.Append(make([]byte, 0, gossipcodec.MaxDatagram), msg)
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -11,54 +11,56 @@
 )
 
 const (
-	// convergedAfter is how long no state may have changed for a membership to be settled.
+	// convergedAfter is the minimum time without a change of state before a membership counts as converged.
 	convergedAfter = 2 * time.Second
-	// duplicateNameWindow is how long a second process of the own name is reported after it was last heard.
+	// duplicateNameWindow is how long a second process with this gateway's name is reported after it was last
+	// detected.
 	duplicateNameWindow = 10 * time.Second
 )
 
-// Member is what is known of one gateway.
+// Member describes one gateway as this gateway's view has it.
 type Member struct {
 	Name        string
 	State       gossipcodec.State
-	Start       uint64 // ms of Unix time
+	Start       uint64 // when its process started, in ms of Unix time
 	Incarnation uint64
-	Since       time.Duration     // in this state
-	Previous    gossipcodec.State // before it; Left for one that was just entered
-	SuspectedBy string            // who raised the last suspicion; empty where unknown
-	Payload     []byte            // as it spreads it; not to be changed
+	Since       time.Duration     // when it entered State
+	Previous    gossipcodec.State // the state before State; Left for a member that was just added
+	SuspectedBy string            // name of the member that raised the last suspicion; empty if unknown
+	Payload     []byte            // the data that it spreads about itself; must not be modified
 	Addr        netip.AddrPort
-	RTT         time.Duration // smoothed; 0 while none was measured
+	RTT         time.Duration // smoothed round-trip time; 0 before the first measurement
 }
 
-// Status sums up a membership and how far it may be trusted.
+// Status summarizes a membership and how reliable it is.
 type Status struct {
-	Version       uint64        // grows with every change of a state, start or payload
-	Alive         int           // this gateway and suspects included
-	Known         int           // alive, gone but not yet forgotten, and seed peers never heard of
-	Answering     float64       // share of the last periodic probes that were answered, 0 to 1
-	StableFor     time.Duration // since a state last changed
-	Majority      bool          // more than half of the known are alive and no suspects, and most probes are answered
-	Settled       bool          // no change for 2 s, no suspect, a majority, no duplicate of the own name
-	DuplicateName bool          // another living process uses this name
-	LocalHealth   int           // 0 is well, 8 is worst; it stretches this gateway's own times
+	Version       uint64        // increases with every change of a state, start or payload
+	Alive         int           // number of alive members, including this gateway and suspects
+	Known         int           // number of members alive or gone but not yet removed, plus seed peers without contact yet
+	Answering     float64       // share of the last 16 periodic probes that were answered, 0 to 1
+	StableFor     time.Duration // time since a state or start last changed
+	Majority      bool          // over half of Known are alive and not suspect, and over half of the probes were answered
+	Settled       bool          // converged: no change for 2 s, no suspect, a majority, and no duplicate of this gateway's name
+	DuplicateName bool          // another living process uses this gateway's name
+	LocalHealth   int           // 0 is healthy, 8 is worst; it stretches the timeouts of this gateway
 }
 
-// Counts is what came and went since the start.
+// Counts holds counters since the start of the membership.
 type Counts struct {
 	Sent, SentBytes         uint64
 	Received, ReceivedBytes uint64
-	// Refused: of another cluster, unreadable or impossible, from an address that is not known for its name.
+	// Rejected datagrams of another cluster; unreadable datagrams, and datagrams or claims with implausible values;
+	// and datagrams from an address that is not known for the sender's name.
 	OtherCluster, Malformed, UnknownSender uint64
-	Deferred                               uint64 // not sent, by the limit on what is sent
-	Full                                   uint64 // members not entered, over MaxMembers
-	FalseAlarms                            uint64 // suspicions of this gateway that it refuted
+	Deferred                               uint64 // datagrams not sent because of the rate limit
+	Full                                   uint64 // attempts to add a member to a table that already held MaxMembers
+	FalseAlarms                            uint64 // claims that this gateway was suspect, gone or left, which it refuted
 }
 
-// Counts returns what came and went since the start.
+// Counts returns the counters since the start of the membership.
 func (m *Membership) Counts() Counts { return m.counts }
 
-// Members lists all that are known, by name, this gateway included.
+// Members lists all known members, including this gateway, sorted by name.
 func (m *Membership) Members() []Member {
 	out := make([]Member, 0, len(m.table.sorted)+1)
 	for _, peer := range m.table.sorted {
@@ -70,7 +72,7 @@
 	return slices.Insert(out, index, m.self.Member)
 }
 
-// Find returns what is known of one member by its name, this gateway included.
+// Find returns the member with the given name, which may be this gateway, and whether it is known.
 func (m *Membership) Find(name string) (Member, bool) {
 	if name == m.self.Name {
 		return m.self.Member, true
@@ -82,8 +84,8 @@
 	return peer.Member, true
 }
 
-// Others yields all other members that are known, by name, without a copy of the list. They must not be changed or
-// kept.
+// Others yields all known members except this gateway, in the order of their names, without copying the list. The
+// caller must not modify or retain them.
 func (m *Membership) Others() iter.Seq[*Member] {
 	return func(yield func(*Member) bool) {
 		for _, peer := range m.table.sorted {
@@ -94,7 +96,7 @@
 	}
 }
 
-// Status sums up the membership at a time.
+// Status returns a summary of the membership at now.
 func (m *Membership) Status(now time.Duration) Status {
 	s := Status{
 		Version:       m.version,
@@ -122,7 +124,8 @@
 			s.Known++
 		}
 	}
-	// A gateway that hears nobody suspects itself first and the others for long: they must not count as its majority.
+	// A gateway that receives nothing first lowers its own local health and then suspects the others for a long time.
+	// Suspects must therefore not count toward its majority.
 	s.Majority = 2*(s.Alive-suspects) > s.Known && s.Answering > 0.5
 	s.Settled = s.StableFor >= convergedAfter && suspects == 0 && s.Majority && !s.DuplicateName
 	return s
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -10,34 +10,34 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// reapAfter is how long a member that is gone or has left is remembered, so that old claims cannot revive it.
+// reapAfter is how long a member that is gone or has left stays in the table, so that old claims cannot revive it.
 const reapAfter = 5 * time.Minute
 
-// member is one gateway with the state that this one keeps for it.
+// member is a gateway of the cluster with the state that this gateway keeps about it.
 type member struct {
 	Member
-	suspicion           *suspicion    // nil unless it is suspect
-	hash                uint64        // its part of the table's digest
-	lastReceived        time.Duration // from itself
-	lastReconnectProbe  time.Duration // when it was last probed because it spoke though it was believed gone
-	duplicateNotifiedAt time.Duration // when a second process of its name was last notified
+	suspicion           *suspicion    // nil unless the member is suspect
+	hash                uint64        // contribution of this member to the table's digest
+	lastReceived        time.Duration // when the last datagram from the member itself arrived
+	lastReconnectProbe  time.Duration // when it was last probed because it sent a datagram while considered gone
+	duplicateNotifiedAt time.Duration // when a second process with its name was last answered
 }
 
-// live reports whether it is a member that may be sent to.
+// live reports whether the member is alive or suspect, and its address is known.
 func (p *member) live() bool { return p.State <= gossipcodec.Suspect && p.Addr.IsValid() }
 
-// table holds the members known, and a digest over them by which two gateways find out cheaply whether they know the
-// same.
+// table holds the known members, and a digest over them with which two gateways detect cheaply whether their views
+// differ.
 type table struct {
 	byName     map[string]*member
-	sorted     []*member // by name, without this gateway
+	sorted     []*member // sorted by name, without this gateway
 	digest     uint64
 	bucketSums [gossipcodec.Buckets]uint32
 }
 
 func newTable() table { return table{byName: make(map[string]*member)} }
 
-// position is where a name stands in the order, or would.
+// position returns the index of name in the sorted list, or where it would be inserted.
 func (t *table) position(name string) int {
 	index, _ := slices.BinarySearchFunc(t.sorted, name, func(p *member, name string) int {
 		return strings.Compare(p.Name, name)
@@ -50,7 +50,7 @@
 	t.sorted = slices.Insert(t.sorted, t.position(p.Name), p)
 }
 
-// removeIf removes the members that a test picks, by name.
+// removeIf removes the members for which match returns true. It calls match in the order of the names.
 func (t *table) removeIf(match func(*member) bool) {
 	t.sorted = slices.DeleteFunc(t.sorted, func(p *member) bool {
 		if !match(p) {
@@ -61,12 +61,13 @@
 	})
 }
 
-// bucketOf is a name's bucket in the digest, by the top 5 bits of its hash.
+// bucketOf returns the digest bucket of a name: the top 5 bits of its hash.
 func bucketOf(name string) int { return int(xxh3.HashString(name) >> 59) }
 
-// updateDigest brings the digest up to date with one member. It is a sum over those alive, so that one change costs the
-// same in a table of any size. Suspicions end by themselves and the gone are forgotten at different times, so neither
-// counts.
+// updateDigest updates the digest after a change of p. The digest is a sum over the members that are alive or
+// suspect, so the cost of an update does not depend on the size of the table. It does not distinguish suspect from
+// alive, since suspicions end by themselves, and it excludes members that are gone, since each gateway forgets them
+// at a different time.
 func (t *table) updateDigest(p *member) {
 	hash := uint64(0)
 	if p.State <= gossipcodec.Suspect {
@@ -78,7 +79,8 @@
 	p.hash = hash
 }
 
-// addMember adds a member that was not known, as its first claim has it; nil where the table is full.
+// addMember adds a member that was unknown, with the name and start of its first claim. It returns nil if the table
+// is full.
 func (m *Membership) addMember(c *gossipcodec.Claim) *member {
 	if len(m.table.sorted) >= MaxMembers {
 		m.counts.Full++
@@ -95,18 +97,18 @@
 	return peer
 }
 
-// reap forgets members that have been gone for long.
+// reap removes members that have been gone or left for longer than reapAfter.
 func (m *Membership) reap() {
 	m.table.removeIf(func(peer *member) bool {
 		expired := peer.State >= gossipcodec.Gone && m.now-peer.Since > reapAfter
 		if expired {
-			m.queue.drop(peer.Name) // its claim may still wait where nobody is left to send it to
+			m.queue.drop(peer.Name) // its claim may still be queued if there was no live member to send it to
 		}
 		return expired
 	})
 }
 
-// randomPeers draws up to n living members other than one.
+// randomPeers draws up to n distinct live members other than the one named except.
 func (m *Membership) randomPeers(n int, except string) []*member {
 	if len(m.table.sorted) == 0 {
 		return nil
