--- a/internal/gossipcodec/codec_test.go
+++ b/internal/gossipcodec/codec_test.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// fullMessage is a message with all fields but those of a digest, and its claims.
+// fullMessage returns a message with all fields except those of a Digest, and its claims.
 func fullMessage() (*Message, []Claim) {
 	m := &Message{Cluster: "f", From: "g-1", Start: 1700000000123, Kind: PingRequest, Seq: 77, Target: "g-2",
 		Digest: 0xfeed}
@@ -39,17 +39,17 @@
 	got, err := Parse(encode(t, m, claims))
 	m.Claims = claims
 	if err != nil || !reflect.DeepEqual(got, m) {
-		t.Errorf("%v\n%+v\n%+v", err, got, m)
+		t.Errorf("error %v, decoded\n%+v\nwant\n%+v", err, got, m)
 	}
 	sums := make([]uint32, Buckets)
 	sums[31] = 7
 	digest := &Message{Cluster: "f", From: "g", Start: 1, Kind: Digest, BucketSums: sums, Reply: true}
 	if got, err := Parse(encode(t, digest, nil)); err != nil || !reflect.DeepEqual(got, digest) {
-		t.Errorf("%v %+v", err, got)
+		t.Errorf("error %v, decoded %+v, want %+v", err, got, digest)
 	}
 }
 
-// Guards against a later version's fields, wherever they stand, that make an earlier one refuse the datagram.
+// Verifies that fields which a later version adds to a datagram or a claim do not cause its rejection.
 func TestUnknownFieldsAreSkipped(t *testing.T) {
 	m, claims := fullMessage()
 	b := encode(t, m, claims[:1])
@@ -65,11 +65,11 @@
 	b = protowire.AppendBytes(protowire.AppendTag(b, fieldClaim, protowire.BytesType), claim)
 	got, err := Parse(b)
 	if err != nil || len(got.Claims) != 2 || got.Claims[1].Name != "g-9" {
-		t.Errorf("%v %+v", err, got)
+		t.Errorf("error %v, decoded %+v, want two claims", err, got)
 	}
 }
 
-// Guards against an error that does not say what is wrong with a datagram.
+// Verifies that an error of Parse names the fault and the invalid field, or matches its exported error.
 func TestParseErrorsNameTheField(t *testing.T) {
 	m, claims := fullMessage()
 	message := func(change func(*Message)) []byte {
@@ -87,38 +87,40 @@
 		name  string
 		data  []byte
 		text  string
-		cause error  // that it matches, or
-		field string // the one that it names
+		cause error  // the error that it must match, or nil
+		field string // the field that it must name if cause is nil
 	}{
-		{"too long", make([]byte, MaxDatagram+1), "257 bytes", ErrTooLong, ""},
+		{"too long", make([]byte, MaxDatagram+1), "datagram of 257 bytes", ErrTooLong, ""},
 		{"later version", append(encode(t, m, nil), later...), "unknown version 2", ErrVersion, ""},
-		{"faulty sender", message(func(m *Message) { m.From = "a b" }), "no name", nil, "from"},
-		{"long target", message(func(m *Message) { m.Target = strings.Repeat("x", MaxName+1) }),
-			"target", nil, "target"},
+		{"invalid sender name", message(func(m *Message) { m.From = "a b" }),
+			`sender name "a b" is not valid`, nil, "from"},
+		{"target name too long", message(func(m *Message) { m.Target = strings.Repeat("x", MaxName+1) }),
+			"target name", nil, "target"},
 		{"unknown kind", message(func(m *Message) { m.Kind = maxKind + 1 }), "unknown kind", nil, "kind"},
-		{"no target", message(func(m *Message) { m.Target = "" }), "lacks", nil, "target"},
-		{"no sums", message(func(m *Message) { m.Kind = Digest }), "lacks", nil, "sums"},
-		{"faulty name", claim(func(c *Claim) { c.Name = "\x00" }), "a claim about", nil, "name"},
+		{"no target", message(func(m *Message) { m.Target = "" }), "lacks its target", nil, "target"},
+		{"no bucket sums", message(func(m *Message) { m.Kind = Digest }), "lacks its bucket sums", nil, "sums"},
+		{"invalid member name", claim(func(c *Claim) { c.Name = "\x00" }), "in a claim is not valid", nil, "name"},
 		{"unknown state", claim(func(c *Claim) { c.State = 9 }), "unknown state", nil, "state"},
-		{"long payload", claim(func(c *Claim) { c.Payload = make([]byte, MaxPayload+1) }),
+		{"payload too long", claim(func(c *Claim) { c.Payload = make([]byte, MaxPayload+1) }),
 			"payload of 65", nil, "payload"},
-		{"incarnation", claim(func(c *Claim) { c.Incarnation = 1 << 41 }), "incarnation", nil, "incarnation"},
-		{"cut short", encode(t, m, claims)[:40], "fleetwire", nil, "11"},
+		{"incarnation too high", claim(func(c *Claim) { c.Incarnation = 1 << 41 }),
+			"the incarnation exceeds the maximum", nil, "incarnation"},
+		{"truncated", encode(t, m, claims)[:40], "gossipcodec", nil, "11"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := Parse(test.data)
 			if err == nil || !strings.Contains(err.Error(), test.text) {
-				t.Errorf("want %q: %v", test.text, err)
+				t.Errorf("error %v, want a text with %q", err, test.text)
 			}
 			if test.cause != nil {
 				if !errors.Is(err, test.cause) {
-					t.Errorf("%v is not %v", err, test.cause)
+					t.Errorf("error %v does not match %v", err, test.cause)
 				}
 				return
 			}
 			var faulty *FieldError
 			if !errors.As(err, &faulty) || faulty.Field != test.field {
-				t.Errorf("want field %s: %#v", test.field, err)
+				t.Errorf("error %#v, want a FieldError of field %s", err, test.field)
 			}
 		})
 	}
@@ -131,14 +133,14 @@
 		b, ok = AppendClaim(b, &Claim{Name: "some-gateway", Start: 1700000000001, Incarnation: 9, State: Gone})
 	}
 	if len(b) > MaxDatagram || n < 5 {
-		t.Errorf("%d bytes with %d claims", len(b), n)
+		t.Errorf("%d bytes with %d claims, want at most %d bytes and at least 5 claims", len(b), n, MaxDatagram)
 	}
 	if _, err := Parse(b); err != nil {
 		t.Error(err)
 	}
 }
 
-// Guards against bytes that can be read and not be written again.
+// Verifies that a message which was decoded can be encoded again and decoded once more, except for a Digest.
 func FuzzParse(f *testing.F) {
 	m, claims := fullMessage()
 	b := Append(nil, m)
@@ -154,10 +156,10 @@
 		}
 		again := Append(nil, got)
 		if len(again) > MaxDatagram {
-			t.Fatalf("%d bytes from %d", len(again), len(b))
+			t.Fatalf("encoded again to %d bytes from %d", len(again), len(b))
 		}
 		if _, err := Parse(again); err != nil && got.Kind != Digest {
-			t.Fatalf("%v: %+v", err, got)
+			t.Fatalf("cannot decode the message that was encoded again: %v: %+v", err, got)
 		}
 	})
 }
--- a/internal/gossipcodec/decode.go
+++ b/internal/gossipcodec/decode.go
@@ -9,17 +9,18 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// addrBytes is the length of an IPv4 address and a port.
+// addrBytes is the encoded length of an IPv4 address with its port.
 const addrBytes = 6
 
-// field is one field as it stands on the wire.
+// field is one decoded field of the wire format.
 type field struct {
 	number protowire.Number
 	value  uint64
 	bytes  []byte
 }
 
-// eachField walks over the fields of a message. Groups and broken fields are of type *FieldError.
+// eachField calls fn for each field of an encoded message, in order, until fn returns an error. For groups and for
+// fields that cannot be decoded it returns a *FieldError.
 func eachField(b []byte, fn func(field) error) error {
 	for len(b) > 0 {
 		number, wireType, n := protowire.ConsumeTag(b)
@@ -56,8 +57,8 @@
 	return nil
 }
 
-// Parse reads a datagram. What it returns owns its memory. Its errors match [ErrTooLong] or [ErrVersion], or are of
-// type [*FieldError].
+// Parse decodes a datagram. The message does not refer to b. Errors match [ErrTooLong] or [ErrVersion] with
+// errors.Is, or are of type [*FieldError].
 func Parse(b []byte) (*Message, error) {
 	if len(b) > MaxDatagram {
 		return nil, lengthError(len(b))
@@ -83,7 +84,7 @@
 	return m, nil
 }
 
-// setField takes one field of a message.
+// setField stores one decoded field in m and ignores unknown fields.
 func (m *Message) setField(f field) (err error) {
 	switch f.number {
 	case fieldCluster:
@@ -118,11 +119,11 @@
 
 func parseBucketSums(b []byte) ([]uint32, error) {
 	if len(b) != 4*Buckets {
-		return nil, fieldErrorf("sums", "%d bytes of sums, want %d", len(b), 4*Buckets)
+		return nil, fieldErrorf("sums", "bucket sums of %d bytes, want %d", len(b), 4*Buckets)
 	}
 	sums := make([]uint32, 0, Buckets)
 	for remaining := b; len(remaining) > 0; remaining = remaining[4:] {
-		v, _ := protowire.ConsumeFixed32(remaining) // four bytes are there
+		v, _ := protowire.ConsumeFixed32(remaining) // cannot fail: remaining has at least four bytes
 		sums = append(sums, v)
 	}
 	return sums, nil
@@ -131,17 +132,17 @@
 func (m *Message) validate() error {
 	switch {
 	case m.Start > MaxStart:
-		return fieldErrorf("start", "from a process started at %d", m.Start)
+		return fieldErrorf("start", "process start %d of the sender exceeds the maximum", m.Start)
 	case !ValidName(m.From):
-		return fieldErrorf("from", "from %q is no name", m.From)
+		return fieldErrorf("from", "sender name %q is not valid", m.From)
 	case m.Target != "" && !ValidName(m.Target):
-		return fieldErrorf("target", "target %q is no name", m.Target)
+		return fieldErrorf("target", "target name %q is not valid", m.Target)
 	case m.Kind == 0 || m.Kind > maxKind:
 		return fieldErrorf("kind", "unknown kind %d", m.Kind)
 	case m.Kind == PingRequest && m.Target == "":
-		return fieldErrorf("target", "kind %d lacks what it needs", m.Kind)
+		return fieldErrorf("target", "datagram of kind %d lacks its target", m.Kind)
 	case m.Kind == Digest && m.BucketSums == nil:
-		return fieldErrorf("sums", "kind %d lacks what it needs", m.Kind)
+		return fieldErrorf("sums", "datagram of kind %d lacks its bucket sums", m.Kind)
 	}
 	return nil
 }
@@ -165,7 +166,7 @@
 			c.Payload = append([]byte(nil), f.bytes...)
 		case claimAddr:
 			if len(f.bytes) != addrBytes {
-				return fieldErrorf("addr", "an address of %d bytes", len(f.bytes))
+				return fieldErrorf("addr", "address of %d bytes, want %d", len(f.bytes), addrBytes)
 			}
 			port := uint16(f.bytes[4])<<8 | uint16(f.bytes[5])
 			c.Addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte(f.bytes[:4])), port)
@@ -176,17 +177,21 @@
 	case err != nil:
 		return c, err
 	case !ValidName(c.Name):
-		return c, fieldErrorf("name", "a claim about %q by %q", c.Name, c.SuspectedBy)
+		return c, fieldErrorf("name", "member name %q in a claim is not valid", c.Name)
 	case c.SuspectedBy != "" && !ValidName(c.SuspectedBy):
-		return c, fieldErrorf("by", "a claim about %q by %q", c.Name, c.SuspectedBy)
+		return c, fieldErrorf("by", "name %q of the suspecting member in a claim about %s is not valid", c.SuspectedBy,
+			c.Name)
 	case state > uint64(maxState):
-		return c, fieldErrorf("state", "unknown state %d of %s", state, c.Name)
+		return c, fieldErrorf("state", "unknown state %d in a claim about %s", state, c.Name)
 	case len(c.Payload) > MaxPayload:
-		return c, fieldErrorf("payload", "a payload of %d bytes, %d at most", len(c.Payload), MaxPayload)
+		return c, fieldErrorf("payload", "payload of %d bytes exceeds the maximum of %d bytes", len(c.Payload), MaxPayload)
 	case c.Start > MaxStart:
-		return c, fieldErrorf("start", "%s started at %d, incarnation %d", c.Name, c.Start, c.Incarnation)
+		return c, fieldErrorf("start", "process start %d, incarnation %d in a claim about %s: the start exceeds the maximum",
+			c.Start, c.Incarnation, c.Name)
 	case c.Incarnation > MaxIncarnation:
-		return c, fieldErrorf("incarnation", "%s started at %d, incarnation %d", c.Name, c.Start, c.Incarnation)
+		return c, fieldErrorf("incarnation",
+			"process start %d, incarnation %d in a claim about %s: the incarnation exceeds the maximum",
+			c.Start, c.Incarnation, c.Name)
 	}
 	c.State = State(state)
 	return c, nil
--- a/internal/gossipcodec/encode.go
+++ b/internal/gossipcodec/encode.go
@@ -2,10 +2,10 @@
 
 import "google.golang.org/protobuf/encoding/protowire"
 
-// claimHeaderBytes is the most bytes that the tag and length of a claim take.
+// claimHeaderBytes is the maximum size of the tag and length that precede a claim.
 const claimHeaderBytes = 3
 
-// Append appends a message without its claims.
+// Append appends the encoding of m, without its claims, to b and returns the result. [AppendClaim] adds claims.
 func Append(b []byte, m *Message) []byte {
 	b = protowire.AppendTag(b, fieldVersion, protowire.VarintType)
 	b = protowire.AppendVarint(b, Version)
@@ -32,7 +32,8 @@
 	return b
 }
 
-// AppendClaim appends one claim to a message, if it fits into [MaxDatagram]; ok is false, and out is b, if it does not.
+// AppendClaim appends one claim to the datagram b. If the datagram would exceed [MaxDatagram] bytes, out is b and ok
+// is false.
 func AppendClaim(b []byte, c *Claim) (out []byte, ok bool) {
 	var scratch [MaxDatagram]byte
 	claim := appendString(scratch[:0], claimName, c.Name)
@@ -52,7 +53,7 @@
 	return protowire.AppendBytes(b, claim), true
 }
 
-// appendString appends a field, unless it is empty.
+// appendString appends a field of bytes, unless s is empty.
 func appendString(b []byte, number protowire.Number, s string) []byte {
 	if s == "" {
 		return b
@@ -60,7 +61,7 @@
 	return protowire.AppendString(protowire.AppendTag(b, number, protowire.BytesType), s)
 }
 
-// appendNumber appends a field, unless it is 0.
+// appendNumber appends a varint field, unless v is 0.
 func appendNumber(b []byte, number protowire.Number, v uint64) []byte {
 	if v == 0 {
 		return b
--- a/internal/gossipcodec/errors.go
+++ b/internal/gossipcodec/errors.go
@@ -5,36 +5,37 @@
 	"fmt"
 )
 
-// Errors of [Parse] that callers can match.
+// Errors of [Parse] that callers can match with errors.Is.
 var (
-	// ErrVersion is that of a datagram of a version that is not known here.
-	ErrVersion = errors.New("fleetwire: unknown version")
-	// ErrTooLong is that of a datagram over MaxDatagram bytes.
-	ErrTooLong = errors.New("fleetwire: datagram too long")
+	// ErrVersion is returned for a datagram whose version is not [Version].
+	ErrVersion = errors.New("gossipcodec: unknown version")
+	// ErrTooLong is returned for a datagram of more than [MaxDatagram] bytes.
+	ErrTooLong = errors.New("gossipcodec: datagram too long")
 )
 
-// FieldError says which field of a datagram cannot be read. Its cause, if there is one, is protowire's.
+// FieldError reports which field of a datagram is invalid. If protowire could not decode the field, it wraps
+// protowire's error.
 type FieldError struct {
-	Field  string // by its name in the schema, or by its number where only that is known; empty for a broken tag
+	Field  string // name in the schema, or the number if the field was not decoded; empty for an invalid tag
 	reason string
 	cause  error
 }
 
 // Error implements error.
-func (e *FieldError) Error() string { return "fleetwire: " + e.reason }
+func (e *FieldError) Error() string { return "gossipcodec: " + e.reason }
 
-// Unwrap returns the cause.
+// Unwrap returns protowire's error, or nil.
 func (e *FieldError) Unwrap() error { return e.cause }
 
 func fieldErrorf(field, format string, args ...any) error {
 	return &FieldError{Field: field, reason: fmt.Sprintf(format, args...)}
 }
 
-// lengthError keeps ErrTooLong out of the text, which states the length instead.
+// lengthError matches ErrTooLong with errors.Is, but its text states the length of the datagram.
 type lengthError int
 
 func (e lengthError) Error() string {
-	return fmt.Sprintf("fleetwire: %d bytes, %d at most", int(e), MaxDatagram)
+	return fmt.Sprintf("gossipcodec: datagram of %d bytes exceeds the maximum of %d bytes", int(e), MaxDatagram)
 }
 
 func (e lengthError) Is(target error) bool { return target == ErrTooLong }
--- a/internal/gossipcodec/message.go
+++ b/internal/gossipcodec/message.go
@@ -1,45 +1,46 @@
-// Package gossipcodec encodes and decodes the datagrams between the gateways of one cluster, in protobuf's wire format:
-// a version, unknown fields skipped, 256 bytes at most. It does no I/O.
+// Package gossipcodec encodes and decodes the datagrams between the gateways of one cluster. They use protobuf's wire
+// format, contain a version, and are at most 256 bytes long. Receivers skip unknown fields. The package does no I/O.
 //
-// A datagram is begun by [Append] and filled with [AppendClaim] as far as there is room; [Parse] reads it.
-// docs/reference/gossip.md has the schema. The wire's names for what this package calls the cluster, PingRequest,
-// DuplicateName, Digest and BucketSums are fleet, ask, twin, view and sums.
+// [Append] starts a datagram, [AppendClaim] adds claims while there is room, and [Parse] decodes it.
+// docs/reference/gossip.md contains the schema. The schema calls the cluster, PingRequest, DuplicateName, Digest and
+// BucketSums by the names fleet, ask, twin, view and sums.
 package gossipcodec
 
 import "net/netip"
 
-// Bounds of what a datagram may hold.
+// Limits of a datagram and its fields, and the version of the format.
 const (
 	MaxDatagram = 256 // bytes
-	MaxName     = 32  // bytes, of a cluster's or a member's name
-	MaxPayload  = 64  // bytes
-	Buckets     = 32  // of the sums over a membership
+	MaxName     = 32  // bytes of the name of a cluster or member
+	MaxPayload  = 64  // bytes of the payload of a claim
+	Buckets     = 32  // number of bucket sums in a Digest
 	Version     = 1
 	maxClaims   = 32
 
-	MaxStart       = 1 << 46 // ms of Unix time
-	MaxIncarnation = 1 << 40
+	MaxStart       = 1 << 46 // highest start of a process, in ms of Unix time
+	MaxIncarnation = 1 << 40 // highest incarnation of a claim
 )
 
-// Kind is what a datagram asks or answers.
+// Kind is the purpose of a datagram.
 type Kind uint8
 
-// The kinds.
+// The kinds of datagrams. Their numbers are part of the wire format.
 const (
-	Ping          Kind = iota + 1 // is answered by an Ack with its Seq
-	Ack                           // the sender, or the target of a PingRequest, is alive
-	PingRequest                   // has the receiver ping Target and answer with an Ack or a Nack
-	Nack                          // the target of a PingRequest did not answer
-	Gossip                        // carries claims alone
-	Digest                        // has the sums over the sender's membership; Reply is set where it answers one
-	DuplicateName                 // another living process has the receiver's name; Seq is that one's start
+	Ping          Kind = iota + 1 // requests an Ack with the same Seq
+	Ack                           // states that the sender, or the target of a PingRequest, is alive
+	PingRequest                   // requests the receiver to ping Target and to answer with an Ack or a Nack
+	Nack                          // states that the target of a PingRequest did not answer or is unknown
+	Gossip                        // carries only claims
+	Digest                        // carries the bucket sums of the sender's membership; Reply marks the answer to another Digest
+	DuplicateName                 // reports another living process with the receiver's name; Seq is the start of that process
 	maxKind       = DuplicateName
 )
 
-// State is what a claim says of a member.
+// State is the state of a member according to a claim.
 type State uint8
 
-// The states, in the order of their strength among claims of one incarnation.
+// The states. Among claims of one incarnation, a later state in this list supersedes an earlier one. Their numbers
+// are part of the wire format.
 const (
 	Alive State = iota
 	Suspect
@@ -48,7 +49,7 @@
 	maxState = Left
 )
 
-// String names a state as operators read it.
+// String returns the name of the state for operators.
 func (s State) String() string {
 	if s > maxState {
 		return "unknown"
@@ -56,32 +57,32 @@
 	return [...]string{"alive", "suspect", "gone", "left"}[s]
 }
 
-// Claim is what is said of one process of one member.
+// Claim states what its originator assumes about one process of one member.
 type Claim struct {
 	Name        string
-	Start       uint64 // of its process, ms of Unix time
+	Start       uint64 // when the process started, in ms of Unix time
 	Incarnation uint64
 	State       State
-	SuspectedBy string // empty where that is not said
+	SuspectedBy string // name of the member that suspects it; empty if not stated
 	Payload     []byte
-	Addr        netip.AddrPort // where it is reached, in a flat network; else not valid
+	Addr        netip.AddrPort // the member's address in a flat network; otherwise invalid
 }
 
-// Message is one datagram.
+// Message is a decoded datagram.
 type Message struct {
 	Cluster    string
 	From       string
-	Start      uint64 // of the sender's process, ms of Unix time
+	Start      uint64 // when the sender's process started, in ms of Unix time
 	Kind       Kind
 	Seq        uint64
-	Target     string   // of a PingRequest
-	Digest     uint64   // digest of the sender's membership
-	BucketSums []uint32 // of a Digest, one for each bucket
-	Reply      bool     // of a Digest
+	Target     string   // name of the member to ping; only in a PingRequest
+	Digest     uint64   // digest over the sender's membership
+	BucketSums []uint32 // one for each bucket; only in a Digest
+	Reply      bool     // whether it answers another Digest; only in a Digest
 	Claims     []Claim
 }
 
-// Field numbers of a datagram. A new field gets a new number; an old one is never given another meaning.
+// Field numbers of a datagram. A new field gets a new number; a number never changes its meaning.
 const (
 	fieldVersion = iota + 1
 	fieldCluster
@@ -107,8 +108,8 @@
 	claimAddr
 )
 
-// ValidName reports whether a text can name a member or a cluster: 1 to [MaxName] printable ASCII characters, without
-// spaces.
+// ValidName reports whether s is a valid name of a member or cluster: 1 to [MaxName] printable ASCII characters
+// without spaces.
 func ValidName(s string) bool {
 	if len(s) == 0 || len(s) > MaxName {
 		return false
--- a/internal/gossipconfig/assignment.go
+++ b/internal/gossipconfig/assignment.go
@@ -7,41 +7,44 @@
 	"thymebend/internal/tomlfile"
 )
 
-// Assignment says how the cluster divides endpoints among its gateways. All its gateways must have the same.
+// Assignment holds the settings for dividing the endpoints among the gateways of a cluster. All its gateways must
+// have the same settings.
 type Assignment struct {
-	// Users is how many gateways use an endpoint on the mean, and own the slow-start tokens of one that starts.
+	// Users is the mean number of gateways that use an endpoint, and the number of gateways that own the slow-start
+	// tokens of an endpoint in slow start.
 	Users int
-	// MaxUsers is how many gateways use an endpoint at most, where endpoints hold few connections.
+	// MaxUsers is the maximum number of gateways that use an endpoint, for endpoints that allow few connections.
 	MaxUsers int
-	// MinEndpoints is how many endpoints a gateway uses at least.
+	// MinEndpoints is the minimum number of endpoints that a gateway uses.
 	MinEndpoints int
-	// RemoteZoneOdds is the chance of an endpoint of another zone over one of the own, above 0 to 1.
+	// RemoteZoneOdds is the probability of choosing an endpoint of another zone relative to one of the gateway's
+	// zone, above 0 and at most 1.
 	RemoteZoneOdds float64
-	// WarmRate is the requests a second, of the class with the most work, that the weakest endpoint answers once
-	// it is warm; 0 is what the classes' latency objectives tell.
+	// WarmRate is the rate, in requests a second of the class with the most work, that the weakest endpoint sustains
+	// after slow start. 0 means that the rate is derived from the classes' latency objectives.
 	WarmRate float64
-	// ClockSkew is by how much two gateways' clocks differ at most.
+	// ClockSkew is the maximum difference between the clocks of two gateways.
 	ClockSkew time.Duration
 }
 
-// What holds where the table [shares] leaves a field out.
+// Defaults of the fields that the table [shares] omits.
 const (
 	defaultUsers          = 12
-	maxUsersFactor        = 3 // MaxUsers over Users
+	maxUsersFactor        = 3 // ratio of MaxUsers to Users
 	defaultMinEndpoints   = 2
 	defaultRemoteZoneOdds = 0.5
 	defaultClockSkew      = 20 * time.Millisecond
 )
 
-// Bounds of the table [shares].
+// Upper limits of the values in the table [shares].
 const (
 	maxUsers    = 100
 	maxWarmRate = 1e6 // requests a second
-	// A slow-start token is good for a quarter of the rule's window, less twice the skew.
+	// A slow-start token is valid for a quarter of the token rule's window, minus twice the clock skew.
 	maxClockSkew = 100 * time.Millisecond
 )
 
-// assignmentTable is the table [shares] by the protocol's names.
+// assignmentTable is the table [shares] of the gossip file, with the key names of the file.
 type assignmentTable struct {
 	Users          *int               `toml:"users"`
 	MaxUsers       *int               `toml:"most_users"`
@@ -51,7 +54,7 @@
 	ClockSkew      *tomlfile.Duration `toml:"skew"`
 }
 
-// DefaultAssignment is what an empty table [shares] says.
+// DefaultAssignment returns the settings of an empty table [shares].
 func DefaultAssignment() *Assignment {
 	return &Assignment{
 		Users:          defaultUsers,
@@ -62,7 +65,7 @@
 	}
 }
 
-// assignment reads the table over the defaults, and checks the result.
+// assignment applies the table to the defaults and validates the result.
 func (r reader) assignment(t *assignmentTable) *Assignment {
 	a := DefaultAssignment()
 	a.WarmRate = t.WarmRate
@@ -89,8 +92,8 @@
 		r.addFault(ErrRange, "shares.away", "must be above 0 and at most 1")
 	}
 	if !(a.WarmRate >= 0 && a.WarmRate <= maxWarmRate) {
-		r.addFault(ErrRange, "shares.warm_rate", "must be 0 to %v requests a second; 0 is what the classes' aims tell",
-			maxWarmRate)
+		r.addFault(ErrRange, "shares.warm_rate",
+			"must be 0 to %v requests a second; 0 derives it from the classes' latency objectives", maxWarmRate)
 	}
 	if a.ClockSkew < 0 || a.ClockSkew > maxClockSkew {
 		r.addFault(ErrRange, "shares.skew", "must be 0s to %v", maxClockSkew)
@@ -98,7 +101,7 @@
 	return a
 }
 
-// override sets a value where the file states one.
+// override sets value if the file states one.
 func override[T any](value, stated *T) {
 	if stated != nil {
 		*value = *stated
--- a/internal/gossipconfig/gossipconfig.go
+++ b/internal/gossipconfig/gossipconfig.go
@@ -1,7 +1,8 @@
-// Package gossipconfig reads the file that LB_FLEET names: which cluster a gateway belongs to, where it speaks
-// with the others and how it reaches them.
+// Package gossipconfig reads the gossip file, whose path is in LB_FLEET. The file defines the cluster that a gateway
+// belongs to, the address on which it listens for gossip, and the addresses of the other gateways.
 //
-// Errors of a file's text are a fielderror.List with everything that is wrong, each with file, line and column.
+// Errors in the text of the file are returned as a fielderror.List, which has one entry with file, line and column
+// for each fault.
 package gossipconfig
 
 import (
@@ -16,28 +17,28 @@
 	"thymebend/internal/tomlfile"
 )
 
-// Causes of a fielderror.Error, beside those of tomlfile.
+// Causes of a fielderror.Error that callers can match with errors.Is, in addition to those of tomlfile.
 var (
-	ErrName      = errors.New("no name of a cluster or gateway")
-	ErrAddress   = errors.New("no IPv4 address and port")
-	ErrDuplicate = errors.New("there already")
+	ErrName      = errors.New("invalid name of a cluster or gateway")
+	ErrAddress   = errors.New("invalid IPv4 address or port")
+	ErrDuplicate = errors.New("duplicate name or address")
 	ErrTooMany   = errors.New("too many peers")
-	ErrRange     = errors.New("out of its range")
+	ErrRange     = errors.New("value out of range")
 )
 
-// Config is a gateway's place in its cluster.
+// Config is the content of the gossip file, with the gateway's name filled in.
 type Config struct {
 	Cluster string
 	Name    string // of this gateway in the cluster
 	Listen  netip.AddrPort
-	// Flat says that every gateway is reached at one address from everywhere, and that those that are no seed
+	// Flat indicates a flat network: each gateway has the same address for all others, and gateways that are not seed
 	// peers may join.
 	Flat       bool
 	SeedPeers  []membership.SeedPeer
-	Assignment *Assignment // nil where the file does not ask for subsets
+	Assignment *Assignment // nil if the file has no table [shares]: the gateways then use no subsets
 }
 
-// configFile is the file's text by the protocol's names.
+// configFile is the structure of the gossip file, with the key names of the file.
 type configFile struct {
 	Cluster    string           `toml:"fleet"`
 	Name       string           `toml:"name"`
@@ -52,7 +53,7 @@
 	Addr string `toml:"addr"`
 }
 
-// Load reads a file. name is the gateway's where the file names none.
+// Load reads and parses the file at path. defaultName is the gateway's name if the file states none.
 func Load(path, defaultName string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -61,7 +62,8 @@
 	return Parse(path, raw, defaultName)
 }
 
-// Parse is Load with the text at hand; path names it in errors.
+// Parse parses the text of a gossip file. path identifies the file in errors. name is the gateway's name if the file
+// states none.
 func Parse(path string, raw []byte, name string) (*Config, error) {
 	var f configFile
 	r := reader{tomlfile.Read(path, raw, &f)}
@@ -84,10 +86,10 @@
 	return c, nil
 }
 
-// reader checks a file that was decoded, and collects its faults.
+// reader validates a decoded file and collects its faults.
 type reader struct{ file *tomlfile.File }
 
-// addFault reports a fault that errors.Is matches with kind.
+// addFault records a fault of a field. errors.Is matches the fault with kind.
 func (r reader) addFault(kind error, field, format string, args ...any) {
 	r.file.Fault(field, "%w", fielderror.Worded(kind, format, args...))
 }
@@ -95,7 +97,8 @@
 func (r reader) checkName(field, name string) bool {
 	ok := gossipcodec.ValidName(name)
 	if !ok {
-		r.addFault(ErrName, field, "%q is no name of 1 to %d printable ASCII characters", name, gossipcodec.MaxName)
+		r.addFault(ErrName, field, "invalid name %q: need 1 to %d printable ASCII characters without spaces", name,
+			gossipcodec.MaxName)
 	}
 	return ok
 }
@@ -103,15 +106,15 @@
 func (r reader) address(field, text string) netip.AddrPort {
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil || addr.Port() == 0 || !addr.Addr().Is4() {
-		r.addFault(ErrAddress, field, "%q is no IPv4 address and port", text)
+		r.addFault(ErrAddress, field, "invalid address %q: need an IPv4 address and a port", text)
 	}
 	return addr
 }
 
-// peers reads the seed peers: no name and no address may be there twice.
+// peers reads the seed peers. Each name and each address may occur only once.
 func (r reader) peers(list []peerTable) (peers []membership.SeedPeer) {
 	if len(list) > membership.MaxMembers {
-		r.addFault(ErrTooMany, "peer", "%d peers, %d at most", len(list), membership.MaxMembers)
+		r.addFault(ErrTooMany, "peer", "%d peers exceed the maximum of %d", len(list), membership.MaxMembers)
 	}
 	names, nameByAddr := make(map[string]bool), make(map[netip.AddrPort]string)
 	for i, p := range list {
@@ -122,7 +125,7 @@
 		case names[p.Name]:
 			r.addFault(ErrDuplicate, nameField, "%q is there already", p.Name)
 		case addr.IsValid() && other != "":
-			r.addFault(ErrDuplicate, addrField, "%s is the address of %s already", addr, other)
+			r.addFault(ErrDuplicate, addrField, "%s is already the address of %s", addr, other)
 		}
 		names[p.Name], nameByAddr[addr] = true, p.Name
 		peers = append(peers, membership.SeedPeer{Name: p.Name, Addr: addr})
--- a/internal/gossipconfig/gossipconfig_test.go
+++ b/internal/gossipconfig/gossipconfig_test.go
@@ -12,7 +12,7 @@
 	"thymebend/internal/tomlfile"
 )
 
-// Guards against a faulty file that is taken, or whose line and column are not named.
+// Verifies that a faulty file is rejected with an error that names the line, the field or the fault.
 func TestErrorsReportLineAndColumn(t *testing.T) {
 	const good = "fleet = \"f\"\nlisten = \"127.0.0.1:7946\"\n[[peer]]\nname = \"a\"\naddr = \"127.0.0.1:7947\"\n"
 	if f, err := Parse("x.toml", []byte(good), "me"); err != nil || f.Name != "me" || len(f.SeedPeers) != 1 ||
@@ -24,23 +24,23 @@
 		strings.Replace(good, "7946", "none", 1):                     "x.toml:2:",
 		strings.Replace(good, "\"a\"", "\"a b\"", 1):                 "x.toml:4:",
 		good + "[[peer]]\nname = \"a\"\naddr = \"127.0.0.1:7948\"\n": "there already",
-		good + "[[peer]]\nname = \"b\"\naddr = \"127.0.0.1:7947\"\n": "address of a already",
+		good + "[[peer]]\nname = \"b\"\naddr = \"127.0.0.1:7947\"\n": "127.0.0.1:7947 is already the address of a",
 		good + "adress = 1\n":                                        "peer.adress: unknown field",
 	} {
 		t.Run(want, func(t *testing.T) {
 			if _, err := Parse("x.toml", []byte(text), "me"); err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("want %q: %v", want, err)
+				t.Errorf("error %v, want a text with %q", err, want)
 			}
 		})
 	}
 }
 
-// The table of shares has usual figures where it leaves some out, and faults of its own.
+// Verifies the defaults of the table [shares], the values that it sets, and the rejection of invalid values.
 func TestSharesTableIsParsed(t *testing.T) {
 	const head = "fleet = \"f\"\nlisten = \"127.0.0.1:7946\"\n"
 	read := func(table string) (*Config, error) { return Parse("x.toml", []byte(head+table), "me") }
 	if f, err := read(""); err != nil || f.Assignment != nil {
-		t.Errorf("without the table: %+v %v", f, err)
+		t.Errorf("without the table: %+v, error %v", f, err)
 	}
 	if f, err := read("[shares]\n"); err != nil ||
 		*f.Assignment != (Assignment{Users: 12, MaxUsers: 36, MinEndpoints: 2, RemoteZoneOdds: 0.5,
@@ -57,12 +57,13 @@
 		"skew = \"101ms\"", "skew = 5", "user = 3"} {
 		if _, err := read("[shares]\n" + field + "\n"); err == nil || !strings.Contains(err.Error(), "x.toml:4:") ||
 			!strings.Contains(err.Error(), "shares."+strings.Fields(field)[0]) {
-			t.Errorf("%s: %v", field, err)
+			t.Errorf("%s: error %v, want one that names line 4 and the field", field, err)
 		}
 	}
 }
 
-// A book of 1,024 gateways is read. One that is longer than a view may be is refused with its size.
+// Verifies that lists of 1,024 seed peers and of the maximum number are accepted, and that one more is rejected with
+// an error that states the size.
 func TestPeerListSizeLimit(t *testing.T) {
 	fileWith := func(peers int) []byte {
 		text := "fleet = \"f\"\nlisten = \"127.0.0.1:7946\"\n"
@@ -73,17 +74,17 @@
 	}
 	for _, peers := range []int{1024, membership.MaxMembers} {
 		if f, err := Parse("x.toml", fileWith(peers), "me"); err != nil || len(f.SeedPeers) != peers {
-			t.Errorf("%d peers: %v", peers, err)
+			t.Errorf("%d seed peers: error %v", peers, err)
 		}
 	}
 	if _, err := Parse("x.toml", fileWith(membership.MaxMembers+1), "me"); err == nil ||
-		!strings.Contains(err.Error(), fmt.Sprintf("%d peers, %d at most", membership.MaxMembers+1,
+		!strings.Contains(err.Error(), fmt.Sprintf("%d peers exceed the maximum of %d", membership.MaxMembers+1,
 			membership.MaxMembers)) {
-		t.Errorf("a peer too many: %v", err)
+		t.Errorf("one seed peer too many: error %v", err)
 	}
 }
 
-// Callers can tell the causes apart, and take the place of each fault.
+// Verifies that callers can match the cause of a fault with errors.Is, and read its field and line.
 func TestErrorsMatchCauseAndPosition(t *testing.T) {
 	const good = "fleet = \"f\"\nlisten = \"127.0.0.1:7946\"\n"
 	const peer = "[[peer]]\nname = \"a\"\naddr = \"127.0.0.1:7947\"\n"
@@ -102,7 +103,7 @@
 			_, err := Parse("x.toml", []byte(test.text), "me")
 			var fault *fielderror.Error
 			if !errors.Is(err, test.want) || !errors.As(err, &fault) || fault.Line != test.line || fault.Field != test.field {
-				t.Errorf("%v: %+v", err, fault)
+				t.Errorf("error %v, fault %+v; want %v at field %s, line %d", err, fault, test.want, test.field, test.line)
 			}
 		})
 	}
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -69,7 +69,8 @@
 
 func validatePayload(payload []byte) error {
 	if len(payload) > gossipcodec.MaxPayload {
-		return configErrorf("Payload", "payload of %d bytes exceeds the maximum of %d bytes", len(payload), gossipcodec.MaxPayload)
+		return configErrorf("Payload", "payload of %d bytes exceeds the maximum of %d bytes", len(payload),
+			gossipcodec.MaxPayload)
 	}
 	return nil
 }
--- a/internal/membership/probe_test.go
+++ b/internal/membership/probe_test.go
@@ -9,8 +9,10 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// takeSent parses what a membership wants sent, by kind.
-func takeSent(t *testing.T, m *Membership, kind gossipcodec.Kind) (to []netip.AddrPort, messages []*gossipcodec.Message) {
+// takeSent takes the datagrams that m has to send, and returns the messages of one kind with their destinations.
+func takeSent(
+	t *testing.T, m *Membership, kind gossipcodec.Kind,
+) (to []netip.AddrPort, messages []*gossipcodec.Message) {
 	t.Helper()
 	for _, d := range m.Take() {
 		msg, err := gossipcodec.Parse(d.Data)
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -38,7 +38,7 @@
 	}
 	if peer.State >= gossipcodec.Gone && m.now-peer.lastReconnectProbe > reconnectInterval/2 {
 		peer.lastReconnectProbe = m.now
-		m.startProbe(peer, reconnectProbe, m.now+protocolPeriod, 0) // the Ping carries the claim about it, so it can refute that
+		m.startProbe(peer, reconnectProbe, m.now+protocolPeriod, 0) // the Ping carries the claim for it to refute
 	}
 	m.answer(peer, from, msg)
 	m.beginRepair(peer, msg)
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -40,7 +40,7 @@
 	Answering     float64       // share of the last 16 periodic probes that were answered, 0 to 1
 	StableFor     time.Duration // time since a state or start last changed
 	Majority      bool          // over half of Known are alive and not suspect, and over half of the probes were answered
-	Settled       bool          // converged: no change for 2 s, no suspect, a majority, and no duplicate of this gateway's name
+	Settled       bool          // converged: no change for 2 s, no suspect, Majority and no DuplicateName
 	DuplicateName bool          // another living process uses this gateway's name
 	LocalHealth   int           // 0 is healthy, 8 is worst; it stretches the timeouts of this gateway
 }
