--- a/internal/gossipcodec/decode.go
+++ b/internal/gossipcodec/decode.go
@@ -186,7 +186,8 @@
 	case len(c.Payload) > MaxPayload:
 		return c, fieldErrorf("payload", "payload of %d bytes exceeds the maximum of %d bytes", len(c.Payload), MaxPayload)
 	case c.Start > MaxStart:
-		return c, fieldErrorf("start", "process start %d, incarnation %d in a claim about %s: the start exceeds the maximum",
+		return c, fieldErrorf("start",
+			"process start %d, incarnation %d in a claim about %s: the start exceeds the maximum",
 			c.Start, c.Incarnation, c.Name)
 	case c.Incarnation > MaxIncarnation:
 		return c, fieldErrorf("incarnation",
--- a/internal/gossipcodec/message.go
+++ b/internal/gossipcodec/message.go
@@ -31,8 +31,8 @@
 	PingRequest                   // requests the receiver to ping Target and to answer with an Ack or a Nack
 	Nack                          // states that the target of a PingRequest did not answer or is unknown
 	Gossip                        // carries only claims
-	Digest                        // carries the bucket sums of the sender's membership; Reply marks the answer to another Digest
-	DuplicateName                 // reports another living process with the receiver's name; Seq is the start of that process
+	Digest                        // carries the bucket sums of the sender's membership; Reply marks an answer
+	DuplicateName                 // reports another living process with the receiver's name, which started at Seq
 	maxKind       = DuplicateName
 )
 
--- a/internal/gossipconfig/gossipconfig_test.go
+++ b/internal/gossipconfig/gossipconfig_test.go
@@ -17,7 +17,7 @@
 	const good = "fleet = \"f\"\nlisten = \"127.0.0.1:7946\"\n[[peer]]\nname = \"a\"\naddr = \"127.0.0.1:7947\"\n"
 	if f, err := Parse("x.toml", []byte(good), "me"); err != nil || f.Name != "me" || len(f.SeedPeers) != 1 ||
 		f.SeedPeers[0].Name != "a" {
-		t.Errorf("%+v %v", f, err)
+		t.Errorf("%+v, error %v; want gateway me with the seed peer a", f, err)
 	}
 	for text, want := range map[string]string{
 		"listen = \"127.0.0.1:7946\"\n":                              "fleet",
@@ -45,12 +45,12 @@
 	if f, err := read("[shares]\n"); err != nil ||
 		*f.Assignment != (Assignment{Users: 12, MaxUsers: 36, MinEndpoints: 2, RemoteZoneOdds: 0.5,
 			ClockSkew: 20 * time.Millisecond}) {
-		t.Errorf("%+v %v", f, err)
+		t.Errorf("empty table: %+v, error %v; want the defaults", f, err)
 	}
 	if f, err := read("[shares]\nusers = 3\nleast = 1\naway = 1.0\nwarm_rate = 25.5\nskew = \"5ms\"\n"); err != nil ||
 		*f.Assignment != (Assignment{Users: 3, MaxUsers: 9, MinEndpoints: 1, RemoteZoneOdds: 1, WarmRate: 25.5,
 			ClockSkew: 5 * time.Millisecond}) {
-		t.Errorf("%+v %v", f, err)
+		t.Errorf("table with values: %+v, error %v", f, err)
 	}
 	for _, field := range []string{"users = 0", "most_users = 11", "users = 101", "least = 0", "away = 0.0",
 		"away = 1.5", "away = nan", "warm_rate = -1.0", "warm_rate = inf", "skew = \"-1ms\"",
--- a/internal/membership/ablation_test.go
+++ b/internal/membership/ablation_test.go
@@ -13,7 +13,8 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// Guards against a gateway that runs without a refinement: only the laboratory may name the ablation.
+// Verifies that no code outside internal/lab uses the exported names of ablation.go, since a gateway must run with
+// all refinements.
 func TestOnlyLabPackagesDisableRefinements(t *testing.T) {
 	root := filepath.Join("..", "..")
 	if _, err := os.Stat(filepath.Join(root, "go.mod")); err != nil {
@@ -21,7 +22,7 @@
 	}
 	ablation := exportedNames(t, "ablation.go")
 	if !ablation["Without"] || !ablation["Refinement"] || !ablation["Option"] {
-		t.Fatalf("ablation.go declares %v", ablation)
+		t.Fatalf("ablation.go declares %v, want at least Without, Refinement and Option", ablation)
 	}
 	laboratory, uses := filepath.Join(root, "internal", "lab"), 0
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -33,7 +34,7 @@
 				uses++
 				continue
 			}
-			t.Errorf("%s uses membership.%s", path, use)
+			t.Errorf("%s uses membership.%s, which is reserved for internal/lab", path, use)
 		}
 		return nil
 	})
@@ -41,11 +42,11 @@
 		t.Fatal(err)
 	}
 	if uses == 0 {
-		t.Error("the laboratory does not use the ablation: this test finds nothing any more")
+		t.Error("internal/lab does not use the names of ablation.go: this test no longer verifies anything")
 	}
 }
 
-// exportedNames are the exported names that a file declares at its top.
+// exportedNames returns the exported names that a file declares at package level.
 func exportedNames(t *testing.T, path string) map[string]bool {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
@@ -78,7 +79,7 @@
 	return names
 }
 
-// usesOf lists the names of this package, among some, that a file uses.
+// usesOf lists the uses in a file of those names of this package that are in names.
 func usesOf(t *testing.T, path string, names map[string]bool) (out []string) {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
@@ -114,7 +115,7 @@
 		options []Option
 		want    gossipcodec.State
 	}{
-		{"a gateway's own", nil, gossipcodec.Suspect},
+		{"with verification", nil, gossipcodec.Suspect},
 		{"without verification", []Option{Without(Verification)}, gossipcodec.Gone},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -123,7 +124,7 @@
 			m.Receive(epoch, addr(2), datagram("b", 9, gossipcodec.Gossip,
 				gossipcodec.Claim{Name: "c", Start: 9, State: gossipcodec.Gone}))
 			if got, _ := m.Find("c"); got.State != test.want {
-				t.Errorf("%v, want %v", got.State, test.want)
+				t.Errorf("c is %v after a claim that it is gone, want %v", got.State, test.want)
 			}
 		})
 	}
--- a/internal/membership/antientropy_test.go
+++ b/internal/membership/antientropy_test.go
@@ -7,19 +7,20 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// Guards against memberships that differ and stay so: a differing digest asks for a repair, which sends what lies in
-// the differing buckets, and nothing where all are equal.
+// Verifies that memberships which differ are repaired: a datagram with a different digest causes a Digest message,
+// and a received Digest causes a reply and the claims of the differing buckets, or no claims if all buckets are
+// equal.
 func TestDifferingDigestsAreRepaired(t *testing.T) {
 	m := newMembership(t, nil)
 	m.Receive(epoch, addr(3), datagram("c", 900, gossipcodec.Gossip))
-	for m.queue.len() > 0 { // a repair waits for claims that may explain the difference
+	for m.queue.len() > 0 { // no repair starts while claims that may explain the difference are queued
 		m.queue.appendTo(nil, func(gossipcodec.State) int { return 1 })
 	}
 	m.Take()
-	m.Receive(epoch+time.Second, addr(3), datagram("c", 900, gossipcodec.Gossip)) // its digest is 0
+	m.Receive(epoch+time.Second, addr(3), datagram("c", 900, gossipcodec.Gossip)) // the digest of this datagram is 0
 	_, digests := takeSent(t, m, gossipcodec.Digest)
 	if len(digests) != 1 || digests[0].Reply {
-		t.Fatalf("%d digests", len(digests))
+		t.Fatalf("sent %d Digest messages %+v, want one that is no reply", len(digests), digests)
 	}
 	equal := *digests[0]
 	for _, test := range []struct {
@@ -27,9 +28,9 @@
 		change func(*gossipcodec.Message)
 		claims int
 	}{
-		{"equal", func(*gossipcodec.Message) {}, 0},
-		{"other about c", func(msg *gossipcodec.Message) { msg.BucketSums[bucketOf("c")]++ }, 1},
-		{"other about c and a", func(msg *gossipcodec.Message) {
+		{"equal buckets", func(*gossipcodec.Message) {}, 0},
+		{"different bucket of c", func(msg *gossipcodec.Message) { msg.BucketSums[bucketOf("c")]++ }, 1},
+		{"different buckets of c and a", func(msg *gossipcodec.Message) {
 			msg.BucketSums[bucketOf("c")]++
 			msg.BucketSums[bucketOf("a")]++
 		}, 2},
@@ -53,7 +54,7 @@
 				}
 			}
 			if claims != test.claims || replies != 1 {
-				t.Errorf("%d claims, %d replies", claims, replies)
+				t.Errorf("sent %d claims and %d replies, want %d and 1", claims, replies, test.claims)
 			}
 		})
 	}
--- a/internal/membership/broadcast_queue_test.go
+++ b/internal/membership/broadcast_queue_test.go
@@ -26,11 +26,11 @@
 		return names
 	}
 	if got := transmit(2); !slices.Equal(got, []string{"c", "b", "d"}) || q.len() != 2 {
-		t.Errorf("first %v, %d left", got, q.len())
+		t.Errorf("first datagram has %v, %d claims remain; want [c b d] and 2", got, q.len())
 	}
-	q.put(gossipcodec.Claim{Name: "b", Start: 2}) // in place of the one before
+	q.put(gossipcodec.Claim{Name: "b", Start: 2}) // replaces the claim above
 	q.drop("c")
 	if got := transmit(1); !slices.Equal(got, []string{"b"}) || q.len() != 0 {
-		t.Errorf("then %v, %d left", got, q.len())
+		t.Errorf("second datagram has %v, %d claims remain; want [b] and 0", got, q.len())
 	}
 }
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -16,9 +16,10 @@
 //   - claims.go: claims, each of which states what a gateway assumes about one process of one member; which claim
 //     supersedes which, and how a gateway refutes claims about itself.
 //   - table.go: the known members, sorted by name, and the digest over them.
-//   - probe.go, probe_schedule.go: SWIM's failure detector with direct and indirect pings, and the choice of the member
-//     to probe next.
-//   - suspicion.go: Lifeguard's suspicion, which independent confirmations shorten, and the last probe before removal.
+//   - probe.go, probe_schedule.go: SWIM's failure detector with direct and indirect pings, and the choice of the
+//     member to probe next.
+//   - suspicion.go: Lifeguard's suspicion, which independent confirmations shorten, and the last probe before a
+//     removal.
 //   - awareness.go: Lifeguard's local health awareness, which stretches this gateway's timeouts.
 //   - dissemination.go, broadcast_queue.go: claims piggybacked on datagrams, each a bounded number of times.
 //   - antientropy.go: digests in each datagram, and the repair of memberships that differ.
--- a/internal/membership/helpers_test.go
+++ b/internal/membership/helpers_test.go
@@ -8,15 +8,16 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// epoch is when the tests begin, in Unix time.
+// epoch is the time at which the tests start, in Unix time.
 const epoch = 1_700_000_000 * time.Second
 
-// addr is the address of the n-th gateway.
+// addr returns the address of the n-th gateway.
 func addr(n byte) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 7946)
 }
 
-// newMembership is that of gateway a with the seed peers b and c, unless edit changes it.
+// newMembership returns the membership of gateway a with the seed peers b and c. edit, if not nil, may change the
+// configuration first.
 func newMembership(t *testing.T, edit func(*Config), options ...Option) *Membership {
 	t.Helper()
 	cfg := Config{Cluster: "f", Name: "a", Start: 1000, Seed: 1,
@@ -31,7 +32,7 @@
 	return m
 }
 
-// datagram encodes what another gateway sends.
+// datagram encodes a datagram of another gateway.
 func datagram(from string, start uint64, kind gossipcodec.Kind, claims ...gossipcodec.Claim) []byte {
 	b := gossipcodec.Append(nil, &gossipcodec.Message{Cluster: "f", From: from, Start: start, Kind: kind, Seq: 5})
 	for i := range claims {
@@ -40,7 +41,7 @@
 	return b
 }
 
-// findInList finds a member in the list that Members gives.
+// findInList finds a member in the list that Members returns.
 func findInList(m *Membership, name string) (Member, bool) {
 	for _, member := range m.Members() {
 		if member.Name == name {
--- a/internal/membership/probe_test.go
+++ b/internal/membership/probe_test.go
@@ -26,7 +26,7 @@
 	return to, messages
 }
 
-// advance advances a membership at each time that it asks for, up to a time.
+// advance calls Advance at each time that NextWake returns, up to until.
 func advance(m *Membership, until time.Duration) {
 	for m.NextWake() <= until {
 		m.Advance(max(m.NextWake(), m.now))
@@ -38,22 +38,23 @@
 	verification := p.add(&probe{kind: verificationProbe, deadline: 5 * time.Second})
 	p.periodicSeq = p.add(&probe{kind: periodicProbe, deadline: time.Second, retryAt: 2 * time.Second})
 	if got := p.sortedSeqs(); len(got) != 2 || got[0] != verification || got[1] != p.periodicSeq {
-		t.Errorf("in order: %v", got)
+		t.Errorf("sequence numbers %v, want %d and %d", got, verification, p.periodicSeq)
 	}
-	if got := p.nextDeadline(); got != 2*time.Second { // a periodic probe ends with its period
-		t.Errorf("next deadline %v", got)
+	if got := p.nextDeadline(); got != 2*time.Second { // deadlines of periodic probes are ignored
+		t.Errorf("next deadline is %v, want 2 s", got)
 	}
 	p.postpone(time.Second)
 	if got := p.nextDeadline(); got != 3*time.Second {
-		t.Errorf("next deadline after a stall %v", got)
+		t.Errorf("next deadline after a stall of 1 s is %v, want 3 s", got)
 	}
 	p.dropPeriodic()
 	if got := p.nextDeadline(); got != 6*time.Second || p.periodicSeq != 0 {
-		t.Errorf("without the periodic one %v", got)
+		t.Errorf("next deadline without the periodic probe is %v, periodicSeq %d; want 6 s and 0", got, p.periodicSeq)
 	}
 }
 
-// Guards against a member that no protocol period probes.
+// Verifies that the shuffled rounds probe each member, and that every second protocol period probes the successor by
+// name.
 func TestEachMemberIsProbedInARound(t *testing.T) {
 	const members = 8
 	m := newMembership(t, func(c *Config) { c.Flat, c.SeedPeers = true, nil })
@@ -66,16 +67,18 @@
 		m.schedule.period++
 		target := m.nextTarget()
 		probed[target.Name] = true
-		if period%2 == 1 && target.Name == "m-0" { // the next by name after a
+		if period%2 == 1 && target.Name == "m-0" { // the successor of a by name
 			successors++
 		}
 	}
 	if len(probed) != members || successors != members {
-		t.Errorf("%d of %d probed, %d of %d times the next by name", len(probed), members, successors, members)
+		t.Errorf("probed %d of %d members, and the successor in %d of %d odd periods", len(probed), members, successors,
+			members)
 	}
 }
 
-// Guards against a member that died and stays alive, or that is gone without a suspicion, helpers and a last probe.
+// Verifies that a member which does not answer is first suspect and probed indirectly, and only then gone, while a
+// member which answers stays alive.
 func TestUnansweredMemberIsSuspectedVerifiedAndRemoved(t *testing.T) {
 	m := newMembership(t, func(c *Config) { c.SeedPeers = append(c.SeedPeers, SeedPeer{"d", addr(4)}) })
 	m.Receive(epoch, addr(2), datagram("b", 900, gossipcodec.Ping))
@@ -113,33 +116,35 @@
 	}
 	want := []gossipcodec.State{gossipcodec.Alive, gossipcodec.Suspect, gossipcodec.Gone}
 	if fmt.Sprint(states) != fmt.Sprint(want) || requests == 0 {
-		t.Errorf("b was %v, %d indirect probes", states, requests)
+		t.Errorf("states of b %v, %d indirect probes; want %v and at least one", states, requests, want)
 	}
 	if got, _ := m.Find("c"); got.State != gossipcodec.Alive {
-		t.Errorf("c is %v", got.State)
+		t.Errorf("c is %v, want alive", got.State)
 	}
 }
 
-// Guards against a process that was stopped and takes the silence that it could not hear for the others' death.
+// Verifies that a process which was stopped does not suspect the members whose answers it could not receive.
 func TestStalledProcessSuspectsNobody(t *testing.T) {
 	m := newMembership(t, nil)
 	m.Receive(epoch, addr(2), datagram("b", 900, gossipcodec.Ping))
 	advance(m, epoch+100*time.Millisecond)
 	pending := m.probes.periodicSeq
 	if pending == 0 {
-		t.Fatal("nobody is probed")
+		t.Fatal("no member is probed")
 	}
 	resumedAt := m.NextWake() + 3*time.Second
 	m.Advance(resumedAt)
 	if got, _ := m.Find("b"); got.State != gossipcodec.Alive {
-		t.Errorf("b is %v", got.State)
+		t.Errorf("b is %v, want alive", got.State)
 	}
 	if m.awareness.score != 4 || m.probes.pending[pending] != nil {
-		t.Errorf("local health %d, the probe of before counts: %v", m.awareness.score, m.probes.pending[pending] != nil)
+		t.Errorf("local health %d, probe of before the stall still pending: %v; want 4 and false",
+			m.awareness.score, m.probes.pending[pending] != nil)
 	}
 }
 
-// Guards against an indirect probe that is not relayed, or whose result does not come back.
+// Verifies that a PingRequest causes a Ping to its target, and that the requester receives an Ack for an answer and a
+// Nack without one.
 func TestIndirectProbesAreRelayed(t *testing.T) {
 	m := newMembership(t, nil)
 	m.Receive(epoch, addr(2), datagram("b", 900, gossipcodec.Gossip))
@@ -150,17 +155,17 @@
 	m.Receive(epoch, addr(2), request)
 	to, pings := takeSent(t, m, gossipcodec.Ping)
 	if len(pings) != 1 || to[0] != addr(3) {
-		t.Fatalf("pings to %v", to)
+		t.Fatalf("pings to %v, want one to c", to)
 	}
 	m.Receive(epoch, addr(3), gossipcodec.Append(nil,
 		&gossipcodec.Message{Cluster: "f", From: "c", Start: 900, Kind: gossipcodec.Ack, Seq: pings[0].Seq}))
 	if to, acks := takeSent(t, m, gossipcodec.Ack); len(acks) != 1 || to[0] != addr(2) || acks[0].Seq != 77 {
-		t.Errorf("acks to %v", to)
+		t.Errorf("acks to %v, want one to b with Seq 77", to)
 	}
 	m.Receive(epoch, addr(2), request)
 	m.Take()
 	m.Advance(epoch + relayTimeout)
 	if to, nacks := takeSent(t, m, gossipcodec.Nack); len(nacks) != 1 || to[0] != addr(2) || nacks[0].Seq != 77 {
-		t.Errorf("nacks to %v", to)
+		t.Errorf("nacks to %v, want one to b with Seq 77", to)
 	}
 }
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -13,25 +13,24 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// stateMachine drives one membership by whatever others may send and time may do, beside the little that must hold at
-// any moment.
+// stateMachine drives one membership with random datagrams, times and settings, and records what the invariants need.
 type stateMachine struct {
 	*Membership
 	clock       time.Duration
 	flat        bool
 	seedPeers   []SeedPeer
-	strongest   map[string]process // the strongest claim that anybody could have made, by name
+	strongest   map[string]process // highest start and incarnation received so far, by name
 	ownProcess  process
 	hasLeft     bool
 	sentCount   int
 	lastVersion uint64
 }
 
-// process is a process of a member as claims order them.
+// process identifies a process of a member by the values that order claims.
 type process struct{ start, incarnation uint64 }
 
-func (p process) less(o process) bool {
-	return cmp.Or(cmp.Compare(p.start, o.start), cmp.Compare(p.incarnation, o.incarnation)) < 0
+func (p process) less(other process) bool {
+	return cmp.Or(cmp.Compare(p.start, other.start), cmp.Compare(p.incarnation, other.incarnation)) < 0
 }
 
 var drawName = rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "stranger"})
@@ -50,7 +49,7 @@
 	return out
 }
 
-func newMachine(t *rapid.T) *stateMachine {
+func newStateMachine(t *rapid.T) *stateMachine {
 	s := &stateMachine{clock: epoch, flat: rapid.Bool().Draw(t, "flat"), strongest: make(map[string]process),
 		ownProcess: process{1000, 1}, seedPeers: []SeedPeer{{"b", addr(2)}, {"c", addr(3)}, {"d", addr(4)}}}
 	m, err := New(Config{Cluster: "f", Name: "a", Start: 1000, SeedPeers: s.seedPeers, Flat: s.flat,
@@ -67,7 +66,7 @@
 		3 * time.Second, 20 * time.Second, 6 * time.Minute}).Draw(t, "passes")
 }
 
-// receive takes a datagram that some member fills as it likes, from an address that may be another's.
+// receive delivers a datagram with random content, sometimes corrupted, from an address that may not be the sender's.
 func (s *stateMachine) receive(t *rapid.T) {
 	from := drawName.Draw(t, "from")
 	source := rapid.SampledFrom([]netip.AddrPort{addr(2), addr(3), addr(4), addr(9)}).Draw(t, "source")
@@ -98,7 +97,7 @@
 	s.Receive(s.clock, source, b)
 }
 
-// recordClaims notes what a datagram says, as it is after it was corrupted.
+// recordClaims updates strongest from a datagram, after its possible corruption.
 func (s *stateMachine) recordClaims(b []byte) {
 	note := func(name string, p process) {
 		if s.strongest[name].less(p) {
@@ -121,7 +120,7 @@
 
 func (s *stateMachine) advance(t *rapid.T) {
 	if s.Advance(s.clock); s.NextWake() <= s.clock {
-		t.Fatalf("advanced in time it wants to be advanced at once, at %v", s.NextWake()-s.clock)
+		t.Fatalf("after Advance, NextWake is at %v relative to now, want later than now", s.NextWake()-s.clock)
 	}
 }
 
@@ -131,10 +130,10 @@
 		t.Fatal(err)
 	}
 	if err := s.SetSeedPeers(s.clock, append(list, SeedPeer{Name: "z"})); err == nil {
-		t.Fatal("faulty seed peers were taken")
+		t.Fatal("invalid seed peers were accepted")
 	}
 	if len(s.seeds) != len(list) {
-		t.Fatalf("faulty seed peers changed those in force: %d for %d", len(s.seeds), len(list))
+		t.Fatalf("invalid seed peers changed the current ones: %d instead of %d", len(s.seeds), len(list))
 	}
 }
 
@@ -154,7 +153,7 @@
 	s.hasLeft = true
 }
 
-// check is what must hold whatever happened.
+// check verifies the invariants that must hold after every step.
 func (s *stateMachine) check(t *rapid.T) {
 	s.checkSent(t)
 	s.checkMembers(t)
@@ -170,17 +169,17 @@
 		msg, err := gossipcodec.Parse(sent.Data)
 		switch {
 		case err != nil || len(sent.Data) > gossipcodec.MaxDatagram:
-			t.Fatalf("it sends what cannot be read: %v, %d bytes", err, len(sent.Data))
+			t.Fatalf("sent a datagram that cannot be parsed: %v, %d bytes", err, len(sent.Data))
 		case msg.From != "a" || msg.Cluster != "f":
-			t.Fatalf("it speaks as %s of %s", msg.From, msg.Cluster)
+			t.Fatalf("sent a datagram as %s of cluster %s, want a of f", msg.From, msg.Cluster)
 		case s.hasLeft:
-			t.Fatal("it speaks after it has left")
+			t.Fatal("sent a datagram after it left")
 		case !s.flat && !slices.ContainsFunc(s.seedPeers, func(p SeedPeer) bool { return p.Addr == sent.To }):
-			t.Fatalf("it sends to %v, which is no seed peer", sent.To)
+			t.Fatalf("sent to %v, which is no seed peer, without a flat network", sent.To)
 		}
 	}
 	if limit := sendBurst*2 + sendRateLimit*(s.clock-epoch).Seconds() + maxRepairPages; float64(s.sentCount) > limit {
-		t.Fatalf("%d datagrams in %v", s.sentCount, s.clock-epoch)
+		t.Fatalf("sent %d datagrams in %v, want at most %.0f", s.sentCount, s.clock-epoch, limit)
 	}
 }
 
@@ -207,11 +206,11 @@
 func (s *stateMachine) checkStatus(t *rapid.T) {
 	st := s.Status(s.clock)
 	if st.Version < s.lastVersion {
-		t.Fatalf("version %d after %d", st.Version, s.lastVersion)
+		t.Fatalf("status version fell to %d from %d", st.Version, s.lastVersion)
 	}
 	s.lastVersion = st.Version
 	if st.Alive < 1 || st.Known < st.Alive || st.Settled && !st.Majority || st.Majority && 2*st.Alive <= st.Known {
-		t.Fatalf("%+v", st)
+		t.Fatalf("inconsistent status %+v", st)
 	}
 }
 
@@ -223,14 +222,14 @@
 		recomputed.updateDigest(&c)
 	}
 	if recomputed.digest != s.table.digest || recomputed.bucketSums != s.table.bucketSums {
-		t.Fatal("the digest is not that of the members")
+		t.Fatal("the digest differs from one computed from the members")
 	}
 }
 
 func (s *stateMachine) checkBounds(t *rapid.T) {
 	known, pending := len(s.table.sorted), len(s.probes.pending)
 	if len(s.suspects) > known || s.queue.len() > known+1 || pending > 64+4*maxReconnectProbes {
-		t.Fatalf("%d suspects, %d claims to send, %d probes of %d members",
+		t.Fatalf("bound exceeded: %d suspects, %d queued claims, %d pending probes for %d members",
 			len(s.suspects), s.queue.len(), pending, known)
 	}
 	for _, one := range s.suspects {
@@ -240,10 +239,11 @@
 	}
 }
 
-// Guards against any order of datagrams, times and settings that breaks a bound, an order of claims or the digest.
+// Verifies that no order of datagrams, times and settings exceeds a bound, violates the precedence of claims or makes
+// the digest wrong.
 func TestMembershipStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newMachine(t)
+		s := newStateMachine(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"pass":         s.passTime,
 			"receive":      s.receive,
@@ -272,12 +272,12 @@
 		}
 		permuted := rapid.Permutation(claims).Draw(t, "order")
 		if x, y := membersAfter(t, claims), membersAfter(t, permuted); !slices.Equal(x, y) {
-			t.Fatalf("%v\nin another order\n%v", x, y)
+			t.Fatalf("members %v\nafter another order of claims %v", x, y)
 		}
 	})
 }
 
-// membersAfter is what a membership believes after some claims.
+// membersAfter returns the members of a new membership after it received claims in the given order.
 func membersAfter(t *rapid.T, claims []gossipcodec.Claim) (out []string) {
 	m, err := New(Config{Cluster: "f", Name: "a", Start: 1000, SeedPeers: []SeedPeer{{"b", addr(2)}},
 		Flat: true}, epoch)
--- a/internal/membership/receive_test.go
+++ b/internal/membership/receive_test.go
@@ -8,8 +8,8 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// Guards against a datagram that is foreign, malformed or from an address not known for its name and yet changes
-// something.
+// Verifies that datagrams of another cluster, malformed datagrams, and datagrams from an address that is not known
+// for the sender's name are counted and have no other effect.
 func TestForeignDatagramsChangeNothing(t *testing.T) {
 	m := newMembership(t, nil)
 	claim := gossipcodec.Claim{Name: "c", Start: 9, Incarnation: 9, State: gossipcodec.Gone}
@@ -21,29 +21,31 @@
 	m.Receive(epoch, addr(2), datagram("stranger", 1, gossipcodec.Gossip, claim))
 	c := m.Counts()
 	if c.OtherCluster != 1 || c.Malformed != 1 || c.UnknownSender != 2 {
-		t.Errorf("%+v", c)
+		t.Errorf("counts %+v, want OtherCluster 1, Malformed 1 and UnknownSender 2", c)
 	}
 	if len(m.Members()) != 1 || len(m.Take()) != 0 {
-		t.Errorf("%v", m.Members())
+		t.Errorf("members %v, want only this gateway and no datagrams", m.Members())
 	}
 }
 
-// Guards against a flood of new names that takes all memory.
+// Verifies that a flood of new names cannot fill the memory.
 func TestMemberCountIsBounded(t *testing.T) {
 	m := newMembership(t, func(c *Config) { c.Flat = true })
 	for n := range MaxMembers + 50 {
 		m.Receive(epoch, addr(9), datagram(fmt.Sprint("x-", n), 1, gossipcodec.Gossip))
 	}
 	if len(m.Members()) != MaxMembers+1 || m.Counts().Full == 0 {
-		t.Errorf("%d members, %d refused", len(m.Members()), m.Counts().Full)
+		t.Errorf("%d members, %d rejected; want %d members and some rejected", len(m.Members()), m.Counts().Full,
+			MaxMembers+1)
 	}
 }
 
-// Guards against a flood of requests that is answered without bound. Acks and repair pages count too.
+// Verifies that the send limit bounds the answers to a flood of requests, including Acks and the datagrams of
+// repairs, and that at least half of the rate is still answered.
 func TestRequestFloodsStayWithinTheSendLimit(t *testing.T) {
 	sums := make([]uint32, gossipcodec.Buckets)
 	for i := range sums {
-		sums[i] = uint32(i + 1) // every bucket differs
+		sums[i] = uint32(i + 1) // all buckets differ
 	}
 	for _, test := range []struct {
 		name string
@@ -72,7 +74,7 @@
 				sent += len(m.Take())
 			}
 			if limit := int(2*sendBurst + seconds*sendRateLimit); sent > limit || sent < seconds*int(sendRateLimit)/2 {
-				t.Errorf("%d datagrams in %d s, %d at most", sent, seconds, limit)
+				t.Errorf("%d datagrams in %d s, want %d to %d", sent, seconds, seconds*int(sendRateLimit)/2, limit)
 			}
 		})
 	}
--- a/internal/membership/send_test.go
+++ b/internal/membership/send_test.go
@@ -16,12 +16,12 @@
 		return n
 	}
 	if n := count(gossipcodec.Gossip); n != sendBurst {
-		t.Errorf("%d datagrams at once", n)
+		t.Errorf("%d gossip datagrams at once, want %v", n, sendBurst)
 	}
 	if n := count(gossipcodec.Ack); n != sendBurst {
-		t.Errorf("%d acks beyond it", n)
+		t.Errorf("%d acks beyond the burst, want %v", n, sendBurst)
 	}
 	if !l.allow(3*time.Second, gossipcodec.Gossip) {
-		t.Error("nothing after 3 s")
+		t.Error("no gossip datagram allowed after 3 s of refilling")
 	}
 }
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -35,11 +35,11 @@
 // Status summarizes a membership and how reliable it is.
 type Status struct {
 	Version       uint64        // increases with every change of a state, start or payload
-	Alive         int           // number of alive members, including this gateway and suspects
-	Known         int           // number of members alive or gone but not yet removed, plus seed peers without contact yet
+	Alive         int           // members alive or suspect, including this gateway
+	Known         int           // Alive, members gone but not yet removed, and seed peers without contact yet
 	Answering     float64       // share of the last 16 periodic probes that were answered, 0 to 1
 	StableFor     time.Duration // time since a state or start last changed
-	Majority      bool          // over half of Known are alive and not suspect, and over half of the probes were answered
+	Majority      bool          // over half of Known are alive and not suspect, and Answering is over 0.5
 	Settled       bool          // converged: no change for 2 s, no suspect, Majority and no DuplicateName
 	DuplicateName bool          // another living process uses this gateway's name
 	LocalHealth   int           // 0 is healthy, 8 is worst; it stretches the timeouts of this gateway
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -20,7 +20,7 @@
 		y.updateDigest(p)
 	}
 	if x.digest != y.digest || x.bucketSums != y.bucketSums || x.position("c") != 1 {
-		t.Error("the order of insertion matters")
+		t.Error("digest or sort order depends on the order of insertion")
 	}
 	suspect := x.byName["c"]
 	suspect.State = gossipcodec.Suspect
@@ -29,10 +29,10 @@
 	}
 	suspect.State = gossipcodec.Gone
 	if x.updateDigest(suspect); x.digest == y.digest {
-		t.Error("a death does not change the digest")
+		t.Error("a member that is gone does not change the digest")
 	}
 	x.removeIf(func(p *member) bool { return p.State == gossipcodec.Gone })
 	if len(x.sorted) != 2 || x.byName["c"] != nil {
-		t.Errorf("%d members", len(x.sorted))
+		t.Errorf("%d members after the removal of c, want 2", len(x.sorted))
 	}
 }
