--- a/internal/gossipcodec/decode.go
+++ b/internal/gossipcodec/decode.go
@@ -42,7 +42,7 @@
 		case protowire.BytesType:
 			f.bytes, n = protowire.ConsumeBytes(b)
 		default:
-			return fieldErrorf(strconv.Itoa(int(number)), "field %d has wire type %d", number, wireType)
+			return fieldErrorf(strconv.Itoa(int(number)), "field %d has unsupported wire type %d", number, wireType)
 		}
 		if n < 0 {
 			cause := protowire.ParseError(n)
@@ -107,7 +107,7 @@
 		m.Reply = f.value != 0
 	case fieldClaim:
 		if len(m.Claims) == maxClaims {
-			return fieldErrorf("news", "more than %d claims", maxClaims)
+			return fieldErrorf("news", "datagram has more than %d claims", maxClaims)
 		}
 		var c Claim
 		if c, err = parseClaim(f.bytes); err == nil {
@@ -132,17 +132,18 @@
 func (m *Message) validate() error {
 	switch {
 	case m.Start > MaxStart:
-		return fieldErrorf("start", "process start %d of the sender exceeds the maximum", m.Start)
+		return fieldErrorf("start", "process start %d of the sender exceeds the maximum of %d", m.Start,
+			uint64(MaxStart))
 	case !ValidName(m.From):
 		return fieldErrorf("from", "sender name %q is not valid", m.From)
 	case m.Target != "" && !ValidName(m.Target):
 		return fieldErrorf("target", "target name %q is not valid", m.Target)
 	case m.Kind == 0 || m.Kind > maxKind:
-		return fieldErrorf("kind", "unknown kind %d", m.Kind)
+		return fieldErrorf("kind", "unknown kind %d of datagram", m.Kind)
 	case m.Kind == PingRequest && m.Target == "":
-		return fieldErrorf("target", "datagram of kind %d lacks its target", m.Kind)
+		return fieldErrorf("target", "ping request lacks its target")
 	case m.Kind == Digest && m.BucketSums == nil:
-		return fieldErrorf("sums", "datagram of kind %d lacks its bucket sums", m.Kind)
+		return fieldErrorf("sums", "digest lacks its bucket sums")
 	}
 	return nil
 }
@@ -187,12 +188,12 @@
 		return c, fieldErrorf("payload", "payload of %d bytes exceeds the maximum of %d bytes", len(c.Payload), MaxPayload)
 	case c.Start > MaxStart:
 		return c, fieldErrorf("start",
-			"process start %d, incarnation %d in a claim about %s: the start exceeds the maximum",
-			c.Start, c.Incarnation, c.Name)
+			"process start %d, incarnation %d in a claim about %s: the start exceeds the maximum of %d",
+			c.Start, c.Incarnation, c.Name, uint64(MaxStart))
 	case c.Incarnation > MaxIncarnation:
 		return c, fieldErrorf("incarnation",
-			"process start %d, incarnation %d in a claim about %s: the incarnation exceeds the maximum",
-			c.Start, c.Incarnation, c.Name)
+			"process start %d, incarnation %d in a claim about %s: the incarnation exceeds the maximum of %d",
+			c.Start, c.Incarnation, c.Name, uint64(MaxIncarnation))
 	}
 	c.State = State(state)
 	return c, nil
--- a/internal/gossipcodec/message.go
+++ b/internal/gossipcodec/message.go
@@ -8,14 +8,14 @@
 
 import "net/netip"
 
-// Limits of a datagram and its fields, and the version of the format.
+// Limits of a datagram and its fields.
 const (
 	MaxDatagram = 256 // bytes
 	MaxName     = 32  // bytes of the name of a cluster or member
 	MaxPayload  = 64  // bytes of the payload of a claim
 	Buckets     = 32  // number of bucket sums in a Digest
-	Version     = 1
-	maxClaims   = 32
+	Version     = 1   // version of the format
+	maxClaims   = 32  // claims in a datagram
 
 	MaxStart       = 1 << 46 // highest start of a process, in ms of Unix time
 	MaxIncarnation = 1 << 40 // highest incarnation of a claim
@@ -42,10 +42,10 @@
 // The states. Among claims of one incarnation, a later state in this list supersedes an earlier one. Their numbers
 // are part of the wire format.
 const (
-	Alive State = iota
-	Suspect
-	Gone
-	Left
+	Alive    State = iota
+	Suspect        // did not answer a probe and has not refuted that yet
+	Gone           // considered dead
+	Left           // announced that it leaves the cluster
 	maxState = Left
 )
 
--- a/internal/gossipconfig/gossipconfig.go
+++ b/internal/gossipconfig/gossipconfig.go
@@ -19,18 +19,23 @@
 
 // Causes of a fielderror.Error that callers can match with errors.Is, in addition to those of tomlfile.
 var (
-	ErrName      = errors.New("invalid name of a cluster or gateway")
-	ErrAddress   = errors.New("invalid IPv4 address or port")
+	// ErrName is the cause for an invalid name of the cluster, of this gateway or of a seed peer.
+	ErrName = errors.New("invalid name of a cluster or gateway")
+	// ErrAddress is the cause for a text that is not an IPv4 address with a port above 0.
+	ErrAddress = errors.New("invalid IPv4 address or port")
+	// ErrDuplicate is the cause for a seed peer whose name or address occurs earlier in the list.
 	ErrDuplicate = errors.New("duplicate name or address")
-	ErrTooMany   = errors.New("too many peers")
-	ErrRange     = errors.New("value out of range")
+	// ErrTooMany is the cause for a list of more than [membership.MaxMembers] seed peers.
+	ErrTooMany = errors.New("too many peers")
+	// ErrRange is the cause for a value of the table [shares] outside its limits.
+	ErrRange = errors.New("value out of range")
 )
 
 // Config is the content of the gossip file, with the gateway's name filled in.
 type Config struct {
-	Cluster string
-	Name    string // of this gateway in the cluster
-	Listen  netip.AddrPort
+	Cluster string         // name of the cluster
+	Name    string         // name of this gateway in the cluster
+	Listen  netip.AddrPort // address on which this gateway receives gossip datagrams
 	// Flat indicates a flat network: each gateway has the same address for all others, and gateways that are not seed
 	// peers may join.
 	Flat       bool
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -21,9 +21,9 @@
 	// Cluster is the name of the cluster. Datagrams of other clusters are rejected. It must satisfy
 	// [gossipcodec.ValidName].
 	Cluster string
-	// Name is the name of this gateway, unique in the cluster.
+	// Name is the name of this gateway, unique in the cluster. It must satisfy [gossipcodec.ValidName] too.
 	Name string
-	// Start is when this process started, in ms of Unix time. It must be above 0.
+	// Start is when this process started, in ms of Unix time, from 1 to [gossipcodec.MaxStart].
 	Start uint64
 	// Incarnation is 0, or the value that the predecessor process handed over together with its Start; see
 	// [Membership.Identity].
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -40,7 +40,7 @@
 	limiter   sendLimiter
 	outgoing  []Datagram
 
-	version       uint64
+	version       uint64        // see Status.Version
 	lastChange    time.Duration // when the state or start of a member last changed
 	duplicateSeen time.Duration // when another process with this gateway's name was last detected; 0 for never
 	counts        Counts
@@ -170,7 +170,7 @@
 }
 
 // Advance performs all tasks that are due at now: probes, suspicions, reconnections, gossip and the removal of
-// members that have been gone for long.
+// members that have been gone for longer than reapAfter.
 func (m *Membership) Advance(now time.Duration) {
 	m.advanceClock(now)
 	if m.leaving {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -105,8 +105,8 @@
 	p.periodicSeq = 0
 }
 
-// smooth moves a mean round-trip time toward a new measurement by the difference over divisor. A mean of 0 is
-// replaced by the measurement.
+// smooth moves a mean round-trip time toward a new measurement by their difference divided by divisor. It replaces a
+// mean of 0 by the measurement.
 func smooth(mean, trip time.Duration, divisor int64) time.Duration {
 	if mean == 0 {
 		mean = trip
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -185,20 +185,20 @@
 
 func (s *stateMachine) checkMembers(t *rapid.T) {
 	list := s.Members()
-	for i, suspect := range list {
-		if i > 0 && list[i-1].Name >= suspect.Name {
-			t.Fatalf("out of order: %s, %s", list[i-1].Name, suspect.Name)
+	for i, m := range list {
+		if i > 0 && list[i-1].Name >= m.Name {
+			t.Fatalf("members are not sorted: %s before %s", list[i-1].Name, m.Name)
 		}
-		got := process{suspect.Start, suspect.Incarnation}
-		if suspect.Name == "a" {
-			if suspect.State != gossipcodec.Alive || got.less(s.ownProcess) {
-				t.Fatalf("of itself: %d at %+v after %+v", suspect.State, got, s.ownProcess)
+		got := process{m.Start, m.Incarnation}
+		if m.Name == "a" {
+			if m.State != gossipcodec.Alive || got.less(s.ownProcess) {
+				t.Fatalf("own member is %v at %+v after %+v, want alive and never lower", m.State, got, s.ownProcess)
 			}
 			s.ownProcess = got
 			continue
 		}
-		if s.strongest[suspect.Name].less(got) {
-			t.Fatalf("it has %s at %+v, and nobody claimed more than %+v", suspect.Name, got, s.strongest[suspect.Name])
+		if s.strongest[m.Name].less(got) {
+			t.Fatalf("%s is at %+v, above the highest received claim %+v", m.Name, got, s.strongest[m.Name])
 		}
 	}
 }
@@ -216,8 +216,8 @@
 
 func (s *stateMachine) checkDigest(t *rapid.T) {
 	recomputed := table{}
-	for _, one := range append(slices.Clone(s.table.sorted), &s.self) {
-		c := *one
+	for _, m := range append(slices.Clone(s.table.sorted), &s.self) {
+		c := *m
 		c.hash = 0
 		recomputed.updateDigest(&c)
 	}
@@ -232,9 +232,9 @@
 		t.Fatalf("bound exceeded: %d suspects, %d queued claims, %d pending probes for %d members",
 			len(s.suspects), s.queue.len(), pending, known)
 	}
-	for _, one := range s.suspects {
-		if one.State != gossipcodec.Suspect || one.suspicion == nil {
-			t.Fatalf("%s is listed as a suspect and is %d", one.Name, one.State)
+	for _, m := range s.suspects {
+		if m.State != gossipcodec.Suspect || m.suspicion == nil {
+			t.Fatalf("%s is in the list of suspects, but is %v or has no suspicion", m.Name, m.State)
 		}
 	}
 }
@@ -257,8 +257,8 @@
 	})
 }
 
-// Guards against memberships that differ for ever: those given the same claims about living members in different
-// orders believe the same.
+// Verifies that memberships which receive the same claims about alive and left members in different orders have the
+// same members in the end; otherwise their views would differ permanently.
 func TestClaimOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var claims []gossipcodec.Claim
@@ -287,12 +287,12 @@
 	for i := range claims {
 		m.Receive(epoch, addr(2), datagram("b", 7, gossipcodec.Gossip, claims[i]))
 	}
-	for _, one := range m.Members() {
+	for _, member := range m.Members() {
 		payload := ""
-		if one.State == gossipcodec.Alive {
-			payload = string(one.Payload)
+		if member.State == gossipcodec.Alive {
+			payload = string(member.Payload)
 		}
-		out = append(out, fmt.Sprint(one.Name, one.State, one.Start, one.Incarnation, payload))
+		out = append(out, fmt.Sprint(member.Name, member.State, member.Start, member.Incarnation, payload))
 	}
 	return out
 }
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -39,7 +39,7 @@
 	Known         int           // Alive, members gone but not yet removed, and seed peers without contact yet
 	Answering     float64       // share of the last 16 periodic probes that were answered, 0 to 1
 	StableFor     time.Duration // time since a state or start last changed
-	Majority      bool          // over half of Known are alive and not suspect, and Answering is over 0.5
+	Majority      bool          // over half of Known alive and not suspect, and over half of those probes answered
 	Settled       bool          // converged: no change for 2 s, no suspect, Majority and no DuplicateName
 	DuplicateName bool          // another living process uses this gateway's name
 	LocalHealth   int           // 0 is healthy, 8 is worst; it stretches the timeouts of this gateway
@@ -124,8 +124,8 @@
 			s.Known++
 		}
 	}
-	// A gateway that receives nothing first lowers its own local health and then suspects the others for a long time.
-	// Suspects must therefore not count toward its majority.
+	// On a gateway that receives nothing, the local health degrades first, which prolongs the suspicions of all other
+	// members. Suspects must therefore not count toward the majority.
 	s.Majority = 2*(s.Alive-suspects) > s.Known && s.Answering > 0.5
 	s.Settled = s.StableFor >= convergedAfter && suspects == 0 && s.Majority && !s.DuplicateName
 	return s
