--- a/internal/gossipcodec/decode.go
+++ b/internal/gossipcodec/decode.go
@@ -9,55 +9,56 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// addrBytes is the length of an IPv4 address and a port.
+// addrBytes is the encoded length of an IPv4 address with its port.
 const addrBytes = 6
 
-// field is one field as it stands on the wire.
+// field is one decoded field of the wire format.
 type field struct {
 	number protowire.Number
 	value  uint64
 	bytes  []byte
 }
 
-// eachField walks over the fields of a message. Groups and broken fields are of type *FieldError.
-func eachField(b []byte, do func(field) error) error {
+// eachField calls fn for each field of an encoded message, in order, until fn returns an error. For groups and for
+// fields that cannot be decoded it returns a *FieldError.
+func eachField(b []byte, fn func(field) error) error {
 	for len(b) > 0 {
-		number, kind, used := protowire.ConsumeTag(b)
-		if used < 0 {
-			cause := protowire.ParseError(used)
+		number, wireType, n := protowire.ConsumeTag(b)
+		if n < 0 {
+			cause := protowire.ParseError(n)
 			return &FieldError{reason: cause.Error(), cause: cause}
 		}
-		b = b[used:]
+		b = b[n:]
 		f := field{number: number}
-		switch kind {
+		switch wireType {
 		case protowire.VarintType:
-			f.value, used = protowire.ConsumeVarint(b)
+			f.value, n = protowire.ConsumeVarint(b)
 		case protowire.Fixed64Type:
-			f.value, used = protowire.ConsumeFixed64(b)
+			f.value, n = protowire.ConsumeFixed64(b)
 		case protowire.Fixed32Type:
 			var v uint32
-			v, used = protowire.ConsumeFixed32(b)
+			v, n = protowire.ConsumeFixed32(b)
 			f.value = uint64(v)
 		case protowire.BytesType:
-			f.bytes, used = protowire.ConsumeBytes(b)
+			f.bytes, n = protowire.ConsumeBytes(b)
 		default:
-			return fieldErrorf(strconv.Itoa(int(number)), "field %d has wire type %d", number, kind)
+			return fieldErrorf(strconv.Itoa(int(number)), "field %d has unsupported wire type %d", number, wireType)
 		}
-		if used < 0 {
-			cause := protowire.ParseError(used)
+		if n < 0 {
+			cause := protowire.ParseError(n)
 			return &FieldError{Field: strconv.Itoa(int(number)), cause: cause,
 				reason: fmt.Sprintf("field %d: %v", number, cause)}
 		}
-		b = b[used:]
-		if err := do(f); err != nil {
+		b = b[n:]
+		if err := fn(f); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Parse reads a datagram. What it returns owns its memory. Its errors match [ErrTooLong] or [ErrVersion], or are of
-// type [*FieldError].
+// Parse decodes a datagram. The message does not refer to b. Errors match [ErrTooLong] or [ErrVersion] with
+// errors.Is, or are of type [*FieldError].
 func Parse(b []byte) (*Message, error) {
 	if len(b) > MaxDatagram {
 		return nil, lengthError(len(b))
@@ -69,7 +70,7 @@
 			version = f.value
 			return nil
 		}
-		return m.set(f)
+		return m.setField(f)
 	})
 	switch {
 	case err != nil:
@@ -83,8 +84,8 @@
 	return m, nil
 }
 
-// set takes one field of a message.
-func (m *Message) set(f field) (err error) {
+// setField stores one decoded field in m and ignores unknown fields.
+func (m *Message) setField(f field) (err error) {
 	switch f.number {
 	case fieldCluster:
 		m.Cluster = string(f.bytes)
@@ -98,15 +99,15 @@
 		m.Seq = f.value
 	case fieldTarget:
 		m.Target = string(f.bytes)
-	case fieldView:
+	case fieldDigest:
 		m.Digest = f.value
-	case fieldSums:
-		m.BucketSums, err = parseSums(f.bytes)
+	case fieldBucketSums:
+		m.BucketSums, err = parseBucketSums(f.bytes)
 	case fieldReply:
 		m.Reply = f.value != 0
 	case fieldClaim:
 		if len(m.Claims) == maxClaims {
-			return fieldErrorf("news", "more than %d claims", maxClaims)
+			return fieldErrorf("news", "datagram has more than %d claims", maxClaims)
 		}
 		var c Claim
 		if c, err = parseClaim(f.bytes); err == nil {
@@ -116,13 +117,13 @@
 	return err
 }
 
-func parseSums(b []byte) ([]uint32, error) {
+func parseBucketSums(b []byte) ([]uint32, error) {
 	if len(b) != 4*Buckets {
-		return nil, fieldErrorf("sums", "%d bytes of sums, want %d", len(b), 4*Buckets)
+		return nil, fieldErrorf("sums", "bucket sums of %d bytes, want %d", len(b), 4*Buckets)
 	}
 	sums := make([]uint32, 0, Buckets)
-	for rest := b; len(rest) > 0; rest = rest[4:] {
-		v, _ := protowire.ConsumeFixed32(rest) // four bytes are there
+	for remaining := b; len(remaining) > 0; remaining = remaining[4:] {
+		v, _ := protowire.ConsumeFixed32(remaining) // cannot fail: remaining has at least four bytes
 		sums = append(sums, v)
 	}
 	return sums, nil
@@ -131,17 +132,18 @@
 func (m *Message) validate() error {
 	switch {
 	case m.Start > MaxStart:
-		return fieldErrorf("start", "from a process started at %d", m.Start)
+		return fieldErrorf("start", "process start %d of the sender exceeds the maximum of %d", m.Start,
+			uint64(MaxStart))
 	case !ValidName(m.From):
-		return fieldErrorf("from", "from %q is no name", m.From)
+		return fieldErrorf("from", "sender name %q is not valid", m.From)
 	case m.Target != "" && !ValidName(m.Target):
-		return fieldErrorf("target", "target %q is no name", m.Target)
-	case m.Kind == 0 || m.Kind > lastKind:
-		return fieldErrorf("kind", "unknown kind %d", m.Kind)
+		return fieldErrorf("target", "target name %q is not valid", m.Target)
+	case m.Kind == 0 || m.Kind > maxKind:
+		return fieldErrorf("kind", "unknown kind %d of datagram", m.Kind)
 	case m.Kind == PingRequest && m.Target == "":
-		return fieldErrorf("target", "kind %d lacks what it needs", m.Kind)
+		return fieldErrorf("target", "ping request lacks its target")
 	case m.Kind == Digest && m.BucketSums == nil:
-		return fieldErrorf("sums", "kind %d lacks what it needs", m.Kind)
+		return fieldErrorf("sums", "digest lacks its bucket sums")
 	}
 	return nil
 }
@@ -165,7 +167,7 @@
 			c.Payload = append([]byte(nil), f.bytes...)
 		case claimAddr:
 			if len(f.bytes) != addrBytes {
-				return fieldErrorf("addr", "an address of %d bytes", len(f.bytes))
+				return fieldErrorf("addr", "address of %d bytes, want %d", len(f.bytes), addrBytes)
 			}
 			port := uint16(f.bytes[4])<<8 | uint16(f.bytes[5])
 			c.Addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte(f.bytes[:4])), port)
@@ -176,17 +178,22 @@
 	case err != nil:
 		return c, err
 	case !ValidName(c.Name):
-		return c, fieldErrorf("name", "a claim about %q by %q", c.Name, c.SuspectedBy)
+		return c, fieldErrorf("name", "member name %q in a claim is not valid", c.Name)
 	case c.SuspectedBy != "" && !ValidName(c.SuspectedBy):
-		return c, fieldErrorf("by", "a claim about %q by %q", c.Name, c.SuspectedBy)
-	case state > uint64(lastState):
-		return c, fieldErrorf("state", "unknown state %d of %s", state, c.Name)
+		return c, fieldErrorf("by", "name %q of the suspecting member in a claim about %s is not valid", c.SuspectedBy,
+			c.Name)
+	case state > uint64(maxState):
+		return c, fieldErrorf("state", "unknown state %d in a claim about %s", state, c.Name)
 	case len(c.Payload) > MaxPayload:
-		return c, fieldErrorf("payload", "a payload of %d bytes, %d at most", len(c.Payload), MaxPayload)
+		return c, fieldErrorf("payload", "payload of %d bytes exceeds the maximum of %d bytes", len(c.Payload), MaxPayload)
 	case c.Start > MaxStart:
-		return c, fieldErrorf("start", "%s started at %d, incarnation %d", c.Name, c.Start, c.Incarnation)
+		return c, fieldErrorf("start",
+			"process start %d, incarnation %d in a claim about %s: the start exceeds the maximum of %d",
+			c.Start, c.Incarnation, c.Name, uint64(MaxStart))
 	case c.Incarnation > MaxIncarnation:
-		return c, fieldErrorf("incarnation", "%s started at %d, incarnation %d", c.Name, c.Start, c.Incarnation)
+		return c, fieldErrorf("incarnation",
+			"process start %d, incarnation %d in a claim about %s: the incarnation exceeds the maximum of %d",
+			c.Start, c.Incarnation, c.Name, uint64(MaxIncarnation))
 	}
 	c.State = State(state)
 	return c, nil
--- a/internal/membership/claims.go
+++ b/internal/membership/claims.go
@@ -7,11 +7,11 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// maxClockLead is how far the clock of another machine may be ahead of this one. A claim of a later start could not be
-// refuted, as no process begins later.
+// maxClockLead is the maximum by which the clock of another machine may be ahead of this machine's. A claim with a
+// start later than that is rejected: no process could refute it, since none starts later.
 const maxClockLead = 24 * time.Hour
 
-// claim is what this gateway believes of the member; by is who suspects it, or empty.
+// claim returns this gateway's view of the member as a claim. by names the gateway that suspects it, or is empty.
 func (p *member) claim(by string) gossipcodec.Claim {
 	c := gossipcodec.Claim{Name: p.Name, Start: p.Start, Incarnation: p.Incarnation, State: p.State, SuspectedBy: by}
 	if p.State == gossipcodec.Alive {
@@ -20,62 +20,66 @@
 	return c
 }
 
-// supersedes orders claims about one name: the later start, then the higher incarnation, then the stronger state.
+// supersedes reports whether claim c takes precedence over the known state p of the same name: the later start wins,
+// then the higher incarnation, then the stronger state.
 func supersedes(c *gossipcodec.Claim, p *member) bool {
 	return cmp.Or(cmp.Compare(c.Start, p.Start), cmp.Compare(c.Incarnation, p.Incarnation),
 		cmp.Compare(c.State, p.State)) > 0
 }
 
-// latestStart is the latest start of a process that is believed, in ms of Unix time.
-func (m *Membership) latestStart() uint64 { return uint64((m.now + maxClockLead).Milliseconds()) }
+// latestPlausibleStart returns the latest process start that is accepted, in ms of Unix time.
+func (m *Membership) latestPlausibleStart() uint64 {
+	return uint64((m.now + maxClockLead).Milliseconds())
+}
 
-// reincarnate makes a new claim about this gateway itself, stronger than any before.
-func (m *Membership) reincarnate(incarnation uint64) {
+// raiseIncarnation sets this gateway's incarnation and broadcasts a new claim about itself, which supersedes the
+// claims with a lower incarnation.
+func (m *Membership) raiseIncarnation(incarnation uint64) {
 	m.self.Incarnation = incarnation
 	m.table.updateDigest(&m.self)
 	m.version++
 	m.broadcast(m.self.claim(""))
 }
 
-// applyOwn answers what others say of this gateway: it refutes whatever is not so.
-func (m *Membership) applyOwn(c *gossipcodec.Claim) {
+// applySelfClaim handles a claim of another gateway about this one and refutes it if it is wrong.
+func (m *Membership) applySelfClaim(c *gossipcodec.Claim) {
 	switch {
 	case m.leaving:
 	case c.Start > m.self.Start && c.State >= gossipcodec.Gone:
-		// A process of this name that is dead began later by its clock: this machine's clock went back.
+		// A dead process with this name has a later start than this one: this machine's clock was set back.
 		m.self.Start = c.Start + 1
-		m.reincarnate(1)
+		m.raiseIncarnation(1)
 		m.lastChange = m.now
 	case c.Start > m.self.Start:
 		m.duplicateSeen = m.now
 	case c.Start < m.self.Start:
-		m.broadcast(m.self.claim("")) // they have not heard of the restart
+		m.broadcast(m.self.claim("")) // the sender does not know of the restart
 	case c.Incarnation >= m.self.Incarnation && c.State != gossipcodec.Alive:
 		m.counts.FalseAlarms++
 		m.awareness.degrade(1)
-		m.reincarnate(c.Incarnation + 1)
+		m.raiseIncarnation(c.Incarnation + 1)
 		m.lastChange = m.now
-		m.next.gossip = m.now // a refutation does not wait
+		m.next.gossip = m.now // send the refutation without delay
 	case c.Incarnation > m.self.Incarnation:
-		m.reincarnate(c.Incarnation + 1)
+		m.raiseIncarnation(c.Incarnation + 1)
 		m.lastChange = m.now
 	}
 }
 
-// apply takes one claim from a datagram of a member.
-func (m *Membership) apply(c *gossipcodec.Claim, from string) {
-	if c.Start > m.latestStart() || c.Incarnation == gossipcodec.MaxIncarnation { // it could not be refuted
+// applyClaim handles one claim from a datagram of the member named from.
+func (m *Membership) applyClaim(c *gossipcodec.Claim, from string) {
+	if c.Start > m.latestPlausibleStart() || c.Incarnation == gossipcodec.MaxIncarnation { // no process could refute it
 		m.counts.Malformed++
 		return
 	}
 	if c.Name == m.cfg.Name {
-		m.applyOwn(c)
+		m.applySelfClaim(c)
 		return
 	}
 	peer := m.table.byName[c.Name]
 	if peer == nil {
-		if peer = m.enter(c); peer != nil {
-			m.adopt(peer, c)
+		if peer = m.addMember(c); peer != nil {
+			m.acceptClaim(peer, c)
 		}
 		return
 	}
@@ -90,28 +94,29 @@
 	if !supersedes(c, peer) {
 		return
 	}
-	if c.State == gossipcodec.Gone && peer.State <= gossipcodec.Suspect && !m.without.has(Verification) {
-		m.verifyHearsay(peer, c, from)
+	if c.State == gossipcodec.Gone && peer.State <= gossipcodec.Suspect && !m.disabled.includes(Verification) {
+		m.verifyReportedGone(peer, c, from)
 		return
 	}
-	m.adopt(peer, c)
+	m.acceptClaim(peer, c)
 }
 
-// verifyHearsay has this gateway probe a member itself that another says is gone. To believe the other would remove
-// members that came back at that moment, and let a cut-off half remove those whom the other half sees alive.
-func (m *Membership) verifyHearsay(peer *member, c *gossipcodec.Claim, from string) {
+// verifyReportedGone handles the claim of another gateway that peer is gone: this gateway suspects peer and probes it
+// itself. Accepting the claim at once would remove a member that came back at that moment, and would let one half of
+// a partitioned cluster remove members that the other half still sees alive.
+func (m *Membership) verifyReportedGone(peer *member, c *gossipcodec.Claim, from string) {
 	suspect := *c
 	suspect.State, suspect.SuspectedBy = gossipcodec.Suspect, from
 	if supersedes(&suspect, peer) {
-		m.adopt(peer, &suspect)
+		m.acceptClaim(peer, &suspect)
 	}
 	if peer.suspicion != nil && peer.suspicion.verifyingUntil == 0 {
-		m.verify(peer)
+		m.verifySuspect(peer)
 	}
 }
 
-// adopt believes a claim, spreads it, and begins or ends a suspicion.
-func (m *Membership) adopt(peer *member, c *gossipcodec.Claim) {
+// acceptClaim updates peer from a claim, broadcasts the claim, and starts or ends the suspicion of peer.
+func (m *Membership) acceptClaim(peer *member, c *gossipcodec.Claim) {
 	changed := peer.State != c.State || peer.Start != c.Start
 	if changed {
 		peer.Since, peer.Previous = m.now, peer.State
@@ -126,7 +131,7 @@
 	}
 	m.table.updateDigest(peer)
 	m.version++
-	if changed { // a new payload alone does not count, or a cluster whose members report load would never settle
+	if changed { // a new payload alone does not count: a cluster whose members report load would never converge
 		m.lastChange = m.now
 	}
 	m.broadcast(*c)
--- a/internal/membership/probe_schedule.go
+++ b/internal/membership/probe_schedule.go
@@ -6,45 +6,46 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// outcomeWindow is how many of the last periodic probes the share of those answered is taken over.
-const outcomeWindow = 16
+// resultWindow is the number of recent periodic probes from which the share of answered probes is computed.
+const resultWindow = 16
 
-// probeResults remembers whether the last periodic probes were answered.
+// probeResults records which of the last resultWindow periodic probes were answered.
 type probeResults struct {
-	answered [outcomeWindow]bool
-	count    int // since the start
+	answered [resultWindow]bool
+	count    int // number of results since the start
 }
 
-func (o *probeResults) add(answered bool) {
-	o.answered[o.count%outcomeWindow] = answered
-	o.count++
+func (r *probeResults) add(answered bool) {
+	r.answered[r.count%resultWindow] = answered
+	r.count++
 }
 
-// answering is the share that was answered, 0 to 1; 1 while there is none.
-func (o *probeResults) answering() float64 {
-	n := min(o.count, outcomeWindow)
+// answeredShare returns the share of the recorded probes that was answered, 0 to 1. It is 1 before the first result.
+func (r *probeResults) answeredShare() float64 {
+	n := min(r.count, resultWindow)
 	if n == 0 {
 		return 1
 	}
-	yes := 0
-	for _, answered := range o.answered[:n] {
+	answeredCount := 0
+	for _, answered := range r.answered[:n] {
 		if answered {
-			yes++
+			answeredCount++
 		}
 	}
-	return float64(yes) / float64(n)
+	return float64(answeredCount) / float64(n)
 }
 
-// probeSchedule picks whom each protocol period probes: in turn the next member by name, so that somebody probes each
-// of them, and the next of a shuffled round (SWIM, section 4.3), which finds runs of dead neighbours.
+// probeSchedule chooses the member that each protocol period probes. Periods alternate between the next member by
+// name, so that each member has a gateway that probes it regularly, and the next member of a shuffled round (SWIM,
+// section 4.3), which detects consecutive dead members.
 type probeSchedule struct {
-	round  []string // names still to be probed in this round, the next one last
-	period uint64
+	round  []string // names not probed yet in this round; the last element is next
+	period uint64   // number of protocol periods begun
 }
 
-// nextTarget is whom to probe, or nil while nobody is live.
+// nextTarget returns the member to probe, or nil while no other member is live.
 func (m *Membership) nextTarget() *member {
-	if m.schedule.period%2 == 0 && !m.without.has(RingProbing) {
+	if m.schedule.period%2 == 0 && !m.disabled.includes(RingProbing) {
 		if peer := m.successor(); peer != nil {
 			return peer
 		}
@@ -71,19 +72,20 @@
 	}
 }
 
-// successor is the next alive member by name after this gateway, round the end; nil if there is none.
+// successor returns the next alive member by name after this gateway, wrapping around at the end of the list. It
+// returns nil if there is none.
 func (m *Membership) successor() *member {
 	sorted := m.table.sorted
-	at := m.table.search(m.cfg.Name)
+	start := m.table.position(m.cfg.Name)
 	for i := range len(sorted) {
-		if peer := sorted[(at+i)%len(sorted)]; peer.live() && peer.State == gossipcodec.Alive {
+		if peer := sorted[(start+i)%len(sorted)]; peer.live() && peer.State == gossipcodec.Alive {
 			return peer
 		}
 	}
 	return nil
 }
 
-// beginProtocolPeriod probes one member, or joins while none is known.
+// beginProtocolPeriod probes one member, or contacts seed peers while no other member is live.
 func (m *Membership) beginProtocolPeriod() {
 	m.schedule.period++
 	peer := m.nextTarget()
@@ -92,33 +94,34 @@
 		return
 	}
 	deadline := m.now + m.stretch(protocolPeriod) - time.Millisecond
-	m.probes.periodic = m.startProbe(peer, periodicProbe, deadline, m.now+m.answerTimeout())
+	m.probes.periodicSeq = m.startProbe(peer, periodicProbe, deadline, m.now+m.answerTimeout())
 }
 
-// endProtocolPeriod takes a probe without an answer for a sign against the member, or against this gateway.
+// endProtocolPeriod evaluates the periodic probe. If it was not answered, the target becomes suspect, and this
+// gateway's local health gets worse if helpers were silent too.
 func (m *Membership) endProtocolPeriod() {
-	one := m.probes.pending[m.probes.periodic]
-	if one == nil {
+	p := m.probes.pending[m.probes.periodicSeq]
+	if p == nil {
 		return
 	}
 	m.probes.dropPeriodic()
-	m.probes.outcomes.add(one.answered)
-	if one.answered {
+	m.probes.results.add(p.answered)
+	if p.answered {
 		m.awareness.improve()
 		return
 	}
-	if one.nacks < one.helpers { // helpers that live would have said so
+	if p.nacks < p.helpers { // a live helper would have sent a Nack
 		m.awareness.degrade(1)
 	}
-	peer := m.table.byName[one.target]
-	if peer == nil || peer.State > gossipcodec.Suspect || peer.lastHeard > one.sentAt+protocolPeriod/4 {
+	peer := m.table.byName[p.target]
+	if peer == nil || peer.State > gossipcodec.Suspect || peer.lastReceived > p.sentAt+protocolPeriod/4 {
 		return
 	}
 	if peer.State == gossipcodec.Suspect {
-		m.confirmUnanswered(one)
+		m.confirmUnanswered(p)
 		return
 	}
 	c := peer.claim(m.cfg.Name)
 	c.State = gossipcodec.Suspect
-	m.adopt(peer, &c)
+	m.acceptClaim(peer, &c)
 }
