--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -7,8 +7,8 @@
 	"thymebend/internal/downstream"
 )
 
-// balancerActions carries out what the balancer decides. Its methods must not call the balancer: what it has
-// to be notified of is kept until the end of the Step.
+// balancerActions carries out the balancer's decisions. Its methods must not call the balancer; notifications
+// that they cause are stored and delivered at the end of the Step.
 type balancerActions struct {
 	*core
 	attempts   *attemptTable
@@ -16,7 +16,7 @@
 	downstream *downstreamConns
 	requests   *requestTable
 
-	timers uint64 // set so far
+	timersSet uint64 // number of timers set since the start, part of each timer's id
 }
 
 // StartAttempt implements balancer.Actions.
@@ -36,7 +36,7 @@
 	a.attempts.start(att)
 }
 
-// Reject implements balancer.Actions. A rejection goes out at once.
+// Reject implements balancer.Actions. The rejection is written to the client at once.
 func (a *balancerActions) Reject(id balancer.RequestID, after time.Duration) {
 	if req := a.requests.byID[id]; req != nil && !req.done && !a.invariants.AllowReject(&req.invariants) {
 		a.Fail(id)
@@ -79,10 +79,11 @@
 	}
 }
 
-// SetTimer implements balancer.Actions. A token may be out more than once, so each has a number of its own.
+// SetTimer implements balancer.Actions. The same token may be pending in several timers, so each timer's id
+// also contains a sequence number.
 func (a *balancerActions) SetTimer(after time.Duration, token uint32) {
-	a.timers++
-	a.setTimer(timerBalancer, a.timers<<32|uint64(token), a.now+after)
+	a.timersSet++
+	a.setTimer(timerBalancer, a.timersSet<<32|uint64(token), a.now+after)
 }
 
 // WatchEndpoints implements balancer.Actions.
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -8,10 +8,10 @@
 	"thymebend/internal/loop"
 )
 
-// adminAcceptBatch is how many connections are accepted at once.
+// adminAcceptBatch is the maximum number of connections accepted for one readiness event of the listener.
 const adminAcceptBatch = 2
 
-// adminEndpoint answers the requests under /ops.
+// adminEndpoint answers the operators' requests under /ops.
 type adminEndpoint struct {
 	*core
 	cluster   *cluster
@@ -24,9 +24,9 @@
 	conns admin.Conns
 }
 
-// statsReport is the answer to /ops/stats.
+// statsReport returns the content of /ops/stats.
 func (a *adminEndpoint) statsReport() admin.Stats {
-	f := admin.Stats{
+	out := admin.Stats{
 		Fulfilled:       make(map[string]int64),
 		Throttled:       make(map[string]int64),
 		Faulted:         make(map[string]int64),
@@ -42,28 +42,29 @@
 	}
 	for end, count := range a.stats.ends {
 		if count > 0 {
-			f.Ends[TerminationReason(end).String()] = count
+			out.Ends[TerminationReason(end).String()] = count
 		}
 	}
 	for reason, count := range a.stats.rejections {
 		if count > 0 {
-			f.Rejections[rejectionReason(reason).String()] = count
+			out.Rejections[rejectionReason(reason).String()] = count
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(a.stats.classes)) {
-		t := a.stats.classes[name]
-		f.Fulfilled[name], f.Throttled[name], f.Faulted[name] = t.served, t.rejected, t.failed
+		counts := a.stats.classes[name]
+		out.Fulfilled[name], out.Throttled[name], out.Faulted[name] = counts.served, counts.rejected, counts.failed
 	}
 	if a.balancer != nil {
-		f.Unavailable = a.balancer.UnavailableCount()
+		out.Unavailable = a.balancer.UnavailableCount()
 	}
-	return f
+	return out
 }
 
 func (a *adminEndpoint) listenerEvent(e loop.Event) {
 	switch e.Kind {
 	case loop.Readable:
-		// Few at once: what is accepted holds descriptors before the oldest caller has given way.
+		// Few at once: accepted connections use descriptors before the oldest ones are closed to make room for
+		// them.
 		a.emit(loop.Effect{Op: loop.Accept, Conn: loop.Admin, Most: adminAcceptBatch})
 	case loop.AcceptFailed:
 		a.log.Warn().Err(e.Err).Msg("accept on the admin endpoint")
@@ -71,10 +72,10 @@
 	}
 }
 
-// accepted takes a new connection. Where there are too many the oldest gives way.
+// accepted registers a new connection. If there are then too many, the oldest is closed.
 func (a *adminEndpoint) accepted(c loop.Conn) {
-	if out := a.conns.Add(c); out != nil {
-		a.drop(out)
+	if evicted := a.conns.Add(c); evicted != nil {
+		a.drop(evicted)
 	}
 	a.setTimer(timerAdmin, uint64(c), a.now+admin.RequestTimeout)
 }
@@ -85,10 +86,10 @@
 		a.emit(loop.Effect{Op: loop.Read, Conn: conn.ID})
 	case loop.Data:
 		if conn.Answered {
-			return // one request a connection
+			return // a connection carries only one request
 		}
-		asked, answer := conn.Feed(e.Data)
-		switch asked {
+		kind, answer := conn.Feed(e.Data)
+		switch kind {
 		case admin.NoRequest:
 			return
 		case admin.ReadinessRequest:
@@ -104,7 +105,8 @@
 		a.setTimer(timerAdmin, uint64(conn.ID), a.now+admin.RequestTimeout)
 		a.write(conn.ID, answer)
 	case loop.Flushed:
-		// Only sending ends: closing with bytes unread would reset the connection and could lose the answer.
+		// Only the sending side is closed: closing with unread bytes would reset the connection, and the client
+		// could lose the answer.
 		if conn.Answered && !conn.Ended {
 			conn.Ended = true
 			a.emit(loop.Effect{Op: loop.Shutdown, Conn: conn.ID})
@@ -115,12 +117,12 @@
 	}
 }
 
-// ready reports whether this process takes clients.
+// ready reports whether this process accepts clients.
 func (a *adminEndpoint) ready() bool {
 	return a.listener.phase != notListening && !a.shutdown.stopping() && !a.restart.handedOver()
 }
 
-// unreadyReason is the text of /ops/readiness while this process takes no clients.
+// unreadyReason returns the text of /ops/readiness while this process accepts no clients.
 func (a *adminEndpoint) unreadyReason() string {
 	switch {
 	case a.shutdown.stopping():
@@ -137,7 +139,7 @@
 	a.closeConn(conn.ID)
 }
 
-// timerDue drops a connection whose client has not sent its request, or not closed, in time.
+// timerDue closes a connection whose client has not sent its request, or has not closed its side, in time.
 func (a *adminEndpoint) timerDue(c loop.Conn) {
 	if conn := a.conns.Find(c); conn != nil {
 		a.drop(conn)
--- a/internal/gateway/assignment.go
+++ b/internal/gateway/assignment.go
@@ -19,58 +19,59 @@
 	"thymebend/internal/tokenschedule"
 )
 
-// How long news of the cluster takes, and how often it is looked at.
+// Propagation times of membership changes, and intervals of the work on the view.
 const (
-	membershipPropagation = time.Second     // a change of the view reaches the last gateway
-	membershipConvergence = 3 * time.Second // and surely has reached it, also through losses
-	updateInterval        = time.Second     // between two looks at a view in which only figures changed
-	tokenLookahead        = time.Second     // for which the next slow-start token is looked for
-	errorLogInterval      = time.Second
+	membershipPropagation = time.Second     // by then a membership change has usually reached all gateways
+	membershipConvergence = 3 * time.Second // by then it has certainly reached them, even with lost datagrams
+	updateInterval        = time.Second     // minimum time between updates if only reported values changed
+	tokenLookahead        = time.Second     // how far ahead the next slow-start token is searched
+	errorLogInterval      = time.Second     // minimum time between two log lines of logError
 )
 
-// subsetAssignment follows what the cluster's view means for this gateway, where the gossip file has a table
-// [shares]: the subset of the endpoints that it uses and with what weight, its tokens for endpoints in slow
-// start, and its load reports. The balancer is notified of them and goes on choosing.
+// subsetAssignment derives from the cluster's view what this gateway has to do, if the gossip file has a table
+// [shares]: which subset of the endpoints it uses and with which weights, which tokens for endpoints in slow
+// start it may use, and what its load reports say. The balancer is notified of the subset and the tokens, and
+// chooses among the endpoints itself.
 type subsetAssignment struct {
 	*core
 	cluster   *cluster
 	discovery *discoveryWatch
 	restart   *hotRestart
 
-	state *assignmentState // nil where the cluster divides nothing, and while this process is no member
+	state *assignmentState // nil without a table [shares], and while this process is not a member
 }
 
-// assignmentState is what lasts as long as this process is a member of the cluster.
+// assignmentState is the state that exists while this process is a member of the cluster.
 type assignmentState struct {
 	config     *gossipconfig.Assignment
 	rule       tokenschedule.Rule
-	warmRate   float64 // requests a second of a warm endpoint, which sets the rate of tokens
-	configHash uint32  // of the configuration on which tokens rest: they are valid among equals only
+	warmRate   float64 // requests per second of a warm endpoint; determines the rate of tokens
+	configHash uint32  // hash of the settings behind the tokens, which are valid only among equal hashes
 	tracker    *assignment.Tracker
 	owners     *tokenschedule.Owners
 	taker      *tokenschedule.Taker
 	reporter   loadreport.Reporter
 
-	version          uint64 // of the view at the last update
-	settled          bool
+	version          uint64 // version of the view at the last update
+	converged        bool
 	updatedAt        time.Duration
-	endpointsChanged bool // the endpoint list has changed since
+	endpointsChanged bool // the endpoint list has changed since the last update
 
-	agreedSince   time.Duration     // most living members have this config hash since then; 0 if not
-	warming       []warmingEndpoint // for which this gateway may own tokens
+	agreedSince   time.Duration     // since when most alive members have this config hash; 0 if they do not
+	warming       []warmingEndpoint // endpoints in slow start for which this gateway may own tokens
 	assigned      []balancer.AssignedEndpoint
-	tokens        uint64 // taken so far
+	tokens        uint64 // number of tokens taken since joining
 	errorLoggedAt time.Duration
 }
 
-// begin is called as this process joins the cluster. Until the view has settled the subset follows from the
-// number of gateways and this one's rank, and endpoints in slow start get nothing from here.
+// begin is called when this process joins the cluster. Until the view has converged, the balancer derives its
+// subset from the configured number of gateways and the rank of this one, and no slow-start tokens are granted.
 func (s *subsetAssignment) begin() {
-	f := s.cfg.Gossip
-	if f.Assignment == nil {
+	gossip := s.cfg.Gossip
+	if gossip.Assignment == nil {
 		return
 	}
-	state := &assignmentState{config: f.Assignment, warmRate: f.Assignment.WarmRate, rule: s.tokenRule()}
+	state := &assignmentState{config: gossip.Assignment, warmRate: gossip.Assignment.WarmRate, rule: s.tokenRule()}
 	if state.warmRate == 0 {
 		state.warmRate = s.balancer.MinCoreRate()
 	}
@@ -79,8 +80,8 @@
 			Float64(fieldSlowStartFraction, state.rule.InitialFraction).
 			Msg("assignment: no slow-start tokens can be given, new endpoints wait until they are warm")
 	}
-	var seeds []assignment.Gateway // of unknown zone, which is the same to all
-	if !f.Flat {
+	var seeds []assignment.Gateway // their zone is unknown, and the same unknown value on all gateways
+	if !gossip.Flat {
 		for _, name := range s.seedNames() {
 			seeds = append(seeds, assignment.Gateway{Name: name, Zone: -1})
 		}
@@ -91,14 +92,14 @@
 		MinEndpoints:   state.config.MinEndpoints,
 		RemoteZoneOdds: state.config.RemoteZoneOdds,
 	}
-	state.tracker = assignment.NewTracker(rule, f.Name, membershipPropagation, seeds)
+	state.tracker = assignment.NewTracker(rule, gossip.Name, membershipPropagation, seeds)
 	state.owners = tokenschedule.NewOwners(state.config.Users, membershipConvergence)
 	start := s.now
 	if s.restart.predecessor != nil {
-		start += state.rule.ValidFor() // the predecessor takes tokens until it hears that this process serves
+		start += state.rule.ValidFor() // the predecessor takes tokens until it is notified that this process serves
 	}
-	state.taker = tokenschedule.NewTaker(state.rule, f.Name, start)
-	// This gateway's own configuration is agreed on until others are heard.
+	state.taker = tokenschedule.NewTaker(state.rule, gossip.Name, start)
+	// This gateway's configuration counts as agreed on until reports of other members arrive.
 	state.agreedSince, state.endpointsChanged = s.now-membershipConvergence, true
 	s.state = state
 	s.updateConfigHash()
@@ -106,8 +107,8 @@
 	s.dispatchNeeded = true
 }
 
-// tokenRule is the rule by which slow-start tokens are scheduled, the same on all gateways of one
-// configuration.
+// tokenRule returns the rule by which slow-start tokens are scheduled. It is the same on all gateways with the
+// same configuration.
 func (s *subsetAssignment) tokenRule() tokenschedule.Rule {
 	c := &s.cfg.Settings.Config
 	return tokenschedule.Rule{
@@ -119,18 +120,18 @@
 	}
 }
 
-// end is called as this process leaves the cluster. The endpoints in use stay; tokens are others' or
-// nobody's.
+// end is called when this process leaves the cluster. The endpoints in use remain in use. The tokens of this
+// gateway pass to other gateways or remain unused.
 func (s *subsetAssignment) end() { s.state = nil }
 
-// endpointListChanged has the assignment follow the endpoint list at the next update.
+// endpointListChanged makes the next update take a changed endpoint list into account.
 func (s *subsetAssignment) endpointListChanged() {
 	if s.state != nil {
 		s.state.endpointsChanged = true
 	}
 }
 
-// seedNames are the names of the seed peers and the own one, sorted.
+// seedNames returns the names of the seed peers and of this gateway, sorted and without duplicates.
 func (s *subsetAssignment) seedNames() []string {
 	names := []string{s.cfg.Gossip.Name}
 	for _, peer := range s.cfg.Gossip.SeedPeers {
@@ -140,33 +141,36 @@
 	return slices.Compact(names)
 }
 
-// updateConfigHash hashes the configuration on which slow-start tokens rest.
+// updateConfigHash hashes the configuration that determines the slow-start tokens. If the hash has changed, the
+// agreement with other members has to be established again.
 func (s *subsetAssignment) updateConfigHash() {
 	state := s.state
 	if state == nil {
 		return
 	}
 	h := xxh3.New()
-	fmt.Fprintf(h, "%s %v %d", state.rule.Canonical(), state.warmRate, state.config.Users) // a hash never fails
+	// Writing to a hash never fails.
+	fmt.Fprintf(h, "%s %v %d", state.rule.Canonical(), state.warmRate, state.config.Users)
 	for _, name := range s.seedNames() {
 		_, _ = h.Write(binary.AppendUvarint(nil, uint64(len(name))))
 		_, _ = h.WriteString(name)
 	}
 	sum := uint32(h.Sum64())
 	if state.configHash != 0 && sum != state.configHash {
-		state.agreedSince = 0 // the others have another file, or will have this one in a moment
+		state.agreedSince = 0 // the other members have a different file, at least until they have reloaded theirs
 	}
 	state.configHash = sum
 }
 
-// update follows the view and the endpoint list, with every sample of the balancer.
+// update sends the load report and brings the assignment up to date with the view and the endpoint list. It is
+// called with every timer of the balancer.
 func (s *subsetAssignment) update() {
 	if s.state == nil || s.cluster.membership == nil {
 		return
 	}
 	s.reportLoad()
-	st := s.cluster.membership.Status(s.now)
-	if !s.updateDue(st) {
+	status := s.cluster.membership.Status(s.now)
+	if !s.updateDue(status) {
 		return
 	}
 	members := s.cluster.membership.Members()
@@ -175,7 +179,7 @@
 	s.updateOwners(members)
 	observation := assignment.Observation{
 		Alive:     aliveGateways(members, reports),
-		Settled:   st.Settled,
+		Settled:   status.Settled,
 		Endpoints: s.updateEndpoints(),
 	}
 	if _, err := s.state.tracker.Observe(s.now, observation); err != nil {
@@ -185,27 +189,28 @@
 	s.apply(suspected)
 }
 
-// updateDue reports whether anything has changed since the last update on which an assignment rests.
-func (s *subsetAssignment) updateDue(st membership.Status) bool {
+// updateDue reports whether the assignment has to be computed again: whether any of its inputs has changed
+// since the last update, or a time at which it changes has passed.
+func (s *subsetAssignment) updateDue(status membership.Status) bool {
 	state := s.state
 	due, timed := state.tracker.Due()
 	warm := slices.ContainsFunc(state.warming, func(e warmingEndpoint) bool {
 		return s.now >= e.StartedAt+state.rule.Duration
 	})
-	viewChanged := (st.Version != state.version || state.agreedSince == 0) &&
+	viewChanged := (status.Version != state.version || state.agreedSince == 0) &&
 		s.now-state.updatedAt >= updateInterval
-	if !viewChanged && !state.endpointsChanged && !warm && st.Settled == state.settled &&
+	if !viewChanged && !state.endpointsChanged && !warm && status.Settled == state.converged &&
 		!(timed && s.now >= due) {
 		return false
 	}
 	if viewChanged {
 		state.updatedAt = s.now
 	}
-	state.version, state.settled, state.endpointsChanged = st.Version, st.Settled, false
+	state.version, state.converged, state.endpointsChanged = status.Version, status.Settled, false
 	return true
 }
 
-// aliveGateways are the living members with what they report.
+// aliveGateways returns the alive members, each with the demand and zone that it reports.
 func aliveGateways(members []membership.Member, reports []loadreport.PeerReport) []assignment.Gateway {
 	demands := loadreport.Demands(reports)
 	var alive []assignment.Gateway
@@ -217,37 +222,38 @@
 	return alive
 }
 
-// updateEndpoints returns the warm endpoints, which are divided among the gateways, and notes those in slow
-// start for which this gateway may own tokens.
+// updateEndpoints returns the warm endpoints, which are divided among the gateways. It also updates the list of
+// endpoints in slow start for which this gateway may own tokens.
 func (s *subsetAssignment) updateEndpoints() []assignment.Endpoint {
 	state := s.state
 	var endpoints []assignment.Endpoint
 	state.warming = state.warming[:0]
-	for _, h := range s.discovery.endpoints.All() {
+	for _, ep := range s.discovery.endpoints.All() {
 		switch {
-		case h.State != balancer.EndpointReady:
-		case s.warmingUp(h):
-			slot := tokenschedule.Endpoint{ID: uint64(h.ID), StartedAt: h.StartedAt, Capacity: state.warmRate}
-			d := state.owners.Ownerships(s.now, slot.ID)
-			if len(d) > 0 && tokenschedule.ShareOf(d[len(d)-1], s.cfg.Gossip.Name) > 0 {
+		case ep.State != balancer.EndpointReady:
+		case s.warmingUp(ep):
+			slot := tokenschedule.Endpoint{ID: uint64(ep.ID), StartedAt: ep.StartedAt, Capacity: state.warmRate}
+			ownerships := state.owners.Ownerships(s.now, slot.ID)
+			if len(ownerships) > 0 && tokenschedule.ShareOf(ownerships[len(ownerships)-1], s.cfg.Gossip.Name) > 0 {
 				state.warming = append(state.warming, warmingEndpoint{Endpoint: slot})
 			}
 		default:
-			e := assignment.Endpoint{ID: uint64(h.ID), Capacity: h.Capacity, Zone: h.Zone}
+			e := assignment.Endpoint{ID: uint64(ep.ID), Capacity: ep.Capacity, Zone: ep.Zone}
 			endpoints = append(endpoints, e)
 		}
 	}
-	// One that is another gateway's now, or drains, is kept too: it may be this one's again in a moment.
+	// Endpoints that belong to another gateway now, or drain, are kept too: they may belong to this gateway
+	// again soon.
 	inSlowStart := func(id uint64) bool {
-		h := s.discovery.endpoints.Find(balancer.EndpointID(id))
-		return h != nil && s.warmingUp(h)
+		ep := s.discovery.endpoints.Find(balancer.EndpointID(id))
+		return ep != nil && s.warmingUp(ep)
 	}
 	state.taker.Forget(inSlowStart)
 	state.owners.Forget(inSlowStart)
 	return endpoints
 }
 
-// logError logs that the subset could not be worked out, at most once in errorLogInterval.
+// logError logs that the subset could not be computed, at most once per errorLogInterval.
 func (s *subsetAssignment) logError(err error) {
 	if s.now-s.state.errorLoggedAt >= errorLogInterval {
 		s.state.errorLoggedAt = s.now
@@ -256,11 +262,11 @@
 }
 
 // warmingUp reports whether an endpoint is in slow start.
-func (s *subsetAssignment) warmingUp(h *discovery.Endpoint) bool {
-	return h.StartedAt > 0 && s.now-h.StartedAt < s.state.rule.Duration
+func (s *subsetAssignment) warmingUp(ep *discovery.Endpoint) bool {
+	return ep.StartedAt > 0 && s.now-ep.StartedAt < s.state.rule.Duration
 }
 
-// apply tells the balancer which endpoints are this gateway's, if that has changed.
+// apply notifies the balancer of the endpoints assigned to this gateway, if they have changed.
 func (s *subsetAssignment) apply(suspected map[uint32]bool) {
 	state := s.state
 	var assigned []balancer.AssignedEndpoint
@@ -270,20 +276,20 @@
 			SuspectedByPeers: suspected[loadreport.EndpointHash(id)],
 		})
 	}
-	if uses := state.tracker.Assigned(); len(state.tracker.Gateways()) > 0 {
-		mean := 1.0
-		if len(uses) > 0 {
-			mean = 1 / float64(len(uses))
+	if shares := state.tracker.Assigned(); len(state.tracker.Gateways()) > 0 {
+		meanWeight := 1.0
+		if len(shares) > 0 {
+			meanWeight = 1 / float64(len(shares))
 		}
-		for _, u := range uses {
-			add(u.Endpoint, u.Weight, u.Share)
+		for _, share := range shares {
+			add(share.Endpoint, share.Weight, share.Share)
 		}
-		for _, c := range state.warming {
-			d := state.owners.Ownerships(s.now, c.ID)
-			add(c.ID, mean, tokenschedule.ShareOf(d[len(d)-1], s.cfg.Gossip.Name))
+		for _, warming := range state.warming {
+			ownerships := state.owners.Ownerships(s.now, warming.ID)
+			add(warming.ID, meanWeight, tokenschedule.ShareOf(ownerships[len(ownerships)-1], s.cfg.Gossip.Name))
 		}
 		for _, id := range state.tracker.Spares(s.cfg.Settings.Config.Zone) {
-			add(id, mean, 0)
+			add(id, meanWeight, 0)
 		}
 	}
 	if !slices.Equal(assigned, state.assigned) {
@@ -293,7 +299,7 @@
 	}
 }
 
-// report is what /ops/fleet says of the assignment, nil where there is none.
+// report returns the section of /ops/fleet about the assignment, or nil if there is no assignment.
 func (s *subsetAssignment) report() *admin.Assignment {
 	state := s.state
 	if state == nil {
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -10,14 +10,13 @@
 	"thymebend/internal/upstream"
 )
 
-// Every effect that a rule of the platform bounds goes through this file, where internal/invariant has the
-// last word: attempts, first and further ones, answers, the time for which a client is waited for, closes of
-// downstream connections and the end.
+// internal/invariant checks every effect that a rule of the platform restricts: first attempts and retries (in this
+// file), final answers, the time spent waiting for a client, closes of downstream connections and the exit.
 
-// notWritten is the number of an attempt of which nothing was written.
+// notWritten is the invariantIndex of an attempt of which nothing has been written.
 const notWritten = -1
 
-// attemptTable holds the attempts under way and the upstream connections that carry them.
+// attemptTable holds the attempts in progress and the upstream connections that carry them.
 type attemptTable struct {
 	*core
 	discovery  *discoveryWatch
@@ -31,11 +30,11 @@
 	byConn   map[loop.Conn]*attempt
 	byID     map[uint64]*attempt
 	nextID   uint64
-	ended    []attemptEnd    // the balancer has yet to hear of these
-	progress []writeProgress // and of these, before the ends
+	ended    []attemptEnd    // ends of which the balancer is not yet notified
+	progress []writeProgress // upload progress of which it is not yet notified; reported before the ends
 }
 
-// attempt is one attempt under way.
+// attempt is one attempt in progress.
 type attempt struct {
 	request  *request
 	number   int
@@ -43,32 +42,32 @@
 	endpoint balancer.EndpointID
 	conn     *upstream.Conn
 	began    time.Duration
-	deadline time.Duration // awaited until then
-	// invariantIndex is its number in the request's invariant record, notWritten before its first byte is
-	// written.
+	deadline time.Duration // when the attempt ends if it is not complete
+	// invariantIndex is the attempt's index in the request's invariant record, notWritten before its first byte
+	// is written.
 	invariantIndex int
 }
 
-// attemptEnd is an end of which the balancer is notified once it has returned.
+// attemptEnd is the end of an attempt, stored until the end of the Step, when the balancer is notified of it.
 type attemptEnd struct {
 	attempt  *attempt
 	reason   TerminationReason
 	response *upstream.Response
 }
 
-// writeProgress is progress of an upload of which the balancer is notified once it has returned, before the
-// ends.
+// writeProgress is the progress of an upload, stored until the end of the Step, when the balancer is notified
+// of it, before the ends of attempts.
 type writeProgress struct {
 	attempt *attempt
-	done    bool // its last byte is written
+	done    bool // the last byte of the body has been written
 }
 
-// reportEnds notifies the balancer of the ends that came up while it was busy. Its actions may bring about
-// more.
+// reportEnds notifies the balancer of the upload progress and the ends that were stored during this Step. The
+// balancer's actions may add further ends, which are reported too.
 func (a *attemptTable) reportEnds() {
-	for _, n := range a.progress {
+	for _, p := range a.progress {
 		a.dispatchNeeded = true
-		a.balancer.RequestWriting(a.now, n.attempt.request.id, n.attempt.number, n.done)
+		a.balancer.RequestWriting(a.now, p.attempt.request.id, p.attempt.number, p.done)
 	}
 	clear(a.progress)
 	a.progress = a.progress[:0]
@@ -79,26 +78,27 @@
 	a.ended = a.ended[:0]
 }
 
-func (a *attemptTable) reportEnd(p attemptEnd) {
-	req := p.attempt.request
-	outcome, _ := p.reason.attemptOutcome()
+func (a *attemptTable) reportEnd(ended attemptEnd) {
+	req := ended.attempt.request
+	outcome, _ := ended.reason.attemptOutcome()
 	end := balancer.AttemptEnd{
 		Request:      req.id,
-		Attempt:      p.attempt.number,
-		Endpoint:     p.attempt.endpoint,
+		Attempt:      ended.attempt.number,
+		Endpoint:     ended.attempt.endpoint,
 		Outcome:      outcome,
-		Latency:      a.now - p.attempt.began,
+		Latency:      a.now - ended.attempt.began,
 		RequestDone:  req.done,
 		BodyConsumed: req.upload != nil && req.upload.consumed,
 	}
-	if p.response != nil && a.cfg.Settings.Gateway.QueueLengthColumn >= 0 {
-		end.Reported, end.QueueLength = p.response.Reported, p.response.QueueLength
+	if ended.response != nil && a.cfg.Settings.Gateway.QueueLengthColumn >= 0 {
+		end.Reported, end.QueueLength = ended.response.Reported, ended.response.QueueLength
 	}
 	a.dispatchNeeded = true
 	a.balancer.AttemptEnded(a.now, end)
 }
 
-// add returns a new attempt of a request. A timeout of 0 lasts until the request's deadline.
+// add registers a new attempt of a request. With a timeout of 0 the attempt may last until the request's
+// deadline.
 func (a *attemptTable) add(req *request, to balancer.EndpointID, timeout time.Duration) *attempt {
 	a.nextID++
 	att := &attempt{
@@ -114,7 +114,7 @@
 	return att
 }
 
-// start writes an attempt on an idle connection to its endpoint, or opens one.
+// start writes an attempt on an idle connection to its endpoint, or opens a new connection for it.
 func (a *attemptTable) start(att *attempt) {
 	if !a.discovery.isReady(att.endpoint) {
 		a.end(att, ReasonEndpointLeft, nil)
@@ -141,18 +141,19 @@
 	a.emit(loop.Effect{Op: loop.Dial, Conn: conn.ID, Addr: a.discovery.endpoints.Find(att.endpoint).Addr})
 }
 
-// noteProgress keeps progress of an upload for the balancer. done: its last byte is written.
+// noteProgress stores the progress of an upload, to be reported to the balancer at the end of the Step. done
+// means that the last byte of the body has been written.
 func (a *attemptTable) noteProgress(att *attempt, done bool) {
 	a.progress = append(a.progress, writeProgress{attempt: att, done: done})
 }
 
-// bind gives an attempt its connection.
+// bind assigns a connection to an attempt.
 func (a *attemptTable) bind(att *attempt, conn *upstream.Conn) {
 	att.conn = conn
 	a.byConn[conn.ID] = att
 }
 
-// writeRequest writes the request to the endpoint, if it may still be written.
+// writeRequest writes the request to the endpoint, unless the attempt must not be written any more.
 func (a *attemptTable) writeRequest(att *attempt, op loop.Op) {
 	if end, suppress := a.suppressed(att); suppress {
 		a.end(att, end, nil)
@@ -160,7 +161,7 @@
 	}
 	att.conn.Phase = upstream.Writing
 	if req := att.request; req.upload != nil {
-		// The head goes alone: nothing of the body is lost if the connection turns out to be dead.
+		// The head is written alone: if the connection turns out to be dead, no part of the body is lost.
 		a.noteProgress(att, false)
 		a.setTimer(timerAttempt, att.id, a.now+uploadWriteTimeout)
 		head := upstream.AppendHead(nil, req.Message, req.upload.length, a.requests.timeLeft(req))
@@ -171,14 +172,14 @@
 	a.emit(loop.Effect{Op: op, Conn: att.conn.ID, Data: data})
 }
 
-// unbind takes the connection from an attempt.
+// unbind detaches the connection from an attempt.
 func (a *attemptTable) unbind(att *attempt) {
 	delete(a.byConn, att.conn.ID)
 	att.conn = nil
 }
 
-// end ends an attempt and closes its connection, if it still has one. Guards against a late response on it
-// that reaches another request. The balancer is notified at the end of the Step.
+// end ends an attempt and closes its connection if it still has one, so that a late response cannot reach
+// another request. The balancer is notified at the end of the Step.
 func (a *attemptTable) end(att *attempt, end TerminationReason, resp *upstream.Response) {
 	if conn := att.conn; conn != nil {
 		a.unbind(att)
@@ -193,7 +194,7 @@
 	if req.upload != nil {
 		req.upload.attempt, req.upload.writing = nil, false
 	}
-	req.running = slices.DeleteFunc(req.running, func(y *attempt) bool { return y == att })
+	req.running = slices.DeleteFunc(req.running, func(running *attempt) bool { return running == att })
 	a.requests.release(req)
 	a.stats.countEnd(end)
 	if end != ReasonServed && end != ReasonRejected {
@@ -202,7 +203,7 @@
 	a.ended = append(a.ended, attemptEnd{attempt: att, reason: end, response: resp})
 }
 
-// timerDue ends an attempt whose time is over, by how far it has come.
+// timerDue ends an attempt whose deadline has passed. The reason depends on the phase of its connection.
 func (a *attemptTable) timerDue(id uint64) {
 	att := a.byID[id]
 	switch {
@@ -216,8 +217,9 @@
 	}
 }
 
-// suppressed decides whether an attempt must not be written now, and how it ends then. Time has passed since
-// the balancer decided: its endpoint may have left, its retry window or its client's time may be over.
+// suppressed reports whether an attempt must not be written now, and with which reason it ends in that case.
+// Time has passed since the balancer's decision: the endpoint may have left, or the retry window or the
+// client's timeout may have expired.
 func (a *attemptTable) suppressed(att *attempt) (end TerminationReason, suppress bool) {
 	endpoint := a.discovery.endpoints.Find(att.endpoint)
 	switch {
--- a/internal/gateway/classes.go
+++ b/internal/gateway/classes.go
@@ -10,49 +10,52 @@
 	"thymebend/internal/settings"
 )
 
-// previousClassTTL is how long requests worded for a class as it was before it changed are still taken.
+// previousClassTTL is how long, after a reload changed a class's idempotency, requests are still accepted with
+// the HTTP method of the former idempotency.
 const previousClassTTL = 3 * time.Second
 
-// classTable finds the class of a request, also just after the settings have changed it.
+// classTable finds the class of a request, also for a short time after a reload has changed the class.
 type classTable struct {
 	*core
-	indices  []int                    // of the settings' classes in the balancer
-	previous map[string]previousClass // classes that changed lately, by name
+	indices  []int                    // index in the balancer of each class of the settings
+	previous map[string]previousClass // classes whose idempotency has recently changed, by name
 }
 
-// previousClass is a class as it was before its idempotency last changed.
+// previousClass is a class in the form that it had before its idempotency last changed. It is valid before the
+// time until.
 type previousClass struct {
 	class balancer.Class
 	index int
 	until time.Duration
 }
 
-// method is the HTTP method by which requests of the class were worded.
+// method returns the HTTP method that requests of the previous class use.
 func (p previousClass) method() string { return downstream.MethodOf(p.class.Idempotency) }
 
-// apply takes new settings that the balancer has taken, with the indices of their classes in it.
-func (t *classTable) apply(fresh settings.Settings, indices []int) {
+// apply stores new settings that the balancer has accepted, and the balancer's indices of their classes.
+func (t *classTable) apply(updated settings.Settings, indices []int) {
 	for _, name := range slices.Sorted(maps.Keys(t.previous)) {
 		if t.now >= t.previous[name].until {
 			delete(t.previous, name)
 		}
 	}
 	for i, old := range t.cfg.Settings.Config.Classes {
-		for _, c := range fresh.Config.Classes {
+		for _, c := range updated.Config.Classes {
 			if c.Name == old.Name && c.Idempotency != old.Idempotency {
 				t.previous[c.Name] = previousClass{class: old, index: t.indices[i],
 					until: t.now + previousClassTTL}
 			}
 		}
 	}
-	// Zones keep the numbers that they have: endpoints and the balancer know them by these.
-	fresh.Gateway.Zones = t.cfg.Settings.Gateway.Zones
-	t.cfg.Settings, t.indices = fresh, indices
-	t.stats.countClasses(fresh.Config.Classes)
+	// Zones keep their present numbers, by which endpoints and the balancer refer to them.
+	updated.Gateway.Zones = t.cfg.Settings.Gateway.Zones
+	t.cfg.Settings, t.indices = updated, indices
+	t.stats.countClasses(updated.Config.Classes)
 }
 
-// find finds the class that a request names, as its method words it. Just after the idempotency of a class
-// has changed, requests worded for the old one still come; the stricter of the two holds for them.
+// find returns the class that a request names, given the request's HTTP method. For previousClassTTL after the
+// idempotency of a class has changed, a request may still use the method of the former idempotency; the
+// stricter of the two then applies.
 func (t *classTable) find(name, method string) (downstream.Class, bool) {
 	for i, c := range t.cfg.Settings.Config.Classes {
 		if c.Name != name {
@@ -72,7 +75,7 @@
 	return downstream.Class{}, false
 }
 
-// begin takes the classes of the first settings.
+// begin registers the classes of the initial settings.
 func (t *classTable) begin() {
 	for i := range t.cfg.Settings.Config.Classes {
 		t.indices = append(t.indices, i)
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -10,45 +10,46 @@
 )
 
 const (
-	socketRetryInterval   = time.Second // until a socket that failed is opened again
-	membershipLogInterval = time.Second // between two log lines about the view
+	socketRetryInterval   = time.Second // time before a failed socket is opened again
+	membershipLogInterval = time.Second // minimum time between two log lines about the view
 )
 
-// cluster is this process's membership in the cluster of gateways, where a gossip file asks for it: the
-// reducer of internal/membership on a datagram socket. Without the file there is no socket, no timer and no
+// cluster is this process's membership in the cluster of gateways: the reducer of internal/membership on a
+// datagram socket. It exists only if a gossip file is configured; otherwise there is no socket, no timer and no
 // membership.
 type cluster struct {
 	*core
 	assignment *subsetAssignment
 	shutdown   *shutdown
 
-	membership    *membership.Membership // nil while another process of this gateway speaks
+	membership    *membership.Membership // nil while another process of this gateway is the member
 	socketOpen    bool
-	joined        int    // how often a membership was begun
-	startID       uint64 // identity that was handed over, or this process's own
-	incarnation   uint64 // to begin with
+	joinCount     int    // number of times that this process has joined
+	startID       uint64 // identity inherited from the predecessor, or this process's own
+	incarnation   uint64 // incarnation with which the next membership starts
 	loggedAt      time.Duration
-	loggedVersion uint64 // version of the view in the last log line
+	loggedVersion uint64 // version of the view in the last log line about it
 }
 
-// join begins to speak, once this process takes clients: at an upgrade under the predecessor's identity.
+// join starts the membership once this process accepts clients. After an upgrade it continues under the
+// predecessor's identity.
 func (c *cluster) join() {
 	if c.cfg.Gossip == nil || c.membership != nil || c.shutdown.stopping() {
 		return
 	}
-	f := c.cfg.Gossip
+	gossip := c.cfg.Gossip
 	if c.startID == 0 {
 		c.startID = uint64(c.now.Milliseconds())
 	}
 	c.assignment.begin()
 	payload := c.assignment.initialPayload()
 	view, err := membership.New(membership.Config{
-		Cluster:     f.Cluster,
-		Name:        f.Name,
+		Cluster:     gossip.Cluster,
+		Name:        gossip.Name,
 		Start:       c.startID,
 		Incarnation: c.incarnation,
-		SeedPeers:   f.SeedPeers,
-		Flat:        f.Flat,
+		SeedPeers:   gossip.SeedPeers,
+		Flat:        gossip.Flat,
 		Payload:     payload,
 		Seed:        c.cfg.Seed,
 	}, c.now)
@@ -58,11 +59,11 @@
 		return
 	}
 	c.membership = view
-	c.joined++
+	c.joinCount++
 	c.openSocket()
 }
 
-// inherit takes the identity of the predecessor, under which this process will speak.
+// inherit stores the identity of the predecessor, under which this process will join.
 func (c *cluster) inherit(startID, incarnation uint64) {
 	c.startID, c.incarnation = startID, incarnation
 }
@@ -71,18 +72,18 @@
 	c.emit(loop.Effect{Op: loop.Bind, Conn: loop.Gossip, Addr: c.cfg.Gossip.Listen, Urgent: true})
 }
 
-// quit ends the membership: silently, for the successor speaks under this identity, or by announcing that
-// this gateway leaves.
-func (c *cluster) quit(leave bool) {
-	v := c.membership
-	if v == nil {
+// quit ends the membership. With announce it notifies the peers that this gateway leaves; without, it ends
+// silently, because the successor continues under the same identity.
+func (c *cluster) quit(announce bool) {
+	view := c.membership
+	if view == nil {
 		return
 	}
-	if leave {
-		v.Leave(c.now)
+	if announce {
+		view.Leave(c.now)
 		c.flush()
 	}
-	c.startID, c.incarnation = v.Identity()
+	c.startID, c.incarnation = view.Identity()
 	c.membership, c.socketOpen = nil, false
 	c.assignment.end()
 	c.stopTimer(timerCluster, 0)
@@ -109,7 +110,7 @@
 	}
 }
 
-// timerDue advances the membership, or opens its socket again.
+// timerDue advances the membership, or opens its socket again after a failure.
 func (c *cluster) timerDue() {
 	switch {
 	case c.membership == nil:
@@ -121,57 +122,58 @@
 	}
 }
 
-// flush sends the datagrams of the membership and sets its next timer.
+// flush sends the pending datagrams of the membership, sets its next timer and logs a changed view.
 func (c *cluster) flush() {
-	v := c.membership
-	for _, d := range v.Take() {
+	view := c.membership
+	for _, d := range view.Take() {
 		c.emit(loop.Effect{Op: loop.SendTo, Conn: loop.Gossip, Addr: d.To, Data: d.Data})
 	}
-	c.setTimer(timerCluster, 0, v.NextWake())
+	c.setTimer(timerCluster, 0, view.NextWake())
 	if c.now-c.loggedAt < membershipLogInterval {
 		return
 	}
-	if st := v.Status(c.now); st.Version != c.loggedVersion {
-		c.loggedAt, c.loggedVersion = c.now, st.Version
-		c.log.Info().Int(fieldAlive, st.Alive).Int(fieldKnown, st.Known).Bool(fieldMajority, st.Majority).
-			Bool(fieldDuplicateName, st.DuplicateName).Int(fieldLocalHealth, st.LocalHealth).
+	if status := view.Status(c.now); status.Version != c.loggedVersion {
+		c.loggedAt, c.loggedVersion = c.now, status.Version
+		c.log.Info().Int(fieldAlive, status.Alive).Int(fieldKnown, status.Known).Bool(fieldMajority, status.Majority).
+			Bool(fieldDuplicateName, status.DuplicateName).Int(fieldLocalHealth, status.LocalHealth).
 			Msg("cluster: membership has changed")
 	}
 }
 
-// reload takes new seed peers. A faulty file changes nothing; what else the file says holds from the next
-// start.
+// reload applies the seed peers of a changed gossip file. A faulty file changes nothing; other changes in the
+// file take effect at the next start.
 func (c *cluster) reload(raw []byte, err error) {
-	var f *gossipconfig.Config
+	var updated *gossipconfig.Config
 	if err == nil {
-		f, err = gossipconfig.Parse(c.cfg.GossipPath, raw, c.cfg.Name)
+		updated, err = gossipconfig.Parse(c.cfg.GossipPath, raw, c.cfg.Name)
 	}
 	if err == nil && c.membership != nil {
-		err = c.membership.SetSeedPeers(c.now, f.SeedPeers)
+		err = c.membership.SetSeedPeers(c.now, updated.SeedPeers)
 	}
 	if err != nil {
 		c.log.Error().Err(err).Msg("reload: gossip file rejected, the seed peers stay as they were")
 		return
 	}
-	c.cfg.Gossip.SeedPeers = f.SeedPeers
+	c.cfg.Gossip.SeedPeers = updated.SeedPeers
 	c.assignment.updateConfigHash()
-	c.log.Info().Int(fieldSeedPeers, len(f.SeedPeers)).Msg("reload: seed peers")
+	c.log.Info().Int(fieldSeedPeers, len(updated.SeedPeers)).Msg("reload: seed peers")
 }
 
-// report is the answer to /ops/fleet.
+// report returns the content of /ops/fleet.
 func (c *cluster) report() admin.Cluster {
 	out := admin.Cluster{
-		Cluster: c.cfg.Gossip.Cluster, Name: c.cfg.Gossip.Name, Joined: c.joined, Members: []admin.Member{},
+		Cluster: c.cfg.Gossip.Cluster, Name: c.cfg.Gossip.Name, Joined: c.joinCount, Members: []admin.Member{},
 	}
-	v := c.membership
-	if v == nil {
+	view := c.membership
+	if view == nil {
 		return out
 	}
 	out.Assignment = c.assignment.report()
-	st, counts := v.Status(c.now), v.Counts()
-	out.Active, out.Settled, out.Majority, out.DuplicateName = c.socketOpen, st.Settled, st.Majority, st.DuplicateName
-	out.Alive, out.Known, out.Answering = st.Alive, st.Known, st.Answering
-	out.Health, out.QuietMS = st.LocalHealth, st.StableFor.Milliseconds()
+	status, counts := view.Status(c.now), view.Counts()
+	out.Active, out.Settled = c.socketOpen, status.Settled
+	out.Majority, out.DuplicateName = status.Majority, status.DuplicateName
+	out.Alive, out.Known, out.Answering = status.Alive, status.Known, status.Answering
+	out.Health, out.QuietMS = status.LocalHealth, status.StableFor.Milliseconds()
 	out.Sent, out.SentBytes = counts.Sent, counts.SentBytes
 	out.Received, out.ReceivedBytes = counts.Received, counts.ReceivedBytes
 	out.Refused = map[string]uint64{
@@ -181,7 +183,7 @@
 		"over_rate": counts.Deferred,
 		"over_size": counts.Full,
 	}
-	for _, m := range v.Members() {
+	for _, m := range view.Members() {
 		member := admin.Member{
 			Name:        m.Name,
 			State:       m.State.String(),
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -12,28 +12,28 @@
 	"thymebend/internal/loop"
 )
 
-// core is what all state machines of a gateway share: its configuration, the time of the event under way, the
-// balancer and the effects collected so far.
+// core is the state that all state machines of a gateway share: its configuration, the time of the current
+// event, the balancer and the effects collected for that event.
 type core struct {
 	cfg            config.Config
 	log            zerolog.Logger
 	balancer       *balancer.Balancer
 	now            time.Duration
 	effects        []loop.Effect
-	dispatchNeeded bool // the balancer heard of something since its last Dispatch
+	dispatchNeeded bool // the balancer was notified of something since its last Dispatch
 	invariants     invariant.Checker
 	stats          statistics
 }
 
-// pauseListener accepts nothing for a moment on the admin or hot-restart socket. Guards against spinning
-// while a connection waits for which there is no descriptor.
+// pauseListener stops accepting on the admin or hot-restart socket for acceptPauseDuration. This keeps the loop
+// from spinning on a pending connection that cannot be accepted for want of a descriptor.
 func (c *core) pauseListener(conn loop.Conn) {
 	c.emit(loop.Effect{Op: loop.Mute, Conn: conn})
 	c.setTimer(timerListenerPause, uint64(conn), c.now+acceptPauseDuration)
 }
 
-// emit adds an effect to those of the event under way.
-func (c *core) emit(f loop.Effect) { c.effects = append(c.effects, f) }
+// emit appends an effect to those of the current event.
+func (c *core) emit(effect loop.Effect) { c.effects = append(c.effects, effect) }
 
 func (c *core) closeConn(conn loop.Conn) { c.emit(loop.Effect{Op: loop.Close, Conn: conn}) }
 
@@ -41,7 +41,7 @@
 	c.emit(loop.Effect{Op: loop.Write, Conn: conn, Data: data})
 }
 
-// setTimer sets the timer of a kind and an id, in place of the one before.
+// setTimer sets the timer with this kind and id to fire at the time at, and replaces one that is already set.
 func (c *core) setTimer(kind timerKind, id uint64, at time.Duration) {
 	c.emit(loop.Effect{Op: loop.SetTimer, Timer: loop.Timer{Kind: uint8(kind), ID: id}, At: at})
 }
@@ -50,11 +50,11 @@
 	c.emit(loop.Effect{Op: loop.StopTimer, Timer: loop.Timer{Kind: uint8(kind), ID: id}})
 }
 
-// discoveryPushed reports whether endpoint lists come from an agent on this machine, to which they are
-// pushed. The balancer does not poll then: the gateway itself watches the agent from its start on.
+// discoveryPushed reports whether an agent on this machine pushes the endpoint lists. The balancer does not
+// poll in that case: the gateway itself watches the agent from the start of the process.
 func (c *core) discoveryPushed() bool { return !c.cfg.Settings.Config.PollDiscovery }
 
-// longestDeadline is the longest deadline of the classes.
+// longestDeadline returns the longest deadline of all request classes.
 func (c *core) longestDeadline() (longest time.Duration) {
 	for _, class := range c.cfg.Settings.Config.Classes {
 		longest = max(longest, class.Deadline)
@@ -62,8 +62,9 @@
 	return longest
 }
 
-// framed is a piece of a body as it goes on the wire. The bytes are valid until the next Step.
-func framed(piece []byte, chunked, last bool) []byte {
+// framePiece returns a piece of a body in its form on the wire: as an HTTP chunk if chunked, else unchanged.
+// The returned bytes are valid until the next Step.
+func framePiece(piece []byte, chunked, last bool) []byte {
 	if !chunked {
 		return piece
 	}
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -13,43 +13,44 @@
 	"thymebend/internal/starttime"
 )
 
-// redialInterval is the least time between two polls of discovery's new address while the old watch stands.
-// Short, for changes count as notified 4 s after a reload and the old address is about to close.
+// redialInterval is the minimum time between two polls of discovery's new address while the watch of the old
+// address is still open. It is short because changes count as notified 4 s after a reload, and the old address
+// is about to close.
 const redialInterval = 200 * time.Millisecond
 
-// randStream separates the gateway's own random draws from others of the same seed.
+// randStream separates the gateway's own random draws from other draws with the same seed.
 const randStream = 0x6c697374
 
-// watchLoss is how the watch was lost.
+// watchLoss is how the current watch was lost.
 type watchLoss uint8
 
 const (
 	notLost         watchLoss = iota
-	lostConnected             // it ended, or was not answered in time
-	lostUnreachable           // its connection never came up
+	lostConnected             // the watch ended, or its poll was not answered in time
+	lostUnreachable           // its connection was never established
 )
 
-// discoveryWatch keeps a watch on discovery and the endpoint list that it brings.
+// discoveryWatch maintains the watch on discovery and the endpoint list that it delivers.
 type discoveryWatch struct {
 	*core
 	assignment *subsetAssignment
 	attempts   *attemptTable
 
 	endpoints   *discovery.Endpoints
-	startTimes  starttime.StartTimes // of endpoints, on this process's clock
+	startTimes  starttime.StartTimes // start times of endpoints, on this process's clock
 	current     *discovery.Watch
-	replacement *discovery.Watch // polls the new address while the current watch stands
-	unanswered  *discovery.Watch // an older poll that may still wait in discovery's queue beside a younger one
-	loss        watchLoss        // of the current watch, until the balancer is notified at the end of the Step
+	replacement *discovery.Watch // polls the new address, or a silent agent again, while the current watch stays open
+	unanswered  *discovery.Watch // an older poll that may still wait in discovery's queue, in addition to a newer one
+	loss        watchLoss        // how the current watch was lost, until the balancer is notified at the end of the Step
 
-	pollNotBefore time.Duration // discovery has asked for no poll until then
-	silentSince   time.Duration // the watch ended then, and no poll was answered or failed since; 0 otherwise
-	staleSince    time.Duration // the agent has had an older list than this gateway since then; 0 if not
+	pollNotBefore time.Duration // time before which discovery does not want to be polled, from its Retry-After
+	silentSince   time.Duration // when the watch ended, while no poll has been answered or has failed since; else 0
+	staleSince    time.Duration // since when the agent has had an older list than this gateway; 0 if it has not
 	backoff       backoff.Backoff
-	rand          *rand.Rand // of the gateway itself; the balancer has its own
+	rand          *rand.Rand // random source of the gateway; the balancer has a separate one
 }
 
-// dial opens a watch at the address that the configuration gives now.
+// dial opens a watch to the discovery address of the present configuration.
 func (d *discoveryWatch) dial() *discovery.Watch {
 	w := discovery.NewWatch(d.attempts.pool.NextID(), d.cfg.Discovery, d.now)
 	d.emit(loop.Effect{Op: loop.Dial, Conn: w.Conn, Addr: w.Addr, Urgent: true})
@@ -57,7 +58,7 @@
 	return w
 }
 
-// find returns the watch on a connection, or nil.
+// find returns the watch that uses a connection, or nil.
 func (d *discoveryWatch) find(c loop.Conn) *discovery.Watch {
 	for _, w := range [...]*discovery.Watch{d.current, d.replacement, d.unanswered} {
 		if w != nil && w.Conn == c {
@@ -67,8 +68,8 @@
 	return nil
 }
 
-// redial polls discovery's address at once. A watch that has answered stands until the new one has. Guards
-// against a gap in which draining endpoints go unnoticed.
+// redial polls discovery's address at once. A watch that has been answered stays open until the new poll is
+// answered, so that there is no gap in which draining endpoints go unnoticed.
 func (d *discoveryWatch) redial() {
 	d.stopTimer(timerRedial, 0)
 	if d.replacement != nil {
@@ -84,15 +85,15 @@
 	}
 }
 
-// reload goes to the address of a new configuration. An agent that is not watched is dialled again in any
-// case.
+// reload switches to the discovery address of a new configuration. An agent without an open watch is dialled
+// again even if the address is unchanged.
 func (d *discoveryWatch) reload(addr netip.AddrPort) {
 	if d.cfg.Discovery == addr && (!d.discoveryPushed() || d.current != nil) {
 		return
 	}
 	d.cfg.Discovery = addr
 	d.backoff.Succeeded()
-	d.pollNotBefore = 0 // the old address asked for that
+	d.pollNotBefore = 0 // it was requested by the old address
 	if d.unanswered != nil {
 		d.drop(d.unanswered, ReasonWatchReplaced, nil)
 	}
@@ -113,8 +114,8 @@
 	}
 }
 
-// answered makes the poll that is answered first the current watch. A poll of a new address goes on beside
-// the old address's watch.
+// answered makes the poll that is answered first the current watch and drops the other polls, except for a poll
+// of the new address when the old address answers.
 func (d *discoveryWatch) answered(w *discovery.Watch) {
 	if d.current != nil && d.current != w {
 		d.drop(d.current, ReasonWatchReplaced, nil)
@@ -130,12 +131,12 @@
 	}
 	d.current, d.unanswered = w, nil
 	d.backoff.Succeeded()
-	d.pollSettled()
+	d.endPause()
 }
 
-// keepUnanswered deals with a poll that was not answered in time, and reports whether it was kept. It may
-// still wait in discovery's queue, where giving up wastes its place: one such poll is kept, and another goes
-// out beside it in case the first is lost.
+// keepUnanswered handles a poll that was not answered in time, and reports whether it was kept. The poll may
+// still wait in discovery's queue, where closing it would lose its position. One such poll is therefore kept,
+// and another poll is sent in addition in case the first is lost.
 func (d *discoveryWatch) keepUnanswered(w *discovery.Watch) bool {
 	if d.discoveryPushed() || w.Started() || !w.Connected() || d.unanswered != nil {
 		return false
@@ -154,7 +155,7 @@
 	return true
 }
 
-// redialLater sets the time of the next poll of the new address.
+// redialLater schedules the next poll of the new address.
 func (d *discoveryWatch) redialLater(failure backoff.Failure) {
 	after := redialInterval
 	if !d.discoveryPushed() {
@@ -164,7 +165,8 @@
 	d.setTimer(timerRedial, 0, max(d.now+after, d.pollNotBefore))
 }
 
-// watchEnded ends a watch. Where no other is left the balancer is notified, and polls again when it sees fit.
+// watchEnded handles the end of a watch. If no other watch remains, the balancer is notified and decides when
+// to poll again; an agent is dialled again after redialInterval.
 func (d *discoveryWatch) watchEnded(w *discovery.Watch, end TerminationReason, err error) {
 	var status *discovery.StatusError
 	if errors.As(err, &status) && status.RetryAfter > 0 {
@@ -175,17 +177,17 @@
 		failure = backoff.Unreachable
 	}
 	if !w.Started() {
-		d.pollSettled()
+		d.endPause()
 	}
 	if w == d.unanswered {
 		d.drop(w, end, err)
-		return // the balancer was notified when the poll was not answered in time
+		return // the balancer was notified earlier, when the poll was not answered in time
 	}
 	wasReplacement := w == d.replacement
 	d.drop(w, end, err)
 	switch {
 	case d.current == nil && d.replacement != nil:
-		d.current, d.replacement = d.replacement, nil // the old address has closed before the new one answered
+		d.current, d.replacement = d.replacement, nil // the old address closed before the new one answered
 	case d.current == nil && d.discoveryPushed():
 		d.setTimer(timerRedial, 0, d.now+redialInterval)
 	case d.current == nil:
@@ -197,16 +199,16 @@
 			d.watchLost()
 		}
 	case wasReplacement && d.current.Addr == d.cfg.Discovery && d.discoveryPushed():
-		// The current watch is silent: the agent is polled beside it again.
+		// The current watch is silent: poll the agent again in addition to it.
 		d.setTimer(timerWatch, uint64(d.current.Conn), d.now+redialInterval)
 	case wasReplacement && d.current.Addr == d.cfg.Discovery:
-		// The current watch stands, with the timer that it has.
+		// The current watch stays open; its timer is already set.
 	case wasReplacement:
 		d.redialLater(failure)
 	}
 }
 
-// drop closes a watch, and forgets it.
+// drop closes and forgets a watch, and logs the reason.
 func (d *discoveryWatch) drop(w *discovery.Watch, end TerminationReason, err error) {
 	d.log.Info().Stringer(fieldEnd, end).Stringer(fieldDiscovery, w.Addr).AnErr(fieldCause, err).
 		Msg("watch ended")
@@ -222,15 +224,15 @@
 	}
 }
 
-// isReady reports whether the list in force says that an endpoint takes new requests.
+// isReady reports whether an endpoint accepts new requests according to the current endpoint list.
 func (d *discoveryWatch) isReady(id balancer.EndpointID) bool {
 	found := d.endpoints.Find(id)
 	return found != nil && found.State == balancer.EndpointReady
 }
 
-// heartbeatMissed deals with a watch whose heartbeat is late. An agent is silent when it has heard nothing
-// itself: the list stays in force and the watch open. In case the watch is dead the agent is polled beside
-// it, and the first to be answered goes on.
+// heartbeatMissed handles a watch whose answer or heartbeat is overdue. An agent sends nothing while it
+// receives nothing itself, so its list stays in force and the watch stays open. In case the watch is dead, the
+// agent is polled again in addition to it; the first of the two to be answered becomes the current watch.
 func (d *discoveryWatch) heartbeatMissed(w *discovery.Watch) {
 	if d.keepUnanswered(w) {
 		return
@@ -244,7 +246,7 @@
 	}
 }
 
-// timerDue handles the timers of the watch.
+// timerDue handles the timers of the watch and the polls. c is the connection of the watch for timerWatch.
 func (d *discoveryWatch) timerDue(kind timerKind, c loop.Conn) {
 	switch kind {
 	case timerWatch:
@@ -265,10 +267,10 @@
 	}
 }
 
-// poll starts a watch for the balancer.
+// poll starts a watch on behalf of the balancer.
 func (d *discoveryWatch) poll() {
 	if d.replacement != nil || d.current != nil && !d.current.Started() {
-		return // the poll under way answers this one
+		return // the answer of the poll in progress serves this request too
 	}
 	if d.current != nil {
 		d.drop(d.current, ReasonWatchReplaced, nil)
@@ -280,7 +282,7 @@
 	d.current = d.dial()
 }
 
-// reportLoss notifies the balancer of a watch that was lost during this Step.
+// reportLoss notifies the balancer if the watch was lost during this Step.
 func (d *discoveryWatch) reportLoss() {
 	if d.loss == notLost {
 		return
--- a/internal/gateway/discovery_silence.go
+++ b/internal/gateway/discovery_silence.go
@@ -3,16 +3,16 @@
 import "time"
 
 // silenceBeforePause is the time after the end of a watch from which changes count as notified, unless a poll
-// has failed since. From then on attempts are paused until the poll is answered or fails: guards against
-// attempts at an endpoint whose removal waits behind a poll in discovery's queue.
+// has failed since. From then on attempts are paused until a poll is answered or fails. This prevents attempts
+// at an endpoint whose removal waits behind a poll in discovery's queue.
 const silenceBeforePause = 2 * time.Second
 
-// maxPause bounds that pause: a discovery that is silent for longer is out of order, and its last list is the
-// best there is.
+// maxPause limits the duration of that pause: a discovery that is silent for longer is considered out of order,
+// and its last list is the best information available.
 const maxPause = 2 * time.Second
 
-// watchLost notes that the watch has ended, and starts the time until attempts are paused. A pushed
-// list has no queue in which a poll could wait.
+// watchLost records that the watch has ended and starts the timer for the pause of attempts. There is no pause
+// with a pushed list, which has no queue in which a poll could wait.
 func (d *discoveryWatch) watchLost() {
 	if d.discoveryPushed() {
 		return
@@ -21,10 +21,10 @@
 	d.setTimer(timerSilence, 0, d.now+silenceBeforePause)
 }
 
-// pauseDue begins the pause of new attempts, or ends it after maxPause.
+// pauseDue starts the pause of new attempts, or ends it if it has lasted maxPause.
 func (d *discoveryWatch) pauseDue() {
 	if d.now >= d.silentSince+silenceBeforePause+maxPause {
-		d.pollSettled()
+		d.endPause()
 		return
 	}
 	d.log.Info().Dur(fieldSilent, d.now-d.silentSince).Msg("new attempts wait for discovery's answer")
@@ -32,8 +32,9 @@
 	d.setTimer(timerSilence, 0, d.now+maxPause)
 }
 
-// pollSettled ends the pause: a poll since the end of the watch was answered, failed or took too long.
-func (d *discoveryWatch) pollSettled() {
+// endPause ends the pause, or cancels its timer: a poll has been answered or has failed since the end of the
+// watch, or the pause has lasted maxPause.
+func (d *discoveryWatch) endPause() {
 	if d.silentSince == 0 {
 		return
 	}
--- a/internal/gateway/discovery_updates.go
+++ b/internal/gateway/discovery_updates.go
@@ -7,18 +7,18 @@
 	"thymebend/internal/discovery"
 )
 
-// staleAgentTimeout is how long the agent may have an older list than this gateway before its list numbers
-// are taken to have begun anew: several times what a change takes to come. A restarted agent has an old list
-// until it is sent the rest.
+// staleAgentTimeout is how long the agent may have an older list than this gateway before its list numbers are
+// assumed to have been restarted. It is several times the propagation time of a change: a restarted agent has
+// an old list until it receives the newer ones.
 const staleAgentTimeout = 30 * time.Second
 
-// handleData applies complete lines. The first line answers the poll even if it is a mere heartbeat. Complete
-// lines count as notified though one of them is malformed: those before it are applied, and the removals of
-// those after it.
+// handleData applies the complete lines of received data. The first line answers the poll, even if it is only a
+// heartbeat. Complete lines count as notified even if one of them is malformed: the lines before it are
+// applied, and of the lines after it the removals.
 func (d *discoveryWatch) handleData(w *discovery.Watch, data []byte) {
 	first := !w.Started()
 	lines, ended, malformed := w.Feed(d.now, data)
-	skip := false // lines after a malformed one
+	skip := false // set after a malformed line
 	for _, line := range lines {
 		if skip {
 			d.applyRemovals(d.endpoints.Removals(line))
@@ -41,18 +41,18 @@
 		d.watchEnded(w, ReasonMalformedUpdate, malformed)
 	case ended:
 		d.watchEnded(w, ReasonWatchBroken, nil)
-	case w != d.unanswered: // one that keeps its place has the time set by keepUnanswered
+	case w != d.unanswered: // keepUnanswered has set the timer of d.unanswered
 		d.setTimer(timerWatch, uint64(w.Conn), w.Deadline())
 	}
 }
 
-// applyLine applies one line of a watch; of a malformed one the removals.
+// applyLine applies one line of a watch. Of a malformed line it applies the removals and returns an error.
 func (d *discoveryWatch) applyLine(w *discovery.Watch, line []byte, first bool) error {
 	var update discovery.Update
 	switch {
 	case len(line) == 0 || d.staleSince != 0:
 	case w != d.current && d.endpoints.Outdated(w, line):
-		update = d.endpoints.Removals(line) // must not undo what the current watch has brought since
+		update = d.endpoints.Removals(line) // must not undo newer changes from the current watch
 	default:
 		var err error
 		if update, err = d.endpoints.Apply(line); err != nil {
@@ -74,15 +74,16 @@
 	return nil
 }
 
-// notifyBalancer passes changes of the list on, with start times on this process's clock.
+// notifyBalancer passes changes of the list to the balancer, with start times converted to this process's
+// clock.
 func (d *discoveryWatch) notifyBalancer(kind balancer.EndpointUpdate, entries []balancer.Endpoint) {
 	d.startTimes.Adjust(d.now, kind, entries)
 	d.balancer.UpdateEndpoints(d.now, kind, entries)
 }
 
-// isStale checks a line of the agent against a newer list that this gateway has. Guards against an old line
-// that brings back endpoints known to drain or to be gone: only its removals are applied. It reports whether
-// the list numbers are taken to have begun anew instead: then the watch has ended, and the full list is
+// isStale checks a line of the agent against a newer list of this gateway. An old line must not bring back
+// endpoints that are known to drain or to be removed, so only its removals are applied. isStale returns true if
+// the list numbers are assumed to have been restarted: the watch has then been ended, and the full list will be
 // requested.
 func (d *discoveryWatch) isStale(w *discovery.Watch, line []byte) bool {
 	if !d.discoveryPushed() {
@@ -92,7 +93,7 @@
 	if len(line) > 0 {
 		older, err := d.endpoints.Older(line)
 		if err != nil || !older {
-			d.staleSince = 0 // a malformed line is found where it is applied
+			d.staleSince = 0 // applyLine reports a malformed line
 			return false
 		}
 		if d.staleSince == 0 {
@@ -112,8 +113,8 @@
 	return true
 }
 
-// applyRemovals removes the endpoints that leave by a line which is not applied otherwise: the line counts as
-// notified all the same.
+// applyRemovals applies the removals of a line that is not applied otherwise, because even such a line counts
+// as notified.
 func (d *discoveryWatch) applyRemovals(update discovery.Update) {
 	if len(update.Entries) > 0 {
 		d.attempts.endpointsChanged(update.Changed)
@@ -122,7 +123,8 @@
 	}
 }
 
-// takeCached gives the balancer the list that this gateway last had, from its configuration.
+// takeCached passes the cached endpoint list of the configuration to the balancer. It is the list that this
+// gateway last received before its start.
 func (d *discoveryWatch) takeCached() {
 	if len(d.cfg.CachedEndpoints) == 0 {
 		d.balancer.UpdateEndpoints(d.now, balancer.CachedSnapshot, nil)
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -9,15 +9,16 @@
 //
 // # State machines
 //
-// [Gateway] routes events to machines. Each owns its state: the others may read it, and change it by its
-// methods. A request, its attempts and the connections that carry them are records that machines pass on.
+// [Gateway] routes each event to one state machine. A machine owns its state: other machines may read it, but
+// change it only through its methods. A request, its attempts and the connections that carry them are records
+// that one machine passes to the next.
 //
 //	downstreamConns   connections of clients and the requests read on them   downstream*.go, eviction.go
-//	requestTable      requests taken and not yet finished                    requests.go
+//	requestTable      requests accepted and not yet finished                 requests.go
 //	attemptTable      attempts and the upstream connections that carry them  attempts.go, upstream.go
-//	uploads           request bodies too large to be held                    upload.go
-//	relayTable        responses too large to be held                         relay.go
-//	balancerActions   what the balancer decides, carried out                 actions.go
+//	uploads           request bodies too large to be buffered                upload.go
+//	relayTable        responses too large to be buffered                     relay.go
+//	balancerActions   execution of the balancer's decisions                  actions.go
 //	classTable        request classes, before and after a reload             classes.go
 //	discoveryWatch    the watch on discovery and the endpoint list           discovery*.go
 //	cluster           membership of the cluster of gateways                  cluster.go
@@ -29,25 +30,26 @@
 //	adminEndpoint     answers under /ops                                     admin.go
 //	reloader          configuration files that change                        reload.go
 //
-// What they share is in core (core.go): configuration, log, balancer, the time of the event and the effects
-// so far.
+// All machines share core (core.go): configuration, log, balancer, the time of the current event and the effects
+// collected for it.
 //
 // # The balancer
 //
-// The balancer (internal/balancer) decides; this package tells it what happened and carries out its actions.
-// It must not be called from one of its own actions, so what it has to hear of then is kept
-// (attemptTable.ended and progress, discoveryWatch.loss) and reported at the end of the Step. Notifications
-// set core.dispatchNeeded; at the end of each round of events, loop.Turn, the balancer dispatches if it is set.
+// The balancer (internal/balancer) decides; this package notifies it of what happened and carries out its
+// actions. The balancer must not be called from one of its own actions. Notifications that arise during an action
+// are therefore stored (attemptTable.ended and progress, discoveryWatch.loss) and delivered at the end of the Step.
+// Each notification sets core.dispatchNeeded; at the end of each round of events, loop.Turn, the balancer
+// dispatches if it is set.
 //
 // # Invariants
 //
-// Each effect that a rule of the platform bounds (an attempt, an answer, a close, the exit) is allowed by
-// internal/invariant first. What would break a rule is suppressed, counted and logged.
+// Each effect that a rule of the platform restricts (an attempt, an answer, a close, the exit) is first checked by
+// internal/invariant. An effect that would break a rule is suppressed, counted and logged.
 //
 // # Concurrency and time
 //
-// A Gateway belongs to one goroutine, that of the loop, and needs no locks. Time is the
-// Unix time at the start of the process plus what has passed since on the monotonic clock, and is the same
-// within one Step. It does not follow steps of the wall clock; membership and slow-start tokens rely on its
-// origin.
+// A Gateway is used by one goroutine only, that of the loop, and needs no locks. Time is the Unix time at the
+// start of the process plus the monotonic time that has passed since then, and does not change within one Step. It
+// does not follow steps of the wall clock. Membership and slow-start tokens rely on it being counted from the Unix
+// epoch.
 package gateway
--- a/internal/gateway/downstream.go
+++ b/internal/gateway/downstream.go
@@ -8,7 +8,7 @@
 	"thymebend/internal/loop"
 )
 
-// downstreamConns are the connections of clients and the requests that come on them.
+// downstreamConns manages the connections of clients and the requests read from them.
 type downstreamConns struct {
 	*core
 	attempts  *attemptTable
@@ -24,24 +24,25 @@
 	conns *downstream.Conns
 }
 
-// accepted takes a new connection.
+// accepted registers a new connection and closes up to singleUseBatch idle ones that have carried only one
+// request.
 func (d *downstreamConns) accepted(c loop.Conn) {
 	added := d.conns.Add(c, d.now)
-	d.logAccepted(added)
+	d.logConnAccepted(added)
 	for range singleUseBatch {
-		if conn := d.conns.SingleUse(d.now); conn != nil && d.restart.alone() {
+		if conn := d.conns.SingleUse(d.now); conn != nil && d.restart.isOnlyProcess() {
 			d.readThenClose(conn)
 		}
 	}
-	until := d.requestDeadline(added)
+	deadline := d.requestDeadline(added)
 	if d.shutdown.closing() {
-		until = min(until, d.now+downstream.LingerTimeout) // its request is on the way, or never comes
+		deadline = min(deadline, d.now+downstream.LingerTimeout) // its request is on the way, or never arrives
 	}
-	d.setDeadline(added, until)
+	d.setDeadline(added, deadline)
 }
 
-// handleEvent handles an event on a connection. A response that is relayed and a body that is uploaded have
-// machines of their own.
+// handleEvent handles an event on a connection. Relayed responses and uploaded bodies are delegated to the
+// machines relayTable and uploads.
 func (d *downstreamConns) handleEvent(conn *downstream.Conn, e loop.Event) {
 	switch e.Kind {
 	case loop.Readable:
@@ -73,13 +74,13 @@
 	}
 }
 
-// handleData takes what a client sent. It reports whether that belongs to requests that are read completely
-// before they are forwarded; the rest of a body, or what is discarded, leaves the connection's place and
-// deadline as they are.
+// handleData processes data from a client. It returns true if the data belong to requests that are read
+// completely before they are forwarded. For parts of an uploaded body and for discarded data it returns false:
+// the connection's position in the eviction order and its deadline then stay unchanged.
 func (d *downstreamConns) handleData(conn *downstream.Conn, data []byte) bool {
 	conn.FinalRead = false
 	if conn.Ended || conn.DiscardBody {
-		// What comes after the last answer is no request. A client that is still sending is given time.
+		// Data after the last answer are not a request. A client that is still sending gets more time.
 		if conn.Ended && conn.DiscardBody && d.now < conn.Since+downstream.MaxLinger {
 			d.setDeadline(conn, d.now+downstream.LingerTimeout)
 		}
@@ -99,32 +100,32 @@
 	return true
 }
 
-// adopt goes on with an idle connection of the predecessor, for the time that it has left.
+// adopt takes over an idle connection of the predecessor, for the remainder of its idle or read timeout.
 func (d *downstreamConns) adopt(c loop.Conn, state hotrestart.IdleConn) {
 	idle := time.Duration(state.IdleMS) * time.Millisecond
 	conn := d.conns.Add(c, d.now-idle)
 	conn.HasRequested, conn.Requests = state.HasRequested, state.Requests
 	d.conns.Requeue(conn)
-	left := downstream.IdleTimeout - idle
+	remaining := downstream.IdleTimeout - idle
 	if !conn.HasRequested {
-		left = downstream.RequestReadTimeout - idle
+		remaining = downstream.RequestReadTimeout - idle
 	}
-	d.setDeadline(conn, d.now+max(left, 0))
+	d.setDeadline(conn, d.now+max(remaining, 0))
 	d.emit(loop.Effect{Op: loop.Unmute, Conn: c})
 }
 
-// release gives up an idle connection that is passed to the successor.
+// release forgets an idle connection that is passed to the successor, without closing it.
 func (d *downstreamConns) release(conn *downstream.Conn) {
 	d.clearDeadline(conn)
 	d.conns.Remove(conn)
 }
 
-// limit sets how many connections there may be, and from how many on idle ones are closed early.
-func (d *downstreamConns) limit(most, reuseLimit int) {
-	d.conns.Max, d.conns.ReuseLimit = most, reuseLimit
+// limit sets the maximum number of connections, and the number above which idle connections are closed early.
+func (d *downstreamConns) limit(maxConns, reuseLimit int) {
+	d.conns.Max, d.conns.ReuseLimit = maxConns, reuseLimit
 }
 
-// beginShutdown gives half requests the time that is left before SIGKILL.
+// beginShutdown limits the deadlines of partly received requests to the time remaining before SIGKILL.
 func (d *downstreamConns) beginShutdown() {
 	for _, conn := range d.conns.InOrder() {
 		if conn.Incomplete() {
@@ -133,27 +134,28 @@
 	}
 }
 
-// closeAfterAnswers has connections with a request close after its answer.
+// closeAfterAnswers makes each connection with a request in progress close after the answer.
 func (d *downstreamConns) closeAfterAnswers() {
 	for _, conn := range d.conns.ByConn {
 		conn.Closing = conn.Closing || conn.Busy
 	}
 }
 
-// closeIdle closes the idle connections, and the others after their answers.
+// closeIdle closes the idle connections, and makes busy ones close after their answers.
 func (d *downstreamConns) closeIdle() {
 	for _, conn := range d.conns.InOrder() {
 		switch {
 		case conn.Busy:
 			conn.Closing = true
-		case conn.Pending(): // it has its deadline
+		case conn.Pending(): // its deadline is already set
 		default:
 			d.readThenClose(conn)
 		}
 	}
 }
 
-// flushed goes on once an answer is written out, with the next request or the end of the connection.
+// flushed is called when an answer has been written out. It continues with the next request or closes the
+// connection.
 func (d *downstreamConns) flushed(conn *downstream.Conn) {
 	if r := d.relays.byConn[conn.ID]; r != nil {
 		d.relays.flushed(r)
@@ -164,8 +166,8 @@
 	}
 	conn.Busy, conn.Since = false, d.now
 	if conn.Closing {
-		// Only sending ends yet: closing with bytes unread would reset the connection and could lose the
-		// answer.
+		// Only the sending side is closed for now: closing with unread bytes would reset the connection, and
+		// the client could lose the answer.
 		conn.Ended = true
 		d.resumeReading(conn)
 		d.emit(loop.Effect{Op: loop.Shutdown, Conn: conn.ID})
@@ -174,10 +176,10 @@
 	}
 	d.resumeReading(conn)
 	idleTimeout := downstream.IdleTimeout
-	if conn.Requests == 1 && d.conns.OverReuseLimit() && d.restart.alone() {
-		idleTimeout = downstream.SingleUseIdleTimeout // there may be no new connection that closes it: see accepted
+	if conn.Requests == 1 && d.conns.OverReuseLimit() && d.restart.isOnlyProcess() {
+		idleTimeout = downstream.SingleUseIdleTimeout // accepted closes it only if a new connection arrives
 	}
-	if !conn.Pending() { // else the time of the next request begins, see awaitRequest
+	if !conn.Pending() { // otherwise awaitRequest sets the deadline of the next request
 		d.setDeadline(conn, d.now+idleTimeout)
 	}
 	d.restart.connIdle()
@@ -188,23 +190,24 @@
 	d.advance(conn)
 }
 
-// readThenClose closes an idle connection after one more read. Guards against losing a request that lies in
-// it unread. One that comes after that read is reset, which tells the client that it was not taken; lingering
-// here would read it and say nothing.
+// readThenClose closes an idle connection after one more read, so that a request that is still unread on it is
+// not lost. A request that arrives after that read gets a connection reset, which shows the client that the
+// request was not accepted; a lingering close would read the request and not answer.
 func (d *downstreamConns) readThenClose(conn *downstream.Conn) {
 	conn.FinalRead = true
 	d.conns.Requeue(conn)
 	d.emit(loop.Effect{Op: loop.Read, Conn: conn.ID})
 }
 
-// drop ends a connection. A request that waits on it is abandoned with its attempts.
+// drop closes a connection. A request that is waiting for its answer on it is abandoned together with its
+// attempts.
 func (d *downstreamConns) drop(conn *downstream.Conn, end TerminationReason) {
-	d.logClientEnd(conn, end)
+	d.logConnEnded(conn, end)
 	d.checkClose(conn, end)
 	d.clearDeadline(conn)
 	d.conns.Remove(conn)
 	if r := d.relays.byConn[conn.ID]; r != nil {
-		// Half an answer is out. Guards against a cut response that looks complete to the client.
+		// Part of the answer has been sent. Aborting the connection keeps the client from taking it for complete.
 		d.relays.remove(r, outcomeFailed)
 		if !r.upstreamClosed {
 			d.attempts.dropConn(r.upstream, end)
@@ -219,8 +222,8 @@
 	}
 }
 
-// pauseReading reads a connection no further. Its client's close is still noticed, though it lies behind what
-// is unread: nothing may be forwarded for a client that has left.
+// pauseReading stops reading from a connection. The client's close is still detected, even behind unread data,
+// because nothing may be forwarded for a client that has left.
 func (d *downstreamConns) pauseReading(conn *downstream.Conn) {
 	if !conn.Muted {
 		conn.PauseReading(d.now)
@@ -230,7 +233,7 @@
 	}
 }
 
-// resumeReading undoes pauseReading.
+// resumeReading reads from the connection again after pauseReading.
 func (d *downstreamConns) resumeReading(conn *downstream.Conn) {
 	if conn.Muted {
 		conn.ResumeReading(d.now)
--- a/internal/gateway/downstream_request.go
+++ b/internal/gateway/downstream_request.go
@@ -7,13 +7,14 @@
 	"thymebend/internal/downstream"
 )
 
-// statusBadRequest answers a request that cannot be taken as it is.
+// statusBadRequest is the status logged for a request whose id is already in use by an open request.
 const statusBadRequest = 400
 
-// overloadedEighths of the downstream connections in requests are an overload.
+// overloadedEighths is the number of eighths of the downstream connections above which open requests count as
+// an overload.
 const overloadedEighths = 7
 
-// advance takes the next request of a connection, if it is complete and none is in progress.
+// advance handles the complete requests of a connection, in order, until one is in progress.
 func (d *downstreamConns) advance(conn *downstream.Conn) {
 	for !conn.Busy && !conn.Ended {
 		incoming, whole := conn.Next(d.classes.find)
@@ -29,9 +30,9 @@
 	}
 }
 
-// awaitRequest bounds the time for the rest of a request from its first byte on; that of a first request has
-// run since the accept. Guards against a new connection whose timer has just fallen due and whose last read
-// brought the first byte: it is set in any case.
+// awaitRequest sets the deadline for the remainder of a partly received request, counted from its first byte;
+// for the first request of a connection it is counted from the accept. The deadline is set even if it has just
+// passed: the timer of a new connection may have fired just before its final read delivered the first byte.
 func (d *downstreamConns) awaitRequest(conn *downstream.Conn) {
 	if !conn.Pending() {
 		return
@@ -51,7 +52,7 @@
 // takeRequest answers a request itself or passes it to the balancer.
 func (d *downstreamConns) takeRequest(conn *downstream.Conn, incoming downstream.Incoming) {
 	conn.RequestTimed, conn.HasRequested, conn.RequestBytes = false, true, 0
-	// Where the body of a malformed request ends, and the next one begins, is not known.
+	// After a malformed request it is not known where its body ends and the next request begins.
 	conn.DiscardBody = incoming.Fault != nil && incoming.Closes
 	class := incoming.Request.Class.Name
 	switch {
@@ -59,17 +60,17 @@
 		if class != "" {
 			d.stats.countResult(class, outcomeFailed)
 		}
-		d.logFaulty(conn, incoming.Request.ID, incoming.Fault.Status, incoming.Fault.Text)
+		d.logMalformed(conn, incoming.Request.ID, incoming.Fault.Status, incoming.Fault.Text)
 		d.reply(conn, downstream.FaultResponse(incoming.Fault, !conn.Closing))
 		return
 	case incoming.Health:
 		d.reply(conn, downstream.HealthResponse(d.healthy(), !conn.Closing))
 		return
 	case d.requests.openIDs[incoming.Request.ID]:
-		// An endpoint could not tell two requests of one id apart: the second would run in the first one's
-		// name.
+		// An endpoint cannot distinguish two requests with the same id: the second would be executed as if it
+		// were the first.
 		d.stats.countResult(class, outcomeFailed)
-		d.logFaulty(conn, incoming.Request.ID, statusBadRequest, "the id of an open request")
+		d.logMalformed(conn, incoming.Request.ID, statusBadRequest, "the id of an open request")
 		conn.Upload = incoming.Large
 		keep := d.finishRequest(conn)
 		d.reply(conn, downstream.DuplicateIDResponse(keep))
@@ -90,61 +91,62 @@
 // admit passes a request to the balancer.
 func (d *downstreamConns) admit(conn *downstream.Conn, incoming downstream.Incoming) {
 	d.clearDeadline(conn)
-	read := incoming.Request
-	req := d.requests.add(read, conn)
+	parsed := incoming.Request
+	req := d.requests.add(parsed, conn)
 	conn.Busy, conn.Request = true, req.id
 	conn.Requests++
-	d.logTaken(req)
+	d.logRequestAccepted(req)
 	if incoming.Large {
 		d.uploads.begin(req, conn)
 	}
 	d.dispatchNeeded = true
 	d.balancer.RequestArrived(d.now, balancer.Request{
 		ID:            req.id,
-		Class:         read.Class.Index,
-		ClientTimeout: read.ClientTimeout,
-		Retry:         read.Retry,
-		Elapsed:       d.now + read.ClientTimeout - req.deadline,
+		Class:         parsed.Class.Index,
+		ClientTimeout: parsed.ClientTimeout,
+		Retry:         parsed.Retry,
+		Elapsed:       d.now + parsed.ClientTimeout - req.deadline,
 	})
 }
 
-// healthy reports whether this gateway can serve: it has endpoints, and it or its successor takes clients.
+// healthy reports whether this gateway can serve requests: it has endpoints, and this process or its successor
+// accepts clients.
 func (d *downstreamConns) healthy() bool {
 	return d.discovery.endpoints.Len() > 0 && (!d.shutdown.stopping() || d.restart.handedOver())
 }
 
-// rejects reports whether a request is rejected before the balancer hears of it, and why. left is what its
-// client has left.
-func (d *downstreamConns) rejects(left time.Duration) (rejectionReason, bool) {
+// rejects reports whether a request is rejected before the balancer is notified of it, and the reason. timeLeft
+// is the time until the client's timeout.
+func (d *downstreamConns) rejects(timeLeft time.Duration) (rejectionReason, bool) {
 	switch {
-	case left <= 0:
+	case timeLeft <= 0:
 		return rejectedExpired, true
 	case len(d.requests.byID) >= d.cfg.Settings.Gateway.MaxOpenRequests:
 		return rejectedTooManyOpen, true
 	case d.overloaded():
 		return rejectedOverloaded, true
-	case d.shutdown.tooLate(left):
+	case d.shutdown.tooLate(timeLeft):
 		return rejectedTooLate, true
 	}
 	return 0, false
 }
 
-// overloaded reports whether requests hold nearly all connections, so that hardly any could give way to those
-// that wait at the listener. Guards against an overload of queued requests in which new clients wait unread
-// for longer than they have; rejecting at once frees a connection. With a successor nobody waits here: see
-// resize.
+// overloaded reports whether requests occupy nearly all connections, so that hardly any connection could be
+// evicted for clients that wait at the listener. During an overload of queued requests, new clients would
+// otherwise wait unread for longer than their timeouts; an immediate rejection frees a connection. With a
+// successor no clients wait at this process: see resize.
 func (d *downstreamConns) overloaded() bool {
 	return d.restart.successor == nil && len(d.requests.byID) > d.conns.Max*overloadedEighths/8
 }
 
-// reply writes an answer of the gateway's own to what never went to the balancer.
+// reply writes an answer of the gateway itself to a request that was not passed to the balancer.
 func (d *downstreamConns) reply(conn *downstream.Conn, data []byte) {
 	conn.Busy = true
 	d.writeFinal(conn, data)
 }
 
-// writeFinal writes an answer and bounds the time for the client to take it. Guards against a client that
-// never reads and holds its connection, and the exit, for ever.
+// writeFinal writes an answer and sets the deadline by which the client must have read it. Without a deadline a
+// client that never reads would keep its connection open, and the process from exiting, forever.
 func (d *downstreamConns) writeFinal(conn *downstream.Conn, data []byte) {
 	conn.Request = 0
 	d.setDeadline(conn, d.now+downstream.ResponseWriteTimeout)
@@ -157,9 +159,9 @@
 	d.writeFinal(conn, data)
 }
 
-// finishRequest reports whether a connection stays open after the answer that is written next. It does not if its
-// request's body has not ended, for where the next request begins is not known (the rest of the body is
-// discarded), nor if clients wait for its descriptor.
+// finishRequest reports whether a connection stays open after the answer that is written next. It closes if the
+// request's body has not been received completely, because it is not known where the next request begins (the
+// remainder of the body is discarded), or if other clients wait for its descriptor.
 func (d *downstreamConns) finishRequest(conn *downstream.Conn) bool {
 	if conn.Upload {
 		conn.Upload, conn.Closing, conn.DiscardBody = false, true, true
--- a/internal/gateway/downstream_timeouts.go
+++ b/internal/gateway/downstream_timeouts.go
@@ -7,7 +7,7 @@
 	"thymebend/internal/loop"
 )
 
-// timerDue decides what happens to a connection whose deadline has passed.
+// timerDue handles a connection whose deadline has passed.
 func (d *downstreamConns) timerDue(c loop.Conn) {
 	conn := d.conns.ByConn[c]
 	if conn != nil {
@@ -24,11 +24,11 @@
 	case conn.Ended:
 		d.drop(conn, ReasonAnswered)
 	case d.relays.byConn[c] != nil && !d.relays.byConn[c].writing:
-		d.setDeadline(conn, d.now+downstream.ResponseWriteTimeout) // the client has taken all that there was
+		d.setDeadline(conn, d.now+downstream.ResponseWriteTimeout) // the client has read all that was written
 	case conn.Busy && conn.Request == 0:
 		d.drop(conn, ReasonClientTimeout)
 	case conn.Upload && !conn.Incomplete():
-		d.setDeadline(conn, d.now+downstream.StreamReadTimeout) // the endpoint is waited for
+		d.setDeadline(conn, d.now+downstream.StreamReadTimeout) // the endpoint is awaited, not the client
 	case conn.Upload && d.now < d.requestDeadline(conn):
 		d.setDeadline(conn, d.requestDeadline(conn))
 	case conn.Upload:
@@ -41,17 +41,18 @@
 		conn.Closing = true
 		d.logIncomplete(conn)
 		d.reply(conn, downstream.TimeoutResponse())
-	case conn.Requests == 1 && !d.shutdown.closing() && !(d.conns.OverReuseLimit() && d.restart.alone()) &&
+	case conn.Requests == 1 && !d.shutdown.closing() && !(d.conns.OverReuseLimit() && d.restart.isOnlyProcess()) &&
 		d.now < conn.Since+downstream.IdleTimeout:
-		// It got the shorter time as there were many connections. Now there are few, or an upgrade has begun.
+		// It got SingleUseIdleTimeout because there were many connections. Now there are fewer, or an upgrade
+		// has begun.
 		d.setDeadline(conn, conn.Since+downstream.IdleTimeout)
 	default:
 		d.readThenClose(conn)
 	}
 }
 
-// setDeadline sets the time at which a connection is looked at again. Guards against a client that stopped in
-// the middle of a request and is waited for longer than it is owed an error.
+// setDeadline sets the time at which the connection is checked by timerDue. For a partly received request the
+// time is limited so that a client that has stopped sending gets its error within downstream.ErrorDeadline.
 func (d *downstreamConns) setDeadline(conn *downstream.Conn, at time.Duration) {
 	if conn.Incomplete() {
 		at = d.invariants.LimitWait(at, lastProgress(conn), downstream.ErrorDeadline)
@@ -60,19 +61,22 @@
 	d.setTimer(timerDownstream, uint64(conn.ID), at)
 }
 
-// lastProgress is the time from which a client that has stopped is owed an error or a close.
+// lastProgress returns the time from which the deadline for an error or a close counts for a client that has
+// stopped sending.
 func lastProgress(conn *downstream.Conn) time.Duration {
 	return max(conn.LastReceived(), conn.RequestBegan)
 }
 
-// clearDeadline leaves the end of a connection to its request alone.
+// clearDeadline removes the deadline of a connection: the end of its request alone determines what happens
+// next.
 func (d *downstreamConns) clearDeadline(conn *downstream.Conn) {
 	conn.Timer = 0
 	d.stopTimer(timerDownstream, uint64(conn.ID))
 }
 
-// checkDeadline checks a connection after an event on it: something must end it, and half a request must end
-// in time. A final read is answered in the same round.
+// checkDeadline checks a connection after each event on it: a timer or a request must be able to end it, and a
+// partly received request must have a deadline that is early enough. A final read is answered in the same round
+// of events.
 func (d *downstreamConns) checkDeadline(conn *downstream.Conn) {
 	request := conn.Busy && conn.Request != 0 || conn.FinalRead
 	if !d.invariants.CheckDeadline(conn.Timer != 0, request) {
@@ -86,7 +90,8 @@
 	}
 }
 
-// checkClose checks a connection that is about to be closed. A request that waits on it gets its answer.
+// checkClose checks a connection that is about to be closed. If a request still waits for its answer on it, a
+// failure response is written first.
 func (d *downstreamConns) checkClose(conn *downstream.Conn, end TerminationReason) {
 	req := d.requests.byID[conn.Request]
 	if end == ReasonClientLeft || !conn.Busy || conn.Request == 0 || req == nil {
@@ -97,17 +102,19 @@
 	}
 }
 
-// requestDeadline is the time by which the request under way must be complete, or go on. In a graceful
-// shutdown half a request is answered before SIGKILL, so that the process can exit by itself.
+// requestDeadline returns the time by which the request that is being read must be complete or, for an upload,
+// make progress. During a graceful shutdown a partly received request is answered before SIGKILL, so that the
+// process can exit by itself.
 func (d *downstreamConns) requestDeadline(conn *downstream.Conn) time.Duration {
-	until := conn.RequestDeadline()
+	deadline := conn.RequestDeadline()
 	if d.shutdown.stopping() {
-		until = min(until, d.shutdown.answerBy-endBeforeKill)
+		deadline = min(deadline, d.shutdown.answerBy-endBeforeKill)
 	}
-	return d.invariants.LimitWait(until, lastProgress(conn), downstream.ErrorDeadline)
+	return d.invariants.LimitWait(deadline, lastProgress(conn), downstream.ErrorDeadline)
 }
 
-// lingerDeadline is the time until which the end of a connection waits for its client's close.
+// lingerDeadline returns the time until which the gateway waits for the client's close after closing its own
+// sending side.
 func (d *downstreamConns) lingerDeadline() time.Duration {
 	if d.shutdown.stopping() {
 		return min(d.now+downstream.LingerTimeout, max(d.now, d.shutdown.answerBy))
--- a/internal/gateway/eviction.go
+++ b/internal/gateway/eviction.go
@@ -2,25 +2,25 @@
 
 import "thymebend/internal/downstream"
 
-// singleUseBatch is how many connections that are not used again are closed as one comes: more than one, so
-// that they grow fewer.
+// singleUseBatch is how many connections that have carried only one request are closed for each new connection.
+// It is more than one so that their number falls.
 const singleUseBatch = 2
 
-// evictBatch is how many connections give way at once to those that wait at the listener.
+// evictBatch is how many connections are evicted at once for clients that wait at the listener.
 const evictBatch = 4
 
-// evict closes connections until wanted new ones may come, and returns how many may.
+// evict closes connections until the wanted number of new ones can be accepted, and returns how many can be.
 func (d *downstreamConns) evict(wanted int) int {
-	room := d.conns.Max - len(d.conns.ByConn)
-	for ; room < wanted; room++ {
+	available := d.conns.Max - len(d.conns.ByConn)
+	for ; available < wanted; available++ {
 		conn := d.evictable()
 		switch {
 		case conn == nil:
-			return room
+			return available
 		case conn.Ended:
 			d.drop(conn, ReasonAnswered)
 		case conn.Pending():
-			// All that has come was read, so the answer is not lost by the close.
+			// All received data have been read, so the close does not lose the answer.
 			d.logIncomplete(conn)
 			d.write(conn.ID, downstream.TimeoutResponse())
 			d.drop(conn, ReasonClientTimeout)
@@ -28,21 +28,21 @@
 			d.readThenClose(conn)
 		}
 	}
-	return room
+	return available
 }
 
-// evictable returns the connection that gives way first, or nil. While there are two processes only those do
-// that have their last answer: see alone.
+// evictable returns the connection to evict first, or nil. While there are two processes, only connections that
+// have received their last answer are evicted: see isOnlyProcess.
 func (d *downstreamConns) evictable() *downstream.Conn {
-	if d.restart.alone() {
+	if d.restart.isOnlyProcess() {
 		return d.conns.Evictable(d.now)
 	}
 	return d.conns.FullyClosed(d.now)
 }
 
-// clientsWaiting reports whether clients wait at the listener while no idle connection may be closed for
-// them, as there are two processes. Connections then end with their answers, so that nobody waits longer than
-// answers take.
+// clientsWaiting reports whether clients wait at the listener while no idle connection may be closed for them
+// because there are two processes. Connections are then closed after their answers, so that no client waits
+// longer than an answer takes.
 func (d *downstreamConns) clientsWaiting() bool {
-	return d.listener.phase == acceptPaused && !d.restart.alone() && !d.restart.handedOver()
+	return d.listener.phase == acceptPaused && !d.restart.isOnlyProcess() && !d.restart.handedOver()
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -17,8 +17,8 @@
 
 var _ loop.Reducer = (*Gateway)(nil)
 
-// Gateway is the reducer: it routes each event to the state machine that it concerns and returns the effects
-// that the machines ask for.
+// Gateway is the reducer of the process: it routes each event to the state machine concerned and returns the
+// effects that the machines emit.
 type Gateway struct {
 	*core
 	actions    *balancerActions
@@ -38,7 +38,7 @@
 	uploads    *uploads
 }
 
-// New returns a gateway. Nothing happens before the first event.
+// New returns a gateway. It emits no effect before the first event, loop.Start.
 func New(cfg config.Config, log zerolog.Logger) *Gateway {
 	c := &core{cfg: cfg, log: log, stats: statistics{classes: make(map[string]*classCounts)}}
 	c.invariants.Report = c.logViolation
@@ -65,7 +65,8 @@
 	return g
 }
 
-// connectTraffic gives the machines that requests pass their first state and those that they speak to.
+// connectTraffic initializes the machines on the path of requests and gives each the other machines that it
+// uses.
 func (g *Gateway) connectTraffic() {
 	*g.downstream = downstreamConns{
 		core: g.core, attempts: g.attempts, classes: g.classes, discovery: g.discovery, listener: g.listener,
@@ -91,8 +92,8 @@
 	}
 }
 
-// connectControl does the same for the machines that set the conditions: what is known, who serves, when it
-// ends.
+// connectControl initializes the other machines in the same way: configuration, discovery, cluster, hot restart
+// and shutdown.
 func (g *Gateway) connectControl() {
 	*g.admin = adminEndpoint{
 		core: g.core, cluster: g.cluster, discovery: g.discovery, listener: g.listener, requests: g.requests,
@@ -121,7 +122,7 @@
 }
 
 // Step handles one event and returns the effects to carry out, in order; they are valid until the next Step.
-// The balancer is told of what happens between events and in Dispatch, never from one of its own actions.
+// The balancer is notified only between events and before Dispatch, never from within one of its own actions.
 func (g *Gateway) Step(now time.Duration, e loop.Event) []loop.Effect {
 	g.now, g.effects = now, g.effects[:0]
 	switch e.Kind {
@@ -156,7 +157,7 @@
 	return g.effects
 }
 
-// start makes the balancer and gives it the endpoint list that this gateway last had.
+// start creates the balancer and passes it the cached endpoint list of the configuration.
 func (g *Gateway) start() {
 	b, err := balancer.New(g.cfg.Settings.Config, g.cfg.Seed, g.now, g.actions)
 	if err != nil {
@@ -178,7 +179,7 @@
 	}
 }
 
-// socketEvent hands what happened on a socket to the machine that owns it.
+// socketEvent routes an event on a socket to the machine that owns the socket.
 func (g *Gateway) socketEvent(e loop.Event) {
 	switch {
 	case e.Kind == loop.Accepted:
@@ -205,7 +206,7 @@
 	}
 }
 
-// accepted hands a new connection to the machine whose listener it came by.
+// accepted routes a new connection to the machine that owns the listener that accepted it.
 func (g *Gateway) accepted(e loop.Event) {
 	switch e.Via {
 	case loop.Admin:
@@ -217,7 +218,8 @@
 	}
 }
 
-// connEvent hands an event to the machine that has the connection. One that none has was closed before.
+// connEvent routes an event to the machine that owns the connection. A connection that no machine owns was
+// closed earlier; its descriptor is closed again.
 func (g *Gateway) connEvent(e loop.Event) {
 	if conn := g.admin.conns.Find(e.Conn); conn != nil {
 		g.admin.handleEvent(conn, e)
--- a/internal/gateway/hotrestart.go
+++ b/internal/gateway/hotrestart.go
@@ -5,18 +5,18 @@
 	"thymebend/internal/loop"
 )
 
-// handoverPhase is how far the successor of this process has come.
+// handoverPhase is how far the handover to the successor has advanced.
 type handoverPhase uint8
 
 const (
 	notHandedOver   handoverPhase = iota
-	listenerPassed                // it has the listening socket
-	successorServes               // it takes clients: this one accepts none
+	listenerPassed                // the successor has the listening socket
+	successorServes               // the successor accepts clients; this process accepts none
 )
 
-// hotRestart passes the listener, what was learned and the idle downstream connections from one process of
-// this gateway to the next. This process may be both: successor of the one before and predecessor of the one
-// after.
+// hotRestart passes the listener, the learned state and the idle downstream connections from one process of
+// this gateway to the next. A process may be both the successor of the previous process and the predecessor of
+// the next.
 type hotRestart struct {
 	*core
 	attempts   *attemptTable
@@ -26,24 +26,24 @@
 	listener   *listener
 	shutdown   *shutdown
 
-	predecessor            *hotrestart.Conn // the process that served before, while it lives
-	predecessorDescriptors int              // that it needs
-	successor              *hotrestart.Conn // the process that comes next
-	handover               handoverPhase    // to it
-	idlePending            bool             // a downstream connection may be idle and not yet passed
-	passing                []loop.Conn      // passed and not yet acknowledged
-	reportedDescriptors    int              // to the successor
-	heapBytes              int64
+	predecessor            *hotrestart.Conn // connection to the previous process, while that exists
+	predecessorDescriptors int              // number of descriptors that the predecessor needs
+	successor              *hotrestart.Conn // connection to the next process
+	handover               handoverPhase    // phase of the handover to the successor
+	idlePending            bool             // there may be an idle downstream connection that is not yet passed
+	passing                []loop.Conn      // connections passed and not yet acknowledged
+	reportedDescriptors    int              // number last reported to the successor
+	heapBytes              int64            // heap limit last set
 }
 
-// send sends a message, and the sockets of give beside it.
+// send sends a message together with the sockets in give.
 func (h *hotRestart) send(conn *hotrestart.Conn, m hotrestart.Message, give []loop.Conn) {
 	m.Passed = len(give)
 	data, err := m.Encode()
 	if err != nil {
 		h.log.Error().Err(err).Msg("hot restart")
 		if conn == h.successor {
-			h.loseSuccessor("a message cannot be worded")
+			h.loseSuccessor("a message cannot be encoded")
 		}
 		return
 	}
@@ -54,9 +54,10 @@
 	h.emit(loop.Effect{Op: op, Conn: conn.ID, Data: data, Give: give})
 }
 
-// receive handles an event on the connection to the other process. handle may lose the connection.
+// receive handles an event on the connection to the other process. It calls handle for each message, and lose
+// with the reason if the connection fails. handle may close the connection, which sets *conn to nil.
 func (h *hotRestart) receive(
-	conn **hotrestart.Conn, e loop.Event, handle func(hotrestart.Message), lose func(why string),
+	conn **hotrestart.Conn, e loop.Event, handle func(hotrestart.Message), lose func(detail string),
 ) {
 	switch e.Kind {
 	case loop.Readable:
@@ -75,29 +76,30 @@
 			handle(m)
 		}
 	case loop.EOF:
-		lose("it has ended")
+		lose("the connection was closed by the other process")
 	case loop.Broken:
 		lose(e.Err.Error())
 	}
 }
 
-// handedOver reports whether the successor takes the clients.
+// handedOver reports whether the successor accepts clients instead of this process.
 func (h *hotRestart) handedOver() bool { return h.handover == successorServes }
 
-// connIdle notes that a downstream connection may have become idle, to be passed on at the end of the round.
+// connIdle records that a downstream connection may have become idle. It is passed on at the end of the round
+// of events.
 func (h *hotRestart) connIdle() { h.idlePending = true }
 
-// alone reports whether this is the only process of its gateway. While there are two, idle connections stay
-// open where they can. Guards against clients that come back in the middle of an upgrade to a closed
-// connection.
-func (h *hotRestart) alone() bool { return h.successor == nil && h.predecessor == nil }
+// isOnlyProcess reports whether this is the only process of its gateway. While there are two, idle connections
+// are kept open where possible, so that a client that sends again in the middle of an upgrade does not meet a
+// closed connection.
+func (h *hotRestart) isOnlyProcess() bool { return h.successor == nil && h.predecessor == nil }
 
-// timerDue gives up waiting for the other process.
+// timerDue drops the connection to the other process, which has not answered in time.
 func (h *hotRestart) timerDue(kind timerKind) {
 	switch {
 	case kind == timerPredecessor && h.predecessor != nil:
-		h.losePredecessor("it does not answer")
+		h.losePredecessor("no answer in time")
 	case kind == timerSuccessor && h.successor != nil:
-		h.loseSuccessor("it does not answer")
+		h.loseSuccessor("no answer in time")
 	}
 }
--- a/internal/gateway/hotrestart_predecessor.go
+++ b/internal/gateway/hotrestart_predecessor.go
@@ -5,7 +5,7 @@
 	"thymebend/internal/loop"
 )
 
-// offer listens for a successor.
+// offer listens on the hot-restart socket for a successor.
 func (h *hotRestart) offer() {
 	if h.cfg.HotRestartSocket != "" {
 		h.emit(loop.Effect{Op: loop.Listen, Conn: loop.HotRestart, Path: h.cfg.HotRestartSocket, Urgent: true})
@@ -24,7 +24,8 @@
 	}
 }
 
-// successorConnected accepts one successor at a time. A second one is closed, and listens alone.
+// successorConnected accepts one successor at a time. The connection of a second one is closed; that process
+// then opens its own listening socket.
 func (h *hotRestart) successorConnected(c loop.Conn) {
 	if h.successor != nil {
 		h.closeConn(c)
@@ -38,15 +39,15 @@
 	h.receive(&h.successor, e, h.fromSuccessor, h.loseSuccessor)
 }
 
-// fromSuccessor handles a message of the successor, by which it takes over in three steps: Hello, Taking, and
-// Acknowledge for each batch of connections.
+// fromSuccessor handles a message of the successor. A successor takes over in three steps: Hello, Taking, and
+// an Acknowledge for each batch of connections.
 func (h *hotRestart) fromSuccessor(m hotrestart.Message) {
 	switch m.Kind {
 	case hotrestart.Hello:
 		h.passState(m.Listen)
 	case hotrestart.Taking:
 		if h.handover != listenerPassed {
-			h.loseSuccessor("it takes what it was not given")
+			h.loseSuccessor("it takes over without having received the listener")
 			return
 		}
 		h.yield()
@@ -54,12 +55,13 @@
 		h.stopTimer(timerSuccessor, 0)
 		h.passing, h.idlePending = nil, true
 	default:
-		h.loseSuccessor("it says " + string(m.Kind))
+		h.loseSuccessor("unexpected message: " + string(m.Kind))
 	}
 }
 
-// passState gives the successor what it needs to serve: the listener, the endpoint list, what the balancer
-// has learned and the identity in the cluster.
+// passState sends the successor what it needs to serve: the listening socket, the endpoint list, the state
+// learned by the balancer and the identity in the cluster. It declines if this process cannot pass the listener
+// on.
 func (h *hotRestart) passState(listen string) {
 	if listen != h.cfg.Listen.String() || h.listener.phase == notListening ||
 		h.shutdown.closing() || h.handedOver() {
@@ -97,8 +99,9 @@
 	}
 }
 
-// passIdleConns gives the successor the idle downstream connections, at the end of a round: what was read of
-// them has been handled by then, and what is unread goes along with the socket.
+// passIdleConns passes the idle downstream connections to the successor. It is called at the end of a round of
+// events, when all data that were read from them have been handled; unread data stay in the socket and are
+// passed with it.
 func (h *hotRestart) passIdleConns() {
 	if !h.handedOver() || !h.idlePending || len(h.passing) > 0 {
 		return
@@ -130,19 +133,19 @@
 	}
 }
 
-// loseSuccessor goes on alone: the successor has gone, or does not answer.
-func (h *hotRestart) loseSuccessor(why string) {
-	h.log.Warn().Str(fieldDetail, why).Bool(fieldHandedOver, h.handedOver()).Msg("no successor")
+// loseSuccessor makes this process continue alone, because the successor has gone or does not answer.
+func (h *hotRestart) loseSuccessor(detail string) {
+	h.log.Warn().Str(fieldDetail, detail).Bool(fieldHandedOver, h.handedOver()).Msg("no successor")
 	h.stopTimer(timerSuccessor, 0)
 	for _, c := range h.passing {
-		h.closeConn(c) // what was not passed after all
+		h.closeConn(c) // its transfer was not acknowledged
 	}
 	h.closeConn(h.successor.ID)
-	hadYielded := h.handedOver()
+	wasHandedOver := h.handedOver()
 	h.successor, h.handover, h.passing = nil, notHandedOver, nil
 	h.idlePending, h.reportedDescriptors = false, 0
 	h.resize()
-	if !hadYielded {
+	if !wasHandedOver {
 		return
 	}
 	h.balancer.YieldSlowStart(h.now, false)
--- a/internal/gateway/hotrestart_successor.go
+++ b/internal/gateway/hotrestart_successor.go
@@ -6,7 +6,8 @@
 	"thymebend/internal/loop"
 )
 
-// begin connects to the process of this gateway that serves already, if any.
+// begin connects to the process of this gateway that is already serving, if hot restart is configured;
+// otherwise it opens the listener.
 func (h *hotRestart) begin() {
 	if h.cfg.HotRestartSocket == "" {
 		h.listener.open()
@@ -25,8 +26,8 @@
 	h.receive(&h.predecessor, e, h.fromPredecessor, h.losePredecessor)
 }
 
-// fromPredecessor handles a message of the predecessor: its state with the listener, then batches of
-// connections.
+// fromPredecessor handles a message of the predecessor: first its state with the listening socket, then batches
+// of idle connections.
 func (h *hotRestart) fromPredecessor(m hotrestart.Message) {
 	switch m.Kind {
 	case hotrestart.State:
@@ -41,12 +42,12 @@
 		h.resize()
 		h.send(h.predecessor, hotrestart.Message{Kind: hotrestart.Acknowledge}, nil)
 	default:
-		h.losePredecessor("it says " + string(m.Kind) + ": " + m.Reason)
+		h.losePredecessor("no handover: " + string(m.Kind) + ": " + m.Reason)
 	}
 }
 
-// inherit takes what the predecessor knows. Its list gives way to what discovery has brought this process
-// meanwhile.
+// inherit applies the state of the predecessor. Its endpoint list is ignored if discovery has already sent this
+// process a list.
 func (h *hotRestart) inherit(m hotrestart.Message) {
 	if len(m.List) > 0 && (h.discovery.current == nil || !h.discovery.current.Started()) {
 		h.inheritEndpoints(m.List)
@@ -60,8 +61,8 @@
 	h.resize()
 }
 
-// inheritEndpoints takes the predecessor's list unless it is older than this process's own. Guards against a
-// gap: the poll under way asks for what changed since this process's list.
+// inheritEndpoints applies the predecessor's list unless it is older than this process's list. With an older
+// list there would be a gap: the poll in progress requests the changes since this process's list.
 func (h *hotRestart) inheritEndpoints(list []byte) {
 	if older, err := h.discovery.endpoints.Older(list); err == nil && older {
 		return
@@ -75,9 +76,9 @@
 	h.discovery.notifyBalancer(balancer.CachedSnapshot, update.Entries)
 }
 
-// losePredecessor goes on without the predecessor, which has gone or cannot hand over.
-func (h *hotRestart) losePredecessor(why string) {
-	h.log.Info().Str(fieldDetail, why).Bool(fieldAccepting, h.listener.phase != notListening).
+// losePredecessor makes this process continue without the predecessor, which has gone or cannot hand over.
+func (h *hotRestart) losePredecessor(detail string) {
+	h.log.Info().Str(fieldDetail, detail).Bool(fieldAccepting, h.listener.phase != notListening).
 		Msg("no predecessor")
 	h.stopTimer(timerPredecessor, 0)
 	for _, c := range h.predecessor.Unclaimed() {
--- a/internal/gateway/inspect.go
+++ b/internal/gateway/inspect.go
@@ -8,17 +8,18 @@
 	"thymebend/internal/membership"
 )
 
-// Inspector is what the simulation sees of a gateway's state to check it. Nothing in the product uses it.
+// Inspector gives the simulation access to the state of a gateway that its checks need. The product itself does
+// not use it.
 type Inspector interface {
-	// Membership is this process's view of the cluster, or nil while it is no member.
+	// Membership returns this process's view of the cluster, or nil while the process is not a member.
 	Membership() *membership.Membership
-	// AssignmentTracker is the assignment in force, or nil where the cluster divides nothing.
+	// AssignmentTracker returns the current assignment, or nil while no assignment is in force.
 	AssignmentTracker() *assignment.Tracker
-	// EndpointKnowledge reports whether this gateway has ejected an endpoint, whether its peers suspect it,
-	// and whether it is assigned to this gateway.
+	// EndpointKnowledge reports whether this gateway has ejected an endpoint, whether its peers suspect the
+	// endpoint, and whether the endpoint is assigned to this gateway.
 	EndpointKnowledge(id balancer.EndpointID) (ejected, suspected, assigned bool)
-	// Violations counts the effects that were suppressed since the process began, by the invariant that each
-	// would have broken.
+	// Violations returns the number of suppressed effects since the start of the process, by the invariant that
+	// each effect would have broken.
 	Violations() map[string]uint64
 }
 
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -5,43 +5,45 @@
 	"thymebend/internal/loop"
 )
 
-// The budget of descriptors is divided. Guards against many clients, or slow endpoints, that take what the
-// other side needs.
+// Shares of the descriptor limit. The division keeps many clients, or slow endpoints, from taking the
+// descriptors that the other side needs.
 const (
-	ownDescriptors  = 20 + admin.MaxConns // of the program itself
-	downstreamShare = 0.65                // of the others
+	ownDescriptors  = 20 + admin.MaxConns // reserved for the program itself
+	downstreamShare = 0.65                // fraction of the remaining descriptors for downstream connections
 )
 
-// heapShare of the memory limit is the heap's; the rest is for stacks, sockets and the program itself.
+// heapShare is the fraction of the memory limit that the heap may use; the remainder is for stacks, sockets and
+// the program itself.
 const heapShare = 0.6
 
-// reuseLimitDivisor divides the descriptors: with more downstream connections than that, those that have
-// brought one request and are idle are closed early.
+// reuseLimitDivisor sets the reuse limit to the descriptor limit divided by it. With more downstream
+// connections than the reuse limit, idle connections that have carried only one request are closed early.
 const reuseLimitDivisor = 4
 
-// spareUpstreamConns are left to a predecessor beyond one for each of its downstream connections.
+// spareUpstreamConns is the number of upstream connections that a predecessor may have in addition to one for
+// each of its downstream connections.
 const spareUpstreamConns = 4
 
-// descriptors is how many descriptors of the limit this process and its predecessor need: those in use, and
-// those that it may still open before the other process hears of it.
+// descriptors returns how many descriptors of the limit this process and its predecessor need: those in use,
+// and those that they may still open before the other process is notified of a new division.
 func (h *hotRestart) descriptors() int {
 	inbound := max(len(h.downstream.conns.ByConn), h.downstream.conns.Max)
 	return ownDescriptors + inbound + h.attempts.pool.Max() + h.predecessorDescriptors
 }
 
-// resize divides the limits between the two processes of an upgrade: until the successor serves each has
-// half, then the predecessor may not grow.
+// resize divides the limits between the two processes of an upgrade: each has half until the successor serves;
+// from then on the predecessor's limits only shrink.
 func (h *hotRestart) resize() {
 	if h.handedOver() {
 		h.shrink()
 	} else {
 		h.divide()
 	}
-	if !h.alone() {
+	if !h.isOnlyProcess() {
 		h.closeSurplus()
 	}
 	heap := h.cfg.Limits.MemoryMB * heapShare * (1 << 20)
-	if !h.alone() {
+	if !h.isOnlyProcess() {
 		heap /= 2
 	}
 	if int64(heap) != h.heapBytes {
@@ -50,8 +52,9 @@
 	}
 }
 
-// divide divides the descriptors that the other process leaves. Connections that were handed over count even
-// beyond the downstream share: upstream gets less by them.
+// divide divides the descriptors that the other process does not use between downstream and upstream.
+// Connections received from a predecessor count even beyond the downstream share, at the expense of the
+// upstream share.
 func (h *hotRestart) divide() {
 	sockets := h.cfg.Limits.Sockets - h.predecessorDescriptors
 	if h.successor != nil {
@@ -67,15 +70,17 @@
 	h.attempts.pool.Resize(outbound)
 }
 
-// shrink leaves this process what its downstream connections need. Each has at most one request, which needs
-// one upstream connection; the rest is the successor's, whose clients wait.
+// shrink reduces this process's limits to what its downstream connections need. Each of them has at most one
+// request, which needs one upstream connection. The remaining descriptors are left to the successor, whose
+// clients wait for them.
 func (h *hotRestart) shrink() {
 	open := len(h.downstream.conns.ByConn)
 	h.downstream.limit(open, h.downstream.conns.ReuseLimit)
 	h.attempts.pool.Resize(min(h.attempts.pool.Budget(), open+spareUpstreamConns))
 }
 
-// closeSurplus closes idle upstream connections beyond the budget: their descriptors are the other process's.
+// closeSurplus closes idle upstream connections beyond the budget, whose descriptors belong to the other
+// process.
 func (h *hotRestart) closeSurplus() {
 	for _, conn := range h.attempts.pool.Surplus() {
 		h.attempts.dropConn(conn, ReasonIdleClosed)
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -7,20 +7,20 @@
 	"thymebend/internal/loop"
 )
 
-// acceptPauseDuration is how long nothing is accepted when there is no descriptor left, unless a connection
-// closes before.
+// acceptPauseDuration is how long nothing is accepted when no descriptor is available, unless a connection
+// closes earlier.
 const acceptPauseDuration = 50 * time.Millisecond
 
-// listenerPhase is what the listening socket does.
+// listenerPhase is the state of the listening socket.
 type listenerPhase uint8
 
 const (
 	notListening listenerPhase = iota
 	accepting
-	acceptPaused // for want of descriptors: connections wait unread
+	acceptPaused // no descriptor is available: new connections wait unaccepted
 )
 
-// listener accepts downstream connections while there is room for them.
+// listener accepts downstream connections while there are descriptors for them.
 type listener struct {
 	*core
 	cluster    *cluster
@@ -37,7 +37,7 @@
 		ln.opened()
 	case loop.Readable:
 		if ln.restart.handedOver() {
-			return // it became readable before it was muted
+			return // the event arose before accepting was stopped
 		}
 		ln.accept()
 	case loop.Drained:
@@ -51,20 +51,20 @@
 	}
 }
 
-// accept accepts as many connections as there is room for. The others wait, unread.
+// accept accepts as many connections as the limit allows. The others wait unaccepted.
 func (ln *listener) accept() {
-	room := ln.downstream.conns.Max - len(ln.downstream.conns.ByConn)
-	if room <= 0 {
-		room = ln.downstream.evict(evictBatch)
+	available := ln.downstream.conns.Max - len(ln.downstream.conns.ByConn)
+	if available <= 0 {
+		available = ln.downstream.evict(evictBatch)
 	}
-	if room <= 0 {
+	if available <= 0 {
 		ln.pause()
 		return
 	}
-	ln.emit(loop.Effect{Op: loop.Accept, Conn: loop.Listener, Most: room})
+	ln.emit(loop.Effect{Op: loop.Accept, Conn: loop.Listener, Most: available})
 }
 
-// pause stops accepting. Guards against spinning while connections wait that cannot be accepted.
+// pause stops accepting, so that the loop does not spin while connections wait that cannot be accepted.
 func (ln *listener) pause() {
 	if ln.phase != acceptPaused && ln.shutdown.phase != phaseDrained {
 		ln.phase = acceptPaused
@@ -73,7 +73,7 @@
 	}
 }
 
-// resume accepts again as soon as a descriptor may be free.
+// resume accepts again when a descriptor may be available.
 func (ln *listener) resume() {
 	if ln.phase == acceptPaused {
 		ln.phase = accepting
@@ -84,12 +84,13 @@
 	}
 }
 
-// open opens a listening socket of this process's own.
+// open opens a new listening socket, as opposed to one inherited from a predecessor.
 func (ln *listener) open() {
 	ln.emit(loop.Effect{Op: loop.Listen, Conn: loop.Listener, Addr: ln.cfg.Listen})
 }
 
-// opened notes that clients can connect.
+// opened is called when clients can connect. It notifies the predecessor, joins the cluster and offers hot
+// restart to the next process.
 func (ln *listener) opened() {
 	ln.phase = max(ln.phase, accepting)
 	ln.log.Info().Stringer(fieldListen, ln.cfg.Listen).Bool(fieldHandedOver, ln.restart.predecessor != nil).
--- a/internal/gateway/loadreports.go
+++ b/internal/gateway/loadreports.go
@@ -6,7 +6,8 @@
 	"thymebend/internal/membership"
 )
 
-// initialPayload is what the membership is begun with: the zone, and the config hash.
+// initialPayload returns the first payload of a new membership. It contains the zone and, if the cluster
+// divides the endpoints, the config hash.
 func (s *subsetAssignment) initialPayload() []byte {
 	report := loadreport.Report{Zone: s.cfg.Settings.Config.Zone, Demand: -1}
 	if s.state == nil {
@@ -17,16 +18,16 @@
 	return payload
 }
 
-// reportLoad spreads this gateway's load report, if it has changed.
+// reportLoad distributes this gateway's load report through the cluster if a new one is due.
 func (s *subsetAssignment) reportLoad() {
-	signals, st := s.balancer.LoadReport(s.now), s.cluster.membership.Status(s.now)
+	signals, status := s.balancer.LoadReport(s.now), s.cluster.membership.Status(s.now)
 	report := loadreport.Report{
 		Zone:         s.cfg.Settings.Config.Zone,
 		Known:        true,
 		Demand:       signals.Demand,
 		Rejected:     signals.Rejected,
 		FreeCapacity: signals.FreeCapacity,
-		LocalHealth:  st.LocalHealth,
+		LocalHealth:  status.LocalHealth,
 		ConfigHash:   s.state.configHash,
 	}
 	if !signals.Known {
@@ -37,7 +38,7 @@
 		ejected = append(ejected, uint64(id))
 	}
 	report.Ejected = loadreport.EndpointHashes(ejected)
-	payload, due := s.state.reporter.Next(s.now, report, st.Alive)
+	payload, due := s.state.reporter.Next(s.now, report, status.Alive)
 	if !due {
 		return
 	}
@@ -48,8 +49,8 @@
 	s.setTimer(timerCluster, 0, s.cluster.membership.NextWake())
 }
 
-// peerReports reads what each member reports, and which endpoints several others suspect. What cannot be read
-// counts as no report.
+// peerReports returns the load report of each member, in the members' order, and the hashes of the endpoints
+// that several other members suspect. A payload that cannot be parsed counts as no report.
 func (s *subsetAssignment) peerReports(
 	members []membership.Member,
 ) (reports []loadreport.PeerReport, suspected map[uint32]bool) {
--- a/internal/gateway/logfields.go
+++ b/internal/gateway/logfields.go
@@ -1,12 +1,12 @@
 package gateway
 
-// The field names of log lines. Durations are in milliseconds.
+// Field names of log lines. Durations are in milliseconds.
 const (
 	fieldAccepting         = "accepting"
-	fieldAfter             = "after" // since the request, response or attempt began
-	fieldAge               = "age"   // since the accept
+	fieldAfter             = "after" // time since the request, response or attempt began
+	fieldAge               = "age"   // time since the connection was accepted
 	fieldAlive             = "alive"
-	fieldAttempt           = "attempt" // number of an attempt, 0 for the first
+	fieldAttempt           = "attempt" // index of an attempt, 0 for the first
 	fieldAttempts          = "attempts"
 	fieldBytes             = "bytes"
 	fieldCause             = "cause"
@@ -37,15 +37,15 @@
 	fieldReceived          = "received"
 	fieldRequest           = "request" // this gateway's number of a request
 	fieldRequests          = "requests"
-	fieldRequestsBefore    = "requests_before" // requests that came before on the connection
+	fieldRequestsBefore    = "requests_before" // earlier requests on the same connection
 	fieldRetryAfter        = "retry_after"
 	fieldRule              = "rule" // of an invariant, as in violations of /ops/stats
 	fieldSeedPeers         = "seed_peers"
-	fieldSilent            = "silent" // since the last byte, or since the watch ended
+	fieldSilent            = "silent" // time since the last byte, or since the watch ended
 	fieldSlowStartFraction = "slow_start_fraction"
-	fieldStaleFor          = "stale_for" // the agent's list is older than this gateway's
+	fieldStaleFor          = "stale_for" // how long the agent's list has been older than this gateway's
 	fieldStatus            = "status"
-	fieldTimeLeft          = "time_left"     // of the client's or the attempt's time
+	fieldTimeLeft          = "time_left"     // time remaining until the client's or the attempt's deadline
 	fieldUpstreamConn      = "upstream_conn" // number of a connection
 	fieldUpstreamPaused    = "upstream_paused"
 	fieldWaiting           = "waiting"
--- a/internal/gateway/logging.go
+++ b/internal/gateway/logging.go
@@ -7,52 +7,52 @@
 	"thymebend/internal/invariant"
 )
 
-// logViolation logs an effect that was suppressed.
+// logViolation logs an effect that was suppressed because it would break an invariant.
 func (c *core) logViolation(v invariant.Violation) {
 	c.log.Error().Stringer(fieldRule, v.Rule).Str(fieldID, v.Request).Str(fieldDetail, v.Detail).
 		Msg("suppressed: it would break an invariant")
 }
 
-// logAccepted logs a downstream connection's begin.
-func (c *core) logAccepted(conn *downstream.Conn) {
+// logConnAccepted logs that a downstream connection was accepted.
+func (c *core) logConnAccepted(conn *downstream.Conn) {
 	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Msg("downstream connection accepted")
 }
 
-// logFirstByte logs that a request begins to come.
+// logFirstByte logs that the first bytes of a request were received.
 func (c *core) logFirstByte(conn *downstream.Conn, bytes int) {
 	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Int(fieldBytes, bytes).
 		Int(fieldRequestsBefore, conn.Requests).
 		Dur(fieldAge, c.now-conn.Accepted).Msg("request begins to come")
 }
 
-// logTaken logs that a request goes to the balancer.
-func (c *core) logTaken(req *request) {
+// logRequestAccepted logs that a request is passed to the balancer.
+func (c *core) logRequestAccepted(req *request) {
 	c.log.Debug().Uint64(fieldDownstreamConn, uint64(req.client)).Uint32(fieldRequest, uint32(req.id)).
 		Str(fieldID, req.ID).Str(fieldClass, req.Class.Name).
 		Dur(fieldClientTimeout, req.ClientTimeout).Msg("request accepted")
 }
 
-// logFaulty logs that a request was answered with an error and goes no further.
-func (c *core) logFaulty(conn *downstream.Conn, id string, status int, why string) {
+// logMalformed logs that a request was answered with an error status and is not passed to the balancer.
+func (c *core) logMalformed(conn *downstream.Conn, id string, status int, detail string) {
 	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Str(fieldID, id).Int(fieldStatus, status).
-		Str(fieldDetail, why).Msg("request malformed")
+		Str(fieldDetail, detail).Msg("request malformed")
 }
 
-// logRejected counts a rejection and logs its reason.
+// logRejected counts a rejection by its reason and logs it.
 func (c *core) logRejected(id string, reason rejectionReason, after time.Duration) {
 	c.stats.rejections[reason]++
 	c.log.Debug().Str(fieldID, id).Stringer(fieldReason, reason).Dur(fieldRetryAfter, after).
 		Msg("request rejected")
 }
 
-// logAnswered logs the final answer of a request.
-func (c *core) logAnswered(req *request, r finalResult) {
+// logRequestEnded logs the final outcome of a request.
+func (c *core) logRequestEnded(req *request, r finalResult) {
 	c.log.Debug().Uint32(fieldRequest, uint32(req.id)).Str(fieldID, req.ID).Stringer(fieldOutcome, r).
 		Int(fieldAttempts, req.started).
 		Dur(fieldTimeLeft, req.deadline-c.now).Msg("request ended")
 }
 
-// logAttempt logs an attempt's begin, and counts it where it is a further one.
+// logAttempt logs the start of an attempt, and counts it as a retry unless it is the request's first.
 func (c *core) logAttempt(att *attempt) {
 	if att.number > 0 {
 		c.stats.retries++
@@ -62,14 +62,14 @@
 		Uint64(fieldEndpoint, uint64(att.endpoint)).Dur(fieldTimeLeft, att.deadline-c.now).Msg("attempt begins")
 }
 
-// logAttemptEnd logs how an attempt failed.
+// logAttemptEnd logs why an attempt failed.
 func (c *core) logAttemptEnd(att *attempt, end TerminationReason) {
 	c.log.Debug().Uint32(fieldRequest, uint32(att.request.id)).Str(fieldID, att.request.ID).
 		Int(fieldAttempt, att.number).Stringer(fieldEnd, end).Dur(fieldAfter, c.now-att.began).
 		Msg("attempt ended")
 }
 
-// logIncomplete logs that a request was not complete in time.
+// logIncomplete logs that a request was not received completely in time.
 func (c *core) logIncomplete(conn *downstream.Conn) {
 	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Int(fieldBytes, conn.RequestBytes).
 		Int(fieldRequestsBefore, conn.Requests).
@@ -77,16 +77,16 @@
 		Msg("request not complete in time")
 }
 
-// logRelayCut logs why a large response could not be passed on to its end.
-func (c *core) logRelayCut(r *relay, why string, err error) {
-	c.log.Debug().Str(fieldID, r.id).Str(fieldDetail, why).AnErr(fieldCause, err).
+// logRelayCut logs why a large response could not be passed to the client completely.
+func (c *core) logRelayCut(r *relay, detail string, err error) {
+	c.log.Debug().Str(fieldID, r.id).Str(fieldDetail, detail).AnErr(fieldCause, err).
 		Int64(fieldLength, r.length).Int(fieldReceived, r.received).
 		Bool(fieldDownstreamWriting, r.writing).Bool(fieldUpstreamPaused, r.paused).
 		Dur(fieldAfter, c.now-r.began).Msg("large response cut")
 }
 
-// logClientEnd counts the end of a downstream connection and logs its reason.
-func (c *core) logClientEnd(conn *downstream.Conn, end TerminationReason) {
+// logConnEnded counts the end of a downstream connection by its reason and logs it.
+func (c *core) logConnEnded(conn *downstream.Conn, end TerminationReason) {
 	c.stats.countEnd(end)
 	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Stringer(fieldEnd, end).
 		Int(fieldRequests, conn.Requests).Bool(fieldPartlyRead, conn.Pending()).
--- a/internal/gateway/rejections.go
+++ b/internal/gateway/rejections.go
@@ -1,19 +1,19 @@
 package gateway
 
-// rejectionReason is why a request was rejected: by the balancer, or by this package before the balancer
-// heard of it.
+// rejectionReason is why a request was rejected, either by the balancer or by this package before the balancer
+// was notified of the request.
 type rejectionReason uint8
 
 const (
 	rejectedByBalancer  rejectionReason = iota
-	rejectedTooManyOpen                 // as many requests are open as the settings allow
-	rejectedOverloaded                  // requests hold nearly all downstream connections
-	rejectedTooLate                     // it could still be in work at SIGKILL
-	rejectedExpired                     // its client's time was over before it was taken
+	rejectedTooManyOpen                 // the number of open requests has reached the limit of the settings
+	rejectedOverloaded                  // requests occupy nearly all downstream connections
+	rejectedTooLate                     // it could still be in progress at SIGKILL
+	rejectedExpired                     // the client's timeout expired before the request was accepted
 	rejectionReasonCount
 )
 
-// String is the reason in log lines and in /ops/stats, whose texts are fixed.
+// String returns the reason as it appears in log lines and in /ops/stats, whose texts are fixed.
 func (r rejectionReason) String() string {
 	switch r {
 	case rejectedByBalancer:
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -9,76 +9,76 @@
 	"thymebend/internal/upstream"
 )
 
-// What is read of large responses ahead of their clients, of one and of all. Guards against losing the end of
-// a response whose endpoint resets the connection soon after its last byte, which takes what lies unread with
-// it.
+// Maximum number of bytes read ahead of the client, for one large response and for all of them together.
+// Reading ahead keeps the end of a response from being lost if the endpoint resets the connection soon after
+// its last byte, because a reset discards unread data.
 const (
 	maxRelayBuffer      = 256 << 10
 	maxTotalRelayBuffer = 2 << 20
 )
 
-// relayReadTimeout is how long an endpoint may send nothing of an answer that has begun.
+// relayReadTimeout is how long an endpoint may send nothing after its response has begun.
 const relayReadTimeout = 10 * time.Second
 
-// relayTable holds the large responses on their way to clients.
+// relayTable holds the large responses that are being passed to clients.
 type relayTable struct {
 	*core
 	attempts   *attemptTable
 	downstream *downstreamConns
 	requests   *requestTable
 
-	byConn   map[loop.Conn]*relay // by either connection
-	buffered int                  // bytes of all that were read and wait for clients
+	byConn   map[loop.Conn]*relay // by the downstream and by the upstream connection
+	buffered int                  // bytes of all relays that were read and wait for clients
 }
 
-// relay is a large response on its way from an endpoint to a client, one piece at a time. For the balancer
-// its attempt has ended.
+// relay is a large response that is passed from an endpoint to a client, one piece at a time. For the balancer
+// the attempt has already ended.
 type relay struct {
 	downstream     *downstream.Conn
 	upstream       *upstream.Conn
-	id             string // the client's, of the request
+	id             string // the client's id of the request
 	began          time.Duration
-	length         int64 // of the answer; -1 where it is not stated
-	received       int   // bytes of the body since it is relayed
+	length         int64 // of the body; -1 if not stated
+	received       int   // bytes of the body received since the relay began
 	class          string
-	chunked        bool // how the answer goes to the client
+	chunked        bool // the response is sent to the client in chunks
 	reusable       bool // the upstream connection may carry another request afterwards
-	writing        bool // a piece is not yet written out
-	paused         bool // the endpoint waits for the client
-	complete       bool // the last piece has come
+	writing        bool // a piece is being written to the client
+	paused         bool // reading from the endpoint is paused until the client catches up
+	complete       bool // the last piece has been handed to the client's connection
 	buffered       int  // bytes that were read and wait for the client
-	upstreamClosed bool // the endpoint's connection has ended, and all of the answer was read before
+	upstreamClosed bool // the upstream connection has ended after the complete response was read
 }
 
-// begin takes a response that is too large to be held. A 200 is passed on as it comes; of others only the
-// head matters.
-func (t *relayTable) begin(att *attempt, a *upstream.Response) {
+// begin starts to relay a response that is too large to be buffered. A response with status 200 is passed on as
+// it is received; of other responses only the head matters.
+func (t *relayTable) begin(att *attempt, resp *upstream.Response) {
 	req, conn := att.request, att.conn
-	c := t.downstream.conns.ByConn[req.client]
-	if a.Status != 200 || req.done || c == nil || !t.invariants.AllowAnswer(&req.invariants) {
-		t.attempts.responded(att, a)
+	client := t.downstream.conns.ByConn[req.client]
+	if resp.Status != 200 || req.done || client == nil || !t.invariants.AllowAnswer(&req.invariants) {
+		t.attempts.responded(att, resp)
 		return
 	}
-	reusable := a.KeepAlive && conn.Phase == upstream.Awaiting
+	reusable := resp.KeepAlive && conn.Phase == upstream.Awaiting
 	length := conn.Begin()
 	chunked := length < 0 && req.Message.Minor > 0
-	keep := t.downstream.finishRequest(c)
-	if length < 0 && !chunked { // HTTP/1.0 has no chunks: the connection's end is the body's
-		keep, c.Closing = false, true
+	keep := t.downstream.finishRequest(client)
+	if length < 0 && !chunked { // HTTP/1.0 has no chunks: the close of the connection ends the body
+		keep, client.Closing = false, true
 	}
 	r := &relay{
-		downstream: c, upstream: conn, id: req.ID, class: req.Class.Name, began: t.now,
+		downstream: client, upstream: conn, id: req.ID, class: req.Class.Name, began: t.now,
 		length: length, chunked: chunked, reusable: reusable,
 	}
-	t.byConn[c.ID], t.byConn[conn.ID] = r, r
+	t.byConn[client.ID], t.byConn[conn.ID] = r, r
 	t.attempts.unbind(att)
 	conn.Phase = upstream.Relaying
-	req.done, req.client, c.Request = true, 0, 0
-	t.attempts.end(att, ReasonServed, a)
+	req.done, req.client, client.Request = true, 0, 0
+	t.attempts.end(att, ReasonServed, resp)
 	t.requests.release(req)
-	t.write(c.ID, http1.AppendResponseHead(nil, 200, a.Forwarded(), length, req.Message.Minor, keep))
+	t.write(client.ID, http1.AppendResponseHead(nil, 200, resp.Forwarded(), length, req.Message.Minor, keep))
 	r.writing = true
-	t.downstream.setDeadline(c, t.now+downstream.ResponseWriteTimeout)
+	t.downstream.setDeadline(client, t.now+downstream.ResponseWriteTimeout)
 	t.setTimer(timerUpstream, uint64(conn.ID), t.now+relayReadTimeout)
 }
 
@@ -90,7 +90,7 @@
 	}
 	switch e.Kind {
 	case loop.Readable:
-		// An event on a muted connection means that it is broken: see loop.Mute.
+		// An event on a paused connection means that it is broken: see loop.Mute.
 		if r.writing && !r.paused && !t.mayReadAhead(r) {
 			r.paused = true
 			t.emit(loop.Effect{Op: loop.Mute, Conn: e.Conn})
@@ -106,14 +106,14 @@
 		t.pump(r)
 	case loop.EOF:
 		if !r.upstream.EndsByClose() && !r.upstream.Complete() {
-			t.logRelayCut(r, "its host ended it", nil)
+			t.logRelayCut(r, "the endpoint closed the connection before the end of the response", nil)
 			t.downstream.drop(r.downstream, ReasonReset)
 			return
 		}
 		t.upstreamEnded(r)
 	case loop.Broken:
-		if !r.upstream.Complete() { // with no length, a reset is no end
-			t.logRelayCut(r, "its connection broke", e.Err)
+		if !r.upstream.Complete() { // a reset does not end a response without a length
+			t.logRelayCut(r, "the upstream connection broke", e.Err)
 			t.downstream.drop(r.downstream, ReasonReset)
 			return
 		}
@@ -121,14 +121,14 @@
 	}
 }
 
-// mayReadAhead reports whether more of a response may be read though its client has not taken what was read
-// before.
+// mayReadAhead reports whether more of a response may be read although its client has not yet taken what was
+// read before.
 func (t *relayTable) mayReadAhead(r *relay) bool {
 	return r.buffered < maxRelayBuffer && t.buffered < maxTotalRelayBuffer
 }
 
-// upstreamEnded ends the upstream side of a response that was read to its end. The rest goes out as the
-// client takes it.
+// upstreamEnded closes the upstream side of a response that has been read completely. The remainder is written
+// as the client takes it.
 func (t *relayTable) upstreamEnded(r *relay) {
 	r.upstreamClosed, r.reusable = true, false
 	delete(t.byConn, r.upstream.ID)
@@ -136,7 +136,7 @@
 	t.pump(r)
 }
 
-// pump writes what has come of a response to the client.
+// pump writes the data received so far to the client, unless a write is in progress.
 func (t *relayTable) pump(r *relay) {
 	if r.writing || r.complete {
 		return
@@ -148,13 +148,13 @@
 		t.downstream.drop(r.downstream, ReasonMalformedResponse)
 		return
 	}
-	done = done || r.upstreamClosed // what is read to its end without a length has no other
+	done = done || r.upstreamClosed // without a length, the close of the connection is the end
 	if len(piece) > 0 || done {
 		t.writePiece(r, piece, done)
 	}
 }
 
-// releaseBuffer notes that all that was read ahead is being written to the client.
+// releaseBuffer records that all data that were read ahead are now being written to the client.
 func (t *relayTable) releaseBuffer(r *relay) {
 	t.buffered -= r.buffered
 	r.buffered = 0
@@ -163,9 +163,9 @@
 // writePiece writes a piece of the response to the client.
 func (t *relayTable) writePiece(r *relay, piece []byte, last bool) {
 	r.complete = last
-	data := framed(piece, r.chunked, last)
+	data := framePiece(piece, r.chunked, last)
 	if len(data) == 0 {
-		t.flushed(r) // an end that takes no byte
+		t.flushed(r) // the end of the response takes no bytes
 		return
 	}
 	r.writing = true
@@ -173,7 +173,7 @@
 	t.write(r.downstream.ID, data)
 }
 
-// flushed goes on once a piece is written out, or ends the response with the last one.
+// flushed continues after a piece has been written out, or ends the response after the last piece.
 func (t *relayTable) flushed(r *relay) {
 	r.writing = false
 	if !r.complete {
@@ -183,10 +183,10 @@
 		}
 		return
 	}
-	conn, c := r.upstream, r.downstream
+	conn, client := r.upstream, r.downstream
 	t.remove(r, outcomeServed)
 	if r.upstreamClosed {
-		t.downstream.flushed(c)
+		t.downstream.flushed(client)
 		return
 	}
 	if r.paused {
@@ -197,18 +197,19 @@
 	} else {
 		t.attempts.dropConn(conn, ReasonServed)
 	}
-	t.downstream.flushed(c)
+	t.downstream.flushed(client)
 }
 
-// remove forgets a relay that has ended.
-func (t *relayTable) remove(r *relay, how finalResult) {
+// remove forgets a relay that has ended, and counts the result of its request.
+func (t *relayTable) remove(r *relay, result finalResult) {
 	delete(t.byConn, r.downstream.ID)
 	delete(t.byConn, r.upstream.ID)
 	t.releaseBuffer(r)
-	t.requests.relayEnded(r.id, r.class, how)
+	t.requests.relayEnded(r.id, r.class, result)
 }
 
-// timerDue bounds how long an endpoint may send nothing while it may.
+// timerDue drops the client's connection if the endpoint has sent nothing for relayReadTimeout although the
+// gateway was reading.
 func (t *relayTable) timerDue(r *relay) {
 	if r.writing || r.paused {
 		t.setTimer(timerUpstream, uint64(r.upstream.ID), t.now+relayReadTimeout)
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -2,26 +2,26 @@
 
 import "thymebend/internal/loop"
 
-// reloader takes changed files while the gateway runs.
+// reloader applies changed files while the gateway runs.
 type reloader struct {
 	*core
 	classes   *classTable
 	cluster   *cluster
 	discovery *discoveryWatch
 
-	pending []string // files asked for and not yet read
+	pending []string // files requested and not yet read
 }
 
-// apply takes the configuration's new text: the address of discovery and the settings; the rest is fixed at
-// the start. A faulty file changes nothing.
+// apply applies the new text of the configuration file: the address of discovery and the settings. All else is
+// fixed at the start of the process. A faulty file changes nothing.
 func (r *reloader) apply(raw []byte, err error) {
-	fresh := r.cfg
+	updated := r.cfg
 	if err == nil {
-		fresh, err = r.cfg.Reload(raw)
+		updated, err = r.cfg.Reload(raw)
 	}
 	var indices []int
 	if err == nil {
-		indices, err = r.balancer.Reload(r.now, fresh.Settings.Config)
+		indices, err = r.balancer.Reload(r.now, updated.Settings.Config)
 	}
 	if err != nil {
 		r.stats.configsRejected++
@@ -30,12 +30,12 @@
 	}
 	r.stats.configsAccepted++
 	r.dispatchNeeded = true
-	r.classes.apply(fresh.Settings, indices)
-	r.log.Info().Stringer(fieldDiscovery, fresh.Discovery).Int(fieldClasses, len(indices)).Msg("reload")
-	r.discovery.reload(fresh.Discovery)
+	r.classes.apply(updated.Settings, indices)
+	r.log.Info().Stringer(fieldDiscovery, updated.Discovery).Int(fieldClasses, len(indices)).Msg("reload")
+	r.discovery.reload(updated.Discovery)
 }
 
-// begin reads the files that a reload takes. They come in this order.
+// begin requests the files that a reload reads. Their contents arrive in the same order.
 func (r *reloader) begin() {
 	paths := []string{r.cfg.Path}
 	if r.cfg.GossipPath != "" {
@@ -47,7 +47,7 @@
 	}
 }
 
-// fileRead takes the oldest file that is pending.
+// fileRead handles the content of the oldest pending file.
 func (r *reloader) fileRead(e loop.Event) {
 	path := r.pending[0]
 	if r.pending = r.pending[1:]; path == r.cfg.GossipPath {
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -9,39 +9,39 @@
 	"thymebend/internal/loop"
 )
 
-// requestTable holds the requests that this gateway has taken.
+// requestTable holds the requests that this gateway has accepted and not yet finished.
 type requestTable struct {
 	*core
 	attempts   *attemptTable
 	downstream *downstreamConns
 
 	byID    map[balancer.RequestID]*request
-	openIDs map[string]bool // the clients' ids of the requests that await their answer
+	openIDs map[string]bool // the clients' ids of the requests that wait for their answer
 	nextID  balancer.RequestID
 }
 
-// request is one request from its acceptance to the end of its last attempt.
+// request is one request, from its acceptance to the end of its last attempt.
 type request struct {
 	downstream.Request
 	id         balancer.RequestID
-	client     loop.Conn // 0 once the client is gone
+	client     loop.Conn // 0 once the answer is written or the client has left
 	deadline   time.Duration
-	done       bool       // has its final answer, or its client is gone
-	started    int        // attempts
-	running    []*attempt // of them
-	upload     *upload    // its body, where that is too large to be held
+	done       bool       // the final answer is decided, or the client has left
+	started    int        // number of attempts started
+	running    []*attempt // attempts in progress
+	upload     *upload    // its body if that is too large to be buffered, else nil
 	invariants invariant.Request
 }
 
-// add takes a request, with the rules of its class as they are now.
-func (t *requestTable) add(read downstream.Request, conn *downstream.Conn) *request {
+// add registers a request, with the rules of its class at this time.
+func (t *requestTable) add(parsed downstream.Request, conn *downstream.Conn) *request {
 	t.nextID++
-	deadline := t.now + conn.TimeLeft(t.now, read.ClientTimeout)
-	class := read.Class.Class
+	deadline := t.now + conn.TimeLeft(t.now, parsed.ClientTimeout)
+	class := parsed.Class.Class
 	req := &request{
-		Request: read, id: t.nextID, client: conn.ID, deadline: deadline,
+		Request: parsed, id: t.nextID, client: conn.ID, deadline: deadline,
 		invariants: invariant.Request{
-			ID:          read.ID,
+			ID:          parsed.ID,
 			Idempotency: class.Idempotency,
 			DedupScope:  class.DedupScope,
 			DedupWindow: class.DedupWindow,
@@ -49,25 +49,27 @@
 		},
 	}
 	t.byID[req.id] = req
-	t.openIDs[read.ID] = true
+	t.openIDs[parsed.ID] = true
 	return req
 }
 
-// conclude notes how a request has ended for its client. Each request passes here once, or is relayed.
+// conclude records the final result of a request for its client. It is called once for each request, except for
+// those whose response is relayed: see relayEnded.
 func (t *requestTable) conclude(req *request, r finalResult) {
 	req.done = true
 	delete(t.openIDs, req.ID)
 	t.stats.countResult(req.Class.Name, r)
-	t.logAnswered(req, r)
+	t.logRequestEnded(req, r)
 }
 
-// relayEnded notes how a request has ended whose response was relayed.
+// relayEnded records the final result of a request whose response was relayed.
 func (t *requestTable) relayEnded(id, class string, r finalResult) {
 	delete(t.openIDs, id)
 	t.stats.countResult(class, r)
 }
 
-// concludeForAnswer concludes a request and returns the connection for its answer, nil if its client is gone.
+// concludeForAnswer concludes a request and returns it with the connection for its answer, which is nil if the
+// client has left. It returns nil for both if the request has already ended or may not be answered.
 func (t *requestTable) concludeForAnswer(id balancer.RequestID, r finalResult) (*request, *downstream.Conn) {
 	req := t.byID[id]
 	if req == nil || req.done || !t.invariants.AllowAnswer(&req.invariants) {
@@ -78,18 +80,18 @@
 	return req, t.downstream.conns.ByConn[req.client]
 }
 
-// release drops a request once nothing refers to it.
+// release drops a request once it is done and has no attempts in progress.
 func (t *requestTable) release(req *request) {
 	if req.done && len(req.running) == 0 {
 		delete(t.byID, req.id)
 	}
 }
 
-// abandon ends a request to which the balancer owes no answer any more, and its attempts.
+// abandon ends a request that needs no answer from the balancer any more, and its attempts.
 func (t *requestTable) abandon(req *request) {
 	req.client = 0
 	req.invariants.ClientLeft()
-	t.conclude(req, outcomeFailed) // counted under `faulted`, as /ops/stats has no class for clients that left
+	t.conclude(req, outcomeFailed) // counted as `faulted`: /ops/stats has no result for clients that left
 	t.dispatchNeeded = true
 	t.balancer.RequestAbandoned(t.now, req.id)
 	for _, att := range append([]*attempt(nil), req.running...) {
@@ -98,7 +100,7 @@
 	t.release(req)
 }
 
-// timeLeft is what the client of a request with a large body has left.
+// timeLeft returns the time remaining until the client's timeout, for a request with a large body.
 func (t *requestTable) timeLeft(req *request) time.Duration {
 	if conn := t.downstream.conns.ByConn[req.client]; conn != nil {
 		return conn.TimeLeft(t.now, req.ClientTimeout)
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -6,44 +6,45 @@
 	"thymebend/internal/loop"
 )
 
-// The times of a graceful shutdown, from SIGTERM on: until 0.55 s new connections are accepted; until 1.25 s the
-// listener's backlog is drained, then the listener is closed; at the shorter of 3 s and the longest deadline, plus
-// 0.6 s, the last answer is due; 0.1 s later SIGKILL may come.
+// The schedule of a graceful shutdown, counted from SIGTERM: until 0.55 s new connections are accepted; until 1.25 s
+// the listener's backlog is drained, then the listener is closed; the last answer is due at the shorter of 3 s and
+// the longest deadline, plus 0.6 s; SIGKILL may follow 0.1 s later.
 
-// acceptAfterSIGTERM is how long new connections are accepted after SIGTERM: the load balancer in front goes
-// on bringing them for 0.4 s. What comes after 0.7 s would have to be answered before a SIGKILL that may come
-// too soon.
+// acceptAfterSIGTERM is how long new connections are accepted after SIGTERM: the load balancer in front keeps
+// sending them for 0.4 s. A request that arrives after 0.7 s would have to be answered before SIGKILL, which
+// may follow too soon.
 const acceptAfterSIGTERM = 550 * time.Millisecond
 
-// What the platform promises of a graceful shutdown: SIGKILL comes no sooner after SIGTERM than the longest
-// deadline, taken as maxGrace where it is longer, and killAfter more. Requests that come within killAfter of
-// SIGTERM count as lost to nobody where SIGKILL finds them in work.
+// The platform's guarantees for a graceful shutdown: SIGKILL is sent no earlier after SIGTERM than the longest
+// deadline, limited to maxGrace, plus killAfter. A request that arrives within killAfter of SIGTERM does not count as
+// lost if it is still in progress at SIGKILL.
 const (
 	maxGrace  = 3 * time.Second
 	killAfter = 700 * time.Millisecond
 )
 
-// endBeforeKill is what ending a connection takes before SIGKILL: to answer half a request and wait for the
-// close.
+// endBeforeKill is the time before SIGKILL that is reserved for ending a connection: answering a partly
+// received request and waiting for the client's close.
 const endBeforeKill = 300 * time.Millisecond
 
-// killMargin is what a final answer and its way to the client take, on a busy processor.
+// killMargin is the time that a final answer may take to reach the client on a busy processor.
 const killMargin = 100 * time.Millisecond
 
-// backlogDrainTimeout is how long after acceptAfterSIGTERM the listener's backlog may take to be accepted.
+// backlogDrainTimeout is the time, after acceptAfterSIGTERM, in which the connections in the listener's backlog
+// are accepted.
 const backlogDrainTimeout = 700 * time.Millisecond
 
-// shutdownPhase is how far the end of this process has come. Phases only grow.
+// shutdownPhase is how far the shutdown of this process has advanced. Phases never go back.
 type shutdownPhase uint8
 
 const (
 	phaseServing  shutdownPhase = iota
-	phaseStopping               // SIGTERM has come, new connections are still taken
-	phaseClosing                // nothing new is taken but what waits at the listener
+	phaseStopping               // SIGTERM was received; new connections are still accepted
+	phaseClosing                // only connections in the listener's backlog are still accepted
 	phaseDrained                // the listener is closed
 )
 
-// shutdown ends the process gracefully.
+// shutdown ends the process gracefully after SIGTERM.
 type shutdown struct {
 	*core
 	cluster    *cluster
@@ -53,17 +54,18 @@
 	restart    *hotRestart
 
 	phase    shutdownPhase
-	answerBy time.Duration // once stopping: the last moment for a final answer, killMargin before SIGKILL may come
+	answerBy time.Duration // once stopping: latest time for a final answer, killMargin before SIGKILL may come
 }
 
-// stopping reports whether SIGTERM has come.
+// stopping reports whether SIGTERM was received.
 func (s *shutdown) stopping() bool { return s.phase >= phaseStopping }
 
-// closing reports whether nothing new is taken but what waits at the listener.
+// closing reports whether new connections are no longer accepted, except for those in the listener's backlog.
 func (s *shutdown) closing() bool { return s.phase >= phaseClosing }
 
-// begin begins a graceful shutdown. Every answer from now on ends its connection; idle ones stay open while
-// the load balancer in front may still bring new ones, for a client that is closed would only come back here.
+// begin starts a graceful shutdown. From now on every answer closes its connection. Idle connections stay open
+// while the load balancer in front may still send new ones, because a client whose connection is closed would
+// only connect to this process again.
 func (s *shutdown) begin() {
 	if s.stopping() {
 		return
@@ -74,7 +76,8 @@
 	s.cluster.quit(true)
 	s.downstream.beginShutdown()
 	if s.restart.handedOver() {
-		// The successor takes clients, and connections after their answers: there is no one to wait for.
+		// The successor accepts clients, and receives connections after their answers: there are no new clients
+		// to wait for.
 		s.phase = phaseClosing
 		s.restart.connIdle()
 		s.endListener()
@@ -85,18 +88,19 @@
 	s.setTimer(timerStop, 0, s.now+acceptAfterSIGTERM)
 }
 
-// tooLate reports whether a request might still be in progress at SIGKILL, which would lose it. Guards
-// against half a request that is completed once the listener is closed, and against one on a connection that
-// stood until then.
+// tooLate reports whether a request with this timeout might still be in progress at SIGKILL, which would lose
+// it. Such requests are completed only after the listener has been closed, or arrive on a connection that was
+// open until then.
 func (s *shutdown) tooLate(timeout time.Duration) bool {
 	return s.closing() && !s.restart.handedOver() && s.now+timeout > s.answerBy
 }
 
-// closeListener accepts the listener's backlog, then closes it and the idle downstream connections.
+// closeListener accepts the connections in the listener's backlog, closes the idle downstream connections and
+// sets the timer that closes the listener.
 func (s *shutdown) closeListener() {
 	s.phase = max(s.phase, phaseClosing)
 	if s.restart.handedOver() || s.listener.phase == notListening {
-		s.endListener() // the queue is the successor's, or there is none
+		s.endListener() // the backlog belongs to the successor, or there is none
 		return
 	}
 	s.listener.accept()
@@ -104,14 +108,14 @@
 	s.downstream.closeIdle()
 }
 
-// endListener closes the listener for good.
+// endListener closes the listener finally.
 func (s *shutdown) endListener() {
 	s.phase = phaseDrained
 	s.stopTimer(timerStop, 0)
 	s.closeConn(loop.Listener)
 }
 
-// exitIfDone ends the process once all requests are finished and every client has its answer.
+// exitIfDone ends the process once all requests are finished and all downstream connections are closed.
 func (s *shutdown) exitIfDone() {
 	if s.phase == phaseDrained && len(s.requests.byID) == 0 && len(s.downstream.conns.ByConn) == 0 &&
 		len(s.restart.passing) == 0 && s.invariants.AllowExit(len(s.requests.openIDs)) {
@@ -120,7 +124,8 @@
 	}
 }
 
-// timerDue closes the listener for new connections, then for those that wait.
+// timerDue advances the shutdown: it stops accepting new connections, then, when the backlog is drained, closes
+// the listener.
 func (s *shutdown) timerDue() {
 	if s.closing() {
 		s.endListener()
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -2,21 +2,22 @@
 
 import "thymebend/internal/balancer"
 
-// maxCountedClasses bounds the classes counted, with those that have left the settings.
+// maxCountedClasses limits the number of classes with counters, including classes that are no longer in the
+// settings.
 const maxCountedClasses = 256
 
-// statistics are the counters of /ops/stats.
+// statistics holds the counters of /ops/stats.
 type statistics struct {
 	classes         map[string]*classCounts
-	forwarded       int64 // requests written completely to endpoints
-	configsAccepted int   // at reloads
-	configsRejected int
-	ends            [reasonCount]uint64 // of attempts and of downstream connections
+	forwarded       int64               // requests written completely to endpoints
+	configsAccepted int                 // configurations applied at reloads
+	configsRejected int                 // configurations rejected at reloads
+	ends            [reasonCount]uint64 // ends of attempts and of downstream connections, by reason
 	rejections      [rejectionReasonCount]uint64
 	retries         uint64 // attempts beyond a request's first
 }
 
-// classCounts are the final answers of one class.
+// classCounts counts the final results of the requests of one class.
 type classCounts struct{ served, rejected, failed int64 }
 
 // finalResult is how a request ended for its client.
@@ -28,7 +29,7 @@
 	outcomeFailed
 )
 
-// String is for log lines.
+// String returns the result as it appears in log lines.
 func (r finalResult) String() string {
 	switch r {
 	case outcomeServed:
@@ -41,31 +42,32 @@
 	return "unknown"
 }
 
-// countResult counts the end of a request. Every final answer passes here, once.
+// countResult counts the final result of a request. It is called exactly once per request.
 func (s *statistics) countResult(class string, r finalResult) {
-	t := s.class(class)
+	counts := s.class(class)
 	switch r {
 	case outcomeServed:
-		t.served++
+		counts.served++
 	case outcomeRejected:
-		t.rejected++
+		counts.rejected++
 	default:
-		t.failed++
+		counts.failed++
 	}
 }
 
-// class returns the counts of a class.
+// class returns the counters of a class, which it creates if necessary.
 func (s *statistics) class(class string) *classCounts {
-	t := s.classes[class]
-	if t == nil {
-		t = &classCounts{}
-		s.classes[class] = t
+	counts := s.classes[class]
+	if counts == nil {
+		counts = &classCounts{}
+		s.classes[class] = counts
 	}
-	return t
+	return counts
 }
 
-// countClasses makes every class of the settings count from its first moment. Guards against memory that
-// grows with reloads: with too many names, those that have left are forgotten.
+// countClasses creates counters for every class of the settings, so that the classes are reported before their
+// first request. If there are more than maxCountedClasses, the counters of classes that are no longer in the
+// settings are dropped, so that memory does not grow with reloads.
 func (s *statistics) countClasses(classes []balancer.Class) {
 	if len(s.classes) > maxCountedClasses {
 		kept := make(map[string]*classCounts)
@@ -79,5 +81,5 @@
 	}
 }
 
-// countEnd counts how connections and attempts ended, for the figures.
+// countEnd counts the end of a connection or an attempt by its reason.
 func (s *statistics) countEnd(end TerminationReason) { s.ends[end]++ }
--- a/internal/gateway/termination.go
+++ b/internal/gateway/termination.go
@@ -2,46 +2,47 @@
 
 import "thymebend/internal/balancer"
 
-// TerminationReason is every way in which a connection, or what was under way on it, can end.
+// TerminationReason is the reason for which an attempt, a connection or a watch ended.
 type TerminationReason uint8
 
-// The ends of attempts come first: those that prove that the request never ran, then those that leave it
-// open, then the one that served it. The ends of downstream connections and of the watch follow.
+// Reasons for the end of attempts come first: those that prove that the request was never executed, then those
+// that leave this open, then the one for a served request. Reasons for the end of downstream connections and of
+// the watch follow.
 const (
-	ReasonRequestOver     TerminationReason = iota // not begun: the request was done, out of time or of attempts
-	ReasonDedupWindowOver                          // connected after the window for retries: nothing was written
-	ReasonEndpointLeft                             // the endpoint drains or is gone: nothing was written
-	ReasonNoDescriptor                             // no descriptor was left for a connection
+	ReasonRequestOver     TerminationReason = iota // not started: the request was done, or had no time or attempts left
+	ReasonDedupWindowOver                          // connected after the retry window had ended: nothing was written
+	ReasonEndpointLeft                             // the endpoint drains or was removed: nothing was written
+	ReasonNoDescriptor                             // no descriptor was available for a connection
 	ReasonConnectFailed                            // the connection was refused or broke before it was established
-	ReasonLocalResources                           // this machine lacks something that a connection needs
-	// the connection was not established in time, or too late for the attempt
+	ReasonLocalResources                           // this machine lacks a resource that a connection needs
+	// The connection was not established in time, or too late for the attempt.
 	ReasonConnectTimeout
-	// the connection broke, or the write timed out, before the last byte was written
+	// The connection broke, or the write timed out, before the last byte was written.
 	ReasonResetBeforeSent
-	ReasonRejected          // the endpoint says that it did not begin
-	ReasonResponseTimeout   // no answer in time
-	ReasonReset             // the connection broke or ended before a complete answer
-	ReasonMalformedResponse // what came is no answer
-	ReasonErrorResponse     // an answer that is neither served nor rejected
-	ReasonCancelled         // the balancer cancelled
-	ReasonClientLeft        // the client left: its attempts and its connection end
-	ReasonServed            // a complete 200
-	// closed while idle: by a timeout, the pool limit, a change of the subset, an upgrade or the peer
+	ReasonRejected          // the endpoint rejected the request and states that it did not execute it
+	ReasonResponseTimeout   // no complete response in time
+	ReasonReset             // the connection broke or ended before the response was complete
+	ReasonMalformedResponse // the received bytes are not a valid response
+	ReasonErrorResponse     // a response that neither serves nor rejects the request
+	ReasonCancelled         // the balancer cancelled the attempt
+	ReasonClientLeft        // the client left, which ends its attempts and its connection
+	ReasonServed            // a complete response with status 200
+	// Closed while idle: by a timeout, the pool limit, a change of the subset, an upgrade or the peer.
 	ReasonIdleClosed
 	ReasonAnswered        // a downstream connection ended after its last answer
-	ReasonClientTimeout   // a client did not finish its request, or read its answer, in time
+	ReasonClientTimeout   // the client did not finish its request, or read its answer, in time
 	ReasonWatchBroken     // the watch broke, ended or was never established
 	ReasonWatchSilent     // the watch missed its heartbeat
-	ReasonMalformedUpdate // the watch brought no valid list
-	ReasonWatchReplaced   // another watch took its place
+	ReasonMalformedUpdate // the watch delivered an invalid list
+	ReasonWatchReplaced   // another watch replaced it
 	reasonCount
 )
 
-// attemptOutcome maps the end of an attempt to what the balancer is notified of. It is false for ends of other
-// things. ReasonNoDescriptor, ReasonEndpointLeft and ReasonConnectTimeout count as failures of the endpoint, also
-// where this gateway was short of descriptors or of time.
-func (e TerminationReason) attemptOutcome() (balancer.Outcome, bool) {
-	switch e {
+// attemptOutcome returns the outcome of which the balancer is notified when an attempt ends for this reason. It
+// returns false for reasons that do not concern attempts. ReasonNoDescriptor, ReasonEndpointLeft and
+// ReasonConnectTimeout count as failures of the endpoint, even if this gateway lacked descriptors or time.
+func (r TerminationReason) attemptOutcome() (balancer.Outcome, bool) {
+	switch r {
 	case ReasonRequestOver, ReasonDedupWindowOver, ReasonLocalResources:
 		return balancer.OutcomeNotStarted, true
 	case ReasonEndpointLeft, ReasonNoDescriptor, ReasonConnectFailed, ReasonConnectTimeout, ReasonResetBeforeSent:
@@ -62,8 +63,8 @@
 	return 0, false
 }
 
-// String is the reason in log lines and in the ends of /ops/stats, whose texts are fixed.
-func (e TerminationReason) String() string {
+// String returns the reason as it appears in log lines and in the ends of /ops/stats, whose texts are fixed.
+func (r TerminationReason) String() string {
 	names := [...]string{
 		ReasonRequestOver:       "over",
 		ReasonDedupWindowOver:   "window over",
@@ -89,8 +90,8 @@
 		ReasonMalformedUpdate:   "list garbled",
 		ReasonWatchReplaced:     "list replaced",
 	}
-	if int(e) < len(names) {
-		return names[e]
+	if int(r) < len(names) {
+		return names[r]
 	}
 	return "unknown"
 }
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -2,10 +2,11 @@
 
 import "thymebend/internal/loop"
 
-// timerKind tells the timers of a gateway apart.
+// timerKind distinguishes the timers of a gateway.
 type timerKind uint8
 
-// Timers by kind, with what their ids are. The order is in the hash that `thymelab replay` prints.
+// Kinds of timers; the comments say what a timer's id identifies. The order is part of the hash that `thymelab
+// replay` prints.
 const (
 	timerBalancer   timerKind = iota // a token of the balancer
 	timerDownstream                  // a downstream connection
@@ -24,7 +25,7 @@
 	timerCluster
 )
 
-// timerDue hands a timer to the machine that set it.
+// timerDue routes a timer to the machine that set it.
 func (g *Gateway) timerDue(t loop.Timer) {
 	switch kind := timerKind(t.Kind); kind {
 	case timerBalancer:
--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -11,35 +11,35 @@
 	"thymebend/internal/tokenschedule"
 )
 
-// warmingEndpoint is an endpoint in slow start. None of its tokens is this gateway's before nextLook.
+// warmingEndpoint is an endpoint in slow start. This gateway owns none of its tokens before nextTokenCheck.
 type warmingEndpoint struct {
 	tokenschedule.Endpoint
 	nextTokenCheck time.Duration
 }
 
-// updateAgreement notes since when more than half of the living members have this gateway's config hash.
+// updateAgreement records since when more than half of the alive members have had this gateway's config hash.
 func (s *subsetAssignment) updateAgreement(members []membership.Member, reports []loadreport.PeerReport) {
-	living, same := 0, 0
+	alive, agreeing := 0, 0
 	for i, m := range members {
 		if m.State > gossipcodec.Suspect || !reports[i].Known && m.Name != s.cfg.Gossip.Name &&
 			len(m.Payload) == 0 {
-			continue // nothing was heard of it but its name
+			continue // nothing is known of this member except its name
 		}
-		living++
+		alive++
 		if reports[i].Known && reports[i].ConfigHash == s.state.configHash || m.Name == s.cfg.Gossip.Name {
-			same++
+			agreeing++
 		}
 	}
 	switch {
-	case 2*same <= living:
+	case 2*agreeing <= alive:
 		s.state.agreedSince = 0
 	case s.state.agreedSince == 0:
 		s.state.agreedSince = s.now
 	}
 }
 
-// updateOwners notes who may own tokens: the seed peers, and in a flat cluster all members that are known and
-// have not left.
+// updateOwners sets the gateways that may own tokens: the seed peers, and in a flat cluster also all known
+// members that have not left.
 func (s *subsetAssignment) updateOwners(members []membership.Member) {
 	names := s.seedNames()
 	if s.cfg.Gossip.Flat {
@@ -52,14 +52,15 @@
 	s.state.owners.SetGateways(s.now, names)
 }
 
-// agreed reports whether this gateway's config hash has had a majority for long enough that tokens are valid.
+// agreed reports whether a majority has had this gateway's config hash long enough for tokens to be valid.
 func (s *subsetAssignment) agreed() bool {
 	return s.state.agreedSince > 0 && s.now-s.state.agreedSince >= membershipConvergence
 }
 
-// grantTokens gives the balancer the tokens that are valid from now, before it dispatches. It dispatches
-// every few milliseconds while requests are queued, so no timer is needed. After a change of the endpoint
-// list it waits for the next update: an endpoint that has started anew has other tokens.
+// grantTokens passes the tokens that are valid now to the balancer. It is called before each Dispatch. The
+// balancer dispatches every few milliseconds while requests are queued, so no timer is needed. After a change
+// of the endpoint list no tokens are granted until the next update, because an endpoint that has restarted has
+// different tokens.
 func (s *subsetAssignment) grantTokens() {
 	state := s.state
 	if state == nil || s.cluster.membership == nil || state.endpointsChanged || !s.agreed() ||
@@ -70,22 +71,22 @@
 		return
 	}
 	for i := range state.warming {
-		c := &state.warming[i]
-		if s.now < c.nextTokenCheck || s.now >= c.StartedAt+state.rule.Duration {
+		warming := &state.warming[i]
+		if s.now < warming.nextTokenCheck || s.now >= warming.StartedAt+state.rule.Duration {
 			continue
 		}
-		divisions := state.owners.Ownerships(s.now, c.ID)
+		ownerships := state.owners.Ownerships(s.now, warming.ID)
 		for {
-			until, ok := state.taker.Take(s.now, c.Endpoint, divisions...)
+			until, ok := state.taker.Take(s.now, warming.Endpoint, ownerships...)
 			if !ok {
 				break
 			}
 			state.tokens++
-			s.balancer.GrantSlowStartToken(s.now, balancer.EndpointID(c.ID), until)
+			s.balancer.GrantSlowStartToken(s.now, balancer.EndpointID(warming.ID), until)
 		}
-		if c.nextTokenCheck, _ = state.taker.Next(s.now, c.Endpoint, tokenLookahead,
-			divisions...); c.nextTokenCheck == 0 {
-			c.nextTokenCheck = s.now + tokenLookahead
+		if warming.nextTokenCheck, _ = state.taker.Next(s.now, warming.Endpoint, tokenLookahead,
+			ownerships...); warming.nextTokenCheck == 0 {
+			warming.nextTokenCheck = s.now + tokenLookahead
 		}
 	}
 }
--- a/internal/gateway/upload.go
+++ b/internal/gateway/upload.go
@@ -8,12 +8,13 @@
 	"thymebend/internal/upstream"
 )
 
-// uploadWriteTimeout is how long an endpoint may take nothing of a body that is written to it. Guards against
-// a client that stopped meanwhile and is not read: it is owed an error within downstream.ErrorDeadline
-// whatever its endpoint does.
+// uploadWriteTimeout is how long an endpoint may take to accept a piece of a body. While a piece is being
+// written the client is not read, and may have stopped sending; it must get an error within
+// downstream.ErrorDeadline regardless of its endpoint.
 const uploadWriteTimeout = 2500 * time.Millisecond
 
-// uploads passes request bodies on that are too large to be held. Each upload's state is with its request.
+// uploads passes on request bodies that are too large to be buffered. The state of each upload is stored with
+// its request.
 type uploads struct {
 	*core
 	attempts   *attemptTable
@@ -21,25 +22,26 @@
 	requests   *requestTable
 }
 
-// upload is a request's body on its way from the client to an endpoint, one piece at a time.
+// upload is a request body that is passed from the client to an endpoint, one piece at a time.
 type upload struct {
-	length      int64         // -1: in chunks
-	attempt     *attempt      // whose endpoint has the head; nil until then
-	writing     bool          // a piece is not yet written out
-	consumed    bool          // a part has left for an endpoint: it cannot be sent again
-	complete    bool          // the last piece has been taken from the client
-	completedAt time.Duration // with complete: when the client had written its last byte, at the earliest
+	length      int64         // of the body; -1 if it is sent in chunks
+	attempt     *attempt      // the attempt whose endpoint has received the head; nil before
+	writing     bool          // a piece is being written to the endpoint
+	consumed    bool          // a part was written to an endpoint: the body cannot be sent again
+	complete    bool          // the last piece has been received from the client
+	completedAt time.Duration // if complete: earliest time at which the client may have written its last byte
 }
 
-// begin has a connection wait, with the first part of a body, until the balancer has chosen an endpoint. It
-// is read no further once more has come: until then a client that has stopped can be told from one that
-// waits.
+// begin makes a connection with the first part of a body wait until the balancer has chosen an endpoint. If
+// more data arrive before that, reading is paused; until then a client that has stopped sending can be told
+// from one that waits.
 func (u *uploads) begin(req *request, conn *downstream.Conn) {
 	req.upload = &upload{length: conn.Begin()}
 	u.downstream.setDeadline(conn, u.downstream.requestDeadline(conn))
 }
 
-// readable reads on only while all that has come is written out: the client goes at the endpoint's pace.
+// readable reads more of a body only while all received data have been written out, so that the client sends at
+// the endpoint's pace.
 func (u *uploads) readable(conn *downstream.Conn) {
 	if req := u.requests.byID[conn.Request]; !conn.Muted && (req.upload.attempt == nil || req.upload.writing) {
 		u.downstream.pauseReading(conn)
@@ -48,7 +50,7 @@
 	u.emit(loop.Effect{Op: loop.Read, Conn: conn.ID})
 }
 
-// pump writes what has come of a body to the endpoint.
+// pump writes the part of a body received so far to the endpoint, unless a write is in progress.
 func (u *uploads) pump(req *request) {
 	up, conn := req.upload, u.downstream.conns.ByConn[req.client]
 	if up.attempt == nil || up.writing || up.complete || conn == nil {
@@ -70,10 +72,10 @@
 	}
 	u.downstream.resumeReading(conn)
 	u.setTimer(timerAttempt, up.attempt.id, u.now+uploadWriteTimeout)
-	u.write(up.attempt.conn.ID, framed(piece, up.length < 0, done))
+	u.write(up.attempt.conn.ID, framePiece(piece, up.length < 0, done))
 }
 
-// flushed goes on once the head or a piece is written out.
+// flushed continues after the head or a piece has been written out.
 func (u *uploads) flushed(att *attempt) {
 	up := att.request.upload
 	u.stopTimer(timerAttempt, att.id)
@@ -82,7 +84,7 @@
 		u.pump(att.request)
 		return
 	}
-	// The endpoint works from now on. The client has waited since its own last byte.
+	// From now on the endpoint executes the request. The client's timeout counts from the client's last byte.
 	att.conn.Phase = upstream.Awaiting
 	u.stats.forwarded++
 	att.began, att.deadline = u.now, up.completedAt+att.request.ClientTimeout
@@ -91,7 +93,7 @@
 	u.attempts.noteProgress(att, true)
 }
 
-// abort ends a request whose client does not send its body as it should, and answers it.
+// abort ends a request whose client sends its body too slowly or malformed, and answers it.
 func (u *uploads) abort(req *request, conn *downstream.Conn, answer []byte) {
 	u.requests.abandon(req)
 	u.downstream.finishRequest(conn)
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -9,11 +9,11 @@
 	"thymebend/internal/upstream"
 )
 
-// idleTimeoutFraction of the time after which endpoints close idle connections. Guards against reusing one
-// too late.
+// idleTimeoutFraction is the fraction of the endpoints' idle timeout after which the gateway closes an idle
+// connection, so that none is reused when its endpoint is about to close it.
 const idleTimeoutFraction = 0.7
 
-// handleEvent handles an event on an upstream connection. An idle one has no attempt.
+// handleEvent handles an event on an upstream connection. An idle connection has no attempt.
 func (a *attemptTable) handleEvent(conn *upstream.Conn, e loop.Event) {
 	att := a.byConn[conn.ID]
 	switch e.Kind {
@@ -31,7 +31,8 @@
 			a.stats.forwarded++
 		}
 	case loop.Stale:
-		// Nothing was written: the endpoint closed this connection while it was idle. Another may serve.
+		// Nothing was written: the endpoint closed this connection while it was idle. The attempt starts again
+		// on another connection.
 		att.request.invariants.AttemptEnded(att.invariantIndex, true)
 		att.invariantIndex = notWritten
 		a.dropConn(conn, ReasonIdleClosed)
@@ -43,10 +44,10 @@
 	}
 }
 
-// handleData takes bytes of a response.
+// handleData processes bytes of a response.
 func (a *attemptTable) handleData(conn *upstream.Conn, att *attempt, data []byte) {
 	if att == nil {
-		a.dropConn(conn, ReasonMalformedResponse) // bytes that no request asked for
+		a.dropConn(conn, ReasonMalformedResponse) // bytes that belong to no request
 		return
 	}
 	resp, err := conn.Feed(data)
@@ -63,7 +64,7 @@
 	}
 }
 
-// connBroke ends what is under way on a connection that broke or was closed by its endpoint.
+// connBroke ends the attempt on a connection that broke or was closed by its endpoint.
 func (a *attemptTable) connBroke(conn *upstream.Conn, att *attempt, e loop.Event) {
 	if att == nil {
 		a.dropConn(conn, ReasonIdleClosed)
@@ -87,7 +88,8 @@
 	}
 }
 
-// responded takes the complete response of an endpoint. The first 200 goes to the client as it is.
+// responded handles the complete response of an endpoint. The first response with status 200 is passed to the
+// client.
 func (a *attemptTable) responded(att *attempt, resp *upstream.Response) {
 	end := ReasonErrorResponse
 	switch {
@@ -103,9 +105,9 @@
 	}
 	if end == ReasonServed && !req.done && a.invariants.AllowAnswer(&req.invariants) {
 		a.requests.conclude(req, outcomeServed)
-		if c := a.downstream.conns.ByConn[req.client]; c != nil {
-			keep := a.downstream.finishRequest(c)
-			a.downstream.answer(req, c, downstream.ServedResponse(resp.Forwarded(), resp.Body, keep))
+		if client := a.downstream.conns.ByConn[req.client]; client != nil {
+			keep := a.downstream.finishRequest(client)
+			a.downstream.answer(req, client, downstream.ServedResponse(resp.Forwarded(), resp.Body, keep))
 		}
 	}
 	a.end(att, end, resp)
@@ -116,7 +118,7 @@
 	return a.discovery.isReady(conn.Endpoint) && !a.shutdown.stopping() && !a.pool.Over()
 }
 
-// keepIdle keeps a connection for the next request, until shortly before its endpoint would close it.
+// keepIdle keeps a connection open for the next request, until shortly before its endpoint would close it.
 func (a *attemptTable) keepIdle(conn *upstream.Conn) {
 	a.pool.Release(conn)
 	a.setTimer(timerUpstream, uint64(conn.ID), a.now+scale(a.cfg.Settings.Gateway.IdleTimeout, idleTimeoutFraction))
@@ -132,30 +134,30 @@
 	a.closeConn(conn.ID)
 }
 
-// endpointsChanged closes the idle connections to endpoints that drain, are removed, have moved or have
-// started anew, and ends the attempts that still connect to one. Guards against a byte written to an endpoint
-// after this gateway was notified that it leaves, and against an attempt at a new start of an endpoint, in
-// slow start, that was meant for the old.
+// endpointsChanged closes the idle connections to endpoints that drain, were removed, have moved or have
+// restarted, and ends the attempts that are still connecting to one. No byte may be written to an endpoint
+// after this gateway was notified that it leaves, and an attempt meant for an endpoint before its restart must
+// not reach it in slow start after the restart.
 func (a *attemptTable) endpointsChanged(changed []balancer.EndpointID) {
 	if len(changed) == 0 {
 		return
 	}
-	left := make(map[balancer.EndpointID]bool, len(changed))
+	leaving := make(map[balancer.EndpointID]bool, len(changed))
 	for _, id := range changed {
-		left[id] = true
+		leaving[id] = true
 		for _, conn := range a.pool.IdleTo(id) {
 			a.dropConn(conn, ReasonEndpointLeft)
 		}
 	}
-	for _, conn := range a.pool.ConnectingTo(left) {
+	for _, conn := range a.pool.ConnectingTo(leaving) {
 		if att := a.byConn[conn.ID]; att != nil {
 			a.end(att, ReasonEndpointLeft, nil)
 		}
 	}
 }
 
-// scale is a fraction of a duration.
-func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
+// scale returns a duration multiplied by a factor.
+func scale(d time.Duration, factor float64) time.Duration { return time.Duration(float64(d) * factor) }
 
 // idleTimerDue closes an idle connection before its endpoint does.
 func (a *attemptTable) idleTimerDue(c loop.Conn) {
