--- a/internal/gateway/assignment.go
+++ b/internal/gateway/assignment.go
@@ -53,15 +53,15 @@
 	reporter   loadreport.Reporter
 
 	version          uint64 // version of the view at the last update
-	converged        bool
+	converged        bool   // whether the view had converged at the last update
 	updatedAt        time.Duration
 	endpointsChanged bool // the endpoint list has changed since the last update
 
 	agreedSince   time.Duration     // since when most alive members have this config hash; 0 if they do not
 	warming       []warmingEndpoint // endpoints in slow start for which this gateway may own tokens
 	assigned      []balancer.AssignedEndpoint
-	tokens        uint64 // number of tokens taken since joining
-	errorLoggedAt time.Duration
+	tokens        uint64        // number of tokens taken since joining
+	errorLoggedAt time.Duration // when logError last logged
 }
 
 // begin is called when this process joins the cluster. Until the view has converged, the balancer derives its
@@ -80,7 +80,7 @@
 			Float64(fieldSlowStartFraction, state.rule.InitialFraction).
 			Msg("assignment: no slow-start tokens can be given, new endpoints wait until they are warm")
 	}
-	var seeds []assignment.Gateway // their zone is unknown, and the same unknown value on all gateways
+	var seeds []assignment.Gateway // their zone is unknown, and -1 on all gateways
 	if !gossip.Flat {
 		for _, name := range s.seedNames() {
 			seeds = append(seeds, assignment.Gateway{Name: name, Zone: -1})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -218,8 +218,8 @@
 	}
 }
 
-// connEvent routes an event to the machine that owns the connection. A connection that no machine owns was
-// closed earlier; its descriptor is closed again.
+// connEvent routes an event to the machine that owns the connection. A connection without an owner was dropped
+// earlier; it is closed again.
 func (g *Gateway) connEvent(e loop.Event) {
 	if conn := g.admin.conns.Find(e.Conn); conn != nil {
 		g.admin.handleEvent(conn, e)
--- a/internal/gateway/hotrestart_test.go
+++ b/internal/gateway/hotrestart_test.go
@@ -8,7 +8,7 @@
 	"thymebend/internal/hotrestart"
 )
 
-// Guards against an older list of the predecessor, after which what changed between the two would never come.
+// If an older list of the predecessor were applied, the changes between the two lists would never be received.
 func TestOlderPredecessorListIsIgnored(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -20,8 +20,8 @@
 		{"newer", 10, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, "subscribe", object(9, true, entry(1, "up", 0)))
-			r.g.restart.inherit(stateMessage(object(c.version, true, entry(1, "up", 0), entry(2, "up", 0))))
+			r := newRig(t, "subscribe", listLine(9, true, listEntry(1, "up", 0)))
+			r.g.restart.inherit(stateMessage(listLine(c.version, true, listEntry(1, "up", 0), listEntry(2, "up", 0))))
 			if got := r.g.discovery.endpoints.Len(); got != c.want {
 				t.Errorf("%d endpoints, want %d", got, c.want)
 			}
@@ -29,16 +29,15 @@
 	}
 }
 
-// Guards against a limit on messages that is below 8,000 endpoints with long names and all that can be
-// learned.
+// The limit on messages must allow 8,000 endpoints with long names and all learned values.
 func TestLongListsAreHandedOver(t *testing.T) {
-	for _, hosts := range []int{1024, 8000} {
-		entries := make([]string, hosts)
+	for _, count := range []int{1024, 8000} {
+		entries := make([]string, count)
 		for i := range entries {
 			long := strings.Repeat("instance-", 16) + "s-"
-			entries[i] = strings.Replace(entry(i+1, "up", 1_700_000_000_000), "s-", long, 1)
+			entries[i] = strings.Replace(listEntry(i+1, "up", 1_700_000_000_000), "s-", long, 1)
 		}
-		r := newRig(t, "subscribe", object(1, true, entries...))
+		r := newRig(t, "subscribe", listLine(1, true, entries...))
 		learned := r.g.balancer.State(r.now)
 		for i := range learned.Endpoints {
 			s := &learned.Endpoints[i]
@@ -48,27 +47,26 @@
 		}
 		m := stateMessage(string(r.g.discovery.endpoints.Encode()))
 		m.Balancer = &learned
-		words, err := m.Encode()
+		encoded, err := m.Encode()
 		if err != nil {
-			t.Fatalf("%d endpoints: %v", hosts, err)
+			t.Fatalf("%d endpoints: %v", count, err)
 		}
-		t.Logf("%d endpoints: %d bytes", hosts, len(words))
-		next := newRig(t, "subscribe", `{"seq":0,"whole":true,"hosts":[]}`)
-		next.g.restart.inherit(m)
-		if next.g.discovery.endpoints.Len() != hosts {
-			t.Errorf("the successor has %d endpoints of %d", next.g.discovery.endpoints.Len(), hosts)
+		t.Logf("%d endpoints: %d bytes", count, len(encoded))
+		successor := newRig(t, "subscribe", `{"seq":0,"whole":true,"hosts":[]}`)
+		successor.g.restart.inherit(m)
+		if successor.g.discovery.endpoints.Len() != count {
+			t.Errorf("the successor has %d of %d endpoints", successor.g.discovery.endpoints.Len(), count)
 		}
 	}
 }
 
-// Guards against an upgrade that stalls on a message that is too large: it is logged, and the predecessor
-// goes on.
-func TestTooLargeHandoverIsLogged(t *testing.T) {
-	r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
+// A message that is too large must not stall an upgrade: it is logged, and the predecessor continues alone.
+func TestOversizedHandoverMessageIsLogged(t *testing.T) {
+	r := newRig(t, "subscribe", listLine(1, true, listEntry(1, "up", 0)))
 	r.g.restart.successor = &hotrestart.Conn{ID: 5}
 	m := stateMessage(`"` + strings.Repeat("x", 17<<20) + `"`)
 	r.g.restart.send(r.g.restart.successor, m, nil)
 	if r.g.restart.successor != nil || !strings.Contains(r.log.String(), "a hand-over message of 17") {
-		t.Errorf("the log is %.300s", r.log.String())
+		t.Errorf("the successor was not dropped, or the message not logged: %.300s", r.log.String())
 	}
 }
--- a/internal/gateway/logging_test.go
+++ b/internal/gateway/logging_test.go
@@ -9,20 +9,20 @@
 	"thymebend/internal/loop"
 )
 
-// Guards against a request, rejection or close that cannot be followed by its id, its connection and a
+// The log must allow an operator to follow a request, a rejection or a close by its id, its connection and its
 // reason.
-func TestReasonsAreLoggedAndCounted(t *testing.T) {
-	r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
+func TestTerminationReasonsAreLoggedAndCounted(t *testing.T) {
+	r := newRig(t, "subscribe", listLine(1, true, listEntry(1, "up", 0)))
 	r.g.log = zerolog.New(&r.log).Level(zerolog.DebugLevel)
-	r.request(0, 0)
-	r.turn()
-	host := r.connecting(endpointAddr(1))
-	r.connected(host)
-	r.answer(host, "500 Bad")
-	r.turn()
-	r.step(loop.Event{Kind: loop.Accepted, Conn: r.clients + 1, Via: loop.Listener})
-	r.step(loop.Event{Kind: loop.Data, Conn: r.clients + 1, Data: []byte("GET /vi")})
-	r.step(loop.Event{Kind: loop.EOF, Conn: r.clients + 1})
+	r.sendRequest(0, 0)
+	r.endRound()
+	endpoint := r.pendingConn(endpointAddr(1))
+	r.establish(endpoint)
+	r.respond(endpoint, "500 Bad")
+	r.endRound()
+	r.step(loop.Event{Kind: loop.Accepted, Conn: r.lastClient + 1, Via: loop.Listener})
+	r.step(loop.Event{Kind: loop.Data, Conn: r.lastClient + 1, Data: []byte("GET /vi")})
+	r.step(loop.Event{Kind: loop.EOF, Conn: r.lastClient + 1})
 	for _, want := range []string{`"message":"downstream connection accepted"`,
 		`"message":"request begins to come"`,
 		`"id":"0000000000000001","class":"view"`, `"attempt":0`, `"end":"faulty"`,
@@ -31,19 +31,19 @@
 			t.Errorf("no %s in the log:\n%s", want, r.log.String())
 		}
 	}
-	f := r.g.admin.statsReport()
-	if f.Ends["faulty"] != 1 || f.Ends["client gone"] != 1 {
-		t.Errorf("ends %v", f.Ends)
+	stats := r.g.admin.statsReport()
+	if stats.Ends["faulty"] != 1 || stats.Ends["client gone"] != 1 {
+		t.Errorf("ends %v, want 1 \"faulty\" and 1 \"client gone\"", stats.Ends)
 	}
 }
 
-// Guards against a rejection by the gateway itself that is missing in the figures.
+// Rejections by the gateway itself must be counted in /ops/stats.
 func TestRejectionsAreCountedByReason(t *testing.T) {
-	r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
+	r := newRig(t, "subscribe", listLine(1, true, listEntry(1, "up", 0)))
 	r.g.cfg.Settings.Gateway.MaxOpenRequests = 1
-	r.request(0, 0)
-	r.request(0, 0)
-	if f := r.g.admin.statsReport(); f.Rejections["too many open"] != 1 {
-		t.Errorf("rejections %v", f.Rejections)
+	r.sendRequest(0, 0)
+	r.sendRequest(0, 0)
+	if stats := r.g.admin.statsReport(); stats.Rejections["too many open"] != 1 {
+		t.Errorf("rejections %v, want 1 \"too many open\"", stats.Rejections)
 	}
 }
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -21,42 +21,43 @@
 
 const discoveryAddr = "10.9.0.1:80"
 
-// rig plays events to the reducer by hand and keeps what it asked for.
+// rig feeds events to a Gateway and records its effects.
 type rig struct {
-	t       testing.TB
-	g       *Gateway
-	now     time.Duration
-	dialled map[loop.Conn]netip.AddrPort
-	closed  map[loop.Conn]bool
-	written map[loop.Conn][]byte
-	timers  map[loop.Timer]time.Duration
-	log     bytes.Buffer
-	clients loop.Conn
-	asked   int // requests
+	t            testing.TB
+	g            *Gateway
+	now          time.Duration
+	dialled      map[loop.Conn]netip.AddrPort
+	closed       map[loop.Conn]bool
+	written      map[loop.Conn][]byte
+	timers       map[loop.Timer]time.Duration
+	log          bytes.Buffer
+	lastClient   loop.Conn
+	sentRequests int // requests
 }
 
-// newRig starts a gateway that polls its list, or has it pushed, with a list from its configuration.
-func newRig(t testing.TB, mode, known string) *rig {
+// newRig starts a gateway with a cached endpoint list. mode is its registry_mode, which determines whether it
+// polls discovery or has lists pushed to it.
+func newRig(t testing.TB, mode, cached string) *rig {
 	t.Helper()
-	raw := rigConfig(t, mode, known, discoveryAddr)
+	raw := rigConfig(t, mode, cached, discoveryAddr)
 	cfg, err := config.Config{Name: "g", Path: "g", Listen: netip.MustParseAddrPort("10.1.0.1:8443")}.Reload(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &rig{t: t, now: time.Hour, dialled: make(map[loop.Conn]netip.AddrPort), closed: make(map[loop.Conn]bool),
-		written: make(map[loop.Conn][]byte), timers: make(map[loop.Timer]time.Duration), clients: 1 << 63}
+		written: make(map[loop.Conn][]byte), timers: make(map[loop.Timer]time.Duration), lastClient: 1 << 63}
 	r.g = New(cfg, zerolog.New(&r.log))
 	r.step(loop.Event{Kind: loop.Start})
 	r.step(loop.Event{Kind: loop.Listening, Conn: loop.Listener})
 	return r
 }
 
-// rigConfig is the configuration file of a rig.
-func rigConfig(t testing.TB, mode, known, discovery string) []byte {
+// rigConfig returns the configuration file of a rig.
+func rigConfig(t testing.TB, mode, cached, discovery string) []byte {
 	t.Helper()
 	raw, err := json.Marshal(map[string]any{"name": "g", "listen": "10.1.0.1:8443", "discovery": discovery,
 		"seed":   "1",
-		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256}, "known": json.RawMessage(known),
+		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256}, "known": json.RawMessage(cached),
 		"settings": json.RawMessage(`{"balancers":1,"rank":0,"zone":0,"zones":["a"],"tick_ms":5,"registry_mode":"` + mode + `",
 		"bounds":{"connect_timeout_ms":250,"most_tries":4},"classes":[
 		{"name":"view","aim_ms":800,"give_up_ms":2000,"repeat":"repeatable"},{"name":"bid","aim_ms":800,"give_up_ms":2000,"repeat":"once"}]}`)})
@@ -67,26 +68,26 @@
 }
 
 func (r *rig) step(e loop.Event) {
-	for _, f := range r.g.Step(r.now, e) {
-		switch f.Op {
+	for _, effect := range r.g.Step(r.now, e) {
+		switch effect.Op {
 		case loop.Dial:
-			r.dialled[f.Conn] = f.Addr
+			r.dialled[effect.Conn] = effect.Addr
 		case loop.SetTimer:
-			r.timers[f.Timer] = f.At
+			r.timers[effect.Timer] = effect.At
 		case loop.StopTimer:
-			delete(r.timers, f.Timer)
+			delete(r.timers, effect.Timer)
 		case loop.Close:
-			r.closed[f.Conn] = true
+			r.closed[effect.Conn] = true
 		case loop.Write, loop.WriteQuiet:
-			r.written[f.Conn] = append(r.written[f.Conn], f.Data...)
+			r.written[effect.Conn] = append(r.written[effect.Conn], effect.Data...)
 		}
 	}
 }
 
-func (r *rig) turn() { r.step(loop.Event{Kind: loop.Turn}) }
+func (r *rig) endRound() { r.step(loop.Event{Kind: loop.Turn}) }
 
-// to is the last connection that was dialled to an address and is not closed, or 0.
-func (r *rig) to(addr string) (last loop.Conn) {
+// lastDialled returns the most recent connection that was dialled to an address and is not closed, or 0.
+func (r *rig) lastDialled(addr string) (last loop.Conn) {
 	for c, at := range r.dialled {
 		if at.String() == addr && !r.closed[c] {
 			last = max(last, c)
@@ -95,20 +96,21 @@
 	return last
 }
 
-// connecting is the connection that an attempt at an endpoint waits for.
-func (r *rig) connecting(addr string) loop.Conn {
+// pendingConn returns the connection that an attempt at an endpoint has dialled and that is not yet
+// established.
+func (r *rig) pendingConn(addr string) loop.Conn {
 	r.t.Helper()
-	c := r.to(addr)
+	c := r.lastDialled(addr)
 	if c == 0 || len(r.written[c]) > 0 {
 		r.t.Fatalf("no connection to %s is opened: %s", addr, r.log.String())
 	}
 	return c
 }
 
-// watch brings the watch's connection up and the head of its answer.
-func (r *rig) watch() loop.Conn {
+// connectWatch establishes the connection of the watch and delivers the head of discovery's answer.
+func (r *rig) connectWatch() loop.Conn {
 	r.t.Helper()
-	c := r.to(discoveryAddr)
+	c := r.lastDialled(discoveryAddr)
 	if c == 0 {
 		r.t.Fatal("discovery is not polled")
 	}
@@ -118,8 +120,8 @@
 	return c
 }
 
-// line brings a line of a watch, in pieces as sockets give them.
-func (r *rig) line(watch loop.Conn, text string) {
+// sendLine delivers one line on a watch, in pieces of the size that a socket read returns.
+func (r *rig) sendLine(watch loop.Conn, text string) {
 	data := fmt.Appendf(nil, "%x\r\n%s\n\r\n", len(text)+1, text)
 	for len(data) > 0 {
 		n := min(len(data), 64<<10)
@@ -128,33 +130,34 @@
 	}
 }
 
-// request has a new client ask for something, with a body of so many bytes of which the first part comes.
-func (r *rig) request(length, part int) {
-	r.clients++
-	r.asked++
+// sendRequest sends a request on a new client connection. If length is not 0 the request has a body of that
+// length, of which the first part bytes are sent.
+func (r *rig) sendRequest(length, part int) {
+	r.lastClient++
+	r.sentRequests++
 	method, class, body := "GET", "view", ""
 	if length > 0 {
 		method, class, body = "POST", "bid", fmt.Sprintf("Content-Length: %d\r\n", length)
 	}
 	text := fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: h\r\n"+
 		"X-Trace-Id: %016x\r\nX-Qos: %s\r\nX-Expires-In: 2000m\r\n%s\r\n%s",
-		method, class, r.asked, class, body, strings.Repeat("x", part))
-	r.step(loop.Event{Kind: loop.Accepted, Conn: r.clients, Via: loop.Listener})
-	r.step(loop.Event{Kind: loop.Data, Conn: r.clients, Data: []byte(text)})
+		method, class, r.sentRequests, class, body, strings.Repeat("x", part))
+	r.step(loop.Event{Kind: loop.Accepted, Conn: r.lastClient, Via: loop.Listener})
+	r.step(loop.Event{Kind: loop.Data, Conn: r.lastClient, Data: []byte(text)})
 }
 
-// connected brings a connection up.
-func (r *rig) connected(c loop.Conn) { r.step(loop.Event{Kind: loop.Connected, Conn: c}) }
+// establish completes the connect of a connection.
+func (r *rig) establish(c loop.Conn) { r.step(loop.Event{Kind: loop.Connected, Conn: c}) }
 
-// answer has an endpoint take the request on a connection and answer it.
-func (r *rig) answer(c loop.Conn, head string) {
+// respond completes the write of a request on a connection and delivers the endpoint's response to it.
+func (r *rig) respond(c loop.Conn, head string) {
 	r.step(loop.Event{Kind: loop.Flushed, Conn: c})
 	r.step(loop.Event{Kind: loop.Data, Conn: c,
 		Data: []byte("HTTP/1.1 " + head + "\r\nContent-Length: 0\r\n\r\n")})
 }
 
-// requests is how many requests were begun to be written to an address.
-func (r *rig) requests(addr string) (n int) {
+// requestsWritten returns the number of requests of which at least the first line was written to an address.
+func (r *rig) requestsWritten(addr string) (n int) {
 	for c, data := range r.written {
 		if r.dialled[c].String() == addr {
 			n += bytes.Count(data, []byte(" HTTP/1.1\r\n"))
@@ -163,20 +166,20 @@
 	return n
 }
 
-// entry is one entry of a list, of an endpoint at 10.0.0.N:80.
-func entry(n int, health string, born int) string {
+// listEntry returns the list entry of an endpoint with the address endpointAddr(n).
+func listEntry(n int, health string, born int) string {
 	return fmt.Sprintf(`{"host":"s-%d","dial":"%s","site":"a","block":1,"health":%q,"share":1,"born_ms":%d}`,
 		n, endpointAddr(n), health, born)
 }
 
 func endpointAddr(n int) string { return fmt.Sprintf("10.0.%d.%d:80", n/250, n%250+1) }
 
-func object(seq int, whole bool, entries ...string) string {
-	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, whole, strings.Join(entries, ","))
+func listLine(seq int, snapshot bool, entries ...string) string {
+	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, snapshot, strings.Join(entries, ","))
 }
 
-// pass lets time pass in small steps, with the timers that fall due.
-func (r *rig) pass(d time.Duration) {
+// advance lets time pass in steps of 5 ms and fires the timers that fall due.
+func (r *rig) advance(d time.Duration) {
 	for until := r.now + d; r.now < until; {
 		r.now += 5 * time.Millisecond
 		for _, key := range slices.SortedFunc(maps.Keys(r.timers),
@@ -186,11 +189,11 @@
 				r.step(loop.Event{Kind: loop.TimerDue, Timer: key})
 			}
 		}
-		r.turn()
+		r.endRound()
 	}
 }
 
-// stateMessage is what a predecessor gives its successor, with its list.
+// stateMessage returns the State message of a predecessor, with its endpoint list.
 func stateMessage(list string) hotrestart.Message {
 	return hotrestart.Message{Kind: hotrestart.State, List: json.RawMessage(list)}
 }
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -9,27 +9,29 @@
 	"thymebend/internal/loop"
 )
 
-// Guards against taking a request that SIGKILL would lose, and against rejecting one that still has its
-// chance: SIGKILL comes no sooner after SIGTERM than the longest deadline, 3 s at most, and 0.7 s.
-func TestRequestsThatCrossSIGKILL(t *testing.T) {
+// A request that SIGKILL would interrupt must be rejected, and a request that can be answered before must be
+// accepted. SIGKILL is sent no earlier after SIGTERM than the longest deadline, limited to 3 s, plus 0.7 s.
+func TestRequestsThatMayOutlastSIGKILLAreRejected(t *testing.T) {
 	for _, c := range []struct {
-		name                    string
-		longest, timeout, after time.Duration // longest deadline, client's timeout, time since SIGTERM
-		taken                   bool
+		name                            string
+		longestDeadline, timeout, after time.Duration // after: time since SIGTERM
+		accepted                        bool
 	}{
-		{"soon after SIGTERM", 2000 * time.Millisecond, 2000 * time.Millisecond, 300 * time.Millisecond, true},
-		{"over before SIGKILL", 2000 * time.Millisecond, 1700 * time.Millisecond, 800 * time.Millisecond, true},
-		{"SIGKILL after 2.7 s", 2000 * time.Millisecond, 2000 * time.Millisecond, 800 * time.Millisecond, false},
-		{"long, soon after", 6000 * time.Millisecond, 6000 * time.Millisecond, 300 * time.Millisecond, true},
-		{"long, over before SIGKILL", 6000 * time.Millisecond, 2700 * time.Millisecond,
+		{"arrives soon after SIGTERM", 2000 * time.Millisecond, 2000 * time.Millisecond, 300 * time.Millisecond, true},
+		{"timeout ends before SIGKILL", 2000 * time.Millisecond, 1700 * time.Millisecond, 800 * time.Millisecond, true},
+		{"timeout ends after SIGKILL at 2.7 s", 2000 * time.Millisecond, 2000 * time.Millisecond,
+			800 * time.Millisecond, false},
+		{"long timeout, arrives soon after SIGTERM", 6000 * time.Millisecond, 6000 * time.Millisecond,
+			300 * time.Millisecond, true},
+		{"long timeout, ends before SIGKILL", 6000 * time.Millisecond, 2700 * time.Millisecond,
 			800 * time.Millisecond, true},
-		{"long, SIGKILL after 3.7 s", 6000 * time.Millisecond, 4000 * time.Millisecond,
+		{"long timeout, ends after SIGKILL at 3.7 s", 6000 * time.Millisecond, 4000 * time.Millisecond,
 			800 * time.Millisecond, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, "subscribe", object(1, true, entry(1, "up", 0)))
+			r := newRig(t, "subscribe", listLine(1, true, listEntry(1, "up", 0)))
 			for i := range r.g.cfg.Settings.Config.Classes {
-				r.g.cfg.Settings.Config.Classes[i].Deadline = c.longest
+				r.g.cfg.Settings.Config.Classes[i].Deadline = c.longestDeadline
 			}
 			client := loop.Conn(1<<63 + 50)
 			text := fmt.Sprintf("GET /view HTTP/1.1\r\nHost: h\r\n"+
@@ -37,11 +39,11 @@
 			r.step(loop.Event{Kind: loop.Accepted, Conn: client, Via: loop.Listener})
 			r.step(loop.Event{Kind: loop.Data, Conn: client, Data: []byte(text[:30])})
 			r.step(loop.Event{Kind: loop.Stop})
-			r.pass(c.after)
+			r.advance(c.after)
 			r.step(loop.Event{Kind: loop.Data, Conn: client, Data: []byte(text[30:])})
 			rejected := bytes.HasPrefix(r.written[client], []byte("HTTP/1.1 503"))
-			if taken := len(r.g.requests.byID) == 1; taken != c.taken || rejected == c.taken {
-				t.Errorf("taken %v, rejected %v", taken, rejected)
+			if accepted := len(r.g.requests.byID) == 1; accepted != c.accepted || rejected == c.accepted {
+				t.Errorf("accepted %v, rejected %v, want accepted %v", accepted, rejected, c.accepted)
 			}
 		})
 	}
--- a/internal/gateway/upload.go
+++ b/internal/gateway/upload.go
@@ -93,7 +93,7 @@
 	u.attempts.noteProgress(att, true)
 }
 
-// abort ends a request whose client sends its body too slowly or malformed, and answers it.
+// abort ends a request whose client does not send its body in time, or sends a malformed body, and answers it.
 func (u *uploads) abort(req *request, conn *downstream.Conn, answer []byte) {
 	u.requests.abandon(req)
 	u.downstream.finishRequest(conn)
