--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -42,7 +42,7 @@
 		a.Fail(id)
 		return
 	}
-	req, conn := a.requests.concludeForAnswer(id, outcomeRejected)
+	req, conn := a.requests.concludeForAnswer(id, resultRejected)
 	if req != nil {
 		a.logRejected(req.ID, rejectedByBalancer, after)
 	}
@@ -53,7 +53,7 @@
 
 // Fail implements balancer.Actions.
 func (a *balancerActions) Fail(id balancer.RequestID) {
-	if req, conn := a.requests.concludeForAnswer(id, outcomeFailed); conn != nil {
+	if req, conn := a.requests.concludeForAnswer(id, resultFailed); conn != nil {
 		a.downstream.answer(req, conn, downstream.FailedResponse(a.downstream.finishRequest(conn)))
 	}
 }
--- a/internal/gateway/assignment.go
+++ b/internal/gateway/assignment.go
@@ -193,14 +193,14 @@
 // since the last update, or a time at which it changes has passed.
 func (s *subsetAssignment) updateDue(status membership.Status) bool {
 	state := s.state
-	due, timed := state.tracker.Due()
-	warm := slices.ContainsFunc(state.warming, func(e warmingEndpoint) bool {
+	dueAt, scheduled := state.tracker.Due()
+	becameWarm := slices.ContainsFunc(state.warming, func(e warmingEndpoint) bool {
 		return s.now >= e.StartedAt+state.rule.Duration
 	})
 	viewChanged := (status.Version != state.version || state.agreedSince == 0) &&
 		s.now-state.updatedAt >= updateInterval
-	if !viewChanged && !state.endpointsChanged && !warm && status.Settled == state.converged &&
-		!(timed && s.now >= due) {
+	if !viewChanged && !state.endpointsChanged && !becameWarm && status.Settled == state.converged &&
+		!(scheduled && s.now >= dueAt) {
 		return false
 	}
 	if viewChanged {
@@ -232,10 +232,10 @@
 		switch {
 		case ep.State != balancer.EndpointReady:
 		case s.warmingUp(ep):
-			slot := tokenschedule.Endpoint{ID: uint64(ep.ID), StartedAt: ep.StartedAt, Capacity: state.warmRate}
-			ownerships := state.owners.Ownerships(s.now, slot.ID)
+			tokenEndpoint := tokenschedule.Endpoint{ID: uint64(ep.ID), StartedAt: ep.StartedAt, Capacity: state.warmRate}
+			ownerships := state.owners.Ownerships(s.now, tokenEndpoint.ID)
 			if len(ownerships) > 0 && tokenschedule.ShareOf(ownerships[len(ownerships)-1], s.cfg.Gossip.Name) > 0 {
-				state.warming = append(state.warming, warmingEndpoint{Endpoint: slot})
+				state.warming = append(state.warming, warmingEndpoint{Endpoint: tokenEndpoint})
 			}
 		default:
 			e := assignment.Endpoint{ID: uint64(ep.ID), Capacity: ep.Capacity, Zone: ep.Zone}
--- a/internal/gateway/deadlines_test.go
+++ b/internal/gateway/deadlines_test.go
@@ -81,10 +81,10 @@
 				r.g.restart.successor, r.g.restart.handover = &hotrestart.Conn{ID: 1<<63 + 90}, successorServes
 			}
 			r.step(loop.Event{Kind: loop.Stop})
-			const killAt = 1600 * time.Millisecond // the longest deadline plus 0.7 s
+			const earliestKill = 1600 * time.Millisecond // the longest deadline plus 0.7 s
 			took, answered := r.answeredWithin(client, 2*downstream.ErrorDeadline)
-			if !answered || took > killAt-50*time.Millisecond {
-				t.Errorf("answer %v after SIGTERM (received: %v), SIGKILL may follow after %v", took, answered, killAt)
+			if !answered || took > earliestKill-50*time.Millisecond {
+				t.Errorf("answer %v after SIGTERM (received: %v), SIGKILL may follow after %v", took, answered, earliestKill)
 			}
 		})
 	}
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -99,11 +99,11 @@
 		},
 	}
 	for notification, text := range notifications {
-		for stage, play := range stages {
+		for stage, enter := range stages {
 			t.Run(notification+"/"+stage, func(t *testing.T) {
 				r := newRig(t, "subscribe", listLine(1, true, listEntry(1, "up", 0)))
 				w := r.connectWatch()
-				resume := play(r)
+				resume := enter(r)
 				before := r.requestsWritten(endpointAddr(1))
 				r.sendLine(w, text)
 				resume()
--- a/internal/gateway/discovery_updates.go
+++ b/internal/gateway/discovery_updates.go
@@ -18,9 +18,9 @@
 func (d *discoveryWatch) handleData(w *discovery.Watch, data []byte) {
 	first := !w.Started()
 	lines, ended, malformed := w.Feed(d.now, data)
-	skip := false // set after a malformed line
+	removalsOnly := false // set after a malformed line
 	for _, line := range lines {
-		if skip {
+		if removalsOnly {
 			d.applyRemovals(d.endpoints.Removals(line))
 			continue
 		}
@@ -31,7 +31,7 @@
 			continue
 		}
 		if err := d.applyLine(w, line, first); err != nil {
-			malformed, skip = err, true
+			malformed, removalsOnly = err, true
 			continue
 		}
 		first = false
--- a/internal/gateway/downstream.go
+++ b/internal/gateway/downstream.go
@@ -208,7 +208,7 @@
 	d.conns.Remove(conn)
 	if r := d.relays.byConn[conn.ID]; r != nil {
 		// Part of the answer has been sent. Aborting the connection keeps the client from taking it for complete.
-		d.relays.remove(r, outcomeFailed)
+		d.relays.remove(r, resultFailed)
 		if !r.upstreamClosed {
 			d.attempts.dropConn(r.upstream, end)
 		}
--- a/internal/gateway/downstream_request.go
+++ b/internal/gateway/downstream_request.go
@@ -58,7 +58,7 @@
 	switch {
 	case incoming.Fault != nil:
 		if class != "" {
-			d.stats.countResult(class, outcomeFailed)
+			d.stats.countResult(class, resultFailed)
 		}
 		d.logMalformed(conn, incoming.Request.ID, incoming.Fault.Status, incoming.Fault.Text)
 		d.reply(conn, downstream.FaultResponse(incoming.Fault, !conn.Closing))
@@ -69,7 +69,7 @@
 	case d.requests.openIDs[incoming.Request.ID]:
 		// An endpoint cannot distinguish two requests with the same id: the second would be executed as if it
 		// were the first.
-		d.stats.countResult(class, outcomeFailed)
+		d.stats.countResult(class, resultFailed)
 		d.logMalformed(conn, incoming.Request.ID, statusBadRequest, "the id of an open request")
 		conn.Upload = incoming.Large
 		keep := d.finishRequest(conn)
@@ -78,7 +78,7 @@
 	}
 	if reason, rejected := d.rejects(conn.TimeLeft(d.now, incoming.Request.ClientTimeout)); rejected {
 		after := d.cfg.Settings.Config.MaxRetryAfter
-		d.stats.countResult(class, outcomeRejected)
+		d.stats.countResult(class, resultRejected)
 		d.logRejected(incoming.Request.ID, reason, after)
 		conn.Upload = incoming.Large
 		keep := d.finishRequest(conn)
--- a/internal/gateway/hotrestart.go
+++ b/internal/gateway/hotrestart.go
@@ -31,14 +31,14 @@
 	successor              *hotrestart.Conn // connection to the next process
 	handover               handoverPhase    // phase of the handover to the successor
 	idlePending            bool             // there may be an idle downstream connection that is not yet passed
-	passing                []loop.Conn      // connections passed and not yet acknowledged
+	unacknowledged         []loop.Conn      // connections passed and not yet acknowledged
 	reportedDescriptors    int              // number last reported to the successor
 	heapBytes              int64            // heap limit last set
 }
 
-// send sends a message together with the sockets in give.
-func (h *hotRestart) send(conn *hotrestart.Conn, m hotrestart.Message, give []loop.Conn) {
-	m.Passed = len(give)
+// send sends a message, and passes the given sockets with it.
+func (h *hotRestart) send(conn *hotrestart.Conn, m hotrestart.Message, sockets []loop.Conn) {
+	m.Passed = len(sockets)
 	data, err := m.Encode()
 	if err != nil {
 		h.log.Error().Err(err).Msg("hot restart")
@@ -48,10 +48,10 @@
 		return
 	}
 	op := loop.Write
-	if len(give) > 0 {
+	if len(sockets) > 0 {
 		op = loop.Pass
 	}
-	h.emit(loop.Effect{Op: op, Conn: conn.ID, Data: data, Give: give})
+	h.emit(loop.Effect{Op: op, Conn: conn.ID, Data: data, Give: sockets})
 }
 
 // receive handles an event on the connection to the other process. It calls handle for each message, and lose
--- a/internal/gateway/hotrestart_predecessor.go
+++ b/internal/gateway/hotrestart_predecessor.go
@@ -53,7 +53,7 @@
 		h.yield()
 	case hotrestart.Acknowledge:
 		h.stopTimer(timerSuccessor, 0)
-		h.passing, h.idlePending = nil, true
+		h.unacknowledged, h.idlePending = nil, true
 	default:
 		h.loseSuccessor("unexpected message: " + string(m.Kind))
 	}
@@ -103,7 +103,7 @@
 // events, when all data that were read from them have been handled; unread data stay in the socket and are
 // passed with it.
 func (h *hotRestart) passIdleConns() {
-	if !h.handedOver() || !h.idlePending || len(h.passing) > 0 {
+	if !h.handedOver() || !h.idlePending || len(h.unacknowledged) > 0 {
 		return
 	}
 	h.idlePending = false
@@ -121,7 +121,7 @@
 			Requests:     conn.Requests,
 			IdleMS:       (h.now - conn.Since).Milliseconds(),
 		})
-		h.passing = append(h.passing, conn.ID)
+		h.unacknowledged = append(h.unacknowledged, conn.ID)
 		h.downstream.release(conn)
 	}
 	h.resize()
@@ -129,7 +129,7 @@
 		h.reportedDescriptors = needed
 		h.setTimer(timerSuccessor, 0, h.now+hotrestart.TakeoverTimeout)
 		pass := hotrestart.Message{Kind: hotrestart.PassConns, Idle: idle, Descriptors: needed}
-		h.send(h.successor, pass, h.passing)
+		h.send(h.successor, pass, h.unacknowledged)
 	}
 }
 
@@ -137,12 +137,12 @@
 func (h *hotRestart) loseSuccessor(detail string) {
 	h.log.Warn().Str(fieldDetail, detail).Bool(fieldHandedOver, h.handedOver()).Msg("no successor")
 	h.stopTimer(timerSuccessor, 0)
-	for _, c := range h.passing {
+	for _, c := range h.unacknowledged {
 		h.closeConn(c) // its transfer was not acknowledged
 	}
 	h.closeConn(h.successor.ID)
 	wasHandedOver := h.handedOver()
-	h.successor, h.handover, h.passing = nil, notHandedOver, nil
+	h.successor, h.handover, h.unacknowledged = nil, notHandedOver, nil
 	h.idlePending, h.reportedDescriptors = false, 0
 	h.resize()
 	if !wasHandedOver {
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -27,8 +27,8 @@
 // descriptors returns how many descriptors of the limit this process and its predecessor need: those in use,
 // and those that they may still open before the other process is notified of a new division.
 func (h *hotRestart) descriptors() int {
-	inbound := max(len(h.downstream.conns.ByConn), h.downstream.conns.Max)
-	return ownDescriptors + inbound + h.attempts.pool.Max() + h.predecessorDescriptors
+	downstreamNeed := max(len(h.downstream.conns.ByConn), h.downstream.conns.Max)
+	return ownDescriptors + downstreamNeed + h.attempts.pool.Max() + h.predecessorDescriptors
 }
 
 // resize divides the limits between the two processes of an upgrade: each has half until the successor serves;
@@ -56,18 +56,18 @@
 // Connections received from a predecessor count even beyond the downstream share, at the expense of the
 // upstream share.
 func (h *hotRestart) divide() {
-	sockets := h.cfg.Limits.Sockets - h.predecessorDescriptors
+	available := h.cfg.Limits.Sockets - h.predecessorDescriptors
 	if h.successor != nil {
-		sockets /= 2
+		available /= 2
 	}
-	sockets = max(sockets-ownDescriptors, 2*spareUpstreamConns)
-	inbound := int(float64(sockets) * downstreamShare)
-	h.downstream.limit(inbound, h.cfg.Limits.Sockets/reuseLimitDivisor)
-	outbound := sockets - inbound
+	available = max(available-ownDescriptors, 2*spareUpstreamConns)
+	downstreamLimit := int(float64(available) * downstreamShare)
+	h.downstream.limit(downstreamLimit, h.cfg.Limits.Sockets/reuseLimitDivisor)
+	upstreamLimit := available - downstreamLimit
 	if h.predecessor != nil {
-		outbound = max(spareUpstreamConns, sockets-max(inbound, len(h.downstream.conns.ByConn)))
+		upstreamLimit = max(spareUpstreamConns, available-max(downstreamLimit, len(h.downstream.conns.ByConn)))
 	}
-	h.attempts.pool.Resize(outbound)
+	h.attempts.pool.Resize(upstreamLimit)
 }
 
 // shrink reduces this process's limits to what its downstream connections need. Each of them has at most one
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -184,7 +184,7 @@
 		return
 	}
 	conn, client := r.upstream, r.downstream
-	t.remove(r, outcomeServed)
+	t.remove(r, resultServed)
 	if r.upstreamClosed {
 		t.downstream.flushed(client)
 		return
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -91,7 +91,7 @@
 func (t *requestTable) abandon(req *request) {
 	req.client = 0
 	req.invariants.ClientLeft()
-	t.conclude(req, outcomeFailed) // counted as `faulted`: /ops/stats has no result for clients that left
+	t.conclude(req, resultFailed) // counted as `faulted`: /ops/stats has no result for clients that left
 	t.dispatchNeeded = true
 	t.balancer.RequestAbandoned(t.now, req.id)
 	for _, att := range append([]*attempt(nil), req.running...) {
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -118,7 +118,7 @@
 // exitIfDone ends the process once all requests are finished and all downstream connections are closed.
 func (s *shutdown) exitIfDone() {
 	if s.phase == phaseDrained && len(s.requests.byID) == 0 && len(s.downstream.conns.ByConn) == 0 &&
-		len(s.restart.passing) == 0 && s.invariants.AllowExit(len(s.requests.openIDs)) {
+		len(s.restart.unacknowledged) == 0 && s.invariants.AllowExit(len(s.requests.openIDs)) {
 		s.log.Info().Msg("stopped")
 		s.emit(loop.Effect{Op: loop.Exit})
 	}
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -24,19 +24,19 @@
 type finalResult uint8
 
 const (
-	outcomeServed finalResult = iota
-	outcomeRejected
-	outcomeFailed
+	resultServed finalResult = iota
+	resultRejected
+	resultFailed
 )
 
 // String returns the result as it appears in log lines.
 func (r finalResult) String() string {
 	switch r {
-	case outcomeServed:
+	case resultServed:
 		return "served"
-	case outcomeRejected:
+	case resultRejected:
 		return "rejected"
-	case outcomeFailed:
+	case resultFailed:
 		return "failed"
 	}
 	return "unknown"
@@ -46,9 +46,9 @@
 func (s *statistics) countResult(class string, r finalResult) {
 	counts := s.class(class)
 	switch r {
-	case outcomeServed:
+	case resultServed:
 		counts.served++
-	case outcomeRejected:
+	case resultRejected:
 		counts.rejected++
 	default:
 		counts.failed++
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -104,7 +104,7 @@
 		a.keepIdle(conn)
 	}
 	if end == ReasonServed && !req.done && a.invariants.AllowAnswer(&req.invariants) {
-		a.requests.conclude(req, outcomeServed)
+		a.requests.conclude(req, resultServed)
 		if client := a.downstream.conns.ByConn[req.client]; client != nil {
 			keep := a.downstream.finishRequest(client)
 			a.downstream.answer(req, client, downstream.ServedResponse(resp.Forwarded(), resp.Body, keep))
--- a/internal/lab/mutationtest/gateway.go
+++ b/internal/lab/mutationtest/gateway.go
@@ -13,7 +13,7 @@
 			"		t.attempts.end(att, ReasonClientLeft, nil)\n	}\n"),
 		one("lose requests at SIGTERM", "restart-surge", "internal/gateway/shutdown.go",
 			"if s.phase == phaseDrained && len(s.requests.byID) == 0 && len(s.downstream.conns.ByConn) == 0 &&\n"+
-				"		len(s.restart.passing) == 0 && s.invariants.AllowExit(len(s.requests.openIDs)) {",
+				"		len(s.restart.unacknowledged) == 0 && s.invariants.AllowExit(len(s.requests.openIDs)) {",
 			"if s.phase == phaseDrained {"),
 		one("answer twice", "reload", "internal/gateway/downstream_request.go",
 			"	req.client = 0\n	d.writeFinal(conn, data)",
@@ -22,7 +22,8 @@
 			"		g.shutdown.exitIfDone()\n",
 			"		g.setTimer(200, 0, now+5*time.Millisecond)\n		g.shutdown.exitIfDone()\n"),
 		one("end a predecessor before its connections went over", "upgrade", "internal/gateway/shutdown.go",
-			"len(s.requests.byID) == 0 && len(s.downstream.conns.ByConn) == 0 &&\n		len(s.restart.passing) == 0 && s.inv",
+			"len(s.requests.byID) == 0 && len(s.downstream.conns.ByConn) == 0 &&\n"+
+				"		len(s.restart.unacknowledged) == 0 && s.inv",
 			"len(s.requests.byID) == 0 && s.inv"),
 		one("never read a connection that came over", "upgrade", "internal/gateway/downstream.go",
 			"	d.emit(loop.Effect{Op: loop.Unmute, Conn: c})\n", ""),
@@ -66,7 +67,7 @@
 			{"internal/gateway/tokens.go", "			if m.State != gossipcodec.Left {",
 				"			if m.State == gossipcodec.Alive {"}}},
 		one("changes of the list that wait for the view's", "shares", "internal/gateway/assignment.go",
-			"	if !viewChanged && !state.endpointsChanged && !warm", "	if !viewChanged && !warm"),
+			"	if !viewChanged && !state.endpointsChanged && !becameWarm", "	if !viewChanged && !becameWarm"),
 		one("an endpoint that stays cold", "shares", "internal/gateway/assignment.go",
 			"	return ep.StartedAt > 0 && s.now-ep.StartedAt < s.state.rule.Duration\n",
 			"	return ep.StartedAt > 0\n"),
