--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// longest returns the longest times between the beginnings of two calls, after each of so many failures in a row
+// longestIntervals returns the longest times between the beginnings of two calls, after each of so many failures in a row
 // that took so long.
-func longest(t *testing.T, kind Failure, callers, failures int, took time.Duration) []time.Duration {
+func longestIntervals(t *testing.T, kind Failure, callers, failures int, took time.Duration) []time.Duration {
 	t.Helper()
 	var p Backoff
 	intervals := make([]time.Duration, failures)
@@ -17,7 +17,7 @@
 	return intervals
 }
 
-func TestFailedCallsComeFurtherApart(t *testing.T) {
+func TestIntervalGrowsWithFailures(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		kind    Failure
@@ -47,7 +47,7 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			for i, got := range longest(t, c.kind, c.callers, len(c.want), c.took) {
+			for i, got := range longestIntervals(t, c.kind, c.callers, len(c.want), c.took) {
 				if want := c.want[i] * 50 * time.Millisecond; got != want {
 					t.Errorf("failure %d has the next call begin %v later, want %v", i+1, got, want)
 				}
@@ -56,24 +56,24 @@
 	}
 }
 
-func TestTimeThatACallTookCounts(t *testing.T) {
+func TestElapsedTimeCountsTowardInterval(t *testing.T) {
 	var p Backoff
 	if got := p.Failed(Overloaded, 32, 2*time.Second, 1, 1); got != 750*time.Millisecond {
 		t.Errorf("after a call of 2 s the next comes %v later, want 750 ms", got)
 	}
-	if got := p.Failed(Overloaded, 32, time.Minute, 0.5, 1); got != failedSpread/2 {
-		t.Errorf("after a call of a minute the next comes %v later, want %v", got, failedSpread/2)
+	if got := p.Failed(Overloaded, 32, time.Minute, 0.5, 1); got != maxFailedJitter/2 {
+		t.Errorf("after a call of a minute the next comes %v later, want %v", got, maxFailedJitter/2)
 	}
 }
 
-func TestAnAnswerAndItsEndBeginAnew(t *testing.T) {
+func TestAnswerResetsBackoff(t *testing.T) {
 	p := Backoff{Initial: 200 * time.Millisecond}
 	for range 4 {
 		p.Failed(Overloaded, 32, 0, 0, 1)
 	}
 	p.Succeeded()
-	if got := p.Failed(Ended, 32, time.Hour, 1, 1); got != endedSpread {
-		t.Errorf("the call after an answer's end comes %v later, want %v", got, endedSpread)
+	if got := p.Failed(Ended, 32, time.Hour, 1, 1); got != maxEndedDelay {
+		t.Errorf("the call after an answer's end comes %v later, want %v", got, maxEndedDelay)
 	}
 	if got := p.Failed(Overloaded, 32, 0, 0, 1); got != p.Initial {
 		t.Errorf("the first failure after an answer puts the next call off by %v, want %v", got, p.Initial)
--- a/internal/balancer/concurrency/limit.go
+++ b/internal/balancer/concurrency/limit.go
@@ -7,54 +7,56 @@
 	"thymebend/internal/balancer/stats"
 )
 
-// MinAnswers is how many answers a mean of service times needs before it is relied on.
+// MinAnswers is the number of answers that a mean service time must include before it is used.
 const MinAnswers = 8
 
-// ServiceTarget is what the service times of the endpoints are held to.
+// ServiceTarget is the target of the service times of all endpoints.
 type ServiceTarget struct {
-	BudgetMS float64 // the part of the shortest latency objective meant for service, ms of the average class
-	Response float64 // the response setpoint, see ResponseSetpoint
+	BudgetMS float64 // service share of the shortest latency objective, in ms scaled to the average class
+	Response float64 // the current response setpoint, see ResponseSetpoint
 }
 
-// NewServiceTarget returns the target for a shortest latency objective, in ms of the average class.
+// NewServiceTarget returns the target for the shortest latency objective, objectiveMS, in ms scaled to the average
+// class, and for the response setpoint.
 func NewServiceTarget(objectiveMS, response float64) ServiceTarget {
 	return ServiceTarget{BudgetMS: ServiceShare * objectiveMS, Response: response}
 }
 
-// Limit is the concurrency limit of one endpoint: how many requests this gateway may have in flight there.
-// Service times are those of the average class, in milliseconds. The zero value needs a Reset.
+// Limit is the concurrency limit of one endpoint: the number of requests that this gateway may have in flight there.
+// Service times are in milliseconds, scaled to the average class. Call Reset before using a zero value.
 type Limit struct {
 	Value       float64    // the limit before rounding up, above 0; the paper's u
-	GainMS      float64    // ms of service for each request in flight; 0 is unknown; the paper's K
-	BaselineMS  float64    // service time while the endpoint is not congested; 0 is unknown
+	GainMS      float64    // estimated ms of service time per request in flight; 0 if unknown; the paper's K
+	BaselineMS  float64    // service time while the endpoint is not congested; 0 if unknown
 	ServiceMS   stats.Mean // smoothed service time, ms
-	QueueLength float64    // requests waiting at the endpoint as its answers report, smoothed; else 0
-	Sample      Sample     // of the running sampling period
+	QueueLength float64    // smoothed number of requests waiting at the endpoint; 0 if its answers do not report it
+	Sample      Sample     // observations of the current sampling period
 }
 
-// Sample is what was seen of an endpoint in one sampling period.
+// Sample holds the observations of an endpoint during one sampling period.
 type Sample struct {
 	Answers, Failures int
-	ServiceSumMS      float64 // of the answers' service times
-	Limited           bool    // the endpoint was full while requests were queued
+	ServiceSumMS      float64 // sum of the answers' service times, ms
+	Limited           bool    // the endpoint was at its limit while requests were queued
 }
 
-// minEndpointConcurrency is the least number of requests that all gateways together let an endpoint have in
-// flight: some cores' worth.
+// minEndpointConcurrency is the minimum number of requests that all gateways together may have in flight at an
+// endpoint: enough to occupy several cores.
 const minEndpointConcurrency = 5.0
 
-// MinLimit is where limits start, and their least: one, or this gateway's part of a few requests over
-// all the gateways that use the endpoint (users, at least 1). Guards against many gateways that each
-// take for uncongested what they find congested from their first request on.
+// MinLimit returns the initial and minimum limit. It is the share of minEndpointConcurrency of each of the gateways
+// that use the endpoint (users, at least 1), and at most 1. A minimum of 1 for each of many gateways would congest
+// the endpoint with their first requests, and each gateway would take these congested service times for the
+// baseline.
 func MinLimit(users float64) float64 { return min(1, minEndpointConcurrency/users) }
 
-// Reset sets the limit to its least.
+// Reset sets the limit to minLimit, see MinLimit.
 func (l *Limit) Reset(minLimit float64) { l.Value = minLimit }
 
-// Allowed is the number of requests that may be in flight: ceil(u) in the paper.
+// Allowed returns the number of requests that may be in flight: ceil(u) in the paper.
 func (l *Limit) Allowed() int { return int(math.Ceil(l.Value)) }
 
-// RecordAnswer counts an answer with its service time in ms of the average class.
+// RecordAnswer counts an answer and its service time, in ms scaled to the average class.
 func (l *Limit) RecordAnswer(serviceMS float64) {
 	l.Sample.ServiceSumMS += serviceMS
 	l.Sample.Answers++
@@ -63,110 +65,114 @@
 // RecordFailure counts an attempt that failed or was rejected.
 func (l *Limit) RecordFailure() { l.Sample.Failures++ }
 
-// Constants of the queue that endpoints report.
+// Constants of the queue length that endpoints report.
 const (
 	queueLengthWeight = 0.25 // weight of one report in the smoothed length
-	// requests waiting, from which an endpoint is congested: more than one by chance
+	// congestedQueueLength is the smoothed number of waiting requests from which an endpoint counts as congested.
+	// It is above 1, as one request may wait by chance.
 	congestedQueueLength = 1.5
-	// least cut of the limit of a congested endpoint, a sample; a report may be late
-	congestedStep = 0.08
+	// minCongestedCut is the minimum by which the limit of a congested endpoint is reduced in each sample. It is
+	// small because a report may be outdated.
+	minCongestedCut = 0.08
 )
 
-// RecordQueueLength takes the number of waiting requests that an answer reports.
+// RecordQueueLength adds the number of waiting requests that an answer reports to the smoothed queue length.
 func (l *Limit) RecordQueueLength(length float64) {
 	l.QueueLength += (length - l.QueueLength) * queueLengthWeight
 }
 
-// MarkLimited notes that the limit stands in the way of a queued request. Only such a limit may grow.
+// MarkLimited records that the limit kept a queued request from being dispatched. The limit grows only in samples in
+// which this happened.
 func (l *Limit) MarkLimited() { l.Sample.Limited = true }
 
 // Constants of the integral loop on service time.
 const (
 	integralGain  = 0.16 // c(1-c) for a closed-loop pole c = 0.8; equation 11
-	gainMemory    = 0.5  // weight of the old gain estimate in the new one
+	oldGainWeight = 0.5  // weight of the old gain estimate in the new one
 	failureFactor = 2.0  // a failure counts as a service time of this multiple of the setpoint
 )
 
-// CloseSample ends a sampling period and moves the limit: u(k+1) = u(k) + 0.16/K (setpoint - service
-// time), equation 11. A sample without answers or failures changes nothing; failures stay out of the
-// averages and of the gain estimate.
+// CloseSample ends a sampling period and updates the limit: u(k+1) = u(k) + 0.16/K (setpoint - service time),
+// equation 11. A sample without answers and failures leaves the limit unchanged. Failures affect the limit only, not
+// the averages and the gain estimate.
 func (l *Limit) CloseSample(target ServiceTarget, minLimit float64) {
-	seen := l.Sample
+	sample := l.Sample
 	l.Sample = Sample{}
-	if seen.Answers > 0 {
-		l.learnService(seen.ServiceSumMS/float64(seen.Answers), seen.Answers)
+	if sample.Answers > 0 {
+		l.updateEstimates(sample.ServiceSumMS/float64(sample.Answers), sample.Answers)
 	}
-	if seen.Answers+seen.Failures == 0 || l.GainMS == 0 {
+	if sample.Answers+sample.Failures == 0 || l.GainMS == 0 {
 		return
 	}
 	setpoint := l.SetpointMS(target)
-	service := (seen.ServiceSumMS + float64(seen.Failures)*failureFactor*setpoint) /
-		float64(seen.Answers+seen.Failures)
+	service := (sample.ServiceSumMS + float64(sample.Failures)*failureFactor*setpoint) /
+		float64(sample.Answers+sample.Failures)
 	step := integralGain / l.GainMS * (setpoint - service)
 	if l.congested() {
-		step = min(step, -congestedStep)
+		step = min(step, -minCongestedCut)
 	}
-	if step < 0 || seen.Limited {
-		l.move(step, minLimit)
+	if step < 0 || sample.Limited {
+		l.applyStep(step, minLimit)
 	}
 }
 
-// smoothingAnswers is how many answers the smoothed service time of an endpoint remembers.
+// smoothingAnswers is the number of answers over which the service time of an endpoint is smoothed.
 const smoothingAnswers = 64
 
-// learnService updates the gain estimate and the averages of the service time:
-// K(k+1) = 0.5 K(k) + 0.5 service time / ceil(u).
-func (l *Limit) learnService(meanMS float64, answers int) {
+// updateEstimates updates the gain estimate, K(k+1) = 0.5 K(k) + 0.5 service time / ceil(u), the smoothed service
+// time and the baseline. meanMS is the mean service time of the sample, answers the number of its answers.
+func (l *Limit) updateEstimates(meanMS float64, answers int) {
 	ratio := meanMS / math.Ceil(l.Value)
 	if l.GainMS == 0 {
 		l.GainMS = ratio
 	}
-	l.GainMS = gainMemory*l.GainMS + (1-gainMemory)*ratio
+	l.GainMS = oldGainWeight*l.GainMS + (1-oldGainWeight)*ratio
 	l.ServiceMS.Add(meanMS, float64(answers)/float64(answers+smoothingAnswers))
-	l.learnBaseline()
+	l.updateBaseline()
 }
 
-// baselineForgetting is the share, a sample, by which the baseline service time follows the smoothed one: a
-// machine that got slower for good is believed after some minutes.
-const baselineForgetting = 1e-3
+// baselineDecay is the share of the difference to the smoothed service time by which the baseline changes in each
+// sample. The baseline of an endpoint that became permanently slower adapts within some minutes.
+const baselineDecay = 1e-3
 
-// learnBaseline keeps the least smoothed service time, slowly forgotten.
-func (l *Limit) learnBaseline() {
+// updateBaseline sets the baseline to the minimum of the smoothed service time, which decays slowly, see
+// baselineDecay. Until more than MinAnswers samples are recorded it equals the smoothed service time.
+func (l *Limit) updateBaseline() {
 	if l.ServiceMS.N <= MinAnswers || l.ServiceMS.Value < l.BaselineMS {
 		l.BaselineMS = l.ServiceMS.Value
 	}
-	l.BaselineMS += (l.ServiceMS.Value - l.BaselineMS) * baselineForgetting
+	l.BaselineMS += (l.ServiceMS.Value - l.BaselineMS) * baselineDecay
 }
 
-// move applies a step. Exception to the paper: below one, where one request of each gateway already
-// congests an endpoint, the limit is the share of time in which a limit of one is open, and steps
-// shrink with it.
-func (l *Limit) move(step, minLimit float64) {
+// applyStep adds step to the limit, which stays at least minLimit. Unlike in the paper, the limit may be below one,
+// for endpoints that are congested by one request of each gateway. It is then the share of time in which one request
+// may be in flight, see RestAfter, and steps are scaled by it.
+func (l *Limit) applyStep(step, minLimit float64) {
 	l.Value = max(minLimit, l.Value+step*min(1, l.Value))
 }
 
-// congested reports whether requests wait at the endpoint although they should wait at the gateways.
-// Exception to the paper: gateways grow their limits together, and may overload endpoints before
-// service times tell.
+// congested reports whether requests wait at the endpoint instead of in the gateways' queues. The paper has no such
+// check. It is needed because gateways raise their limits at the same time and may overload endpoints before service
+// times show it.
 func (l *Limit) congested() bool { return l.QueueLength >= congestedQueueLength }
 
-// Bounds of the setpoint over the baseline service time.
+// Constants of the minimum setpoint, which is relative to the baseline service time.
 const (
-	setpointFactor = 1.4 // of the baseline service time: room for noise
-	setpointShare  = 0.6 // of the service time budget: the most over the baseline service time
+	setpointFactor = 1.4 // multiple of the baseline service time; the excess allows for noise
+	setpointShare  = 0.6 // maximum excess over the baseline service time, as a share of the service time budget
 )
 
-// SetpointMS is the service time that the limit is steered to, in ms of the average class. Exception to
-// the paper: it is never under a multiple of the baseline service time, or the limit would stay at one
-// where the budget is less than the bare work takes. Short objectives leave little for that excess
-// either: requests then wait at the gateway, which can still choose.
+// SetpointMS returns the service time that the limit is regulated to, in ms scaled to the average class. Unlike in
+// the paper, it has a minimum above the baseline service time; otherwise the limit would stay at one where the budget
+// is shorter than the uncongested service time. Short latency objectives bound the excess over the baseline too:
+// requests then wait at the gateway, which can still choose their endpoint.
 func (l *Limit) SetpointMS(target ServiceTarget) float64 {
 	baseline, budget := l.BaselineMS, target.BudgetMS
 	return max(budget*target.Response, min(setpointFactor*baseline, baseline+setpointShare*budget))
 }
 
-// RestAfter is how long an endpoint with a limit below one rests after an attempt that kept it busy for so
-// many ms; else 0.
+// RestAfter returns the cooldown of an endpoint with a limit below one after an attempt that kept it busy for busyMS
+// milliseconds. It is 0 for other limits.
 func (l *Limit) RestAfter(busyMS float64) time.Duration {
 	if l.Value >= 1 {
 		return 0
--- a/internal/balancer/concurrency/limit_test.go
+++ b/internal/balancer/concurrency/limit_test.go
@@ -7,15 +7,15 @@
 	"thymebend/internal/balancer/stats"
 )
 
-func near(t *testing.T, what string, got, want float64) {
+func checkNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-9*math.Max(1, math.Abs(want)) {
 		t.Errorf("%s = %v, want %v", what, got, want)
 	}
 }
 
-// about is near, but for the little by which one sample moves the uncrowded time and with it the setpoint.
-func about(t *testing.T, what string, got, want float64) {
+// checkApprox is near, but for the little by which one sample moves the uncrowded time and with it the setpoint.
+func checkApprox(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 3e-3 {
 		t.Errorf("%s = %v, want %v", what, got, want)
@@ -24,19 +24,19 @@
 
 // The setpoint in these cases is 150 ms, from the uncrowded time, as (1-0.9) x 1 x 1000 ms = 100 ms is
 // less.
-const uncrowdedMS = 150 / setpointFactor
+const uncongestedMS = 150 / setpointFactor
 
 var oneSecond = NewServiceTarget(1000, 1)
 
 // newLimit returns a limit of an endpoint whose baseline service time is well known.
 func newLimit(value, gainMS float64) *Limit {
 	return &Limit{
-		Value: value, GainMS: gainMS, BaselineMS: uncrowdedMS,
-		ServiceMS: stats.Mean{N: 1 << 60, Value: uncrowdedMS},
+		Value: value, GainMS: gainMS, BaselineMS: uncongestedMS,
+		ServiceMS: stats.Mean{N: 1 << 60, Value: uncongestedMS},
 	}
 }
 
-func TestLimitFollowsTheServiceTime(t *testing.T) {
+func TestLimitTracksServiceTime(t *testing.T) {
 	for _, c := range []struct {
 		name                string
 		limit, gainMS       float64
@@ -66,8 +66,8 @@
 			l := newLimit(c.limit, c.gainMS)
 			l.Sample = c.sample
 			l.CloseSample(oneSecond, MinLimit(1))
-			about(t, "limit", l.Value, c.wantLimit)
-			near(t, "gain estimate", l.GainMS, c.wantGain)
+			checkApprox(t, "limit", l.Value, c.wantLimit)
+			checkNear(t, "gain estimate", l.GainMS, c.wantGain)
 			if l.Sample != (Sample{}) {
 				t.Errorf("the next sample begins with %+v", l.Sample)
 			}
@@ -76,7 +76,7 @@
 }
 
 // After a pause K may be far too high; each sample with answers halves the excess.
-func TestLimitRecoversAfterAPause(t *testing.T) {
+func TestLimitRecoversAfterIdlePeriod(t *testing.T) {
 	l := newLimit(1, 400)
 	// K = 200+50, 125+25 (the limit is two from here on), 75+25; steps 0.16/K x 50 = 0.032, 8/150, 0.08
 	for _, want := range []struct{ gain, limit float64 }{
@@ -84,17 +84,17 @@
 	} {
 		l.RecordAnswer(100)
 		l.MarkLimited()
-		l.BaselineMS, l.ServiceMS.Value = uncrowdedMS, uncrowdedMS
+		l.BaselineMS, l.ServiceMS.Value = uncongestedMS, uncongestedMS
 		l.CloseSample(oneSecond, MinLimit(1))
-		near(t, "gain estimate", l.GainMS, want.gain)
-		about(t, "limit", l.Value, want.limit)
+		checkNear(t, "gain estimate", l.GainMS, want.gain)
+		checkApprox(t, "limit", l.Value, want.limit)
 	}
 }
 
 // Until something is known of an endpoint the setpoint is a share of the objective, here 40 ms, less
 // than any answer takes. Guards against a start that loses a second until the running mean serves as
 // the uncrowded time.
-func TestLimitGrowsFromTheSecondSample(t *testing.T) {
+func TestLimitGrowsFromSecondSample(t *testing.T) {
 	l := &Limit{}
 	l.Reset(MinLimit(1))
 	for range 2 {
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestReportedQueueStopsGrowth(t *testing.T) {
+func TestReportedQueueCutsLimit(t *testing.T) {
 	l := newLimit(3, 50)
 	for range 20 {
 		l.RecordQueueLength(2)
@@ -115,20 +115,20 @@
 	l.RecordAnswer(50)
 	l.MarkLimited()
 	l.CloseSample(oneSecond, MinLimit(1))
-	near(t, "limit", l.Value, 3-congestedStep)
+	checkNear(t, "limit", l.Value, 3-minCongestedCut)
 }
 
-func TestMinLimitIsAPartOfAFewRequests(t *testing.T) {
+func TestMinLimitIsShareOfEndpointMinimum(t *testing.T) {
 	for _, c := range []struct{ users, want float64 }{{1, 1}, {5, 1}, {10, 0.5}, {50, 0.1}} {
-		near(t, "least limit", MinLimit(c.users), c.want)
+		checkNear(t, "least limit", MinLimit(c.users), c.want)
 	}
 }
 
-func TestRestAfterIsWhatTheLimitLeavesOpen(t *testing.T) {
+func TestCooldownOfLimitBelowOne(t *testing.T) {
 	for _, c := range []struct {
 		limit, busyMS, wantMS float64
 	}{{2, 100, 0}, {1, 100, 0}, {0.5, 100, 100}, {0.4, 1200, 1800}} {
 		l := &Limit{Value: c.limit}
-		near(t, "rest", stats.Milliseconds(l.RestAfter(c.busyMS)), c.wantMS)
+		checkNear(t, "rest", stats.Milliseconds(l.RestAfter(c.busyMS)), c.wantMS)
 	}
 }
--- a/internal/balancer/concurrency/setpoints_test.go
+++ b/internal/balancer/concurrency/setpoints_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestQueueThresholdHoldsTheMeanWait(t *testing.T) {
+func TestQueueThresholdTracksMeanWait(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		threshold, wait float64
@@ -22,15 +22,15 @@
 				q.RecordWait(c.wait)
 			}
 			q.CloseSample(c.response)
-			near(t, "threshold", q.Value, c.want)
+			checkNear(t, "threshold", q.Value, c.want)
 			before := q.Value
 			q.CloseSample(c.response)
-			near(t, "threshold after a sample without waits", q.Value, before)
+			checkNear(t, "threshold after a sample without waits", q.Value, before)
 		})
 	}
 }
 
-func TestResponseSetpointHoldsThePercentile(t *testing.T) {
+func TestResponseSetpointTracksPercentile(t *testing.T) {
 	for _, c := range []struct {
 		name                     string
 		setpoint, response, want float64
@@ -49,7 +49,7 @@
 				s.Record(c.response)
 			}
 			s.CloseSample()
-			near(t, "setpoint", s.Value, c.want)
+			checkNear(t, "setpoint", s.Value, c.want)
 		})
 	}
 }
--- a/internal/balancer/outlierdetection/class.go
+++ b/internal/balancer/outlierdetection/class.go
@@ -8,69 +8,75 @@
 
 // Constants of stalled classes.
 const (
-	stalledFactor    = 2 * silenceFactor // of the usual service time; heavy work alone is no sign of a stall
-	maxProbeDoubling = 4                 // doublings of the time between two probes
+	// stalledFactor is the time without an answer after which a class is stalled, as a multiple of the usual service
+	// time. It is above silenceFactor because a heavy request alone does not indicate a stall.
+	stalledFactor = 2 * silenceFactor
+	// maxProbeDoublings bounds the doublings of the time between two probes.
+	maxProbeDoublings = 4
 )
 
-// ClassHealth is how one class of requests fares at one endpoint. Guards against an endpoint that
-// answers one class at once and another never, and looks healthy as a whole. The zero value has nothing
-// in flight.
+// ClassHealth tracks whether one endpoint answers requests of one class. It detects an endpoint that answers one class
+// at once and never answers another, and so appears healthy overall. The zero value has no attempt in flight.
 type ClassHealth struct {
-	InFlight int           // attempts
-	since    time.Duration // first attempt since the last answer, while in flight or stalled; else 0
-	probes   int           // of a stalled class
-	probeAt  time.Duration // when a stalled class may be probed
+	InFlight int // number of attempts in flight
+	// unansweredSince is when the first attempt after the last answer started, or the time of that answer; 0 if no
+	// attempt is in flight and the class is not stalled.
+	unansweredSince time.Duration
+	probes          int           // probes sent while the class is stalled
+	probeAt         time.Duration // when the next probe of a stalled class may start
 }
 
-// Stalled reports whether the endpoint leaves the class unanswered. usualMS is the usual service time
-// of the class or of the endpoint, whichever is longer.
+// Stalled reports whether the endpoint has not answered the class for stalledFactor times usualMS, the usual service
+// time of the class or of the endpoint in ms, whichever is longer.
 func (c *ClassHealth) Stalled(now time.Duration, usualMS float64) bool {
-	return c.since > 0 && now-c.since > stats.FromMilliseconds(stalledFactor*usualMS)
+	return c.unansweredSince > 0 && now-c.unansweredSince > stats.FromMilliseconds(stalledFactor*usualMS)
 }
 
-// StalledSince reports whether the class is stalled while other work of the endpoint was answered, at
-// lastHeard, after the first attempt.
-func (c *ClassHealth) StalledSince(now, lastHeard time.Duration, usualMS float64) bool {
-	return lastHeard > c.since && c.Stalled(now, usualMS)
+// StalledSince reports whether the class is stalled although the endpoint responded to other requests: its last
+// response, of any class, came at lastResponseAt, after the first unanswered attempt of this class.
+func (c *ClassHealth) StalledSince(now, lastResponseAt time.Duration, usualMS float64) bool {
+	return lastResponseAt > c.unansweredSince && c.Stalled(now, usualMS)
 }
 
-// Allows reports whether an attempt may start: any while the class is not stalled, else one probe at a
-// time.
+// Allows reports whether an attempt may start. For a stalled class only one attempt at a time may be in flight, as a
+// probe, and only once the time between two probes is over.
 func (c *ClassHealth) Allows(now time.Duration, usualMS float64) bool {
 	return !c.Stalled(now, usualMS) || c.InFlight == 0 && now >= c.probeAt
 }
 
-// Started counts an attempt. base is the time between the first two probes of a stalled class.
-func (c *ClassHealth) Started(now time.Duration, usualMS float64, base time.Duration) {
+// Started records the start of an attempt. If the class is stalled, the attempt is a probe; probeInterval is the time
+// between the first two probes and doubles with each probe.
+func (c *ClassHealth) Started(now time.Duration, usualMS float64, probeInterval time.Duration) {
 	if c.Stalled(now, usualMS) {
-		c.probeAt = now + stats.Scale(base, float64(int(1)<<min(c.probes, maxProbeDoubling)))
+		c.probeAt = now + stats.Scale(probeInterval, float64(int(1)<<min(c.probes, maxProbeDoublings)))
 		c.probes++
-	} else if c.since == 0 {
-		c.since = now
+	} else if c.unansweredSince == 0 {
+		c.unansweredSince = now
 	}
 	c.InFlight++
 }
 
-// Ended counts an attempt that is in flight no longer.
+// Ended records that an attempt is no longer in flight.
 func (c *ClassHealth) Ended() { c.InFlight-- }
 
-// Answered notes an answer: the class is not stalled.
+// Answered records an answer, which ends a stall.
 func (c *ClassHealth) Answered(now time.Duration) {
-	*c = ClassHealth{InFlight: c.InFlight, since: now}
+	*c = ClassHealth{InFlight: c.InFlight, unansweredSince: now}
 }
 
-// Settle forgets when the first attempt started once none is in flight. A class that stalled stays so
-// until a probe is answered: a timeout shows nothing good.
+// Settle resets the start of the unanswered period if no attempt is in flight and the class is not stalled. A stalled
+// class remains stalled until a probe is answered, as a timeout is no sign of recovery.
 func (c *ClassHealth) Settle(now time.Duration, usualMS float64) {
 	if c.InFlight == 0 && !c.Stalled(now, usualMS) {
-		c.since = 0
+		c.unansweredSince = 0
 	}
 }
 
-// Withdrawn forgets when the first attempt started once none is in flight, stalled or not: the endpoint has
-// not had the whole of a request to answer.
+// Withdrawn resets the start of the unanswered period if no attempt is in flight, even if the class is stalled. It is
+// called when an attempt no longer counts as in flight because its request is not yet fully written: the endpoint has
+// no complete request to answer.
 func (c *ClassHealth) Withdrawn() {
 	if c.InFlight == 0 {
-		c.since = 0
+		c.unansweredSince = 0
 	}
 }
--- a/internal/balancer/outlierdetection/class_test.go
+++ b/internal/balancer/outlierdetection/class_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestWithdrawnAttemptIsNoStall(t *testing.T) {
+func TestWithdrawnAttemptDoesNotStallClass(t *testing.T) {
 	var c ClassHealth
 	c.Started(second, usualMS, second)
 	c.Ended()
--- a/internal/balancer/outlierdetection/health.go
+++ b/internal/balancer/outlierdetection/health.go
@@ -1,6 +1,6 @@
-// Package outlierdetection decides which endpoints are out of rotation because they fail or are silent,
-// when such an endpoint is probed, and which classes of requests an endpoint leaves unanswered. The
-// types have no clock, draw no random numbers, log nothing and are not safe for concurrent use.
+// Package outlierdetection decides which endpoints are ejected because they fail or do not answer, when an ejected
+// endpoint is probed, and which classes of requests an endpoint does not answer. The types have no clock, draw no
+// random numbers, log nothing and are not safe for concurrent use.
 package outlierdetection
 
 import (
@@ -11,31 +11,38 @@
 
 // Constants of ejection.
 const (
-	failureWeight    = 0.2  // weight of one outcome in the failure rate
-	maxFailureRate   = 0.35 // passed by two failures in a row, or by about one failure in three
-	silenceFactor    = 6.0  // an endpoint is silent after this multiple of its service time without an answer
-	suspectedFactor  = 0.5  // of the failures and of the silence that eject an endpoint that peers suspect
-	maxEjectedShare  = 0.5  // with more than this share looking bad, the load is suspected, not the endpoints
-	maxEjectDoubling = 3    // doublings of the ejection time
+	failureWeight = 0.2 // weight of one outcome in the failure rate
+	// maxFailureRate is the failure rate above which an endpoint is ejected. Two consecutive failures exceed it, and
+	// so does about one failure in three attempts.
+	maxFailureRate = 0.35
+	silenceFactor  = 6.0 // an endpoint is silent after this multiple of its service time without an answer
+	// suspectedFactor scales the failure rate and the silence that eject an endpoint, if peers suspect it.
+	suspectedFactor = 0.5
+	// maxEjectedShare is the share of the ready endpoints that may be ejected. If more look bad, overload is the
+	// probable cause, not the endpoints.
+	maxEjectedShare      = 0.5
+	maxEjectionDoublings = 3 // maximum doublings of the ejection time
 )
 
-// ProbeTimeoutFactor is the timeout of a probe request as a multiple of the expected service time: it must
-// leave time for another attempt.
+// ProbeTimeoutFactor is the timeout of a probe request as a multiple of the expected service time. It must leave time
+// for another attempt of the same request.
 const ProbeTimeoutFactor = silenceFactor
 
-// Health is what the outcomes of attempts say of one endpoint. Times are on the caller's clock.
+// Health is the health of one endpoint as derived from the outcomes of attempts. Times are on the caller's clock.
 type Health struct {
-	FailureRate      float64       // smoothed share of failures, 0 to 1
-	LastHeard        time.Duration // the last answer, or the attempt that ended a time without any in flight
-	Ejected          bool          // gets probe requests only
-	Silent           bool          // ejected for silence
+	FailureRate float64 // smoothed share of failures, 0 to 1
+	// LastHeard is the time of the last response, or of the first attempt after a period without attempts in flight,
+	// whichever is later.
+	LastHeard        time.Duration
+	Ejected          bool          // receives probe requests only
+	Silent           bool          // ejected because it did not answer
 	ProbeAt          time.Duration // when an ejected endpoint may be probed
-	Ejections        int           // since its failure rate was low
-	SuspectedByPeers bool          // other gateways found it bad
+	Ejections        int           // ejections since its failure rate was last below the maximum
+	SuspectedByPeers bool          // other gateways report it as failing
 }
 
-// RecordAnswer notes an answer and reports whether it ends an ejection: that of an endpoint that was only
-// slow to answer, or whose failure rate is low again.
+// RecordAnswer records an answer and reports whether it ends an ejection. It does if the endpoint was ejected only for
+// not answering, or if its failure rate is below the maximum again.
 func (h *Health) RecordAnswer(now time.Duration) (restored bool) {
 	h.FailureRate *= 1 - failureWeight
 	h.LastHeard = now
@@ -48,50 +55,52 @@
 	return restored
 }
 
-// RecordFailure notes a failure. See ShouldEject for what follows.
+// RecordFailure records a failure. The caller then calls ShouldEject.
 func (h *Health) RecordFailure() { h.FailureRate += (1 - h.FailureRate) * failureWeight }
 
-// ShouldEject reports whether the endpoint is to be ejected after a failure: its failure rate is too
-// high, or the failure was that of a probe.
+// ShouldEject reports whether the endpoint must be ejected after a failure: its failure rate is above the maximum, or
+// it is ejected already, so that the failure is that of a probe.
 func (h *Health) ShouldEject() bool {
-	return h.Ejected || h.FailureRate > maxFailureRate*h.evidence()
+	return h.Ejected || h.FailureRate > maxFailureRate*h.thresholdFactor()
 }
 
-// IsSilent reports whether an endpoint with attempts in flight has answered nothing for long: it shows in
-// no outcome until the attempts time out, and those of requests that are not idempotent have no timeout.
-// serviceMS is its service time.
+// IsSilent reports whether an endpoint that is not ejected and has attempts in flight has not responded for
+// silenceFactor times its service time, serviceMS in ms. Outcomes alone do not show this until the attempts time out,
+// and attempts of requests that are not idempotent have no timeout.
 func (h *Health) IsSilent(now time.Duration, serviceMS float64) bool {
-	return !h.Ejected && now-h.LastHeard >= stats.FromMilliseconds(silenceFactor*h.evidence()*serviceMS)
+	return !h.Ejected && now-h.LastHeard >= stats.FromMilliseconds(silenceFactor*h.thresholdFactor()*serviceMS)
 }
 
-// evidence is the part of the usual evidence that ejects the endpoint. Peers alone eject nothing.
-func (h *Health) evidence() float64 {
+// thresholdFactor returns the factor applied to the thresholds of ejection. It is lower if peers suspect the endpoint;
+// suspicion alone does not eject it.
+func (h *Health) thresholdFactor() float64 {
 	if h.SuspectedByPeers {
 		return suspectedFactor
 	}
 	return 1
 }
 
-// TooManyEjected reports whether so many endpoints look bad, of so many that are ready, that the load
-// is more likely the cause. None is ejected then.
+// TooManyEjected reports whether the share of ejected endpoints among the ready ones is so high that overload is the
+// more probable cause. The caller then ejects none.
 func TooManyEjected(ejected, ready int) bool {
 	return float64(ejected) > maxEjectedShare*float64(ready)
 }
 
-// Eject takes the endpoint out of rotation, or keeps it out after a failed probe, for longer each time.
-// base is the first ejection time, and draw an even draw from 0 to 1 that varies it by a quarter either
-// way.
-func (h *Health) Eject(now, base time.Duration, draw float64) {
+// Eject takes the endpoint out of rotation, or keeps it out after a failed probe. baseTime is the duration of the first
+// ejection; it doubles with each further one, up to maxEjectionDoublings times. draw is a uniform random number from 0
+// to 1 that varies the duration by up to a quarter in either direction.
+func (h *Health) Eject(now, baseTime time.Duration, draw float64) {
 	h.Ejected = true
-	wait := stats.Scale(base, float64(int(1)<<min(h.Ejections, maxEjectDoubling))*(0.75+draw/2))
+	duration := stats.Scale(baseTime, float64(int(1)<<min(h.Ejections, maxEjectionDoublings))*(0.75+draw/2))
 	h.Ejections++
-	h.ProbeAt = now + wait
+	h.ProbeAt = now + duration
 }
 
 // ProbeDue reports whether an ejected endpoint may be probed.
 func (h *Health) ProbeDue(now time.Duration) bool { return now >= h.ProbeAt }
 
-// SetSuspected takes the peers' opinion. Once they find the endpoint good again it may be probed at once.
+// SetSuspected sets whether peers suspect the endpoint. When they no longer do, an ejected endpoint may be probed at
+// once.
 func (h *Health) SetSuspected(now time.Duration, suspected bool) {
 	if h.SuspectedByPeers && !suspected {
 		h.ProbeAt = now
--- a/internal/balancer/outlierdetection/health_test.go
+++ b/internal/balancer/outlierdetection/health_test.go
@@ -7,7 +7,7 @@
 
 const second = time.Second
 
-func TestFailuresThatEject(t *testing.T) {
+func TestShouldEject(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		failures  int
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestSilenceIsAMultipleOfTheServiceTime(t *testing.T) {
+func TestIsSilentAfterMultipleOfServiceTime(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		since     time.Duration
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestEjectionLastsLongerEachTime(t *testing.T) {
+func TestEjectionTimeDoubles(t *testing.T) {
 	var h Health
 	for i, want := range []time.Duration{1, 2, 4, 8, 8} {
 		now := time.Duration(i) * time.Minute
@@ -77,7 +77,7 @@
 }
 
 // Guards against an endpoint that answers now and then and is taken back each time.
-func TestAFailingEndpointNeedsSeveralAnswers(t *testing.T) {
+func TestFailingEndpointNeedsSeveralAnswersToReturn(t *testing.T) {
 	h := Health{FailureRate: 0.6, Ejected: true, Ejections: 2}
 	answers := 1
 	for !h.RecordAnswer(second) {
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestPeersThatNoLongerSuspectBringAProbe(t *testing.T) {
+func TestProbeIsDueWhenPeersStopSuspecting(t *testing.T) {
 	h := Health{Ejected: true, ProbeAt: time.Hour}
 	h.SetSuspected(second, true)
 	if h.ProbeDue(second) {
--- a/internal/balancer/quota/quota_test.go
+++ b/internal/balancer/quota/quota_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestBucketTellsWhatIsBeyondTheQuota(t *testing.T) {
+func TestExceededAboveQuota(t *testing.T) {
 	now := time.Minute
 	tenant, unlimited := NewBucket(10, now), NewBucket(0, now)
 	exceeded := 0
@@ -24,7 +24,7 @@
 }
 
 // Guards against a pause that saves up more than one second of the quota.
-func TestBucketSavesOneSecond(t *testing.T) {
+func TestBucketHoldsOneSecondOfQuota(t *testing.T) {
 	b := NewBucket(10, 0)
 	now, admitted := time.Hour, 0
 	for !b.Exceeded(now) {
--- a/internal/balancer/retrybudget/retrybudget.go
+++ b/internal/balancer/retrybudget/retrybudget.go
@@ -1,25 +1,25 @@
-// Package retrybudget bounds the retries of requests that may have run as a share of the requests taken.
-// Guards against a collapse that such retries feed where a cancelled attempt goes on loading its endpoint.
+// Package retrybudget limits the retries of requests that may have run to a share of the requests received. Without
+// the limit, such retries could sustain an overload where endpoints continue to work on cancelled attempts.
 package retrybudget
 
-// What a gateway earns and keeps, in retries.
+// Constants of the budget, in retries.
 const (
-	PerRequest = 0.1  // retries that each request taken earns
-	MaxSaved   = 20.0 // retries that may be saved up
+	PerRequest = 0.1  // added to the budget for each request received
+	MaxSaved   = 20.0 // capacity of the budget
 )
 
-// Budget counts the retries that are left. It is not safe for concurrent use.
+// Budget counts the retries that may still start. It is not safe for concurrent use.
 type Budget struct{ retries float64 }
 
 // New returns a full budget.
 func New() Budget { return Budget{retries: MaxSaved} }
 
-// RequestTaken earns a part of a retry.
+// RequestTaken adds PerRequest to the budget, up to MaxSaved. It is called for each request received.
 func (b *Budget) RequestTaken() { b.retries = min(b.retries+PerRequest, MaxSaved) }
 
-// Available reports whether a retry is left.
+// Available reports whether the budget allows a retry.
 func (b *Budget) Available() bool { return b.retries >= 1 }
 
-// Spend takes a retry that starts. Several may have found the same one left, so the budget may be
-// overdrawn.
+// Spend deducts a retry that starts. The budget may become negative, as several retries may have been found available
+// before the first of them started.
 func (b *Budget) Spend() { b.retries-- }
--- a/internal/balancer/retrybudget/retrybudget_test.go
+++ b/internal/balancer/retrybudget/retrybudget_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestBudgetIsAShareOfTheRequests(t *testing.T) {
+func TestBudgetIsShareOfRequests(t *testing.T) {
 	b := New()
 	spend := func() (n int) {
 		for ; b.Available(); n++ {
--- a/internal/balancer/slowstart/slowstart_test.go
+++ b/internal/balancer/slowstart/slowstart_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestFractionRisesEvenly(t *testing.T) {
+func TestFractionRisesLinearly(t *testing.T) {
 	s := Schedule{InitialFraction: 0.2, Duration: 10 * time.Second}
 	const now = time.Minute
 	for _, c := range []struct {
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestBudgetKeepsToItsRate(t *testing.T) {
+func TestBudgetLimitsRate(t *testing.T) {
 	const rate, window = 8.0, 2 * time.Second
 	b := NewBudget(0)
 	spent := 0
@@ -47,7 +47,7 @@
 
 // Guards against requests of many gateways that come at one moment, as an endpoint comes into their
 // subsets.
-func TestBudgetBeginsInDebt(t *testing.T) {
+func TestBudgetStartsInDebt(t *testing.T) {
 	b := NewBudget(0)
 	b.Refill(time.Hour, 1, 2*time.Second)
 	if b.Begin(time.Hour, 0.75); b.Available() || b.Tokens != -0.75 {
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestGrantsLapseAndAreSpentInOrder(t *testing.T) {
+func TestGrantsExpireAndAreSpentInOrder(t *testing.T) {
 	b := NewBudget(0)
 	for _, until := range []time.Duration{10, 20, 30} {
 		b.Grant(until)
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestWarmRateFollowsTheAnswers(t *testing.T) {
+func TestWarmRateTracksAnswers(t *testing.T) {
 	var r WarmRate
 	for range 100 {
 		r.Observe(5, 250*time.Millisecond)
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestTokenRateSharesWhatOverloads(t *testing.T) {
+func TestTokenRateAndMinCapacity(t *testing.T) {
 	// Half of 2.5 times 0.4 of 20 requests a second, for five gateways.
 	if got := TokenRate(2.5, 0.4, 20, 5); math.Abs(got-2) > 1e-9 {
 		t.Errorf("rate %v, want 2 a second", got)
--- a/internal/balancer/stats/stats_test.go
+++ b/internal/balancer/stats/stats_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestMeanCountsFirstValuesInFullAndForgetsOldOnes(t *testing.T) {
+func TestMeanWithAndWithoutMinWeight(t *testing.T) {
 	var plain, recent Mean
 	for i := range 100 {
 		x := 0.0
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -7,24 +7,25 @@
 	"thymebend/internal/balancer"
 )
 
-// Violation is an effect that would have broken a rule.
+// Violation describes an effect that was suppressed because it would have violated a rule.
 type Violation struct {
 	Rule    Rule
-	Request string // the client's id, where a request is concerned
-	Detail  string
+	Request string // the request's id as given by the client; empty if the violation concerns no request
+	Detail  string // circumstances, for the log
 }
 
-// Checker decides on effects and counts violations. Report, if set, is called for each.
+// Checker decides whether effects are allowed and counts violations. If Report is set, it is called for each
+// violation.
 type Checker struct {
 	Report func(Violation)
-	counts [ruleCount]uint64
+	counts [ruleCount]uint64 // violations by Rule
 	total  uint64
 }
 
-// Total is how many violations there were.
+// Total returns the number of violations.
 func (c *Checker) Total() uint64 { return c.total }
 
-// Counts are the violations by the rule's name, of those rules that were violated.
+// Counts returns the number of violations by the rule's name. It contains only rules that were violated.
 func (c *Checker) Counts() map[string]uint64 {
 	counts := make(map[string]uint64)
 	for rule, n := range c.counts {
@@ -35,8 +36,9 @@
 	return counts
 }
 
-// violated counts and reports a violation. It returns false, the verdict on it.
-func (c *Checker) violated(rule Rule, request, format string, args ...any) bool {
+// recordViolation counts and reports a violation. It always returns false, so that callers can return its result as
+// their decision.
+func (c *Checker) recordViolation(rule Rule, request, format string, args ...any) bool {
 	c.counts[rule]++
 	c.total++
 	if c.Report != nil {
@@ -45,25 +47,25 @@
 	return false
 }
 
-// AllowAttempt decides whether an attempt may be written now, and records it if so. The index names it to
-// AttemptEnded.
+// AllowAttempt decides whether an attempt may be written now, and if so records it as running. The caller passes index
+// to Request.AttemptEnded when the attempt ends.
 func (c *Checker) AllowAttempt(r *Request, a Attempt) (index int, ok bool) {
 	switch {
 	case r.done:
-		return 0, c.violated(AttemptAfterEnd, r.ID, "%d attempts before", len(r.attempts))
+		return 0, c.recordViolation(AttemptAfterEnd, r.ID, "after %d attempts", len(r.attempts))
 	case a.Endpoint.Leaving:
-		return 0, c.violated(AttemptToLeavingEndpoint, r.ID, "%d attempts before", len(r.attempts))
+		return 0, c.recordViolation(AttemptToLeavingEndpoint, r.ID, "after %d attempts", len(r.attempts))
 	case a.Now >= r.Deadline || a.Until > r.Deadline:
-		return 0, c.violated(AttemptAfterDeadline, r.ID, "%v are left, %v are stated", r.Deadline-a.Now,
-			a.Until-a.Now)
+		return 0, c.recordViolation(AttemptAfterDeadline, r.ID, "%v until the client's deadline, %v announced to the endpoint",
+			r.Deadline-a.Now, a.Until-a.Now)
 	}
 	for i := range r.attempts {
 		previous := &r.attempts[i]
 		if previous.running {
-			return 0, c.violated(ConcurrentAttempt, r.ID, "attempt %d is running", i)
+			return 0, c.recordViolation(ConcurrentAttempt, r.ID, "attempt %d is still running", i)
 		}
 		if !r.mayFollow(previous, a) {
-			return 0, c.violated(UnsafeRetry, r.ID, "attempt %d may have run, %v ago", i,
+			return 0, c.recordViolation(UnsafeRetry, r.ID, "attempt %d, started %v ago, may have run", i,
 				a.Now-previous.startedAt)
 		}
 	}
@@ -71,8 +73,8 @@
 	return len(r.attempts) - 1, true
 }
 
-// AllowReject decides whether a client may be told that its request never ran, or that trying again is
-// harmless.
+// AllowReject decides whether the client may receive a rejection, which states that its request never ran or that a
+// retry is safe.
 func (c *Checker) AllowReject(r *Request) bool {
 	if r.Idempotency == balancer.Idempotent || r.Idempotency == balancer.KeyedIdempotent &&
 		r.DedupScope == balancer.DedupAll {
@@ -80,54 +82,56 @@
 	}
 	for i := range r.attempts {
 		if !r.attempts[i].neverRan {
-			return c.violated(RejectedAfterRun, r.ID, "attempt %d of %d may have run", i, len(r.attempts))
+			return c.recordViolation(RejectedAfterRun, r.ID, "attempt index %d of %d attempts may have run", i, len(r.attempts))
 		}
 	}
 	return true
 }
 
-// AllowAnswer decides whether a client may be given the final answer of a request, and records it.
+// AllowAnswer decides whether the final answer of a request may be sent to the client, and if so records that it was.
 func (c *Checker) AllowAnswer(r *Request) bool {
 	if r.done {
-		return c.violated(AnsweredTwice, r.ID, "%d attempts", len(r.attempts))
+		return c.recordViolation(AnsweredTwice, r.ID, "after %d attempts", len(r.attempts))
 	}
 	r.done = true
 	return true
 }
 
-// AllowClose decides whether the gateway may close a downstream connection of its own accord. waiting is the
-// request that waits on it, or nil.
+// AllowClose decides whether the gateway may close a downstream connection that the client has not closed. waiting is
+// the request that waits for its answer on the connection, or nil.
 func (c *Checker) AllowClose(waiting *Request) bool {
 	if waiting != nil && !waiting.done {
-		return c.violated(ClosedUnanswered, waiting.ID, "%d attempts", len(waiting.attempts))
+		return c.recordViolation(ClosedUnanswered, waiting.ID, "after %d attempts", len(waiting.attempts))
 	}
 	return true
 }
 
-// LimitWait limits the time until which a client that has stopped in the middle of a request is waited for:
-// it is owed an error or a close within owedWithin of its last byte.
-func (c *Checker) LimitWait(wanted, lastByte, owedWithin time.Duration) time.Duration {
-	latest := lastByte + owedWithin
-	if wanted > latest {
-		c.violated(AnsweredLate, "", "it would wait for %v after its last byte", wanted-lastByte)
+// LimitWait limits until, the time until which the gateway waits for the rest of an incomplete request, and returns the
+// result. The client must receive an error or a close at most maxWait after its last byte, which was received at
+// lastByteAt.
+func (c *Checker) LimitWait(until, lastByteAt, maxWait time.Duration) time.Duration {
+	latest := lastByteAt + maxWait
+	if until > latest {
+		c.recordViolation(AnsweredLate, "", "timeout of %v after the client's last byte, limited to %v",
+			until-lastByteAt, maxWait)
 		return latest
 	}
-	return wanted
+	return until
 }
 
-// CheckDeadline decides whether a downstream connection may be left as it is after an event: a timer, its
-// request or the answer that is being written must end it.
+// CheckDeadline reports whether something will end the state of a downstream connection after an event. That is either
+// a timer, or a request whose answer is pending or being written.
 func (c *Checker) CheckDeadline(timer, request bool) bool {
 	if !timer && !request {
-		return c.violated(ConnWithoutDeadline, "", "neither a timer nor a request")
+		return c.recordViolation(ConnWithoutDeadline, "", "the connection has neither a timer nor a request")
 	}
 	return true
 }
 
-// AllowExit decides whether the process may exit. requests is how many wait for their answers.
+// AllowExit decides whether the process may exit. requests is the number of requests that wait for their answers.
 func (c *Checker) AllowExit(requests int) bool {
 	if requests > 0 {
-		return c.violated(ExitWithOpenRequests, "", "%d requests wait", requests)
+		return c.recordViolation(ExitWithOpenRequests, "", "%d requests wait for their answers", requests)
 	}
 	return true
 }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -10,8 +10,8 @@
 
 const second = time.Second
 
-// retried returns a request with one attempt that began at 1 s in zone 1, cell 1, and has ended.
-func retried(t *testing.T, idempotency balancer.Idempotency, scope balancer.DedupScope,
+// requestWithEndedAttempt returns a request with one attempt that began at 1 s in zone 1, cell 1, and has ended.
+func requestWithEndedAttempt(t *testing.T, idempotency balancer.Idempotency, scope balancer.DedupScope,
 	neverRan bool) (*Checker, *Request) {
 	t.Helper()
 	c := &Checker{}
@@ -67,7 +67,7 @@
 			change: func(_ *Request, a *Attempt) { a.Until = 10*second + 1 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			checker, r := retried(t, c.idempotency, c.scope, c.neverRan)
+			checker, r := requestWithEndedAttempt(t, c.idempotency, c.scope, c.neverRan)
 			a := Attempt{Now: 2 * second, Until: 10 * second, Endpoint: Endpoint{Zone: 1, Cell: 1}}
 			if c.change != nil {
 				c.change(r, &a)
@@ -96,7 +96,7 @@
 		{"keyed in a cell, never ran", balancer.KeyedIdempotent, balancer.DedupCell, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			checker, r := retried(t, c.idempotency, c.scope, c.neverRan)
+			checker, r := requestWithEndedAttempt(t, c.idempotency, c.scope, c.neverRan)
 			if got := checker.AllowReject(r); got != c.ok ||
 				(checker.Counts()["refused after run"] == 1) == c.ok {
 				t.Errorf("%v, %v", got, checker.Counts())
@@ -107,7 +107,7 @@
 
 // Guards against a second answer, a close over a request, an endless connection, an exit that owes an answer,
 // and against a violation that is not reported.
-func TestEnds(t *testing.T) {
+func TestAnswersClosesAndExit(t *testing.T) {
 	var reported []Rule
 	checker := &Checker{Report: func(v Violation) { reported = append(reported, v.Rule) }}
 	r := &Request{ID: "a"}
--- a/internal/invariant/request.go
+++ b/internal/invariant/request.go
@@ -6,42 +6,44 @@
 	"thymebend/internal/balancer"
 )
 
-// Request is the record of one request.
+// Request records the attempts and the end of one request, for Checker.
 type Request struct {
 	ID          string
 	Idempotency balancer.Idempotency
 	DedupScope  balancer.DedupScope
 	DedupWindow time.Duration
-	Deadline    time.Duration // after which its client waits no longer
-	done        bool          // it has its final answer, or its client has left
+	Deadline    time.Duration // when its client stops waiting
+	done        bool          // its final answer was allowed, or its client has left
 	attempts    []attempt
 }
 
-// attempt is an attempt of which something was written.
+// attempt is an attempt that was allowed to be written.
 type attempt struct {
 	endpoint  Endpoint
 	startedAt time.Duration
 	running   bool
-	neverRan  bool // it is proven that the endpoint did not run it
+	neverRan  bool // the endpoint provably did not run it
 }
 
-// Endpoint is where an attempt goes.
+// Endpoint is the endpoint of an attempt.
 type Endpoint struct {
 	Zone, Cell int
-	Leaving    bool // it drains or is removed
+	Leaving    bool // it is draining or removed
 }
 
 // Attempt is an attempt that is about to be written.
 type Attempt struct {
 	Now      time.Duration
-	Until    time.Duration // the endpoint is told that it is waited for until then
+	Until    time.Duration // the deadline that the request announces to the endpoint
 	Endpoint Endpoint
 }
 
-// ClientLeft records that the client has left: no attempt may begin for it any more.
+// ClientLeft records that the client has left. No further attempt of the request is allowed.
 func (r *Request) ClientLeft() { r.done = true }
 
-// mayFollow reports whether an attempt may follow an earlier one that is over.
+// mayFollow reports whether attempt a may be written after the ended attempt previous. Work that may have run may be
+// repeated only if the request is idempotent, or has an idempotency key and stays within the window and the scope in
+// which endpoints deduplicate by the key.
 func (r *Request) mayFollow(previous *attempt, a Attempt) bool {
 	if previous.neverRan || r.Idempotency == balancer.Idempotent {
 		return true
@@ -58,7 +60,8 @@
 	return true
 }
 
-// AttemptEnded records the end of an attempt, and whether that proves that it did not run.
+// AttemptEnded records the end of the attempt with the index that AllowAttempt returned. neverRan is whether the
+// endpoint provably did not run it.
 func (r *Request) AttemptEnded(index int, neverRan bool) {
 	if index < len(r.attempts) {
 		r.attempts[index].running = false
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -1,37 +1,39 @@
 package invariant
 
-// Rule is an invariant that an effect would have broken.
+// Rule identifies an invariant.
 type Rule uint8
 
-// The rules. In a gateway without faults each counts 0.
+// The rules, each named after its violation. A gateway without faults counts no violation of any of them.
 const (
 	// AttemptAfterEnd is an attempt for a request that has its answer or whose client has left.
 	AttemptAfterEnd Rule = iota
 	// AttemptToLeavingEndpoint is an attempt at an endpoint that drains or is removed.
 	AttemptToLeavingEndpoint
-	// AttemptAfterDeadline is an attempt after the request's deadline, or one that states more time than is
-	// left.
+	// AttemptAfterDeadline is an attempt after the request's deadline, or one that announces to the endpoint a
+	// deadline later than the request's.
 	AttemptAfterDeadline
 	// ConcurrentAttempt is a second attempt while an earlier one is running.
 	ConcurrentAttempt
-	// UnsafeRetry is a retry of work that may have run, where its class does not allow it.
+	// UnsafeRetry is a retry of a request that may have run and that its class does not allow to be repeated.
 	UnsafeRetry
-	// RejectedAfterRun is a rejection, which promises that work never ran, of work that may have.
+	// RejectedAfterRun is a rejection, which states that a request never ran, of a request that may have run.
 	RejectedAfterRun
-	// AnsweredTwice is a second final answer.
+	// AnsweredTwice is a second final answer to a request.
 	AnsweredTwice
-	// ClosedUnanswered is closing a downstream connection on which a request waits for its answer.
+	// ClosedUnanswered is the closing of a downstream connection on which a request waits for its answer.
 	ClosedUnanswered
-	// AnsweredLate is a client that stopped in the middle of a request and would get its error too late.
+	// AnsweredLate is a timeout after which a client that stopped sending within a request would receive its error too
+	// late.
 	AnsweredLate
-	// ConnWithoutDeadline is a downstream connection that nothing would ever end.
+	// ConnWithoutDeadline is a downstream connection that no timer and no request would ever end.
 	ConnWithoutDeadline
 	// ExitWithOpenRequests is the exit of the process while requests wait for their answers.
 	ExitWithOpenRequests
 	ruleCount
 )
 
-// String is the rule in log lines and in the violations of /ops/stats, whose texts are fixed.
+// String returns the name of the rule in log lines and in the violations of /ops/stats. These texts are part of the
+// external interface and must not change.
 func (r Rule) String() string {
 	names := [ruleCount]string{
 		AttemptAfterEnd:          "attempt after end",
--- a/internal/lab/mutationtest/cluster.go
+++ b/internal/lab/mutationtest/cluster.go
@@ -4,9 +4,9 @@
 func clusterMutants() []mutant {
 	return append(membershipMutants(),
 		one("believe the machine's clock", "clock", "internal/starttime/starttime.go",
-			"	believed := min(stated+s.clockLead, now)\n	if s.followed {\n"+
-				"		believed = max(believed, now-notifiedWithin)\n	}\n",
-			"	believed := stated\n"),
+			"	adjusted := min(reported+s.clockLead, now)\n	if s.listReceived {\n"+
+				"		adjusted = max(adjusted, now-maxNotificationDelay)\n	}\n",
+			"	adjusted := reported\n"),
 		one("a turn without an end", "shares", "internal/tokenschedule/taker.go",
 			"return e.StartedAt + begins + r.ValidFor(), true", "return e.StartedAt + begins + time.Hour, true"),
 		one("tell every figure at once", "shares", "internal/loadreport/reporter.go",
--- a/internal/starttime/starttime.go
+++ b/internal/starttime/starttime.go
@@ -1,10 +1,10 @@
-// Package starttime tells when endpoints started, on the clock of this process. Discovery states a start as Unix time,
-// by the clocks of other machines. This process's own clock is monotonic, but begins at the wall clock of its machine,
-// which may be wrong by seconds or by an hour: taken at its word, it would make an endpoint in slow start look warm, or
-// keep it in slow start for an hour.
+// Package starttime converts the start times of endpoints to the clock of this process. Discovery reports a start time
+// as Unix time, taken from the clocks of other machines. The clock of this process is monotonic but was initialized
+// from the wall clock of its machine, which may be wrong by seconds or by an hour. Without conversion, an endpoint in
+// slow start could appear warm, or stay in slow start for an hour.
 //
-// The package does no I/O and reads no clock: the caller passes the time of its own, as Unix time. [StartTimes]
-// replaces the starts in each list before the balancer gets it. docs/design/clocks.md gives the reasons.
+// The package does no I/O and reads no clock: the caller passes its current time, as Unix time. [StartTimes] replaces
+// the start times in each endpoint list before the balancer receives it. docs/design/clocks.md gives the reasons.
 package starttime
 
 import (
@@ -14,55 +14,58 @@
 )
 
 const (
-	// plausibleAge is how long ago the newest start of a first list may lie for this machine's clock to be believed.
-	// Beyond it nothing may have started for so long, or the clock is ahead; then the newest start is taken to be now,
-	// which costs the few endpoints that started about then one slow start more.
-	plausibleAge = 10 * time.Minute
-	// notifiedWithin is how soon a start is heard of, as what discovery has counts as notified 6 s later at the latest.
-	// One that seems older when it is first heard of, while the list is being followed, is taken to be so old.
-	notifiedWithin = 6 * time.Second
+	// maxPlausibleAge is the maximum age of the newest start in the first list for which this machine's clock is
+	// trusted. If the newest start is older, either no endpoint has started for that long or the clock is ahead. The
+	// newest start is then assumed to be now, which costs the few endpoints that started about the same time an
+	// additional slow start.
+	maxPlausibleAge = 10 * time.Minute
+	// maxNotificationDelay is the maximum time until this process is notified of a start: a change in discovery counts
+	// as notified after 6 s at the latest. Once a list was received from discovery, a new start that appears to be
+	// older is assumed to have this age.
+	maxNotificationDelay = 6 * time.Second
 )
 
-// StartTimes keeps what is believed of the endpoints listed. The zero value has heard no list. It is used by one
-// goroutine.
+// StartTimes converts start times and keeps those of all listed endpoints. The zero value has received no list. It is
+// not safe for concurrent use.
 type StartTimes struct {
-	clockLead time.Duration // of this process's clock over discovery's
-	judged    bool          // a list with a start has been heard: the lead is no guess any more
-	followed  bool          // a list was heard from discovery, so that what is new in the next has just started
-	starts    map[balancer.EndpointID]start
+	clockLead     time.Duration // how far this process's clock is ahead of discovery's
+	leadEstimated bool          // a list with a start time was received, so clockLead is an estimate
+	listReceived  bool          // a list was received from discovery, so endpoints new in later lists have just started
+	starts        map[balancer.EndpointID]start
 }
 
-// start is one start of an endpoint, as Unix time.
+// start is the start time of an endpoint, as Unix time on two clocks.
 type start struct {
-	stated   time.Duration // by discovery
-	believed time.Duration // on this process's clock
+	reported time.Duration // by discovery, on the clocks of other machines
+	adjusted time.Duration // on this process's clock
 }
 
-// Adjust replaces the starts that a list states by those on this process's clock. A start that was heard before keeps
-// its time.
+// Adjust replaces the start times in a list by those on this process's clock, in place. A start time that was reported
+// before for the same endpoint keeps its adjusted time. now is the current time of this process.
 func (s *StartTimes) Adjust(now time.Duration, kind balancer.EndpointUpdate, endpoints []balancer.Endpoint) {
 	if s.starts == nil {
 		s.starts = make(map[balancer.EndpointID]start)
 	}
-	s.judgeClock(now, endpoints)
+	s.estimateClockLead(now, endpoints)
 	if kind == balancer.Snapshot {
-		s.retain(endpoints)
+		s.forgetUnlisted(endpoints)
 	}
 	for i := range endpoints {
 		endpoint := &endpoints[i]
 		if endpoint.StartedAt <= 0 {
-			continue // long ago, whatever the clocks are
+			continue // started long ago; independent of the clocks
 		}
-		endpoint.StartedAt = s.believe(now, endpoint.ID, endpoint.StartedAt)
+		endpoint.StartedAt = s.adjustStart(now, endpoint.ID, endpoint.StartedAt)
 		if endpoint.State == balancer.EndpointRemoved {
 			delete(s.starts, endpoint.ID)
 		}
 	}
-	s.followed = s.followed || kind == balancer.Snapshot || kind == balancer.Delta
+	s.listReceived = s.listReceived || kind == balancer.Snapshot || kind == balancer.Delta
 }
 
-// judgeClock finds out how far this process's clock is ahead of discovery's, as far as a list tells.
-func (s *StartTimes) judgeClock(now time.Duration, endpoints []balancer.Endpoint) {
+// estimateClockLead updates the estimate of how far this process's clock is ahead of discovery's. A newest start in the
+// future shows that the clock is behind; for one of implausible age see maxPlausibleAge.
+func (s *StartTimes) estimateClockLead(now time.Duration, endpoints []balancer.Endpoint) {
 	newest := time.Duration(0)
 	for i := range endpoints {
 		newest = max(newest, endpoints[i].StartedAt)
@@ -71,27 +74,27 @@
 		return
 	}
 	age := now - s.clockLead - newest
-	if age < 0 || !s.judged && age > plausibleAge {
+	if age < 0 || !s.leadEstimated && age > maxPlausibleAge {
 		s.clockLead = now - newest
 	}
-	s.judged = true
+	s.leadEstimated = true
 }
 
-// believe is when an endpoint started, on this process's clock.
-func (s *StartTimes) believe(now time.Duration, id balancer.EndpointID, stated time.Duration) time.Duration {
-	if known, ok := s.starts[id]; ok && known.stated == stated {
-		return known.believed
+// adjustStart returns and keeps the start time of an endpoint on this process's clock; reported is that of discovery.
+func (s *StartTimes) adjustStart(now time.Duration, id balancer.EndpointID, reported time.Duration) time.Duration {
+	if known, ok := s.starts[id]; ok && known.reported == reported {
+		return known.adjusted
 	}
-	believed := min(stated+s.clockLead, now)
-	if s.followed {
-		believed = max(believed, now-notifiedWithin)
+	adjusted := min(reported+s.clockLead, now)
+	if s.listReceived {
+		adjusted = max(adjusted, now-maxNotificationDelay)
 	}
-	s.starts[id] = start{stated, believed}
-	return believed
+	s.starts[id] = start{reported, adjusted}
+	return adjusted
 }
 
-// retain forgets the endpoints that a snapshot leaves out.
-func (s *StartTimes) retain(endpoints []balancer.Endpoint) {
+// forgetUnlisted deletes the start times of endpoints that a snapshot does not contain.
+func (s *StartTimes) forgetUnlisted(endpoints []balancer.Endpoint) {
 	listed := make(map[balancer.EndpointID]bool, len(endpoints))
 	for i := range endpoints {
 		listed[endpoints[i].ID] = true
--- a/internal/starttime/starttime_test.go
+++ b/internal/starttime/starttime_test.go
@@ -7,8 +7,8 @@
 	"thymebend/internal/balancer"
 )
 
-// trueTime is the time when a process begins, by right clocks.
-const trueTime = 1_000_000 * time.Second
+// processStart is the time when a process begins, by right clocks.
+const processStart = 1_000_000 * time.Second
 
 // list is what a process hears, at a true time since its begin, of endpoints with their ages.
 type list struct {
@@ -21,16 +21,16 @@
 	return []balancer.Endpoint{{ID: id, State: balancer.EndpointReady, StartedAt: startedAt}}
 }
 
-// believedAges plays lists to a process whose clock is wrong and returns how old it takes each endpoint to be after the
+// adjustedAges plays lists to a process whose clock is wrong and returns how old it takes each endpoint to be after the
 // last.
-func believedAges(clockError time.Duration, lists ...list) map[balancer.EndpointID]time.Duration {
+func adjustedAges(clockError time.Duration, lists ...list) map[balancer.EndpointID]time.Duration {
 	var s StartTimes
 	var now time.Duration
 	believed := make(map[balancer.EndpointID]time.Duration)
 	for _, l := range lists {
-		now = trueTime + l.at + clockError
+		now = processStart + l.at + clockError
 		for id, age := range l.ages {
-			endpoints := endpoint(id, trueTime+l.at-age)
+			endpoints := endpoint(id, processStart+l.at-age)
 			kind := l.kind
 			if len(l.ages) > 1 && kind == balancer.Snapshot {
 				kind = balancer.Delta // one by one; whole lists are in TestSnapshotsForget
@@ -48,13 +48,13 @@
 
 // Guards against a wrong clock by which an endpoint that starts while the list is followed is taken to be older than
 // 6 s or not yet started, and one of the first list to be warm that may be in slow start.
-func TestWrongClocks(t *testing.T) {
+func TestAdjustWithWrongClock(t *testing.T) {
 	type ages = map[balancer.EndpointID]time.Duration
 	first := list{0, balancer.Snapshot, ages{1: 20 * time.Second}}
 	change := list{30 * time.Second, balancer.Delta, ages{2: 2 * time.Second}}
 	lateChange := list{30 * time.Second, balancer.Delta, ages{2: 9 * time.Second}}
 	empty := list{0, balancer.Snapshot, nil}
-	cached := list{0, balancer.CachedSnapshot, ages{1: trueTime}}
+	cached := list{0, balancer.CachedSnapshot, ages{1: processStart}}
 	for _, test := range []struct {
 		name        string
 		clockError  time.Duration
@@ -72,10 +72,10 @@
 		{"seconds ahead, of a change", 7 * time.Second, []list{first, change}, 2, 2 * time.Second, 6 * time.Second},
 		{"seconds behind, of a change", -7 * time.Second, []list{first, change}, 2, 0, 2 * time.Second},
 		{"an hour behind, a first list empty", -time.Hour, []list{empty, change}, 2, 0, 0},
-		{"long ago", time.Hour, []list{cached}, 1, trueTime, 2 * trueTime},
+		{"long ago", time.Hour, []list{cached}, 1, processStart, 2 * processStart},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := believedAges(test.clockError, test.lists...)[test.id]; got < test.least || got > test.most {
+			if got := adjustedAges(test.clockError, test.lists...)[test.id]; got < test.least || got > test.most {
 				t.Errorf("taken to be %v old, want %v to %v", got, test.least, test.most)
 			}
 		})
@@ -84,7 +84,7 @@
 
 // Guards against an endpoint in slow start whose start moves with each list, and against a new start that gets the time
 // of the one before.
-func TestStartsKeepTheirTimes(t *testing.T) {
+func TestAdjustedStartIsStable(t *testing.T) {
 	var s StartTimes
 	believe := func(now, startedAt time.Duration) time.Duration {
 		endpoints := endpoint(1, startedAt)
@@ -101,15 +101,15 @@
 }
 
 // Guards against memory that grows with every endpoint ever listed.
-func TestSnapshotsForget(t *testing.T) {
+func TestSnapshotForgetsUnlistedEndpoints(t *testing.T) {
 	var s StartTimes
 	for id := range balancer.EndpointID(100) {
-		s.Adjust(trueTime, balancer.Delta, endpoint(id+1, trueTime-time.Second))
+		s.Adjust(processStart, balancer.Delta, endpoint(id+1, processStart-time.Second))
 	}
-	s.Adjust(trueTime, balancer.Snapshot, endpoint(1, trueTime-time.Second))
-	removed := endpoint(1, trueTime-time.Second)
+	s.Adjust(processStart, balancer.Snapshot, endpoint(1, processStart-time.Second))
+	removed := endpoint(1, processStart-time.Second)
 	removed[0].State = balancer.EndpointRemoved
-	s.Adjust(trueTime, balancer.Delta, removed)
+	s.Adjust(processStart, balancer.Delta, removed)
 	if len(s.starts) != 0 {
 		t.Errorf("%d starts are kept", len(s.starts))
 	}
--- a/internal/subset/expansion.go
+++ b/internal/subset/expansion.go
@@ -7,47 +7,48 @@
 
 // Constants of the expansion.
 const (
-	expansionDecay = 1.0 / 64 // share given up in a sample without need
-	maxDoublings   = 3        // doublings of the rest
+	expansionDecay       = 1.0 / 64 // share by which the expansion shrinks in a sample without need for it
+	maxCooldownDoublings = 3        // maximum doublings of the cooldown
 )
 
-// Expansion is what a gateway that is short of room uses beyond its regular subset, and how it gives that
-// up: traffic and endpoints are not spread alike over zones and gateways, which no list tells. It grows by
-// one a sample and shrinks by half where an endpoint of it is full or cannot be reached, for then others
-// need it or a zone is lost. Growth then rests, longer each time. Guards against hundreds of gateways that
-// are short together and take each other's connections.
+// Expansion determines how many endpoints a gateway that is short of capacity uses in addition to its regular subset.
+// It is needed because traffic may be distributed over zones and gateways in other proportions than endpoints, which
+// no endpoint list shows. It grows by one endpoint per sample while the gateway is short, and shrinks slowly while it
+// is not. It shrinks by half if one of its endpoints is full or unreachable, as other gateways then need that endpoint
+// or a zone has failed; after that it does not grow during a cooldown, which doubles with each further halving. This
+// prevents hundreds of gateways that are short at the same time from taking connections away from each other.
 type Expansion struct {
-	Size     float64 // endpoints, and a part of one
-	failures int     // halvings since the last sample without need
-	resumeAt time.Duration
+	Size     float64       // number of endpoints, including a fraction of one
+	halvings int           // halvings since the last sample without need for the expansion
+	resumeAt time.Duration // end of the cooldown
 }
 
-// Signals are what a gateway saw in one sample.
+// Signals are the observations of a gateway in one sample.
 type Signals struct {
 	Short   bool // requests were queued for long
-	Full    bool // an endpoint of the expansion had no room or could not be reached
-	Warming bool // an endpoint of the regular subset is warming up: room comes by itself
+	Full    bool // an endpoint of the expansion rejected an attempt as full or could not be reached
+	Warming bool // an endpoint of the regular subset is warming up, so capacity increases without an expansion
 }
 
-// Update takes the signals of a sample and reports whether the whole number of endpoints changed. most is
-// the largest size, and rest how long growth rests at first; the caller varies it, or gateways would stay
-// in step.
-func (e *Expansion) Update(now time.Duration, seen Signals, most float64, rest time.Duration) bool {
+// Update adjusts the size by the signals of one sample and reports whether the whole number of endpoints changed.
+// maxSize is the maximum size. cooldown is the first duration without growth after a halving; the caller adds jitter to
+// it so that gateways do not grow at the same time.
+func (e *Expansion) Update(now time.Duration, signals Signals, maxSize float64, cooldown time.Duration) bool {
 	before := e.Size
 	switch {
-	case seen.Full:
+	case signals.Full:
 		e.Size /= 2
-		e.resumeAt = now + rest*time.Duration(1<<min(e.failures, maxDoublings))
-		e.failures++
-	case now < e.resumeAt: // as it is
-	case seen.Short && !seen.Warming:
-		e.Size = min(before+1, most)
+		e.resumeAt = now + cooldown*time.Duration(1<<min(e.halvings, maxCooldownDoublings))
+		e.halvings++
+	case now < e.resumeAt: // unchanged during the cooldown
+	case signals.Short && !signals.Warming:
+		e.Size = min(before+1, maxSize)
 	default:
 		e.Size *= 1 - expansionDecay
-		e.failures = 0
+		e.halvings = 0
 	}
 	return e.Endpoints() != math.Floor(before)
 }
 
-// Endpoints is how many whole endpoints that is.
+// Endpoints returns the size rounded down to whole endpoints.
 func (e *Expansion) Endpoints() float64 { return math.Floor(e.Size) }
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -1,6 +1,7 @@
-// Package subset works out which part of many endpoints each of many gateways uses: few enough that endpoints
-// are not short of connections and that a gateway learns what its endpoints can do, spread evenly without a
-// word between gateways, and stable. It knows numbers only, does no I/O and has no clock.
+// Package subset computes which subset of the endpoints each gateway uses. The subset is small enough that endpoints do
+// not run out of connections and that a gateway has enough answers of each endpoint to measure its performance. The
+// subsets are stable, and spread evenly over the endpoints without communication between gateways. The package computes
+// with counts, ranks and indices only, does no I/O and has no clock.
 package subset
 
 import (
@@ -9,15 +10,17 @@
 	"slices"
 )
 
-// Zone holds the ready endpoints of one zone and of all others, and how many of each a gateway of the zone
-// uses. A fraction is the share of the gateways that use one more.
+// Zone holds the numbers of ready endpoints in one zone (Ready) and in all other zones (OtherReady), and how many of
+// them a gateway of the zone uses (Local and Remote). The fractional part of Local and Remote is the share of the
+// gateways that use one more.
 type Zone struct {
-	Zone          int
-	Ready, Others float64
-	Local, Remote float64
+	Zone              int
+	Ready, OtherReady float64
+	Local, Remote     float64
 }
 
-// Count counts ready endpoints by their zones, the local zone first.
+// Count counts the ready endpoints of each zone. zones yields the zone of each endpoint and whether it is ready. The
+// first element of the result is the local zone.
 func Count(local int, zones iter.Seq2[int, bool]) []Zone {
 	out := []Zone{{Zone: local}}
 	for zone, ready := range zones {
@@ -32,76 +35,77 @@
 	return out
 }
 
-// Rule says how many gateways use an endpoint: of its own zone (Local), and of the others (Remote). A gateway
-// uses Min endpoints in all at least, if there are so many.
+// Rule is how many gateways use each endpoint: Local gateways of the endpoint's zone and Remote gateways of the other
+// zones. A gateway uses at least Min endpoints overall, or all if there are fewer.
 type Rule struct{ Local, Remote, Min float64 }
 
-// Subsets fills in what a gateway of each zone uses; Zone and Ready are given. Gateways are taken to be
-// spread evenly over zones, which no list tells.
+// Subsets sets OtherReady, Local and Remote of each zone from its Ready. Gateways are assumed to be distributed evenly
+// over the zones, as no list contains the zones of gateways.
 func (r Rule) Subsets(gateways int, zones []Zone) {
-	all := 0.0
+	total := 0.0
 	for _, z := range zones {
-		all += z.Ready
+		total += z.Ready
 	}
-	local := float64(gateways) / float64(len(zones)) // gateways of one zone
+	local := float64(gateways) / float64(len(zones)) // gateways in one zone
 	remote := max(1, float64(gateways)-local)
 	for i := range zones {
 		z := &zones[i]
-		z.Others = all - z.Ready
-		z.Local, z.Remote = z.Ready*min(1, r.Local/local), z.Others*min(1, r.Remote/remote)
-		if z.Others == 0 {
+		z.OtherReady = total - z.Ready
+		z.Local, z.Remote = z.Ready*min(1, r.Local/local), z.OtherReady*min(1, r.Remote/remote)
+		if z.OtherReady == 0 {
 			z.Local = max(z.Local, min(z.Ready, r.Min))
 		}
-		z.Remote = max(z.Remote, min(z.Others, r.Min-z.Local))
+		z.Remote = max(z.Remote, min(z.OtherReady, r.Min-z.Local))
 	}
 }
 
-// Users is how many gateways use an endpoint of this zone in their subsets, at least 1.
+// Users returns how many gateways have an endpoint of the given zone in their subsets, at least 1. zones must have been
+// filled in by Rule.Subsets.
 func Users(gateways, zone int, zones []Zone) float64 {
 	local, n := float64(gateways)/float64(len(zones)), 0.0
 	for _, z := range zones {
 		if z.Zone == zone {
 			n += local * z.Local / max(1, z.Ready)
 		} else {
-			n += local * z.Remote / max(1, z.Others)
+			n += local * z.Remote / max(1, z.OtherReady)
 		}
 	}
 	return max(1, n)
 }
 
-// Start is the place among n at which the gateway with this rank begins: multiples of the golden ratio spread
-// any part of the ranks evenly.
+// Start returns the index among n endpoints at which the subset of the gateway with the given rank starts. It uses
+// multiples of the golden ratio, which distribute any range of ranks evenly.
 func Start(rank, n int) int {
-	_, at := math.Modf(float64(rank) * math.Phi)
-	return int(at * float64(n))
+	_, fraction := math.Modf(float64(rank) * math.Phi)
+	return int(fraction * float64(n))
 }
 
-// RoundByRank makes a number of endpoints whole for the gateway with this rank: a fraction of an endpoint is
-// one at that share of the gateways.
-func RoundByRank(rank int, want float64) float64 {
-	_, chance := math.Modf(float64(rank) * math.Sqrt2)
-	return math.Floor(want + chance)
+// RoundByRank rounds a number of endpoints to a whole number for the gateway with the given rank. It rounds up for a
+// share of the gateways that equals the fractional part, so that the mean over all gateways is size.
+func RoundByRank(rank int, size float64) float64 {
+	_, offset := math.Modf(float64(rank) * math.Sqrt2)
+	return math.Floor(size + offset)
 }
 
-// RelativeLoad is by how much more gateways than the mean use the ready endpoint at each place. Whoever
-// begins at a place without one goes on to the next, so that an endpoint behind a gap has the gap's
-// gateways too. part is how many endpoints a gateway uses.
-func RelativeLoad(ready []bool, part float64) []float64 {
+// RelativeLoad returns, for the ready endpoint at each index, the number of gateways that use it relative to the mean;
+// 1 for endpoints that are not ready. A gateway whose start index has no ready endpoint uses the next ones, so that an
+// endpoint behind a gap also serves the gateways that start in the gap. size is how many endpoints a gateway uses.
+func RelativeLoad(ready []bool, size float64) []float64 {
 	out := make([]float64, len(ready))
-	var places []int
+	var indices []int
 	for i := range ready {
 		if out[i] = 1; ready[i] {
-			places = append(places, i)
+			indices = append(indices, i)
 		}
 	}
-	n := len(places)
-	k := max(1, min(n, int(math.Round(part))))
-	for j, at := range places {
-		span := at - places[(j-k+n)%n] // since the k-th ready endpoint before it
+	n := len(indices)
+	k := max(1, min(n, int(math.Round(size))))
+	for j, index := range indices {
+		span := index - indices[(j-k+n)%n] // distance from the k-th ready endpoint before this one
 		if span <= 0 {
 			span += len(ready)
 		}
-		out[at] = float64(span*n) / float64(len(ready)*k)
+		out[index] = float64(span*n) / float64(len(ready)*k)
 	}
 	return out
 }
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -6,7 +6,7 @@
 )
 
 // What the gateways of all zones use together is what Users says, or slow-start budgets would not add up.
-func TestUsersAddUp(t *testing.T) {
+func TestUsersMatchSubsetSizes(t *testing.T) {
 	rule := Rule{Local: 8, Remote: 4, Min: 2}
 	for _, ready := range [][]float64{{10, 10}, {23, 59, 30, 38, 29}, {1, 80}, {0, 40}, {5}} {
 		var zones []Zone
@@ -29,7 +29,7 @@
 }
 
 // Any run of ranks begins at places spread evenly, and a share of one half makes half of them use one more.
-func TestRanksSpread(t *testing.T) {
+func TestRanksAreSpreadEvenly(t *testing.T) {
 	const endpoints, gateways = 30, 300
 	var begun [endpoints]int
 	whole := 0.0
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestExpansionGrowsShrinksAndRests(t *testing.T) {
+func TestExpansionGrowthShrinkageAndCooldown(t *testing.T) {
 	var r Expansion
 	const sample = 250 * time.Millisecond
 	now := time.Duration(0)
@@ -87,7 +87,7 @@
 
 // An endpoint behind a gap is used by whoever begins in the gap: what RelativeLoad says of each is what 3,000
 // gateways do.
-func TestEndpointsBehindGapsHaveMoreUsers(t *testing.T) {
+func TestRelativeLoadOfEndpointsBehindGaps(t *testing.T) {
 	const gateways = 3000
 	for _, c := range []struct {
 		ready []bool
