--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -63,9 +63,10 @@
 // Succeeded records that a call was answered, which resets the backoff.
 func (b *Backoff) Succeeded() { b.failures, b.queuedFailures = 0, 0 }
 
-// Failed records a failure and returns the delay from now until the next call. callers is the number of gateways in the
-// cluster and elapsed the time since the failed call started. delayDraw and intervalDraw are uniform random numbers from
-// 0 to 1: the first varies the minimum delay and the delay after Ended, the second reduces the interval by up to half.
+// Failed records a failure and returns the delay from now until the next call. callers is the number of gateways in
+// the cluster and elapsed the time since the failed call started. delayDraw and intervalDraw are uniform random numbers
+// from 0 to 1: delayDraw varies the minimum delay and the delay after Ended, intervalDraw varies the interval between
+// half of it and all of it.
 func (b *Backoff) Failed(kind Failure, callers int, elapsed time.Duration, delayDraw, intervalDraw float64,
 ) time.Duration {
 	if kind == Ended {
--- a/internal/balancer/concurrency/setpoints_test.go
+++ b/internal/balancer/concurrency/setpoints_test.go
@@ -11,10 +11,10 @@
 	}{
 		{"rises", 0.9, 0.5, 3, 1, 0.9 + 0.07*0.4},
 		{"falls", 0.9, 1.5, 3, 1, 0.9 - 0.07*0.6},
-		{"nothing released", 0.9, 0, 0, 1, 0.9},
+		{"no request left the queue", 0.9, 0, 0, 1, 0.9},
 		{"at most twice the setpoint", 1.79, 0, 1, 1, 1.8},
 		{"at least zero", 0.1, 5, 1, 1, 0},
-		{"setpoint follows the top loop", 0.9, 0.45, 1, 0.5, 0.9}, // clamped to 2 x 0.9 x 0.5
+		{"lower response setpoint", 0.9, 0.45, 1, 0.5, 0.9}, // clamped to 2 x 0.9 x 0.5
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			q := QueueThreshold{Value: c.threshold}
@@ -36,12 +36,12 @@
 		setpoint, response, want float64
 		answers                  int
 	}{
-		{"over the objective", 1, 1.5, 0.995, 64},
-		{"under the objective gives back", 0.9, 0.5, 0.905, 64},
-		{"never over the objective", 1, 0.2, 1, 64},
-		{"never under half", 0.5, 4, 0.5, 64},
-		{"too few answers", 0.8, 4, 0.8, 63},
-		{"more than are needed", 1, 1.5, 0.995, 200},
+		{"above the objective", 1, 1.5, 0.995, 64},
+		{"rises below the objective", 0.9, 0.5, 0.905, 64},
+		{"at most the objective", 1, 0.2, 1, 64},
+		{"at least half the objective", 0.5, 4, 0.5, 64},
+		{"fewer than 64 answers", 0.8, 4, 0.8, 63},
+		{"more than 64 answers", 1, 1.5, 0.995, 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := ResponseSetpoint{Value: c.setpoint}
--- a/internal/balancer/outlierdetection/class_test.go
+++ b/internal/balancer/outlierdetection/class_test.go
@@ -7,33 +7,33 @@
 
 const usualMS = 100.0
 
-// Guards against an endpoint that answers one class and never another: the one is stalled, and probed
-// seldom.
+// Guards against an endpoint that answers one class and never another: the other class must count as stalled and be
+// probed at increasing intervals.
 func TestStalledClassIsProbed(t *testing.T) {
 	var c ClassHealth
 	now := time.Minute
 	c.Started(now, usualMS, second)
 	if now += 1200 * time.Millisecond; c.Stalled(now, usualMS) {
-		t.Fatal("stalled at twelve service times, want later")
+		t.Fatal("stalled at exactly twelve service times, want it only after them")
 	}
 	if now += time.Millisecond; !c.Stalled(now, usualMS) || c.Allows(now, usualMS) {
-		t.Fatal("not stalled after twelve service times")
+		t.Fatal("not stalled after twelve service times, or attempts other than probes may start")
 	}
 	if !c.StalledSince(now, now, usualMS) || c.StalledSince(now, time.Minute, usualMS) {
-		t.Error("its attempts count though other work was answered, or do not though none was")
+		t.Error("want StalledSince only if another request was answered after the first unanswered attempt")
 	}
 	c.Ended()
 	if c.Settle(now, usualMS); !c.Stalled(now, usualMS) || !c.Allows(now, usualMS) {
-		t.Fatal("a timeout ends the stall, or a probe may not start")
+		t.Fatal("a timeout ended the stall, or no probe may start")
 	}
 	for _, wait := range []time.Duration{1, 2, 4, 8, 16, 16} {
 		c.Started(now, usualMS, second)
 		if c.Allows(now+time.Hour, usualMS) {
-			t.Fatal("two probes at a time")
+			t.Fatal("a second probe may start while one is in flight")
 		}
 		c.Ended()
 		if c.Allows(now+wait*second-1, usualMS) || !c.Allows(now+wait*second, usualMS) {
-			t.Errorf("the next probe is not due after %v", wait*second)
+			t.Errorf("the next probe is not due exactly %v after the one before", wait*second)
 		}
 		now += wait * second
 	}
@@ -41,7 +41,7 @@
 	c.Ended()
 	c.Answered(now)
 	if c.Settle(now, usualMS); c.Stalled(now+time.Hour, usualMS) {
-		t.Error("stalled after an answer")
+		t.Error("still stalled after an answer")
 	}
 }
 
@@ -51,6 +51,6 @@
 	c.Ended()
 	c.Withdrawn()
 	if c.Stalled(time.Hour, usualMS) {
-		t.Error("stalled though the endpoint never had a whole request")
+		t.Error("stalled although the endpoint never had a complete request")
 	}
 }
--- a/internal/balancer/outlierdetection/health_test.go
+++ b/internal/balancer/outlierdetection/health_test.go
@@ -16,9 +16,9 @@
 		want      bool
 	}{
 		{"one failure", 1, false, false, false},
-		{"two in a row", 2, false, false, true},
-		{"one of a suspected endpoint", 1, true, false, true},
-		{"none of a suspected endpoint", 0, true, false, false},
+		{"two consecutive failures", 2, false, false, true},
+		{"one failure of a suspected endpoint", 1, true, false, true},
+		{"no failure of a suspected endpoint", 0, true, false, false},
 		{"a failed probe", 1, false, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -27,7 +27,7 @@
 				h.RecordFailure()
 			}
 			if got := h.ShouldEject(); got != c.want {
-				t.Errorf("ejected %v with a failure rate of %v", got, h.FailureRate)
+				t.Errorf("ShouldEject = %v with a failure rate of %v, want %v", got, h.FailureRate, c.want)
 			}
 		})
 	}
@@ -41,15 +41,15 @@
 		ejected   bool
 		want      bool
 	}{
-		{"under six service times", 590 * time.Millisecond, false, false, false},
+		{"less than six service times", 590 * time.Millisecond, false, false, false},
 		{"six service times", 600 * time.Millisecond, false, false, true},
-		{"suspected, half of that", 300 * time.Millisecond, true, false, true},
-		{"ejected already", 10 * second, false, true, false},
+		{"three service times, suspected", 300 * time.Millisecond, true, false, true},
+		{"already ejected", 10 * second, false, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := Health{LastHeard: second, SuspectedByPeers: c.suspected, Ejected: c.ejected}
 			if got := h.IsSilent(second+c.since, 100); got != c.want {
-				t.Errorf("silent %v", got)
+				t.Errorf("IsSilent = %v, want %v", got, c.want)
 			}
 		})
 	}
@@ -66,7 +66,7 @@
 	}
 	h.FailureRate = 0
 	if !h.RecordAnswer(time.Hour) || h.Ejected || h.Ejections != 0 {
-		t.Errorf("after a good probe: %+v", h)
+		t.Errorf("after a successful probe: %+v, want the ejection ended and the count reset", h)
 	}
 	for draw, want := range map[float64]time.Duration{0: 750 * time.Millisecond, 1: 1250 * time.Millisecond} {
 		var h Health
@@ -76,19 +76,19 @@
 	}
 }
 
-// Guards against an endpoint that answers now and then and is taken back each time.
+// Guards against an endpoint that answers only occasionally and returns to the rotation after each answer.
 func TestFailingEndpointNeedsSeveralAnswersToReturn(t *testing.T) {
 	h := Health{FailureRate: 0.6, Ejected: true, Ejections: 2}
 	answers := 1
 	for !h.RecordAnswer(second) {
 		answers++
 	}
-	if answers != 3 { // 0.6 x 0.8^3 is under 0.35
-		t.Errorf("taken back after %d answers, want 3", answers)
+	if answers != 3 { // 0.6 x 0.8^3 is below 0.35
+		t.Errorf("restored after %d answers, want 3", answers)
 	}
 	silent := Health{FailureRate: 0.6, Ejected: true, Silent: true}
 	if !silent.RecordAnswer(second) || silent.Silent {
-		t.Error("one that was only slow to answer is not taken back at its first answer")
+		t.Error("an endpoint ejected for silence is not restored by its first answer")
 	}
 }
 
@@ -98,7 +98,7 @@
 		want           bool
 	}{{1, 1, true}, {1, 2, false}, {2, 3, true}, {3, 6, false}, {4, 6, true}} {
 		if got := TooManyEjected(c.ejected, c.ready); got != c.want {
-			t.Errorf("%d of %d: %v", c.ejected, c.ready, got)
+			t.Errorf("%d of %d ejected: %v, want %v", c.ejected, c.ready, got, c.want)
 		}
 	}
 }
@@ -110,6 +110,6 @@
 		t.Fatal("a probe is due because peers suspect the endpoint")
 	}
 	if h.SetSuspected(second, false); !h.ProbeDue(second) {
-		t.Error("no probe is due though no peer suspects the endpoint any longer")
+		t.Error("no probe is due although peers no longer suspect the endpoint")
 	}
 }
--- a/internal/balancer/retrybudget/retrybudget_test.go
+++ b/internal/balancer/retrybudget/retrybudget_test.go
@@ -11,18 +11,18 @@
 		return n
 	}
 	if n := spend(); n != MaxSaved {
-		t.Errorf("%d retries at the start, want %v", n, MaxSaved)
+		t.Errorf("%d retries available at the start, want %v", n, MaxSaved)
 	}
 	for range 100 {
 		b.RequestTaken()
 	}
 	if n := spend(); n < 9 || n > 10 {
-		t.Errorf("%d retries earned by 100 requests, want 9 or 10", n)
+		t.Errorf("%d retries available after 100 requests, want 9 or 10", n)
 	}
 	for range 10000 {
 		b.RequestTaken()
 	}
 	if n := spend(); n != MaxSaved {
-		t.Errorf("%d retries saved up, want %v", n, MaxSaved)
+		t.Errorf("%d retries available after 10,000 requests, want %v", n, MaxSaved)
 	}
 }
--- a/internal/balancer/slowstart/slowstart_test.go
+++ b/internal/balancer/slowstart/slowstart_test.go
@@ -15,7 +15,7 @@
 		want      float64
 	}{
 		{"just started", now, 0.2},
-		{"start ahead of the clock", now + time.Second, 0.2},
+		{"start in the future", now + time.Second, 0.2},
 		{"half way", now - 5*time.Second, 0.6},
 		{"warm", now - 10*time.Second, 1},
 		{"long ago", 0, 1},
@@ -41,17 +41,17 @@
 		t.Errorf("%d requests in 10 s at 8 a second, want 80", spent)
 	}
 	if b.Refill(time.Hour, rate, window); b.Tokens != rate {
-		t.Errorf("%v tokens saved up, want those of half a window, 8", b.Tokens)
+		t.Errorf("%v tokens saved up, want 8, those of half a window", b.Tokens)
 	}
 }
 
-// Guards against requests of many gateways that come at one moment, as an endpoint comes into their
+// Guards against many gateways that all send their first request at the moment at which an endpoint is added to their
 // subsets.
 func TestBudgetStartsInDebt(t *testing.T) {
 	b := NewBudget(0)
 	b.Refill(time.Hour, 1, 2*time.Second)
 	if b.Begin(time.Hour, 0.75); b.Available() || b.Tokens != -0.75 {
-		t.Errorf("begins with %v tokens, want -0.75", b.Tokens)
+		t.Errorf("starts with %v tokens, want -0.75", b.Tokens)
 	}
 }
 
@@ -60,19 +60,19 @@
 	for _, until := range []time.Duration{10, 20, 30} {
 		b.Grant(until)
 	}
-	if !b.HasGrant(10) { // the first has lapsed
-		t.Fatal("no grant left")
+	if !b.HasGrant(10) { // the first has expired
+		t.Fatal("no valid grant remains, want two")
 	}
 	b.Spend()
 	if !b.HasGrant(25) {
-		t.Fatal("the third grant is gone")
+		t.Fatal("the third grant is missing")
 	}
 	if b.Spend(); b.HasGrant(25) {
-		t.Error("three grants gave more than two requests after the first had lapsed")
+		t.Error("a grant remains after two requests, although one of three grants had expired")
 	}
 	b.Grant(50)
 	if b.Reset(30); b.HasGrant(30) || b.Tokens > 0 {
-		t.Errorf("after a reset: %+v", b)
+		t.Errorf("after a reset: %+v, want neither grants nor tokens", b)
 	}
 }
 
@@ -82,19 +82,19 @@
 		r.Observe(5, 250*time.Millisecond)
 	}
 	if math.Abs(float64(r)-20) > 1e-6 {
-		t.Errorf("rate %v of 5 answers in 250 ms, want 20 a second", r)
+		t.Errorf("rate %v after 5 answers per 250 ms, want 20 per second", r)
 	}
 }
 
 func TestTokenRateAndMinCapacity(t *testing.T) {
-	// Half of 2.5 times 0.4 of 20 requests a second, for five gateways.
+	// Half of 2.5 times 0.4 of 20 requests per second, shared by five gateways.
 	if got := TokenRate(2.5, 0.4, 20, 5); math.Abs(got-2) > 1e-9 {
-		t.Errorf("rate %v, want 2 a second", got)
+		t.Errorf("rate %v, want 2 per second", got)
 	}
 	if got := MinCapacity(0, 0.1); math.Abs(got-10) > 1e-9 {
-		t.Errorf("a core answers %v a second of 100 ms at least, want 10", got)
+		t.Errorf("minimum capacity %v per second with a budget of 100 ms and unknown service time, want 10", got)
 	}
 	if got := MinCapacity(500, 0.1); math.Abs(got-2) > 1e-9 {
-		t.Errorf("a core answers %v a second of 500 ms, want 2", got)
+		t.Errorf("minimum capacity %v per second with a service time of 500 ms, want 2", got)
 	}
 }
--- a/internal/balancer/stats/stats_test.go
+++ b/internal/balancer/stats/stats_test.go
@@ -19,27 +19,27 @@
 		t.Errorf("plain mean of %d values is %v, want 0.5", plain.N, plain.Value)
 	}
 	if recent.Value < 0.999 {
-		t.Errorf("mean with a least weight is %v, want the recent values", recent.Value)
+		t.Errorf("mean with a minimum weight is %v, want about 1, the recent values", recent.Value)
 	}
 	var first Mean
 	if first.Add(8, 0.25); first.Value != 8 {
-		t.Errorf("mean of one value is %v, want it", first.Value)
+		t.Errorf("mean of the single value 8 is %v", first.Value)
 	}
 }
 
 func TestConversions(t *testing.T) {
 	if ms := Milliseconds(1500 * time.Microsecond); ms != 1.5 {
-		t.Errorf("1.5 ms are %v", ms)
+		t.Errorf("Milliseconds of 1.5 ms = %v", ms)
 	}
 	if d := FromMilliseconds(2.5); d != 2500*time.Microsecond {
-		t.Errorf("2.5 ms are %v", d)
+		t.Errorf("FromMilliseconds(2.5) = %v", d)
 	}
 	if d := Scale(time.Second, 0.25); d != 250*time.Millisecond {
-		t.Errorf("a quarter of a second is %v", d)
+		t.Errorf("a second scaled by 0.25 is %v", d)
 	}
 	for _, c := range []struct{ x, want float64 }{{-1, 0}, {0.5, 0.5}, {3, 2}} {
 		if got := Clamp(c.x, 0, 2); got != c.want {
-			t.Errorf("%v within 0 and 2 is %v, want %v", c.x, got, c.want)
+			t.Errorf("%v clamped to 0 to 2 is %v, want %v", c.x, got, c.want)
 		}
 	}
 }
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -56,8 +56,8 @@
 	case a.Endpoint.Leaving:
 		return 0, c.recordViolation(AttemptToLeavingEndpoint, r.ID, "after %d attempts", len(r.attempts))
 	case a.Now >= r.Deadline || a.Until > r.Deadline:
-		return 0, c.recordViolation(AttemptAfterDeadline, r.ID, "%v until the client's deadline, %v announced to the endpoint",
-			r.Deadline-a.Now, a.Until-a.Now)
+		return 0, c.recordViolation(AttemptAfterDeadline, r.ID,
+			"%v until the client's deadline, %v announced to the endpoint", r.Deadline-a.Now, a.Until-a.Now)
 	}
 	for i := range r.attempts {
 		previous := &r.attempts[i]
@@ -82,7 +82,7 @@
 	}
 	for i := range r.attempts {
 		if !r.attempts[i].neverRan {
-			return c.recordViolation(RejectedAfterRun, r.ID, "attempt index %d of %d attempts may have run", i, len(r.attempts))
+			return c.recordViolation(RejectedAfterRun, r.ID, "attempt %d of %d may have run", i, len(r.attempts))
 		}
 	}
 	return true
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -10,7 +10,8 @@
 
 const second = time.Second
 
-// requestWithEndedAttempt returns a request with one attempt that began at 1 s in zone 1, cell 1, and has ended.
+// requestWithEndedAttempt returns a request with one ended attempt, which started at 1 s in zone 1, cell 1, and the
+// checker that recorded it.
 func requestWithEndedAttempt(t *testing.T, idempotency balancer.Idempotency, scope balancer.DedupScope,
 	neverRan bool) (*Checker, *Request) {
 	t.Helper()
@@ -19,14 +20,13 @@
 		Deadline: 10 * second}
 	index, ok := c.AllowAttempt(r, Attempt{Now: second, Until: 5 * second, Endpoint: Endpoint{Zone: 1, Cell: 1}})
 	if !ok {
-		t.Fatal("a first attempt is suppressed")
+		t.Fatal("the first attempt was not allowed")
 	}
 	r.AttemptEnded(index, neverRan)
 	return c, r
 }
 
-// Guards against an attempt that breaks a rule and is written, and against one that breaks none and is
-// suppressed.
+// Guards against writing an attempt that violates a rule, and against suppressing an attempt that violates none.
 func TestAllowAttempt(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -40,10 +40,10 @@
 		{name: "idempotent", idempotency: balancer.Idempotent, ok: true},
 		{name: "not idempotent, never ran", idempotency: balancer.NonIdempotent, neverRan: true, ok: true},
 		{name: "not idempotent, may have run", idempotency: balancer.NonIdempotent, want: UnsafeRetry},
-		{name: "keyed, in its window", idempotency: balancer.KeyedIdempotent, ok: true},
+		{name: "keyed, within its window", idempotency: balancer.KeyedIdempotent, ok: true},
 		{name: "keyed, after its window", idempotency: balancer.KeyedIdempotent, want: UnsafeRetry,
 			change: func(_ *Request, a *Attempt) { a.Now = 3*second + 1 }},
-		{name: "keyed, in its cell", idempotency: balancer.KeyedIdempotent, scope: balancer.DedupCell, ok: true},
+		{name: "keyed, in the same cell", idempotency: balancer.KeyedIdempotent, scope: balancer.DedupCell, ok: true},
 		{name: "keyed, in another cell", idempotency: balancer.KeyedIdempotent, scope: balancer.DedupCell,
 			want:   UnsafeRetry,
 			change: func(_ *Request, a *Attempt) { a.Endpoint.Cell = 2 }},
@@ -53,7 +53,7 @@
 		{name: "keyed, never ran, in another zone", idempotency: balancer.KeyedIdempotent,
 			scope:    balancer.DedupZone,
 			neverRan: true, ok: true, change: func(_ *Request, a *Attempt) { a.Endpoint.Zone = 2 }},
-		{name: "while another runs", idempotency: balancer.Idempotent, want: ConcurrentAttempt,
+		{name: "while another attempt runs", idempotency: balancer.Idempotent, want: ConcurrentAttempt,
 			change: func(r *Request, _ *Attempt) { r.attempts[0].running = true }},
 		{name: "after its client left", idempotency: balancer.Idempotent, want: AttemptAfterEnd,
 			change: func(r *Request, _ *Attempt) { r.ClientLeft() }},
@@ -63,7 +63,7 @@
 			change: func(_ *Request, a *Attempt) { a.Endpoint.Leaving = true }},
 		{name: "after the deadline", idempotency: balancer.Idempotent, want: AttemptAfterDeadline,
 			change: func(_ *Request, a *Attempt) { a.Now = 10 * second }},
-		{name: "stating too much time", idempotency: balancer.Idempotent, want: AttemptAfterDeadline,
+		{name: "announcing too late a deadline", idempotency: balancer.Idempotent, want: AttemptAfterDeadline,
 			change: func(_ *Request, a *Attempt) { a.Until = 10*second + 1 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -74,13 +74,13 @@
 			}
 			_, ok := checker.AllowAttempt(r, a)
 			if ok != c.ok || !ok && (checker.Total() != 1 || checker.Counts()[c.want.String()] != 1) {
-				t.Errorf("%v, %v", ok, checker.Counts())
+				t.Errorf("allowed %v, want %v; violations %v", ok, c.ok, checker.Counts())
 			}
 		})
 	}
 }
 
-// Guards against a rejection, which promises that work never ran, of work that may have.
+// Guards against a rejection, which states that a request never ran, of a request that may have run.
 func TestAllowReject(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -91,22 +91,22 @@
 		{"idempotent", balancer.Idempotent, balancer.DedupAll, false, true},
 		{"not idempotent, never ran", balancer.NonIdempotent, balancer.DedupAll, true, true},
 		{"not idempotent, may have run", balancer.NonIdempotent, balancer.DedupAll, false, false},
-		{"keyed everywhere", balancer.KeyedIdempotent, balancer.DedupAll, false, true},
-		{"keyed in a zone", balancer.KeyedIdempotent, balancer.DedupZone, false, false},
-		{"keyed in a cell, never ran", balancer.KeyedIdempotent, balancer.DedupCell, true, true},
+		{"keyed, deduplicated everywhere", balancer.KeyedIdempotent, balancer.DedupAll, false, true},
+		{"keyed, deduplicated in a zone", balancer.KeyedIdempotent, balancer.DedupZone, false, false},
+		{"keyed, deduplicated in a cell, never ran", balancer.KeyedIdempotent, balancer.DedupCell, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			checker, r := requestWithEndedAttempt(t, c.idempotency, c.scope, c.neverRan)
 			if got := checker.AllowReject(r); got != c.ok ||
 				(checker.Counts()["refused after run"] == 1) == c.ok {
-				t.Errorf("%v, %v", got, checker.Counts())
+				t.Errorf("allowed %v, want %v; violations %v", got, c.ok, checker.Counts())
 			}
 		})
 	}
 }
 
-// Guards against a second answer, a close over a request, an endless connection, an exit that owes an answer,
-// and against a violation that is not reported.
+// Guards against a second answer, the close of a connection on which a request waits, a connection that nothing ends,
+// an exit while requests wait for answers, and a violation that is not reported.
 func TestAnswersClosesAndExit(t *testing.T) {
 	var reported []Rule
 	checker := &Checker{Report: func(v Violation) { reported = append(reported, v.Rule) }}
@@ -115,26 +115,26 @@
 		name      string
 		got, want bool
 	}{
-		{"close over a request", checker.AllowClose(r), false},
+		{"close while a request waits", checker.AllowClose(r), false},
 		{"first answer", checker.AllowAnswer(r), true},
 		{"second answer", checker.AllowAnswer(r), false},
 		{"close after the answer", checker.AllowClose(r), true},
 		{"close without a request", checker.AllowClose(nil), true},
 		{"ended by a timer", checker.CheckDeadline(true, false), true},
 		{"ended by a request", checker.CheckDeadline(false, true), true},
-		{"ended by nothing", checker.CheckDeadline(false, false), false},
-		{"exit that owes nothing", checker.AllowExit(0), true},
-		{"exit that owes an answer", checker.AllowExit(1), false},
+		{"ended by neither", checker.CheckDeadline(false, false), false},
+		{"exit without requests", checker.AllowExit(0), true},
+		{"exit while a request waits", checker.AllowExit(1), false},
 	} {
 		if c.got != c.want {
-			t.Errorf("%s: %v", c.name, c.got)
+			t.Errorf("%s: %v, want %v", c.name, c.got, c.want)
 		}
 	}
 	if got := checker.LimitWait(4*second, 2*second, 3*second); got != 4*second {
-		t.Errorf("waits until %v", got)
+		t.Errorf("waits until %v, want 4 s", got)
 	}
 	if got := checker.LimitWait(6*second, 2*second, 3*second); got != 5*second {
-		t.Errorf("waits until %v, want no longer than is owed", got)
+		t.Errorf("waits until %v, want 5 s, the limit", got)
 	}
 	want := []Rule{ClosedUnanswered, AnsweredTwice, ConnWithoutDeadline, ExitWithOpenRequests, AnsweredLate}
 	if !slices.Equal(reported, want) {
@@ -142,7 +142,7 @@
 	}
 }
 
-// Guards against a rule without a name in /ops/stats.
+// Guards against a rule without a name, which /ops/stats and log lines would show as "unknown".
 func TestRulesHaveNames(t *testing.T) {
 	for rule := range ruleCount {
 		if rule.String() == "" || rule.String() == "unknown" {
--- a/internal/subset/size_test.go
+++ b/internal/subset/size_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkSubsets counts endpoints by zone and works out what a gateway uses of them, and the relative load of each.
+// BenchmarkSubsets measures counting endpoints by zone and computing the subset sizes and the relative loads.
 func BenchmarkSubsets(b *testing.B) {
 	for _, endpoints := range []int{10, 100, 1000, 7700} {
 		b.Run(strconv.Itoa(endpoints), func(b *testing.B) {
@@ -30,7 +30,8 @@
 	}
 }
 
-// A gateway of 1,024 uses a few of 8,000 endpoints, and those of all gateways come to what the rule says.
+// In clusters of up to 1,024 gateways and 8,000 endpoints, each endpoint must have the number of users that the rule
+// sets, and the start indices of the gateways must be distinct for at least four fifths of them.
 func TestSubsetsOfLargeClusters(t *testing.T) {
 	for _, size := range [][2]int{{1024, 1024}, {1024, 8000}, {350, 8000}, {8, 8000}} {
 		gateways, endpoints := size[0], size[1]
@@ -38,15 +39,16 @@
 		Rule{Local: 8, Remote: 4, Min: 2}.Subsets(gateways, zones)
 		want := min(8, float64(gateways)/2) + min(4, float64(gateways)/2)
 		if got := Users(gateways, 0, zones); got < want-0.01 || got > want+0.01 {
-			t.Errorf("%d gateways, %d endpoints: %v use an endpoint, want %v", gateways, endpoints, got, want)
+			t.Errorf("%d gateways, %d endpoints: an endpoint has %v users, want %v", gateways, endpoints, got, want)
 		}
-		places := make(map[int]bool)
+		starts := make(map[int]bool)
 		for rank := range gateways {
-			places[Start(rank, endpoints)] = true
+			starts[Start(rank, endpoints)] = true
 		}
-		// Multiples of the golden ratio share some places where there are as many.
-		if len(places) < min(gateways, endpoints)*4/5 {
-			t.Errorf("%d gateways begin at %d places of %d", gateways, len(places), endpoints)
+		// Some multiples of the golden ratio share an index where there are as many gateways as endpoints.
+		if len(starts) < min(gateways, endpoints)*4/5 {
+			t.Errorf("%d gateways start at %d different indices of %d, want at least 4/5 of the smaller number",
+				gateways, len(starts), endpoints)
 		}
 	}
 }
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// What the gateways of all zones use together is what Users says, or slow-start budgets would not add up.
+// The sum of the endpoints that all gateways use must equal the sum of Users over all endpoints; otherwise the
+// slow-start budgets of the gateways would not add up.
 func TestUsersMatchSubsetSizes(t *testing.T) {
 	rule := Rule{Local: 8, Remote: 4, Min: 2}
 	for _, ready := range [][]float64{{10, 10}, {23, 59, 30, 38, 29}, {1, 80}, {0, 40}, {5}} {
@@ -23,75 +24,75 @@
 			}
 		}
 		if used < shared*0.99 || used > shared*1.01 {
-			t.Errorf("ready %v: gateways use %.1f endpoints, endpoints are used by %.1f", ready, used, shared)
+			t.Errorf("ready %v: the subsets of all gateways sum to %.1f, the users of all endpoints to %.1f", ready, used, shared)
 		}
 	}
 }
 
-// Any run of ranks begins at places spread evenly, and a share of one half makes half of them use one more.
+// Start indices must be spread evenly over the endpoints, and RoundByRank must round 1.5 up for half of the gateways.
 func TestRanksAreSpreadEvenly(t *testing.T) {
 	const endpoints, gateways = 30, 300
-	var begun [endpoints]int
-	whole := 0.0
+	var starts [endpoints]int
+	total := 0.0
 	for rank := range gateways {
-		begun[Start(rank, endpoints)]++
-		whole += RoundByRank(rank, 1.5)
+		starts[Start(rank, endpoints)]++
+		total += RoundByRank(rank, 1.5)
 	}
-	for at, n := range begun {
+	for index, n := range starts {
 		if n < 8 || n > 12 {
-			t.Errorf("%d gateways begin at place %d, want about 10", n, at)
+			t.Errorf("%d gateways start at index %d, want 8 to 12", n, index)
 		}
 	}
-	if whole < 1.48*gateways || whole > 1.52*gateways {
-		t.Errorf("%v endpoints used by %d gateways, want 1.5 each", whole, gateways)
+	if total < 1.48*gateways || total > 1.52*gateways {
+		t.Errorf("%v endpoints used by %d gateways, want 1.5 per gateway", total, gateways)
 	}
 }
 
 func TestExpansionGrowthShrinkageAndCooldown(t *testing.T) {
-	var r Expansion
+	var e Expansion
 	const sample = 250 * time.Millisecond
 	now := time.Duration(0)
-	play := func(n int, seen Signals) float64 {
+	update := func(n int, signals Signals) float64 {
 		for range n {
 			now += sample
-			r.Update(now, seen, 12, time.Second)
+			e.Update(now, signals, 12, time.Second)
 		}
-		return r.Size
+		return e.Size
 	}
 	steps := []struct {
-		what string
-		n    int
-		seen Signals
-		want float64
+		name    string
+		n       int // samples with these signals
+		signals Signals
+		want    float64
 	}{
-		{"nothing to do", 4, Signals{}, 0},
-		{"the regular subset warms up", 4, Signals{Short: true, Warming: true}, 0},
-		{"short of room", 8, Signals{Short: true}, 8},
-		{"short, and all endpoints used", 8, Signals{Short: true}, 12},
-		{"one is full", 1, Signals{Short: true, Full: true}, 6},
-		{"rest", 3, Signals{Short: true}, 6},
-		{"grown again", 2, Signals{Short: true}, 8},
-		{"full once more", 1, Signals{Short: true, Full: true}, 4},
-		{"a rest twice as long", 7, Signals{Short: true}, 4},
-		{"and grown", 1, Signals{Short: true}, 5},
+		{"no signals", 4, Signals{}, 0},
+		{"short, but the regular subset is warming up", 4, Signals{Short: true, Warming: true}, 0},
+		{"short of capacity", 8, Signals{Short: true}, 8},
+		{"short, bounded by the maximum size", 8, Signals{Short: true}, 12},
+		{"an endpoint is full", 1, Signals{Short: true, Full: true}, 6},
+		{"no growth during the cooldown", 3, Signals{Short: true}, 6},
+		{"growth after the cooldown", 2, Signals{Short: true}, 8},
+		{"an endpoint is full again", 1, Signals{Short: true, Full: true}, 4},
+		{"no growth during a cooldown twice as long", 7, Signals{Short: true}, 4},
+		{"growth after the second cooldown", 1, Signals{Short: true}, 5},
 	}
 	for _, s := range steps {
-		if got := play(s.n, s.seen); got != s.want {
-			t.Errorf("%s: %v endpoints, want %v", s.what, got, s.want)
+		if got := update(s.n, s.signals); got != s.want {
+			t.Errorf("%s: %v endpoints, want %v", s.name, got, s.want)
 		}
 	}
-	if got := play(4*60, Signals{}); got > 0.2 {
-		t.Errorf("%v endpoints a minute later", got)
+	if got := update(4*60, Signals{}); got > 0.2 {
+		t.Errorf("%v endpoints after a minute without need, want at most 0.2", got)
 	}
 }
 
-// An endpoint behind a gap is used by whoever begins in the gap: what RelativeLoad says of each is what 3,000
-// gateways do.
+// An endpoint behind a gap is also used by the gateways that start in the gap. RelativeLoad must match the number of
+// users that each endpoint has among 3,000 simulated gateways.
 func TestRelativeLoadOfEndpointsBehindGaps(t *testing.T) {
 	const gateways = 3000
 	for _, c := range []struct {
 		ready []bool
-		part  float64
+		size  float64
 	}{
 		{[]bool{true, true, true, true, true, true}, 2},
 		{[]bool{false, false, false, true, true, true}, 1},
@@ -101,24 +102,24 @@
 		{[]bool{false, false}, 1},
 	} {
 		users, n := make([]float64, len(c.ready)), 0.0
-		for _, up := range c.ready {
-			if up {
+		for _, ready := range c.ready {
+			if ready {
 				n++
 			}
 		}
 		for rank := range gateways {
 			start, used := Start(rank, len(c.ready)), 0.0
-			for i := 0; i < len(c.ready) && used < c.part; i++ {
-				if at := (start + i) % len(c.ready); c.ready[at] {
-					users[at]++
+			for i := 0; i < len(c.ready) && used < c.size; i++ {
+				if index := (start + i) % len(c.ready); c.ready[index] {
+					users[index]++
 					used++
 				}
 			}
 		}
-		for i, more := range RelativeLoad(c.ready, c.part) {
-			if want := users[i] * n / (gateways * c.part); c.ready[i] && (more < want-0.02 || more > want+0.02) {
-				t.Errorf("%v, part %v: place %d has a load of %.2f, used %.2f times the mean",
-					c.ready, c.part, i, more, want)
+		for i, load := range RelativeLoad(c.ready, c.size) {
+			if want := users[i] * n / (gateways * c.size); c.ready[i] && (load < want-0.02 || load > want+0.02) {
+				t.Errorf("%v, subset size %v: endpoint %d has a relative load of %.2f, want %.2f",
+					c.ready, c.size, i, load, want)
 			}
 		}
 	}
