--- a/internal/balancer/concurrency/limit.go
+++ b/internal/balancer/concurrency/limit.go
@@ -71,8 +71,8 @@
 	// congestedQueueLength is the smoothed number of waiting requests from which an endpoint counts as congested.
 	// It is above 1, as one request may wait by chance.
 	congestedQueueLength = 1.5
-	// minCongestedCut is the minimum by which the limit of a congested endpoint is reduced in each sample. It is
-	// small because a report may be outdated.
+	// minCongestedCut is the minimum by which the limit of a congested endpoint is reduced in each sample, in
+	// requests. It is small because a report may be outdated.
 	minCongestedCut = 0.08
 )
 
@@ -93,8 +93,8 @@
 )
 
 // CloseSample ends a sampling period and updates the limit: u(k+1) = u(k) + 0.16/K (setpoint - service time),
-// equation 11. A sample without answers and failures leaves the limit unchanged. Failures affect the limit only, not
-// the averages and the gain estimate.
+// equation 11. A sample with neither answers nor failures leaves the limit unchanged. Failures affect only the limit,
+// not the averages and the gain estimate.
 func (l *Limit) CloseSample(target ServiceTarget, minLimit float64) {
 	sample := l.Sample
 	l.Sample = Sample{}
@@ -146,7 +146,7 @@
 
 // applyStep adds step to the limit, which stays at least minLimit. Unlike in the paper, the limit may be below one,
 // for endpoints that are congested by one request of each gateway. It is then the share of time in which one request
-// may be in flight, see RestAfter, and steps are scaled by it.
+// may be in flight, which the cooldown after each attempt enforces, and steps are scaled by it.
 func (l *Limit) applyStep(step, minLimit float64) {
 	l.Value = max(minLimit, l.Value+step*min(1, l.Value))
 }
--- a/internal/balancer/outlierdetection/class_test.go
+++ b/internal/balancer/outlierdetection/class_test.go
@@ -20,7 +20,7 @@
 		t.Fatal("not stalled after twelve service times, or attempts other than probes may start")
 	}
 	if !c.StalledSince(now, now, usualMS) || c.StalledSince(now, time.Minute, usualMS) {
-		t.Error("want StalledSince only if another request was answered after the first unanswered attempt")
+		t.Error("want the class stalled despite responses only if another request was answered after its first attempt")
 	}
 	c.Ended()
 	if c.Settle(now, usualMS); !c.Stalled(now, usualMS) || !c.Allows(now, usualMS) {
--- a/internal/balancer/outlierdetection/health.go
+++ b/internal/balancer/outlierdetection/health.go
@@ -31,8 +31,8 @@
 // Health is the health of one endpoint as derived from the outcomes of attempts. Times are on the caller's clock.
 type Health struct {
 	FailureRate float64 // smoothed share of failures, 0 to 1
-	// LastHeard is the time of the last response, or of the first attempt after a period without attempts in flight,
-	// whichever is later.
+	// LastHeard is the time of the last outcome other than a timeout, or of the start of the first attempt after a
+	// period without attempts in flight, whichever is later.
 	LastHeard        time.Duration
 	Ejected          bool          // receives probe requests only
 	Silent           bool          // ejected because it did not answer
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// Users returns how many gateways have an endpoint of the given zone in their subsets, at least 1. zones must have been
-// filled in by Rule.Subsets.
+// Users returns how many gateways have an endpoint of the given zone in their subsets, at least 1. zones must
+// contain the subset sizes, Local and Remote.
 func Users(gateways, zone int, zones []Zone) float64 {
 	local, n := float64(gateways)/float64(len(zones)), 0.0
 	for _, z := range zones {
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -24,7 +24,8 @@
 			}
 		}
 		if used < shared*0.99 || used > shared*1.01 {
-			t.Errorf("ready %v: the subsets of all gateways sum to %.1f, the users of all endpoints to %.1f", ready, used, shared)
+			t.Errorf("ready %v: the subsets of all gateways sum to %.1f, the users of all endpoints to %.1f",
+				ready, used, shared)
 		}
 	}
 }
