--- a/internal/balancer/api.go
+++ b/internal/balancer/api.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// RequestID names a request at this gateway. An id is never used twice.
+// RequestID identifies a request at this gateway. An id is never used twice.
 type RequestID uint32
 
-// EndpointID names an endpoint. It tells nothing about it; a replaced machine has a new one.
+// EndpointID identifies an endpoint. It encodes nothing about the endpoint; a replacement machine has a new id.
 type EndpointID uint64
 
-// Request is one client request that this gateway has taken and must answer exactly once.
+// Request is one client request that this gateway has accepted and must answer exactly once.
 type Request struct {
 	ID     RequestID
 	Class  int // index into Config.Classes, see Reload
 	Tenant int // index into Config.Tenants
-	// ClientTimeout is the time until the client gives up on this try. A client's retry was first tried
-	// Deadline-ClientTimeout ago. Where retries are not marked, first tries of a class should share one
-	// value (to a few parts in a hundred); another value is taken for a retry.
+	// ClientTimeout is how long the client waits before it abandons this try. A retry by the client was first
+	// tried Deadline-ClientTimeout ago. If clients do not mark retries, the first tries of a
+	// class should share one value, within a few percent; a request with another value counts as a retry.
 	ClientTimeout time.Duration
 	Retry         bool // marked by the client as a retry
-	// Elapsed is how much of the client timeout had passed before the gateway could take the request.
+	// Elapsed is the part of the client timeout that had passed before the gateway could accept the request.
 	Elapsed time.Duration
 }
 
-// Outcome says how an attempt ended.
+// Outcome is the result of an attempt.
 type Outcome uint8
 
-// OutcomeRejected, OutcomeConnectFailed and OutcomeNotStarted prove that the request did not run; all
-// others but OutcomeOK leave it open.
+// OutcomeRejected, OutcomeConnectFailed and OutcomeNotStarted prove that the request did not run. OutcomeOK
+// means that it ran; after any other outcome it may have run.
 const (
 	OutcomeOK Outcome = iota
 	OutcomeError
@@ -38,30 +38,31 @@
 	OutcomeNotStarted
 )
 
-// NeverRan reports whether the outcome proves that the attempt never ran.
+// NeverRan reports whether the outcome proves that the endpoint did not execute the request.
 func (o Outcome) NeverRan() bool {
 	return o == OutcomeRejected || o == OutcomeConnectFailed || o == OutcomeNotStarted
 }
 
-// AttemptEnd is the end of one attempt. Each StartAttempt gets exactly one.
+// AttemptEnd describes the end of one attempt. The gateway reports exactly one for each StartAttempt.
 type AttemptEnd struct {
 	Request      RequestID
 	Attempt      int // numbered from 0 in the order of the request's attempts
 	Endpoint     EndpointID
 	Outcome      Outcome
 	Latency      time.Duration // since the attempt started
-	RequestDone  bool          // the request is concluded, by this outcome or before it
-	BodyConsumed bool          // the request cannot be sent again: a part of its body is gone
-	// Reported is set if the answer carried a load report with the requests waiting at the endpoint,
-	// QueueLength.
+	RequestDone  bool          // the request has its final answer, by this outcome or earlier
+	BodyConsumed bool          // the request cannot be sent again: part of its body is no longer available
+	// Reported is set if the response carried a load report. QueueLength is the reported number of requests
+	// that wait at the endpoint.
 	Reported    bool
 	QueueLength float64
 }
 
-// EndpointState is what the endpoint list says of an endpoint.
+// EndpointState is the state of an endpoint according to the endpoint list.
 type EndpointState uint8
 
-// An EndpointRemoved is off the list; an EndpointDraining finishes its work and gets nothing new.
+// An endpoint in state EndpointRemoved is not on the list; one in state EndpointDraining finishes its requests
+// and gets no new ones.
 const (
 	EndpointRemoved EndpointState = iota
 	EndpointReady
@@ -74,23 +75,23 @@
 	Zone      int
 	Cell      int
 	State     EndpointState
-	StartedAt time.Duration // its latest start, on the gateway's clock; 0 is long ago
+	StartedAt time.Duration // its latest start, on the gateway's clock; 0 means long ago
 }
 
-// AssignedEndpoint is an endpoint that a cluster of gateways assigns to this one.
+// AssignedEndpoint is an endpoint that the cluster of gateways assigns to this gateway.
 type AssignedEndpoint struct {
 	ID               EndpointID
-	Weight           float64 // of the endpoint among those that are in use, above 0
-	Share            float64 // share of the endpoint's capacity that is this gateway's; 0 for a spare
-	SuspectedByPeers bool    // several other gateways found it bad
+	Weight           float64 // of the endpoint relative to the others in use, above 0
+	Share            float64 // share of the endpoint's capacity that this gateway may use; 0 for a spare
+	SuspectedByPeers bool    // several other gateways consider it faulty
 }
 
-// EndpointUpdate says what UpdateEndpoints carries.
+// EndpointUpdate is the kind of an update that is passed to UpdateEndpoints.
 type EndpointUpdate uint8
 
-// CachedSnapshot is the list as this gateway last had it, perhaps old; WatchFailed says that a watch failed
-// or was broken and carries no entries; Delta has changed entries only; Snapshot is all there are;
-// WatchUnreachable is a WatchFailed of which it is known that the call reached nobody.
+// CachedSnapshot is the list that this gateway last had, possibly outdated. WatchFailed reports that a watch
+// failed or was interrupted, and has no entries. Delta has only the entries that changed, Snapshot has all.
+// WatchUnreachable is a WatchFailed whose call is known not to have reached discovery.
 const (
 	CachedSnapshot EndpointUpdate = iota
 	WatchFailed
@@ -99,23 +100,25 @@
 	WatchUnreachable
 )
 
-// Actions is implemented by the gateway and carries out what the balancer decides.
+// Actions is implemented by the gateway. The balancer calls its methods to have its decisions carried out.
 type Actions interface {
-	// StartAttempt starts an attempt. A timeout of 0 lasts until the client gives up.
+	// StartAttempt sends a request to an endpoint. With a timeout of 0 the attempt may last until the client's
+	// deadline.
 	StartAttempt(id RequestID, to EndpointID, timeout time.Duration)
-	// Reject is a final answer that promises the client that trying again is harmless. after is the
-	// Retry-After, or 0.
+	// Reject gives the request a final answer which promises the client that a retry is safe. after is the
+	// Retry-After; 0 means none.
 	Reject(id RequestID, after time.Duration)
-	// Fail is a final answer that promises nothing.
+	// Fail gives the request a final answer that makes no such promise.
 	Fail(id RequestID)
-	// CancelAttempt ends the wait for one attempt, whose end is still reported.
+	// CancelAttempt stops waiting for one attempt. The gateway still reports the end of the attempt.
 	CancelAttempt(id RequestID, attempt int)
-	// CloseIdle drops the idle connections to an endpoint that this gateway uses no longer.
+	// CloseIdle closes the idle connections to an endpoint that this gateway no longer uses.
 	CloseIdle(to EndpointID)
-	// SetTimer asks for one TimerFired event with this token, after the delay at the earliest.
+	// SetTimer requests one TimerFired event with this token, no earlier than after the delay.
 	SetTimer(after time.Duration, token uint32)
-	// WatchEndpoints asks for the changes of the endpoint list from now on. One UpdateEndpoints answers it.
+	// WatchEndpoints requests the changes of the endpoint list from now on. The gateway answers with one
+	// UpdateEndpoints.
 	WatchEndpoints()
-	// Log records a line for the engineers on call.
+	// Log writes a line for the engineers on call.
 	Log(line string)
 }
--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -7,46 +7,47 @@
 	"thymebend/internal/balancer/stats"
 )
 
-// addInFlight counts an attempt of r among what ep works on; vacate takes it back.
+// addInFlight counts an attempt of r among those in flight on ep; removeInFlight reverses it.
 func (b *Balancer) addInFlight(r *requestState, ep *endpointState) {
 	if b.effectiveInFlight(ep) == 0 {
 		ep.health.LastHeard = b.now
 	}
 	ep.inFlight++
 	ep.requests = append(ep.requests, r.ID)
-	usual := ep.usualMS(b.classOf(r))
-	ep.classes[r.Class].Started(b.now, usual, b.classes.meanObjective())
+	serviceMS := ep.classServiceMS(b.classOf(r))
+	ep.classes[r.Class].Started(b.now, serviceMS, b.classes.meanObjective())
 }
 
 func (b *Balancer) removeInFlight(r *requestState, ep *endpointState) {
 	ep.inFlight--
-	at := slices.Index(ep.requests, r.ID)
-	ep.requests = slices.Delete(ep.requests, at, at+1)
+	index := slices.Index(ep.requests, r.ID)
+	ep.requests = slices.Delete(ep.requests, index, index+1)
 	ep.classes[r.Class].Ended()
 }
 
-// effectiveInFlight is what ep has in flight. Attempts of a stalled class do not count while other work
-// is answered: they must not take the place of that work.
+// effectiveInFlight returns the number of attempts in flight on ep. Attempts of a stalled class do not count
+// while ep answers other requests: they must not use up the capacity for those.
 func (b *Balancer) effectiveInFlight(ep *endpointState) int {
 	n := ep.inFlight
 	for i := range ep.classes {
 		c := &ep.classes[i]
-		if c.InFlight > 0 && c.StalledSince(b.now, ep.health.LastHeard, ep.usualMS(&b.classes.entries[i])) {
+		if c.InFlight > 0 && c.StalledSince(b.now, ep.health.LastHeard, ep.classServiceMS(&b.classes.entries[i])) {
 			n -= c.InFlight
 		}
 	}
 	return n
 }
 
-// RequestWriting tells that an attempt's request is still being written, which is no work for its endpoint,
-// and later that its last byte is: only then do its work, its objective and its client's timeout begin.
+// RequestWriting reports that the request of an attempt is still being written, which causes no work at its
+// endpoint, or, if done is set, that its last byte has been written. Only then do the service time, the latency
+// objective and the client timeout of the request start.
 func (b *Balancer) RequestWriting(now time.Duration, id RequestID, number int, done bool) {
 	b.now = now
 	r := b.requests.byID[id]
 	if r == nil {
 		return
 	}
-	a := r.unended(number)
+	a := r.activeAttempt(number)
 	if a == nil || a.writing != done {
 		return
 	}
@@ -59,8 +60,9 @@
 	a.started, r.arrivedAt, r.firstTriedAt, r.deadline = now, now, now, now+r.ClientTimeout
 }
 
-// MayStartAttempt reports whether an attempt of which nothing is written may still be: connections come up
-// late, and the window of a keyed request ends by the moment of writing, not by that of deciding.
+// MayStartAttempt reports whether the gateway may still write an attempt of which it has written nothing. A
+// connection may be established late, and the dedup window of a keyed request must not have ended when the
+// request is written, not only when the attempt was decided.
 func (b *Balancer) MayStartAttempt(now time.Duration, id RequestID, number int) bool {
 	b.now = now
 	r := b.requests.byID[id]
@@ -68,14 +70,14 @@
 		b.idempotencyAllows(r, r.attempts[:number], r.attempts[number].endpoint)
 }
 
-// AttemptEnded tells how an attempt ended.
+// AttemptEnded reports the end of an attempt. Ends of unknown or already ended attempts are ignored.
 func (b *Balancer) AttemptEnded(now time.Duration, end AttemptEnd) {
 	b.now = now
 	r := b.requests.byID[end.Request]
 	if r == nil {
 		return
 	}
-	a := r.unended(end.Attempt)
+	a := r.activeAttempt(end.Attempt)
 	if a == nil {
 		return
 	}
@@ -85,9 +87,9 @@
 		b.removeInFlight(r, ep)
 	}
 	b.recordOutcome(r, a, end)
-	ep.classes[r.Class].Settle(b.now, ep.usualMS(class))
+	ep.classes[r.Class].Settle(b.now, ep.classServiceMS(class))
 	if !ep.subset.used && ep.inFlight == 0 {
-		b.out.CloseIdle(ep.ID)
+		b.actions.CloseIdle(ep.ID)
 	}
 	switch {
 	case end.RequestDone || r.done:
@@ -99,7 +101,7 @@
 	}
 }
 
-// recordOutcome updates the limit, the health and the cooldown of the endpoint with the end of an attempt.
+// recordOutcome updates the concurrency limit, the health and the cooldown of the endpoint of an ended attempt.
 func (b *Balancer) recordOutcome(r *requestState, a *attempt, end AttemptEnd) {
 	ep := a.endpoint
 	if end.Reported {
@@ -110,8 +112,8 @@
 		ep.classes[r.Class].Answered(b.now)
 		b.recordAnswer(r, ep, end.Latency)
 		b.recordSuccess(ep)
-		// A single heavy request tells little of how long to rest.
-		b.rest(ep, min(stats.Milliseconds(end.Latency), 2*ep.serviceMS(b.classes.referenceMS)))
+		// The time is capped: a single heavy request says little about how long the endpoint stays busy.
+		b.enforceFractionalLimit(ep, min(stats.Milliseconds(end.Latency), 2*ep.serviceMS(b.classes.referenceMS)))
 	case OutcomeError, OutcomeReset, OutcomeConnectFailed:
 		ep.health.LastHeard = b.now
 		ep.cooldown.afterFailure(b.now, b.classes.referenceMS, b.classes.meanObjective())
@@ -120,7 +122,7 @@
 			b.endpoints.signals.Full = true
 		}
 	case OutcomeRejected:
-		// The endpoint is there and has enough: that is for its limit to learn, not for its health.
+		// The endpoint works but is at capacity: this lowers its concurrency limit, not its health.
 		ep.limit.RecordFailure()
 		ep.health.LastHeard = b.now
 		ep.cooldown.afterRejection(b.now, b.classes.referenceMS, b.classes.meanObjective())
@@ -128,27 +130,29 @@
 			b.endpoints.signals.Full = true
 		}
 	case OutcomeTimeout:
-		// The endpoint may be at work on it still: a slow one must not get the next request at once.
-		b.rest(ep, stats.Milliseconds(end.Latency))
+		// The endpoint may still execute the request: a slow one must not get the next request at once.
+		b.enforceFractionalLimit(ep, stats.Milliseconds(end.Latency))
 		if ep.health.LastHeard <= a.started {
 			b.recordFailure(ep)
 		} else {
-			ep.limit.RecordFailure() // others were answered meanwhile: slow or heavy, not silent
+			ep.limit.RecordFailure() // it answered others since: slow or heavy request, not silence
 		}
 	}
 }
 
-// recordAnswer learns the service time of an answer, scaled to the average class, and its response time.
+// recordAnswer records the service time of an answer, scaled to the average class, for the concurrency limit of
+// ep, and the response time for the response setpoint.
 func (b *Balancer) recordAnswer(r *requestState, ep *endpointState, latency time.Duration) {
 	c := b.classOf(r)
-	ms := c.recordService(latency)
+	ms := c.recordServiceTime(latency)
 	ep.limit.RecordAnswer(ms / b.classes.relativeCost(c))
 	b.response.Record(float64(b.now-r.arrivedAt) / float64(c.LatencyObjective))
 }
 
-// rest keeps attempts from an endpoint with a limit below one after one that kept it busy for so many ms.
-func (b *Balancer) rest(ep *endpointState, busyMS float64) {
-	if rest := ep.limit.RestAfter(busyMS); rest > 0 {
-		ep.cooldown.extend(b.now + rest)
+// enforceFractionalLimit applies a concurrency limit below one: after an attempt that kept ep busy for busyMS
+// milliseconds, ep gets no attempts for a time that the limit determines.
+func (b *Balancer) enforceFractionalLimit(ep *endpointState, busyMS float64) {
+	if pause := ep.limit.RestAfter(busyMS); pause > 0 {
+		ep.cooldown.extend(b.now + pause)
 	}
 }
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -10,23 +10,23 @@
 	"thymebend/internal/balancer/retrybudget"
 )
 
-// Tokens of the timers.
+// Timer tokens: the sampling period, the next check of the queue, the next call to discovery.
 const sampleTimer, queueTimer, watchTimer uint32 = 0, 1, 2
 
-// Balancer takes the decisions of one gateway.
+// Balancer makes the decisions of one gateway. See the package comment for how to use it.
 type Balancer struct {
-	cfg Config
-	out Actions
-	rng *rand.Rand
-	log logger
+	cfg     Config
+	actions Actions
+	rng     *rand.Rand
+	log     logger
 
-	now       time.Duration // of the event that is being handled
-	startedAt time.Duration // earlier, if it took over what another process had learnt
+	now       time.Duration // time of the event that is being handled
+	startedAt time.Duration // start of this balancer; earlier if it restored the state of another process
 
 	requests      requestTable
 	queue         requestQueue
 	queueTimerSet bool
-	paused        bool // no attempt starts: the endpoint list may be about to change
+	paused        bool // no attempt may start: the endpoint list may be about to change
 
 	classes   classTable
 	tenants   []quota.Bucket // by tenant index
@@ -39,14 +39,15 @@
 	slowStart      slowStart
 }
 
-// New starts a balancer. It may act at once. The error is a *ConfigError.
-func New(cfg Config, seed uint64, now time.Duration, out Actions) (*Balancer, error) {
+// New returns a balancer. It may call methods of actions before it returns. All random choices derive from
+// seed. The error is a *ConfigError.
+func New(cfg Config, seed uint64, now time.Duration, actions Actions) (*Balancer, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
 	cfg.DispatchInterval = cmp.Or(cfg.DispatchInterval, time.Millisecond)
 	b := &Balancer{
-		cfg: cfg, out: out, rng: rand.New(rand.NewPCG(seed, 0)), log: logger{out: out},
+		cfg: cfg, actions: actions, rng: rand.New(rand.NewPCG(seed, 0)), log: logger{actions: actions},
 		now: now, startedAt: now,
 		requests:       requestTable{byID: make(map[RequestID]*requestState)},
 		endpoints:      endpointSet{byID: make(map[EndpointID]*endpointState)},
@@ -59,15 +60,15 @@
 	}
 	b.resetQuotas()
 	b.updateQueueTimes()
-	b.out.SetTimer(concurrency.SamplePeriod, sampleTimer)
+	b.actions.SetTimer(concurrency.SamplePeriod, sampleTimer)
 	if cfg.PollDiscovery {
 		b.watchEndpoints()
 	}
 	return b, nil
 }
 
-// resetQuotas gives each tenant a full bucket. This gateway sees only its own part of a tenant's
-// requests and takes it to be an even one.
+// resetQuotas gives each tenant a full token bucket. This gateway sees only a part of a tenant's requests;
+// it assumes that they are distributed evenly over the gateways.
 func (b *Balancer) resetQuotas() {
 	b.tenants = b.tenants[:0]
 	for _, t := range b.cfg.Tenants {
@@ -75,40 +76,42 @@
 	}
 }
 
-// overQuota charges a request to its tenant and reports whether it is beyond the quota.
-func (b *Balancer) overQuota(tenant int) bool {
+// chargeQuota charges a request to its tenant's quota and reports whether it exceeds that quota.
+func (b *Balancer) chargeQuota(tenant int) bool {
 	return tenant >= 0 && tenant < len(b.tenants) && b.tenants[tenant].Exceeded(b.now)
 }
 
-// classOf returns what is known of the class of a request.
+// classOf returns the state of the class of a request.
 func (b *Balancer) classOf(r *requestState) *classState { return &b.classes.entries[r.Class] }
 
-// RequestArrived takes a request, which this gateway then owes a final answer.
-func (b *Balancer) RequestArrived(now time.Duration, in Request) {
+// RequestArrived accepts a request and queues it: from now on it must get a final answer. A request with an
+// unknown class fails at once; an id that is already in use is ignored.
+func (b *Balancer) RequestArrived(now time.Duration, request Request) {
 	b.now = now
-	if in.Class < 0 || in.Class >= len(b.classes.entries) {
-		b.out.Fail(in.ID)
+	if request.Class < 0 || request.Class >= len(b.classes.entries) {
+		b.actions.Fail(request.ID)
 		return
 	}
-	if b.requests.byID[in.ID] != nil {
+	if b.requests.byID[request.ID] != nil {
 		return
 	}
-	class := &b.classes.entries[in.Class]
-	r := b.requests.add(in)
-	r.arrivedAt = now - in.Elapsed
-	r.firstTriedAt, r.deadline = r.arrivedAt, r.arrivedAt+in.ClientTimeout
-	elapsed := class.timeouts.observe(in.ClientTimeout, class.Deadline)
-	if in.Retry || !b.cfg.ClientsMarkRetries { // a first try with a short timeout is no retry
-		r.firstTriedAt -= elapsed
+	class := &b.classes.entries[request.Class]
+	r := b.requests.add(request)
+	r.arrivedAt = now - request.Elapsed
+	r.firstTriedAt, r.deadline = r.arrivedAt, r.arrivedAt+request.ClientTimeout
+	sinceFirstTry := class.timeouts.observe(request.ClientTimeout, class.Deadline)
+	// Where clients mark their retries, a first try with a short timeout does not count as a retry.
+	if request.Retry || !b.cfg.ClientsMarkRetries {
+		r.firstTriedAt -= sinceFirstTry
 	}
-	r.overQuota = b.overQuota(in.Tenant)
+	r.overQuota = b.chargeQuota(request.Tenant)
 	class.arrivals++
-	class.open++
+	class.openRequests++
 	b.retryBudget.RequestTaken()
 	b.queue.insert(r)
 }
 
-// RequestAbandoned tells that a request is concluded without an answer of this gateway.
+// RequestAbandoned reports that a request ended without an answer from this gateway.
 func (b *Balancer) RequestAbandoned(now time.Duration, id RequestID) {
 	b.now = now
 	if r := b.requests.byID[id]; r != nil {
@@ -116,7 +119,8 @@
 	}
 }
 
-// ResponseStarted tells that a response has begun to stream: the attempt belongs to the client now.
+// ResponseStarted reports that a response has started to stream to the client: the request counts as
+// answered and is not retried.
 func (b *Balancer) ResponseStarted(now time.Duration, id RequestID) {
 	b.now = now
 	if r := b.requests.byID[id]; r != nil {
@@ -124,24 +128,24 @@
 	}
 }
 
-// PauseAttempts stops new attempts, or lets them go on.
+// PauseAttempts stops the start of new attempts, or allows it again. Attempts in flight continue.
 func (b *Balancer) PauseAttempts(paused bool) { b.paused = paused }
 
-// AssignEndpoints takes what the cluster of gateways assigns to this one: its endpoints, and behind
-// them its spares, the next to be used first. From the first time on, endpoints in slow start get
-// requests by GrantSlowStartToken alone. With no endpoints the subset follows from the rank again.
+// AssignEndpoints sets the endpoints that the cluster of gateways assigns to this one, followed by its spares
+// in the order in which they are to be used. From the first call on, endpoints in slow start get only the
+// requests that GrantSlowStartToken allows. With no endpoints the subset is derived from the rank again.
 func (b *Balancer) AssignEndpoints(now time.Duration, endpoints []AssignedEndpoint) {
 	b.now, b.slowStart.tokensRequired, b.endpoints.stale = now, true, true
 	b.endpoints.assigned = append(b.endpoints.assigned[:0], endpoints...)
 }
 
-// TimerFired tells that a timer fell due.
+// TimerFired reports that a timer requested with SetTimer has expired.
 func (b *Balancer) TimerFired(now time.Duration, token uint32) {
 	b.now = now
 	switch token {
 	case sampleTimer:
 		b.closeSample()
-		b.out.SetTimer(concurrency.SamplePeriod, sampleTimer)
+		b.actions.SetTimer(concurrency.SamplePeriod, sampleTimer)
 	case queueTimer:
 		b.queueTimerSet = false
 	case watchTimer:
--- a/internal/balancer/classes.go
+++ b/internal/balancer/classes.go
@@ -8,80 +8,81 @@
 	"thymebend/internal/balancer/stats"
 )
 
-// classMemory is the weight of one request in what is learnt of its class.
-const classMemory = 1.0 / 256
+// classMeanWeight is the weight of one request in the running means of its class.
+const classMeanWeight = 1.0 / 256
 
-// maxServiceFactor is the multiple of the class's mean service time that one answer counts for at most, so
-// that a heavy request does not look like a congested endpoint.
+// maxServiceFactor caps the service time of one answer at a multiple of the mean of its class, so that a heavy
+// request does not look like a congested endpoint.
 const maxServiceFactor = 4.0
 
-// arrivalDecay is the share of the counted arrivals that each sampling period forgets.
+// arrivalDecay is the share by which the count of arrivals decays in each sampling period.
 const arrivalDecay = 1.0 / 64
 
-// classState is what is learnt about one class.
+// classState is a request class with its statistics.
 type classState struct {
 	Class
-	serviceMS   stats.Mean    // service time
-	deviationMS stats.Mean    // its mean absolute deviation
-	arrivals    float64       // requests taken, with a decay
-	served      stats.Mean    // share answered within the objective or, with a LateWeight, the client timeout
-	expected    time.Duration // service time of the next request
-	timeouts    timeoutVotes
-	open        int           // requests not yet forgotten
-	retiredAt   time.Duration // no longer in the settings since then; 0 if it is
-
-	goalDensity  float64         // what serving it adds to the operators' goal, for a ms of work
-	maxQueueTime queueTimeLimits // while capacity is short
-	misses       dispatchMisses  // in this Dispatch
+	serviceMS       stats.Mean    // service time
+	deviationMS     stats.Mean    // mean absolute deviation of the service time
+	arrivals        float64       // requests accepted; decays by arrivalDecay per sampling period
+	served          stats.Mean    // share answered within the objective or, with a LateWeight, the client timeout
+	expectedService time.Duration // expected service time of the next request
+	timeouts        timeoutVotes
+	openRequests    int           // requests not yet released
+	retiredAt       time.Duration // when the class left the settings; 0 while it is in them
+
+	goalDensity  float64         // gain in the operators' goal per ms of service time
+	maxQueueTime queueTimeLimits // applies while capacity is short
+	misses       dispatchMisses  // during the current Dispatch
 }
 
-// recordService learns the service time of an answer and returns it as it counts, in ms.
-func (c *classState) recordService(latency time.Duration) (ms float64) {
+// recordServiceTime records the service time of an answer, capped by maxServiceFactor, and returns the capped
+// value in ms.
+func (c *classState) recordServiceTime(latency time.Duration) (ms float64) {
 	ms = stats.Milliseconds(latency)
 	if c.serviceMS.N >= concurrency.MinAnswers {
 		ms = min(ms, maxServiceFactor*c.serviceMS.Value)
 	}
-	c.serviceMS.Add(ms, classMemory)
-	c.deviationMS.Add(math.Abs(ms-c.serviceMS.Value), classMemory)
+	c.serviceMS.Add(ms, classMeanWeight)
+	c.deviationMS.Add(math.Abs(ms-c.serviceMS.Value), classMeanWeight)
 	return ms
 }
 
-// recordConcluded counts a final answer, and whether it came in time.
+// recordConcluded records a final answer and whether it came in time.
 func (c *classState) recordConcluded(inTime bool) {
-	share := 0.0
+	value := 0.0
 	if inTime {
-		share = 1
+		value = 1
 	}
-	c.served.Add(share, classMemory)
+	c.served.Add(value, classMeanWeight)
 }
 
-// refresh forgets a part of the arrivals and works out what the next request is expected to take.
+// refresh decays the count of arrivals and updates the expected service time of the next request.
 func (c *classState) refresh() {
 	c.arrivals *= 1 - arrivalDecay
-	c.expected = stats.Scale(c.LatencyObjective, concurrency.ServiceShare)
+	c.expectedService = stats.Scale(c.LatencyObjective, concurrency.ServiceShare)
 	if c.serviceMS.N >= concurrency.MinAnswers {
-		c.expected = stats.FromMilliseconds(c.serviceMS.Value)
+		c.expectedService = stats.FromMilliseconds(c.serviceMS.Value)
 	}
 }
 
-// usefulUntil is the moment until which an answer earns anything: that of a request that its client first
-// tried at begun and gives up on at deadline.
-func (c *classState) usefulUntil(begun, deadline time.Duration) time.Duration {
+// usefulUntil returns the latest time at which a response still earns weight, for a request that its client
+// first tried at firstTriedAt and abandons at deadline.
+func (c *classState) usefulUntil(firstTriedAt, deadline time.Duration) time.Duration {
 	if c.LateWeight > 0 {
 		return deadline
 	}
-	return min(deadline, begun+c.LatencyObjective)
+	return min(deadline, firstTriedAt+c.LatencyObjective)
 }
 
-// classTable holds the classes by the index that requests carry.
+// classTable holds the classes by the index in Request.Class.
 type classTable struct {
 	entries []classState
-	// referenceMS is the service time of the average class, in ms; 0 is unknown. Service times of all
-	// classes are scaled to it, so that they can be averaged.
+	// referenceMS is the service time of the average class, in ms; 0 means unknown. The service times of all
+	// classes are scaled to it so that they can be averaged.
 	referenceMS float64
 }
 
-// current walks over the classes that the settings name.
+// current iterates over the classes that are in the settings.
 func (t *classTable) current(yield func(*classState) bool) {
 	for i := range t.entries {
 		if c := &t.entries[i]; c.retiredAt == 0 && !yield(c) {
@@ -90,19 +91,19 @@
 	}
 }
 
-// learnReference sets the reference to the plain mean over the classes. It must not follow the mix of
-// what is served: work shed more in one class than another would look like endpoints getting slower.
-func (t *classTable) learnReference() {
-	var all stats.Mean
+// updateReference sets referenceMS to the unweighted mean over the classes. It must not depend on the mix of
+// served requests: if load shedding hit one class more than another, endpoints would seem to get slower.
+func (t *classTable) updateReference() {
+	var mean stats.Mean
 	for c := range t.current {
 		if c.serviceMS.N >= concurrency.MinAnswers {
-			all.Add(c.serviceMS.Value, 0)
+			mean.Add(c.serviceMS.Value, 0)
 		}
 	}
-	t.referenceMS = all.Value
+	t.referenceMS = mean.Value
 }
 
-// relativeCost is a class's service time over that of the average class.
+// relativeCost returns the service time of a class divided by that of the average class; 1 if unknown.
 func (t *classTable) relativeCost(c *classState) float64 {
 	if c.serviceMS.N < concurrency.MinAnswers || t.referenceMS == 0 {
 		return 1
@@ -110,7 +111,7 @@
 	return c.serviceMS.Value / t.referenceMS
 }
 
-// meanObjective is the mean of the classes' latency objectives.
+// meanObjective returns the mean latency objective of the current classes.
 func (t *classTable) meanObjective() time.Duration {
 	var sum, n time.Duration
 	for c := range t.current {
@@ -120,34 +121,34 @@
 	return sum / n
 }
 
-// minObjectiveMS is the shortest latency objective, in ms of the average class.
+// minObjectiveMS returns the shortest latency objective, in ms, after scaling each one to the average class.
 func (t *classTable) minObjectiveMS() float64 {
-	least := math.Inf(1)
+	shortest := math.Inf(1)
 	for c := range t.current {
-		least = min(least, stats.Milliseconds(c.LatencyObjective)/t.relativeCost(c))
+		shortest = min(shortest, stats.Milliseconds(c.LatencyObjective)/t.relativeCost(c))
 	}
-	return least
+	return shortest
 }
 
-// timeoutTolerance is the share by which client timeouts differ that count as one: network delays before a
-// request arrives.
+// timeoutTolerance is the share by which two client timeouts may differ and still count as equal. Network
+// delays before the arrival of a request cause such differences.
 const timeoutTolerance = 0.03
 
-// maxTimeoutVotes bounds the votes, so that a change of the clients' timeout is soon seen.
+// maxTimeoutVotes bounds the votes, so that a change of the clients' timeout is soon adopted.
 const maxTimeoutVotes = 64
 
-// timeoutVotes finds the client timeout that the first tries of a class share.
+// timeoutVotes finds the client timeout that the first tries of a class share, by majority vote.
 type timeoutVotes struct {
-	common time.Duration // of most requests
-	votes  int           // how many more had it lately than had not
+	common time.Duration // the timeout of most requests
+	votes  int           // recent requests with the common timeout, minus the others
 }
 
-// observe records the client timeout of a request and returns how long ago its client first tried: 0
-// with the common timeout, else what is gone of the deadline (deadline - timeout). Guards against
-// serving clients' retries whose latency objective was half spent before they came.
+// observe records the client timeout of a request and returns how long ago its client first tried: 0 if its
+// timeout is the common one or becomes it, otherwise deadline - timeout. This avoids serving clients' retries
+// whose latency objective was half spent before they arrived.
 func (v *timeoutVotes) observe(timeout, deadline time.Duration) (sinceFirstTry time.Duration) {
-	near := stats.Scale(v.common, timeoutTolerance)
-	if timeout >= v.common-near && timeout <= v.common+near {
+	tolerance := stats.Scale(v.common, timeoutTolerance)
+	if timeout >= v.common-tolerance && timeout <= v.common+tolerance {
 		v.votes = min(v.votes+1, maxTimeoutVotes)
 		return 0
 	}
--- a/internal/balancer/classes_test.go
+++ b/internal/balancer/classes_test.go
@@ -15,12 +15,12 @@
 	for i := range r.b.classes.entries {
 		r.b.classes.entries[i].serviceMS = stats.Mean{N: 1000, Value: 50 * float64(i+1)}
 	}
-	r.b.classes.learnReference()
+	r.b.classes.updateReference()
 	near(t, "reference", r.b.classes.referenceMS, 100)
 	for range 500 { // only the heaviest class is served any more
 		s.limit.Sample.ServiceSumMS, s.limit.Sample.Answers = 0, 0
 		r.b.recordAnswer(&requestState{Request: Request{Class: 2}}, s, 150*millisecond)
-		r.b.classes.learnReference()
+		r.b.classes.updateReference()
 	}
 	near(t, "normalised service time", s.limit.Sample.ServiceSumMS, 100)
 }
@@ -94,13 +94,13 @@
 func TestClassExpectsItsMeanServiceTime(t *testing.T) {
 	c := classState{Class: Class{LatencyObjective: time.Second}}
 	c.refresh()
-	if c.expected != 100*millisecond {
-		t.Errorf("without answers %v is expected, want the service share of the objective", c.expected)
+	if c.expectedService != 100*millisecond {
+		t.Errorf("without answers %v is expected, want the service share of the objective", c.expectedService)
 	}
 	for range concurrency.MinAnswers {
-		c.recordService(40 * millisecond)
+		c.recordServiceTime(40 * millisecond)
 	}
-	if c.refresh(); c.expected != 40*millisecond {
-		t.Errorf("%v is expected after answers of 40 ms", c.expected)
+	if c.refresh(); c.expectedService != 40*millisecond {
+		t.Errorf("%v is expected after answers of 40 ms", c.expectedService)
 	}
 }
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Idempotency says what a repeat of a request would do.
+// Idempotency is whether a request may be executed again.
 type Idempotency uint8
 
-// An Idempotent request may be repeated freely. A KeyedIdempotent one carries an idempotency key: it may be
-// repeated within its scope and window, where endpoints drop duplicates. A NonIdempotent one must never run
-// twice.
+// An Idempotent request may be repeated without restriction. A KeyedIdempotent request carries an idempotency
+// key: it may be repeated within its dedup scope and window, where endpoints drop duplicates. A NonIdempotent
+// request must never run twice.
 const (
 	Idempotent Idempotency = iota
 	KeyedIdempotent
 	NonIdempotent
 )
 
-// DedupScope says which endpoints drop the duplicates of a keyed request.
+// DedupScope is the set of endpoints that drop duplicates of a keyed request.
 type DedupScope uint8
 
-// All endpoints, those of the same zone, or those of the same cell.
+// DedupAll is all endpoints, DedupZone those of the same zone, DedupCell those of the same zone and cell.
 const (
 	DedupAll DedupScope = iota
 	DedupZone
@@ -30,42 +30,42 @@
 // Class describes one kind of request.
 type Class struct {
 	Name             string        // for log lines only
-	LatencyObjective time.Duration // an answer within it earns the full weight
-	Deadline         time.Duration // the longest a client waits
+	LatencyObjective time.Duration // a response within it earns the full weight
+	Deadline         time.Duration // the longest time that a client waits
 	Weight           float64       // priority weight of one request
-	LateWeight       float64       // share of the weight that a late answer still earns, 0 to 1
+	LateWeight       float64       // share of the weight that a response after the objective still earns, 0 to 1
 	Idempotency      Idempotency
 	DedupScope       DedupScope // for KeyedIdempotent
-	// DedupWindow, for KeyedIdempotent, is how long duplicates are dropped, from the start of the first
-	// attempt that may have run.
+	// DedupWindow, for KeyedIdempotent, is how long endpoints drop duplicates, counted from the start of the
+	// first attempt that may have run.
 	DedupWindow time.Duration
 }
 
-// Tenant describes one of those who share the endpoints.
+// Tenant is one of the parties that share the endpoints.
 type Tenant struct {
 	Name  string  // for log lines only
-	Quota float64 // requests a second over all gateways within the quota; 0 is no quota
+	Quota float64 // requests per second, over all gateways; 0 means no quota
 }
 
-// Config is what a gateway knows at its start.
+// Config holds the settings of a Balancer. Validate checks them.
 type Config struct {
-	Gateways int // how many gateways there are, at least 1
-	Rank     int // the number of this gateway among them, from 0
+	Gateways int // number of gateways, at least 1
+	Rank     int // index of this gateway among them, from 0
 	Zone     int // the zone of this gateway
 	Classes  []Class
 	Tenants  []Tenant // may be empty
 
-	OverQuotaWeight      float64 // weight of a request beyond its tenant's quota, as a share of its class's
-	WeightByWork         bool    // weight is counted by work done rather than by request
-	TotalGoalWeight      float64 // weight of all that is served in the operators' goal
-	WorstClassGoalWeight float64 // and that of the class served worst; both 0 is the total alone
-	CrossZoneCost        float64 // price of one attempt in another zone, as a share of a request's weight
-
-	PollDiscovery     bool          // endpoint lists come only when watched
-	PollInterval      time.Duration // with PollDiscovery: how long a gateway may go without a call
-	SlowStartFraction float64       // the least share of its capacity that a starting endpoint has
-	SlowStartDuration time.Duration // and the longest until it has all of it
-	// An endpoint in slow start that gets OverloadMultiple of its capacity for OverloadWindow fails.
+	OverQuotaWeight      float64 // weight of a request beyond its tenant's quota, as a share of its class's weight
+	WeightByWork         bool    // the weight counts per ms of work rather than per request
+	TotalGoalWeight      float64 // weight, in the operators' goal, of all requests served
+	WorstClassGoalWeight float64 // weight, in the goal, of the worst-served class; if both are 0 only the total counts
+	CrossZoneCost        float64 // cost of one attempt in another zone, as a share of a request's weight
+
+	PollDiscovery     bool          // endpoint lists arrive only after a WatchEndpoints call
+	PollInterval      time.Duration // with PollDiscovery: the longest time without a call to discovery
+	SlowStartFraction float64       // the minimum share of its capacity that an endpoint has when it starts
+	SlowStartDuration time.Duration // the longest time until it has its full capacity
+	// An endpoint in slow start fails if it gets OverloadMultiple times its capacity for OverloadWindow.
 	OverloadMultiple float64
 	OverloadWindow   time.Duration
 
@@ -74,22 +74,22 @@
 	CancelAllowed      bool          // CancelAttempt may be used
 	RetryAfter         bool          // a rejection may carry a Retry-After
 	MaxRetryAfter      time.Duration // the longest Retry-After that clients observe
-	DispatchInterval   time.Duration // the least time between two Dispatch calls; 0 is taken as 1 ms
+	DispatchInterval   time.Duration // the minimum time between two Dispatch calls; 0 means 1 ms
 }
 
-// ConfigError says which field of a Config cannot work, and why. Validate, New and Reload return it.
+// ConfigError is returned by Validate, New and Reload for an invalid field of a Config.
 type ConfigError struct {
-	Field  string // as in Config, such as "Classes[1].Deadline"
-	Value  any    // the faulty value
+	Field  string // path of the field in Config, such as "Classes[1].Deadline"
+	Value  any    // the invalid value
 	Reason string // what the field must be
 }
 
-// Error names the field, its value and the reason.
+// Error returns a message with the field, its value and the reason.
 func (e *ConfigError) Error() string {
 	return fmt.Sprintf("balancer: %s is %v, %s", e.Field, e.Value, e.Reason)
 }
 
-// Reasons that several fields share.
+// Values of ConfigError.Reason that several fields use.
 const (
 	mustBePositive    = "must be positive"
 	mustNotBeNegative = "must not be negative"
@@ -97,11 +97,11 @@
 	mustBeAFraction   = "must be from 0 to 1"
 )
 
-// dispatchSlack is the time by which deadlines and windows are taken to end early: a decision may be
-// carried out as late as the dispatch after next.
+// dispatchSlack is subtracted from deadlines and dedup windows: a decision may be carried out as late as two
+// dispatch intervals later.
 func (c *Config) dispatchSlack() time.Duration { return 2 * c.DispatchInterval }
 
-// Validate returns a *ConfigError for the first field that cannot work, else nil.
+// Validate returns a *ConfigError for the first invalid field, or nil.
 func (c *Config) Validate() error {
 	fault := func(field string, value any, reason string) error {
 		return &ConfigError{Field: field, Value: value, Reason: reason}
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// fault returns the first field of the class that cannot work, or "".
+// fault returns the first invalid field of the class, its value and the reason; field is "" if all are valid.
 func (c *Class) fault() (field string, value any, reason string) {
 	switch {
 	case c.LatencyObjective <= 0:
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -7,24 +7,25 @@
 	"thymebend/internal/balancer/stats"
 )
 
-// crossZoneShare is the longest wait before a request may go to another zone, as a share of its maximum
-// queue time: an endpoint there takes time to find.
+// crossZoneShare is the longest wait before a request may go to another zone, as a share of its maximum queue
+// time: finding an endpoint there takes part of that time.
 const crossZoneShare = 0.5
 
-// dispatchMisses notes that a request of a class was looked at in this Dispatch and found no free
-// capacity, in the local zone or anywhere: others of the class need not be looked at.
+// dispatchMisses records, for one class, that a request found no free capacity during the current Dispatch, in
+// the local zone or in any zone. The search is then skipped for further requests of the class.
 type dispatchMisses struct{ local, anyZone bool }
 
-// in returns the flag of the zones that a request may go to.
-func (n *dispatchMisses) in(crossZone bool) *bool {
+// flagFor returns the flag for the zones that a request may go to.
+func (m *dispatchMisses) flagFor(crossZone bool) *bool {
 	if crossZone {
-		return &n.anyZone
+		return &m.anyZone
 	}
-	return &n.local
+	return &m.local
 }
 
-// Dispatch starts attempts of the queued requests for which there is capacity, and answers those that
-// are past their deadline or are shed. It is called once after the events that arrived together.
+// Dispatch starts attempts for the queued requests for which there is capacity, and gives a final answer to
+// those that cannot be answered in time or are shed. The gateway calls it once after each group of events
+// that arrived together.
 func (b *Balancer) Dispatch(now time.Duration) {
 	b.now = now
 	for i := range b.classes.entries {
@@ -40,12 +41,12 @@
 	}
 }
 
-// dispatchRequest starts an attempt of a queued request or gives it its final answer, if it is time for
-// either, and reports whether it stays queued.
+// dispatchRequest starts an attempt of a queued request, gives it its final answer, or does neither, and
+// reports whether it stays queued.
 func (b *Balancer) dispatchRequest(r *requestState) (queued bool) {
 	if r.done {
 		r.queued = false
-		b.forget(r)
+		b.release(r)
 		return false
 	}
 	if b.tooLateToStart(r) {
@@ -53,24 +54,24 @@
 		b.rejectOrFail(r)
 		return false
 	}
-	if ep := b.pick(r); ep != nil {
+	if ep := b.pickEndpoint(r); ep != nil {
 		b.recordWait(r)
 		b.startAttempt(r, ep)
 		return false
 	}
-	if b.shed(r) {
+	if b.shouldShed(r) {
 		b.recordWait(r)
 		b.rejectOrFail(r)
 		return false
 	}
-	longest := b.classOf(r).maxQueueTime.of(r.overQuota)
-	if b.now-r.firstTriedAt > longest/2 {
+	maxTime := b.classOf(r).maxQueueTime.forQuota(r.overQuota)
+	if b.now-r.firstTriedAt > maxTime/2 {
 		b.endpoints.signals.Short = true
 	}
 	return true
 }
 
-// recordWait records the queue time of a request that leaves the queue for the first time.
+// recordWait records the queue time of a request that leaves the queue, unless it was attempted before.
 func (b *Balancer) recordWait(r *requestState) {
 	if len(r.attempts) == 0 {
 		objective := b.classOf(r).LatencyObjective
@@ -78,16 +79,16 @@
 	}
 }
 
-// chooseSubset chooses the subset anew.
+// chooseSubset chooses the subset again and closes the idle connections to endpoints that are no longer used.
 func (b *Balancer) chooseSubset() {
 	for _, ep := range b.endpoints.choose(b.now, &b.cfg, b.rng) {
 		if !ep.subset.used && ep.inFlight == 0 {
-			b.out.CloseIdle(ep.ID)
+			b.actions.CloseIdle(ep.ID)
 		}
 	}
 }
 
-// markLimited notes which limits stand in the way of queued requests.
+// markLimited marks the concurrency limits of the endpoints that keep queued requests waiting.
 func (b *Balancer) markLimited() {
 	for _, ep := range b.endpoints.subset {
 		if b.effectiveInFlight(ep) >= ep.allowed() || ep.cooldown.active(b.now) {
@@ -96,23 +97,23 @@
 	}
 }
 
-// setQueueTimer makes sure that queued requests are looked at again soon even if nothing else happens.
+// setQueueTimer makes sure that the queue is examined again soon even if no other event arrives.
 func (b *Balancer) setQueueTimer() {
 	if !b.queueTimerSet {
 		b.queueTimerSet = true
-		b.out.SetTimer(b.cfg.dispatchSlack(), queueTimer)
+		b.actions.SetTimer(b.cfg.dispatchSlack(), queueTimer)
 	}
 }
 
-// preference orders endpoints before their free capacity is compared; the least goes first.
+// preference ranks endpoints; the lowest value is used first. Free capacity decides among equal ranks.
 type preference int
 
 const (
-	// ejected, and its probe is due; it would never be probed otherwise
+	// ejected with a due probe: if it did not come first it would never be probed
 	preferProbe         preference = iota
-	preferLocalZone                // of the subset and the local zone
-	preferRemoteZone               // of the subset
-	preferOutsideSubset            // for a retry that the subset may not take
+	preferLocalZone                // in the subset and the local zone
+	preferRemoteZone               // in the subset, in another zone
+	preferOutsideSubset            // for a retry that must not go to the subset
 )
 
 func (b *Balancer) preference(ep *endpointState) preference {
@@ -128,24 +129,25 @@
 	}
 }
 
-// pick returns the endpoint with most room for r, or nil. Room only shrinks during a Dispatch, so first
-// attempts of one class that may go to the same zones are looked at once: endpoints times queued requests
-// would take more than a gateway's CPU.
-func (b *Balancer) pick(r *requestState) *endpointState {
+// pickEndpoint returns the most preferred endpoint with the most free capacity for r, or nil. Free capacity only
+// shrinks during a Dispatch. So once a first attempt finds none, further first attempts of the same class that
+// may go to the same zones are not searched for: examining every endpoint for every queued request would take
+// more CPU than a gateway has.
+func (b *Balancer) pickEndpoint(r *requestState) *endpointState {
 	class := b.classOf(r)
-	first, candidates := len(r.attempts) == 0, b.endpoints.subset
-	if !first && class.Idempotency == KeyedIdempotent {
-		candidates = b.endpoints.all // its retry may have to go where the subset has nothing
+	firstAttempt, candidates := len(r.attempts) == 0, b.endpoints.subset
+	if !firstAttempt && class.Idempotency == KeyedIdempotent {
+		candidates = b.endpoints.all // the dedup scope of a retry may lie outside the subset
 	}
-	crossZone := !first || b.now-r.arrivedAt >= b.crossZoneWait(class, r)
-	full := class.misses.in(crossZone)
-	if len(candidates) == 0 || first && *full || b.paused {
+	crossZone := !firstAttempt || b.now-r.arrivedAt >= b.crossZoneWait(class, r)
+	noCapacity := class.misses.flagFor(crossZone)
+	if len(candidates) == 0 || firstAttempt && *noCapacity || b.paused {
 		return nil
 	}
 	var best *endpointState
 	var bestTier preference
 	var bestFree int
-	start := b.startIndex(len(candidates), first, crossZone)
+	start := b.startIndex(len(candidates), firstAttempt, crossZone)
 	for i := range candidates {
 		ep := candidates[(start+i)%len(candidates)]
 		if ep.Zone != b.cfg.Zone && !crossZone || !b.usable(ep, r) {
@@ -156,33 +158,33 @@
 			best, bestTier, bestFree = ep, tier, free
 		}
 	}
-	if first {
-		*full = best == nil
+	if firstAttempt {
+		*noCapacity = best == nil
 	}
 	return best
 }
 
-// crossZoneWait is how long a request waits before it may go to another zone: what the crossing costs, in
-// time, but in any case before it is shed.
+// crossZoneWait returns how long a request waits before it may go to another zone: the cost of the crossing,
+// expressed as a share of the latency objective, but always less than the time after which it is shed.
 func (b *Balancer) crossZoneWait(class *classState, r *requestState) time.Duration {
 	return min(stats.Scale(class.LatencyObjective, min(b.cfg.CrossZoneCost, concurrency.ServiceShare)),
-		stats.Scale(class.maxQueueTime.of(r.overQuota), crossZoneShare))
+		stats.Scale(class.maxQueueTime.forQuota(r.overQuota), crossZoneShare))
 }
 
-// startIndex draws where to begin among n candidates, which decides between endpoints with equal room:
-// anywhere, or by the cluster's weights.
-func (b *Balancer) startIndex(n int, first, crossZone bool) int {
+// startIndex draws the index at which the search of n candidates starts. The first of several endpoints with
+// equal free capacity is used, so the draw decides between them: evenly, or by the cluster's weights.
+func (b *Balancer) startIndex(n int, firstAttempt, crossZone bool) int {
 	total := b.endpoints.localWeight
 	if crossZone {
 		total = b.endpoints.anyZoneWeight
 	}
-	if !first || total == 0 {
+	if !firstAttempt || total == 0 {
 		return b.rng.IntN(n)
 	}
-	at := b.rng.Float64() * total
+	draw := b.rng.Float64() * total
 	for i, ep := range b.endpoints.subset {
 		if crossZone || ep.Zone == b.cfg.Zone {
-			if at -= ep.subset.weight; at < 0 {
+			if draw -= ep.subset.weight; draw < 0 {
 				return i
 			}
 		}
@@ -190,11 +192,11 @@
 	return 0
 }
 
-// usable reports whether ep may get r now.
+// usable reports whether an attempt of r may start on ep now.
 func (b *Balancer) usable(ep *endpointState, r *requestState) bool {
 	return ep.State == EndpointReady && !ep.cooldown.active(b.now) &&
 		b.effectiveInFlight(ep) < ep.allowed() &&
-		ep.classes[r.Class].Allows(b.now, ep.usualMS(b.classOf(r))) &&
+		ep.classes[r.Class].Allows(b.now, ep.classServiceMS(b.classOf(r))) &&
 		(!ep.health.Ejected || b.mayProbe(ep, r)) && b.mayStart(r, ep) && b.slowStartAllows(ep)
 }
 
@@ -211,5 +213,5 @@
 	if b.warmUpFraction(ep) < 1 {
 		ep.warmUp.Spend()
 	}
-	b.out.StartAttempt(r.ID, ep.ID, timeout)
+	b.actions.StartAttempt(r.ID, ep.ID, timeout)
 }
--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -1,5 +1,5 @@
-// Package balancer decides for a load-balancing HTTP gateway: which endpoint gets which request and when,
-// what is retried, and what is rejected. It does no I/O and has no clock.
+// Package balancer makes the decisions of a load-balancing HTTP gateway: which endpoint gets which request and
+// when, which requests are retried, and which are rejected. It does no I/O and reads no clock.
 //
 // # Events and actions
 //
@@ -10,52 +10,53 @@
 //   - of the cluster of gateways: AssignEndpoints, GrantSlowStartToken;
 //   - of the process: TimerFired, Reload, State and Restore, YieldSlowStart.
 //
-// Events that arrive together are passed one after another, then Dispatch is called once. Decisions go out
-// through Actions, during New, an event or Dispatch. The gateway carries them out in the order given and
-// must not call back into the Balancer meanwhile. It asks MayStartAttempt just before it writes an attempt
-// whose connection came up late. Every request that arrived gets one final answer: that of an endpoint,
-// Reject, Fail, or none if it was abandoned.
+// The gateway passes events that arrive together one after another and then calls Dispatch once. The
+// Balancer issues its decisions by calling the methods of Actions during New, an event or Dispatch. The
+// gateway carries them out in the order of these calls and must not call back into the Balancer meanwhile.
+// If the connection for an attempt was established late, the gateway calls MayStartAttempt just before it
+// writes the request. Every request that arrived gets exactly one final answer: an endpoint's response,
+// Reject or Fail; an abandoned request gets none.
 //
-// A Balancer is not safe for concurrent use, keeps nothing outside itself, and holds no memory of the
-// caller after a call returns. The same calls with the same seed give the same actions.
+// A Balancer is not safe for concurrent use, has no state outside itself, and keeps no reference to the
+// caller's memory after a call returns. The same calls with the same seed give the same actions.
 //
 // # Units
 //
-// Moments are a monotonic time.Duration since any fixed moment, the same for all calls; they never go
-// back. Spans are a time.Duration. Service times that are averaged are float64 milliseconds, and their
-// names end in MS or their comments say so. Queue and response times that the loops compare are
-// multiples of the latency objective. Rates are requests a second. Shares and fractions are from 0 to
-// 1.
+// Points in time are a monotonic time.Duration since a fixed moment that is the same for all calls; they
+// never decrease. Intervals are a time.Duration too. Averaged service times are float64 milliseconds; their
+// names end in MS or their comments say so. Queue and response times that the control loops compare are
+// multiples of the latency objective. Rates are requests per second. Shares and fractions range from 0 to 1.
 //
 // # Algorithm
 //
-// The ordinary path is ILAC-0.9: requests queue first-come at the gateway, and each is released to the
-// endpoint of the subset with most room under its concurrency limit, which an integral loop steers by
-// service time. A threshold bounds the queue time, and a slower loop splits the latency objective between
-// queue and service. Around it stand outlier detection, slow start, subsetting, retries, quotas and load
-// shedding. What departs from the paper is marked as an exception where it stands.
+// The basic algorithm is ILAC-0.9: requests wait at the gateway in a first-come queue, and each is dispatched
+// to the endpoint of the subset that has the most free capacity under its concurrency limit. An integral
+// loop adjusts that limit by service time. A threshold bounds the queue time, and a slower loop splits the
+// latency objective between queueing and service. Outlier detection, slow start, subsetting, retries, quotas
+// and load shedding are added to it. Comments mark each deviation from the paper as an exception.
 //
 // # Files
 //
 //   - api.go, config.go: events, actions, settings and their errors.
 //   - balancer.go: the Balancer's state, the arrival of requests, timers.
-//   - dispatch.go: the queue is worked off, the choice of an endpoint.
-//   - attempts.go: attempts in flight, and what their ends tell.
+//   - dispatch.go: dispatch of queued requests, the choice of an endpoint.
+//   - attempts.go: attempts in flight, and what is recorded of their outcomes.
 //   - retry.go: whether and where a request is retried.
 //   - rejection.go: final answers, deadlines.
-//   - sampling.go: the sampling period of the loops.
-//   - classes.go: what is learnt of classes and of client timeouts.
-//   - loadshedding.go: how long requests are queued.
-//   - cooldown.go, ejection.go, slowstart.go: when an endpoint gets nothing, probes only, or little.
-//   - endpoints.go, subsetting.go, watch.go: the endpoint list, the subset in use, calls for the list.
-//   - requests.go, log.go: requests under way and their queue, log lines.
-//   - state.go, reload.go, report.go: what goes to the next process, new settings, what other gateways hear.
+//   - sampling.go: the sampling period of the control loops.
+//   - classes.go: statistics of request classes and of client timeouts.
+//   - loadshedding.go: how long requests are queued before they are shed.
+//   - cooldown.go, ejection.go, slowstart.go: when an endpoint gets no requests, only probes, or few requests.
+//   - endpoints.go, subsetting.go, watch.go: the endpoint list, the subset in use, discovery calls.
+//   - requests.go, log.go: requests in progress and their queue, log lines.
+//   - state.go, reload.go, report.go: state for the next process, new settings, the load report for other
+//     gateways.
 //
 // # Packages
 //
-//   - concurrency: limits, queue-time threshold and response setpoint, the loops of the paper.
-//   - outlierdetection: ejection, probes, silence, stalled classes.
-//   - slowstart: what an endpoint gets that is warming up.
+//   - concurrency: the paper's control loops: concurrency limits, queue-time threshold, response setpoint.
+//   - outlierdetection: ejection, probes, silent endpoints, stalled classes.
+//   - slowstart: how many requests an endpoint gets while it warms up.
 //   - retrybudget, quota: retries of requests that may have run; requests beyond a tenant's quota.
 //   - stats: running means and conversions.
 //   - thymebend/internal/subset, thymebend/internal/backoff: which endpoints a gateway uses, and when it
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -4,7 +4,8 @@
 	"thymebend/internal/balancer/outlierdetection"
 )
 
-// recordSuccess notes an answer of ep. One that was ejected may come back, with the least limit.
+// recordSuccess records an answer of ep. The answer may end the ejection of ep, whose concurrency limit then
+// starts at its minimum.
 func (b *Balancer) recordSuccess(ep *endpointState) {
 	ep.cooldown.answered()
 	if ep.health.RecordAnswer(b.now) {
@@ -14,8 +15,8 @@
 	}
 }
 
-// recordFailure notes a failure of ep, which lowers its limit at the end of the sampling period and may
-// eject it.
+// recordFailure records a failure of ep. The failure lowers the concurrency limit at the end of the sampling
+// period and may eject ep.
 func (b *Balancer) recordFailure(ep *endpointState) {
 	ep.limit.RecordFailure()
 	ep.health.RecordFailure()
@@ -24,7 +25,8 @@
 	}
 }
 
-// checkSilence ejects an endpoint that has work and is silent, and takes back the work that may be retried.
+// checkSilence ejects an endpoint that has attempts in flight but has not answered for too long, and cancels
+// the attempts that may be retried elsewhere.
 func (b *Balancer) checkSilence(ep *endpointState) {
 	reference := b.classes.referenceMS
 	if reference == 0 || b.effectiveInFlight(ep) == 0 || !ep.health.IsSilent(b.now, ep.serviceMS(reference)) {
@@ -37,9 +39,9 @@
 	}
 }
 
-// eject keeps ordinary requests from ep, until a probe is answered, unless too many of the subset look bad.
-// An expansion is ejected in any case and without a log line, and does not count among those that look bad.
-func (b *Balancer) eject(ep *endpointState, why string) {
+// eject takes ep out of rotation until it answers a probe, unless too large a part of the subset would be
+// ejected. An endpoint of the expansion is always ejected, without a log line, and does not count in that part.
+func (b *Balancer) eject(ep *endpointState, reason string) {
 	if !ep.health.Ejected && !ep.subset.expansion {
 		ejected, ready := 1, 0
 		for _, other := range b.endpoints.subset {
@@ -53,22 +55,23 @@
 		if outlierdetection.TooManyEjected(ejected, ready) {
 			return
 		}
-		b.log.printf(b.now, "server %d %s, ejected", ep.ID, why)
+		b.log.printf(b.now, "server %d %s, ejected", ep.ID, reason)
 	}
 	b.endpoints.stale = true
 	ep.health.Eject(b.now, b.classes.meanObjective(), b.rng.Float64())
 }
 
-// mayProbe reports whether r may probe an ejected endpoint: one request at a time, when the probe is
-// due, and only the first attempt of a request that can be retried if it fails. So an ejected endpoint
-// does not come back while all requests are non-idempotent.
+// mayProbe reports whether r may probe the ejected endpoint ep: one request at a time, when the probe is due,
+// and only the first attempt of a request that can be retried if the probe fails. An ejected endpoint is
+// therefore not restored while all requests are non-idempotent.
 func (b *Balancer) mayProbe(ep *endpointState, r *requestState) bool {
 	retryable := b.classOf(r).Idempotency != NonIdempotent && len(r.attempts) == 0
 	return retryable && ep.inFlight == 0 && ep.health.ProbeDue(b.now)
 }
 
-// cancelAttempts cancels what is in flight on a silent endpoint and may be retried. A long attempt on any
-// other is waited for: a cancel seldom stops work, and the retry would be paid twice.
+// cancelAttempts cancels the attempts in flight on a silent endpoint whose requests may be retried. Long
+// attempts on other endpoints are not cancelled: a cancel seldom stops the work, and the work of the retry
+// would be added to it.
 func (b *Balancer) cancelAttempts(ep *endpointState) {
 	if !b.cfg.CancelAllowed {
 		return
@@ -82,7 +85,7 @@
 		}
 		for i := range r.attempts {
 			if a := &r.attempts[i]; a.endpoint == ep && !a.ended {
-				b.out.CancelAttempt(id, i)
+				b.actions.CancelAttempt(id, i)
 			}
 		}
 	}
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -12,61 +12,61 @@
 	"thymebend/internal/subset"
 )
 
-// endpointState is one start of one endpoint. An endpoint that starts again is a new one: nothing learnt
-// holds for it.
+// endpointState is the state of one endpoint since one start. An endpoint that restarts gets a new
+// endpointState, because earlier measurements do not apply to it.
 type endpointState struct {
 	Endpoint
 	listed   bool                           // in the endpoint list
-	inFlight int                            // attempts
-	requests []RequestID                    // whose attempts are in flight
+	inFlight int                            // number of attempts in flight
+	requests []RequestID                    // the requests of these attempts
 	classes  []outlierdetection.ClassHealth // by class index
 
 	limit    concurrency.Limit
 	health   outlierdetection.Health
 	cooldown cooldown
 	warmUp   slowstart.Budget
-	subset   subsetPlace
+	subset   subsetMembership
 }
 
-// subsetPlace is an endpoint's place in the subset that this gateway uses.
-type subsetPlace struct {
+// subsetMembership says whether and how an endpoint belongs to the subset that this gateway uses.
+type subsetMembership struct {
 	used         bool    // in the subset
-	regular      bool    // in its regular part, which users counts
-	wasRegular   bool    // and before the last choice
-	expansion    bool    // used beyond the regular part, because this gateway is short of capacity
-	users        float64 // gateways that use the endpoint in their regular part, at least 1
-	relativeLoad float64 // by how much more of these use it than the mean
-	weight       float64 // among the subset, by the cluster; 0 without one
+	regular      bool    // in the regular part of the subset
+	wasRegular   bool    // in the regular part before the subset was last chosen
+	expansion    bool    // in the subset beyond the regular part, because this gateway is short of capacity
+	users        float64 // number of gateways with the endpoint in their regular part, at least 1
+	relativeLoad float64 // users of this endpoint, relative to the mean over endpoints
+	weight       float64 // assigned by the cluster, relative to the subset; 0 without an assignment
 }
 
-// usualMS is the service time that an attempt may be expected to take at most, in ms: that of the class
-// or of the endpoint.
-func (ep *endpointState) usualMS(c *classState) float64 {
-	return max(stats.Milliseconds(c.expected), ep.limit.ServiceMS.Value)
+// classServiceMS returns the expected service time of an attempt of class c, in ms: that of the class or of the
+// endpoint, whichever is longer.
+func (ep *endpointState) classServiceMS(c *classState) float64 {
+	return max(stats.Milliseconds(c.expectedService), ep.limit.ServiceMS.Value)
 }
 
-// serviceMS is the service time of the endpoint or of the average class, whichever is longer, in ms.
+// serviceMS returns the service time of the endpoint or of the average class, whichever is longer, in ms.
 func (ep *endpointState) serviceMS(referenceMS float64) float64 {
 	return max(referenceMS, ep.limit.ServiceMS.Value)
 }
 
-// allowed is the number of requests that this gateway may have in flight there.
+// allowed returns the number of requests that this gateway may have in flight on the endpoint.
 func (ep *endpointState) allowed() int {
 	if ep.health.Ejected {
-		return 1 // a probe
+		return 1 // the probe
 	}
 	return ep.limit.Allowed()
 }
 
-// minLimit is where the concurrency limit starts, and its least.
+// minLimit returns the minimum of the concurrency limit, which is also its initial value.
 func (ep *endpointState) minLimit() float64 { return concurrency.MinLimit(ep.subset.users) }
 
-// closeSample ends a sampling period of the concurrency limit.
+// closeSample ends the sampling period of the concurrency limit and adjusts the limit.
 func (ep *endpointState) closeSample(target concurrency.ServiceTarget) {
 	ep.limit.CloseSample(target, ep.minLimit())
 }
 
-// sameDedupScope reports whether two endpoints share what a repeat of a keyed request must keep to.
+// sameDedupScope reports whether a keyed request that ran on one of two endpoints may be repeated on the other.
 func sameDedupScope(scope DedupScope, a, b *endpointState) bool {
 	switch scope {
 	case DedupAll:
@@ -81,93 +81,94 @@
 // endpointSet holds the listed endpoints and the subset of them that this gateway uses.
 type endpointSet struct {
 	byID                       map[EndpointID]*endpointState
-	all                        []*endpointState // in the order in which the list named them
-	localPlaces, remotePlaces  []*endpointState // order of choice, of the local zone and of all others
-	subset                     []*endpointState // those that this gateway uses, see choose
-	stale                      bool             // the subset has to be chosen anew
+	all                        []*endpointState // in the order in which they were first listed
+	localOrder, remoteOrder    []*endpointState // order of selection, for the local zone and for all other zones
+	subset                     []*endpointState // the endpoints that this gateway uses, see choose
+	stale                      bool             // the subset must be chosen again
 	assigned                   []AssignedEndpoint
-	localWeight, anyZoneWeight float64          // sums of the subset's weights; 0 without a cluster
-	expansion                  subset.Expansion // of the subset, among the endpoints of other zones
-	signals                    subset.Signals   // for it, of this sampling period
+	localWeight, anyZoneWeight float64          // sums of the subset's weights; 0 without an assignment
+	expansion                  subset.Expansion // beyond the regular subset: endpoints of other zones, or spares
+	signals                    subset.Signals   // input of the expansion, from the current sampling period
 }
 
-// update applies a snapshot or a delta. A delta has changes only; a snapshot drops what it omits. classes
-// is the number of class indices.
+// update applies a snapshot or a delta. A delta has only changed entries; endpoints that a snapshot omits are
+// removed. zone is the local zone, classes the number of class indices.
 func (s *endpointSet) update(now time.Duration, kind EndpointUpdate, entries []Endpoint, zone, classes int) {
 	if kind != Delta {
 		for _, ep := range s.all {
 			ep.listed = false
 		}
 	}
-	known := len(s.all)
+	before := len(s.all)
 	for _, e := range entries {
 		s.apply(now, e, classes)
 	}
-	s.place(s.all[known:], zone)
+	s.assignPositions(s.all[before:], zone)
 	s.all = slices.DeleteFunc(s.all, func(ep *endpointState) bool {
-		gone := ep.State == EndpointRemoved || !ep.listed
-		if gone {
+		removed := ep.State == EndpointRemoved || !ep.listed
+		if removed {
 			ep.State = EndpointRemoved
 			if s.byID[ep.ID] == ep {
 				delete(s.byID, ep.ID)
 			}
 		}
-		return gone
+		return removed
 	})
 	s.stale = true
 }
 
-// apply takes one entry of the list.
-func (s *endpointSet) apply(now time.Duration, e Endpoint, classes int) {
-	ep := s.byID[e.ID]
-	if ep != nil && ep.StartedAt == e.StartedAt {
-		ep.Endpoint, ep.listed = e, true
+// apply adds or updates the endpoint of one list entry. An entry with another start replaces the endpoint.
+func (s *endpointSet) apply(now time.Duration, entry Endpoint, classes int) {
+	ep := s.byID[entry.ID]
+	if ep != nil && ep.StartedAt == entry.StartedAt {
+		ep.Endpoint, ep.listed = entry, true
 		return
 	}
 	if ep != nil {
 		ep.State = EndpointRemoved
 	}
-	if e.State == EndpointRemoved {
+	if entry.State == EndpointRemoved {
 		return
 	}
 	ep = &endpointState{
-		Endpoint: e, listed: true, warmUp: slowstart.NewBudget(now),
+		Endpoint: entry, listed: true, warmUp: slowstart.NewBudget(now),
 		classes: make([]outlierdetection.ClassHealth, classes),
 	}
-	s.byID[e.ID] = ep
+	s.byID[entry.ID] = ep
 	s.all = append(s.all, ep)
 }
 
-// place gives newly listed endpoints their places. A successor takes the place of one that drains or is
-// gone, so that the subsets of all gateways are replaced one for one.
-func (s *endpointSet) place(fresh []*endpointState, zone int) {
-	slices.SortFunc(fresh, func(x, y *endpointState) int {
-		return cmp.Compare(x.ID, y.ID) // mixes zones and cells, so that one lost is no gateway's whole subset
+// assignPositions gives newly listed endpoints their positions in the order of selection. A new endpoint takes
+// the position of one that is draining or removed, so that a deploy replaces the endpoints in the subsets of
+// all gateways one for one.
+func (s *endpointSet) assignPositions(added []*endpointState, zone int) {
+	slices.SortFunc(added, func(x, y *endpointState) int {
+		return cmp.Compare(x.ID, y.ID) // mixes zones and cells: the loss of one takes no whole subset
 	})
-	nextLocal, nextRemote := 0, 0 // before it all places are taken
-	for _, ep := range fresh {
+	nextLocal, nextRemote := 0, 0 // all positions before these are taken
+	for _, ep := range added {
 		if ep.Zone == zone {
-			s.localPlaces, nextLocal = takePlace(s.localPlaces, nextLocal, ep)
+			s.localOrder, nextLocal = takePosition(s.localOrder, nextLocal, ep)
 		} else {
-			s.remotePlaces, nextRemote = takePlace(s.remotePlaces, nextRemote, ep)
+			s.remoteOrder, nextRemote = takePosition(s.remoteOrder, nextRemote, ep)
 		}
 	}
 }
 
-// takePlace puts ep in the first free place from next on, and returns the places and that one.
-func takePlace(places []*endpointState, next int, ep *endpointState) ([]*endpointState, int) {
-	for next < len(places) && places[next].State == EndpointReady && places[next].listed {
+// takePosition puts ep at the first free position from next on. It returns the order and that position.
+func takePosition(order []*endpointState, next int, ep *endpointState) ([]*endpointState, int) {
+	for next < len(order) && order[next].State == EndpointReady && order[next].listed {
 		next++
 	}
-	if next == len(places) {
-		return append(places, ep), next
+	if next == len(order) {
+		return append(order, ep), next
 	}
-	places[next] = ep
-	return places, next
+	order[next] = ep
+	return order, next
 }
 
-// unavailable counts the endpoints that get no ordinary requests: those that drain, and those ejected.
-func (s *endpointSet) unavailable() (n int) {
+// unavailableCount returns the number of endpoints that are draining or ejected and get no ordinary requests.
+func (s *endpointSet) unavailableCount() (n int) {
 	for _, ep := range s.all {
 		if ep.State != EndpointReady || ep.health.Ejected {
 			n++
@@ -176,16 +177,17 @@
 	return n
 }
 
-// turnover is the mean time between two openings of capacity in the subset; 0 is unknown.
-func (s *endpointSet) turnover(referenceMS float64) time.Duration {
-	perMS := 0.0
+// completionInterval returns the mean time between two completed attempts in the subset at its concurrency
+// limits, each of which frees capacity; 0 means unknown.
+func (s *endpointSet) completionInterval(referenceMS float64) time.Duration {
+	completionsPerMS := 0.0
 	for _, ep := range s.subset {
 		if !ep.health.Ejected {
-			perMS += ep.limit.Value / ep.serviceMS(referenceMS)
+			completionsPerMS += ep.limit.Value / ep.serviceMS(referenceMS)
 		}
 	}
-	if referenceMS == 0 || perMS == 0 {
+	if referenceMS == 0 || completionsPerMS == 0 {
 		return 0
 	}
-	return stats.FromMilliseconds(1 / perMS)
+	return stats.FromMilliseconds(1 / completionsPerMS)
 }
--- a/internal/balancer/endpoints_test.go
+++ b/internal/balancer/endpoints_test.go
@@ -72,14 +72,14 @@
 		return out
 	}
 	update(ready(3, 0, 0), ready(1, 0, 0), ready(2, 1, 0), ready(4, 0, 0))
-	if got := ids(set.localPlaces); !slices.Equal(got, []EndpointID{1, 3, 4}) {
+	if got := ids(set.localOrder); !slices.Equal(got, []EndpointID{1, 3, 4}) {
 		t.Fatalf("local places %v, want 1 3 4", got)
 	}
 	update(Endpoint{ID: 3, State: EndpointRemoved}, ready(9, 0, 0), ready(8, 1, 0))
-	if got := ids(set.localPlaces); !slices.Equal(got, []EndpointID{1, 9, 4}) {
+	if got := ids(set.localOrder); !slices.Equal(got, []EndpointID{1, 9, 4}) {
 		t.Errorf("local places %v, want 1 9 4", got)
 	}
-	if got := ids(set.remotePlaces); !slices.Equal(got, []EndpointID{2, 8}) {
+	if got := ids(set.remoteOrder); !slices.Equal(got, []EndpointID{2, 8}) {
 		t.Errorf("remote places %v, want 2 8", got)
 	}
 	if set.byID[3] != nil || len(set.all) != 5 || !set.stale {
--- a/internal/balancer/loadshedding.go
+++ b/internal/balancer/loadshedding.go
@@ -8,32 +8,33 @@
 	"thymebend/internal/balancer/stats"
 )
 
-// lateMargin is how many mean deviations of its service time before the objective a queued request must
-// leave.
-const lateMargin = 4.0
+// marginDeviations is the margin that a queued request must leave before its latency objective, as a multiple
+// of the mean deviation of its service time.
+const marginDeviations = 4.0
 
-// minTurnovers is how many openings of capacity a request is queued for at least, if its objective
-// allows it: otherwise a gateway that sees few would shed what the next opening could have served.
-const minTurnovers = 3.0
+// minCompletions is the minimum time that a request is queued, as a multiple of the completion interval, if its
+// objective allows it. Otherwise a gateway whose capacity is freed rarely would shed a request that the next
+// free capacity could have served.
+const minCompletions = 3.0
 
-// queueTimeLimits is how long requests of a class are queued while capacity is short.
+// queueTimeLimits holds the maximum queue times of a class while capacity is short.
 type queueTimeLimits struct{ withinQuota, overQuota time.Duration }
 
-// of returns the time for a request beyond its tenant's quota, or within it.
-func (m queueTimeLimits) of(overQuota bool) time.Duration {
+// forQuota returns the maximum for a request beyond its tenant's quota or within it.
+func (l queueTimeLimits) forQuota(overQuota bool) time.Duration {
 	if overQuota {
-		return m.overQuota
+		return l.overQuota
 	}
-	return m.withinQuota
+	return l.withinQuota
 }
 
-// loadShedding decides how long the requests of each class are queued before they are shed. In a first-come
-// queue all wait alike, so a class with a shorter time is shed first.
+// loadShedding determines how long the requests of each class are queued before they are shed. In a first-come
+// queue all requests wait equally long, so a class with a shorter maximum is shed first.
 type loadShedding struct {
-	overQuotaWeight      float64 // weight of a request beyond its tenant's quota, as a share of its class's
-	weightByWork         bool    // weight counts for each ms of work rather than for each request
-	totalGoalWeight      float64 // weight of all that is served in the operators' goal
-	worstClassGoalWeight float64 // and that of the class served worst
+	overQuotaWeight      float64 // weight of a request beyond its tenant's quota, as a share of its class's weight
+	weightByWork         bool    // the weight counts per ms of work rather than per request
+	totalGoalWeight      float64 // weight, in the operators' goal, of all requests served
+	worstClassGoalWeight float64 // weight, in the goal, of the worst-served class
 }
 
 func newLoadShedding(cfg *Config) loadShedding {
@@ -43,21 +44,21 @@
 	}
 }
 
-// setMaxQueueTimes works out the times of all classes. threshold is the queue-time threshold in multiples
-// of the objectives, turnover the mean time between two openings of capacity.
+// setMaxQueueTimes computes the maximum queue times of all classes. threshold is the queue-time threshold as a
+// multiple of the latency objective, completionInterval the mean time between two completed attempts.
 //
-// A request is queued until the threshold, but no longer than its answer would still come in time, and
-// one that adds less to the goal for the work it takes has a shorter maximum queue time than those that
-// add more (exceptions to the paper, which has one class).
-func (p loadShedding) setMaxQueueTimes(classes *classTable, threshold float64, turnover time.Duration) {
-	best := p.setGoalDensities(classes)
+// A request is queued at most until the threshold, and no longer than an answer could still come in time. The
+// less a request adds to the goal per ms of work, compared with other classes, the shorter is its maximum.
+// The last two rules are exceptions to the paper, which has one class.
+func (s loadShedding) setMaxQueueTimes(classes *classTable, threshold float64, completionInterval time.Duration) {
+	best := s.setGoalDensities(classes)
 	for i := range classes.entries {
 		c := &classes.entries[i]
-		longest := func(density float64) time.Duration {
-			limit := latestStart(c, turnover)
+		maxTime := func(density float64) time.Duration {
+			limit := latestStart(c, completionInterval)
 			for other := range classes.current {
 				if other.goalDensity > density {
-					limit = min(limit, latestStart(other, turnover))
+					limit = min(limit, latestStart(other, completionInterval))
 				}
 			}
 			if best > 0 {
@@ -66,49 +67,49 @@
 			return min(limit, stats.Scale(c.LatencyObjective, threshold))
 		}
 		c.maxQueueTime = queueTimeLimits{
-			withinQuota: longest(c.goalDensity), overQuota: longest(c.goalDensity * p.overQuotaWeight),
+			withinQuota: maxTime(c.goalDensity), overQuota: maxTime(c.goalDensity * s.overQuotaWeight),
 		}
 	}
 }
 
-// setGoalDensities works out what one more request of each class in time adds to the operators' goal, for
-// each ms of work it takes, and returns the most. The class served worst has a goal weight of its own:
-// without it, a class of little weight would bear the whole of a shortage.
-func (p loadShedding) setGoalDensities(classes *classTable) (best float64) {
+// setGoalDensities computes the gain in the operators' goal from one more request of each class that is answered
+// in time, per ms of work, and returns the largest gain. The worst-served class has an additional goal weight:
+// without it, a class of low weight would take the whole loss when capacity is short.
+func (s loadShedding) setGoalDensities(classes *classTable) (best float64) {
 	var total float64
 	var worst *classState
 	for c := range classes.current {
-		total += (c.arrivals + 1) * p.weight(c)
+		total += (c.arrivals + 1) * s.weight(c)
 		if worst == nil || c.served.N > 0 && (worst.served.N == 0 || c.served.Value < worst.served.Value) {
 			worst = c
 		}
 	}
 	for i := range classes.entries {
 		c := &classes.entries[i]
-		gain := p.weight(c)
-		if total > 0 && c == worst && p.totalGoalWeight > 0 {
-			gain += p.worstClassGoalWeight / p.totalGoalWeight * total / (c.arrivals + 1)
+		gain := s.weight(c)
+		if total > 0 && c == worst && s.totalGoalWeight > 0 {
+			gain += s.worstClassGoalWeight / s.totalGoalWeight * total / (c.arrivals + 1)
 		}
-		c.goalDensity = gain / stats.Milliseconds(c.expected)
+		c.goalDensity = gain / stats.Milliseconds(c.expectedService)
 		best = max(best, c.goalDensity)
 	}
 	return best
 }
 
-// weight is the priority weight of a request of the class in time.
-func (p loadShedding) weight(c *classState) float64 {
-	if p.weightByWork {
-		return c.Weight * stats.Milliseconds(c.expected)
+// weight returns the priority weight of a request of class c that is answered in time.
+func (s loadShedding) weight(c *classState) float64 {
+	if s.weightByWork {
+		return c.Weight * stats.Milliseconds(c.expectedService)
 	}
 	return c.Weight
 }
 
-// latestStart is the queue time after which an answer of this class would likely come too late. The margin
-// shrinks by what a late answer still earns: only the rest is at risk.
-func latestStart(c *classState, turnover time.Duration) time.Duration {
-	margin := stats.FromMilliseconds(lateMargin * (1 - c.LateWeight) * c.deviationMS.Value)
-	longest := max(c.LatencyObjective-c.expected, 0)
-	return max(c.LatencyObjective-(c.expected+margin),
+// latestStart returns the queue time after which an answer of class c would likely come too late. The margin is
+// reduced by the share that a late answer still earns, because only the remaining weight is at risk.
+func latestStart(c *classState, completionInterval time.Duration) time.Duration {
+	margin := stats.FromMilliseconds(marginDeviations * (1 - c.LateWeight) * c.deviationMS.Value)
+	latest := max(c.LatencyObjective-c.expectedService, 0)
+	return max(c.LatencyObjective-(c.expectedService+margin),
 		stats.Scale(c.LatencyObjective, concurrency.ServiceShare),
-		min(stats.Scale(turnover, minTurnovers), longest))
+		min(stats.Scale(completionInterval, minCompletions), latest))
 }
--- a/internal/balancer/loadshedding_test.go
+++ b/internal/balancer/loadshedding_test.go
@@ -16,7 +16,7 @@
 	for late, want := range map[float64]time.Duration{0: 1000 - 90 - 240, 0.5: 1000 - 90 - 120, 1: 1000 - 90} {
 		c.LateWeight = late
 		r.b.updateQueueTimes()
-		if got := latestStart(c, r.b.endpoints.turnover(r.b.classes.referenceMS)); got != want*millisecond {
+		if got := latestStart(c, r.b.endpoints.completionInterval(r.b.classes.referenceMS)); got != want*millisecond {
 			t.Errorf("late answers earn %v: queued for %v, want %v", late, got, want*millisecond)
 		}
 	}
@@ -42,10 +42,10 @@
 	over := 0
 	for range 40 {
 		r.b.now += 50 * millisecond // twenty a second, for two seconds, with ten saved up
-		if r.b.overQuota(0) {
+		if r.b.chargeQuota(0) {
 			over++
 		}
-		if r.b.overQuota(1) || r.b.overQuota(5) || r.b.overQuota(-1) {
+		if r.b.chargeQuota(1) || r.b.chargeQuota(5) || r.b.chargeQuota(-1) {
 			t.Fatal("a tenant without a quota is over its quota")
 		}
 	}
@@ -84,7 +84,7 @@
 		},
 		{
 			"weight by work counts long work by its time", loadShedding{overQuotaWeight: 1, weightByWork: true}, 2,
-			func(heavy, light *classState) { heavy.Weight, light.expected = 1, 200*millisecond },
+			func(heavy, light *classState) { heavy.Weight, light.expectedService = 1, 200*millisecond },
 			// The light class leaves less time before its objective, and adds as much for each ms of work.
 			[2]queueTimeLimits{{900, 900}, {800, 800}},
 		},
--- a/internal/balancer/log.go
+++ b/internal/balancer/log.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// minLogInterval is the least time between two log lines.
+// minLogInterval is the minimum time between two log lines.
 const minLogInterval = time.Second
 
-// logger writes lines for the engineers on call, at most one a second for the whole balancer: further
-// ones are lost, so that the end of many endpoints at once shows as the first of them alone.
+// logger writes lines for the engineers on call, at most one per second for the whole balancer. Further lines
+// are dropped: if many endpoints fail at once, only the first one is logged.
 type logger struct {
-	out    Actions
-	lastAt time.Duration // 0 is never
+	actions Actions
+	lastAt  time.Duration // time of the last line; 0 means none
 }
 
 func (l *logger) printf(now time.Duration, format string, args ...any) {
@@ -20,5 +20,5 @@
 		return
 	}
 	l.lastAt = now
-	l.out.Log(fmt.Sprintf(format, args...))
+	l.actions.Log(fmt.Sprintf(format, args...))
 }
--- a/internal/balancer/reload.go
+++ b/internal/balancer/reload.go
@@ -7,16 +7,16 @@
 	"thymebend/internal/balancer/outlierdetection"
 )
 
-// retiredFor is how long the index of a class that left the settings is not given to another: requests
-// made for it may still arrive. It must exceed previousClassTTL of internal/gateway, which finds the
-// class of those.
-const retiredFor = 5 * time.Second
+// retiredIndexTTL is how long the index of a class that left the settings is not reused: requests with that
+// index may still arrive. It must exceed previousClassTTL of internal/gateway, during which the gateway still
+// maps requests to that class.
+const retiredIndexTTL = 5 * time.Second
 
-// Reload takes new settings between two events and returns the index of each class of cfg.Classes, which is
-// what Request.Class means from now on. Requests under way keep the class that they came with. A class that
-// did not change keeps its index; one that changed, or is new, gets another and takes over what was learnt
-// of its namesake. All that was learnt of endpoints stays. Rank and Zone stay those of the start. A faulty
-// cfg changes nothing; the error is a *ConfigError.
+// Reload applies new settings between two events. It returns the index of each class of cfg.Classes, to be used
+// in Request.Class from now on. Requests in progress keep the class with which they arrived. An unchanged class
+// keeps its index; a changed or new class gets another index and takes over the statistics of the previous
+// class of the same name. The statistics of endpoints are kept. Rank and Zone keep their initial values. An
+// invalid cfg changes nothing; the error is a *ConfigError.
 func (b *Balancer) Reload(now time.Duration, cfg Config) ([]int, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -28,7 +28,7 @@
 		cfg.Gateways = b.cfg.Gateways
 	}
 	sameQuotas := slices.Equal(cfg.Tenants, b.cfg.Tenants) && cfg.Gateways == b.cfg.Gateways
-	polled := b.cfg.PollDiscovery
+	polledBefore := b.cfg.PollDiscovery
 	b.cfg = cfg
 	if !sameQuotas {
 		b.resetQuotas()
@@ -41,13 +41,13 @@
 	}
 	b.updateQueueTimes()
 	b.endpoints.stale = true
-	if cfg.PollDiscovery && !polled {
+	if cfg.PollDiscovery && !polledBefore {
 		b.watchEndpoints()
 	}
 	return indices, nil
 }
 
-// forgetClass drops what the endpoints know of the class with this index, which is given to another.
+// forgetClass clears the health of the class with this index at all endpoints, before the index is reused.
 func (b *Balancer) forgetClass(index int) {
 	for _, ep := range b.endpoints.all {
 		if index < len(ep.classes) {
@@ -56,10 +56,10 @@
 	}
 }
 
-// replace makes these the current classes and returns their indices. reused is called for each index
-// that is given to another class.
+// replace makes classes the current classes and returns their indices. It calls reused for each index that it
+// gives to another class.
 func (t *classTable) replace(now time.Duration, classes []Class, reused func(index int)) []int {
-	before := slices.Clone(t.entries) // what was learnt, by the indices before
+	before := slices.Clone(t.entries) // the statistics by the previous indices
 	for i := range t.entries {
 		if c := &t.entries[i]; c.retiredAt == 0 && !slices.Contains(classes, c.Class) {
 			c.retiredAt = now
@@ -72,32 +72,33 @@
 	return indices
 }
 
-// indexOf finds or makes the entry of a class.
+// indexOf returns the index of a class. If the class is not current it gets an entry, with the statistics of
+// its namesake in before.
 func (t *classTable) indexOf(now time.Duration, class Class, before []classState, reused func(int)) int {
 	same, free := -1, -1
 	for i := range t.entries {
 		switch c := &t.entries[i]; {
 		case c.Class == class && c.retiredAt == 0:
 			same = i
-		case c.retiredAt > 0 && c.open == 0 && now-c.retiredAt >= retiredFor && free < 0:
+		case c.retiredAt > 0 && c.openRequests == 0 && now-c.retiredAt >= retiredIndexTTL && free < 0:
 			free = i
 		}
 	}
 	if same >= 0 {
 		return same
 	}
-	fresh := classState{Class: class}
+	entry := classState{Class: class}
 	for i := range before {
 		if before[i].Name == class.Name && before[i].retiredAt == 0 {
-			fresh = before[i]
-			fresh.Class, fresh.open, fresh.timeouts = class, 0, timeoutVotes{}
+			entry = before[i]
+			entry.Class, entry.openRequests, entry.timeouts = class, 0, timeoutVotes{}
 		}
 	}
 	if free < 0 {
-		t.entries = append(t.entries, fresh)
+		t.entries = append(t.entries, entry)
 		return len(t.entries) - 1
 	}
-	t.entries[free] = fresh
+	t.entries[free] = entry
 	reused(free)
 	return free
 }
--- a/internal/balancer/reload_test.go
+++ b/internal/balancer/reload_test.go
@@ -18,7 +18,7 @@
 	r.take("start")
 	fresh := cfg
 	for n := range 100 {
-		r.now += retiredFor
+		r.now += retiredIndexTTL
 		added := Class{
 			Name: fmt.Sprint("new", n), LatencyObjective: time.Second, Deadline: 2 * time.Second,
 			Idempotency: NonIdempotent,
--- a/internal/balancer/requests.go
+++ b/internal/balancer/requests.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// requestState is a request taken and not yet concluded, or one with attempts still in flight.
+// requestState is a request that has no final answer yet, is still queued, or still has attempts in flight.
 type requestState struct {
 	Request
-	arrivedAt    time.Duration // at the gateway
-	firstTriedAt time.Duration // when its client first tried
-	deadline     time.Duration // when its client gives up
+	arrivedAt    time.Duration // arrival at the gateway
+	firstTriedAt time.Duration // the client's first try
+	deadline     time.Duration // when the client abandons the request
 	overQuota    bool          // beyond its tenant's quota
 	done         bool          // has its final answer
 	queued       bool
-	inFlight     int // attempts
+	inFlight     int // number of attempts in flight
 	attempts     []attempt
 }
 
@@ -23,39 +23,39 @@
 	endpoint *endpointState
 	started  time.Duration
 	ended    bool
-	neverRan bool // known not to have run
+	neverRan bool // the outcome proves that it did not run
 	writing  bool // its request is still being written
 }
 
-// mayHaveRun reports whether some attempt is not known to have done nothing.
+// mayHaveRun reports whether any attempt is in flight or ended without proof that it did not run.
 func (r *requestState) mayHaveRun() bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.neverRan })
 }
 
-// unended returns the attempt with this number if there is one that has not ended, else nil.
-func (r *requestState) unended(number int) *attempt {
+// activeAttempt returns the attempt with this number, or nil if there is none or it has ended.
+func (r *requestState) activeAttempt(number int) *attempt {
 	if number < 0 || number >= len(r.attempts) || r.attempts[number].ended {
 		return nil
 	}
 	return &r.attempts[number]
 }
 
-// requestTable holds the requests by id, and keeps those that were forgotten for reuse: in steady state a
+// requestTable holds the requests by id. It reuses the memory of released requests, so that in steady state a
 // request allocates nothing.
 type requestTable struct {
 	byID map[RequestID]*requestState
 	free []*requestState
 }
 
-// add enters a request.
+// add returns a new state for a request and enters it by its id.
 func (t *requestTable) add(in Request) *requestState {
-	r := t.reuse()
+	r := t.acquire()
 	r.Request = in
 	t.byID[in.ID] = r
 	return r
 }
 
-func (t *requestTable) reuse() *requestState {
+func (t *requestTable) acquire() *requestState {
 	n := len(t.free)
 	if n == 0 {
 		return &requestState{}
@@ -67,8 +67,8 @@
 	return r
 }
 
-// forget drops a concluded request once nothing refers to it, and reports whether it did.
-func (t *requestTable) forget(r *requestState) bool {
+// release removes a concluded request that is neither queued nor in flight, and reports whether it did so.
+func (t *requestTable) release(r *requestState) bool {
 	if !r.done || r.inFlight > 0 || r.queued {
 		return false
 	}
@@ -80,7 +80,7 @@
 // requestQueue holds the queued requests, oldest first.
 type requestQueue []*requestState
 
-// insert queues a request by its arrival: one that is queued again goes before those that came later.
+// insert queues a request by its arrival time: a request that is queued again precedes those that arrived later.
 func (q *requestQueue) insert(r *requestState) {
 	at := len(*q)
 	for at > 0 && (*q)[at-1].arrivedAt > r.arrivedAt {
@@ -90,7 +90,7 @@
 	r.queued = true
 }
 
-// retain keeps the requests for which keep is true, in order. keep is called once for each.
+// retain calls keep once for each request, in order, and removes those for which it returns false.
 func (q *requestQueue) retain(keep func(*requestState) bool) {
 	kept := (*q)[:0]
 	for _, r := range *q {
--- a/internal/balancer/requests_test.go
+++ b/internal/balancer/requests_test.go
@@ -34,12 +34,12 @@
 		func(r *requestState) { r.queued = true },
 	} {
 		r.done, r.inFlight, r.queued = true, 0, false
-		if keep(r); table.forget(r) || table.byID[7] == nil {
+		if keep(r); table.release(r) || table.byID[7] == nil {
 			t.Errorf("forgotten: %+v", r)
 		}
 	}
 	r.done, r.inFlight, r.queued = true, 0, false
-	if !table.forget(r) || len(table.byID) != 0 {
+	if !table.release(r) || len(table.byID) != 0 {
 		t.Error("not forgotten though nothing refers to it")
 	}
 	if next := table.add(Request{ID: 8}); next != r || next.done || len(next.attempts) != 0 || next.ID != 8 {
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -8,8 +8,8 @@
 	"thymebend/internal/balancer/stats"
 )
 
-// retry queues r for another attempt if that is allowed and can still help; otherwise r gets its final
-// answer.
+// retry queues r for another attempt if that is allowed and can still be answered in time; otherwise it gives r
+// its final answer.
 func (b *Balancer) retry(r *requestState) {
 	if b.now >= r.deadline || b.tooLateToStart(r) || !b.mayRetry(r) {
 		b.rejectOrFail(r)
@@ -18,8 +18,8 @@
 	b.queue.insert(r)
 }
 
-// mayRetry reports whether r may have another attempt: attempts are left and, if one may have run, so
-// is retry budget, and some endpoint is within its dedup scope and window.
+// mayRetry reports whether r may have another attempt: it has not used all its attempts and, if an attempt may
+// have run, there is retry budget and a ready endpoint within the dedup scope and window.
 func (b *Balancer) mayRetry(r *requestState) bool {
 	if len(r.attempts) >= b.cfg.MaxAttempts {
 		return false
@@ -40,14 +40,14 @@
 	return r.inFlight == 0 && len(r.attempts) < b.cfg.MaxAttempts && b.idempotencyAllows(r, r.attempts, ep)
 }
 
-// idempotencyAllows guards the rule that no effect happens twice: after these attempts a request that
-// is not idempotent may start only if it never ran, a keyed one only in the scope and within the window
-// of each attempt that may have run. The window ends a dispatch slack early, as an attempt may start
-// that late. The invariant checker of the gateway applies the same rule once more, on its own record.
-func (b *Balancer) idempotencyAllows(r *requestState, earlier []attempt, ep *endpointState) bool {
+// idempotencyAllows enforces that no effect happens twice. After the previous attempts, a non-idempotent request
+// may start on ep only if none of them may have run; a keyed request only within the dedup scope and window of
+// each one that may have run. The window ends earlier by the dispatch slack, because the attempt may start that
+// much later. The gateway's invariant checker applies the same rule independently, to its own record.
+func (b *Balancer) idempotencyAllows(r *requestState, previous []attempt, ep *endpointState) bool {
 	c := b.classOf(r)
-	for i := range earlier {
-		a := &earlier[i]
+	for i := range previous {
+		a := &previous[i]
 		if a.neverRan || c.Idempotency == Idempotent {
 			continue
 		}
@@ -59,11 +59,11 @@
 	return true
 }
 
-// attemptTimeout is how long an attempt is awaited: 0, until the client gives up, but for a probe of an
-// ejected endpoint.
+// attemptTimeout returns the timeout of an attempt: 0, which means until the client's deadline, except for a
+// probe of an ejected endpoint.
 func (b *Balancer) attemptTimeout(r *requestState, ep *endpointState) time.Duration {
 	if !ep.health.Ejected {
 		return 0
 	}
-	return stats.Scale(b.classOf(r).expected, outlierdetection.ProbeTimeoutFactor)
+	return stats.Scale(b.classOf(r).expectedService, outlierdetection.ProbeTimeoutFactor)
 }
--- a/internal/balancer/sampling.go
+++ b/internal/balancer/sampling.go
@@ -8,11 +8,11 @@
 	"thymebend/internal/subset"
 )
 
-// closeSample ends one sampling period: the limit of each endpoint, then the expansion of the subset, the
-// queue-time threshold, the response setpoint, and the queue times that follow from them.
+// closeSample ends one sampling period. It updates the concurrency limit of each endpoint, then the expansion of
+// the subset, the queue-time threshold, the response setpoint, and the maximum queue times that depend on them.
 func (b *Balancer) closeSample() {
 	target := b.serviceTarget()
-	var warmAnswers stats.Mean // over all gateways
+	var warmAnswers stats.Mean // answers per warm endpoint, extrapolated to all gateways that use it
 	for _, ep := range b.endpoints.all {
 		b.checkSilence(ep)
 		if ep.subset.used && !ep.health.Ejected && b.warmUpFraction(ep) == 1 {
@@ -23,7 +23,7 @@
 	if warmAnswers.N > 0 {
 		b.slowStart.warmRate.Observe(warmAnswers.Value, concurrency.SamplePeriod)
 	}
-	b.classes.learnReference()
+	b.classes.updateReference()
 	b.updateExpansion()
 	b.queueThreshold.CloseSample(b.response.Value)
 	b.response.CloseSample()
@@ -33,29 +33,29 @@
 	}
 }
 
-// serviceTarget is what the service times of the endpoints are held to in this sampling period.
+// serviceTarget returns the target for the service times of the endpoints in this sampling period.
 func (b *Balancer) serviceTarget() concurrency.ServiceTarget {
 	return concurrency.NewServiceTarget(b.classes.minObjectiveMS(), b.response.Value)
 }
 
-// updateExpansion lets the subset grow or shrink by what was seen in the sampling period.
+// updateExpansion grows or shrinks the expansion of the subset by the signals of the sampling period.
 func (b *Balancer) updateExpansion() {
 	s := &b.endpoints
 	s.signals.Warming = slices.ContainsFunc(s.subset, func(ep *endpointState) bool {
 		return ep.subset.regular && b.warmUpFraction(ep) < 1
 	})
-	rest := stats.Scale(b.classes.meanObjective(), 0.5+b.rng.Float64())
-	if s.expansion.Update(b.now, s.signals, float64(len(s.all)), rest) {
+	pause := stats.Scale(b.classes.meanObjective(), 0.5+b.rng.Float64())
+	if s.expansion.Update(b.now, s.signals, float64(len(s.all)), pause) {
 		s.stale = true
 	}
 	s.signals = subset.Signals{}
 }
 
-// updateQueueTimes works out anew how long the requests of each class are queued.
+// updateQueueTimes recomputes the maximum queue times of each class.
 func (b *Balancer) updateQueueTimes() {
 	for i := range b.classes.entries {
 		b.classes.entries[i].refresh()
 	}
-	turnover := b.endpoints.turnover(b.classes.referenceMS)
-	newLoadShedding(&b.cfg).setMaxQueueTimes(&b.classes, b.queueThreshold.Value, turnover)
+	completionInterval := b.endpoints.completionInterval(b.classes.referenceMS)
+	newLoadShedding(&b.cfg).setMaxQueueTimes(&b.classes, b.queueThreshold.Value, completionInterval)
 }
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -8,8 +8,8 @@
 	"thymebend/internal/balancer/stats"
 )
 
-// State is what one process of a gateway hands to the next: what it has learnt, and the spent budgets of
-// endpoints in slow start, which both must not spend.
+// State is what a gateway process passes to its successor in a hot restart: the measurements it has made, and
+// the slow-start budgets as far as they are spent, so that the two processes do not spend one budget twice.
 type State struct {
 	QueueThreshold float64         `json:"psi"`
 	Response       float64         `json:"response"`
@@ -18,7 +18,8 @@
 	Endpoints      []EndpointStats `json:"servers"`
 }
 
-// ClassState is what is known of one class. Times are in ms.
+// ClassState holds the statistics of one class. Fields that end in MS are in milliseconds. Concluded is the
+// number of final answers, Served the mean share of them that came in time.
 type ClassState struct {
 	Name               string        `json:"name"`
 	Answers            int           `json:"answers"`
@@ -31,7 +32,7 @@
 	ClientTimeoutVotes int           `json:"patience_by"`
 }
 
-// EndpointStats is what is known of one start of one endpoint.
+// EndpointStats holds the statistics of one endpoint since the start that StartedAt gives.
 type EndpointStats struct {
 	ID              EndpointID    `json:"id,string"`
 	StartedAt       time.Duration `json:"born_ns"`
@@ -48,48 +49,49 @@
 	SlowStartTokens float64       `json:"cold_tokens"`
 }
 
-// State tells what is learnt so far.
+// State returns what this process has measured until now. Restore passes it to another Balancer.
 func (b *Balancer) State(now time.Duration) State {
 	b.now = now
-	out := State{
+	state := State{
 		QueueThreshold: b.queueThreshold.Value, Response: b.response.Value,
 		WarmRate: float64(b.slowStart.warmRate),
 	}
 	for c := range b.classes.current {
-		out.Classes = append(out.Classes, c.state())
+		state.Classes = append(state.Classes, c.state())
 	}
 	for _, ep := range b.endpoints.all {
-		out.Endpoints = append(out.Endpoints, ep.state(now))
+		state.Endpoints = append(state.Endpoints, ep.state(now))
 	}
-	return out
+	return state
 }
 
-// Restore takes what another process of this gateway had learnt, after its endpoint list. Endpoints and
-// classes that are not known here are passed over, and so are figures that no run of the balancer gives.
-func (b *Balancer) Restore(now time.Duration, in State) {
+// Restore takes over the state of another process of this gateway. It is called after the endpoint list was
+// passed to UpdateEndpoints. Endpoints and classes that are unknown here are skipped, as are values that no
+// run of the balancer can produce.
+func (b *Balancer) Restore(now time.Duration, state State) {
 	b.now = now
-	if plausible(in.QueueThreshold, in.Response, in.WarmRate) && in.Response >= concurrency.MinResponse {
-		b.queueThreshold.Restore(in.QueueThreshold)
-		b.response.Restore(in.Response)
-		b.slowStart.warmRate.Restore(in.WarmRate)
-		b.startedAt = now - time.Minute // what came before is counted in what it learns
+	if plausible(state.QueueThreshold, state.Response, state.WarmRate) && state.Response >= concurrency.MinResponse {
+		b.queueThreshold.Restore(state.QueueThreshold)
+		b.response.Restore(state.Response)
+		b.slowStart.warmRate.Restore(state.WarmRate)
+		b.startedAt = now - time.Minute // the restored arrival counts cover the time before this process
 	}
-	for _, learnt := range in.Classes {
+	for _, saved := range state.Classes {
 		for c := range b.classes.current {
-			if c.Name == learnt.Name {
-				c.restore(learnt)
+			if c.Name == saved.Name {
+				c.restore(saved)
 			}
 		}
 	}
 	if b.endpoints.stale {
 		b.chooseSubset()
 	}
-	for _, learnt := range in.Endpoints {
-		if ep := b.endpoints.byID[learnt.ID]; ep != nil && ep.StartedAt == learnt.StartedAt {
-			ep.restore(now, learnt)
+	for _, saved := range state.Endpoints {
+		if ep := b.endpoints.byID[saved.ID]; ep != nil && ep.StartedAt == saved.StartedAt {
+			ep.restore(now, saved)
 		}
 	}
-	b.classes.learnReference()
+	b.classes.updateReference()
 	b.updateQueueTimes()
 	b.endpoints.stale = true
 }
@@ -102,16 +104,16 @@
 	}
 }
 
-func (c *classState) restore(in ClassState) {
-	if in.Answers < 0 || in.Concluded < 0 ||
-		!plausible(in.ServiceMS, in.DeviationMS, in.Served, in.Arrivals) {
+func (c *classState) restore(saved ClassState) {
+	if saved.Answers < 0 || saved.Concluded < 0 ||
+		!plausible(saved.ServiceMS, saved.DeviationMS, saved.Served, saved.Arrivals) {
 		return
 	}
-	c.serviceMS = stats.Mean{N: in.Answers, Value: in.ServiceMS}
-	c.deviationMS = stats.Mean{N: in.Answers, Value: in.DeviationMS}
-	c.served = stats.Mean{N: in.Concluded, Value: min(in.Served, 1)}
-	c.arrivals = in.Arrivals
-	c.timeouts = timeoutVotes{common: in.ClientTimeout, votes: min(in.ClientTimeoutVotes, maxTimeoutVotes)}
+	c.serviceMS = stats.Mean{N: saved.Answers, Value: saved.ServiceMS}
+	c.deviationMS = stats.Mean{N: saved.Answers, Value: saved.DeviationMS}
+	c.served = stats.Mean{N: saved.Concluded, Value: min(saved.Served, 1)}
+	c.arrivals = saved.Arrivals
+	c.timeouts = timeoutVotes{common: saved.ClientTimeout, votes: min(saved.ClientTimeoutVotes, maxTimeoutVotes)}
 }
 
 func (ep *endpointState) state(now time.Duration) EndpointStats {
@@ -125,24 +127,24 @@
 	}
 }
 
-func (ep *endpointState) restore(now time.Duration, in EndpointStats) {
-	if in.Answers < 0 || !plausible(in.Limit, in.Gain, in.BaselineMS, in.ServiceMS, in.FailureRate,
-		math.Abs(in.SlowStartTokens)) {
+func (ep *endpointState) restore(now time.Duration, saved EndpointStats) {
+	if saved.Answers < 0 || !plausible(saved.Limit, saved.Gain, saved.BaselineMS, saved.ServiceMS, saved.FailureRate,
+		math.Abs(saved.SlowStartTokens)) {
 		return
 	}
-	ep.limit.Value = max(ep.minLimit(), in.Limit)
-	ep.limit.GainMS, ep.limit.BaselineMS = in.Gain, in.BaselineMS
-	ep.limit.ServiceMS = stats.Mean{N: in.Answers, Value: in.ServiceMS}
-	ep.health.FailureRate = min(in.FailureRate, 1)
-	ep.health.Ejected, ep.health.Silent, ep.health.Ejections = in.Ejected, in.Silent, in.Ejections
-	ep.health.ProbeAt = now + in.ProbeIn
-	ep.warmUp.Restore(now, in.SlowStartTokens)
+	ep.limit.Value = max(ep.minLimit(), saved.Limit)
+	ep.limit.GainMS, ep.limit.BaselineMS = saved.Gain, saved.BaselineMS
+	ep.limit.ServiceMS = stats.Mean{N: saved.Answers, Value: saved.ServiceMS}
+	ep.health.FailureRate = min(saved.FailureRate, 1)
+	ep.health.Ejected, ep.health.Silent, ep.health.Ejections = saved.Ejected, saved.Silent, saved.Ejections
+	ep.health.ProbeAt = now + saved.ProbeIn
+	ep.warmUp.Restore(now, saved.SlowStartTokens)
 }
 
-// plausible reports whether figures from outside can be reckoned with.
-func plausible(figures ...float64) bool {
-	for _, x := range figures {
-		if !(x >= 0 && x < 1e9) {
+// plausible reports whether all values are numbers from 0 to below 1e9; values from outside may be corrupt.
+func plausible(values ...float64) bool {
+	for _, value := range values {
+		if !(value >= 0 && value < 1e9) {
 			return false
 		}
 	}
--- a/internal/balancer/subsetting.go
+++ b/internal/balancer/subsetting.go
@@ -7,16 +7,16 @@
 	"thymebend/internal/subset"
 )
 
-// Sizes of the subsets. Where gateways are few each uses all endpoints.
+// Sizes of the subsets. If there are few gateways each one uses all endpoints.
 const (
-	localUsers  = 8.0 // gateways of its own zone that use an endpoint
-	remoteUsers = 4.0 // gateways of the other zones that use it
-	minSubset   = 2.0 // endpoints that a gateway uses at least, if there are so many
+	localUsers  = 8.0 // number of gateways of the same zone that use an endpoint
+	remoteUsers = 4.0 // number of gateways of other zones that use it
+	minSubset   = 2.0 // minimum number of endpoints that a gateway uses, if there are as many
 )
 
-// choose picks the subset of endpoints that this gateway uses and returns those used before. Endpoints
-// accept fewer connections than there are gateways, and the answers of few tell more of each. Ejected
-// endpoints are replaced by the next ones.
+// choose selects the subset of endpoints that this gateway uses and returns the previous subset. A subset is used
+// because endpoints accept fewer connections than there are gateways, and because a gateway with few endpoints
+// gets more measurements of each. Ejected endpoints are replaced by the next ones in the order of selection.
 func (s *endpointSet) choose(now time.Duration, cfg *Config, rng *rand.Rand) (before []*endpointState) {
 	s.stale = false
 	before = s.subset
@@ -24,7 +24,7 @@
 	zones := subset.Count(cfg.Zone, s.zones)
 	subset.Rule{Local: localUsers, Remote: remoteUsers, Min: minSubset}.Subsets(cfg.Gateways, zones)
 	for _, ep := range s.all {
-		ep.subset = subsetPlace{
+		ep.subset = subsetMembership{
 			wasRegular: ep.subset.regular, relativeLoad: ep.subset.relativeLoad,
 			users: subset.Users(cfg.Gateways, ep.Zone, zones),
 		}
@@ -32,9 +32,9 @@
 	if len(s.assigned) > 0 {
 		s.chooseAssigned(now, cfg.Zone)
 	} else {
-		usable := s.choosePart(now, s.localPlaces, cfg.Rank, zones[0].Local, 0)
-		remote := max(zones[0].Remote, minSubset-usable)
-		s.choosePart(now, s.remotePlaces, cfg.Rank, remote, s.expansion.Endpoints())
+		usable := s.chooseByRank(now, s.localOrder, cfg.Rank, zones[0].Local, 0)
+		remoteSize := max(zones[0].Remote, minSubset-usable)
+		s.chooseByRank(now, s.remoteOrder, cfg.Rank, remoteSize, s.expansion.Endpoints())
 	}
 	for _, ep := range s.all {
 		if ep.limit.Value == 0 {
@@ -47,7 +47,7 @@
 	return before
 }
 
-// zones walks over the endpoints' zones, and whether each is ready.
+// zones iterates over the endpoints and yields the zone of each and whether it is ready.
 func (s *endpointSet) zones(yield func(int, bool) bool) {
 	for _, ep := range s.all {
 		if !yield(ep.Zone, ep.State == EndpointReady) {
@@ -56,10 +56,10 @@
 	}
 }
 
-// chooseAssigned adds the endpoints that the cluster assigns to this gateway, and its spares where one of
-// these is ejected or this gateway is short of capacity.
+// chooseAssigned adds the endpoints that the cluster assigns to this gateway. Its spares are added only to replace
+// ejected endpoints or, as an expansion, if this gateway is short of capacity.
 func (s *endpointSet) chooseAssigned(now time.Duration, zone int) {
-	places, part := make([]*endpointState, 0, len(s.assigned)), 0.0
+	order, regularSize := make([]*endpointState, 0, len(s.assigned)), 0.0
 	for _, a := range s.assigned {
 		ep := s.byID[a.ID]
 		if ep == nil {
@@ -67,15 +67,15 @@
 		}
 		ep.health.SetSuspected(now, a.SuspectedByPeers)
 		ep.subset.weight, ep.subset.relativeLoad = a.Weight, 1
-		places = append(places, ep)
+		order = append(order, ep)
 		if a.Share > 0 {
 			ep.subset.users = max(1, 1/a.Share)
 			if ep.State == EndpointReady {
-				part++
+				regularSize++
 			}
 		}
 	}
-	s.take(now, places, 0, part, s.expansion.Endpoints())
+	s.addToSubset(now, order, 0, regularSize, s.expansion.Endpoints())
 	for _, ep := range s.subset {
 		s.anyZoneWeight += ep.subset.weight
 		if ep.Zone == zone {
@@ -84,35 +84,36 @@
 	}
 }
 
-// choosePart adds endpoints to the subset, beginning at a place that follows from this gateway's rank: its
-// regular part, one more for each of these that is ejected, and the expansion. It returns how many are not
-// ejected.
-func (s *endpointSet) choosePart(
-	now time.Duration, places []*endpointState, rank int, part, expansion float64,
+// chooseByRank adds endpoints to the subset, starting at a position in order that depends on this gateway's
+// rank: the regular part, one more for each ejected endpoint, and the expansion. It returns the number of
+// added endpoints that are not ejected.
+func (s *endpointSet) chooseByRank(
+	now time.Duration, order []*endpointState, rank int, regularSize, expansionSize float64,
 ) (usable float64) {
-	ready := make([]bool, len(places))
-	for i, ep := range places {
+	ready := make([]bool, len(order))
+	for i, ep := range order {
 		ready[i] = ep.State == EndpointReady
 	}
-	for i, load := range subset.RelativeLoad(ready, part) {
-		places[i].subset.relativeLoad = load
+	for i, load := range subset.RelativeLoad(ready, regularSize) {
+		order[i].subset.relativeLoad = load
 	}
-	return s.take(now, places, subset.Start(rank, len(places)), subset.RoundByRank(rank, part), expansion)
+	return s.addToSubset(now, order, subset.Start(rank, len(order)), subset.RoundByRank(rank, regularSize),
+		expansionSize)
 }
 
-// take adds endpoints from a place on, see choosePart. One that would be an expansion while it is
-// ejected is left out until its probe is due.
-func (s *endpointSet) take(
-	now time.Duration, places []*endpointState, start int, part, expansion float64,
+// addToSubset adds endpoints from position start on, see chooseByRank. An ejected endpoint is not added to the
+// expansion until its probe is due.
+func (s *endpointSet) addToSubset(
+	now time.Duration, order []*endpointState, start int, regularSize, expansionSize float64,
 ) (usable float64) {
 	ready := 0.0
-	for i := 0; i < len(places) && usable < part+expansion; i++ {
-		ep := places[(start+i)%len(places)]
-		if ep.State != EndpointReady || usable >= part && ep.health.Ejected && !ep.health.ProbeDue(now) {
+	for i := 0; i < len(order) && usable < regularSize+expansionSize; i++ {
+		ep := order[(start+i)%len(order)]
+		if ep.State != EndpointReady || usable >= regularSize && ep.health.Ejected && !ep.health.ProbeDue(now) {
 			continue
 		}
 		ready++
-		ep.subset.used, ep.subset.regular, ep.subset.expansion = true, ready <= part, usable >= part
+		ep.subset.used, ep.subset.regular, ep.subset.expansion = true, ready <= regularSize, usable >= regularSize
 		s.subset = append(s.subset, ep)
 		if !ep.health.Ejected {
 			usable++
--- a/internal/balancer/watch.go
+++ b/internal/balancer/watch.go
@@ -6,26 +6,26 @@
 	"thymebend/internal/backoff"
 )
 
-// endpointWatch follows the calls for changes of the endpoint list. Both flags may be set at once: new
-// settings ask for a watch though changes come without one.
+// endpointWatch tracks the calls to discovery for changes of the endpoint list. Both flags may be set at once:
+// a reload that turns PollDiscovery on starts a call although changes already arrive.
 type endpointWatch struct {
-	calling  bool // a call is unanswered
-	active   bool // changes come
+	calling  bool // a call has not been answered yet
+	active   bool // changes of the list arrive
 	calledAt time.Duration
 	backoff  backoff.Backoff
 }
 
-// start notes a call.
-func (w *endpointWatch) start(now time.Duration) { w.calling, w.calledAt = true, now }
+// callStarted records the start of a call.
+func (w *endpointWatch) callStarted(now time.Duration) { w.calling, w.calledAt = true, now }
 
-// answered notes that the list came.
+// answered records that discovery sent the list or changes of it.
 func (w *endpointWatch) answered() {
 	w.calling, w.active = false, true
 	w.backoff.Succeeded()
 }
 
-// ended notes that a call failed or that the changes come no longer, and returns what that tells of
-// discovery.
+// ended records that a call failed or that no more changes will arrive, and classifies the failure for the
+// backoff.
 func (w *endpointWatch) ended(unreachable bool) backoff.Failure {
 	failure := backoff.Overloaded
 	switch {
@@ -38,12 +38,12 @@
 	return failure
 }
 
-// overdue reports whether a call was not answered for half of the time that may pass without one.
+// overdue reports whether a call has been unanswered for more than half of the poll interval.
 func (w *endpointWatch) overdue(now, pollInterval time.Duration) bool {
 	return w.calling && now-w.calledAt > pollInterval/2
 }
 
-// UpdateEndpoints takes what discovery sent: a snapshot or delta of the endpoint list, or that a watch
+// UpdateEndpoints applies a snapshot or delta of the endpoint list from discovery, or reports that a watch
 // failed.
 func (b *Balancer) UpdateEndpoints(now time.Duration, kind EndpointUpdate, entries []Endpoint) {
 	b.now = now
@@ -57,25 +57,26 @@
 	b.endpoints.update(now, kind, entries, b.cfg.Zone, len(b.classes.entries))
 }
 
-// WatchStarted tells that the call that WatchEndpoints asked for begins only now, as discovery has asked to
-// be called later.
+// WatchStarted reports that the call requested by WatchEndpoints starts only now, because discovery had asked
+// for a later call.
 func (b *Balancer) WatchStarted(now time.Duration) {
 	b.now = now
 	b.watch.calledAt = now
 }
 
-// watchEndpoints asks for the list's changes.
+// watchEndpoints requests the changes of the endpoint list.
 func (b *Balancer) watchEndpoints() {
-	b.watch.start(b.now)
-	b.out.WatchEndpoints()
+	b.watch.callStarted(b.now)
+	b.actions.WatchEndpoints()
 }
 
-// retryWatch asks again, never in step with other gateways, and the later the more often calls fail.
+// retryWatch schedules the next call to discovery. The delay is random, so that gateways do not call at the same
+// time, and increases with the number of failed calls.
 func (b *Balancer) retryWatch(failure backoff.Failure) {
 	if !b.cfg.PollDiscovery {
 		return
 	}
-	spread, jitter := b.rng.Float64(), b.rng.Float64()
+	delayDraw, intervalDraw := b.rng.Float64(), b.rng.Float64()
 	elapsed := b.now - b.watch.calledAt
-	b.out.SetTimer(b.watch.backoff.Failed(failure, b.cfg.Gateways, elapsed, spread, jitter), watchTimer)
+	b.actions.SetTimer(b.watch.backoff.Failed(failure, b.cfg.Gateways, elapsed, delayDraw, intervalDraw), watchTimer)
 }
--- a/internal/balancer/watch_test.go
+++ b/internal/balancer/watch_test.go
@@ -49,9 +49,9 @@
 		unreachable bool
 		want        backoff.Failure
 	}{
-		{"no answer", func(w *endpointWatch) { w.start(0) }, false, backoff.Overloaded},
-		{"nobody reached", func(w *endpointWatch) { w.start(0) }, true, backoff.Unreachable},
-		{"changes came", func(w *endpointWatch) { w.start(0); w.answered() }, false, backoff.Ended},
+		{"no answer", func(w *endpointWatch) { w.callStarted(0) }, false, backoff.Overloaded},
+		{"nobody reached", func(w *endpointWatch) { w.callStarted(0) }, true, backoff.Unreachable},
+		{"changes came", func(w *endpointWatch) { w.callStarted(0); w.answered() }, false, backoff.Ended},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var w endpointWatch
@@ -62,7 +62,7 @@
 		})
 	}
 	var w endpointWatch
-	if w.start(0); w.overdue(5*time.Second, 10*time.Second) || !w.overdue(5*time.Second+1, 10*time.Second) {
+	if w.callStarted(0); w.overdue(5*time.Second, 10*time.Second) || !w.overdue(5*time.Second+1, 10*time.Second) {
 		t.Error("a call is not overdue after half of the interval")
 	}
 	if w.answered(); w.overdue(time.Hour, 10*time.Second) {
