--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// silent implements Actions and remembers only where the last request went.
-type silent struct {
-	id   RequestID
-	to   EndpointID
-	sent bool
+// lastStartRecorder implements Actions and records only the last started attempt.
+type lastStartRecorder struct {
+	id      RequestID
+	to      EndpointID
+	started bool
 }
 
-func (s *silent) StartAttempt(id RequestID, to EndpointID, _ time.Duration) {
-	s.id, s.to, s.sent = id, to, true
+func (s *lastStartRecorder) StartAttempt(id RequestID, to EndpointID, _ time.Duration) {
+	s.id, s.to, s.started = id, to, true
 }
-func (s *silent) Reject(RequestID, time.Duration) {}
-func (s *silent) Fail(RequestID)                  {}
-func (s *silent) CancelAttempt(RequestID, int)    {}
-func (s *silent) SetTimer(time.Duration, uint32)  {}
-func (s *silent) CloseIdle(EndpointID)            {}
-func (s *silent) WatchEndpoints()                 {}
-func (s *silent) Log(string)                      {}
+func (s *lastStartRecorder) Reject(RequestID, time.Duration) {}
+func (s *lastStartRecorder) Fail(RequestID)                  {}
+func (s *lastStartRecorder) CancelAttempt(RequestID, int)    {}
+func (s *lastStartRecorder) SetTimer(time.Duration, uint32)  {}
+func (s *lastStartRecorder) CloseIdle(EndpointID)            {}
+func (s *lastStartRecorder) WatchEndpoints()                 {}
+func (s *lastStartRecorder) Log(string)                      {}
 
-// steadyRequest returns a function that plays one request from arrival to answer over so many
-// endpoints, with a sample now and then.
+// steadyRequest returns a function that plays one request from arrival to answer with the given number of
+// endpoints. After every fifth request it ends a sampling period.
 func steadyRequest(tb testing.TB, endpoints int) func() {
-	out := &silent{}
+	out := &lastStartRecorder{}
 	now := time.Second
 	b, err := New(testConfig(), 1, now, out)
 	if err != nil {
@@ -42,10 +42,10 @@
 	return func() {
 		id++
 		now += time.Millisecond
-		out.sent = false
+		out.started = false
 		b.RequestArrived(now, Request{ID: id, Class: int(id % 3), ClientTimeout: time.Second})
-		if b.Dispatch(now); !out.sent {
-			tb.Fatal("the request was not sent at once")
+		if b.Dispatch(now); !out.started {
+			tb.Fatal("the request was not dispatched at once")
 		}
 		now += 20 * time.Millisecond
 		b.AttemptEnded(now, AttemptEnd{Request: out.id, Endpoint: out.to, Outcome: OutcomeOK, RequestDone: true,
@@ -57,18 +57,18 @@
 	}
 }
 
-// One deployment grants a gateway 15 ms of CPU a second: in steady state a request allocates nothing.
+// In steady state a request allocates no memory: one deployment grants a gateway only 15 ms of CPU per second.
 func TestSteadyStateAllocatesNothing(t *testing.T) {
 	play := steadyRequest(t, 16)
 	for range 1000 {
 		play()
 	}
 	if n := testing.AllocsPerRun(2000, play); n > 0 {
-		t.Errorf("%v allocations a request, want none", n)
+		t.Errorf("%v allocations per request, want none", n)
 	}
 }
 
-// Nor does it with as many endpoints as lists are sized for.
+// A request allocates no memory in steady state with 1024 and 8000 endpoints either, the size that lists are made for.
 func TestSteadyStateOfManyEndpointsAllocatesNothing(t *testing.T) {
 	for _, endpoints := range []int{1024, 8000} {
 		play := steadyRequest(t, endpoints)
@@ -76,13 +76,13 @@
 			play()
 		}
 		if n := testing.AllocsPerRun(100, play); n > 0 {
-			t.Errorf("%d endpoints: %v allocations a request, want none", endpoints, n)
+			t.Errorf("%d endpoints: %v allocations per request, want none", endpoints, n)
 		}
 	}
 }
 
-// BenchmarkRequestOverEndpoints shows what a decision costs where one gateway uses all endpoints, a
-// fifth of a sample included.
+// BenchmarkRequestOverEndpoints measures the cost of one request if one gateway uses all endpoints. A fifth of the
+// cost of a sampling period is included.
 func BenchmarkRequestOverEndpoints(b *testing.B) {
 	for _, endpoints := range []int{10, 100, 1000, 7700} {
 		b.Run(strconv.Itoa(endpoints), func(b *testing.B) {
--- a/internal/balancer/cluster_test.go
+++ b/internal/balancer/cluster_test.go
@@ -12,29 +12,30 @@
 	"github.com/zeebo/xxh3"
 )
 
-// The cluster says which endpoints are this gateway's, and its weights decide among those with equal room.
-func TestAssignedWeightsDecideAmongEqualRoom(t *testing.T) {
+// The gateway uses the endpoints that the cluster assigns to it, and the assigned weights decide between endpoints
+// with equal free capacity. Without an assignment the subset is derived from the rank again.
+func TestAssignedWeightsDecideAmongEqualFreeCapacity(t *testing.T) {
 	r := newRig(t, testConfig(), warmEndpoints(10)...)
 	r.assign(
 		AssignedEndpoint{ID: 3, Weight: 0.75, Share: 0.2}, AssignedEndpoint{ID: 7, Weight: 0.25, Share: 0.2},
 		AssignedEndpoint{ID: 99, Weight: 1, Share: 1},
 		AssignedEndpoint{ID: 9, Weight: 0.5}, AssignedEndpoint{ID: 1, Weight: 0.5},
 	)
-	got := r.play(1, 400, fine)
+	got := r.playRequests(1, 400, alwaysOK)
 	if got[3]+got[7] != 400 || got[3] < 270 || got[3] > 330 {
-		t.Errorf("wanted 300 at 3 and 100 at 7: %v", got)
+		t.Errorf("attempts by endpoint %v, want about 300 at 3 and 100 at 7", got)
 	}
-	if s := r.b.endpoints.byID[3]; s.subset.users != 5 {
-		t.Errorf("a fifth of an endpoint has %v users", s.subset.users)
+	if ep := r.b.endpoints.byID[3]; ep.subset.users != 5 {
+		t.Errorf("an endpoint with a share of 0.2 has %v users, want 5", ep.subset.users)
 	}
-	r.assign() // no division: by count and number again
-	if got := r.play(1000, 200, fine); len(got) < 8 {
-		t.Errorf("without a division: %v", got)
+	r.assign() // no assignment: the subset is derived from the rank again
+	if got := r.playRequests(1000, 200, alwaysOK); len(got) < 8 {
+		t.Errorf("attempts by endpoint without an assignment %v, want at least 8 endpoints", got)
 	}
 }
 
-// Spares stand in for ejected endpoints, in the order of the assignment.
-func TestSparesStandInForTheEjected(t *testing.T) {
+// Spares replace ejected endpoints, in the order of the assignment.
+func TestSparesReplaceEjectedEndpoints(t *testing.T) {
 	r := newRig(t, testConfig(), warmEndpoints(10)...)
 	r.assign(
 		AssignedEndpoint{ID: 3, Weight: 0.5, Share: 0.2}, AssignedEndpoint{ID: 7, Weight: 0.5, Share: 0.2},
@@ -46,20 +47,20 @@
 		}
 		return OutcomeOK
 	}
-	r.play(1, 60, bad)
+	r.playRequests(1, 60, bad)
 	if !r.b.endpoints.byID[3].health.Ejected {
-		t.Fatal("an endpoint that fails all is not ejected")
+		t.Fatal("an endpoint that fails every attempt is not ejected")
 	}
-	if got := r.play(1000, 60, bad); got[9] == 0 || got[1] > 0 || got[3] > 20 {
-		t.Errorf("wanted the first spare beside the other: %v", got)
+	if got := r.playRequests(1000, 60, bad); got[9] == 0 || got[1] > 0 || got[3] > 20 {
+		t.Errorf("attempts by endpoint %v, want the first spare used, the second unused, few at the ejected one", got)
 	}
 }
 
-// The peers' suspicion halves what it takes to eject an endpoint, and ejects none by itself; once no peer
-// suspects it, it is probed at once.
+// If peers suspect an endpoint, half of the usual evidence ejects it; the suspicion alone does not. Once no peer
+// suspects it any longer, it is probed at once.
 func TestSuspectedEndpointsAreEjectedSooner(t *testing.T) {
 	r := newRig(t, testConfig(), warmEndpoints(4)...)
-	all := func(suspected bool) {
+	assignAll := func(suspected bool) {
 		var assigned []AssignedEndpoint
 		for id := range EndpointID(4) {
 			assigned = append(assigned, AssignedEndpoint{
@@ -68,12 +69,12 @@
 		}
 		r.assign(assigned...)
 	}
-	r.play(1, 40, fine)
-	all(true)
-	got := r.play(100, 80, fine)
+	r.playRequests(1, 40, alwaysOK)
+	assignAll(true)
+	got := r.playRequests(100, 80, alwaysOK)
 	for id := range EndpointID(4) {
 		if r.b.endpoints.byID[id+1].health.Ejected || got[id+1] == 0 {
-			t.Fatalf("ejected on suspicion alone, or shunned: %v", got)
+			t.Fatalf("endpoint ejected or unused because of suspicion alone; attempts by endpoint: %v", got)
 		}
 	}
 	fails := map[EndpointID]int{}
@@ -84,46 +85,47 @@
 		return OutcomeOK
 	}
 	for n := RequestID(0); fails[2] == 0; n++ {
-		r.play(1000+n, 1, failOnce)
+		r.playRequests(1000+n, 1, failOnce)
 	}
-	s := r.b.endpoints.byID[2]
-	if !s.health.Ejected {
+	ep := r.b.endpoints.byID[2]
+	if !ep.health.Ejected {
 		t.Error("a suspected endpoint that failed once is not ejected")
 	}
-	s.health.ProbeAt = r.now + time.Hour
-	all(false)
-	if s.health.ProbeAt > r.now {
-		t.Errorf("no peer suspects it any longer, and its probe is in %v", s.health.ProbeAt-r.now)
+	ep.health.ProbeAt = r.now + time.Hour
+	assignAll(false)
+	if ep.health.ProbeAt > r.now {
+		t.Errorf("the probe is due in %v although no peer suspects the endpoint any longer, want at once",
+			ep.health.ProbeAt-r.now)
 	}
-	r.play(5000, 20, fine)
-	if s.health.Ejected {
-		t.Error("it answered its probe and is still ejected")
+	r.playRequests(5000, 20, alwaysOK)
+	if ep.health.Ejected {
+		t.Error("the endpoint answered its probe and is still ejected")
 	}
 	fails = map[EndpointID]int{}
 	for n := RequestID(0); fails[2] == 0; n++ {
-		r.play(6000+n, 1, failOnce)
+		r.playRequests(6000+n, 1, failOnce)
 	}
-	if s.health.Ejected {
+	if ep.health.Ejected {
 		t.Error("an endpoint that is not suspected is ejected after one failure")
 	}
 }
 
-// withoutCluster is the hash of what the balancer did before there were clusters, in the play below. A
-// change of what it does without one is another number here, and has to say why.
-const withoutCluster = 0xcb74930173923571
+// hashWithoutCluster is the hash of the actions in the test below, from the version before assignments existed.
+// A commit that changes the behaviour without an assignment changes this number and must say why.
+const hashWithoutCluster = 0xcb74930173923571
 
-// hashed spells an action as it stood in the hash from the start.
-func (a act) hashed() string {
-	what := a.what
-	if old := map[string]string{"start": "send", "reject": "refuse", "timer": "wake"}[what]; old != "" {
-		what = old
+// hashText formats an action for the hash. It keeps the names that were in use when the hash was first computed.
+func (a recordedAction) hashText() string {
+	kind := a.kind
+	if old := map[string]string{"start": "send", "reject": "refuse", "timer": "wake"}[kind]; old != "" {
+		kind = old
 	}
 	return fmt.Sprintf("{what:%s id:%d server:%d timeout:%d attempt:%d token:%d text:%s}",
-		what, a.id, a.endpoint, a.timeout, a.attempt, a.token, a.text)
+		kind, a.id, a.endpoint, a.timeout, a.attempt, a.token, a.text)
 }
 
-// Without a cluster the balancer acts as it did before there were any, to the letter.
-func TestWithoutAClusterNothingIsDifferent(t *testing.T) {
+// Without an assignment by a cluster the balancer calls exactly the same actions as before assignments existed.
+func TestActionsWithoutAssignmentAreUnchanged(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways, cfg.Rank, cfg.CrossZoneCost = 40, 17, 0.05
 	rng := rand.New(rand.NewPCG(5, 5))
@@ -135,25 +137,25 @@
 	r := newRig(t, cfg, endpoints...)
 	var hash xxh3.Hasher
 	next := RequestID(1)
-	tried := make(map[RequestID]int)
-	type out struct {
-		at time.Duration
-		act
+	attempts := make(map[RequestID]int)
+	type inFlightAttempt struct {
+		endsAt time.Duration
+		recordedAction
 	}
-	var flying []out
+	var inFlight []inFlightAttempt
 	for step := range 4000 {
 		r.now += 5 * millisecond
 		if step%500 == 250 {
-			s := &endpoints[rng.IntN(len(endpoints))]
-			s.StartedAt, s.ID = r.now, EndpointID(rng.Uint64())
+			endpoint := &endpoints[rng.IntN(len(endpoints))]
+			endpoint.StartedAt, endpoint.ID = r.now, EndpointID(rng.Uint64())
 			r.b.UpdateEndpoints(r.now, Snapshot, endpoints)
 		}
 		for range rng.IntN(3) {
 			r.b.RequestArrived(r.now, Request{ID: next, Class: rng.IntN(3), ClientTimeout: 2000 * millisecond})
 			next++
 		}
-		flying = slices.DeleteFunc(flying, func(f out) bool {
-			if f.at > r.now {
+		inFlight = slices.DeleteFunc(inFlight, func(f inFlightAttempt) bool {
+			if f.endsAt > r.now {
 				return false
 			}
 			outcome := []Outcome{
@@ -171,18 +173,18 @@
 		}
 		r.b.TimerFired(r.now, queueTimer)
 		r.b.Dispatch(r.now)
-		for _, a := range r.rec.acts {
-			fmt.Fprintln(&hash, r.now, a.hashed())
-			if a.what == "start" {
-				a.attempt = tried[a.id]
-				tried[a.id]++
-				flying = append(flying, out{r.now + time.Duration(10+rng.IntN(200))*millisecond, a})
+		for _, a := range r.rec.actions {
+			fmt.Fprintln(&hash, r.now, a.hashText())
+			if a.kind == "start" {
+				a.attempt = attempts[a.id]
+				attempts[a.id]++
+				inFlight = append(inFlight, inFlightAttempt{r.now + time.Duration(10+rng.IntN(200))*millisecond, a})
 			}
 		}
-		r.rec.acts = nil
+		r.rec.actions = nil
 	}
-	if got := hash.Sum64(); got != withoutCluster {
-		t.Errorf("%d requests and %d attempts: hash %#x, before there were clusters %#x",
-			next-1, len(tried), got, uint64(withoutCluster))
+	if got := hash.Sum64(); got != hashWithoutCluster {
+		t.Errorf("%d requests, %d of them attempted: hash of the actions %#x, want %#x",
+			next-1, len(attempts), got, uint64(hashWithoutCluster))
 	}
 }
--- a/internal/balancer/config_test.go
+++ b/internal/balancer/config_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestConfigErrorsNameTheField(t *testing.T) {
-	for field, spoil := range map[string]func(*Config){
+	for field, invalidate := range map[string]func(*Config){
 		"Gateways":                    func(c *Config) { c.Gateways = 0 },
 		"Rank":                        func(c *Config) { c.Rank = c.Gateways },
 		"Classes":                     func(c *Config) { c.Classes = nil },
@@ -25,17 +25,17 @@
 	} {
 		t.Run(field, func(t *testing.T) {
 			cfg := testConfig()
-			spoil(&cfg)
+			invalidate(&cfg)
 			b, err := New(cfg, 1, 0, &recorder{})
 			if b != nil || err == nil || !strings.Contains(err.Error(), field) {
-				t.Fatalf("New = %v, %v", b, err)
+				t.Fatalf("New returned %v, %v, want an error that names the field", b, err)
 			}
 			if fault := new(ConfigError); !errors.As(err, &fault) || fault.Field != field || fault.Reason == "" {
-				t.Errorf("the error is %#v, want a ConfigError of %s", err, field)
+				t.Errorf("New returned %#v, want a ConfigError for %s with a reason", err, field)
 			}
 			r := newRig(t, testConfig())
 			if _, err := r.b.Reload(r.now+time.Second, cfg); err == nil || !strings.Contains(err.Error(), field) {
-				t.Errorf("Reload: %v", err)
+				t.Errorf("Reload returned %v, want an error that names the field", err)
 			}
 		})
 	}
--- a/internal/balancer/cooldown_test.go
+++ b/internal/balancer/cooldown_test.go
@@ -5,73 +5,74 @@
 	"time"
 )
 
-// Guards against endpoints that reject everything as full and draw most of all attempts.
-func TestRejectingEndpointCoolsDownLongerEachTime(t *testing.T) {
+// An endpoint that rejects every request as full must not attract most of the attempts: its cooldown doubles with each
+// rejection, up to eight service times.
+func TestCooldownDoublesWithEachRejection(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0))
-	warmUp(r)
-	s := r.b.endpoints.all[0]
+	setKnownServiceTimes(r)
+	ep := r.b.endpoints.all[0]
 	for i, want := range []int{1, 2, 4, 8, 8} { // in service times of 100 ms
 		id := RequestID(i)
-		r.request(id, 0)
-		r.end(id, 0, 1, OutcomeRejected, millisecond)
+		r.sendRequest(id, 0)
+		r.endAttempt(id, 0, 1, OutcomeRejected, millisecond)
 		r.b.RequestAbandoned(r.now, id)
-		if rest := s.cooldown.until - r.now; rest != time.Duration(want)*100*millisecond || s.health.Ejected {
-			t.Errorf("rest %d is %v, ejected %v; want %d service times", i, rest, s.health.Ejected, want)
+		if duration := ep.cooldown.until - r.now; duration != time.Duration(want)*100*millisecond || ep.health.Ejected {
+			t.Errorf("cooldown %d is %v, ejected %v; want %d service times and no ejection", i, duration, ep.health.Ejected, want)
 		}
-		r.now = s.cooldown.until
+		r.now = ep.cooldown.until
 	}
-	r.request(9, 0)
-	r.end(9, 0, 1, OutcomeOK, 100*millisecond)
-	r.request(10, 0)
-	r.end(10, 0, 1, OutcomeRejected, millisecond)
-	if rest := s.cooldown.until - r.now; rest != 100*millisecond {
-		t.Errorf("rest after an answer is %v, want one service time", rest)
+	r.sendRequest(9, 0)
+	r.endAttempt(9, 0, 1, OutcomeOK, 100*millisecond)
+	r.sendRequest(10, 0)
+	r.endAttempt(10, 0, 1, OutcomeRejected, millisecond)
+	if duration := ep.cooldown.until - r.now; duration != 100*millisecond {
+		t.Errorf("the cooldown after an answer is %v, want one service time", duration)
 	}
 }
 
-// Guards against a request that spends all its attempts in 2 ms on a starting endpoint, before any service
-// time is known. The cooldown then is a share of the objective.
-func TestRejectingEndpointCoolsDownBeforeAnythingIsLearnt(t *testing.T) {
+// Before any service time is known, the cooldown is a share of the latency objective. Otherwise a request could use up
+// all its attempts within 2 ms on an endpoint that is starting.
+func TestRejectionCooldownBeforeServiceTimesAreKnown(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0))
-	s := r.b.endpoints.all[0]
+	ep := r.b.endpoints.all[0]
 	for i, want := range []int{1, 2, 4} {
 		id := RequestID(i)
-		r.request(id, 0)
-		r.end(id, 0, 1, OutcomeRejected, millisecond)
+		r.sendRequest(id, 0)
+		r.endAttempt(id, 0, 1, OutcomeRejected, millisecond)
 		r.b.RequestAbandoned(r.now, id)
-		rest := s.cooldown.until - r.now
-		if rest < time.Duration(want)*15*millisecond || rest > time.Duration(want)*16*millisecond {
-			t.Errorf("rest %d is %v, want %d times a 64th of the objective of 1 s", i, rest, want)
+		duration := ep.cooldown.until - r.now
+		if duration < time.Duration(want)*15*millisecond || duration > time.Duration(want)*16*millisecond {
+			t.Errorf("cooldown %d is %v, want %d times 1/64 of the objective of 1 s", i, duration, want)
 		}
-		r.now = s.cooldown.until
+		r.now = ep.cooldown.until
 	}
 }
 
-// Guards against attempts that time out on an overloaded endpoint, go on loading it, and are followed by
-// the next request at once.
-func TestTimeoutRestsAnEndpointBelowOne(t *testing.T) {
+// After an attempt that timed out, an overloaded endpoint with a limit below one must not get the next request at once:
+// it may still be working on the attempt.
+func TestTimeoutStartsACooldownWithALimitBelowOne(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways = 10
 	r := newRig(t, cfg, ready(1, 0, 0))
-	warmUp(r)
-	r.request(1, 0)
+	setKnownServiceTimes(r)
+	r.sendRequest(1, 0)
 	r.now += 1200 * millisecond
 	r.b.endpoints.byID[1].limit.Value = 0.4
 	r.b.AttemptEnded(r.now, AttemptEnd{Request: 1, Endpoint: 1, Outcome: OutcomeTimeout, Latency: 1200 * millisecond})
-	if rest := r.b.endpoints.byID[1].cooldown.until - r.now; rest != 1800*millisecond {
-		t.Errorf("rests %v after a time-out of 1.2 s with u = 0.4, want 1.8 s", rest)
+	if duration := r.b.endpoints.byID[1].cooldown.until - r.now; duration != 1800*millisecond {
+		t.Errorf("cooldown of %v after a timeout of 1.2 s with a limit of 0.4, want 1.8 s", duration)
 	}
 }
 
 func TestCooldown(t *testing.T) {
 	const now, objective = time.Minute, 640 * millisecond // a 64th is 10 ms
 	for _, c := range []struct {
-		name string
-		act  func(*cooldown)
-		want time.Duration
+		name  string
+		apply func(*cooldown)
+		want  time.Duration
 	}{
 		{"failure, service time known", func(c *cooldown) { c.afterFailure(now, 40, objective) }, 40 * millisecond},
-		{"failure, nothing known", func(c *cooldown) { c.afterFailure(now, 0, objective) }, 10 * millisecond},
+		{"failure, service time unknown", func(c *cooldown) { c.afterFailure(now, 0, objective) }, 10 * millisecond},
 		{"rejection", func(c *cooldown) { c.afterRejection(now, 40, objective) }, 40 * millisecond},
 		{"third rejection in a row", func(c *cooldown) {
 			for range 3 {
@@ -90,8 +91,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var got cooldown
-			if c.act(&got); got.until != now+c.want || !got.active(now+c.want-1) || got.active(now+c.want) {
-				t.Errorf("lasts %v, want %v", got.until-now, c.want)
+			if c.apply(&got); got.until != now+c.want || !got.active(now+c.want-1) || got.active(now+c.want) {
+				t.Errorf("the cooldown lasts %v, want %v", got.until-now, c.want)
 			}
 		})
 	}
--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -5,94 +5,94 @@
 	"time"
 )
 
-// Guards against an endpoint that fails fast, has room all the time and draws the queue.
-func TestFastFailuresDoNotDrawTheQueue(t *testing.T) {
+// An endpoint that fails fast always has free capacity. It must not attract the queued requests.
+func TestFastFailuresDoNotAttractTheQueue(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0), ready(2, 0, 0))
 	r.b.classes.referenceMS = 100
-	bad := 0
+	failing := 0
 	for id := range RequestID(60) {
-		r.request(id, 0)
-		for starts := r.take("start"); len(starts) > 0; starts = r.take("start") {
+		r.sendRequest(id, 0)
+		for starts := r.takeActions("start"); len(starts) > 0; starts = r.takeActions("start") {
 			a := starts[0]
 			attempt := len(r.b.requests.byID[a.id].attempts) - 1
 			if a.endpoint == 1 {
-				bad++
+				failing++
 				r.now += millisecond
-				r.end(a.id, attempt, 1, OutcomeError, millisecond)
+				r.endAttempt(a.id, attempt, 1, OutcomeError, millisecond)
 			} else {
 				r.now += 40 * millisecond
-				r.end(a.id, attempt, 2, OutcomeOK, 40*millisecond)
+				r.endAttempt(a.id, attempt, 2, OutcomeOK, 40*millisecond)
 			}
 		}
 	}
-	if bad == 0 || bad > 8 {
-		t.Errorf("the failing endpoint got %d requests", bad)
+	if failing == 0 || failing > 8 {
+		t.Errorf("the failing endpoint got %d requests, want 1 to 8", failing)
 	}
-	if s := r.b.endpoints.byID[1]; !s.health.Ejected {
+	if ep := r.b.endpoints.byID[1]; !ep.health.Ejected {
 		t.Error("the failing endpoint was not ejected")
 	}
 }
 
-// An endpoint that answers nothing is ejected by its silence, probed with one idempotent request at a time,
-// and taken back at its first answer.
-func TestSilentEndpointIsEjectedProbedAndTakenBack(t *testing.T) {
+// An endpoint that answers nothing is ejected for silence, probed with one idempotent request at a time, and restored
+// by its first answer.
+func TestSilentEndpointIsEjectedProbedAndRestored(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0), ready(2, 0, 0), ready(3, 0, 0))
-	warmUp(r)
+	setKnownServiceTimes(r)
 	r.b.endpoints.byID[1].limit.Value = 3
-	r.request(1, 2) // not idempotent: no timeout shows the silence
-	r.wait(550 * millisecond)
-	s := r.b.endpoints.byID[1]
-	if s.health.Ejected {
+	r.sendRequest(1, 2) // not idempotent: it has no timeout that would show the silence
+	r.advance(550 * millisecond)
+	ep := r.b.endpoints.byID[1]
+	if ep.health.Ejected {
 		t.Fatal("ejected before six service times")
 	}
-	r.wait(200 * millisecond)
-	if !s.health.Ejected || !s.health.Silent {
+	r.advance(200 * millisecond)
+	if !ep.health.Ejected || !ep.health.Silent {
 		t.Fatal("a silent endpoint is not ejected")
 	}
-	s.health.ProbeAt = r.now
-	r.take("start")
-	r.request(2, 2)
-	if starts := r.take("start"); len(starts) != 1 || starts[0].endpoint == 1 {
+	ep.health.ProbeAt = r.now
+	r.takeActions("start")
+	r.sendRequest(2, 2)
+	if starts := r.takeActions("start"); len(starts) != 1 || starts[0].endpoint == 1 {
 		t.Fatalf("a non-idempotent request was used as a probe: %+v", starts)
 	}
-	r.end(1, 0, 1, OutcomeTimeout, 2*time.Second)
-	s.health.ProbeAt = r.now
-	r.request(3, 0)
-	r.request(4, 0)
+	r.endAttempt(1, 0, 1, OutcomeTimeout, 2*time.Second)
+	ep.health.ProbeAt = r.now
+	r.sendRequest(3, 0)
+	r.sendRequest(4, 0)
 	probes := 0
-	for _, a := range r.take("start") {
+	for _, a := range r.takeActions("start") {
 		if a.endpoint == 1 {
 			probes++
 		}
 	}
 	if probes != 1 {
-		t.Fatalf("%d requests as probes, want 1", probes)
+		t.Fatalf("%d requests used as probes, want 1", probes)
 	}
-	r.end(3, 0, 1, OutcomeOK, 100*millisecond)
-	if s.health.Ejected || s.limit.Value != 1 {
-		t.Errorf("after a good probe ejected = %v, u = %v", s.health.Ejected, s.limit.Value)
+	r.endAttempt(3, 0, 1, OutcomeOK, 100*millisecond)
+	if ep.health.Ejected || ep.limit.Value != 1 {
+		t.Errorf("after an answered probe: ejected = %v, limit = %v; want false, 1", ep.health.Ejected, ep.limit.Value)
 	}
 }
 
-// What is in flight on a silent endpoint is cancelled and retried elsewhere if it may be; what may not,
-// waits.
+// Attempts in flight on a silent endpoint are cancelled and retried on another endpoint if a retry is allowed. The other
+// attempts are not cancelled.
 func TestAttemptsOnASilentEndpointAreCancelled(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0), ready(2, 0, 0), ready(3, 0, 0))
-	warmUp(r)
+	setKnownServiceTimes(r)
 	r.b.endpoints.byID[1].limit.Value = 9
 	for class := range 3 {
-		r.request(RequestID(class), class)
+		r.sendRequest(RequestID(class), class)
 	}
-	if starts := r.take("start"); len(starts) != 3 || starts[2].endpoint != 1 || starts[2].timeout != 0 {
-		t.Fatalf("starts = %+v, want three to endpoint 1 without a time-out", starts)
+	if starts := r.takeActions("start"); len(starts) != 3 || starts[2].endpoint != 1 || starts[2].timeout != 0 {
+		t.Fatalf("starts = %+v, want three to endpoint 1 without a timeout", starts)
 	}
-	r.wait(750 * millisecond)
-	cancels := r.take("cancel")
+	r.advance(750 * millisecond)
+	cancels := r.takeActions("cancel")
 	if len(cancels) != 2 || cancels[0].id != 0 || cancels[1].id != 1 {
 		t.Fatalf("cancels = %+v, want the idempotent and the keyed request", cancels)
 	}
-	r.end(0, 0, 1, OutcomeCancelled, 700*millisecond)
-	if starts := r.take("start"); len(starts) != 1 || starts[0].id != 0 || starts[0].endpoint == 1 {
+	r.endAttempt(0, 0, 1, OutcomeCancelled, 700*millisecond)
+	if starts := r.takeActions("start"); len(starts) != 1 || starts[0].id != 0 || starts[0].endpoint == 1 {
 		t.Errorf("starts = %+v, want request 0 on another endpoint", starts)
 	}
 	if n := r.b.endpoints.byID[1].inFlight; n != 2 || len(r.b.endpoints.byID[1].requests) != 2 {
@@ -100,37 +100,37 @@
 	}
 }
 
-// A false alarm does little harm: the first answer takes the endpoint back.
-func TestFalseSilenceEndsWithTheAnswer(t *testing.T) {
+// An endpoint that was ejected for silence by mistake is restored by its first answer.
+func TestFirstAnswerEndsAnEjectionForSilence(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0), ready(2, 0, 0), ready(3, 0, 0))
-	warmUp(r)
+	setKnownServiceTimes(r)
 	r.b.endpoints.byID[1].limit.Value = 2
-	r.request(1, 2)
-	r.wait(800 * millisecond)
+	r.sendRequest(1, 2)
+	r.advance(800 * millisecond)
 	if !r.b.endpoints.byID[1].health.Silent {
-		t.Fatal("the silence was not noticed")
+		t.Fatal("the endpoint was not ejected for silence")
 	}
-	r.end(1, 0, 1, OutcomeOK, 800*millisecond)
-	if s := r.b.endpoints.byID[1]; s.health.Ejected || s.health.Silent {
+	r.endAttempt(1, 0, 1, OutcomeOK, 800*millisecond)
+	if ep := r.b.endpoints.byID[1]; ep.health.Ejected || ep.health.Silent {
 		t.Error("the endpoint is still ejected")
 	}
 }
 
-// If most endpoints look bad the load is suspected, and they stay in use.
-func TestCapacityStaysInUseWhenAllLookBad(t *testing.T) {
+// If more than half of the endpoints fail, the load is the likely cause, and no further endpoints are ejected.
+func TestAtMostHalfOfTheEndpointsAreEjected(t *testing.T) {
 	var list []Endpoint
 	for id := range EndpointID(6) {
 		list = append(list, ready(id+1, 0, 0))
 	}
 	r := newRig(t, testConfig(), list...)
-	for _, s := range r.b.endpoints.all {
+	for _, ep := range r.b.endpoints.all {
 		for range 10 {
-			r.b.recordFailure(s)
+			r.b.recordFailure(ep)
 		}
 	}
 	ejected := 0
-	for _, s := range r.b.endpoints.all {
-		if s.health.Ejected {
+	for _, ep := range r.b.endpoints.all {
+		if ep.health.Ejected {
 			ejected++
 		}
 	}
@@ -139,23 +139,23 @@
 	}
 }
 
-// A heavy request that times out while others are answered says nothing about its endpoint.
+// A heavy request that times out while the endpoint answers others does not count against the health of the endpoint.
 func TestTimeoutOfHeavyWorkDoesNotEject(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0), ready(2, 0, 0))
-	s := r.b.endpoints.byID[1]
-	s.limit.Value = 9
+	ep := r.b.endpoints.byID[1]
+	ep.limit.Value = 9
 	for id := range RequestID(8) {
-		r.request(id, 0)
+		r.sendRequest(id, 0)
 	}
 	r.now += 300 * millisecond
-	r.end(0, 0, 1, OutcomeOK, 300*millisecond)
+	r.endAttempt(0, 0, 1, OutcomeOK, 300*millisecond)
 	for id := RequestID(1); id < 8; id++ {
-		r.end(id, 0, 1, OutcomeTimeout, 300*millisecond)
+		r.endAttempt(id, 0, 1, OutcomeTimeout, 300*millisecond)
 	}
-	if s.health.Ejected || s.health.FailureRate > 0 {
-		t.Errorf("ejected = %v, fail share = %v", s.health.Ejected, s.health.FailureRate)
+	if ep.health.Ejected || ep.health.FailureRate > 0 {
+		t.Errorf("ejected = %v, failure rate = %v; want false, 0", ep.health.Ejected, ep.health.FailureRate)
 	}
-	if s.limit.Sample.Failures == 0 {
-		t.Error("the time-outs do not count for the limit")
+	if ep.limit.Sample.Failures == 0 {
+		t.Error("the timeouts are not counted as failures for the concurrency limit")
 	}
 }
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -7,7 +7,7 @@
 	"thymebend/internal/balancer"
 )
 
-// printer carries out actions by printing them; a gateway would send, answer and set timers here.
+// printer implements Actions and prints the calls. A gateway would send requests, answer clients and set timers.
 type printer struct{}
 
 func (printer) StartAttempt(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
@@ -21,7 +21,7 @@
 func (printer) WatchEndpoints()                                   { fmt.Println("watch the list") }
 func (printer) Log(line string)                                   { fmt.Println("log:", line) }
 
-// A request fails on one endpoint and is answered by another.
+// This example shows a request whose first attempt is reset and whose second attempt, on another endpoint, succeeds.
 func Example() {
 	cfg := balancer.Config{
 		Gateways:          1,
--- a/internal/balancer/fuzz_test.go
+++ b/internal/balancer/fuzz_test.go
@@ -9,292 +9,298 @@
 	"thymebend/internal/balancer/concurrency"
 )
 
-// referee plays the gateway for a fuzzed sequence of events and checks every action against the rules.
-type referee struct {
-	t       *testing.T
-	cfg     Config
-	b       *Balancer
-	now     time.Duration
-	live    map[RequestID]*judged
-	left    map[EndpointID]bool // endpoints that may get nothing new
-	cells   map[EndpointID]Endpoint
-	history []string
+// checker acts as the gateway for a fuzzed sequence of events and checks each action of the balancer against the
+// rules for attempts and final answers.
+type checker struct {
+	t             *testing.T
+	cfg           Config
+	b             *Balancer
+	now           time.Duration
+	requests      map[RequestID]*checkedRequest
+	noNewAttempts map[EndpointID]bool // endpoints that must get no new attempts
+	endpoints     map[EndpointID]Endpoint
+	history       []string
 }
 
-type judged struct {
-	class    int
-	closed   bool
-	deadline time.Duration
-	attempts []judgedAttempt
+type checkedRequest struct {
+	class     int
+	concluded bool
+	deadline  time.Duration
+	attempts  []checkedAttempt
 }
 
-type judgedAttempt struct {
+type checkedAttempt struct {
 	endpoint Endpoint
-	sent     time.Duration
+	started  time.Duration
 	ended    bool
 	neverRan bool
 }
 
-func (f *referee) note(format string, args ...any) {
-	f.history = append(f.history, fmt.Sprintf(format, args...))
+func (c *checker) record(format string, args ...any) {
+	c.history = append(c.history, fmt.Sprintf(format, args...))
 }
 
-func (f *referee) request(id RequestID) *judged {
-	r := f.live[id]
+func (c *checker) request(id RequestID) *checkedRequest {
+	r := c.requests[id]
 	if r == nil {
-		f.t.Fatalf("action on request %d, which was never taken", id)
+		c.t.Fatalf("action for request %d, which never arrived", id)
 	}
 	return r
 }
 
-func (f *referee) StartAttempt(id RequestID, to EndpointID, timeout time.Duration) {
-	f.note("send %d %d %v", id, to, timeout)
-	r := f.request(id)
-	if r.closed {
-		f.t.Fatalf("sent request %d after its conclusion", id)
+func (c *checker) StartAttempt(id RequestID, to EndpointID, timeout time.Duration) {
+	c.record("start %d %d %v", id, to, timeout)
+	r := c.request(id)
+	if r.concluded {
+		c.t.Fatalf("attempt of request %d started after its final answer", id)
 	}
-	if f.left[to] {
-		f.t.Fatalf("sent request %d to endpoint %d, which leaves", id, to)
+	if c.noNewAttempts[to] {
+		c.t.Fatalf("attempt of request %d started on endpoint %d, which is draining or removed", id, to)
 	}
-	if len(r.attempts) >= f.cfg.MaxAttempts {
-		f.t.Fatalf("request %d has too many attempts", id)
+	if len(r.attempts) >= c.cfg.MaxAttempts {
+		c.t.Fatalf("request %d exceeds the maximum number of attempts", id)
 	}
-	c := f.cfg.Classes[r.class]
+	class := c.cfg.Classes[r.class]
 	for _, a := range r.attempts {
 		if !a.ended {
-			f.t.Fatalf("request %d has two attempts out", id)
+			c.t.Fatalf("request %d has two attempts in flight", id)
 		}
-		if a.neverRan || c.Idempotency == Idempotent {
+		if a.neverRan || class.Idempotency == Idempotent {
 			continue
 		}
-		if c.Idempotency == NonIdempotent {
-			f.t.Fatalf("non-idempotent request %d sent again though it may have run", id)
+		if class.Idempotency == NonIdempotent {
+			c.t.Fatalf("non-idempotent request %d retried although it may have run", id)
 		}
-		if !sameDedupScope(c.DedupScope, &endpointState{Endpoint: a.endpoint}, &endpointState{Endpoint: f.cells[to]}) ||
-			f.now > a.sent+c.DedupWindow {
-			f.t.Fatalf("keyed request %d sent again outside its scope or window", id)
+		if !sameDedupScope(class.DedupScope,
+			&endpointState{Endpoint: a.endpoint}, &endpointState{Endpoint: c.endpoints[to]}) ||
+			c.now > a.started+class.DedupWindow {
+			c.t.Fatalf("keyed request %d retried outside its dedup scope or window", id)
 		}
 	}
-	r.attempts = append(r.attempts, judgedAttempt{endpoint: f.cells[to], sent: f.now})
+	r.attempts = append(r.attempts, checkedAttempt{endpoint: c.endpoints[to], started: c.now})
 }
 
-func (f *referee) Reject(id RequestID, after time.Duration) {
-	f.note("reject %d %v", id, after)
-	r := f.request(id)
-	if r.closed {
-		f.t.Fatalf("rejected request %d after its conclusion", id)
+func (c *checker) Reject(id RequestID, after time.Duration) {
+	c.record("reject %d %v", id, after)
+	r := c.request(id)
+	if r.concluded {
+		c.t.Fatalf("request %d rejected after its final answer", id)
 	}
-	c := f.cfg.Classes[r.class]
+	class := c.cfg.Classes[r.class]
 	for _, a := range r.attempts {
-		dropped := c.Idempotency == KeyedIdempotent && c.DedupScope == DedupAll // by any endpoint
-		if !a.neverRan && c.Idempotency != Idempotent && !dropped {
-			f.t.Fatalf("rejected request %d, which may have run", id)
+		deduplicated := class.Idempotency == KeyedIdempotent && class.DedupScope == DedupAll // any endpoint drops a duplicate
+		if !a.neverRan && class.Idempotency != Idempotent && !deduplicated {
+			c.t.Fatalf("request %d rejected although it may have run", id)
 		}
 	}
-	r.closed = true
+	r.concluded = true
 }
 
-func (f *referee) Fail(id RequestID) {
-	f.note("fail %d", id)
-	r := f.request(id)
-	if r.closed {
-		f.t.Fatalf("failed request %d after its conclusion", id)
+func (c *checker) Fail(id RequestID) {
+	c.record("fail %d", id)
+	r := c.request(id)
+	if r.concluded {
+		c.t.Fatalf("request %d failed after its final answer", id)
 	}
-	r.closed = true
+	r.concluded = true
 }
 
-func (f *referee) CancelAttempt(id RequestID, attempt int) {
-	f.note("cancel %d %d", id, attempt)
-	if attempt >= len(f.request(id).attempts) {
-		f.t.Fatalf("cancelled attempt %d of request %d, never made", attempt, id)
+func (c *checker) CancelAttempt(id RequestID, attempt int) {
+	c.record("cancel %d %d", id, attempt)
+	if attempt >= len(c.request(id).attempts) {
+		c.t.Fatalf("cancelled attempt %d of request %d, which was never started", attempt, id)
 	}
 }
-func (f *referee) SetTimer(after time.Duration, token uint32) { f.note("wake %v %d", after, token) }
-func (f *referee) CloseIdle(to EndpointID)                    { f.note("close %d", to) }
-func (f *referee) WatchEndpoints()                            { f.note("watch") }
-func (f *referee) Log(line string)                            { f.note("log %s", line) }
+func (c *checker) SetTimer(after time.Duration, token uint32) { c.record("timer %v %d", after, token) }
+func (c *checker) CloseIdle(to EndpointID)                    { c.record("close %d", to) }
+func (c *checker) WatchEndpoints()                            { c.record("watch") }
+func (c *checker) Log(line string)                            { c.record("log %s", line) }
 
-// play runs the events that the bytes spell and returns all actions. At the end every request is answered.
-func play(t *testing.T, data []byte) []string {
+// replay passes the events encoded in data to a new balancer and returns all actions. It fails the test if a request
+// has no final answer at the end.
+func replay(t *testing.T, data []byte) []string {
 	next := func() int {
 		if len(data) == 0 {
 			return 0
 		}
-		v := int(data[0])
+		value := int(data[0])
 		data = data[1:]
-		return v
+		return value
 	}
 	cfg := testConfig()
 	cfg.PollDiscovery = next()%2 == 0
 	cfg.MaxAttempts = 1 + next()%4
 	cfg.Classes[1].DedupScope = DedupScope(next() % 3)
-	f := &referee{t: t, cfg: cfg, now: time.Second, live: map[RequestID]*judged{}, left: map[EndpointID]bool{},
-		cells: map[EndpointID]Endpoint{}}
+	c := &checker{t: t, cfg: cfg, now: time.Second, requests: map[RequestID]*checkedRequest{},
+		noNewAttempts: map[EndpointID]bool{}, endpoints: map[EndpointID]Endpoint{}}
 	var err error
-	if f.b, err = New(cfg, 3, f.now, f); err != nil {
+	if c.b, err = New(cfg, 3, c.now, c); err != nil {
 		t.Fatal(err)
 	}
 	var id RequestID
 	for len(data) > 0 {
 		switch code := next(); code % 8 {
 		case 0, 1:
-			f.take(&id, next()%3)
+			c.addRequest(&id, next()%3)
 		case 2, 3:
-			f.finishAttempt(next(), Outcome(next()%8))
+			c.finishAttempt(next(), Outcome(next()%8))
 		case 4:
-			f.list(next(), next(), next())
+			c.updateList(next(), next(), next())
 		case 5:
-			f.b.TimerFired(f.now, uint32(next()%4))
+			c.b.TimerFired(c.now, uint32(next()%4))
 		case 6:
-			f.pass(next())
+			c.advance(next())
 		case 7:
-			f.lapse(next())
+			c.abandonRequest(next())
 		}
 		if next()%3 != 0 {
-			f.b.Dispatch(f.now)
+			c.b.Dispatch(c.now)
 		}
 	}
-	f.windUp()
-	return f.history
+	c.finish()
+	return c.history
 }
 
-func (f *referee) take(id *RequestID, class int) {
+func (c *checker) addRequest(id *RequestID, class int) {
 	*id++
-	f.live[*id] = &judged{class: class, deadline: f.now + f.cfg.Classes[class].Deadline}
-	f.b.RequestArrived(f.now, Request{ID: *id, Class: class, ClientTimeout: f.cfg.Classes[class].Deadline})
+	c.requests[*id] = &checkedRequest{class: class, deadline: c.now + c.cfg.Classes[class].Deadline}
+	c.b.RequestArrived(c.now, Request{ID: *id, Class: class, ClientTimeout: c.cfg.Classes[class].Deadline})
 }
 
-// ids are the requests taken, in order, so that a sequence replays alike.
-func (f *referee) ids() []RequestID {
+// requestIDs returns the ids of all requests in order, so that replays of one sequence are equal.
+func (c *checker) requestIDs() []RequestID {
 	var out []RequestID
-	for id := range f.live {
+	for id := range c.requests {
 		out = append(out, id)
 	}
 	slices.Sort(out)
 	return out
 }
 
-func (f *referee) finishAttempt(which int, o Outcome) {
-	for _, id := range f.ids() {
-		r := f.live[id]
+func (c *checker) finishAttempt(index int, outcome Outcome) {
+	for _, id := range c.requestIDs() {
+		r := c.requests[id]
 		for i := range r.attempts {
 			if r.attempts[i].ended {
 				continue
 			}
-			if which--; which >= 0 {
+			if index--; index >= 0 {
 				continue
 			}
-			f.endAttempt(id, i, o)
+			c.endAttempt(id, i, outcome)
 			return
 		}
 	}
 }
 
-func (f *referee) endAttempt(id RequestID, i int, o Outcome) {
-	r := f.live[id]
-	a := &r.attempts[i]
-	a.ended, a.neverRan = true, o.NeverRan()
-	r.closed = r.closed || o == OutcomeOK
-	f.b.AttemptEnded(f.now, AttemptEnd{Request: id, Attempt: i, Endpoint: a.endpoint.ID, Outcome: o,
-		Latency: f.now - a.sent, RequestDone: r.closed})
+func (c *checker) endAttempt(id RequestID, number int, outcome Outcome) {
+	r := c.requests[id]
+	a := &r.attempts[number]
+	a.ended, a.neverRan = true, outcome.NeverRan()
+	r.concluded = r.concluded || outcome == OutcomeOK
+	c.b.AttemptEnded(c.now, AttemptEnd{Request: id, Attempt: number, Endpoint: a.endpoint.ID, Outcome: outcome,
+		Latency: c.now - a.started, RequestDone: r.concluded})
 }
 
-func (f *referee) list(kind, count, seed int) {
-	k := EndpointUpdate(kind % 4)
+func (c *checker) updateList(kind, count, seed int) {
+	update := EndpointUpdate(kind % 4)
 	var entries []Endpoint
-	if k != WatchFailed {
+	if update != WatchFailed {
 		for i := range count % 6 {
-			v := seed + i*7
-			s := Endpoint{ID: EndpointID(v % 9), Zone: v % 2, Cell: v % 9 % 4, State: EndpointState(v % 3)}
-			if old, ok := f.cells[s.ID]; ok {
-				s.Zone, s.Cell = old.Zone, old.Cell
+			value := seed + i*7
+			endpoint := Endpoint{ID: EndpointID(value % 9), Zone: value % 2, Cell: value % 9 % 4,
+				State: EndpointState(value % 3)}
+			if old, ok := c.endpoints[endpoint.ID]; ok {
+				endpoint.Zone, endpoint.Cell = old.Zone, old.Cell
 			}
-			if v%5 == 0 {
-				s.StartedAt = f.now
+			if value%5 == 0 {
+				endpoint.StartedAt = c.now
 			}
-			entries = append(entries, s)
+			entries = append(entries, endpoint)
 		}
-		if k != Delta {
-			for id := range f.cells {
-				f.left[id] = true
+		if update != Delta {
+			for id := range c.endpoints {
+				c.noNewAttempts[id] = true
 			}
 		}
-		for _, s := range entries {
-			f.cells[s.ID] = s
-			f.left[s.ID] = s.State != EndpointReady
+		for _, endpoint := range entries {
+			c.endpoints[endpoint.ID] = endpoint
+			c.noNewAttempts[endpoint.ID] = endpoint.State != EndpointReady
 		}
 	}
-	f.b.UpdateEndpoints(f.now, k, entries)
+	c.b.UpdateEndpoints(c.now, update, entries)
 }
 
-func (f *referee) lapse(which int) {
-	ids := f.ids()
+func (c *checker) abandonRequest(index int) {
+	ids := c.requestIDs()
 	if len(ids) > 0 {
-		id := ids[which%len(ids)]
-		f.live[id].closed = true
-		f.b.RequestAbandoned(f.now, id)
+		id := ids[index%len(ids)]
+		c.requests[id].concluded = true
+		c.b.RequestAbandoned(c.now, id)
 	}
 }
 
-// pass lets time go by, with the time-outs at the clients' deadlines that a gateway would see.
-func (f *referee) pass(steps int) {
+// advance moves the clock forward by the given number of dispatch intervals. As a gateway would, it ends attempts
+// with a timeout at the client's deadline. It fails the test if a request has no final answer by 20 ms later.
+func (c *checker) advance(steps int) {
 	for range steps {
-		f.now += f.cfg.DispatchInterval
-		for _, id := range f.ids() {
-			r := f.live[id]
+		c.now += c.cfg.DispatchInterval
+		for _, id := range c.requestIDs() {
+			r := c.requests[id]
 			for i := range r.attempts {
-				if !r.attempts[i].ended && !r.closed && f.now >= r.deadline {
-					f.endAttempt(id, i, OutcomeTimeout)
+				if !r.attempts[i].ended && !r.concluded && c.now >= r.deadline {
+					c.endAttempt(id, i, OutcomeTimeout)
 				}
 			}
 		}
-		f.b.TimerFired(f.now, queueTimer)
-		if f.now%concurrency.SamplePeriod == 0 {
-			f.b.TimerFired(f.now, sampleTimer)
+		c.b.TimerFired(c.now, queueTimer)
+		if c.now%concurrency.SamplePeriod == 0 {
+			c.b.TimerFired(c.now, sampleTimer)
 		}
-		f.b.Dispatch(f.now)
-		for _, id := range f.ids() {
-			if r := f.live[id]; !r.closed && f.now > r.deadline+20*time.Millisecond {
-				f.t.Fatalf("request %d has no answer after its deadline", id)
+		c.b.Dispatch(c.now)
+		for _, id := range c.requestIDs() {
+			if r := c.requests[id]; !r.concluded && c.now > r.deadline+20*time.Millisecond {
+				c.t.Fatalf("request %d has no final answer 20 ms after its deadline", id)
 			}
 		}
 	}
 }
 
-func (f *referee) windUp() {
-	f.pass(500)
-	for _, id := range f.ids() {
-		r := f.live[id]
-		if !r.closed {
-			f.t.Fatalf("request %d was never answered", id)
+func (c *checker) finish() {
+	c.advance(500)
+	for _, id := range c.requestIDs() {
+		r := c.requests[id]
+		if !r.concluded {
+			c.t.Fatalf("request %d never got a final answer", id)
 		}
 		for i := range r.attempts {
 			if !r.attempts[i].ended {
-				f.endAttempt(id, i, OutcomeCancelled)
+				c.endAttempt(id, i, OutcomeCancelled)
 			}
 		}
 	}
-	f.b.Dispatch(f.now)
-	if len(f.b.requests.byID) != 0 || len(f.b.queue) != 0 {
-		f.t.Fatalf("%d requests are kept for nothing", len(f.b.requests.byID))
+	c.b.Dispatch(c.now)
+	if len(c.b.requests.byID) != 0 || len(c.b.queue) != 0 {
+		c.t.Fatalf("%d requests are still kept after all of them ended", len(c.b.requests.byID))
 	}
-	for _, s := range f.b.endpoints.all {
-		if s.inFlight != 0 {
-			f.t.Fatalf("endpoint %d has %d in flight at the end", s.ID, s.inFlight)
+	for _, ep := range c.b.endpoints.all {
+		if ep.inFlight != 0 {
+			c.t.Fatalf("endpoint %d has %d attempts in flight at the end, want 0", ep.ID, ep.inFlight)
 		}
 	}
 }
 
-// FuzzBalancer feeds legal event sequences in any order and checks the rules and that they repeat exactly.
+// FuzzBalancer passes valid events in any order to a balancer, checks its actions against the rules, and verifies that
+// the same events give the same actions.
 func FuzzBalancer(f *testing.F) {
 	f.Add([]byte{0, 3, 2, 4, 3, 5, 1, 1, 0, 0, 1, 0, 1, 1, 0, 2, 1, 2, 0, 3, 1})
 	f.Add([]byte{1, 2, 0, 4, 3, 5, 7, 1, 0, 1, 1, 4, 2, 1, 7, 1, 2, 0, 1, 1, 6, 90, 1})
 	for seed := range 24 {
 		data := make([]byte, 600)
-		x := uint32(seed*2654435761 + 1)
+		random := uint32(seed*2654435761 + 1)
 		for i := range data {
-			x = x*1664525 + 1013904223
-			data[i] = byte(x >> 24)
+			random = random*1664525 + 1013904223
+			data[i] = byte(random >> 24)
 		}
 		f.Add(data)
 	}
@@ -302,7 +308,7 @@
 		if len(data) > 2000 {
 			return
 		}
-		first, second := play(t, data), play(t, data)
+		first, second := replay(t, data), replay(t, data)
 		if !slices.Equal(first, second) {
 			t.Fatal("the same events gave different actions")
 		}
--- a/internal/balancer/harness_test.go
+++ b/internal/balancer/harness_test.go
@@ -9,9 +9,9 @@
 	"thymebend/internal/balancer/stats"
 )
 
-// act is one recorded action.
-type act struct {
-	what     string // send, reject, fail, cancel, wake, watch, log
+// recordedAction is one call of a method of Actions.
+type recordedAction struct {
+	kind     string // start, reject, fail, cancel, timer, watch, close, log
 	id       RequestID
 	endpoint EndpointID
 	timeout  time.Duration
@@ -20,36 +20,40 @@
 	text     string
 }
 
-// recorder implements Actions.
-type recorder struct{ acts []act }
+// recorder implements Actions and records the calls.
+type recorder struct{ actions []recordedAction }
 
 func (r *recorder) StartAttempt(id RequestID, to EndpointID, timeout time.Duration) {
-	r.acts = append(r.acts, act{what: "start", id: id, endpoint: to, timeout: timeout})
+	r.actions = append(r.actions, recordedAction{kind: "start", id: id, endpoint: to, timeout: timeout})
 }
 
 func (r *recorder) Reject(id RequestID, after time.Duration) {
-	r.acts = append(r.acts, act{what: "reject", id: id, timeout: after})
+	r.actions = append(r.actions, recordedAction{kind: "reject", id: id, timeout: after})
 }
 
-func (r *recorder) Fail(id RequestID) { r.acts = append(r.acts, act{what: "fail", id: id}) }
+func (r *recorder) Fail(id RequestID) {
+	r.actions = append(r.actions, recordedAction{kind: "fail", id: id})
+}
 
 func (r *recorder) CancelAttempt(id RequestID, attempt int) {
-	r.acts = append(r.acts, act{what: "cancel", id: id, attempt: attempt})
+	r.actions = append(r.actions, recordedAction{kind: "cancel", id: id, attempt: attempt})
 }
 
 func (r *recorder) SetTimer(after time.Duration, token uint32) {
-	r.acts = append(r.acts, act{what: "timer", timeout: after, token: token})
+	r.actions = append(r.actions, recordedAction{kind: "timer", timeout: after, token: token})
 }
 
-func (r *recorder) WatchEndpoints() { r.acts = append(r.acts, act{what: "watch"}) }
+func (r *recorder) WatchEndpoints() { r.actions = append(r.actions, recordedAction{kind: "watch"}) }
 
 func (r *recorder) CloseIdle(to EndpointID) {
-	r.acts = append(r.acts, act{what: "close", endpoint: to})
+	r.actions = append(r.actions, recordedAction{kind: "close", endpoint: to})
 }
 
-func (r *recorder) Log(line string) { r.acts = append(r.acts, act{what: "log", text: line}) }
+func (r *recorder) Log(line string) {
+	r.actions = append(r.actions, recordedAction{kind: "log", text: line})
+}
 
-// rig is a balancer with its recorded actions and a clock.
+// rig is a test rig: a balancer, its recorded actions and a clock.
 type rig struct {
 	t   *testing.T
 	b   *Balancer
@@ -59,7 +63,7 @@
 
 const millisecond = time.Millisecond
 
-// testConfig has an idempotent, a keyed and a non-idempotent class of one site, in this order.
+// testConfig returns settings with an idempotent, a keyed and a non-idempotent class, in this order.
 func testConfig() Config {
 	class := Class{
 		LatencyObjective: 1000 * millisecond, Deadline: 2000 * millisecond, Weight: 1,
@@ -76,6 +80,7 @@
 	}
 }
 
+// newRig returns a rig at the time 100 s whose balancer has the given endpoints.
 func newRig(t *testing.T, cfg Config, endpoints ...Endpoint) *rig {
 	t.Helper()
 	r := &rig{t: t, now: 100 * time.Second}
@@ -93,44 +98,44 @@
 	return Endpoint{ID: id, Zone: zone, Cell: cell, State: EndpointReady}
 }
 
-// take clears the record and returns the actions of one kind.
-func (r *rig) take(what string) []act {
-	var out []act
-	for _, a := range r.rec.acts {
-		if a.what == what {
+// takeActions returns the recorded actions of one kind and clears the whole record.
+func (r *rig) takeActions(kind string) []recordedAction {
+	var out []recordedAction
+	for _, a := range r.rec.actions {
+		if a.kind == kind {
 			out = append(out, a)
 		}
 	}
-	r.rec.acts = nil
+	r.rec.actions = nil
 	return out
 }
 
-// finals counts the final answers to id in the record.
-func (r *rig) finals(id RequestID) (rejected, failed int) {
-	for _, a := range r.rec.acts {
-		if a.id == id && a.what == "reject" {
+// finalAnswers counts the recorded final answers to request id.
+func (r *rig) finalAnswers(id RequestID) (rejected, failed int) {
+	for _, a := range r.rec.actions {
+		if a.id == id && a.kind == "reject" {
 			rejected++
 		}
-		if a.id == id && a.what == "fail" {
+		if a.id == id && a.kind == "fail" {
 			failed++
 		}
 	}
 	return rejected, failed
 }
 
-func (r *rig) request(id RequestID, class int) {
+func (r *rig) sendRequest(id RequestID, class int) {
 	r.b.RequestArrived(r.now, Request{ID: id, Class: class, ClientTimeout: 2000 * millisecond})
 	r.b.Dispatch(r.now)
 }
 
-func (r *rig) end(id RequestID, attempt int, s EndpointID, o Outcome, latency time.Duration) {
-	r.b.AttemptEnded(r.now, AttemptEnd{Request: id, Attempt: attempt, Endpoint: s, Outcome: o, Latency: latency,
-		RequestDone: o == OutcomeOK})
+func (r *rig) endAttempt(id RequestID, attempt int, endpoint EndpointID, outcome Outcome, latency time.Duration) {
+	r.b.AttemptEnded(r.now, AttemptEnd{Request: id, Attempt: attempt, Endpoint: endpoint, Outcome: outcome, Latency: latency,
+		RequestDone: outcome == OutcomeOK})
 	r.b.Dispatch(r.now)
 }
 
-// wait moves the clock and fires the balancer's recurring timers as a gateway would.
-func (r *rig) wait(d time.Duration) {
+// advance moves the clock forward by d and fires the recurring timers of the balancer as a gateway would.
+func (r *rig) advance(d time.Duration) {
 	end := r.now + d
 	for r.now < end {
 		r.now += r.b.cfg.DispatchInterval
@@ -142,14 +147,15 @@
 	}
 }
 
-func near(t *testing.T, what string, got, want float64) {
+func checkNear(t *testing.T, name string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-9*math.Max(1, math.Abs(want)) {
-		t.Errorf("%s = %v, want %v", what, got, want)
+		t.Errorf("%s = %v, want %v", name, got, want)
 	}
 }
 
-func warmUp(r *rig) {
+// setKnownServiceTimes sets the mean service time of all classes to 100 ms, as if 1000 answers had been measured.
+func setKnownServiceTimes(r *rig) {
 	for i := range r.b.classes.entries {
 		r.b.classes.entries[i].serviceMS = stats.Mean{N: 1000, Value: 100}
 	}
@@ -157,8 +163,8 @@
 	r.b.updateQueueTimes()
 }
 
-// cluster starts one gateway for each rank on the same list, spread evenly over zones 0 and 1.
-func cluster(t *testing.T, gateways int, list []Endpoint) []*rig {
+// newCluster returns one gateway for each rank, all with the same list. Zones 0 and 1 alternate.
+func newCluster(t *testing.T, gateways int, list []Endpoint) []*rig {
 	t.Helper()
 	var rigs []*rig
 	for rank := range gateways {
@@ -177,7 +183,7 @@
 	return rigs
 }
 
-func twoZones(endpoints int) []Endpoint {
+func endpointsInTwoZones(endpoints int) []Endpoint {
 	var list []Endpoint
 	for i := range endpoints {
 		list = append(list, ready(EndpointID(i+1), i%2, i/8))
@@ -185,18 +191,18 @@
 	return list
 }
 
-// users counts the gateways that use each endpoint.
-func users(rigs []*rig) map[EndpointID]int {
+// countUsers returns the number of gateways that use each endpoint.
+func countUsers(rigs []*rig) map[EndpointID]int {
 	count := make(map[EndpointID]int)
 	for _, r := range rigs {
-		for _, s := range r.b.endpoints.subset {
-			count[s.ID]++
+		for _, ep := range r.b.endpoints.subset {
+			count[ep.ID]++
 		}
 	}
 	return count
 }
 
-// warmEndpoints returns n endpoints of zone 0 that are warm.
+// warmEndpoints returns n endpoints of zone 0 that are not in slow start.
 func warmEndpoints(n int) (out []Endpoint) {
 	for i := range n {
 		out = append(out, ready(EndpointID(i+1), 0, 0))
@@ -209,39 +215,41 @@
 	r.b.Dispatch(r.now)
 }
 
-// play starts so many requests one after another, each answered as the endpoints' outcomes say, and
-// returns who got them.
-func (r *rig) play(from RequestID, n int, outcome func(EndpointID) Outcome) map[EndpointID]int {
-	got := make(map[EndpointID]int)
+// playRequests sends n requests one after another, ends each attempt with the outcome that the function outcome
+// returns for its endpoint, and returns the number of attempts by endpoint.
+func (r *rig) playRequests(firstID RequestID, n int, outcome func(EndpointID) Outcome) map[EndpointID]int {
+	attempts := make(map[EndpointID]int)
 	for i := range n {
-		id := from + RequestID(i)
-		r.rec.acts = nil
-		r.request(id, 0)
-		r.wait(30 * millisecond)
+		id := firstID + RequestID(i)
+		r.rec.actions = nil
+		r.sendRequest(id, 0)
+		r.advance(30 * millisecond)
 		for attempt := 0; ; attempt++ {
-			starts := r.take("start")
+			starts := r.takeActions("start")
 			if len(starts) == 0 {
 				break
 			}
 			to := starts[0].endpoint
-			got[to]++
-			r.end(id, attempt, to, outcome(to), 30*millisecond)
-			r.wait(5 * millisecond)
+			attempts[to]++
+			r.endAttempt(id, attempt, to, outcome(to), 30*millisecond)
+			r.advance(5 * millisecond)
 		}
 	}
-	return got
+	return attempts
 }
 
-func fine(EndpointID) Outcome { return OutcomeOK }
+func alwaysOK(EndpointID) Outcome { return OutcomeOK }
 
-func starting(r *rig, id EndpointID) Endpoint {
+// startingEndpoint returns an endpoint that starts now.
+func startingEndpoint(r *rig, id EndpointID) Endpoint {
 	return Endpoint{ID: id, State: EndpointReady, StartedAt: r.now}
 }
 
-// about is near, but for the little by which one sample moves the uncrowded time and with it the setpoint.
-func about(t *testing.T, what string, got, want float64) {
+// checkRoughly is checkNear with a tolerance of 0.003 for the small change of the baseline service time, and so of
+// the setpoint, in one sample.
+func checkRoughly(t *testing.T, name string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 3e-3 {
-		t.Errorf("%s = %v, want %v", what, got, want)
+		t.Errorf("%s = %v, want %v", name, got, want)
 	}
 }
--- a/internal/balancer/loadshedding_test.go
+++ b/internal/balancer/loadshedding_test.go
@@ -8,7 +8,7 @@
 )
 
 // The margin before the objective shrinks by what a late answer earns.
-func TestMarginFollowsWhatIsAtRisk(t *testing.T) {
+func TestQueueTimeMarginShrinksWithLateWeight(t *testing.T) {
 	cfg := testConfig()
 	r := newRig(t, cfg)
 	c := &r.b.classes.entries[0]
@@ -26,7 +26,7 @@
 	cfg := testConfig()
 	cfg.Classes[0].Weight, cfg.Classes[2].Weight = 10, 2
 	r := newRig(t, cfg)
-	warmUp(r)
+	setKnownServiceTimes(r)
 	c := r.b.classes.entries
 	heavy, light, middle := c[0].maxQueueTime, c[1].maxQueueTime, c[2].maxQueueTime
 	if !(heavy.withinQuota > middle.withinQuota && middle.withinQuota > light.withinQuota &&
@@ -65,10 +65,10 @@
 	return table
 }
 
-func TestMaxQueueTimesFollowWhatARequestAdds(t *testing.T) {
+func TestMaxQueueTimesFollowTheGoalDensity(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		policy    loadShedding
+		shedding  loadShedding
 		threshold float64
 		prepare   func(heavy, light *classState)
 		want      [2]queueTimeLimits // in ms, of the heavy and of the light class
@@ -101,7 +101,7 @@
 			if c.prepare != nil {
 				c.prepare(&table.entries[0], &table.entries[1])
 			}
-			c.policy.setMaxQueueTimes(table, c.threshold, 0)
+			c.shedding.setMaxQueueTimes(table, c.threshold, 0)
 			for i, want := range c.want {
 				got := table.entries[i].maxQueueTime
 				if got.withinQuota.Round(millisecond) != want.withinQuota*millisecond ||
@@ -115,15 +115,15 @@
 
 // Guards against a gateway that sees few openings of capacity and sheds what the next one could have
 // served.
-func TestRequestsAreQueuedForSomeTurnovers(t *testing.T) {
+func TestRequestsAreQueuedForSomeCompletions(t *testing.T) {
 	c := classState{Class: Class{LatencyObjective: time.Second}}
 	c.refresh()
 	c.deviationMS.Add(1000, 0) // nothing is left of the objective
-	for turnover, want := range map[time.Duration]time.Duration{
+	for completionInterval, want := range map[time.Duration]time.Duration{
 		0: 100 * millisecond, 200 * millisecond: 600 * millisecond, time.Second: 900 * millisecond,
 	} {
-		if got := latestStart(&c, turnover); got != want {
-			t.Errorf("with an opening every %v queued for %v, want %v", turnover, got, want)
+		if got := latestStart(&c, completionInterval); got != want {
+			t.Errorf("with an opening every %v queued for %v, want %v", completionInterval, got, want)
 		}
 	}
 }
--- a/internal/balancer/log_test.go
+++ b/internal/balancer/log_test.go
@@ -9,20 +9,20 @@
 // Engineers on call search for these words; at most one line a second is written.
 func TestLogLines(t *testing.T) {
 	r := newRig(t, testConfig(), ready(41, 0, 0), ready(42, 0, 0), ready(43, 0, 0), ready(44, 0, 0))
-	lines := func() []string {
+	loggedLines := func() []string {
 		var out []string
-		for _, a := range r.take("log") {
+		for _, a := range r.takeActions("log") {
 			out = append(out, a.text)
 		}
 		return out
 	}
 	expect := func(want ...string) {
 		t.Helper()
-		if got := lines(); !slices.Equal(got, want) {
+		if got := loggedLines(); !slices.Equal(got, want) {
 			t.Errorf("lines %q, want %q", got, want)
 		}
 	}
-	warmUp(r)
+	setKnownServiceTimes(r)
 	r.b.eject(r.b.endpoints.byID[41], "is silent")
 	r.b.eject(r.b.endpoints.byID[42], "fails") // within the second
 	expect("server 41 is silent, ejected")
--- a/internal/balancer/rejection_test.go
+++ b/internal/balancer/rejection_test.go
@@ -6,16 +6,16 @@
 // it may not.
 func TestRejectionsOfKeyedRequests(t *testing.T) {
 	for _, c := range []struct {
-		scope  DedupScope
-		reject bool
+		scope     DedupScope
+		mayReject bool
 	}{{DedupAll, true}, {DedupZone, false}, {DedupCell, false}} {
 		cfg := testConfig()
 		cfg.Classes[1].DedupScope = c.scope
 		r := newRig(t, cfg, ready(1, 0, 0))
-		r.request(1, 1)
+		r.sendRequest(1, 1)
 		r.now += 1990 * millisecond
-		r.end(1, 0, 1, OutcomeTimeout, 1990*millisecond)
-		if rejected, failed := r.finals(1); (rejected == 1) != c.reject || rejected+failed != 1 {
+		r.endAttempt(1, 0, 1, OutcomeTimeout, 1990*millisecond)
+		if rejected, failed := r.finalAnswers(1); (rejected == 1) != c.mayReject || rejected+failed != 1 {
 			t.Errorf("scope %d: rejected %d, failed %d", c.scope, rejected, failed)
 		}
 	}
@@ -24,10 +24,10 @@
 func TestEveryRequestIsAnsweredWithoutEndpoints(t *testing.T) {
 	r := newRig(t, testConfig())
 	for class := range 3 {
-		r.request(RequestID(class), class)
+		r.sendRequest(RequestID(class), class)
 	}
-	r.wait(900 * millisecond)
-	if rejected := len(r.take("reject")); rejected != 3 {
+	r.advance(900 * millisecond)
+	if rejected := len(r.takeActions("reject")); rejected != 3 {
 		t.Errorf("%d of 3 requests rejected before their objective", rejected)
 	}
 	if len(r.b.requests.byID) != 0 || len(r.b.queue) != 0 {
--- a/internal/balancer/report_test.go
+++ b/internal/balancer/report_test.go
@@ -7,19 +7,19 @@
 )
 
 // A load report tells the traffic, whatever the age of the process, and the ejected endpoints.
-func TestLoadReportIsWhatIsSeen(t *testing.T) {
+func TestLoadReportMatchesTraffic(t *testing.T) {
 	r := newRig(t, testConfig(), warmEndpoints(3)...)
 	if r.b.LoadReport(r.now + time.Second).Known {
 		t.Error("a process of a second knows its traffic")
 	}
 	for seconds := range 40 {
-		r.play(RequestID(1+seconds*25), 25, fine) // 35 ms each: 28 a second
+		r.playRequests(RequestID(1+seconds*25), 25, alwaysOK) // 35 ms each: 28 a second
 		report := r.b.LoadReport(r.now)
 		if seconds >= 3 && (!report.Known || report.Demand < 24 || report.Demand > 33) {
 			t.Fatalf("after %d rounds: %+v, wanted 28 a second", seconds, report)
 		}
 	}
-	r.play(5000, 30, func(id EndpointID) Outcome {
+	r.playRequests(5000, 30, func(id EndpointID) Outcome {
 		if id == 2 {
 			return OutcomeError
 		}
--- a/internal/balancer/requests_test.go
+++ b/internal/balancer/requests_test.go
@@ -24,17 +24,17 @@
 	}
 }
 
-func TestRequestsAreForgottenOnceNothingRefersToThem(t *testing.T) {
+func TestRequestsAreReleasedOnceUnreferenced(t *testing.T) {
 	table := requestTable{byID: make(map[RequestID]*requestState)}
 	r := table.add(Request{ID: 7})
 	r.attempts = append(r.attempts, attempt{started: 1})
-	for _, keep := range []func(*requestState){
+	for _, refer := range []func(*requestState){
 		func(r *requestState) { r.done = false },
 		func(r *requestState) { r.inFlight = 1 },
 		func(r *requestState) { r.queued = true },
 	} {
 		r.done, r.inFlight, r.queued = true, 0, false
-		if keep(r); table.release(r) || table.byID[7] == nil {
+		if refer(r); table.release(r) || table.byID[7] == nil {
 			t.Errorf("forgotten: %+v", r)
 		}
 	}
--- a/internal/balancer/retry_test.go
+++ b/internal/balancer/retry_test.go
@@ -10,7 +10,7 @@
 )
 
 // What may follow the end of an attempt, by class and outcome: another attempt, a rejection or a failure.
-func TestNoEffectTwice(t *testing.T) {
+func TestRetriesNeverRepeatAnEffect(t *testing.T) {
 	outcomes := []Outcome{
 		OutcomeError, OutcomeRejected, OutcomeTimeout, OutcomeConnectFailed, OutcomeReset, OutcomeCancelled,
 		OutcomeNotStarted,
@@ -21,17 +21,17 @@
 				cfg := testConfig()
 				r := newRig(t, cfg, ready(1, 0, 0), ready(2, 0, 1)) // two cells
 				r.b.endpoints.all[1].limit.Value = 3
-				r.request(1, class)
-				first := r.take("start")[0]
+				r.sendRequest(1, class)
+				first := r.takeActions("start")[0]
 				if first.endpoint != 2 {
 					t.Fatal("the endpoint with room was not chosen")
 				}
 				r.now += 10 * millisecond
 				r.b.endpoints.all[1].State = EndpointDraining // only the other cell is left
-				r.end(1, 0, 2, o, 10*millisecond)
-				r.wait(50 * millisecond)
-				sent := slices.ContainsFunc(r.rec.acts, func(a act) bool { return a.what == "start" && a.id == 1 })
-				rejected, failed := r.finals(1)
+				r.endAttempt(1, 0, 2, o, 10*millisecond)
+				r.advance(50 * millisecond)
+				sent := slices.ContainsFunc(r.rec.actions, func(a recordedAction) bool { return a.kind == "start" && a.id == 1 })
+				rejected, failed := r.finalAnswers(1)
 				switch {
 				case idempotency == Idempotent || o.NeverRan():
 					if !sent {
@@ -68,14 +68,14 @@
 				cfg.Classes[1].DedupScope = c.scope
 				cfg.Classes[1].LatencyObjective, cfg.Classes[1].DedupWindow = 1900*millisecond, 500*millisecond
 				r := newRig(t, cfg, ready(1, 0, 0))
-				r.request(1, 1)
+				r.sendRequest(1, 1)
 				r.b.UpdateEndpoints(r.now, Delta, []Endpoint{c.other, {ID: 1, State: EndpointRemoved}})
 				if r.now += 300 * millisecond; late {
 					r.now += 195 * millisecond // within two dispatch intervals of the window's end
 				}
-				r.rec.acts = nil
-				r.end(1, 0, 1, OutcomeTimeout, 300*millisecond)
-				if retried := len(r.take("start")) == 1; retried != (c.want && !late) {
+				r.rec.actions = nil
+				r.endAttempt(1, 0, 1, OutcomeTimeout, 300*millisecond)
+				if retried := len(r.takeActions("start")) == 1; retried != (c.want && !late) {
 					t.Errorf("retried = %v", retried)
 				}
 			})
@@ -101,11 +101,11 @@
 			cfg := testConfig()
 			cfg.Classes[1].LatencyObjective, cfg.Classes[1].DedupWindow = 1900*millisecond, 500*millisecond
 			r := newRig(t, cfg, ready(1, 0, 0), ready(2, 0, 0))
-			r.request(1, c.class)
-			first := r.take("start")[0].endpoint
+			r.sendRequest(1, c.class)
+			first := r.takeActions("start")[0].endpoint
 			r.now += 300 * millisecond
-			r.end(1, 0, first, c.outcome, 300*millisecond)
-			if len(r.take("start")) != 1 {
+			r.endAttempt(1, 0, first, c.outcome, 300*millisecond)
+			if len(r.takeActions("start")) != 1 {
 				t.Fatal("not retried")
 			}
 			if r.now += c.after; r.b.MayStartAttempt(r.now, 1, 1) != c.want {
@@ -124,9 +124,9 @@
 	r.b.endpoints.all[0].limit.Value = 1000
 	retries := 0
 	for id := range RequestID(400) {
-		r.request(id, 0)
+		r.sendRequest(id, 0)
 		for range 3 {
-			starts := r.take("start")
+			starts := r.takeActions("start")
 			if len(starts) == 0 {
 				break
 			}
@@ -135,7 +135,7 @@
 			if n > 1 {
 				retries++
 			}
-			r.end(id, n-1, 1, OutcomeTimeout, millisecond)
+			r.endAttempt(id, n-1, 1, OutcomeTimeout, millisecond)
 		}
 	}
 	if limit := int(retrybudget.MaxSaved + 400*retrybudget.PerRequest + 1); retries == 0 || retries > limit {
@@ -145,21 +145,21 @@
 
 // Guards against retries that go to any endpoint of a lost zone, and overload it when it returns.
 func TestRetriesStayInTheSubset(t *testing.T) {
-	r := cluster(t, 300, twoZones(40))[0]
-	warmUp(r)
-	for class, wide := range []bool{false, true, false} { // a keyed retry may have to go where the subset has nothing
-		r.take("start")
+	r := newCluster(t, 300, endpointsInTwoZones(40))[0]
+	setKnownServiceTimes(r)
+	for class, retried := range []bool{false, true, false} { // a keyed retry may have to go where the subset has nothing
+		r.takeActions("start")
 		id := RequestID(900 + class)
-		r.request(id, class)
-		starts := r.take("start")
+		r.sendRequest(id, class)
+		starts := r.takeActions("start")
 		if len(starts) != 1 {
 			t.Fatalf("class %d: %d starts", class, len(starts))
 		}
-		for _, s := range r.b.endpoints.subset {
-			s.cooldown.until = r.now + 300*millisecond
+		for _, ep := range r.b.endpoints.subset {
+			ep.cooldown.until = r.now + 300*millisecond
 		}
-		r.end(id, 0, starts[0].endpoint, OutcomeConnectFailed, 250*millisecond)
-		if starts := r.take("start"); (len(starts) > 0) != wide {
+		r.endAttempt(id, 0, starts[0].endpoint, OutcomeConnectFailed, 250*millisecond)
+		if starts := r.takeActions("start"); (len(starts) > 0) != retried {
 			t.Errorf("class %d: sent %+v while all the subset rests", class, starts)
 		}
 		r.now += time.Second
