--- a/internal/balancer/cooldown_test.go
+++ b/internal/balancer/cooldown_test.go
@@ -17,7 +17,8 @@
 		r.endAttempt(id, 0, 1, OutcomeRejected, millisecond)
 		r.b.RequestAbandoned(r.now, id)
 		if duration := ep.cooldown.until - r.now; duration != time.Duration(want)*100*millisecond || ep.health.Ejected {
-			t.Errorf("cooldown %d is %v, ejected %v; want %d service times and no ejection", i, duration, ep.health.Ejected, want)
+			t.Errorf("cooldown %d is %v, ejected %v; want %d service times and no ejection",
+				i, duration, ep.health.Ejected, want)
 		}
 		r.now = ep.cooldown.until
 	}
@@ -48,8 +49,8 @@
 	}
 }
 
-// After an attempt that timed out, an overloaded endpoint with a limit below one must not get the next request at once:
-// it may still be working on the attempt.
+// After an attempt that timed out, an overloaded endpoint with a limit below one must not get the next request at
+// once: it may still be working on the attempt.
 func TestTimeoutStartsACooldownWithALimitBelowOne(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways = 10
--- a/internal/balancer/dispatch_test.go
+++ b/internal/balancer/dispatch_test.go
@@ -139,6 +139,7 @@
 	r.sendRequest(2, 0)
 	r.advance(testConfig().Classes[0].Deadline)
 	if rejected, failed := r.finalAnswers(2); rejected+failed != 1 || len(r.takeActions("start")) != 0 {
-		t.Errorf("while paused: rejected %d times, failed %d times, want one final answer and no attempt", rejected, failed)
+		t.Errorf("while paused: rejected %d times, failed %d times, want one final answer and no attempt",
+			rejected, failed)
 	}
 }
--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// Attempts in flight on a silent endpoint are cancelled and retried on another endpoint if a retry is allowed. The other
+// Attempts in flight on a silent endpoint are cancelled and retried on another endpoint if a retry is allowed. Other
 // attempts are not cancelled.
 func TestAttemptsOnASilentEndpointAreCancelled(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0), ready(2, 0, 0), ready(3, 0, 0))
--- a/internal/balancer/endpoints_test.go
+++ b/internal/balancer/endpoints_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// An endpoint that restarts with the same id counts as a new one. Ends of attempts from before the restart do not count
-// for it.
+// An endpoint that restarts with the same id counts as a new one. Ends of attempts from before the restart do not
+// count for it.
 func TestRestartedEndpointWithTheSameIDIsNew(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0))
 	r.b.endpoints.all[0].limit.Value = 5
@@ -82,6 +82,7 @@
 		t.Errorf("remote order %v, want 2 8", got)
 	}
 	if set.byID[3] != nil || len(set.all) != 5 || !set.stale {
-		t.Errorf("%d endpoints, want 5; removed endpoint %v, want nil; stale %v, want true", len(set.all), set.byID[3], set.stale)
+		t.Errorf("%d endpoints, want 5; removed endpoint %v, want nil; stale %v, want true",
+			len(set.all), set.byID[3], set.stale)
 	}
 }
--- a/internal/balancer/fuzz_test.go
+++ b/internal/balancer/fuzz_test.go
@@ -88,7 +88,8 @@
 	}
 	class := c.cfg.Classes[r.class]
 	for _, a := range r.attempts {
-		deduplicated := class.Idempotency == KeyedIdempotent && class.DedupScope == DedupAll // any endpoint drops a duplicate
+		// With DedupAll any endpoint drops a duplicate.
+		deduplicated := class.Idempotency == KeyedIdempotent && class.DedupScope == DedupAll
 		if !a.neverRan && class.Idempotency != Idempotent && !deduplicated {
 			c.t.Fatalf("request %d rejected although it may have run", id)
 		}
--- a/internal/balancer/harness_test.go
+++ b/internal/balancer/harness_test.go
@@ -129,8 +129,8 @@
 }
 
 func (r *rig) endAttempt(id RequestID, attempt int, endpoint EndpointID, outcome Outcome, latency time.Duration) {
-	r.b.AttemptEnded(r.now, AttemptEnd{Request: id, Attempt: attempt, Endpoint: endpoint, Outcome: outcome, Latency: latency,
-		RequestDone: outcome == OutcomeOK})
+	r.b.AttemptEnded(r.now, AttemptEnd{Request: id, Attempt: attempt, Endpoint: endpoint, Outcome: outcome,
+		Latency: latency, RequestDone: outcome == OutcomeOK})
 	r.b.Dispatch(r.now)
 }
 
--- a/internal/balancer/loadshedding_test.go
+++ b/internal/balancer/loadshedding_test.go
@@ -7,7 +7,7 @@
 	"thymebend/internal/balancer/stats"
 )
 
-// The margin before the objective shrinks by what a late answer earns.
+// The margin before the latency objective shrinks by the share of the weight that a late answer earns.
 func TestQueueTimeMarginShrinksWithLateWeight(t *testing.T) {
 	cfg := testConfig()
 	r := newRig(t, cfg)
@@ -17,7 +17,7 @@
 		c.LateWeight = late
 		r.b.updateQueueTimes()
 		if got := latestStart(c, r.b.endpoints.completionInterval(r.b.classes.referenceMS)); got != want*millisecond {
-			t.Errorf("late answers earn %v: queued for %v, want %v", late, got, want*millisecond)
+			t.Errorf("with a late weight of %v queued for %v, want %v", late, got, want*millisecond)
 		}
 	}
 }
@@ -31,30 +31,31 @@
 	heavy, light, middle := c[0].maxQueueTime, c[1].maxQueueTime, c[2].maxQueueTime
 	if !(heavy.withinQuota > middle.withinQuota && middle.withinQuota > light.withinQuota &&
 		heavy.withinQuota > heavy.overQuota) {
-		t.Errorf("max queue times = %v %v %v", heavy, light, middle)
+		t.Errorf("maximum queue times %v, %v, %v for weights 10, 1, 2; want more for more weight and within quota",
+			heavy, light, middle)
 	}
 }
 
 func TestTenantQuota(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Quota: 20}, {}}
-	r := newRig(t, cfg) // two gateways: ten a second here
+	r := newRig(t, cfg) // two gateways: ten requests per second at this one
 	over := 0
 	for range 40 {
-		r.b.now += 50 * millisecond // twenty a second, for two seconds, with ten saved up
+		r.b.now += 50 * millisecond // twenty per second for two seconds, with ten tokens saved up
 		if r.b.chargeQuota(0) {
 			over++
 		}
 		if r.b.chargeQuota(1) || r.b.chargeQuota(5) || r.b.chargeQuota(-1) {
-			t.Fatal("a tenant without a quota is over its quota")
+			t.Fatal("a tenant without a quota exceeds its quota")
 		}
 	}
 	if over < 9 || over > 11 {
-		t.Errorf("%d of 40 over quota, want about 10", over)
+		t.Errorf("%d of 40 requests over quota, want about 10", over)
 	}
 }
 
-// sheddingClasses are two classes of a second's objective and 100 ms of work, with weights of 4 and 1.
+// sheddingClasses returns two classes with an objective of 1 s, a service time of 100 ms, and weights of 4 and 1.
 func sheddingClasses() *classTable {
 	table := &classTable{}
 	for _, weight := range []float64{4, 1} {
@@ -74,25 +75,25 @@
 		want      [2]queueTimeLimits // in ms, of the heavy and of the light class
 	}{
 		{
-			"a request over quota counts a quarter", loadShedding{overQuotaWeight: 0.25}, 2, nil,
-			// 900 ms are left before the answer is late; the root of a quarter of the best is a half.
+			"a request over quota has a quarter of the weight", loadShedding{overQuotaWeight: 0.25}, 2, nil,
+			// The answer is late after 900 ms of queueing. The square root of a quarter of the best density is a half.
 			[2]queueTimeLimits{{900, 450}, {450, 225}},
 		},
 		{
-			"the threshold bounds all", loadShedding{overQuotaWeight: 0.25}, 0.3, nil,
+			"the threshold bounds all queue times", loadShedding{overQuotaWeight: 0.25}, 0.3, nil,
 			[2]queueTimeLimits{{300, 300}, {300, 225}},
 		},
 		{
-			"weight by work counts long work by its time", loadShedding{overQuotaWeight: 1, weightByWork: true}, 2,
+			"weight by work is proportional to the service time", loadShedding{overQuotaWeight: 1, weightByWork: true}, 2,
 			func(heavy, light *classState) { heavy.Weight, light.expectedService = 1, 200*millisecond },
-			// The light class leaves less time before its objective, and adds as much for each ms of work.
+			// The light class has less time before its objective, and the same gain per ms of work.
 			[2]queueTimeLimits{{900, 900}, {800, 800}},
 		},
 		{
-			"the class served worst has a weight of its own",
+			"the worst-served class has an additional weight",
 			loadShedding{overQuotaWeight: 1, totalGoalWeight: 1, worstClassGoalWeight: 3}, 2,
 			func(heavy, light *classState) { heavy.served.Add(1, 0); light.served.Add(0, 0) },
-			// The light class adds 1 + 3x5 for 4 of the heavy one.
+			// The gain of the light class is 1 + 3x5, that of the heavy class 4.
 			[2]queueTimeLimits{{450, 450}, {900, 900}},
 		},
 	} {
@@ -106,24 +107,23 @@
 				got := table.entries[i].maxQueueTime
 				if got.withinQuota.Round(millisecond) != want.withinQuota*millisecond ||
 					got.overQuota.Round(millisecond) != want.overQuota*millisecond {
-					t.Errorf("class %d: %v, want %v ms", i, got, want)
+					t.Errorf("class %d: maximum queue times %v, want %v ms", i, got, want)
 				}
 			}
 		})
 	}
 }
 
-// Guards against a gateway that sees few openings of capacity and sheds what the next one could have
-// served.
+// A gateway where few attempts complete must not shed a request that the next free capacity could have served.
 func TestRequestsAreQueuedForSomeCompletions(t *testing.T) {
 	c := classState{Class: Class{LatencyObjective: time.Second}}
 	c.refresh()
-	c.deviationMS.Add(1000, 0) // nothing is left of the objective
+	c.deviationMS.Add(1000, 0) // leaves no time of the objective
 	for completionInterval, want := range map[time.Duration]time.Duration{
 		0: 100 * millisecond, 200 * millisecond: 600 * millisecond, time.Second: 900 * millisecond,
 	} {
 		if got := latestStart(&c, completionInterval); got != want {
-			t.Errorf("with an opening every %v queued for %v, want %v", completionInterval, got, want)
+			t.Errorf("with a completion interval of %v queued for %v, want %v", completionInterval, got, want)
 		}
 	}
 }
--- a/internal/balancer/log_test.go
+++ b/internal/balancer/log_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Engineers on call search for these words; at most one line a second is written.
+// Engineers on call search for these texts. At most one line per second is written.
 func TestLogLines(t *testing.T) {
 	r := newRig(t, testConfig(), ready(41, 0, 0), ready(42, 0, 0), ready(43, 0, 0), ready(44, 0, 0))
 	loggedLines := func() []string {
@@ -19,12 +19,12 @@
 	expect := func(want ...string) {
 		t.Helper()
 		if got := loggedLines(); !slices.Equal(got, want) {
-			t.Errorf("lines %q, want %q", got, want)
+			t.Errorf("logged lines %q, want %q", got, want)
 		}
 	}
 	setKnownServiceTimes(r)
 	r.b.eject(r.b.endpoints.byID[41], "is silent")
-	r.b.eject(r.b.endpoints.byID[42], "fails") // within the second
+	r.b.eject(r.b.endpoints.byID[42], "fails") // dropped: within one second of the previous line
 	expect("server 41 is silent, ejected")
 	r.now += time.Second
 	r.b.now = r.now
@@ -38,6 +38,6 @@
 	expect("server 42 fails, ejected")
 	r.now += 2 * time.Second
 	r.b.now = r.now
-	r.b.eject(r.b.endpoints.byID[43], "fails") // a third of four: the load is suspected
+	r.b.eject(r.b.endpoints.byID[43], "fails") // a third ejection among four endpoints: the load is the likely cause
 	expect()
 }
--- a/internal/balancer/rejection_test.go
+++ b/internal/balancer/rejection_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A keyed request that may have run may be rejected if all endpoints drop duplicates; with a smaller scope
-// it may not.
+// A keyed request that may have run may be rejected if all endpoints drop duplicates, but not with a smaller dedup
+// scope.
 func TestRejectionsOfKeyedRequests(t *testing.T) {
 	for _, c := range []struct {
 		scope     DedupScope
@@ -16,7 +16,7 @@
 		r.now += 1990 * millisecond
 		r.endAttempt(1, 0, 1, OutcomeTimeout, 1990*millisecond)
 		if rejected, failed := r.finalAnswers(1); (rejected == 1) != c.mayReject || rejected+failed != 1 {
-			t.Errorf("scope %d: rejected %d, failed %d", c.scope, rejected, failed)
+			t.Errorf("scope %d: rejected %d times, failed %d times", c.scope, rejected, failed)
 		}
 	}
 }
@@ -28,10 +28,10 @@
 	}
 	r.advance(900 * millisecond)
 	if rejected := len(r.takeActions("reject")); rejected != 3 {
-		t.Errorf("%d of 3 requests rejected before their objective", rejected)
+		t.Errorf("%d of 3 requests rejected within their latency objective, want 3", rejected)
 	}
 	if len(r.b.requests.byID) != 0 || len(r.b.queue) != 0 {
-		t.Errorf("%d requests and a queue of %d are left", len(r.b.requests.byID), len(r.b.queue))
+		t.Errorf("%d requests kept and %d queued, want 0", len(r.b.requests.byID), len(r.b.queue))
 	}
 }
 
@@ -40,10 +40,10 @@
 	cfg.MaxRetryAfter = 200 * millisecond
 	r := newRig(t, cfg)
 	if got := r.b.retryAfter(); got != 200*millisecond {
-		t.Errorf("Retry-After %v, want the longest that clients observe", got)
+		t.Errorf("Retry-After %v, want the maximum of 200 ms", got)
 	}
 	r.b.cfg.RetryAfter = false
 	if got := r.b.retryAfter(); got != 0 {
-		t.Errorf("Retry-After %v where none is allowed", got)
+		t.Errorf("Retry-After %v although the settings allow none", got)
 	}
 }
--- a/internal/balancer/reload_test.go
+++ b/internal/balancer/reload_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against indices that pile up: a hundred reloads leave no more than classes were in use, and a
-// request keeps its class.
+// Class indices must not accumulate: a hundred reloads leave no more than there are current and retired classes. A
+// request in progress keeps its class.
 func TestReloadsReuseClassIndices(t *testing.T) {
 	cfg := testConfig()
 	for i := range cfg.Classes {
@@ -31,13 +31,15 @@
 		}
 	}
 	if n := len(r.b.classes.entries); n > 7 || len(r.b.endpoints.all[0].classes) != n {
-		t.Errorf("%d indices and %d of the endpoint for 4 classes", n, len(r.b.endpoints.all[0].classes))
+		t.Errorf("%d class indices and %d at the endpoint for 4 classes, want at most 7 and the same number",
+			n, len(r.b.endpoints.all[0].classes))
 	}
 	if c := r.b.classes.entries[r.b.requests.byID[1].Class]; c.Name != "c0" || c.Idempotency != Idempotent {
-		t.Errorf("the request's class is now %q, idempotency %d", c.Name, c.Idempotency)
+		t.Errorf("the class of the request is now %q with idempotency %d, want the idempotent c0", c.Name, c.Idempotency)
 	}
 	reloaded.Classes = nil
 	if _, err := r.b.Reload(r.now, reloaded); err == nil || len(r.b.cfg.Classes) != 4 {
-		t.Errorf("a faulty configuration: %v", err)
+		t.Errorf("Reload of settings without classes: error %v, %d classes; want an error and the 4 previous classes",
+			err, len(r.b.cfg.Classes))
 	}
 }
--- a/internal/balancer/report_test.go
+++ b/internal/balancer/report_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// A load report tells the traffic, whatever the age of the process, and the ejected endpoints.
+// A load report states the recent traffic, at any age of the process at which it is known, and the ejected endpoints.
 func TestLoadReportMatchesTraffic(t *testing.T) {
 	r := newRig(t, testConfig(), warmEndpoints(3)...)
 	if r.b.LoadReport(r.now + time.Second).Known {
-		t.Error("a process of a second knows its traffic")
+		t.Error("the load report of a process of 1 s counts as known")
 	}
 	for seconds := range 40 {
-		r.playRequests(RequestID(1+seconds*25), 25, alwaysOK) // 35 ms each: 28 a second
+		r.playRequests(RequestID(1+seconds*25), 25, alwaysOK) // 35 ms each: 28 per second
 		report := r.b.LoadReport(r.now)
 		if seconds >= 3 && (!report.Known || report.Demand < 24 || report.Demand > 33) {
-			t.Fatalf("after %d rounds: %+v, wanted 28 a second", seconds, report)
+			t.Fatalf("after %d rounds: %+v, want a demand of about 28 per second", seconds, report)
 		}
 	}
 	r.playRequests(5000, 30, func(id EndpointID) Outcome {
@@ -28,6 +28,6 @@
 	report := r.b.LoadReport(r.now)
 	if !slices.Equal(report.Ejected, []EndpointID{2}) || report.FreeCapacity <= 0 || report.FreeCapacity > 1 ||
 		report.Rejected > 0.2 {
-		t.Errorf("%+v", report)
+		t.Errorf("load report %+v, want endpoint 2 ejected, free capacity above 0, at most 0.2 rejected", report)
 	}
 }
--- a/internal/balancer/requests_test.go
+++ b/internal/balancer/requests_test.go
@@ -20,7 +20,7 @@
 		t.Errorf("order %v, want %v", got, want)
 	}
 	if len(q) != 4 || slices.ContainsFunc(q, func(r *requestState) bool { return r.ID == 2 || !r.queued }) {
-		t.Errorf("after one was taken off: %d are left", len(q))
+		t.Errorf("after one of five was removed %d are in the queue, want 4 that are marked as queued", len(q))
 	}
 }
 
@@ -28,21 +28,21 @@
 	table := requestTable{byID: make(map[RequestID]*requestState)}
 	r := table.add(Request{ID: 7})
 	r.attempts = append(r.attempts, attempt{started: 1})
-	for _, refer := range []func(*requestState){
+	for _, addReference := range []func(*requestState){
 		func(r *requestState) { r.done = false },
 		func(r *requestState) { r.inFlight = 1 },
 		func(r *requestState) { r.queued = true },
 	} {
 		r.done, r.inFlight, r.queued = true, 0, false
-		if refer(r); table.release(r) || table.byID[7] == nil {
-			t.Errorf("forgotten: %+v", r)
+		if addReference(r); table.release(r) || table.byID[7] == nil {
+			t.Errorf("released although still referenced: %+v", r)
 		}
 	}
 	r.done, r.inFlight, r.queued = true, 0, false
 	if !table.release(r) || len(table.byID) != 0 {
-		t.Error("not forgotten though nothing refers to it")
+		t.Error("not released although it is done, not queued and not in flight")
 	}
 	if next := table.add(Request{ID: 8}); next != r || next.done || len(next.attempts) != 0 || next.ID != 8 {
-		t.Errorf("reused with something left: %+v", next)
+		t.Errorf("a reused request keeps earlier state: %+v", next)
 	}
 }
--- a/internal/balancer/retry_test.go
+++ b/internal/balancer/retry_test.go
@@ -9,7 +9,8 @@
 	"thymebend/internal/balancer/retrybudget"
 )
 
-// What may follow the end of an attempt, by class and outcome: another attempt, a rejection or a failure.
+// For each kind of class and each outcome of the first attempt, verifies what follows: another attempt, a rejection
+// or a failure. A request that may have run must not run again outside its dedup scope.
 func TestRetriesNeverRepeatAnEffect(t *testing.T) {
 	outcomes := []Outcome{
 		OutcomeError, OutcomeRejected, OutcomeTimeout, OutcomeConnectFailed, OutcomeReset, OutcomeCancelled,
@@ -27,20 +28,22 @@
 					t.Fatal("the endpoint with room was not chosen")
 				}
 				r.now += 10 * millisecond
-				r.b.endpoints.all[1].State = EndpointDraining // only the other cell is left
+				r.b.endpoints.all[1].State = EndpointDraining // only the endpoint in the other cell remains
 				r.endAttempt(1, 0, 2, o, 10*millisecond)
 				r.advance(50 * millisecond)
-				sent := slices.ContainsFunc(r.rec.actions, func(a recordedAction) bool { return a.kind == "start" && a.id == 1 })
+				retried := slices.ContainsFunc(r.rec.actions, func(a recordedAction) bool {
+					return a.kind == "start" && a.id == 1
+				})
 				rejected, failed := r.finalAnswers(1)
 				switch {
 				case idempotency == Idempotent || o.NeverRan():
-					if !sent {
-						t.Error("was not retried though it may be")
+					if !retried {
+						t.Error("not retried although that is allowed")
 					}
-				case sent:
-					t.Error("was sent again though it may have run outside its scope")
+				case retried:
+					t.Error("retried outside its dedup scope although it may have run")
 				case rejected > 0:
-					t.Error("was rejected though it may have run")
+					t.Error("rejected although it may have run")
 				case failed != 1:
 					t.Errorf("failed %d times, want once", failed)
 				}
@@ -71,19 +74,19 @@
 				r.sendRequest(1, 1)
 				r.b.UpdateEndpoints(r.now, Delta, []Endpoint{c.other, {ID: 1, State: EndpointRemoved}})
 				if r.now += 300 * millisecond; late {
-					r.now += 195 * millisecond // within two dispatch intervals of the window's end
+					r.now += 195 * millisecond // less than two dispatch intervals before the end of the window
 				}
 				r.rec.actions = nil
 				r.endAttempt(1, 0, 1, OutcomeTimeout, 300*millisecond)
 				if retried := len(r.takeActions("start")) == 1; retried != (c.want && !late) {
-					t.Errorf("retried = %v", retried)
+					t.Errorf("retried = %v, want %v", retried, c.want && !late)
 				}
 			})
 		}
 	}
 }
 
-// Guards against an attempt whose connection comes up after the window of the one before it is over.
+// An attempt must not be written if its connection is established only after the dedup window has ended.
 func TestDedupWindowIsCheckedAgainWhenAnAttemptStarts(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -106,19 +109,20 @@
 			r.now += 300 * millisecond
 			r.endAttempt(1, 0, first, c.outcome, 300*millisecond)
 			if len(r.takeActions("start")) != 1 {
-				t.Fatal("not retried")
+				t.Fatal("the request was not retried")
 			}
 			if r.now += c.after; r.b.MayStartAttempt(r.now, 1, 1) != c.want {
-				t.Errorf("may start = %v", !c.want)
+				t.Errorf("MayStartAttempt = %v, want %v", !c.want, c.want)
 			}
 		})
 	}
 	if r := newRig(t, testConfig()); r.b.MayStartAttempt(r.now, 9, 0) {
-		t.Error("an attempt of no request may begin")
+		t.Error("MayStartAttempt allows an attempt of an unknown request")
 	}
 }
 
-// Guards against retries of timed-out work that feed a collapse where a cancel stops nothing.
+// Retries of requests that timed out must stay within the retry budget. Where a cancel does not stop the work, more
+// retries would add load until the endpoints collapse.
 func TestRetryBudget(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0))
 	r.b.endpoints.all[0].limit.Value = 1000
@@ -143,24 +147,26 @@
 	}
 }
 
-// Guards against retries that go to any endpoint of a lost zone, and overload it when it returns.
+// Retries must stay in the subset. Otherwise they would go to any endpoint of a zone that was lost, and overload it
+// when it returns.
 func TestRetriesStayInTheSubset(t *testing.T) {
 	r := newCluster(t, 300, endpointsInTwoZones(40))[0]
 	setKnownServiceTimes(r)
-	for class, retried := range []bool{false, true, false} { // a keyed retry may have to go where the subset has nothing
+	for class, retried := range []bool{false, true, false} { // a keyed retry may leave the subset
 		r.takeActions("start")
 		id := RequestID(900 + class)
 		r.sendRequest(id, class)
 		starts := r.takeActions("start")
 		if len(starts) != 1 {
-			t.Fatalf("class %d: %d starts", class, len(starts))
+			t.Fatalf("class %d: %d attempts started, want 1", class, len(starts))
 		}
 		for _, ep := range r.b.endpoints.subset {
 			ep.cooldown.until = r.now + 300*millisecond
 		}
 		r.endAttempt(id, 0, starts[0].endpoint, OutcomeConnectFailed, 250*millisecond)
 		if starts := r.takeActions("start"); (len(starts) > 0) != retried {
-			t.Errorf("class %d: sent %+v while all the subset rests", class, starts)
+			t.Errorf("class %d: attempts %+v while the whole subset is in cooldown, want any = %v",
+				class, starts, retried)
 		}
 		r.now += time.Second
 	}
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -8,8 +8,8 @@
 	"thymebend/internal/balancer/slowstart"
 )
 
-// Guards against many gateways that come to use a starting endpoint at one moment, each with a token saved
-// up: their first requests must come spread over an interval.
+// Many gateways may start to use an endpoint in slow start at the same time. They must not have tokens saved up from
+// before, and their first requests must be distributed over an interval.
 func TestSlowStartTokensAreNotSavedUpBeforeUse(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways = 40
@@ -40,17 +40,18 @@
 		}
 	}
 	if withinHalfSecond > 30 || withinFiveSeconds < 60 {
-		t.Errorf("of 100 gateways %d send within half a second and %d within five", withinHalfSecond, withinFiveSeconds)
+		t.Errorf("of 100 gateways %d send within half a second, want at most 30, and %d within five, want at least 60",
+			withinHalfSecond, withinFiveSeconds)
 	}
 }
 
-// All gateways together must not send a starting endpoint more than it can bear; warm endpoints tell how
-// much that is.
+// All gateways together must not overload an endpoint in slow start. Its capacity is estimated from the rate of warm
+// endpoints.
 func TestEndpointInSlowStartIsNotOverloaded(t *testing.T) {
 	cfg := testConfig()
 	r := newRig(t, cfg, ready(1, 0, 0))
 	setKnownServiceTimes(r)
-	r.b.slowStart.warmRate = 20 // two gateways: requests a second on a warm endpoint
+	r.b.slowStart.warmRate = 20 // requests per second of both gateways on a warm endpoint
 	starting := ready(2, 0, 0)
 	starting.StartedAt = r.now
 	r.b.UpdateEndpoints(r.now, Delta, []Endpoint{starting})
@@ -66,14 +67,14 @@
 		for _, a := range r.takeActions("start") {
 			if a.endpoint == 2 {
 				sent++
-				// It rejects at once, which counts as well and must not open room for more.
+				// It rejects at once. A rejected attempt uses up the budget as well.
 				r.b.AttemptEnded(r.now, AttemptEnd{
 					Request: a.id, Endpoint: 2, Outcome: OutcomeRejected, Latency: millisecond,
 				})
 			}
 		}
 	}
-	// 2.5 times 30 to 46% of ten a second for 2 s is at most 23 requests of this gateway.
+	// 2.5 times 30 to 46% of ten requests per second for 2 s is at most 23 requests of this gateway.
 	if sent == 0 || sent > 23 {
 		t.Errorf("the starting endpoint got %d requests, want 1 to 23", sent)
 	}
@@ -81,8 +82,8 @@
 	checkNear(t, "warm-up fraction when warm", r.b.warmUpFraction(ep), 1)
 }
 
-// Guards against hundreds of gateways that each allow a starting endpoint one free request, or, just
-// started themselves, a hundred a second.
+// Hundreds of gateways must not each send a starting endpoint one request beyond the budget or, if they have just
+// started themselves, a hundred requests per second.
 func TestSlowStartBudgetHoldsForHundredsOfGateways(t *testing.T) {
 	for _, restarted := range []bool{false, true} {
 		rigs := newCluster(t, 300, endpointsInTwoZones(40))
@@ -90,7 +91,7 @@
 		starting.StartedAt = rigs[0].now
 		removed := ready(1, 0, 0)
 		removed.State = EndpointRemoved
-		const rate = 4.0 // requests a second of a gateway on a warm endpoint
+		const rate = 4.0 // requests per second of one gateway on a warm endpoint
 		sent, users := 0, 0
 		for _, r := range rigs {
 			if !restarted {
@@ -113,8 +114,8 @@
 				}
 			}
 		}
-		// Warm endpoints get 4 a second of each user; 2.5 times 0.3 of that for 2 s overloads the
-		// endpoint. Of one that is not known no more is sure than one core: ten a second of 100 ms.
+		// A warm endpoint gets 4 requests per second from each user; 2.5 times 0.3 of that for 2 s overloads a
+		// starting one. If nothing has been measured, only one core is certain: ten requests of 100 ms per second.
 		limit := 2.5 * 0.3 * 2 * rate * float64(users)
 		if restarted {
 			limit = 2.5 * 0.3 * 2 * 10
@@ -126,14 +127,14 @@
 	}
 }
 
-// Guards against gateways that use an endpoint in place of an ejected one and spend a slow-start budget
-// that was worked out without them.
+// Gateways that use an endpoint as an expansion, or in place of an ejected one, must not send it requests in slow
+// start: the budget is divided without counting them.
 func TestExpansionsSendNothingInSlowStart(t *testing.T) {
 	rigs := newCluster(t, 300, endpointsInTwoZones(40))
 	sendingGateways, before := make(map[EndpointID]float64), countUsers(rigs)
 	for n, r := range rigs {
 		for i, ep := range r.b.endpoints.subset {
-			ep.health.Ejected = n%2 == 0 && i%2 == 0 // a quarter of all that is used
+			ep.health.Ejected = n%2 == 0 && i%2 == 0 // a quarter of the endpoints in use
 		}
 		r.b.endpoints.expansion.Size, r.b.endpoints.stale = 2, true
 		r.b.Dispatch(r.now)
@@ -149,17 +150,17 @@
 	for id, n := range countUsers(rigs) {
 		addedUses += n - before[id]
 		if ep := rigs[0].b.endpoints.byID[id]; sendingGateways[id] > ep.subset.users*1.4 {
-			t.Errorf("endpoint %d: slow-start budgets at %v gateways, worked out for %.1f",
+			t.Errorf("endpoint %d: %v gateways spend a slow-start budget that is divided by %.1f",
 				id, sendingGateways[id], ep.subset.users)
 		}
 	}
 	if addedUses < 600 {
-		t.Errorf("%d more uses, want two of each gateway at least", addedUses)
+		t.Errorf("%d more endpoints in use over all gateways, want at least two per gateway", addedUses)
 	}
 }
 
-// In a cluster an endpoint in slow start gets one request for each granted token, in its time, and none
-// without.
+// In a cluster an endpoint in slow start gets one request for each granted token, while the token is valid, and none
+// without a token.
 func TestSlowStartRequiresGrantedTokens(t *testing.T) {
 	r := newRig(t, testConfig())
 	r.b.UpdateEndpoints(r.now, Snapshot, []Endpoint{startingEndpoint(r, 1)})
@@ -169,7 +170,7 @@
 	}
 	r.advance(400 * millisecond)
 	if starts := r.takeActions("start"); len(starts) != 0 {
-		t.Errorf("%d starts without a token", len(starts))
+		t.Errorf("%d attempts started without a token, want 0", len(starts))
 	}
 	r.b.GrantSlowStartToken(r.now, 1, r.now+100*millisecond)
 	r.b.GrantSlowStartToken(r.now, 77, r.now+100*millisecond)
@@ -177,21 +178,21 @@
 	r.advance(90 * millisecond)
 	starts := r.takeActions("start")
 	if len(starts) != 1 {
-		t.Fatalf("%d starts for one token", len(starts))
+		t.Fatalf("%d attempts started for one token, want 1", len(starts))
 	}
 	r.b.GrantSlowStartToken(r.now, 1, r.now+20*millisecond)
 	r.now += 20 * millisecond
 	r.endAttempt(starts[0].id, 0, 1, OutcomeOK, 90*millisecond)
 	if starts := r.takeActions("start"); len(starts) != 0 {
-		t.Errorf("%d starts for a token whose time is over", len(starts))
+		t.Errorf("%d attempts started for an expired token, want 0", len(starts))
 	}
 	r.b.GrantSlowStartToken(r.now, 1, r.now+100*millisecond)
-	r.b.YieldSlowStart(r.now, true) // the next process of this gateway has the tokens
+	r.b.YieldSlowStart(r.now, true) // the next process of this gateway uses the tokens
 	r.b.GrantSlowStartToken(r.now, 1, r.now+100*millisecond)
 	r.b.YieldSlowStart(r.now, false)
 	r.b.Dispatch(r.now)
 	r.advance(50 * millisecond)
 	if starts := r.takeActions("start"); len(starts) != 0 {
-		t.Errorf("%d starts for tokens from before another process had them", len(starts))
+		t.Errorf("%d attempts started for tokens from before another process used them, want 0", len(starts))
 	}
 }
