--- a/internal/balancer/retry_test.go
+++ b/internal/balancer/retry_test.go
@@ -25,7 +25,7 @@
 				r.sendRequest(1, class)
 				first := r.takeActions("start")[0]
 				if first.endpoint != 2 {
-					t.Fatal("the endpoint with room was not chosen")
+					t.Fatal("the endpoint with free capacity was not chosen")
 				}
 				r.now += 10 * millisecond
 				r.b.endpoints.all[1].State = EndpointDraining // only the endpoint in the other cell remains
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -67,7 +67,7 @@
 		for _, a := range r.takeActions("start") {
 			if a.endpoint == 2 {
 				sent++
-				// It rejects at once. A rejected attempt uses up the budget as well.
+				// It rejects at once. A rejected attempt counts too and must not free budget for more.
 				r.b.AttemptEnded(r.now, AttemptEnd{
 					Request: a.id, Endpoint: 2, Outcome: OutcomeRejected, Latency: millisecond,
 				})
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -11,11 +11,11 @@
 // State is what a gateway process passes to its successor in a hot restart: the measurements it has made, and
 // the slow-start budgets as far as they are spent, so that the two processes do not spend one budget twice.
 type State struct {
-	QueueThreshold float64         `json:"psi"`
-	Response       float64         `json:"response"`
-	WarmRate       float64         `json:"warm_rate"`
-	Classes        []ClassState    `json:"classes"`
-	Endpoints      []EndpointStats `json:"servers"`
+	QueueThreshold   float64         `json:"psi"`
+	ResponseSetpoint float64         `json:"response"`
+	WarmRate         float64         `json:"warm_rate"`
+	Classes          []ClassState    `json:"classes"`
+	Endpoints        []EndpointStats `json:"servers"`
 }
 
 // ClassState holds the statistics of one class. Fields that end in MS are in milliseconds. Concluded is the
@@ -53,7 +53,7 @@
 func (b *Balancer) State(now time.Duration) State {
 	b.now = now
 	state := State{
-		QueueThreshold: b.queueThreshold.Value, Response: b.response.Value,
+		QueueThreshold: b.queueThreshold.Value, ResponseSetpoint: b.response.Value,
 		WarmRate: float64(b.slowStart.warmRate),
 	}
 	for c := range b.classes.current {
@@ -70,9 +70,10 @@
 // run of the balancer can produce.
 func (b *Balancer) Restore(now time.Duration, state State) {
 	b.now = now
-	if plausible(state.QueueThreshold, state.Response, state.WarmRate) && state.Response >= concurrency.MinResponse {
+	if plausible(state.QueueThreshold, state.ResponseSetpoint, state.WarmRate) &&
+		state.ResponseSetpoint >= concurrency.MinResponse {
 		b.queueThreshold.Restore(state.QueueThreshold)
-		b.response.Restore(state.Response)
+		b.response.Restore(state.ResponseSetpoint)
 		b.slowStart.warmRate.Restore(state.WarmRate)
 		b.startedAt = now - time.Minute // the restored arrival counts cover the time before this process
 	}
