--- a/internal/balancer/log_test.go
+++ b/internal/balancer/log_test.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Engineers on call search for these words; at most one line a second is written.
+// Engineers on call search for these texts. At most one line per second is written.
 func TestLogLines(t *testing.T) {
 	r := newRig(t, testConfig(), ready(41, 0, 0), ready(42, 0, 0), ready(43, 0, 0), ready(44, 0, 0))
-	lines := func() []string {
+	loggedLines := func() []string {
 		var out []string
-		for _, a := range r.take("log") {
+		for _, a := range r.takeActions("log") {
 			out = append(out, a.text)
 		}
 		return out
 	}
 	expect := func(want ...string) {
 		t.Helper()
-		if got := lines(); !slices.Equal(got, want) {
-			t.Errorf("lines %q, want %q", got, want)
+		if got := loggedLines(); !slices.Equal(got, want) {
+			t.Errorf("logged lines %q, want %q", got, want)
 		}
 	}
-	warmUp(r)
+	setKnownServiceTimes(r)
 	r.b.eject(r.b.endpoints.byID[41], "is silent")
-	r.b.eject(r.b.endpoints.byID[42], "fails") // within the second
+	r.b.eject(r.b.endpoints.byID[42], "fails") // dropped: within one second of the previous line
 	expect("server 41 is silent, ejected")
 	r.now += time.Second
 	r.b.now = r.now
@@ -38,6 +38,6 @@
 	expect("server 42 fails, ejected")
 	r.now += 2 * time.Second
 	r.b.now = r.now
-	r.b.eject(r.b.endpoints.byID[43], "fails") // a third of four: the load is suspected
+	r.b.eject(r.b.endpoints.byID[43], "fails") // a third ejection among four endpoints: the load is the likely cause
 	expect()
 }
