--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -10,19 +10,19 @@
 // addInFlight counts an attempt of r among those in flight on ep; removeInFlight reverses it.
 func (b *Balancer) addInFlight(r *requestState, ep *endpointState) {
 	if b.effectiveInFlight(ep) == 0 {
-		ep.health.LastHeard = b.now
+		ep.health.LastResponseAt = b.now
 	}
 	ep.inFlight++
 	ep.requests = append(ep.requests, r.ID)
 	serviceMS := ep.classServiceMS(b.classOf(r))
-	ep.classes[r.Class].Started(b.now, serviceMS, b.classes.meanObjective())
+	ep.classes[r.Class].RecordStart(b.now, serviceMS, b.classes.meanObjective())
 }
 
 func (b *Balancer) removeInFlight(r *requestState, ep *endpointState) {
 	ep.inFlight--
 	index := slices.Index(ep.requests, r.ID)
 	ep.requests = slices.Delete(ep.requests, index, index+1)
-	ep.classes[r.Class].Ended()
+	ep.classes[r.Class].RecordEnd()
 }
 
 // effectiveInFlight returns the number of attempts in flight on ep. Attempts of a stalled class do not count
@@ -31,7 +31,7 @@
 	n := ep.inFlight
 	for i := range ep.classes {
 		c := &ep.classes[i]
-		if c.InFlight > 0 && c.StalledSince(b.now, ep.health.LastHeard, ep.classServiceMS(&b.classes.entries[i])) {
+		if c.InFlight > 0 && c.StalledDespiteResponses(b.now, ep.health.LastResponseAt, ep.classServiceMS(&b.classes.entries[i])) {
 			n -= c.InFlight
 		}
 	}
@@ -53,7 +53,7 @@
 	}
 	if a.writing = !done; a.writing {
 		b.removeInFlight(r, a.endpoint)
-		a.endpoint.classes[r.Class].Withdrawn()
+		a.endpoint.classes[r.Class].RecordWithdrawal()
 		return
 	}
 	b.addInFlight(r, a.endpoint)
@@ -87,7 +87,7 @@
 		b.removeInFlight(r, ep)
 	}
 	b.recordOutcome(r, a, end)
-	ep.classes[r.Class].Settle(b.now, ep.classServiceMS(class))
+	ep.classes[r.Class].ResetIfIdle(b.now, ep.classServiceMS(class))
 	if !ep.subset.used && ep.inFlight == 0 {
 		b.actions.CloseIdle(ep.ID)
 	}
@@ -109,30 +109,30 @@
 	}
 	switch end.Outcome {
 	case OutcomeOK:
-		ep.classes[r.Class].Answered(b.now)
+		ep.classes[r.Class].RecordAnswer(b.now)
 		b.recordAnswer(r, ep, end.Latency)
 		b.recordSuccess(ep)
 		// The time is capped: a single heavy request says little about how long the endpoint stays busy.
 		b.enforceFractionalLimit(ep, min(stats.Milliseconds(end.Latency), 2*ep.serviceMS(b.classes.referenceMS)))
 	case OutcomeError, OutcomeReset, OutcomeConnectFailed:
-		ep.health.LastHeard = b.now
+		ep.health.LastResponseAt = b.now
 		ep.cooldown.afterFailure(b.now, b.classes.referenceMS, b.classes.meanObjective())
 		b.recordFailure(ep)
 		if ep.subset.expansion && end.Outcome == OutcomeConnectFailed {
-			b.endpoints.signals.Full = true
+			b.endpoints.signals.ExpansionFull = true
 		}
 	case OutcomeRejected:
 		// The endpoint works but is at capacity: this lowers its concurrency limit, not its health.
 		ep.limit.RecordFailure()
-		ep.health.LastHeard = b.now
+		ep.health.LastResponseAt = b.now
 		ep.cooldown.afterRejection(b.now, b.classes.referenceMS, b.classes.meanObjective())
 		if ep.subset.expansion {
-			b.endpoints.signals.Full = true
+			b.endpoints.signals.ExpansionFull = true
 		}
 	case OutcomeTimeout:
 		// The endpoint may still execute the request: a slow one must not get the next request at once.
 		b.enforceFractionalLimit(ep, stats.Milliseconds(end.Latency))
-		if ep.health.LastHeard <= a.started {
+		if ep.health.LastResponseAt <= a.started {
 			b.recordFailure(ep)
 		} else {
 			ep.limit.RecordFailure() // it answered others since: slow or heavy request, not silence
@@ -152,7 +152,7 @@
 // enforceFractionalLimit applies a concurrency limit below one: after an attempt that kept ep busy for busyMS
 // milliseconds, ep gets no attempts for a time that the limit determines.
 func (b *Balancer) enforceFractionalLimit(ep *endpointState, busyMS float64) {
-	if pause := ep.limit.RestAfter(busyMS); pause > 0 {
+	if pause := ep.limit.CooldownAfter(busyMS); pause > 0 {
 		ep.cooldown.extend(b.now + pause)
 	}
 }
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -107,7 +107,7 @@
 	r.overQuota = b.chargeQuota(request.Tenant)
 	class.arrivals++
 	class.openRequests++
-	b.retryBudget.RequestTaken()
+	b.retryBudget.RecordRequest()
 	b.queue.insert(r)
 }
 
--- a/internal/balancer/concurrency/limit.go
+++ b/internal/balancer/concurrency/limit.go
@@ -171,9 +171,9 @@
 	return max(budget*target.Response, min(setpointFactor*baseline, baseline+setpointShare*budget))
 }
 
-// RestAfter returns the cooldown of an endpoint with a limit below one after an attempt that kept it busy for busyMS
+// CooldownAfter returns the cooldown of an endpoint with a limit below one after an attempt that kept it busy for busyMS
 // milliseconds. It is 0 for other limits.
-func (l *Limit) RestAfter(busyMS float64) time.Duration {
+func (l *Limit) CooldownAfter(busyMS float64) time.Duration {
 	if l.Value >= 1 {
 		return 0
 	}
--- a/internal/balancer/concurrency/limit_test.go
+++ b/internal/balancer/concurrency/limit_test.go
@@ -133,6 +133,6 @@
 		limit, busyMS, wantMS float64
 	}{{2, 100, 0}, {1, 100, 0}, {0.5, 100, 100}, {0.4, 1200, 1800}} {
 		l := &Limit{Value: c.limit}
-		checkNear(t, "cooldown", stats.Milliseconds(l.RestAfter(c.busyMS)), c.wantMS)
+		checkNear(t, "cooldown", stats.Milliseconds(l.CooldownAfter(c.busyMS)), c.wantMS)
 	}
 }
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -66,7 +66,7 @@
 	}
 	maxTime := b.classOf(r).maxQueueTime.forQuota(r.overQuota)
 	if b.now-r.firstTriedAt > maxTime/2 {
-		b.endpoints.signals.Short = true
+		b.endpoints.signals.ShortOfCapacity = true
 	}
 	return true
 }
--- a/internal/balancer/outlierdetection/class.go
+++ b/internal/balancer/outlierdetection/class.go
@@ -32,9 +32,9 @@
 	return c.unansweredSince > 0 && now-c.unansweredSince > stats.FromMilliseconds(stalledFactor*usualMS)
 }
 
-// StalledSince reports whether the class is stalled although the endpoint responded to other requests: its last
+// StalledDespiteResponses reports whether the class is stalled although the endpoint responded to other requests: its last
 // response, of any class, came at lastResponseAt, after the first unanswered attempt of this class.
-func (c *ClassHealth) StalledSince(now, lastResponseAt time.Duration, usualMS float64) bool {
+func (c *ClassHealth) StalledDespiteResponses(now, lastResponseAt time.Duration, usualMS float64) bool {
 	return lastResponseAt > c.unansweredSince && c.Stalled(now, usualMS)
 }
 
@@ -44,9 +44,9 @@
 	return !c.Stalled(now, usualMS) || c.InFlight == 0 && now >= c.probeAt
 }
 
-// Started records the start of an attempt. If the class is stalled, the attempt is a probe; probeInterval is the time
+// RecordStart records the start of an attempt. If the class is stalled, the attempt is a probe; probeInterval is the time
 // between the first two probes and doubles with each probe.
-func (c *ClassHealth) Started(now time.Duration, usualMS float64, probeInterval time.Duration) {
+func (c *ClassHealth) RecordStart(now time.Duration, usualMS float64, probeInterval time.Duration) {
 	if c.Stalled(now, usualMS) {
 		c.probeAt = now + stats.Scale(probeInterval, float64(int(1)<<min(c.probes, maxProbeDoublings)))
 		c.probes++
@@ -56,26 +56,26 @@
 	c.InFlight++
 }
 
-// Ended records that an attempt is no longer in flight.
-func (c *ClassHealth) Ended() { c.InFlight-- }
+// RecordEnd records that an attempt is no longer in flight.
+func (c *ClassHealth) RecordEnd() { c.InFlight-- }
 
-// Answered records an answer, which ends a stall.
-func (c *ClassHealth) Answered(now time.Duration) {
+// RecordAnswer records an answer, which ends a stall.
+func (c *ClassHealth) RecordAnswer(now time.Duration) {
 	*c = ClassHealth{InFlight: c.InFlight, unansweredSince: now}
 }
 
-// Settle resets the start of the unanswered period if no attempt is in flight and the class is not stalled. A stalled
+// ResetIfIdle resets the start of the unanswered period if no attempt is in flight and the class is not stalled. A stalled
 // class remains stalled until a probe is answered, as a timeout is no sign of recovery.
-func (c *ClassHealth) Settle(now time.Duration, usualMS float64) {
+func (c *ClassHealth) ResetIfIdle(now time.Duration, usualMS float64) {
 	if c.InFlight == 0 && !c.Stalled(now, usualMS) {
 		c.unansweredSince = 0
 	}
 }
 
-// Withdrawn resets the start of the unanswered period if no attempt is in flight, even if the class is stalled. It is
+// RecordWithdrawal resets the start of the unanswered period if no attempt is in flight, even if the class is stalled. It is
 // called when an attempt no longer counts as in flight because its request is not yet fully written: the endpoint has
 // no complete request to answer.
-func (c *ClassHealth) Withdrawn() {
+func (c *ClassHealth) RecordWithdrawal() {
 	if c.InFlight == 0 {
 		c.unansweredSince = 0
 	}
--- a/internal/balancer/outlierdetection/class_test.go
+++ b/internal/balancer/outlierdetection/class_test.go
@@ -12,44 +12,44 @@
 func TestStalledClassIsProbed(t *testing.T) {
 	var c ClassHealth
 	now := time.Minute
-	c.Started(now, usualMS, second)
+	c.RecordStart(now, usualMS, second)
 	if now += 1200 * time.Millisecond; c.Stalled(now, usualMS) {
 		t.Fatal("stalled at exactly twelve service times, want it only after them")
 	}
 	if now += time.Millisecond; !c.Stalled(now, usualMS) || c.Allows(now, usualMS) {
 		t.Fatal("not stalled after twelve service times, or attempts other than probes may start")
 	}
-	if !c.StalledSince(now, now, usualMS) || c.StalledSince(now, time.Minute, usualMS) {
+	if !c.StalledDespiteResponses(now, now, usualMS) || c.StalledDespiteResponses(now, time.Minute, usualMS) {
 		t.Error("want the class stalled despite responses only if another request was answered after its first attempt")
 	}
-	c.Ended()
-	if c.Settle(now, usualMS); !c.Stalled(now, usualMS) || !c.Allows(now, usualMS) {
+	c.RecordEnd()
+	if c.ResetIfIdle(now, usualMS); !c.Stalled(now, usualMS) || !c.Allows(now, usualMS) {
 		t.Fatal("a timeout ended the stall, or no probe may start")
 	}
 	for _, wait := range []time.Duration{1, 2, 4, 8, 16, 16} {
-		c.Started(now, usualMS, second)
+		c.RecordStart(now, usualMS, second)
 		if c.Allows(now+time.Hour, usualMS) {
 			t.Fatal("a second probe may start while one is in flight")
 		}
-		c.Ended()
+		c.RecordEnd()
 		if c.Allows(now+wait*second-1, usualMS) || !c.Allows(now+wait*second, usualMS) {
 			t.Errorf("the next probe is not due exactly %v after the one before", wait*second)
 		}
 		now += wait * second
 	}
-	c.Started(now, usualMS, second)
-	c.Ended()
-	c.Answered(now)
-	if c.Settle(now, usualMS); c.Stalled(now+time.Hour, usualMS) {
+	c.RecordStart(now, usualMS, second)
+	c.RecordEnd()
+	c.RecordAnswer(now)
+	if c.ResetIfIdle(now, usualMS); c.Stalled(now+time.Hour, usualMS) {
 		t.Error("still stalled after an answer")
 	}
 }
 
 func TestWithdrawnAttemptDoesNotStallClass(t *testing.T) {
 	var c ClassHealth
-	c.Started(second, usualMS, second)
-	c.Ended()
-	c.Withdrawn()
+	c.RecordStart(second, usualMS, second)
+	c.RecordEnd()
+	c.RecordWithdrawal()
 	if c.Stalled(time.Hour, usualMS) {
 		t.Error("stalled although the endpoint never had a complete request")
 	}
--- a/internal/balancer/outlierdetection/health.go
+++ b/internal/balancer/outlierdetection/health.go
@@ -31,9 +31,9 @@
 // Health is the health of one endpoint as derived from the outcomes of attempts. Times are on the caller's clock.
 type Health struct {
 	FailureRate float64 // smoothed share of failures, 0 to 1
-	// LastHeard is the time of the last outcome other than a timeout, or of the start of the first attempt after a
+	// LastResponseAt is the time of the last outcome other than a timeout, or of the start of the first attempt after a
 	// period without attempts in flight, whichever is later.
-	LastHeard        time.Duration
+	LastResponseAt   time.Duration
 	Ejected          bool          // receives probe requests only
 	Silent           bool          // ejected because it did not answer
 	ProbeAt          time.Duration // when an ejected endpoint may be probed
@@ -45,7 +45,7 @@
 // not answering, or if its failure rate is below the maximum again.
 func (h *Health) RecordAnswer(now time.Duration) (restored bool) {
 	h.FailureRate *= 1 - failureWeight
-	h.LastHeard = now
+	h.LastResponseAt = now
 	if h.Ejected && (h.Silent || h.FailureRate < maxFailureRate) {
 		h.Ejected, h.Silent, restored = false, false, true
 	}
@@ -68,7 +68,7 @@
 // silenceFactor times its service time, serviceMS in ms. Outcomes alone do not show this until the attempts time out,
 // and attempts of requests that are not idempotent have no timeout.
 func (h *Health) IsSilent(now time.Duration, serviceMS float64) bool {
-	return !h.Ejected && now-h.LastHeard >= stats.FromMilliseconds(silenceFactor*h.thresholdFactor()*serviceMS)
+	return !h.Ejected && now-h.LastResponseAt >= stats.FromMilliseconds(silenceFactor*h.thresholdFactor()*serviceMS)
 }
 
 // thresholdFactor returns the factor applied to the thresholds of ejection. It is lower if peers suspect the endpoint;
--- a/internal/balancer/outlierdetection/health_test.go
+++ b/internal/balancer/outlierdetection/health_test.go
@@ -47,7 +47,7 @@
 		{"already ejected", 10 * second, false, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			h := Health{LastHeard: second, SuspectedByPeers: c.suspected, Ejected: c.ejected}
+			h := Health{LastResponseAt: second, SuspectedByPeers: c.suspected, Ejected: c.ejected}
 			if got := h.IsSilent(second+c.since, 100); got != c.want {
 				t.Errorf("IsSilent = %v, want %v", got, c.want)
 			}
--- a/internal/balancer/report.go
+++ b/internal/balancer/report.go
@@ -13,7 +13,7 @@
 
 // LoadReport is what this gateway reports about itself to other gateways.
 type LoadReport struct {
-	Known        bool         // false while the gateway has not run for long enough
+	Valid        bool         // false while the gateway has not run for long enough
 	Demand       float64      // recent requests per second, scaled by service time to requests of the average class
 	Rejected     float64      // share of requests that were not answered in time
 	FreeCapacity float64      // free share of the concurrency limits in its subset
@@ -23,7 +23,7 @@
 // LoadReport returns the current load report. It does not change the balancer.
 func (b *Balancer) LoadReport(now time.Duration) LoadReport {
 	age := now - b.startedAt
-	report := LoadReport{Known: age >= minReportAge}
+	report := LoadReport{Valid: age >= minReportAge}
 	arrivals, missed := 0.0, 0.0
 	for c := range b.classes.current {
 		arrivals += c.arrivals
--- a/internal/balancer/report_test.go
+++ b/internal/balancer/report_test.go
@@ -9,13 +9,13 @@
 // A load report states the recent traffic, at any age of the process at which it is known, and the ejected endpoints.
 func TestLoadReportMatchesTraffic(t *testing.T) {
 	r := newRig(t, testConfig(), warmEndpoints(3)...)
-	if r.b.LoadReport(r.now + time.Second).Known {
+	if r.b.LoadReport(r.now + time.Second).Valid {
 		t.Error("the load report of a process of 1 s counts as known")
 	}
 	for seconds := range 40 {
 		r.playRequests(RequestID(1+seconds*25), 25, alwaysOK) // 35 ms each: 28 per second
 		report := r.b.LoadReport(r.now)
-		if seconds >= 3 && (!report.Known || report.Demand < 24 || report.Demand > 33) {
+		if seconds >= 3 && (!report.Valid || report.Demand < 24 || report.Demand > 33) {
 			t.Fatalf("after %d rounds: %+v, want a demand of about 28 per second", seconds, report)
 		}
 	}
--- a/internal/balancer/retry_test.go
+++ b/internal/balancer/retry_test.go
@@ -134,7 +134,7 @@
 			if len(starts) == 0 {
 				break
 			}
-			r.b.endpoints.all[0].health.LastHeard = r.now + time.Hour // not silent, only slow
+			r.b.endpoints.all[0].health.LastResponseAt = r.now + time.Hour // not silent, only slow
 			n := len(r.b.requests.byID[id].attempts)
 			if n > 1 {
 				retries++
--- a/internal/balancer/retrybudget/retrybudget.go
+++ b/internal/balancer/retrybudget/retrybudget.go
@@ -14,8 +14,8 @@
 // New returns a full budget.
 func New() Budget { return Budget{retries: MaxSaved} }
 
-// RequestTaken adds PerRequest to the budget, up to MaxSaved. It is called for each request received.
-func (b *Budget) RequestTaken() { b.retries = min(b.retries+PerRequest, MaxSaved) }
+// RecordRequest adds PerRequest to the budget, up to MaxSaved. It is called for each request received.
+func (b *Budget) RecordRequest() { b.retries = min(b.retries+PerRequest, MaxSaved) }
 
 // Available reports whether the budget allows a retry.
 func (b *Budget) Available() bool { return b.retries >= 1 }
--- a/internal/balancer/retrybudget/retrybudget_test.go
+++ b/internal/balancer/retrybudget/retrybudget_test.go
@@ -14,13 +14,13 @@
 		t.Errorf("%d retries available at the start, want %v", n, MaxSaved)
 	}
 	for range 100 {
-		b.RequestTaken()
+		b.RecordRequest()
 	}
 	if n := spend(); n < 9 || n > 10 {
 		t.Errorf("%d retries available after 100 requests, want 9 or 10", n)
 	}
 	for range 10000 {
-		b.RequestTaken()
+		b.RecordRequest()
 	}
 	if n := spend(); n != MaxSaved {
 		t.Errorf("%d retries available after 10,000 requests, want %v", n, MaxSaved)
--- a/internal/balancer/sampling.go
+++ b/internal/balancer/sampling.go
@@ -41,7 +41,7 @@
 // updateExpansion grows or shrinks the expansion of the subset by the signals of the sampling period.
 func (b *Balancer) updateExpansion() {
 	s := &b.endpoints
-	s.signals.Warming = slices.ContainsFunc(s.subset, func(ep *endpointState) bool {
+	s.signals.WarmingUp = slices.ContainsFunc(s.subset, func(ep *endpointState) bool {
 		return ep.subset.regular && b.warmUpFraction(ep) < 1
 	})
 	pause := stats.Scale(b.classes.meanObjective(), 0.5+b.rng.Float64())
--- a/internal/balancer/slowstart/slowstart.go
+++ b/internal/balancer/slowstart/slowstart.go
@@ -74,9 +74,9 @@
 // Restore sets the tokens to the value that remained in a previous process.
 func (b *Budget) Restore(now time.Duration, tokens float64) { b.Tokens, b.refilledAt = tokens, now }
 
-// Begin starts the budget of an endpoint that was added to this gateway's subset. debt is a uniform random number from
+// StartInDebt starts the budget of an endpoint that was added to this gateway's subset. debt is a uniform random number from
 // 0 to 1, by which the first tokens of many gateways are spread over an interval. Tokens saved up earlier are dropped.
-func (b *Budget) Begin(now time.Duration, debt float64) {
+func (b *Budget) StartInDebt(now time.Duration, debt float64) {
 	b.Tokens, b.refilledAt = min(b.Tokens, -debt), now
 }
 
--- a/internal/balancer/slowstart/slowstart_test.go
+++ b/internal/balancer/slowstart/slowstart_test.go
@@ -50,7 +50,7 @@
 func TestBudgetStartsInDebt(t *testing.T) {
 	b := NewBudget(0)
 	b.Refill(time.Hour, 1, 2*time.Second)
-	if b.Begin(time.Hour, 0.75); b.Available() || b.Tokens != -0.75 {
+	if b.StartInDebt(time.Hour, 0.75); b.Available() || b.Tokens != -0.75 {
 		t.Errorf("starts with %v tokens, want -0.75", b.Tokens)
 	}
 }
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -37,7 +37,7 @@
 	ID              EndpointID    `json:"id,string"`
 	StartedAt       time.Duration `json:"born_ns"`
 	Limit           float64       `json:"limit"`
-	Gain            float64       `json:"gain"`
+	GainMS          float64       `json:"gain"`
 	BaselineMS      float64       `json:"base_ms"`
 	Answers         int           `json:"answers"`
 	ServiceMS       float64       `json:"service_ms"`
@@ -120,7 +120,7 @@
 func (ep *endpointState) state(now time.Duration) EndpointStats {
 	return EndpointStats{
 		ID: ep.ID, StartedAt: ep.StartedAt,
-		Limit: ep.limit.Value, Gain: ep.limit.GainMS, BaselineMS: ep.limit.BaselineMS,
+		Limit: ep.limit.Value, GainMS: ep.limit.GainMS, BaselineMS: ep.limit.BaselineMS,
 		Answers: ep.limit.ServiceMS.N, ServiceMS: ep.limit.ServiceMS.Value,
 		FailureRate: ep.health.FailureRate, Ejected: ep.health.Ejected, Silent: ep.health.Silent,
 		Ejections: ep.health.Ejections, ProbeIn: max(0, ep.health.ProbeAt-now),
@@ -129,12 +129,12 @@
 }
 
 func (ep *endpointState) restore(now time.Duration, saved EndpointStats) {
-	if saved.Answers < 0 || !plausible(saved.Limit, saved.Gain, saved.BaselineMS, saved.ServiceMS, saved.FailureRate,
+	if saved.Answers < 0 || !plausible(saved.Limit, saved.GainMS, saved.BaselineMS, saved.ServiceMS, saved.FailureRate,
 		math.Abs(saved.SlowStartTokens)) {
 		return
 	}
 	ep.limit.Value = max(ep.minLimit(), saved.Limit)
-	ep.limit.GainMS, ep.limit.BaselineMS = saved.Gain, saved.BaselineMS
+	ep.limit.GainMS, ep.limit.BaselineMS = saved.GainMS, saved.BaselineMS
 	ep.limit.ServiceMS = stats.Mean{N: saved.Answers, Value: saved.ServiceMS}
 	ep.health.FailureRate = min(saved.FailureRate, 1)
 	ep.health.Ejected, ep.health.Silent, ep.health.Ejections = saved.Ejected, saved.Silent, saved.Ejections
--- a/internal/balancer/subsetting.go
+++ b/internal/balancer/subsetting.go
@@ -22,7 +22,7 @@
 	before = s.subset
 	s.subset, s.localWeight, s.anyZoneWeight = make([]*endpointState, 0, len(before)), 0, 0
 	zones := subset.Count(cfg.Zone, s.zones)
-	subset.Rule{Local: localUsers, Remote: remoteUsers, Min: minSubset}.Subsets(cfg.Gateways, zones)
+	subset.Rule{Local: localUsers, Remote: remoteUsers, Min: minSubset}.ComputeSizes(cfg.Gateways, zones)
 	for _, ep := range s.all {
 		ep.subset = subsetMembership{
 			wasRegular: ep.subset.regular, relativeLoad: ep.subset.relativeLoad,
@@ -41,7 +41,7 @@
 			ep.limit.Reset(ep.minLimit())
 		}
 		if ep.subset.regular && !ep.subset.wasRegular {
-			ep.warmUp.Begin(now, rng.Float64())
+			ep.warmUp.StartInDebt(now, rng.Float64())
 		}
 	}
 	return before
@@ -97,7 +97,7 @@
 	for i, load := range subset.RelativeLoad(ready, regularSize) {
 		order[i].subset.relativeLoad = load
 	}
-	return s.addToSubset(now, order, subset.Start(rank, len(order)), subset.RoundByRank(rank, regularSize),
+	return s.addToSubset(now, order, subset.StartIndex(rank, len(order)), subset.RoundByRank(rank, regularSize),
 		expansionSize)
 }
 
--- a/internal/balancer/subsetting_test.go
+++ b/internal/balancer/subsetting_test.go
@@ -140,7 +140,7 @@
 	r.endAttempt(open[index].id, 0, open[index].endpoint, OutcomeRejected, 5*millisecond)
 	open = slices.Delete(open, index, index+1)
 	r.advance(concurrency.SamplePeriod)
-	r.b.endpoints.signals.Short = true
+	r.b.endpoints.signals.ShortOfCapacity = true
 	r.advance(concurrency.SamplePeriod)
 	if r.b.endpoints.expansion.Size > size/2 {
 		t.Errorf("the expansion is %.1f endpoints half a second after a full endpoint, want at most half of %.1f",
--- a/internal/gateway/assignment.go
+++ b/internal/gateway/assignment.go
@@ -179,7 +179,7 @@
 	s.updateOwners(members)
 	observation := assignment.Observation{
 		Alive:     aliveGateways(members, reports),
-		Settled:   status.Settled,
+		Settled:   status.Converged,
 		Endpoints: s.updateEndpoints(),
 	}
 	if _, err := s.state.tracker.Observe(s.now, observation); err != nil {
@@ -199,14 +199,14 @@
 	})
 	viewChanged := (status.Version != state.version || state.agreedSince == 0) &&
 		s.now-state.updatedAt >= updateInterval
-	if !viewChanged && !state.endpointsChanged && !becameWarm && status.Settled == state.converged &&
+	if !viewChanged && !state.endpointsChanged && !becameWarm && status.Converged == state.converged &&
 		!(scheduled && s.now >= dueAt) {
 		return false
 	}
 	if viewChanged {
 		state.updatedAt = s.now
 	}
-	state.version, state.converged, state.endpointsChanged = status.Version, status.Settled, false
+	state.version, state.converged, state.endpointsChanged = status.Version, status.Converged, false
 	return true
 }
 
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -231,8 +231,8 @@
 		return ReasonDedupWindowOver, true
 	}
 	index, ok := a.invariants.AllowAttempt(&att.request.invariants, invariant.Attempt{
-		Now:   a.now,
-		Until: att.deadline,
+		Now:               a.now,
+		AnnouncedDeadline: att.deadline,
 		Endpoint: invariant.Endpoint{
 			Zone: endpoint.Zone, Cell: endpoint.Cell, Leaving: !a.discovery.isReady(att.endpoint),
 		},
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -170,9 +170,9 @@
 	}
 	out.Assignment = c.assignment.report()
 	status, counts := view.Status(c.now), view.Counts()
-	out.Active, out.Settled = c.socketOpen, status.Settled
+	out.Active, out.Settled = c.socketOpen, status.Converged
 	out.Majority, out.DuplicateName = status.Majority, status.DuplicateName
-	out.Alive, out.Known, out.Answering = status.Alive, status.Known, status.Answering
+	out.Alive, out.Known, out.Answering = status.Alive, status.Known, status.AnsweredShare
 	out.Health, out.QuietMS = status.LocalHealth, status.StableFor.Milliseconds()
 	out.Sent, out.SentBytes = counts.Sent, counts.SentBytes
 	out.Received, out.ReceivedBytes = counts.Received, counts.ReceivedBytes
@@ -180,8 +180,8 @@
 		"foreign":   counts.OtherCluster,
 		"spoilt":    counts.Malformed,
 		"strange":   counts.UnknownSender,
-		"over_rate": counts.Deferred,
-		"over_size": counts.Full,
+		"over_rate": counts.RateLimited,
+		"over_size": counts.TableFull,
 	}
 	for _, m := range view.Members() {
 		member := admin.Member{
@@ -189,8 +189,8 @@
 			State:       m.State.String(),
 			Start:       m.Start,
 			Incarnation: m.Incarnation,
-			SinceMS:     (c.now - m.Since).Milliseconds(),
-			Previous:    m.Previous.String(),
+			SinceMS:     (c.now - m.StateSince).Milliseconds(),
+			Previous:    m.PreviousState.String(),
 			SuspectedBy: m.SuspectedBy,
 			RTTMS:       float64(m.RTT.Microseconds()) / 1000,
 		}
--- a/internal/gateway/hotrestart_test.go
+++ b/internal/gateway/hotrestart_test.go
@@ -41,7 +41,7 @@
 		learned := r.g.balancer.State(r.now)
 		for i := range learned.Endpoints {
 			s := &learned.Endpoints[i]
-			s.Limit, s.Gain, s.BaselineMS, s.ServiceMS = math.Pi, math.Pi, math.Pi, math.Pi
+			s.Limit, s.GainMS, s.BaselineMS, s.ServiceMS = math.Pi, math.Pi, math.Pi, math.Pi
 			s.FailureRate, s.SlowStartTokens = 1/math.Pi, -math.Pi
 			s.Answers, s.Ejections, s.ProbeIn = 1<<40, 1<<20, 1<<40
 		}
--- a/internal/gateway/loadreports.go
+++ b/internal/gateway/loadreports.go
@@ -30,7 +30,7 @@
 		LocalHealth:  status.LocalHealth,
 		ConfigHash:   s.state.configHash,
 	}
-	if !signals.Known {
+	if !signals.Valid {
 		report.Demand = -1
 	}
 	var ejected []uint64
@@ -61,7 +61,7 @@
 			peer.Report = report
 		}
 		if m.State != gossipcodec.Alive {
-			peer.Silent = max(1, s.now-m.Since)
+			peer.Silent = max(1, s.now-m.StateSince)
 		}
 		reports = append(reports, peer)
 		if m.Name != s.cfg.Gossip.Name {
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -55,9 +55,9 @@
 		return 0, c.recordViolation(AttemptAfterEnd, r.ID, "after %d attempts", len(r.attempts))
 	case a.Endpoint.Leaving:
 		return 0, c.recordViolation(AttemptToLeavingEndpoint, r.ID, "after %d attempts", len(r.attempts))
-	case a.Now >= r.Deadline || a.Until > r.Deadline:
+	case a.Now >= r.Deadline || a.AnnouncedDeadline > r.Deadline:
 		return 0, c.recordViolation(AttemptAfterDeadline, r.ID,
-			"%v until the client's deadline, %v announced to the endpoint", r.Deadline-a.Now, a.Until-a.Now)
+			"%v until the client's deadline, %v announced to the endpoint", r.Deadline-a.Now, a.AnnouncedDeadline-a.Now)
 	}
 	for i := range r.attempts {
 		previous := &r.attempts[i]
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -18,7 +18,7 @@
 	c := &Checker{}
 	r := &Request{ID: "a", Idempotency: idempotency, DedupScope: scope, DedupWindow: 2 * second,
 		Deadline: 10 * second}
-	index, ok := c.AllowAttempt(r, Attempt{Now: second, Until: 5 * second, Endpoint: Endpoint{Zone: 1, Cell: 1}})
+	index, ok := c.AllowAttempt(r, Attempt{Now: second, AnnouncedDeadline: 5 * second, Endpoint: Endpoint{Zone: 1, Cell: 1}})
 	if !ok {
 		t.Fatal("the first attempt was not allowed")
 	}
@@ -64,11 +64,11 @@
 		{name: "after the deadline", idempotency: balancer.Idempotent, want: AttemptAfterDeadline,
 			change: func(_ *Request, a *Attempt) { a.Now = 10 * second }},
 		{name: "announcing too late a deadline", idempotency: balancer.Idempotent, want: AttemptAfterDeadline,
-			change: func(_ *Request, a *Attempt) { a.Until = 10*second + 1 }},
+			change: func(_ *Request, a *Attempt) { a.AnnouncedDeadline = 10*second + 1 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			checker, r := requestWithEndedAttempt(t, c.idempotency, c.scope, c.neverRan)
-			a := Attempt{Now: 2 * second, Until: 10 * second, Endpoint: Endpoint{Zone: 1, Cell: 1}}
+			a := Attempt{Now: 2 * second, AnnouncedDeadline: 10 * second, Endpoint: Endpoint{Zone: 1, Cell: 1}}
 			if c.change != nil {
 				c.change(r, &a)
 			}
--- a/internal/invariant/request.go
+++ b/internal/invariant/request.go
@@ -33,9 +33,9 @@
 
 // Attempt is an attempt that is about to be written.
 type Attempt struct {
-	Now      time.Duration
-	Until    time.Duration // the deadline that the request announces to the endpoint
-	Endpoint Endpoint
+	Now               time.Duration
+	AnnouncedDeadline time.Duration // the deadline that the request announces to the endpoint
+	Endpoint          Endpoint
 }
 
 // ClientLeft records that the client has left. No further attempt of the request is allowed.
--- a/internal/lab/assignmentsim/assignmentsim.go
+++ b/internal/lab/assignmentsim/assignmentsim.go
@@ -112,7 +112,7 @@
 		out[i] = make(map[uint64]float64)
 		n := int(subset.RoundByRank(rank, subsetSize))
 		for k := range n {
-			out[i][c.endpoints[(subset.Start(rank, all)+k)%all].ID] = 1 / float64(n)
+			out[i][c.endpoints[(subset.StartIndex(rank, all)+k)%all].ID] = 1 / float64(n)
 		}
 	}
 	return out
--- a/internal/lab/membershipsim/heartbeats.go
+++ b/internal/lab/membershipsim/heartbeats.go
@@ -50,7 +50,7 @@
 		if p.Name == cfg.Name {
 			continue
 		}
-		q := &peer{Member: membership.Member{Name: p.Name, Addr: p.Addr, State: gossipcodec.Gone, Since: now}}
+		q := &peer{Member: membership.Member{Name: p.Name, Addr: p.Addr, State: gossipcodec.Gone, StateSince: now}}
 		h.peers = append(h.peers, q)
 		h.byName[p.Name], h.byAddr[p.Addr] = q, q
 	}
@@ -70,7 +70,7 @@
 		h.out = append(h.out, membership.Datagram{To: p.Addr, Data: beat})
 		h.counts.Sent++
 		if p.State == gossipcodec.Alive && p.phi(now) > phiThreshold {
-			p.State, p.Since = gossipcodec.Gone, now
+			p.State, p.StateSince = gossipcodec.Gone, now
 		}
 	}
 }
@@ -100,13 +100,13 @@
 	start, _ := binary.Uvarint(data[1:])
 	switch {
 	case data[0] == 0:
-		p.State, p.Since = gossipcodec.Left, now
+		p.State, p.StateSince = gossipcodec.Left, now
 		return
 	case start < p.Start:
 		return
 	case start > p.Start || p.State != gossipcodec.Alive:
 		p.intervals, p.Start = nil, start
-		p.Since = now
+		p.StateSince = now
 	default:
 		if p.intervals = append(p.intervals, (now - p.lastHeard).Seconds()); len(p.intervals) > intervalWindow {
 			p.intervals = p.intervals[1:]
@@ -163,7 +163,7 @@
 
 // Status implements Protocol: it knows only how many it holds alive.
 func (h *Heartbeats) Status(time.Duration) membership.Status {
-	s := membership.Status{Alive: 1, Known: len(h.peers) + 1, Answering: 1}
+	s := membership.Status{Alive: 1, Known: len(h.peers) + 1, AnsweredShare: 1}
 	for _, p := range h.peers {
 		if p.State == gossipcodec.Alive {
 			s.Alive++
--- a/internal/lab/membershipsim/sim_test.go
+++ b/internal/lab/membershipsim/sim_test.go
@@ -126,7 +126,7 @@
 		s.Net.Cut = func(from, to int) bool { return (from < c.left) != (to < c.left) }
 		s.Run(s.Now() + 20*time.Second)
 		small := s.Nodes[c.n-1].Membership.Status(s.now)
-		if small.Majority || small.Settled || small.Alive != c.n-c.left {
+		if small.Majority || small.Converged || small.Alive != c.n-c.left {
 			t.Errorf("%d of %d: %+v", c.n-c.left, c.n, small)
 		}
 		if large := s.Nodes[0].Membership.Status(s.now); large.Majority != (2*c.left > c.n) || large.Alive != c.left {
@@ -135,7 +135,7 @@
 		s.Net.Cut = nil
 		wantConverged(t, s, 10*time.Second)
 		s.Run(s.Now() + 4*time.Second)
-		if st := s.Nodes[0].Membership.Status(s.now); !st.Settled || st.Known != c.n {
+		if st := s.Nodes[0].Membership.Status(s.now); !st.Converged || st.Known != c.n {
 			t.Errorf("healed: %+v", st)
 		}
 	}
@@ -149,7 +149,7 @@
 	if removers(s, 2) != 9 {
 		t.Errorf("%d of 9 noticed", removers(s, 2))
 	}
-	if st := s.Nodes[2].Membership.Status(s.now); st.Settled {
+	if st := s.Nodes[2].Membership.Status(s.now); st.Converged {
 		t.Errorf("heard by none: %+v", st)
 	}
 	s.Net.Cut = nil
@@ -162,7 +162,7 @@
 		s := convergedCluster(t, 7, n)
 		s.Net.Cut = func(from, to int) bool { return (from == 2) != (to == 2) }
 		s.Run(s.Now() + 10*time.Second)
-		if st := s.Nodes[2].Membership.Status(s.now); st.Majority || st.Settled {
+		if st := s.Nodes[2].Membership.Status(s.now); st.Majority || st.Converged {
 			t.Errorf("%d gateways, 10 s after it was cut off: %+v", n, st)
 		}
 		if st := s.Nodes[0].Membership.Status(s.now); !st.Majority {
--- a/internal/lab/mutationtest/cluster.go
+++ b/internal/lab/mutationtest/cluster.go
@@ -50,7 +50,7 @@
 				"BucketSums: m.table.bucketSums[:]}, nil)\n",
 			""),
 		one("call those it doubts its majority", "views", "internal/membership/status.go",
-			"2*(s.Alive-suspects) > s.Known && s.Answering > 0.5", "2*s.Alive > s.Known"),
+			"2*(s.Alive-suspects) > s.Known && s.AnsweredShare > 0.5", "2*s.Alive > s.Known"),
 		one("take a datagram from anybody", "views", "internal/membership/receive.go",
 			"	if !m.cfg.Flat && (!seeded || addr != from) {", "	if false && addr != from {"),
 		{"throw out at the first silence", "views", []edit{
--- a/internal/lab/scale/full.go
+++ b/internal/lab/scale/full.go
@@ -117,17 +117,17 @@
 	now := sim.Now()
 	status := view.Status(now + membershipsim.Epoch)
 	due, timed := g.keeper.Due()
-	if status.Version == g.version && status.Settled == g.settled && !(timed && now >= due) {
+	if status.Version == g.version && status.Converged == g.settled && !(timed && now >= due) {
 		return
 	}
-	g.version, g.settled = status.Version, status.Settled
+	g.version, g.settled = status.Version, status.Converged
 	var alive []assignment.Gateway
 	for n, m := range view.Members() {
 		if m.State == gossipcodec.Alive {
 			alive = append(alive, assignment.Gateway{Name: m.Name, Demand: demand, Zone: g.places.zone(n)})
 		}
 	}
-	changed, err := g.keeper.Observe(now, assignment.Observation{Alive: alive, Settled: status.Settled,
+	changed, err := g.keeper.Observe(now, assignment.Observation{Alive: alive, Settled: status.Converged,
 		Endpoints: g.hosts})
 	if err != nil && len(g.problems) < 5 {
 		g.problems = append(g.problems, err.Error())
--- a/internal/lab/simulation/assignments.go
+++ b/internal/lab/simulation/assignments.go
@@ -83,7 +83,7 @@
 			continue
 		}
 		v, k := m.process.gw.Membership(), m.process.gw.AssignmentTracker()
-		if !v.Status(w.sim.Now()).Settled {
+		if !v.Status(w.sim.Now()).Converged {
 			continue // the rules on views speak of that
 		}
 		if k == nil || k.Stage() == assignment.Waiting {
--- a/internal/lab/simulation/viewchecker.go
+++ b/internal/lab/simulation/viewchecker.go
@@ -139,7 +139,7 @@
 			}
 			st := v.Status(b.w.sim.Now())
 			l := membershipcheck.Observation{At: b.w.sim.Since(), Gateway: m.n, PID: p.pid, Speaking: true,
-				Join: p.joined, Settled: st.Settled, Majority: st.Majority, DuplicateName: st.DuplicateName,
+				Join: p.joined, Settled: st.Converged, Majority: st.Majority, DuplicateName: st.DuplicateName,
 				Alive: st.Alive, Sent: v.Counts().SentBytes, Beliefs: make([]membershipcheck.Belief, len(b.names))}
 			for _, o := range v.Members() {
 				i, ok := b.index[o.Name]
@@ -147,8 +147,8 @@
 					l.Strangers++
 				} else {
 					l.Beliefs[i] = membershipcheck.Belief{State: o.State.String(), Start: o.Start,
-						Incarnation: o.Incarnation, Since: o.Since - epoch,
-						Previous: o.Previous.String(), SuspectedBy: o.SuspectedBy}
+						Incarnation: o.Incarnation, Since: o.StateSince - epoch,
+						Previous: o.PreviousState.String(), SuspectedBy: o.SuspectedBy}
 				}
 			}
 			b.history.Observe(l)
--- a/internal/membership/claims.go
+++ b/internal/membership/claims.go
@@ -119,7 +119,7 @@
 func (m *Membership) acceptClaim(peer *member, c *gossipcodec.Claim) {
 	changed := peer.State != c.State || peer.Start != c.Start
 	if changed {
-		peer.Since, peer.Previous = m.now, peer.State
+		peer.StateSince, peer.PreviousState = m.now, peer.State
 	}
 	peer.State, peer.Start, peer.Incarnation = c.State, c.Start, c.Incarnation
 	if c.State == gossipcodec.Alive {
--- a/internal/membership/claims_test.go
+++ b/internal/membership/claims_test.go
@@ -112,7 +112,7 @@
 		t.Errorf("b is %+v, want the later start 50", got)
 	}
 	m.Receive(epoch, addr(2), datagram("b", 50, gossipcodec.DuplicateName))
-	if st := m.Status(epoch); !st.DuplicateName || st.Settled {
+	if st := m.Status(epoch); !st.DuplicateName || st.Converged {
 		t.Errorf("after a DuplicateName: %+v, want a duplicate name and not converged", st)
 	}
 	if st := m.Status(epoch + duplicateNameWindow); st.DuplicateName {
@@ -138,13 +138,13 @@
 	m.Receive(epoch, addr(3), datagram("c", 900, gossipcodec.Gossip,
 		gossipcodec.Claim{Name: "b", Start: 900, State: gossipcodec.Suspect, SuspectedBy: "c"}))
 	got, _ := findInList(m, "b")
-	if got.State != gossipcodec.Suspect || got.SuspectedBy != "c" || got.Previous != gossipcodec.Alive {
+	if got.State != gossipcodec.Suspect || got.SuspectedBy != "c" || got.PreviousState != gossipcodec.Alive {
 		t.Errorf("while suspect: %+v", got)
 	}
 	m.Receive(epoch, addr(2), datagram("b", 900, gossipcodec.Gossip,
 		gossipcodec.Claim{Name: "b", Start: 900, Incarnation: 1}))
 	got, _ = findInList(m, "b")
-	if got.State != gossipcodec.Alive || got.SuspectedBy != "c" || got.Previous != gossipcodec.Suspect {
+	if got.State != gossipcodec.Alive || got.SuspectedBy != "c" || got.PreviousState != gossipcodec.Suspect {
 		t.Errorf("after the refutation: %+v", got)
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -78,7 +78,7 @@
 	}
 	// Incarnations start at 1: other gateways record incarnation 0 for a member that has sent no claim about itself
 	// yet.
-	m.self.Member = Member{Name: cfg.Name, Start: cfg.Start, Incarnation: max(1, cfg.Incarnation), Since: now,
+	m.self.Member = Member{Name: cfg.Name, Start: cfg.Start, Incarnation: max(1, cfg.Incarnation), StateSince: now,
 		Payload: slices.Clone(cfg.Payload)}
 	m.probes.lastSeq = m.rng.Uint64() >> 24
 	if err := m.setSeedPeers(cfg.SeedPeers); err != nil {
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -209,7 +209,7 @@
 		t.Fatalf("status version fell to %d from %d", st.Version, s.lastVersion)
 	}
 	s.lastVersion = st.Version
-	if st.Alive < 1 || st.Known < st.Alive || st.Settled && !st.Majority || st.Majority && 2*st.Alive <= st.Known {
+	if st.Alive < 1 || st.Known < st.Alive || st.Converged && !st.Majority || st.Majority && 2*st.Alive <= st.Known {
 		t.Fatalf("inconsistent status %+v", st)
 	}
 }
--- a/internal/membership/receive_test.go
+++ b/internal/membership/receive_test.go
@@ -34,8 +34,8 @@
 	for n := range MaxMembers + 50 {
 		m.Receive(epoch, addr(9), datagram(fmt.Sprint("x-", n), 1, gossipcodec.Gossip))
 	}
-	if len(m.Members()) != MaxMembers+1 || m.Counts().Full == 0 {
-		t.Errorf("%d members, %d rejected; want %d members and some rejected", len(m.Members()), m.Counts().Full,
+	if len(m.Members()) != MaxMembers+1 || m.Counts().TableFull == 0 {
+		t.Errorf("%d members, %d rejected; want %d members and some rejected", len(m.Members()), m.Counts().TableFull,
 			MaxMembers+1)
 	}
 }
--- a/internal/membership/send.go
+++ b/internal/membership/send.go
@@ -38,7 +38,7 @@
 func (m *Membership) allowSend(kind gossipcodec.Kind) bool {
 	ok := m.limiter.allow(m.now, kind)
 	if !ok {
-		m.counts.Deferred++
+		m.counts.RateLimited++
 	}
 	return ok
 }
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -20,16 +20,16 @@
 
 // Member describes one gateway as this gateway's view has it.
 type Member struct {
-	Name        string
-	State       gossipcodec.State
-	Start       uint64 // when its process started, in ms of Unix time
-	Incarnation uint64
-	Since       time.Duration     // when it entered State
-	Previous    gossipcodec.State // the state before State; Left for a member that was just added
-	SuspectedBy string            // name of the member that raised the last suspicion; empty if unknown
-	Payload     []byte            // the data that it spreads about itself; must not be modified
-	Addr        netip.AddrPort
-	RTT         time.Duration // smoothed round-trip time; 0 before the first measurement
+	Name          string
+	State         gossipcodec.State
+	Start         uint64 // when its process started, in ms of Unix time
+	Incarnation   uint64
+	StateSince    time.Duration     // when it entered State
+	PreviousState gossipcodec.State // the state before State; Left for a member that was just added
+	SuspectedBy   string            // name of the member that raised the last suspicion; empty if unknown
+	Payload       []byte            // the data that it spreads about itself; must not be modified
+	Addr          netip.AddrPort
+	RTT           time.Duration // smoothed round-trip time; 0 before the first measurement
 }
 
 // Status summarizes a membership and how reliable it is.
@@ -37,10 +37,10 @@
 	Version       uint64        // increases with every change of a state, start or payload
 	Alive         int           // members alive or suspect, including this gateway
 	Known         int           // Alive, members gone but not yet removed, and seed peers without contact yet
-	Answering     float64       // share of the last 16 periodic probes that were answered, 0 to 1
+	AnsweredShare float64       // share of the last 16 periodic probes that were answered, 0 to 1
 	StableFor     time.Duration // time since a state or start last changed
 	Majority      bool          // over half of Known alive and not suspect, and over half of those probes answered
-	Settled       bool          // converged: no change for 2 s, no suspect, Majority and no DuplicateName
+	Converged     bool          // converged: no change for 2 s, no suspect, Majority and no DuplicateName
 	DuplicateName bool          // another living process uses this gateway's name
 	LocalHealth   int           // 0 is healthy, 8 is worst; it stretches the timeouts of this gateway
 }
@@ -52,8 +52,8 @@
 	// Rejected datagrams of another cluster; unreadable datagrams, and datagrams or claims with implausible values;
 	// and datagrams from an address that is not known for the sender's name.
 	OtherCluster, Malformed, UnknownSender uint64
-	Deferred                               uint64 // datagrams not sent because of the rate limit
-	Full                                   uint64 // attempts to add a member to a table that already held MaxMembers
+	RateLimited                            uint64 // datagrams not sent because of the rate limit
+	TableFull                              uint64 // attempts to add a member to a table that already held MaxMembers
 	FalseAlarms                            uint64 // claims that this gateway was suspect, gone or left, which it refuted
 }
 
@@ -105,7 +105,7 @@
 		StableFor:     max(0, now-m.lastChange),
 		LocalHealth:   m.awareness.score,
 		DuplicateName: m.duplicateSeen > 0 && now-m.duplicateSeen < duplicateNameWindow,
-		Answering:     m.probes.results.answeredShare(),
+		AnsweredShare: m.probes.results.answeredShare(),
 	}
 	suspects := 0
 	for _, peer := range m.table.sorted {
@@ -126,7 +126,7 @@
 	}
 	// On a gateway that receives nothing, the local health degrades first, which prolongs the suspicions of all other
 	// members. Suspects must therefore not count toward the majority.
-	s.Majority = 2*(s.Alive-suspects) > s.Known && s.Answering > 0.5
-	s.Settled = s.StableFor >= convergedAfter && suspects == 0 && s.Majority && !s.DuplicateName
+	s.Majority = 2*(s.Alive-suspects) > s.Known && s.AnsweredShare > 0.5
+	s.Converged = s.StableFor >= convergedAfter && suspects == 0 && s.Majority && !s.DuplicateName
 	return s
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -83,11 +83,11 @@
 // is full.
 func (m *Membership) addMember(c *gossipcodec.Claim) *member {
 	if len(m.table.sorted) >= MaxMembers {
-		m.counts.Full++
+		m.counts.TableFull++
 		return nil
 	}
-	peer := &member{Member: Member{Name: c.Name, Start: c.Start, Since: m.now,
-		State: gossipcodec.Left, Previous: gossipcodec.Left}}
+	peer := &member{Member: Member{Name: c.Name, Start: c.Start, StateSince: m.now,
+		State: gossipcodec.Left, PreviousState: gossipcodec.Left}}
 	if addr, ok := m.seeds[c.Name]; ok {
 		peer.Addr = addr
 	} else if m.cfg.Flat {
@@ -100,7 +100,7 @@
 // reap removes members that have been gone or left for longer than reapAfter.
 func (m *Membership) reap() {
 	m.table.removeIf(func(peer *member) bool {
-		expired := peer.State >= gossipcodec.Gone && m.now-peer.Since > reapAfter
+		expired := peer.State >= gossipcodec.Gone && m.now-peer.StateSince > reapAfter
 		if expired {
 			m.queue.drop(peer.Name) // its claim may still be queued if there was no live member to send it to
 		}
--- a/internal/subset/expansion.go
+++ b/internal/subset/expansion.go
@@ -25,9 +25,9 @@
 
 // Signals are the observations of a gateway in one sample.
 type Signals struct {
-	Short   bool // requests were queued for long
-	Full    bool // an endpoint of the expansion rejected an attempt as full or could not be reached
-	Warming bool // an endpoint of the regular subset is warming up, so capacity increases without an expansion
+	ShortOfCapacity bool // requests were queued for long
+	ExpansionFull   bool // an endpoint of the expansion rejected an attempt as full or could not be reached
+	WarmingUp       bool // an endpoint of the regular subset is warming up, so capacity increases without an expansion
 }
 
 // Update adjusts the size by the signals of one sample and reports whether the whole number of endpoints changed.
@@ -36,12 +36,12 @@
 func (e *Expansion) Update(now time.Duration, signals Signals, maxSize float64, cooldown time.Duration) bool {
 	before := e.Size
 	switch {
-	case signals.Full:
+	case signals.ExpansionFull:
 		e.Size /= 2
 		e.resumeAt = now + cooldown*time.Duration(1<<min(e.halvings, maxCooldownDoublings))
 		e.halvings++
 	case now < e.resumeAt: // unchanged during the cooldown
-	case signals.Short && !signals.Warming:
+	case signals.ShortOfCapacity && !signals.WarmingUp:
 		e.Size = min(before+1, maxSize)
 	default:
 		e.Size *= 1 - expansionDecay
--- a/internal/subset/size_test.go
+++ b/internal/subset/size_test.go
@@ -23,7 +23,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				parts := Count(0, zones)
-				Rule{Local: 8, Remote: 4, Min: 2}.Subsets(1024, parts)
+				Rule{Local: 8, Remote: 4, Min: 2}.ComputeSizes(1024, parts)
 				RelativeLoad(ready, parts[0].Local)
 			}
 		})
@@ -36,14 +36,14 @@
 	for _, size := range [][2]int{{1024, 1024}, {1024, 8000}, {350, 8000}, {8, 8000}} {
 		gateways, endpoints := size[0], size[1]
 		zones := []Zone{{Zone: 0, Ready: float64(endpoints) / 2}, {Zone: 1, Ready: float64(endpoints) / 2}}
-		Rule{Local: 8, Remote: 4, Min: 2}.Subsets(gateways, zones)
+		Rule{Local: 8, Remote: 4, Min: 2}.ComputeSizes(gateways, zones)
 		want := min(8, float64(gateways)/2) + min(4, float64(gateways)/2)
 		if got := Users(gateways, 0, zones); got < want-0.01 || got > want+0.01 {
 			t.Errorf("%d gateways, %d endpoints: an endpoint has %v users, want %v", gateways, endpoints, got, want)
 		}
 		starts := make(map[int]bool)
 		for rank := range gateways {
-			starts[Start(rank, endpoints)] = true
+			starts[StartIndex(rank, endpoints)] = true
 		}
 		// Some multiples of the golden ratio share an index where there are as many gateways as endpoints.
 		if len(starts) < min(gateways, endpoints)*4/5 {
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -39,9 +39,9 @@
 // zones. A gateway uses at least Min endpoints overall, or all if there are fewer.
 type Rule struct{ Local, Remote, Min float64 }
 
-// Subsets sets OtherReady, Local and Remote of each zone from its Ready. Gateways are assumed to be distributed evenly
+// ComputeSizes sets OtherReady, Local and Remote of each zone from its Ready. Gateways are assumed to be distributed evenly
 // over the zones, as no list contains the zones of gateways.
-func (r Rule) Subsets(gateways int, zones []Zone) {
+func (r Rule) ComputeSizes(gateways int, zones []Zone) {
 	total := 0.0
 	for _, z := range zones {
 		total += z.Ready
@@ -73,9 +73,9 @@
 	return max(1, n)
 }
 
-// Start returns the index among n endpoints at which the subset of the gateway with the given rank starts. It uses
+// StartIndex returns the index among n endpoints at which the subset of the gateway with the given rank starts. It uses
 // multiples of the golden ratio, which distribute any range of ranks evenly.
-func Start(rank, n int) int {
+func StartIndex(rank, n int) int {
 	_, fraction := math.Modf(float64(rank) * math.Phi)
 	return int(fraction * float64(n))
 }
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -15,7 +15,7 @@
 			zones = append(zones, Zone{Zone: i, Ready: n})
 		}
 		const gateways = 300
-		rule.Subsets(gateways, zones)
+		rule.ComputeSizes(gateways, zones)
 		used, shared := 0.0, 0.0
 		for _, z := range zones {
 			used += gateways / float64(len(zones)) * (z.Local + z.Remote)
@@ -36,7 +36,7 @@
 	var starts [endpoints]int
 	total := 0.0
 	for rank := range gateways {
-		starts[Start(rank, endpoints)]++
+		starts[StartIndex(rank, endpoints)]++
 		total += RoundByRank(rank, 1.5)
 	}
 	for index, n := range starts {
@@ -67,15 +67,15 @@
 		want    float64
 	}{
 		{"no signals", 4, Signals{}, 0},
-		{"short, but the regular subset is warming up", 4, Signals{Short: true, Warming: true}, 0},
-		{"short of capacity", 8, Signals{Short: true}, 8},
-		{"short, bounded by the maximum size", 8, Signals{Short: true}, 12},
-		{"an endpoint is full", 1, Signals{Short: true, Full: true}, 6},
-		{"no growth during the cooldown", 3, Signals{Short: true}, 6},
-		{"growth after the cooldown", 2, Signals{Short: true}, 8},
-		{"an endpoint is full again", 1, Signals{Short: true, Full: true}, 4},
-		{"no growth during a cooldown twice as long", 7, Signals{Short: true}, 4},
-		{"growth after the second cooldown", 1, Signals{Short: true}, 5},
+		{"short, but the regular subset is warming up", 4, Signals{ShortOfCapacity: true, WarmingUp: true}, 0},
+		{"short of capacity", 8, Signals{ShortOfCapacity: true}, 8},
+		{"short, bounded by the maximum size", 8, Signals{ShortOfCapacity: true}, 12},
+		{"an endpoint is full", 1, Signals{ShortOfCapacity: true, ExpansionFull: true}, 6},
+		{"no growth during the cooldown", 3, Signals{ShortOfCapacity: true}, 6},
+		{"growth after the cooldown", 2, Signals{ShortOfCapacity: true}, 8},
+		{"an endpoint is full again", 1, Signals{ShortOfCapacity: true, ExpansionFull: true}, 4},
+		{"no growth during a cooldown twice as long", 7, Signals{ShortOfCapacity: true}, 4},
+		{"growth after the second cooldown", 1, Signals{ShortOfCapacity: true}, 5},
 	}
 	for _, s := range steps {
 		if got := update(s.n, s.signals); got != s.want {
@@ -109,7 +109,7 @@
 			}
 		}
 		for rank := range gateways {
-			start, used := Start(rank, len(c.ready)), 0.0
+			start, used := StartIndex(rank, len(c.ready)), 0.0
 			for i := 0; i < len(c.ready) && used < c.size; i++ {
 				if index := (start + i) % len(c.ready); c.ready[index] {
 					users[index]++
