--- a/internal/downstream/arrivals.go
+++ b/internal/downstream/arrivals.go
@@ -28,7 +28,7 @@
 
 // arrivals records when the bytes of a connection were sent, at the earliest.
 type arrivals struct {
-	bytesFed int64 // bytes read so far
+	bytesReceived int64 // bytes read so far
 	marks    []mark
 	backlog  backlog
 }
@@ -38,7 +38,7 @@
 	active        bool
 	since         time.Duration // the bytes read now were sent after it
 	nextSince     time.Duration // replaces since after maxUnread bytes
-	bytes         int           // bytes read since nextSince
+	bytesSinceNext         int           // bytes read since nextSince
 	lastShortRead time.Duration // when a read last did not fill its buffer: most likely nothing is left; 0 if none did
 }
 
@@ -60,12 +60,12 @@
 		at = a.backlog.since
 		a.backlog.consume(now, n)
 	}
-	a.bytesFed += int64(n)
+	a.bytesReceived += int64(n)
 	if last := len(a.marks) - 1; last >= 0 && at-a.marks[last].at < markInterval {
-		a.marks[last].offset = a.bytesFed
+		a.marks[last].offset = a.bytesReceived
 		return
 	}
-	a.marks = append(a.marks, mark{a.bytesFed, at})
+	a.marks = append(a.marks, mark{a.bytesReceived, at})
 	if len(a.marks) > maxMarks {
 		a.mergeMarks()
 	}
@@ -94,8 +94,8 @@
 	if n < loop.ReadSize {
 		b.lastShortRead = now
 	}
-	if b.bytes += n; b.bytes >= maxUnread {
-		b.since, b.nextSince, b.bytes = b.nextSince, now, 0
+	if b.bytesSinceNext += n; b.bytesSinceNext >= maxUnread {
+		b.since, b.nextSince, b.bytesSinceNext = b.nextSince, now, 0
 	}
 }
 
@@ -112,7 +112,7 @@
 
 // LastByteSent returns when the last byte that the reader has consumed was sent, at the earliest.
 func (c *Conn) LastByteSent() time.Duration {
-	return c.arrivals.sentAt(c.arrivals.bytesFed - int64(c.reader.Buffered()))
+	return c.arrivals.sentAt(c.arrivals.bytesReceived - int64(c.reader.Buffered()))
 }
 
 // TimeLeft returns what is left of a request's client timeout. While a body is being received the timeout has not
@@ -120,7 +120,7 @@
 func (c *Conn) TimeLeft(now, clientTimeout time.Duration) time.Duration {
 	switch {
 	case c.Upload && c.reader.Complete():
-		return c.arrivals.sentAt(c.arrivals.bytesFed) + clientTimeout - now
+		return c.arrivals.sentAt(c.arrivals.bytesReceived) + clientTimeout - now
 	case c.Upload && c.arrivals.backlog.pending(now):
 		return c.arrivals.backlog.since + clientTimeout - now
 	case c.Upload:
--- a/internal/downstream/incoming.go
+++ b/internal/downstream/incoming.go
@@ -16,7 +16,7 @@
 }
 
 // Next returns what the client has sent next, once that is complete or its body is too large to buffer.
-func (c *Conn) Next(classes Classes) (asked Incoming, whole bool) {
+func (c *Conn) Next(classes Classes) (incoming Incoming, complete bool) {
 	m, fault := c.reader.Next()
 	switch {
 	case fault != nil:
@@ -35,34 +35,34 @@
 		return Incoming{}, false
 	}
 	if c.large == nil {
-		asked := parseRequest(&http1.Message{Head: head}, classes)
-		if asked.Health && asked.Fault == nil || asked.Fault == nil && asked.Request.Class.Method == "GET" {
-			asked.Fault = badRequest("a GET has no body")
+		incoming := parseRequest(&http1.Message{Head: head}, classes)
+		if incoming.Health && incoming.Fault == nil || incoming.Fault == nil && incoming.Request.Class.Method == "GET" {
+			incoming.Fault = badRequest("a GET has no body")
 		}
-		asked.Large, c.large = true, &asked
-		if asked.Fault != nil {
-			asked.Closes = true // its body is not read
-			return asked, true
+		incoming.Large, c.large = true, &incoming
+		if incoming.Fault != nil {
+			incoming.Closes = true // its body is not read
+			return incoming, true
 		}
 	}
 	if !c.reader.Full() {
 		return Incoming{}, false
 	}
-	asked := *c.large
+	incoming := *c.large
 	c.large = nil
-	return asked, true
+	return incoming, true
 }
 
-func parseRequest(message *http1.Message, classes Classes) (asked Incoming) {
-	asked.Closes = !message.KeepAlive
+func parseRequest(message *http1.Message, classes Classes) (incoming Incoming) {
+	incoming.Closes = !message.KeepAlive
 	if path, _, _ := strings.Cut(message.Target, "?"); path == healthPath {
-		if asked.Health = true; message.Method != "GET" {
-			asked.Fault = badRequest("health is asked for with GET")
+		if incoming.Health = true; message.Method != "GET" {
+			incoming.Fault = badRequest("health is asked for with GET")
 		}
-		return asked
+		return incoming
 	}
-	asked.Request, asked.Fault = validate(message, classes)
-	return asked
+	incoming.Request, incoming.Fault = validate(message, classes)
+	return incoming
 }
 
 // healthPath is the path of the health checks.
--- a/internal/downstream/readtimeout.go
+++ b/internal/downstream/readtimeout.go
@@ -32,8 +32,8 @@
 	case !c.reader.HeadRead():
 		return plain
 	}
-	byRate := plain + time.Duration(c.RequestBytes)*time.Second/MinBodyRate
-	return max(plain, min(byRate, c.lastReceived+BodyReadTimeout))
+	rateDeadline := plain + time.Duration(c.RequestBytes)*time.Second/MinBodyRate
+	return max(plain, min(rateDeadline, c.lastReceived+BodyReadTimeout))
 }
 
 // Incomplete reports whether the gateway waits for the client: part of its request has been received and the rest
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -68,7 +68,7 @@
 	if request.Class, known = classes(first, message.Method); !known {
 		return request, &http1.Fault{Status: 404, Text: "no such path"}
 	}
-	if stated, times := message.Get(fieldClass); times != 1 || stated != first {
+	if class, times := message.Get(fieldClass); times != 1 || class != first {
 		return request, badRequest(fieldClass + " must name the class of the path")
 	}
 	method := request.Class.Method
--- a/internal/hotrestart/conn.go
+++ b/internal/hotrestart/conn.go
@@ -23,7 +23,7 @@
 }
 
 // Next returns the next message once it has been received completely.
-func (c *Conn) Next() (m Message, whole bool, err error) {
+func (c *Conn) Next() (m Message, complete bool, err error) {
 	if len(c.received) < lengthPrefix {
 		return m, false, nil
 	}
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -14,8 +14,8 @@
 	byClose
 )
 
-// maxLine bounds a chunk's size line and the trailers, in bytes.
-const maxLine = 4 << 10
+// maxChunkLine bounds a chunk's size line and the trailers, in bytes.
+const maxChunkLine = 4 << 10
 
 // body decodes a body incrementally.
 type body struct {
@@ -26,9 +26,9 @@
 	done         bool
 }
 
-// frame returns the body that the fields of a head describe. A message that states its framing twice is refused:
+// parseFraming returns the body that the fields of a head describe. A message that states its framing twice is refused:
 // two readers that follow different statements would see different requests.
-func frame(h *Head, response bool) (body, *Fault) {
+func parseFraming(h *Head, response bool) (body, *Fault) {
 	b := body{trailerBytes: -1}
 	length, lengths := h.Get("Content-Length")
 	coding, codings := h.Get("Transfer-Encoding")
@@ -60,9 +60,9 @@
 	return b, nil
 }
 
-// take decodes part of in and returns a piece of the body and how many bytes of in it used. It is to be called
+// decode decodes part of in and returns a piece of the body and how many bytes of in it used. It is to be called
 // until it uses none.
-func (b *body) take(in []byte) (piece []byte, used int, fault *Fault) {
+func (b *body) decode(in []byte) (piece []byte, used int, fault *Fault) {
 	switch {
 	case b.done || len(in) == 0:
 		return nil, 0, nil
@@ -74,28 +74,28 @@
 		b.done = b.framing == byLength && b.remaining == 0
 		return in[:n], int(n), nil
 	}
-	return b.takeLine(in)
+	return b.decodeLine(in)
 }
 
-// takeLine reads a line of the chunked coding: the end of a chunk, a size, or a trailer.
-func (b *body) takeLine(in []byte) (piece []byte, used int, fault *Fault) {
-	at := bytes.Index(in, []byte("\r\n"))
-	if at < 0 {
-		if len(in) > maxLine {
+// decodeLine reads a line of the chunked coding: the end of a chunk, a size, or a trailer.
+func (b *body) decodeLine(in []byte) (piece []byte, used int, fault *Fault) {
+	lineEnd := bytes.Index(in, []byte("\r\n"))
+	if lineEnd < 0 {
+		if len(in) > maxChunkLine {
 			return nil, 0, badRequest("chunk line too long")
 		}
 		return nil, 0, nil
 	}
-	line, used := in[:at], at+2
+	line, used := in[:lineEnd], lineEnd+2
 	switch {
 	case b.inChunk:
-		if at != 0 {
+		if lineEnd != 0 {
 			return nil, 0, badRequest("chunk longer than its size")
 		}
 		b.inChunk = false
 	case b.trailerBytes >= 0:
-		b.done = at == 0
-		if b.trailerBytes += used; b.trailerBytes > maxLine {
+		b.done = lineEnd == 0
+		if b.trailerBytes += used; b.trailerBytes > maxChunkLine {
 			return nil, 0, &Fault{431, "trailers too large"}
 		}
 	default:
@@ -110,8 +110,8 @@
 	return nil, used, nil
 }
 
-// maxBeforeDigit bounds a chunk's size before one more digit is added: it cannot overflow.
-const maxBeforeDigit = 1 << 30
+// maxSizeBeforeDigit bounds a chunk's size before one more digit is added: it cannot overflow.
+const maxSizeBeforeDigit = 1 << 30
 
 // parseHex reads a chunk's size, without its extensions.
 func parseHex(line []byte) (int64, bool) {
@@ -120,7 +120,7 @@
 	n := int64(0)
 	for _, c := range line {
 		digit := strings.IndexByte("0123456789abcdef", c|0x20)
-		if digit < 0 || n > maxBeforeDigit {
+		if digit < 0 || n > maxSizeBeforeDigit {
 			return 0, false
 		}
 		n = n<<4 | int64(digit)
--- a/internal/http1/cut_test.go
+++ b/internal/http1/cut_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// read feeds a stream in pieces of the sizes that cuts gives and returns a text of the messages read. Large bodies
+// readAll feeds a stream in pieces of the sizes that cuts gives and returns a text of the messages read. Large bodies
 // are streamed at once.
-func read(response bool, stream []byte, cuts []byte) string {
+func readAll(response bool, stream []byte, cuts []byte) string {
 	r := Reader{Response: response}
 	var out, body bytes.Buffer
 	streamed := false
@@ -29,7 +29,7 @@
 				if !done {
 					break
 				}
-				fmt.Fprintf(&out, "large %d %x;", body.Len(), crc(body.Bytes()))
+				fmt.Fprintf(&out, "large %d %x;", body.Len(), checksum(body.Bytes()))
 				body.Reset()
 				streamed = false
 			}
@@ -43,7 +43,7 @@
 					kind = "large"
 				}
 				fmt.Fprintf(&out, "%s %s %d %v %s %d %x;", kind, m.Target, m.Status, m.KeepAlive, m.Method,
-					len(m.Body), crc(m.Body))
+					len(m.Body), checksum(m.Body))
 				continue
 			}
 			if r.Large() == nil {
@@ -59,7 +59,7 @@
 	return out.String()
 }
 
-func crc(b []byte) (sum uint32) {
+func checksum(b []byte) (sum uint32) {
 	for _, c := range b {
 		sum = sum*31 + uint32(c)
 	}
@@ -92,16 +92,16 @@
 		f.Add(true, []byte(s), []byte{1, 2})
 	}
 	f.Fuzz(func(t *testing.T, response bool, stream, cuts []byte) {
-		if whole, parts := read(response, stream, nil), read(response, stream, cuts); whole != parts {
+		if whole, parts := readAll(response, stream, nil), readAll(response, stream, cuts); whole != parts {
 			t.Errorf("%q\nwhole %q\ncut by %v %q", stream, whole, cuts, parts)
 		}
 	})
 }
 
 // Interim responses are skipped up to a bound.
-func TestInterimAnswersAreBounded(t *testing.T) {
+func TestInterimResponsesAreBounded(t *testing.T) {
 	final, interim := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 103 Early\r\n\r\n"
-	for n, want := range map[int]bool{0: true, maxInterim: true, maxInterim + 1: false} {
+	for n, want := range map[int]bool{0: true, maxInterimResponses: true, maxInterimResponses + 1: false} {
 		r := Reader{Response: true}
 		r.Feed(append(bytes.Repeat([]byte(interim), n), final...))
 		if m, fault := r.Next(); (m != nil && fault == nil) != want {
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -50,8 +50,8 @@
 	return value, times
 }
 
-// has reports whether a comma-separated field holds a token.
-func (h *Head) has(name, token string) bool {
+// hasToken reports whether a comma-separated field holds a token.
+func (h *Head) hasToken(name, token string) bool {
 	for i := range h.Fields {
 		if !strings.EqualFold(h.Fields[i].Name, name) {
 			continue
@@ -73,7 +73,7 @@
 			return true
 		}
 	}
-	return h.has("Connection", name)
+	return h.hasToken("Connection", name)
 }
 
 // parseHead reads a head without its last empty line.
@@ -98,7 +98,7 @@
 		}
 	}
 	h.Minor = minor
-	h.KeepAlive = minor == 1 && !h.has("Connection", "close") // HTTP/1.0 keep-alive is not supported
+	h.KeepAlive = minor == 1 && !h.hasToken("Connection", "close") // HTTP/1.0 keep-alive is not supported
 	if _, hosts := h.Get("Host"); !response && (hosts > 1 || hosts == 0 && minor == 1) {
 		return nil, badRequest("a request needs one Host")
 	}
@@ -155,11 +155,11 @@
 		if !strings.EqualFold(scheme, "http") && !strings.EqualFold(scheme, "https") {
 			return false
 		}
-		at := strings.IndexAny(rest, "/?")
-		if at < 0 {
-			at = len(rest)
+		authorityEnd := strings.IndexAny(rest, "/?")
+		if authorityEnd < 0 {
+			authorityEnd = len(rest)
 		}
-		if h.authority, s = rest[:at], rest[at:]; h.authority == "" {
+		if h.authority, s = rest[:authorityEnd], rest[authorityEnd:]; h.authority == "" {
 			return false
 		}
 		if !strings.HasPrefix(s, "/") {
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -2,8 +2,8 @@
 
 import "bytes"
 
-// maxInterim bounds the interim responses before a final one.
-const maxInterim = 64
+// maxInterimResponses bounds the interim responses before a final one.
+const maxInterimResponses = 64
 
 // Reader reads the messages of one connection, one after another.
 type Reader struct {
@@ -14,7 +14,7 @@
 	head            *Head  // of the message under way, nil until it is complete
 	body            body   // decodes the body of that message
 	payload         []byte // decoded and not yet returned
-	bodyBytes       int64  // decoded bytes of the body, returned or not
+	decodedBytes       int64  // decoded bytes of the body, returned or not
 	interimCount    int    // interim responses before this one
 	continueChecked bool   // AwaitsContinue has looked at this head
 	streamed        bool   // this message's body is streamed, see Begin
@@ -51,8 +51,8 @@
 // Large returns the head of the message under way if its body is too large to buffer, else nil. Where the length
 // is not stated, this is known only once more than MaxHeld bytes have been received.
 func (r *Reader) Large() *Head {
-	if r.head == nil || r.body.framing == byLength && r.body.remaining+r.bodyBytes <= MaxHeld ||
-		r.body.framing != byLength && r.bodyBytes <= MaxHeld {
+	if r.head == nil || r.body.framing == byLength && r.body.remaining+r.decodedBytes <= MaxHeld ||
+		r.body.framing != byLength && r.decodedBytes <= MaxHeld {
 		return nil
 	}
 	return r.head
@@ -67,9 +67,9 @@
 	if r.head == nil {
 		return false
 	}
-	rest := r.body
-	for in := r.buffer; !rest.done; {
-		_, used, fault := rest.take(in)
+	decoder := r.body
+	for in := r.buffer; !decoder.done; {
+		_, used, fault := decoder.decode(in)
 		if fault != nil {
 			return true // no further byte can mend it
 		}
@@ -91,7 +91,7 @@
 	if r.body.framing != byLength {
 		return -1
 	}
-	return r.bodyBytes + r.body.remaining
+	return r.decodedBytes + r.body.remaining
 }
 
 // Pieces returns the head of a streamed message once it is complete, the next chunk of its body, all that has
@@ -123,7 +123,7 @@
 }
 
 func (r *Reader) reset() {
-	r.head, r.payload, r.bodyBytes, r.interimCount, r.streamed = nil, nil, 0, 0, false
+	r.head, r.payload, r.decodedBytes, r.interimCount, r.streamed = nil, nil, 0, 0, false
 }
 
 // AwaitsContinue reports, once for each message, whether the peer waits for 100 Continue before it sends the body.
@@ -132,7 +132,7 @@
 		return false
 	}
 	r.continueChecked = true
-	return r.head.has("Expect", "100-continue")
+	return r.head.hasToken("Expect", "100-continue")
 }
 
 func (r *Reader) advance() *Fault {
@@ -141,27 +141,27 @@
 			return fault
 		}
 		if r.Response && r.head.Status < 200 { // an interim response: the final one follows
-			if r.interimCount++; r.head.Status == 101 || r.interimCount > maxInterim {
+			if r.interimCount++; r.head.Status == 101 || r.interimCount > maxInterimResponses {
 				return badRequest("an interim response out of place")
 			}
 			r.head = nil
 		}
 	}
-	used, streamed := 0, r.Stream || r.streamed
+	consumed, streamed := 0, r.Stream || r.streamed
 	for streamed || len(r.payload) <= MaxHeld { // a body too large to buffer waits undecoded until Begin
-		piece, n, fault := r.body.take(r.buffer[used:])
+		piece, n, fault := r.body.decode(r.buffer[consumed:])
 		if fault != nil {
 			return fault
 		}
 		r.payload = append(r.payload, piece...)
-		if r.bodyBytes += int64(len(piece)); !r.Stream && r.bodyBytes > MaxBody {
+		if r.decodedBytes += int64(len(piece)); !r.Stream && r.decodedBytes > MaxBody {
 			return &Fault{413, "body too large"}
 		}
-		if used += n; n == 0 {
+		if consumed += n; n == 0 {
 			break
 		}
 	}
-	r.consume(used)
+	r.consume(consumed)
 	return nil
 }
 
@@ -169,26 +169,26 @@
 	for len(r.buffer) >= 2 && r.buffer[0] == '\r' && r.buffer[1] == '\n' && !r.Response {
 		r.consume(2) // empty lines before a request are skipped
 	}
-	at := bytes.Index(r.buffer[max(0, r.scanned-3):], []byte("\r\n\r\n"))
-	if at < 0 {
+	headEnd := bytes.Index(r.buffer[max(0, r.scanned-3):], []byte("\r\n\r\n"))
+	if headEnd < 0 {
 		if r.scanned = len(r.buffer); r.scanned > MaxHead {
 			return &Fault{431, "head too large"}
 		}
 		return nil
 	}
-	at += max(0, r.scanned-3)
-	if at > MaxHead {
+	headEnd += max(0, r.scanned-3)
+	if headEnd > MaxHead {
 		return &Fault{431, "head too large"}
 	}
-	head, fault := parseHead(r.buffer[:at], r.Response)
+	head, fault := parseHead(r.buffer[:headEnd], r.Response)
 	if fault != nil {
 		return fault
 	}
-	if r.body, fault = frame(head, r.Response); fault != nil {
+	if r.body, fault = parseFraming(head, r.Response); fault != nil {
 		return fault
 	}
 	r.head, r.scanned, r.continueChecked = head, 0, false
-	r.consume(at + 4)
+	r.consume(headEnd + 4)
 	return nil
 }
 
--- a/internal/loop/calls.go
+++ b/internal/loop/calls.go
@@ -6,14 +6,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// syscalls are the system calls on sockets that fail for reasons of their own while the program runs.
-// There is one set of them, the kernel's; tests replace it. docs/design/system-calls.md explains what
-// each failure means.
+// syscalls holds the system calls on sockets whose failures the loop has to handle while the program runs. The program
+// always uses the calls of the kernel; tests replace them to inject failures. docs/design/system-calls.md explains the
+// meaning of each failure.
 type syscalls struct {
 	accept      func(fd int) (int, error)
 	socket      func(family, kind int) (int, error)
 	connect     func(fd int, to unix.Sockaddr) error
-	socketError func(fd int) (int, error) // the error that waits at a socket
+	socketError func(fd int) (int, error) // returns and clears the pending error of a socket
 	read        func(fd int, buf []byte) (int, error)
 	send        func(fd int, data []byte) (int, error)
 	peek        func(fd int, buf []byte) error
@@ -21,7 +21,7 @@
 	wait        func(epoll int, ready []unix.EpollEvent, ms int) (int, error)
 }
 
-// kernelCalls is the set of the kernel's calls.
+// kernelCalls returns the system calls of the kernel.
 func kernelCalls() syscalls {
 	return syscalls{
 		accept: func(fd int) (int, error) {
@@ -46,10 +46,10 @@
 	}
 }
 
-// maxInterrupts bounds how often an interrupted call is repeated at once.
+// maxInterrupts is how often retryInterrupted makes a call before it returns EINTR.
 const maxInterrupts = 16
 
-// retryInterrupted repeats a call while a signal interrupts it.
+// retryInterrupted makes a system call, and repeats it while a signal interrupts it, up to maxInterrupts times.
 func retryInterrupted[T any](call func() (T, error)) (result T, err error) {
 	for range maxInterrupts {
 		if result, err = call(); !errors.Is(err, unix.EINTR) {
@@ -59,7 +59,7 @@
 	return result, err
 }
 
-// isAny reports whether an error is one of several numbers.
+// isAny reports whether err is or wraps one of the given error numbers.
 func isAny(err error, numbers ...unix.Errno) bool {
 	var number unix.Errno
 	if !errors.As(err, &number) {
@@ -73,23 +73,22 @@
 	return false
 }
 
-// isConnectionError reports whether accept failed for the one connection that it was about to give, or
-// was interrupted: the next may be better. Linux passes errors of the network that wait at a new socket
-// on to accept.
+// isConnectionError reports whether accept failed only for the connection that it was about to return, or was
+// interrupted: the next call may succeed. On Linux, accept returns network errors that are pending at the new socket.
 func isConnectionError(err error) bool {
 	return isAny(err, unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.EPERM, unix.ECONNRESET, unix.ETIMEDOUT,
 		unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH,
 		unix.EOPNOTSUPP, unix.ENETUNREACH)
 }
 
-// isResourceError reports whether a connection failed for want of something that this machine or
-// process has run out of: the peer may be well.
+// isResourceError reports whether a connection failed because this machine or process has run out of a resource, such
+// as descriptors or ports. Such an error says nothing about the peer.
 func isResourceError(err error) bool {
 	return isAny(err, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EAGAIN)
 }
 
-// isEarlierDatagramError reports whether receiving failed because of a datagram sent earlier, or only for the
-// moment.
+// isEarlierDatagramError reports whether receiving failed only temporarily, or because of an error that the network
+// returned for a datagram sent earlier: the socket remains usable.
 func isEarlierDatagramError(err error) bool {
 	return isAny(err, unix.EINTR, unix.ECONNREFUSED, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.EMSGSIZE,
 		unix.ENOBUFS, unix.ENOMEM, unix.ENETDOWN, unix.EHOSTDOWN, unix.ENONET, unix.EPROTO, unix.ETIMEDOUT, unix.EPERM)
--- a/internal/loop/calls_test.go
+++ b/internal/loop/calls_test.go
@@ -12,26 +12,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// failing returns the errors of a list one after another, then none.
-func failing(errors ...unix.Errno) func() error {
+// failuresInOrder returns a function that returns one error of the list at each call, and nil after the last.
+func failuresInOrder(errnos ...unix.Errno) func() error {
 	return func() error {
-		if len(errors) == 0 {
+		if len(errnos) == 0 {
 			return nil
 		}
-		next := errors[0]
-		errors = errors[1:]
+		next := errnos[0]
+		errnos = errnos[1:]
 		return next
 	}
 }
 
-// played is the record of a loop whose system calls fail as planted: the events that it delivered, and their data.
-type played struct {
-	events []Event
-	data   []byte
+// recording holds the events that a loop has delivered, and the data of its Data events.
+type recording struct {
+	events   []Event
+	received []byte
 }
 
-func (p *played) kinds(conn Conn) (list []Kind) {
-	for _, e := range p.events {
+// kinds returns the kinds of the events of a socket, in order.
+func (r *recording) kinds(conn Conn) (list []Kind) {
+	for _, e := range r.events {
 		if e.Conn == conn {
 			list = append(list, e.Kind)
 		}
@@ -39,27 +40,28 @@
 	return list
 }
 
-// run runs a loop until step returns Exit, for some seconds at most.
-func run(t *testing.T, plant func(c *syscalls), step func(e Event) []Effect) *played {
+// runLoop runs a loop with injected system-call failures until step returns Exit, and returns the recorded events. The
+// test fails if that takes longer than 5 s.
+func runLoop(t *testing.T, inject func(c *syscalls), step func(e Event) []Effect) *recording {
 	t.Helper()
 	l, err := New(NewClock())
 	if err != nil {
 		t.Fatal(err)
 	}
-	plant(&l.syscalls)
-	p := &played{}
+	inject(&l.syscalls)
+	r := &recording{}
 	end := time.Now().Add(5 * time.Second)
 	err = l.Run(stepper(func(_ time.Duration, e Event) []Effect {
-		p.events = append(p.events, e)
+		r.events = append(r.events, e)
 		if e.Kind == Data {
-			p.data = append(p.data, e.Data...)
+			r.received = append(r.received, e.Data...)
 		}
 		effects := step(e)
 		if e.Kind == Start {
 			effects = append(effects, Effect{Op: SetTimer, At: l.clock.Now() + 5*time.Second})
 		}
 		if time.Now().After(end) {
-			t.Error("the loop never came to its end")
+			t.Error("the loop did not exit within 5 s")
 			effects = append(effects, Effect{Op: Exit})
 		}
 		return effects
@@ -67,64 +69,65 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return r
 }
 
-// peer listens and returns its address and a channel of the accepted connections.
-func peer(t *testing.T) (netip.AddrPort, chan net.Conn) {
+// listenPeer opens a listener and returns its address and a channel of the connections that it accepts.
+func listenPeer(t *testing.T) (netip.AddrPort, chan net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	came := make(chan net.Conn, 8)
+	accepted := make(chan net.Conn, 8)
 	go func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			came <- c
+			accepted <- c
 		}
 	}()
-	return netip.MustParseAddrPort(ln.Addr().String()), came
+	return netip.MustParseAddrPort(ln.Addr().String()), accepted
 }
 
-// acceptOne runs a loop with a listener to which one client connects, until over reports that an event is the last.
-func acceptOne(t *testing.T, plant func(c *syscalls), over func(e Event) bool) *played {
+// acceptOneClient runs a loop with a listener to which one client connects. The loop exits at the first event, of those
+// that it does not handle itself, for which isLast returns true.
+func acceptOneClient(t *testing.T, inject func(c *syscalls), isLast func(e Event) bool) *recording {
 	t.Helper()
-	at := netip.MustParseAddrPort("127.0.0.1:0")
-	free, err := net.Listen("tcp4", at.String())
+	addr := netip.MustParseAddrPort("127.0.0.1:0")
+	reserved, err := net.Listen("tcp4", addr.String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	at = netip.MustParseAddrPort(free.Addr().String())
-	free.Close()
-	return run(t, plant, func(e Event) []Effect {
+	addr = netip.MustParseAddrPort(reserved.Addr().String())
+	reserved.Close()
+	return runLoop(t, inject, func(e Event) []Effect {
 		switch {
 		case e.Kind == Start:
-			return []Effect{{Op: Listen, Conn: Listener, Addr: at}}
+			return []Effect{{Op: Listen, Conn: Listener, Addr: addr}}
 		case e.Kind == Listening:
-			c, err := net.Dial("tcp4", at.String())
+			c, err := net.Dial("tcp4", addr.String())
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { c.Close() })
 		case e.Kind == Readable && e.Conn == Listener:
 			return []Effect{{Op: Accept, Conn: Listener}}
-		case over(e):
+		case isLast(e):
 			return []Effect{{Op: Exit}}
 		}
 		return nil
 	})
 }
 
-// An error that waits at one new connection, or an interruption, is no failure of the listener.
-func TestAcceptPassesOverOneConnection(t *testing.T) {
-	fail := failing(unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENETUNREACH, unix.EHOSTUNREACH, unix.EPERM,
+// Guards against reporting a listener as failed because accept was interrupted or failed for a single new connection.
+func TestAcceptSkipsFailedConnections(t *testing.T) {
+	fail := failuresInOrder(unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENETUNREACH, unix.EHOSTUNREACH, unix.EPERM,
 		unix.ETIMEDOUT)
-	p := acceptOne(t, func(c *syscalls) {
+	recorded := acceptOneClient(t, func(c *syscalls) {
 		accept := c.accept
 		c.accept = func(fd int) (int, error) {
 			if err := fail(); err != nil {
@@ -133,15 +136,16 @@
 			return accept(fd)
 		}
 	}, func(e Event) bool { return e.Kind == Accepted })
-	if slices.Contains(p.kinds(Listener), AcceptFailed) {
-		t.Errorf("events %v", p.kinds(Listener))
+	if slices.Contains(recorded.kinds(Listener), AcceptFailed) {
+		t.Errorf("the listener reported AcceptFailed: events %v", recorded.kinds(Listener))
 	}
 }
 
-// Out of descriptors the listener reports it, and goes on once there are some again.
-func TestAcceptGoesOnAfterENFILE(t *testing.T) {
-	fail := failing(unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM)
-	p := acceptOne(t, func(c *syscalls) {
+// A listener that cannot accept because descriptors or memory have run out reports each failure, and accepts again
+// once the resource is available.
+func TestAcceptResumesAfterResourceErrors(t *testing.T) {
+	fail := failuresInOrder(unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM)
+	recorded := acceptOneClient(t, func(c *syscalls) {
 		accept := c.accept
 		c.accept = func(fd int) (int, error) {
 			if err := fail(); err != nil {
@@ -151,21 +155,21 @@
 		}
 	}, func(e Event) bool { return e.Kind == Accepted })
 	failed := 0
-	for _, kind := range p.kinds(Listener) {
+	for _, kind := range recorded.kinds(Listener) {
 		if kind == AcceptFailed {
 			failed++
 		}
 	}
 	if failed != 4 {
-		t.Errorf("%d failures reported, want 4: %v", failed, p.kinds(Listener))
+		t.Errorf("AcceptFailed was reported %d times, want 4: events %v", failed, recorded.kinds(Listener))
 	}
 }
 
-// A connection that epoll cannot watch is reported as accepted before it is reported as broken: else the reducer
-// would wait for it for ever.
-func TestAnAcceptedConnectionThatCannotBeWatched(t *testing.T) {
+// A connection that cannot be registered with epoll must be reported as accepted before it is reported as broken. In
+// the other order, the reducer would wait for events of that connection for ever.
+func TestAcceptedIsReportedBeforeRegistrationFailure(t *testing.T) {
 	added := 0
-	p := acceptOne(t, func(c *syscalls) {
+	recorded := acceptOneClient(t, func(c *syscalls) {
 		register := c.register
 		c.register = func(epoll, op, fd int, event *unix.EpollEvent) error {
 			if op == unix.EPOLL_CTL_ADD {
@@ -176,18 +180,20 @@
 			return register(epoll, op, fd, event)
 		}
 	}, func(e Event) bool { return e.Kind == Broken })
-	if got := p.kinds(firstAccepted + 1); !slices.Equal(got, []Kind{Accepted, Broken}) {
+	if got := recorded.kinds(firstAccepted + 1); !slices.Equal(got, []Kind{Accepted, Broken}) {
 		t.Errorf("events %v, want Accepted and then Broken", got)
 	}
 }
 
-// dialOne runs a loop with a connection to a peer, which writes four bytes and reads all that it is sent.
-func dialOne(t *testing.T, plant func(c *syscalls), write []byte) (*played, []byte) {
+// dialAndExchange runs a loop that connects to a peer and writes data to it. The peer writes the four bytes "word" and
+// reads until the connection ends. The function returns the recorded events and the data that the peer has read, or
+// nil if the peer did not read to the end.
+func dialAndExchange(t *testing.T, inject func(c *syscalls), write []byte) (*recording, []byte) {
 	t.Helper()
-	at, came := peer(t)
+	addr, accepted := listenPeer(t)
 	got := make(chan []byte, 1)
 	go func() {
-		c, ok := <-came
+		c, ok := <-accepted
 		if !ok {
 			return
 		}
@@ -196,10 +202,10 @@
 		got <- raw
 		_ = c.Close()
 	}()
-	p := run(t, plant, func(e Event) []Effect {
+	recorded := runLoop(t, inject, func(e Event) []Effect {
 		switch e.Kind {
 		case Start:
-			return []Effect{{Op: Dial, Conn: 1, Addr: at}}
+			return []Effect{{Op: Dial, Conn: 1, Addr: addr}}
 		case Connected:
 			return []Effect{{Op: Write, Conn: 1, Data: write}}
 		case Flushed:
@@ -213,16 +219,17 @@
 	})
 	select {
 	case raw := <-got:
-		return p, raw
+		return recorded, raw
 	case <-time.After(100 * time.Millisecond):
-		return p, nil
+		return recorded, nil
 	}
 }
 
-// Interrupted and short calls lose nothing: neither the connection, nor received data, nor the rest of written data.
-func TestInterruptedAndShortCalls(t *testing.T) {
+// An interrupted system call, or one that transfers fewer bytes than requested, loses neither the connection nor data
+// in either direction.
+func TestInterruptedAndShortCallsLoseNoData(t *testing.T) {
 	large := bytes.Repeat([]byte("0123456789"), 20_000)
-	for name, plant := range map[string]func(c *syscalls){
+	for name, inject := range map[string]func(c *syscalls){
 		"connect is interrupted": func(c *syscalls) {
 			connect := c.connect
 			c.connect = func(fd int, to unix.Sockaddr) error {
@@ -233,7 +240,7 @@
 			}
 		},
 		"read is interrupted": func(c *syscalls) {
-			read, fail := c.read, failing(unix.EINTR, unix.EINTR, unix.EINTR)
+			read, fail := c.read, failuresInOrder(unix.EINTR, unix.EINTR, unix.EINTR)
 			c.read = func(fd int, buf []byte) (int, error) {
 				if err := fail(); err != nil {
 					return -1, err
@@ -265,17 +272,18 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, got := dialOne(t, plant, large)
-			if !bytes.Equal(got, large) || string(p.data) != "word" {
-				t.Errorf("%d of %d bytes arrived, %q came; events %v", len(got), len(large), p.data, p.kinds(1))
+			recorded, got := dialAndExchange(t, inject, large)
+			if !bytes.Equal(got, large) || string(recorded.received) != "word" {
+				t.Errorf("the peer received %d of %d bytes, the loop received %q; events %v", len(got), len(large),
+					recorded.received, recorded.kinds(1))
 			}
 		})
 	}
 }
 
-// A connection that fails because this machine has run out of a resource is distinguished from one whose peer
+// Event.Local distinguishes a dial that failed because this machine has run out of a resource from one whose peer
 // cannot be reached.
-func TestFailuresOfThisMachineAreToldApart(t *testing.T) {
+func TestDialReportsLocalResourceErrors(t *testing.T) {
 	for _, c := range []struct {
 		err   unix.Errno
 		local bool
@@ -283,25 +291,25 @@
 		{unix.EMFILE, true}, {unix.ENFILE, true}, {unix.ENOBUFS, true}, {unix.EADDRNOTAVAIL, true},
 		{unix.ENETUNREACH, false}, {unix.ECONNREFUSED, false}, {unix.EHOSTUNREACH, false}, {unix.ETIMEDOUT, false},
 	} {
-		for name, plant := range map[string]func(*syscalls){
+		for name, inject := range map[string]func(*syscalls){
 			"socket":  func(s *syscalls) { s.socket = func(int, int) (int, error) { return -1, c.err } },
 			"connect": func(s *syscalls) { s.connect = func(int, unix.Sockaddr) error { return c.err } },
 		} {
-			p, _ := dialOne(t, plant, []byte("x"))
-			last := p.events[len(p.events)-1]
+			recorded, _ := dialAndExchange(t, inject, []byte("x"))
+			last := recorded.events[len(recorded.events)-1]
 			if last.Kind != Broken || last.Local != c.local {
-				t.Errorf("%s fails with %v: event %v, local %v", name, c.err, last.Kind, last.Local)
+				t.Errorf("%s fails with %v: last event is of kind %v, with Local %v", name, c.err, last.Kind, last.Local)
 			}
 		}
 	}
 }
 
-// A peer that has sent nothing is quiet though the peek at its socket is interrupted: its connection is used, not
-// closed.
-func TestAnInterruptedLookIsNoWord(t *testing.T) {
-	at, _ := peer(t)
-	p := run(t, func(c *syscalls) {
-		peek, fail := c.peek, failing(unix.EINTR, unix.EINTR)
+// Guards against discarding an idle connection, whose peer has sent nothing, because the peek at its socket was
+// interrupted.
+func TestInterruptedPeekMeansIdle(t *testing.T) {
+	addr, _ := listenPeer(t)
+	recorded := runLoop(t, func(c *syscalls) {
+		peek, fail := c.peek, failuresInOrder(unix.EINTR, unix.EINTR)
 		c.peek = func(fd int, buf []byte) error {
 			if err := fail(); err != nil {
 				return err
@@ -311,7 +319,7 @@
 	}, func(e Event) []Effect {
 		switch e.Kind {
 		case Start:
-			return []Effect{{Op: Dial, Conn: 1, Addr: at}}
+			return []Effect{{Op: Dial, Conn: 1, Addr: addr}}
 		case Connected:
 			return []Effect{{Op: WriteQuiet, Conn: 1, Data: []byte("x")}}
 		case Flushed, Stale:
@@ -319,12 +327,13 @@
 		}
 		return nil
 	})
-	if slices.Contains(p.kinds(1), Stale) {
-		t.Errorf("events %v", p.kinds(1))
+	if slices.Contains(recorded.kinds(1), Stale) {
+		t.Errorf("an idle connection was reported as stale: events %v", recorded.kinds(1))
 	}
 }
 
-// BenchmarkRead compares the kernel's call with the replaceable one: one jump more, and no allocation.
+// BenchmarkRead compares a direct call of the kernel with a call through syscalls, which costs one more jump and no
+// allocation.
 func BenchmarkRead(b *testing.B) {
 	fd, err := unix.Open("/dev/zero", unix.O_RDONLY|unix.O_CLOEXEC, 0)
 	if err != nil {
--- a/internal/loop/datagrams.go
+++ b/internal/loop/datagrams.go
@@ -7,14 +7,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Datagrams are small, and many: a socket is read in batches, so that others get their turn. A datagram larger
-// than maxDatagram comes from no gateway.
+// Limits of reading datagrams.
 const (
-	maxDatagram   = 2048
-	datagramBatch = 32
+	maxDatagram   = 2048 // bytes; no gateway sends a larger datagram
+	datagramBatch = 32   // datagrams read from a socket before other sockets are served
 )
 
-// bind opens a datagram socket.
+// bind opens a datagram socket at an address.
 func (l *Loop) bind(f Effect) error {
 	family := unix.AF_INET
 	if f.Addr.Addr().Is6() {
@@ -24,22 +23,22 @@
 	if err != nil {
 		return err
 	}
-	// Two processes of an upgrade have the address at once; the predecessor closes its own when the
-	// successor starts to gossip.
+	// During a hot restart, predecessor and successor use the address at the same time; the predecessor closes its
+	// socket when the successor starts to gossip.
 	if err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1); err == nil {
 		err = unix.Bind(fd, sockaddr(f.Addr))
 	}
 	if err != nil {
-		_ = unix.Close(fd) // never bound
+		_ = unix.Close(fd) // the socket was never bound: nothing is lost
 		return err
 	}
-	l.add(&socket{conn: f.Conn, fd: fd, urgent: f.Urgent, datagrams: true})
+	l.add(&socket{conn: f.Conn, fd: fd, urgent: f.Urgent, isDatagram: true})
 	return nil
 }
 
-// readDatagrams queues the datagrams received, one batch at most: the next Readable brings the rest. A truncated
-// one is dropped. An error that the network returned for an earlier datagram, as from a port where nobody
-// listens, does not break the socket.
+// readDatagrams queues an event for each datagram received, up to one batch; the next Readable event reports that more
+// are waiting. It drops truncated datagrams. An error that the network returned for a datagram sent earlier, for
+// example because its port was closed, does not break the socket.
 func (l *Loop) readDatagrams(s *socket) {
 	for range datagramBatch {
 		buf := make([]byte, maxDatagram)
@@ -59,20 +58,22 @@
 	}
 }
 
-// sendTo sends one datagram. A full buffer or an unreachable peer loses it, as the network might.
+// sendTo sends one datagram. If the buffer is full or the peer cannot be reached, the datagram is lost, as it might be
+// in the network.
 func (l *Loop) sendTo(s *socket, f Effect) {
-	if s.datagrams {
-		// An error is a loss, as documented at SendTo.
+	if s.isDatagram {
+		// An error means that the datagram is lost, as documented at SendTo.
 		_ = unix.Sendto(s.fd, f.Data, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL, sockaddr(f.Addr))
 	}
 }
 
+// addrPort converts the sender of a datagram from the form of the system calls.
 func addrPort(from unix.Sockaddr) netip.AddrPort {
-	switch at := from.(type) {
+	switch addr := from.(type) {
 	case *unix.SockaddrInet4:
-		return netip.AddrPortFrom(netip.AddrFrom4(at.Addr), uint16(at.Port))
+		return netip.AddrPortFrom(netip.AddrFrom4(addr.Addr), uint16(addr.Port))
 	case *unix.SockaddrInet6:
-		return netip.AddrPortFrom(netip.AddrFrom16(at.Addr), uint16(at.Port))
+		return netip.AddrPortFrom(netip.AddrFrom16(addr.Addr), uint16(addr.Port))
 	}
 	return netip.AddrPort{}
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -11,86 +11,88 @@
 	"golang.org/x/sys/unix"
 )
 
-// ReadSize is the most that one read returns, in bytes. A read that returns less has taken all that there was.
+// ReadSize is the maximum size of one read, in bytes. A read that returns less has usually emptied the kernel's
+// receive buffer.
 const ReadSize = 64 << 10
 
-// Sizes of one turn of the loop.
+// Limits of the loop.
 const (
-	maxReady         = 256
-	maxAcceptPerTurn = 64 // sockets accepted before others get a turn
-	backlog          = 1024
-	maxSignals       = 16
-	maxKeptBuffer    = 4 << 10 // of a socket's buffer for writing, once it is empty
+	maxReadyEvents   = 256     // sockets that epoll reports at once
+	maxAcceptPerTurn = 64      // connections that a listener accepts before other sockets are served
+	backlog          = 1024    // connections that wait in the kernel's queue of a listener
+	maxSignals       = 16      // signals that are queued
+	maxKeptBuffer    = 4 << 10 // bytes of an empty write buffer that stay allocated for a socket
 )
 
 // socket is one non-blocking socket.
 type socket struct {
-	conn       Conn
-	fd         int
-	generation int32 // distinguishes it from an earlier socket with the same descriptor
-	connecting bool
-	muted      bool
-	ending     bool // the peer has ended its sending
-	leaving    bool // while muted: the end of the peer's sending is to be reported
-	urgent     bool
-	shared     bool // was passed between processes: another process has it, or had it
-	unix       bool // a Unix socket, over which sockets can be passed
-	datagrams  bool
-	armed      uint32 // events that epoll watches for
-	unwritten  []byte // accepted for writing and not yet written
+	conn           Conn
+	fd             int
+	generation     int32 // distinguishes the socket from an earlier one with the same descriptor
+	connecting     bool
+	readingPaused  bool
+	peerShutdown   bool // the peer is known to have ended its sending, perhaps after unread data
+	reportShutdown bool // while reading is paused: report the end of the peer's sending once
+	urgent         bool
+	shared         bool // passed between processes: another process has, or had, a descriptor of the socket
+	isUnix         bool // a Unix stream socket, on which sockets can be passed
+	isDatagram     bool
+	registered     uint32 // the epoll events that the socket is registered for
+	unwritten      []byte // data to write that the kernel has not yet taken
 }
 
-// Loop owns the sockets and timers.
+// Loop is an event loop over epoll. It owns all sockets and timers of the program.
 type Loop struct {
-	clock       Clock
-	syscalls    syscalls
-	epoll       int
-	wake        int            // an eventfd, written when a signal arrives
-	signals     chan os.Signal // those not delivered yet
-	reload      os.Signal
-	byConn      map[Conn]*socket
-	byFD        map[int]*socket
-	urgent      []*socket // the few urgent sockets of byConn, oldest first
-	accepted    Conn
-	generation  int32
-	timers      timers
-	events      []Event // delivered before anything else
-	buffer      []byte
-	bufferInUse bool // buffer holds data not yet delivered
-	ready       []unix.EpollEvent
-	again       bool
-	exit        bool
-	failed      error
+	clock          Clock
+	syscalls       syscalls
+	epollFD        int
+	wakeFD         int            // an eventfd that is written when a signal arrives, to end the wait for sockets
+	pendingSignals chan os.Signal // signals that are not yet delivered to the reducer
+	reloadSignal   os.Signal
+	byConn         map[Conn]*socket
+	byFD           map[int]*socket
+	urgentSockets  []*socket // the urgent sockets of byConn, oldest first; there are few
+	lastAccepted   Conn
+	generation     int32
+	timers         timers
+	events         []Event // the queue of events, delivered before the loop examines another socket or timer
+	buffer         []byte
+	bufferInUse    bool // buffer holds data that is not yet delivered
+	readyEvents    []unix.EpollEvent
+	turnRequested  bool
+	exit           bool
+	exitError      error
 }
 
-// New opens the loop.
+// New returns a loop without sockets. Run starts it.
 func New(clock Clock) (*Loop, error) {
 	l := &Loop{
-		clock:    clock,
-		syscalls: kernelCalls(),
-		byConn:   make(map[Conn]*socket),
-		byFD:     make(map[int]*socket),
-		accepted: firstAccepted,
-		timers:   timers{byKey: make(map[Timer]*timerEntry)},
-		buffer:   make([]byte, ReadSize),
-		ready:    make([]unix.EpollEvent, maxReady),
+		clock:        clock,
+		syscalls:     kernelCalls(),
+		byConn:       make(map[Conn]*socket),
+		byFD:         make(map[int]*socket),
+		lastAccepted: firstAccepted,
+		timers:       timers{byKey: make(map[Timer]*timerEntry)},
+		buffer:       make([]byte, ReadSize),
+		readyEvents:  make([]unix.EpollEvent, maxReadyEvents),
 	}
 	var err error
-	if l.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
-		return nil, fmt.Errorf("epoll: %w", err)
+	if l.epollFD, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
+		return nil, fmt.Errorf("create epoll: %w", err)
 	}
-	if l.wake, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err != nil {
-		return nil, fmt.Errorf("eventfd: %w", err)
+	if l.wakeFD, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err != nil {
+		return nil, fmt.Errorf("create eventfd: %w", err)
 	}
-	event := unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(l.wake)}
-	if err := unix.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, l.wake, &event); err != nil {
-		return nil, fmt.Errorf("epoll: %w", err)
+	event := unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(l.wakeFD)}
+	if err := unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_ADD, l.wakeFD, &event); err != nil {
+		return nil, fmt.Errorf("register eventfd with epoll: %w", err)
 	}
 	return l, nil
 }
 
-// listen opens a listening socket. Other processes may listen at the same address: an upgrade's two do.
-func (l *Loop) listen(f Effect) error {
+// listenTCP opens a listening TCP socket. Several processes can listen at the same address, as predecessor and
+// successor of a hot restart do.
+func (l *Loop) listenTCP(f Effect) error {
 	fd, err := l.openTCP(f.Addr)
 	if err != nil {
 		return err
@@ -107,29 +109,30 @@
 		err = unix.Listen(fd, backlog)
 	}
 	if err != nil {
-		_ = unix.Close(fd) // never listened
+		_ = unix.Close(fd) // the socket never listened: nothing is lost
 		return err
 	}
 	l.add(&socket{conn: f.Conn, fd: fd, urgent: f.Urgent})
 	return nil
 }
 
-// Notify delivers Reload each time the signal reload arrives, and Stop when one of the others does.
+// Notify makes the loop deliver Reload for each signal reload and Stop for each of the signals stop.
 func (l *Loop) Notify(reload os.Signal, stop ...os.Signal) {
-	came := make(chan os.Signal, maxSignals)
-	l.reload, l.signals = reload, make(chan os.Signal, maxSignals)
-	signal.Notify(came, append(stop, reload)...)
+	received := make(chan os.Signal, maxSignals)
+	l.reloadSignal, l.pendingSignals = reload, make(chan os.Signal, maxSignals)
+	signal.Notify(received, append(stop, reload)...)
 	go func() {
-		for s := range came {
-			l.signals <- s
+		for s := range received {
+			l.pendingSignals <- s
 			one := [8]byte{1}
-			_, _ = unix.Write(l.wake, one[:]) // an eventfd takes eight bytes whole
+			_, _ = unix.Write(l.wakeFD, one[:]) // an eventfd takes all eight bytes or none
 		}
 	}()
 }
 
-// Run delivers events to the reducer until it returns Exit. Sockets come before timers: an answer that has
-// already arrived must not be overtaken by its own time-out.
+// Run delivers events to the reducer until it returns Exit, and returns the error of that effect. In each turn the
+// events of sockets precede those of timers, so that a response that has already arrived is handled before the
+// timeout of its request.
 func (l *Loop) Run(r Reducer) error {
 	l.queueEvent(Event{Kind: Start})
 	l.deliver(r)
@@ -138,47 +141,48 @@
 		if err != nil {
 			return err
 		}
-		l.deliverReady(r, l.ready[:n], true)
-		if n == len(l.ready) {
-			l.pollUrgent(r)
+		l.deliverReady(r, l.readyEvents[:n], true)
+		if n == len(l.readyEvents) {
+			l.deliverUrgentData(r)
 		}
-		l.deliverReady(r, l.ready[:n], false)
+		l.deliverReady(r, l.readyEvents[:n], false)
 		l.deliverDueTimers(r)
 		l.queueEvent(Event{Kind: Turn})
 		l.deliver(r)
 	}
-	return l.failed
+	return l.exitError
 }
 
-// wait sleeps until a socket is ready or a timer expires, and returns how many sockets are ready.
+// wait blocks until a socket is ready or a timer expires, and returns the number of ready sockets.
 func (l *Loop) wait() (int, error) {
 	wait := l.timers.wait(l.clock.Now())
-	if l.again {
+	if l.turnRequested {
 		wait = 0
 	}
-	l.again = false
-	n, err := l.syscalls.wait(l.epoll, l.ready, wait)
+	l.turnRequested = false
+	n, err := l.syscalls.wait(l.epollFD, l.readyEvents, wait)
 	if err != nil && !errors.Is(err, unix.EINTR) {
-		return 0, fmt.Errorf("epoll: %w", err)
+		return 0, fmt.Errorf("wait for epoll: %w", err)
 	}
 	return max(n, 0), nil
 }
 
-// deliverReady delivers the events of the ready sockets: of the urgent ones and of signals, or of all others. A
-// descriptor that was closed in this round may be another socket's by now, which the generation shows.
+// deliverReady delivers the events of the ready sockets: with urgent, those of urgent sockets and signals, otherwise
+// those of all other sockets. A descriptor closed earlier in this turn may already belong to another socket; the
+// generation tells the two apart.
 func (l *Loop) deliverReady(r Reducer, ready []unix.EpollEvent, urgent bool) {
 	for _, e := range ready {
 		if s := l.byFD[int(e.Fd)]; s != nil && s.generation == e.Pad && s.urgent == urgent {
 			l.socketReady(s, e.Events)
 			l.deliver(r)
-		} else if int(e.Fd) == l.wake && urgent {
+		} else if int(e.Fd) == l.wakeFD && urgent {
 			l.queueSignals()
 			l.deliver(r)
 		}
 	}
 }
 
-// deliverDueTimers delivers the timers that have expired.
+// deliverDueTimers delivers an event for each timer that has expired.
 func (l *Loop) deliverDueTimers(r Reducer) {
 	now := l.clock.Now()
 	for {
@@ -191,24 +195,26 @@
 	}
 }
 
-// pollUrgent delivers data on urgent sockets where more sockets are ready than epoll reports at once:
-// discovery's lines and operators' calls must not wait behind thousands of other sockets.
-func (l *Loop) pollUrgent(r Reducer) {
-	for _, s := range slices.Clone(l.urgent) {
-		if l.byConn[s.conn] == s && s.isReadable() && !l.isQuiet(s.fd) {
+// deliverUrgentData delivers data of urgent sockets that epoll did not report because more sockets are ready than it
+// reports at once: discovery updates and operators' requests must not wait behind thousands of other sockets.
+func (l *Loop) deliverUrgentData(r Reducer) {
+	for _, s := range slices.Clone(l.urgentSockets) {
+		if l.byConn[s.conn] == s && s.isReadable() && !l.isIdle(s.fd) {
 			l.queueEvent(Event{Kind: Readable, Conn: s.conn})
 			l.deliver(r)
 		}
 	}
 }
 
-// queueEvent queues an event. Effects never call the reducer: the events that they cause are delivered after them.
+// queueEvent queues an event. Performing an effect never calls the reducer: the resulting events are delivered after
+// all effects of the step.
 func (l *Loop) queueEvent(e Event) { l.events = append(l.events, e) }
 
+// deliver passes the queued events to the reducer, with those that its effects add, until the queue is empty.
 func (l *Loop) deliver(r Reducer) {
 	for i := 0; i < len(l.events); i++ {
 		e := l.events[i]
-		if e.Kind == more && !l.resolveMore(&e) {
+		if e.Kind == readMore && !l.resolveMore(&e) {
 			continue
 		}
 		effects := r.Step(l.clock.Now(), e)
@@ -216,23 +222,24 @@
 			l.bufferInUse = false
 		}
 		for _, f := range effects {
-			l.carryOut(f)
+			l.perform(f)
 		}
 	}
 	clear(l.events)
 	l.events = l.events[:0]
 }
 
-// resolveMore turns a more event into the one that the reducer gets, or reports that there is none. An end is
-// delivered in the round in which it is known, so that nothing is dispatched meanwhile for a client that has
-// left, or to an endpoint that the rest of a list removes.
+// resolveMore converts a readMore event into the event that the reducer receives, or returns false if there is none.
+// The reducer learns of the end of a stream in the turn in which the loop detects it, and of all data of an urgent
+// socket, so that no request is dispatched for a client that has left or to an endpoint that the remainder of a
+// discovery list removes.
 func (l *Loop) resolveMore(e *Event) bool {
 	s := l.byConn[e.Conn]
 	switch {
-	case s == nil, s.muted && !s.leaving:
+	case s == nil, s.readingPaused && !s.reportShutdown:
 		return false
-	case s.muted:
-		s.leaving = false
+	case s.readingPaused:
+		s.reportShutdown = false
 		l.updateEvents(s)
 		e.Kind = Leaving
 	default:
@@ -241,14 +248,15 @@
 	return true
 }
 
+// queueSignals queues an event for each signal that has arrived.
 func (l *Loop) queueSignals() {
 	var count [8]byte
-	_, _ = unix.Read(l.wake, count[:]) // resets the counter; nothing else reads it
+	_, _ = unix.Read(l.wakeFD, count[:]) // resets the counter, which has no other reader
 	for {
 		select {
-		case s := <-l.signals:
+		case s := <-l.pendingSignals:
 			kind := Stop
-			if s == l.reload {
+			if s == l.reloadSignal {
 				kind = Reload
 			}
 			l.queueEvent(Event{Kind: kind})
@@ -258,7 +266,7 @@
 	}
 }
 
-// socketReady turns what epoll reports of a socket into events.
+// socketReady handles the epoll events of a socket and queues the resulting loop events.
 func (l *Loop) socketReady(s *socket, events uint32) {
 	if s.connecting {
 		l.finishDial(s)
@@ -270,9 +278,9 @@
 	if l.byConn[s.conn] != s {
 		return
 	}
-	s.ending = s.ending || events&unix.EPOLLRDHUP != 0
-	if s.muted && s.leaving && events&unix.EPOLLRDHUP != 0 && events&(unix.EPOLLHUP|unix.EPOLLERR) == 0 {
-		s.leaving = false
+	s.peerShutdown = s.peerShutdown || events&unix.EPOLLRDHUP != 0
+	if s.readingPaused && s.reportShutdown && events&unix.EPOLLRDHUP != 0 && events&(unix.EPOLLHUP|unix.EPOLLERR) == 0 {
+		s.reportShutdown = false
 		l.updateEvents(s)
 		l.queueEvent(Event{Kind: Leaving, Conn: s.conn})
 	} else if events&(unix.EPOLLIN|unix.EPOLLHUP|unix.EPOLLERR) != 0 {
@@ -280,15 +288,15 @@
 	}
 }
 
-// carryOut performs an effect. Its results are queued as events.
-func (l *Loop) carryOut(f Effect) {
+// perform performs an effect and queues its results as events.
+func (l *Loop) perform(f Effect) {
 	switch f.Op {
 	case Dial:
-		l.dialAny(f)
+		l.dial(f)
 	case Listen:
-		l.listenAny(f)
+		l.listen(f)
 	case Bind:
-		l.opened(f.Conn, l.bind(f), "datagrams at", f.Addr.String())
+		l.reportOpened(f.Conn, l.bind(f), "bind datagram socket at", f.Addr.String())
 	case SetTimer:
 		l.timers.set(f.Timer, f.At)
 	case StopTimer:
@@ -299,45 +307,46 @@
 	case Heap:
 		debug.SetMemoryLimit(f.Bytes)
 	case Again:
-		l.again = true
+		l.turnRequested = true
 	case Exit:
-		l.exit, l.failed = true, f.Failed
+		l.exit, l.exitError = true, f.Failed
 	default:
-		if s := l.byConn[f.Conn]; s != nil { // else it was closed meanwhile, and its end has been reported
-			l.carryOutOn(s, f)
+		if s := l.byConn[f.Conn]; s != nil { // otherwise the socket was closed meanwhile, and its end was reported
+			l.performOnSocket(s, f)
 		}
 	}
 }
 
-// dialAny dials a network address, or a Unix socket where the effect has a path.
-func (l *Loop) dialAny(f Effect) {
+// dial dials a network address, or a Unix socket where the effect has a path.
+func (l *Loop) dial(f Effect) {
 	if f.Path != "" {
 		l.dialUnix(f)
 		return
 	}
-	l.dial(f)
+	l.dialTCP(f)
 }
 
-// listenAny listens at a network address, or at a Unix socket where the effect has a path.
-func (l *Loop) listenAny(f Effect) {
+// listen listens at a network address, or at a Unix socket where the effect has a path.
+func (l *Loop) listen(f Effect) {
 	if f.Path != "" {
-		l.opened(f.Conn, l.listenUnix(f), "listen on", f.Path)
+		l.reportOpened(f.Conn, l.listenUnix(f), "listen on", f.Path)
 		return
 	}
-	l.opened(f.Conn, l.listen(f), "listen on", f.Addr.String())
+	l.reportOpened(f.Conn, l.listenTCP(f), "listen on", f.Addr.String())
 }
 
-// opened queues Listening for a socket that was opened at an address, or Broken with what was being done.
-func (l *Loop) opened(c Conn, err error, doing, where string) {
+// reportOpened queues Listening for a socket that was opened at an address, or Broken with an error that names the
+// operation and the address.
+func (l *Loop) reportOpened(c Conn, err error, operation, address string) {
 	if err != nil {
-		l.queueEvent(Event{Kind: Broken, Conn: c, Err: fmt.Errorf("%s %s: %w", doing, where, err)})
+		l.queueEvent(Event{Kind: Broken, Conn: c, Err: fmt.Errorf("%s %s: %w", operation, address, err)})
 		return
 	}
 	l.queueEvent(Event{Kind: Listening, Conn: c})
 }
 
-// carryOutOn performs an effect on an open socket.
-func (l *Loop) carryOutOn(s *socket, f Effect) {
+// performOnSocket performs an effect on an open socket.
+func (l *Loop) performOnSocket(s *socket, f Effect) {
 	switch f.Op {
 	case Accept:
 		l.accept(s, f.Most)
@@ -346,36 +355,36 @@
 	case Write:
 		l.write(s, f.Data)
 	case WriteQuiet:
-		l.writeIfQuiet(s, f.Data)
+		l.writeIfIdle(s, f.Data)
 	case SendTo:
 		l.sendTo(s, f)
 	case Pass:
-		l.pass(s, f)
+		l.passSockets(s, f)
 	case Adopt:
-		l.adopt(s, f.As)
+		l.adoptListener(s, f.As)
 	case Shutdown:
-		_ = unix.Shutdown(s.fd, unix.SHUT_WR) // a socket that is already broken reports it when read
+		_ = unix.Shutdown(s.fd, unix.SHUT_WR) // the error of a broken socket is reported by the next read
 	case Abort:
 		l.abort(s)
 	case Close:
 		l.remove(s)
 	case Mute, Unmute:
-		s.muted, s.leaving = f.Op == Mute, f.Op == Mute && f.Leaving
+		s.readingPaused, s.reportShutdown = f.Op == Mute, f.Op == Mute && f.Leaving
 		l.updateEvents(s)
 	}
 }
 
-// writeIfQuiet writes unless the peer has sent data or closed meanwhile.
-func (l *Loop) writeIfQuiet(s *socket, data []byte) {
-	if !l.isQuiet(s.fd) {
+// writeIfIdle writes data unless the peer has sent data or closed; then it queues Stale and writes nothing.
+func (l *Loop) writeIfIdle(s *socket, data []byte) {
+	if !l.isIdle(s.fd) {
 		l.queueEvent(Event{Kind: Stale, Conn: s.conn})
 		return
 	}
 	l.write(s, data)
 }
 
-// abort closes a socket so that its peer sees a reset. Where the option fails the peer sees an end; the stated
-// length or the chunks still show it that the message is cut short.
+// abort closes a socket so that its peer receives a reset. If the socket option cannot be set, the peer receives a
+// regular end instead; the stated length or the missing last chunk still shows it that the message is truncated.
 func (l *Loop) abort(s *socket) {
 	_ = unix.SetsockoptLinger(s.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	l.remove(s)
--- a/internal/loop/sockets.go
+++ b/internal/loop/sockets.go
@@ -9,50 +9,55 @@
 	"golang.org/x/sys/unix"
 )
 
-func (l *Loop) openTCP(at netip.AddrPort) (int, error) {
+// openTCP opens a TCP socket of the address family of addr.
+func (l *Loop) openTCP(addr netip.AddrPort) (int, error) {
 	family := unix.AF_INET
-	if at.Addr().Is6() {
+	if addr.Addr().Is6() {
 		family = unix.AF_INET6
 	}
 	return l.syscalls.socket(family, unix.SOCK_STREAM)
 }
 
-func sockaddr(at netip.AddrPort) unix.Sockaddr {
-	if at.Addr().Is6() {
-		return &unix.SockaddrInet6{Port: int(at.Port()), Addr: at.Addr().As16()}
+// sockaddr converts an address to the form that the system calls take.
+func sockaddr(addr netip.AddrPort) unix.Sockaddr {
+	if addr.Addr().Is6() {
+		return &unix.SockaddrInet6{Port: int(addr.Port()), Addr: addr.Addr().As16()}
 	}
-	return &unix.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()}
+	return &unix.SockaddrInet4{Port: int(addr.Port()), Addr: addr.Addr().As4()}
 }
 
-// noDelay sends small messages at once. A socket that refuses the option still works.
+// noDelay disables Nagle's algorithm, so that the kernel sends small writes at once. The socket works without the
+// option too: an error is ignored.
 func noDelay(fd int) { _ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) }
 
+// add registers a socket with epoll. On an error it closes the socket and queues Broken.
 func (l *Loop) add(s *socket) {
 	l.generation++
 	s.generation = l.generation
 	l.byConn[s.conn], l.byFD[s.fd] = s, s
 	if s.urgent {
-		l.urgent = append(l.urgent, s)
+		l.urgentSockets = append(l.urgentSockets, s)
 	}
-	s.armed = s.wantedEvents()
-	event := unix.EpollEvent{Events: s.armed, Fd: int32(s.fd), Pad: s.generation}
-	if err := l.syscalls.register(l.epoll, unix.EPOLL_CTL_ADD, s.fd, &event); err != nil {
+	s.registered = s.wantedEvents()
+	event := unix.EpollEvent{Events: s.registered, Fd: int32(s.fd), Pad: s.generation}
+	if err := l.syscalls.register(l.epollFD, unix.EPOLL_CTL_ADD, s.fd, &event); err != nil {
 		l.breakSocket(s, err)
 	}
 }
 
+// wantedEvents returns the epoll events that the socket's present state needs.
 func (s *socket) wantedEvents() uint32 {
-	leaving := uint32(0)
-	if s.leaving {
-		leaving = unix.EPOLLRDHUP
+	shutdown := uint32(0)
+	if s.reportShutdown {
+		shutdown = unix.EPOLLRDHUP
 	}
 	switch {
 	case s.connecting:
 		return unix.EPOLLOUT
-	case s.muted && len(s.unwritten) > 0:
-		return unix.EPOLLOUT | leaving
-	case s.muted:
-		return leaving
+	case s.readingPaused && len(s.unwritten) > 0:
+		return unix.EPOLLOUT | shutdown
+	case s.readingPaused:
+		return shutdown
 	case len(s.unwritten) > 0:
 		return unix.EPOLLIN | unix.EPOLLRDHUP | unix.EPOLLOUT
 	default:
@@ -60,57 +65,60 @@
 	}
 }
 
-// isReadable reports whether the socket is an established connection that is not muted.
+// isReadable reports whether the socket is an established connection whose reading is not paused.
 func (s *socket) isReadable() bool {
-	return !s.connecting && !s.muted && !s.datagrams && s.conn != Listener && s.conn != Admin && s.conn != HotRestart
+	return !s.connecting && !s.readingPaused && !s.isDatagram && s.conn != Listener && s.conn != Admin && s.conn != HotRestart
 }
 
+// updateEvents changes the epoll registration of a socket if its state needs other events than before.
 func (l *Loop) updateEvents(s *socket) {
-	want := s.wantedEvents()
-	if want == s.armed {
+	wanted := s.wantedEvents()
+	if wanted == s.registered {
 		return
 	}
-	s.armed = want
-	event := unix.EpollEvent{Events: want, Fd: int32(s.fd), Pad: s.generation}
-	if err := l.syscalls.register(l.epoll, unix.EPOLL_CTL_MOD, s.fd, &event); err != nil {
+	s.registered = wanted
+	event := unix.EpollEvent{Events: wanted, Fd: int32(s.fd), Pad: s.generation}
+	if err := l.syscalls.register(l.epollFD, unix.EPOLL_CTL_MOD, s.fd, &event); err != nil {
 		l.breakSocket(s, err)
 	}
 }
 
+// remove closes a socket and removes it from the loop.
 func (l *Loop) remove(s *socket) {
 	delete(l.byConn, s.conn)
 	delete(l.byFD, s.fd)
-	l.urgent = slices.DeleteFunc(l.urgent, func(other *socket) bool { return other == s })
+	l.urgentSockets = slices.DeleteFunc(l.urgentSockets, func(other *socket) bool { return other == s })
 	if s.shared {
-		// Another process has the socket too: epoll would go on reporting it after this descriptor is
-		// closed, and refuse its number to the next socket.
-		_ = unix.EpollCtl(l.epoll, unix.EPOLL_CTL_DEL, s.fd, nil)
+		// Another process has the socket too: epoll would continue to report it after this descriptor is closed,
+		// and would refuse to register the next socket with the same descriptor.
+		_ = unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_DEL, s.fd, nil)
 	}
-	_ = unix.Close(s.fd) // also removes it from epoll; the descriptor is released even if close fails
+	_ = unix.Close(s.fd) // also removes it from epoll; Linux releases the descriptor even if close fails
 }
 
-// breakSocket closes a socket and queues Broken with the reason.
+// breakSocket closes a socket and queues Broken with the error.
 func (l *Loop) breakSocket(s *socket, err error) {
 	l.remove(s)
 	l.queueEvent(Event{Kind: Broken, Conn: s.conn, Err: err})
 }
 
-// accept takes the connections that wait at the listener. Out of descriptors, it queues AcceptFailed: the
-// reducer then mutes the listener, or epoll would report it without end.
+// accept accepts the connections that wait at a listener: at most limit, or maxAcceptPerTurn if limit is 0 or larger.
+// If descriptors run out, it queues AcceptFailed. The reducer must then pause the listener, because epoll reports it
+// as ready in every turn while connections wait.
 func (l *Loop) accept(s *socket, limit int) {
 	for range min(cmp.Or(limit, maxAcceptPerTurn), maxAcceptPerTurn) {
 		fd, err := l.syscalls.accept(s.fd)
 		switch {
-		case err == nil && s.unix && !sameUser(fd):
-			_ = unix.Close(fd) // another user's
+		case err == nil && s.isUnix && !sameUser(fd):
+			_ = unix.Close(fd) // a process of another user
 		case err == nil:
-			if !s.unix {
+			if !s.isUnix {
 				noDelay(fd)
 			}
-			l.accepted++
-			// Before add, which may queue Broken.
-			l.queueEvent(Event{Kind: Accepted, Conn: l.accepted, Via: s.conn})
-			l.add(&socket{conn: l.accepted, fd: fd, urgent: s.urgent, unix: s.unix})
+			l.lastAccepted++
+			// Accepted is queued before add, which may queue Broken.
+			l.queueEvent(Event{Kind: Accepted, Conn: l.lastAccepted, Via: s.conn})
+			l.add(&socket{conn: l.lastAccepted, fd: fd, urgent: s.urgent, isUnix: s.isUnix})
 		case errors.Is(err, unix.EAGAIN):
 			l.queueEvent(Event{Kind: Drained, Conn: s.conn})
 			return
@@ -122,7 +130,8 @@
 	}
 }
 
-func (l *Loop) dial(f Effect) {
+// dialTCP begins to connect to an address. finishDial handles the result unless the attempt fails at once.
+func (l *Loop) dialTCP(f Effect) {
 	fd, err := l.openTCP(f.Addr)
 	if err != nil {
 		l.queueEvent(Event{Kind: Broken, Conn: f.Conn, Err: err, Local: isResourceError(err)})
@@ -131,14 +140,15 @@
 	noDelay(fd)
 	s := &socket{conn: f.Conn, fd: fd, connecting: true, urgent: f.Urgent}
 	err = l.syscalls.connect(fd, sockaddr(f.Addr))
-	if err != nil && !isAny(err, unix.EINPROGRESS, unix.EINTR) { // an interrupted connect goes on in the background
-		_ = unix.Close(fd) // never connected
+	if err != nil && !isAny(err, unix.EINPROGRESS, unix.EINTR) { // an interrupted connect continues in the background
+		_ = unix.Close(fd) // the socket never connected: nothing is lost
 		l.queueEvent(Event{Kind: Broken, Conn: f.Conn, Err: err, Local: isResourceError(err)})
 		return
 	}
 	l.add(s)
 }
 
+// finishDial queues Connected for a socket whose connection is established, or Broken with the error of the connect.
 func (l *Loop) finishDial(s *socket) {
 	code, err := l.syscalls.socketError(s.fd)
 	if err == nil && code != 0 {
@@ -153,11 +163,11 @@
 	l.queueEvent(Event{Kind: Connected, Conn: s.conn})
 }
 
-// read queues one buffer of data. The next Readable brings the rest; on an urgent socket that follows at
-// once, so that a long list is delivered whole before the turn's dispatch. Where data of another socket is
-// not delivered yet, read takes a new buffer: the shared one still holds that data.
+// read reads at most one buffer and queues the data. Data beyond it is reported by the next Readable event; on an
+// urgent socket that event follows in the same turn, so that a long list of discovery is delivered whole before
+// requests are dispatched. If the shared buffer holds data that is not yet delivered, read allocates a new one.
 func (l *Loop) read(s *socket) {
-	if s.datagrams {
+	if s.isDatagram {
 		l.readDatagrams(s)
 		return
 	}
@@ -166,7 +176,7 @@
 		buf = make([]byte, ReadSize)
 	}
 	n, passed, err := 0, []int(nil), error(nil)
-	if s.unix {
+	if s.isUnix {
 		n, passed, err = l.receive(s, buf)
 	} else {
 		n, err = retryInterrupted(func() (int, error) { return l.syscalls.read(s.fd, buf) })
@@ -181,13 +191,13 @@
 	default:
 		l.bufferInUse = true
 		l.reportPassed(s, buf[:n], passed)
-		if s.ending || s.urgent && n == len(buf) {
-			l.queueEvent(Event{Kind: more, Conn: s.conn})
+		if s.peerShutdown || s.urgent && n == len(buf) {
+			l.queueEvent(Event{Kind: readMore, Conn: s.conn})
 		}
 	}
 }
 
-// write sends what it can now and keeps the rest until the socket takes it.
+// write sends as much of data as the kernel takes now and keeps the remainder until the socket is writable.
 func (l *Loop) write(s *socket, data []byte) {
 	if len(s.unwritten) > 0 {
 		s.unwritten = append(s.unwritten, data...)
@@ -199,6 +209,7 @@
 	}
 }
 
+// flush continues to write after the socket has become writable.
 func (l *Loop) flush(s *socket) {
 	if len(s.unwritten) == 0 {
 		l.updateEvents(s)
@@ -210,7 +221,8 @@
 	}
 }
 
-// send writes until the socket takes no more. It returns false where an error closed the socket.
+// send writes until the kernel takes no more and returns the number of bytes written. ok is false if an error closed
+// the socket.
 func (l *Loop) send(s *socket, data []byte) (n int, ok bool) {
 	for n < len(data) {
 		m, err := l.syscalls.send(s.fd, data[n:])
@@ -226,8 +238,8 @@
 	return n, true
 }
 
-// afterWrite waits for room for what is left, or queues Flushed if nothing is. A buffer that grew large is
-// released with its last byte.
+// afterWrite queues Flushed if everything is written, and otherwise waits until the socket is writable. It releases an
+// emptied buffer that has grown beyond maxKeptBuffer.
 func (l *Loop) afterWrite(s *socket) {
 	if len(s.unwritten) == 0 {
 		if cap(s.unwritten) > maxKeptBuffer {
@@ -238,9 +250,9 @@
 	l.updateEvents(s)
 }
 
-// isQuiet reports whether an idle peer has neither sent data nor closed. Guards against sending a request on
-// a connection whose end has arrived since epoll was last asked: the request would end as a reset.
-func (l *Loop) isQuiet(fd int) bool {
+// isIdle reports whether the peer of an idle connection has neither sent data nor closed. It prevents a request from
+// being sent on a connection whose end has arrived since the last epoll_wait: a reset would end that request.
+func (l *Loop) isIdle(fd int) bool {
 	var one [1]byte
 	_, err := retryInterrupted(func() (int, error) { return 0, l.syscalls.peek(fd, one[:]) })
 	return errors.Is(err, unix.EAGAIN)
--- a/internal/loop/timers.go
+++ b/internal/loop/timers.go
@@ -5,44 +5,47 @@
 	"time"
 )
 
-// maxWaitMS bounds one sleep of epoll, in ms.
+// maxWaitMS is the longest time that one call of epoll_wait blocks, in milliseconds.
 const maxWaitMS = 60_000
 
-// timers is a heap of timers by time; a stopped timer is removed at once, so that none outlives its use.
+// timers is a heap of timers, ordered by expiry time. Stopping a timer removes it at once, so that stopped timers use
+// no memory.
 type timers struct {
-	order []*timerEntry
-	byKey map[Timer]*timerEntry
+	entries []*timerEntry
+	byKey   map[Timer]*timerEntry
 }
 
+// timerEntry is a timer that is set.
 type timerEntry struct {
-	key      Timer
-	at       time.Duration
-	position int
+	key   Timer
+	at    time.Duration // when it expires
+	index int           // its index in the heap
 }
 
-func (t *timers) Len() int           { return len(t.order) }
-func (t *timers) Less(i, j int) bool { return t.order[i].at < t.order[j].at }
+func (t *timers) Len() int           { return len(t.entries) }
+func (t *timers) Less(i, j int) bool { return t.entries[i].at < t.entries[j].at }
 func (t *timers) Swap(i, j int) {
-	t.order[i], t.order[j] = t.order[j], t.order[i]
-	t.order[i].position, t.order[j].position = i, j
+	t.entries[i], t.entries[j] = t.entries[j], t.entries[i]
+	t.entries[i].index, t.entries[j].index = i, j
 }
 func (t *timers) Push(x any) {
 	e := x.(*timerEntry)
-	e.position = len(t.order)
-	t.order = append(t.order, e)
+	e.index = len(t.entries)
+	t.entries = append(t.entries, e)
 }
 func (t *timers) Pop() any {
-	last := len(t.order) - 1
-	e := t.order[last]
-	t.order[last] = nil
-	t.order = t.order[:last]
+	last := len(t.entries) - 1
+	e := t.entries[last]
+	t.entries[last] = nil
+	t.entries = t.entries[:last]
 	return e
 }
 
+// set sets a timer, or changes the expiry time of a timer that is set.
 func (t *timers) set(key Timer, at time.Duration) {
 	if e := t.byKey[key]; e != nil {
 		e.at = at
-		heap.Fix(t, e.position)
+		heap.Fix(t, e.index)
 		return
 	}
 	e := &timerEntry{key: key, at: at}
@@ -50,16 +53,17 @@
 	heap.Push(t, e)
 }
 
+// stop removes a timer if it is set.
 func (t *timers) stop(key Timer) {
 	if e := t.byKey[key]; e != nil {
 		delete(t.byKey, key)
-		heap.Remove(t, e.position)
+		heap.Remove(t, e.index)
 	}
 }
 
-// due removes and returns the next timer that has expired by now.
+// due removes and returns the timer that expires first, if it has expired by now.
 func (t *timers) due(now time.Duration) (Timer, bool) {
-	if len(t.order) == 0 || t.order[0].at > now {
+	if len(t.entries) == 0 || t.entries[0].at > now {
 		return Timer{}, false
 	}
 	e := heap.Pop(t).(*timerEntry)
@@ -67,15 +71,15 @@
 	return e.key, true
 }
 
-// wait returns how long epoll may sleep, in ms rounded up: waking early would spin until the timer expires. It is
-// -1 where no timer is set.
+// wait returns how long epoll_wait may block until the next timer expires, in milliseconds, or -1 if no timer is set.
+// It rounds up: if epoll_wait returned too early, the loop would spin until the timer expires.
 func (t *timers) wait(now time.Duration) int {
-	if len(t.order) == 0 {
+	if len(t.entries) == 0 {
 		return -1
 	}
-	left := t.order[0].at - now
-	if left <= 0 {
+	remaining := t.entries[0].at - now
+	if remaining <= 0 {
 		return 0
 	}
-	return int(min((left+time.Millisecond-1)/time.Millisecond, maxWaitMS))
+	return int(min((remaining+time.Millisecond-1)/time.Millisecond, maxWaitMS))
 }
--- a/internal/loop/types.go
+++ b/internal/loop/types.go
@@ -1,5 +1,6 @@
-// Package loop is the edge of the program: one epoll loop that owns every socket and timer, delivers
-// events to a reducer and carries out the effects that it returns. It knows no peer and implements no protocol.
+// Package loop does all I/O of the gateway. One epoll loop owns every socket and timer, delivers events to a
+// reducer and performs the effects that the reducer returns. The loop implements no protocol and does not know what
+// the peers of its sockets are.
 package loop
 
 import (
@@ -7,13 +8,13 @@
 	"time"
 )
 
-// Conn names a socket. A number is never used twice, so that an event of a closed socket cannot be
-// taken for one of a later socket.
+// Conn identifies a socket. No number is reused, so that an event of a closed socket cannot be mistaken for an event
+// of a newer one.
 type Conn uint64
 
-// Listener accepts clients, Admin operators, HotRestart the next process of this gateway; Gossip is the
-// datagram socket of the cluster. Accepted sockets are numbered by the loop from firstAccepted on, dialled
-// ones by the reducer from 1 on.
+// The sockets with fixed numbers. Listener accepts clients, Admin accepts operators, and HotRestart accepts the
+// successor process of this gateway; Gossip is the cluster's datagram socket. The loop numbers accepted sockets
+// upwards from firstAccepted; the reducer numbers dialled sockets upwards from 1.
 const (
 	Listener      Conn = 0
 	Admin         Conn = 1 << 62
@@ -22,118 +23,124 @@
 	firstAccepted Conn = 1 << 63
 )
 
-// Timer identifies a timer by its purpose and by what it belongs to. Setting it again moves it.
+// Timer identifies a timer. Setting a timer that is already set replaces its expiry time.
 type Timer struct {
-	Kind uint8
-	ID   uint64
+	Kind uint8  // the purpose of the timer, as numbered by the reducer
+	ID   uint64 // the object that the timer belongs to, for example a connection
 }
 
-// Kind is the type of an event.
+// Kind is the type of an Event.
 type Kind uint8
 
-// The events. Data, Drained, EOF and Broken answer a Read; Flushed and Broken answer a Write; Connected
-// and Broken answer a Dial; Listening and Broken answer a Listen and a Bind; Stale answers a WriteQuiet
-// on a socket whose peer has sent data or closed meanwhile; File answers a ReadFile.
+// The events. Most of them report the result of an effect.
 const (
-	Readable Kind = iota
-	Accepted
-	AcceptFailed
-	Connected
-	Data
-	Drained
-	EOF
-	Broken
-	Flushed
-	Stale
-	Leaving // the peer of a muted socket has ended its sending, after data not yet read; see Effect.Leaving
-	Listening
-	TimerDue
-	Start // once, before anything else
-	Stop
-	Reload // the operator's signal to read the configuration again
-	File
-	Turn // every event of the sockets that were ready has been delivered
-	// more is internal to this package: the end of the stream, or more data of an urgent socket, is known to
-	// follow the data just read.
-	more
+	Readable     Kind = iota // data, the end of the stream, an error or a new connection is waiting at a socket
+	Accepted                 // a listening socket has accepted a connection
+	AcceptFailed             // a listening socket cannot accept for now, usually because descriptors have run out
+	Connected                // a dialled socket is connected
+	Data                     // the data that a read returned
+	Drained                  // a read or an accept found that nothing more is waiting at the socket
+	EOF                      // a read found that the peer has ended its sending
+	Broken                   // an error has closed the socket, or the socket could not be opened
+	Flushed                  // the kernel has taken everything that was written to a socket
+	Stale                    // nothing was written, since the peer has meanwhile sent data or closed
+	// Leaving reports that the peer of a socket whose reading is paused has ended its sending, perhaps after unread
+	// data. It is delivered only where the effect that paused the reading requested it.
+	Leaving
+	Listening // a listening or datagram socket is open
+	TimerDue  // a timer has expired
+	Start     // the loop has started; this is the first event, and it is delivered once
+	Stop      // a signal to stop the program has arrived
+	Reload    // the signal to read the configuration again has arrived
+	File      // the contents of a file that was to be read, or the error
+	Turn      // the events of all ready sockets and expired timers of one turn of the loop have been delivered
+	// readMore is internal to this package: it marks that the end of the stream, or more data of an urgent socket,
+	// is known to follow the data just read.
+	readMore
 )
 
-// Event reports one thing that happened. Data is valid only while the reducer handles the event.
+// Event is the input of one step of the reducer.
 type Event struct {
 	Kind  Kind
 	Conn  Conn
-	Via   Conn // with Accepted: the listening socket that accepted it
+	Via   Conn // for Accepted, the listening socket that accepted the connection
 	Timer Timer
-	Data  []byte
-	// Passed, with Data on a Unix socket: sockets that were passed beside it, muted. Adopt makes one of
-	// them a listening socket.
+	// Data holds received bytes or the contents of a file. It is valid only while the reducer handles the event.
+	Data []byte
+	// Passed lists the sockets that another process passed beside Data on a Unix socket. Their reading is paused. The
+	// reducer may turn a passed listening socket into a listener of this process.
 	Passed []Conn
-	From   netip.AddrPort // with Data on a datagram socket, which delivers one event for each datagram
-	Err    error
-	// Local, with Broken in answer to a Dial: this machine has run out of a resource; the peer may be well.
+	// From is the sender of Data on a datagram socket. Each datagram is delivered as a separate event.
+	From netip.AddrPort
+	Err  error
+	// Local reports, for a dial that failed, that this machine or process has run out of a resource; the endpoint
+	// may be healthy.
 	Local bool
 }
 
-// Op is the type of an effect.
+// Op is the type of an Effect.
 type Op uint8
 
-// The effects. Mute stops Readable events of a socket until Unmute, except for a socket that is
-// broken. Again asks for one more Turn at once.
+// The effects. The comment of each names the events that report its result.
 const (
-	Accept Op = iota
-	Dial      // Addr, or Path as a Unix socket
-	Listen    // at Addr, or at Path as a Unix socket of mode 0600, as Conn
-	Bind      // a datagram socket at Addr, as Conn
-	SendTo    // Data as one datagram to Addr; what the socket or the network does not take is lost without an event
-	Pass      // writes Data on a Unix socket with the sockets of Give beside it, and closes them here, except Listener
-	Adopt     // makes the passed socket Conn the listening socket As
-	Heap      // bounds the program's heap softly, by Bytes
-	Read
-	Write
-	WriteQuiet
-	Shutdown
-	Close
-	Abort // closes so that the peer sees a reset, never a regular end
-	Mute
-	Unmute
-	SetTimer
-	StopTimer
-	ReadFile // the file at Path, whole
-	Again
-	Exit
+	Accept     Op = iota // accepts waiting connections: Accepted for each, AcceptFailed, or a report that none is left
+	Dial                 // connects to Addr, or to the Unix socket at Path: Connected or Broken
+	Listen               // listens as Conn at Addr, or at Path with a Unix socket of mode 0600: Listening or Broken
+	Bind                 // opens Conn as a datagram socket at Addr: Listening or Broken
+	SendTo               // sends Data as one datagram to Addr; a datagram that cannot be sent is lost without an event
+	Pass                 // writes Data on a Unix socket, passes sockets beside it and closes them here, except Listener
+	Adopt                // makes the passed socket Conn a listening socket under another number: Listening or Broken
+	Heap                 // sets the soft memory limit of the Go runtime to Bytes
+	Read                 // reads at most one buffer: Data, EOF, Broken, or a report that nothing is waiting
+	Write                // writes Data, at once or when the kernel has room: Flushed or Broken
+	WriteQuiet           // writes Data unless the peer has sent data or closed: Flushed, Broken or Stale
+	Shutdown             // ends our sending; the peer may go on sending
+	Close                // closes the socket, without an event
+	Abort                // closes the socket so that the peer receives a reset and not a regular end
+	Mute                 // delivers no Readable event of the socket until reading is resumed, except after an error
+	Unmute               // resumes the reading of a socket
+	SetTimer             // sets Timer to expire at At
+	StopTimer            // stops Timer
+	ReadFile             // reads the whole file at Path: File
+	Again                // starts one more turn of the loop without waiting for a socket or a timer
+	Exit                 // ends Run after the current turn of the loop
 )
 
-// Effect is one operation that the reducer requests. Data is written or copied before the next Step.
+// Effect is one operation that the reducer requests. The loop writes or copies Data before the next Step.
 type Effect struct {
-	Op      Op
-	Conn    Conn
-	Urgent  bool // with Dial and Listen: its events, and those of what it accepts, go first
+	Op   Op
+	Conn Conn
+	// Urgent, with Dial, Listen and Bind, delivers the events of the socket, and of the connections that it accepts,
+	// before the events of other sockets in each turn.
+	Urgent  bool
 	Addr    netip.AddrPort
 	Data    []byte
 	Path    string
-	Leaving bool // with Mute: a Leaving event is delivered once, when the peer ends its sending meanwhile
-	Most    int  // with Accept: at most so many sockets; 0 for the loop's own limit
-	Give    []Conn
-	As      Conn
+	Leaving bool   // when pausing reading: deliver one event if the peer ends its sending during the pause
+	Most    int    // maximum number of connections that one Accept accepts; 0 for the loop's limit
+	Give    []Conn // the sockets to pass to the other process
+	As      Conn   // the number of a passed socket as a listening socket of this process
 	Bytes   int64
 	Timer   Timer
-	At      time.Duration
-	Failed  error // with Exit: why the program could not start
+	At      time.Duration // on the loop's Clock
+	Failed  error         // the error that Run returns after Exit; nil for a regular end
 }
 
-// Reducer holds all state. Step takes one event and returns the effects, valid until the next Step.
+// Reducer holds all state of the gateway. Step handles one event and returns the effects to perform; they are valid
+// until the next Step.
 type Reducer interface {
 	Step(now time.Duration, e Event) []Effect
 }
 
-// Clock is the one clock of the program: Unix time at its start plus what has passed since on the monotonic
-// clock. It never goes back, and Unix times of other machines need no conversion.
+// Clock is the only clock of the program. Its time is the Unix time at the program's start plus the time elapsed
+// since on the monotonic clock. It never goes backwards, and it is comparable with the Unix times of other machines
+// without conversion.
 type Clock struct{ start time.Time }
 
-// NewClock starts a clock.
+// NewClock returns a clock that starts at the present Unix time.
 func NewClock() Clock { return Clock{start: time.Now()} }
 
-// Now returns the time.
+// Now returns the time since the Unix epoch.
 func (c Clock) Now() time.Duration {
 	return time.Duration(c.start.UnixNano()) + time.Since(c.start)
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -14,7 +14,7 @@
 	conns  map[loop.Conn]*Conn
 	idle   map[balancer.EndpointID][]*Conn // newest last
 	max    int
-	lastID loop.Conn
+	lastConnID loop.Conn
 }
 
 // NewPool returns a pool of at most so many connections.
@@ -39,8 +39,8 @@
 
 // NextID returns the number of a new connection.
 func (p *Pool) NextID() loop.Conn {
-	p.lastID++
-	return p.lastID
+	p.lastConnID++
+	return p.lastConnID
 }
 
 // Full reports whether the limit is reached.
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -17,21 +17,21 @@
 		pool.Release(conns[n])
 	}
 	for _, c := range []struct {
-		budget int
+		limit int
 		want   []*Conn
 	}{
 		{6, nil},
 		{4, []*Conn{conns[1], conns[2]}},
 		{0, []*Conn{conns[1], conns[2], conns[3], conns[4]}},
 	} {
-		pool.Resize(c.budget)
+		pool.Resize(c.limit)
 		got := pool.Surplus()
 		if len(got) != len(c.want) {
-			t.Fatalf("budget %d: %d connections are too many, want %d", c.budget, len(got), len(c.want))
+			t.Fatalf("budget %d: %d connections are too many, want %d", c.limit, len(got), len(c.want))
 		}
 		for n := range got {
 			if got[n] != c.want[n] {
-				t.Errorf("budget %d: connection %d goes in place %d, want %d", c.budget, got[n].ID, n, c.want[n].ID)
+				t.Errorf("budget %d: connection %d goes in place %d, want %d", c.limit, got[n].ID, n, c.want[n].ID)
 			}
 		}
 	}
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -10,17 +10,17 @@
 
 // AppendRequest encodes a client's request for an endpoint: unchanged except for the fields of the
 // connection and the time that is left.
-func AppendRequest(dst []byte, m *http1.Message, left time.Duration) []byte {
-	return http1.AppendRequest(dst, m.Method, m.Target, forwardedFields(m, left), m.Body)
+func AppendRequest(dst []byte, m *http1.Message, remaining time.Duration) []byte {
+	return http1.AppendRequest(dst, m.Method, m.Target, forwardedFields(m, remaining), m.Body)
 }
 
 // AppendHead encodes the head of a client's request whose body follows. length is that of the body, or -1
 // where it is not stated: the body then follows in chunks.
-func AppendHead(dst []byte, m *http1.Message, length int64, left time.Duration) []byte {
-	return http1.AppendRequestHead(dst, m.Method, m.Target, forwardedFields(m, left), length)
+func AppendHead(dst []byte, m *http1.Message, length int64, remaining time.Duration) []byte {
+	return http1.AppendRequestHead(dst, m.Method, m.Target, forwardedFields(m, remaining), length)
 }
 
-func forwardedFields(m *http1.Message, left time.Duration) []http1.Field {
+func forwardedFields(m *http1.Message, remaining time.Duration) []http1.Field {
 	fields := make([]http1.Field, 0, len(m.Fields)+2)
 	if _, times := m.Get("Host"); times == 0 {
 		fields = append(fields, http1.Field{Name: "Host"}) // optional in HTTP/1.0, required in HTTP/1.1
@@ -30,6 +30,6 @@
 			fields = append(fields, f)
 		}
 	}
-	milliseconds := max(left.Milliseconds(), 1)
+	milliseconds := max(remaining.Milliseconds(), 1)
 	return append(fields, http1.Field{Name: fieldDeadline, Value: strconv.FormatInt(milliseconds, 10) + "m"})
 }
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -60,11 +60,11 @@
 
 // Forwarded returns the fields of an answer that are passed on to the client.
 func (r *Response) Forwarded() []http1.Field {
-	passed := make([]http1.Field, 0, len(r.Fields))
+	forwarded := make([]http1.Field, 0, len(r.Fields))
 	for _, f := range r.Fields {
 		if !r.Hop(f.Name) && !strings.EqualFold(f.Name, fieldNeverRan) && !strings.EqualFold(f.Name, fieldLoad) {
-			passed = append(passed, f)
+			forwarded = append(forwarded, f)
 		}
 	}
-	return passed
+	return forwarded
 }
