--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the operators' interface at the second address: requests, one on each connection, and their
-// answers.
+// Package admin implements the operators' HTTP interface at the gateway's second address: the decoding of requests, one
+// on each connection, and the encoding of responses.
 package admin
 
 import (
@@ -8,23 +8,24 @@
 	"thymebend/internal/http1"
 )
 
-// Request is what an operator requests.
+// Request is the type of an operator's request.
 type Request uint8
 
-// The requests. NoRequest is one not yet complete, BadRequest one for which Feed returns the answer.
+// The types of requests.
 const (
-	NoRequest Request = iota
+	NoRequest Request = iota // no complete request has been received
 	ReadinessRequest
 	StatsRequest
 	ClusterRequest
-	BadRequest
+	BadRequest // a faulty request, for which Feed returns the encoded response
 )
 
+// textResponse encodes a response with one line of text.
 func textResponse(status int, text string) []byte {
 	return http1.AppendResponse(nil, status, nil, []byte(text+"\n"), false)
 }
 
-// ReadinessResponse encodes whether this process accepts clients, and if not why.
+// ReadinessResponse encodes whether this process accepts clients, and the reason if it does not.
 func ReadinessResponse(ready bool, reason string) []byte {
 	if ready {
 		return textResponse(200, "ready")
@@ -32,12 +33,13 @@
 	return textResponse(503, reason)
 }
 
-// NoClusterResponse encodes the answer of a gateway without a cluster file.
+// NoClusterResponse encodes the response of a gateway that has no gossip file and therefore belongs to no cluster.
 func NoClusterResponse() []byte { return textResponse(404, "no fleet: LB_FLEET names no file") }
 
+// jsonResponse encodes a response whose body is document as JSON.
 func jsonResponse(document any) []byte {
 	body, err := json.Marshal(document)
-	if err != nil { // strings and finite numbers always encode
+	if err != nil { // cannot happen: documents consist of strings and finite numbers
 		return textResponse(500, err.Error())
 	}
 	return http1.AppendResponse(nil, 200, []http1.Field{{Name: "Content-Type", Value: "application/json"},
--- a/internal/admin/conn.go
+++ b/internal/admin/conn.go
@@ -11,30 +11,33 @@
 
 // Limits of an admin connection.
 const (
-	// MaxConns bounds the admin connections. Their descriptors are reserved: clients cannot use them up.
+	// MaxConns is the maximum number of admin connections. Their descriptors are reserved, so that clients cannot
+	// exhaust them.
 	MaxConns = 10
-	// RequestTimeout is how long a request may take to be received, and its answer to be written out.
+	// RequestTimeout is how long the receiving of a request and the writing of its response may take.
 	RequestTimeout = time.Second
-	// LingerTimeout is how long we wait, after our sending has ended, for the operator's side to close.
+	// LingerTimeout is how long the gateway waits for the operator's side to close, after the gateway has ended its
+	// sending.
 	LingerTimeout = 200 * time.Millisecond
 )
 
 // Conn is one admin connection. It carries one request.
 type Conn struct {
 	ID       loop.Conn
-	Answered bool
-	Ended    bool // our sending has ended
+	Answered bool // the response has been passed to the loop for writing
+	Ended    bool // the gateway has ended its sending
 	reader   http1.Reader
 }
 
-// requestPaths are the paths of the requests.
+// requestPaths maps the path of a request to its type.
 var requestPaths = map[string]Request{
 	"/ops/readiness": ReadinessRequest,
 	"/ops/stats":     StatsRequest,
 	"/ops/fleet":     ClusterRequest,
 }
 
-// Feed takes received bytes and returns the request, and for a faulty one its answer.
+// Feed adds received bytes. It returns the type of the request, NoRequest if the request is not complete. For
+// BadRequest it also returns the encoded response.
 func (c *Conn) Feed(data []byte) (Request, []byte) {
 	c.reader.Feed(data)
 	m, fault := c.reader.Next()
@@ -56,12 +59,12 @@
 	return request, nil
 }
 
-// Conns holds the admin connections, the oldest first.
+// Conns holds the admin connections.
 type Conns struct {
-	conns []*Conn
+	conns []*Conn // oldest first
 }
 
-// Find returns the connection of a number, or nil.
+// Find returns the connection with the given number, or nil.
 func (s *Conns) Find(id loop.Conn) *Conn {
 	for _, c := range s.conns {
 		if c.ID == id {
@@ -74,8 +77,8 @@
 // Len returns the number of connections.
 func (s *Conns) Len() int { return len(s.conns) }
 
-// Add adds a new connection. Where there are too many, it returns the one to evict: the oldest that is not yet
-// answered, so that silent connections never keep out a request, else the oldest.
+// Add adds a new connection. If there are already MaxConns, it returns the connection to evict: the oldest one whose
+// request is not answered, so that connections without a request cannot block others, or else the oldest.
 func (s *Conns) Add(id loop.Conn) (evicted *Conn) {
 	if len(s.conns) >= MaxConns {
 		index := max(0, slices.IndexFunc(s.conns, func(c *Conn) bool { return !c.Answered }))
@@ -85,7 +88,7 @@
 	return evicted
 }
 
-// Remove forgets a connection.
+// Remove removes a connection.
 func (s *Conns) Remove(c *Conn) {
 	s.conns = slices.DeleteFunc(s.conns, func(other *Conn) bool { return other == c })
 }
--- a/internal/downstream/arrivals.go
+++ b/internal/downstream/arrivals.go
@@ -6,51 +6,55 @@
 	"thymebend/internal/loop"
 )
 
-// A request's client timeout runs from the time when its client sent its last byte. Bytes that are read late were
-// sent earlier: behind a request in work, or while the connection was not read. All times of sending here are the
-// earliest possible ones.
+// The client timeout of a request starts when its client has sent the last byte of the request. The gateway may read
+// bytes long after they were sent, because they followed another request or because reading was paused. This file
+// therefore estimates when bytes were sent. Each estimate is the earliest possible time.
 
-// markInterval is the least distance between two marks of a connection: bytes received in between count as sent
-// with the first.
+// markInterval is the minimum distance in time between two marks of a connection: bytes received less than this after
+// a mark are added to that mark.
 const markInterval = 5 * time.Millisecond
 
-// maxMarks bounds the marks of a connection; past it, neighbours are merged, with the time of the earlier.
+// maxMarks is the maximum number of marks of a connection. Beyond it, each two neighbouring marks are merged and keep
+// the earlier time.
 const maxMarks = 256
 
-// maxUnread is how many bytes may wait in the kernel's receive buffer while the connection is not read.
+// maxUnread is an upper bound of the bytes in the kernel's receive buffer of a connection.
 const maxUnread = 256 << 10
 
-// mark records that a connection's bytes up to an offset were sent no earlier than a time.
+// mark records that the bytes of a connection from the end of the previous mark up to offset were sent no earlier than
+// at.
 type mark struct {
 	offset int64
 	at     time.Duration
 }
 
-// arrivals records when the bytes of a connection were sent, at the earliest.
+// arrivals records the earliest time at which each byte of a connection may have been sent.
 type arrivals struct {
-	bytesReceived int64 // bytes read so far
-	marks    []mark
-	backlog  backlog
+	bytesReceived int64 // bytes read from the connection since it was accepted
+	marks         []mark
+	backlog       backlog
 }
 
-// backlog records that bytes wait in the kernel's receive buffer, since reading was last paused with more to read.
+// backlog records that bytes may be waiting in the kernel's receive buffer because reading was paused.
 type backlog struct {
-	active        bool
-	since         time.Duration // the bytes read now were sent after it
-	nextSince     time.Duration // replaces since after maxUnread bytes
-	bytesSinceNext         int           // bytes read since nextSince
-	lastShortRead time.Duration // when a read last did not fill its buffer: most likely nothing is left; 0 if none did
+	active         bool
+	since          time.Duration // the bytes read next were sent after this time
+	nextSince      time.Duration // replaces since once maxUnread bytes have been read
+	bytesSinceNext int           // bytes read since nextSince was set
+	// lastShortRead is when a read last did not fill its buffer, after which most likely no byte is waiting; 0 if the
+	// last read filled its buffer.
+	lastShortRead time.Duration
 }
 
-// pause records that the connection is not read for now though more may wait.
+// pause records that reading stops for now although bytes may be waiting in the receive buffer.
 func (a *arrivals) pause(now time.Duration) {
 	if !a.backlog.pending(now) {
 		a.backlog = backlog{active: true, since: now, nextSince: now}
 	}
 }
 
-// add records bytes that were read now. A read that did not fill its buffer has emptied the kernel's, unless
-// another follows at once: system calls may return less than there is.
+// add records that n bytes were read now. A read that did not fill its buffer is taken to have emptied the kernel's
+// buffer, unless another read follows within markInterval: a system call may return less than is available.
 func (a *arrivals) add(now time.Duration, n int) {
 	at := now
 	if !a.backlog.pending(now) {
@@ -71,7 +75,7 @@
 	}
 }
 
-// mergeMarks merges each two neighbouring marks.
+// mergeMarks merges each two neighbouring marks into one with the time of the earlier.
 func (a *arrivals) mergeMarks() {
 	kept := a.marks[:0]
 	for i := 0; i+1 < len(a.marks); i += 2 {
@@ -83,12 +87,12 @@
 	a.marks = kept
 }
 
-// pending reports whether bytes that arrived while reading was paused may still wait.
+// pending reports whether bytes that arrived while reading was paused may still be unread.
 func (b *backlog) pending(now time.Duration) bool {
 	return b.active && (b.lastShortRead == 0 || now-b.lastShortRead < markInterval)
 }
 
-// consume records that n of the waiting bytes were read.
+// consume records that n of the unread bytes were read now.
 func (b *backlog) consume(now time.Duration, n int) {
 	b.lastShortRead = 0
 	if n < loop.ReadSize {
@@ -99,7 +103,8 @@
 	}
 }
 
-// sentAt returns when the last byte before an offset was sent, at the earliest. Earlier marks are dropped.
+// sentAt returns the earliest time at which the last byte before offset may have been sent, or 0 if nothing was
+// received. It drops the marks that end before offset: offsets must not decrease from call to call.
 func (a *arrivals) sentAt(offset int64) time.Duration {
 	for len(a.marks) > 1 && a.marks[0].offset < offset {
 		a.marks = a.marks[1:]
@@ -110,13 +115,14 @@
 	return a.marks[0].at
 }
 
-// LastByteSent returns when the last byte that the reader has consumed was sent, at the earliest.
+// LastByteSent returns the earliest time at which the client may have sent the last byte decoded, which after Next is
+// the last byte of the request returned.
 func (c *Conn) LastByteSent() time.Duration {
 	return c.arrivals.sentAt(c.arrivals.bytesReceived - int64(c.reader.Buffered()))
 }
 
-// TimeLeft returns what is left of a request's client timeout. While a body is being received the timeout has not
-// begun, unless the rest may already wait in the kernel's buffer.
+// TimeLeft returns the remaining time of the request's client timeout. The timeout does not start before the whole body
+// has been received, unless the remainder of the body may already be waiting in the kernel's receive buffer.
 func (c *Conn) TimeLeft(now, clientTimeout time.Duration) time.Duration {
 	switch {
 	case c.Upload && c.reader.Complete():
@@ -129,7 +135,7 @@
 	return c.LastByteSent() + clientTimeout - now
 }
 
-// PauseReading records that the connection is not read for now.
+// PauseReading records that the gateway stops reading the connection until ResumeReading.
 func (c *Conn) PauseReading(now time.Duration) {
 	c.Muted = true
 	c.arrivals.pause(now)
--- a/internal/downstream/arrivals_test.go
+++ b/internal/downstream/arrivals_test.go
@@ -10,47 +10,49 @@
 
 const viewRequest = "GET /view HTTP/1.1\r\nHost: h\r\nX-Trace-Id: a\r\nX-Qos: view\r\nX-Expires-In: 900m\r\n\r\n"
 
-// A request received behind another one was sent when its last byte arrived, not when it is parsed.
+// A pipelined request counts as sent when its last byte arrived, not when the request before it was answered and it was
+// parsed.
 func TestLastByteSentOfPipelinedRequests(t *testing.T) {
 	conn := NewConns(1).Add(1, 0)
 	conn.Feed(ms(100), []byte(viewRequest+viewRequest[:10]))
 	conn.Feed(ms(400), []byte(viewRequest[10:]+viewRequest))
 	for i, want := range []time.Duration{ms(100), ms(400), ms(400)} {
 		if _, whole := conn.Next(testClasses); !whole {
-			t.Fatalf("request %d is not whole", i)
+			t.Fatalf("request %d is not complete", i)
 		}
 		if got := conn.LastByteSent(); got != want {
-			t.Errorf("request %d was written at %v, want %v", i, got, want)
+			t.Errorf("request %d: sent at %v, want %v", i, got, want)
 		}
 		if got := conn.TimeLeft(ms(1000), ms(900)); got != want+ms(900)-ms(1000) {
-			t.Errorf("request %d: %v left", i, got)
+			t.Errorf("request %d: remaining timeout %v, want %v", i, got, want+ms(900)-ms(1000))
 		}
 	}
 }
 
-// Bytes read after a pause count as sent when the pause began, until the kernel's buffer is empty.
+// Bytes read after a pause count as sent when the pause began, until the kernel's receive buffer is empty.
 func TestSendTimeOfBytesReadAfterPause(t *testing.T) {
 	var a arrivals
 	a.add(ms(10), 100)
 	a.pause(ms(20))
 	a.pause(ms(25))
 	a.add(ms(500), loop.ReadSize)
-	a.add(ms(501), 1000) // it may be a short read
+	a.add(ms(501), 1000) // perhaps a short read: bytes may still be waiting
 	a.add(ms(503), 1000)
 	at := func(offset int64) time.Duration { b := a; return b.sentAt(offset) }
 	if got := at(a.bytesReceived); got != ms(20) {
-		t.Errorf("written at %v, want when reading stopped", got)
+		t.Errorf("sent at %v, want 20ms, when reading was paused", got)
 	}
 	a.add(ms(600), 10)
 	if got := at(a.bytesReceived); got != ms(600) {
-		t.Errorf("written at %v, want now: all was taken before", got)
+		t.Errorf("sent at %v, want 600ms, when they were read: the receive buffer was empty before", got)
 	}
 	if got := at(50); got != ms(10) {
-		t.Errorf("the first bytes were written at %v", got)
+		t.Errorf("the bytes before the pause: sent at %v, want 10ms", got)
 	}
 }
 
-// The kernel's buffer is bounded: bytes read after that many were sent later.
+// The kernel's receive buffer holds at most maxUnread bytes, so that bytes read after more than that many were sent
+// after the pause began.
 func TestSendTimeBehindFullReceiveBuffer(t *testing.T) {
 	var a arrivals
 	a.pause(ms(0))
@@ -58,42 +60,44 @@
 		a.add(ms(1000+100*i), loop.ReadSize)
 	}
 	if got := a.sentAt(a.bytesReceived); got < ms(1000) {
-		t.Errorf("written at %v, though three buffers were read since", got)
+		t.Errorf("sent at %v, want 1s or later: three full receive buffers were read after the pause", got)
 	}
 }
 
-// A connection's marks are bounded, and err only in the client's favour.
+// The number of marks is bounded, and merging marks never moves the estimated time of sending to later than the true
+// one, which would extend the client's timeout.
 func TestMarksAreBounded(t *testing.T) {
 	var a arrivals
 	for i := range 10_000 {
 		a.add(ms(10*i), 1)
 	}
 	if len(a.marks) > maxMarks {
-		t.Errorf("%d marks", len(a.marks))
+		t.Errorf("%d marks, want at most %d", len(a.marks), maxMarks)
 	}
 	for _, offset := range []int64{1, 5000, 9999, 10_000} {
 		b := a
 		if got := b.sentAt(offset); got > ms(int(10*(offset-1))) {
-			t.Errorf("byte %d was written at %v", offset, got)
+			t.Errorf("byte %d: sent at %v, later than it was received", offset, got)
 		}
 	}
 }
 
-// While a body is being received its client timeout has not begun; once all of it has arrived, or may have, it has.
+// The client timeout of a request with a streamed body starts only when the whole body has arrived, or may have arrived
+// because reading is paused.
 func TestTimeLeftOfStreamedRequest(t *testing.T) {
 	conn := NewConns(1).Add(1, 0)
 	raw := partialBid(300<<10, 300<<10)
 	conn.Feed(ms(10), raw[:100<<10])
 	if incoming, complete := conn.Next(testClasses); !complete || !incoming.Large {
-		t.Fatal("not taken as a stream")
+		t.Fatal("the request is not returned as a large one")
 	}
 	conn.Begin()
 	if got := conn.TimeLeft(ms(500), ms(900)); got != ms(900) {
-		t.Errorf("%v left of a client that has more to send", got)
+		t.Errorf("remaining timeout %v before the body has arrived, want all 900ms", got)
 	}
 	conn.PauseReading(ms(500))
 	if got := conn.TimeLeft(ms(700), ms(900)); got != ms(700) {
-		t.Errorf("%v left of a client whose last byte may lie unread", got)
+		t.Errorf("remaining timeout %v while the last byte may be unread, want 700ms", got)
 	}
 	conn.ResumeReading(ms(700))
 	var body bytes.Buffer
@@ -103,6 +107,6 @@
 		body.Write(piece)
 	}
 	if got := conn.LastByteSent(); got != ms(500) {
-		t.Errorf("written at %v, want when reading stopped", got)
+		t.Errorf("sent at %v, want 500ms, when reading was paused", got)
 	}
 }
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -10,76 +10,80 @@
 
 // Limits of a downstream connection.
 const (
-	// MaxPipelined bounds the bytes that a client may send ahead of an answer; past it the connection is not
-	// read.
+	// MaxPipelined is the maximum number of bytes that a client may send ahead of a response. Beyond it, the
+	// gateway pauses reading.
 	MaxPipelined = http1.MaxHead + http1.MaxHeld
-	// IdleTimeout is how long a connection may be idle before it is closed.
+	// IdleTimeout is how long a connection may be idle between requests before the gateway closes it.
 	IdleTimeout = 90 * time.Second
-	// FirstRequestGrace is how soon a client that connects for a request usually sends it.
+	// FirstRequestGrace is the time within which a client that connects for a request usually sends it. After that, a
+	// connection that has sent nothing may be evicted.
 	FirstRequestGrace = 500 * time.Millisecond
-	// FirstByteGrace is the least time that a new connection has to send its first byte, however few
-	// connections are left. A client also has it to read its last answer.
+	// FirstByteGrace is the minimum time that a new connection has to send its first byte, even if connections have run
+	// out. It is also the minimum time that a client has to read its last response.
 	FirstByteGrace = 50 * time.Millisecond
-	// SingleUseIdleTimeout is how soon a client that reuses its connections usually does so, where it has many.
+	// SingleUseIdleTimeout is the time within which a client with many connections usually reuses one, if it reuses
+	// connections at all.
 	SingleUseIdleTimeout = 100 * time.Millisecond
-	// HealthCheckGrace is how long a connection with health checks only is kept for its first request. After that
-	// it is evicted before those idle after a request.
+	// HealthCheckGrace is how long a connection that has carried only health checks or malformed requests is kept for
+	// its first request. After that, it is evicted before connections that are idle after a request.
 	HealthCheckGrace = 2 * time.Second
-	// StalledRequestGrace is how soon the next part of a request usually arrives from a client that writes slowly.
+	// StalledRequestGrace is the time within which a client that sends slowly usually sends the next part of a request.
+	// After that, the connection may be evicted.
 	StalledRequestGrace = 700 * time.Millisecond
-	// ResponseWriteTimeout is how long an answer may take to be written out.
+	// ResponseWriteTimeout is how long the writing of a response may take.
 	ResponseWriteTimeout = 10 * time.Second
-	// LingerTimeout is how long we wait, after our sending has ended, for the client to close.
+	// LingerTimeout is how long the gateway waits for the client to close, after the gateway has ended its sending.
 	LingerTimeout = time.Second
-	// MaxLinger bounds that wait for a client that is still sending a body that is discarded.
+	// MaxLinger is the maximum of that wait for a client that is still sending a body that the gateway discards.
 	MaxLinger = 5 * time.Second
 )
 
-// Conn is one downstream connection. The gateway sets its exported fields; after a change of them it calls
-// Conns.Place. Times are those of loop.Clock.
+// Conn is one downstream connection. The gateway sets its exported fields, and calls Conns.Requeue after changes that
+// may affect eviction. All times are those of loop.Clock.
 type Conn struct {
 	ID loop.Conn
 
-	// Request is the request in work, while Busy; 0 for an answer of the gateway's own, and once the
-	// endpoint's answer is being written out.
+	// Request is the request in progress, while Busy. It is 0 if the gateway itself generates the response, and once
+	// the response of the endpoint is being written.
 	Request balancer.RequestID
-	// Busy reports that a request is in work or its answer is not yet written out.
+	// Busy reports that a request is in progress or that its response is not yet completely written.
 	Busy bool
-	// Closing reports that the connection ends after the current answer.
+	// Closing reports that the gateway ends the connection after the current response.
 	Closing bool
-	// Ended reports that our sending has ended; data received after that is dropped.
+	// Ended reports that the gateway has ended its sending; data received after that is dropped.
 	Ended bool
-	// FinalRead reports that the connection is closed unless the read now requested finds a request.
+	// FinalRead reports that the gateway has requested a last read, and closes the connection unless that read finds a
+	// request.
 	FinalRead bool
-	// Muted reports that the connection is not read for now.
+	// Muted reports that reading is paused.
 	Muted bool
-	// Upload reports that the body of the request in work is streamed and has not ended.
+	// Upload reports that the body of the request in progress is streamed and has not ended.
 	Upload bool
-	// DiscardBody reports that the data now received is part of a body that is discarded.
+	// DiscardBody reports that the gateway discards received data, which is part of the body of an answered request.
 	DiscardBody bool
 
 	// HasRequested reports that a complete request, a health check or a malformed request has been received.
 	HasRequested bool
-	// Requests counts the requests passed to the balancer.
+	// Requests is the number of requests passed to the balancer.
 	Requests int
 	// RequestTimed reports that the deadline of the request being received is set.
 	RequestTimed bool
-	// RequestBytes counts the bytes received of the request being received.
+	// RequestBytes is the number of bytes received of the request being received.
 	RequestBytes int
 
 	// Accepted is when the connection was accepted.
 	Accepted time.Duration
-	// Since is when it became idle: the time of its accept or of the end of its last answer.
+	// Since is when the connection became idle: when it was accepted or when its last response was completely written.
 	Since time.Duration
-	// RequestBegan is when the time of the request being received began: at its first byte, for the first
-	// request at the accept.
+	// RequestBegan is when the read timeout of the request being received started: at its first byte, or, for the first
+	// request, when the connection was accepted.
 	RequestBegan time.Duration
-	// Timer is when the connection is looked at again, or ended; 0 if no timer is set.
+	// Timer is when the gateway next checks the connection's timeouts; 0 if no timer is set.
 	Timer time.Duration
 	// lastReceived is when the last byte was received, or when reading resumed after a pause.
 	lastReceived time.Duration
 
-	// The eviction queue that it is in, nil if none, and its neighbours there. See Conns.Place.
+	// The eviction queue that holds the connection, nil if none, and its neighbours in that queue. See Conns.Requeue.
 	evictionQueue *evictionQueue
 	previous      *Conn
 	next          *Conn
@@ -89,36 +93,36 @@
 	large    *Incoming // the request being received whose body is too large to buffer
 }
 
-// Feed takes bytes received from the client now.
+// Feed adds bytes received from the client now. They are copied.
 func (c *Conn) Feed(now time.Duration, data []byte) {
 	c.lastReceived = now
 	c.arrivals.add(now, len(data))
 	c.reader.Feed(data)
 }
 
-// Begin switches the body of the request that Next returned to streaming: from now on Pieces returns its chunks.
-// length is that of the body, -1 where it is not stated.
+// Begin switches to streaming the body of the large request that Next has returned: from now on, Pieces returns its
+// data. length is the length of the body in bytes, or -1 if the client does not state it.
 func (c *Conn) Begin() (length int64) {
 	c.Upload = true
 	return c.reader.Begin()
 }
 
-// Pieces returns the next chunk of a streamed body, all that has arrived since the last call, valid until the next
-// call, and whether the body has ended.
+// Pieces returns the data of a streamed body that has arrived since the last call, and whether the body has ended. The
+// data is valid until the next call.
 func (c *Conn) Pieces() (piece []byte, done bool, fault *http1.Fault) {
 	_, piece, done, fault = c.reader.Pieces()
 	return piece, done, fault
 }
 
-// IdleFor returns how long nothing has been received.
+// IdleFor returns the time since the last byte was received, or since reading resumed after a pause.
 func (c *Conn) IdleFor(now time.Duration) time.Duration { return now - c.lastReceived }
 
 // Pending reports whether part of a request has been received.
 func (c *Conn) Pending() bool { return c.reader.Pending() }
 
-// Overfull reports whether the client has sent more than MaxPipelined bytes ahead of an answer.
+// Overfull reports whether the client has sent more than MaxPipelined bytes ahead of a response.
 func (c *Conn) Overfull() bool { return c.reader.Buffered() > MaxPipelined }
 
-// AwaitsContinue reports, once for each request, whether the client waits for 100 Continue before it sends the
-// body.
+// AwaitsContinue reports whether the client waits for 100 Continue before it sends the body. It returns true at most
+// once for each request.
 func (c *Conn) AwaitsContinue() bool { return c.reader.AwaitsContinue() }
--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -9,34 +9,36 @@
 	"thymebend/internal/loop"
 )
 
-// Conns holds the downstream connections. Those that may be evicted where connections run short are in queues,
-// so that the one to evict is found, and every change made, in constant time: an accept must not cost a walk
-// over thousands of connections.
+// Conns holds the downstream connections. The connections that may be evicted when connections run out are in queues,
+// so that finding the connection to evict, and every change, takes constant time: accepting a connection must not cost
+// a walk over thousands of others.
 type Conns struct {
 	ByConn     map[loop.Conn]*Conn
-	Max        int // how many connections there may be
-	ReuseLimit int // with more connections than this, those that are not reused are closed, see SingleUse
+	Max        int // maximum number of connections
+	ReuseLimit int // with more connections than this, connections that are not reused are closed, see SingleUse
 
-	fullyClosed   evictionQueue // our sending has ended, after the last answer
-	unused        evictionQueue // nothing received yet, by the time of the accept
-	partialFirst  evictionQueue // a first request is incomplete, by its last byte
+	// The eviction queues. Each connection is in at most one. Requeue chooses it.
+	fullyClosed   evictionQueue // the gateway has ended its sending, after the last response
+	unused        evictionQueue // nothing received yet; in order of acceptance
+	partialFirst  evictionQueue // the first request is incomplete; in order of the last byte received
 	usedOnce      evictionQueue // idle after one request
-	usedAgain     evictionQueue // idle after several
-	partialLater  evictionQueue // a later request is incomplete, by its last byte
-	healthChecked evictionQueue // idle after health checks or refused requests only
+	usedAgain     evictionQueue // idle after several requests
+	partialLater  evictionQueue // a later request is incomplete; in order of the last byte received
+	healthChecked evictionQueue // idle after only health checks or malformed requests
 }
 
-// NewConns returns an empty set of at most so many connections.
+// NewConns returns an empty set for at most limit connections.
 func NewConns(limit int) *Conns {
 	return &Conns{ByConn: make(map[loop.Conn]*Conn), Max: limit}
 }
 
-// InOrder returns the connections, oldest first. Map order is random; the same events must have the same effects.
+// InOrder returns the connections, oldest first. The order is fixed because the same events must always cause the same
+// effects, and the order of a map is random.
 func (s *Conns) InOrder() []*Conn {
 	return slices.SortedFunc(maps.Values(s.ByConn), func(a, b *Conn) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Add adds a new downstream connection.
+// Add adds a connection that was accepted now.
 func (s *Conns) Add(id loop.Conn, now time.Duration) *Conn {
 	c := &Conn{ID: id, Accepted: now, Since: now, RequestBegan: now, lastReceived: now}
 	s.ByConn[id] = c
@@ -44,15 +46,15 @@
 	return c
 }
 
-// Remove forgets a connection.
+// Remove removes a connection from the set and from its eviction queue.
 func (s *Conns) Remove(c *Conn) {
 	delete(s.ByConn, c.ID)
 	c.unqueue()
 }
 
-// Requeue puts a connection at the end of the eviction queue that it belongs to, or in none. It is to be called
-// when the connection has changed: a request or a part of one was received, an answer was written out, or the
-// final read begins.
+// Requeue moves a connection to the end of the eviction queue that fits its state, or to none if it must not be
+// evicted. Call it when a request or a part of one has been received, when a response has been completely written,
+// and when the final read is requested.
 func (s *Conns) Requeue(c *Conn) {
 	c.unqueue()
 	switch {
@@ -74,22 +76,23 @@
 	}
 }
 
-// Evictable returns the connection to evict where connections run short, or nil if none may be evicted. Guards
-// against clients that connect and send nothing, send one request and stay, or never complete a request.
-// The first of these that there is:
+// Evictable returns the connection to evict when connections have run out, or nil if none may be evicted. It prevents
+// clients that connect and send nothing, that send one request and stay connected, or that never complete a request
+// from using up the connections. It returns the first connection that exists of this list:
 //
-//  1. answered and ended by us, FirstByteGrace ago
-//  2. silent since its accept for FirstRequestGrace
-//  3. only health checks or refused requests so far, and silent for HealthCheckGrace
+//  1. the last response is written and the gateway has ended its sending, FirstByteGrace ago
+//  2. nothing received since the connection was accepted, FirstRequestGrace ago
+//  3. only health checks or malformed requests received, and nothing for HealthCheckGrace
 //  4. idle after one request
 //  5. idle after several requests
-//  6. its first request incomplete, and silent for StalledRequestGrace
-//  7. a later request incomplete, and silent for StalledRequestGrace
-//  8. as 3, but silent for less than HealthCheckGrace
-//  9. silent since its accept for FirstByteGrace
+//  6. the first request is incomplete, and nothing was received for StalledRequestGrace
+//  7. a later request is incomplete, and nothing was received for StalledRequestGrace
+//  8. only health checks or malformed requests received, less than HealthCheckGrace ago
+//  9. nothing received since the connection was accepted, FirstByteGrace ago
 //
-// Idle clients lose a connection and no request. Those of 8 and 9 are about to send their first request, which
-// would be lost. A request of which data keeps arriving is never cut.
+// A client that is idle loses a connection but no request. Clients of cases 8 and 9 may be about to send their first
+// request, which would be lost; these cases therefore come last. A connection is never evicted while parts of a request
+// keep arriving on it.
 func (s *Conns) Evictable(now time.Duration) *Conn {
 	quiet := func(queue *evictionQueue, grace time.Duration) bool {
 		return queue.head != nil && now-queue.head.lastReceived >= grace
@@ -117,8 +120,8 @@
 	return nil
 }
 
-// FullyClosed returns a connection whose last answer is written out and whose client has had time to read it,
-// or nil.
+// FullyClosed returns a connection on which the gateway has ended its sending after the last response, FirstByteGrace
+// ago or earlier, so that the client has had time to read the response. It returns nil if there is none.
 func (s *Conns) FullyClosed(now time.Duration) *Conn {
 	if c := s.fullyClosed.head; c != nil && now-c.Since >= FirstByteGrace {
 		return c
@@ -126,9 +129,10 @@
 	return nil
 }
 
-// SingleUse returns a connection that is idle after one request, where there are many connections, or nil. Guards
-// against clients that open a connection for each request and keep them all: where a client's own limit is
-// reached, it cannot send its next request, long before connections run short here.
+// SingleUse returns a connection that has been idle after its only request for SingleUseIdleTimeout, if there are more
+// connections than ReuseLimit, or nil. Closing such connections helps clients that open a new connection for each
+// request and keep the old ones open: such a client reaches its limit of connections, and cannot send its next request,
+// long before the gateway runs out of connections.
 func (s *Conns) SingleUse(now time.Duration) *Conn {
 	if c := s.usedOnce.head; c != nil && s.OverReuseLimit() && now-c.Since >= SingleUseIdleTimeout {
 		return c
@@ -136,5 +140,5 @@
 	return nil
 }
 
-// OverReuseLimit reports whether there are more connections than ReuseLimit.
+// OverReuseLimit reports whether the number of connections exceeds ReuseLimit.
 func (s *Conns) OverReuseLimit() bool { return len(s.ByConn) > s.ReuseLimit }
--- a/internal/downstream/evictionqueue.go
+++ b/internal/downstream/evictionqueue.go
@@ -1,9 +1,10 @@
 package downstream
 
-// evictionQueue is a linked list of connections, the one that was added first at its head. A connection is in at
-// most one.
+// evictionQueue is a doubly linked list of connections. The connection that was added first is at its head. A
+// connection is in at most one queue.
 type evictionQueue struct{ head, tail *Conn }
 
+// push adds a connection, which must be in no queue, at the tail.
 func (q *evictionQueue) push(c *Conn) {
 	c.evictionQueue, c.previous = q, q.tail
 	if q.tail == nil {
@@ -14,6 +15,7 @@
 	q.tail = c
 }
 
+// unqueue removes the connection from its eviction queue, if it is in one.
 func (c *Conn) unqueue() {
 	if c.evictionQueue == nil {
 		return
--- a/internal/downstream/incoming.go
+++ b/internal/downstream/incoming.go
@@ -6,29 +6,30 @@
 	"thymebend/internal/http1"
 )
 
-// Incoming is what a client has sent: a request, a health check, or a malformed request.
+// Incoming is a message from a client: a request for an endpoint, a health check, or a malformed request.
 type Incoming struct {
 	Request Request
-	Health  bool         // it is a health check
-	Fault   *http1.Fault // why it is malformed, or nil
-	Closes  bool         // the connection ends after the answer
-	Large   bool         // its body is to be streamed, see Conn.Begin
+	Health  bool         // the message is a health check
+	Fault   *http1.Fault // why the message is malformed, or nil
+	Closes  bool         // the connection is closed after the response
+	Large   bool         // the body is too large to buffer and is to be streamed, see Conn.Begin
 }
 
-// Next returns what the client has sent next, once that is complete or its body is too large to buffer.
+// Next returns the next message from the client. complete is false if more bytes are needed first: either the whole
+// message, or, if its body is too large to buffer, enough of it to fill the buffer.
 func (c *Conn) Next(classes Classes) (incoming Incoming, complete bool) {
 	m, fault := c.reader.Next()
 	switch {
 	case fault != nil:
-		return Incoming{Fault: fault, Closes: true}, true // the start of the next request is unknown
+		return Incoming{Fault: fault, Closes: true}, true // where the next request would start is unknown
 	case m == nil:
 		return c.nextLarge(classes)
 	}
 	return parseRequest(m, classes), true
 }
 
-// nextLarge returns a request whose body is too large to buffer, once the buffer is full; a faulty one it returns
-// at once.
+// nextLarge returns a request whose body is too large to buffer, once the buffer is full. A malformed request it
+// returns at once.
 func (c *Conn) nextLarge(classes Classes) (Incoming, bool) {
 	head := c.reader.Large()
 	if head == nil {
@@ -53,6 +54,7 @@
 	return incoming, true
 }
 
+// parseRequest interprets a message as a health check or as a request for an endpoint.
 func parseRequest(message *http1.Message, classes Classes) (incoming Incoming) {
 	incoming.Closes = !message.KeepAlive
 	if path, _, _ := strings.Cut(message.Target, "?"); path == healthPath {
--- a/internal/downstream/readtimeout.go
+++ b/internal/downstream/readtimeout.go
@@ -2,28 +2,30 @@
 
 import "time"
 
-// How long an incomplete request is waited for. A client that stops in the middle of one and stays connected is
-// owed an error or a close within ErrorDeadline; one that is merely slow may take 2 s for the head and send its
-// body at 64 kB a second. These times bound the resources of any client, so no setting changes them: a client that
-// waits longer for its answer may not take longer to send its request.
+// How long the gateway waits for an incomplete request. A client that stops in the middle of a request and stays
+// connected must receive an error or a close within ErrorDeadline. A slow client must be allowed to take 2 s for the
+// head and to send the body at 64 kB a second. These times limit the resources that any client can hold, so they are
+// not configurable: a client with a longer timeout for its response has no longer time to send its request.
 const (
-	// ErrorDeadline is how soon a client that stops in the middle of a request is owed an error or a close.
+	// ErrorDeadline is the time within which a client that stops in the middle of a request must receive an error or a
+	// close.
 	ErrorDeadline = 3 * time.Second
-	// RequestReadTimeout is the time that every client has to send a complete request: from the accept, or from the
-	// first byte of a later request on its connection. A new connection also has it to send its first byte.
+	// RequestReadTimeout is the time that every client has to send a complete request. It starts when the connection is
+	// accepted, and for later requests on the connection at their first byte. A new connection must also send its first
+	// byte within this time.
 	RequestReadTimeout = 2500 * time.Millisecond
-	// MinBodyRate is the lowest rate at which a client may send a body, in bytes a second, where that takes longer
+	// MinBodyRate is the minimum rate, in bytes a second, at which a client must send a body for which it takes longer
 	// than RequestReadTimeout.
 	MinBodyRate = 32 << 10
-	// BodyReadTimeout is how long a client may pause within a body after RequestReadTimeout.
+	// BodyReadTimeout is the longest pause of a client within a body, once RequestReadTimeout has elapsed.
 	BodyReadTimeout = 500 * time.Millisecond
-	// StreamReadTimeout is how long a client may pause within a body that is streamed to an endpoint, while the
-	// connection is read.
+	// StreamReadTimeout is the longest pause of a client within a body that is streamed to an endpoint. The time during
+	// which the gateway pauses reading does not count.
 	StreamReadTimeout = 2500 * time.Millisecond
 )
 
-// RequestDeadline returns the time by which the request being received must be complete, or more of it must have
-// arrived.
+// RequestDeadline returns the time by which the request being received must be complete, unless more of it arrives
+// before, which may extend the deadline.
 func (c *Conn) RequestDeadline() time.Duration {
 	plain := c.RequestBegan + RequestReadTimeout
 	switch {
@@ -36,8 +38,9 @@
 	return max(plain, min(rateDeadline, c.lastReceived+BodyReadTimeout))
 }
 
-// Incomplete reports whether the gateway waits for the client: part of its request has been received and the rest
-// not. Data received but not yet forwarded to an endpoint is not waited for.
+// Incomplete reports whether the gateway is waiting for the client to send the remainder of a request. It is false
+// while the gateway itself causes the delay, because reading is paused or because received data is not yet forwarded to
+// an endpoint.
 func (c *Conn) Incomplete() bool {
 	if c.Upload {
 		return !c.Muted && !c.reader.Complete()
@@ -48,8 +51,8 @@
 // LastReceived returns when the last byte was received, or when reading resumed after a pause.
 func (c *Conn) LastReceived() time.Duration { return c.lastReceived }
 
-// ResumeReading records that the connection is read again. The pause does not count as silence of the client, which
-// could not send meanwhile.
+// ResumeReading records that the gateway reads the connection again. The pause does not count as a pause of the client,
+// which could not send meanwhile.
 func (c *Conn) ResumeReading(now time.Duration) {
 	c.Muted = false
 	c.lastReceived = now
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -1,9 +1,9 @@
-// Package downstream is the clients' side of the gateway: their connections, what a request must state, how long
-// an incomplete one is waited for, and how final responses are encoded. It does no I/O: the caller feeds it the
-// bytes received on a connection, with the time of the read, and writes what it returns. Nothing in it is safe for
-// concurrent use.
+// Package downstream implements the clients' side of the gateway: the state of client connections, the validation of
+// requests, the timeouts of incomplete requests, and the encoding of responses. It does no I/O: the caller passes it
+// the bytes received on a connection, with the time of the read, and writes the bytes that it returns. Nothing in it
+// is safe for concurrent use.
 //
-// A second protocol for clients would be a package beside this one.
+// Support for a second client protocol would be a separate package beside this one.
 package downstream
 
 import (
@@ -24,24 +24,24 @@
 	fieldRetry    = "X-Second-Try"
 )
 
-// maxClientTimeout bounds the timeout that a client may state. No class of any deployment waits longer.
+// maxClientTimeout is the maximum timeout that a client may state. No class of any deployment needs a longer one.
 const maxClientTimeout = time.Hour
 
-// maxIDLength bounds a request's id, in bytes.
+// maxIDLength is the maximum length of a request's id, in bytes.
 const maxIDLength = 128
 
-// Class is a request class of the settings.
+// Class is a request class as configured in the settings.
 type Class struct {
 	Name   string
-	Index  int    // the class's number at the balancer
-	Method string // the HTTP method of its requests
+	Index  int    // the class's index in the balancer's settings
+	Method string // the HTTP method of the class's requests
 	Class  balancer.Class
 }
 
-// Classes finds a class by the name and the method of a request.
+// Classes returns the class with the given name and method, and whether there is one.
 type Classes func(name, method string) (Class, bool)
 
-// MethodOf returns the HTTP method of requests with an idempotency.
+// MethodOf returns the HTTP method that requests of the given idempotency use.
 func MethodOf(idempotency balancer.Idempotency) string {
 	if idempotency == balancer.Idempotent {
 		return "GET"
@@ -49,17 +49,17 @@
 	return "POST"
 }
 
-// Request is a valid request of a client.
+// Request is a validated request of a client.
 type Request struct {
-	ID            string // the client's, unique among the open requests
+	ID            string // chosen by the client; unique among the open requests
 	Class         Class
 	ClientTimeout time.Duration
-	Retry         bool // the client marks it as a retry
+	Retry         bool // the client marks the request as a retry
 	Message       *http1.Message
 }
 
-// validate checks a request against the classes. A request that it refuses reaches neither the balancer nor
-// an endpoint.
+// validate checks a request against the classes and returns it, or the fault to answer it with. A malformed request
+// reaches neither the balancer nor an endpoint.
 func validate(message *http1.Message, classes Classes) (Request, *http1.Fault) {
 	request := Request{Message: message}
 	path, _, _ := strings.Cut(message.Target, "?")
@@ -96,7 +96,7 @@
 
 func badRequest(text string) *http1.Fault { return &http1.Fault{Status: 400, Text: text} }
 
-// parseTimeout reads a number and a unit: m milliseconds or u microseconds.
+// parseTimeout parses a timeout: a decimal number followed by the unit, m for milliseconds or u for microseconds.
 func parseTimeout(s string) (time.Duration, bool) {
 	if s == "" {
 		return 0, false
@@ -111,7 +111,7 @@
 	}
 	digits := s[:len(s)-1]
 	if strings.Trim(digits, "0123456789.") != "" {
-		return 0, false // no sign, exponent, infinity or hexadecimal form
+		return 0, false // ParseFloat would also accept signs, exponents, infinities and hexadecimal numbers
 	}
 	v, err := strconv.ParseFloat(digits, 64)
 	if err != nil || math.IsInf(v, 0) || v <= 0 || v*float64(unit) > float64(maxClientTimeout) {
--- a/internal/hotrestart/conn.go
+++ b/internal/hotrestart/conn.go
@@ -9,20 +9,21 @@
 	"thymebend/internal/loop"
 )
 
-// Conn is the connection to the other process.
+// Conn is the connection to the other process of a hot restart.
 type Conn struct {
 	ID        loop.Conn
-	received  []byte
-	unclaimed []loop.Conn // received and not yet claimed by a message
+	received  []byte      // bytes received and not yet decoded
+	unclaimed []loop.Conn // sockets received whose message has not yet been decoded
 }
 
-// Feed adds received bytes and the sockets passed beside them.
+// Feed adds received bytes and the sockets that were passed with them.
 func (c *Conn) Feed(data []byte, passed []loop.Conn) {
 	c.received = append(c.received, data...)
 	c.unclaimed = append(c.unclaimed, passed...)
 }
 
-// Next returns the next message once it has been received completely.
+// Next returns the next message. complete is false if it has not been received completely. After an error, the
+// connection cannot be used further.
 func (c *Conn) Next() (m Message, complete bool, err error) {
 	if len(c.received) < lengthPrefix {
 		return m, false, nil
@@ -35,13 +36,13 @@
 		return m, false, nil
 	}
 	if err := json.Unmarshal(c.received[lengthPrefix:lengthPrefix+size], &m); err != nil {
-		return m, false, fmt.Errorf("hand-over message: %w", err)
+		return m, false, fmt.Errorf("malformed hand-over message: %w", err)
 	}
 	switch {
 	case m.Version != Version:
 		return m, false, &VersionError{Theirs: m.Version}
 	case m.Passed < 0 || m.Passed > len(c.unclaimed) || m.Passed != m.descriptorsNeeded():
-		return m, false, fmt.Errorf("hand-over message %q with %d descriptors, %d came",
+		return m, false, fmt.Errorf("hand-over message %q states %d descriptors, %d were received",
 			m.Kind, m.Passed, len(c.unclaimed))
 	}
 	m.Conns, c.unclaimed = c.unclaimed[:m.Passed:m.Passed], c.unclaimed[m.Passed:]
@@ -49,21 +50,22 @@
 	return m, true, nil
 }
 
-// Unclaimed returns the sockets that no message has claimed; they are to be closed with the connection.
+// Unclaimed returns the sockets that belong to no decoded message. The caller closes them together with the connection.
 func (c *Conn) Unclaimed() []loop.Conn { return c.unclaimed }
 
-// Limits between the two.
+// Limits of the communication between predecessor and successor.
 const (
-	// AnswerTimeout is how long a successor waits for a predecessor before it listens by itself.
+	// AnswerTimeout is how long a successor waits for the predecessor's answer before it opens a listening socket
+	// itself.
 	AnswerTimeout = time.Second
-	// TakeoverTimeout is how long a predecessor waits for the successor to take clients, or to
-	// acknowledge.
+	// TakeoverTimeout is how long a predecessor waits for the successor to accept clients, and for it to acknowledge
+	// passed connections.
 	TakeoverTimeout = 3 * time.Second
-	// MaxBatch is the most downstream connections passed at once.
+	// MaxBatch is the maximum number of downstream connections passed with one message.
 	MaxBatch = 64
-	// maxMessage bounds a message, in bytes. A list of 8,000 endpoints with long names, and all that the
-	// balancer has learnt of them, takes 4.7 MB.
+	// maxMessage is the maximum size of a message, in bytes. A list of 8,000 endpoints with long names takes 4.7 MB,
+	// together with all that the balancer has learned about them.
 	maxMessage = 16 << 20
-	// lengthPrefix is the size of the length in front of each message, in bytes.
+	// lengthPrefix is the size of the length field before each message, in bytes.
 	lengthPrefix = 4
 )
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -1,6 +1,6 @@
-// Package hotrestart is the protocol between two processes of one gateway during an upgrade: the predecessor, which
-// serves, gives its successor the listening socket, what it knows, and its idle downstream connections. The package
-// encodes and decodes messages and keeps no state of the gateway.
+// Package hotrestart implements the protocol between the two processes of a gateway during a hot restart. The
+// predecessor, which serves clients, passes to its successor the listening socket, its state and its idle downstream
+// connections. The package encodes and decodes the messages and holds no state of the gateway.
 package hotrestart
 
 import (
@@ -14,53 +14,56 @@
 	"thymebend/internal/loop"
 )
 
-// Version of the messages. Processes with different versions do not hand over.
+// Version is the version of the protocol. Processes with different versions cannot perform a hot restart.
 const Version = 1
 
 // Kind is the type of a message.
 type Kind string
 
-// A successor sends Hello, Taking and Acknowledge; a predecessor sends State, PassConns and Decline.
+// The kinds of messages. A successor sends Hello, Taking and Acknowledge; a predecessor sends State, PassConns and
+// Decline.
 const (
-	Hello       Kind = "hello"  // the successor's greeting
-	State       Kind = "state"  // what the predecessor knows, with the listening socket
-	Taking      Kind = "taking" // the successor accepts clients
-	PassConns   Kind = "links"  // idle downstream connections; perhaps none, with a new value of Descriptors
-	Acknowledge Kind = "got"    // the successor has them
-	Decline     Kind = "bye"    // nothing can be handed over
+	Hello       Kind = "hello"  // the successor requests a hot restart
+	State       Kind = "state"  // the predecessor's state, with the listening socket
+	Taking      Kind = "taking" // the successor now accepts clients
+	PassConns   Kind = "links"  // any number of idle downstream connections, with a new value of Descriptors
+	Acknowledge Kind = "got"    // the successor has received the connections
+	Decline     Kind = "bye"    // no hot restart is possible, with the reason
 )
 
-// Message is one message of either side.
+// Message is a message from either process.
 type Message struct {
 	Version     int             `json:"version"`
 	Kind        Kind            `json:"kind"`
-	Listen      string          `json:"listen,omitempty"` // with Hello: the clients' address
-	Reason      string          `json:"reason,omitempty"` // with Decline
-	List        json.RawMessage `json:"list,omitempty"`   // with State: the endpoint list in discovery's format
-	Balancer    *balancer.State `json:"learned,omitempty"`
-	Descriptors int             `json:"holds,omitempty"` // descriptors that the predecessor needs
-	Idle        []IdleConn      `json:"links,omitempty"`
-	// With State: what the successor is in the cluster; 0 where this process is in none.
+	Listen      string          `json:"listen,omitempty"`  // for Hello: the address at which clients connect
+	Reason      string          `json:"reason,omitempty"`  // for Decline
+	List        json.RawMessage `json:"list,omitempty"`    // for State: the endpoint list in the format of discovery
+	Balancer    *balancer.State `json:"learned,omitempty"` // for State: the state of the balancer
+	Descriptors int             `json:"holds,omitempty"`   // the number of descriptors that the predecessor still needs
+	Idle        []IdleConn      `json:"links,omitempty"`   // for PassConns: the connections passed
+	// For State: the start id and the incarnation with which the successor continues in the cluster; both are 0 if this
+	// process is in no cluster.
 	ClusterStartID     uint64      `json:"fleet_start,omitempty"`
 	ClusterIncarnation uint64      `json:"fleet_incarnation,omitempty"`
-	Passed             int         `json:"passed,omitempty"` // descriptors beside this message
-	Conns              []loop.Conn `json:"-"`                // the sockets beside this message, as received
+	Passed             int         `json:"passed,omitempty"` // the number of descriptors passed with this message
+	Conns              []loop.Conn `json:"-"`                // the sockets received with this message
 }
 
 // IdleConn describes a downstream connection that is passed to the successor.
 type IdleConn struct {
-	HasRequested bool  `json:"asked"`
-	Requests     int   `json:"queries"`
-	IdleMS       int64 `json:"idle_ms"`
+	HasRequested bool  `json:"asked"`   // a request, health check or malformed request was received on it
+	Requests     int   `json:"queries"` // number of requests passed to the balancer
+	IdleMS       int64 `json:"idle_ms"` // how long it has been idle
 }
 
-// Path returns the Unix socket at which a predecessor that serves clients at an address listens.
+// Path returns the path of the Unix socket at which a process that serves clients at the address listen waits for its
+// successor.
 func Path(dir string, listen netip.AddrPort) string {
 	address := strings.NewReplacer(":", "-", "[", "", "]", "").Replace(listen.String())
 	return filepath.Join(dir, "thymebend-"+address+".sock")
 }
 
-// Encode returns the message as it is sent: its length in four bytes, then JSON.
+// Encode returns the encoded message: its length in four bytes, big-endian, and then the message as JSON.
 func (m Message) Encode() ([]byte, error) {
 	m.Version = Version
 	body, err := json.Marshal(m)
@@ -73,7 +76,7 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...), nil
 }
 
-// descriptorsNeeded returns how many descriptors belong to a message.
+// descriptorsNeeded returns the number of descriptors that must be passed with the message.
 func (m Message) descriptorsNeeded() int {
 	if m.Kind == State {
 		return 1
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -5,29 +5,30 @@
 	"strings"
 )
 
-// framing is how the end of a body is found.
+// framing is the way in which the end of a body is determined.
 type framing uint8
 
 const (
-	byLength framing = iota
-	byChunks
-	byClose
+	byLength framing = iota // Content-Length states the length
+	byChunks                // the chunked transfer coding
+	byClose                 // the body ends when the peer ends its sending
 )
 
-// maxChunkLine bounds a chunk's size line and the trailers, in bytes.
+// maxChunkLine is the maximum size, in bytes, of a chunk's size line and of all trailers together.
 const maxChunkLine = 4 << 10
 
-// body decodes a body incrementally.
+// body decodes the body of a message incrementally.
 type body struct {
 	framing      framing
-	remaining    int64 // bytes still to come of the body or of the chunk
-	inChunk      bool  // a chunk has begun and its final line end has not been read
-	trailerBytes int   // bytes of trailers read; -1 before the last chunk
+	remaining    int64 // bytes of the body or of the current chunk that are not yet decoded
+	inChunk      bool  // a chunk has begun, and the line end after its data has not been decoded
+	trailerBytes int   // size of the trailers decoded, in bytes; -1 before the last chunk
 	done         bool
 }
 
-// parseFraming returns the body that the fields of a head describe. A message that states its framing twice is refused:
-// two readers that follow different statements would see different requests.
+// parseFraming returns a decoder for the body that the header fields describe. It rejects a message that states its
+// framing more than once: two readers that follow different statements would find different requests in the same bytes
+// (request smuggling).
 func parseFraming(h *Head, response bool) (body, *Fault) {
 	b := body{trailerBytes: -1}
 	length, lengths := h.Get("Content-Length")
@@ -60,8 +61,8 @@
 	return b, nil
 }
 
-// decode decodes part of in and returns a piece of the body and how many bytes of in it used. It is to be called
-// until it uses none.
+// decode decodes a part of in. It returns the resulting data of the body, which may be empty, and the number of bytes
+// of in that it has used. Callers repeat the call with the remaining bytes until it uses none.
 func (b *body) decode(in []byte) (piece []byte, used int, fault *Fault) {
 	switch {
 	case b.done || len(in) == 0:
@@ -77,7 +78,7 @@
 	return b.decodeLine(in)
 }
 
-// decodeLine reads a line of the chunked coding: the end of a chunk, a size, or a trailer.
+// decodeLine decodes a line of the chunked coding: the line end after a chunk's data, a chunk size, or a trailer.
 func (b *body) decodeLine(in []byte) (piece []byte, used int, fault *Fault) {
 	lineEnd := bytes.Index(in, []byte("\r\n"))
 	if lineEnd < 0 {
@@ -110,10 +111,10 @@
 	return nil, used, nil
 }
 
-// maxSizeBeforeDigit bounds a chunk's size before one more digit is added: it cannot overflow.
+// maxSizeBeforeDigit is the maximum value to which parseHex appends one more digit. It prevents an overflow.
 const maxSizeBeforeDigit = 1 << 30
 
-// parseHex reads a chunk's size, without its extensions.
+// parseHex parses a chunk size and ignores chunk extensions.
 func parseHex(line []byte) (int64, bool) {
 	line, _, _ = bytes.Cut(line, []byte(";"))
 	line = bytes.TrimRight(line, " \t")
--- a/internal/http1/cut_test.go
+++ b/internal/http1/cut_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// readAll feeds a stream in pieces of the sizes that cuts gives and returns a text of the messages read. Large bodies
-// are streamed at once.
+// readAll feeds a stream to a Reader in pieces and returns a textual summary of the messages decoded, and of the fault
+// that ends decoding. The sizes of the pieces follow from the values of cuts, which are used in a cycle; without cuts,
+// the stream is fed in one piece. Large bodies are switched to streaming as soon as they are recognized.
 func readAll(response bool, stream []byte, cuts []byte) string {
 	r := Reader{Response: response}
 	var out, body bytes.Buffer
@@ -59,6 +60,7 @@
 	return out.String()
 }
 
+// checksum returns a simple checksum of b.
 func checksum(b []byte) (sum uint32) {
 	for _, c := range b {
 		sum = sum*31 + uint32(c)
@@ -66,7 +68,8 @@
 	return sum
 }
 
-// FuzzCuts checks that the same messages come out however a stream is cut, and that nothing panics.
+// FuzzCuts verifies that a Reader decodes the same messages regardless of how the stream is divided into pieces, and
+// that no input causes a panic.
 func FuzzCuts(f *testing.F) {
 	big := fmt.Sprintf("POST /a HTTP/1.1\r\nHost: o\r\nTransfer-Encoding: chunked\r\n\r\n"+
 		"%x;x=\"y\"\r\n%s\r\n3\r\nabc\r\n0\r\nT: r\r\n\r\n",
@@ -93,19 +96,19 @@
 	}
 	f.Fuzz(func(t *testing.T, response bool, stream, cuts []byte) {
 		if whole, parts := readAll(response, stream, nil), readAll(response, stream, cuts); whole != parts {
-			t.Errorf("%q\nwhole %q\ncut by %v %q", stream, whole, cuts, parts)
+			t.Errorf("stream %q\nin one piece: %q\nin pieces by %v: %q", stream, whole, cuts, parts)
 		}
 	})
 }
 
-// Interim responses are skipped up to a bound.
+// Up to maxInterimResponses interim responses are skipped before a final one; one more is a fault.
 func TestInterimResponsesAreBounded(t *testing.T) {
 	final, interim := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 103 Early\r\n\r\n"
 	for n, want := range map[int]bool{0: true, maxInterimResponses: true, maxInterimResponses + 1: false} {
 		r := Reader{Response: true}
 		r.Feed(append(bytes.Repeat([]byte(interim), n), final...))
 		if m, fault := r.Next(); (m != nil && fault == nil) != want {
-			t.Errorf("%d interim answers: %v, %v", n, m, fault)
+			t.Errorf("%d interim responses: message %v, fault %v", n, m, fault)
 		}
 	}
 }
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -1,5 +1,5 @@
-// Package http1 reads and writes HTTP/1.1 messages. Reading is incremental and bounded: a peer can
-// neither make it buffer more than the limits nor make it panic. It knows nothing of the gateway.
+// Package http1 reads and writes HTTP/1.1 messages. Reading is incremental and bounded: a peer can cause neither a
+// panic nor the buffering of more bytes than the limits. The package does not depend on the gateway.
 package http1
 
 import (
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// Limits of a message, in bytes.
+// Limits of a message, in bytes where not stated otherwise.
 const (
-	MaxHead   = 16 << 10
-	MaxHeld   = 64 << 10 // a body up to this size is buffered whole, a larger one is streamed
-	MaxBody   = 32 << 20
-	maxFields = 100
+	MaxHead   = 16 << 10 // size of a head
+	MaxHeld   = 64 << 10 // size of a body that is buffered whole; a larger body is streamed
+	MaxBody   = 32 << 20 // size of a body, unless Reader.Stream is set
+	maxFields = 100      // number of header fields
 )
 
-// Fault describes what is wrong with a message, with the status of the response to it.
+// Fault is the error of a malformed or oversized message.
 type Fault struct {
-	Status int
-	Text   string
+	Status int    // the HTTP status with which to answer a request that has this fault
+	Text   string // what is wrong with the message
 }
 
 // Error implements error.
@@ -29,17 +29,17 @@
 // Field is one header field as received.
 type Field struct{ Name, Value string }
 
-// Head is a parsed message head. Requests have Method and Target, responses Status.
+// Head is the parsed head of a message. A request has Method and Target, a response has Status.
 type Head struct {
 	Method, Target string
 	Status         int
 	Fields         []Field
-	KeepAlive      bool
-	Minor          int    // of the version: HTTP/1.Minor
-	authority      string // of a target in the absolute form
+	KeepAlive      bool   // the peer keeps the connection open after the message
+	Minor          int    // the minor version: the message's version is HTTP/1.Minor
+	authority      string // the authority of a target in the absolute form, otherwise empty
 }
 
-// Get returns a field's value and how often it occurs.
+// Get returns the value of the last field with the given name and the number of such fields.
 func (h *Head) Get(name string) (value string, times int) {
 	for i := range h.Fields {
 		if strings.EqualFold(h.Fields[i].Name, name) {
@@ -50,7 +50,7 @@
 	return value, times
 }
 
-// hasToken reports whether a comma-separated field holds a token.
+// hasToken reports whether the comma-separated list in the fields with the given name contains a token.
 func (h *Head) hasToken(name, token string) bool {
 	for i := range h.Fields {
 		if !strings.EqualFold(h.Fields[i].Name, name) {
@@ -65,7 +65,8 @@
 	return false
 }
 
-// Hop reports whether a field applies to this connection only and must not be forwarded.
+// Hop reports whether a field is hop-by-hop: it applies only to the connection on which it was received and must not be
+// forwarded.
 func (h *Head) Hop(name string) bool {
 	for _, hop := range [...]string{"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer",
 		"Transfer-Encoding", "Upgrade", "Content-Length", "Expect"} {
@@ -76,7 +77,7 @@
 	return h.hasToken("Connection", name)
 }
 
-// parseHead reads a head without its last empty line.
+// parseHead parses a head without the empty line at its end.
 func parseHead(raw []byte, response bool) (*Head, *Fault) {
 	line, rest, _ := bytes.Cut(raw, []byte("\r\n"))
 	h := &Head{}
@@ -110,6 +111,7 @@
 	return h, nil
 }
 
+// addField parses a header line and appends the field.
 func (h *Head) addField(line string) *Fault {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || !isToken(name) {
@@ -123,6 +125,7 @@
 	return nil
 }
 
+// parseVersion returns the minor version of HTTP/1.0 or HTTP/1.1, and whether s is one of these.
 func parseVersion(s string) (minor int, ok bool) {
 	switch s {
 	case "HTTP/1.1":
@@ -133,6 +136,7 @@
 	return 0, false
 }
 
+// parseRequestLine parses the first line of a request and returns the minor version.
 func (h *Head) parseRequestLine(line string) (int, *Fault) {
 	parts := strings.Split(line, " ")
 	if len(parts) != 3 || !isToken(parts[0]) || !isVisible(parts[1]) {
@@ -149,7 +153,8 @@
 	return minor, nil
 }
 
-// parseTarget parses a target in the origin form, or in the absolute form, whose authority replaces the field Host.
+// parseTarget parses a request target in the origin form or in the absolute form and reports whether it is valid. The
+// authority of the absolute form later replaces the value of the Host field.
 func (h *Head) parseTarget(s string) bool {
 	if scheme, rest, ok := strings.Cut(s, "://"); ok && !strings.HasPrefix(s, "/") {
 		if !strings.EqualFold(scheme, "http") && !strings.EqualFold(scheme, "https") {
@@ -170,6 +175,7 @@
 	return strings.HasPrefix(s, "/")
 }
 
+// parseStatusLine parses the first line of a response and returns the minor version.
 func (h *Head) parseStatusLine(line string) (int, *Fault) {
 	v, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
@@ -185,7 +191,8 @@
 	return minor, nil
 }
 
-// parseDecimal reads a number of digits only, without sign or space. A number above limit reads as limit+1.
+// parseDecimal parses a number that consists only of digits, without sign or space. For a number above limit it returns
+// limit+1.
 func parseDecimal(s string, limit int64) (int64, bool) {
 	n := int64(0)
 	for i := range len(s) {
@@ -199,6 +206,7 @@
 	return n, len(s) > 0
 }
 
+// isToken reports whether s is a token as RFC 9110 defines it, for example a method or a field name.
 func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
@@ -209,6 +217,7 @@
 	return s != ""
 }
 
+// isVisible reports whether s contains neither spaces nor control characters.
 func isVisible(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] == 0x7f {
@@ -218,6 +227,7 @@
 	return true
 }
 
+// isText reports whether s contains no control characters except tabs.
 func isText(s string) bool {
 	for i := range len(s) {
 		if s[i] < ' ' && s[i] != '\t' || s[i] == 0x7f {
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -2,22 +2,22 @@
 
 import "bytes"
 
-// maxInterimResponses bounds the interim responses before a final one.
+// maxInterimResponses is the maximum number of interim responses (status 1xx) before a final response.
 const maxInterimResponses = 64
 
-// Reader reads the messages of one connection, one after another.
+// Reader decodes the messages received on one connection, one after another. The zero value reads requests.
 type Reader struct {
-	Response        bool   // reads responses rather than requests
-	Stream          bool   // every body is streamed and has no limit
-	buffer          []byte // received and not yet decoded
-	scanned         int    // bytes of buffer known to hold no end of the head
-	head            *Head  // of the message under way, nil until it is complete
-	body            body   // decodes the body of that message
-	payload         []byte // decoded and not yet returned
-	decodedBytes       int64  // decoded bytes of the body, returned or not
-	interimCount    int    // interim responses before this one
-	continueChecked bool   // AwaitsContinue has looked at this head
-	streamed        bool   // this message's body is streamed, see Begin
+	Response        bool   // decode responses rather than requests
+	Stream          bool   // stream every body, without a limit on its size
+	buffer          []byte // bytes received and not yet decoded
+	scanned         int    // number of bytes at the start of buffer that were searched for the end of the head
+	head            *Head  // the head of the current message, nil until it has been received completely
+	body            body   // the decoder of the current message's body
+	payload         []byte // decoded data of the body that is not yet returned
+	decodedBytes    int64  // size of the body decoded until now, in bytes, returned or not
+	interimCount    int    // interim responses received before the current response
+	continueChecked bool   // AwaitsContinue has examined the current head
+	streamed        bool   // the body of the current message is streamed, see Begin
 }
 
 // Message is one complete message.
@@ -26,16 +26,17 @@
 	Body []byte
 }
 
-// Feed adds received bytes. They are copied.
+// Feed adds received bytes to the buffer. They are copied.
 func (r *Reader) Feed(data []byte) { r.buffer = append(r.buffer, data...) }
 
 // Pending reports whether part of a message has been received.
 func (r *Reader) Pending() bool { return r.head != nil || len(r.buffer) > 0 }
 
-// Buffered returns how many received bytes are not yet decoded.
+// Buffered returns the number of received bytes that are not yet decoded.
 func (r *Reader) Buffered() int { return len(r.buffer) }
 
-// Next returns the next message once it is complete, else nil. Its body remains valid: the buffer is not reused.
+// Next returns the next message if it is complete, or nil. The message's body remains valid: its memory is not
+// reused. A message that is too large to buffer, or is streamed, is not returned; see Large.
 func (r *Reader) Next() (*Message, *Fault) {
 	if fault := r.advance(); fault != nil {
 		return nil, fault
@@ -48,8 +49,8 @@
 	return m, nil
 }
 
-// Large returns the head of the message under way if its body is too large to buffer, else nil. Where the length
-// is not stated, this is known only once more than MaxHeld bytes have been received.
+// Large returns the head of the current message if its body is larger than MaxHeld, or nil. If the length of the body
+// is not stated, Large can return the head only after more than MaxHeld bytes of it have been decoded.
 func (r *Reader) Large() *Head {
 	if r.head == nil || r.body.framing == byLength && r.body.remaining+r.decodedBytes <= MaxHeld ||
 		r.body.framing != byLength && r.decodedBytes <= MaxHeld {
@@ -58,11 +59,11 @@
 	return r.head
 }
 
-// HeadRead reports whether the head of the message under way is complete.
+// HeadRead reports whether the head of the current message has been received completely.
 func (r *Reader) HeadRead() bool { return r.head != nil }
 
-// Complete reports whether all of the message under way has been received, though Pieces may not have returned all
-// of it.
+// Complete reports whether the current message has been received completely, even if Pieces has not yet returned all of
+// its body. It also returns true if the body is malformed.
 func (r *Reader) Complete() bool {
 	if r.head == nil {
 		return false
@@ -71,7 +72,7 @@
 	for in := r.buffer; !decoder.done; {
 		_, used, fault := decoder.decode(in)
 		if fault != nil {
-			return true // no further byte can mend it
+			return true // no further byte can complete a malformed body
 		}
 		if used == 0 {
 			return false
@@ -81,11 +82,11 @@
 	return true
 }
 
-// Full reports whether the buffer for the body is full.
+// Full reports whether the buffer for decoded data of the body is full.
 func (r *Reader) Full() bool { return len(r.payload) >= MaxHeld }
 
-// Begin switches the body of the message under way to streaming: from now on Pieces returns its chunks. length is
-// that of the body, -1 where it is not stated.
+// Begin switches the body of the current message to streaming: from now on, Pieces returns its data. length is the
+// length of the body in bytes, or -1 if it is not stated.
 func (r *Reader) Begin() (length int64) {
 	r.streamed = true
 	if r.body.framing != byLength {
@@ -94,9 +95,9 @@
 	return r.decodedBytes + r.body.remaining
 }
 
-// Pieces returns the head of a streamed message once it is complete, the next chunk of its body, all that has
-// arrived since the last call, valid until the next call, and whether the body has ended. After the end of a
-// message that Begin switched to streaming, the next message follows.
+// Pieces returns the head of a streamed message, nil until the head has been received completely; the data of the
+// body that has arrived since the last call; and whether the body has ended. The data is valid until the next call.
+// After the end of a message that Begin has switched to streaming, the reader continues with the next message.
 func (r *Reader) Pieces() (head *Head, piece []byte, done bool, fault *Fault) {
 	fault = r.advance()
 	head, piece, done = r.head, r.payload, fault == nil && r.head != nil && r.body.done
@@ -106,7 +107,7 @@
 	return head, piece, done, fault
 }
 
-// End is to be called when the peer has ended its sending. It returns the message that this completes, or nil.
+// End records that the peer has ended its sending. It returns the message that this completes, or nil.
 func (r *Reader) End() *Message {
 	if !r.EndsByClose() {
 		return nil
@@ -117,16 +118,19 @@
 	return m
 }
 
-// EndsByClose reports whether the end of the peer's sending is the regular end of the message under way.
+// EndsByClose reports whether the current message ends regularly when the peer ends its sending, because it states no
+// length.
 func (r *Reader) EndsByClose() bool {
 	return r.head != nil && r.body.framing == byClose && !r.body.done
 }
 
+// reset prepares the reader for the next message. Received bytes that are not decoded remain.
 func (r *Reader) reset() {
 	r.head, r.payload, r.decodedBytes, r.interimCount, r.streamed = nil, nil, 0, 0, false
 }
 
-// AwaitsContinue reports, once for each message, whether the peer waits for 100 Continue before it sends the body.
+// AwaitsContinue reports whether the peer waits for 100 Continue before it sends the body. It returns true at most once
+// for each message.
 func (r *Reader) AwaitsContinue() bool {
 	if r.head == nil || r.continueChecked || r.body.done || len(r.buffer)+len(r.payload) > 0 {
 		return false
@@ -135,20 +139,21 @@
 	return r.head.hasToken("Expect", "100-continue")
 }
 
+// advance decodes received bytes: the head of the current message, and then as much of its body as may be buffered.
 func (r *Reader) advance() *Fault {
 	for r.head == nil {
 		if fault := r.readHead(); fault != nil || r.head == nil {
 			return fault
 		}
-		if r.Response && r.head.Status < 200 { // an interim response: the final one follows
+		if r.Response && r.head.Status < 200 { // skip an interim response: the final response follows
 			if r.interimCount++; r.head.Status == 101 || r.interimCount > maxInterimResponses {
-				return badRequest("an interim response out of place")
+				return badRequest("status 101, or too many interim responses before the final one")
 			}
 			r.head = nil
 		}
 	}
 	consumed, streamed := 0, r.Stream || r.streamed
-	for streamed || len(r.payload) <= MaxHeld { // a body too large to buffer waits undecoded until Begin
+	for streamed || len(r.payload) <= MaxHeld { // the remainder of a large body stays undecoded until Begin
 		piece, n, fault := r.body.decode(r.buffer[consumed:])
 		if fault != nil {
 			return fault
@@ -165,9 +170,10 @@
 	return nil
 }
 
+// readHead parses the head of the next message once it has been received completely.
 func (r *Reader) readHead() *Fault {
 	for len(r.buffer) >= 2 && r.buffer[0] == '\r' && r.buffer[1] == '\n' && !r.Response {
-		r.consume(2) // empty lines before a request are skipped
+		r.consume(2) // skip empty lines before a request
 	}
 	headEnd := bytes.Index(r.buffer[max(0, r.scanned-3):], []byte("\r\n\r\n"))
 	if headEnd < 0 {
@@ -192,7 +198,7 @@
 	return nil
 }
 
-// consume drops n decoded bytes, and with the last of them a buffer that grew for one large message.
+// consume removes n decoded bytes from the buffer. It releases an emptied buffer that has grown for a large message.
 func (r *Reader) consume(n int) {
 	r.buffer = r.buffer[:copy(r.buffer, r.buffer[n:])]
 	if len(r.buffer) == 0 && cap(r.buffer) > MaxHead && !r.streamed {
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -2,7 +2,8 @@
 
 import "strconv"
 
-// AppendRequest writes a request. body may be nil; a length is stated for every method that may have one.
+// AppendRequest appends an encoded request to dst. body may be nil. The request states a length if it has a body, and
+// for every method other than GET and HEAD.
 func AppendRequest(dst []byte, method, target string, fields []Field, body []byte) []byte {
 	dst = appendRequestStart(dst, method, target, fields)
 	if len(body) > 0 || method != "GET" && method != "HEAD" {
@@ -11,12 +12,13 @@
 	return append(append(dst, "\r\n"...), body...)
 }
 
-// AppendRequestHead writes the head of a request whose body follows: of a stated length, or in chunks if length
-// is -1.
+// AppendRequestHead appends the encoded head of a request whose body follows: with the stated length in bytes, or in
+// chunks if length is -1.
 func AppendRequestHead(dst []byte, method, target string, fields []Field, length int64) []byte {
 	return append(appendFraming(appendRequestStart(dst, method, target, fields), length), "\r\n"...)
 }
 
+// appendRequestStart appends the request line and the header fields.
 func appendRequestStart(dst []byte, method, target string, fields []Field) []byte {
 	dst = append(dst, method...)
 	dst = append(dst, ' ')
@@ -24,8 +26,9 @@
 	return appendFields(append(dst, " HTTP/1.1\r\n"...), fields)
 }
 
-// AppendResponseHead writes the head of a response whose body follows: of a stated length, or in chunks if length
-// is -1, or until the end of the connection if the client's version, HTTP/1.minor, has no chunks.
+// AppendResponseHead appends the encoded head of a response whose body follows: with the stated length in bytes or,
+// if length is -1, in chunks. A client of HTTP/1.0, which minor 0 states, does not support chunks: for it, a body
+// without a stated length ends with the connection.
 func AppendResponseHead(dst []byte, status int, fields []Field, length int64, minor int, keepAlive bool) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
@@ -42,6 +45,7 @@
 	return append(dst, "\r\n"...)
 }
 
+// appendFraming appends the header field that states the length in bytes, or the chunked coding if length is -1.
 func appendFraming(dst []byte, length int64) []byte {
 	if length < 0 {
 		return append(dst, "Transfer-Encoding: chunked\r\n"...)
@@ -51,7 +55,8 @@
 	return append(dst, "\r\n"...)
 }
 
-// AppendChunk writes a piece of a body as a chunk, and after the last one the end of the body.
+// AppendChunk appends a piece of a body, encoded as a chunk, and with last also the end of the body. An empty piece
+// adds no chunk.
 func AppendChunk(dst, piece []byte, last bool) []byte {
 	if len(piece) > 0 {
 		dst = strconv.AppendInt(dst, int64(len(piece)), 16)
@@ -65,11 +70,12 @@
 	return dst
 }
 
-// AppendResponse writes a response.
+// AppendResponse appends an encoded response whose body is complete.
 func AppendResponse(dst []byte, status int, fields []Field, body []byte, keepAlive bool) []byte {
 	return append(AppendResponseHead(dst, status, fields, int64(len(body)), 1, keepAlive), body...)
 }
 
+// appendFields appends header fields, one on each line.
 func appendFields(dst []byte, fields []Field) []byte {
 	for _, f := range fields {
 		dst = append(dst, f.Name...)
@@ -80,6 +86,7 @@
 	return dst
 }
 
+// statusText returns the reason phrase of a status.
 func statusText(status int) string {
 	switch status {
 	case 200:
--- a/internal/loop/calls_test.go
+++ b/internal/loop/calls_test.go
@@ -298,7 +298,7 @@
 			recorded, _ := dialAndExchange(t, inject, []byte("x"))
 			last := recorded.events[len(recorded.events)-1]
 			if last.Kind != Broken || last.Local != c.local {
-				t.Errorf("%s fails with %v: last event is of kind %v, with Local %v", name, c.err, last.Kind, last.Local)
+				t.Errorf("%s fails with %v: last event has kind %v, Local %v", name, c.err, last.Kind, last.Local)
 			}
 		}
 	}
--- a/internal/loop/nodelay_test.go
+++ b/internal/loop/nodelay_test.go
@@ -42,7 +42,8 @@
 	err = l.Run(stepper(func(_ time.Duration, e Event) []Effect {
 		switch {
 		case e.Kind == Start:
-			return []Effect{{Op: Listen, Conn: Listener, Addr: addr}, {Op: Listen, Conn: Admin, Addr: addr, Urgent: true},
+			return []Effect{{Op: Listen, Conn: Listener, Addr: addr},
+				{Op: Listen, Conn: Admin, Addr: addr, Urgent: true},
 				{Op: Dial, Conn: 7, Addr: netip.MustParseAddrPort(peer.Addr().String())}}
 		case e.Kind == Listening:
 			sa, err := unix.Getsockname(l.byConn[e.Conn].fd)
--- a/internal/loop/sockets.go
+++ b/internal/loop/sockets.go
@@ -67,7 +67,8 @@
 
 // isReadable reports whether the socket is an established connection whose reading is not paused.
 func (s *socket) isReadable() bool {
-	return !s.connecting && !s.readingPaused && !s.isDatagram && s.conn != Listener && s.conn != Admin && s.conn != HotRestart
+	return !s.connecting && !s.readingPaused && !s.isDatagram &&
+		s.conn != Listener && s.conn != Admin && s.conn != HotRestart
 }
 
 // updateEvents changes the epoll registration of a socket if its state needs other events than before.
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -6,19 +6,20 @@
 	"thymebend/internal/loop"
 )
 
-// Phase is how far an upstream connection is.
+// Phase is the state of an upstream connection.
 type Phase uint8
 
-// A connection connects, is idle, writes a request, and awaits its answer. A large answer is relayed.
+// The phases of an upstream connection, in the order in which it passes through them. After Awaiting or Relaying it
+// becomes idle again if it can be reused.
 const (
 	Connecting Phase = iota
 	Idle
-	Writing
-	Awaiting
-	Relaying // its answer is passed on as it arrives
+	Writing  // a request is being written
+	Awaiting // the request is written and its response is not complete
+	Relaying // a large response is forwarded to the client while it arrives
 )
 
-// Conn is one upstream connection. It carries one attempt at a time.
+// Conn is a connection to an endpoint. It carries one attempt at a time.
 type Conn struct {
 	ID       loop.Conn
 	Endpoint balancer.EndpointID
@@ -26,7 +27,7 @@
 	reader   http1.Reader
 }
 
-// Feed takes received bytes and returns the endpoint's answer once it is complete, else nil.
+// Feed adds received bytes and returns the endpoint's response if it is complete, or nil.
 func (c *Conn) Feed(data []byte) (*Response, error) {
 	c.reader.Feed(data)
 	m, fault := c.reader.Next()
@@ -39,7 +40,7 @@
 	return newResponse(m), nil
 }
 
-// End returns the answer that the end of the endpoint's sending completes, or nil.
+// End records that the endpoint has ended its sending. It returns the response that this completes, or nil.
 func (c *Conn) End() *Response {
 	if m := c.reader.End(); m != nil {
 		return newResponse(m)
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// Large returns the head of an answer that is too large to buffer, or nil.
+// Large returns the head of the response being received if its body is too large to buffer, or nil.
 func (c *Conn) Large() *Response {
 	if head := c.reader.Large(); head != nil {
 		return newResponse(&http1.Message{Head: head})
@@ -55,15 +56,15 @@
 	return nil
 }
 
-// Begin switches the answer under way to streaming: from now on Take feeds it and Pieces returns its chunks.
-// length is that of the body, -1 where it is not stated.
+// Begin switches the response being received to streaming: from now on, received bytes are added with Take and the body
+// is read with Pieces. length is the length of the body in bytes, or -1 if the endpoint does not state it.
 func (c *Conn) Begin() (length int64) { return c.reader.Begin() }
 
-// Take takes received bytes of a streamed answer.
+// Take adds received bytes of a streamed response.
 func (c *Conn) Take(data []byte) { c.reader.Feed(data) }
 
-// Pieces returns the next chunk of a streamed answer, all that has arrived since the last call, valid until the
-// next call, and whether the answer has ended.
+// Pieces returns the data of a streamed body that has arrived since the last call, and whether the response has ended.
+// The data is valid until the next call.
 func (c *Conn) Pieces() (piece []byte, done bool, err error) {
 	_, piece, done, fault := c.reader.Pieces()
 	if fault != nil {
@@ -72,16 +73,16 @@
 	return piece, done, nil
 }
 
-// Complete reports whether all of the answer under way has been received, though Pieces may not have returned
-// all of it.
+// Complete reports whether the whole response has been received, even if Pieces has not yet returned all of it.
 func (c *Conn) Complete() bool { return c.reader.Complete() }
 
-// EndsByClose reports whether the end of the endpoint's sending is the regular end of the answer.
+// EndsByClose reports whether the response ends regularly when the endpoint ends its sending, because its length is not
+// stated.
 func (c *Conn) EndsByClose() bool { return c.reader.EndsByClose() }
 
-// Clean reports whether no byte was received past the answer just ended.
+// Clean reports whether no byte has been received beyond the response that has just ended.
 func (c *Conn) Clean() bool { return !c.reader.Pending() }
 
-// Reusable reports whether the connection may carry another request after this answer. Bytes past an
-// answer belong to nobody; they must not be taken for the next one.
+// Reusable reports whether the connection may carry another request after this response. It may not if bytes have been
+// received beyond the response: they belong to no request and must not be taken for the next response.
 func (c *Conn) Reusable(response *Response) bool { return response.KeepAlive && !c.reader.Pending() }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -9,48 +9,50 @@
 	"thymebend/internal/loop"
 )
 
-// Pool holds the upstream connections.
+// Pool holds all upstream connections.
 type Pool struct {
-	conns  map[loop.Conn]*Conn
-	idle   map[balancer.EndpointID][]*Conn // newest last
-	max    int
-	lastConnID loop.Conn
+	conns      map[loop.Conn]*Conn
+	idle       map[balancer.EndpointID][]*Conn // in the order of their release
+	max        int                             // the limit on the number of connections
+	lastConnID loop.Conn                       // the highest number given to a connection
 }
 
-// NewPool returns a pool of at most so many connections.
+// NewPool returns an empty pool for at most limit connections.
 func NewPool(limit int) *Pool {
 	return &Pool{conns: make(map[loop.Conn]*Conn), idle: make(map[balancer.EndpointID][]*Conn), max: limit}
 }
 
-// Resize changes the limit. Connections above the limit are closed when they finish or are evicted.
+// Resize changes the limit. It closes no connection: connections in excess of a lowered limit are closed when their
+// response is complete, or when the caller evicts them.
 func (p *Pool) Resize(limit int) { p.max = limit }
 
-// Budget returns the limit.
+// Budget returns the limit on the number of connections.
 func (p *Pool) Budget() int { return p.max }
 
-// Max returns the limit, or the number of connections where there are more.
+// Max returns the larger of the limit and the number of connections.
 func (p *Pool) Max() int { return max(p.max, len(p.conns)) }
 
 // Len returns the number of connections.
 func (p *Pool) Len() int { return len(p.conns) }
 
-// Find returns the connection of a number, or nil.
+// Find returns the connection with the given number, or nil.
 func (p *Pool) Find(c loop.Conn) *Conn { return p.conns[c] }
 
-// NextID returns the number of a new connection.
+// NextID returns an unused number for a new connection.
 func (p *Pool) NextID() loop.Conn {
 	p.lastConnID++
 	return p.lastConnID
 }
 
-// Full reports whether the limit is reached.
+// Full reports whether the number of connections has reached the limit.
 func (p *Pool) Full() bool { return len(p.conns) >= p.max }
 
-// Over reports whether there are more connections than the limit, after it was lowered.
+// Over reports whether the number of connections exceeds the limit, which can be after the limit was lowered.
 func (p *Pool) Over() bool { return len(p.conns) > p.max }
 
-// Acquire returns the idle connection to an endpoint that was released last, or nil. The newest is used
-// first, so that connections that are not needed grow old and are closed.
+// Acquire removes the most recently released idle connection to an endpoint from the idle connections and returns it,
+// or returns nil if there is none. Using the most recent one first lets connections that are not needed stay idle
+// until they are closed.
 func (p *Pool) Acquire(endpoint balancer.EndpointID) *Conn {
 	conns := p.idle[endpoint]
 	if len(conns) == 0 {
@@ -61,25 +63,26 @@
 	return c
 }
 
-// Open adds a connection that is being established.
+// Open adds a new connection to an endpoint, in phase Connecting.
 func (p *Pool) Open(endpoint balancer.EndpointID) *Conn {
 	c := &Conn{ID: p.NextID(), Endpoint: endpoint, reader: http1.Reader{Response: true}}
 	p.conns[c.ID] = c
 	return c
 }
 
-// Release makes a connection idle.
+// Release makes a connection idle, so that Acquire may return it.
 func (p *Pool) Release(c *Conn) {
 	c.Phase = Idle
 	p.idle[c.Endpoint] = append(p.idle[c.Endpoint], c)
 }
 
-// Remove forgets a connection.
+// Remove removes a connection from the pool.
 func (p *Pool) Remove(c *Conn) {
 	p.removeIdle(c)
 	delete(p.conns, c.ID)
 }
 
+// removeIdle removes a connection from the idle connections, if it is one of them.
 func (p *Pool) removeIdle(c *Conn) {
 	conns := p.idle[c.Endpoint]
 	for i, other := range conns {
@@ -95,13 +98,13 @@
 	}
 }
 
-// IdleTo returns the idle connections to an endpoint, oldest first.
+// IdleTo returns the idle connections to an endpoint, in the order of their release.
 func (p *Pool) IdleTo(endpoint balancer.EndpointID) []*Conn {
 	return append([]*Conn(nil), p.idle[endpoint]...)
 }
 
-// ConnectingTo returns the connections to any of some endpoints that are not yet established, oldest first.
-// It visits all connections once.
+// ConnectingTo returns the connections to any of the endpoints that are not yet established, oldest first. Its cost is
+// proportional to the number of connections of the pool.
 func (p *Pool) ConnectingTo(endpoints map[balancer.EndpointID]bool) []*Conn {
 	var found []*Conn
 	for _, c := range p.conns {
@@ -113,8 +116,8 @@
 	return found
 }
 
-// Oldest returns the idle connection that was opened first, or nil: the one to close where the limit
-// is reached.
+// Oldest returns the idle connection that was opened first, or nil if none is idle. It is the connection to close
+// when a new one is needed and the limit is reached.
 func (p *Pool) Oldest() *Conn {
 	var oldest *Conn
 	for _, conns := range p.idle {
@@ -127,7 +130,8 @@
 	return oldest
 }
 
-// Surplus returns the idle connections that are to be closed for the pool to keep to its limit, oldest first.
+// Surplus returns the idle connections to close after the limit was lowered, oldest first: as many as the pool exceeds
+// its limit by, or all idle ones if there are fewer.
 func (p *Pool) Surplus() []*Conn {
 	over := len(p.conns) - p.max
 	if over <= 0 {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -6,7 +6,7 @@
 	"thymebend/internal/balancer"
 )
 
-// Idle connections above a lowered limit are to be closed, oldest first, but never a connection in use.
+// When the limit is lowered, the surplus consists of idle connections, oldest first, and never of connections in use.
 func TestPoolSurplus(t *testing.T) {
 	pool := NewPool(6)
 	var conns []*Conn
@@ -18,7 +18,7 @@
 	}
 	for _, c := range []struct {
 		limit int
-		want   []*Conn
+		want  []*Conn
 	}{
 		{6, nil},
 		{4, []*Conn{conns[1], conns[2]}},
@@ -27,11 +27,11 @@
 		pool.Resize(c.limit)
 		got := pool.Surplus()
 		if len(got) != len(c.want) {
-			t.Fatalf("budget %d: %d connections are too many, want %d", c.limit, len(got), len(c.want))
+			t.Fatalf("limit %d: %d surplus connections, want %d", c.limit, len(got), len(c.want))
 		}
 		for n := range got {
 			if got[n] != c.want[n] {
-				t.Errorf("budget %d: connection %d goes in place %d, want %d", c.limit, got[n].ID, n, c.want[n].ID)
+				t.Errorf("limit %d: connection %d at index %d, want %d", c.limit, got[n].ID, n, c.want[n].ID)
 			}
 		}
 	}
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -1,5 +1,5 @@
-// Package upstream is the endpoints' side of the gateway: the pool of connections and their reuse, the encoding
-// of requests to endpoints, the decoding of responses and load reports. It does no I/O, and nothing in it is safe for
+// Package upstream implements the endpoints' side of the gateway: the connection pool, the encoding of requests to
+// endpoints, and the decoding of responses and their load reports. It does no I/O, and nothing in it is safe for
 // concurrent use.
 package upstream
 
@@ -10,28 +10,29 @@
 	"thymebend/internal/http1"
 )
 
-// The header fields of this peer.
+// The header fields that the gateway exchanges with endpoints.
 const (
 	fieldDeadline = "X-Expires-In"
 	fieldNeverRan = "X-Never-Ran"
 	fieldLoad     = "Endpoint-Load-Metrics"
 )
 
-// loadQueueLength is the field of a load report that states the number of requests waiting, named as in the
-// settings.
+// loadQueueLength is the item of a load report that states how many requests wait at the endpoint. The settings use the
+// same name.
 const loadQueueLength = "pending"
 
-// maxQueueLength bounds a plausible load report; a larger figure is ignored.
+// maxQueueLength limits the queue length in a load report: a value that is not below it is ignored as implausible.
 const maxQueueLength = 1e9
 
-// Response is an endpoint's complete answer, or the head of one that is streamed.
+// Response is a complete response of an endpoint, or the head of a response that is streamed.
 type Response struct {
 	*http1.Message
 	NeverRan    bool    // the endpoint states that the request did not run
-	Reported    bool    // the answer states QueueLength
-	QueueLength float64 // requests waiting at the endpoint
+	Reported    bool    // the response carries a load report with a valid QueueLength
+	QueueLength float64 // number of requests waiting at the endpoint
 }
 
+// newResponse reads the fields of a response that concern the gateway.
 func newResponse(message *http1.Message) *Response {
 	response := &Response{Message: message}
 	flag, _ := message.Get(fieldNeverRan)
@@ -41,7 +42,8 @@
 	return response
 }
 
-// queueLength reads the number of requests waiting from a load report such as 'TEXT busy_reqs=7, pending=2'.
+// queueLength returns the number of requests waiting according to a load report such as 'TEXT busy_reqs=7, pending=2',
+// and whether the report states a plausible one.
 func queueLength(report string) (float64, bool) {
 	list, ok := strings.CutPrefix(report, "TEXT ")
 	if !ok {
@@ -58,7 +60,7 @@
 	return 0, false
 }
 
-// Forwarded returns the fields of an answer that are passed on to the client.
+// Forwarded returns the header fields of the response to forward to the client.
 func (r *Response) Forwarded() []http1.Field {
 	forwarded := make([]http1.Field, 0, len(r.Fields))
 	for _, f := range r.Fields {
