--- a/internal/admin/stats.go
+++ b/internal/admin/stats.go
@@ -34,11 +34,11 @@
 	// Joined counts how often this process has joined the cluster: once at its start, and again after each hot restart
 	// that failed.
 	Joined        int               `json:"joined"`
-	Settled       bool              `json:"settled"`   // no change for 2 s, no suspect, a majority, and no duplicate name
-	Majority      bool              `json:"majority"`  // most known members are alive and unsuspected, most probes answered
+	Settled       bool              `json:"settled"`   // no change for 2 s, no suspect, Majority, no DuplicateName
+	Majority      bool              `json:"majority"`  // most known members are unsuspected, most probes answered
 	DuplicateName bool              `json:"twin"`      // another live process uses the name of this gateway
 	Alive         int               `json:"alive"`     // live members, including this gateway and suspected members
-	Known         int               `json:"known"`     // Alive, members gone but not forgotten, and seed peers not yet heard from
+	Known         int               `json:"known"`     // Alive, members that failed recently, unreached seed peers
 	Answering     float64           `json:"answering"` // share of the latest periodic probes that were answered, 0 to 1
 	Health        int               `json:"health"`    // local health score: 0 is best, 8 is worst
 	QuietMS       int64             `json:"quiet_ms"`  // time since the state of a member last changed
@@ -59,7 +59,7 @@
 	RelativeLoad float64            `json:"crowd"`    // highest endpoint load for its capacity, relative to the mean
 	Demand       float64            `json:"demand"`   // requests per second of the average class, sent to members
 	Tokens       uint64             `json:"turns"`    // number of slow-start tokens that this process has used
-	Spares       int                `json:"spares"`   // number of other endpoints, used only if the assigned ones fail or are full
+	Spares       int                `json:"spares"`   // other endpoints, used if the assigned ones fail or are full
 	Hosts        []AssignedEndpoint `json:"hosts"`
 }
 
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -100,8 +100,8 @@
 	c.reader.Feed(data)
 }
 
-// Begin switches to streaming the body of the large request that Next has returned: from now on, Pieces returns its
-// data. length is the length of the body in bytes, or -1 if the client does not state it.
+// Begin switches to streaming the body of the large request that Next has returned: from now on, the caller reads
+// its data as it arrives. length is the length of the body in bytes, or -1 if the client does not state it.
 func (c *Conn) Begin() (length int64) {
 	c.Upload = true
 	return c.reader.Begin()
--- a/internal/downstream/incoming.go
+++ b/internal/downstream/incoming.go
@@ -12,7 +12,7 @@
 	Health  bool         // the message is a health check
 	Fault   *http1.Fault // why the message is malformed, or nil
 	Closes  bool         // the connection is closed after the response
-	Large   bool         // the body is too large to buffer and is to be streamed, see Conn.Begin
+	Large   bool         // the body is too large to buffer: the caller has to stream it
 }
 
 // Next returns the next message from the client. complete is false if more bytes are needed first: either the whole
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -20,15 +20,16 @@
 // Kind is the type of a message.
 type Kind string
 
-// The kinds of messages. A successor sends Hello, Taking and Acknowledge; a predecessor sends State, PassConns and
-// Decline.
+// The kinds of messages.
 const (
-	Hello       Kind = "hello"  // the successor requests a hot restart
-	State       Kind = "state"  // the predecessor's state, with the listening socket
-	Taking      Kind = "taking" // the successor now accepts clients
-	PassConns   Kind = "links"  // any number of idle downstream connections, with a new value of Descriptors
-	Acknowledge Kind = "got"    // the successor has received the connections
-	Decline     Kind = "bye"    // no hot restart is possible, with the reason
+	Hello  Kind = "hello"  // from the successor: it requests a hot restart
+	State  Kind = "state"  // from the predecessor: its state, with the listening socket
+	Taking Kind = "taking" // from the successor: it now accepts clients
+	// PassConns is from the predecessor: it passes any number of idle downstream connections and states how many
+	// descriptors it still needs.
+	PassConns   Kind = "links"
+	Acknowledge Kind = "got" // from the successor: it has received the connections
+	Decline     Kind = "bye" // from the predecessor: no hot restart is possible, with the reason
 )
 
 // Message is a message from either process.
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -35,7 +35,7 @@
 	Status         int
 	Fields         []Field
 	KeepAlive      bool   // the peer keeps the connection open after the message
-	Minor          int    // the minor version: the message's version is HTTP/1.Minor
+	Minor          int    // the minor version: 0 for HTTP/1.0, 1 for HTTP/1.1
 	authority      string // the authority of a target in the absolute form, otherwise empty
 }
 
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -17,7 +17,7 @@
 	decodedBytes    int64  // size of the body decoded until now, in bytes, returned or not
 	interimCount    int    // interim responses received before the current response
 	continueChecked bool   // AwaitsContinue has examined the current head
-	streamed        bool   // the body of the current message is streamed, see Begin
+	streamed        bool   // the caller has switched the current message to streaming
 }
 
 // Message is one complete message.
@@ -49,8 +49,8 @@
 	return m, nil
 }
 
-// Large returns the head of the current message if its body is larger than MaxHeld, or nil. If the length of the body
-// is not stated, Large can return the head only after more than MaxHeld bytes of it have been decoded.
+// Large returns the head of the current message if its body is too large to buffer, or nil. If the length of the body
+// is not stated, Large returns the head only after more bytes than may be buffered have been decoded.
 func (r *Reader) Large() *Head {
 	if r.head == nil || r.body.framing == byLength && r.body.remaining+r.decodedBytes <= MaxHeld ||
 		r.body.framing != byLength && r.decodedBytes <= MaxHeld {
@@ -62,8 +62,8 @@
 // HeadRead reports whether the head of the current message has been received completely.
 func (r *Reader) HeadRead() bool { return r.head != nil }
 
-// Complete reports whether the current message has been received completely, even if Pieces has not yet returned all of
-// its body. It also returns true if the body is malformed.
+// Complete reports whether the current message has been received completely, even if the caller has not
+// yet read all of its body. It also returns true if the body is malformed.
 func (r *Reader) Complete() bool {
 	if r.head == nil {
 		return false
@@ -85,8 +85,8 @@
 // Full reports whether the buffer for decoded data of the body is full.
 func (r *Reader) Full() bool { return len(r.payload) >= MaxHeld }
 
-// Begin switches the body of the current message to streaming: from now on, Pieces returns its data. length is the
-// length of the body in bytes, or -1 if it is not stated.
+// Begin switches the body of the current message to streaming: from now on, the caller reads its data as it arrives.
+// length is the length of the body in bytes, or -1 if it is not stated.
 func (r *Reader) Begin() (length int64) {
 	r.streamed = true
 	if r.body.framing != byLength {
@@ -97,7 +97,7 @@
 
 // Pieces returns the head of a streamed message, nil until the head has been received completely; the data of the
 // body that has arrived since the last call; and whether the body has ended. The data is valid until the next call.
-// After the end of a message that Begin has switched to streaming, the reader continues with the next message.
+// After the end of a message that was switched to streaming, the reader continues with the next message.
 func (r *Reader) Pieces() (head *Head, piece []byte, done bool, fault *Fault) {
 	fault = r.advance()
 	head, piece, done = r.head, r.payload, fault == nil && r.head != nil && r.body.done
@@ -153,7 +153,7 @@
 		}
 	}
 	consumed, streamed := 0, r.Stream || r.streamed
-	for streamed || len(r.payload) <= MaxHeld { // the remainder of a large body stays undecoded until Begin
+	for streamed || len(r.payload) <= MaxHeld { // the rest of a large body stays undecoded until it is streamed
 		piece, n, fault := r.body.decode(r.buffer[consumed:])
 		if fault != nil {
 			return fault
--- a/internal/loop/calls_test.go
+++ b/internal/loop/calls_test.go
@@ -281,7 +281,7 @@
 	}
 }
 
-// Event.Local distinguishes a dial that failed because this machine has run out of a resource from one whose peer
+// A Broken event distinguishes a dial that failed because this machine has run out of a resource from one whose peer
 // cannot be reached.
 func TestDialReportsLocalResourceErrors(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/loop/types.go
+++ b/internal/loop/types.go
@@ -88,7 +88,7 @@
 	Listen               // listens as Conn at Addr, or at Path with a Unix socket of mode 0600: Listening or Broken
 	Bind                 // opens Conn as a datagram socket at Addr: Listening or Broken
 	SendTo               // sends Data as one datagram to Addr; a datagram that cannot be sent is lost without an event
-	Pass                 // writes Data on a Unix socket, passes sockets beside it and closes them here, except Listener
+	Pass                 // writes Data on a Unix socket, passes sockets with it and closes them here, except Listener
 	Adopt                // makes the passed socket Conn a listening socket under another number: Listening or Broken
 	Heap                 // sets the soft memory limit of the Go runtime to Bytes
 	Read                 // reads at most one buffer: Data, EOF, Broken, or a report that nothing is waiting
@@ -101,7 +101,7 @@
 	Unmute               // resumes the reading of a socket
 	SetTimer             // sets Timer to expire at At
 	StopTimer            // stops Timer
-	ReadFile             // reads the whole file at Path: File
+	ReadFile             // reads the whole file at Path; an event returns the contents
 	Again                // starts one more turn of the loop without waiting for a socket or a timer
 	Exit                 // ends Run after the current turn of the loop
 )
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// Begin switches the response being received to streaming: from now on, received bytes are added with Take and the body
-// is read with Pieces. length is the length of the body in bytes, or -1 if the endpoint does not state it.
+// Begin switches the response being received to streaming: from now on, the caller reads the body as it arrives. length
+// is the length of the body in bytes, or -1 if the endpoint does not state it.
 func (c *Conn) Begin() (length int64) { return c.reader.Begin() }
 
 // Take adds received bytes of a streamed response.
@@ -73,7 +73,7 @@
 	return piece, done, nil
 }
 
-// Complete reports whether the whole response has been received, even if Pieces has not yet returned all of it.
+// Complete reports whether the whole response has been received, even if the caller has not yet read all of it.
 func (c *Conn) Complete() bool { return c.reader.Complete() }
 
 // EndsByClose reports whether the response ends regularly when the endpoint ends its sending, because its length is not
