--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -94,27 +94,27 @@
 // request, which would be lost; these cases therefore come last. A connection is never evicted while parts of a request
 // keep arriving on it.
 func (s *Conns) Evictable(now time.Duration) *Conn {
-	quiet := func(queue *evictionQueue, grace time.Duration) bool {
+	headSilentFor := func(queue *evictionQueue, grace time.Duration) bool {
 		return queue.head != nil && now-queue.head.lastReceived >= grace
 	}
 	switch {
 	case s.FullyClosed(now) != nil:
 		return s.FullyClosed(now)
-	case quiet(&s.unused, FirstRequestGrace):
+	case headSilentFor(&s.unused, FirstRequestGrace):
 		return s.unused.head
-	case quiet(&s.healthChecked, HealthCheckGrace):
+	case headSilentFor(&s.healthChecked, HealthCheckGrace):
 		return s.healthChecked.head
 	case s.usedOnce.head != nil:
 		return s.usedOnce.head
 	case s.usedAgain.head != nil:
 		return s.usedAgain.head
-	case quiet(&s.partialFirst, StalledRequestGrace):
+	case headSilentFor(&s.partialFirst, StalledRequestGrace):
 		return s.partialFirst.head
-	case quiet(&s.partialLater, StalledRequestGrace):
+	case headSilentFor(&s.partialLater, StalledRequestGrace):
 		return s.partialLater.head
 	case s.healthChecked.head != nil:
 		return s.healthChecked.head
-	case quiet(&s.unused, FirstByteGrace):
+	case headSilentFor(&s.unused, FirstByteGrace):
 		return s.unused.head
 	}
 	return nil
