--- a/internal/downstream/incoming.go
+++ b/internal/downstream/incoming.go
@@ -6,63 +6,65 @@
 	"thymebend/internal/http1"
 )
 
-// Incoming is what a client has sent: a request, a health check, or a malformed request.
+// Incoming is a message from a client: a request for an endpoint, a health check, or a malformed request.
 type Incoming struct {
 	Request Request
-	Health  bool         // it is a health check
-	Fault   *http1.Fault // why it is malformed, or nil
-	Closes  bool         // the connection ends after the answer
-	Large   bool         // its body is to be streamed, see Conn.Begin
+	Health  bool         // the message is a health check
+	Fault   *http1.Fault // why the message is malformed, or nil
+	Closes  bool         // the connection is closed after the response
+	Large   bool         // the body is too large to buffer: the caller has to stream it
 }
 
-// Next returns what the client has sent next, once that is complete or its body is too large to buffer.
-func (c *Conn) Next(classes Classes) (asked Incoming, whole bool) {
+// Next returns the next message from the client. complete is false if more bytes are needed first: either the whole
+// message, or, if its body is too large to buffer, enough of it to fill the buffer.
+func (c *Conn) Next(classes Classes) (incoming Incoming, complete bool) {
 	m, fault := c.reader.Next()
 	switch {
 	case fault != nil:
-		return Incoming{Fault: fault, Closes: true}, true // the start of the next request is unknown
+		return Incoming{Fault: fault, Closes: true}, true // where the next request would start is unknown
 	case m == nil:
 		return c.nextLarge(classes)
 	}
 	return parseRequest(m, classes), true
 }
 
-// nextLarge returns a request whose body is too large to buffer, once the buffer is full; a faulty one it returns
-// at once.
+// nextLarge returns a request whose body is too large to buffer, once the buffer is full. A malformed request it
+// returns at once.
 func (c *Conn) nextLarge(classes Classes) (Incoming, bool) {
 	head := c.reader.Large()
 	if head == nil {
 		return Incoming{}, false
 	}
 	if c.large == nil {
-		asked := parseRequest(&http1.Message{Head: head}, classes)
-		if asked.Health && asked.Fault == nil || asked.Fault == nil && asked.Request.Class.Method == "GET" {
-			asked.Fault = badRequest("a GET has no body")
+		incoming := parseRequest(&http1.Message{Head: head}, classes)
+		if incoming.Health && incoming.Fault == nil || incoming.Fault == nil && incoming.Request.Class.Method == "GET" {
+			incoming.Fault = badRequest("a GET has no body")
 		}
-		asked.Large, c.large = true, &asked
-		if asked.Fault != nil {
-			asked.Closes = true // its body is not read
-			return asked, true
+		incoming.Large, c.large = true, &incoming
+		if incoming.Fault != nil {
+			incoming.Closes = true // its body is not read
+			return incoming, true
 		}
 	}
 	if !c.reader.Full() {
 		return Incoming{}, false
 	}
-	asked := *c.large
+	incoming := *c.large
 	c.large = nil
-	return asked, true
+	return incoming, true
 }
 
-func parseRequest(message *http1.Message, classes Classes) (asked Incoming) {
-	asked.Closes = !message.KeepAlive
+// parseRequest interprets a message as a health check or as a request for an endpoint.
+func parseRequest(message *http1.Message, classes Classes) (incoming Incoming) {
+	incoming.Closes = !message.KeepAlive
 	if path, _, _ := strings.Cut(message.Target, "?"); path == healthPath {
-		if asked.Health = true; message.Method != "GET" {
-			asked.Fault = badRequest("health is asked for with GET")
+		if incoming.Health = true; message.Method != "GET" {
+			incoming.Fault = badRequest("health is asked for with GET")
 		}
-		return asked
+		return incoming
 	}
-	asked.Request, asked.Fault = validate(message, classes)
-	return asked
+	incoming.Request, incoming.Fault = validate(message, classes)
+	return incoming
 }
 
 // healthPath is the path of the health checks.
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -5,30 +5,31 @@
 	"strings"
 )
 
-// framing is how the end of a body is found.
+// framing is the way in which the end of a body is determined.
 type framing uint8
 
 const (
-	byLength framing = iota
-	byChunks
-	byClose
+	byLength framing = iota // Content-Length states the length
+	byChunks                // the chunked transfer coding
+	byClose                 // the body ends when the peer ends its sending
 )
 
-// maxLine bounds a chunk's size line and the trailers, in bytes.
-const maxLine = 4 << 10
+// maxChunkLine is the maximum size, in bytes, of a chunk's size line and of all trailers together.
+const maxChunkLine = 4 << 10
 
-// body decodes a body incrementally.
+// body decodes the body of a message incrementally.
 type body struct {
 	framing      framing
-	remaining    int64 // bytes still to come of the body or of the chunk
-	inChunk      bool  // a chunk has begun and its final line end has not been read
-	trailerBytes int   // bytes of trailers read; -1 before the last chunk
+	remaining    int64 // bytes of the body or of the current chunk that are not yet decoded
+	inChunk      bool  // a chunk has begun, and the line end after its data has not been decoded
+	trailerBytes int   // size of the trailers decoded, in bytes; -1 before the last chunk
 	done         bool
 }
 
-// frame returns the body that the fields of a head describe. A message that states its framing twice is refused:
-// two readers that follow different statements would see different requests.
-func frame(h *Head, response bool) (body, *Fault) {
+// parseFraming returns a decoder for the body that the header fields describe. It rejects a message that states its
+// framing more than once: two readers that follow different statements would find different requests in the same bytes
+// (request smuggling).
+func parseFraming(h *Head, response bool) (body, *Fault) {
 	b := body{trailerBytes: -1}
 	length, lengths := h.Get("Content-Length")
 	coding, codings := h.Get("Transfer-Encoding")
@@ -60,9 +61,9 @@
 	return b, nil
 }
 
-// take decodes part of in and returns a piece of the body and how many bytes of in it used. It is to be called
-// until it uses none.
-func (b *body) take(in []byte) (piece []byte, used int, fault *Fault) {
+// decode decodes a part of in. It returns the resulting data of the body, which may be empty, and the number of bytes
+// of in that it has used. Callers repeat the call with the remaining bytes until it uses none.
+func (b *body) decode(in []byte) (piece []byte, used int, fault *Fault) {
 	switch {
 	case b.done || len(in) == 0:
 		return nil, 0, nil
@@ -74,28 +75,28 @@
 		b.done = b.framing == byLength && b.remaining == 0
 		return in[:n], int(n), nil
 	}
-	return b.takeLine(in)
+	return b.decodeLine(in)
 }
 
-// takeLine reads a line of the chunked coding: the end of a chunk, a size, or a trailer.
-func (b *body) takeLine(in []byte) (piece []byte, used int, fault *Fault) {
-	at := bytes.Index(in, []byte("\r\n"))
-	if at < 0 {
-		if len(in) > maxLine {
+// decodeLine decodes a line of the chunked coding: the line end after a chunk's data, a chunk size, or a trailer.
+func (b *body) decodeLine(in []byte) (piece []byte, used int, fault *Fault) {
+	lineEnd := bytes.Index(in, []byte("\r\n"))
+	if lineEnd < 0 {
+		if len(in) > maxChunkLine {
 			return nil, 0, badRequest("chunk line too long")
 		}
 		return nil, 0, nil
 	}
-	line, used := in[:at], at+2
+	line, used := in[:lineEnd], lineEnd+2
 	switch {
 	case b.inChunk:
-		if at != 0 {
+		if lineEnd != 0 {
 			return nil, 0, badRequest("chunk longer than its size")
 		}
 		b.inChunk = false
 	case b.trailerBytes >= 0:
-		b.done = at == 0
-		if b.trailerBytes += used; b.trailerBytes > maxLine {
+		b.done = lineEnd == 0
+		if b.trailerBytes += used; b.trailerBytes > maxChunkLine {
 			return nil, 0, &Fault{431, "trailers too large"}
 		}
 	default:
@@ -110,17 +111,17 @@
 	return nil, used, nil
 }
 
-// maxBeforeDigit bounds a chunk's size before one more digit is added: it cannot overflow.
-const maxBeforeDigit = 1 << 30
+// maxSizeBeforeDigit is the maximum value to which parseHex appends one more digit. It prevents an overflow.
+const maxSizeBeforeDigit = 1 << 30
 
-// parseHex reads a chunk's size, without its extensions.
+// parseHex parses a chunk size and ignores chunk extensions.
 func parseHex(line []byte) (int64, bool) {
 	line, _, _ = bytes.Cut(line, []byte(";"))
 	line = bytes.TrimRight(line, " \t")
 	n := int64(0)
 	for _, c := range line {
 		digit := strings.IndexByte("0123456789abcdef", c|0x20)
-		if digit < 0 || n > maxBeforeDigit {
+		if digit < 0 || n > maxSizeBeforeDigit {
 			return 0, false
 		}
 		n = n<<4 | int64(digit)
