--- a/cmd/thymebend/adminclient.go
+++ b/cmd/thymebend/adminclient.go
@@ -36,7 +36,7 @@
 	for {
 		n, err := c.Read(buf)
 		r.Feed(buf[:n])
-		head, piece, done, fault := r.Pieces()
+		head, piece, done, fault := r.ReadStream()
 		switch body = append(body, piece...); {
 		case fault != nil:
 			return nil, fault
--- a/cmd/thymebend/fleet.go
+++ b/cmd/thymebend/fleet.go
@@ -52,9 +52,9 @@
 		return no
 	}
 	fmt.Fprintf(out, "%s in fleet %s: %s, %s, %d of %d alive, ", f.Name, f.Cluster,
-		choose(f.Settled, "settled", "NOT SETTLED"), choose(f.Majority, "a majority", "NO MAJORITY"), f.Alive, f.Known)
+		choose(f.Converged, "settled", "NOT SETTLED"), choose(f.Majority, "a majority", "NO MAJORITY"), f.Alive, f.Known)
 	fmt.Fprintf(out, "%.0f%% of those asked answer, quiet for %v, own health %d\n",
-		100*f.Answering, roundedMS(f.QuietMS), f.Health)
+		100*f.ProbeAnswerShare, roundedMS(f.StableForMS), f.LocalHealth)
 	if !f.Active {
 		fmt.Fprintln(out, "it does not speak: its socket is not open, or another process speaks for it")
 	}
@@ -95,7 +95,7 @@
 		if addr == "" {
 			addr = "-"
 		}
-		started := time.UnixMilli(int64(m.Start)).UTC().Format("2006-01-02 15:04:05")
+		started := time.UnixMilli(int64(m.StartMS)).UTC().Format("2006-01-02 15:04:05")
 		fmt.Fprintf(t, "%s\t%s\t%v\t%s\t%s\t%d\t%s\n",
 			name, m.State, roundedMS(m.SinceMS), rtt, started, m.Incarnation, addr)
 	}
@@ -122,7 +122,7 @@
 	}
 	fmt.Fprintf(out, "\nportion: %s (%s) of %d gateways, most loaded host %.2f of the mean, ",
 		p.Stage, why, p.Gateways, p.RelativeLoad)
-	fmt.Fprintf(out, "own demand %.1f a second, %d spares\n%s\n\n", p.Demand, p.Spares, tokens)
+	fmt.Fprintf(out, "own demand %.1f a second, %d spares\n%s\n\n", p.Demand, p.SpareEndpoints, tokens)
 	rank := func(h admin.AssignedEndpoint) int {
 		switch {
 		case h.SuspectedByPeers:
@@ -132,10 +132,10 @@
 		}
 		return 2
 	}
-	slices.SortStableFunc(p.Hosts, func(a, b admin.AssignedEndpoint) int { return rank(a) - rank(b) })
+	slices.SortStableFunc(p.Endpoints, func(a, b admin.AssignedEndpoint) int { return rank(a) - rank(b) })
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "HOST\tWEIGHT\tPART OF IT\tSTATE")
-	for _, h := range p.Hosts {
+	for _, h := range p.Endpoints {
 		state := [...]string{"doubted by others", "cold: turns alone", ""}[rank(h)]
 		fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%s\n", h.Name, h.Weight, h.Share, state)
 	}
--- a/internal/admin/stats.go
+++ b/internal/admin/stats.go
@@ -7,7 +7,7 @@
 	Throttled       map[string]int64 `json:"throttled"` // requests rejected
 	Faulted         map[string]int64 `json:"faulted"`   // requests that failed
 	Forwarded       int64            `json:"relayed"`
-	Open            int              `json:"open_requests"`
+	OpenRequests    int              `json:"open_requests"`
 	Endpoints       int              `json:"registry_entries"`
 	Unavailable     int              `json:"out_of_rotation"`
 	ConfigsAccepted int              `json:"cfg_accepted"`
@@ -33,34 +33,34 @@
 	Active bool `json:"speaking"`
 	// Joined counts how often this process has joined the cluster: once at its start, and again after each hot restart
 	// that failed.
-	Joined        int               `json:"joined"`
-	Settled       bool              `json:"settled"`   // no change for 2 s, no suspect, Majority, no DuplicateName
-	Majority      bool              `json:"majority"`  // most known members are unsuspected, most probes answered
-	DuplicateName bool              `json:"twin"`      // another live process uses the name of this gateway
-	Alive         int               `json:"alive"`     // live members, including this gateway and suspected members
-	Known         int               `json:"known"`     // Alive, members that failed recently, unreached seed peers
-	Answering     float64           `json:"answering"` // share of the latest periodic probes that were answered, 0 to 1
-	Health        int               `json:"health"`    // local health score: 0 is best, 8 is worst
-	QuietMS       int64             `json:"quiet_ms"`  // time since the state of a member last changed
-	Sent          uint64            `json:"sent"`
-	SentBytes     uint64            `json:"sent_bytes"`
-	Received      uint64            `json:"received"`
-	ReceivedBytes uint64            `json:"received_bytes"`
-	Refused       map[string]uint64 `json:"refused"` // datagrams and members not accepted or not sent, by reason
-	Members       []Member          `json:"members"`
-	Assignment    *Assignment       `json:"portion,omitempty"`
+	Joined           int               `json:"joined"`
+	Converged        bool              `json:"settled"`   // no change for 2 s, no suspect, Majority, no DuplicateName
+	Majority         bool              `json:"majority"`  // most known members are unsuspected, most probes answered
+	DuplicateName    bool              `json:"twin"`      // another live process uses the name of this gateway
+	Alive            int               `json:"alive"`     // live members, including this gateway and suspected members
+	Known            int               `json:"known"`     // Alive, members that failed recently, unreached seed peers
+	ProbeAnswerShare float64           `json:"answering"` // share of the latest periodic probes that were answered, 0 to 1
+	LocalHealth      int               `json:"health"`    // local health score: 0 is best, 8 is worst
+	StableForMS      int64             `json:"quiet_ms"`  // time since the state of a member last changed
+	Sent             uint64            `json:"sent"`
+	SentBytes        uint64            `json:"sent_bytes"`
+	Received         uint64            `json:"received"`
+	ReceivedBytes    uint64            `json:"received_bytes"`
+	Refused          map[string]uint64 `json:"refused"` // datagrams and members not accepted or not sent, by reason
+	Members          []Member          `json:"members"`
+	Assignment       *Assignment       `json:"portion,omitempty"`
 }
 
 // Assignment is the part of the endpoints that is assigned to this gateway, and the inputs of the assignment.
 type Assignment struct {
-	Stage        string             `json:"stage"`    // state of the assignment: waiting, settled, kept or changing
-	Gateways     int                `json:"gateways"` // number of gateways among which the endpoints are divided
-	TokensActive bool               `json:"agreed"`   // most live members have the same settings: tokens are used
-	RelativeLoad float64            `json:"crowd"`    // highest endpoint load for its capacity, relative to the mean
-	Demand       float64            `json:"demand"`   // requests per second of the average class, sent to members
-	Tokens       uint64             `json:"turns"`    // number of slow-start tokens that this process has used
-	Spares       int                `json:"spares"`   // other endpoints, used if the assigned ones fail or are full
-	Hosts        []AssignedEndpoint `json:"hosts"`
+	Stage          string             `json:"stage"`    // state of the assignment: waiting, settled, kept or changing
+	Gateways       int                `json:"gateways"` // number of gateways among which the endpoints are divided
+	TokensActive   bool               `json:"agreed"`   // most live members have the same settings: tokens are used
+	RelativeLoad   float64            `json:"crowd"`    // highest endpoint load for its capacity, relative to the mean
+	Demand         float64            `json:"demand"`   // requests per second of the average class, sent to members
+	Tokens         uint64             `json:"turns"`    // number of slow-start tokens that this process has used
+	SpareEndpoints int                `json:"spares"`   // other endpoints, used if the assigned ones fail or are full
+	Endpoints      []AssignedEndpoint `json:"hosts"`
 }
 
 // AssignedEndpoint is one endpoint of an Assignment.
@@ -76,7 +76,7 @@
 type Member struct {
 	Name        string  `json:"name"`
 	State       string  `json:"state"`
-	Start       uint64  `json:"start_ms"` // start of the process, in ms of Unix time
+	StartMS     uint64  `json:"start_ms"` // start of the process, in ms of Unix time
 	Incarnation uint64  `json:"incarnation"`
 	SinceMS     int64   `json:"since_ms"`               // how long the member has been in this state
 	Previous    string  `json:"previous"`               // the state before the present one
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -80,7 +80,7 @@
 		}
 	}()
 	w.reader.Feed(data)
-	head, piece, done, fault := w.reader.Pieces()
+	head, piece, done, fault := w.reader.ReadStream()
 	if fault != nil {
 		err = fault // the lines before the fault are complete all the same
 	}
--- a/internal/downstream/arrivals.go
+++ b/internal/downstream/arrivals.go
@@ -121,9 +121,9 @@
 	return c.arrivals.sentAt(c.arrivals.bytesReceived - int64(c.reader.Buffered()))
 }
 
-// TimeLeft returns the remaining time of the request's client timeout. The timeout does not start before the whole body
+// RemainingTimeout returns the remaining time of the request's client timeout. The timeout does not start before the whole body
 // has been received, unless the remainder of the body may already be waiting in the kernel's receive buffer.
-func (c *Conn) TimeLeft(now, clientTimeout time.Duration) time.Duration {
+func (c *Conn) RemainingTimeout(now, clientTimeout time.Duration) time.Duration {
 	switch {
 	case c.Upload && c.reader.Complete():
 		return c.arrivals.sentAt(c.arrivals.bytesReceived) + clientTimeout - now
@@ -137,6 +137,6 @@
 
 // PauseReading records that the gateway stops reading the connection until ResumeReading.
 func (c *Conn) PauseReading(now time.Duration) {
-	c.Muted = true
+	c.ReadingPaused = true
 	c.arrivals.pause(now)
 }
--- a/internal/downstream/arrivals_test.go
+++ b/internal/downstream/arrivals_test.go
@@ -23,7 +23,7 @@
 		if got := conn.LastByteSent(); got != want {
 			t.Errorf("request %d: sent at %v, want %v", i, got, want)
 		}
-		if got := conn.TimeLeft(ms(1000), ms(900)); got != want+ms(900)-ms(1000) {
+		if got := conn.RemainingTimeout(ms(1000), ms(900)); got != want+ms(900)-ms(1000) {
 			t.Errorf("request %d: remaining timeout %v, want %v", i, got, want+ms(900)-ms(1000))
 		}
 	}
@@ -91,19 +91,19 @@
 	if incoming, complete := conn.Next(testClasses); !complete || !incoming.Large {
 		t.Fatal("the request is not returned as a large one")
 	}
-	conn.Begin()
-	if got := conn.TimeLeft(ms(500), ms(900)); got != ms(900) {
+	conn.BeginStream()
+	if got := conn.RemainingTimeout(ms(500), ms(900)); got != ms(900) {
 		t.Errorf("remaining timeout %v before the body has arrived, want all 900ms", got)
 	}
 	conn.PauseReading(ms(500))
-	if got := conn.TimeLeft(ms(700), ms(900)); got != ms(700) {
+	if got := conn.RemainingTimeout(ms(700), ms(900)); got != ms(700) {
 		t.Errorf("remaining timeout %v while the last byte may be unread, want 700ms", got)
 	}
 	conn.ResumeReading(ms(700))
 	var body bytes.Buffer
 	for _, part := range [][]byte{raw[100<<10 : 200<<10], raw[200<<10:]} {
 		conn.Feed(ms(700), part)
-		piece, _, _ := conn.Pieces()
+		piece, _, _ := conn.ReadStream()
 		body.Write(piece)
 	}
 	if got := conn.LastByteSent(); got != ms(500) {
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -12,7 +12,7 @@
 const (
 	// MaxPipelined is the maximum number of bytes that a client may send ahead of a response. Beyond it, the
 	// gateway pauses reading.
-	MaxPipelined = http1.MaxHead + http1.MaxHeld
+	MaxPipelined = http1.MaxHead + http1.MaxBufferedBody
 	// IdleTimeout is how long a connection may be idle between requests before the gateway closes it.
 	IdleTimeout = 90 * time.Second
 	// FirstRequestGrace is the time within which a client that connects for a request usually sends it. After that, a
@@ -43,20 +43,20 @@
 type Conn struct {
 	ID loop.Conn
 
-	// Request is the request in progress, while Busy. It is 0 if the gateway itself generates the response, and once
+	// RequestID is the request in progress, while Busy. It is 0 if the gateway itself generates the response, and once
 	// the response of the endpoint is being written.
-	Request balancer.RequestID
+	RequestID balancer.RequestID
 	// Busy reports that a request is in progress or that its response is not yet completely written.
 	Busy bool
 	// Closing reports that the gateway ends the connection after the current response.
 	Closing bool
-	// Ended reports that the gateway has ended its sending; data received after that is dropped.
-	Ended bool
+	// WriteClosed reports that the gateway has ended its sending; data received after that is dropped.
+	WriteClosed bool
 	// FinalRead reports that the gateway has requested a last read, and closes the connection unless that read finds a
 	// request.
 	FinalRead bool
-	// Muted reports that reading is paused.
-	Muted bool
+	// ReadingPaused reports that reading is paused.
+	ReadingPaused bool
 	// Upload reports that the body of the request in progress is streamed and has not ended.
 	Upload bool
 	// DiscardBody reports that the gateway discards received data, which is part of the body of an answered request.
@@ -66,20 +66,20 @@
 	HasRequested bool
 	// Requests is the number of requests passed to the balancer.
 	Requests int
-	// RequestTimed reports that the deadline of the request being received is set.
-	RequestTimed bool
+	// RequestDeadlineSet reports that the deadline of the request being received is set.
+	RequestDeadlineSet bool
 	// RequestBytes is the number of bytes received of the request being received.
 	RequestBytes int
 
-	// Accepted is when the connection was accepted.
-	Accepted time.Duration
-	// Since is when the connection became idle: when it was accepted or when its last response was completely written.
-	Since time.Duration
-	// RequestBegan is when the read timeout of the request being received started: at its first byte, or, for the first
+	// AcceptedAt is when the connection was accepted.
+	AcceptedAt time.Duration
+	// IdleSince is when the connection became idle: when it was accepted or when its last response was completely written.
+	IdleSince time.Duration
+	// RequestStart is when the read timeout of the request being received started: at its first byte, or, for the first
 	// request, when the connection was accepted.
-	RequestBegan time.Duration
-	// Timer is when the gateway next checks the connection's timeouts; 0 if no timer is set.
-	Timer time.Duration
+	RequestStart time.Duration
+	// TimerAt is when the gateway next checks the connection's timeouts; 0 if no timer is set.
+	TimerAt time.Duration
 	// lastReceived is when the last byte was received, or when reading resumed after a pause.
 	lastReceived time.Duration
 
@@ -100,17 +100,17 @@
 	c.reader.Feed(data)
 }
 
-// Begin switches to streaming the body of the large request that Next has returned: from now on, the caller reads
+// BeginStream switches to streaming the body of the large request that Next has returned: from now on, the caller reads
 // its data as it arrives. length is the length of the body in bytes, or -1 if the client does not state it.
-func (c *Conn) Begin() (length int64) {
+func (c *Conn) BeginStream() (length int64) {
 	c.Upload = true
-	return c.reader.Begin()
+	return c.reader.BeginStream()
 }
 
-// Pieces returns the data of a streamed body that has arrived since the last call, and whether the body has ended. The
+// ReadStream returns the data of a streamed body that has arrived since the last call, and whether the body has ended. The
 // data is valid until the next call.
-func (c *Conn) Pieces() (piece []byte, done bool, fault *http1.Fault) {
-	_, piece, done, fault = c.reader.Pieces()
+func (c *Conn) ReadStream() (piece []byte, done bool, fault *http1.Fault) {
+	_, piece, done, fault = c.reader.ReadStream()
 	return piece, done, fault
 }
 
@@ -120,8 +120,8 @@
 // Pending reports whether part of a request has been received.
 func (c *Conn) Pending() bool { return c.reader.Pending() }
 
-// Overfull reports whether the client has sent more than MaxPipelined bytes ahead of a response.
-func (c *Conn) Overfull() bool { return c.reader.Buffered() > MaxPipelined }
+// PipelineFull reports whether the client has sent more than MaxPipelined bytes ahead of a response.
+func (c *Conn) PipelineFull() bool { return c.reader.Buffered() > MaxPipelined }
 
 // AwaitsContinue reports whether the client waits for 100 Continue before it sends the body. It returns true at most
 // once for each request.
--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -40,7 +40,7 @@
 
 // Add adds a connection that was accepted now.
 func (s *Conns) Add(id loop.Conn, now time.Duration) *Conn {
-	c := &Conn{ID: id, Accepted: now, Since: now, RequestBegan: now, lastReceived: now}
+	c := &Conn{ID: id, AcceptedAt: now, IdleSince: now, RequestStart: now, lastReceived: now}
 	s.ByConn[id] = c
 	s.Requeue(c)
 	return c
@@ -59,7 +59,7 @@
 	c.unqueue()
 	switch {
 	case c.Busy, c.FinalRead:
-	case c.Ended:
+	case c.WriteClosed:
 		s.fullyClosed.push(c)
 	case c.Pending() && c.HasRequested:
 		s.partialLater.push(c)
@@ -123,7 +123,7 @@
 // FullyClosed returns a connection on which the gateway has ended its sending after the last response, FirstByteGrace
 // ago or earlier, so that the client has had time to read the response. It returns nil if there is none.
 func (s *Conns) FullyClosed(now time.Duration) *Conn {
-	if c := s.fullyClosed.head; c != nil && now-c.Since >= FirstByteGrace {
+	if c := s.fullyClosed.head; c != nil && now-c.IdleSince >= FirstByteGrace {
 		return c
 	}
 	return nil
@@ -134,7 +134,7 @@
 // request and keep the old ones open: such a client reaches its limit of connections, and cannot send its next request,
 // long before the gateway runs out of connections.
 func (s *Conns) SingleUse(now time.Duration) *Conn {
-	if c := s.usedOnce.head; c != nil && s.OverReuseLimit() && now-c.Since >= SingleUseIdleTimeout {
+	if c := s.usedOnce.head; c != nil && s.OverReuseLimit() && now-c.IdleSince >= SingleUseIdleTimeout {
 		return c
 	}
 	return nil
--- a/internal/downstream/incoming.go
+++ b/internal/downstream/incoming.go
@@ -8,11 +8,11 @@
 
 // Incoming is a message from a client: a request for an endpoint, a health check, or a malformed request.
 type Incoming struct {
-	Request Request
-	Health  bool         // the message is a health check
-	Fault   *http1.Fault // why the message is malformed, or nil
-	Closes  bool         // the connection is closed after the response
-	Large   bool         // the body is too large to buffer: the caller has to stream it
+	Request    Request
+	Health     bool         // the message is a health check
+	Fault      *http1.Fault // why the message is malformed, or nil
+	CloseAfter bool         // the connection is closed after the response
+	Large      bool         // the body is too large to buffer: the caller has to stream it
 }
 
 // Next returns the next message from the client. complete is false if more bytes are needed first: either the whole
@@ -21,7 +21,7 @@
 	m, fault := c.reader.Next()
 	switch {
 	case fault != nil:
-		return Incoming{Fault: fault, Closes: true}, true // where the next request would start is unknown
+		return Incoming{Fault: fault, CloseAfter: true}, true // where the next request would start is unknown
 	case m == nil:
 		return c.nextLarge(classes)
 	}
@@ -42,7 +42,7 @@
 		}
 		incoming.Large, c.large = true, &incoming
 		if incoming.Fault != nil {
-			incoming.Closes = true // its body is not read
+			incoming.CloseAfter = true // its body is not read
 			return incoming, true
 		}
 	}
@@ -56,7 +56,7 @@
 
 // parseRequest interprets a message as a health check or as a request for an endpoint.
 func parseRequest(message *http1.Message, classes Classes) (incoming Incoming) {
-	incoming.Closes = !message.KeepAlive
+	incoming.CloseAfter = !message.KeepAlive
 	if path, _, _ := strings.Cut(message.Target, "?"); path == healthPath {
 		if incoming.Health = true; message.Method != "GET" {
 			incoming.Fault = badRequest("health is asked for with GET")
--- a/internal/downstream/readtimeout.go
+++ b/internal/downstream/readtimeout.go
@@ -27,7 +27,7 @@
 // RequestDeadline returns the time by which the request being received must be complete, unless more of it arrives
 // before, which may extend the deadline.
 func (c *Conn) RequestDeadline() time.Duration {
-	plain := c.RequestBegan + RequestReadTimeout
+	plain := c.RequestStart + RequestReadTimeout
 	switch {
 	case c.Upload:
 		return max(plain, c.lastReceived+StreamReadTimeout)
@@ -43,9 +43,9 @@
 // an endpoint.
 func (c *Conn) Incomplete() bool {
 	if c.Upload {
-		return !c.Muted && !c.reader.Complete()
+		return !c.ReadingPaused && !c.reader.Complete()
 	}
-	return !c.Busy && !c.Ended && c.Pending()
+	return !c.Busy && !c.WriteClosed && c.Pending()
 }
 
 // LastReceived returns when the last byte was received, or when reading resumed after a pause.
@@ -54,6 +54,6 @@
 // ResumeReading records that the gateway reads the connection again. The pause does not count as a pause of the client,
 // which could not send meanwhile.
 func (c *Conn) ResumeReading(now time.Duration) {
-	c.Muted = false
+	c.ReadingPaused = false
 	c.lastReceived = now
 }
--- a/internal/downstream/readtimeout_test.go
+++ b/internal/downstream/readtimeout_test.go
@@ -87,11 +87,11 @@
 		if !complete || !incoming.Large || incoming.Fault != nil {
 			t.Fatalf("%s: not returned as a valid large request: complete %v, %+v", name, complete, incoming)
 		}
-		conn.Begin()
+		conn.BeginStream()
 		if got := conn.Incomplete(); got != c.want {
 			t.Errorf("%s: incomplete %v, want %v", name, got, c.want)
 		}
-		conn.Muted = true
+		conn.ReadingPaused = true
 		if conn.Incomplete() {
 			t.Errorf("%s: incomplete while reading is paused", name)
 		}
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -31,7 +31,7 @@
 		Throttled:       make(map[string]int64),
 		Faulted:         make(map[string]int64),
 		Forwarded:       a.stats.forwarded,
-		Open:            len(a.requests.openIDs),
+		OpenRequests:    len(a.requests.openIDs),
 		Endpoints:       a.discovery.endpoints.Len(),
 		ConfigsAccepted: a.stats.configsAccepted,
 		ConfigsRejected: a.stats.configsRejected,
@@ -65,7 +65,7 @@
 	case loop.Readable:
 		// Few at once: accepted connections use descriptors before the oldest ones are closed to make room for
 		// them.
-		a.emit(loop.Effect{Op: loop.Accept, Conn: loop.Admin, Most: adminAcceptBatch})
+		a.emit(loop.Effect{Op: loop.Accept, Conn: loop.Admin, MaxAccepts: adminAcceptBatch})
 	case loop.AcceptFailed:
 		a.log.Warn().Err(e.Err).Msg("accept on the admin endpoint")
 		a.pauseListener(e.Conn)
--- a/internal/gateway/assignment.go
+++ b/internal/gateway/assignment.go
@@ -312,11 +312,11 @@
 		Tokens:       state.tokens,
 		TokensActive: s.agreed(),
 		Demand:       s.balancer.LoadReport(s.now).Demand,
-		Hosts:        []admin.AssignedEndpoint{},
+		Endpoints:    []admin.AssignedEndpoint{},
 	}
 	for _, endpoint := range state.assigned {
 		if endpoint.Share == 0 {
-			out.Spares++
+			out.SpareEndpoints++
 			continue
 		}
 		e := admin.AssignedEndpoint{
@@ -325,7 +325,7 @@
 		if found := s.discovery.endpoints.Find(endpoint.ID); found != nil {
 			e.Name, e.SlowStart = found.Name, s.warmingUp(found)
 		}
-		out.Hosts = append(out.Hosts, e)
+		out.Endpoints = append(out.Endpoints, e)
 	}
 	return out
 }
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -91,7 +91,7 @@
 		BodyConsumed: req.upload != nil && req.upload.consumed,
 	}
 	if ended.response != nil && a.cfg.Settings.Gateway.QueueLengthColumn >= 0 {
-		end.Reported, end.QueueLength = ended.response.Reported, ended.response.QueueLength
+		end.Reported, end.QueueLength = ended.response.HasQueueLength, ended.response.QueueLength
 	}
 	a.dispatchNeeded = true
 	a.balancer.AttemptEnded(a.now, end)
@@ -123,11 +123,11 @@
 	if conn := a.pool.Acquire(att.endpoint); conn != nil {
 		a.stopTimer(timerUpstream, uint64(conn.ID))
 		a.bind(att, conn)
-		a.writeRequest(att, loop.WriteQuiet)
+		a.writeRequest(att, loop.WriteIfIdle)
 		return
 	}
 	if a.pool.Full() {
-		oldest := a.pool.Oldest()
+		oldest := a.pool.OldestIdle()
 		if oldest == nil {
 			a.end(att, ReasonNoDescriptor, nil)
 			return
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -170,10 +170,10 @@
 	}
 	out.Assignment = c.assignment.report()
 	status, counts := view.Status(c.now), view.Counts()
-	out.Active, out.Settled = c.socketOpen, status.Converged
+	out.Active, out.Converged = c.socketOpen, status.Converged
 	out.Majority, out.DuplicateName = status.Majority, status.DuplicateName
-	out.Alive, out.Known, out.Answering = status.Alive, status.Known, status.AnsweredShare
-	out.Health, out.QuietMS = status.LocalHealth, status.StableFor.Milliseconds()
+	out.Alive, out.Known, out.ProbeAnswerShare = status.Alive, status.Known, status.AnsweredShare
+	out.LocalHealth, out.StableForMS = status.LocalHealth, status.StableFor.Milliseconds()
 	out.Sent, out.SentBytes = counts.Sent, counts.SentBytes
 	out.Received, out.ReceivedBytes = counts.Received, counts.ReceivedBytes
 	out.Refused = map[string]uint64{
@@ -187,7 +187,7 @@
 		member := admin.Member{
 			Name:        m.Name,
 			State:       m.State.String(),
-			Start:       m.Start,
+			StartMS:     m.Start,
 			Incarnation: m.Incarnation,
 			SinceMS:     (c.now - m.StateSince).Milliseconds(),
 			Previous:    m.PreviousState.String(),
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -28,7 +28,7 @@
 // pauseListener stops accepting on the admin or hot-restart socket for acceptPauseDuration. This keeps the loop
 // from spinning on a pending connection that cannot be accepted for want of a descriptor.
 func (c *core) pauseListener(conn loop.Conn) {
-	c.emit(loop.Effect{Op: loop.Mute, Conn: conn})
+	c.emit(loop.Effect{Op: loop.PauseReading, Conn: conn})
 	c.setTimer(timerListenerPause, uint64(conn), c.now+acceptPauseDuration)
 }
 
--- a/internal/gateway/deadlines_test.go
+++ b/internal/gateway/deadlines_test.go
@@ -32,7 +32,7 @@
 func TestPartialRequestInFinalReadTimesOut(t *testing.T) {
 	r := newRig(t, "subscribe", listLine(1, true, listEntry(1, "up", 0)))
 	c := loop.Conn(1<<63 + 50)
-	r.step(loop.Event{Kind: loop.Accepted, Conn: c, Via: loop.Listener})
+	r.step(loop.Event{Kind: loop.Accepted, Conn: c, AcceptedBy: loop.Listener})
 	key := loop.Timer{Kind: uint8(timerDownstream), ID: uint64(c)}
 	r.now = r.timers[key]
 	delete(r.timers, key)
@@ -47,7 +47,7 @@
 func TestShutdownDoesNotExtendPartialRequestDeadline(t *testing.T) {
 	r := newRig(t, "subscribe", listLine(1, true, listEntry(1, "up", 0)))
 	c := loop.Conn(1<<63 + 50)
-	r.step(loop.Event{Kind: loop.Accepted, Conn: c, Via: loop.Listener})
+	r.step(loop.Event{Kind: loop.Accepted, Conn: c, AcceptedBy: loop.Listener})
 	r.step(loop.Event{Kind: loop.Data, Conn: c, Data: []byte(partialRequest)})
 	r.advance(1900 * time.Millisecond)
 	r.step(loop.Event{Kind: loop.Stop}) // the listener closes 0.55 s later, 50 ms before the client's deadline
@@ -75,7 +75,7 @@
 				r.g.cfg.Settings.Config.Classes[i].Deadline = 900 * time.Millisecond
 			}
 			client := loop.Conn(1<<63 + 50)
-			r.step(loop.Event{Kind: loop.Accepted, Conn: client, Via: loop.Listener})
+			r.step(loop.Event{Kind: loop.Accepted, Conn: client, AcceptedBy: loop.Listener})
 			r.step(loop.Event{Kind: loop.Data, Conn: client, Data: []byte(c.text)})
 			if c.handedOver {
 				r.g.restart.successor, r.g.restart.handover = &hotrestart.Conn{ID: 1<<63 + 90}, successorServes
@@ -99,7 +99,7 @@
 		return []byte("GET /view HTTP/1.1\r\nHost: h\r\nX-Trace-Id: " + id +
 			"\r\nX-Qos: view\r\nX-Expires-In: 2000m\r\n\r\n")
 	}
-	r.step(loop.Event{Kind: loop.Accepted, Conn: c, Via: loop.Listener})
+	r.step(loop.Event{Kind: loop.Accepted, Conn: c, AcceptedBy: loop.Listener})
 	r.step(loop.Event{Kind: loop.Data, Conn: c, Data: append(requestText("a"), requestText("b")...)})
 	r.endRound()
 	endpoint := r.pendingConn(endpointAddr(1))
@@ -157,7 +157,7 @@
 		r.endRound()
 		if c := r.lastDialled(endpointAddr(1)); c != 0 && len(r.written[c]) == 0 {
 			r.step(loop.Event{Kind: loop.Broken, Conn: c, Err: errors.New("cannot assign requested address"),
-				Local: true})
+				LocalFailure: true})
 			r.closed[c] = true
 			r.endRound()
 		}
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -183,7 +183,7 @@
 	r.step(loop.Event{Kind: loop.Data, Conn: first,
 		Data: []byte("HTTP/1.1 503 No\r\nRetry-After: 50\r\nContent-Length: 0\r\n\r\n")})
 	r.step(loop.Event{Kind: loop.Reload})
-	r.step(loop.Event{Kind: loop.File, Data: rigConfig(t, "subscribe", cached, endpointAddr(99))})
+	r.step(loop.Event{Kind: loop.FileRead, Data: rigConfig(t, "subscribe", cached, endpointAddr(99))})
 	moved := r.lastDialled(endpointAddr(99))
 	if moved == 0 {
 		t.Fatal("the new address is not polled after the reload")
--- a/internal/gateway/discovery_watch_test.go
+++ b/internal/gateway/discovery_watch_test.go
@@ -80,7 +80,7 @@
 	from := r.now
 	for _, at := range []string{"10.9.0.2:80", discoveryAddr} {
 		r.step(loop.Event{Kind: loop.Reload})
-		r.step(loop.Event{Kind: loop.File, Data: rigConfig(t, "subscribe",
+		r.step(loop.Event{Kind: loop.FileRead, Data: rigConfig(t, "subscribe",
 			listLine(1, true, listEntry(1, "up", 0)), at)})
 	}
 	poll := r.g.discovery.replacement
--- a/internal/gateway/downstream.go
+++ b/internal/gateway/downstream.go
@@ -55,13 +55,13 @@
 		if !d.handleData(conn, e.Data) {
 			return
 		}
-	case loop.Drained:
+	case loop.WouldBlock:
 		if conn.FinalRead && !conn.Busy && !conn.Pending() {
 			d.drop(conn, ReasonIdleClosed)
 		}
-	case loop.EOF, loop.Broken, loop.Leaving:
+	case loop.EOF, loop.Broken, loop.PeerShutdown:
 		end := ReasonClientLeft
-		if conn.Ended {
+		if conn.WriteClosed {
 			end = ReasonAnswered
 		}
 		d.drop(conn, end)
@@ -79,9 +79,9 @@
 // the connection's position in the eviction order and its deadline then stay unchanged.
 func (d *downstreamConns) handleData(conn *downstream.Conn, data []byte) bool {
 	conn.FinalRead = false
-	if conn.Ended || conn.DiscardBody {
+	if conn.WriteClosed || conn.DiscardBody {
 		// Data after the last answer are not a request. A client that is still sending gets more time.
-		if conn.Ended && conn.DiscardBody && d.now < conn.Since+downstream.MaxLinger {
+		if conn.WriteClosed && conn.DiscardBody && d.now < conn.IdleSince+downstream.MaxLinger {
 			d.setDeadline(conn, d.now+downstream.LingerTimeout)
 		}
 		return false
@@ -92,7 +92,7 @@
 	conn.Feed(d.now, data)
 	if conn.Upload {
 		d.setDeadline(conn, d.requestDeadline(conn))
-		d.uploads.pump(d.requests.byID[conn.Request])
+		d.uploads.pump(d.requests.byID[conn.RequestID])
 		return false
 	}
 	conn.RequestBytes += len(data)
@@ -111,7 +111,7 @@
 		remaining = downstream.RequestReadTimeout - idle
 	}
 	d.setDeadline(conn, d.now+max(remaining, 0))
-	d.emit(loop.Effect{Op: loop.Unmute, Conn: c})
+	d.emit(loop.Effect{Op: loop.ResumeReading, Conn: c})
 }
 
 // release forgets an idle connection that is passed to the successor, without closing it.
@@ -161,14 +161,14 @@
 		d.relays.flushed(r)
 		return
 	}
-	if !conn.Busy || conn.Request != 0 || conn.Ended {
+	if !conn.Busy || conn.RequestID != 0 || conn.WriteClosed {
 		return
 	}
-	conn.Busy, conn.Since = false, d.now
+	conn.Busy, conn.IdleSince = false, d.now
 	if conn.Closing {
 		// Only the sending side is closed for now: closing with unread bytes would reset the connection, and
 		// the client could lose the answer.
-		conn.Ended = true
+		conn.WriteClosed = true
 		d.resumeReading(conn)
 		d.emit(loop.Effect{Op: loop.Shutdown, Conn: conn.ID})
 		d.setDeadline(conn, d.lingerDeadline())
@@ -217,7 +217,7 @@
 		d.closeConn(conn.ID)
 	}
 	d.listener.resume()
-	if req := d.requests.byID[conn.Request]; conn.Request != 0 && req != nil && !req.done {
+	if req := d.requests.byID[conn.RequestID]; conn.RequestID != 0 && req != nil && !req.done {
 		d.requests.abandon(req)
 	}
 }
@@ -225,18 +225,18 @@
 // pauseReading stops reading from a connection. The client's close is still detected, even behind unread data,
 // because nothing may be forwarded for a client that has left.
 func (d *downstreamConns) pauseReading(conn *downstream.Conn) {
-	if !conn.Muted {
+	if !conn.ReadingPaused {
 		conn.PauseReading(d.now)
 		d.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).
 			Msg("downstream connection is read no further for now")
-		d.emit(loop.Effect{Op: loop.Mute, Conn: conn.ID, Leaving: true})
+		d.emit(loop.Effect{Op: loop.PauseReading, Conn: conn.ID, ReportShutdown: true})
 	}
 }
 
 // resumeReading reads from the connection again after pauseReading.
 func (d *downstreamConns) resumeReading(conn *downstream.Conn) {
-	if conn.Muted {
+	if conn.ReadingPaused {
 		conn.ResumeReading(d.now)
-		d.emit(loop.Effect{Op: loop.Unmute, Conn: conn.ID})
+		d.emit(loop.Effect{Op: loop.ResumeReading, Conn: conn.ID})
 	}
 }
--- a/internal/gateway/downstream_request.go
+++ b/internal/gateway/downstream_request.go
@@ -16,16 +16,16 @@
 
 // advance handles the complete requests of a connection, in order, until one is in progress.
 func (d *downstreamConns) advance(conn *downstream.Conn) {
-	for !conn.Busy && !conn.Ended {
+	for !conn.Busy && !conn.WriteClosed {
 		incoming, whole := conn.Next(d.classes.find)
 		if !whole {
 			d.awaitRequest(conn)
 			return
 		}
-		conn.Closing = conn.Closing || incoming.Closes || d.shutdown.stopping() && !d.restart.handedOver()
+		conn.Closing = conn.Closing || incoming.CloseAfter || d.shutdown.stopping() && !d.restart.handedOver()
 		d.takeRequest(conn, incoming)
 	}
-	if conn.Busy && !conn.Upload && conn.Overfull() {
+	if conn.Busy && !conn.Upload && conn.PipelineFull() {
 		d.pauseReading(conn)
 	}
 }
@@ -37,11 +37,11 @@
 	if !conn.Pending() {
 		return
 	}
-	if !conn.RequestTimed {
+	if !conn.RequestDeadlineSet {
 		if conn.HasRequested {
-			conn.RequestBegan = d.now
+			conn.RequestStart = d.now
 		}
-		conn.RequestTimed = true
+		conn.RequestDeadlineSet = true
 		d.setDeadline(conn, d.requestDeadline(conn))
 	}
 	if conn.AwaitsContinue() {
@@ -51,9 +51,9 @@
 
 // takeRequest answers a request itself or passes it to the balancer.
 func (d *downstreamConns) takeRequest(conn *downstream.Conn, incoming downstream.Incoming) {
-	conn.RequestTimed, conn.HasRequested, conn.RequestBytes = false, true, 0
+	conn.RequestDeadlineSet, conn.HasRequested, conn.RequestBytes = false, true, 0
 	// After a malformed request it is not known where its body ends and the next request begins.
-	conn.DiscardBody = incoming.Fault != nil && incoming.Closes
+	conn.DiscardBody = incoming.Fault != nil && incoming.CloseAfter
 	class := incoming.Request.Class.Name
 	switch {
 	case incoming.Fault != nil:
@@ -76,7 +76,7 @@
 		d.reply(conn, downstream.DuplicateIDResponse(keep))
 		return
 	}
-	if reason, rejected := d.rejects(conn.TimeLeft(d.now, incoming.Request.ClientTimeout)); rejected {
+	if reason, rejected := d.rejects(conn.RemainingTimeout(d.now, incoming.Request.ClientTimeout)); rejected {
 		after := d.cfg.Settings.Config.MaxRetryAfter
 		d.stats.countResult(class, resultRejected)
 		d.logRejected(incoming.Request.ID, reason, after)
@@ -93,7 +93,7 @@
 	d.clearDeadline(conn)
 	parsed := incoming.Request
 	req := d.requests.add(parsed, conn)
-	conn.Busy, conn.Request = true, req.id
+	conn.Busy, conn.RequestID = true, req.id
 	conn.Requests++
 	d.logRequestAccepted(req)
 	if incoming.Large {
@@ -148,7 +148,7 @@
 // writeFinal writes an answer and sets the deadline by which the client must have read it. Without a deadline a
 // client that never reads would keep its connection open, and the process from exiting, forever.
 func (d *downstreamConns) writeFinal(conn *downstream.Conn, data []byte) {
-	conn.Request = 0
+	conn.RequestID = 0
 	d.setDeadline(conn, d.now+downstream.ResponseWriteTimeout)
 	d.write(conn.ID, data)
 }
--- a/internal/gateway/downstream_timeouts.go
+++ b/internal/gateway/downstream_timeouts.go
@@ -11,7 +11,7 @@
 func (d *downstreamConns) timerDue(c loop.Conn) {
 	conn := d.conns.ByConn[c]
 	if conn != nil {
-		conn.Timer = 0
+		conn.TimerAt = 0
 		defer func() {
 			if d.conns.ByConn[c] == conn {
 				d.conns.Requeue(conn)
@@ -21,11 +21,11 @@
 	}
 	switch {
 	case conn == nil:
-	case conn.Ended:
+	case conn.WriteClosed:
 		d.drop(conn, ReasonAnswered)
 	case d.relays.byConn[c] != nil && !d.relays.byConn[c].writing:
 		d.setDeadline(conn, d.now+downstream.ResponseWriteTimeout) // the client has read all that was written
-	case conn.Busy && conn.Request == 0:
+	case conn.Busy && conn.RequestID == 0:
 		d.drop(conn, ReasonClientTimeout)
 	case conn.Upload && !conn.Incomplete():
 		d.setDeadline(conn, d.now+downstream.StreamReadTimeout) // the endpoint is awaited, not the client
@@ -33,7 +33,7 @@
 		d.setDeadline(conn, d.requestDeadline(conn))
 	case conn.Upload:
 		d.logIncomplete(conn)
-		d.uploads.abort(d.requests.byID[conn.Request], conn, downstream.TimeoutResponse())
+		d.uploads.abort(d.requests.byID[conn.RequestID], conn, downstream.TimeoutResponse())
 	case conn.Busy:
 	case conn.Pending() && d.now < d.requestDeadline(conn):
 		d.setDeadline(conn, d.requestDeadline(conn))
@@ -42,10 +42,10 @@
 		d.logIncomplete(conn)
 		d.reply(conn, downstream.TimeoutResponse())
 	case conn.Requests == 1 && !d.shutdown.closing() && !(d.conns.OverReuseLimit() && d.restart.isOnlyProcess()) &&
-		d.now < conn.Since+downstream.IdleTimeout:
+		d.now < conn.IdleSince+downstream.IdleTimeout:
 		// It got SingleUseIdleTimeout because there were many connections. Now there are fewer, or an upgrade
 		// has begun.
-		d.setDeadline(conn, conn.Since+downstream.IdleTimeout)
+		d.setDeadline(conn, conn.IdleSince+downstream.IdleTimeout)
 	default:
 		d.readThenClose(conn)
 	}
@@ -57,20 +57,20 @@
 	if conn.Incomplete() {
 		at = d.invariants.LimitWait(at, lastProgress(conn), downstream.ErrorDeadline)
 	}
-	conn.Timer = at
+	conn.TimerAt = at
 	d.setTimer(timerDownstream, uint64(conn.ID), at)
 }
 
 // lastProgress returns the time from which the deadline for an error or a close counts for a client that has
 // stopped sending.
 func lastProgress(conn *downstream.Conn) time.Duration {
-	return max(conn.LastReceived(), conn.RequestBegan)
+	return max(conn.LastReceived(), conn.RequestStart)
 }
 
 // clearDeadline removes the deadline of a connection: the end of its request alone determines what happens
 // next.
 func (d *downstreamConns) clearDeadline(conn *downstream.Conn) {
-	conn.Timer = 0
+	conn.TimerAt = 0
 	d.stopTimer(timerDownstream, uint64(conn.ID))
 }
 
@@ -78,14 +78,14 @@
 // partly received request must have a deadline that is early enough. A final read is answered in the same round
 // of events.
 func (d *downstreamConns) checkDeadline(conn *downstream.Conn) {
-	request := conn.Busy && conn.Request != 0 || conn.FinalRead
-	if !d.invariants.CheckDeadline(conn.Timer != 0, request) {
+	request := conn.Busy && conn.RequestID != 0 || conn.FinalRead
+	if !d.invariants.CheckDeadline(conn.TimerAt != 0, request) {
 		d.setDeadline(conn, d.now+downstream.RequestReadTimeout)
 	}
-	if conn.Timer == 0 || !conn.Incomplete() {
+	if conn.TimerAt == 0 || !conn.Incomplete() {
 		return
 	}
-	if at := d.invariants.LimitWait(conn.Timer, lastProgress(conn), downstream.ErrorDeadline); at < conn.Timer {
+	if at := d.invariants.LimitWait(conn.TimerAt, lastProgress(conn), downstream.ErrorDeadline); at < conn.TimerAt {
 		d.setDeadline(conn, at)
 	}
 }
@@ -93,8 +93,8 @@
 // checkClose checks a connection that is about to be closed. If a request still waits for its answer on it, a
 // failure response is written first.
 func (d *downstreamConns) checkClose(conn *downstream.Conn, end TerminationReason) {
-	req := d.requests.byID[conn.Request]
-	if end == ReasonClientLeft || !conn.Busy || conn.Request == 0 || req == nil {
+	req := d.requests.byID[conn.RequestID]
+	if end == ReasonClientLeft || !conn.Busy || conn.RequestID == 0 || req == nil {
 		return
 	}
 	if !d.invariants.AllowClose(&req.invariants) {
--- a/internal/gateway/eviction.go
+++ b/internal/gateway/eviction.go
@@ -17,7 +17,7 @@
 		switch {
 		case conn == nil:
 			return available
-		case conn.Ended:
+		case conn.WriteClosed:
 			d.drop(conn, ReasonAnswered)
 		case conn.Pending():
 			// All received data have been read, so the close does not lose the answer.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -132,11 +132,11 @@
 		g.shutdown.begin()
 	case loop.Reload:
 		g.reload.begin()
-	case loop.File:
+	case loop.FileRead:
 		g.reload.fileRead(e)
 	case loop.TimerDue:
 		g.timerDue(e.Timer)
-	case loop.Turn:
+	case loop.TurnEnd:
 		if g.dispatchNeeded {
 			g.dispatchNeeded = false
 			g.assignment.grantTokens()
@@ -147,9 +147,9 @@
 	}
 	g.attempts.reportEnds()
 	g.discovery.reportLoss()
-	if e.Kind == loop.Turn {
+	if e.Kind == loop.TurnEnd {
 		if g.dispatchNeeded {
-			g.emit(loop.Effect{Op: loop.Again})
+			g.emit(loop.Effect{Op: loop.RequestTurn})
 		}
 		g.restart.passIdleConns()
 		g.shutdown.exitIfDone()
@@ -162,7 +162,7 @@
 	b, err := balancer.New(g.cfg.Settings.Config, g.cfg.Seed, g.now, g.actions)
 	if err != nil {
 		g.log.Error().Err(err).Msg("settings rejected by the balancer")
-		g.emit(loop.Effect{Op: loop.Exit, Failed: err})
+		g.emit(loop.Effect{Op: loop.Exit, ExitError: err})
 		return
 	}
 	g.balancer = b
@@ -188,7 +188,7 @@
 		g.restart.losePredecessor(e.Err.Error())
 	case (e.Conn == loop.Listener || e.Conn == loop.Admin) && e.Kind == loop.Broken:
 		g.log.Error().Err(e.Err).Msg("listen")
-		g.emit(loop.Effect{Op: loop.Exit, Failed: e.Err})
+		g.emit(loop.Effect{Op: loop.Exit, ExitError: e.Err})
 	case e.Conn == loop.Listener:
 		g.listener.handleEvent(e)
 	case e.Conn == loop.Admin:
@@ -208,7 +208,7 @@
 
 // accepted routes a new connection to the machine that owns the listener that accepted it.
 func (g *Gateway) accepted(e loop.Event) {
-	switch e.Via {
+	switch e.AcceptedBy {
 	case loop.Admin:
 		g.admin.accepted(e.Conn)
 	case loop.HotRestart:
--- a/internal/gateway/hotrestart.go
+++ b/internal/gateway/hotrestart.go
@@ -38,7 +38,7 @@
 
 // send sends a message, and passes the given sockets with it.
 func (h *hotRestart) send(conn *hotrestart.Conn, m hotrestart.Message, sockets []loop.Conn) {
-	m.Passed = len(sockets)
+	m.DescriptorsPassed = len(sockets)
 	data, err := m.Encode()
 	if err != nil {
 		h.log.Error().Err(err).Msg("hot restart")
@@ -49,9 +49,9 @@
 	}
 	op := loop.Write
 	if len(sockets) > 0 {
-		op = loop.Pass
+		op = loop.PassSockets
 	}
-	h.emit(loop.Effect{Op: op, Conn: conn.ID, Data: data, Give: sockets})
+	h.emit(loop.Effect{Op: op, Conn: conn.ID, Data: data, PassConns: sockets})
 }
 
 // receive handles an event on the connection to the other process. It calls handle for each message, and lose
@@ -63,7 +63,7 @@
 	case loop.Readable:
 		h.emit(loop.Effect{Op: loop.Read, Conn: e.Conn})
 	case loop.Data:
-		(*conn).Feed(e.Data, e.Passed)
+		(*conn).Feed(e.Data, e.PassedConns)
 		for *conn != nil {
 			m, complete, err := (*conn).Next()
 			if err != nil {
--- a/internal/gateway/hotrestart_predecessor.go
+++ b/internal/gateway/hotrestart_predecessor.go
@@ -15,7 +15,7 @@
 func (h *hotRestart) listenerEvent(e loop.Event) {
 	switch e.Kind {
 	case loop.Readable:
-		h.emit(loop.Effect{Op: loop.Accept, Conn: loop.HotRestart, Most: 1})
+		h.emit(loop.Effect{Op: loop.Accept, Conn: loop.HotRestart, MaxAccepts: 1})
 	case loop.AcceptFailed:
 		h.log.Warn().Err(e.Err).Msg("accept of the successor")
 		h.pauseListener(e.Conn)
@@ -45,7 +45,7 @@
 	switch m.Kind {
 	case hotrestart.Hello:
 		h.passState(m.Listen)
-	case hotrestart.Taking:
+	case hotrestart.Accepting:
 		if h.handover != listenerPassed {
 			h.loseSuccessor("it takes over without having received the listener")
 			return
@@ -73,10 +73,10 @@
 	h.handover = listenerPassed
 	h.resize()
 	state := hotrestart.Message{
-		Kind:        hotrestart.State,
-		List:        h.discovery.endpoints.Encode(),
-		Balancer:    &learned,
-		Descriptors: h.descriptors(),
+		Kind:            hotrestart.State,
+		List:            h.discovery.endpoints.Encode(),
+		Balancer:        &learned,
+		DescriptorsHeld: h.descriptors(),
 	}
 	if h.cluster.membership != nil {
 		state.ClusterStartID, state.ClusterIncarnation = h.cluster.membership.Identity()
@@ -91,7 +91,7 @@
 	h.handover, h.idlePending = successorServes, true
 	h.cluster.quit(false)
 	h.closeConn(loop.HotRestart)
-	h.emit(loop.Effect{Op: loop.Mute, Conn: loop.Listener})
+	h.emit(loop.Effect{Op: loop.PauseReading, Conn: loop.Listener})
 	h.balancer.YieldSlowStart(h.now, true)
 	h.resize()
 	if h.shutdown.stopping() {
@@ -109,7 +109,7 @@
 	h.idlePending = false
 	var idle []hotrestart.IdleConn
 	for _, conn := range h.downstream.conns.InOrder() {
-		if conn.Busy || conn.Ended || conn.Muted || conn.FinalRead || conn.Pending() {
+		if conn.Busy || conn.WriteClosed || conn.ReadingPaused || conn.FinalRead || conn.Pending() {
 			continue
 		}
 		if len(idle) == hotrestart.MaxBatch {
@@ -119,7 +119,7 @@
 		idle = append(idle, hotrestart.IdleConn{
 			HasRequested: conn.HasRequested,
 			Requests:     conn.Requests,
-			IdleMS:       (h.now - conn.Since).Milliseconds(),
+			IdleMS:       (h.now - conn.IdleSince).Milliseconds(),
 		})
 		h.unacknowledged = append(h.unacknowledged, conn.ID)
 		h.downstream.release(conn)
@@ -128,7 +128,7 @@
 	if needed := h.descriptors(); len(idle) > 0 || needed != h.reportedDescriptors {
 		h.reportedDescriptors = needed
 		h.setTimer(timerSuccessor, 0, h.now+hotrestart.TakeoverTimeout)
-		pass := hotrestart.Message{Kind: hotrestart.PassConns, Idle: idle, Descriptors: needed}
+		pass := hotrestart.Message{Kind: hotrestart.PassConns, Idle: idle, DescriptorsHeld: needed}
 		h.send(h.successor, pass, h.unacknowledged)
 	}
 }
@@ -156,7 +156,7 @@
 		return
 	}
 	if h.listener.phase != acceptPaused {
-		h.emit(loop.Effect{Op: loop.Unmute, Conn: loop.Listener})
+		h.emit(loop.Effect{Op: loop.ResumeReading, Conn: loop.Listener})
 	}
 	h.offer()
 }
--- a/internal/gateway/hotrestart_successor.go
+++ b/internal/gateway/hotrestart_successor.go
@@ -33,12 +33,12 @@
 	case hotrestart.State:
 		h.stopTimer(timerPredecessor, 0)
 		h.inherit(m)
-		h.emit(loop.Effect{Op: loop.Adopt, Conn: m.Conns[0], As: loop.Listener})
+		h.emit(loop.Effect{Op: loop.AdoptListener, Conn: m.Conns[0], AdoptAs: loop.Listener})
 	case hotrestart.PassConns:
 		for i, c := range m.Conns {
 			h.downstream.adopt(c, m.Idle[i])
 		}
-		h.predecessorDescriptors = m.Descriptors
+		h.predecessorDescriptors = m.DescriptorsHeld
 		h.resize()
 		h.send(h.predecessor, hotrestart.Message{Kind: hotrestart.Acknowledge}, nil)
 	default:
@@ -57,7 +57,7 @@
 	}
 	h.dispatchNeeded = true
 	h.cluster.inherit(m.ClusterStartID, m.ClusterIncarnation)
-	h.predecessorDescriptors = m.Descriptors
+	h.predecessorDescriptors = m.DescriptorsHeld
 	h.resize()
 }
 
@@ -81,7 +81,7 @@
 	h.log.Info().Str(fieldDetail, detail).Bool(fieldAccepting, h.listener.phase != notListening).
 		Msg("no predecessor")
 	h.stopTimer(timerPredecessor, 0)
-	for _, c := range h.predecessor.Unclaimed() {
+	for _, c := range h.predecessor.UnclaimedConns() {
 		h.closeConn(c)
 	}
 	h.closeConn(h.predecessor.ID)
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -28,7 +28,7 @@
 // and those that they may still open before the other process is notified of a new division.
 func (h *hotRestart) descriptors() int {
 	downstreamNeed := max(len(h.downstream.conns.ByConn), h.downstream.conns.Max)
-	return ownDescriptors + downstreamNeed + h.attempts.pool.Max() + h.predecessorDescriptors
+	return ownDescriptors + downstreamNeed + h.attempts.pool.MaxOfLimitAndLen() + h.predecessorDescriptors
 }
 
 // resize divides the limits between the two processes of an upgrade: each has half until the successor serves;
@@ -48,7 +48,7 @@
 	}
 	if int64(heap) != h.heapBytes {
 		h.heapBytes = int64(heap)
-		h.emit(loop.Effect{Op: loop.Heap, Bytes: h.heapBytes})
+		h.emit(loop.Effect{Op: loop.SetMemoryLimit, Bytes: h.heapBytes})
 	}
 }
 
@@ -76,7 +76,7 @@
 func (h *hotRestart) shrink() {
 	open := len(h.downstream.conns.ByConn)
 	h.downstream.limit(open, h.downstream.conns.ReuseLimit)
-	h.attempts.pool.Resize(min(h.attempts.pool.Budget(), open+spareUpstreamConns))
+	h.attempts.pool.Resize(min(h.attempts.pool.Limit(), open+spareUpstreamConns))
 }
 
 // closeSurplus closes idle upstream connections beyond the budget, whose descriptors belong to the other
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -40,7 +40,7 @@
 			return // the event arose before accepting was stopped
 		}
 		ln.accept()
-	case loop.Drained:
+	case loop.WouldBlock:
 		if ln.shutdown.closing() {
 			ln.shutdown.endListener()
 		}
@@ -61,14 +61,14 @@
 		ln.pause()
 		return
 	}
-	ln.emit(loop.Effect{Op: loop.Accept, Conn: loop.Listener, Most: available})
+	ln.emit(loop.Effect{Op: loop.Accept, Conn: loop.Listener, MaxAccepts: available})
 }
 
 // pause stops accepting, so that the loop does not spin while connections wait that cannot be accepted.
 func (ln *listener) pause() {
 	if ln.phase != acceptPaused && ln.shutdown.phase != phaseDrained {
 		ln.phase = acceptPaused
-		ln.emit(loop.Effect{Op: loop.Mute, Conn: loop.Listener})
+		ln.emit(loop.Effect{Op: loop.PauseReading, Conn: loop.Listener})
 		ln.setTimer(timerAccept, 0, ln.now+acceptPauseDuration)
 	}
 }
@@ -79,7 +79,7 @@
 		ln.phase = accepting
 		ln.stopTimer(timerAccept, 0)
 		if !ln.restart.handedOver() {
-			ln.emit(loop.Effect{Op: loop.Unmute, Conn: loop.Listener})
+			ln.emit(loop.Effect{Op: loop.ResumeReading, Conn: loop.Listener})
 		}
 	}
 }
@@ -96,7 +96,7 @@
 	ln.log.Info().Stringer(fieldListen, ln.cfg.Listen).Bool(fieldHandedOver, ln.restart.predecessor != nil).
 		Msg("taking clients")
 	if ln.restart.predecessor != nil {
-		ln.restart.send(ln.restart.predecessor, hotrestart.Message{Kind: hotrestart.Taking}, nil)
+		ln.restart.send(ln.restart.predecessor, hotrestart.Message{Kind: hotrestart.Accepting}, nil)
 	}
 	ln.cluster.join()
 	ln.restart.offer()
--- a/internal/gateway/logging.go
+++ b/internal/gateway/logging.go
@@ -22,7 +22,7 @@
 func (c *core) logFirstByte(conn *downstream.Conn, bytes int) {
 	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Int(fieldBytes, bytes).
 		Int(fieldRequestsBefore, conn.Requests).
-		Dur(fieldAge, c.now-conn.Accepted).Msg("request begins to come")
+		Dur(fieldAge, c.now-conn.AcceptedAt).Msg("request begins to come")
 }
 
 // logRequestAccepted logs that a request is passed to the balancer.
@@ -73,7 +73,7 @@
 func (c *core) logIncomplete(conn *downstream.Conn) {
 	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Int(fieldBytes, conn.RequestBytes).
 		Int(fieldRequestsBefore, conn.Requests).
-		Dur(fieldAfter, c.now-conn.RequestBegan).Dur(fieldSilent, conn.IdleFor(c.now)).
+		Dur(fieldAfter, c.now-conn.RequestStart).Dur(fieldSilent, conn.IdleFor(c.now)).
 		Msg("request not complete in time")
 }
 
@@ -90,6 +90,6 @@
 	c.stats.countEnd(end)
 	c.log.Debug().Uint64(fieldDownstreamConn, uint64(conn.ID)).Stringer(fieldEnd, end).
 		Int(fieldRequests, conn.Requests).Bool(fieldPartlyRead, conn.Pending()).
-		Bool(fieldWaiting, conn.Busy).Dur(fieldAge, c.now-conn.Accepted).
+		Bool(fieldWaiting, conn.Busy).Dur(fieldAge, c.now-conn.AcceptedAt).
 		Dur(fieldSilent, conn.IdleFor(c.now)).Msg("downstream connection ended")
 }
--- a/internal/gateway/logging_test.go
+++ b/internal/gateway/logging_test.go
@@ -20,7 +20,7 @@
 	r.establish(endpoint)
 	r.respond(endpoint, "500 Bad")
 	r.endRound()
-	r.step(loop.Event{Kind: loop.Accepted, Conn: r.lastClient + 1, Via: loop.Listener})
+	r.step(loop.Event{Kind: loop.Accepted, Conn: r.lastClient + 1, AcceptedBy: loop.Listener})
 	r.step(loop.Event{Kind: loop.Data, Conn: r.lastClient + 1, Data: []byte("GET /vi")})
 	r.step(loop.Event{Kind: loop.EOF, Conn: r.lastClient + 1})
 	for _, want := range []string{`"message":"downstream connection accepted"`,
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -60,8 +60,8 @@
 		return
 	}
 	reusable := resp.KeepAlive && conn.Phase == upstream.Awaiting
-	length := conn.Begin()
-	chunked := length < 0 && req.Message.Minor > 0
+	length := conn.BeginStream()
+	chunked := length < 0 && req.Message.MinorVersion > 0
 	keep := t.downstream.finishRequest(client)
 	if length < 0 && !chunked { // HTTP/1.0 has no chunks: the close of the connection ends the body
 		keep, client.Closing = false, true
@@ -73,10 +73,10 @@
 	t.byConn[client.ID], t.byConn[conn.ID] = r, r
 	t.attempts.unbind(att)
 	conn.Phase = upstream.Relaying
-	req.done, req.client, client.Request = true, 0, 0
+	req.done, req.client, client.RequestID = true, 0, 0
 	t.attempts.end(att, ReasonServed, resp)
 	t.requests.release(req)
-	t.write(client.ID, http1.AppendResponseHead(nil, 200, resp.Forwarded(), length, req.Message.Minor, keep))
+	t.write(client.ID, http1.AppendResponseHead(nil, 200, resp.ForwardedFields(), length, req.Message.MinorVersion, keep))
 	r.writing = true
 	t.downstream.setDeadline(client, t.now+downstream.ResponseWriteTimeout)
 	t.setTimer(timerUpstream, uint64(conn.ID), t.now+relayReadTimeout)
@@ -90,16 +90,16 @@
 	}
 	switch e.Kind {
 	case loop.Readable:
-		// An event on a paused connection means that it is broken: see loop.Mute.
+		// An event on a paused connection means that it is broken: see loop.PauseReading.
 		if r.writing && !r.paused && !t.mayReadAhead(r) {
 			r.paused = true
-			t.emit(loop.Effect{Op: loop.Mute, Conn: e.Conn})
+			t.emit(loop.Effect{Op: loop.PauseReading, Conn: e.Conn})
 			return
 		}
 		t.emit(loop.Effect{Op: loop.Read, Conn: e.Conn})
 	case loop.Data:
 		r.received += len(e.Data)
-		r.upstream.Take(e.Data)
+		r.upstream.FeedStream(e.Data)
 		r.buffered += len(e.Data)
 		t.buffered += len(e.Data)
 		t.setTimer(timerUpstream, uint64(e.Conn), t.now+relayReadTimeout)
@@ -141,7 +141,7 @@
 	if r.writing || r.complete {
 		return
 	}
-	piece, done, err := r.upstream.Pieces()
+	piece, done, err := r.upstream.ReadStream()
 	t.releaseBuffer(r)
 	if err != nil {
 		t.log.Debug().Err(err).Msg("response of an endpoint")
@@ -179,7 +179,7 @@
 	if !r.complete {
 		if t.pump(r); r.paused && (!r.writing || t.mayReadAhead(r)) && t.byConn[r.upstream.ID] == r {
 			r.paused = false
-			t.emit(loop.Effect{Op: loop.Unmute, Conn: r.upstream.ID})
+			t.emit(loop.Effect{Op: loop.ResumeReading, Conn: r.upstream.ID})
 		}
 		return
 	}
@@ -190,9 +190,9 @@
 		return
 	}
 	if r.paused {
-		t.emit(loop.Effect{Op: loop.Unmute, Conn: conn.ID})
+		t.emit(loop.Effect{Op: loop.ResumeReading, Conn: conn.ID})
 	}
-	if r.reusable && conn.Clean() && t.attempts.mayKeepIdle(conn) {
+	if r.reusable && conn.NoExtraBytes() && t.attempts.mayKeepIdle(conn) {
 		t.attempts.keepIdle(conn)
 	} else {
 		t.attempts.dropConn(conn, ReasonServed)
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -36,7 +36,7 @@
 // add registers a request, with the rules of its class at this time.
 func (t *requestTable) add(parsed downstream.Request, conn *downstream.Conn) *request {
 	t.nextID++
-	deadline := t.now + conn.TimeLeft(t.now, parsed.ClientTimeout)
+	deadline := t.now + conn.RemainingTimeout(t.now, parsed.ClientTimeout)
 	class := parsed.Class.Class
 	req := &request{
 		Request: parsed, id: t.nextID, client: conn.ID, deadline: deadline,
@@ -103,7 +103,7 @@
 // timeLeft returns the time remaining until the client's timeout, for a request with a large body.
 func (t *requestTable) timeLeft(req *request) time.Duration {
 	if conn := t.downstream.conns.ByConn[req.client]; conn != nil {
-		return conn.TimeLeft(t.now, req.ClientTimeout)
+		return conn.RemainingTimeout(t.now, req.ClientTimeout)
 	}
 	return req.deadline - t.now
 }
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -78,13 +78,13 @@
 			delete(r.timers, effect.Timer)
 		case loop.Close:
 			r.closed[effect.Conn] = true
-		case loop.Write, loop.WriteQuiet:
+		case loop.Write, loop.WriteIfIdle:
 			r.written[effect.Conn] = append(r.written[effect.Conn], effect.Data...)
 		}
 	}
 }
 
-func (r *rig) endRound() { r.step(loop.Event{Kind: loop.Turn}) }
+func (r *rig) endRound() { r.step(loop.Event{Kind: loop.TurnEnd}) }
 
 // lastDialled returns the most recent connection that was dialled to an address and is not closed, or 0.
 func (r *rig) lastDialled(addr string) (last loop.Conn) {
@@ -142,7 +142,7 @@
 	text := fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: h\r\n"+
 		"X-Trace-Id: %016x\r\nX-Qos: %s\r\nX-Expires-In: 2000m\r\n%s\r\n%s",
 		method, class, r.sentRequests, class, body, strings.Repeat("x", part))
-	r.step(loop.Event{Kind: loop.Accepted, Conn: r.lastClient, Via: loop.Listener})
+	r.step(loop.Event{Kind: loop.Accepted, Conn: r.lastClient, AcceptedBy: loop.Listener})
 	r.step(loop.Event{Kind: loop.Data, Conn: r.lastClient, Data: []byte(text)})
 }
 
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -36,7 +36,7 @@
 			client := loop.Conn(1<<63 + 50)
 			text := fmt.Sprintf("GET /view HTTP/1.1\r\nHost: h\r\n"+
 				"X-Trace-Id: a\r\nX-Qos: view\r\nX-Expires-In: %dm\r\n\r\n", c.timeout.Milliseconds())
-			r.step(loop.Event{Kind: loop.Accepted, Conn: client, Via: loop.Listener})
+			r.step(loop.Event{Kind: loop.Accepted, Conn: client, AcceptedBy: loop.Listener})
 			r.step(loop.Event{Kind: loop.Data, Conn: client, Data: []byte(text[:30])})
 			r.step(loop.Event{Kind: loop.Stop})
 			r.advance(c.after)
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -51,7 +51,7 @@
 	case timerCluster:
 		g.cluster.timerDue()
 	case timerListenerPause:
-		g.emit(loop.Effect{Op: loop.Unmute, Conn: loop.Conn(t.ID)})
+		g.emit(loop.Effect{Op: loop.ResumeReading, Conn: loop.Conn(t.ID)})
 	case timerAccept:
 		g.listener.resume()
 	case timerStop:
--- a/internal/gateway/upload.go
+++ b/internal/gateway/upload.go
@@ -36,14 +36,14 @@
 // more data arrive before that, reading is paused; until then a client that has stopped sending can be told
 // from one that waits.
 func (u *uploads) begin(req *request, conn *downstream.Conn) {
-	req.upload = &upload{length: conn.Begin()}
+	req.upload = &upload{length: conn.BeginStream()}
 	u.downstream.setDeadline(conn, u.downstream.requestDeadline(conn))
 }
 
 // readable reads more of a body only while all received data have been written out, so that the client sends at
 // the endpoint's pace.
 func (u *uploads) readable(conn *downstream.Conn) {
-	if req := u.requests.byID[conn.Request]; !conn.Muted && (req.upload.attempt == nil || req.upload.writing) {
+	if req := u.requests.byID[conn.RequestID]; !conn.ReadingPaused && (req.upload.attempt == nil || req.upload.writing) {
 		u.downstream.pauseReading(conn)
 		return
 	}
@@ -56,7 +56,7 @@
 	if up.attempt == nil || up.writing || up.complete || conn == nil {
 		return
 	}
-	piece, done, fault := conn.Pieces()
+	piece, done, fault := conn.ReadStream()
 	if fault != nil {
 		u.abort(req, conn, downstream.FaultResponse(fault, false))
 		return
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -71,7 +71,7 @@
 		return
 	}
 	switch {
-	case conn.Phase == upstream.Connecting && e.Local:
+	case conn.Phase == upstream.Connecting && e.LocalFailure:
 		a.end(att, ReasonLocalResources, nil)
 	case conn.Phase == upstream.Connecting:
 		a.end(att, ReasonConnectFailed, nil)
@@ -79,7 +79,7 @@
 		a.end(att, ReasonResetBeforeSent, nil)
 	default:
 		if e.Kind == loop.EOF {
-			if resp := conn.End(); resp != nil {
+			if resp := conn.EndOfInput(); resp != nil {
 				a.responded(att, resp)
 				return
 			}
@@ -107,7 +107,7 @@
 		a.requests.conclude(req, resultServed)
 		if client := a.downstream.conns.ByConn[req.client]; client != nil {
 			keep := a.downstream.finishRequest(client)
-			a.downstream.answer(req, client, downstream.ServedResponse(resp.Forwarded(), resp.Body, keep))
+			a.downstream.answer(req, client, downstream.ServedResponse(resp.ForwardedFields(), resp.Body, keep))
 		}
 	}
 	a.end(att, end, resp)
@@ -115,7 +115,7 @@
 
 // mayKeepIdle reports whether a connection may stay open for the next request to its endpoint.
 func (a *attemptTable) mayKeepIdle(conn *upstream.Conn) bool {
-	return a.discovery.isReady(conn.Endpoint) && !a.shutdown.stopping() && !a.pool.Over()
+	return a.discovery.isReady(conn.Endpoint) && !a.shutdown.stopping() && !a.pool.OverLimit()
 }
 
 // keepIdle keeps a connection open for the next request, until shortly before its endpoint would close it.
--- a/internal/hotrestart/conn.go
+++ b/internal/hotrestart/conn.go
@@ -40,18 +40,18 @@
 	}
 	switch {
 	case m.Version != Version:
-		return m, false, &VersionError{Theirs: m.Version}
-	case m.Passed < 0 || m.Passed > len(c.unclaimed) || m.Passed != m.descriptorsNeeded():
+		return m, false, &VersionError{PeerVersion: m.Version}
+	case m.DescriptorsPassed < 0 || m.DescriptorsPassed > len(c.unclaimed) || m.DescriptorsPassed != m.descriptorsNeeded():
 		return m, false, fmt.Errorf("hand-over message %q states %d descriptors, %d were received",
-			m.Kind, m.Passed, len(c.unclaimed))
+			m.Kind, m.DescriptorsPassed, len(c.unclaimed))
 	}
-	m.Conns, c.unclaimed = c.unclaimed[:m.Passed:m.Passed], c.unclaimed[m.Passed:]
+	m.Conns, c.unclaimed = c.unclaimed[:m.DescriptorsPassed:m.DescriptorsPassed], c.unclaimed[m.DescriptorsPassed:]
 	c.received = append([]byte(nil), c.received[lengthPrefix+size:]...)
 	return m, true, nil
 }
 
-// Unclaimed returns the sockets that belong to no decoded message. The caller closes them together with the connection.
-func (c *Conn) Unclaimed() []loop.Conn { return c.unclaimed }
+// UnclaimedConns returns the sockets that belong to no decoded message. The caller closes them together with the connection.
+func (c *Conn) UnclaimedConns() []loop.Conn { return c.unclaimed }
 
 // Limits of the communication between predecessor and successor.
 const (
--- a/internal/hotrestart/errors.go
+++ b/internal/hotrestart/errors.go
@@ -14,10 +14,10 @@
 
 // VersionError is returned for a message from a process that uses another version of the protocol.
 type VersionError struct {
-	Theirs int // the version of the other process
+	PeerVersion int // the version of the other process
 }
 
 // Error implements error.
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("the other process uses hand-over version %d, this process version %d", e.Theirs, Version)
+	return fmt.Sprintf("the other process uses hand-over version %d, this process version %d", e.PeerVersion, Version)
 }
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -22,9 +22,9 @@
 
 // The kinds of messages.
 const (
-	Hello  Kind = "hello"  // from the successor: it requests a hot restart
-	State  Kind = "state"  // from the predecessor: its state, with the listening socket
-	Taking Kind = "taking" // from the successor: it now accepts clients
+	Hello     Kind = "hello"  // from the successor: it requests a hot restart
+	State     Kind = "state"  // from the predecessor: its state, with the listening socket
+	Accepting Kind = "taking" // from the successor: it now accepts clients
 	// PassConns is from the predecessor: it passes any number of idle downstream connections and states how many
 	// descriptors it still needs.
 	PassConns   Kind = "links"
@@ -34,19 +34,19 @@
 
 // Message is a message from either process.
 type Message struct {
-	Version     int             `json:"version"`
-	Kind        Kind            `json:"kind"`
-	Listen      string          `json:"listen,omitempty"`  // for Hello: the address at which clients connect
-	Reason      string          `json:"reason,omitempty"`  // for Decline
-	List        json.RawMessage `json:"list,omitempty"`    // for State: the endpoint list in the format of discovery
-	Balancer    *balancer.State `json:"learned,omitempty"` // for State: the state of the balancer
-	Descriptors int             `json:"holds,omitempty"`   // the number of descriptors that the predecessor still needs
-	Idle        []IdleConn      `json:"links,omitempty"`   // for PassConns: the connections passed
+	Version         int             `json:"version"`
+	Kind            Kind            `json:"kind"`
+	Listen          string          `json:"listen,omitempty"`  // for Hello: the address at which clients connect
+	Reason          string          `json:"reason,omitempty"`  // for Decline
+	List            json.RawMessage `json:"list,omitempty"`    // for State: the endpoint list in the format of discovery
+	Balancer        *balancer.State `json:"learned,omitempty"` // for State: the state of the balancer
+	DescriptorsHeld int             `json:"holds,omitempty"`   // the number of descriptors that the predecessor still needs
+	Idle            []IdleConn      `json:"links,omitempty"`   // for PassConns: the connections passed
 	// For State: the start id and the incarnation with which the successor continues in the cluster; both are 0 if this
 	// process is in no cluster.
 	ClusterStartID     uint64      `json:"fleet_start,omitempty"`
 	ClusterIncarnation uint64      `json:"fleet_incarnation,omitempty"`
-	Passed             int         `json:"passed,omitempty"` // the number of descriptors passed with this message
+	DescriptorsPassed  int         `json:"passed,omitempty"` // the number of descriptors passed with this message
 	Conns              []loop.Conn `json:"-"`                // the sockets received with this message
 }
 
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -36,7 +36,7 @@
 	switch {
 	case lengths > 1, lengths > 0 && codings > 0:
 		return b, badRequest("the body's length is stated twice")
-	case codings > 0 && h.Minor == 0:
+	case codings > 0 && h.MinorVersion == 0:
 		return b, badRequest("HTTP/1.0 has no transfer codings")
 	case response && (h.Status < 200 || h.Status == 204 || h.Status == 304):
 		b.done = true
--- a/internal/http1/cut_test.go
+++ b/internal/http1/cut_test.go
@@ -22,7 +22,7 @@
 		stream = stream[size:]
 		for {
 			if streamed {
-				_, piece, done, fault := r.Pieces()
+				_, piece, done, fault := r.ReadStream()
 				body.Write(piece)
 				if fault != nil {
 					return out.String() + fault.Text
@@ -40,7 +40,7 @@
 			}
 			if m != nil {
 				kind := "small"
-				if len(m.Body) > MaxHeld {
+				if len(m.Body) > MaxBufferedBody {
 					kind = "large"
 				}
 				fmt.Fprintf(&out, "%s %s %d %v %s %d %x;", kind, m.Target, m.Status, m.KeepAlive, m.Method,
@@ -50,11 +50,11 @@
 			if r.Large() == nil {
 				break
 			}
-			r.Begin()
+			r.BeginStream()
 			streamed = true
 		}
 	}
-	if m := r.End(); m != nil {
+	if m := r.EndOfInput(); m != nil {
 		fmt.Fprintf(&out, "end %d;", len(m.Body)+body.Len())
 	}
 	return out.String()
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -9,10 +9,10 @@
 
 // Limits of a message, in bytes where not stated otherwise.
 const (
-	MaxHead   = 16 << 10 // size of a head
-	MaxHeld   = 64 << 10 // size of a body that is buffered whole; a larger body is streamed
-	MaxBody   = 32 << 20 // size of a body, unless Reader.Stream is set
-	maxFields = 100      // number of header fields
+	MaxHead         = 16 << 10 // size of a head
+	MaxBufferedBody = 64 << 10 // size of a body that is buffered whole; a larger body is streamed
+	MaxBody         = 32 << 20 // size of a body, unless Reader.Stream is set
+	maxFields       = 100      // number of header fields
 )
 
 // Fault is the error of a malformed or oversized message.
@@ -35,7 +35,7 @@
 	Status         int
 	Fields         []Field
 	KeepAlive      bool   // the peer keeps the connection open after the message
-	Minor          int    // the minor version: 0 for HTTP/1.0, 1 for HTTP/1.1
+	MinorVersion   int    // the minor version: 0 for HTTP/1.0, 1 for HTTP/1.1
 	authority      string // the authority of a target in the absolute form, otherwise empty
 }
 
@@ -65,9 +65,9 @@
 	return false
 }
 
-// Hop reports whether a field is hop-by-hop: it applies only to the connection on which it was received and must not be
+// IsHopByHop reports whether a field is hop-by-hop: it applies only to the connection on which it was received and must not be
 // forwarded.
-func (h *Head) Hop(name string) bool {
+func (h *Head) IsHopByHop(name string) bool {
 	for _, hop := range [...]string{"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer",
 		"Transfer-Encoding", "Upgrade", "Content-Length", "Expect"} {
 		if strings.EqualFold(hop, name) {
@@ -98,7 +98,7 @@
 			return nil, fault
 		}
 	}
-	h.Minor = minor
+	h.MinorVersion = minor
 	h.KeepAlive = minor == 1 && !h.hasToken("Connection", "close") // HTTP/1.0 keep-alive is not supported
 	if _, hosts := h.Get("Host"); !response && (hosts > 1 || hosts == 0 && minor == 1) {
 		return nil, badRequest("a request needs one Host")
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -41,7 +41,7 @@
 	if fault := r.advance(); fault != nil {
 		return nil, fault
 	}
-	if r.head == nil || !r.body.done || r.streamed || len(r.payload) > MaxHeld {
+	if r.head == nil || !r.body.done || r.streamed || len(r.payload) > MaxBufferedBody {
 		return nil, nil
 	}
 	m := &Message{r.head, r.payload}
@@ -52,8 +52,8 @@
 // Large returns the head of the current message if its body is too large to buffer, or nil. If the length of the body
 // is not stated, Large returns the head only after more bytes than may be buffered have been decoded.
 func (r *Reader) Large() *Head {
-	if r.head == nil || r.body.framing == byLength && r.body.remaining+r.decodedBytes <= MaxHeld ||
-		r.body.framing != byLength && r.decodedBytes <= MaxHeld {
+	if r.head == nil || r.body.framing == byLength && r.body.remaining+r.decodedBytes <= MaxBufferedBody ||
+		r.body.framing != byLength && r.decodedBytes <= MaxBufferedBody {
 		return nil
 	}
 	return r.head
@@ -83,11 +83,11 @@
 }
 
 // Full reports whether the buffer for decoded data of the body is full.
-func (r *Reader) Full() bool { return len(r.payload) >= MaxHeld }
+func (r *Reader) Full() bool { return len(r.payload) >= MaxBufferedBody }
 
-// Begin switches the body of the current message to streaming: from now on, the caller reads its data as it arrives.
+// BeginStream switches the body of the current message to streaming: from now on, the caller reads its data as it arrives.
 // length is the length of the body in bytes, or -1 if it is not stated.
-func (r *Reader) Begin() (length int64) {
+func (r *Reader) BeginStream() (length int64) {
 	r.streamed = true
 	if r.body.framing != byLength {
 		return -1
@@ -95,10 +95,10 @@
 	return r.decodedBytes + r.body.remaining
 }
 
-// Pieces returns the head of a streamed message, nil until the head has been received completely; the data of the
+// ReadStream returns the head of a streamed message, nil until the head has been received completely; the data of the
 // body that has arrived since the last call; and whether the body has ended. The data is valid until the next call.
 // After the end of a message that was switched to streaming, the reader continues with the next message.
-func (r *Reader) Pieces() (head *Head, piece []byte, done bool, fault *Fault) {
+func (r *Reader) ReadStream() (head *Head, piece []byte, done bool, fault *Fault) {
 	fault = r.advance()
 	head, piece, done = r.head, r.payload, fault == nil && r.head != nil && r.body.done
 	if r.payload = r.payload[:0]; done && r.streamed {
@@ -107,8 +107,8 @@
 	return head, piece, done, fault
 }
 
-// End records that the peer has ended its sending. It returns the message that this completes, or nil.
-func (r *Reader) End() *Message {
+// EndOfInput records that the peer has ended its sending. It returns the message that this completes, or nil.
+func (r *Reader) EndOfInput() *Message {
 	if !r.EndsByClose() {
 		return nil
 	}
@@ -153,7 +153,7 @@
 		}
 	}
 	consumed, streamed := 0, r.Stream || r.streamed
-	for streamed || len(r.payload) <= MaxHeld { // the rest of a large body stays undecoded until it is streamed
+	for streamed || len(r.payload) <= MaxBufferedBody { // the rest of a large body stays undecoded until it is streamed
 		piece, n, fault := r.body.decode(r.buffer[consumed:])
 		if fault != nil {
 			return fault
--- a/internal/lab/drill/portions.go
+++ b/internal/lab/drill/portions.go
@@ -30,7 +30,7 @@
 	}
 	out := &membershipcheck.Assignment{Stage: p.Stage, Tokens: p.Tokens, RelativeLoad: p.RelativeLoad,
 		Shares: make(map[string]float64)}
-	for _, h := range p.Hosts {
+	for _, h := range p.Endpoints {
 		if h.SlowStart {
 			out.SlowStart = append(out.SlowStart, h.Name)
 		} else {
--- a/internal/lab/drill/watch.go
+++ b/internal/lab/drill/watch.go
@@ -31,14 +31,14 @@
 			continue
 		}
 		l := membershipcheck.Observation{At: at, Gateway: n, PID: pid, Speaking: v.Active, Join: v.Joined,
-			Settled: v.Settled, Majority: v.Majority, DuplicateName: v.DuplicateName, Alive: v.Alive,
+			Settled: v.Converged, Majority: v.Majority, DuplicateName: v.DuplicateName, Alive: v.Alive,
 			Sent: v.SentBytes, Beliefs: make([]membershipcheck.Belief, len(r.names))}
 		for _, m := range v.Members {
 			i, ok := r.index[m.Name]
 			if !ok {
 				l.Strangers++
 			} else {
-				l.Beliefs[i] = membershipcheck.Belief{State: m.State, Start: m.Start, Incarnation: m.Incarnation,
+				l.Beliefs[i] = membershipcheck.Belief{State: m.State, Start: m.StartMS, Incarnation: m.Incarnation,
 					Since:    at - time.Duration(m.SinceMS)*time.Millisecond,
 					Previous: m.Previous, SuspectedBy: m.SuspectedBy}
 			}
--- a/internal/lab/mutationtest/peers.go
+++ b/internal/lab/mutationtest/peers.go
@@ -14,7 +14,7 @@
 			"	case w.connected:\n		return AnswerTimeout\n",
 			"	case w.connected:\n		return 2700 * time.Millisecond\n"),
 		one("wait for half a request by the clock of another bound", stopped, "internal/downstream/readtimeout.go",
-			"	plain := c.RequestBegan + RequestReadTimeout\n", "	plain := c.RequestBegan + 12*time.Second\n"),
+			"	plain := c.RequestStart + RequestReadTimeout\n", "	plain := c.RequestStart + 12*time.Second\n"),
 		one("leave half a body without a time", stopped, "internal/downstream/readtimeout.go",
 			"		return max(plain, c.lastReceived+StreamReadTimeout)",
 			"		return max(plain, c.lastReceived+2*StreamReadTimeout)"),
--- a/internal/lab/simulation/conform_test.go
+++ b/internal/lab/simulation/conform_test.go
@@ -50,8 +50,8 @@
 	kinds := map[loop.Kind]string{loop.Accepted: "accepted", loop.Connected: "connected", loop.Data: "data",
 		loop.EOF:    "eof",
 		loop.Broken: "broken", loop.Flushed: "flushed", loop.Stale: "stale", loop.TimerDue: "timer",
-		loop.File: "file", loop.Stop: "stop",
-		loop.Reload: "reload", loop.AcceptFailed: "accept failed", loop.Leaving: "leaving"}
+		loop.FileRead: "file", loop.Stop: "stop",
+		loop.Reload: "reload", loop.AcceptFailed: "accept failed", loop.PeerShutdown: "leaving"}
 	if k := kinds[e.Kind]; k != "" {
 		text := k
 		switch e.Kind {
@@ -67,7 +67,7 @@
 			} else {
 				text = fmt.Sprintf("%s %d", text, len(e.Data))
 			}
-		case loop.File:
+		case loop.FileRead:
 			text = fmt.Sprintf("file %v", e.Err != nil)
 		case loop.Stop, loop.Reload:
 		case loop.Broken:
@@ -141,12 +141,12 @@
 		case e.Kind == loop.Listening && e.Conn == loop.HotRestart:
 			return []loop.Effect{{Op: loop.Dial, Conn: 8, Path: path}}
 		case e.Kind == loop.Readable && (e.Conn == loop.HotRestart || e.Conn == loop.Admin):
-			return []loop.Effect{{Op: loop.Accept, Conn: e.Conn, Most: 1}}
-		case e.Kind == loop.Accepted && e.Via == loop.HotRestart:
-			return []loop.Effect{{Op: loop.Pass, Conn: e.Conn, Data: []byte("go"),
-				Give: []loop.Conn{loop.Listener}}, {Op: loop.Close, Conn: loop.Listener}}
-		case e.Kind == loop.Data && len(e.Passed) == 1:
-			return []loop.Effect{{Op: loop.Adopt, Conn: e.Passed[0], As: loop.Admin}, {Op: loop.Heap, Bytes: 1 << 30}}
+			return []loop.Effect{{Op: loop.Accept, Conn: e.Conn, MaxAccepts: 1}}
+		case e.Kind == loop.Accepted && e.AcceptedBy == loop.HotRestart:
+			return []loop.Effect{{Op: loop.PassSockets, Conn: e.Conn, Data: []byte("go"),
+				PassConns: []loop.Conn{loop.Listener}}, {Op: loop.Close, Conn: loop.Listener}}
+		case e.Kind == loop.Data && len(e.PassedConns) == 1:
+			return []loop.Effect{{Op: loop.AdoptListener, Conn: e.PassedConns[0], AdoptAs: loop.Admin}, {Op: loop.SetMemoryLimit, Bytes: 1 << 30}}
 		}
 		return nil
 	}
@@ -159,12 +159,12 @@
 			return []loop.Effect{{Op: loop.Dial, Conn: 8, Path: path + "c"}}
 		case e.Kind == loop.Readable && e.Conn == loop.HotRestart:
 			return []loop.Effect{{Op: loop.Accept, Conn: e.Conn}}
-		case e.Kind == loop.Accepted && e.Via == loop.HotRestart:
+		case e.Kind == loop.Accepted && e.AcceptedBy == loop.HotRestart:
 			elder = e.Conn
 		case e.Kind == loop.Accepted:
-			return []loop.Effect{{Op: loop.Pass, Conn: elder, Data: []byte("!"), Give: []loop.Conn{e.Conn}}}
-		case e.Kind == loop.Data && len(e.Passed) == 1:
-			return []loop.Effect{{Op: loop.Unmute, Conn: e.Passed[0]}}
+			return []loop.Effect{{Op: loop.PassSockets, Conn: elder, Data: []byte("!"), PassConns: []loop.Conn{e.Conn}}}
+		case e.Kind == loop.Data && len(e.PassedConns) == 1:
+			return []loop.Effect{{Op: loop.ResumeReading, Conn: e.PassedConns[0]}}
 		}
 		return nil
 	}
@@ -227,10 +227,10 @@
 			switch e.Kind {
 			case loop.Accepted:
 				muted = e.Conn
-				return []loop.Effect{{Op: loop.Mute, Conn: e.Conn},
+				return []loop.Effect{{Op: loop.PauseReading, Conn: e.Conn},
 					{Op: loop.SetTimer, Timer: loop.Timer{ID: 1}, At: now + 200*time.Millisecond}}
 			case loop.TimerDue:
-				return []loop.Effect{{Op: loop.Unmute, Conn: muted}}
+				return []loop.Effect{{Op: loop.ResumeReading, Conn: muted}}
 			}
 			return nil
 		}), steps: []step{{func(p peer) { p.connect(); p.send(4) }, []string{"accepted c1", "timer 1", "data c1 4"}}}},
@@ -238,9 +238,9 @@
 			on: plain(func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
 				switch e.Kind {
 				case loop.Accepted:
-					return []loop.Effect{{Op: loop.Mute, Conn: e.Conn, Leaving: true}}
-				case loop.Leaving:
-					return []loop.Effect{{Op: loop.Unmute, Conn: e.Conn}}
+					return []loop.Effect{{Op: loop.PauseReading, Conn: e.Conn, ReportShutdown: true}}
+				case loop.PeerShutdown:
+					return []loop.Effect{{Op: loop.ResumeReading, Conn: e.Conn}}
 				case loop.EOF:
 					return []loop.Effect{{Op: loop.Close, Conn: e.Conn}}
 				}
@@ -252,10 +252,10 @@
 				switch e.Kind {
 				case loop.Accepted:
 					muted = e.Conn
-					return []loop.Effect{{Op: loop.Mute, Conn: e.Conn},
+					return []loop.Effect{{Op: loop.PauseReading, Conn: e.Conn},
 						{Op: loop.SetTimer, Timer: loop.Timer{ID: 1}, At: now + 200*time.Millisecond}}
 				case loop.TimerDue:
-					return []loop.Effect{{Op: loop.Unmute, Conn: muted}}
+					return []loop.Effect{{Op: loop.ResumeReading, Conn: muted}}
 				case loop.EOF:
 					return []loop.Effect{{Op: loop.Close, Conn: e.Conn}}
 				}
@@ -267,11 +267,11 @@
 				switch e.Kind {
 				case loop.Accepted:
 					muted = e.Conn
-					return []loop.Effect{{Op: loop.Mute, Conn: e.Conn},
+					return []loop.Effect{{Op: loop.PauseReading, Conn: e.Conn},
 						{Op: loop.SetTimer, Timer: loop.Timer{ID: 1}, At: now + 200*time.Millisecond}}
 				case loop.TimerDue:
-					return []loop.Effect{{Op: loop.Unmute, Conn: muted}}
-				case loop.Turn:
+					return []loop.Effect{{Op: loop.ResumeReading, Conn: muted}}
+				case loop.TurnEnd:
 					if n := len(s.log); n > 0 && strings.HasPrefix(s.log[n-1], "data") {
 						s.log = append(s.log, "turn")
 					}
@@ -286,10 +286,10 @@
 				switch e.Kind {
 				case loop.Accepted:
 					muted = e.Conn
-					return []loop.Effect{{Op: loop.Mute, Conn: e.Conn},
+					return []loop.Effect{{Op: loop.PauseReading, Conn: e.Conn},
 						{Op: loop.SetTimer, Timer: loop.Timer{ID: 1}, At: now + 200*time.Millisecond}}
 				case loop.TimerDue:
-					return []loop.Effect{{Op: loop.WriteQuiet, Conn: muted, Data: []byte("x")}}
+					return []loop.Effect{{Op: loop.WriteIfIdle, Conn: muted, Data: []byte("x")}}
 				}
 				return nil
 			}), steps: []step{{func(p peer) { p.connect(); p.shut() }, []string{"accepted c1", "timer 1",
@@ -324,13 +324,13 @@
 						return []loop.Effect{{Op: loop.Bind, Conn: 7, Addr: at(0)},
 							{Op: loop.Bind, Conn: 8, Addr: at(1)}}
 					case e.Kind == loop.Listening && e.Conn == 8:
-						return []loop.Effect{{Op: loop.Mute, Conn: 8}, {Op: loop.SendTo, Conn: 7, Addr: at(2),
+						return []loop.Effect{{Op: loop.PauseReading, Conn: 8}, {Op: loop.SendTo, Conn: 7, Addr: at(2),
 							Data: []byte("nobody")},
 							{Op: loop.SendTo, Conn: 7, Addr: at(1), Data: make([]byte, 3000)},
 							{Op: loop.SendTo, Conn: 7, Addr: at(1), Data: []byte("hello")},
 							{Op: loop.SetTimer, Timer: loop.Timer{ID: 1}, At: now + 50*time.Millisecond}}
 					case e.Kind == loop.TimerDue && e.Timer.ID == 1:
-						return []loop.Effect{{Op: loop.Unmute, Conn: 8}}
+						return []loop.Effect{{Op: loop.ResumeReading, Conn: 8}}
 					case e.Kind == loop.Readable && (e.Conn == 7 || e.Conn == 8):
 						return []loop.Effect{{Op: loop.Read, Conn: e.Conn}}
 					case e.Kind == loop.Data && e.Conn == 8 && e.From == at(0):
--- a/internal/lab/simulation/datagrams.go
+++ b/internal/lab/simulation/datagrams.go
@@ -59,7 +59,7 @@
 	case loop.Read:
 		for range datagramsAtOne {
 			if len(s.inbox) == 0 {
-				l.queueEvent(loop.Event{Kind: loop.Drained, Conn: s.conn})
+				l.queueEvent(loop.Event{Kind: loop.WouldBlock, Conn: s.conn})
 				return
 			}
 			d := s.inbox[0]
@@ -72,8 +72,8 @@
 		l.net.datagram(s, f.Addr, slices.Clone(f.Data))
 	case loop.Close:
 		l.unbind(s)
-	case loop.Mute, loop.Unmute:
-		s.muted = f.Op == loop.Mute
+	case loop.PauseReading, loop.ResumeReading:
+		s.muted = f.Op == loop.PauseReading
 		l.wake(l.sim.Now())
 	}
 }
--- a/internal/lab/simulation/effects.go
+++ b/internal/lab/simulation/effects.go
@@ -21,12 +21,12 @@
 		l.stopTimer(f.Timer)
 	case loop.ReadFile:
 		data, err := l.Files(f.Path)
-		l.queueEvent(loop.Event{Kind: loop.File, Data: data, Err: err})
-	case loop.Again:
+		l.queueEvent(loop.Event{Kind: loop.FileRead, Data: data, Err: err})
+	case loop.RequestTurn:
 		l.again = true
-	case loop.Heap: // memory is not simulated
+	case loop.SetMemoryLimit: // memory is not simulated
 	case loop.Exit:
-		l.exited, l.failed = true, f.Failed
+		l.exited, l.failed = true, f.ExitError
 	default:
 		l.carryOutOnConn(f)
 	}
@@ -41,8 +41,8 @@
 		l.carryOutOnDatagrams(s, f)
 	} else if ln := l.offered[f.Conn]; ln != nil {
 		delete(l.offered, f.Conn)
-		if f.Op == loop.Adopt {
-			l.addPort(&port{conn: f.As, Listener: ln})
+		if f.Op == loop.AdoptListener {
+			l.addPort(&port{conn: f.AdoptAs, Listener: ln})
 		}
 		ln.landed()
 	} else if s := l.socks[f.Conn]; s != nil {
@@ -53,14 +53,14 @@
 // carryOutOnSocket does what an effect asks for on a connection.
 func (l *Loop) carryOutOnSocket(s *socket, f loop.Effect) {
 	switch f.Op {
-	case loop.Pass:
+	case loop.PassSockets:
 		l.pass(s, f)
 	case loop.SendTo: // on what is no datagram socket: nothing is sent
 	case loop.Read:
 		l.read(s)
 	case loop.Write:
 		l.write(s, f.Data)
-	case loop.WriteQuiet:
+	case loop.WriteIfIdle:
 		if e := s.end; len(e.inbox) > 0 || e.fin || e.reset {
 			l.queueEvent(loop.Event{Kind: loop.Stale, Conn: s.conn})
 			return
@@ -75,8 +75,8 @@
 		s.end.Reset()
 	case loop.Close:
 		l.remove(s)
-	case loop.Mute, loop.Unmute:
-		s.muted, s.leaving = f.Op == loop.Mute, f.Op == loop.Mute && f.Leaving
+	case loop.PauseReading, loop.ResumeReading:
+		s.muted, s.leaving = f.Op == loop.PauseReading, f.Op == loop.PauseReading && f.ReportShutdown
 		l.markMaybeReady(s)
 	default:
 		panic(fmt.Sprintf("effect %d is not known", f.Op))
@@ -86,11 +86,11 @@
 func (l *Loop) carryOutOnPort(p *port, f loop.Effect) {
 	switch f.Op {
 	case loop.Accept:
-		l.accept(p, f.Most)
+		l.accept(p, f.MaxAccepts)
 	case loop.Close:
 		l.closePort(p)
-	case loop.Mute, loop.Unmute:
-		p.muted = f.Op == loop.Mute
+	case loop.PauseReading, loop.ResumeReading:
+		p.muted = f.Op == loop.PauseReading
 		l.wake(l.sim.Now())
 	}
 }
--- a/internal/lab/simulation/loop.go
+++ b/internal/lab/simulation/loop.go
@@ -235,7 +235,7 @@
 	l.deliverReady(waiting, received, ready, true)
 	l.deliverReady(waiting, received, ready, false)
 	l.deliverDueTimers()
-	l.queueEvent(loop.Event{Kind: loop.Turn})
+	l.queueEvent(loop.Event{Kind: loop.TurnEnd})
 	l.deliver()
 	l.sleep()
 }
@@ -271,7 +271,7 @@
 		return false
 	case s.muted:
 		s.leaving = false
-		e.Kind = loop.Leaving
+		e.Kind = loop.PeerShutdown
 	default:
 		e.Kind = loop.Readable
 	}
--- a/internal/lab/simulation/loopsockets.go
+++ b/internal/lab/simulation/loopsockets.go
@@ -52,7 +52,7 @@
 // pass writes data on a Unix socket with others beside it.
 func (l *Loop) pass(s *socket, f loop.Effect) {
 	var rights []descriptor
-	for _, c := range f.Give {
+	for _, c := range f.PassConns {
 		if p := l.ports[c]; p != nil {
 			p.flying++
 			rights = append(rights, descriptor{ln: p.Listener})
@@ -60,11 +60,11 @@
 			rights = append(rights, descriptor{end: given.end})
 		}
 	}
-	if len(rights) != len(f.Give) || len(s.out) > 0 || s.end.reset || s.end.closed {
+	if len(rights) != len(f.PassConns) || len(s.out) > 0 || s.end.reset || s.end.closed {
 		l.breakSocket(s, unix.EPIPE)
 		return
 	}
-	for _, c := range f.Give {
+	for _, c := range f.PassConns {
 		if given := l.socks[c]; given != nil {
 			delete(l.socks, c)
 			given.end.ready = nil
@@ -96,7 +96,7 @@
 func (l *Loop) accept(p *port, most int) {
 	for range min(cmp.Or(most, maxAcceptPerTurn), maxAcceptPerTurn) {
 		if len(p.backlog) == 0 {
-			l.queueEvent(loop.Event{Kind: loop.Drained, Conn: p.conn})
+			l.queueEvent(loop.Event{Kind: loop.WouldBlock, Conn: p.conn})
 			return
 		}
 		if l.full() {
@@ -105,7 +105,7 @@
 		}
 		l.accepted++
 		l.add(&socket{conn: l.accepted, end: p.Accept(), urgent: p.urgent})
-		l.queueEvent(loop.Event{Kind: loop.Accepted, Conn: l.accepted, Via: p.conn})
+		l.queueEvent(loop.Event{Kind: loop.Accepted, Conn: l.accepted, AcceptedBy: p.conn})
 	}
 }
 
@@ -172,7 +172,7 @@
 			most = 1 + l.sim.Rand.IntN(len(e.inbox))
 		}
 		data := append([]byte(nil), e.Read(most)...)
-		l.queueEvent(loop.Event{Kind: loop.Data, Conn: s.conn, Data: data, Passed: l.received(e)})
+		l.queueEvent(loop.Event{Kind: loop.Data, Conn: s.conn, Data: data, PassedConns: l.received(e)})
 		if e.fin {
 			l.queueEvent(loop.Event{Kind: more, Conn: s.conn})
 		}
@@ -181,7 +181,7 @@
 	case e.fin:
 		l.queueEvent(loop.Event{Kind: loop.EOF, Conn: s.conn})
 	default:
-		l.queueEvent(loop.Event{Kind: loop.Drained, Conn: s.conn})
+		l.queueEvent(loop.Event{Kind: loop.WouldBlock, Conn: s.conn})
 	}
 }
 
--- a/internal/lab/simulation/ready.go
+++ b/internal/lab/simulation/ready.go
@@ -68,7 +68,7 @@
 	}
 	if l.socks[s.conn] == s && s.leaving && e.fin && !e.reset && !e.shut {
 		s.leaving = false
-		l.queueEvent(loop.Event{Kind: loop.Leaving, Conn: s.conn})
+		l.queueEvent(loop.Event{Kind: loop.PeerShutdown, Conn: s.conn})
 		return
 	}
 	if l.socks[s.conn] == s && (!s.muted && (len(e.inbox) > 0 || e.fin) || e.reset || e.fin && e.shut) {
--- a/internal/lab/simulation/simulator_test.go
+++ b/internal/lab/simulation/simulator_test.go
@@ -185,7 +185,7 @@
 }
 
 func toHost(f loop.Effect, head string) bool {
-	return (f.Op == loop.Write || f.Op == loop.WriteQuiet) && f.Conn < firstAccepted && bytes.HasPrefix(f.Data,
+	return (f.Op == loop.Write || f.Op == loop.WriteIfIdle) && f.Conn < firstAccepted && bytes.HasPrefix(f.Data,
 		[]byte(head))
 }
 
@@ -288,7 +288,7 @@
 			}}},
 		{"forgets a link that was handed over", "upgrade", requestrecord.Unanswered,
 			defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
-				if f.Op == loop.Unmute && f.Conn >= firstAccepted && d.every(5) {
+				if f.Op == loop.ResumeReading && f.Conn >= firstAccepted && d.every(5) {
 					return nil
 				}
 				return []loop.Effect{f}
@@ -312,7 +312,7 @@
 				return []loop.Effect{f}
 			})}},
 		{"takes no new settings", "retune", Wronged,
-			defect{hear: func(_ *defect, e *loop.Event) bool { return e.Kind != loop.File }}},
+			defect{hear: func(_ *defect, e *loop.Event) bool { return e.Kind != loop.FileRead }}},
 		{"skips a piece of a large body", "bulk", requestrecord.ForeignBody,
 			defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
 				if f.Op == loop.Write && f.Conn >= firstAccepted && len(f.Data) > 10_000 && bytes.HasSuffix(f.Data,
--- a/internal/lab/simulation/times_test.go
+++ b/internal/lab/simulation/times_test.go
@@ -295,7 +295,7 @@
 	gatewayOn(t, sim, net, netip.MustParseAddrPort("10.2.0.1:8500"), "subscribe",
 		func(l *Loop, r loop.Reducer) loop.Reducer {
 			return &defect{Reducer: r, hear: func(_ *defect, e *loop.Event) bool {
-				if s := l.socks[e.Conn]; e.Kind == loop.Drained && s != nil && e.Conn >= firstAccepted {
+				if s := l.socks[e.Conn]; e.Kind == loop.WouldBlock && s != nil && e.Conn >= firstAccepted {
 					came = true
 					s.end.inbox = append(s.end.inbox, crossed...)
 				}
--- a/internal/loop/calls_test.go
+++ b/internal/loop/calls_test.go
@@ -297,8 +297,8 @@
 		} {
 			recorded, _ := dialAndExchange(t, inject, []byte("x"))
 			last := recorded.events[len(recorded.events)-1]
-			if last.Kind != Broken || last.Local != c.local {
-				t.Errorf("%s fails with %v: last event has kind %v, Local %v", name, c.err, last.Kind, last.Local)
+			if last.Kind != Broken || last.LocalFailure != c.local {
+				t.Errorf("%s fails with %v: last event has kind %v, Local %v", name, c.err, last.Kind, last.LocalFailure)
 			}
 		}
 	}
@@ -321,7 +321,7 @@
 		case Start:
 			return []Effect{{Op: Dial, Conn: 1, Addr: addr}}
 		case Connected:
-			return []Effect{{Op: WriteQuiet, Conn: 1, Data: []byte("x")}}
+			return []Effect{{Op: WriteIfIdle, Conn: 1, Data: []byte("x")}}
 		case Flushed, Stale:
 			return []Effect{{Op: Exit}}
 		}
--- a/internal/loop/datagrams.go
+++ b/internal/loop/datagrams.go
@@ -45,7 +45,7 @@
 		n, _, flags, from, err := unix.Recvmsg(s.fd, buf, nil, 0)
 		switch {
 		case errors.Is(err, unix.EAGAIN):
-			l.queueEvent(Event{Kind: Drained, Conn: s.conn})
+			l.queueEvent(Event{Kind: WouldBlock, Conn: s.conn})
 			return
 		case err != nil && isEarlierDatagramError(err):
 		case err != nil:
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -147,7 +147,7 @@
 		}
 		l.deliverReady(r, l.readyEvents[:n], false)
 		l.deliverDueTimers(r)
-		l.queueEvent(Event{Kind: Turn})
+		l.queueEvent(Event{Kind: TurnEnd})
 		l.deliver(r)
 	}
 	return l.exitError
@@ -241,7 +241,7 @@
 	case s.readingPaused:
 		s.reportShutdown = false
 		l.updateEvents(s)
-		e.Kind = Leaving
+		e.Kind = PeerShutdown
 	default:
 		e.Kind = Readable
 	}
@@ -282,7 +282,7 @@
 	if s.readingPaused && s.reportShutdown && events&unix.EPOLLRDHUP != 0 && events&(unix.EPOLLHUP|unix.EPOLLERR) == 0 {
 		s.reportShutdown = false
 		l.updateEvents(s)
-		l.queueEvent(Event{Kind: Leaving, Conn: s.conn})
+		l.queueEvent(Event{Kind: PeerShutdown, Conn: s.conn})
 	} else if events&(unix.EPOLLIN|unix.EPOLLHUP|unix.EPOLLERR) != 0 {
 		l.queueEvent(Event{Kind: Readable, Conn: s.conn})
 	}
@@ -303,13 +303,13 @@
 		l.timers.stop(f.Timer)
 	case ReadFile:
 		data, err := os.ReadFile(f.Path)
-		l.queueEvent(Event{Kind: File, Data: data, Err: err})
-	case Heap:
+		l.queueEvent(Event{Kind: FileRead, Data: data, Err: err})
+	case SetMemoryLimit:
 		debug.SetMemoryLimit(f.Bytes)
-	case Again:
+	case RequestTurn:
 		l.turnRequested = true
 	case Exit:
-		l.exit, l.exitError = true, f.Failed
+		l.exit, l.exitError = true, f.ExitError
 	default:
 		if s := l.byConn[f.Conn]; s != nil { // otherwise the socket was closed meanwhile, and its end was reported
 			l.performOnSocket(s, f)
@@ -349,27 +349,27 @@
 func (l *Loop) performOnSocket(s *socket, f Effect) {
 	switch f.Op {
 	case Accept:
-		l.accept(s, f.Most)
+		l.accept(s, f.MaxAccepts)
 	case Read:
 		l.read(s)
 	case Write:
 		l.write(s, f.Data)
-	case WriteQuiet:
+	case WriteIfIdle:
 		l.writeIfIdle(s, f.Data)
 	case SendTo:
 		l.sendTo(s, f)
-	case Pass:
+	case PassSockets:
 		l.passSockets(s, f)
-	case Adopt:
-		l.adoptListener(s, f.As)
+	case AdoptListener:
+		l.adoptListener(s, f.AdoptAs)
 	case Shutdown:
 		_ = unix.Shutdown(s.fd, unix.SHUT_WR) // the error of a broken socket is reported by the next read
 	case Abort:
 		l.abort(s)
 	case Close:
 		l.remove(s)
-	case Mute, Unmute:
-		s.readingPaused, s.reportShutdown = f.Op == Mute, f.Op == Mute && f.Leaving
+	case PauseReading, ResumeReading:
+		s.readingPaused, s.reportShutdown = f.Op == PauseReading, f.Op == PauseReading && f.ReportShutdown
 		l.updateEvents(s)
 	}
 }
--- a/internal/loop/sockets.go
+++ b/internal/loop/sockets.go
@@ -118,10 +118,10 @@
 			}
 			l.lastAccepted++
 			// Accepted is queued before add, which may queue Broken.
-			l.queueEvent(Event{Kind: Accepted, Conn: l.lastAccepted, Via: s.conn})
+			l.queueEvent(Event{Kind: Accepted, Conn: l.lastAccepted, AcceptedBy: s.conn})
 			l.add(&socket{conn: l.lastAccepted, fd: fd, urgent: s.urgent, isUnix: s.isUnix})
 		case errors.Is(err, unix.EAGAIN):
-			l.queueEvent(Event{Kind: Drained, Conn: s.conn})
+			l.queueEvent(Event{Kind: WouldBlock, Conn: s.conn})
 			return
 		case isConnectionError(err):
 		default:
@@ -135,7 +135,7 @@
 func (l *Loop) dialTCP(f Effect) {
 	fd, err := l.openTCP(f.Addr)
 	if err != nil {
-		l.queueEvent(Event{Kind: Broken, Conn: f.Conn, Err: err, Local: isResourceError(err)})
+		l.queueEvent(Event{Kind: Broken, Conn: f.Conn, Err: err, LocalFailure: isResourceError(err)})
 		return
 	}
 	noDelay(fd)
@@ -143,7 +143,7 @@
 	err = l.syscalls.connect(fd, sockaddr(f.Addr))
 	if err != nil && !isAny(err, unix.EINPROGRESS, unix.EINTR) { // an interrupted connect continues in the background
 		_ = unix.Close(fd) // the socket never connected: nothing is lost
-		l.queueEvent(Event{Kind: Broken, Conn: f.Conn, Err: err, Local: isResourceError(err)})
+		l.queueEvent(Event{Kind: Broken, Conn: f.Conn, Err: err, LocalFailure: isResourceError(err)})
 		return
 	}
 	l.add(s)
@@ -184,7 +184,7 @@
 	}
 	switch {
 	case errors.Is(err, unix.EAGAIN), errors.Is(err, unix.EINTR):
-		l.queueEvent(Event{Kind: Drained, Conn: s.conn})
+		l.queueEvent(Event{Kind: WouldBlock, Conn: s.conn})
 	case err != nil:
 		l.breakSocket(s, err)
 	case n == 0:
--- a/internal/loop/types.go
+++ b/internal/loop/types.go
@@ -39,21 +39,21 @@
 	AcceptFailed             // a listening socket cannot accept for now, usually because descriptors have run out
 	Connected                // a dialled socket is connected
 	Data                     // the data that a read returned
-	Drained                  // a read or an accept found that nothing more is waiting at the socket
+	WouldBlock               // a read or an accept found that nothing more is waiting at the socket
 	EOF                      // a read found that the peer has ended its sending
 	Broken                   // an error has closed the socket, or the socket could not be opened
 	Flushed                  // the kernel has taken everything that was written to a socket
 	Stale                    // nothing was written, since the peer has meanwhile sent data or closed
-	// Leaving reports that the peer of a socket whose reading is paused has ended its sending, perhaps after unread
+	// PeerShutdown reports that the peer of a socket whose reading is paused has ended its sending, perhaps after unread
 	// data. It is delivered only where the effect that paused the reading requested it.
-	Leaving
+	PeerShutdown
 	Listening // a listening or datagram socket is open
 	TimerDue  // a timer has expired
 	Start     // the loop has started; this is the first event, and it is delivered once
 	Stop      // a signal to stop the program has arrived
 	Reload    // the signal to read the configuration again has arrived
-	File      // the contents of a file that was to be read, or the error
-	Turn      // the events of all ready sockets and expired timers of one turn of the loop have been delivered
+	FileRead  // the contents of a file that was to be read, or the error
+	TurnEnd   // the events of all ready sockets and expired timers of one turn of the loop have been delivered
 	// readMore is internal to this package: it marks that the end of the stream, or more data of an urgent socket,
 	// is known to follow the data just read.
 	readMore
@@ -61,21 +61,21 @@
 
 // Event is the input of one step of the reducer.
 type Event struct {
-	Kind  Kind
-	Conn  Conn
-	Via   Conn // for Accepted, the listening socket that accepted the connection
-	Timer Timer
+	Kind       Kind
+	Conn       Conn
+	AcceptedBy Conn // for Accepted, the listening socket that accepted the connection
+	Timer      Timer
 	// Data holds received bytes or the contents of a file. It is valid only while the reducer handles the event.
 	Data []byte
-	// Passed lists the sockets that another process passed beside Data on a Unix socket. Their reading is paused. The
+	// PassedConns lists the sockets that another process passed beside Data on a Unix socket. Their reading is paused. The
 	// reducer may turn a passed listening socket into a listener of this process.
-	Passed []Conn
+	PassedConns []Conn
 	// From is the sender of Data on a datagram socket. Each datagram is delivered as a separate event.
 	From netip.AddrPort
 	Err  error
-	// Local reports, for a dial that failed, that this machine or process has run out of a resource; the endpoint
+	// LocalFailure reports, for a dial that failed, that this machine or process has run out of a resource; the endpoint
 	// may be healthy.
-	Local bool
+	LocalFailure bool
 }
 
 // Op is the type of an Effect.
@@ -83,27 +83,27 @@
 
 // The effects. The comment of each names the events that report its result.
 const (
-	Accept     Op = iota // accepts waiting connections: Accepted for each, AcceptFailed, or a report that none is left
-	Dial                 // connects to Addr, or to the Unix socket at Path: Connected or Broken
-	Listen               // listens as Conn at Addr, or at Path with a Unix socket of mode 0600: Listening or Broken
-	Bind                 // opens Conn as a datagram socket at Addr: Listening or Broken
-	SendTo               // sends Data as one datagram to Addr; a datagram that cannot be sent is lost without an event
-	Pass                 // writes Data on a Unix socket, passes sockets with it and closes them here, except Listener
-	Adopt                // makes the passed socket Conn a listening socket under another number: Listening or Broken
-	Heap                 // sets the soft memory limit of the Go runtime to Bytes
-	Read                 // reads at most one buffer: Data, EOF, Broken, or a report that nothing is waiting
-	Write                // writes Data, at once or when the kernel has room: Flushed or Broken
-	WriteQuiet           // writes Data unless the peer has sent data or closed: Flushed, Broken or Stale
-	Shutdown             // ends our sending; the peer may go on sending
-	Close                // closes the socket, without an event
-	Abort                // closes the socket so that the peer receives a reset and not a regular end
-	Mute                 // delivers no Readable event of the socket until reading is resumed, except after an error
-	Unmute               // resumes the reading of a socket
-	SetTimer             // sets Timer to expire at At
-	StopTimer            // stops Timer
-	ReadFile             // reads the whole file at Path; an event returns the contents
-	Again                // starts one more turn of the loop without waiting for a socket or a timer
-	Exit                 // ends Run after the current turn of the loop
+	Accept         Op = iota // accepts waiting connections: Accepted for each, AcceptFailed, or a report that none is left
+	Dial                     // connects to Addr, or to the Unix socket at Path: Connected or Broken
+	Listen                   // listens as Conn at Addr, or at Path with a Unix socket of mode 0600: Listening or Broken
+	Bind                     // opens Conn as a datagram socket at Addr: Listening or Broken
+	SendTo                   // sends Data as one datagram to Addr; a datagram that cannot be sent is lost without an event
+	PassSockets              // writes Data on a Unix socket, passes sockets with it and closes them here, except Listener
+	AdoptListener            // makes the passed socket Conn a listening socket under another number: Listening or Broken
+	SetMemoryLimit           // sets the soft memory limit of the Go runtime to Bytes
+	Read                     // reads at most one buffer: Data, EOF, Broken, or a report that nothing is waiting
+	Write                    // writes Data, at once or when the kernel has room: Flushed or Broken
+	WriteIfIdle              // writes Data unless the peer has sent data or closed: Flushed, Broken or Stale
+	Shutdown                 // ends our sending; the peer may go on sending
+	Close                    // closes the socket, without an event
+	Abort                    // closes the socket so that the peer receives a reset and not a regular end
+	PauseReading             // delivers no Readable event of the socket until reading is resumed, except after an error
+	ResumeReading            // resumes the reading of a socket
+	SetTimer                 // sets Timer to expire at At
+	StopTimer                // stops Timer
+	ReadFile                 // reads the whole file at Path; an event returns the contents
+	RequestTurn              // starts one more turn of the loop without waiting for a socket or a timer
+	Exit                     // ends Run after the current turn of the loop
 )
 
 // Effect is one operation that the reducer requests. The loop writes or copies Data before the next Step.
@@ -112,18 +112,18 @@
 	Conn Conn
 	// Urgent, with Dial, Listen and Bind, delivers the events of the socket, and of the connections that it accepts,
 	// before the events of other sockets in each turn.
-	Urgent  bool
-	Addr    netip.AddrPort
-	Data    []byte
-	Path    string
-	Leaving bool   // when pausing reading: deliver one event if the peer ends its sending during the pause
-	Most    int    // maximum number of connections that one Accept accepts; 0 for the loop's limit
-	Give    []Conn // the sockets to pass to the other process
-	As      Conn   // the number of a passed socket as a listening socket of this process
-	Bytes   int64
-	Timer   Timer
-	At      time.Duration // on the loop's Clock
-	Failed  error         // the error that Run returns after Exit; nil for a regular end
+	Urgent         bool
+	Addr           netip.AddrPort
+	Data           []byte
+	Path           string
+	ReportShutdown bool   // when pausing reading: deliver one event if the peer ends its sending during the pause
+	MaxAccepts     int    // maximum number of connections that one Accept accepts; 0 for the loop's limit
+	PassConns      []Conn // the sockets to pass to the other process
+	AdoptAs        Conn   // the number of a passed socket as a listening socket of this process
+	Bytes          int64
+	Timer          Timer
+	At             time.Duration // on the loop's Clock
+	ExitError      error         // the error that Run returns after Exit; nil for a regular end
 }
 
 // Reducer holds all state of the gateway. Step handles one event and returns the effects to perform; they are valid
--- a/internal/loop/unix.go
+++ b/internal/loop/unix.go
@@ -85,12 +85,12 @@
 // Listener. On an error, the sockets to pass remain open here and the Unix socket is closed.
 func (l *Loop) passSockets(s *socket, f Effect) {
 	var fds []int
-	for _, c := range f.Give {
+	for _, c := range f.PassConns {
 		if passed := l.byConn[c]; passed != nil {
 			fds = append(fds, passed.fd)
 		}
 	}
-	if len(fds) != len(f.Give) || len(s.unwritten) > 0 || !s.isUnix {
+	if len(fds) != len(f.PassConns) || len(s.unwritten) > 0 || !s.isUnix {
 		l.breakSocket(s, errCannotPass)
 		return
 	}
@@ -99,7 +99,7 @@
 		l.breakSocket(s, err)
 		return
 	}
-	for _, c := range f.Give {
+	for _, c := range f.PassConns {
 		passed := l.byConn[c]
 		if passed.shared = true; c != Listener {
 			l.remove(passed)
@@ -135,11 +135,11 @@
 	e := Event{Kind: Data, Conn: s.conn, Data: data}
 	for range fds {
 		l.lastAccepted++
-		e.Passed = append(e.Passed, l.lastAccepted)
+		e.PassedConns = append(e.PassedConns, l.lastAccepted)
 	}
 	l.queueEvent(e)
 	for i, fd := range fds {
-		l.add(&socket{conn: e.Passed[i], fd: fd, readingPaused: true, shared: true})
+		l.add(&socket{conn: e.PassedConns[i], fd: fd, readingPaused: true, shared: true})
 	}
 }
 
--- a/internal/loop/urgent_test.go
+++ b/internal/loop/urgent_test.go
@@ -65,7 +65,7 @@
 			turns = 0
 		case e.Kind == Readable:
 			noOtherEvent = false
-		case e.Kind == Turn:
+		case e.Kind == TurnEnd:
 			turns++
 			noOtherEvent = true
 		}
@@ -121,7 +121,7 @@
 			return []Effect{{Op: Read, Conn: e.Conn}}
 		case Data:
 			received += len(e.Data)
-		case Turn:
+		case TurnEnd:
 			if received > 0 {
 				return []Effect{{Op: Exit}}
 			}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -40,9 +40,9 @@
 	return newResponse(m), nil
 }
 
-// End records that the endpoint has ended its sending. It returns the response that this completes, or nil.
-func (c *Conn) End() *Response {
-	if m := c.reader.End(); m != nil {
+// EndOfInput records that the endpoint has ended its sending. It returns the response that this completes, or nil.
+func (c *Conn) EndOfInput() *Response {
+	if m := c.reader.EndOfInput(); m != nil {
 		return newResponse(m)
 	}
 	return nil
@@ -56,17 +56,17 @@
 	return nil
 }
 
-// Begin switches the response being received to streaming: from now on, the caller reads the body as it arrives. length
+// BeginStream switches the response being received to streaming: from now on, the caller reads the body as it arrives. length
 // is the length of the body in bytes, or -1 if the endpoint does not state it.
-func (c *Conn) Begin() (length int64) { return c.reader.Begin() }
+func (c *Conn) BeginStream() (length int64) { return c.reader.BeginStream() }
 
-// Take adds received bytes of a streamed response.
-func (c *Conn) Take(data []byte) { c.reader.Feed(data) }
+// FeedStream adds received bytes of a streamed response.
+func (c *Conn) FeedStream(data []byte) { c.reader.Feed(data) }
 
-// Pieces returns the data of a streamed body that has arrived since the last call, and whether the response has ended.
+// ReadStream returns the data of a streamed body that has arrived since the last call, and whether the response has ended.
 // The data is valid until the next call.
-func (c *Conn) Pieces() (piece []byte, done bool, err error) {
-	_, piece, done, fault := c.reader.Pieces()
+func (c *Conn) ReadStream() (piece []byte, done bool, err error) {
+	_, piece, done, fault := c.reader.ReadStream()
 	if fault != nil {
 		return nil, false, fault
 	}
@@ -80,8 +80,8 @@
 // stated.
 func (c *Conn) EndsByClose() bool { return c.reader.EndsByClose() }
 
-// Clean reports whether no byte has been received beyond the response that has just ended.
-func (c *Conn) Clean() bool { return !c.reader.Pending() }
+// NoExtraBytes reports whether no byte has been received beyond the response that has just ended.
+func (c *Conn) NoExtraBytes() bool { return !c.reader.Pending() }
 
 // Reusable reports whether the connection may carry another request after this response. It may not if bytes have been
 // received beyond the response: they belong to no request and must not be taken for the next response.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -26,11 +26,11 @@
 // response is complete, or when the caller evicts them.
 func (p *Pool) Resize(limit int) { p.max = limit }
 
-// Budget returns the limit on the number of connections.
-func (p *Pool) Budget() int { return p.max }
+// Limit returns the limit on the number of connections.
+func (p *Pool) Limit() int { return p.max }
 
-// Max returns the larger of the limit and the number of connections.
-func (p *Pool) Max() int { return max(p.max, len(p.conns)) }
+// MaxOfLimitAndLen returns the larger of the limit and the number of connections.
+func (p *Pool) MaxOfLimitAndLen() int { return max(p.max, len(p.conns)) }
 
 // Len returns the number of connections.
 func (p *Pool) Len() int { return len(p.conns) }
@@ -47,8 +47,8 @@
 // Full reports whether the number of connections has reached the limit.
 func (p *Pool) Full() bool { return len(p.conns) >= p.max }
 
-// Over reports whether the number of connections exceeds the limit, which can be after the limit was lowered.
-func (p *Pool) Over() bool { return len(p.conns) > p.max }
+// OverLimit reports whether the number of connections exceeds the limit, which can be after the limit was lowered.
+func (p *Pool) OverLimit() bool { return len(p.conns) > p.max }
 
 // Acquire removes the most recently released idle connection to an endpoint from the idle connections and returns it,
 // or returns nil if there is none. Using the most recent one first lets connections that are not needed stay idle
@@ -116,9 +116,9 @@
 	return found
 }
 
-// Oldest returns the idle connection that was opened first, or nil if none is idle. It is the connection to close
+// OldestIdle returns the idle connection that was opened first, or nil if none is idle. It is the connection to close
 // when a new one is needed and the limit is reached.
-func (p *Pool) Oldest() *Conn {
+func (p *Pool) OldestIdle() *Conn {
 	var oldest *Conn
 	for _, conns := range p.idle {
 		for _, c := range conns {
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -27,7 +27,7 @@
 		fields = append(fields, http1.Field{Name: "Host"}) // optional in HTTP/1.0, required in HTTP/1.1
 	}
 	for _, f := range m.Fields {
-		if !m.Hop(f.Name) && !strings.EqualFold(f.Name, fieldDeadline) {
+		if !m.IsHopByHop(f.Name) && !strings.EqualFold(f.Name, fieldDeadline) {
 			fields = append(fields, f)
 		}
 	}
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -27,9 +27,9 @@
 // Response is a complete response of an endpoint, or the head of a response that is streamed.
 type Response struct {
 	*http1.Message
-	NeverRan    bool    // the endpoint states that the request did not run
-	Reported    bool    // the response carries a load report with a valid QueueLength
-	QueueLength float64 // number of requests waiting at the endpoint
+	NeverRan       bool    // the endpoint states that the request did not run
+	HasQueueLength bool    // the response carries a load report with a valid QueueLength
+	QueueLength    float64 // number of requests waiting at the endpoint
 }
 
 // newResponse reads the fields of a response that concern the gateway.
@@ -38,7 +38,7 @@
 	flag, _ := message.Get(fieldNeverRan)
 	response.NeverRan = flag == "1"
 	report, _ := message.Get(fieldLoad)
-	response.QueueLength, response.Reported = queueLength(report)
+	response.QueueLength, response.HasQueueLength = queueLength(report)
 	return response
 }
 
@@ -60,11 +60,11 @@
 	return 0, false
 }
 
-// Forwarded returns the header fields of the response to forward to the client.
-func (r *Response) Forwarded() []http1.Field {
+// ForwardedFields returns the header fields of the response to forward to the client.
+func (r *Response) ForwardedFields() []http1.Field {
 	forwarded := make([]http1.Field, 0, len(r.Fields))
 	for _, f := range r.Fields {
-		if !r.Hop(f.Name) && !strings.EqualFold(f.Name, fieldNeverRan) && !strings.EqualFold(f.Name, fieldLoad) {
+		if !r.IsHopByHop(f.Name) && !strings.EqualFold(f.Name, fieldNeverRan) && !strings.EqualFold(f.Name, fieldLoad) {
 			forwarded = append(forwarded, f)
 		}
 	}
