--- a/internal/balancer/api.go
+++ b/internal/balancer/api.go
@@ -5,7 +5,8 @@
 // RequestID identifies a request at this gateway. An id is never used twice.
 type RequestID uint32
 
-// EndpointID identifies an endpoint. It encodes nothing about the endpoint; a replacement machine has a new id.
+// EndpointID identifies an endpoint. It encodes nothing about the endpoint; a replacement machine has a new
+// id.
 type EndpointID uint64
 
 // Request is one client request that this gateway has accepted and must answer exactly once.
@@ -61,8 +62,8 @@
 // EndpointState is the state of an endpoint according to the endpoint list.
 type EndpointState uint8
 
-// An endpoint in state EndpointRemoved is not on the list; one in state EndpointDraining finishes its requests
-// and gets no new ones.
+// An endpoint in state EndpointRemoved is not on the list; one in state EndpointDraining finishes its
+// requests and gets no new ones.
 const (
 	EndpointRemoved EndpointState = iota
 	EndpointReady
@@ -102,8 +103,8 @@
 
 // Actions is implemented by the gateway. The balancer calls its methods to have its decisions carried out.
 type Actions interface {
-	// StartAttempt sends a request to an endpoint. With a timeout of 0 the attempt may last until the client's
-	// deadline.
+	// StartAttempt sends a request to an endpoint. With a timeout of 0 the attempt may last until the
+	// client's deadline.
 	StartAttempt(id RequestID, to EndpointID, timeout time.Duration)
 	// Reject gives the request a final answer which promises the client that a retry is safe. after is the
 	// Retry-After; 0 means none.
--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -31,7 +31,8 @@
 	n := ep.inFlight
 	for i := range ep.classes {
 		c := &ep.classes[i]
-		if c.InFlight > 0 && c.StalledDespiteResponses(b.now, ep.health.LastResponseAt, ep.classServiceMS(&b.classes.entries[i])) {
+		if c.InFlight > 0 && c.StalledDespiteResponses(b.now, ep.health.LastResponseAt,
+			ep.classServiceMS(&b.classes.entries[i])) {
 			n -= c.InFlight
 		}
 	}
@@ -39,8 +40,8 @@
 }
 
 // RequestWriting reports that the request of an attempt is still being written, which causes no work at its
-// endpoint, or, if done is set, that its last byte has been written. Only then do the service time, the latency
-// objective and the client timeout of the request start.
+// endpoint, or, if done is set, that its last byte has been written. Only then do the service time, the
+// latency objective and the client timeout of the request start.
 func (b *Balancer) RequestWriting(now time.Duration, id RequestID, number int, done bool) {
 	b.now = now
 	r := b.requests.byID[id]
@@ -101,7 +102,8 @@
 	}
 }
 
-// recordOutcome updates the concurrency limit, the health and the cooldown of the endpoint of an ended attempt.
+// recordOutcome updates the concurrency limit, the health and the cooldown of the endpoint of an ended
+// attempt.
 func (b *Balancer) recordOutcome(r *requestState, a *attempt, end AttemptEnd) {
 	ep := a.endpoint
 	if end.Reported {
@@ -113,7 +115,8 @@
 		b.recordAnswer(r, ep, end.Latency)
 		b.recordSuccess(ep)
 		// The time is capped: a single heavy request says little about how long the endpoint stays busy.
-		b.enforceFractionalLimit(ep, min(stats.Milliseconds(end.Latency), 2*ep.serviceMS(b.classes.referenceMS)))
+		b.enforceFractionalLimit(ep,
+			min(stats.Milliseconds(end.Latency), 2*ep.serviceMS(b.classes.referenceMS)))
 	case OutcomeError, OutcomeReset, OutcomeConnectFailed:
 		ep.health.LastResponseAt = b.now
 		ep.cooldown.afterFailure(b.now, b.classes.referenceMS, b.classes.meanObjective())
@@ -140,8 +143,8 @@
 	}
 }
 
-// recordAnswer records the service time of an answer, scaled to the average class, for the concurrency limit of
-// ep, and the response time for the response setpoint.
+// recordAnswer records the service time of an answer, scaled to the average class, for the concurrency limit
+// of ep, and the response time for the response setpoint.
 func (b *Balancer) recordAnswer(r *requestState, ep *endpointState, latency time.Duration) {
 	c := b.classOf(r)
 	ms := c.recordServiceTime(latency)
--- a/internal/balancer/classes.go
+++ b/internal/balancer/classes.go
@@ -11,8 +11,8 @@
 // classMeanWeight is the weight of one request in the running means of its class.
 const classMeanWeight = 1.0 / 256
 
-// maxServiceFactor caps the service time of one answer at a multiple of the mean of its class, so that a heavy
-// request does not look like a congested endpoint.
+// maxServiceFactor caps the service time of one answer at a multiple of the mean of its class, so that a
+// heavy request does not look like a congested endpoint.
 const maxServiceFactor = 4.0
 
 // arrivalDecay is the share by which the count of arrivals decays in each sampling period.
@@ -24,7 +24,7 @@
 	serviceMS       stats.Mean    // service time
 	deviationMS     stats.Mean    // mean absolute deviation of the service time
 	arrivals        float64       // requests accepted; decays by arrivalDecay per sampling period
-	served          stats.Mean    // share answered within the objective or, with a LateWeight, the client timeout
+	served          stats.Mean    // share answered within the objective (with a LateWeight: the timeout)
 	expectedService time.Duration // expected service time of the next request
 	timeouts        timeoutVotes
 	openRequests    int           // requests not yet released
--- a/internal/balancer/concurrency/limit.go
+++ b/internal/balancer/concurrency/limit.go
@@ -16,20 +16,21 @@
 	Response float64 // the current response setpoint, see ResponseSetpoint
 }
 
-// NewServiceTarget returns the target for the shortest latency objective, objectiveMS, in ms scaled to the average
-// class, and for the response setpoint.
+// NewServiceTarget returns the target for the shortest latency objective, objectiveMS, in ms scaled to the
+// average class, and for the response setpoint.
 func NewServiceTarget(objectiveMS, response float64) ServiceTarget {
 	return ServiceTarget{BudgetMS: ServiceShare * objectiveMS, Response: response}
 }
 
-// Limit is the concurrency limit of one endpoint: the number of requests that this gateway may have in flight there.
-// Service times are in milliseconds, scaled to the average class. Call Reset before using a zero value.
+// Limit is the concurrency limit of one endpoint: the number of requests that this gateway may have in flight
+// there. Service times are in milliseconds, scaled to the average class. Call Reset before using a zero
+// value.
 type Limit struct {
 	Value       float64    // the limit before rounding up, above 0; the paper's u
 	GainMS      float64    // estimated ms of service time per request in flight; 0 if unknown; the paper's K
 	BaselineMS  float64    // service time while the endpoint is not congested; 0 if unknown
 	ServiceMS   stats.Mean // smoothed service time, ms
-	QueueLength float64    // smoothed number of requests waiting at the endpoint; 0 if its answers do not report it
+	QueueLength float64    // smoothed number of requests waiting at the endpoint; 0 if not reported
 	Sample      Sample     // observations of the current sampling period
 }
 
@@ -40,14 +41,14 @@
 	Limited           bool    // the endpoint was at its limit while requests were queued
 }
 
-// minEndpointConcurrency is the minimum number of requests that all gateways together may have in flight at an
-// endpoint: enough to occupy several cores.
+// minEndpointConcurrency is the minimum number of requests that all gateways together may have in flight at
+// an endpoint: enough to occupy several cores.
 const minEndpointConcurrency = 5.0
 
-// MinLimit returns the initial and minimum limit. It is the share of minEndpointConcurrency of each of the gateways
-// that use the endpoint (users, at least 1), and at most 1. A minimum of 1 for each of many gateways would congest
-// the endpoint with their first requests, and each gateway would take these congested service times for the
-// baseline.
+// MinLimit returns the initial and minimum limit. It is the share of minEndpointConcurrency of each of the
+// gateways that use the endpoint (users, at least 1), and at most 1. A minimum of 1 for each of many gateways
+// would congest the endpoint with their first requests, and each gateway would take these congested service
+// times for the baseline.
 func MinLimit(users float64) float64 { return min(1, minEndpointConcurrency/users) }
 
 // Reset sets the limit to minLimit, see MinLimit.
@@ -68,8 +69,8 @@
 // Constants of the queue length that endpoints report.
 const (
 	queueLengthWeight = 0.25 // weight of one report in the smoothed length
-	// congestedQueueLength is the smoothed number of waiting requests from which an endpoint counts as congested.
-	// It is above 1, as one request may wait by chance.
+	// congestedQueueLength is the smoothed number of waiting requests from which an endpoint counts as
+	// congested. It is above 1, as one request may wait by chance.
 	congestedQueueLength = 1.5
 	// minCongestedCut is the minimum by which the limit of a congested endpoint is reduced in each sample, in
 	// requests. It is small because a report may be outdated.
@@ -81,8 +82,8 @@
 	l.QueueLength += (length - l.QueueLength) * queueLengthWeight
 }
 
-// MarkLimited records that the limit kept a queued request from being dispatched. The limit grows only in samples in
-// which this happened.
+// MarkLimited records that the limit kept a queued request from being dispatched. The limit grows only in
+// samples in which this happened.
 func (l *Limit) MarkLimited() { l.Sample.Limited = true }
 
 // Constants of the integral loop on service time.
@@ -93,8 +94,8 @@
 )
 
 // CloseSample ends a sampling period and updates the limit: u(k+1) = u(k) + 0.16/K (setpoint - service time),
-// equation 11. A sample with neither answers nor failures leaves the limit unchanged. Failures affect only the limit,
-// not the averages and the gain estimate.
+// equation 11. A sample with neither answers nor failures leaves the limit unchanged. Failures affect only
+// the limit, not the averages and the gain estimate.
 func (l *Limit) CloseSample(target ServiceTarget, minLimit float64) {
 	sample := l.Sample
 	l.Sample = Sample{}
@@ -119,8 +120,9 @@
 // smoothingAnswers is the number of answers over which the service time of an endpoint is smoothed.
 const smoothingAnswers = 64
 
-// updateEstimates updates the gain estimate, K(k+1) = 0.5 K(k) + 0.5 service time / ceil(u), the smoothed service
-// time and the baseline. meanMS is the mean service time of the sample, answers the number of its answers.
+// updateEstimates updates the gain estimate, K(k+1) = 0.5 K(k) + 0.5 service time / ceil(u), the smoothed
+// service time and the baseline. meanMS is the mean service time of the sample, answers the number of its
+// answers.
 func (l *Limit) updateEstimates(meanMS float64, answers int) {
 	ratio := meanMS / math.Ceil(l.Value)
 	if l.GainMS == 0 {
@@ -131,8 +133,8 @@
 	l.updateBaseline()
 }
 
-// baselineDecay is the share of the difference to the smoothed service time by which the baseline changes in each
-// sample. The baseline of an endpoint that became permanently slower adapts within some minutes.
+// baselineDecay is the share of the difference to the smoothed service time by which the baseline changes in
+// each sample. The baseline of an endpoint that became permanently slower adapts within some minutes.
 const baselineDecay = 1e-3
 
 // updateBaseline sets the baseline to the minimum of the smoothed service time, which decays slowly, see
@@ -144,35 +146,36 @@
 	l.BaselineMS += (l.ServiceMS.Value - l.BaselineMS) * baselineDecay
 }
 
-// applyStep adds step to the limit, which stays at least minLimit. Unlike in the paper, the limit may be below one,
-// for endpoints that are congested by one request of each gateway. It is then the share of time in which one request
-// may be in flight, which the cooldown after each attempt enforces, and steps are scaled by it.
+// applyStep adds step to the limit, which stays at least minLimit. Unlike in the paper, the limit may be
+// below one, for endpoints that are congested by one request of each gateway. It is then the share of time in
+// which one request may be in flight, which the cooldown after each attempt enforces, and steps are scaled by
+// it.
 func (l *Limit) applyStep(step, minLimit float64) {
 	l.Value = max(minLimit, l.Value+step*min(1, l.Value))
 }
 
-// congested reports whether requests wait at the endpoint instead of in the gateways' queues. The paper has no such
-// check. It is needed because gateways raise their limits at the same time and may overload endpoints before service
-// times show it.
+// congested reports whether requests wait at the endpoint instead of in the gateways' queues. The paper has
+// no such check. It is needed because gateways raise their limits at the same time and may overload endpoints
+// before service times show it.
 func (l *Limit) congested() bool { return l.QueueLength >= congestedQueueLength }
 
 // Constants of the minimum setpoint, which is relative to the baseline service time.
 const (
 	setpointFactor = 1.4 // multiple of the baseline service time; the excess allows for noise
-	setpointShare  = 0.6 // maximum excess over the baseline service time, as a share of the service time budget
+	setpointShare  = 0.6 // maximum excess over the baseline, as a share of the service time budget
 )
 
-// SetpointMS returns the service time that the limit is regulated to, in ms scaled to the average class. Unlike in
-// the paper, it has a minimum above the baseline service time; otherwise the limit would stay at one where the budget
-// is shorter than the uncongested service time. Short latency objectives bound the excess over the baseline too:
-// requests then wait at the gateway, which can still choose their endpoint.
+// SetpointMS returns the service time that the limit is regulated to, in ms scaled to the average class.
+// Unlike in the paper, it has a minimum above the baseline service time; otherwise the limit would stay at
+// one where the budget is shorter than the uncongested service time. Short latency objectives bound the
+// excess over the baseline too: requests then wait at the gateway, which can still choose their endpoint.
 func (l *Limit) SetpointMS(target ServiceTarget) float64 {
 	baseline, budget := l.BaselineMS, target.BudgetMS
 	return max(budget*target.Response, min(setpointFactor*baseline, baseline+setpointShare*budget))
 }
 
-// CooldownAfter returns the cooldown of an endpoint with a limit below one after an attempt that kept it busy for busyMS
-// milliseconds. It is 0 for other limits.
+// CooldownAfter returns the cooldown of an endpoint with a limit below one after an attempt that kept it busy
+// for busyMS milliseconds. It is 0 for other limits.
 func (l *Limit) CooldownAfter(busyMS float64) time.Duration {
 	if l.Value >= 1 {
 		return 0
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -33,7 +33,7 @@
 	LatencyObjective time.Duration // a response within it earns the full weight
 	Deadline         time.Duration // the longest time that a client waits
 	Weight           float64       // priority weight of one request
-	LateWeight       float64       // share of the weight that a response after the objective still earns, 0 to 1
+	LateWeight       float64       // share of the weight that a late response still earns, 0 to 1
 	Idempotency      Idempotency
 	DedupScope       DedupScope // for KeyedIdempotent
 	// DedupWindow, for KeyedIdempotent, is how long endpoints drop duplicates, counted from the start of the
@@ -55,10 +55,10 @@
 	Classes  []Class
 	Tenants  []Tenant // may be empty
 
-	OverQuotaWeight      float64 // weight of a request beyond its tenant's quota, as a share of its class's weight
+	OverQuotaWeight      float64 // share of its class's weight that a request beyond the tenant's quota has
 	WeightByWork         bool    // the weight counts per ms of work rather than per request
 	TotalGoalWeight      float64 // weight, in the operators' goal, of all requests served
-	WorstClassGoalWeight float64 // weight, in the goal, of the worst-served class; if both are 0 only the total counts
+	WorstClassGoalWeight float64 // weight, in the goal, of the worst-served class; both 0: only the total
 	CrossZoneCost        float64 // cost of one attempt in another zone, as a share of a request's weight
 
 	PollDiscovery     bool          // endpoint lists arrive only after a WatchEndpoints call
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -11,8 +11,8 @@
 // time: finding an endpoint there takes part of that time.
 const crossZoneShare = 0.5
 
-// dispatchMisses records, for one class, that a request found no free capacity during the current Dispatch, in
-// the local zone or in any zone. The search is then skipped for further requests of the class.
+// dispatchMisses records, for one class, that a request found no free capacity during the current Dispatch,
+// in the local zone or in any zone. The search is then skipped for further requests of the class.
 type dispatchMisses struct{ local, anyZone bool }
 
 // flagFor returns the flag for the zones that a request may go to.
@@ -129,10 +129,10 @@
 	}
 }
 
-// pickEndpoint returns the most preferred endpoint with the most free capacity for r, or nil. Free capacity only
-// shrinks during a Dispatch. So once a first attempt finds none, further first attempts of the same class that
-// may go to the same zones are not searched for: examining every endpoint for every queued request would take
-// more CPU than a gateway has.
+// pickEndpoint returns the most preferred endpoint with the most free capacity for r, or nil. Free capacity
+// only shrinks during a Dispatch. So once a first attempt finds none, further first attempts of the same
+// class that may go to the same zones are not searched for: examining every endpoint for every queued request
+// would take more CPU than a gateway has.
 func (b *Balancer) pickEndpoint(r *requestState) *endpointState {
 	class := b.classOf(r)
 	firstAttempt, candidates := len(r.attempts) == 0, b.endpoints.subset
--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -1,5 +1,5 @@
-// Package balancer makes the decisions of a load-balancing HTTP gateway: which endpoint gets which request and
-// when, which requests are retried, and which are rejected. It does no I/O and reads no clock.
+// Package balancer makes the decisions of a load-balancing HTTP gateway: which endpoint gets which request
+// and when, which requests are retried, and which are rejected. It does no I/O and reads no clock.
 //
 // # Events and actions
 //
@@ -46,7 +46,8 @@
 //   - sampling.go: the sampling period of the control loops.
 //   - classes.go: statistics of request classes and of client timeouts.
 //   - loadshedding.go: how long requests are queued before they are shed.
-//   - cooldown.go, ejection.go, slowstart.go: when an endpoint gets no requests, only probes, or few requests.
+//   - cooldown.go, ejection.go, slowstart.go: when an endpoint gets no requests, only probes, or few
+//     requests.
 //   - endpoints.go, subsetting.go, watch.go: the endpoint list, the subset in use, discovery calls.
 //   - requests.go, log.go: requests in progress and their queue, log lines.
 //   - state.go, reload.go, report.go: state for the next process, new settings, the load report for other
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -40,7 +40,8 @@
 }
 
 // eject takes ep out of rotation until it answers a probe, unless too large a part of the subset would be
-// ejected. An endpoint of the expansion is always ejected, without a log line, and does not count in that part.
+// ejected. An endpoint of the expansion is always ejected, without a log line, and does not count in that
+// part.
 func (b *Balancer) eject(ep *endpointState, reason string) {
 	if !ep.health.Ejected && !ep.subset.expansion {
 		ejected, ready := 1, 0
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -39,8 +39,8 @@
 	weight       float64 // assigned by the cluster, relative to the subset; 0 without an assignment
 }
 
-// classServiceMS returns the expected service time of an attempt of class c, in ms: that of the class or of the
-// endpoint, whichever is longer.
+// classServiceMS returns the expected service time of an attempt of class c, in ms: that of the class or of
+// the endpoint, whichever is longer.
 func (ep *endpointState) classServiceMS(c *classState) float64 {
 	return max(stats.Milliseconds(c.expectedService), ep.limit.ServiceMS.Value)
 }
@@ -66,7 +66,8 @@
 	ep.limit.CloseSample(target, ep.minLimit())
 }
 
-// sameDedupScope reports whether a keyed request that ran on one of two endpoints may be repeated on the other.
+// sameDedupScope reports whether a keyed request that ran on one of two endpoints may be repeated on the
+// other.
 func sameDedupScope(scope DedupScope, a, b *endpointState) bool {
 	switch scope {
 	case DedupAll:
@@ -82,12 +83,12 @@
 type endpointSet struct {
 	byID                       map[EndpointID]*endpointState
 	all                        []*endpointState // in the order in which they were first listed
-	localOrder, remoteOrder    []*endpointState // order of selection, for the local zone and for all other zones
+	localOrder, remoteOrder    []*endpointState // order of selection: local zone, all other zones
 	subset                     []*endpointState // the endpoints that this gateway uses, see choose
 	stale                      bool             // the subset must be chosen again
 	assigned                   []AssignedEndpoint
 	localWeight, anyZoneWeight float64          // sums of the subset's weights; 0 without an assignment
-	expansion                  subset.Expansion // beyond the regular subset: endpoints of other zones, or spares
+	expansion                  subset.Expansion // endpoints of other zones, or spares, in addition
 	signals                    subset.Signals   // input of the expansion, from the current sampling period
 }
 
@@ -138,9 +139,9 @@
 	s.all = append(s.all, ep)
 }
 
-// assignPositions gives newly listed endpoints their positions in the order of selection. A new endpoint takes
-// the position of one that is draining or removed, so that a deploy replaces the endpoints in the subsets of
-// all gateways one for one.
+// assignPositions gives newly listed endpoints their positions in the order of selection. A new endpoint
+// takes the position of one that is draining or removed, so that a deploy replaces the endpoints in the
+// subsets of all gateways one for one.
 func (s *endpointSet) assignPositions(added []*endpointState, zone int) {
 	slices.SortFunc(added, func(x, y *endpointState) int {
 		return cmp.Compare(x.ID, y.ID) // mixes zones and cells: the loss of one takes no whole subset
--- a/internal/balancer/loadshedding.go
+++ b/internal/balancer/loadshedding.go
@@ -12,9 +12,9 @@
 // of the mean deviation of its service time.
 const marginDeviations = 4.0
 
-// minCompletions is the minimum time that a request is queued, as a multiple of the completion interval, if its
-// objective allows it. Otherwise a gateway whose capacity is freed rarely would shed a request that the next
-// free capacity could have served.
+// minCompletions is the minimum time that a request is queued, as a multiple of the completion interval, if
+// its objective allows it. Otherwise a gateway whose capacity is freed rarely would shed a request that the
+// next free capacity could have served.
 const minCompletions = 3.0
 
 // queueTimeLimits holds the maximum queue times of a class while capacity is short.
@@ -28,10 +28,10 @@
 	return l.withinQuota
 }
 
-// loadShedding determines how long the requests of each class are queued before they are shed. In a first-come
-// queue all requests wait equally long, so a class with a shorter maximum is shed first.
+// loadShedding determines how long the requests of each class are queued before they are shed. In a
+// first-come queue all requests wait equally long, so a class with a shorter maximum is shed first.
 type loadShedding struct {
-	overQuotaWeight      float64 // weight of a request beyond its tenant's quota, as a share of its class's weight
+	overQuotaWeight      float64 // share of its class's weight that a request beyond the tenant's quota has
 	weightByWork         bool    // the weight counts per ms of work rather than per request
 	totalGoalWeight      float64 // weight, in the operators' goal, of all requests served
 	worstClassGoalWeight float64 // weight, in the goal, of the worst-served class
@@ -44,13 +44,15 @@
 	}
 }
 
-// setMaxQueueTimes computes the maximum queue times of all classes. threshold is the queue-time threshold as a
-// multiple of the latency objective, completionInterval the mean time between two completed attempts.
+// setMaxQueueTimes computes the maximum queue times of all classes. threshold is the queue-time threshold as
+// a multiple of the latency objective, completionInterval the mean time between two completed attempts.
 //
 // A request is queued at most until the threshold, and no longer than an answer could still come in time. The
 // less a request adds to the goal per ms of work, compared with other classes, the shorter is its maximum.
 // The last two rules are exceptions to the paper, which has one class.
-func (s loadShedding) setMaxQueueTimes(classes *classTable, threshold float64, completionInterval time.Duration) {
+func (s loadShedding) setMaxQueueTimes(
+	classes *classTable, threshold float64, completionInterval time.Duration,
+) {
 	best := s.setGoalDensities(classes)
 	for i := range classes.entries {
 		c := &classes.entries[i]
@@ -72,9 +74,9 @@
 	}
 }
 
-// setGoalDensities computes the gain in the operators' goal from one more request of each class that is answered
-// in time, per ms of work, and returns the largest gain. The worst-served class has an additional goal weight:
-// without it, a class of low weight would take the whole loss when capacity is short.
+// setGoalDensities computes the gain in the operators' goal from one more request of each class that is
+// answered in time, per ms of work, and returns the largest gain. The worst-served class has an additional
+// goal weight: without it, a class of low weight would take the whole loss when capacity is short.
 func (s loadShedding) setGoalDensities(classes *classTable) (best float64) {
 	var total float64
 	var worst *classState
@@ -104,8 +106,8 @@
 	return c.Weight
 }
 
-// latestStart returns the queue time after which an answer of class c would likely come too late. The margin is
-// reduced by the share that a late answer still earns, because only the remaining weight is at risk.
+// latestStart returns the queue time after which an answer of class c would likely come too late. The margin
+// is reduced by the share that a late answer still earns, because only the remaining weight is at risk.
 func latestStart(c *classState, completionInterval time.Duration) time.Duration {
 	margin := stats.FromMilliseconds(marginDeviations * (1 - c.LateWeight) * c.deviationMS.Value)
 	latest := max(c.LatencyObjective-c.expectedService, 0)
--- a/internal/balancer/quota/quota.go
+++ b/internal/balancer/quota/quota.go
@@ -3,8 +3,8 @@
 
 import "time"
 
-// Bucket is the token bucket of one tenant at this gateway. Its capacity is one second of the quota. It is not safe for
-// concurrent use.
+// Bucket is the token bucket of one tenant at this gateway. Its capacity is one second of the quota. It is
+// not safe for concurrent use.
 type Bucket struct {
 	rate       float64 // requests per second; 0 means no quota
 	tokens     float64
@@ -16,8 +16,8 @@
 	return Bucket{rate: rate, tokens: rate, refilledAt: now}
 }
 
-// Exceeded reports whether a request received now exceeds the quota. A request within the quota takes one token, one
-// that exceeds it takes none.
+// Exceeded reports whether a request received now exceeds the quota. A request within the quota takes one
+// token, one that exceeds it takes none.
 func (b *Bucket) Exceeded(now time.Duration) bool {
 	if b.rate <= 0 {
 		return false
--- a/internal/balancer/rejection.go
+++ b/internal/balancer/rejection.go
@@ -6,8 +6,8 @@
 	"thymebend/internal/balancer/stats"
 )
 
-// rejectOrFail gives r a final answer from the gateway: a rejection if a retry by the client is safe, otherwise
-// a failure.
+// rejectOrFail gives r a final answer from the gateway: a rejection if a retry by the client is safe,
+// otherwise a failure.
 func (b *Balancer) rejectOrFail(r *requestState) {
 	r.queued = false
 	if b.mayReject(r) {
@@ -26,8 +26,8 @@
 		!r.mayHaveRun()
 }
 
-// minRetryAfter is the shortest Retry-After as a multiple of the mean latency objective. A random part of up to
-// one objective is added so that clients do not return at the same time.
+// minRetryAfter is the shortest Retry-After as a multiple of the mean latency objective. A random part of up
+// to one objective is added so that clients do not return at the same time.
 const minRetryAfter = 0.5
 
 // retryAfter returns a Retry-After that gives the queue time to drain, or 0 if the settings allow none.
@@ -47,9 +47,9 @@
 	return b.now+c.expectedService+b.cfg.dispatchSlack() >= c.usefulUntil(r.firstTriedAt, r.deadline)
 }
 
-// shouldShed reports whether a queued request has exceeded its maximum queue time. The time is counted from the
-// client's first try, not from the arrival at this gateway, so a client's retry may be shed at once. A request
-// that was attempted before is not shed.
+// shouldShed reports whether a queued request has exceeded its maximum queue time. The time is counted from
+// the client's first try, not from the arrival at this gateway, so a client's retry may be shed at once. A
+// request that was attempted before is not shed.
 func (b *Balancer) shouldShed(r *requestState) bool {
 	maxTime := b.classOf(r).maxQueueTime.forQuota(r.overQuota)
 	return len(r.attempts) == 0 && b.now-r.firstTriedAt > maxTime
--- a/internal/balancer/reload.go
+++ b/internal/balancer/reload.go
@@ -12,11 +12,11 @@
 // maps requests to that class.
 const retiredIndexTTL = 5 * time.Second
 
-// Reload applies new settings between two events. It returns the index of each class of cfg.Classes, to be used
-// in Request.Class from now on. Requests in progress keep the class with which they arrived. An unchanged class
-// keeps its index; a changed or new class gets another index and takes over the statistics of the previous
-// class of the same name. The statistics of endpoints are kept. Rank and Zone keep their initial values. An
-// invalid cfg changes nothing; the error is a *ConfigError.
+// Reload applies new settings between two events. It returns the index of each class of cfg.Classes, to be
+// used in Request.Class from now on. Requests in progress keep the class with which they arrived. An
+// unchanged class keeps its index; a changed or new class gets another index and takes over the statistics of
+// the previous class of the same name. The statistics of endpoints are kept. Rank and Zone keep their initial
+// values. An invalid cfg changes nothing; the error is a *ConfigError.
 func (b *Balancer) Reload(now time.Duration, cfg Config) ([]int, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
--- a/internal/balancer/report.go
+++ b/internal/balancer/report.go
@@ -14,7 +14,7 @@
 // LoadReport is what this gateway reports about itself to other gateways.
 type LoadReport struct {
 	Valid        bool         // false while the gateway has not run for long enough
-	Demand       float64      // recent requests per second, scaled by service time to requests of the average class
+	Demand       float64      // recent requests per second, scaled to requests of the average class
 	Rejected     float64      // share of requests that were not answered in time
 	FreeCapacity float64      // free share of the concurrency limits in its subset
 	Ejected      []EndpointID // endpoints that are ready in the list and ejected here, in list order
@@ -54,6 +54,6 @@
 	return report
 }
 
-// UnavailableCount returns the number of listed endpoints that currently get no ordinary requests, because they
-// are draining or ejected.
+// UnavailableCount returns the number of listed endpoints that currently get no ordinary requests, because
+// they are draining or ejected.
 func (b *Balancer) UnavailableCount() int { return b.endpoints.unavailableCount() }
--- a/internal/balancer/requests.go
+++ b/internal/balancer/requests.go
@@ -80,7 +80,8 @@
 // requestQueue holds the queued requests, oldest first.
 type requestQueue []*requestState
 
-// insert queues a request by its arrival time: a request that is queued again precedes those that arrived later.
+// insert queues a request by its arrival time: a request that is queued again precedes those that arrived
+// later.
 func (q *requestQueue) insert(r *requestState) {
 	at := len(*q)
 	for at > 0 && (*q)[at-1].arrivedAt > r.arrivedAt {
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -8,8 +8,8 @@
 	"thymebend/internal/balancer/stats"
 )
 
-// retry queues r for another attempt if that is allowed and can still be answered in time; otherwise it gives r
-// its final answer.
+// retry queues r for another attempt if that is allowed and can still be answered in time; otherwise it gives
+// r its final answer.
 func (b *Balancer) retry(r *requestState) {
 	if b.now >= r.deadline || b.tooLateToStart(r) || !b.mayRetry(r) {
 		b.rejectOrFail(r)
@@ -18,8 +18,8 @@
 	b.queue.insert(r)
 }
 
-// mayRetry reports whether r may have another attempt: it has not used all its attempts and, if an attempt may
-// have run, there is retry budget and a ready endpoint within the dedup scope and window.
+// mayRetry reports whether r may have another attempt: it has not used all its attempts and, if an attempt
+// may have run, there is retry budget and a ready endpoint within the dedup scope and window.
 func (b *Balancer) mayRetry(r *requestState) bool {
 	if len(r.attempts) >= b.cfg.MaxAttempts {
 		return false
@@ -40,10 +40,11 @@
 	return r.inFlight == 0 && len(r.attempts) < b.cfg.MaxAttempts && b.idempotencyAllows(r, r.attempts, ep)
 }
 
-// idempotencyAllows enforces that no effect happens twice. After the previous attempts, a non-idempotent request
-// may start on ep only if none of them may have run; a keyed request only within the dedup scope and window of
-// each one that may have run. The window ends earlier by the dispatch slack, because the attempt may start that
-// much later. The gateway's invariant checker applies the same rule independently, to its own record.
+// idempotencyAllows enforces that no effect happens twice. After the previous attempts, a non-idempotent
+// request may start on ep only if none of them may have run; a keyed request only within the dedup scope and
+// window of each one that may have run. The window ends earlier by the dispatch slack, because the attempt
+// may start that much later. The gateway's invariant checker applies the same rule independently, to its own
+// record.
 func (b *Balancer) idempotencyAllows(r *requestState, previous []attempt, ep *endpointState) bool {
 	c := b.classOf(r)
 	for i := range previous {
--- a/internal/balancer/retrybudget/retrybudget.go
+++ b/internal/balancer/retrybudget/retrybudget.go
@@ -1,5 +1,6 @@
-// Package retrybudget limits the retries of requests that may have run to a share of the requests received. Without
-// the limit, such retries could sustain an overload where endpoints continue to work on cancelled attempts.
+// Package retrybudget limits the retries of requests that may have run to a share of the requests received.
+// Without the limit, such retries could sustain an overload where endpoints continue to work on cancelled
+// attempts.
 package retrybudget
 
 // Constants of the budget, in retries.
@@ -20,6 +21,6 @@
 // Available reports whether the budget allows a retry.
 func (b *Budget) Available() bool { return b.retries >= 1 }
 
-// Spend deducts a retry that starts. The budget may become negative, as several retries may have been found available
-// before the first of them started.
+// Spend deducts a retry that starts. The budget may become negative, as several retries may have been found
+// available before the first of them started.
 func (b *Budget) Spend() { b.retries-- }
--- a/internal/balancer/sampling.go
+++ b/internal/balancer/sampling.go
@@ -8,8 +8,9 @@
 	"thymebend/internal/subset"
 )
 
-// closeSample ends one sampling period. It updates the concurrency limit of each endpoint, then the expansion of
-// the subset, the queue-time threshold, the response setpoint, and the maximum queue times that depend on them.
+// closeSample ends one sampling period. It updates the concurrency limit of each endpoint, then the expansion
+// of the subset, the queue-time threshold, the response setpoint, and the maximum queue times that depend on
+// them.
 func (b *Balancer) closeSample() {
 	target := b.serviceTarget()
 	var warmAnswers stats.Mean // answers per warm endpoint, extrapolated to all gateways that use it
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -41,10 +41,10 @@
 	return schedule.Fraction(b.now, ep.StartedAt)
 }
 
-// slowStartAllows reports whether the slow-start budget of an endpoint allows one more request. A warm endpoint
-// always allows it. An endpoint in slow start gets no request while another process of this gateway uses the
-// budgets, or where tokens are required and none is granted. Where no tokens are required it gets none if it
-// belongs to this gateway's expansion, or when this gateway's part of its budget is spent.
+// slowStartAllows reports whether the slow-start budget of an endpoint allows one more request. A warm
+// endpoint always allows it. An endpoint in slow start gets no request while another process of this gateway
+// uses the budgets, or where tokens are required and none is granted. Where no tokens are required it gets
+// none if it belongs to this gateway's expansion, or when this gateway's part of its budget is spent.
 func (b *Balancer) slowStartAllows(ep *endpointState) bool {
 	fraction := b.warmUpFraction(ep)
 	switch {
@@ -64,11 +64,12 @@
 	return ep.warmUp.Available() && ep.subset.regular
 }
 
-// serviceBudgetSeconds returns the part of the mean latency objective that is intended for service, in seconds.
+// serviceBudgetSeconds returns the part of the mean latency objective that is intended for service, in
+// seconds.
 func (b *Balancer) serviceBudgetSeconds() float64 {
 	return concurrency.ServiceShare * b.classes.meanObjective().Seconds()
 }
 
-// MinCoreRate returns how many requests of the average class one core answers per second at least, if only the
-// latency objectives are known.
+// MinCoreRate returns how many requests of the average class one core answers per second at least, if only
+// the latency objectives are known.
 func (b *Balancer) MinCoreRate() float64 { return slowstart.MinCapacity(0, b.serviceBudgetSeconds()) }
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -114,7 +114,9 @@
 	c.deviationMS = stats.Mean{N: saved.Answers, Value: saved.DeviationMS}
 	c.served = stats.Mean{N: saved.Concluded, Value: min(saved.Served, 1)}
 	c.arrivals = saved.Arrivals
-	c.timeouts = timeoutVotes{common: saved.ClientTimeout, votes: min(saved.ClientTimeoutVotes, maxTimeoutVotes)}
+	c.timeouts = timeoutVotes{
+		common: saved.ClientTimeout, votes: min(saved.ClientTimeoutVotes, maxTimeoutVotes),
+	}
 }
 
 func (ep *endpointState) state(now time.Duration) EndpointStats {
@@ -129,8 +131,8 @@
 }
 
 func (ep *endpointState) restore(now time.Duration, saved EndpointStats) {
-	if saved.Answers < 0 || !plausible(saved.Limit, saved.GainMS, saved.BaselineMS, saved.ServiceMS, saved.FailureRate,
-		math.Abs(saved.SlowStartTokens)) {
+	if saved.Answers < 0 || !plausible(saved.Limit, saved.GainMS, saved.BaselineMS, saved.ServiceMS,
+		saved.FailureRate, math.Abs(saved.SlowStartTokens)) {
 		return
 	}
 	ep.limit.Value = max(ep.minLimit(), saved.Limit)
--- a/internal/balancer/stats/stats.go
+++ b/internal/balancer/stats/stats.go
@@ -1,5 +1,5 @@
-// Package stats holds arithmetic shared by the parts of the balancer: running means, and conversions between durations
-// and float64 milliseconds, the unit of service times.
+// Package stats holds arithmetic shared by the parts of the balancer: running means, and conversions between
+// durations and float64 milliseconds, the unit of service times.
 package stats
 
 import "time"
@@ -10,8 +10,9 @@
 	Value float64 // the mean of these values
 }
 
-// Add adds a value. The first values have equal weights. Each later one has at least the weight minWeight (0 to 1) in
-// the new mean, so that the influence of old values decays. With a minWeight of 0 the result is the arithmetic mean.
+// Add adds a value. The first values have equal weights. Each later one has at least the weight minWeight (0
+// to 1) in the new mean, so that the influence of old values decays. With a minWeight of 0 the result is the
+// arithmetic mean.
 func (m *Mean) Add(x, minWeight float64) {
 	m.N++
 	m.Value += (x - m.Value) * max(1/float64(m.N), minWeight)
--- a/internal/balancer/subsetting.go
+++ b/internal/balancer/subsetting.go
@@ -14,9 +14,10 @@
 	minSubset   = 2.0 // minimum number of endpoints that a gateway uses, if there are as many
 )
 
-// choose selects the subset of endpoints that this gateway uses and returns the previous subset. A subset is used
-// because endpoints accept fewer connections than there are gateways, and because a gateway with few endpoints
-// gets more measurements of each. Ejected endpoints are replaced by the next ones in the order of selection.
+// choose selects the subset of endpoints that this gateway uses and returns the previous subset. A subset is
+// used because endpoints accept fewer connections than there are gateways, and because a gateway with few
+// endpoints gets more measurements of each. Ejected endpoints are replaced by the next ones in the order of
+// selection.
 func (s *endpointSet) choose(now time.Duration, cfg *Config, rng *rand.Rand) (before []*endpointState) {
 	s.stale = false
 	before = s.subset
@@ -56,8 +57,8 @@
 	}
 }
 
-// chooseAssigned adds the endpoints that the cluster assigns to this gateway. Its spares are added only to replace
-// ejected endpoints or, as an expansion, if this gateway is short of capacity.
+// chooseAssigned adds the endpoints that the cluster assigns to this gateway. Its spares are added only to
+// replace ejected endpoints or, as an expansion, if this gateway is short of capacity.
 func (s *endpointSet) chooseAssigned(now time.Duration, zone int) {
 	order, regularSize := make([]*endpointState, 0, len(s.assigned)), 0.0
 	for _, a := range s.assigned {
@@ -97,23 +98,25 @@
 	for i, load := range subset.RelativeLoad(ready, regularSize) {
 		order[i].subset.relativeLoad = load
 	}
-	return s.addToSubset(now, order, subset.StartIndex(rank, len(order)), subset.RoundByRank(rank, regularSize),
-		expansionSize)
+	return s.addToSubset(now, order, subset.StartIndex(rank, len(order)),
+		subset.RoundByRank(rank, regularSize), expansionSize)
 }
 
-// addToSubset adds endpoints from position start on, see chooseByRank. An ejected endpoint is not added to the
-// expansion until its probe is due.
+// addToSubset adds endpoints from position start on, see chooseByRank. An ejected endpoint is not added to
+// the expansion until its probe is due.
 func (s *endpointSet) addToSubset(
 	now time.Duration, order []*endpointState, start int, regularSize, expansionSize float64,
 ) (usable float64) {
 	ready := 0.0
 	for i := 0; i < len(order) && usable < regularSize+expansionSize; i++ {
 		ep := order[(start+i)%len(order)]
-		if ep.State != EndpointReady || usable >= regularSize && ep.health.Ejected && !ep.health.ProbeDue(now) {
+		if ep.State != EndpointReady ||
+			usable >= regularSize && ep.health.Ejected && !ep.health.ProbeDue(now) {
 			continue
 		}
 		ready++
-		ep.subset.used, ep.subset.regular, ep.subset.expansion = true, ready <= regularSize, usable >= regularSize
+		ep.subset.used = true
+		ep.subset.regular, ep.subset.expansion = ready <= regularSize, usable >= regularSize
 		s.subset = append(s.subset, ep)
 		if !ep.health.Ejected {
 			usable++
--- a/internal/balancer/watch.go
+++ b/internal/balancer/watch.go
@@ -6,8 +6,8 @@
 	"thymebend/internal/backoff"
 )
 
-// endpointWatch tracks the calls to discovery for changes of the endpoint list. Both flags may be set at once:
-// a reload that turns PollDiscovery on starts a call although changes already arrive.
+// endpointWatch tracks the calls to discovery for changes of the endpoint list. Both flags may be set at
+// once: a reload that turns PollDiscovery on starts a call although changes already arrive.
 type endpointWatch struct {
 	calling  bool // a call has not been answered yet
 	active   bool // changes of the list arrive
@@ -70,13 +70,14 @@
 	b.actions.WatchEndpoints()
 }
 
-// retryWatch schedules the next call to discovery. The delay is random, so that gateways do not call at the same
-// time, and increases with the number of failed calls.
+// retryWatch schedules the next call to discovery. The delay is random, so that gateways do not call at the
+// same time, and increases with the number of failed calls.
 func (b *Balancer) retryWatch(failure backoff.Failure) {
 	if !b.cfg.PollDiscovery {
 		return
 	}
 	delayDraw, intervalDraw := b.rng.Float64(), b.rng.Float64()
 	elapsed := b.now - b.watch.calledAt
-	b.actions.SetTimer(b.watch.backoff.Failed(failure, b.cfg.Gateways, elapsed, delayDraw, intervalDraw), watchTimer)
+	b.actions.SetTimer(
+		b.watch.backoff.Failed(failure, b.cfg.Gateways, elapsed, delayDraw, intervalDraw), watchTimer)
 }
--- a/internal/lab/mutationtest/balancer.go
+++ b/internal/lab/mutationtest/balancer.go
@@ -14,7 +14,7 @@
 		{"forget the drain check", "drain-retry", []edit{
 			{dispatch, "return ep.State == EndpointReady && !ep.cooldown.active(b.now)",
 				"return !ep.cooldown.active(b.now)"},
-			{subsetting, "		if ep.State != EndpointReady || usable >= regularSize && ep.health.Ejected",
+			{subsetting, "		if ep.State != EndpointReady ||\n			usable >= regularSize && ep.health.Ejected",
 				"		if usable >= regularSize && ep.health.Ejected"},
 			{"internal/gateway/discovery.go", "return found != nil && found.State == balancer.EndpointReady",
 				"return found != nil"}}},
--- a/internal/subset/expansion.go
+++ b/internal/subset/expansion.go
@@ -11,12 +11,13 @@
 	maxCooldownDoublings = 3        // maximum doublings of the cooldown
 )
 
-// Expansion determines how many endpoints a gateway that is short of capacity uses in addition to its regular subset.
-// It is needed because traffic may be distributed over zones and gateways in other proportions than endpoints, which
-// no endpoint list shows. It grows by one endpoint per sample while the gateway is short, and shrinks slowly while it
-// is not. It shrinks by half if one of its endpoints is full or unreachable, as other gateways then need that endpoint
-// or a zone has failed; after that it does not grow during a cooldown, which doubles with each further halving. This
-// prevents hundreds of gateways that are short at the same time from taking connections away from each other.
+// Expansion determines how many endpoints a gateway that is short of capacity uses in addition to its regular
+// subset. It is needed because traffic may be distributed over zones and gateways in other proportions than
+// endpoints, which no endpoint list shows. It grows by one endpoint per sample while the gateway is short,
+// and shrinks slowly while it is not. It shrinks by half if one of its endpoints is full or unreachable, as
+// other gateways then need that endpoint or a zone has failed; after that it does not grow during a cooldown,
+// which doubles with each further halving. This prevents hundreds of gateways that are short at the same time
+// from taking connections away from each other.
 type Expansion struct {
 	Size     float64       // number of endpoints, including a fraction of one
 	halvings int           // halvings since the last sample without need for the expansion
@@ -27,12 +28,12 @@
 type Signals struct {
 	ShortOfCapacity bool // requests were queued for long
 	ExpansionFull   bool // an endpoint of the expansion rejected an attempt as full or could not be reached
-	WarmingUp       bool // an endpoint of the regular subset is warming up, so capacity increases without an expansion
+	WarmingUp       bool // an endpoint of the regular subset is warming up: capacity grows by itself
 }
 
-// Update adjusts the size by the signals of one sample and reports whether the whole number of endpoints changed.
-// maxSize is the maximum size. cooldown is the first duration without growth after a halving; the caller adds jitter to
-// it so that gateways do not grow at the same time.
+// Update adjusts the size by the signals of one sample and reports whether the whole number of endpoints
+// changed. maxSize is the maximum size. cooldown is the first duration without growth after a halving; the
+// caller adds jitter to it so that gateways do not grow at the same time.
 func (e *Expansion) Update(now time.Duration, signals Signals, maxSize float64, cooldown time.Duration) bool {
 	before := e.Size
 	switch {
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -1,7 +1,7 @@
-// Package subset computes which subset of the endpoints each gateway uses. The subset is small enough that endpoints do
-// not run out of connections and that a gateway has enough answers of each endpoint to measure its performance. The
-// subsets are stable, and spread evenly over the endpoints without communication between gateways. The package computes
-// with counts, ranks and indices only, does no I/O and has no clock.
+// Package subset computes which subset of the endpoints each gateway uses. The subset is small enough that
+// endpoints do not run out of connections and that a gateway has enough answers of each endpoint to measure
+// its performance. The subsets are stable, and spread evenly over the endpoints without communication between
+// gateways. The package computes with counts, ranks and indices only, does no I/O and has no clock.
 package subset
 
 import (
@@ -10,17 +10,17 @@
 	"slices"
 )
 
-// Zone holds the numbers of ready endpoints in one zone (Ready) and in all other zones (OtherReady), and how many of
-// them a gateway of the zone uses (Local and Remote). The fractional part of Local and Remote is the share of the
-// gateways that use one more.
+// Zone holds the numbers of ready endpoints in one zone (Ready) and in all other zones (OtherReady), and how
+// many of them a gateway of the zone uses (Local and Remote). The fractional part of Local and Remote is the
+// share of the gateways that use one more.
 type Zone struct {
 	Zone              int
 	Ready, OtherReady float64
 	Local, Remote     float64
 }
 
-// Count counts the ready endpoints of each zone. zones yields the zone of each endpoint and whether it is ready. The
-// first element of the result is the local zone.
+// Count counts the ready endpoints of each zone. zones yields the zone of each endpoint and whether it is
+// ready. The first element of the result is the local zone.
 func Count(local int, zones iter.Seq2[int, bool]) []Zone {
 	out := []Zone{{Zone: local}}
 	for zone, ready := range zones {
@@ -35,12 +35,12 @@
 	return out
 }
 
-// Rule is how many gateways use each endpoint: Local gateways of the endpoint's zone and Remote gateways of the other
-// zones. A gateway uses at least Min endpoints overall, or all if there are fewer.
+// Rule is how many gateways use each endpoint: Local gateways of the endpoint's zone and Remote gateways of
+// the other zones. A gateway uses at least Min endpoints overall, or all if there are fewer.
 type Rule struct{ Local, Remote, Min float64 }
 
-// ComputeSizes sets OtherReady, Local and Remote of each zone from its Ready. Gateways are assumed to be distributed evenly
-// over the zones, as no list contains the zones of gateways.
+// ComputeSizes sets OtherReady, Local and Remote of each zone from its Ready. Gateways are assumed to be
+// distributed evenly over the zones, as no list contains the zones of gateways.
 func (r Rule) ComputeSizes(gateways int, zones []Zone) {
 	total := 0.0
 	for _, z := range zones {
@@ -73,23 +73,24 @@
 	return max(1, n)
 }
 
-// StartIndex returns the index among n endpoints at which the subset of the gateway with the given rank starts. It uses
-// multiples of the golden ratio, which distribute any range of ranks evenly.
+// StartIndex returns the index among n endpoints at which the subset of the gateway with the given rank
+// starts. It uses multiples of the golden ratio, which distribute any range of ranks evenly.
 func StartIndex(rank, n int) int {
 	_, fraction := math.Modf(float64(rank) * math.Phi)
 	return int(fraction * float64(n))
 }
 
-// RoundByRank rounds a number of endpoints to a whole number for the gateway with the given rank. It rounds up for a
-// share of the gateways that equals the fractional part, so that the mean over all gateways is size.
+// RoundByRank rounds a number of endpoints to a whole number for the gateway with the given rank. It rounds
+// up for a share of the gateways that equals the fractional part, so that the mean over all gateways is size.
 func RoundByRank(rank int, size float64) float64 {
 	_, offset := math.Modf(float64(rank) * math.Sqrt2)
 	return math.Floor(size + offset)
 }
 
-// RelativeLoad returns, for the ready endpoint at each index, the number of gateways that use it relative to the mean;
-// 1 for endpoints that are not ready. A gateway whose start index has no ready endpoint uses the next ones, so that an
-// endpoint behind a gap also serves the gateways that start in the gap. size is how many endpoints a gateway uses.
+// RelativeLoad returns, for the ready endpoint at each index, the number of gateways that use it relative to
+// the mean; 1 for endpoints that are not ready. A gateway whose start index has no ready endpoint uses the
+// next ones, so that an endpoint behind a gap also serves the gateways that start in the gap. size is how
+// many endpoints a gateway uses.
 func RelativeLoad(ready []bool, size float64) []float64 {
 	out := make([]float64, len(ready))
 	var indices []int
