--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -1,20 +1,23 @@
-// Package assignment works out which endpoints each gateway of a cluster uses and for how much of its traffic, from
-// which gateways are alive, what traffic each has and what endpoints can do: weighted subset assignment. Every gateway
-// that knows the same works out the same, without a message between them. It does no I/O and reads no clock.
+// Package assignment computes weighted subset assignments: which endpoints each gateway of a cluster uses, and for
+// what share of its traffic. The inputs are the gateways that are alive, the demand of each and the capacity of the
+// endpoints. Gateways with the same input compute the same assignment, without exchanging messages about it. The
+// package does no I/O and reads no clock.
 //
-// # How
+// # Algorithm
 //
-// [Compute] takes three steps.
+// [Compute] takes three steps:
 //
-//   - Who uses whom (rendezvous.go, user_limit.go): each gateway takes the endpoints with its best scores in weighted
-//     rendezvous hashing, as many as its share of all demand calls for. A gateway or endpoint that comes or goes moves
-//     its own pairs alone.
-//   - No endpoint idle (fitting.go): one that nobody took goes to the gateway that scores best for it.
-//   - How much (fitting.go): proportional fitting (Sinkhorn) scales the weights of the pairs until each gateway sends
-//     out its demand and, as far as the pairs allow, each endpoint gets its part of all capacity.
+//   - Selection (rendezvous.go, user_limit.go): each gateway takes the endpoints with its best scores in weighted
+//     rendezvous hashing. Its share of the total demand determines how many. When a gateway or an endpoint is added
+//     or removed, only the pairs with that gateway or endpoint move.
+//   - Unused endpoints (fitting.go): an endpoint that no gateway selected is given to the gateway with the best score
+//     for it.
+//   - Weights (fitting.go): proportional fitting (Sinkhorn) scales the weights of the pairs until each gateway sends
+//     out its demand and, as far as the pairs allow, each endpoint receives load in proportion to its capacity.
 //
-// A [Tracker] is what a gateway goes by over time: the assignment of the last settled membership, and while one gives
-// way to another no more than both allow (tracker.go). docs/design/assignment.md gives the reasons.
+// A [Tracker] follows the membership over time (tracker.go). It keeps the assignment of the last converged
+// membership, and during a change from one to the next it uses only what both allow. docs/design/assignment.md gives
+// the reasons.
 package assignment
 
 import (
@@ -22,51 +25,53 @@
 	"slices"
 )
 
-// Gateway is one that is alive.
+// Gateway is a gateway that is alive.
 type Gateway struct {
 	Name   string
-	Demand float64 // weighted requests a second, or any unit that all have; 0 or less: unknown, the mean counts
+	Demand float64 // in weighted requests a second, or any unit common to all; if 0 or less, unknown: the mean is used
 	Zone   int
 }
 
-// Endpoint is one that may get something.
+// Endpoint is an endpoint that may receive requests.
 type Endpoint struct {
 	ID       uint64
-	Capacity float64 // in any unit that all have, above 0
+	Capacity float64 // in any unit common to all, above 0
 	Zone     int
 }
 
-// Rule says how large subsets are.
+// Rule determines the size of subsets and the preference for endpoints of the same zone.
 type Rule struct {
-	// Users is how many gateways use an endpoint on the mean, above 0.
+	// Users is the mean number of gateways that use an endpoint, above 0.
 	Users float64
-	// MinEndpoints is how many endpoints a gateway uses at least, if there are so many.
+	// MinEndpoints is the minimum number of endpoints that a gateway uses, if that many exist.
 	MinEndpoints int
-	// MaxUsers is how many gateways use an endpoint at most, where endpoints hold few connections: at least Users, or 0
-	// for no bound. A gateway that would have no endpoint at all keeps one beyond it.
+	// MaxUsers is the maximum number of gateways that use an endpoint, for endpoints that accept few connections. It
+	// is at least Users, or 0 for no bound. A gateway that would be left without any endpoint keeps one beyond the
+	// bound.
 	MaxUsers int
-	// RemoteZoneOdds is how likely an endpoint of another zone is taken over one of the own, 0 to 1: 1 is no
-	// difference, 0 counts as 1. Where a zone has more traffic than its own endpoints can carry, those of other zones
-	// carry the rest.
+	// RemoteZoneOdds is the factor, 0 to 1, applied to the capacity of endpoints in other zones when a gateway
+	// selects its endpoints. 1 means no preference for the gateway's zone, and 0 counts as 1. If a zone has more
+	// traffic than its endpoints can carry, endpoints of other zones carry the rest.
 	RemoteZoneOdds float64
 }
 
-// Assigned is an endpoint that a gateway uses.
+// Assigned is an endpoint that a gateway uses, with the share of traffic and capacity that this involves.
 type Assigned struct {
 	Endpoint uint64
-	Weight   float64 // share of the gateway's traffic; those of one gateway add up to 1
-	Share    float64 // share of the endpoint's capacity that is this gateway's; those of one endpoint add up to 1
+	Weight   float64 // share of the gateway's traffic; the weights of one gateway add up to 1
+	Share    float64 // share of the endpoint's capacity for this gateway; the shares of one endpoint add up to 1
 }
 
-// Assignment is who uses whom. It is not changed once it is made.
+// Assignment records which gateway uses which endpoints. It is immutable.
 type Assignment struct {
 	gateways  []string     // sorted
-	endpoints []Endpoint   // by ID
-	assigned  [][]Assigned // by gateway
-	load      []float64    // by endpoint, for its capacity over the mean
+	endpoints []Endpoint   // sorted by ID
+	assigned  [][]Assigned // by index of the gateway
+	load      []float64    // by index of the endpoint: load per capacity, relative to the mean
 }
 
-// Compute assigns endpoints to gateways. The order of either does not matter. Its errors are of type [*InputError].
+// Compute assigns endpoints to gateways. The order of gateways and of endpoints has no effect on the result. Errors
+// are of type [*InputError].
 func Compute(rule Rule, gateways []Gateway, endpoints []Endpoint) (*Assignment, error) {
 	if err := rule.validate(); err != nil {
 		return nil, err
@@ -94,19 +99,20 @@
 		return a, nil
 	}
 	demand := demandShares(gateways)
-	pairs := make([][]pair, len(gateways)) // by gateway
+	pairs := make([][]pair, len(gateways)) // by index of the gateway
 	for i, g := range gateways {
 		pairs[i] = rule.pick(g, endpoints, rule.subsetSize(g.Name, demand[i], len(endpoints)))
 	}
 	if rule.MaxUsers > 0 {
 		rule.limitUsers(gateways, endpoints, pairs)
 	}
-	a.useIdle(pairs)
+	a.assignUnused(pairs)
 	a.fit(pairs, demand)
 	return a, nil
 }
 
-// Of returns what a gateway uses, by endpoint, or nothing where it is not in the assignment. It must not be changed.
+// Of returns the endpoints that a gateway uses, sorted by endpoint ID, or nil if the gateway is not in the
+// assignment. The caller must not modify the result.
 func (a *Assignment) Of(gateway string) []Assigned {
 	if a == nil {
 		return nil
@@ -117,8 +123,8 @@
 	return nil
 }
 
-// RelativeLoad is the largest load of an endpoint for its capacity over the mean, by the demand that the assignment was
-// worked out from. 1 is perfect.
+// RelativeLoad returns the largest load per capacity of any endpoint, relative to the mean, for the demand that the
+// assignment was computed from. 1 is a perfect balance.
 func (a *Assignment) RelativeLoad() float64 {
 	if len(a.load) == 0 {
 		return 1
@@ -126,10 +132,10 @@
 	return slices.Max(a.load)
 }
 
-// Intersect is what a gateway may use while one assignment gives way to another: of each endpoint the smaller share, of
-// those that both give it. Shares of an endpoint add up to 1 at most as long as nobody goes by the new assignment alone
-// while somebody still goes by the old one alone: each has to wait in between for as long as a change takes to reach
-// the last gateway.
+// Intersect returns what a gateway may use during the change from one assignment to another: the endpoints that both
+// assignments give it, each with the smaller of the two shares. The shares of an endpoint then add up to at most 1,
+// provided that no gateway uses the new assignment alone while another still uses the old one alone. Each gateway
+// therefore has to use the intersection for as long as a change takes to reach the last gateway.
 func Intersect(a, b []Assigned) []Assigned {
 	var out []Assigned
 	for i, j := 0, 0; i < len(a) && j < len(b); {
--- a/internal/assignment/assignment_test.go
+++ b/internal/assignment/assignment_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// cluster has endpoints of one, two and four cores.
+// cluster returns gateways with the given demands and endpoints with capacities of 1, 2 and 4.
 func cluster(gatewayCount, endpointCount int, demand func(i int) float64) (gateways []Gateway, endpoints []Endpoint) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for i := range gatewayCount {
@@ -23,14 +23,14 @@
 	return gateways, endpoints
 }
 
-func even(int) float64 { return 5 }
+func evenDemand(int) float64 { return 5 }
 
-// lastTenfold gives the last of n gateways ten times the demand of the others.
-func lastTenfold(n int) func(int) float64 {
+// lastGatewayTenfold returns demands of which the last of n is ten times each of the others.
+func lastGatewayTenfold(n int) func(int) float64 {
 	return func(i int) float64 { return max(1, 10*float64((i+1)/n)) }
 }
 
-func byRank(i int) float64 { return 1 / float64(i+1) }
+func demandByRank(i int) float64 { return 1 / float64(i+1) }
 
 func compute(t *testing.T, rule Rule, gateways []Gateway, endpoints []Endpoint) *Assignment {
 	t.Helper()
@@ -41,45 +41,47 @@
 	return a
 }
 
-// unboundedRule has no bound on an endpoint's users.
+// unboundedRule returns a rule without a maximum number of users per endpoint.
 func unboundedRule() Rule { return Rule{Users: 12, MinEndpoints: 2} }
 
-// Guards against an endpoint that gets more than its part, by even demand and by demand of which one has ten times the
-// mean, over endpoints of different capacities.
+// Guards against an endpoint that receives more load than its capacity calls for. Covers equal demands, one gateway
+// with ten times the demand of the others, and demand by rank, over endpoints of different capacities.
 func TestLoadFollowsCapacity(t *testing.T) {
 	for _, test := range []struct {
 		name                string
 		gateways, endpoints int
 		demand              func(int) float64
-		most                float64
+		maxLoad             float64
 	}{
-		{"ten gateways", 10, 50, even, 1.15},
-		{"many of both", 300, 200, even, 1.15},
-		{"more gateways", 300, 50, even, 1.15},
-		{"two endpoints", 50, 2, even, 1.15},
-		{"three gateways", 3, 200, even, 1.15},
-		{"one with ten times the demand", 50, 50, lastTenfold(50), 1.25},
-		{"demand by rank", 300, 200, byRank, 1.25},
+		{"ten gateways", 10, 50, evenDemand, 1.15},
+		{"300 gateways and 200 endpoints", 300, 200, evenDemand, 1.15},
+		{"more gateways than endpoints", 300, 50, evenDemand, 1.15},
+		{"two endpoints", 50, 2, evenDemand, 1.15},
+		{"three gateways", 3, 200, evenDemand, 1.15},
+		{"one gateway with ten times the demand", 50, 50, lastGatewayTenfold(50), 1.25},
+		{"demand by rank", 300, 200, demandByRank, 1.25},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			gateways, endpoints := cluster(test.gateways, test.endpoints, test.demand)
-			if load := compute(t, unboundedRule(), gateways, endpoints).RelativeLoad(); load > test.most {
-				t.Errorf("an endpoint has %.2f times its part", load)
+			if load := compute(t, unboundedRule(), gateways, endpoints).RelativeLoad(); load > test.maxLoad {
+				t.Errorf("relative load is %.2f, want at most %.2f", load, test.maxLoad)
 			}
 		})
 	}
 }
 
-func TestMoreDemandMoreEndpoints(t *testing.T) {
-	gateways, endpoints := cluster(300, 200, lastTenfold(300))
+func TestHigherDemandGetsMoreEndpoints(t *testing.T) {
+	gateways, endpoints := cluster(300, 200, lastGatewayTenfold(300))
 	a := compute(t, unboundedRule(), gateways, endpoints)
 	if heavy, light := len(a.Of("gateway-0299")), len(a.Of("gateway-0000")); heavy < 7*light {
-		t.Errorf("ten times the demand, %d endpoints for %d", heavy, light)
+		t.Errorf("a gateway with ten times the demand has %d endpoints, the others have %d; want at least 7 times as many",
+			heavy, light)
 	}
 }
 
-// differing counts the pairs of some gateways that one assignment has and the other has not.
-func differing(gateways []Gateway, before, after *Assignment) (n int) {
+// countMovedPairs counts the pairs of the given gateways that only one of two assignments has. Gateways without
+// endpoints in the second assignment are skipped.
+func countMovedPairs(gateways []Gateway, before, after *Assignment) (n int) {
 	for _, g := range gateways {
 		a, b := before.Of(g.Name), after.Of(g.Name)
 		if b == nil {
@@ -96,14 +98,14 @@
 	return n
 }
 
-// Guards against a change of one gateway or endpoint that moves the pairs of many others.
-func TestFewPairsMove(t *testing.T) {
-	gateways, endpoints := cluster(300, 200, even)
+// Guards against the removal of one gateway or endpoint moving the pairs of many others.
+func TestRemovalMovesFewPairs(t *testing.T) {
+	gateways, endpoints := cluster(300, 200, evenDemand)
 	before := compute(t, unboundedRule(), gateways, endpoints)
-	had := len(before.Of("gateway-0100"))
-	fewer := append(slices.Clone(gateways[:100]), gateways[101:]...)
-	if n := differing(gateways, before, compute(t, unboundedRule(), fewer, endpoints)); n > 3*had {
-		t.Errorf("a gateway with %d endpoints goes: %d pairs of others move", had, n)
+	subsetSize := len(before.Of("gateway-0100"))
+	fewerGateways := append(slices.Clone(gateways[:100]), gateways[101:]...)
+	if n := countMovedPairs(gateways, before, compute(t, unboundedRule(), fewerGateways, endpoints)); n > 3*subsetSize {
+		t.Errorf("removing a gateway with %d endpoints moved %d pairs of other gateways", subsetSize, n)
 	}
 	users := 0
 	for _, g := range gateways {
@@ -111,16 +113,16 @@
 			users++
 		}
 	}
-	less := append(slices.Clone(endpoints[:7]), endpoints[8:]...)
-	if n := differing(gateways, before, compute(t, unboundedRule(), gateways, less)); n > 4*users {
-		t.Errorf("an endpoint with %d users goes: %d pairs move", users, n)
+	fewerEndpoints := append(slices.Clone(endpoints[:7]), endpoints[8:]...)
+	if n := countMovedPairs(gateways, before, compute(t, unboundedRule(), gateways, fewerEndpoints)); n > 4*users {
+		t.Errorf("removing an endpoint with %d users moved %d pairs", users, n)
 	}
 }
 
-// Guards against traffic that leaves its zone without need, and against a busy zone that its own endpoints must carry
-// alone.
-func TestGatewaysKeepToTheirZone(t *testing.T) {
-	gateways, endpoints := cluster(300, 200, even)
+// Guards against traffic that leaves its zone without need, and against a busy zone whose traffic stays on the
+// endpoints of that zone and overloads them.
+func TestGatewaysPreferTheirZone(t *testing.T) {
+	gateways, endpoints := cluster(300, 200, evenDemand)
 	for i := range gateways {
 		if gateways[i].Zone = i % 3; gateways[i].Zone == 0 {
 			gateways[i].Demand *= 4
@@ -134,7 +136,7 @@
 	inOwnZone := func(rule Rule) (share float64) {
 		a := compute(t, rule, gateways, endpoints)
 		if load := a.RelativeLoad(); load > 1.25 {
-			t.Errorf("odds %v: an endpoint has %.2f times its part", rule.RemoteZoneOdds, load)
+			t.Errorf("odds %v: relative load is %.2f, want at most 1.25", rule.RemoteZoneOdds, load)
 		}
 		for _, g := range gateways {
 			for _, one := range a.Of(g.Name) {
@@ -145,19 +147,21 @@
 		}
 		return share
 	}
-	// At best two thirds: the busy zone carries a third of all traffic of its two thirds, the others all of theirs.
+	// At best two thirds can stay: the busy zone has two thirds of all traffic and can carry one third, and the other
+	// two zones can carry all of theirs.
 	rule := unboundedRule()
-	indifferent := inOwnZone(rule)
+	withoutOdds := inOwnZone(rule)
 	rule.RemoteZoneOdds = 0.25
-	if near := inOwnZone(rule); near < 0.5 || indifferent > 0.4 {
-		t.Errorf("%.2f of the traffic stays in its zone, %.2f where zones do not matter", near, indifferent)
+	if withOdds := inOwnZone(rule); withOdds < 0.5 || withoutOdds > 0.4 {
+		t.Errorf("%.2f of the traffic stays in its zone, want at least 0.5; without odds %.2f, want at most 0.4",
+			withOdds, withoutOdds)
 	}
 }
 
-// Guards against faulty input that is assigned, or refused without its name.
-func TestFaultyInputIsRefused(t *testing.T) {
-	gateways, endpoints := cluster(3, 3, even)
-	many := make([]Endpoint, MaxEndpoints+1)
+// Guards against invalid input that is accepted, or rejected by an error that does not name the input.
+func TestInvalidInputIsRejected(t *testing.T) {
+	gateways, endpoints := cluster(3, 3, evenDemand)
+	tooManyEndpoints := make([]Endpoint, MaxEndpoints+1)
 	for _, test := range []struct {
 		name      string
 		rule      Rule
@@ -167,37 +171,37 @@
 		text      string
 	}{
 		{"no users", Rule{MinEndpoints: 2}, gateways, endpoints,
-			"Rule.Users", "shares: 0 users of a host, 2 hosts at least"},
-		{"users no number", Rule{Users: math.NaN(), MinEndpoints: 2}, gateways, endpoints,
-			"Rule.Users", "shares: NaN users of a host, 2 hosts at least"},
-		{"gateway twice", unboundedRule(), append(gateways, gateways[0]), endpoints,
-			"Gateways", "shares: gateway \"gateway-0000\" twice"},
-		{"endpoint twice", unboundedRule(), gateways, append(endpoints, endpoints[0]),
-			"Endpoints", fmt.Sprintf("shares: host %d twice", endpoints[0].ID)},
+			"Rule.Users", "assignment: mean number of users per endpoint is 0, must be above 0"},
+		{"users not a number", Rule{Users: math.NaN(), MinEndpoints: 2}, gateways, endpoints,
+			"Rule.Users", "assignment: mean number of users per endpoint is NaN, must be above 0"},
+		{"gateway listed twice", unboundedRule(), append(gateways, gateways[0]), endpoints,
+			"Gateways", "assignment: gateway \"gateway-0000\" is listed twice"},
+		{"endpoint listed twice", unboundedRule(), gateways, append(endpoints, endpoints[0]),
+			"Endpoints", fmt.Sprintf("assignment: endpoint %d is listed twice", endpoints[0].ID)},
 		{"odds above 1", Rule{Users: 12, MinEndpoints: 2, RemoteZoneOdds: 2}, gateways, endpoints,
-			"Rule.RemoteZoneOdds", "shares: hosts of other zones at 2, 0 to 1 is needed"},
+			"Rule.RemoteZoneOdds", "assignment: odds of endpoints in other zones are 2, must be 0 to 1"},
 		{"no capacity", unboundedRule(), gateways, []Endpoint{{ID: 5}},
-			"Endpoints", "shares: host 5 has a capacity of 0"},
-		{"capacity no number", unboundedRule(), gateways, []Endpoint{{ID: 5, Capacity: math.NaN()}},
-			"Endpoints", "shares: host 5 has a capacity of NaN"},
-		{"too many endpoints", unboundedRule(), gateways, many,
-			"Endpoints", "shares: 3 gateways and 10001 hosts, 2000 and 10000 at most"},
+			"Endpoints", "assignment: endpoint 5 has a capacity of 0, must be above 0 and finite"},
+		{"capacity not a number", unboundedRule(), gateways, []Endpoint{{ID: 5, Capacity: math.NaN()}},
+			"Endpoints", "assignment: endpoint 5 has a capacity of NaN, must be above 0 and finite"},
+		{"too many endpoints", unboundedRule(), gateways, tooManyEndpoints,
+			"Endpoints", "assignment: 3 gateways and 10001 endpoints, at most 2000 and 10000 are supported"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			a, err := Compute(test.rule, test.gateways, test.endpoints)
 			if err == nil || err.Error() != test.text || a != nil {
-				t.Errorf("%v, wanted %s", err, test.text)
+				t.Errorf("error %v, want %s, and no assignment: %v", err, test.text, a)
 			}
-			var faulty *InputError
-			if !errors.As(err, &faulty) || faulty.Input != test.input {
-				t.Errorf("%#v, wanted input %s", err, test.input)
+			var inputErr *InputError
+			if !errors.As(err, &inputErr) || inputErr.Input != test.input {
+				t.Errorf("error %#v, want an InputError with input %s", err, test.input)
 			}
 		})
 	}
 }
 
-func TestNothingIsAssignedOfNothing(t *testing.T) {
-	gateways, endpoints := cluster(3, 3, even)
+func TestEmptyInputGivesEmptyAssignment(t *testing.T) {
+	gateways, endpoints := cluster(3, 3, evenDemand)
 	for _, test := range []struct {
 		name      string
 		gateways  []Gateway
@@ -206,15 +210,16 @@
 		t.Run(test.name, func(t *testing.T) {
 			a := compute(t, unboundedRule(), test.gateways, test.endpoints)
 			if len(a.Of("gateway-0000")) != 0 || a.RelativeLoad() < 0 {
-				t.Error("something of nothing")
+				t.Error("the empty input gave endpoints to a gateway, or a negative relative load")
 			}
 		})
 	}
 	if (*Assignment)(nil).Of("x") != nil {
-		t.Error("no assignment gives something")
+		t.Error("the nil assignment has endpoints for a gateway")
 	}
 }
 
+// drawInput draws a rule and up to 12 gateways and endpoints, also with unusual demands and capacities.
 func drawInput(t *rapid.T) (rule Rule, gateways []Gateway, endpoints []Endpoint) {
 	rule = Rule{
 		Users:          rapid.Float64Range(0.5, 20).Draw(t, "users"),
@@ -233,8 +238,8 @@
 	return rule, gateways, endpoints
 }
 
-// Guards against gateways that work out different assignments from the same input, shares or weights that do not add up
-// to 1, a gateway without endpoints and an endpoint without users.
+// Guards against gateways that compute different assignments from the same input in another order, shares or weights
+// that do not add up to 1, a gateway without endpoints and an endpoint without users.
 func TestAssignmentInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rule, gateways, endpoints := drawInput(t)
@@ -251,49 +256,49 @@
 		for _, g := range gateways {
 			list := a.Of(g.Name)
 			if !slices.Equal(list, other.Of(g.Name)) {
-				t.Fatalf("%s: %v\nin another order %v", g.Name, list, other.Of(g.Name))
+				t.Fatalf("%s: %v\nwith the input in another order: %v", g.Name, list, other.Of(g.Name))
 			}
 			sum := 0.0
 			for i, one := range list {
 				if !(one.Weight > 0) || !(one.Share > 0) || i > 0 && list[i-1].Endpoint >= one.Endpoint {
-					t.Fatalf("%s: %v", g.Name, list)
+					t.Fatalf("%s: a weight or share is not above 0, or the endpoints are not sorted: %v", g.Name, list)
 				}
 				sum += one.Weight
 				shares[one.Endpoint] += one.Share
 			}
 			if math.Abs(sum-1) > 1e-6 || len(list) < min(rule.MinEndpoints, len(endpoints)) {
-				t.Fatalf("%s: weights of %v over %d endpoints", g.Name, sum, len(list))
+				t.Fatalf("%s: the weights add up to %v over %d endpoints", g.Name, sum, len(list))
 			}
 		}
 		for _, e := range endpoints {
 			if math.Abs(shares[e.ID]-1) > 1e-6 {
-				t.Fatalf("endpoint %d: shares of %v", e.ID, shares[e.ID])
+				t.Fatalf("endpoint %d: the shares add up to %v", e.ID, shares[e.ID])
 			}
 		}
 	})
 }
 
-// Guards against an endpoint that is given away more than once while one assignment gives way to another, whoever has
-// heard how much: as long as nobody goes on to the new one while somebody has heard nothing.
-func TestNoEndpointIsAssignedTwiceDuringAChange(t *testing.T) {
+// Guards against shares of an endpoint that add up to more than 1 during a change from one assignment to another.
+// Some gateways use the intersection; the others all use the previous assignment or all use the next one.
+func TestIntersectSharesNeverExceedOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rule, gateways, endpoints := drawInput(t)
-		old, err := Compute(rule, gateways, endpoints)
+		previous, err := Compute(rule, gateways, endpoints)
 		if err != nil {
 			t.Fatal(err)
 		}
 		remaining := gateways[:rapid.IntRange(1, len(gateways)).Draw(t, "remaining")]
-		fresh, err := Compute(rule, append(slices.Clone(remaining), Gateway{"new", 3, 0}), endpoints)
+		next, err := Compute(rule, append(slices.Clone(remaining), Gateway{"new", 3, 0}), endpoints)
 		if err != nil {
 			t.Fatal(err)
 		}
-		allHaveHeard := rapid.Bool().Draw(t, "all have heard")
+		allNotified := rapid.Bool().Draw(t, "all notified")
 		shares := make(map[uint64]float64)
 		for _, g := range append(slices.Clone(gateways), Gateway{Name: "new"}) {
-			list := Intersect(old.Of(g.Name), fresh.Of(g.Name))
-			if rapid.Bool().Draw(t, "waits") { // else it is where all that do not wait are
-				if list = old.Of(g.Name); allHaveHeard {
-					list = fresh.Of(g.Name)
+			list := Intersect(previous.Of(g.Name), next.Of(g.Name))
+			if rapid.Bool().Draw(t, "outside the change") { // uses only the previous or only the next assignment
+				if list = previous.Of(g.Name); allNotified {
+					list = next.Of(g.Name)
 				}
 			}
 			for _, one := range list {
@@ -302,17 +307,17 @@
 		}
 		for endpoint, sum := range shares {
 			if sum > 1+1e-9 {
-				t.Fatalf("endpoint %d is given away %v times", endpoint, sum)
+				t.Fatalf("endpoint %d: the shares add up to %v, want at most 1", endpoint, sum)
 			}
 		}
 	})
 }
 
-// BenchmarkCompute assigns endpoints in clusters with demand by rank.
+// BenchmarkCompute computes assignments for three cluster sizes with demand by rank.
 func BenchmarkCompute(b *testing.B) {
 	for _, size := range [][2]int{{50, 50}, {300, 200}, {1000, 500}} {
 		b.Run(fmt.Sprint(size[0], "x", size[1]), func(b *testing.B) {
-			gateways, endpoints := cluster(size[0], size[1], byRank)
+			gateways, endpoints := cluster(size[0], size[1], demandByRank)
 			for b.Loop() {
 				if _, err := Compute(unboundedRule(), gateways, endpoints); err != nil {
 					b.Fatal(err)
--- a/internal/assignment/fitting.go
+++ b/internal/assignment/fitting.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	fittingRounds = 12
-	minPairWeight = 1e-9 // keeps a pair from vanishing in a round
+	fittingIterations = 12
+	minPairWeight     = 1e-9 // keeps the weight of a pair above 0 in every iteration
 )
 
-// useIdle gives every endpoint that nobody uses to the gateway that scores best for it, or its capacity would lie idle.
-func (a *Assignment) useIdle(pairs [][]pair) {
+// assignUnused gives every endpoint that no gateway uses to the gateway with the best score for it, so that its
+// capacity is not wasted.
+func (a *Assignment) assignUnused(pairs [][]pair) {
 	used := make([]bool, len(a.endpoints))
 	for _, list := range pairs {
 		for _, p := range list {
@@ -25,24 +26,25 @@
 		if used[j] {
 			continue
 		}
-		best, least := 0, math.Inf(1)
+		best, bestScore := 0, math.Inf(1)
 		for i, gateway := range a.gateways {
-			if score := weightedScore(xxh3.HashString(gateway), e.ID); score < least {
-				best, least = i, score
+			if score := weightedScore(xxh3.HashString(gateway), e.ID); score < bestScore {
+				best, bestScore = i, score
 			}
 		}
 		pairs[best] = append(pairs[best], pair{endpoint: j, weight: 1})
 	}
 }
 
-// fit scales weights until each gateway's add up to its demand and, as far as the pairs allow, each endpoint's to its
-// part of all capacity.
+// fit scales the weights of the pairs and fills in a.assigned and a.load from them. The weights of each gateway add
+// up to its demand. As far as the pairs allow, the weights of each endpoint add up to its share of the total
+// capacity.
 func (a *Assignment) fit(pairs [][]pair, demand []float64) {
 	capacity := 0.0
 	for _, e := range a.endpoints {
 		capacity += e.Capacity
 	}
-	for range fittingRounds {
+	for range fittingIterations {
 		a.scaleToDemand(pairs, demand)
 		for _, list := range pairs {
 			for k := range list {
@@ -67,7 +69,8 @@
 	}
 }
 
-// scaleToDemand scales each gateway's weights to its demand, and sums up what each endpoint then gets.
+// scaleToDemand scales the weights of each gateway so that they add up to its demand, and sets a.load to the sum of
+// the weights of each endpoint.
 func (a *Assignment) scaleToDemand(pairs [][]pair, demand []float64) {
 	clear(a.load)
 	for i, list := range pairs {
--- a/internal/assignment/rendezvous.go
+++ b/internal/assignment/rendezvous.go
@@ -10,20 +10,22 @@
 )
 
 const (
-	// demandStep is the factor that demand is rounded to powers of, so that small changes move no pairs.
+	// demandStep is the base to whose powers demand is rounded, so that small changes of demand move no pairs.
 	demandStep = 1.25
-	// minDemandShare is the least demand that counts, over the mean: who has nothing now may have something soon.
-	minDemandShare = 1.0 / 64
+	// minDemandRatio is the minimum demand of a gateway, relative to the mean. A gateway without demand now may have
+	// some soon.
+	minDemandRatio = 1.0 / 64
 )
 
-// pair is an endpoint that a gateway uses.
+// pair is an endpoint that a gateway uses, in the gateway's list of pairs.
 type pair struct {
-	endpoint int // by place
+	endpoint int // index
 	weight   float64
-	score    float64 // of gateway and endpoint; the least is best
+	score    float64 // of the gateway for the endpoint; lower is better
 }
 
-// demandShares are the gateways' shares of all demand, in steps. They add up to 1.
+// demandShares returns the share of the total demand of each gateway, computed from demands rounded to powers of
+// demandStep. The shares add up to 1.
 func demandShares(gateways []Gateway) []float64 {
 	known := func(g Gateway) bool { return g.Demand > 0 && !math.IsInf(g.Demand, 0) }
 	count, sum := 0, 0.0
@@ -42,7 +44,7 @@
 	for i, g := range gateways {
 		demand := mean
 		if known(g) {
-			demand = min(max(g.Demand, mean*minDemandShare), mean*float64(len(gateways)))
+			demand = min(max(g.Demand, mean*minDemandRatio), mean*float64(len(gateways)))
 		}
 		shares[i] = math.Pow(demandStep, math.Round(math.Log(demand)/math.Log(demandStep)))
 		total += shares[i]
@@ -53,14 +55,16 @@
 	return shares
 }
 
-// subsetSize is how many endpoints a gateway uses. Each gateway rounds at a point of its own, or all would move a pair
-// at once where the cluster's size takes their number over a half.
+// subsetSize returns the number of endpoints that a gateway uses. The rounding threshold differs by gateway, derived
+// from a hash of its name. With a common threshold of one half, a change of the cluster's size could make all
+// gateways add or remove a pair at once.
 func (r Rule) subsetSize(gateway string, demand float64, endpoints int) int {
 	n := int(r.Users*float64(endpoints)*demand + unitInterval(hash(xxh3.HashString(gateway), 0)))
 	return min(endpoints, max(n, r.MinEndpoints, 1))
 }
 
-// effectiveCapacity is what an endpoint counts for at a gateway.
+// effectiveCapacity returns the capacity of an endpoint that counts when a gateway selects endpoints: reduced by
+// RemoteZoneOdds for an endpoint of another zone.
 func (r Rule) effectiveCapacity(g Gateway, e Endpoint) float64 {
 	if e.Zone != g.Zone && r.RemoteZoneOdds > 0 {
 		return e.Capacity * r.RemoteZoneOdds
@@ -68,7 +72,8 @@
 	return e.Capacity
 }
 
-// pick takes the n endpoints that rendezvous hashing gives a gateway, best score first; larger ones more often.
+// pick returns the n endpoints that weighted rendezvous hashing selects for a gateway, best score first. The chance
+// of an endpoint to be selected grows with its capacity.
 func (r Rule) pick(g Gateway, endpoints []Endpoint, n int) []pair {
 	type scored struct {
 		endpoint int
@@ -79,38 +84,40 @@
 	for _, e := range endpoints {
 		capacity += r.effectiveCapacity(g, e)
 	}
-	// The scores arrive like events at the rate of all capacity: the best n lie below n and some more of its intervals.
-	// Only those are sorted; where chance has it otherwise, all are.
+	// The scores are distributed like the arrival times of events whose rate is the total capacity. The best n
+	// therefore almost always lie below n mean intervals plus a margin, and only scores up to that limit are sorted.
+	// If fewer than n lie below it, all are sorted.
 	limit := (float64(n) + 4*math.Sqrt(float64(n)) + 4) / capacity
-	var list []scored
-	for again := true; again; limit = math.Inf(1) {
-		list = list[:0]
+	var candidates []scored
+	for retry := true; retry; limit = math.Inf(1) {
+		candidates = candidates[:0]
 		for i, e := range endpoints {
 			if score := weightedScore(seed, e.ID) / r.effectiveCapacity(g, e); score <= limit {
-				list = append(list, scored{i, score})
+				candidates = append(candidates, scored{i, score})
 			}
 		}
-		again = len(list) < n
+		retry = len(candidates) < n
 	}
-	slices.SortFunc(list, func(a, b scored) int {
+	slices.SortFunc(candidates, func(a, b scored) int {
 		return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.endpoint, b.endpoint))
 	})
 	pairs := make([]pair, n)
 	for i := range pairs {
-		e := endpoints[list[i].endpoint]
+		e := endpoints[candidates[i].endpoint]
 		weight := r.effectiveCapacity(g, e) / e.Capacity
-		pairs[i] = pair{endpoint: list[i].endpoint, weight: weight, score: list[i].score}
+		pairs[i] = pair{endpoint: candidates[i].endpoint, weight: weight, score: candidates[i].score}
 	}
 	return pairs
 }
 
-// weightedScore is a gateway's score for an endpoint; the least is best. Divided by a capacity, the logarithm makes the
-// chance to be best follow that capacity.
+// weightedScore returns a gateway's score for an endpoint; lower is better. The score is exponentially distributed,
+// so that once divided by the endpoint's capacity the chance to have the lowest score is proportional to that
+// capacity.
 func weightedScore(seed, endpoint uint64) float64 {
 	return -math.Log(unitInterval(hash(seed, endpoint)))
 }
 
-// unitInterval is a hash's top 53 bits as a number above 0 and up to 1.
+// unitInterval maps the top 53 bits of a hash to a number above 0 and at most 1.
 func unitInterval(h uint64) float64 { return (float64(h>>11) + 1) / (1 << 53) }
 
 func hash(seed, endpoint uint64) uint64 {
--- a/internal/assignment/size_test.go
+++ b/internal/assignment/size_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// clusterOfSize has three zones and equal endpoints.
+// clusterOfSize returns gateways and endpoints in three zones, all endpoints of equal capacity.
 func clusterOfSize(gatewayCount, endpointCount int) (gateways []Gateway, endpoints []Endpoint) {
 	for n := range gatewayCount {
 		gateways = append(gateways, Gateway{Name: fmt.Sprintf("gw-%d", n), Zone: n % 3})
@@ -18,11 +18,11 @@
 	return gateways, endpoints
 }
 
-// defaultRule is that of a file that states none.
+// defaultRule returns the rule that applies if the configuration file states none.
 func defaultRule() Rule { return Rule{Users: 12, MaxUsers: 36, MinEndpoints: 2, RemoteZoneOdds: 0.5} }
 
-// Guards against a cap below the largest clusters: each endpoint is some gateway's, each gateway has endpoints, and the
-// shares of an endpoint add up to 1. What is larger is an error that names both sizes.
+// Guards against size limits below the largest clusters: each endpoint is used by a gateway, each gateway has
+// endpoints, and the shares of an endpoint add up to 1. Larger input is rejected by an error that states both sizes.
 func TestLargeClustersAreAssigned(t *testing.T) {
 	for _, size := range [][2]int{{1024, 1024}, {32, 8000}, {1024, 2}, {2, 8000}} {
 		gateways, endpoints := clusterOfSize(size[0], size[1])
@@ -42,23 +42,23 @@
 		}
 		for _, one := range endpoints {
 			if sum := shares[one.ID]; sum < 0.999 || sum > 1.001 {
-				t.Fatalf("%v: the shares of an endpoint add up to %v", size, sum)
+				t.Fatalf("%v: the shares of an endpoint add up to %v, want 1", size, sum)
 			}
 		}
 	}
 	gateways, endpoints := clusterOfSize(3, MaxEndpoints+1)
 	_, err := Compute(defaultRule(), gateways, endpoints)
 	if err == nil || !strings.Contains(err.Error(), fmt.Sprint(MaxEndpoints+1)) {
-		t.Errorf("%d endpoints: %v", MaxEndpoints+1, err)
+		t.Errorf("%d endpoints: error %v, want one that states the number", MaxEndpoints+1, err)
 	}
 	gateways, endpoints = clusterOfSize(MaxGateways+1, 3)
 	_, err = Compute(defaultRule(), gateways, endpoints)
 	if err == nil || !strings.Contains(err.Error(), fmt.Sprint(MaxGateways+1)) {
-		t.Errorf("%d gateways: %v", MaxGateways+1, err)
+		t.Errorf("%d gateways: error %v, want one that states the number", MaxGateways+1, err)
 	}
 }
 
-// Guards against a list beyond the bound that changes the assignment in force.
+// Guards against an endpoint list above the maximum size changing the assignment in force.
 func TestTooManyEndpointsChangeNothing(t *testing.T) {
 	gateways, endpoints := clusterOfSize(3, MaxEndpoints+1)
 	tracker := NewTracker(defaultRule(), "gw-0", time.Second, nil)
@@ -69,14 +69,14 @@
 	before := fmt.Sprint(tracker.Assigned())
 	all := Observation{Alive: gateways, Settled: true, Endpoints: endpoints}
 	if _, err := tracker.Observe(time.Minute, all); err == nil {
-		t.Error("too many endpoints were assigned")
+		t.Error("Observe accepted too many endpoints")
 	}
 	if after := fmt.Sprint(tracker.Assigned()); after != before {
-		t.Errorf("it uses %s, before it used %s", after, before)
+		t.Errorf("the rejected list changed the assignment to %s from %s", after, before)
 	}
 }
 
-// BenchmarkComputeAtSizes assigns endpoints to 32 gateways, and to the largest clusters that are aimed at.
+// BenchmarkComputeAtSizes computes assignments for 32 gateways and for the largest intended clusters.
 func BenchmarkComputeAtSizes(b *testing.B) {
 	for _, size := range [][2]int{
 		{32, 10}, {32, 100}, {32, 1000}, {32, 7700}, {350, 1000}, {1024, 1024}, {1024, 7700},
@@ -93,7 +93,7 @@
 	}
 }
 
-// BenchmarkSpares orders the endpoints that one of three gateways does not use.
+// BenchmarkSpares ranks the endpoints that one of three gateways does not use.
 func BenchmarkSpares(b *testing.B) {
 	for _, count := range []int{10, 100, 1000, 7700} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/internal/assignment/tracker.go
+++ b/internal/assignment/tracker.go
@@ -6,87 +6,92 @@
 	"time"
 )
 
-// Stage says what the assignment in force rests on.
+// Stage says which membership the assignment in force is based on.
 type Stage uint8
 
-// The stages.
+// Stages of a [Tracker].
 const (
-	Waiting  Stage = iota // no membership has settled yet: the assignment of the start, if there is one
-	Settled               // that of the settled membership
-	Retained              // that of the last settled membership, while the present one is not settled
-	Changing              // one settled set of gateways gives way to another: no more than both allow
+	Waiting  Stage = iota // the configured gateways, if any: no membership has converged yet
+	Settled               // the present membership, which has converged
+	Retained              // the last converged membership: the present one has not converged
+	Changing              // the last two converged memberships: during a change only what both allow is used
 )
 
-// String names a stage as operators read it.
+// String returns the name of the stage that operators see.
 func (s Stage) String() string {
 	return [...]string{"waiting", "settled", "kept", "changing"}[min(s, Changing)]
 }
 
-// Observation is what membership and discovery say at a moment.
+// Observation is the state of membership and discovery at one moment.
 type Observation struct {
-	Alive     []Gateway  // the own one included
-	Settled   bool       // the membership is settled, and that of a majority
-	Endpoints []Endpoint // that may get something and are not in slow start
+	Alive     []Gateway  // including this gateway
+	Settled   bool       // the membership has converged and includes a majority
+	Endpoints []Endpoint // that may receive requests and are not in slow start
 }
 
-// Tracker holds the assignment that a gateway goes by: that of the last settled membership, and for a while after it
-// changed what both this and the one before give. A membership that is not settled changes nothing but the endpoints.
+// Tracker holds the assignment that a gateway uses: that of the last converged membership or, for changeDelay after a
+// change of it, what both the new and the previous assignment allow. While the membership has not converged, only
+// changes of the endpoints take effect.
 type Tracker struct {
-	rule        Rule
-	name        string
-	changeDelay time.Duration
-	changedAt   time.Duration // when the gateways in force settled
-	gateways    []Gateway     // in force; nil before the first
-	former      []Gateway     // in force before these, while they count; else nil
-	everSettled bool
-	endpoints   []Endpoint
-	assigned    []Assigned
-	load        float64
-	stage       Stage
+	rule          Rule
+	name          string
+	changeDelay   time.Duration
+	changedAt     time.Duration // when the gateways in force converged
+	gateways      []Gateway     // in force; nil before the first convergence, if none were configured
+	previous      []Gateway     // in force before gateways, until changeDelay has passed; else nil
+	everConverged bool
+	endpoints     []Endpoint
+	assigned      []Assigned
+	load          float64
+	stage         Stage
 }
 
-// NewTracker begins with the assignment among some gateways that all know from their files, or with none. changeDelay
-// is how long a change of the membership may take to reach the last gateway.
+// NewTracker returns the tracker of the gateway called name. start holds the gateways that the configuration of all
+// gateways names; endpoints are assigned among them until a membership converges. With nil there is no assignment
+// until then. changeDelay is the longest time that a change of the membership takes to reach the last gateway.
 func NewTracker(rule Rule, name string, changeDelay time.Duration, start []Gateway) *Tracker {
 	return &Tracker{rule: rule, name: name, changeDelay: changeDelay, load: 1, gateways: start}
 }
 
-// Assigned is what this gateway uses, by endpoint; nothing where there is no assignment yet. It must not be changed.
+// Assigned returns the endpoints that this gateway uses, sorted by endpoint ID, or nil if there is no assignment yet.
+// The caller must not modify the result.
 func (t *Tracker) Assigned() []Assigned { return t.assigned }
 
-// Stage is what the assignment in force rests on.
+// Stage returns the stage of the assignment in force.
 func (t *Tracker) Stage() Stage { return t.stage }
 
-// Gateways are those among which endpoints are assigned, as they were when they settled. They must not be changed.
+// Gateways returns the gateways among which endpoints are assigned, as they were when they converged. The caller must
+// not modify the result.
 func (t *Tracker) Gateways() []Gateway { return t.gateways }
 
-// RelativeLoad is that of the assignment in force; see [Assignment.RelativeLoad].
+// RelativeLoad returns the relative load of the assignment in force; see [Assignment.RelativeLoad].
 func (t *Tracker) RelativeLoad() float64 { return t.load }
 
-// Due is when the assignment changes by time alone; ok is false if it does not.
+// Due returns the time at which a change of the membership ends because changeDelay has passed: the first call of
+// Observe from then on switches to the new assignment alone. ok is false if no change is in progress.
 func (t *Tracker) Due() (at time.Duration, ok bool) {
-	return t.changedAt + t.changeDelay, t.former != nil
+	return t.changedAt + t.changeDelay, t.previous != nil
 }
 
-// Observe takes what is known now and reports whether what this gateway uses has changed. Its errors are those of
-// [Compute], and change nothing.
-func (t *Tracker) Observe(at time.Duration, seen Observation) (changed bool, err error) {
+// Observe updates the assignment from an observation and reports whether the endpoints of this gateway or their
+// shares have changed. It returns the errors of [Compute]; after an error the tracker is unchanged.
+func (t *Tracker) Observe(at time.Duration, observation Observation) (changed bool, err error) {
 	next := *t
-	if seen.Settled && !slices.Equal(t.gateways, seen.Alive) {
-		next.former, next.gateways, next.changedAt = t.gateways, slices.Clone(seen.Alive), at
+	if observation.Settled && !slices.Equal(t.gateways, observation.Alive) {
+		next.previous, next.gateways, next.changedAt = t.gateways, slices.Clone(observation.Alive), at
 	}
-	next.everSettled = t.everSettled || seen.Settled
-	if next.former != nil && at-next.changedAt >= t.changeDelay {
-		next.former = nil
+	next.everConverged = t.everConverged || observation.Settled
+	if next.previous != nil && at-next.changedAt >= t.changeDelay {
+		next.previous = nil
 	}
-	next.stage = next.nextStage(seen.Settled)
-	same := slices.Equal(t.gateways, next.gateways) && (t.former == nil) == (next.former == nil) &&
-		slices.Equal(t.endpoints, seen.Endpoints)
-	if next.gateways == nil || same {
+	next.stage = next.nextStage(observation.Settled)
+	unchanged := slices.Equal(t.gateways, next.gateways) && (t.previous == nil) == (next.previous == nil) &&
+		slices.Equal(t.endpoints, observation.Endpoints)
+	if next.gateways == nil || unchanged {
 		*t = next
 		return false, nil
 	}
-	next.endpoints = slices.Clone(seen.Endpoints)
+	next.endpoints = slices.Clone(observation.Endpoints)
 	if err := next.reassign(); err != nil {
 		return false, err
 	}
@@ -95,49 +100,49 @@
 	return changed, nil
 }
 
-func (t *Tracker) nextStage(settled bool) Stage {
+func (t *Tracker) nextStage(converged bool) Stage {
 	switch {
-	case !t.everSettled:
+	case !t.everConverged:
 		return Waiting
-	case t.former != nil:
+	case t.previous != nil:
 		return Changing
-	case settled:
+	case converged:
 		return Settled
 	default:
 		return Retained
 	}
 }
 
-// reassign works out what this gateway uses.
+// reassign computes the endpoints that this gateway uses.
 func (t *Tracker) reassign() error {
-	present, err := Compute(t.rule, t.gateways, t.endpoints)
+	current, err := Compute(t.rule, t.gateways, t.endpoints)
 	if err != nil {
 		return err
 	}
-	t.assigned, t.load = present.Of(t.name), present.RelativeLoad()
-	if t.former == nil {
+	t.assigned, t.load = current.Of(t.name), current.RelativeLoad()
+	if t.previous == nil {
 		return nil
 	}
-	before, err := Compute(t.rule, t.former, t.endpoints)
+	previous, err := Compute(t.rule, t.previous, t.endpoints)
 	if err != nil {
 		return err
 	}
-	// Who is in one assignment alone goes by that one: a newcomer has no former share to wait for.
-	if both := Intersect(before.Of(t.name), t.assigned); len(both) > 0 {
-		t.assigned = both
+	// A gateway that is in only one of the assignments uses that one: a new gateway has no previous share.
+	if intersection := Intersect(previous.Of(t.name), t.assigned); len(intersection) > 0 {
+		t.assigned = intersection
 	}
 	return nil
 }
 
-// Spares are the endpoints that this gateway does not use, in the order in which it goes to them where those that it
-// uses fail or are full: best score first.
+// Spares returns the endpoints outside the subset of this gateway, which is in the given zone. The best score comes
+// first: in this order the gateway turns to them when the endpoints of its subset fail or are full.
 func (t *Tracker) Spares(zone int) []uint64 {
 	if len(t.endpoints) <= len(t.assigned) {
 		return nil
 	}
-	all := t.rule.pick(Gateway{Name: t.name, Zone: zone}, t.endpoints, len(t.endpoints))
-	spares := make([]uint64, 0, len(all)-len(t.assigned))
-	for _, p := range all {
+	ranked := t.rule.pick(Gateway{Name: t.name, Zone: zone}, t.endpoints, len(t.endpoints))
+	spares := make([]uint64, 0, len(ranked)-len(t.assigned))
+	for _, p := range ranked {
 		id := t.endpoints[p.endpoint].ID
 		_, used := slices.BinarySearchFunc(t.assigned, id, func(a Assigned, id uint64) int {
 			return cmp.Compare(a.Endpoint, id)
--- a/internal/assignment/tracker_test.go
+++ b/internal/assignment/tracker_test.go
@@ -21,22 +21,24 @@
 	return out
 }
 
-// newTracker is that of the n-th gateway.
+// newTracker returns the tracker of the n-th gateway.
 func newTracker(n int, start []Gateway) *Tracker {
 	return NewTracker(Rule{Users: 4, MinEndpoints: 2}, fmt.Sprintf("g%02d", n), time.Second, start)
 }
 
-func observe(t *testing.T, tracker *Tracker, at time.Duration, gateways int, settled bool, endpoints int) bool {
+// observe passes an observation with equal gateways and endpoints to a tracker, and returns whether the tracker
+// changed.
+func observe(t *testing.T, tracker *Tracker, at time.Duration, gateways int, converged bool, endpoints int) bool {
 	t.Helper()
 	changed, err := tracker.Observe(at, Observation{
-		Alive: equalGateways(gateways), Settled: settled, Endpoints: equalEndpoints(endpoints)})
+		Alive: equalGateways(gateways), Settled: converged, Endpoints: equalEndpoints(endpoints)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return changed
 }
 
-// wantStage fails the test where a tracker is at another stage.
+// wantStage fails the test if the tracker is at another stage.
 func wantStage(t *testing.T, tracker *Tracker, want Stage) {
 	t.Helper()
 	if got := tracker.Stage(); got != want {
@@ -44,62 +46,63 @@
 	}
 }
 
-// Guards against an assignment before a membership has settled, one that an unsettled membership changes, and a change
-// of settled memberships that does not go by way of both.
-func TestTheLastSettledAssignmentStaysInForce(t *testing.T) {
+// Guards against an assignment before a membership has converged, against a membership that has not converged
+// changing the assignment, and against a change between converged memberships without the phase in which only what
+// both allow is used.
+func TestTrackerRetainsLastConvergedAssignment(t *testing.T) {
 	tracker := newTracker(0, nil)
 	if observe(t, tracker, 0, 12, false, 40) || len(tracker.Assigned()) > 0 {
-		t.Errorf("%d endpoints before a membership settled", len(tracker.Assigned()))
+		t.Errorf("%d endpoints before a membership converged, want none", len(tracker.Assigned()))
 	}
 	wantStage(t, tracker, Waiting)
 	if !observe(t, tracker, time.Second, 12, true, 40) || len(tracker.Assigned()) < 10 {
-		t.Errorf("%d endpoints", len(tracker.Assigned()))
+		t.Errorf("%d endpoints once the membership converged, want at least 10 and a change", len(tracker.Assigned()))
 	}
 	wantStage(t, tracker, Settled)
 	before := tracker.Assigned()
 	if observe(t, tracker, 2*time.Second, 6, false, 40) {
-		t.Error("a membership that is not settled changed the assignment")
+		t.Error("a membership that has not converged changed the assignment")
 	}
 	wantStage(t, tracker, Retained)
 	observe(t, tracker, 3*time.Second, 6, false, 39)
 	wantStage(t, tracker, Retained)
 	if slices.ContainsFunc(tracker.Assigned(), func(a Assigned) bool { return a.Endpoint == 40 }) {
-		t.Error("an endpoint that is gone is in use")
+		t.Error("an endpoint that was removed is in use")
 	}
 	observe(t, tracker, 4*time.Second, 12, true, 40)
 	if !observe(t, tracker, 5*time.Second, 6, true, 40) || tracker.Stage() != Changing {
-		t.Fatalf("%v", tracker.Stage())
+		t.Fatalf("stage %v after a change of the converged membership, want %v and a change", tracker.Stage(), Changing)
 	}
 	for _, one := range tracker.Assigned() {
 		if !slices.ContainsFunc(before, func(b Assigned) bool {
 			return b.Endpoint == one.Endpoint && b.Share >= one.Share-1e-12
 		}) {
-			t.Errorf("endpoint %d: more than the former assignment gives, while others go by that", one.Endpoint)
+			t.Errorf("endpoint %d: larger share than in the previous assignment, which others still use", one.Endpoint)
 		}
 	}
 	if at, ok := tracker.Due(); !ok || at != 6*time.Second {
-		t.Errorf("due at %v, %v", at, ok)
+		t.Errorf("Due() = %v, %v, want 6s, true", at, ok)
 	}
 	if !observe(t, tracker, 6*time.Second, 6, true, 40) {
-		t.Error("nothing changed when it was due")
+		t.Error("the assignment did not change at the due time")
 	}
 	wantStage(t, tracker, Settled)
 	if _, ok := tracker.Due(); ok || tracker.RelativeLoad() < 0.99 {
-		t.Errorf("it changes again by time, relative load %v", tracker.RelativeLoad())
+		t.Errorf("another timed change is due, or the relative load is below 0.99: %v", tracker.RelativeLoad())
 	}
 	if spares := tracker.Spares(0); len(spares)+len(tracker.Assigned()) != 40 {
-		t.Errorf("%d spares and %d in use of 40", len(spares), len(tracker.Assigned()))
+		t.Errorf("%d spares and %d endpoints in use, want 40 together", len(spares), len(tracker.Assigned()))
 	}
 }
 
-// Guards against an error that changes the gateways in force.
-func TestFaultyObservationsChangeNothing(t *testing.T) {
+// Guards against an observation that is rejected by an error and still changes the gateways in force.
+func TestInvalidObservationChangesNothing(t *testing.T) {
 	tracker := newTracker(0, nil)
 	observe(t, tracker, 0, 6, true, 40)
-	twice := append(equalEndpoints(2), Endpoint{ID: 1, Capacity: 1})
-	_, err := tracker.Observe(7*time.Second, Observation{Alive: equalGateways(3), Settled: true, Endpoints: twice})
+	duplicated := append(equalEndpoints(2), Endpoint{ID: 1, Capacity: 1})
+	_, err := tracker.Observe(7*time.Second, Observation{Alive: equalGateways(3), Settled: true, Endpoints: duplicated})
 	if err == nil {
-		t.Error("an endpoint listed twice")
+		t.Error("Observe accepted an endpoint that is listed twice")
 	}
 	wantStage(t, tracker, Settled)
 	if len(tracker.Gateways()) != 6 {
@@ -107,9 +110,9 @@
 	}
 }
 
-// Guards against an endpoint that is given away more than once while some gateways go by the old assignment, some by
-// both and some by the new.
-func TestSharesAddUpToOneAtMostThroughAChange(t *testing.T) {
+// Guards against shares of an endpoint that add up to more than 1 while some gateways use the previous assignment,
+// some the intersection and some the new one.
+func TestTrackerSharesNeverExceedOneDuringAChange(t *testing.T) {
 	var trackers []*Tracker
 	for i := range 12 {
 		tracker := newTracker(i, nil)
@@ -118,7 +121,7 @@
 	}
 	for at := time.Second; at < 5*time.Second; at += 100 * time.Millisecond {
 		shares := make(map[uint64]float64)
-		for i, tracker := range trackers[:9] { // three are killed at 1 s; the others settle one by one within 1 s
+		for i, tracker := range trackers[:9] { // three are killed at 1 s; the others converge one by one within 1 s
 			if at >= time.Second+time.Duration(i)*100*time.Millisecond {
 				observe(t, tracker, at, 9, true, 30)
 			}
@@ -128,7 +131,7 @@
 		}
 		for endpoint, sum := range shares {
 			if sum > 1+1e-9 {
-				t.Fatalf("after %v endpoint %d is given away %v times", at, endpoint, sum)
+				t.Fatalf("after %v: the shares of endpoint %d add up to %v, want at most 1", at, endpoint, sum)
 			}
 		}
 		if at >= 4*time.Second && len(shares) < 30 {
@@ -137,8 +140,9 @@
 	}
 }
 
-// Guards against a process that has just started and does not go by what its file names, as all do that start with it.
-func TestAStartGoesByTheFile(t *testing.T) {
+// Guards against a newly started process that does not use the assignment among the gateways of its configuration
+// file. All gateways that start together use it.
+func TestTrackerStartsWithConfiguredGateways(t *testing.T) {
 	shares := make(map[uint64]float64)
 	for i := range 9 {
 		tracker := newTracker(i, equalGateways(9))
@@ -148,11 +152,11 @@
 			shares[one.Endpoint] += one.Share
 		}
 		observe(t, tracker, time.Second, 9, true, 30)
-		wantStage(t, tracker, Settled) // by a membership that says what the file says
+		wantStage(t, tracker, Settled) // without a change: the membership equals the configured gateways
 	}
 	for endpoint, sum := range shares {
 		if sum < 0.999 || sum > 1.001 {
-			t.Errorf("endpoint %d is given away %v times", endpoint, sum)
+			t.Errorf("the shares of endpoint %d add up to %v, want 1", endpoint, sum)
 		}
 	}
 	if len(shares) != 30 {
@@ -160,9 +164,9 @@
 	}
 }
 
-// Guards against an endpoint with more users than it may have, where endpoints hold few connections, and against a
-// bound that leaves a gateway without endpoints or traffic unfair.
-func TestUsersOfAnEndpointAreBounded(t *testing.T) {
+// Guards against an endpoint with more than MaxUsers users, which matters for endpoints that accept few connections.
+// Also guards against a maximum that leaves a gateway without endpoints or the load out of balance.
+func TestMaxUsersIsRespected(t *testing.T) {
 	var gateways []Gateway
 	for i := range 300 {
 		gateways = append(gateways, Gateway{Name: fmt.Sprintf("g%03d", i), Demand: 1 + float64(i%7)})
@@ -185,16 +189,17 @@
 		}
 		return largest, a.RelativeLoad()
 	}
-	if free, _ := count(0); free <= 24 {
-		t.Fatalf("%d users at most without a bound: the test shows nothing", free)
+	if unbounded, _ := count(0); unbounded <= 24 {
+		t.Fatalf("at most %d users without a bound, want more than 24: the test would prove nothing", unbounded)
 	}
 	for _, maxUsers := range []int{14, 16, 24} {
-		// Close to the mean large endpoints have too few users for what they can do.
+		// With a maximum close to the mean, large endpoints have too few users to be fully used and the load is out
+		// of balance, so the relative load is checked for 24 alone.
 		if largest, load := count(maxUsers); largest > maxUsers || maxUsers >= 24 && load > 1.25 {
-			t.Errorf("at most %d users: %d, relative load %.2f", maxUsers, largest, load)
+			t.Errorf("MaxUsers %d: %d users, relative load %.2f", maxUsers, largest, load)
 		}
 	}
 	if _, err := Compute(Rule{Users: 12, MaxUsers: 11}, gateways, endpoints); err == nil {
-		t.Error("fewer users at most than on the mean")
+		t.Error("Compute accepted a maximum of users below the mean")
 	}
 }
--- a/internal/assignment/user_limit.go
+++ b/internal/assignment/user_limit.go
@@ -5,39 +5,42 @@
 	"slices"
 )
 
-// alternatives is how many endpoints further down its list a gateway looks that is one too many at an endpoint.
-const alternatives = 16
+// maxAlternatives is the number of further endpoints, by score, that a gateway considers as replacements if it is a
+// surplus user of one of its endpoints.
+const maxAlternatives = 16
 
-// limitUsers has each endpoint keep the users that score best for it, as many as it may have. The others, by name, go
-// to the next endpoint on their list that has room; where none has, they use one endpoint less, but never none.
+// limitUsers enforces MaxUsers. Each endpoint keeps the users with the best scores for it. The surplus users, in the
+// order of their names, replace it by the next endpoint in the order of their scores that has fewer than MaxUsers
+// users. If there is none, they use one endpoint less, but always keep at least one.
 func (r Rule) limitUsers(gateways []Gateway, endpoints []Endpoint, pairs [][]pair) {
-	users, leaving := r.surplusUsers(len(gateways), len(endpoints), pairs)
-	for i, leave := range leaving {
-		if len(leave) == 0 {
+	users, surplus := r.surplusUsers(len(gateways), len(endpoints), pairs)
+	for i, surplusEndpoints := range surplus {
+		if len(surplusEndpoints) == 0 {
 			continue
 		}
-		had := len(pairs[i])
-		more := r.pick(gateways[i], endpoints, min(len(endpoints), had+alternatives))[had:]
-		for _, left := range leave {
-			next := slices.IndexFunc(more, func(p pair) bool { return users[p.endpoint] < r.MaxUsers })
-			place := slices.IndexFunc(pairs[i], func(p pair) bool { return p.endpoint == left })
+		size := len(pairs[i])
+		candidates := r.pick(gateways[i], endpoints, min(len(endpoints), size+maxAlternatives))[size:]
+		for _, endpoint := range surplusEndpoints {
+			next := slices.IndexFunc(candidates, func(p pair) bool { return users[p.endpoint] < r.MaxUsers })
+			index := slices.IndexFunc(pairs[i], func(p pair) bool { return p.endpoint == endpoint })
 			switch {
 			case next >= 0:
-				pairs[i][place] = more[next]
-				users[more[next].endpoint]++
-				more = slices.Delete(more, next, next+1)
+				pairs[i][index] = candidates[next]
+				users[candidates[next].endpoint]++
+				candidates = slices.Delete(candidates, next, next+1)
 			case len(pairs[i]) > 1:
-				pairs[i] = slices.Delete(pairs[i], place, place+1)
+				pairs[i] = slices.Delete(pairs[i], index, index+1)
 			default:
 				continue
 			}
-			users[left]--
+			users[endpoint]--
 		}
 	}
 }
 
-// surplusUsers counts the users of each endpoint, and lists for each gateway the endpoints where it is one too many.
-func (r Rule) surplusUsers(gateways, endpoints int, pairs [][]pair) (users []int, leaving [][]int) {
+// surplusUsers returns the number of users of each endpoint and, for each gateway, the endpoints of which it is a
+// surplus user: MaxUsers other users have better scores.
+func (r Rule) surplusUsers(gateways, endpoints int, pairs [][]pair) (users []int, surplus [][]int) {
 	type user struct {
 		gateway int
 		score   float64
@@ -48,7 +51,7 @@
 			byEndpoint[p.endpoint] = append(byEndpoint[p.endpoint], user{i, p.score})
 		}
 	}
-	users, leaving = make([]int, endpoints), make([][]int, gateways)
+	users, surplus = make([]int, endpoints), make([][]int, gateways)
 	for j, list := range byEndpoint {
 		users[j] = len(list)
 		if len(list) <= r.MaxUsers {
@@ -57,9 +60,9 @@
 		slices.SortFunc(list, func(a, b user) int {
 			return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.gateway, b.gateway))
 		})
-		for _, surplus := range list[r.MaxUsers:] {
-			leaving[surplus.gateway] = append(leaving[surplus.gateway], j)
+		for _, excess := range list[r.MaxUsers:] {
+			surplus[excess.gateway] = append(surplus[excess.gateway], j)
 		}
 	}
-	return users, leaving
+	return users, surplus
 }
--- a/internal/loadreport/codec.go
+++ b/internal/loadreport/codec.go
@@ -86,8 +86,8 @@
 	return b
 }
 
-// Parse reads a payload. Bytes that a later program appends are skipped; what no program says is an error that matches
-// [ErrForm] or is of type [*FormatError].
+// Parse reads a payload. Bytes that a later program appends are skipped; what no program says is an error that
+// matches [ErrForm] or is of type [*FormatError].
 func Parse(b []byte) (Report, error) {
 	if len(b) == 0 {
 		return Report{}, formatErrorf("form", "empty")
@@ -104,11 +104,11 @@
 	if form == formZone {
 		return r, nil
 	}
-	rest := b[1+n:]
-	if err := r.parseFigures(rest); err != nil {
+	remaining := b[1+n:]
+	if err := r.parseFigures(remaining); err != nil {
 		return Report{}, err
 	}
-	if err := r.parseHashes(rest[figuresBytes:]); err != nil {
+	if err := r.parseHashes(remaining[figuresBytes:]); err != nil {
 		return Report{}, err
 	}
 	return r, nil
--- a/internal/loadreport/codec_test.go
+++ b/internal/loadreport/codec_test.go
@@ -51,8 +51,9 @@
 	})
 }
 
-// Guards against a payload that no program writes and yet counts, and against an error that does not say what is wrong.
-func TestMalformedPayloadsAreRefused(t *testing.T) {
+// Guards against a payload that no program writes and yet counts, and against an error that does not say what is
+// wrong.
+func TestMalformedPayloadsAreRejected(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		data []byte
@@ -86,15 +87,15 @@
 				}
 				return
 			}
-			var faulty *FormatError
-			if !errors.As(err, &faulty) || faulty.Part != test.part {
+			var formatErr *FormatError
+			if !errors.As(err, &formatErr) || formatErr.Part != test.part {
 				t.Errorf("want part %s: %#v", test.part, err)
 			}
 		})
 	}
 }
 
-func TestTheZoneAloneIsRead(t *testing.T) {
+func TestParseReadsZoneOnlyPayload(t *testing.T) {
 	if r, err := Parse([]byte{1, 3}); err != nil || !reflect.DeepEqual(r, Report{Zone: 3}) {
 		t.Errorf("%+v, %v", r, err)
 	}
--- a/internal/loadreport/peers.go
+++ b/internal/loadreport/peers.go
@@ -13,11 +13,11 @@
 	// One gateway's demand counts for so much at most and at least, over the median of those known.
 	maxOverMedian = 8.0
 	minOverMedian = 1.0 / 64
-	// minSuspectors have to eject an endpoint for it to be suspected: one gateway that lies or is slow must not change
-	// its fate.
+	// minSuspectors have to eject an endpoint for it to be suspected: one gateway that lies or is slow must not
+	// change its fate.
 	minSuspectors = 2
-	// maxReporterHealth is the local health from which on a gateway is no witness.
-	maxReporterHealth = 4
+	// reporterHealthLimit is the local health from which on a gateway is no witness.
+	reporterHealthLimit = 4
 )
 
 // PeerReport is a member's last report, and for how long the member has not been alive; 0 while it is.
@@ -31,25 +31,25 @@
 	return p.Known && p.Demand >= 0 && p.Silent < ReportLifetime
 }
 
-// witnesses reports whether what the peer ejects counts: it is alive now and well itself.
-func (p *PeerReport) witnesses() bool {
-	return p.Known && p.Silent <= 0 && p.LocalHealth < maxReporterHealth
+// ejectionsCount reports whether what the peer ejects counts: it is alive now and well itself.
+func (p *PeerReport) ejectionsCount() bool {
+	return p.Known && p.Silent <= 0 && p.LocalHealth < reporterHealthLimit
 }
 
-// SuspectedByPeers are the hashes of endpoints that several other gateways have ejected. The reports must not hold the
-// own one.
+// SuspectedByPeers are the hashes of endpoints that several other gateways have ejected. The reports must not hold
+// the own one.
 func SuspectedByPeers(reports []PeerReport) map[uint32]bool {
-	witnesses := make(map[uint32]int)
+	suspectors := make(map[uint32]int)
 	for _, peer := range reports {
-		if !peer.witnesses() {
+		if !peer.ejectionsCount() {
 			continue
 		}
 		for _, hash := range slices.Compact(slices.Sorted(slices.Values(peer.Ejected))) {
-			witnesses[hash]++
+			suspectors[hash]++
 		}
 	}
 	suspected := make(map[uint32]bool)
-	for hash, n := range witnesses {
+	for hash, n := range suspectors {
 		if n >= minSuspectors {
 			suspected[hash] = true
 		}
@@ -58,8 +58,8 @@
 }
 
 // Demands are what each gateway counts for in an assignment, in weighted requests a second: what it reported, within
-// bounds around the median of all that did; 0, unknown, for those that reported nothing or whose report is too old. So
-// one that lies takes eight shares at most, and takes from nobody all.
+// bounds around the median of all that did; 0, unknown, for those that reported nothing or whose report is too old.
+// So one that lies takes eight shares at most, and takes from nobody all.
 func Demands(reports []PeerReport) []float64 {
 	demands := make([]float64, len(reports))
 	median := medianDemand(reports)
--- a/internal/loadreport/peers_test.go
+++ b/internal/loadreport/peers_test.go
@@ -13,7 +13,7 @@
 
 // Guards against one that lies and takes more than eight shares, and one that is silent and counts as nothing, not
 // unknown.
-func TestOneReportOfDemandCountsOnlySoFar(t *testing.T) {
+func TestReportedDemandIsBounded(t *testing.T) {
 	silent := func(demand float64, d time.Duration) PeerReport {
 		peer := known(demand)
 		peer.Silent = d
@@ -40,9 +40,9 @@
 	}
 }
 
-// Guards against one gateway that reports every endpoint as ejected and so changes the fate of any, and against reports
-// of gateways that are slow themselves or gone.
-func TestOneReportSuspectsNoEndpoint(t *testing.T) {
+// Guards against one gateway that reports every endpoint as ejected and so changes the fate of any, and against
+// reports of gateways that are slow themselves or gone.
+func TestOneReporterSuspectsNoEndpoint(t *testing.T) {
 	all := EndpointHashes([]uint64{1, 2, 3, 4, 5, 6, 7, 8})
 	liar := PeerReport{Report: Report{Known: true, Ejected: append(slices.Clone(all), all...)}}
 	unwell := PeerReport{Report: Report{Known: true, Ejected: all, LocalHealth: 5}}
--- a/internal/loadreport/reporter.go
+++ b/internal/loadreport/reporter.go
@@ -16,29 +16,30 @@
 
 // How far figures have to move for a report.
 const (
-	demandChange = 2 // steps
-	shareChange  = shareSteps/4 + 1
-	healthChange = 2
+	minDemandChange = 2 // steps
+	minShareChange  = shareSteps/4 + 1
+	minHealthChange = 2
 )
 
 // Reporter decides when a gateway reports anew. The zero value has reported nothing.
 type Reporter struct {
 	last     Report
-	at       time.Duration
+	lastAt   time.Duration
 	reported bool
 }
 
-// Next returns the payload to spread in a cluster of so many gateways, and whether it is to be spread now: a figure has
-// moved clearly since the last report and that was long ago, or something urgent has changed and it was not just now.
-func (t *Reporter) Next(now time.Duration, report Report, gateways int) ([]byte, bool) {
-	gap, n := now-t.at, time.Duration(gateways)
-	due := !t.reported ||
-		urgentlyDiffers(&report, &t.last) && gap >= max(urgentInterval, n*urgentPerGateway) ||
-		figuresDiffer(&report, &t.last) && gap >= max(figuresInterval, n*figuresPerGateway)
+// Next returns the payload to spread in a cluster of so many gateways, and whether it is to be spread now: a figure
+// has moved clearly since the last report and that was long ago, or something urgent has changed and it was not just
+// now.
+func (r *Reporter) Next(now time.Duration, report Report, gateways int) ([]byte, bool) {
+	elapsed, n := now-r.lastAt, time.Duration(gateways)
+	due := !r.reported ||
+		urgentlyDiffers(&report, &r.last) && elapsed >= max(urgentInterval, n*urgentPerGateway) ||
+		figuresDiffer(&report, &r.last) && elapsed >= max(figuresInterval, n*figuresPerGateway)
 	if !due {
 		return nil, false
 	}
-	t.last, t.at, t.reported = report, now, true
+	r.last, r.lastAt, r.reported = report, now, true
 	return Append(nil, report), true
 }
 
@@ -49,12 +50,12 @@
 
 // figuresDiffer reports whether a figure differs clearly.
 func figuresDiffer(a, b *Report) bool {
-	return differ(demandExponent(a.Demand), demandExponent(b.Demand), demandChange) ||
+	return differBy(demandExponent(a.Demand), demandExponent(b.Demand), minDemandChange) ||
 		(a.Demand > 0) != (b.Demand > 0) ||
 		(a.Demand < 0) != (b.Demand < 0) ||
-		differ(a.LocalHealth, b.LocalHealth, healthChange) ||
-		differ(int(shareByte(a.Rejected)), int(shareByte(b.Rejected)), shareChange) ||
-		differ(int(shareByte(a.FreeCapacity)), int(shareByte(b.FreeCapacity)), shareChange)
+		differBy(a.LocalHealth, b.LocalHealth, minHealthChange) ||
+		differBy(int(shareByte(a.Rejected)), int(shareByte(b.Rejected)), minShareChange) ||
+		differBy(int(shareByte(a.FreeCapacity)), int(shareByte(b.FreeCapacity)), minShareChange)
 }
 
-func differ(a, b, by int) bool { return a-b >= by || b-a >= by }
+func differBy(a, b, by int) bool { return a-b >= by || b-a >= by }
--- a/internal/loadreport/reporter_test.go
+++ b/internal/loadreport/reporter_test.go
@@ -9,7 +9,7 @@
 
 // Guards against a gateway that reports though nothing moved or more often than every few seconds, and against a last
 // report that is off by more than moves in that time.
-func TestReporterReportsWhatHasMoved(t *testing.T) {
+func TestReporterReportsChangedFigures(t *testing.T) {
 	var reporter Reporter
 	reported, last := 0, Report{}
 	for ms := 0; ms < 60_000; ms += 10 {
@@ -54,11 +54,11 @@
 
 // Guards against a large cluster in which all reports together are too many, and against an ejection that waits for
 // long.
-func TestALargeClusterReportsSeldom(t *testing.T) {
+func TestReportIntervalGrowsWithClusterSize(t *testing.T) {
 	for _, test := range []struct {
-		gateways int
-		urgent   bool
-		most     int // in 100 s; half of them at least
+		gateways   int
+		urgent     bool
+		maxReports int // in 100 s; half of them at least
 	}{{5, false, 30}, {5, true, 104}, {300, false, 2}, {300, true, 18}} {
 		t.Run(fmt.Sprintf("%d gateways, urgent %v", test.gateways, test.urgent), func(t *testing.T) {
 			var reporter Reporter
@@ -72,8 +72,8 @@
 					reported++
 				}
 			}
-			if reported > test.most || reported < test.most/2 {
-				t.Errorf("reported %d times in 100 s, wanted %d at most", reported, test.most)
+			if reported > test.maxReports || reported < test.maxReports/2 {
+				t.Errorf("reported %d times in 100 s, wanted %d at most", reported, test.maxReports)
 			}
 		})
 	}
--- a/internal/tokenschedule/budget_test.go
+++ b/internal/tokenschedule/budget_test.go
@@ -10,12 +10,12 @@
 
 // defect changes how gateways act, to show that the bound rests on what it leaves out.
 type defect struct {
-	forgetsStart     bool // a restarted process uses tokens from before its start
-	ownersBySide     bool // shares follow from those that are alive for each gateway
-	neverExpires     bool // a token is good for ever
-	countsUp         bool // tokens are counted up by time instead of being numbered
-	clockError       time.Duration
-	newOwnershipOnly bool // while the known set changes, only the new ownership counts
+	forgetsStart          bool // a restarted process uses tokens from before its start
+	ownersByPartitionSide bool // shares follow from those that are alive for each gateway
+	neverExpires          bool // a token is good for ever
+	accumulatesCredit     bool // tokens are counted up by time instead of being numbered
+	clockError            time.Duration
+	newOwnershipOnly      bool // while the known set changes, only the new ownership counts
 }
 
 // simulation plays gateways with an endpoint in slow start: requests come at random, processes restart and forget,
@@ -31,20 +31,20 @@
 	defect   defect
 
 	before, after []OwnerShare  // of the known set, which changes once
-	change        time.Duration // when a newcomer is first known
-	massKill      time.Duration
-	sent          []float64 // seconds since the endpoint's start
+	changeAt      time.Duration // when a newcomer is first known
+	massKillAt    time.Duration
+	sentAt        []float64 // seconds since the endpoint's start
 }
 
 type simulatedGateway struct {
-	taker        *Taker
-	clockError   time.Duration
-	stoppedUntil time.Duration
-	side         int // of a partition
-	share        float64
-	heardOfIt    time.Duration // of the change of the known set
-	credit       float64       // of tokens counted up
-	creditedAt   time.Duration
+	taker            *Taker
+	clockError       time.Duration
+	pausedUntil      time.Duration
+	side             int // of a partition
+	share            float64
+	learnsOfChangeAt time.Duration // of the change of the known set
+	credit           float64       // of tokens counted up
+	creditedAt       time.Duration
 }
 
 const (
@@ -70,51 +70,51 @@
 		sum += g.share
 	}
 	s.before, s.after = ownerShares(shares...), ownerShares(append(slices.Clone(shares), sum)...)
-	s.change = time.Hour
+	s.changeAt = time.Hour
 	if faults {
-		s.change = 5 * time.Second
+		s.changeAt = 5 * time.Second
 		newcomer := NewTaker(s.rule, fmt.Sprintf("g%02d", count), started-time.Hour)
 		s.gateways = append(s.gateways, &simulatedGateway{share: 1, taker: newcomer})
 	}
 	for i, g := range s.gateways {
-		g.heardOfIt = s.change + time.Duration(rng.Int64N(int64(time.Second)))
-		if d.ownersBySide && faults {
+		g.learnsOfChangeAt = s.changeAt + time.Duration(rng.Int64N(int64(time.Second)))
+		if d.ownersByPartitionSide && faults {
 			g.side = i % 2
 		}
 	}
-	s.massKill = 8*time.Second + time.Duration(rng.Int64N(int64(2*time.Second)))/simulationStep*simulationStep
+	s.massKillAt = 8*time.Second + time.Duration(rng.Int64N(int64(2*time.Second)))/simulationStep*simulationStep
 	return s
 }
 
 func (s *simulation) run() {
 	for now := simulationStep; now < simulationLength; now += simulationStep {
 		for i, g := range s.gateways {
-			if s.faults && !s.survives(g, now) {
+			if s.faults && !s.applyFaults(g, now) {
 				continue
 			}
 			arrivals := s.rate / float64(s.count) * simulationStep.Seconds() * g.share / 0.7
 			if s.rng.Float64() > arrivals {
 				continue
 			}
-			if i == s.count && now < s.change {
+			if i == s.count && now < s.changeAt {
 				continue // it does not live yet
 			}
-			if s.takes(i, g, now) {
-				s.sent = append(s.sent, now.Seconds())
+			if s.sendsRequest(i, g, now) {
+				s.sentAt = append(s.sentAt, now.Seconds())
 			}
 		}
 	}
 }
 
-// survives draws what befalls a gateway, and reports whether it runs. One that is killed is back with nothing.
-func (s *simulation) survives(g *simulatedGateway, now time.Duration) bool {
+// applyFaults draws what befalls a gateway, and reports whether it runs. One that is killed is back with nothing.
+func (s *simulation) applyFaults(g *simulatedGateway, now time.Duration) bool {
 	if s.rng.Float64() < 0.0006 {
-		g.stoppedUntil = now + time.Duration(s.rng.Int64N(int64(2*time.Second)))
+		g.pausedUntil = now + time.Duration(s.rng.Int64N(int64(2*time.Second)))
 	}
-	if now < g.stoppedUntil {
+	if now < g.pausedUntil {
 		return false
 	}
-	sinceMassKill := now - s.massKill
+	sinceMassKill := now - s.massKillAt
 	massKilled := sinceMassKill >= 0 && sinceMassKill < 400*time.Millisecond &&
 		sinceMassKill%(120*time.Millisecond) == 0
 	if s.rng.Float64() < 0.0004 || massKilled {
@@ -130,11 +130,11 @@
 // ownerships are those that a gateway goes by at a time.
 func (s *simulation) ownerships(g *simulatedGateway, now time.Duration) [][]OwnerShare {
 	switch {
-	case s.defect.ownersBySide && s.faults:
+	case s.defect.ownersByPartitionSide && s.faults:
 		return [][]OwnerShare{s.sharesOfSide(g.side)}
-	case now >= g.heardOfIt+2*time.Second || now >= g.heardOfIt && s.defect.newOwnershipOnly:
+	case now >= g.learnsOfChangeAt+2*time.Second || now >= g.learnsOfChangeAt && s.defect.newOwnershipOnly:
 		return [][]OwnerShare{s.after}
-	case now >= g.heardOfIt:
+	case now >= g.learnsOfChangeAt:
 		return [][]OwnerShare{s.before, s.after}
 	default:
 		return [][]OwnerShare{s.before}
@@ -158,17 +158,17 @@
 	return owners
 }
 
-// takes reports whether the i-th gateway sends a request.
-func (s *simulation) takes(i int, g *simulatedGateway, now time.Duration) bool {
+// sendsRequest reports whether the i-th gateway sends a request.
+func (s *simulation) sendsRequest(i int, g *simulatedGateway, now time.Duration) bool {
 	if s.defect.neverExpires {
 		g.taker.rule.Window = s.rule.Window // the rate stays
 		g.taker.rule.ClockSkew = -10 * time.Second
 	}
-	if !s.defect.countsUp {
+	if !s.defect.accumulatesCredit {
 		_, ok := g.taker.Take(started+now+g.clockError, s.endpoint, s.ownerships(g, now)...)
 		return ok
 	}
-	budget := s.rule.rate() * s.endpoint.Capacity * s.warmth(now.Seconds())
+	budget := s.rule.rateFactor() * s.endpoint.Capacity * s.capacityFraction(now.Seconds())
 	g.credit += budget * s.before[min(i, s.count-1)].Share * (now - g.creditedAt).Seconds()
 	g.creditedAt = now
 	if g.credit < 1 {
@@ -178,35 +178,35 @@
 	return true
 }
 
-// warmth is the share of its capacity that the endpoint has some seconds after its start, without an end.
-func (s *simulation) warmth(seconds float64) float64 {
+// capacityFraction is the share of its capacity that the endpoint has some seconds after its start, without an end.
+func (s *simulation) capacityFraction(seconds float64) float64 {
 	return s.rule.InitialFraction + (1-s.rule.InitialFraction)*seconds/12
 }
 
 // worstWindow is the largest number of requests in any window over what the rule allows.
 func (s *simulation) worstWindow() (worst float64) {
 	window := s.rule.Window.Seconds()
-	for i := range s.sent {
+	for i := range s.sentAt {
 		j := i
-		for j < len(s.sent) && s.sent[j] < s.sent[i]+window {
+		for j < len(s.sentAt) && s.sentAt[j] < s.sentAt[i]+window {
 			j++
 		}
-		middle := min(12, s.sent[i]+window/2)
-		worst = max(worst, float64(j-i)/(s.rule.OverloadMultiple*s.endpoint.Capacity*s.warmth(middle)*window))
+		middle := min(12, s.sentAt[i]+window/2)
+		worst = max(worst, float64(j-i)/(s.rule.OverloadMultiple*s.endpoint.Capacity*s.capacityFraction(middle)*window))
 	}
 	return worst
 }
 
-// used is the share of what the rule allows that was sent over the slow start.
-func (s *simulation) used() float64 {
+// usedFraction is the share of what the rule allows that was sent over the slow start.
+func (s *simulation) usedFraction() float64 {
 	used, allowed := 0.0, 0.0
 	for second := 1.0; second < 12; second++ {
-		for _, at := range s.sent {
+		for _, at := range s.sentAt {
 			if at >= second && at < second+1 {
 				used++
 			}
 		}
-		allowed += s.rule.OverloadMultiple * s.endpoint.Capacity * s.warmth(min(12, second+0.5))
+		allowed += s.rule.OverloadMultiple * s.endpoint.Capacity * s.capacityFraction(min(12, second+0.5))
 	}
 	return used / allowed
 }
@@ -217,20 +217,21 @@
 	const rate = 400 // forty gateways have ten each, and a token of theirs is out of time before one comes now and then
 	for _, test := range []struct {
 		gateways int
-		enough   float64
+		minUsed  float64
 	}{{1, 0.75}, {3, 0.75}, {12, 0.75}, {40, 0.65}} {
 		t.Run(fmt.Sprint(test.gateways, " gateways"), func(t *testing.T) {
-			least, most := 1.0, 0.0
+			leastUsed, worstWindow := 1.0, 0.0
 			for seed := range uint64(25) {
 				faulty := newSimulation(seed, test.gateways, rate, true, defect{})
 				faulty.run()
-				sound := newSimulation(seed, test.gateways, rate, false, defect{})
-				sound.run()
-				most, least = max(most, faulty.worstWindow(), sound.worstWindow()), min(least, sound.used())
+				faultless := newSimulation(seed, test.gateways, rate, false, defect{})
+				faultless.run()
+				worstWindow = max(worstWindow, faulty.worstWindow(), faultless.worstWindow())
+				leastUsed = min(leastUsed, faultless.usedFraction())
 			}
-			t.Logf("at most %.2f of what is allowed in a window, at least %.2f used", most, least)
-			if most > 1 || least < test.enough {
-				t.Errorf("at most %.2f of what is allowed in a window, at least %.2f used", most, least)
+			t.Logf("at most %.2f of what is allowed in a window, at least %.2f used", worstWindow, leastUsed)
+			if worstWindow > 1 || leastUsed < test.minUsed {
+				t.Errorf("at most %.2f of what is allowed in a window, at least %.2f used", worstWindow, leastUsed)
 			}
 		})
 	}
@@ -243,14 +244,14 @@
 		defect defect
 	}{
 		{"a restart forgets its start", defect{forgetsStart: true}},
-		{"each side divides among its own", defect{ownersBySide: true}},
+		{"each side divides among its own", defect{ownersByPartitionSide: true}},
 		{"a token is good for ever", defect{neverExpires: true}},
-		{"tokens are counted up by time", defect{countsUp: true}},
+		{"tokens are counted up by time", defect{accumulatesCredit: true}},
 		{"a clock is off beyond the bound", defect{clockError: 400 * time.Millisecond}},
 		{"the new ownership at once", defect{newOwnershipOnly: true}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			most := 0.0
+			worstOfAll := 0.0
 			for seed := range uint64(60) {
 				s := newSimulation(seed, 12, 4000, true, test.defect)
 				s.run()
@@ -259,9 +260,9 @@
 					t.Logf("seed %d, %.2f at worst", seed, worst)
 					return
 				}
-				most = max(most, worst)
+				worstOfAll = max(worstOfAll, worst)
 			}
-			t.Errorf("not caught, %.2f of what is allowed at worst", most)
+			t.Errorf("not caught, %.2f of what is allowed at worst", worstOfAll)
 		})
 	}
 }
--- a/internal/tokenschedule/owners_test.go
+++ b/internal/tokenschedule/owners_test.go
@@ -18,15 +18,15 @@
 }
 
 // Guards against tokens that do not go by shares, and against those of one share that come in bunches.
-func TestTokensGoByShares(t *testing.T) {
+func TestTokensFollowShares(t *testing.T) {
 	owners := ownerShares(4, 1, 1, 2)
 	count := make(map[string]int)
-	longest, last := 0, 0
+	longestGap, last := 0, 0
 	for token := uint64(1); token <= 8000; token++ {
 		name := Owner(77, token, owners)
 		count[name]++
 		if name == "g00" {
-			longest = max(longest, int(token)-last)
+			longestGap = max(longestGap, int(token)-last)
 			last = int(token)
 		}
 	}
@@ -35,8 +35,8 @@
 			t.Errorf("%s has %d of 8000, wanted %d", owners[i].Name, got, want)
 		}
 	}
-	if longest > 4 {
-		t.Errorf("half of all tokens, and %d in a row are others'", longest)
+	if longestGap > 4 {
+		t.Errorf("half of all tokens, and %d in a row are others'", longestGap)
 	}
 	if Owner(1, 1, nil) != "" {
 		t.Error("no shares, and somebody owns a token")
@@ -45,7 +45,7 @@
 
 // Guards against a gateway that comes or goes and moves places of others, and against gateways that own far more than
 // others: each endpoint has a few owners of its own.
-func TestOwnersFollowFromTheEndpointAndWhoIsKnown(t *testing.T) {
+func TestOwnersDependOnEndpointAndKnownGateways(t *testing.T) {
 	all, fewer := NewOwners(12, 3*time.Second), NewOwners(12, 3*time.Second)
 	names := gatewayNames(100)
 	all.SetGateways(0, names)
@@ -82,7 +82,7 @@
 }
 
 // Guards against a former set that is dropped while somebody may still go by it, or kept for longer.
-func TestFormerSetsCountForAWhile(t *testing.T) {
+func TestPreviousGatewaySetsCountUntilExpired(t *testing.T) {
 	o := NewOwners(12, 3*time.Second)
 	o.SetGateways(0, gatewayNames(5))
 	o.SetGateways(time.Second, gatewayNames(5))
@@ -103,7 +103,7 @@
 }
 
 // Guards against owners that are not those that score best among all names, in a cluster of any size.
-func TestOwnersAreTheBestOfAll(t *testing.T) {
+func TestOwnersHaveTheBestScores(t *testing.T) {
 	for _, n := range []int{0, 1, 11, 12, 13, 300, 1024} {
 		names := gatewayNames(n)
 		for endpoint := range uint64(20) {
--- a/internal/tokenschedule/schedule.go
+++ b/internal/tokenschedule/schedule.go
@@ -5,9 +5,9 @@
 // # How
 //
 // From an endpoint's start its slow-start budget grows along its warm-up, and the n-th request may be sent when n is
-// reached: a token with a number ([Rule], schedule.go). The token's owner follows from endpoint, number and the owners'
-// shares ([Owner], [Owners], owners.go). A token is good for a stated time, for which the budget is smaller by as much,
-// so that any window of the rule's length holds no more than the rule allows ([Taker], taker.go).
+// reached: a token with a number ([Rule], schedule.go). The token's owner follows from endpoint, number and the
+// owners' shares ([Owner], [Owners], owners.go). A token is good for a stated time, for which the budget is smaller
+// by as much, so that any window of the rule's length holds no more than the rule allows ([Taker], taker.go).
 //
 // docs/design/assignment.md gives the reasons.
 package tokenschedule
@@ -19,10 +19,10 @@
 )
 
 const (
-	// validPart of the window is how long a token is good, before clocks are allowed for.
-	validPart = 4
-	// minValidFor is the least for which tokens are worth issuing.
-	minValidFor = 10 * time.Millisecond
+	// validityDivisor of the window is how long a token is good, before clocks are allowed for.
+	validityDivisor = 4
+	// minValidity is the least for which tokens are worth issuing.
+	minValidity = 10 * time.Millisecond
 )
 
 // Rule is what the settings say of endpoints in slow start.
@@ -44,15 +44,15 @@
 // Usable reports whether there can be tokens at all: endpoints start with something and warm up, and what is left of
 // the window is longer than clocks differ by.
 func (r Rule) Usable() bool {
-	return r.InitialFraction > 0 && r.Duration > 0 && r.OverloadMultiple > 0 && r.ValidFor() >= minValidFor
+	return r.InitialFraction > 0 && r.Duration > 0 && r.OverloadMultiple > 0 && r.ValidFor() >= minValidity
 }
 
 // ValidFor is for how long a token may be used from its begin on.
-func (r Rule) ValidFor() time.Duration { return r.Window/validPart - 2*r.ClockSkew }
+func (r Rule) ValidFor() time.Duration { return r.Window/validityDivisor - 2*r.ClockSkew }
 
-// rate is by what the capacity is multiplied, so that tokens of any window, with those that are still good from before
-// it and one that is cut by each end, come to no more than the multiple allows.
-func (r Rule) rate() float64 {
+// rateFactor is by what the capacity is multiplied, so that tokens of any window, with those that are still good from
+// before it and one that is cut by each end, come to no more than the multiple allows.
+func (r Rule) rateFactor() float64 {
 	window := r.Window.Seconds()
 	return r.OverloadMultiple * window / (window + (r.ValidFor() + 2*r.ClockSkew).Seconds())
 }
@@ -70,18 +70,18 @@
 		return 0
 	}
 	t, duration := since.Seconds(), r.Duration.Seconds()
-	warming := min(t, duration)
-	n := r.InitialFraction*warming + (1-r.InitialFraction)*warming*warming/(2*duration)
+	inSlowStart := min(t, duration)
+	n := r.InitialFraction*inSlowStart + (1-r.InitialFraction)*inSlowStart*inSlowStart/(2*duration)
 	n += max(0, t-duration)
-	return n * r.rate() * e.Capacity
+	return n * r.rateFactor() * e.Capacity
 }
 
 // issuedAt is when a token begins, since the endpoint's start: the inverse of issued.
 func (r Rule) issuedAt(e Endpoint, token float64) time.Duration {
-	n, duration := token/(r.rate()*e.Capacity), r.Duration.Seconds()
-	whileWarming := (1 + r.InitialFraction) / 2 * duration
-	if n >= whileWarming {
-		return seconds(duration + n - whileWarming)
+	n, duration := token/(r.rateFactor()*e.Capacity), r.Duration.Seconds()
+	duringSlowStart := (1 + r.InitialFraction) / 2 * duration
+	if n >= duringSlowStart {
+		return seconds(duration + n - duringSlowStart)
 	}
 	if r.InitialFraction >= 1 {
 		return seconds(n)
--- a/internal/tokenschedule/taker.go
+++ b/internal/tokenschedule/taker.go
@@ -7,10 +7,10 @@
 
 // Taker is one process's use of the tokens that it owns. It remembers one number for each endpoint in slow start.
 type Taker struct {
-	rule  Rule
-	name  string
-	start time.Duration // of this process, Unix time
-	used  map[uint64]progress
+	rule     Rule
+	name     string
+	start    time.Duration // of this process, Unix time
+	progress map[uint64]progress
 }
 
 // progress is how far the tokens of one start of an endpoint are used up.
@@ -21,7 +21,7 @@
 
 // NewTaker begins for a process of a gateway. Tokens from before its start may have been used by the process before.
 func NewTaker(r Rule, name string, start time.Duration) *Taker {
-	return &Taker{rule: r, name: name, start: start, used: make(map[uint64]progress)}
+	return &Taker{rule: r, name: name, start: start, progress: make(map[uint64]progress)}
 }
 
 // owns reports whether a token is this gateway's in each of the ownerships that may hold.
@@ -38,26 +38,27 @@
 // are given, and a token must be owned in each.
 func (t *Taker) Take(now time.Duration, e Endpoint, ownerships ...[]OwnerShare) (until time.Duration, ok bool) {
 	r := t.rule
-	done := t.used[e.ID]
-	if done.startedAt != e.StartedAt {
-		done = progress{startedAt: e.StartedAt}
+	p := t.progress[e.ID]
+	if p.startedAt != e.StartedAt {
+		p = progress{startedAt: e.StartedAt}
 	}
 	// The oldest token that is still good, and that no process before this one can have used.
-	oldest := max(now-r.ValidFor(), t.start+r.ClockSkew) - e.StartedAt
-	first := uint64(math.Ceil(r.issued(e, oldest)))
+	earliest := max(now-r.ValidFor(), t.start+r.ClockSkew) - e.StartedAt
+	first := uint64(math.Ceil(r.issued(e, earliest)))
 	last := uint64(math.Floor(r.issued(e, now-r.ClockSkew-e.StartedAt)))
-	for token := max(done.next, first, 1); token <= last; token++ {
+	for token := max(p.next, first, 1); token <= last; token++ {
 		begins := r.issuedAt(e, float64(token))
-		if begins >= oldest && t.owns(e, token, ownerships) {
-			done.next = token + 1
-			t.used[e.ID] = done
+		if begins >= earliest && t.owns(e, token, ownerships) {
+			p.next = token + 1
+			t.progress[e.ID] = p
 			return e.StartedAt + begins + r.ValidFor(), true
 		}
 	}
 	return 0, false
 }
 
-// Next is when this process's next token begins, at most a stated time ahead; ok is false if there is none until then.
+// Next is when this process's next token begins, at most a stated time ahead; ok is false if there is none until
+// then.
 func (t *Taker) Next(now time.Duration, e Endpoint, ahead time.Duration, ownerships ...[]OwnerShare) (at time.Duration,
 	ok bool) {
 	r := t.rule
@@ -72,9 +73,9 @@
 
 // Forget drops what is remembered of endpoints other than those that are in slow start now.
 func (t *Taker) Forget(inSlowStart func(endpoint uint64) bool) {
-	for id := range t.used {
+	for id := range t.progress {
 		if !inSlowStart(id) {
-			delete(t.used, id)
+			delete(t.progress, id)
 		}
 	}
 }
--- a/internal/tokenschedule/taker_test.go
+++ b/internal/tokenschedule/taker_test.go
@@ -58,9 +58,9 @@
 	for take(now, e, ownerShares(1)) {
 		taken++
 	}
-	most := int(r.issued(e, 10*time.Second)-r.issued(e, 10*time.Second-r.ValidFor())) + 1
-	if taken == 0 || taken > most {
-		t.Errorf("%d tokens after 10 s, %d are good", taken, most)
+	maxTokens := int(r.issued(e, 10*time.Second)-r.issued(e, 10*time.Second-r.ValidFor())) + 1
+	if taken == 0 || taken > maxTokens {
+		t.Errorf("%d tokens after 10 s, %d are good", taken, maxTokens)
 	}
 	if take(now, e) {
 		t.Error("a token of no ownership")
@@ -72,13 +72,14 @@
 	if _, ok := taker.Next(now, e, time.Second, []OwnerShare{{"other", 1}}); ok {
 		t.Error("a token that is another's")
 	}
-	again := e
-	again.StartedAt += 30 * time.Second
-	if take(again.StartedAt, again, ownerShares(1)) || !take(again.StartedAt+time.Second, again, ownerShares(1)) {
+	restarted := e
+	restarted.StartedAt += 30 * time.Second
+	if take(restarted.StartedAt, restarted, ownerShares(1)) ||
+		!take(restarted.StartedAt+time.Second, restarted, ownerShares(1)) {
 		t.Error("an endpoint that started again does not begin anew")
 	}
-	if taker.Forget(func(uint64) bool { return false }); len(taker.used) != 0 {
-		t.Errorf("%d endpoints remembered", len(taker.used))
+	if taker.Forget(func(uint64) bool { return false }); len(taker.progress) != 0 {
+		t.Errorf("%d endpoints remembered", len(taker.progress))
 	}
 }
 
