--- a/internal/assignment/assignment_test.go
+++ b/internal/assignment/assignment_test.go
@@ -105,7 +105,8 @@
 	subsetSize := len(before.Of("gateway-0100"))
 	fewerGateways := append(slices.Clone(gateways[:100]), gateways[101:]...)
 	if n := countMovedPairs(gateways, before, compute(t, unboundedRule(), fewerGateways, endpoints)); n > 3*subsetSize {
-		t.Errorf("removing a gateway with %d endpoints moved %d pairs of other gateways", subsetSize, n)
+		t.Errorf("removing a gateway with %d endpoints moved %d pairs of other gateways, want at most %d", subsetSize, n,
+			3*subsetSize)
 	}
 	users := 0
 	for _, g := range gateways {
@@ -115,7 +116,7 @@
 	}
 	fewerEndpoints := append(slices.Clone(endpoints[:7]), endpoints[8:]...)
 	if n := countMovedPairs(gateways, before, compute(t, unboundedRule(), gateways, fewerEndpoints)); n > 4*users {
-		t.Errorf("removing an endpoint with %d users moved %d pairs", users, n)
+		t.Errorf("removing an endpoint with %d users moved %d pairs, want at most %d", users, n, 4*users)
 	}
 }
 
--- a/internal/assignment/rendezvous.go
+++ b/internal/assignment/rendezvous.go
@@ -63,8 +63,8 @@
 	return min(endpoints, max(n, r.MinEndpoints, 1))
 }
 
-// effectiveCapacity returns the capacity of an endpoint that counts when a gateway selects endpoints: reduced by
-// RemoteZoneOdds for an endpoint of another zone.
+// effectiveCapacity returns the capacity of an endpoint that counts when a gateway selects endpoints. For an endpoint
+// of another zone it is the capacity multiplied by RemoteZoneOdds, unless that is 0.
 func (r Rule) effectiveCapacity(g Gateway, e Endpoint) float64 {
 	if e.Zone != g.Zone && r.RemoteZoneOdds > 0 {
 		return e.Capacity * r.RemoteZoneOdds
--- a/internal/loadreport/codec.go
+++ b/internal/loadreport/codec.go
@@ -7,44 +7,45 @@
 	"math"
 )
 
-// The forms of a payload, its first byte.
+// The form of a payload, stored in its first byte.
 const (
-	formZone = 1 // the zone alone
-	formFull = 2
+	formZone = 1 // the zone only
+	formFull = 2 // all fields of a report
 )
 
-// How figures are encoded.
+// Encoding of the fields of a report.
 const (
-	demandStep    = 1.25 // demand is rounded to powers of it
-	minExponent   = -60  // 1.5e-6 requests a second
-	maxExponent   = 100  // 4.9e9
-	noDemand      = minExponent - 1
-	unknownDemand = 255 // the byte of a demand that is not known
-	shareSteps    = 64  // that a share of 1 is cut into
-	maxHealth     = 8
+	demandStep    = 1.25            // demand is rounded to powers of this base
+	minExponent   = -60             // 1.5e-6 requests a second
+	maxExponent   = 100             // 4.9e9 requests a second
+	noDemand      = minExponent - 1 // the exponent of a demand of 0; its byte is 0
+	unknownDemand = 255             // the byte of a demand that is not known
+	shareSteps    = 64              // number of steps in a share of 1
+	maxHealth     = 8               // the worst local health
 	maxZone       = 1 << 16
 
 	figuresBytes = 4 // demand, rejected, free capacity, local health
 	hashBytes    = 4
 )
 
-// ErrForm is that of a payload of a form that this program does not know.
-var ErrForm = errors.New("signals: unknown form")
+// ErrForm is returned by [Parse] for a payload whose form is unknown to this version of the program.
+var ErrForm = errors.New("load report: unknown form")
 
-// FormatError says which part of a payload cannot be read.
+// FormatError is returned by [Parse] for a payload that is malformed.
 type FormatError struct {
-	Part   string // "form", "zone", "figures", "config hash" or "ejected"
+	Part   string // the malformed part: "form", "zone", "figures", "config hash" or "ejected"
 	reason string
 }
 
 // Error implements error.
-func (e *FormatError) Error() string { return "signals: " + e.reason }
+func (e *FormatError) Error() string { return "load report: " + e.reason }
 
 func formatErrorf(part, format string, args ...any) error {
 	return &FormatError{Part: part, reason: fmt.Sprintf(format, args...)}
 }
 
-// demandExponent is a demand in steps.
+// demandExponent returns the exponent of the power of demandStep to which a demand is rounded, or noDemand if the
+// demand is not above 0.
 func demandExponent(demand float64) int {
 	if !(demand > 0) {
 		return noDemand
@@ -52,7 +53,7 @@
 	return int(math.Round(math.Log(min(max(demand, 1e-300), 1e300)) / math.Log(demandStep)))
 }
 
-// shareByte is a share in steps.
+// shareByte returns a share, limited to 0 to 1, rounded to steps.
 func shareByte(share float64) byte {
 	if !(share > 0) {
 		return 0
@@ -60,7 +61,8 @@
 	return byte(math.Round(min(share, 1) * shareSteps))
 }
 
-// Append appends a report to a payload. What is out of its bounds is reported at the bound.
+// Append appends the encoded report to b and returns the result. Values out of bounds are replaced by the nearest
+// bound.
 func Append(b []byte, r Report) []byte {
 	zone := uint64(min(max(r.Zone, 0), maxZone))
 	if !r.Known {
@@ -86,8 +88,8 @@
 	return b
 }
 
-// Parse reads a payload. Bytes that a later program appends are skipped; what no program says is an error that
-// matches [ErrForm] or is of type [*FormatError].
+// Parse decodes a payload. It ignores additional bytes at the end, which later versions of the program may append.
+// For a malformed payload it returns an error that matches [ErrForm] or is of type [*FormatError].
 func Parse(b []byte) (Report, error) {
 	if len(b) == 0 {
 		return Report{}, formatErrorf("form", "empty")
@@ -98,7 +100,7 @@
 	}
 	zone, n := binary.Uvarint(b[1:])
 	if n <= 0 || zone > maxZone {
-		return Report{}, formatErrorf("zone", "no zone")
+		return Report{}, formatErrorf("zone", "zone is missing, incomplete or above %d", maxZone)
 	}
 	r := Report{Zone: int(zone)}
 	if form == formZone {
@@ -116,13 +118,13 @@
 
 func (r *Report) parseFigures(b []byte) error {
 	if len(b) < figuresBytes {
-		return formatErrorf("figures", "%d bytes after the zone, %d are needed", len(b), figuresBytes)
+		return formatErrorf("figures", "%d bytes after the zone, want at least %d", len(b), figuresBytes)
 	}
 	demand, rejected, free, health := b[0], b[1], b[2], b[3]
 	exponent := int(demand) + noDemand
 	if exponent > maxExponent && demand != unknownDemand ||
 		rejected > shareSteps || free > shareSteps || health > maxHealth {
-		return formatErrorf("figures", "figures %v out of their bounds", b[:figuresBytes])
+		return formatErrorf("figures", "figures %v are out of bounds", b[:figuresBytes])
 	}
 	switch {
 	case demand == unknownDemand:
@@ -137,12 +139,13 @@
 
 func (r *Report) parseHashes(b []byte) error {
 	if len(b) < hashBytes+1 {
-		return formatErrorf("config hash", "%d bytes after the figures, %d are needed", len(b), hashBytes+1)
+		return formatErrorf("config hash", "%d bytes after the figures, want at least %d", len(b), hashBytes+1)
 	}
 	r.ConfigHash = binary.BigEndian.Uint32(b)
 	count, hashes := int(b[hashBytes]), b[hashBytes+1:]
 	if count > MaxEjected || len(hashes) < hashBytes*count {
-		return formatErrorf("ejected", "%d hosts named in %d bytes, %d hosts at most", count, len(hashes), MaxEjected)
+		return formatErrorf("ejected", "%d ejected endpoints in %d bytes, at most %d endpoints are allowed",
+			count, len(hashes), MaxEjected)
 	}
 	for i := range count {
 		r.Ejected = append(r.Ejected, binary.BigEndian.Uint32(hashes[hashBytes*i:]))
--- a/internal/loadreport/peers.go
+++ b/internal/loadreport/peers.go
@@ -5,39 +5,40 @@
 	"time"
 )
 
-// ReportLifetime is how long the report of a member counts that is not alive any more.
+// ReportLifetime is how long the report of a member counts after the member is no longer considered alive.
 const ReportLifetime = 10 * time.Second
 
-// Bounds of what peers' reports can do.
+// Bounds on the influence of the reports of peers.
 const (
-	// One gateway's demand counts for so much at most and at least, over the median of those known.
+	// The demand of one gateway counts for at most and at least these multiples of the median of the known demands.
 	maxOverMedian = 8.0
 	minOverMedian = 1.0 / 64
-	// minSuspectors have to eject an endpoint for it to be suspected: one gateway that lies or is slow must not
-	// change its fate.
+	// minSuspectors is the number of gateways that must have ejected an endpoint for it to be suspected. One gateway
+	// that reports wrongly or is slow must not be enough.
 	minSuspectors = 2
-	// reporterHealthLimit is the local health from which on a gateway is no witness.
+	// reporterHealthLimit is the local health from which on the ejections that a gateway reports are ignored.
 	reporterHealthLimit = 4
 )
 
-// PeerReport is a member's last report, and for how long the member has not been alive; 0 while it is.
+// PeerReport is the last report of a member, with the time for which the member has not been alive. That time is 0
+// while it is alive.
 type PeerReport struct {
 	Report
 	Silent time.Duration
 }
 
-// demandCounts reports whether the demand is known and not too old.
+// demandCounts reports whether the demand is known and the report has not expired.
 func (p *PeerReport) demandCounts() bool {
 	return p.Known && p.Demand >= 0 && p.Silent < ReportLifetime
 }
 
-// ejectionsCount reports whether what the peer ejects counts: it is alive now and well itself.
+// ejectionsCount reports whether the ejections that the peer reports count: the peer is alive and healthy itself.
 func (p *PeerReport) ejectionsCount() bool {
 	return p.Known && p.Silent <= 0 && p.LocalHealth < reporterHealthLimit
 }
 
-// SuspectedByPeers are the hashes of endpoints that several other gateways have ejected. The reports must not hold
-// the own one.
+// SuspectedByPeers returns the hashes of the endpoints that at least two other gateways have ejected. The reports
+// must not include that of this gateway.
 func SuspectedByPeers(reports []PeerReport) map[uint32]bool {
 	suspectors := make(map[uint32]int)
 	for _, peer := range reports {
@@ -57,9 +58,10 @@
 	return suspected
 }
 
-// Demands are what each gateway counts for in an assignment, in weighted requests a second: what it reported, within
-// bounds around the median of all that did; 0, unknown, for those that reported nothing or whose report is too old.
-// So one that lies takes eight shares at most, and takes from nobody all.
+// Demands returns the demand of each gateway to use in an assignment, in weighted requests a second: the reported
+// demand, limited to a range around the median of all reported demands. It is 0, for unknown, if a gateway has
+// reported no demand or its report has expired. The limits ensure that a gateway that reports a wrong demand gets at
+// most eight times the share of a median gateway and leaves every other gateway a share.
 func Demands(reports []PeerReport) []float64 {
 	demands := make([]float64, len(reports))
 	median := medianDemand(reports)
@@ -74,7 +76,8 @@
 	return demands
 }
 
-// medianDemand is the median of those known, or the least above 0 where half have nothing; 0 where none is above 0.
+// medianDemand returns the median of the known demands. If the median is 0, it returns the lowest demand above 0, or
+// 0 if there is none.
 func medianDemand(reports []PeerReport) float64 {
 	var known []float64
 	for i := range reports {
--- a/internal/loadreport/peers_test.go
+++ b/internal/loadreport/peers_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// known is the report of a gateway that is alive and has told its demand.
+// known returns the report of a gateway that is alive and has reported its demand.
 func known(demand float64) PeerReport {
 	return PeerReport{Report: Report{Demand: demand, Known: true}}
 }
 
-// Guards against one that lies and takes more than eight shares, and one that is silent and counts as nothing, not
-// unknown.
+// Guards against a gateway that reports a wrong demand and gets more than eight times the median, and against an
+// expired report that counts as no demand instead of as unknown demand.
 func TestReportedDemandIsBounded(t *testing.T) {
 	silent := func(demand float64, d time.Duration) PeerReport {
 		peer := known(demand)
@@ -24,7 +24,7 @@
 		reports []PeerReport
 		want    []float64
 	}{
-		{"a liar, an idle one, unknown ones",
+		{"wrong, idle, unknown and expired reports",
 			append(slices.Repeat([]PeerReport{known(10)}, 9), known(1e9), known(0), PeerReport{},
 				silent(30, 9*time.Second), silent(30, 10*time.Second)),
 			append(slices.Repeat([]float64{10}, 9), 80, 10.0/64, 0, 30, 0)},
@@ -34,24 +34,24 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := Demands(test.reports); !slices.Equal(got, test.want) {
-				t.Errorf("%v, wanted %v", got, test.want)
+				t.Errorf("Demands() = %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// Guards against one gateway that reports every endpoint as ejected and so changes the fate of any, and against
-// reports of gateways that are slow themselves or gone.
+// Guards against an endpoint that is suspected because a single gateway reports every endpoint as ejected, and
+// against counting the reports of gateways that are unhealthy themselves or no longer alive.
 func TestOneReporterSuspectsNoEndpoint(t *testing.T) {
 	all := EndpointHashes([]uint64{1, 2, 3, 4, 5, 6, 7, 8})
 	liar := PeerReport{Report: Report{Known: true, Ejected: append(slices.Clone(all), all...)}}
 	unwell := PeerReport{Report: Report{Known: true, Ejected: all, LocalHealth: 5}}
 	gone := PeerReport{Report: Report{Known: true, Ejected: all}, Silent: time.Second}
 	if suspected := SuspectedByPeers([]PeerReport{liar, unwell, gone, known(0)}); len(suspected) > 0 {
-		t.Errorf("%v suspected by one", suspected)
+		t.Errorf("%v are suspected, but only one report counts", suspected)
 	}
 	honest := PeerReport{Report: Report{Known: true, Ejected: all[2:3]}}
 	if suspected := SuspectedByPeers([]PeerReport{liar, honest}); len(suspected) != 1 || !suspected[all[2]] {
-		t.Errorf("%v, wanted the one that two name", suspected)
+		t.Errorf("suspected: %v, want only the endpoint that two gateways report", suspected)
 	}
 }
--- a/internal/loadreport/reporter.go
+++ b/internal/loadreport/reporter.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Times between two reports of one gateway. Each goes through all gateways, several times: the more there are, the
-// seldomer each reports, so that what a gateway sends stays bounded.
+// Minimum intervals between two reports of one gateway. Every report is forwarded by all gateways, several times. The
+// interval therefore grows with the number of gateways, so that the traffic that each gateway sends stays bounded.
 const (
-	figuresInterval   = 4 * time.Second
-	figuresPerGateway = 200 * time.Millisecond
-	urgentInterval    = time.Second
-	urgentPerGateway  = 20 * time.Millisecond
+	figuresInterval   = 4 * time.Second        // for a change of the figures
+	figuresPerGateway = 200 * time.Millisecond // times the number of gateways, if that is longer
+	urgentInterval    = time.Second            // for an urgent change
+	urgentPerGateway  = 20 * time.Millisecond  // times the number of gateways, if that is longer
 )
 
-// How far figures have to move for a report.
+// Minimum changes of a figure for which a new report is sent.
 const (
-	minDemandChange = 2 // steps
+	minDemandChange = 2 // steps of factor demandStep
 	minShareChange  = shareSteps/4 + 1
 	minHealthChange = 2
 )
 
-// Reporter decides when a gateway reports anew. The zero value has reported nothing.
+// Reporter decides when a gateway sends a new report. The zero value has sent none.
 type Reporter struct {
 	last     Report
 	lastAt   time.Duration
 	reported bool
 }
 
-// Next returns the payload to spread in a cluster of so many gateways, and whether it is to be spread now: a figure
-// has moved clearly since the last report and that was long ago, or something urgent has changed and it was not just
-// now.
+// Next returns whether the report is to be sent now, and if so its payload. The first report is sent at once. Later
+// ones are sent if a figure has changed by its minimum or something urgent has changed, and if the minimum interval
+// for this kind of change, which depends on the number of gateways, has passed since the last report.
 func (r *Reporter) Next(now time.Duration, report Report, gateways int) ([]byte, bool) {
 	elapsed, n := now-r.lastAt, time.Duration(gateways)
 	due := !r.reported ||
@@ -43,12 +43,13 @@
 	return Append(nil, report), true
 }
 
-// urgentlyDiffers reports whether other endpoints are ejected, or the gateway's file is another.
+// urgentlyDiffers reports whether two reports differ in the ejected endpoints, the settings, the zone or in whether
+// the figures are known.
 func urgentlyDiffers(a, b *Report) bool {
 	return a.Zone != b.Zone || a.Known != b.Known || a.ConfigHash != b.ConfigHash || !slices.Equal(a.Ejected, b.Ejected)
 }
 
-// figuresDiffer reports whether a figure differs clearly.
+// figuresDiffer reports whether a figure of two reports differs by its minimum change or more.
 func figuresDiffer(a, b *Report) bool {
 	return differBy(demandExponent(a.Demand), demandExponent(b.Demand), minDemandChange) ||
 		(a.Demand > 0) != (b.Demand > 0) ||
--- a/internal/tokenschedule/budget_test.go
+++ b/internal/tokenschedule/budget_test.go
@@ -8,42 +8,42 @@
 	"time"
 )
 
-// defect changes how gateways act, to show that the bound rests on what it leaves out.
+// defect disables a rule that gateways follow or makes them act wrongly, to show that the bound depends on the rule.
 type defect struct {
-	forgetsStart          bool // a restarted process uses tokens from before its start
-	ownersByPartitionSide bool // shares follow from those that are alive for each gateway
-	neverExpires          bool // a token is good for ever
-	accumulatesCredit     bool // tokens are counted up by time instead of being numbered
-	clockError            time.Duration
-	newOwnershipOnly      bool // while the known set changes, only the new ownership counts
+	forgetsStart          bool          // a restarted process uses tokens from before its start
+	ownersByPartitionSide bool          // each gateway computes shares from the gateways on its side of a partition
+	neverExpires          bool          // a token never expires
+	accumulatesCredit     bool          // gateways accumulate credit over time instead of using numbered tokens
+	clockError            time.Duration // additional error of every second gateway's clock
+	newOwnershipOnly      bool          // during a change of the known gateways only the new ownership counts
 }
 
-// simulation plays gateways with an endpoint in slow start: requests come at random, processes restart and forget,
-// stand still, are cut off, come and leave.
+// simulation simulates gateways that use an endpoint in slow start. Requests arrive at random. With faults, processes
+// restart without their state and pause, and a gateway joins; a defect can also partition the gateways.
 type simulation struct {
 	rng      *rand.Rand
 	rule     Rule
 	endpoint Endpoint
 	gateways []*simulatedGateway
-	count    int     // of gateways that are there from the start
-	rate     float64 // requests a second by all gateways
+	count    int     // number of gateways that exist from the start
+	rate     float64 // requests a second of all gateways together
 	faults   bool
 	defect   defect
 
-	before, after []OwnerShare  // of the known set, which changes once
-	changeAt      time.Duration // when a newcomer is first known
-	massKillAt    time.Duration
-	sentAt        []float64 // seconds since the endpoint's start
+	before, after []OwnerShare  // by the known gateways, which change once
+	changeAt      time.Duration // when the new gateway joins
+	massKillAt    time.Duration // when all gateways are first killed at once
+	sentAt        []float64     // of each request, in seconds since the endpoint's start
 }
 
 type simulatedGateway struct {
 	taker            *Taker
 	clockError       time.Duration
 	pausedUntil      time.Duration
-	side             int // of a partition
+	side             int // side of the partition
 	share            float64
-	learnsOfChangeAt time.Duration // of the change of the known set
-	credit           float64       // of tokens counted up
+	learnsOfChangeAt time.Duration // when it learns of the change of the known gateways
+	credit           float64       // accumulated requests, with the defect accumulatesCredit
 	creditedAt       time.Duration
 }
 
@@ -52,9 +52,9 @@
 	simulationLength = 13 * time.Second
 )
 
-// newSimulation draws a day. With faults the known set changes once: a newcomer with as much traffic as all. Gateways
-// hear of it one by one within a second, and go by both ownerships for two more. And all are killed at once, three
-// times within moments.
+// newSimulation draws the parameters of a run. With faults, the known gateways change once: a new gateway joins whose
+// share equals that of all others together. Gateways learn of it one by one within a second and use both ownerships
+// for two more seconds. In addition, all gateways are killed at once, four times within 400 ms.
 func newSimulation(seed uint64, count int, rate float64, faults bool, d defect) *simulation {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := &simulation{rng: rng, rule: testRule(), count: count, rate: rate, faults: faults, defect: d}
@@ -97,7 +97,7 @@
 				continue
 			}
 			if i == s.count && now < s.changeAt {
-				continue // it does not live yet
+				continue // the new gateway has not joined yet
 			}
 			if s.sendsRequest(i, g, now) {
 				s.sentAt = append(s.sentAt, now.Seconds())
@@ -106,7 +106,8 @@
 	}
 }
 
-// applyFaults draws what befalls a gateway, and reports whether it runs. One that is killed is back with nothing.
+// applyFaults draws the faults of a gateway and reports whether it runs. A killed gateway restarts at once without
+// its state.
 func (s *simulation) applyFaults(g *simulatedGateway, now time.Duration) bool {
 	if s.rng.Float64() < 0.0006 {
 		g.pausedUntil = now + time.Duration(s.rng.Int64N(int64(2*time.Second)))
@@ -127,7 +128,7 @@
 	return true
 }
 
-// ownerships are those that a gateway goes by at a time.
+// ownerships returns the ownerships that a gateway uses at a time.
 func (s *simulation) ownerships(g *simulatedGateway, now time.Duration) [][]OwnerShare {
 	switch {
 	case s.defect.ownersByPartitionSide && s.faults:
@@ -141,7 +142,7 @@
 	}
 }
 
-// sharesOfSide has one side of a partition divide among its own.
+// sharesOfSide returns the shares if only the gateways on one side of a partition are considered.
 func (s *simulation) sharesOfSide(side int) []OwnerShare {
 	var shares []float64
 	var names []string
@@ -161,8 +162,8 @@
 // sendsRequest reports whether the i-th gateway sends a request.
 func (s *simulation) sendsRequest(i int, g *simulatedGateway, now time.Duration) bool {
 	if s.defect.neverExpires {
-		g.taker.rule.Window = s.rule.Window // the rate stays
-		g.taker.rule.ClockSkew = -10 * time.Second
+		g.taker.rule.Window = s.rule.Window
+		g.taker.rule.ClockSkew = -10 * time.Second // extends the validity; the token rate is unchanged
 	}
 	if !s.defect.accumulatesCredit {
 		_, ok := g.taker.Take(started+now+g.clockError, s.endpoint, s.ownerships(g, now)...)
@@ -178,12 +179,13 @@
 	return true
 }
 
-// capacityFraction is the share of its capacity that the endpoint has some seconds after its start, without an end.
+// capacityFraction returns the share of its capacity that the endpoint has the given time after its start. It keeps
+// growing after the end of slow start; callers limit the time.
 func (s *simulation) capacityFraction(seconds float64) float64 {
 	return s.rule.InitialFraction + (1-s.rule.InitialFraction)*seconds/12
 }
 
-// worstWindow is the largest number of requests in any window over what the rule allows.
+// worstWindow returns the largest number of requests in any window, relative to the number that the rule allows.
 func (s *simulation) worstWindow() (worst float64) {
 	window := s.rule.Window.Seconds()
 	for i := range s.sentAt {
@@ -197,7 +199,7 @@
 	return worst
 }
 
-// usedFraction is the share of what the rule allows that was sent over the slow start.
+// usedFraction returns the number of requests sent during slow start, relative to the number that the rule allows.
 func (s *simulation) usedFraction() float64 {
 	used, allowed := 0.0, 0.0
 	for second := 1.0; second < 12; second++ {
@@ -211,10 +213,11 @@
 	return used / allowed
 }
 
-// Guards against a window that holds more than the multiple allows, by all gateways together, whatever befalls them,
-// and against a budget that is not used without faults, by few gateways or by many.
+// Guards against a window in which all gateways together send more requests than OverloadMultiple allows, with and
+// without faults. Also guards against a budget that stays largely unused without faults, with few or many gateways.
 func TestNoWindowHoldsMoreThanAllowed(t *testing.T) {
-	const rate = 400 // forty gateways have ten each, and a token of theirs is out of time before one comes now and then
+	// With forty gateways each has ten requests a second, and a token sometimes expires before a request arrives.
+	const rate = 400
 	for _, test := range []struct {
 		gateways int
 		minUsed  float64
@@ -229,26 +232,28 @@
 				worstWindow = max(worstWindow, faulty.worstWindow(), faultless.worstWindow())
 				leastUsed = min(leastUsed, faultless.usedFraction())
 			}
-			t.Logf("at most %.2f of what is allowed in a window, at least %.2f used", worstWindow, leastUsed)
+			t.Logf("worst window: %.2f of the allowed requests; lowest use: %.2f", worstWindow, leastUsed)
 			if worstWindow > 1 || leastUsed < test.minUsed {
-				t.Errorf("at most %.2f of what is allowed in a window, at least %.2f used", worstWindow, leastUsed)
+				t.Errorf("worst window: %.2f of the allowed requests, want at most 1; lowest use: %.2f, want at least %.2f",
+					worstWindow, leastUsed, test.minUsed)
 			}
 		})
 	}
 }
 
-// Guards against a part of the bound that could go unnoticed: without any of them some day breaks it.
+// Guards against a test of the bound that would not notice a missing rule: each defect exceeds the bound with some
+// seed.
 func TestPlantedDefectsBreakTheBound(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		defect defect
 	}{
 		{"a restart forgets its start", defect{forgetsStart: true}},
-		{"each side divides among its own", defect{ownersByPartitionSide: true}},
-		{"a token is good for ever", defect{neverExpires: true}},
-		{"tokens are counted up by time", defect{accumulatesCredit: true}},
-		{"a clock is off beyond the bound", defect{clockError: 400 * time.Millisecond}},
-		{"the new ownership at once", defect{newOwnershipOnly: true}},
+		{"each side of a partition computes its shares alone", defect{ownersByPartitionSide: true}},
+		{"a token never expires", defect{neverExpires: true}},
+		{"credit accumulates over time", defect{accumulatesCredit: true}},
+		{"a clock differs by more than ClockSkew", defect{clockError: 400 * time.Millisecond}},
+		{"the new ownership counts at once", defect{newOwnershipOnly: true}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			worstOfAll := 0.0
@@ -257,12 +262,12 @@
 				s.run()
 				worst := s.worstWindow()
 				if worst > 1 {
-					t.Logf("seed %d, %.2f at worst", seed, worst)
+					t.Logf("seed %d: worst window holds %.2f of the allowed requests", seed, worst)
 					return
 				}
 				worstOfAll = max(worstOfAll, worst)
 			}
-			t.Errorf("not caught, %.2f of what is allowed at worst", worstOfAll)
+			t.Errorf("defect not detected: the worst window holds %.2f of the allowed requests", worstOfAll)
 		})
 	}
 }
--- a/internal/tokenschedule/owners.go
+++ b/internal/tokenschedule/owners.go
@@ -10,14 +10,15 @@
 	"github.com/zeebo/xxh3"
 )
 
-// OwnerShare is one gateway's share of an endpoint's tokens. Those of an endpoint come in the order of names and add
-// up to 1.
+// OwnerShare is the share of one gateway in the tokens of an endpoint. The shares of one endpoint are sorted by name
+// and add up to 1.
 type OwnerShare struct {
 	Name  string
 	Share float64
 }
 
-// ShareOf is a gateway's share among the owners of an endpoint, 0 where it is none.
+// ShareOf returns the share of a gateway in the tokens of an endpoint, given the endpoint's owners. It is 0 if the
+// gateway is not one of them.
 func ShareOf(owners []OwnerShare, name string) float64 {
 	for _, one := range owners {
 		if one.Name == name {
@@ -27,7 +28,7 @@
 	return 0
 }
 
-// Owner is whose a token is; empty where there are no shares.
+// Owner returns the name of the gateway that owns a token, or an empty string if there are no owners.
 func Owner(endpoint uint64, token uint64, owners []OwnerShare) string {
 	if len(owners) == 0 {
 		return ""
@@ -35,7 +36,7 @@
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], endpoint)
 	offset := float64(xxh3.Hash(b[:])>>11) / (1 << 53)
-	// By multiples of the golden ratio each share's tokens come evenly.
+	// Multiples of the golden ratio distribute the tokens of each share evenly over the numbers.
 	_, position := math.Modf(offset + float64(token)*math.Phi)
 	for _, one := range owners {
 		if position -= one.Share; position < 0 {
@@ -45,29 +46,29 @@
 	return owners[len(owners)-1].Name
 }
 
-// Owners says which gateways own the tokens of an endpoint: a few of all that are known, by the endpoint's ID, so
-// that the owners of one endpoint do not depend on any other. It remembers who was known for as long as others may
-// still go by that.
+// Owners determines which gateways own the tokens of an endpoint: a few of all known gateways, chosen by the
+// endpoint's ID, so that the owners of one endpoint do not depend on the other endpoints. It keeps each previous set
+// of known gateways for as long as other gateways may still use that set.
 type Owners struct {
 	perEndpoint int
 	retention   time.Duration
 	sets        []gatewaySet // oldest first
 }
 
-// gatewaySet is who was known from a time on.
+// gatewaySet is the set of gateways known from a point in time on.
 type gatewaySet struct {
 	since  time.Duration
 	names  []string                // sorted
-	owners map[uint64][]OwnerShare // by endpoint, as asked for
+	owners map[uint64][]OwnerShare // by endpoint ID, computed on first use
 }
 
-// NewOwners has at most so many owners for each endpoint, one at least. hold is for how long after a change of who is
-// known somebody may not have heard of it.
+// NewOwners returns an Owners with up to perEndpoint owners for each endpoint; values below 1 count as 1. retention
+// is the longest time that a change of the known gateways takes to reach all gateways.
 func NewOwners(perEndpoint int, retention time.Duration) *Owners {
 	return &Owners{perEndpoint: max(perEndpoint, 1), retention: retention}
 }
 
-// SetGateways takes who may own tokens from now on.
+// SetGateways sets the gateways that may own tokens from now on.
 func (o *Owners) SetGateways(now time.Duration, names []string) {
 	names = slices.Compact(slices.Sorted(slices.Values(names)))
 	if n := len(o.sets); n == 0 || !slices.Equal(o.sets[n-1].names, names) {
@@ -76,15 +77,16 @@
 	o.expire(now)
 }
 
-// expire drops sets that were superseded so long ago that all have heard of it.
+// expire drops each set that was superseded more than the retention time ago: all gateways know of the change by
+// then.
 func (o *Owners) expire(now time.Duration) {
 	for len(o.sets) > 1 && now-o.sets[1].since > o.retention {
 		o.sets = slices.Delete(o.sets, 0, 1)
 	}
 }
 
-// Ownerships are the ownerships of an endpoint that may hold now, one for each set of known gateways. A token must be
-// owned in all.
+// Ownerships returns the ownerships of an endpoint that gateways may use now: the owners by each set of known
+// gateways that has not expired. A gateway may use a token only if it owns the token in all of them.
 func (o *Owners) Ownerships(now time.Duration, endpoint uint64) [][]OwnerShare {
 	o.expire(now)
 	ownerships := make([][]OwnerShare, 0, len(o.sets))
@@ -100,7 +102,7 @@
 	return ownerships
 }
 
-// Forget drops what was worked out for endpoints other than those that are in slow start now.
+// Forget drops the owners computed for endpoints that are no longer in slow start.
 func (o *Owners) Forget(inSlowStart func(endpoint uint64) bool) {
 	for i := range o.sets {
 		for id := range o.sets[i].owners {
@@ -111,7 +113,7 @@
 	}
 }
 
-// scored is a gateway with its score for an endpoint; the least is best.
+// scored is a gateway with its score for an endpoint; lower is better.
 type scored struct {
 	name  string
 	score uint64
@@ -121,9 +123,9 @@
 	return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.name, b.name))
 }
 
-// chooseOwners takes the gateways that score best for an endpoint in rendezvous hashing, with equal shares. It keeps
-// only so many at a time: hundreds of endpoints may start at once in a cluster of a thousand, and to sort all names
-// for each takes seconds.
+// chooseOwners returns the up to maxOwners gateways with the best scores for an endpoint in rendezvous hashing, with
+// equal shares. It keeps only the best maxOwners while it scores the names: hundreds of endpoints may start at once
+// in a cluster of a thousand gateways, and sorting all names for each endpoint would take seconds.
 func chooseOwners(endpoint uint64, names []string, maxOwners int) []OwnerShare {
 	best := make([]scored, 0, maxOwners+1)
 	for _, name := range names {
--- a/internal/tokenschedule/owners_test.go
+++ b/internal/tokenschedule/owners_test.go
@@ -17,7 +17,8 @@
 	return out
 }
 
-// Guards against tokens that do not go by shares, and against those of one share that come in bunches.
+// Guards against tokens that are not distributed in proportion to the shares, and against bunches of consecutive
+// tokens of one owner.
 func TestTokensFollowShares(t *testing.T) {
 	owners := ownerShares(4, 1, 1, 2)
 	count := make(map[string]int)
@@ -32,19 +33,19 @@
 	}
 	for i, want := range []int{4000, 1000, 1000, 2000} {
 		if got := count[owners[i].Name]; got < want-40 || got > want+40 {
-			t.Errorf("%s has %d of 8000, wanted %d", owners[i].Name, got, want)
+			t.Errorf("%s owns %d tokens of 8000, want %d", owners[i].Name, got, want)
 		}
 	}
 	if longestGap > 4 {
-		t.Errorf("half of all tokens, and %d in a row are others'", longestGap)
+		t.Errorf("the owner of half of all tokens gets the next one only after %d tokens, want at most 4", longestGap)
 	}
 	if Owner(1, 1, nil) != "" {
-		t.Error("no shares, and somebody owns a token")
+		t.Error("a token has an owner although there are no shares")
 	}
 }
 
-// Guards against a gateway that comes or goes and moves places of others, and against gateways that own far more than
-// others: each endpoint has a few owners of its own.
+// Guards against the removal of a gateway changing the ownership of others, and against gateways that own tokens of
+// far more endpoints than others do. Each endpoint has a few owners that do not depend on the other endpoints.
 func TestOwnersDependOnEndpointAndKnownGateways(t *testing.T) {
 	all, fewer := NewOwners(12, 3*time.Second), NewOwners(12, 3*time.Second)
 	names := gatewayNames(100)
@@ -54,7 +55,7 @@
 	for endpoint := range uint64(200) {
 		sets, setsOfFewer := all.Ownerships(0, endpoint), fewer.Ownerships(0, endpoint)
 		if len(sets) != 1 || len(sets[0]) != 12 {
-			t.Fatalf("endpoint %d: %d sets of owners", endpoint, len(sets))
+			t.Fatalf("endpoint %d: want one set of 12 owners, have %d sets: %v", endpoint, len(sets), sets)
 		}
 		sum := 0.0
 		for _, one := range sets[0] {
@@ -69,19 +70,21 @@
 		}
 	}
 	if len(owned) != 100 || moved != 0 {
-		t.Errorf("%d of 100 gateways own tokens, %d others' places moved with one that went", len(owned), moved)
+		t.Errorf("%d of 100 gateways own tokens, want all; removing one gateway moved %d ownerships of others, want 0",
+			len(owned), moved)
 	}
 	for name, n := range owned {
 		if n < 8 || n > 45 { // 24 on the mean
-			t.Errorf("%s owns tokens of %d endpoints of 200", name, n)
+			t.Errorf("%s owns tokens of %d endpoints of 200, want 8 to 45", name, n)
 		}
 	}
 	if sets := NewOwners(3, 0).Ownerships(0, 1); sets == nil || len(sets) != 0 {
-		t.Error("owners where nobody is known")
+		t.Error("there are owners although no gateway is known, or the result is nil")
 	}
 }
 
-// Guards against a former set that is dropped while somebody may still go by it, or kept for longer.
+// Guards against a previous set of known gateways that is dropped while other gateways may still use it, or that is
+// kept longer.
 func TestPreviousGatewaySetsCountUntilExpired(t *testing.T) {
 	o := NewOwners(12, 3*time.Second)
 	o.SetGateways(0, gatewayNames(5))
@@ -93,16 +96,16 @@
 		want int
 	}{{12 * time.Second, 3}, {13 * time.Second, 3}, {13500 * time.Millisecond, 2}, {20 * time.Second, 1}} {
 		if got := len(o.Ownerships(test.at, 1)); got != test.want {
-			t.Errorf("after %v: %d sets, wanted %d", test.at, got, test.want)
+			t.Errorf("after %v: %d sets, want %d", test.at, got, test.want)
 		}
 	}
 	o.Forget(func(uint64) bool { return false })
 	if len(o.sets[0].owners) != 0 {
-		t.Error("an endpoint is remembered that is not in slow start")
+		t.Error("owners of an endpoint that is not in slow start are still stored")
 	}
 }
 
-// Guards against owners that are not those that score best among all names, in a cluster of any size.
+// Guards against owners other than the names with the best scores of all, in clusters of different sizes.
 func TestOwnersHaveTheBestScores(t *testing.T) {
 	for _, n := range []int{0, 1, 11, 12, 13, 300, 1024} {
 		names := gatewayNames(n)
--- a/internal/tokenschedule/taker.go
+++ b/internal/tokenschedule/taker.go
@@ -5,26 +5,28 @@
 	"time"
 )
 
-// Taker is one process's use of the tokens that it owns. It remembers one number for each endpoint in slow start.
+// Taker uses the tokens that one process of a gateway owns. For each endpoint in slow start it stores the number of
+// the next unused token.
 type Taker struct {
 	rule     Rule
 	name     string
-	start    time.Duration // of this process, Unix time
+	start    time.Duration // when this process started, Unix time
 	progress map[uint64]progress
 }
 
-// progress is how far the tokens of one start of an endpoint are used up.
+// progress records how far the tokens since one start of an endpoint have been used.
 type progress struct {
 	startedAt time.Duration
-	next      uint64
+	next      uint64 // first token that has not been used or passed over
 }
 
-// NewTaker begins for a process of a gateway. Tokens from before its start may have been used by the process before.
+// NewTaker returns a Taker for the process of the gateway called name that started at start. It uses no tokens from
+// before then, because the previous process may have used them.
 func NewTaker(r Rule, name string, start time.Duration) *Taker {
 	return &Taker{rule: r, name: name, start: start, progress: make(map[uint64]progress)}
 }
 
-// owns reports whether a token is this gateway's in each of the ownerships that may hold.
+// owns reports whether this gateway owns a token in each of the ownerships. Without any ownership it owns none.
 func (t *Taker) owns(e Endpoint, token uint64, ownerships [][]OwnerShare) bool {
 	for _, shares := range ownerships {
 		if Owner(e.ID, token, shares) != t.name {
@@ -34,15 +36,15 @@
 	return len(ownerships) > 0
 }
 
-// Take uses one token if there is one now, and reports until when it is good. Where several ownerships may hold, all
-// are given, and a token must be owned in each.
+// Take uses one token for an endpoint if there is an unused valid one now, and returns until when the request may be
+// sent. ownerships are all the ownerships that gateways may use now; this gateway must own the token in each of them.
 func (t *Taker) Take(now time.Duration, e Endpoint, ownerships ...[]OwnerShare) (until time.Duration, ok bool) {
 	r := t.rule
 	p := t.progress[e.ID]
 	if p.startedAt != e.StartedAt {
 		p = progress{startedAt: e.StartedAt}
 	}
-	// The oldest token that is still good, and that no process before this one can have used.
+	// The earliest begin of a token that is still valid and that no previous process can have used.
 	earliest := max(now-r.ValidFor(), t.start+r.ClockSkew) - e.StartedAt
 	first := uint64(math.Ceil(r.issued(e, earliest)))
 	last := uint64(math.Floor(r.issued(e, now-r.ClockSkew-e.StartedAt)))
@@ -57,8 +59,8 @@
 	return 0, false
 }
 
-// Next is when this process's next token begins, at most a stated time ahead; ok is false if there is none until
-// then.
+// Next returns when the next token of this process can be used, at the latest the time ahead from now. ok is false if
+// there is none until then.
 func (t *Taker) Next(now time.Duration, e Endpoint, ahead time.Duration, ownerships ...[]OwnerShare) (at time.Duration,
 	ok bool) {
 	r := t.rule
@@ -71,7 +73,7 @@
 	return 0, false
 }
 
-// Forget drops what is remembered of endpoints other than those that are in slow start now.
+// Forget drops the stored progress of endpoints that are no longer in slow start.
 func (t *Taker) Forget(inSlowStart func(endpoint uint64) bool) {
 	for id := range t.progress {
 		if !inSlowStart(id) {
--- a/internal/tokenschedule/taker_test.go
+++ b/internal/tokenschedule/taker_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// started is when the tests' endpoint starts, in Unix time.
+// started is the start time of the tests' endpoint, in Unix time.
 const started = 1_700_000_000 * time.Second
 
 func testRule() Rule {
@@ -17,7 +17,7 @@
 		ClockSkew: 5 * time.Millisecond}
 }
 
-// ownerShares scales shares to 1 and names their owners by place.
+// ownerShares returns the shares scaled to a sum of 1, with owners named g00, g01 and so on.
 func ownerShares(shares ...float64) (out []OwnerShare) {
 	sum := 0.0
 	for _, s := range shares {
@@ -36,12 +36,12 @@
 		e := Endpoint{Capacity: rapid.Float64Range(0.1, 500).Draw(t, "capacity")}
 		token := rapid.Float64Range(0, 1e4).Draw(t, "token")
 		if back := r.issued(e, r.issuedAt(e, token)); math.Abs(back-token) > 1e-3*(1+token*1e-3) {
-			t.Fatalf("token %v begins at %v, by when %v are issued", token, r.issuedAt(e, token), back)
+			t.Fatalf("token %v begins at %v, but %v tokens are issued by then", token, r.issuedAt(e, token), back)
 		}
 	})
 }
 
-// Guards against a process that was stopped and wakes to a heap of tokens.
+// Guards against a process that was paused and then uses all the tokens of the pause at once.
 func TestOldTokensExpire(t *testing.T) {
 	r, e := testRule(), Endpoint{ID: 3, StartedAt: started, Capacity: 25}
 	taker := NewTaker(r, "g00", started-time.Hour)
@@ -50,7 +50,7 @@
 		t.Helper()
 		until, ok := taker.Take(now, e, ownerships...)
 		if ok && (until <= now || until > now+r.ValidFor()) {
-			t.Errorf("at %v: good until %v", now-started, until-started)
+			t.Errorf("at %v: token valid until %v, want a time after now and at most ValidFor ahead", now-started, until-started)
 		}
 		return ok
 	}
@@ -60,30 +60,30 @@
 	}
 	maxTokens := int(r.issued(e, 10*time.Second)-r.issued(e, 10*time.Second-r.ValidFor())) + 1
 	if taken == 0 || taken > maxTokens {
-		t.Errorf("%d tokens after 10 s, %d are good", taken, maxTokens)
+		t.Errorf("took %d tokens after 10 s, want between 1 and the %d valid ones", taken, maxTokens)
 	}
 	if take(now, e) {
-		t.Error("a token of no ownership")
+		t.Error("took a token without any ownership")
 	}
 	at, ok := taker.Next(now, e, time.Second, ownerShares(1))
 	if !ok || at <= now || !take(at+time.Microsecond, e, ownerShares(1)) {
-		t.Errorf("the next token is at %v, %v", at-started, ok)
+		t.Errorf("Next() = %v after the start, %v; want a later time at which a token can be taken", at-started, ok)
 	}
 	if _, ok := taker.Next(now, e, time.Second, []OwnerShare{{"other", 1}}); ok {
-		t.Error("a token that is another's")
+		t.Error("Next returned a token that another gateway owns")
 	}
 	restarted := e
 	restarted.StartedAt += 30 * time.Second
 	if take(restarted.StartedAt, restarted, ownerShares(1)) ||
 		!take(restarted.StartedAt+time.Second, restarted, ownerShares(1)) {
-		t.Error("an endpoint that started again does not begin anew")
+		t.Error("the tokens of a restarted endpoint do not begin again at its new start")
 	}
 	if taker.Forget(func(uint64) bool { return false }); len(taker.progress) != 0 {
-		t.Errorf("%d endpoints remembered", len(taker.progress))
+		t.Errorf("%d endpoints are stored after Forget, want none", len(taker.progress))
 	}
 }
 
-// Guards against a renamed field changing the hash by which gateways of different versions compare settings.
+// Guards against a renamed field that changes the hash with which gateways of different versions compare settings.
 func TestCanonicalTextIsStable(t *testing.T) {
 	rule := Rule{InitialFraction: 0.12, Duration: 24 * time.Second, OverloadMultiple: 3, Window: time.Second,
 		ClockSkew: 20 * time.Millisecond}
