--- a/internal/assignment/size_test.go
+++ b/internal/assignment/size_test.go
@@ -62,12 +62,12 @@
 func TestTooManyEndpointsChangeNothing(t *testing.T) {
 	gateways, endpoints := clusterOfSize(3, MaxEndpoints+1)
 	tracker := NewTracker(defaultRule(), "gw-0", time.Second, nil)
-	first := Observation{Alive: gateways, Settled: true, Endpoints: endpoints[:50]}
+	first := Observation{Alive: gateways, Converged: true, Endpoints: endpoints[:50]}
 	if _, err := tracker.Observe(0, first); err != nil {
 		t.Fatal(err)
 	}
 	before := fmt.Sprint(tracker.Assigned())
-	all := Observation{Alive: gateways, Settled: true, Endpoints: endpoints}
+	all := Observation{Alive: gateways, Converged: true, Endpoints: endpoints}
 	if _, err := tracker.Observe(time.Minute, all); err == nil {
 		t.Error("Observe accepted too many endpoints")
 	}
@@ -99,7 +99,7 @@
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			gateways, endpoints := clusterOfSize(3, count)
 			tracker := NewTracker(Rule{Users: 1.5, MinEndpoints: 2, RemoteZoneOdds: 0.5}, "gw-0", time.Second, nil)
-			all := Observation{Alive: gateways, Settled: true, Endpoints: endpoints}
+			all := Observation{Alive: gateways, Converged: true, Endpoints: endpoints}
 			if _, err := tracker.Observe(0, all); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/assignment/tracker.go
+++ b/internal/assignment/tracker.go
@@ -11,10 +11,10 @@
 
 // Stages of a [Tracker].
 const (
-	Waiting  Stage = iota // the configured gateways, if any: no membership has converged yet
-	Settled               // the present membership, which has converged
-	Retained              // the last converged membership: the present one has not converged
-	Changing              // the last two converged memberships: during a change only what both allow is used
+	Waiting   Stage = iota // the configured gateways, if any: no membership has converged yet
+	Converged              // the present membership, which has converged
+	Retained               // the last converged membership: the present one has not converged
+	Changing               // the last two converged memberships: during a change only what both allow is used
 )
 
 // String returns the name of the stage that operators see.
@@ -25,7 +25,7 @@
 // Observation is the state of membership and discovery at one moment.
 type Observation struct {
 	Alive     []Gateway  // including this gateway
-	Settled   bool       // the membership has converged and includes a majority
+	Converged bool       // the membership has converged and includes a majority
 	Endpoints []Endpoint // that may receive requests and are not in slow start
 }
 
@@ -77,14 +77,14 @@
 // shares have changed. It returns the errors of [Compute]; after an error the tracker is unchanged.
 func (t *Tracker) Observe(at time.Duration, observation Observation) (changed bool, err error) {
 	next := *t
-	if observation.Settled && !slices.Equal(t.gateways, observation.Alive) {
+	if observation.Converged && !slices.Equal(t.gateways, observation.Alive) {
 		next.previous, next.gateways, next.changedAt = t.gateways, slices.Clone(observation.Alive), at
 	}
-	next.everConverged = t.everConverged || observation.Settled
+	next.everConverged = t.everConverged || observation.Converged
 	if next.previous != nil && at-next.changedAt >= t.changeDelay {
 		next.previous = nil
 	}
-	next.stage = next.nextStage(observation.Settled)
+	next.stage = next.nextStage(observation.Converged)
 	unchanged := slices.Equal(t.gateways, next.gateways) && (t.previous == nil) == (next.previous == nil) &&
 		slices.Equal(t.endpoints, observation.Endpoints)
 	if next.gateways == nil || unchanged {
@@ -107,7 +107,7 @@
 	case t.previous != nil:
 		return Changing
 	case converged:
-		return Settled
+		return Converged
 	default:
 		return Retained
 	}
--- a/internal/assignment/tracker_test.go
+++ b/internal/assignment/tracker_test.go
@@ -31,7 +31,7 @@
 func observe(t *testing.T, tracker *Tracker, at time.Duration, gateways int, converged bool, endpoints int) bool {
 	t.Helper()
 	changed, err := tracker.Observe(at, Observation{
-		Alive: equalGateways(gateways), Settled: converged, Endpoints: equalEndpoints(endpoints)})
+		Alive: equalGateways(gateways), Converged: converged, Endpoints: equalEndpoints(endpoints)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 	if !observe(t, tracker, time.Second, 12, true, 40) || len(tracker.Assigned()) < 10 {
 		t.Errorf("%d endpoints once the membership converged, want at least 10 and a change", len(tracker.Assigned()))
 	}
-	wantStage(t, tracker, Settled)
+	wantStage(t, tracker, Converged)
 	before := tracker.Assigned()
 	if observe(t, tracker, 2*time.Second, 6, false, 40) {
 		t.Error("a membership that has not converged changed the assignment")
@@ -86,7 +86,7 @@
 	if !observe(t, tracker, 6*time.Second, 6, true, 40) {
 		t.Error("the assignment did not change at the due time")
 	}
-	wantStage(t, tracker, Settled)
+	wantStage(t, tracker, Converged)
 	if _, ok := tracker.Due(); ok || tracker.RelativeLoad() < 0.99 {
 		t.Errorf("another timed change is due, or the relative load is below 0.99: %v", tracker.RelativeLoad())
 	}
@@ -100,11 +100,11 @@
 	tracker := newTracker(0, nil)
 	observe(t, tracker, 0, 6, true, 40)
 	duplicated := append(equalEndpoints(2), Endpoint{ID: 1, Capacity: 1})
-	_, err := tracker.Observe(7*time.Second, Observation{Alive: equalGateways(3), Settled: true, Endpoints: duplicated})
+	_, err := tracker.Observe(7*time.Second, Observation{Alive: equalGateways(3), Converged: true, Endpoints: duplicated})
 	if err == nil {
 		t.Error("Observe accepted an endpoint that is listed twice")
 	}
-	wantStage(t, tracker, Settled)
+	wantStage(t, tracker, Converged)
 	if len(tracker.Gateways()) != 6 {
 		t.Error("an error changed the gateways in force")
 	}
@@ -152,7 +152,7 @@
 			shares[one.Endpoint] += one.Share
 		}
 		observe(t, tracker, time.Second, 9, true, 30)
-		wantStage(t, tracker, Settled) // without a change: the membership equals the configured gateways
+		wantStage(t, tracker, Converged) // without a change: the membership equals the configured gateways
 	}
 	for endpoint, sum := range shares {
 		if sum < 0.999 || sum > 1.001 {
--- a/internal/gateway/assignment.go
+++ b/internal/gateway/assignment.go
@@ -179,7 +179,7 @@
 	s.updateOwners(members)
 	observation := assignment.Observation{
 		Alive:     aliveGateways(members, reports),
-		Settled:   status.Converged,
+		Converged: status.Converged,
 		Endpoints: s.updateEndpoints(),
 	}
 	if _, err := s.state.tracker.Observe(s.now, observation); err != nil {
--- a/internal/gateway/loadreports.go
+++ b/internal/gateway/loadreports.go
@@ -13,7 +13,7 @@
 	if s.state == nil {
 		return loadreport.Append(nil, report)
 	}
-	report.Known, report.ConfigHash = true, s.state.configHash
+	report.HasFigures, report.ConfigHash = true, s.state.configHash
 	payload, _ := s.state.reporter.Next(s.now, report, 1)
 	return payload
 }
@@ -23,7 +23,7 @@
 	signals, status := s.balancer.LoadReport(s.now), s.cluster.membership.Status(s.now)
 	report := loadreport.Report{
 		Zone:         s.cfg.Settings.Config.Zone,
-		Known:        true,
+		HasFigures:   true,
 		Demand:       signals.Demand,
 		Rejected:     signals.Rejected,
 		FreeCapacity: signals.FreeCapacity,
@@ -61,7 +61,7 @@
 			peer.Report = report
 		}
 		if m.State != gossipcodec.Alive {
-			peer.Silent = max(1, s.now-m.StateSince)
+			peer.NotAliveFor = max(1, s.now-m.StateSince)
 		}
 		reports = append(reports, peer)
 		if m.Name != s.cfg.Gossip.Name {
--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -21,12 +21,12 @@
 func (s *subsetAssignment) updateAgreement(members []membership.Member, reports []loadreport.PeerReport) {
 	alive, agreeing := 0, 0
 	for i, m := range members {
-		if m.State > gossipcodec.Suspect || !reports[i].Known && m.Name != s.cfg.Gossip.Name &&
+		if m.State > gossipcodec.Suspect || !reports[i].HasFigures && m.Name != s.cfg.Gossip.Name &&
 			len(m.Payload) == 0 {
 			continue // nothing is known of this member except its name
 		}
 		alive++
-		if reports[i].Known && reports[i].ConfigHash == s.state.configHash || m.Name == s.cfg.Gossip.Name {
+		if reports[i].HasFigures && reports[i].ConfigHash == s.state.configHash || m.Name == s.cfg.Gossip.Name {
 			agreeing++
 		}
 	}
--- a/internal/lab/drill/check.go
+++ b/internal/lab/drill/check.go
@@ -145,6 +145,6 @@
 func states() []string { return []string{"alive", "suspect", "gone", "left", "unknown"} }
 
 func stages() []string {
-	return []string{assignment.Waiting.String(), assignment.Settled.String(), assignment.Retained.String(),
+	return []string{assignment.Waiting.String(), assignment.Converged.String(), assignment.Retained.String(),
 		assignment.Changing.String()}
 }
--- a/internal/lab/drill/portions.go
+++ b/internal/lab/drill/portions.go
@@ -51,7 +51,7 @@
 		l := &looks[i]
 		was := last[l.Gateway]
 		last[l.Gateway] = l
-		if l.Assignment == nil || l.Assignment.Stage != assignment.Settled.String() || was == nil ||
+		if l.Assignment == nil || l.Assignment.Stage != assignment.Converged.String() || was == nil ||
 			was.Assignment == nil || !maps.Equal(was.Assignment.Shares, l.Assignment.Shares) {
 			since = l.At
 		}
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -44,7 +44,7 @@
 	f.knowledge = &knowledge{sim: f.sim, born: make([]time.Duration, o.Gateways)}
 	for n := range o.Gateways {
 		f.sim.SetPayload(n, loadreport.Append(nil, loadreport.Report{Zone: f.places.zone(n), Demand: demand,
-			FreeCapacity: 0.5, Known: true, ConfigHash: 1}))
+			FreeCapacity: 0.5, HasFigures: true, ConfigHash: 1}))
 	}
 	for _, n := range spread(o.Full, o.Gateways) {
 		g, cost, err := newFullGateway(n, f.sim.Nodes[n].Name, &o, f.places, f.sim.Now())
--- a/internal/lab/scale/full.go
+++ b/internal/lab/scale/full.go
@@ -127,7 +127,7 @@
 			alive = append(alive, assignment.Gateway{Name: m.Name, Demand: demand, Zone: g.places.zone(n)})
 		}
 	}
-	changed, err := g.keeper.Observe(now, assignment.Observation{Alive: alive, Settled: status.Converged,
+	changed, err := g.keeper.Observe(now, assignment.Observation{Alive: alive, Converged: status.Converged,
 		Endpoints: g.hosts})
 	if err != nil && len(g.problems) < 5 {
 		g.problems = append(g.problems, err.Error())
--- a/internal/lab/simulation/assignments.go
+++ b/internal/lab/simulation/assignments.go
@@ -90,7 +90,7 @@
 			w.find(Undivided, m.name, "its view is settled, and its portion %v", stageOf(k))
 			continue
 		}
-		if k.Stage() != assignment.Settled {
+		if k.Stage() != assignment.Converged {
 			continue // traffic that fades moves demand: both divisions count for a second
 		}
 		settled++
--- a/internal/lab/simulation/assignments_test.go
+++ b/internal/lab/simulation/assignments_test.go
@@ -67,7 +67,7 @@
 			if told, err := loadreport.Parse(was); err == nil {
 				s.ConfigHash = told.ConfigHash
 			}
-			s.Known = true
+			s.HasFigures = true
 			return loadreport.Append(nil, s)
 		}
 	}
--- a/internal/loadreport/codec.go
+++ b/internal/loadreport/codec.go
@@ -65,7 +65,7 @@
 // bound.
 func Append(b []byte, r Report) []byte {
 	zone := uint64(min(max(r.Zone, 0), maxZone))
-	if !r.Known {
+	if !r.HasFigures {
 		return binary.AppendUvarint(append(b, formZone), zone)
 	}
 	b = binary.AppendUvarint(append(b, formFull), zone)
@@ -133,7 +133,7 @@
 		r.Demand = math.Pow(demandStep, float64(exponent))
 	}
 	r.Rejected, r.FreeCapacity = float64(rejected)/shareSteps, float64(free)/shareSteps
-	r.LocalHealth, r.Known = int(health), true
+	r.LocalHealth, r.HasFigures = int(health), true
 	return nil
 }
 
--- a/internal/loadreport/codec_test.go
+++ b/internal/loadreport/codec_test.go
@@ -24,17 +24,17 @@
 			Rejected:     figure.Draw(t, "rejected"),
 			FreeCapacity: figure.Draw(t, "free capacity"),
 			LocalHealth:  rapid.IntRange(-3, 300).Draw(t, "health"),
-			Known:        rapid.Bool().Draw(t, "known"),
+			HasFigures:   rapid.Bool().Draw(t, "known"),
 		}
 		b := Append(nil, r)
 		got, err := Parse(append(b, rapid.SliceOfN(rapid.Byte(), 0, 20).Draw(t, "later bytes")...))
 		if err != nil || len(b) > gossipcodec.MaxPayload {
 			t.Fatalf("error %v, %d bytes, want no error and at most %d bytes", err, len(b), gossipcodec.MaxPayload)
 		}
-		if got.Zone != min(max(r.Zone, 0), maxZone) || got.Known != r.Known {
+		if got.Zone != min(max(r.Zone, 0), maxZone) || got.HasFigures != r.HasFigures {
 			t.Fatalf("the zone or the presence of figures differs: appended %+v, parsed %+v", r, got)
 		}
-		if !r.Known {
+		if !r.HasFigures {
 			return
 		}
 		want := r.Demand
@@ -108,7 +108,7 @@
 	for i := range 20 {
 		endpoints = append(endpoints, uint64(i+1)<<33, uint64(i+1)<<33)
 	}
-	r := Report{Zone: 70, Demand: 10, Known: true, ConfigHash: 7, Ejected: EndpointHashes(endpoints)}
+	r := Report{Zone: 70, Demand: 10, HasFigures: true, ConfigHash: 7, Ejected: EndpointHashes(endpoints)}
 	b := Append(nil, r)
 	if len(r.Ejected) != MaxEjected || len(b) > 64 {
 		t.Errorf("%d endpoints in %d bytes, want %d in at most 64", len(r.Ejected), len(b), MaxEjected)
@@ -126,7 +126,7 @@
 // Guards against payloads that can be parsed, but change when they are appended and parsed again.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte{1, 3})
-	f.Add(Append(nil, Report{Zone: 2, Demand: 40, Rejected: 0.1, FreeCapacity: 0.5, Known: true}))
+	f.Add(Append(nil, Report{Zone: 2, Demand: 40, Rejected: 0.1, FreeCapacity: 0.5, HasFigures: true}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if r, err := Parse(b); err == nil {
 			if again, err := Parse(Append(nil, r)); err != nil || !reflect.DeepEqual(again, r) {
--- a/internal/loadreport/peers.go
+++ b/internal/loadreport/peers.go
@@ -24,17 +24,17 @@
 // while it is alive.
 type PeerReport struct {
 	Report
-	Silent time.Duration
+	NotAliveFor time.Duration
 }
 
 // demandCounts reports whether the demand is known and the report has not expired.
 func (p *PeerReport) demandCounts() bool {
-	return p.Known && p.Demand >= 0 && p.Silent < ReportLifetime
+	return p.HasFigures && p.Demand >= 0 && p.NotAliveFor < ReportLifetime
 }
 
 // ejectionsCount reports whether the ejections that the peer reports count: the peer is alive and healthy itself.
 func (p *PeerReport) ejectionsCount() bool {
-	return p.Known && p.Silent <= 0 && p.LocalHealth < reporterHealthLimit
+	return p.HasFigures && p.NotAliveFor <= 0 && p.LocalHealth < reporterHealthLimit
 }
 
 // SuspectedByPeers returns the hashes of the endpoints that at least two other gateways have ejected. The reports
--- a/internal/loadreport/peers_test.go
+++ b/internal/loadreport/peers_test.go
@@ -8,7 +8,7 @@
 
 // known returns the report of a gateway that is alive and has reported its demand.
 func known(demand float64) PeerReport {
-	return PeerReport{Report: Report{Demand: demand, Known: true}}
+	return PeerReport{Report: Report{Demand: demand, HasFigures: true}}
 }
 
 // Guards against a gateway that reports a wrong demand and gets more than eight times the median, and against an
@@ -16,7 +16,7 @@
 func TestReportedDemandIsBounded(t *testing.T) {
 	silent := func(demand float64, d time.Duration) PeerReport {
 		peer := known(demand)
-		peer.Silent = d
+		peer.NotAliveFor = d
 		return peer
 	}
 	for _, test := range []struct {
@@ -44,13 +44,13 @@
 // against counting the reports of gateways that are unhealthy themselves or no longer alive.
 func TestOneReporterSuspectsNoEndpoint(t *testing.T) {
 	all := EndpointHashes([]uint64{1, 2, 3, 4, 5, 6, 7, 8})
-	liar := PeerReport{Report: Report{Known: true, Ejected: append(slices.Clone(all), all...)}}
-	unwell := PeerReport{Report: Report{Known: true, Ejected: all, LocalHealth: 5}}
-	gone := PeerReport{Report: Report{Known: true, Ejected: all}, Silent: time.Second}
+	liar := PeerReport{Report: Report{HasFigures: true, Ejected: append(slices.Clone(all), all...)}}
+	unwell := PeerReport{Report: Report{HasFigures: true, Ejected: all, LocalHealth: 5}}
+	gone := PeerReport{Report: Report{HasFigures: true, Ejected: all}, NotAliveFor: time.Second}
 	if suspected := SuspectedByPeers([]PeerReport{liar, unwell, gone, known(0)}); len(suspected) > 0 {
 		t.Errorf("%v are suspected, but only one report counts", suspected)
 	}
-	honest := PeerReport{Report: Report{Known: true, Ejected: all[2:3]}}
+	honest := PeerReport{Report: Report{HasFigures: true, Ejected: all[2:3]}}
 	if suspected := SuspectedByPeers([]PeerReport{liar, honest}); len(suspected) != 1 || !suspected[all[2]] {
 		t.Errorf("suspected: %v, want only the endpoint that two gateways report", suspected)
 	}
--- a/internal/loadreport/report.go
+++ b/internal/loadreport/report.go
@@ -21,7 +21,7 @@
 	Rejected     float64 // rejected share of the demand, 0 to 1
 	FreeCapacity float64 // unused share of the concurrency limits of its endpoints, 0 to 1
 	LocalHealth  int     // 0 is healthy, 8 is worst
-	Known        bool    // the report has all fields; else only Zone is set
+	HasFigures   bool    // the report has all fields; else only Zone is set
 	// ConfigHash is a hash of the settings that slow-start tokens depend on. Gateways compare it to detect that their
 	// configuration files differ.
 	ConfigHash uint32
--- a/internal/loadreport/reporter.go
+++ b/internal/loadreport/reporter.go
@@ -46,7 +46,7 @@
 // urgentlyDiffers reports whether two reports differ in the ejected endpoints, the settings, the zone or in whether
 // the figures are known.
 func urgentlyDiffers(a, b *Report) bool {
-	return a.Zone != b.Zone || a.Known != b.Known || a.ConfigHash != b.ConfigHash || !slices.Equal(a.Ejected, b.Ejected)
+	return a.Zone != b.Zone || a.HasFigures != b.HasFigures || a.ConfigHash != b.ConfigHash || !slices.Equal(a.Ejected, b.Ejected)
 }
 
 // figuresDiffer reports whether a figure of two reports differs by its minimum change or more.
--- a/internal/loadreport/reporter_test.go
+++ b/internal/loadreport/reporter_test.go
@@ -20,7 +20,7 @@
 		if ms > 40_000 {
 			demand = 100 * math.Pow(10, float64(ms-40_000)/20_000) // tenfold in 20 s
 		}
-		report := Report{Demand: demand, Known: true}
+		report := Report{Demand: demand, HasFigures: true}
 		if b, due := reporter.Next(time.Duration(ms)*time.Millisecond, report, 5); due {
 			reported++
 			last, _ = Parse(b)
@@ -42,7 +42,7 @@
 	var reporter Reporter
 	reported := 0
 	for ms := 0; ms < 10_000; ms += 10 { // demand alternates between 0 and 100
-		report := Report{Demand: float64(ms / 10 % 2 * 100), Known: true}
+		report := Report{Demand: float64(ms / 10 % 2 * 100), HasFigures: true}
 		if _, due := reporter.Next(time.Duration(ms)*time.Millisecond, report, 5); due {
 			reported++
 		}
@@ -63,7 +63,7 @@
 			var reporter Reporter
 			reported := 0
 			for ms := 0; ms < 100_000; ms += 250 {
-				report := Report{Demand: float64(1 + ms/250%2*100), Known: true}
+				report := Report{Demand: float64(1 + ms/250%2*100), HasFigures: true}
 				if test.urgent {
 					report.Ejected = []uint32{uint32(ms)}
 				}
@@ -84,7 +84,7 @@
 	for i := range 20 {
 		endpoints = append(endpoints, uint64(i+1)<<33, uint64(i+1)<<33)
 	}
-	report := Report{Zone: 70, Demand: 10, Known: true, ConfigHash: 7, Ejected: EndpointHashes(endpoints)}
+	report := Report{Zone: 70, Demand: 10, HasFigures: true, ConfigHash: 7, Ejected: EndpointHashes(endpoints)}
 	var reporter Reporter
 	reporter.Next(time.Second, report, 5)
 	if _, due := reporter.Next(3*time.Second, report, 5); due {
