--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,7 @@
-// Package config reads what a gateway is told at its start, from the environment and from the file that it
-// names, and refuses what cannot work by the name of the field.
+// Package config reads the configuration of a gateway from the environment and from the file that the environment
+// names. It rejects an invalid configuration with an error that names the field.
 //
-// Its errors wrap a fielderror.Error, except those of the system and of balancer.Config.Validate.
+// Its errors wrap a fielderror.Error, except those of the operating system and of balancer.Config.Validate.
 package config
 
 import (
@@ -19,18 +19,19 @@
 	"thymebend/internal/settings"
 )
 
-// Variables of the environment. What they say goes before what the file says.
+// Environment variables. Their values take precedence over those of the file.
 const (
 	envFile      = "LB_CONFIG" // path of the configuration file; required
 	envName      = "LB_NAME"
 	envListen    = "LB_LISTEN"
 	envAdmin     = "LB_CONTROL"
 	envDiscovery = "LB_DISCOVERY"
-	envGossip    = "LB_FLEET" // path of the gossip configuration, gossipFromPeers, or empty for none
+	envGossip    = "LB_FLEET" // path of the gossip file, or gossipInConfigFile; empty for no cluster
 	envTempDir   = "TMPDIR"
 )
 
-// Causes of a fielderror.Error, beside fielderror.ErrMissing and those of package settings.
+// Causes of a fielderror.Error, beside fielderror.ErrMissing and those of package settings: a variable that is not set,
+// an invalid address or seed, limits below the minimum, and a number of peers that differs from that of gateways.
 var (
 	ErrNotSet     = errors.New("is not set")
 	ErrNotAddress = errors.New("is not an address and port")
@@ -39,39 +40,39 @@
 	ErrPeerCount  = errors.New("another number of peers than of gateways")
 )
 
-// Config is all that a gateway is told at its start.
+// Config is the configuration of a gateway.
 type Config struct {
 	Name            string
 	Listen          netip.AddrPort
-	Admin           netip.AddrPort // not valid where there is no admin endpoint
+	Admin           netip.AddrPort // invalid (the zero value) if there is no admin endpoint
 	Discovery       netip.AddrPort
 	Seed            uint64
 	Limits          Limits
-	CachedEndpoints json.RawMessage // the endpoint list as last had, in discovery's form; may be empty
+	CachedEndpoints json.RawMessage // the last known endpoint list, in discovery's format; may be empty
 	Settings        settings.Settings
-	Path            string // of the file, to be read again at a reload
-	// HotRestartSocket is where the next process of this gateway asks to take over; empty where there is no
-	// directory for it.
+	Path            string // of the configuration file, which a reload reads again
+	// HotRestartSocket is the path of the socket on which a successor process requests to take over; empty if no
+	// directory for it is configured (TMPDIR).
 	HotRestartSocket string
-	Gossip           *gossipconfig.Config // nil where LB_FLEET asks for none
-	GossipPath       string               // empty where the cluster stands in the configuration file
-	fields           []string             // what the file holds at its top
+	Gossip           *gossipconfig.Config // nil if the gateway joins no cluster
+	GossipPath       string               // path of the gossip file; empty if there is none
+	topLevelFields   []string             // the names of the file's top-level fields
 }
 
-// Limits are those of the machine.
+// Limits are the resources of the machine that the gateway may use.
 type Limits struct {
-	Cores    float64 `json:"cores"`     // of the processor, above 0
+	Cores    float64 `json:"cores"`     // processor cores, above 0
 	MemoryMB float64 `json:"memory_mb"` // for the whole process
-	Sockets  int     `json:"sockets"`   // that may be open at once
+	Sockets  int     `json:"sockets"`   // maximum number of open sockets
 }
 
-// The least that the program can work in.
+// The smallest limits with which the program works.
 const (
 	minSockets  = 64
 	minMemoryMB = 16
 )
 
-// Load reads the environment and the file that it names.
+// Load reads the environment, through getenv, and the configuration files that it names.
 func Load(getenv func(string) string) (Config, error) {
 	path := getenv(envFile)
 	if path == "" {
@@ -91,8 +92,8 @@
 	}
 	switch gossipPath := getenv(envGossip); gossipPath {
 	case "":
-	case gossipFromPeers:
-		cfg.Gossip, err = base.gossipOfPeers(raw, cfg.Settings)
+	case gossipInConfigFile:
+		cfg.Gossip, err = base.gossipFromPeerList(raw, cfg.Settings)
 	default:
 		cfg.GossipPath = gossipPath
 		cfg.Gossip, err = gossipconfig.Load(gossipPath, cfg.Name)
@@ -100,28 +101,29 @@
 	return cfg, err
 }
 
-// Reload reads the file's new text. The program keeps its name and its listening sockets; discovery is the
-// file's alone, for the environment still tells what the file has replaced. A file that lacks what the one in force
-// has was most likely read half written, and is refused whole.
+// Reload parses the new text of the configuration file. The gateway keeps its name and its listening sockets. The
+// address of discovery is taken from the file alone, because the environment still holds the value from the start,
+// which the file replaces. A file that lacks a field of the configuration in force was most likely read while it was
+// being written, so Reload rejects the whole file.
 func (c Config) Reload(raw []byte) (Config, error) {
 	admin := ""
 	if c.Admin.IsValid() {
 		admin = c.Admin.String()
 	}
-	fresh, err := Config{Name: c.Name, Path: c.Path}.read(raw, c.Listen.String(), admin, "")
+	reloaded, err := Config{Name: c.Name, Path: c.Path}.read(raw, c.Listen.String(), admin, "")
 	if err != nil {
-		return fresh, err
+		return reloaded, err
 	}
-	fresh.Admin, fresh.HotRestartSocket = c.Admin, c.HotRestartSocket // listening sockets are opened at the start only
-	for _, field := range c.fields {
-		if !slices.Contains(fresh.fields, field) {
-			return fresh, fielderror.Inline(field, settings.ErrNoLongerSet)
+	reloaded.Admin, reloaded.HotRestartSocket = c.Admin, c.HotRestartSocket // opened at the start only
+	for _, field := range c.topLevelFields {
+		if !slices.Contains(reloaded.topLevelFields, field) {
+			return reloaded, fielderror.Inline(field, settings.ErrNoLongerSet)
 		}
 	}
-	return fresh, c.Settings.CheckReload(fresh.Settings)
+	return reloaded, c.Settings.CheckReload(reloaded.Settings)
 }
 
-// file is the configuration file.
+// file is the configuration file. gossipFromPeerList reads its fields for the cluster.
 type file struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -133,29 +135,30 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// read takes a file's text. What is told beside it goes first where both tell the same.
+// read parses a file's text and returns the configuration. Arguments that are not empty, and c.Name, take precedence
+// over the fields of the file.
 func (c Config) read(raw []byte, listen, admin, discovery string) (Config, error) {
 	var f file
 	if err := c.decode(raw, &f); err != nil {
 		return c, err
 	}
 	var err error
-	if c.fields, err = c.fieldsOf(raw); err != nil {
+	if c.topLevelFields, err = c.parseTopLevelFields(raw); err != nil {
 		return c, err
 	}
-	c.Name, c.Limits, c.CachedEndpoints = either(c.Name, f.Name), f.Limits, f.Endpoints
+	c.Name, c.Limits, c.CachedEndpoints = firstNonEmpty(c.Name, f.Name), f.Limits, f.Endpoints
 	if c.Name == "" {
 		return c, fielderror.Inlinef("name", "%w (%s)", fielderror.ErrMissing, envName)
 	}
-	if c.Listen, err = address("listen", either(listen, f.Listen)); err != nil {
+	if c.Listen, err = parseAddrPort("listen", firstNonEmpty(listen, f.Listen)); err != nil {
 		return c, err
 	}
-	if text := either(admin, f.Admin); text != "" {
-		if c.Admin, err = address("control", text); err != nil {
+	if text := firstNonEmpty(admin, f.Admin); text != "" {
+		if c.Admin, err = parseAddrPort("control", text); err != nil {
 			return c, err
 		}
 	}
-	if c.Discovery, err = address("discovery", either(discovery, f.Discovery)); err != nil {
+	if c.Discovery, err = parseAddrPort("discovery", firstNonEmpty(discovery, f.Discovery)); err != nil {
 		return c, err
 	}
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
@@ -173,7 +176,7 @@
 	return c, c.Settings.Config.Validate()
 }
 
-// decode reads the file's JSON. It names the variable that names the file, and the file.
+// decode decodes the file's JSON. Its error names LB_CONFIG and the path of the file.
 func (c Config) decode(raw []byte, into any) error {
 	if err := json.Unmarshal(raw, into); err != nil {
 		return fmt.Errorf("%s: %w", envFile, &fielderror.Error{File: c.Path, Err: err})
@@ -181,8 +184,8 @@
 	return nil
 }
 
-// fieldsOf lists the fields that the file holds at its top and that are not null.
-func (c Config) fieldsOf(raw []byte) (fields []string, err error) {
+// parseTopLevelFields returns the sorted names of the file's top-level fields that are not null.
+func (c Config) parseTopLevelFields(raw []byte) (fields []string, err error) {
 	var all map[string]json.RawMessage
 	if err := c.decode(raw, &all); err != nil {
 		return nil, err
@@ -196,33 +199,37 @@
 	return fields, nil
 }
 
+// check returns an error for the first limit that is too small.
 func (l Limits) check() error {
 	switch {
 	case !(l.Cores > 0):
-		return tooSmall("limits.cores", "is %v, must be positive", l.Cores)
+		return tooSmallError("limits.cores", "is %v, must be positive", l.Cores)
 	case !(l.MemoryMB >= minMemoryMB):
-		return tooSmall("limits.memory_mb", "is %v, must be at least %d", l.MemoryMB, minMemoryMB)
+		return tooSmallError("limits.memory_mb", "is %v, must be at least %d", l.MemoryMB, minMemoryMB)
 	case l.Sockets < minSockets:
-		return tooSmall("limits.sockets", "is %d, must be at least %d", l.Sockets, minSockets)
+		return tooSmallError("limits.sockets", "is %d, must be at least %d", l.Sockets, minSockets)
 	}
 	return nil
 }
 
-func tooSmall(field, format string, args ...any) error {
+// tooSmallError returns an error with the cause ErrTooSmall.
+func tooSmallError(field, format string, args ...any) error {
 	return fielderror.Inline(field, fielderror.Worded(ErrTooSmall, format, args...))
 }
 
-func either(first, second string) string {
+// firstNonEmpty returns first unless it is empty, otherwise second.
+func firstNonEmpty(first, second string) string {
 	if first != "" {
 		return first
 	}
 	return second
 }
 
-func address(field, text string) (netip.AddrPort, error) {
-	at, err := netip.ParseAddrPort(text)
+// parseAddrPort parses the value of a field as an IP address and port.
+func parseAddrPort(field, text string) (netip.AddrPort, error) {
+	addr, err := netip.ParseAddrPort(text)
 	if err != nil {
-		return at, fielderror.Inlinef(field, "%q %w", text, ErrNotAddress)
+		return addr, fielderror.Inlinef(field, "%q %w", text, ErrNotAddress)
 	}
-	return at, nil
+	return addr, nil
 }
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -9,12 +9,13 @@
 	"thymebend/internal/settings"
 )
 
-// gossipFromPeers is what LB_FLEET says where the cluster stands in the configuration file itself, as its peers.
-const gossipFromPeers = "peers"
+// gossipInConfigFile is the value of LB_FLEET if the configuration file itself defines the cluster, in its field peers.
+const gossipInConfigFile = "peers"
 
-// gossipOfPeers reads the cluster from the configuration file: an address for each gateway, ordered by their
-// ranks. It is nil where the settings refuse datagrams or the file names no peers.
-func (c Config) gossipOfPeers(raw []byte, s settings.Settings) (*gossipconfig.Config, error) {
+// gossipFromPeerList reads the gossip configuration from the configuration file, which lists the address of every
+// gateway in the order of their ranks. It returns nil if the settings do not permit datagrams between gateways or the
+// file lists no peers.
+func (c Config) gossipFromPeerList(raw []byte, s settings.Settings) (*gossipconfig.Config, error) {
 	var f struct {
 		Listen string   `json:"peer_listen"`
 		Peers  []string `json:"peers"`
@@ -29,7 +30,7 @@
 		return nil, fielderror.Inline("peers", fielderror.Worded(ErrPeerCount,
 			"names %d gateways, the settings %d", len(f.Peers), s.Config.Gateways))
 	}
-	listen, err := address("peer_listen", f.Listen)
+	listen, err := parseAddrPort("peer_listen", f.Listen)
 	if err != nil {
 		return nil, err
 	}
@@ -40,16 +41,16 @@
 		Assignment: gossipconfig.DefaultAssignment(),
 	}
 	for rank, text := range f.Peers {
-		at, err := address(fmt.Sprintf("peers[%d]", rank), text)
+		addr, err := parseAddrPort(fmt.Sprintf("peers[%d]", rank), text)
 		if err != nil {
 			return nil, err
 		}
 		if rank != s.Config.Rank {
-			gossip.SeedPeers = append(gossip.SeedPeers, membership.SeedPeer{Name: peerName(rank), Addr: at})
+			gossip.SeedPeers = append(gossip.SeedPeers, membership.SeedPeer{Name: peerName(rank), Addr: addr})
 		}
 	}
 	return gossip, nil
 }
 
-// peerName is how the gateway of a rank is named in the cluster.
+// peerName returns the name in the cluster of the gateway with this rank.
 func peerName(rank int) string { return fmt.Sprintf("gw-%d", rank) }
--- a/internal/config/size_test.go
+++ b/internal/config/size_test.go
@@ -9,12 +9,13 @@
 	"thymebend/internal/membership"
 )
 
-// configFile is a configuration of a fleet of so many, with so many addresses.
+// configFile returns the configuration file of a gateway in a cluster of the given number of gateways, with the given
+// number of peer addresses.
 func configFile(t *testing.T, gateways, peers int) []byte {
 	t.Helper()
 	addrs := make([]string, peers)
-	for n := range addrs {
-		addrs[n] = fmt.Sprintf("10.2.%d.%d:7946", n/250, n%250+1)
+	for i := range addrs {
+		addrs[i] = fmt.Sprintf("10.2.%d.%d:7946", i/250, i%250+1)
 	}
 	raw, err := json.Marshal(map[string]any{"name": "g", "listen": "10.1.0.1:8443", "discovery": "10.9.0.1:80",
 		"seed":   "1",
@@ -30,21 +31,22 @@
 	return raw
 }
 
-// The settings and the peers of 1,024 gateways are taken, and of as many as a view holds.
-func TestLargeFleetsAreRead(t *testing.T) {
+// The configurations of clusters with 1,024 and with membership.MaxMembers gateways are accepted. A list with one peer
+// too few is rejected.
+func TestLargeClustersAreRead(t *testing.T) {
 	for _, gateways := range []int{1024, membership.MaxMembers} {
 		raw := configFile(t, gateways, gateways)
 		c, err := Config{Name: "g", Path: "g"}.read(raw, "", "", "")
 		if err != nil || c.Settings.Config.Gateways != gateways {
 			t.Fatalf("%d gateways: %v", gateways, err)
 		}
-		f, err := c.gossipOfPeers(raw, c.Settings)
-		if err != nil || len(f.SeedPeers) != gateways-1 {
+		gossip, err := c.gossipFromPeerList(raw, c.Settings)
+		if err != nil || len(gossip.SeedPeers) != gateways-1 {
 			t.Fatalf("%d gateways: %v", gateways, err)
 		}
-		if _, err := membership.New(membership.Config{Cluster: f.Cluster, Name: f.Name, Start: 1,
-			SeedPeers: f.SeedPeers}, 0); err != nil {
-			t.Errorf("%d gateways: no view: %v", gateways, err)
+		if _, err := membership.New(membership.Config{Cluster: gossip.Cluster, Name: gossip.Name, Start: 1,
+			SeedPeers: gossip.SeedPeers}, 0); err != nil {
+			t.Errorf("%d gateways: membership rejects them: %v", gateways, err)
 		}
 	}
 	raw := configFile(t, 1024, 1023)
@@ -52,8 +54,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.gossipOfPeers(raw, c.Settings); err == nil ||
+	if _, err := c.gossipFromPeerList(raw, c.Settings); err == nil ||
 		!strings.Contains(err.Error(), "names 1023 gateways, the settings 1024") {
-		t.Errorf("a peer too few: %v", err)
+		t.Errorf("1,023 peers for 1,024 gateways: err = %v", err)
 	}
 }
--- a/internal/discovery/endpoints.go
+++ b/internal/discovery/endpoints.go
@@ -1,8 +1,8 @@
-// Package discovery follows the endpoint list of the discovery service: its format, this gateway's copy of the
-// list, and the watch that receives its changes. It does no I/O: the caller feeds it the bytes received on a
-// connection, with the time of the read.
+// Package discovery keeps a copy of the endpoint list of the discovery service: it decodes and encodes the list's
+// format, applies snapshots and deltas to the copy, and splits the stream of a watch into objects. It does no I/O:
+// the caller opens the connections and passes in the received bytes with the time of the read.
 //
-// A second source of endpoint lists would be a package beside this one.
+// Another source of endpoint lists would need a package of its own beside this one.
 package discovery
 
 import (
@@ -15,37 +15,38 @@
 	"thymebend/internal/balancer"
 )
 
-// Endpoint is one endpoint of the list, with its address.
+// Endpoint is one endpoint of the list, with its name and address.
 type Endpoint struct {
 	balancer.Endpoint
 	Name string
 	Addr netip.AddrPort
-	// Capacity is the capacity that the list states, in a unit common to all endpoints; 1 where it states
-	// nothing usable.
+	// Capacity is the endpoint's capacity as the list states it, relative to the other endpoints. It is 1 if the
+	// list states none, or a value outside 1/maxCapacity to maxCapacity.
 	Capacity float64
 }
 
-// Endpoints is this gateway's copy of the list.
+// Endpoints is this gateway's copy of the endpoint list.
 type Endpoints struct {
 	zones   []string
 	byID    map[balancer.EndpointID]*Endpoint
-	version uint64
+	version uint64 // the field seq of the last object applied; 0 before the first
 }
 
-// NewEndpoints returns an empty list. An endpoint's zone is the index of its site in zones.
+// NewEndpoints returns an empty list. The Zone of an endpoint is the index of its field site in zones.
 func NewEndpoints(zones []string) *Endpoints {
 	return &Endpoints{zones: zones, byID: make(map[balancer.EndpointID]*Endpoint)}
 }
 
-// Find returns an endpoint of the list, or nil.
+// Find returns the endpoint with this ID, or nil if the list does not contain it.
 func (eps *Endpoints) Find(id balancer.EndpointID) *Endpoint { return eps.byID[id] }
 
-// All returns the endpoints, sorted by number.
+// All returns the endpoints, sorted by ID.
 func (eps *Endpoints) All() []*Endpoint {
 	return slices.SortedFunc(maps.Values(eps.byID), func(a, b *Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Encode returns the current list in discovery's format, sorted by name.
+// Encode returns the current list as a snapshot in discovery's format, sorted by name. It is passed to another
+// process of this gateway at a hot restart.
 func (eps *Endpoints) Encode() json.RawMessage {
 	byName := func(a, b *Endpoint) int { return cmp.Compare(a.Name, b.Name) }
 	doc := document{Seq: &eps.version, Snapshot: true, Hosts: []entry{}}
@@ -54,12 +55,12 @@
 	}
 	raw, err := json.Marshal(doc)
 	if err != nil {
-		return nil // strings and numbers always encode; else the other process keeps the list that it has
+		return nil // cannot happen with strings and finite numbers; the other process would keep its present list
 	}
 	return raw
 }
 
-// entryOf returns an endpoint in discovery's format.
+// entryOf returns an endpoint as an entry in discovery's format.
 func (eps *Endpoints) entryOf(ep *Endpoint) entry {
 	e := entry{
 		Host: ep.Name, Dial: ep.Addr.String(), Block: ep.Cell, Health: healthUp,
@@ -74,27 +75,29 @@
 	return e
 }
 
-// Older reports whether an object in discovery's format has an earlier version than the list in force.
+// Older reports whether an object in discovery's format has an earlier version than the list in force. An object
+// without a version is not older. The error is that of malformed JSON.
 func (eps *Endpoints) Older(raw []byte) (bool, error) {
 	seq, err := versionOf(raw)
 	return seq != nil && *seq < eps.version, err
 }
 
-// Outdated reports whether an object that answers a watch has an earlier version than the list in force, but
-// not an earlier one than the watch asked for: another watch has brought a newer list since.
+// Outdated reports whether an object received by a watch has an earlier version than the list in force, but not an
+// earlier one than the watch requested changes from: another watch has delivered a newer list in the meantime.
 func (eps *Endpoints) Outdated(w *Watch, raw []byte) bool {
 	seq, err := versionOf(raw)
 	return err == nil && seq != nil && *seq >= w.sinceVersion && *seq < eps.version
 }
 
-// Renumber forgets the version of the list in force: the next watch asks for a snapshot.
+// Renumber resets the version of the list in force to 0, so that the next watch requests a snapshot. The endpoints
+// stay.
 func (eps *Endpoints) Renumber() { eps.version = 0 }
 
 // Len returns the number of endpoints in the list.
 func (eps *Endpoints) Len() int { return len(eps.byID) }
 
-// zone returns the index of a site in the zones; unknown sites share one further zone.
-func (eps *Endpoints) zone(site string) int {
+// zoneIndex returns the zone of a site: its index in zones, or len(zones) for every unknown site.
+func (eps *Endpoints) zoneIndex(site string) int {
 	if index := slices.Index(eps.zones, site); index >= 0 {
 		return index
 	}
--- a/internal/discovery/format.go
+++ b/internal/discovery/format.go
@@ -10,23 +10,23 @@
 	"thymebend/internal/balancer"
 )
 
-// The values of an entry's field health.
+// Values of an entry's field health.
 const (
 	healthUp       = "up"
 	healthDraining = "draining"
 	healthRemoved  = "removed"
 )
 
-// document is an endpoint list, or a change of it, as discovery writes it. A document without the
-// field whole is a delta.
+// document is one object of discovery: a snapshot of the endpoint list if its field whole is true, otherwise a
+// delta. seq is the version of the list that results from it.
 type document struct {
 	Seq      *uint64 `json:"seq"`
 	Snapshot bool    `json:"whole"`
 	Hosts    []entry `json:"hosts"`
 }
 
-// entry is one endpoint of a document, named as on the wire: site is its zone, block its cell, born_ms its start in
-// Unix time, share its capacity.
+// entry is one endpoint of a document. Its fields have their names on the wire: dial is the address and port, site
+// the zone, block the cell, born_ms the start time in milliseconds of Unix time, share the capacity.
 type entry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -37,12 +37,12 @@
 	Share  float64 `json:"share"`
 }
 
-// startedAt returns when the endpoint last started.
+// startedAt returns the endpoint's start time, as time since the Unix epoch rounded to microseconds.
 func (e *entry) startedAt() time.Duration {
 	return time.Duration(math.Round(e.BornMS*1000)) * time.Microsecond
 }
 
-// stateOf returns the state that a value of the field health stands for.
+// stateOf returns the endpoint state for a value of the field health. known is false for any other text.
 func stateOf(health string) (state balancer.EndpointState, known bool) {
 	switch health {
 	case healthUp:
@@ -55,7 +55,7 @@
 	return 0, false
 }
 
-// versionOf returns the version of an object in discovery's format, nil where it has none.
+// versionOf returns the version of an object in discovery's format, or nil if it has none.
 func versionOf(raw []byte) (*uint64, error) {
 	var doc struct {
 		Seq *uint64 `json:"seq"`
@@ -66,13 +66,13 @@
 	return doc.Seq, nil
 }
 
-// maxCapacity bounds the capacity that a list may state: a figure above it, or below its inverse, is ignored.
+// maxCapacity bounds the capacity that a list may state: a value above it, or below its inverse, counts as 1.
 const maxCapacity = 1000.0
 
-// Identity derives an endpoint's number from its name alone, so that it is the same at every gateway:
-// gateways divide the endpoints among themselves by it.
+// Identity derives an endpoint's ID from its name alone, so that every gateway computes the same ID: the gateways
+// divide the endpoints among themselves by ID.
 func Identity(name string) balancer.EndpointID {
 	sum := fnv.New64a()
-	_, _ = sum.Write([]byte(name)) // a hash never fails
+	_, _ = sum.Write([]byte(name)) // a hash never returns an error
 	return balancer.EndpointID(sum.Sum64())
 }
--- a/internal/discovery/framing.go
+++ b/internal/discovery/framing.go
@@ -7,13 +7,14 @@
 	"thymebend/internal/http1"
 )
 
-// scan processes the next byte and reports whether it ends a heartbeat or an object.
+// scan processes the next byte of the stream and reports whether it ends a heartbeat or an object. It returns
+// ErrTruncatedString or ErrTruncatedObject where the byte shows that the object was cut off.
 func (w *Watch) scan(b byte) (end bool, err error) {
 	switch {
 	case b == '\n' && w.inString:
-		return false, ErrTornString
+		return false, ErrTruncatedString
 	case b == '\n' && w.depth > 0 && w.blankLine:
-		return false, ErrTornObject
+		return false, ErrTruncatedObject
 	case b == '\n':
 		w.blankLine = true
 		return w.depth == 0, nil
@@ -27,14 +28,14 @@
 	case b == '{' || b == '[':
 		w.depth++
 	case b == '}' || b == ']':
-		w.depth = max(0, w.depth-1) // a bracket too many is found when the object is applied
+		w.depth = max(0, w.depth-1) // an excess closing bracket is detected when the object is decoded
 	}
 	w.blankLine = w.blankLine && (b == ' ' || b == '\t' || b == '\r')
 	return false, nil
 }
 
-// retryAfter reads the field Retry-After in seconds. A value that is no positive number, such as a date, counts
-// as 0.
+// retryAfter returns the header field Retry-After, which it reads as seconds, limited to maxRetryAfter. A value that
+// is not a positive number, such as a date, gives 0.
 func retryAfter(head *http1.Head) time.Duration {
 	value, _ := head.Get("Retry-After")
 	seconds, err := strconv.ParseFloat(value, 64)
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -9,30 +9,30 @@
 	"thymebend/internal/balancer"
 )
 
-// encodedList returns one object in discovery's format.
+// encodedList returns an object in discovery's format: a snapshot if whole is true, otherwise a delta.
 func encodedList(seq int, whole bool, entries ...string) []byte {
 	return fmt.Appendf(nil, `{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, whole, strings.Join(entries, ","))
 }
 
-// entryText returns one entry of an object.
-func entryText(name, health string, born int) string {
+// encodedEntry returns one entry of an object, with its start time in milliseconds.
+func encodedEntry(name, health string, born int) string {
 	return fmt.Sprintf(`{"host":%q,"dial":"10.0.0.1:80","site":"a","class":"m","block":1,"health":%q,`+
 		`"share":1,"born_ms":%d}`, name, health, born)
 }
 
-// states returns the names and states of the endpoints of a list, for comparison.
+// states returns name, state and start time in milliseconds of the endpoints a, b and c, as "a1/5 b2/5".
 func states(endpoints *Endpoints) string {
 	var out []string
 	for _, name := range []string{"a", "b", "c"} {
-		if h := endpoints.Find(Identity(name)); h != nil {
-			out = append(out, fmt.Sprintf("%s%d/%d", name, h.State, h.StartedAt.Milliseconds()))
+		if ep := endpoints.Find(Identity(name)); ep != nil {
+			out = append(out, fmt.Sprintf("%s%d/%d", name, ep.State, ep.StartedAt.Milliseconds()))
 		}
 	}
 	return strings.Join(out, " ")
 }
 
-// take applies an object that must be valid.
-func take(t *testing.T, endpoints *Endpoints, raw []byte) Update {
+// mustApply applies an object and fails the test if it is rejected.
+func mustApply(t *testing.T, endpoints *Endpoints, raw []byte) Update {
 	t.Helper()
 	update, err := endpoints.Apply(raw)
 	if err != nil {
@@ -41,46 +41,50 @@
 	return update
 }
 
-// Several entries of one object for an endpoint, or entries for another start of it than the one in force, have the
-// same result in the list and, by the entries of the update, in the balancer.
+// Guards against a balancer that ends up with other endpoints or start times than the list, after an object with
+// several entries for one endpoint or with another start time than the one in force.
 func TestContradictoryEntries(t *testing.T) {
 	for name, c := range map[string]struct {
 		whole   bool
 		entries []string
 		want    string
 	}{
-		"a delta's last entry holds, up": {false, []string{entryText("a", "draining", 5), entryText("a", "up", 5)},
+		"delta: the last entry applies, up": {false,
+			[]string{encodedEntry("a", "draining", 5), encodedEntry("a", "up", 5)},
 			"a1/5 b1/5"},
-		"a delta's last entry holds, draining": {false,
-			[]string{entryText("a", "up", 5), entryText("a", "draining", 5)},
+		"delta: the last entry applies, draining": {false,
+			[]string{encodedEntry("a", "up", 5), encodedEntry("a", "draining", 5)},
 			"a2/5 b1/5"},
-		"a delta removes and starts anew": {false, []string{entryText("a", "removed", 5), entryText("a", "up", 9)},
+		"delta: removed, then up with a later start": {false,
+			[]string{encodedEntry("a", "removed", 5), encodedEntry("a", "up", 9)},
 			"a1/9 b1/5"},
-		"a delta starts anew and removes": {false, []string{entryText("a", "up", 9), entryText("a", "removed", 5)},
+		"delta: up with a later start, then removed": {false,
+			[]string{encodedEntry("a", "up", 9), encodedEntry("a", "removed", 5)},
 			"b1/5"},
-		"a whole list drains and has it up": {true,
-			[]string{entryText("a", "draining", 5), entryText("a", "up", 5), entryText("b", "up", 5)},
+		"snapshot: draining and up": {true,
+			[]string{encodedEntry("a", "draining", 5), encodedEntry("a", "up", 5), encodedEntry("b", "up", 5)},
 			"a2/5 b1/5"},
-		"a whole list has it up and drains": {true,
-			[]string{entryText("a", "up", 5), entryText("b", "up", 5), entryText("a", "draining", 5)},
+		"snapshot: up and draining": {true,
+			[]string{encodedEntry("a", "up", 5), encodedEntry("b", "up", 5), encodedEntry("a", "draining", 5)},
 			"a2/5 b1/5"},
-		"a whole list names two starts": {true, []string{entryText("a", "up", 5), entryText("a", "up", 9)},
+		"snapshot: up with two starts": {true, []string{encodedEntry("a", "up", 5), encodedEntry("a", "up", 9)},
 			"a1/9"},
-		"removed, of an earlier start":            {false, []string{entryText("a", "removed", 2)}, "b1/5"},
-		"removed, of a later start":               {false, []string{entryText("a", "removed", 9)}, "b1/5"},
-		"removed, of no start that can be":        {false, []string{entryText("a", "removed", -1)}, "b1/5"},
-		"draining, of an earlier start":           {false, []string{entryText("a", "draining", 2)}, "a2/2 b1/5"},
-		"draining, of a later start":              {false, []string{entryText("a", "draining", 9)}, "a2/9 b1/5"},
-		"draining in a whole list, other start":   {true, []string{entryText("a", "draining", 2)}, "a2/2"},
-		"removed in a whole list, where nobody's": {true, []string{entryText("a", "removed", 5)}, ""},
+		"delta: removed, earlier start":     {false, []string{encodedEntry("a", "removed", 2)}, "b1/5"},
+		"delta: removed, later start":       {false, []string{encodedEntry("a", "removed", 9)}, "b1/5"},
+		"delta: removed, invalid start":     {false, []string{encodedEntry("a", "removed", -1)}, "b1/5"},
+		"delta: draining, earlier start":    {false, []string{encodedEntry("a", "draining", 2)}, "a2/2 b1/5"},
+		"delta: draining, later start":      {false, []string{encodedEntry("a", "draining", 9)}, "a2/9 b1/5"},
+		"snapshot: draining, earlier start": {true, []string{encodedEntry("a", "draining", 2)}, "a2/2"},
+		"snapshot: only a removed entry":    {true, []string{encodedEntry("a", "removed", 5)}, ""},
 	} {
 		endpoints := NewEndpoints([]string{"a"})
-		take(t, endpoints, encodedList(4, true, entryText("a", "up", 5), entryText("b", "up", 5)))
-		module := newModule(t)
-		other := NewEndpoints([]string{"a"})
-		first := take(t, other, encodedList(4, true, entryText("a", "up", 5), entryText("b", "up", 5)))
-		module.UpdateEndpoints(time.Second, balancer.Snapshot, first.Entries)
-		update := take(t, endpoints, encodedList(5, c.whole, c.entries...))
+		mustApply(t, endpoints, encodedList(4, true, encodedEntry("a", "up", 5), encodedEntry("b", "up", 5)))
+		bal := newBalancer(t)
+		balancerList := NewEndpoints([]string{"a"})
+		first := mustApply(t, balancerList,
+			encodedList(4, true, encodedEntry("a", "up", 5), encodedEntry("b", "up", 5)))
+		bal.UpdateEndpoints(time.Second, balancer.Snapshot, first.Entries)
+		update := mustApply(t, endpoints, encodedList(5, c.whole, c.entries...))
 		if got := states(endpoints); got != c.want {
 			t.Errorf("%s: the list has %q, want %q", name, got, c.want)
 		}
@@ -88,43 +92,43 @@
 		if c.whole {
 			kind = balancer.Snapshot
 		}
-		module.UpdateEndpoints(2*time.Second, kind, update.Entries)
-		learned := make(map[balancer.EndpointID]time.Duration)
-		for _, s := range module.State(2 * time.Second).Endpoints {
-			learned[s.ID] = s.StartedAt
+		bal.UpdateEndpoints(2*time.Second, kind, update.Entries)
+		balancerStarts := make(map[balancer.EndpointID]time.Duration)
+		for _, s := range bal.State(2 * time.Second).Endpoints {
+			balancerStarts[s.ID] = s.StartedAt
 		}
-		if len(learned) != endpoints.Len() {
-			t.Errorf("%s: the module has %d hosts, the list %d", name, len(learned), endpoints.Len())
+		if len(balancerStarts) != endpoints.Len() {
+			t.Errorf("%s: the balancer has %d endpoints, the list %d", name, len(balancerStarts), endpoints.Len())
 		}
-		for _, h := range endpoints.All() {
-			if learned[h.ID] != h.StartedAt {
-				t.Errorf("%s: the module has %s from %v, the list from %v", name, h.Name, learned[h.ID], h.StartedAt)
+		for _, ep := range endpoints.All() {
+			if start := balancerStarts[ep.ID]; start != ep.StartedAt {
+				t.Errorf("%s: %s started at %v in the balancer, at %v in the list", name, ep.Name, start, ep.StartedAt)
 			}
 		}
 	}
 }
 
-// A faulty object is an error and adds nothing, but no endpoint stays up that it reports as draining or removed:
-// discovery has sent that. The version stays, so that the next watch brings the rest.
-func TestFaultyObjectStillTellsWhoLeaves(t *testing.T) {
-	leaving := entryText("a", "draining", 5) + "," + entryText("b", "removed", 5)
+// A faulty object is rejected with an error and adds no endpoint. The endpoints that it reports as draining or removed
+// still change, because discovery has sent that. The version stays, so that the next watch delivers the rest.
+func TestFaultyObjectStillAppliesDrainingAndRemoved(t *testing.T) {
+	leaving := encodedEntry("a", "draining", 5) + "," + encodedEntry("b", "removed", 5)
 	faulty := map[string]string{
-		"unknown health":   `{"host":"c","dial":"10.0.0.1:80","health":"resting"}`,
-		"no dial":          `{"host":"c","health":"up"}`,
-		"no name":          `{"dial":"10.0.0.1:80","health":"up"}`,
-		"a start below 0":  entryText("c", "up", -1),
-		"a start as text":  `{"host":"c","dial":"10.0.0.1:80","health":"up","born_ms":"now"}`,
-		"no object at all": `17`,
+		"unknown health":    `{"host":"c","dial":"10.0.0.1:80","health":"resting"}`,
+		"no dial":           `{"host":"c","health":"up"}`,
+		"no name":           `{"dial":"10.0.0.1:80","health":"up"}`,
+		"negative start":    encodedEntry("c", "up", -1),
+		"start is a string": `{"host":"c","dial":"10.0.0.1:80","health":"up","born_ms":"now"}`,
+		"entry is a number": `17`,
 	}
 	for name, entry := range faulty {
 		for _, whole := range []bool{false, true} {
 			for _, raw := range [][]byte{encodedList(5, whole, leaving, entry), encodedList(5, whole, entry, leaving)} {
 				endpoints := NewEndpoints([]string{"a"})
-				take(t, endpoints, encodedList(4, true,
-					entryText("a", "up", 5), entryText("b", "up", 5), entryText("c", "up", 5)))
+				mustApply(t, endpoints, encodedList(4, true,
+					encodedEntry("a", "up", 5), encodedEntry("b", "up", 5), encodedEntry("c", "up", 5)))
 				update, err := endpoints.Apply(raw)
 				if err == nil {
-					t.Fatalf("%s: %s was taken", name, raw)
+					t.Fatalf("%s: %s was accepted", name, raw)
 				}
 				if got := states(endpoints); got != "a2/5 c1/5" || endpoints.version != 4 {
 					t.Errorf("%s, whole %v: the list has %q at version %d", name, whole, got, endpoints.version)
@@ -138,12 +142,13 @@
 		}
 	}
 	for name, raw := range map[string][]byte{
-		"cut short":               encodedList(5, false, leaving)[:80],
-		"of hosts nobody has":     encodedList(5, false, entryText("x", "draining", 5), `17`),
-		"which it has up at last": encodedList(5, false, entryText("a", "draining", 5), entryText("a", "up", 5), `17`),
+		"truncated JSON":               encodedList(5, false, leaving)[:80],
+		"unknown endpoint is draining": encodedList(5, false, encodedEntry("x", "draining", 5), `17`),
+		"last entry of the endpoint is up": encodedList(5, false,
+			encodedEntry("a", "draining", 5), encodedEntry("a", "up", 5), `17`),
 	} {
 		endpoints := NewEndpoints([]string{"a"})
-		take(t, endpoints, encodedList(4, true, entryText("a", "up", 5), entryText("b", "up", 5)))
+		mustApply(t, endpoints, encodedList(4, true, encodedEntry("a", "up", 5), encodedEntry("b", "up", 5)))
 		update, err := endpoints.Apply(raw)
 		if err == nil || states(endpoints) != "a1/5 b1/5" || len(update.Changed)+len(update.Entries) > 0 {
 			t.Errorf("%s: %v, update %+v, the list has %q", name, err, update, states(endpoints))
@@ -151,24 +156,26 @@
 	}
 }
 
-// A delta with an earlier version than the one in force is an older state of some endpoints, from a second watch or
-// a discovery that lags: it marks none as up, and its draining and removed ones become so. The lines after it are
-// applied, whether the versions go on from there or began anew. An earlier snapshot is complete, and is applied.
-func TestVersionThatGoesBack(t *testing.T) {
+// A delta with an earlier version than the one in force describes an older state of some endpoints; it comes from a
+// second watch or from a discovery instance that lags. Its draining and removed endpoints change to that state, and
+// none becomes up. The deltas after it are applied, whether their versions continue from there or restart. A snapshot
+// with an earlier version is complete and is applied.
+func TestDeltaWithEarlierVersion(t *testing.T) {
 	endpoints := NewEndpoints([]string{"a"})
-	take(t, endpoints, encodedList(9, true, entryText("a", "draining", 5), entryText("b", "up", 5)))
-	update := take(t, endpoints, encodedList(7, false,
-		entryText("a", "up", 5), entryText("b", "draining", 5), entryText("c", "up", 5)))
+	mustApply(t, endpoints, encodedList(9, true, encodedEntry("a", "draining", 5), encodedEntry("b", "up", 5)))
+	update := mustApply(t, endpoints, encodedList(7, false,
+		encodedEntry("a", "up", 5), encodedEntry("b", "draining", 5), encodedEntry("c", "up", 5)))
 	if got := states(endpoints); got != "a2/5 b2/5" || len(update.Entries) != 1 || endpoints.version != 7 {
 		t.Errorf("the list has %q at version %d, update %+v", got, endpoints.version, update)
 	}
-	take(t, endpoints, encodedList(8, false, entryText("c", "up", 9)))
-	take(t, endpoints, encodedList(8, false, entryText("b", "up", 9))) // once more: some lists repeat a version
+	mustApply(t, endpoints, encodedList(8, false, encodedEntry("c", "up", 9)))
+	// A second delta with version 8 is applied too: some sources repeat a version.
+	mustApply(t, endpoints, encodedList(8, false, encodedEntry("b", "up", 9)))
 	if got := states(endpoints); got != "a2/5 b1/9 c1/9" {
-		t.Errorf("after the lines that follow the list has %q", got)
+		t.Errorf("after the following deltas the list has %q", got)
 	}
-	take(t, endpoints, encodedList(3, true, entryText("c", "up", 9)))
+	mustApply(t, endpoints, encodedList(3, true, encodedEntry("c", "up", 9)))
 	if got := states(endpoints); got != "c1/9" || endpoints.version != 3 {
-		t.Errorf("after an earlier whole list the list has %q at version %d", got, endpoints.version)
+		t.Errorf("after a snapshot with an earlier version the list has %q at version %d", got, endpoints.version)
 	}
 }
--- a/internal/discovery/size_test.go
+++ b/internal/discovery/size_test.go
@@ -10,101 +10,102 @@
 	"thymebend/internal/balancer"
 )
 
-// quiet ignores every call of the balancer.
-type quiet struct{}
+// noActions implements balancer.Actions and ignores every call.
+type noActions struct{}
 
-func (quiet) StartAttempt(balancer.RequestID, balancer.EndpointID, time.Duration) {}
-func (quiet) Reject(balancer.RequestID, time.Duration)                            {}
-func (quiet) Fail(balancer.RequestID)                                             {}
-func (quiet) CancelAttempt(balancer.RequestID, int)                               {}
-func (quiet) SetTimer(time.Duration, uint32)                                      {}
-func (quiet) CloseIdle(balancer.EndpointID)                                       {}
-func (quiet) WatchEndpoints()                                                     {}
-func (quiet) Log(string)                                                          {}
+func (noActions) StartAttempt(balancer.RequestID, balancer.EndpointID, time.Duration) {}
+func (noActions) Reject(balancer.RequestID, time.Duration)                            {}
+func (noActions) Fail(balancer.RequestID)                                             {}
+func (noActions) CancelAttempt(balancer.RequestID, int)                               {}
+func (noActions) SetTimer(time.Duration, uint32)                                      {}
+func (noActions) CloseIdle(balancer.EndpointID)                                       {}
+func (noActions) WatchEndpoints()                                                     {}
+func (noActions) Log(string)                                                          {}
 
-func newModule(tb testing.TB) *balancer.Balancer {
+func newBalancer(tb testing.TB) *balancer.Balancer {
 	tb.Helper()
 	b, err := balancer.New(balancer.Config{
 		Gateways: 1, MaxAttempts: 2, SlowStartFraction: 1, OverloadMultiple: 1, OverQuotaWeight: 1, TotalGoalWeight: 1,
 		Classes: []balancer.Class{{Name: "c", LatencyObjective: time.Second, Deadline: 2 * time.Second, Weight: 1}},
-	}, 1, time.Second, quiet{})
+	}, 1, time.Second, noActions{})
 	if err != nil {
 		tb.Fatal(err)
 	}
 	return b
 }
 
-// list returns a snapshot of count endpoints, named by the numbers from first on.
-func list(seq, count, first int, health string) []byte {
+// encodedSnapshot returns a snapshot of count endpoints, whose names hold consecutive numbers from first on.
+func encodedSnapshot(seq, count, first int, health string) []byte {
 	entries := make([]string, count)
 	for i := range entries {
-		entries[i] = entryText(fmt.Sprintf("s-%08x", first+i), health, 5)
+		entries[i] = encodedEntry(fmt.Sprintf("s-%08x", first+i), health, 5)
 	}
 	return encodedList(seq, true, entries...)
 }
 
-// A snapshot of any supported size is applied as one object, indented or not, and the work grows only with its
-// length: allocations per entry are counted, which do not depend on the machine's load.
-func TestLongListsAreTakenWhole(t *testing.T) {
-	perHost := func(hosts int) float64 {
-		first, second := list(1, hosts, 0, "up"), list(2, hosts, hosts/2, "up")
-		g := NewEndpoints([]string{"a"})
+// A snapshot of any supported size is applied as one object, indented or not, and the work per entry does not grow with
+// the size. The test counts allocations per entry, which do not depend on the machine's load.
+func TestLongSnapshotIsAppliedAsOneObject(t *testing.T) {
+	allocsPerEndpoint := func(count int) float64 {
+		first, second := encodedSnapshot(1, count, 0, "up"), encodedSnapshot(2, count, count/2, "up")
+		endpoints := NewEndpoints([]string{"a"})
 		return testing.AllocsPerRun(1, func() {
 			for _, raw := range [][]byte{first, second} {
-				if update := take(t, g, raw); g.Len() != hosts || len(update.Entries) != hosts {
-					t.Fatalf("%d hosts of %d", g.Len(), hosts)
+				if update := mustApply(t, endpoints, raw); endpoints.Len() != count || len(update.Entries) != count {
+					t.Fatalf("%d endpoints of %d", endpoints.Len(), count)
 				}
 			}
-		}) / float64(hosts)
+		}) / float64(count)
 	}
-	small := perHost(100)
-	for _, hosts := range []int{1024, 8000} {
-		if large := perHost(hosts); large > 1.25*small {
-			t.Errorf("%.1f allocations a host with %d hosts, %.1f with 100", large, hosts, small)
+	small := allocsPerEndpoint(100)
+	for _, count := range []int{1024, 8000} {
+		if large := allocsPerEndpoint(count); large > 1.25*small {
+			t.Errorf("%.1f allocations per endpoint with %d endpoints, %.1f with 100", large, count, small)
 		}
 		w := NewWatch(1, netip.AddrPort{}, 0)
-		raw := indented(list(1, hosts, 0, "up"))
+		raw := indented(encodedSnapshot(1, count, 0, "up"))
 		lines := feedWatch(t, w, raw)
 		if len(lines) != 1 || len(lines[0]) != len(raw) {
-			t.Fatalf("%d hosts, indented in %d bytes: %d objects", hosts, len(raw), len(lines))
+			t.Fatalf("%d endpoints, %d bytes indented: %d objects, want 1 of the same length",
+				count, len(raw), len(lines))
 		}
-		if take(t, NewEndpoints([]string{"a"}), lines[0]); w.scanned != 0 {
-			t.Errorf("%d bytes are left", w.scanned)
+		if mustApply(t, NewEndpoints([]string{"a"}), lines[0]); w.scanned != 0 {
+			t.Errorf("%d scanned bytes remain", w.scanned)
 		}
 	}
 }
 
-// An object larger than the bound is an error that names the bound. Its beginning is not applied.
-func TestObjectBeyondTheBound(t *testing.T) {
+// An object above maxPending bytes is rejected with an error that names the limit, and Feed returns no part of it.
+func TestObjectAboveSizeLimitIsRejected(t *testing.T) {
 	w := NewWatch(1, netip.AddrPort{}, 0)
 	if _, _, err := w.Feed(0, []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	piece := strings.Repeat(entryText("a", "draining", 5)+",", 400)
+	piece := strings.Repeat(encodedEntry("a", "draining", 5)+",", 400)
 	if _, _, err := w.Feed(0, []byte("1\r\n{\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	for came := 1; ; came += len(piece) {
+	for received := 1; ; received += len(piece) {
 		lines, _, err := w.Feed(0, fmt.Appendf(nil, "%x\r\n%s\r\n", len(piece), piece))
-		if len(lines) > 0 || came > 2*maxPending {
-			t.Fatalf("%d objects after %d bytes", len(lines), came)
+		if len(lines) > 0 || received > 2*maxPending {
+			t.Fatalf("%d objects after %d bytes", len(lines), received)
 		}
 		if err != nil {
-			if came+len(piece) <= maxPending || !strings.Contains(err.Error(), fmt.Sprint(maxPending)) {
-				t.Errorf("after %d bytes: %v", came, err)
+			if received+len(piece) <= maxPending || !strings.Contains(err.Error(), fmt.Sprint(maxPending)) {
+				t.Errorf("after %d bytes: %v", received, err)
 			}
 			return
 		}
 	}
 }
 
-// indented encodes an object on many lines.
+// indented inserts line breaks and indentation into an object.
 func indented(raw []byte) []byte {
 	lines := strings.NewReplacer(`[{`, "[\n  {\n", `},{`, "\n  },\n  {\n", `,"`, ",\n    \"", `}]`, "\n  }\n]")
 	return []byte(lines.Replace(string(raw)))
 }
 
-// feedWatch feeds an object to a watch in pieces as sockets deliver them, and returns the lines.
+// feedWatch feeds an object to a watch in pieces of 64 KiB and returns the objects that the watch delivers.
 func feedWatch(t *testing.T, w *Watch, raw []byte) (lines [][]byte) {
 	t.Helper()
 	stream := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(raw)+1, raw)
@@ -124,15 +125,15 @@
 	return lines
 }
 
-// BenchmarkApply applies snapshots in which half of the endpoints are new.
+// BenchmarkApply applies alternating snapshots; half of the endpoints of each are new.
 func BenchmarkApply(b *testing.B) {
-	for _, hosts := range []int{10, 100, 1000, 7700} {
-		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
-			lists := [][]byte{list(1, hosts, 0, "up"), list(2, hosts, hosts/2, "up")}
-			g, n := NewEndpoints([]string{"a"}), 0
+	for _, count := range []int{10, 100, 1000, 7700} {
+		b.Run(fmt.Sprint(count), func(b *testing.B) {
+			lists := [][]byte{encodedSnapshot(1, count, 0, "up"), encodedSnapshot(2, count, count/2, "up")}
+			endpoints, n := NewEndpoints([]string{"a"}), 0
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := g.Apply(lists[n%2]); err != nil {
+				if _, err := endpoints.Apply(lists[n%2]); err != nil {
 					b.Fatal(err)
 				}
 				n++
@@ -141,24 +142,24 @@
 	}
 }
 
-// BenchmarkModuleList passes such lists to the balancer.
-func BenchmarkModuleList(b *testing.B) {
-	for _, hosts := range []int{10, 100, 1000, 7700} {
-		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
-			g := NewEndpoints([]string{"a"})
+// BenchmarkUpdateEndpoints passes alternating snapshots, as in BenchmarkApply, to the balancer.
+func BenchmarkUpdateEndpoints(b *testing.B) {
+	for _, count := range []int{10, 100, 1000, 7700} {
+		b.Run(fmt.Sprint(count), func(b *testing.B) {
+			endpoints := NewEndpoints([]string{"a"})
 			var entries [2][]balancer.Endpoint
 			for i := range entries {
-				got, err := g.Apply(list(i+1, hosts, i*hosts/2, "up"))
+				got, err := endpoints.Apply(encodedSnapshot(i+1, count, i*count/2, "up"))
 				if err != nil {
 					b.Fatal(err)
 				}
 				entries[i] = got.Entries
 			}
-			module, n := newModule(b), 0
+			bal, n := newBalancer(b), 0
 			b.ReportAllocs()
 			for b.Loop() {
-				module.UpdateEndpoints(time.Second, balancer.Snapshot, entries[n%2])
-				module.Dispatch(time.Second)
+				bal.UpdateEndpoints(time.Second, balancer.Snapshot, entries[n%2])
+				bal.Dispatch(time.Second)
 				n++
 			}
 		})
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -10,27 +10,27 @@
 	"thymebend/internal/balancer"
 )
 
-// maxBornMS bounds a start time, in milliseconds of Unix time: some 139 years.
+// maxBornMS is the exclusive upper bound of a start time, in milliseconds of Unix time: about 139 years after 1970.
 const maxBornMS = 1 << 42
 
-// Update is the change of the list that one object from discovery made.
+// Update is the change that one object from discovery made to the list.
 type Update struct {
-	Snapshot bool
-	Entries  []balancer.Endpoint
+	Snapshot bool                  // Entries are the whole list; otherwise they are changes to it
+	Entries  []balancer.Endpoint   // for the balancer, in the order of the object
 	Changed  []balancer.EndpointID // endpoints whose idle connections must not be reused
 }
 
-// Apply applies one object in discovery's format. The entries of a delta are applied in order: the last one for
-// an endpoint decides, whichever start of it they name. A snapshot has no order: an endpoint that it names twice
-// is up only if both entries say so.
+// Apply applies one object in discovery's format and returns the resulting change. The entries of a delta are
+// applied in order: the last entry for an endpoint decides, even if the entries state different start times. A
+// snapshot has no order: if it names an endpoint twice, the endpoint is up only if both entries say so.
 //
-// A faulty object is an error and has only one effect: endpoints of the list that it reports as draining or
-// removed become so, and the update is returned beside the error. Discovery has sent these changes, so they count
-// as notified. The version in force stays, so that the next watch asks for the whole object again.
+// A faulty object has only one effect: endpoints of the list that it reports as draining or removed change to that
+// state. Apply then returns both that update and the error. Discovery has sent these changes, so the gateway counts
+// as notified of them. The version in force stays, so that the next watch requests the whole object again.
 //
-// A delta with an earlier version than the one in force is an older state of the list: the endpoints that it
-// reports as draining or removed become so, and it marks none as up. The version goes back with it, because
-// discovery continues from there. An earlier snapshot is applied.
+// A delta with an earlier version than the one in force describes an older state of the list: endpoints that it
+// reports as draining or removed change to that state, and none becomes up. The version is set back to that of the
+// delta, because discovery continues from there. A snapshot with an earlier version is applied like any other.
 func (eps *Endpoints) Apply(raw []byte) (Update, error) {
 	var doc document
 	if err := json.Unmarshal(raw, &doc); err != nil {
@@ -39,7 +39,7 @@
 	if doc.Seq == nil {
 		return eps.applyRemovals(doc.Hosts), ErrNoVersion
 	}
-	fresh, err := eps.parseAll(&doc)
+	listed, err := eps.parseEntries(&doc)
 	if err != nil {
 		return eps.applyRemovals(doc.Hosts), err
 	}
@@ -47,11 +47,11 @@
 		eps.version = *doc.Seq
 		return eps.applyRemovals(doc.Hosts), nil
 	}
-	update := Update{Snapshot: doc.Snapshot, Entries: make([]balancer.Endpoint, 0, len(fresh))}
+	update := Update{Snapshot: doc.Snapshot, Entries: make([]balancer.Endpoint, 0, len(listed))}
 	if doc.Snapshot {
-		update.Changed = eps.removeUnlisted(fresh)
+		update.Changed = eps.removeUnlisted(listed)
 	}
-	for _, ep := range fresh {
+	for _, ep := range listed {
 		old := eps.byID[ep.ID]
 		if old != nil && (old.StartedAt != ep.StartedAt || old.Addr != ep.Addr || ep.State != balancer.EndpointReady) {
 			update.Changed = append(update.Changed, ep.ID)
@@ -66,24 +66,25 @@
 	return update, nil
 }
 
-// removeUnlisted drops the endpoints that a snapshot does not name, and returns them by number.
-func (eps *Endpoints) removeUnlisted(fresh []*Endpoint) (gone []balancer.EndpointID) {
-	named := make(map[balancer.EndpointID]bool, len(fresh))
-	for _, ep := range fresh {
+// removeUnlisted removes the endpoints that a snapshot does not name, and returns their IDs in ascending order.
+func (eps *Endpoints) removeUnlisted(listed []*Endpoint) (removed []balancer.EndpointID) {
+	named := make(map[balancer.EndpointID]bool, len(listed))
+	for _, ep := range listed {
 		named[ep.ID] = true
 	}
 	for id := range eps.byID {
 		if !named[id] {
-			gone = append(gone, id)
+			removed = append(removed, id)
 			delete(eps.byID, id)
 		}
 	}
-	slices.Sort(gone) // map order is random; the same events must have the same effects
-	return gone
+	slices.Sort(removed) // map order is random, but equal events must have equal effects
+	return removed
 }
 
-// Removals applies only part of an object that is older than the list in force: the endpoints that it reports as
-// draining or removed, where it names the same start as the list. It returns the update; the version stays.
+// Removals applies only part of an object that is older than the list in force: endpoints that the object reports as
+// draining or removed change to that state if the object states the same start time as the list. It returns the
+// update. The version in force stays.
 func (eps *Endpoints) Removals(raw []byte) Update {
 	var doc document
 	if err := json.Unmarshal(raw, &doc); err != nil {
@@ -95,8 +96,8 @@
 	}))
 }
 
-// applyRemovals marks the endpoints of the list that the entries report as draining or removed, and returns the
-// update.
+// applyRemovals changes those endpoints of the list to draining or removed for which the last entry says so, and
+// returns the update. Entries with an unknown state are ignored.
 func (eps *Endpoints) applyRemovals(entries []entry) (update Update) {
 	states := make(map[balancer.EndpointID]balancer.EndpointState)
 	for i := range entries {
@@ -120,37 +121,38 @@
 	return update
 }
 
-// parseAll reads the entries of an object. For a snapshot it returns one for each endpoint.
-func (eps *Endpoints) parseAll(doc *document) ([]*Endpoint, error) {
-	fresh := make([]*Endpoint, 0, len(doc.Hosts))
-	indexes := make(map[balancer.EndpointID]int) // in fresh
+// parseEntries decodes the entries of an object. For a snapshot it returns one endpoint for each ID, see Apply.
+func (eps *Endpoints) parseEntries(doc *document) ([]*Endpoint, error) {
+	listed := make([]*Endpoint, 0, len(doc.Hosts))
+	indexes := make(map[balancer.EndpointID]int) // positions in listed, by ID; for snapshots only
 	for i := range doc.Hosts {
-		ep, err := eps.parse(&doc.Hosts[i])
+		ep, err := eps.parseEntry(&doc.Hosts[i])
 		if err != nil {
 			return nil, err
 		}
 		if !doc.Snapshot {
-			fresh = append(fresh, ep)
+			listed = append(listed, ep)
 			continue
 		}
-		at, twice := indexes[ep.ID]
+		index, duplicate := indexes[ep.ID]
 		switch {
-		case !twice:
-			indexes[ep.ID] = len(fresh)
-			fresh = append(fresh, ep)
-		case fresh[at].State == balancer.EndpointReady:
-			fresh[at] = ep
+		case !duplicate:
+			indexes[ep.ID] = len(listed)
+			listed = append(listed, ep)
+		case listed[index].State == balancer.EndpointReady:
+			listed[index] = ep
 		}
 	}
-	return fresh, nil
+	return listed, nil
 }
 
-func (eps *Endpoints) parse(e *entry) (*Endpoint, error) {
+// parseEntry decodes one entry. For a removed endpoint, only the name, zone, cell and start time are read.
+func (eps *Endpoints) parseEntry(e *entry) (*Endpoint, error) {
 	if e.Host == "" {
 		return nil, &EntryError{}
 	}
 	ep := &Endpoint{Name: e.Host, Capacity: 1, Endpoint: balancer.Endpoint{
-		ID: Identity(e.Host), Zone: eps.zone(e.Site), Cell: e.Block, StartedAt: e.startedAt(),
+		ID: Identity(e.Host), Zone: eps.zoneIndex(e.Site), Cell: e.Block, StartedAt: e.startedAt(),
 	}}
 	var known bool
 	if ep.State, known = stateOf(e.Health); !known {
@@ -164,10 +166,11 @@
 	}
 	var err error
 	if ep.Addr, err = netip.ParseAddrPort(e.Dial); err != nil {
-		return nil, &EntryError{Host: e.Host, Problem: fmt.Sprintf("dial %q", e.Dial)}
+		return nil, &EntryError{Host: e.Host, Problem: fmt.Sprintf("dial %q, which is not an address and port", e.Dial)}
 	}
 	if !(e.BornMS >= 0 && e.BornMS < maxBornMS) {
-		return nil, &EntryError{Host: e.Host, Problem: fmt.Sprintf("born_ms %v", e.BornMS)}
+		return nil, &EntryError{Host: e.Host, Problem: fmt.Sprintf(
+			"born_ms %v, outside 0 to %d", e.BornMS, int64(maxBornMS))}
 	}
 	return ep, nil
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -11,67 +11,69 @@
 	"thymebend/internal/loop"
 )
 
-// Timeouts of a watch. A change counts as notified 6 s after discovery had it and could be reached, so a watch
-// that falls silent, the next one if it is never answered, and the one after that must all fit into that time.
+// Timeouts of a watch. The gateway counts as notified of a change 6 s after discovery had the change and was
+// reachable. Three steps must therefore fit into 6 s: to detect that a watch is silent, to wait in vain for an
+// answer to the next watch, and to get an answer to the one after that.
 const (
-	// ConnectTimeout is how long the connection may take to be established: it allows for one retransmission of
-	// the kernel's.
+	// ConnectTimeout limits how long the connection may take to be established. It allows for one retransmission
+	// by the kernel.
 	ConnectTimeout = 1200 * time.Millisecond
-	// AnswerTimeout is how long the first line may take after the request was written.
+	// AnswerTimeout limits the time from writing the request to receiving the first line.
 	AnswerTimeout = 3100 * time.Millisecond
-	// HeartbeatTimeout is how long a watch that was answered may receive no line. Heartbeats come every 2 s.
+	// HeartbeatTimeout limits the time between two lines of an answered watch. Discovery sends a heartbeat every 2 s.
 	HeartbeatTimeout = 2400 * time.Millisecond
-	// AbandonTimeout is how long an unanswered watch keeps its place in discovery's queue, from AnswerTimeout on.
+	// AbandonTimeout is how long, after AnswerTimeout has passed, an unanswered watch stays open to keep its position
+	// in discovery's queue.
 	AbandonTimeout = 30 * time.Second
 )
 
-// minUpdateRate is the lowest rate, in bytes a second, at which a long object of the list may arrive: the deadline
-// of the watch moves with the bytes received at this rate.
+// minUpdateRate is the lowest rate, in bytes per second, at which a long object may arrive: each received byte
+// extends the deadline of the watch by the time that the byte takes at this rate.
 const minUpdateRate = 64 << 10
 
-// maxRetryAfter bounds the Retry-After of a rejection: a change counts as notified 6 s after discovery could be
-// reached, whatever it has asked for, and discovery may recover at once.
+// maxRetryAfter limits the Retry-After of a rejected watch: the gateway counts as notified of a change 6 s after
+// discovery was reachable, whatever Retry-After it requested, and discovery may recover at once.
 const maxRetryAfter = 5 * time.Second
 
-// maxPending bounds an unfinished object of the watch, in bytes: enough for thousands of endpoints.
+// maxPending limits the received bytes of an incomplete object: enough for thousands of endpoints.
 const maxPending = 4 << 20
 
-// Watch is one request to discovery for the changes of the list, with the answer that streams them.
+// Watch is one streaming request to discovery for the changes of the list, together with its answer.
 type Watch struct {
 	Conn         loop.Conn
 	Addr         netip.AddrPort
 	reader       http1.Reader
-	pending      []byte        // received bytes of an object that is not complete
+	pending      []byte        // received bytes of the incomplete object
 	scanned      int           // bytes of pending that scan has processed
-	depth        int           // brackets open after them; 0 between two objects
-	inString     bool          // they end within a string
-	escaped      bool          // they end with a backslash in a string
-	blankLine    bool          // the current line is blank so far
-	connected    bool          // its connection is established
-	sinceVersion uint64        // the version since which it asks for changes
-	started      bool          // its first line has been received
-	lastProgress time.Duration // time of its last whole line; before the first, of its request or its start
-	partialBytes int           // bytes received since then
+	depth        int           // brackets open after the scanned bytes; 0 between two objects
+	inString     bool          // the scanned bytes end within a string
+	escaped      bool          // the scanned bytes end with a backslash within a string
+	blankLine    bool          // the scanned part of the current line is blank
+	connected    bool          // the connection is established
+	sinceVersion uint64        // the version from which the watch requests changes
+	started      bool          // the first line has been received
+	lastProgress time.Duration // time of the last complete line; before the first line, of the request or of NewWatch
+	partialBytes int           // bytes received since lastProgress
 }
 
-// NewWatch prepares a watch of discovery at an address, on a connection that is being opened.
-func NewWatch(conn loop.Conn, at netip.AddrPort, now time.Duration) *Watch {
+// NewWatch returns a watch of discovery at addr, on a connection that is being opened.
+func NewWatch(conn loop.Conn, addr netip.AddrPort, now time.Duration) *Watch {
 	reader := http1.Reader{Response: true, Stream: true}
-	return &Watch{Conn: conn, Addr: at, lastProgress: now, blankLine: true, reader: reader}
+	return &Watch{Conn: conn, Addr: addr, lastProgress: now, blankLine: true, reader: reader}
 }
 
-// Request returns the watch's request for the changes since the version in force, once its connection is
-// established.
+// Request returns the HTTP request for the changes since the version in force, and marks the watch as connected. It
+// is called once the watch's connection is established.
 func (eps *Endpoints) Request(w *Watch, now time.Duration) []byte {
 	w.connected, w.sinceVersion, w.lastProgress = true, eps.version, now
 	return http1.AppendRequest(nil, "GET", "/v1/servers?stream=1&index="+strconv.FormatUint(eps.version, 10),
 		[]http1.Field{{Name: "Host", Value: w.Addr.String()}}, nil)
 }
 
-// Feed takes received bytes and returns the complete objects, each of one line or, where it is indented, of
-// several. An empty line is a heartbeat; within an object it shows that the object was cut off. ended reports that
-// the answer is over, which never happens while discovery works. Beside an error, lines holds those complete before
-// the fault.
+// Feed processes received bytes and returns the objects that they complete. An object takes one line or, if it is
+// indented, several. An empty element of lines is a heartbeat; a heartbeat within an object shows that the object was
+// cut off. ended reports that the answer has ended, which never happens while discovery works. With an error, lines
+// holds the objects completed before the fault.
 func (w *Watch) Feed(now time.Duration, data []byte) (lines [][]byte, ended bool, err error) {
 	w.partialBytes += len(data)
 	defer func() {
@@ -82,16 +84,16 @@
 	w.reader.Feed(data)
 	head, piece, done, fault := w.reader.Pieces()
 	if fault != nil {
-		err = fault // the lines before the fault are complete all the same
+		err = fault // the lines received before the fault are still processed
 	}
 	if head != nil && head.Status != 200 {
 		return nil, false, &StatusError{Status: head.Status, RetryAfter: retryAfter(head)}
 	}
 	w.pending = append(w.pending, piece...)
 	for w.scanned < len(w.pending) {
-		end, torn := w.scan(w.pending[w.scanned])
-		if torn != nil {
-			err = torn
+		end, scanErr := w.scan(w.pending[w.scanned])
+		if scanErr != nil {
+			err = scanErr
 			break
 		}
 		w.scanned++
@@ -101,25 +103,26 @@
 		}
 	}
 	if err == nil && len(w.pending) > maxPending {
-		err = fmt.Errorf("discovery wrote an object of %d bytes so far, %d at most", len(w.pending), maxPending)
+		err = fmt.Errorf("discovery sent %d bytes of an object without its end, limit %d", len(w.pending), maxPending)
 	}
 	w.started = w.started || len(lines) > 0
 	return lines, done, err
 }
 
-// Started reports whether discovery has begun to answer.
+// Started reports whether discovery has begun to answer: the first line has been received.
 func (w *Watch) Started() bool { return w.started }
 
-// Connected reports whether the connection is established.
+// Connected reports whether the watch's connection is established.
 func (w *Watch) Connected() bool { return w.connected }
 
-// Deadline returns the time at which the watch counts as silent. Part of a line extends it only by the time that
-// its bytes take at minUpdateRate: a change counts as notified whether or not it has arrived.
+// Deadline returns the time at which the watch counts as silent. The bytes of an incomplete line extend it only by the
+// time that they take at minUpdateRate, because the gateway counts as notified of a change even if the change has not
+// arrived completely.
 func (w *Watch) Deadline() time.Duration {
 	return w.lastProgress + w.timeout() + time.Duration(w.partialBytes)*time.Second/minUpdateRate
 }
 
-// timeout returns how long the next whole line may take.
+// timeout returns how long the next complete line may take.
 func (w *Watch) timeout() time.Duration {
 	switch {
 	case w.started:
--- a/internal/fielderror/fielderror.go
+++ b/internal/fielderror/fielderror.go
@@ -1,5 +1,6 @@
-// Package fielderror is the error of all readers of files, settings and frames: where a fault stands, in which
-// field, and its cause. Callers match the cause with errors.Is and take the place with errors.As.
+// Package fielderror defines the error that all decoders of files, settings and frames return: the position of a
+// fault, the field, its value and the cause. Callers match the cause with errors.Is and get the position with
+// errors.As.
 package fielderror
 
 import (
@@ -8,47 +9,49 @@
 	"strings"
 )
 
-// ErrMissing is the cause where a field that is required is absent. The text reads on from the field's name.
+// ErrMissing is the cause when a required field is absent. Its text continues a sentence that starts with the field's
+// name.
 var ErrMissing = errors.New("is missing")
 
-// Error is one fault.
+// Error is one fault in an input.
 type Error struct {
-	File         string // or the part of a stream, such as "record 3"; empty where the caller names it
-	Line, Column int    // from 1; 0 where they are not known
-	Field        string // by its path, as the input names it; empty for a fault of the whole
-	Value        string // as it was read, quoted; empty where the cause words it
-	Inline       bool   // the cause reads on from the field, "zone is missing"; otherwise a colon parts them
+	File         string // or the part of a stream, such as "record 3"; empty if the caller adds it to the text
+	Line, Column int    // counted from 1; 0 if not known
+	Field        string // path of the field as the input names it; empty if the fault concerns the whole input
+	Value        string // the value that was read, quoted; empty if the cause's text contains it
+	Inline       bool   // the cause continues the field's name ("zone is missing"); otherwise a colon separates them
 	Err          error  // the cause
 }
 
-// Missing is the error of a required field that is absent.
+// Missing returns the error for a required field that is absent.
 func Missing(field string) *Error { return Inline(field, ErrMissing) }
 
-// Inline is the error of a field whose cause reads on from the field's name.
+// Inline returns an error whose text is the field's name followed by the cause, without a colon between them.
 func Inline(field string, cause error) *Error {
 	return &Error{Field: field, Inline: true, Err: cause}
 }
 
-// Inlinef is Inline with a cause from a format, which may wrap another with %w.
+// Inlinef is like Inline; it formats the cause, which may wrap another error with %w.
 func Inlinef(field, format string, args ...any) *Error {
 	return Inline(field, fmt.Errorf(format, args...))
 }
 
-// Worded is a cause that errors.Is matches with kind and that has words of its own. The format may wrap another
-// error with %w.
+// Worded returns a cause that errors.Is matches with kind but whose text is the formatted text alone. The format may
+// wrap another error with %w.
 func Worded(kind error, format string, args ...any) error {
-	return &worded{kind: kind, words: fmt.Errorf(format, args...)}
+	return &textCause{kind: kind, text: fmt.Errorf(format, args...)}
 }
 
-type worded struct{ kind, words error }
+// textCause is the cause returned by Worded.
+type textCause struct{ kind, text error }
 
 // Error implements error.
-func (w *worded) Error() string { return w.words.Error() }
+func (c *textCause) Error() string { return c.text.Error() }
 
-// Unwrap returns the kind of cause, and the words for what they wrap.
-func (w *worded) Unwrap() []error { return []error{w.kind, w.words} }
+// Unwrap returns the kind of cause, and the formatted error with whatever it wraps.
+func (c *textCause) Unwrap() []error { return []error{c.kind, c.text} }
 
-// Error implements error: FILE:LINE:COLUMN: FIELD: CAUSE, without the parts that are not known.
+// Error implements error. The text is FILE:LINE:COLUMN: FIELD=VALUE: CAUSE, without the parts that are not known.
 func (e *Error) Error() string {
 	var text strings.Builder
 	if e.File != "" {
@@ -78,10 +81,10 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// List is all that is wrong with one input, in the order of its lines.
+// List holds all faults of one input, in the order of their lines.
 type List []*Error
 
-// Error implements error: a line for each.
+// Error implements error. The text has one line for each fault.
 func (l List) Error() string {
 	lines := make([]string, len(l))
 	for i, e := range l {
@@ -90,7 +93,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap returns the faults, so that errors.Is and errors.As look at each.
+// Unwrap returns the faults, so that errors.Is and errors.As examine each of them.
 func (l List) Unwrap() []error {
 	all := make([]error, len(l))
 	for i, e := range l {
--- a/internal/settings/json.go
+++ b/internal/settings/json.go
@@ -12,11 +12,11 @@
 	"thymebend/internal/fielderror"
 )
 
-// countField is where the length of a list of objects stands in the flat form.
+// countField is the field that holds the length of a list of objects in the text form.
 const countField = "count"
 
-// ParseJSON reads the settings as nested JSON: flattened to the paths of the text form, then translated by the
-// same code. The error is as that of Parse.
+// ParseJSON reads the settings from nested JSON. It flattens them to the paths of the text form, which the same code as
+// in Parse translates. The errors are like those of Parse.
 func ParseJSON(raw []byte) (Settings, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
@@ -27,12 +27,12 @@
 	v := values{byPath: make(map[string]string), notNumber: make(map[string]bool), present: make(map[string]bool)}
 	v.flatten("", tree)
 	classes, _ := tree[classesPath].([]any)
-	v.noteCommon(classes)
+	v.recordCommonClassFields(classes)
 	return v.translate()
 }
 
-// noteCommon notes the fields that every class has.
-func (v *values) noteCommon(classes []any) {
+// recordCommonClassFields marks the fields that every class has as present, under classes.*.
+func (v *values) recordCommonClassFields(classes []any) {
 	if len(classes) == 0 {
 		return
 	}
@@ -45,8 +45,8 @@
 	}
 }
 
-// note records that a path holds something. What lies in lists may come and go.
-func (v *values) note(path string) {
+// recordPresent marks a path as present. It skips paths inside lists: elements of lists may be added and removed.
+func (v *values) recordPresent(path string) {
 	for part := range strings.SplitSeq(path, ".") {
 		if strings.Trim(part, "0123456789") == "" {
 			return
@@ -55,11 +55,11 @@
 	v.present[path] = true
 }
 
-// flatten writes a value under its path: objects by their keys, lists of objects as .count and .0, .1 and so
-// on, lists of plain values joined by commas.
+// flatten stores a value under its path: an object by its keys, a list of objects as .count, .0, .1 and so on, a list
+// of plain values as one text joined by commas.
 func (v *values) flatten(path string, value any) {
 	if value != nil {
-		v.note(path)
+		v.recordPresent(path)
 	}
 	switch value := value.(type) {
 	case map[string]any:
@@ -73,27 +73,28 @@
 	case json.Number:
 		v.byPath[path] = value.String()
 	default:
-		v.byPath[path], v.notNumber[path] = plain(value), true
+		v.byPath[path], v.notNumber[path] = plainText(value), true
 	}
 }
 
+// flattenList stores the elements of a list, see flatten.
 func (v *values) flattenList(path string, items []any) {
-	words := make([]string, 0, len(items))
+	plainItems := make([]string, 0, len(items))
 	for i, item := range items {
 		if _, ok := item.(map[string]any); ok {
 			v.byPath[join(path, countField)] = strconv.Itoa(len(items))
 			v.flatten(join(path, strconv.Itoa(i)), item)
 			continue
 		}
-		words = append(words, plain(item))
+		plainItems = append(plainItems, plainText(item))
 	}
-	if len(words) == len(items) {
-		v.byPath[path] = strings.Join(words, ",")
+	if len(plainItems) == len(items) {
+		v.byPath[path] = strings.Join(plainItems, ",")
 	}
 }
 
-// plain is a single value as the text form has it.
-func plain(value any) string {
+// plainText returns a single value as in the text form: spaces and commas become underscores.
+func plainText(value any) string {
 	return strings.Map(func(r rune) rune {
 		if r == ' ' || r == ',' {
 			return '_'
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,8 @@
-// Package settings translates a deployment's settings, from the path=value text of the simulator's protocol or
-// from JSON, into the balancer's Config and into what the gateway itself needs of them. It is the only
-// translation: the simulator and the real gateway must not come to differ in what the balancer is told.
+// Package settings translates a deployment's settings, given as path=value text in the simulator's protocol or as
+// JSON, into the configuration of the balancer and that of the gateway. The simulator and the real gateway both use
+// this translation, so that both configure the balancer in the same way.
 //
-// The settings' own names stand in one place, the tags of the structs in deployment.go.
+// The names of the settings are defined in one place: the tags of the structs in deployment.go.
 package settings
 
 import (
@@ -16,25 +16,25 @@
 	"thymebend/internal/fielderror"
 )
 
-// Settings is what the settings say, translated.
+// Settings are the translated settings.
 type Settings struct {
 	Config  balancer.Config
 	Gateway Gateway
-	present map[string]bool // paths that hold something, where the settings came as JSON
+	present map[string]bool // paths that have a value, as in values; nil unless the settings were read from JSON
 }
 
-// Gateway is what the gateway itself needs of the settings, beside the balancer.
+// Gateway holds the settings that the gateway uses outside the balancer.
 type Gateway struct {
-	Zones             []string      // the zone names; a zone is known by its index
-	ConnectTimeout    time.Duration // a connection not up by then has failed
-	IdleTimeout       time.Duration // an endpoint closes a connection idle for this long
+	Zones             []string      // zone names; elsewhere a zone is identified by its index here
+	ConnectTimeout    time.Duration // limit for establishing a connection to an endpoint
+	IdleTimeout       time.Duration // an endpoint closes a connection that is idle for this long
 	Peers             bool          // gateways may send each other datagrams
-	MaxOpenRequests   int           // requests held open at once
-	QueueLengthColumn int           // column of the load reports with the requests waiting; -1 if there is none
+	MaxOpenRequests   int           // limit on requests open at the same time
+	QueueLengthColumn int           // column of the load reports that holds the queue length; -1 if there is none
 }
 
-// Parse reads the path=value text of a start event. Unknown keys are ignored, optional ones have defaults. The
-// error wraps a fielderror.Error that names the first setting that is missing or unusable.
+// Parse reads the path=value lines of the simulator's start event. It ignores unknown settings; optional settings have
+// defaults. The error wraps a fielderror.Error that names the first setting that is missing or invalid.
 func Parse(text string) (Settings, error) {
 	v := values{byPath: make(map[string]string)}
 	for line := range strings.SplitSeq(text, "\n") {
@@ -45,7 +45,7 @@
 	return v.translate()
 }
 
-// translate reads all settings. With an error, what could be read is in the result.
+// translate reads all settings. With an error, the result holds the settings that could be read.
 func (v *values) translate() (Settings, error) {
 	s := Settings{Config: v.config(), Gateway: v.gateway(), present: v.present}
 	if v.fault != nil {
@@ -54,14 +54,14 @@
 	return s, nil
 }
 
-// ErrNoLongerSet is the cause where a file that is to replace the one in force lacks what that one has.
-var ErrNoLongerSet = fmt.Errorf("%w, the file in force has it", fielderror.ErrMissing)
+// ErrNoLongerSet is the cause when the file of a reload lacks a field that the file in force has.
+var ErrNoLongerSet = fmt.Errorf("%w, but the configuration in force has it", fielderror.ErrMissing)
 
-// CheckReload reports a field that s has and fresh lacks, or a field that every class of s has and one of fresh
-// lacks, as a fielderror.Error.
-func (s Settings) CheckReload(fresh Settings) error {
+// CheckReload returns a fielderror.Error with the cause ErrNoLongerSet if reloaded lacks a field that s has, or if a
+// class of reloaded lacks a field that every class of s has.
+func (s Settings) CheckReload(reloaded Settings) error {
 	for _, path := range slices.Sorted(maps.Keys(s.present)) {
-		if !fresh.present[path] {
+		if !reloaded.present[path] {
 			return fielderror.Inline("settings."+path, ErrNoLongerSet)
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -32,7 +32,7 @@
 some.unknown.key=whatever
 `
 
-// Guards against a setting that is mapped to another field, or in another unit.
+// Guards against a setting that is translated into the wrong field or unit.
 func TestParseSettings(t *testing.T) {
 	set, err := Parse(settingsText)
 	c := set.Config
@@ -51,21 +51,21 @@
 	}
 }
 
-// Guards against a load report whose queue length is read from another column.
+// Guards against a queue length that is read from the wrong column of load reports.
 func TestQueueLengthColumn(t *testing.T) {
 	for text, want := range map[string]int{
 		"report.columns=pending,svc_ms\n": 0, "zone=1\nreport.columns=svc_ms,pending": 1,
 		"report.columns=svc_ms,busy_reqs": -1, "report.columns=": -1, "": -1,
 	} {
-		set, _ := Parse(text) // the rest of the settings is missing
+		set, _ := Parse(text) // the error reports the other settings, which are missing here
 		if got := set.Gateway.QueueLengthColumn; got != want {
 			t.Errorf("%q: column %d, want %d", text, got, want)
 		}
 	}
 }
 
-// Guards against a faulty setting that is taken, or that is not named.
-func TestSettingsFaultsNameTheKey(t *testing.T) {
+// Guards against a faulty setting that is accepted, or whose error does not name it.
+func TestErrorNamesFaultySetting(t *testing.T) {
 	for want, edit := range map[string][2]string{
 		"balancers is missing":                {"balancers=4\n", ""},
 		"classes.count is missing":            {"classes.count=2\n", ""},
@@ -87,17 +87,17 @@
 	}
 }
 
-// Callers can tell the causes apart, and take the setting's name.
-func TestFaultsCanBeMatched(t *testing.T) {
+// Callers can match each cause with errors.Is, and get the setting's name with errors.As.
+func TestErrorCausesCanBeMatched(t *testing.T) {
 	for name, c := range map[string]struct {
 		old, new, field string
 		want            error
 	}{
-		"missing":      {"balancers=4\n", "", "balancers", fielderror.ErrMissing},
-		"no number":    {"worth=2", "worth=two", "classes.0.worth", ErrNotNumber},
-		"not above 0":  {"give_up_ms=900", "give_up_ms=0", "classes.0.give_up_ms", ErrNotPositive},
-		"no integer":   {"zone=1", "zone=1.5", "zone", ErrNotInteger},
-		"unknown word": {"cancel=true", "cancel=si", "bounds.cancel", ErrUnknownWord},
+		"missing":        {"balancers=4\n", "", "balancers", fielderror.ErrMissing},
+		"not a number":   {"worth=2", "worth=two", "classes.0.worth", ErrNotNumber},
+		"not above 0":    {"give_up_ms=900", "give_up_ms=0", "classes.0.give_up_ms", ErrNotPositive},
+		"not an integer": {"zone=1", "zone=1.5", "zone", ErrNotInteger},
+		"unknown value":  {"cancel=true", "cancel=si", "bounds.cancel", ErrUnknownValue},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Parse(strings.Replace(settingsText, c.old, c.new, 1))
@@ -107,12 +107,13 @@
 			}
 		})
 	}
-	fresh, err := ParseJSON([]byte(`{"balancers": 1, "classes": [
+	reloaded, err := ParseJSON([]byte(`{"balancers": 1, "classes": [
 		{"name": "a", "aim_ms": 1, "give_up_ms": 2}, {"name": "a", "aim_ms": 1, "give_up_ms": 2}]}`))
 	if !errors.Is(err, ErrDuplicate) {
 		t.Error(err)
 	}
-	if err := (Settings{present: map[string]bool{"rank": true}}).CheckReload(fresh); !errors.Is(err, ErrNoLongerSet) {
+	inForce := Settings{present: map[string]bool{"rank": true}}
+	if err := inForce.CheckReload(reloaded); !errors.Is(err, ErrNoLongerSet) {
 		t.Error(err)
 	}
 }
--- a/internal/settings/size_test.go
+++ b/internal/settings/size_test.go
@@ -10,19 +10,19 @@
 	"thymebend/internal/balancer"
 )
 
-// silent takes the decisions of a module that has no requests.
-type silent struct{}
+// noActions implements balancer.Actions and ignores every call; the balancer has no requests here.
+type noActions struct{}
 
-func (silent) StartAttempt(balancer.RequestID, balancer.EndpointID, time.Duration) {}
-func (silent) Reject(balancer.RequestID, time.Duration)                            {}
-func (silent) Fail(balancer.RequestID)                                             {}
-func (silent) CancelAttempt(balancer.RequestID, int)                               {}
-func (silent) SetTimer(time.Duration, uint32)                                      {}
-func (silent) CloseIdle(balancer.EndpointID)                                       {}
-func (silent) WatchEndpoints()                                                     {}
-func (silent) Log(string)                                                          {}
+func (noActions) StartAttempt(balancer.RequestID, balancer.EndpointID, time.Duration) {}
+func (noActions) Reject(balancer.RequestID, time.Duration)                            {}
+func (noActions) Fail(balancer.RequestID)                                             {}
+func (noActions) CancelAttempt(balancer.RequestID, int)                               {}
+func (noActions) SetTimer(time.Duration, uint32)                                      {}
+func (noActions) CloseIdle(balancer.EndpointID)                                       {}
+func (noActions) WatchEndpoints()                                                     {}
+func (noActions) Log(string)                                                          {}
 
-// sizedSettings words settings with so many classes and tenants.
+// sizedSettings returns settings as JSON, with the given numbers of classes and tenants.
 func sizedSettings(classes, tenants int) []byte {
 	var b bytes.Buffer
 	b.WriteString(`{"balancers": 870, "zones": ["a", "b"], "classes": [`)
@@ -38,6 +38,7 @@
 	return b.Bytes()
 }
 
+// separator returns the text before element i of a JSON list.
 func separator(i int) string {
 	if i == 0 {
 		return ""
@@ -45,41 +46,43 @@
 	return ", "
 }
 
-// Tenants of the size that is aimed at are read and known to the module.
-func TestManyTenantsAreRead(t *testing.T) {
+// The largest supported number of tenants is read from the settings and accepted by the balancer.
+func TestManyTenantsAreAccepted(t *testing.T) {
 	const tenants = 44_000
 	s, err := ParseJSON(sizedSettings(3, tenants))
 	if err != nil || len(s.Config.Tenants) != tenants || s.Config.Tenants[tenants-1].Quota != 5 {
 		t.Fatalf("%d tenants: %v", len(s.Config.Tenants), err)
 	}
-	if _, err := balancer.New(s.Config, 1, 0, silent{}); err != nil {
+	if _, err := balancer.New(s.Config, 1, 0, noActions{}); err != nil {
 		t.Fatal(err)
 	}
 }
 
+// benchmarkSettings reads settings and creates a balancer with them. It reports the heap that both occupy.
 func benchmarkSettings(b *testing.B, classes, tenants int) {
 	raw := sizedSettings(classes, tenants)
 	b.ReportAllocs()
 	var kept Settings
-	var module *balancer.Balancer
+	var bal *balancer.Balancer
 	for b.Loop() {
 		var err error
 		if kept, err = ParseJSON(raw); err != nil {
 			b.Fatal(err)
 		}
-		if module, err = balancer.New(kept.Config, 1, 0, silent{}); err != nil {
+		if bal, err = balancer.New(kept.Config, 1, 0, noActions{}); err != nil {
 			b.Fatal(err)
 		}
 	}
 	b.StopTimer()
-	with := heapInUse()
+	heapBefore := heapInUse()
 	runtime.KeepAlive(kept)
-	runtime.KeepAlive(module)
-	kept, module = Settings{}, nil
-	b.ReportMetric(float64(with)-float64(heapInUse()), "kept-bytes")
+	runtime.KeepAlive(bal)
+	kept, bal = Settings{}, nil
+	b.ReportMetric(float64(heapBefore)-float64(heapInUse()), "kept-bytes")
 	runtime.KeepAlive(raw)
 }
 
+// heapInUse returns the allocated heap in bytes, after a garbage collection.
 func heapInUse() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -87,14 +90,14 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkTenants reads settings and begins a module with them, by tenants.
+// BenchmarkTenants measures benchmarkSettings by the number of tenants.
 func BenchmarkTenants(b *testing.B) {
 	for _, tenants := range []int{10, 100, 1000, 10_000, 44_000} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) { benchmarkSettings(b, 3, tenants) })
 	}
 }
 
-// BenchmarkClasses does so by classes.
+// BenchmarkClasses measures benchmarkSettings by the number of classes.
 func BenchmarkClasses(b *testing.B) {
 	for _, classes := range []int{3, 10, 30, 100, 300} {
 		b.Run(fmt.Sprint(classes), func(b *testing.B) { benchmarkSettings(b, classes, 0) })
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -12,78 +12,80 @@
 	"thymebend/internal/fielderror"
 )
 
-// Causes of a fielderror.Error, beside fielderror.ErrMissing. Their texts read on from the setting and its value.
+// Causes of a fielderror.Error, beside fielderror.ErrMissing. Their texts continue a sentence that starts with the
+// setting and its value.
 var (
-	ErrNotNumber   = errors.New("is not a number")
-	ErrNotPositive = errors.New("is not a number above 0")
-	ErrNotInteger  = errors.New("is not a whole number in range")
-	ErrUnknownWord = errors.New("is none of")
-	ErrDuplicate   = errors.New("once more")
+	ErrNotNumber    = fmt.Errorf("is not a number between -%g and %[1]g", maxNumber)
+	ErrNotPositive  = errors.New("is not a number above 0")
+	ErrNotInteger   = fmt.Errorf("is not a whole number from 0 to %d", maxInteger)
+	ErrUnknownValue = errors.New("is none of")
+	ErrDuplicate    = errors.New("which an earlier class already has")
 )
 
 const (
-	maxNumber  = 1e12    // above any figure that a deployment states
-	maxInteger = 1 << 20 // the largest count
+	maxNumber  = 1e12    // exclusive bound of every number, above any value that a deployment needs
+	maxInteger = 1 << 20 // the largest integer
 )
 
-// values holds the settings by path. Reading one remembers the first fault.
+// values holds the settings by path. The methods that read settings record the first fault.
 type values struct {
 	byPath    map[string]string
-	notNumber map[string]bool // of JSON: paths whose value is no number, or null
-	present   map[string]bool // of JSON: paths that hold something, without indices of lists; nil otherwise
+	notNumber map[string]bool // for JSON: paths whose value is null or not a number
+	present   map[string]bool // for JSON: paths that have a value, except those inside lists; nil for the text form
 	fault     *fielderror.Error
 }
 
-// isJSON reports whether the settings came as JSON, which is held to more rules.
+// isJSON reports whether the settings were read from JSON, to which more rules apply.
 func (v *values) isJSON() bool { return v.present != nil }
 
+// fail records a fault, if it is the first.
 func (v *values) fail(fault *fielderror.Error) {
 	if v.fault == nil {
 		v.fault = fault
 	}
 }
 
-// failValue is the fault of a setting whose value was read.
+// failValue records a fault of a setting that is present, with its value.
 func (v *values) failValue(path string, cause error) {
 	v.fail(&fielderror.Error{Field: path, Value: strconv.Quote(v.byPath[path]), Inline: true, Err: cause})
 }
 
-// field is how one field of a settings struct is read, by its tags:
+// field describes how one field of a settings struct is read. It is derived from the field's tags:
 //
-//	setting   its name, under the path of the struct
-//	default   its value where it is absent
-//	required  "true" where it may not be absent
-//	above     "0" where its number, if there is one, must be above 0; null is a fault
-//	oneof     the words that a string may be, in any case
+//	setting   the setting's name, relative to the path of the struct
+//	default   the value if the setting is absent
+//	required  "true" if the setting must be present
+//	above     "0" if a number that is present must be above 0; null is then a fault
+//	oneof     the values that a string may have, in upper or lower case
 type field struct {
-	index    int
-	name     string
-	fallback string
-	number   float64 // the default of a number, in the setting's own unit
-	required bool
-	positive bool
-	words    []string
+	index         int
+	name          string
+	defaultText   string
+	defaultNumber float64 // defaultText as a number, in the unit of the setting
+	required      bool
+	positive      bool
+	allowed       []string
 }
 
-// fieldsOf reads the tags of a settings struct.
+// fieldsOf returns the fields of a settings struct, from their tags.
 func fieldsOf[T any]() (fields []field) {
 	t := reflect.TypeFor[T]()
 	for i := range t.NumField() {
 		tag := t.Field(i).Tag
 		f := field{
-			index:    i,
-			name:     tag.Get("setting"),
-			fallback: tag.Get("default"),
-			required: tag.Get("required") == "true",
-			positive: tag.Get("above") == "0",
+			index:       i,
+			name:        tag.Get("setting"),
+			defaultText: tag.Get("default"),
+			required:    tag.Get("required") == "true",
+			positive:    tag.Get("above") == "0",
 		}
-		if words := tag.Get("oneof"); words != "" {
-			f.words = strings.Split(words, ",")
+		if values := tag.Get("oneof"); values != "" {
+			f.allowed = strings.Split(values, ",")
 		}
-		if f.fallback != "" && t.Field(i).Type.Kind() != reflect.String {
+		if f.defaultText != "" && t.Field(i).Type.Kind() != reflect.String {
 			var err error
-			if f.number, err = strconv.ParseFloat(f.fallback, 64); err != nil {
-				panic(fmt.Sprintf("settings: default of %s: %v", f.name, err)) // a tag of this package is wrong
+			if f.defaultNumber, err = strconv.ParseFloat(f.defaultText, 64); err != nil {
+				panic(fmt.Sprintf("settings: default of %s: %v", f.name, err)) // a wrong tag in this package
 			}
 		}
 		fields = append(fields, f)
@@ -91,29 +93,29 @@
 	return fields
 }
 
-// read fills a settings struct with the values under a path, in the order of its fields.
+// read sets the fields of a settings struct, in their order, from the values whose paths start with prefix.
 func (v *values) read(prefix string, fields []field, into any) {
 	target := reflect.ValueOf(into).Elem()
 	for i := range fields {
 		f := &fields[i]
 		path := prefix + f.name
-		switch to := target.Field(f.index); to.Interface().(type) {
+		switch dst := target.Field(f.index); dst.Interface().(type) {
 		case time.Duration:
-			to.SetInt(int64(Millis(v.positiveNumber(path, f, v.number(path, f.number, f.required)))))
+			dst.SetInt(int64(Millis(v.positiveNumber(path, f, v.number(path, f.defaultNumber, f.required)))))
 		case float64:
-			to.SetFloat(v.positiveNumber(path, f, v.number(path, f.number, f.required)))
+			dst.SetFloat(v.positiveNumber(path, f, v.number(path, f.defaultNumber, f.required)))
 		case int:
-			number := v.integer(path, int(f.number), f.required)
-			to.SetInt(int64(v.positiveNumber(path, f, float64(number))))
+			number := v.integer(path, int(f.defaultNumber), f.required)
+			dst.SetInt(int64(v.positiveNumber(path, f, float64(number))))
 		case bool:
-			to.SetBool(v.word(path, "false", "true", "false") == "true")
+			dst.SetBool(v.oneOf(path, "false", "true", "false") == "true")
 		case string:
-			to.SetString(v.word(path, f.fallback, f.words...))
+			dst.SetString(v.oneOf(path, f.defaultText, f.allowed...))
 		}
 	}
 }
 
-// number reads a finite number no larger than any figure that a deployment states.
+// number reads a number between -maxNumber and maxNumber. For an absent or invalid setting it returns fallback.
 func (v *values) number(path string, fallback float64, required bool) float64 {
 	text, ok := v.byPath[path]
 	if !ok {
@@ -130,7 +132,8 @@
 	return number
 }
 
-// positiveNumber holds a number that was read to be above 0 where its field asks for that, and not to be null.
+// positiveNumber returns a number that was read. It records a fault if the field requires a number above 0 and the
+// setting is null or not above 0.
 func (v *values) positiveNumber(path string, f *field, number float64) float64 {
 	_, stated := v.byPath[path]
 	null := !stated && v.notNumber[path]
@@ -150,12 +153,12 @@
 	return int(number)
 }
 
-// count reads how many elements a list of objects has.
+// count reads the number of elements of a list of objects.
 func (v *values) count(path string, required bool) int {
 	return v.integer(join(path, countField), 0, required)
 }
 
-// list reads words that are joined by commas.
+// list reads a list of texts that are joined by commas.
 func (v *values) list(path string) []string {
 	if v.byPath[path] == "" {
 		return nil
@@ -163,8 +166,8 @@
 	return strings.Split(v.byPath[path], ",")
 }
 
-// word reads one of the known words, in any case.
-func (v *values) word(path, fallback string, known ...string) string {
+// oneOf reads a text that must equal one of the known values, ignoring case, and returns that value.
+func (v *values) oneOf(path, fallback string, known ...string) string {
 	text, ok := v.byPath[path]
 	if !ok {
 		return fallback
@@ -174,11 +177,11 @@
 			return k
 		}
 	}
-	v.failValue(path, fmt.Errorf("%w %s", ErrUnknownWord, strings.Join(known, ", ")))
+	v.failValue(path, fmt.Errorf("%w %s", ErrUnknownValue, strings.Join(known, ", ")))
 	return fallback
 }
 
-// Millis is a time stated in milliseconds, rounded to microseconds.
+// Millis converts a time in milliseconds to a Duration, rounded to microseconds.
 func Millis(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
 }
--- a/internal/simproto/doc.go
+++ b/internal/simproto/doc.go
@@ -1,10 +1,11 @@
-// Package simproto speaks the binary dialect of the simulator's protocol: a Reader reads batches of events, a
-// Reply writes actions. It takes no decisions.
+// Package simproto implements the binary form of the simulator's protocol: a Reader decodes batches of events, a
+// Reply encodes the actions that answer a batch. It takes no decisions.
 //
-// A frame has a header, records of one size, and a tail that holds what has no fixed size. All numbers are
-// little-endian, only IPv4 addresses are big-endian. The protocol's own names stand here alone:
+// A frame has a header, records of one fixed size, and a tail that holds the parts of variable size. All numbers are
+// little-endian, except IPv4 addresses, which are big-endian. This table maps the protocol's names of events and
+// actions, which occur nowhere else, to the names in this package:
 //
-//	event            code  here               action           code  here
+//	event            code  name here          action           code  name here
 //	Verdict             1  AttemptEnded       Emit                1  Reply.Log
 //	Lapsed              2  RequestAbandoned   Revoke              2  Reply.CancelAttempt
 //	TimeoutFired        3  TimerFired         Busy                3  Reply.Reject
@@ -18,5 +19,5 @@
 //	Kill               11  InstanceStopped
 //
 // Errors wrap a fielderror.Error whose File is the part of the frame, such as "batch" or "record 3", and whose
-// cause is one of this package's.
+// cause is an error of this package, such as ErrTruncated.
 package simproto
--- a/internal/simproto/endpoint.go
+++ b/internal/simproto/endpoint.go
@@ -7,29 +7,29 @@
 	"thymebend/internal/fielderror"
 )
 
-// endpointUpdates are the kinds of endpoint lists, by their code.
+// endpointUpdates maps the code of an endpoint update to its kind.
 var endpointUpdates = [...]balancer.EndpointUpdate{
 	0: balancer.CachedSnapshot, 1: balancer.WatchFailed, 2: balancer.Delta, 3: balancer.Snapshot,
 }
 
-// endpointStates are the states of a list's entries, by their code.
+// endpointStates maps the code of an endpoint's state to the state.
 var endpointStates = [...]balancer.EndpointState{
 	0: balancer.EndpointRemoved, 1: balancer.EndpointReady, 2: balancer.EndpointDraining,
 }
 
-// endpointUpdate reads a list, or the changes of one, into the batch's buffer.
-func (b *Batch) endpointUpdate(rec record) (balancer.EndpointUpdate, []balancer.Endpoint, error) {
+// decodeEndpointUpdate decodes a snapshot or delta of the endpoint list into the batch's buffer.
+func (b *Batch) decodeEndpointUpdate(rec record) (balancer.EndpointUpdate, []balancer.Endpoint, error) {
 	code := rec[1]
 	if int(code) >= len(endpointUpdates) {
 		return 0, nil, fielderror.Worded(ErrUnknownCode, "unknown list kind %d at byte 1", code)
 	}
-	entries, err := b.slice("hosts", rec.uint32(10), rec.uint32(14), endpointSize)
+	entries, err := b.tailSlice("hosts", rec.uint32(10), rec.uint32(14), endpointSize)
 	if err != nil {
 		return 0, nil, err
 	}
 	list := (*b.endpoints)[:0]
 	for i := 0; i < len(entries); i += endpointSize {
-		e, err := endpoint(entries[i : i+endpointSize])
+		e, err := decodeEndpoint(entries[i : i+endpointSize])
 		if err != nil {
 			return 0, nil, &fielderror.Error{Field: fmt.Sprintf("list entry %d", i/endpointSize), Err: err}
 		}
@@ -39,7 +39,8 @@
 	return endpointUpdates[code], list, nil
 }
 
-func endpoint(rec record) (balancer.Endpoint, error) {
+// decodeEndpoint decodes one entry of an endpoint list.
+func decodeEndpoint(rec record) (balancer.Endpoint, error) {
 	started, err := rec.millis(14, "born_ms")
 	if err != nil {
 		return balancer.Endpoint{}, err
--- a/internal/simproto/errors.go
+++ b/internal/simproto/errors.go
@@ -7,7 +7,8 @@
 	"thymebend/internal/fielderror"
 )
 
-// Causes of a fielderror.Error.
+// Causes of a fielderror.Error: a frame that ends too early, sizes in a frame that contradict each other, an invalid
+// time, an unknown code, an event before the first instance, and a reference to bytes outside the tail.
 var (
 	ErrTruncated   = errors.New("cut short")
 	ErrSize        = errors.New("sizes that do not fit together")
@@ -17,10 +18,11 @@
 	ErrOutsideTail = errors.New("outside the tail")
 )
 
-// batchError is a fault of a frame as a whole.
+// batchError returns an error for a fault that concerns a frame as a whole.
 func batchError(cause error) error { return &fielderror.Error{File: "batch", Err: cause} }
 
-// recordError is a fault of one record. A fault of a field keeps its name.
+// recordError returns an error for a fault of one record. If err is a fielderror.Error without a File, the result keeps
+// its field.
 func recordError(index int, err error) error {
 	part := fmt.Sprintf("record %d", index)
 	if fault, ok := err.(*fielderror.Error); ok && fault.File == "" {
--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -10,7 +10,7 @@
 // Kind is the code of an event record.
 type Kind uint8
 
-// The event codes of the protocol.
+// The event codes of the protocol. The doc comment of the package maps them to the protocol's names.
 const (
 	AttemptEnded     Kind = 1
 	RequestAbandoned Kind = 2
@@ -25,12 +25,12 @@
 	InstanceStopped  Kind = 11
 )
 
-// Event is one decoded event. Only the fields of its kind are set; texts and lists point into the frame.
+// Event is one decoded event. Only the fields of its kind are set. Endpoints refers to a buffer of the batch.
 type Event struct {
 	Instance   int
 	Kind       Kind
 	Request    balancer.Request        // RequestArrived; only its ID for RequestAbandoned and ResponseStarted
-	AttemptEnd balancer.AttemptEnd     // AttemptEnded, without what Load tells
+	AttemptEnd balancer.AttemptEnd     // AttemptEnded, without the values that Load holds
 	Load       Load                    // AttemptEnded
 	Token      uint32                  // TimerFired
 	Seed       uint64                  // InstanceStarted
@@ -39,7 +39,7 @@
 	Endpoints  []balancer.Endpoint     // EndpointsChanged
 }
 
-// outcomes are the codes of how an attempt ended.
+// outcomes maps the code of an attempt's end to its outcome.
 var outcomes = map[uint16]balancer.Outcome{
 	100: balancer.OutcomeOK,
 	301: balancer.OutcomeError,
@@ -51,31 +51,32 @@
 	307: balancer.OutcomeNotStarted,
 }
 
-// clientRetry is the bit of a request's marks by which a client says that it is a retry.
-const clientRetry = 2
+// clientRetryBit is set in a request's flags if its client marked the request as a retry.
+const clientRetryBit = 2
 
-func (b *Batch) event(rec record) (Event, error) {
+// decodeEvent decodes an event record of the current instance.
+func (b *Batch) decodeEvent(rec record) (Event, error) {
 	e := Event{Instance: b.instance, Kind: Kind(rec[0])}
 	var err error
 	switch e.Kind {
 	case AttemptEnded:
-		e.AttemptEnd, err = attemptEnd(rec)
-		e.Load = loadReport(rec[24:])
+		e.AttemptEnd, err = decodeAttemptEnd(rec)
+		e.Load = decodeLoad(rec[24:])
 	case RequestAbandoned, ResponseStarted:
 		e.Request.ID = balancer.RequestID(rec.uint32(1))
 	case TimerFired:
 		e.Token = rec.uint32(1)
 	case EndpointsChanged:
-		e.Update, e.Endpoints, err = b.endpointUpdate(rec)
+		e.Update, e.Endpoints, err = b.decodeEndpointUpdate(rec)
 	case RequestArrived:
-		e.Request, err = request(rec)
+		e.Request, err = decodeRequest(rec)
 	case InstanceStarted:
 		e.Seed = rec.uint64(1)
 		var text []byte
-		text, err = b.slice("info", rec.uint32(9), rec.uint32(13), 1)
+		text, err = b.tailSlice("info", rec.uint32(9), rec.uint32(13), 1)
 		e.Settings = string(text)
 	case PeerMessage:
-		_, err = b.slice("contents", rec.uint32(3), rec.uint32(7), 1)
+		_, err = b.tailSlice("contents", rec.uint32(3), rec.uint32(7), 1)
 	case ProbeEnded, InstanceStopped:
 	default:
 		err = fielderror.Worded(ErrUnknownCode, "unknown event code %d", rec[0])
@@ -83,7 +84,8 @@
 	return e, err
 }
 
-func attemptEnd(rec record) (balancer.AttemptEnd, error) {
+// decodeAttemptEnd decodes the end of an attempt, without its load report.
+func decodeAttemptEnd(rec record) (balancer.AttemptEnd, error) {
 	code := rec.uint16(13)
 	outcome, ok := outcomes[code]
 	if !ok {
@@ -100,38 +102,40 @@
 	}, err
 }
 
-func request(rec record) (balancer.Request, error) {
+// decodeRequest decodes a request that arrived.
+func decodeRequest(rec record) (balancer.Request, error) {
 	timeout, err := rec.millis(17, "patience_left_ms")
 	return balancer.Request{
 		ID:            balancer.RequestID(rec.uint32(1)),
 		Tenant:        int(rec.uint32(5)),
 		ClientTimeout: timeout,
 		Class:         int(rec.uint16(25)),
-		Retry:         rec[27]&clientRetry != 0,
+		Retry:         rec[27]&clientRetryBit != 0,
 	}, err
 }
 
-// maxLoadValues is how many values a load report has room for.
+// maxLoadValues is the maximum number of values in a load report.
 const maxLoadValues = 4
 
-// Load is a load report as it came: its first N values.
+// Load is a load report of an endpoint. Its first Count values are valid.
 type Load struct {
-	N      int
+	Count  int
 	Values [maxLoadValues]float64
 }
 
-func loadReport(rec record) Load {
-	l := Load{N: min(int(rec[0]), maxLoadValues)}
-	for i := range l.N {
+// decodeLoad decodes a load report: the number of values and the values.
+func decodeLoad(rec record) Load {
+	l := Load{Count: min(int(rec[0]), maxLoadValues)}
+	for i := range l.Count {
 		l.Values[i] = float64(math.Float32frombits(rec.uint32(1 + 4*i)))
 	}
 	return l
 }
 
-// QueueLength is how many requests wait at an endpoint, where column says which value of the report tells. ok is
-// false where the report does not tell.
+// QueueLength returns the number of requests queued at an endpoint: the value of the report at index column. ok is
+// false if the report has no such value, or if the value is negative or NaN.
 func (l Load) QueueLength(column int) (length float64, ok bool) {
-	if column < 0 || column >= l.N || !(l.Values[column] >= 0) {
+	if column < 0 || column >= l.Count || !(l.Values[column] >= 0) {
 		return 0, false
 	}
 	return l.Values[column], true
--- a/internal/simproto/frame.go
+++ b/internal/simproto/frame.go
@@ -20,23 +20,24 @@
 	eventSize       = 48
 	actionSize      = 24
 	endpointSize    = 23
-	maxFrameSize    = 256 << 20
+	maxFrameSize    = 256 << 20 // limit on the size of a received frame
 )
 
-// maxMillis bounds every time, in milliseconds.
+// maxMillis is the exclusive bound of every time, in milliseconds.
 const maxMillis = 1e12
 
-// Reader reads batches from a stream and reuses its buffers.
+// Reader reads batches from a stream. It reuses its buffers.
 type Reader struct {
 	in        io.Reader
 	frame     []byte
 	endpoints []balancer.Endpoint
 }
 
-// NewReader returns a Reader on in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader { return &Reader{in: in} }
 
-// Next reads one frame, which is valid until the next call. It returns io.EOF at a clean end of input.
+// Next reads one frame. The Batch is valid until the next call. At the end of input, Next returns io.EOF if the last
+// frame was complete, otherwise ErrTruncated.
 func (r *Reader) Next() (Batch, error) {
 	var size [4]byte
 	if _, err := io.ReadFull(r.in, size[:]); err != nil {
@@ -66,14 +67,15 @@
 	Now       time.Duration // the simulator's clock
 	records   []byte
 	tail      []byte
-	endpoints *[]balancer.Endpoint // buffer of the lists
-	offset    int                  // of the next record
-	instance  int                  // of the records that follow; -1 before the first is named
+	endpoints *[]balancer.Endpoint // buffer for the entries of endpoint lists
+	offset    int                  // byte offset of the next record in records
+	instance  int                  // the instance to which the next records apply; -1 before the first selectInstance
 }
 
-// Decode checks the header of a frame held in memory.
+// Decode checks the header of a frame in memory and returns the frame as a Batch, which refers to it.
 func Decode(frame []byte) (Batch, error) { return decode(frame, new([]balancer.Endpoint)) }
 
+// decode implements Decode, with a buffer for the entries of endpoint lists.
 func decode(frame []byte, endpoints *[]balancer.Endpoint) (Batch, error) {
 	if len(frame) < batchHeaderSize {
 		return Batch{}, batchError(fielderror.Worded(ErrTruncated,
@@ -96,7 +98,8 @@
 		endpoints: endpoints, instance: -1}, nil
 }
 
-// Next decodes the next event, or returns io.EOF. The event's Endpoints are valid until the next call.
+// Next decodes the next event. After the last event it returns io.EOF. The event's Endpoints are valid until the next
+// call.
 func (b *Batch) Next() (Event, error) {
 	for b.offset < len(b.records) {
 		index := b.offset / eventSize
@@ -110,7 +113,7 @@
 			return Event{}, recordError(index, fielderror.Worded(ErrNoInstance,
 				"event code %d before any instance is named", rec[0]))
 		}
-		e, err := b.event(rec)
+		e, err := b.decodeEvent(rec)
 		if err != nil {
 			return Event{}, recordError(index, err)
 		}
@@ -119,8 +122,9 @@
 	return Event{}, io.EOF
 }
 
-// slice returns the part of the tail that a record's offset and count name, after checking that it lies inside.
-func (b *Batch) slice(field string, offset, count uint32, itemSize int64) ([]byte, error) {
+// tailSlice returns the part of the tail that a record refers to by an offset in bytes and a count of items. It returns
+// ErrOutsideTail if the part is not inside the tail.
+func (b *Batch) tailSlice(field string, offset, count uint32, itemSize int64) ([]byte, error) {
 	end := int64(offset) + int64(count)*itemSize
 	if end > int64(len(b.tail)) {
 		return nil, &fielderror.Error{Field: field, Err: fielderror.Worded(ErrOutsideTail,
@@ -129,14 +133,14 @@
 	return b.tail[offset:end], nil
 }
 
-// record is one event or list entry; its fields stand at fixed bytes.
+// record is one event or list entry. Each of its fields is at a fixed offset in bytes.
 type record []byte
 
 func (r record) uint16(at int) uint16 { return binary.LittleEndian.Uint16(r[at:]) }
 func (r record) uint32(at int) uint32 { return binary.LittleEndian.Uint32(r[at:]) }
 func (r record) uint64(at int) uint64 { return binary.LittleEndian.Uint64(r[at:]) }
 
-// millis reads a time in milliseconds.
+// millis reads a time in milliseconds, which the record stores as a float64.
 func (r record) millis(at int, field string) (time.Duration, error) {
 	ms := math.Float64frombits(r.uint64(at))
 	if !(ms > -maxMillis && ms < maxMillis) {
@@ -145,7 +149,8 @@
 	return settings.Millis(ms), nil
 }
 
-// endpointID reads an IPv4 address and a port.
+// endpointID reads an IPv4 address and a port, and returns them as an ID: the address in the bits above the 16 of the
+// port.
 func (r record) endpointID(at int) balancer.EndpointID {
 	address := binary.BigEndian.Uint32(r[at:])
 	return balancer.EndpointID(address)<<16 | balancer.EndpointID(r.uint16(at+4))
--- a/internal/simproto/reply.go
+++ b/internal/simproto/reply.go
@@ -9,7 +9,7 @@
 	"thymebend/internal/balancer"
 )
 
-// The action codes of the protocol that are used.
+// The action codes of the protocol that this package writes.
 const (
 	actionLog            = 1
 	actionCancelAttempt  = 2
@@ -22,17 +22,17 @@
 	actionSetInstance    = 13
 )
 
-// noInstance is the instance of a reply without actions.
+// noInstance is the instance of an empty reply, before the first SetInstance.
 const noInstance = -1
 
-// Reply collects the actions of one batch. It implements balancer.Actions for the instance that SetInstance
-// named last. Reset makes it ready.
+// Reply collects the actions that answer one batch. It implements balancer.Actions for the instance of the last
+// SetInstance call. Reset must be called before the first use.
 type Reply struct {
-	records  []byte // with the header before them
-	tail     []byte
-	count    uint32
-	instance int // of the records written last
-	next     int // of the records to come
+	records         []byte // the header, followed by the records
+	tail            []byte
+	count           uint32
+	encodedInstance int // the instance of the last record; noInstance if there is none
+	currentInstance int // the instance of the next record
 }
 
 // Reset empties the reply for the next batch.
@@ -41,13 +41,13 @@
 		r.records = make([]byte, replyHeaderSize, 4096)
 	}
 	r.records, r.tail, r.count = r.records[:replyHeaderSize], r.tail[:0], 0
-	r.instance, r.next = noInstance, noInstance
+	r.encodedInstance, r.currentInstance = noInstance, noInstance
 }
 
 // SetInstance names the instance whose actions follow.
-func (r *Reply) SetInstance(instance int) { r.next = instance }
+func (r *Reply) SetInstance(instance int) { r.currentInstance = instance }
 
-// WriteTo implements io.WriterTo: the whole frame in one call.
+// WriteTo implements io.WriterTo. It writes the whole frame in one call of w.Write.
 func (r *Reply) WriteTo(w io.Writer) (int64, error) {
 	binary.LittleEndian.PutUint32(r.records, r.count)
 	binary.LittleEndian.PutUint32(r.records[4:], uint32(len(r.records)+len(r.tail)))
@@ -56,16 +56,18 @@
 	return int64(n), err
 }
 
-// append adds a record, after one that names its instance where that is another one's than the last.
+// append adds a record for the current instance. If the record before it applies to another instance, append adds a
+// record that selects the instance first.
 func (r *Reply) append(code byte) []byte {
-	if r.instance != r.next {
-		r.instance = r.next
-		binary.LittleEndian.PutUint16(r.appendBlank(actionSetInstance)[1:], uint16(r.instance))
+	if r.encodedInstance != r.currentInstance {
+		r.encodedInstance = r.currentInstance
+		binary.LittleEndian.PutUint16(r.appendZeroed(actionSetInstance)[1:], uint16(r.encodedInstance))
 	}
-	return r.appendBlank(code)
+	return r.appendZeroed(code)
 }
 
-func (r *Reply) appendBlank(code byte) []byte {
+// appendZeroed adds a record that holds only its code, and returns its bytes.
+func (r *Reply) appendZeroed(code byte) []byte {
 	r.count++
 	at := len(r.records)
 	var zero [actionSize]byte
@@ -74,19 +76,20 @@
 	return r.records[at:]
 }
 
-// appendRequest adds a record that begins with a request's ID.
+// appendRequest adds a record with a request's ID after the code.
 func (r *Reply) appendRequest(code byte, id balancer.RequestID) []byte {
 	rec := r.append(code)
 	binary.LittleEndian.PutUint32(rec[1:], uint32(id))
 	return rec
 }
 
+// putMillis writes a time in milliseconds, as a float64.
 func putMillis(b []byte, d time.Duration) {
 	ms := float64(d) / float64(time.Millisecond)
 	binary.LittleEndian.PutUint64(b, math.Float64bits(ms))
 }
 
-// putEndpointID writes an IPv4 address and a port.
+// putEndpointID writes an endpoint's ID as an IPv4 address and a port.
 func putEndpointID(b []byte, id balancer.EndpointID) {
 	binary.BigEndian.PutUint32(b, uint32(id>>16))
 	binary.LittleEndian.PutUint16(b[4:], uint16(id))
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -15,7 +15,7 @@
 	"thymebend/internal/settings"
 )
 
-// frame builds a batch from records, each padded to its size, and a tail.
+// frame encodes a batch from records, each of which it pads to eventSize, and a tail.
 func frame(clock float64, tail []byte, records ...[]byte) []byte {
 	out := make([]byte, batchHeaderSize)
 	for _, r := range records {
@@ -34,10 +34,11 @@
 
 func join(parts ...[]byte) []byte { return bytes.Join(parts, nil) }
 
-func to(inst byte) []byte { return []byte{8, inst, 0} }
+// selectRecord encodes a record that selects the instance of the records after it.
+func selectRecord(instance byte) []byte { return []byte{8, instance, 0} }
 
-// all decodes every event of a frame.
-func all(data []byte) ([]Event, error) {
+// decodeAll decodes all events of a frame.
+func decodeAll(data []byte) ([]Event, error) {
 	b, err := Decode(data)
 	if err != nil {
 		return nil, err
@@ -55,13 +56,14 @@
 	}
 }
 
-// Guards against a field that is read from another byte, or in another unit.
+// Guards against a field that is read from the wrong byte or in the wrong unit.
 func TestDecodeEvents(t *testing.T) {
 	entry := join(u32(0), []byte{2, 7, 0, 10, 18, 74, 7, 0x2b, 0x23, 1}, f64(1500), []byte{0})
 	request := join([]byte{7}, u32(77), u32(1), make([]byte, 8), f64(110), []byte{2, 0, 2})
 	ended := join([]byte{1}, u32(77), []byte{3, 0, 10, 18, 74, 7, 0x2b, 0x23, 0x2f, 1}, f64(12.5), []byte{1})
 	list := join([]byte{5, 3}, make([]byte, 8), u32(0), u32(1))
-	events, err := all(frame(1000.25, entry, to(3), request, ended, list, []byte{3, 9, 0, 0, 0}, to(4), []byte{11}))
+	events, err := decodeAll(frame(1000.25, entry, selectRecord(3), request, ended, list, []byte{3, 9, 0, 0, 0},
+		selectRecord(4), []byte{11}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,9 +91,9 @@
 	}
 }
 
-// Guards against a faulty frame that is taken, or whose fault is not named.
-func TestDecodeFaultsSayWhatAndWhere(t *testing.T) {
-	good := frame(1, nil, to(0), []byte{2, 1, 0, 0, 0})
+// Guards against a faulty frame that is accepted, or whose error does not name the fault and its position.
+func TestDecodeErrorNamesFaultAndPosition(t *testing.T) {
+	good := frame(1, nil, selectRecord(0), []byte{2, 1, 0, 0, 0})
 	longer := bytes.Clone(good)
 	binary.LittleEndian.PutUint32(longer, uint32(len(good)+1))
 	many := bytes.Clone(good)
@@ -102,18 +104,19 @@
 		"3 records need 160 bytes":      many,
 		"clock NaN at byte 4":           frame(math.NaN(), nil),
 		"record 0: event code 2 before": frame(1, nil, []byte{2}),
-		"unknown event code 99":         frame(1, nil, to(0), []byte{99}),
-		"unknown outcome 5 at byte 13":  frame(1, nil, to(0), join([]byte{1}, make([]byte, 12), []byte{5, 0})),
-		"hosts: bytes 4 to 27 lie": frame(1, []byte("abc"), to(0),
+		"unknown event code 99":         frame(1, nil, selectRecord(0), []byte{99}),
+		"unknown outcome 5 at byte 13": frame(1, nil, selectRecord(0),
+			join([]byte{1}, make([]byte, 12), []byte{5, 0})),
+		"hosts: bytes 4 to 27 lie": frame(1, []byte("abc"), selectRecord(0),
 			join([]byte{5, 2}, make([]byte, 8), u32(4), u32(1))),
-		"unknown list kind 9":     frame(1, nil, to(0), []byte{5, 9}),
-		"info: bytes 0 to 10 lie": frame(1, nil, to(0), join([]byte{10}, make([]byte, 8), u32(0), u32(10))),
-		"patience_left_ms NaN is": frame(1, nil, to(0), join([]byte{7}, make([]byte, 16), f64(math.NaN()))),
-		"hosts: bytes 4294967295 to": frame(1, nil, to(0),
+		"unknown list kind 9":     frame(1, nil, selectRecord(0), []byte{5, 9}),
+		"info: bytes 0 to 10 lie": frame(1, nil, selectRecord(0), join([]byte{10}, make([]byte, 8), u32(0), u32(10))),
+		"patience_left_ms NaN is": frame(1, nil, selectRecord(0), join([]byte{7}, make([]byte, 16), f64(math.NaN()))),
+		"hosts: bytes 4294967295 to": frame(1, nil, selectRecord(0),
 			join([]byte{5, 2}, make([]byte, 8), u32(math.MaxUint32), u32(math.MaxUint32/4))),
 	} {
 		t.Run(want, func(t *testing.T) {
-			_, err := all(data)
+			_, err := decodeAll(data)
 			if err == nil || strings.Contains(err.Error(), "\n") {
 				t.Errorf("%s: err = %v", want, err)
 			} else if !strings.Contains(err.Error(), want) {
@@ -123,8 +126,8 @@
 	}
 }
 
-// Callers can tell the causes apart, and take the part of the frame.
-func TestFaultsCanBeMatched(t *testing.T) {
+// Callers can match each cause with errors.Is, and get the part of the frame and the field with errors.As.
+func TestErrorCausesCanBeMatched(t *testing.T) {
 	for name, c := range map[string]struct {
 		frame      []byte
 		want       error
@@ -133,14 +136,14 @@
 		"header":       {[]byte{1, 2, 3}, ErrTruncated, "batch", ""},
 		"clock":        {frame(-1, nil), ErrTime, "batch", ""},
 		"no instance":  {frame(1, nil, []byte{2}), ErrNoInstance, "record 0", ""},
-		"unknown code": {frame(1, nil, to(0), []byte{99}), ErrUnknownCode, "record 1", ""},
-		"tail": {frame(1, nil, to(0), join([]byte{5, 2}, make([]byte, 8), u32(4), u32(1))), ErrOutsideTail,
+		"unknown code": {frame(1, nil, selectRecord(0), []byte{99}), ErrUnknownCode, "record 1", ""},
+		"tail": {frame(1, nil, selectRecord(0), join([]byte{5, 2}, make([]byte, 8), u32(4), u32(1))), ErrOutsideTail,
 			"record 1", "hosts"},
-		"time": {frame(1, nil, to(0), join([]byte{7}, make([]byte, 16), f64(math.NaN()))), ErrTime,
+		"time": {frame(1, nil, selectRecord(0), join([]byte{7}, make([]byte, 16), f64(math.NaN()))), ErrTime,
 			"record 1", "patience_left_ms"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := all(c.frame)
+			_, err := decodeAll(c.frame)
 			var fault *fielderror.Error
 			if !errors.Is(err, c.want) || !errors.As(err, &fault) || fault.File != c.part || fault.Field != c.item {
 				t.Errorf("%v: %+v", err, fault)
@@ -149,16 +152,16 @@
 	}
 }
 
-// Guards against a frame that is cut short and taken for the end of the input.
+// Guards against a truncated frame that is mistaken for the end of the input.
 func TestReaderFaults(t *testing.T) {
-	good := frame(1, nil, to(0))
+	good := frame(1, nil, selectRecord(0))
 	r := NewReader(bytes.NewReader(good[:30]))
 	if _, err := r.Next(); err == nil || !strings.Contains(err.Error(), "cut short at byte 30 of 64") {
 		t.Errorf("err = %v", err)
 	}
 	r = NewReader(bytes.NewReader([]byte{1, 0}))
 	if _, err := r.Next(); err == nil || errors.Is(err, io.EOF) {
-		t.Errorf("err = %v, want one that names the size field", err)
+		t.Errorf("err = %v, want an error other than io.EOF", err)
 	}
 	r = NewReader(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff}))
 	if _, err := r.Next(); err == nil || !strings.Contains(err.Error(), "outside") {
@@ -175,14 +178,14 @@
 	}
 }
 
-// Guards against an action that is written to other bytes.
+// Guards against a field of an action that is written to the wrong byte.
 func TestReplyFrame(t *testing.T) {
 	var r Reply
 	r.Reset()
 	r.SetInstance(3)
 	r.StartAttempt(0x5d3a91c4, 10<<40|18<<32|74<<24|7<<16|0x232b, 80*time.Millisecond)
 	r.SetTimer(500*time.Millisecond, 77)
-	r.SetInstance(4) // an instance without actions leaves no record
+	r.SetInstance(4) // an instance without actions adds no record
 	r.SetInstance(5)
 	r.Log("two servers known")
 	var out bytes.Buffer
@@ -217,11 +220,11 @@
 	}
 }
 
-// Guards against a load that is read from a value that the report does not have.
+// Guards against a queue length that is read from a value which the report does not have.
 func TestQueueLengthOfLoadReports(t *testing.T) {
 	f32 := func(v float32) []byte { return u32(math.Float32bits(v)) }
 	rec := join([]byte{1}, make([]byte, 12), []byte{100, 0}, f64(5), []byte{1, 2}, f32(80), f32(2.5))
-	events, err := all(frame(1, nil, to(0), rec))
+	events, err := decodeAll(frame(1, nil, selectRecord(0), rec))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -230,22 +233,24 @@
 			t.Errorf("column %d: %v %v, want %v", column, got, ok, want)
 		}
 	}
-	if _, ok := (Load{N: 1, Values: [4]float64{math.NaN()}}).QueueLength(0); ok {
-		t.Error("a report that is no number was taken")
+	if _, ok := (Load{Count: 1, Values: [4]float64{math.NaN()}}).QueueLength(0); ok {
+		t.Error("a queue length of NaN was accepted")
 	}
 }
 
-// FuzzDecode looks for panics and for frames whose decoding never ends.
+// FuzzDecode searches for frames whose decoding panics, never ends, or returns an error without a
+// text or more events than the frame has room for.
 func FuzzDecode(f *testing.F) {
 	f.Add(frame(1, nil))
-	f.Add(frame(5, []byte("balancers=4\nclasses.count=2\nclasses.0.aim_ms=300.5\nzone=1\n"), to(1),
+	f.Add(frame(5, []byte("balancers=4\nclasses.count=2\nclasses.0.aim_ms=300.5\nzone=1\n"), selectRecord(1),
 		join([]byte{10}, make([]byte, 8), u32(0), u32(20))))
-	f.Add(frame(5, make([]byte, 46), to(1), join([]byte{5, 3}, make([]byte, 8), u32(0), u32(2)), []byte{1, 2}))
+	f.Add(frame(5, make([]byte, 46), selectRecord(1),
+		join([]byte{5, 3}, make([]byte, 8), u32(0), u32(2)), []byte{1, 2}))
 	f.Add([]byte{16, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		events, err := all(data)
+		events, err := decodeAll(data)
 		if err != nil && err.Error() == "" {
-			t.Error("an error without words")
+			t.Error("an error without a text")
 		}
 		if len(events)*eventSize > len(data) {
 			t.Errorf("%d events from %d bytes", len(events), len(data))
@@ -253,7 +258,7 @@
 		for _, e := range events {
 			if e.Kind == InstanceStarted {
 				if _, err := settings.Parse(e.Settings); err != nil && strings.Contains(err.Error(), "\n") {
-					t.Error("a fault of more than one line")
+					t.Error("an error text of more than one line")
 				}
 			}
 		}
--- a/internal/tomlfile/position.go
+++ b/internal/tomlfile/position.go
@@ -7,76 +7,77 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// position is where a field's name stands, both from 1.
+// position is the line and column of a field's name, both counted from 1.
 type position struct{ line, column int }
 
-// indexer walks a file's text and notes where each field stands.
+// indexer walks through a file's text and records the position of each field.
 type indexer struct {
-	file   *File
-	parser unstable.Parser
-	table  string         // path of the table that the walk is in
-	counts map[string]int // by the path of an array of tables: its elements so far
+	file         *File
+	parser       unstable.Parser
+	table        string         // path of the current table
+	arrayLengths map[string]int // elements read, by the path of an array of tables
 }
 
-// index notes where each field stands. It goes as far as the text can be parsed.
+// index records the position of each field and the paths of bare numbers, up to the first syntax error.
 func (f *File) index(text []byte) {
-	x := &indexer{file: f, counts: make(map[string]int)}
+	x := &indexer{file: f, arrayLengths: make(map[string]int)}
 	x.parser.Reset(text)
 	for x.parser.NextExpression() {
 		switch e := x.parser.Expression(); e.Kind {
 		case unstable.Table, unstable.ArrayTable:
 			x.enterTable(e)
 		case unstable.KeyValue:
-			x.keyValue(x.table, e)
+			x.indexKeyValue(x.table, e)
 		}
 	}
 }
 
-// enterTable follows a table's header. A header names an element of an array of tables by the array alone: the
-// last one so far is meant.
+// enterTable makes the table of a header the current one. A header names an element of an array of tables by the
+// array's name alone; it means the last element read.
 func (x *indexer) enterTable(header *unstable.Node) {
-	words, first := keyWords(header.Key())
+	parts, first := keyParts(header.Key())
 	x.table = ""
-	for i, word := range words {
-		x.table = join(x.table, word)
-		inside := i < len(words)-1 || header.Kind == unstable.Table
-		if count, isArray := x.counts[x.table]; isArray && inside {
+	for i, part := range parts {
+		x.table = join(x.table, part)
+		inside := i < len(parts)-1 || header.Kind == unstable.Table
+		if count, isArray := x.arrayLengths[x.table]; isArray && inside {
 			x.table = join(x.table, strconv.Itoa(count-1))
 		}
 	}
 	if header.Kind == unstable.ArrayTable {
-		x.counts[x.table]++
-		x.table = join(x.table, strconv.Itoa(x.counts[x.table]-1))
+		x.arrayLengths[x.table]++
+		x.table = join(x.table, strconv.Itoa(x.arrayLengths[x.table]-1))
 	}
-	x.note(x.table, first)
+	x.recordPosition(x.table, first)
 }
 
-func (x *indexer) keyValue(table string, expression *unstable.Node) {
-	words, first := keyWords(expression.Key())
-	path := join(table, strings.Join(words, "."))
-	x.note(path, first)
-	x.value(path, expression.Value())
+// indexKeyValue records a field of a table, and the fields inside its value.
+func (x *indexer) indexKeyValue(table string, expression *unstable.Node) {
+	parts, first := keyParts(expression.Key())
+	path := join(table, strings.Join(parts, "."))
+	x.recordPosition(path, first)
+	x.indexValue(path, expression.Value())
 }
 
-// value looks for fields inside a value, and for bare numbers.
-func (x *indexer) value(path string, n *unstable.Node) {
+// indexValue records the fields inside a value, and the paths of bare numbers.
+func (x *indexer) indexValue(path string, n *unstable.Node) {
 	switch n.Kind {
 	case unstable.Integer, unstable.Float:
 		x.file.numbers = append(x.file.numbers, path)
 	case unstable.InlineTable:
 		for it := n.Children(); it.Next(); {
-			x.keyValue(path, it.Node())
+			x.indexKeyValue(path, it.Node())
 		}
 	case unstable.Array:
 		i := 0
 		for it := n.Children(); it.Next(); i++ {
-			x.value(join(path, strconv.Itoa(i)), it.Node())
+			x.indexValue(join(path, strconv.Itoa(i)), it.Node())
 		}
 	}
 }
 
-// note keeps the place where a path stands first.
-func (x *indexer) note(path string, n *unstable.Node) {
+// recordPosition stores the position of a path the first time the path occurs.
+func (x *indexer) recordPosition(path string, n *unstable.Node) {
 	if _, known := x.file.positions[path]; known {
 		return
 	}
@@ -88,14 +89,14 @@
 	x.file.positions[path] = position{start.Line, start.Column}
 }
 
-// keyWords are the words of a dotted key, and the node of the first.
-func keyWords(it unstable.Iterator) (words []string, first *unstable.Node) {
+// keyParts returns the parts of a dotted key, and the node of the first part.
+func keyParts(it unstable.Iterator) (parts []string, first *unstable.Node) {
 	for it.Next() {
 		n := *it.Node()
 		if first == nil {
 			first = &n
 		}
-		words = append(words, string(n.Data))
+		parts = append(parts, string(n.Data))
 	}
-	return words, first
+	return parts, first
 }
--- a/internal/tomlfile/schema.go
+++ b/internal/tomlfile/schema.go
@@ -8,11 +8,12 @@
 	"github.com/agnivade/levenshtein"
 )
 
-// maxDistance is how many edits apart a word and its suggestion may be.
-const maxDistance = 3
+// maxEditDistance is the largest edit distance between a word and a suggestion for it.
+const maxEditDistance = 3
 
-// field is the type of a struct's field by its name in the file, and all such names.
-func field(t reflect.Type, name string) (found reflect.Type, names []string) {
+// fieldType returns the type of a struct's field by its name in the file, nil if there is none, and the names of all
+// fields. Of a map it returns the type of the elements.
+func fieldType(t reflect.Type, name string) (found reflect.Type, names []string) {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
 		t = t.Elem()
 	}
@@ -22,7 +23,7 @@
 	if t.Kind() != reflect.Struct {
 		return nil, nil
 	}
-	for _, f := range reflect.VisibleFields(t) { // those of embedded structs too
+	for _, f := range reflect.VisibleFields(t) { // includes the fields of embedded structs
 		tag, _, _ := strings.Cut(f.Tag.Get("toml"), ",")
 		if tag == "" || tag == "-" {
 			continue
@@ -34,23 +35,23 @@
 	return found, names
 }
 
-// typeAt is the type of the value at a path, or nil. Indices of lists are skipped.
+// typeAt returns the type of the value at a path, or nil if the path is unknown. It skips indices of lists.
 func typeAt(path []string, t reflect.Type) reflect.Type {
 	for _, word := range path {
 		if _, err := strconv.Atoi(word); err == nil {
 			continue
 		}
-		if t, _ = field(t, word); t == nil {
+		if t, _ = fieldType(t, word); t == nil {
 			return nil
 		}
 	}
 	return t
 }
 
-// nearestField is the known field most like the first unknown word of a path; empty if none is near.
+// nearestField returns the known field most similar to the first unknown word of a path, or "" if none is similar.
 func nearestField(path []string, t reflect.Type) string {
 	for _, word := range path {
-		inner, names := field(t, word)
+		inner, names := fieldType(t, word)
 		if inner == nil {
 			return Nearest(word, names)
 		}
@@ -59,12 +60,13 @@
 	return ""
 }
 
-// Nearest is the word of a list most like one that is not in it; empty if none is near.
+// Nearest returns the known word with the smallest edit distance to word, or "" if all are more than maxEditDistance
+// edits apart.
 func Nearest(word string, known []string) string {
-	best, least := "", maxDistance+1
+	best, bestDistance := "", maxEditDistance+1
 	for _, k := range known {
-		if d := levenshtein.ComputeDistance(k, word); d < least {
-			best, least = k, d
+		if d := levenshtein.ComputeDistance(k, word); d < bestDistance {
+			best, bestDistance = k, d
 		}
 	}
 	return best
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -21,8 +21,8 @@
 	} `toml:"event"`
 }
 
-// A fault names file, line, column, field and the nearest known one.
-func TestFaultsAreNamed(t *testing.T) {
+// A fault of Read names file, line, column and field and, for an unknown field, the most similar known one.
+func TestReadErrorNamesPosition(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"name = \"a\"\n[hosts]\nlagg = \"1s\"\n", "x.toml:3:1: hosts.lagg: unknown field, did you mean lag?"},
 		{"[hosts]\n  lag = \"soon\"\n", `x.toml:2:9`},
@@ -41,8 +41,9 @@
 	}
 }
 
-// What is found wrong later is named by the place of the field, or of the nearest table that holds it.
-func TestLaterFaultsAreNamedByPlace(t *testing.T) {
+// A fault that a caller adds after Read gets the position of the field or, if the file lacks the field, of the table
+// around it.
+func TestReportedFaultNamesPosition(t *testing.T) {
 	text := "name = \"a\"\n\n[[event]]\nat = \"1s\"\n\n[[event]]\n  at = \"2s\"\n  kind = { share = 3.0 }\n"
 	var s sample
 	f := Read("x.toml", []byte(text), &s)
@@ -59,17 +60,17 @@
 	}
 }
 
-// Callers can tell the causes apart, and take the place of each fault.
-func TestFaultsCanBeMatched(t *testing.T) {
+// Callers can match each cause with errors.Is, and get the position of each fault with errors.As.
+func TestErrorCausesCanBeMatched(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		want error
 		line int
 	}{
-		"unknown field":   {"name = \"a\"\n[hosts]\nlagg = \"1s\"\n", ErrUnknownField, 3},
-		"bare number":     {"[hosts]\nlag = 5\n", ErrNotDuration, 2},
-		"syntax":          {"name = \n", ErrDecode, 1},
-		"value of a type": {"name = 5\n", ErrDecode, 1},
+		"unknown field": {"name = \"a\"\n[hosts]\nlagg = \"1s\"\n", ErrUnknownField, 3},
+		"bare number":   {"[hosts]\nlag = 5\n", ErrNotDuration, 2},
+		"syntax":        {"name = \n", ErrDecode, 1},
+		"wrong type":    {"name = 5\n", ErrDecode, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var s sample
