--- a/internal/ci/site.go
+++ b/internal/ci/site.go
@@ -137,7 +137,7 @@
 		if errors.As(err, &at) {
 			line += strings.Count(string(raw[:at.Offset]), "\n")
 		}
-		return faultAt(path, line, fielderror.Worded(err, "no JSON object: %v", err))
+		return faultAt(path, line, fielderror.CauseWithText(err, "no JSON object: %v", err))
 	}
 	return nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -214,7 +214,7 @@
 
 // tooSmallError returns an error with the cause ErrTooSmall.
 func tooSmallError(field, format string, args ...any) error {
-	return fielderror.Inline(field, fielderror.Worded(ErrTooSmall, format, args...))
+	return fielderror.Inline(field, fielderror.CauseWithText(ErrTooSmall, format, args...))
 }
 
 // firstNonEmpty returns first unless it is empty, otherwise second.
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -27,7 +27,7 @@
 		return nil, nil
 	}
 	if len(f.Peers) != s.Config.Gateways {
-		return nil, fielderror.Inline("peers", fielderror.Worded(ErrPeerCount,
+		return nil, fielderror.Inline("peers", fielderror.CauseWithText(ErrPeerCount,
 			"names %d gateways, the settings %d", len(f.Peers), s.Config.Gateways))
 	}
 	listen, err := parseAddrPort("peer_listen", f.Listen)
--- a/internal/configdist/agent.go
+++ b/internal/configdist/agent.go
@@ -277,5 +277,5 @@
 }
 
 func agentError(format string, args ...any) error {
-	return fielderror.Worded(ErrAgentConfig, "configdist: "+format, args...)
+	return fielderror.CauseWithText(ErrAgentConfig, "configdist: "+format, args...)
 }
--- a/internal/configdist/snapshot.go
+++ b/internal/configdist/snapshot.go
@@ -34,7 +34,7 @@
 var ErrSnapshot = errors.New("unusable snapshot")
 
 func snapshotError(format string, args ...any) error {
-	return fielderror.Worded(ErrSnapshot, "configdist: snapshot"+format, args...)
+	return fielderror.CauseWithText(ErrSnapshot, "configdist: snapshot"+format, args...)
 }
 
 // RestoreStore reads a store back. What no store encodes is an ErrSnapshot.
--- a/internal/discovery/endpoints.go
+++ b/internal/discovery/endpoints.go
@@ -75,23 +75,23 @@
 	return e
 }
 
-// Older reports whether an object in discovery's format has an earlier version than the list in force. An object
+// IsOlder reports whether an object in discovery's format has an earlier version than the list in force. An object
 // without a version is not older. The error is that of malformed JSON.
-func (eps *Endpoints) Older(raw []byte) (bool, error) {
+func (eps *Endpoints) IsOlder(raw []byte) (bool, error) {
 	seq, err := versionOf(raw)
 	return seq != nil && *seq < eps.version, err
 }
 
-// Outdated reports whether an object received by a watch has an earlier version than the list in force, but not an
+// IsOutdated reports whether an object received by a watch has an earlier version than the list in force, but not an
 // earlier one than the watch requested changes from: another watch has delivered a newer list in the meantime.
-func (eps *Endpoints) Outdated(w *Watch, raw []byte) bool {
+func (eps *Endpoints) IsOutdated(w *Watch, raw []byte) bool {
 	seq, err := versionOf(raw)
 	return err == nil && seq != nil && *seq >= w.sinceVersion && *seq < eps.version
 }
 
-// Renumber resets the version of the list in force to 0, so that the next watch requests a snapshot. The endpoints
+// ForgetVersion resets the version of the list in force to 0, so that the next watch requests a snapshot. The endpoints
 // stay.
-func (eps *Endpoints) Renumber() { eps.version = 0 }
+func (eps *Endpoints) ForgetVersion() { eps.version = 0 }
 
 // Len returns the number of endpoints in the list.
 func (eps *Endpoints) Len() int { return len(eps.byID) }
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -24,7 +24,7 @@
 func states(endpoints *Endpoints) string {
 	var out []string
 	for _, name := range []string{"a", "b", "c"} {
-		if ep := endpoints.Find(Identity(name)); ep != nil {
+		if ep := endpoints.Find(EndpointIDFromName(name)); ep != nil {
 			out = append(out, fmt.Sprintf("%s%d/%d", name, ep.State, ep.StartedAt.Milliseconds()))
 		}
 	}
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -82,16 +82,16 @@
 	return removed
 }
 
-// Removals applies only part of an object that is older than the list in force: endpoints that the object reports as
+// ApplyStaleRemovals applies only part of an object that is older than the list in force: endpoints that the object reports as
 // draining or removed change to that state if the object states the same start time as the list. It returns the
 // update. The version in force stays.
-func (eps *Endpoints) Removals(raw []byte) Update {
+func (eps *Endpoints) ApplyStaleRemovals(raw []byte) Update {
 	var doc document
 	if err := json.Unmarshal(raw, &doc); err != nil {
 		return Update{}
 	}
 	return eps.applyRemovals(slices.DeleteFunc(doc.Hosts, func(e entry) bool {
-		ep := eps.byID[Identity(e.Host)]
+		ep := eps.byID[EndpointIDFromName(e.Host)]
 		return ep == nil || ep.StartedAt != e.startedAt()
 	}))
 }
@@ -101,7 +101,7 @@
 func (eps *Endpoints) applyRemovals(entries []entry) (update Update) {
 	states := make(map[balancer.EndpointID]balancer.EndpointState)
 	for i := range entries {
-		id := Identity(entries[i].Host)
+		id := EndpointIDFromName(entries[i].Host)
 		if state, known := stateOf(entries[i].Health); known && eps.byID[id] != nil {
 			states[id] = state
 		}
@@ -152,7 +152,7 @@
 		return nil, &EntryError{}
 	}
 	ep := &Endpoint{Name: e.Host, Capacity: 1, Endpoint: balancer.Endpoint{
-		ID: Identity(e.Host), Zone: eps.zoneIndex(e.Site), Cell: e.Block, StartedAt: e.startedAt(),
+		ID: EndpointIDFromName(e.Host), Zone: eps.zoneIndex(e.Site), Cell: e.Block, StartedAt: e.startedAt(),
 	}}
 	var known bool
 	if ep.State, known = stateOf(e.Health); !known {
--- a/internal/fielderror/fielderror.go
+++ b/internal/fielderror/fielderror.go
@@ -36,13 +36,13 @@
 	return Inline(field, fmt.Errorf(format, args...))
 }
 
-// Worded returns a cause that errors.Is matches with kind but whose text is the formatted text alone. The format may
+// CauseWithText returns a cause that errors.Is matches with kind but whose text is the formatted text alone. The format may
 // wrap another error with %w.
-func Worded(kind error, format string, args ...any) error {
+func CauseWithText(kind error, format string, args ...any) error {
 	return &textCause{kind: kind, text: fmt.Errorf(format, args...)}
 }
 
-// textCause is the cause returned by Worded.
+// textCause is the cause returned by CauseWithText.
 type textCause struct{ kind, text error }
 
 // Error implements error.
--- a/internal/fielderror/fielderror_test.go
+++ b/internal/fielderror/fielderror_test.go
@@ -39,9 +39,9 @@
 	if !errors.Is(err, ErrMissing) || !errors.As(err, &fault) || fault.Field != "rank" {
 		t.Errorf("%v: %+v", err, fault)
 	}
-	if worded := Worded(ErrMissing, "has no %s", "zone"); worded.Error() != "has no zone" ||
-		!errors.Is(worded, ErrMissing) {
-		t.Errorf("%v", worded)
+	if cause := CauseWithText(ErrMissing, "has no %s", "zone"); cause.Error() != "has no zone" ||
+		!errors.Is(cause, ErrMissing) {
+		t.Errorf("%v", cause)
 	}
 	if want := "settings: rank is 7\nzone is missing"; err.Error() != want {
 		t.Errorf("%q, want %q", err, want)
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -221,7 +221,7 @@
 				t.Errorf("request sent to the endpoint: %v, want %v; watch closed: %v, want it open",
 					sent, c.sent, r.closed[w])
 			}
-			if h := r.g.discovery.endpoints.Find(discovery.Identity("s-2")); h.State != balancer.EndpointDraining {
+			if h := r.g.discovery.endpoints.Find(discovery.EndpointIDFromName("s-2")); h.State != balancer.EndpointDraining {
 				t.Error("an older list brought an endpoint up again")
 			}
 		})
--- a/internal/gateway/discovery_updates.go
+++ b/internal/gateway/discovery_updates.go
@@ -21,7 +21,7 @@
 	removalsOnly := false // set after a malformed line
 	for _, line := range lines {
 		if removalsOnly {
-			d.applyRemovals(d.endpoints.Removals(line))
+			d.applyRemovals(d.endpoints.ApplyStaleRemovals(line))
 			continue
 		}
 		if d.isStale(w, line) {
@@ -51,8 +51,8 @@
 	var update discovery.Update
 	switch {
 	case len(line) == 0 || d.staleSince != 0:
-	case w != d.current && d.endpoints.Outdated(w, line):
-		update = d.endpoints.Removals(line) // must not undo newer changes from the current watch
+	case w != d.current && d.endpoints.IsOutdated(w, line):
+		update = d.endpoints.ApplyStaleRemovals(line) // must not undo newer changes from the current watch
 	default:
 		var err error
 		if update, err = d.endpoints.Apply(line); err != nil {
@@ -91,7 +91,7 @@
 		return false
 	}
 	if len(line) > 0 {
-		older, err := d.endpoints.Older(line)
+		older, err := d.endpoints.IsOlder(line)
 		if err != nil || !older {
 			d.staleSince = 0 // applyLine reports a malformed line
 			return false
@@ -100,7 +100,7 @@
 			d.log.Warn().Stringer(fieldDiscovery, w.Addr).Msg("the agent has an older list, ignored")
 			d.staleSince = d.now
 		}
-		d.applyRemovals(d.endpoints.Removals(line))
+		d.applyRemovals(d.endpoints.ApplyStaleRemovals(line))
 	}
 	if d.staleSince == 0 || d.now-d.staleSince < staleAgentTimeout {
 		return false
@@ -108,7 +108,7 @@
 	d.log.Warn().Stringer(fieldDiscovery, w.Addr).Dur(fieldStaleFor, d.now-d.staleSince).
 		Msg("the agent's list numbers began anew")
 	d.staleSince = 0
-	d.endpoints.Renumber()
+	d.endpoints.ForgetVersion()
 	d.watchEnded(w, ReasonWatchReplaced, nil)
 	return true
 }
--- a/internal/gateway/hotrestart_successor.go
+++ b/internal/gateway/hotrestart_successor.go
@@ -64,7 +64,7 @@
 // inheritEndpoints applies the predecessor's list unless it is older than this process's list. With an older
 // list there would be a gap: the poll in progress requests the changes since this process's list.
 func (h *hotRestart) inheritEndpoints(list []byte) {
-	if older, err := h.discovery.endpoints.Older(list); err == nil && older {
+	if older, err := h.discovery.endpoints.IsOlder(list); err == nil && older {
 		return
 	}
 	update, err := h.discovery.endpoints.Apply(list)
--- a/internal/gossipconfig/gossipconfig.go
+++ b/internal/gossipconfig/gossipconfig.go
@@ -96,7 +96,7 @@
 
 // addFault records a fault of a field. errors.Is matches the fault with kind.
 func (r reader) addFault(kind error, field, format string, args ...any) {
-	r.file.Fault(field, "%w", fielderror.Worded(kind, format, args...))
+	r.file.AddFault(field, "%w", fielderror.CauseWithText(kind, format, args...))
 }
 
 func (r reader) checkName(field, name string) bool {
--- a/internal/lab/drill/check.go
+++ b/internal/lab/drill/check.go
@@ -21,7 +21,7 @@
 // need notes a fault at a field unless it is as it must be.
 func (c *checker) need(ok bool, at, format string, args ...any) {
 	if !ok {
-		c.in.Fault(at, format, args...)
+		c.in.AddFault(at, format, args...)
 	}
 }
 
@@ -90,10 +90,10 @@
 func (c *checker) unknownFault(at, name string) {
 	text := fmt.Sprintf("%q is no fault", name)
 	all := faultNames()
-	if near := tomlfile.Nearest(name, all); near != "" {
+	if near := tomlfile.ClosestMatch(name, all); near != "" {
 		text += ", did you mean " + near + "?"
 	}
-	c.in.Fault(at+".do", "%s; known are %s", text, strings.Join(all, ", "))
+	c.in.AddFault(at+".do", "%s; known are %s", text, strings.Join(all, ", "))
 }
 
 // expect checks an expectation. length is that of the run.
--- a/internal/lab/drill/stopped.go
+++ b/internal/lab/drill/stopped.go
@@ -46,7 +46,7 @@
 
 func (s StoppedClients) check(in *tomlfile.File) {
 	if s.Every.Duration < 0 || s.Every.Duration > 0 && s.Every.Duration < time.Millisecond {
-		in.Fault("stopped_clients.every", "must be 1ms or more, or 0s for none")
+		in.AddFault("stopped_clients.every", "must be 1ms or more, or 0s for none")
 	}
 }
 
--- a/internal/lab/experiment/check.go
+++ b/internal/lab/experiment/check.go
@@ -26,7 +26,7 @@
 // need notes a fault at a field unless it is as it must be.
 func (c *checker) need(ok bool, path, format string, args ...any) {
 	if !ok {
-		c.in.Fault(path, format, args...)
+		c.in.AddFault(path, format, args...)
 	}
 }
 
@@ -67,7 +67,7 @@
 	c.need(k.Window.Duration >= 0 && (k.Keyed || k.Window.Duration == 0), at("window"), "goes with keyed")
 	c.need(k.Late >= 0 && k.Late <= 1, at("late_worth"), "must be 0 to 1")
 	if err := k.Work.model().Check(); err != nil {
-		c.in.Fault(at("work"), "%v", err)
+		c.in.AddFault(at("work"), "%v", err)
 	}
 	c.classes = append(c.classes, k.Name)
 }
@@ -102,7 +102,7 @@
 	c.need(p.Rush == "" || slices.Contains(c.classes, p.Rush), path+".rush", "%q is no class, known are %s",
 		p.Rush, strings.Join(c.classes, ", "))
 	if err := p.model().Check(); err != nil {
-		c.in.Fault(path, "%v", err)
+		c.in.AddFault(path, "%v", err)
 	}
 }
 
@@ -146,10 +146,10 @@
 func (c *checker) unknownEvent(path, name string, known map[string][]string) {
 	text := fmt.Sprintf("%q is no event", name)
 	names := slices.Sorted(keys(known))
-	if near := tomlfile.Nearest(name, names); near != "" {
+	if near := tomlfile.ClosestMatch(name, names); near != "" {
 		text += ", did you mean " + near + "?"
 	}
-	c.in.Fault(path+".do", "%s; known are %s", text, strings.Join(names, ", "))
+	c.in.AddFault(path+".do", "%s; known are %s", text, strings.Join(names, ", "))
 }
 
 // check notes everything that cannot be played.
--- a/internal/lab/experiment/models.go
+++ b/internal/lab/experiment/models.go
@@ -100,19 +100,19 @@
 		return nil, nil, err
 	}
 	if len(s.Phases) == 0 {
-		in.Fault("phase", "at least one is needed")
+		in.AddFault("phase", "at least one is needed")
 	}
 	var out []load.Phase
 	for i, p := range s.Phases {
 		at := fmt.Sprintf("phase.%d", i)
 		if err := p.model().Check(); err != nil {
-			in.Fault(at, "%v", err)
+			in.AddFault(at, "%v", err)
 		}
 		if p.Rush != "" && !slices.ContainsFunc(classes, func(c load.Class) bool { return c.Name == p.Rush }) {
-			in.Fault(at+".rush", "%q is no class of this run", p.Rush)
+			in.AddFault(at+".rush", "%q is no class of this run", p.Rush)
 		}
 		if p.Arrive != "" && p.Arrive != "poisson" && p.Arrive != "even" {
-			in.Fault(at+".arrivals", "%q is none of poisson, even", p.Arrive)
+			in.AddFault(at+".arrivals", "%q is none of poisson, even", p.Arrive)
 		}
 		out = append(out, p.model())
 	}
--- a/internal/lab/scale/options.go
+++ b/internal/lab/scale/options.go
@@ -214,7 +214,7 @@
 	out := over
 	form.apply(&out)
 	for _, wrong := range out.Check() {
-		in.Fault(wrong.Field, "%s", wrong.Text)
+		in.AddFault(wrong.Field, "%s", wrong.Text)
 	}
 	if err := in.Err(); err != nil {
 		return over, err
--- a/internal/lab/simulation/assignments.go
+++ b/internal/lab/simulation/assignments.go
@@ -107,7 +107,7 @@
 			w.sim.Now() < time.Duration(e.Born)*time.Millisecond+h.spec.Cold.For+time.Second {
 			continue
 		}
-		if sum := sums[uint64(discovery.Identity(h.name))]; sum < 0.999 || sum > 1.001 {
+		if sum := sums[uint64(discovery.EndpointIDFromName(h.name))]; sum < 0.999 || sum > 1.001 {
 			w.find(NotWhole, h.name, "the gateways' parts of it add up to %.4f", sum)
 		}
 	}
--- a/internal/lab/simulation/assignments_test.go
+++ b/internal/lab/simulation/assignments_test.go
@@ -59,7 +59,7 @@
 	p := steady(t)
 	var all []uint64
 	for n := range p.Hosts {
-		all = append(all, uint64(discovery.Identity(day(p).Spec(day(p).Hosts[0], n).Name)))
+		all = append(all, uint64(discovery.EndpointIDFromName(day(p).Spec(day(p).Hosts[0], n).Name)))
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	words := func(s loadreport.Report) func([]byte) []byte {
--- a/internal/lab/simulation/measure.go
+++ b/internal/lab/simulation/measure.go
@@ -139,7 +139,7 @@
 // known is the share of the gateways that use a host which have ejected it themselves, or are told to
 // doubt it.
 func (w *simulator) known(h *host) float64 {
-	id := discovery.Identity(h.name)
+	id := discovery.EndpointIDFromName(h.name)
 	users, know := 0, 0
 	for _, m := range w.gateways {
 		if !m.up || m.process.gw == nil || m.process.gw.AssignmentTracker() == nil {
--- a/internal/lease/command.go
+++ b/internal/lease/command.go
@@ -68,7 +68,7 @@
 }
 
 func commandError(format string, args ...any) error {
-	return fielderror.Worded(ErrCommand, format, args...)
+	return fielderror.CauseWithText(ErrCommand, format, args...)
 }
 
 // Verdict is what a command came to.
--- a/internal/lease/snapshot.go
+++ b/internal/lease/snapshot.go
@@ -96,7 +96,7 @@
 }
 
 func snapshotError(format string, args ...any) error {
-	return fielderror.Worded(ErrSnapshot, format, args...)
+	return fielderror.CauseWithText(ErrSnapshot, format, args...)
 }
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/raft/errors.go
+++ b/internal/raft/errors.go
@@ -22,7 +22,7 @@
 
 // fault is an error that errors.Is matches with kind.
 func fault(kind error, format string, args ...any) error {
-	return fielderror.Worded(kind, "raft: "+format, args...)
+	return fielderror.CauseWithText(kind, "raft: "+format, args...)
 }
 
 // failed is ErrFailed with its cause.
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -101,7 +101,7 @@
 		path := prefix + f.name
 		switch dst := target.Field(f.index); dst.Interface().(type) {
 		case time.Duration:
-			dst.SetInt(int64(Millis(v.positiveNumber(path, f, v.number(path, f.defaultNumber, f.required)))))
+			dst.SetInt(int64(DurationFromMillis(v.positiveNumber(path, f, v.number(path, f.defaultNumber, f.required)))))
 		case float64:
 			dst.SetFloat(v.positiveNumber(path, f, v.number(path, f.defaultNumber, f.required)))
 		case int:
@@ -181,7 +181,7 @@
 	return fallback
 }
 
-// Millis converts a time in milliseconds to a Duration, rounded to microseconds.
-func Millis(ms float64) time.Duration {
+// DurationFromMillis converts a time in milliseconds to a Duration, rounded to microseconds.
+func DurationFromMillis(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
 }
--- a/internal/simproto/endpoint.go
+++ b/internal/simproto/endpoint.go
@@ -21,7 +21,7 @@
 func (b *Batch) decodeEndpointUpdate(rec record) (balancer.EndpointUpdate, []balancer.Endpoint, error) {
 	code := rec[1]
 	if int(code) >= len(endpointUpdates) {
-		return 0, nil, fielderror.Worded(ErrUnknownCode, "unknown list kind %d at byte 1", code)
+		return 0, nil, fielderror.CauseWithText(ErrUnknownCode, "unknown list kind %d at byte 1", code)
 	}
 	entries, err := b.tailSlice("hosts", rec.uint32(10), rec.uint32(14), endpointSize)
 	if err != nil {
@@ -47,7 +47,7 @@
 	}
 	state := rec[13]
 	if int(state) >= len(endpointStates) {
-		return balancer.Endpoint{}, fielderror.Worded(ErrUnknownCode, "unknown availability %d at byte 13", state)
+		return balancer.Endpoint{}, fielderror.CauseWithText(ErrUnknownCode, "unknown availability %d at byte 13", state)
 	}
 	return balancer.Endpoint{
 		Zone:      int(rec[4]),
--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -79,7 +79,7 @@
 		_, err = b.tailSlice("contents", rec.uint32(3), rec.uint32(7), 1)
 	case ProbeEnded, InstanceStopped:
 	default:
-		err = fielderror.Worded(ErrUnknownCode, "unknown event code %d", rec[0])
+		err = fielderror.CauseWithText(ErrUnknownCode, "unknown event code %d", rec[0])
 	}
 	return e, err
 }
@@ -89,7 +89,7 @@
 	code := rec.uint16(13)
 	outcome, ok := outcomes[code]
 	if !ok {
-		return balancer.AttemptEnd{}, fielderror.Worded(ErrUnknownCode, "unknown outcome %d at byte 13", code)
+		return balancer.AttemptEnd{}, fielderror.CauseWithText(ErrUnknownCode, "unknown outcome %d at byte 13", code)
 	}
 	latency, err := rec.millis(15, "latency_ms")
 	return balancer.AttemptEnd{
--- a/internal/simproto/frame.go
+++ b/internal/simproto/frame.go
@@ -48,7 +48,7 @@
 	}
 	n := binary.LittleEndian.Uint32(size[:])
 	if n < batchHeaderSize || n > maxFrameSize {
-		return Batch{}, batchError(fielderror.Worded(ErrSize,
+		return Batch{}, batchError(fielderror.CauseWithText(ErrSize,
 			"size %d at byte 0 is outside %d to %d", n, batchHeaderSize, maxFrameSize))
 	}
 	if cap(r.frame) < int(n) {
@@ -78,11 +78,11 @@
 // decode implements Decode, with a buffer for the entries of endpoint lists.
 func decode(frame []byte, endpoints *[]balancer.Endpoint) (Batch, error) {
 	if len(frame) < batchHeaderSize {
-		return Batch{}, batchError(fielderror.Worded(ErrTruncated,
+		return Batch{}, batchError(fielderror.CauseWithText(ErrTruncated,
 			"%d bytes, the header alone has %d", len(frame), batchHeaderSize))
 	}
 	if n := binary.LittleEndian.Uint32(frame); int64(n) != int64(len(frame)) {
-		return Batch{}, batchError(fielderror.Worded(ErrSize, "states %d bytes at byte 0, has %d", n, len(frame)))
+		return Batch{}, batchError(fielderror.CauseWithText(ErrSize, "states %d bytes at byte 0, has %d", n, len(frame)))
 	}
 	clock := math.Float64frombits(binary.LittleEndian.Uint64(frame[4:]))
 	if !(clock >= 0 && clock < maxMillis) {
@@ -91,10 +91,10 @@
 	count := int64(binary.LittleEndian.Uint32(frame[12:]))
 	end := batchHeaderSize + count*eventSize
 	if end > int64(len(frame)) {
-		return Batch{}, batchError(fielderror.Worded(ErrSize,
+		return Batch{}, batchError(fielderror.CauseWithText(ErrSize,
 			"%d records need %d bytes, the frame has %d", count, end, len(frame)))
 	}
-	return Batch{Now: settings.Millis(clock), records: frame[batchHeaderSize:end], tail: frame[end:],
+	return Batch{Now: settings.DurationFromMillis(clock), records: frame[batchHeaderSize:end], tail: frame[end:],
 		endpoints: endpoints, instance: -1}, nil
 }
 
@@ -110,7 +110,7 @@
 			continue
 		}
 		if b.instance < 0 {
-			return Event{}, recordError(index, fielderror.Worded(ErrNoInstance,
+			return Event{}, recordError(index, fielderror.CauseWithText(ErrNoInstance,
 				"event code %d before any instance is named", rec[0]))
 		}
 		e, err := b.decodeEvent(rec)
@@ -127,7 +127,7 @@
 func (b *Batch) tailSlice(field string, offset, count uint32, itemSize int64) ([]byte, error) {
 	end := int64(offset) + int64(count)*itemSize
 	if end > int64(len(b.tail)) {
-		return nil, &fielderror.Error{Field: field, Err: fielderror.Worded(ErrOutsideTail,
+		return nil, &fielderror.Error{Field: field, Err: fielderror.CauseWithText(ErrOutsideTail,
 			"bytes %d to %d lie outside the tail of %d", offset, end, len(b.tail))}
 	}
 	return b.tail[offset:end], nil
@@ -146,7 +146,7 @@
 	if !(ms > -maxMillis && ms < maxMillis) {
 		return 0, fielderror.Inlinef(field, "%v %w", ms, ErrTime)
 	}
-	return settings.Millis(ms), nil
+	return settings.DurationFromMillis(ms), nil
 }
 
 // endpointID reads an IPv4 address and a port, and returns them as an ID: the address in the bits above the 16 of the
--- a/internal/tomlfile/schema.go
+++ b/internal/tomlfile/schema.go
@@ -53,16 +53,16 @@
 	for _, word := range path {
 		inner, names := fieldType(t, word)
 		if inner == nil {
-			return Nearest(word, names)
+			return ClosestMatch(word, names)
 		}
 		t = inner
 	}
 	return ""
 }
 
-// Nearest returns the known word with the smallest edit distance to word, or "" if all are more than maxEditDistance
+// ClosestMatch returns the known word with the smallest edit distance to word, or "" if all are more than maxEditDistance
 // edits apart.
-func Nearest(word string, known []string) string {
+func ClosestMatch(word string, known []string) string {
 	best, bestDistance := "", maxEditDistance+1
 	for _, k := range known {
 		if d := levenshtein.ComputeDistance(k, word); d < bestDistance {
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -50,9 +50,9 @@
 	if err := f.Err(); err != nil {
 		t.Fatal(err)
 	}
-	f.Fault("event.1.kind.share", "must be at most 1")
-	f.Fault("event.1.host", "is missing")
-	f.Fault("event.0.at", "is too early")
+	f.AddFault("event.1.kind.share", "must be at most 1")
+	f.AddFault("event.1.host", "is missing")
+	f.AddFault("event.0.at", "is too early")
 	want := "x.toml:4:1: event.0.at: is too early\nx.toml:6:3: event.1.host: is missing\n" +
 		"x.toml:8:12: event.1.kind.share: must be at most 1"
 	if got := f.Err().Error(); got != want {
