--- a/internal/configdist/codec/frame.go
+++ b/internal/configdist/codec/frame.go
@@ -9,65 +9,67 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Version is that of the frames.
+// Version is the version of the frame format.
 const Version = 1
 
-// Sizes of a frame.
+// Sizes of a frame, in bytes.
 const (
 	headerSize   = 1 + 1 + 4 + 8 + 8 + 8 // version, kind, length, cluster, incarnation, number
 	checksumSize = 4
-	Overhead     = headerSize + checksumSize
-	MaxBody      = 128 << 10 // of a gateway's frames
-	MaxPeerBody  = 40 << 20  // of a control machine's: a snapshot of the log
+	Overhead     = headerSize + checksumSize // of a frame beside its body
+	MaxBody      = 128 << 10                 // maximum in frames from and to gateways
+	MaxPeerBody  = 40 << 20                  // maximum in frames between control machines, for a snapshot of the log
 )
 
-// Errors of a frame.
+// Errors that Receive returns for a frame.
 var (
-	ErrTruncated = errors.New("codec: the frame ends too early")
-	ErrTooLong   = errors.New("codec: the frame is too long")
-	ErrVersion   = errors.New("codec: unknown version")
-	ErrKind      = errors.New("codec: unknown kind")
-	ErrCluster   = errors.New("codec: a frame of another cluster")
-	ErrChecksum  = errors.New("codec: the checksum is wrong")
-	ErrRepeated  = errors.New("codec: the frame has come before, or is too old to know")
+	ErrTruncated = errors.New("codec: truncated frame")
+	ErrTooLong   = errors.New("codec: frame too long")
+	ErrVersion   = errors.New("codec: unknown frame version")
+	ErrKind      = errors.New("codec: unknown frame kind")
+	ErrCluster   = errors.New("codec: frame from another cluster")
+	ErrChecksum  = errors.New("codec: wrong frame checksum")
+	ErrRepeated  = errors.New("codec: frame was received before, or is too old to tell")
 )
 
-// ClusterID is the number by which frames name a cluster.
+// ClusterID returns the number that identifies a cluster in frames.
 func ClusterID(name string) uint64 { return xxh3.HashString(name) }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Sender numbers and encodes the frames of one process to one receiver.
+// Sender encodes and numbers the frames that one process sends to one receiver.
 type Sender struct {
 	Cluster     uint64
-	Incarnation uint64 // of the process: a later one has a higher number
-	last        uint64
+	Incarnation uint64 // of the process; later processes have higher ones
+	lastNumber  uint64
 }
 
-// Append encodes one message as the next frame.
+// Append appends a message to b, encoded as the next frame.
 func (s *Sender) Append(b []byte, m Message) []byte {
-	s.last++
-	begin := len(b)
+	s.lastNumber++
+	start := len(b)
 	b = append(b, Version, byte(m.Kind()), 0, 0, 0, 0)
 	b = binary.BigEndian.AppendUint64(b, s.Cluster)
 	b = binary.BigEndian.AppendUint64(b, s.Incarnation)
-	b = binary.BigEndian.AppendUint64(b, s.last)
+	b = binary.BigEndian.AppendUint64(b, s.lastNumber)
 	b = m.appendBody(b)
-	binary.BigEndian.PutUint32(b[begin+2:], uint32(len(b)-begin-headerSize))
-	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b[begin:], castagnoli))
+	binary.BigEndian.PutUint32(b[start+2:], uint32(len(b)-start-headerSize))
+	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b[start:], castagnoli))
 }
 
-// Receiver takes the frames of one sender's processes. Each frame is taken once.
+// Receiver decodes the frames from the successive processes of one sender, and rejects a frame that it has received
+// before.
 type Receiver struct {
 	Cluster     uint64
 	incarnation uint64
-	high        uint64 // highest number of that incarnation
-	seen        uint64 // bit i: high-i has come
+	highest     uint64 // highest frame number received of that incarnation
+	seen        uint64 // bit i is set if frame highest-i was received
 }
 
-// Receive reads the first frame of b. used is its length, also with most errors; ErrTorn says that more bytes are
-// needed.
-func (r *Receiver) Receive(b []byte) (m Message, used int, err error) {
+// Receive decodes the first frame of b. consumed is the number of bytes to discard: the length of the frame, also if
+// it is rejected, or all of b if the length cannot be trusted. It is 0 with ErrTruncated, which means that more bytes
+// are needed.
+func (r *Receiver) Receive(b []byte) (m Message, consumed int, err error) {
 	if len(b) < headerSize {
 		return nil, 0, fmt.Errorf("%w: %d bytes", ErrTruncated, len(b))
 	}
@@ -78,28 +80,29 @@
 	case kind == 0 || kind > lastKind:
 		return nil, len(b), fmt.Errorf("%w %d", ErrKind, kind)
 	case size > maxBody(kind):
-		return nil, len(b), fmt.Errorf("%w: a body of %d bytes, %d at most", ErrTooLong, size, maxBody(kind))
+		return nil, len(b), fmt.Errorf("%w: body of %d bytes exceeds the maximum of %d bytes", ErrTooLong, size,
+			maxBody(kind))
 	case len(b) < size+Overhead:
 		return nil, 0, fmt.Errorf("%w: %d of %d bytes", ErrTruncated, len(b), size+Overhead)
 	}
-	used = size + Overhead
+	consumed = size + Overhead
 	end := headerSize + size
 	if crc32.Checksum(b[:end], castagnoli) != binary.BigEndian.Uint32(b[end:]) {
-		return nil, used, ErrChecksum
+		return nil, consumed, ErrChecksum
 	}
 	if cluster := binary.BigEndian.Uint64(b[6:]); cluster != r.Cluster {
-		return nil, used, fmt.Errorf("%w: %016x", ErrCluster, cluster)
+		return nil, consumed, fmt.Errorf("%w: %016x", ErrCluster, cluster)
 	}
 	body := NewReader(b[headerSize:end])
 	m = newMessage(kind)
 	if m.readBody(body); body.Err() != nil {
-		return nil, used, fmt.Errorf("%w: kind %d", ErrMalformed, kind)
+		return nil, consumed, fmt.Errorf("%w: kind %d", ErrMalformed, kind)
 	}
 	incarnation, number := binary.BigEndian.Uint64(b[14:]), binary.BigEndian.Uint64(b[22:])
-	if !r.isNew(incarnation, number) {
-		return nil, used, fmt.Errorf("%w: number %d of incarnation %d", ErrRepeated, number, incarnation)
+	if !r.recordIfNew(incarnation, number) {
+		return nil, consumed, fmt.Errorf("%w: number %d of incarnation %d", ErrRepeated, number, incarnation)
 	}
-	return m, used, nil
+	return m, consumed, nil
 }
 
 func maxBody(k Kind) int {
@@ -109,24 +112,25 @@
 	return MaxBody
 }
 
-// windowSize is how far behind the highest number a frame may come and still be known for new.
-const windowSize = 64
+// replayWindow is the number of frame numbers, up to the highest received one, for which the receiver knows whether
+// the frame was received. Older frames are rejected.
+const replayWindow = 64
 
-// isNew notes a number, and reports whether it is new.
-func (r *Receiver) isNew(incarnation, number uint64) bool {
+// recordIfNew records a frame number as received and reports whether it is new.
+func (r *Receiver) recordIfNew(incarnation, number uint64) bool {
 	switch {
 	case incarnation < r.incarnation:
 		return false
 	case incarnation > r.incarnation:
-		r.incarnation, r.high, r.seen = incarnation, number, 1
+		r.incarnation, r.highest, r.seen = incarnation, number, 1
 		return true
-	case number > r.high:
-		r.seen = r.seen<<min(number-r.high, windowSize) | 1
-		r.high = number
+	case number > r.highest:
+		r.seen = r.seen<<min(number-r.highest, replayWindow) | 1
+		r.highest = number
 		return true
-	case r.high-number >= windowSize || r.seen>>(r.high-number)&1 == 1:
+	case r.highest-number >= replayWindow || r.seen>>(r.highest-number)&1 == 1:
 		return false
 	}
-	r.seen |= 1 << (r.high - number)
+	r.seen |= 1 << (r.highest - number)
 	return true
 }
--- a/internal/configdist/codec/frame_test.go
+++ b/internal/configdist/codec/frame_test.go
@@ -99,7 +99,7 @@
 func TestEachFrameIsTakenOnce(t *testing.T) {
 	s, r := Sender{Cluster: fleet, Incarnation: 5}, Receiver{Cluster: fleet}
 	var frames [][]byte
-	for range windowSize + 3 {
+	for range replayWindow + 3 {
 		frames = append(frames, s.Append(nil, &UnknownSession{}))
 	}
 	take := func(frame []byte, want error) {
@@ -112,7 +112,7 @@
 	take(frames[0], nil) // overtaken
 	take(frames[0], ErrRepeated)
 	take(frames[1], ErrRepeated)
-	take(frames[windowSize+2], nil)
+	take(frames[replayWindow+2], nil)
 	take(frames[2], ErrRepeated) // too old to know
 	take(frames[3], nil)
 	next, before := Sender{Cluster: fleet, Incarnation: 6}, Sender{Cluster: fleet, Incarnation: 4}
--- a/internal/configdist/codec/messages.go
+++ b/internal/configdist/codec/messages.go
@@ -2,13 +2,14 @@
 
 import "thymebend/internal/configdist/content"
 
-// MaxReason bounds the text of a rejection or failure, in bytes.
+// MaxReason is the maximum length of the reason of a rejection or failure, in bytes.
 const MaxReason = 256
 
-// Kind is what a frame holds.
+// Kind is the type of the message in a frame.
 type Kind uint8
 
-// The kinds of frames: from a gateway, to a gateway, and between control machines.
+// The kinds of frames: first those that gateways send (Subscribe to Fetch), then those sent to gateways (Offer to
+// Busy), then those between control machines (RaftMessage and GatewayReports).
 const (
 	KindSubscribe Kind = iota + 1
 	KindReport
@@ -22,7 +23,7 @@
 	lastKind = KindGatewayReports
 )
 
-// Message is what a frame holds: one of the types below, as a pointer.
+// Message is the content of a frame: a pointer to one of the message types below.
 type Message interface {
 	Kind() Kind
 	appendBody(b []byte) []byte
@@ -53,11 +54,11 @@
 	return nil
 }
 
-// Verdict is what a gateway came to with a version.
+// Verdict is a gateway's result for a version of the configuration.
 type Verdict uint8
 
-// The verdicts. Rejected: the version was not taken, and the one in force is the last good one. Failed: it is in
-// force, and the gateway fails with it.
+// The verdicts. Fine: no problem is known. Rejected: the gateway did not apply the version and keeps the last valid
+// one in force. Failed: the version is in force and the gateway fails with it.
 const (
 	Fine Verdict = iota
 	Rejected
@@ -65,13 +66,13 @@
 	lastVerdict = Failed
 )
 
-// State is what a gateway tells of itself: its acknowledgement.
+// State is the state of a gateway's configuration, which acknowledges versions to the control machine.
 type State struct {
 	InForce content.Ref
 	Verdict Verdict
-	Version uint64 // that the verdict is about
-	Attempt uint64 // of its rollout
-	Reason  string // at most MaxReason bytes
+	Version uint64 // number of the version that the verdict is about
+	Attempt uint64 // number of the rollout attempt of that version
+	Reason  string // of a rejection or failure, at most MaxReason bytes
 }
 
 func appendState(b []byte, s *State) []byte {
@@ -90,75 +91,75 @@
 	return s
 }
 
-// Subscribe begins a session of a gateway with a control machine. It is answered by an Offer or a Page, or by Busy.
+// Subscribe starts a session of a gateway with a control machine. The answer is an Offer, a Page or Busy.
 type Subscribe struct {
 	Gateway, Zone string
-	Session       uint64   // grows with each; what comes of an earlier one is dropped
-	Services      []string // that the gateway serves, sorted, each once; none for all
+	Session       uint64   // increases with each session; messages of earlier sessions are dropped
+	Services      []string // served by the gateway, sorted and distinct; empty for all services
 	State         State
 }
 
-// Report is a gateway's acknowledgement, sent when something has changed and as a sign of life. It is answered by an
-// Offer, a Page or Unknown.
+// Report is a gateway's acknowledgement, sent when its state has changed and periodically as a heartbeat. The answer
+// is an Offer, a Page or UnknownSession.
 type Report struct {
 	Gateway string
 	Session uint64
 	State   State
 }
 
-// Fetch asks for a page of the changes from one version to another. It is answered by a Page or, where one of the two
-// is not kept, by an Offer.
+// Fetch requests a page of the changes from one version to another. The answer is a Page, or an Offer if the control
+// machine no longer stores one of the two versions.
 type Fetch struct {
 	Gateway string
 	Session uint64
-	From    content.Ref // zero for a snapshot
-	Target  uint64
-	After   content.Cursor
+	From    content.Ref    // zero for a snapshot
+	Target  uint64         // version number
+	After   content.Cursor // end of the previous page
 }
 
-// Offer says which version a gateway is to have in force.
+// Offer announces to a gateway the version that it should apply.
 type Offer struct {
 	Session uint64
 	Target  content.Ref
 	Attempt uint64
 }
 
-// Page is a part of the changes from one version to another, of the services that the gateway serves.
+// Page holds a part of the changes from one version to another, restricted to the services that the gateway serves.
 type Page struct {
 	Session uint64
 	From    content.Ref // zero for a snapshot
 	Target  content.Ref
 	Attempt uint64
-	Scope   content.Hash // of the gateway's services at Target
+	Scope   content.Hash // hash of the gateway's services at Target
 	After   content.Cursor
-	Next    content.Cursor // where the next page begins, unless Last
+	Next    content.Cursor // start of the next page, unless Last
 	Last    bool
 	Changes []content.Change
 }
 
-// UnknownSession tells a gateway that its session is not known: it is to subscribe again.
+// UnknownSession notifies a gateway that its session is unknown, so that it subscribes again.
 type UnknownSession struct{ Session uint64 }
 
-// Busy tells a gateway that this control machine takes no more of them.
+// Busy notifies a gateway that this control machine accepts no more gateways.
 type Busy struct{ Session uint64 }
 
-// RaftMessage is a message of the replicated log.
+// RaftMessage carries a message of the replicated log between control machines.
 type RaftMessage struct{ Data []byte }
 
-// GatewayReport is what a control machine tells its leader of one of its gateways.
+// GatewayReport describes one gateway in a control machine's reports to the leader.
 type GatewayReport struct {
 	Gateway, Zone string
-	Session       uint64 // the highest one is where the gateway is subscribed
+	Session       uint64 // of several reports of a gateway, the one with the highest session is current
 	State         State
-	Target        uint64 // version that it was offered
-	Affected      bool   // by what is between the released version and the newest one
-	Silent        bool   // it has not been heard of lately
+	Target        uint64 // number of the version that was offered to it
+	Affected      bool   // whether its services differ between the released version and the newest one
+	Silent        bool   // the control machine has received nothing from it recently
 }
 
-// GatewayReports are a control machine's reports to its leader: those that have changed, or all.
+// GatewayReports holds a control machine's reports to the leader: either the changed ones or, if Full, all.
 type GatewayReports struct {
-	Head     uint64 // newest version that Affected is about
-	Full     bool   // who is not listed is no longer subscribed there
+	Head     uint64 // number of the newest version, to which Affected refers
+	Full     bool   // gateways that are not listed are no longer subscribed to the control machine
 	Gateways []GatewayReport
 }
 
@@ -240,7 +241,9 @@
 func (m *Busy) appendBody(b []byte) []byte           { return AppendUint(b, m.Session) }
 func (m *Busy) readBody(r *Reader)                   { m.Session = r.Uint() }
 func (m *RaftMessage) appendBody(b []byte) []byte    { return append(b, m.Data...) }
-func (m *RaftMessage) readBody(r *Reader)            { m.Data, r.rest = append([]byte(nil), r.rest...), nil }
+func (m *RaftMessage) readBody(r *Reader) {
+	m.Data, r.remaining = append([]byte(nil), r.remaining...), nil
+}
 
 func (m *GatewayReports) appendBody(b []byte) []byte {
 	b = AppendUint(AppendBool(AppendUint(b, m.Head), m.Full), uint64(len(m.Gateways)))
--- a/internal/configdist/codec/reader.go
+++ b/internal/configdist/codec/reader.go
@@ -7,20 +7,20 @@
 	"thymebend/internal/configdist/content"
 )
 
-// ErrMalformed is that of a body that ends too early or has a value out of bounds.
+// ErrMalformed is returned for a body that is truncated or has a value out of bounds.
 var ErrMalformed = errors.New("codec: malformed body")
 
-// Reader reads the values of a body one after another. After the first that cannot be read all are zero, and Err says
-// so.
+// Reader decodes the values of a body in sequence. After the first value that cannot be decoded, all values are zero
+// and Err returns ErrMalformed.
 type Reader struct {
-	rest   []byte
-	failed bool
+	remaining []byte
+	failed    bool
 }
 
-// NewReader reads a body. What is read is copied out of it.
-func NewReader(body []byte) *Reader { return &Reader{rest: body} }
+// NewReader returns a reader of body. The values it returns are copies that do not refer to body.
+func NewReader(body []byte) *Reader { return &Reader{remaining: body} }
 
-// Err is ErrMalformed if some value could not be read.
+// Err returns ErrMalformed if a value could not be decoded, and nil otherwise.
 func (r *Reader) Err() error {
 	if r.failed {
 		return ErrMalformed
@@ -29,31 +29,32 @@
 }
 
 func (r *Reader) fail() {
-	r.failed, r.rest = true, nil
+	r.failed, r.remaining = true, nil
 }
 
-// Uint reads a number.
+// Uint decodes a variable-length unsigned integer.
 func (r *Reader) Uint() uint64 {
-	v, n := binary.Uvarint(r.rest)
+	v, n := binary.Uvarint(r.remaining)
 	if n <= 0 {
 		r.fail()
 		return 0
 	}
-	r.rest = r.rest[n:]
+	r.remaining = r.remaining[n:]
 	return v
 }
 
-// Count reads how many values follow, of which each takes at least one byte.
+// Count decodes the length of a list or string. It fails if the remaining bytes are fewer, since each element takes
+// at least one byte.
 func (r *Reader) Count() int {
 	n := r.Uint()
-	if n > uint64(len(r.rest)) {
+	if n > uint64(len(r.remaining)) {
 		r.fail()
 		return 0
 	}
 	return int(n)
 }
 
-// Bool reads a truth value.
+// Bool decodes a boolean.
 func (r *Reader) Bool() bool {
 	v := r.Uint()
 	if v > 1 {
@@ -62,19 +63,19 @@
 	return v == 1
 }
 
-// String reads a text of at most so many bytes.
+// String decodes a string of at most maxBytes bytes.
 func (r *Reader) String(maxBytes int) string {
 	n := r.Count()
 	if n > maxBytes {
 		r.fail()
 		return ""
 	}
-	s := string(r.rest[:n])
-	r.rest = r.rest[n:]
+	s := string(r.remaining[:n])
+	r.remaining = r.remaining[n:]
 	return s
 }
 
-// Strings reads a list of texts of at most so many bytes each.
+// Strings decodes a list of strings of at most maxBytes bytes each.
 func (r *Reader) Strings(maxBytes int) []string {
 	n := r.Count()
 	list := make([]string, 0, n)
@@ -84,23 +85,23 @@
 	return list
 }
 
-// Hash reads a content hash.
+// Hash decodes a content hash.
 func (r *Reader) Hash() (h content.Hash) {
-	if len(r.rest) < len(h) {
+	if len(r.remaining) < len(h) {
 		r.fail()
 		return h
 	}
-	copy(h[:], r.rest)
-	r.rest = r.rest[len(h):]
+	copy(h[:], r.remaining)
+	r.remaining = r.remaining[len(h):]
 	return h
 }
 
-// Ref reads a version's name.
+// Ref decodes a reference to a version.
 func (r *Reader) Ref() content.Ref {
 	return content.Ref{Term: r.Uint(), Number: r.Uint(), Hash: r.Hash()}
 }
 
-// kind reads an entry's kind; whether there is such a kind is the content's affair.
+// kind decodes the kind of an entry. Package content checks whether the kind is known.
 func (r *Reader) kind() content.Kind {
 	v := r.Uint()
 	if v > 255 {
@@ -109,13 +110,13 @@
 	return content.Kind(v)
 }
 
-// Entry reads an entry.
+// Entry decodes an entry.
 func (r *Reader) Entry() content.Entry {
 	return content.Entry{Kind: r.kind(), Service: r.String(content.MaxName), Name: r.String(content.MaxName),
 		Body: r.String(content.MaxBody)}
 }
 
-// Changes reads a list of changes.
+// Changes decodes a list of changes.
 func (r *Reader) Changes() []content.Change {
 	n := r.Count()
 	list := make([]content.Change, 0, min(n, content.MaxChanges))
@@ -128,15 +129,15 @@
 	return list
 }
 
-// Cursor reads a place in a difference.
+// Cursor decodes a position in the difference between two trees.
 func (r *Reader) Cursor() content.Cursor {
 	return content.Cursor{Service: r.String(content.MaxName), Kind: r.kind(), Name: r.String(content.MaxName)}
 }
 
-// AppendUint encodes a number.
+// AppendUint appends a variable-length unsigned integer to b.
 func AppendUint(b []byte, v uint64) []byte { return binary.AppendUvarint(b, v) }
 
-// AppendBool encodes a truth value.
+// AppendBool appends a boolean to b.
 func AppendBool(b []byte, v bool) []byte {
 	if v {
 		return append(b, 1)
@@ -144,12 +145,12 @@
 	return append(b, 0)
 }
 
-// AppendString encodes a text.
+// AppendString appends a string to b, preceded by its length.
 func AppendString(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// AppendStrings encodes a list of texts.
+// AppendStrings appends a list of strings to b, preceded by its length.
 func AppendStrings(b []byte, list []string) []byte {
 	b = AppendUint(b, uint64(len(list)))
 	for _, s := range list {
@@ -158,18 +159,18 @@
 	return b
 }
 
-// AppendRef encodes a version's name.
+// AppendRef appends a reference to a version to b.
 func AppendRef(b []byte, ref content.Ref) []byte {
 	return append(AppendUint(AppendUint(b, ref.Term), ref.Number), ref.Hash[:]...)
 }
 
-// AppendEntry encodes an entry.
+// AppendEntry appends an entry to b.
 func AppendEntry(b []byte, e *content.Entry) []byte {
 	b = AppendUint(b, uint64(e.Kind))
 	return AppendString(AppendString(AppendString(b, e.Service), e.Name), e.Body)
 }
 
-// AppendChanges encodes a list of changes.
+// AppendChanges appends a list of changes to b, preceded by its length.
 func AppendChanges(b []byte, changes []content.Change) []byte {
 	b = AppendUint(b, uint64(len(changes)))
 	for i := range changes {
@@ -178,7 +179,7 @@
 	return b
 }
 
-// AppendCursor encodes a place in a difference.
+// AppendCursor appends a position in the difference between two trees to b.
 func AppendCursor(b []byte, c content.Cursor) []byte {
 	return AppendString(AppendUint(AppendString(b, c.Service), uint64(c.Kind)), c.Name)
 }
--- a/internal/configdist/content/diff.go
+++ b/internal/configdist/content/diff.go
@@ -2,17 +2,18 @@
 
 import "slices"
 
-// Cursor is a place between two changes of a difference: after that of the entry that it names. The zero Cursor is
-// the begin.
+// Cursor is a position in the list of changes between two trees: after the change of the entry that it names. The
+// zero Cursor is the start of the list.
 type Cursor struct {
 	Service string
 	Kind    Kind
 	Name    string
 }
 
-// Page returns the changes that make one tree of some services into the other, from a cursor on, until their size
-// passes a limit; at least one, if there is one. last reports that none follow. The services are sorted and each
-// there once.
+// Page returns a page of the changes that turn the tree from into the tree to, restricted to the given services. The
+// page starts after a cursor and ends before the change that would exceed limit, in bytes, but has at least one
+// change if any remain. next is the cursor of the following page; last reports that there is none. The names of the
+// services must be sorted and distinct.
 func Page(from, to *Tree, services []string, after Cursor, limit int) (changes []Change, next Cursor, last bool) {
 	start, _ := slices.BinarySearch(services, after.Service)
 	bytes := 0
@@ -40,7 +41,8 @@
 	return Cursor{e.Service, e.Kind, e.Name}
 }
 
-// diffSection merges two sorted lists into the changes from one to the other.
+// diffSection returns the changes from section a to section b, by merging their sorted entries. A nil section is
+// empty.
 func diffSection(a, b *section) (changes []Change) {
 	var before, after []Entry
 	if a != nil {
--- a/internal/configdist/content/doc.go
+++ b/internal/configdist/content/doc.go
@@ -1,4 +1,5 @@
-// Package content is what a configuration holds: services with their settings, routes and tenants, as immutable trees
-// with a content hash that share what is equal. It validates changes, and finds what differs between two trees. It
-// does no I/O. The running gateway does not use it yet.
+// Package content represents the content of a configuration: services with their settings, routes and tenants. It
+// stores a configuration as an immutable tree with a content hash; trees share the services that are equal. The
+// package validates and applies changes and computes the difference between two trees. It does no I/O. The running
+// gateway does not use it yet.
 package content
--- a/internal/configdist/content/entry.go
+++ b/internal/configdist/content/entry.go
@@ -6,17 +6,17 @@
 	"fmt"
 )
 
-// Bounds of a configuration.
+// Bounds of a configuration and of a proposal.
 const (
-	MaxName     = 128       // bytes of a name
-	MaxBody     = 16 << 10  // bytes of a body
-	MaxServices = 16_384    // of a tree
-	MaxEntries  = 1_000_000 // of a service
-	MaxChanges  = 10_000    // of one proposal
-	MaxBytes    = 256 << 10 // of the bodies and names of one proposal
+	MaxName     = 128       // length of a name in bytes
+	MaxBody     = 16 << 10  // length of a body in bytes
+	MaxServices = 16_384    // in a tree
+	MaxEntries  = 1_000_000 // in a service
+	MaxChanges  = 10_000    // in one proposal
+	MaxBytes    = 256 << 10 // total size of the entries of one proposal
 )
 
-// Errors of a change. A *ChangeError says which change and field they are about.
+// Errors of a change. They are wrapped in a *ChangeError, which names the change and the field.
 var (
 	ErrUnknownService = errors.New("no such service")
 	ErrServiceInUse   = errors.New("the service still has routes or tenants")
@@ -26,10 +26,10 @@
 	ErrTooLarge       = errors.New("too large")
 )
 
-// ChangeError is the refusal of one change.
+// ChangeError is returned if a change is rejected.
 type ChangeError struct {
-	Index int    // of the change in its proposal
-	Field string // that is wrong
+	Index int    // index of the change in its proposal
+	Field string // name of the invalid field
 	Value string
 	Err   error
 }
@@ -39,25 +39,25 @@
 	return fmt.Sprintf("change %d: %s %q: %v", e.Index, e.Field, e.Value, e.Err)
 }
 
-// Unwrap returns the kind of refusal.
+// Unwrap returns the reason of the rejection, one of the errors above.
 func (e *ChangeError) Unwrap() error { return e.Err }
 
-// Kind is what an entry is.
+// Kind is the type of an entry.
 type Kind uint8
 
-// The kinds of entries. A Service entry has its service's own name.
+// The kinds of entries. The name of a Service entry equals the name of its service.
 const (
 	Service Kind = iota + 1
 	Route
 	Tenant
 )
 
-// Entry is one setting: of a service, a route or a tenant.
+// Entry holds the settings of one service, route or tenant.
 type Entry struct {
 	Kind    Kind
 	Service string
 	Name    string
-	Body    string // opaque here; a gateway validates it
+	Body    string // opaque to this package; the gateway validates it
 }
 
 func (e *Entry) size() int { return len(e.Service) + len(e.Name) + len(e.Body) + 8 }
@@ -66,14 +66,14 @@
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
 }
 
-// Change puts an entry, or removes it.
+// Change adds or replaces an entry, or removes it.
 type Change struct {
 	Remove bool
 	Entry  Entry
 }
 
-// check holds a change to what can be said of it alone.
-func (c *Change) check() (field, value string, err error) {
+// validate checks a change by itself, without the tree. It returns the first invalid field, its value and the error.
+func (c *Change) validate() (field, value string, err error) {
 	e := &c.Entry
 	switch {
 	case e.Kind < Service || e.Kind > Tenant:
--- a/internal/configdist/content/patch.go
+++ b/internal/configdist/content/patch.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// Apply returns the tree after all changes, in their order, or the first that cannot be; then nothing has changed.
+// Apply applies the changes in order and returns the new tree, or a *ChangeError for an invalid change. t is not
+// modified.
 func (t *Tree) Apply(changes []Change) (*Tree, error) {
 	if len(changes) > MaxChanges {
 		return nil, &ChangeError{MaxChanges, "changes", fmt.Sprint(len(changes)), ErrTooLarge}
@@ -20,12 +21,13 @@
 	return t.Patch(changes)
 }
 
-// Patch is Apply without a bound on how many changes there are: what differs between two trees is applied at once.
+// Patch is Apply without the bounds on the number and size of the changes. It applies the whole difference between
+// two trees at once.
 func (t *Tree) Patch(changes []Change) (*Tree, error) {
 	edits := make(map[string]*editor)
 	for i := range changes {
 		c := &changes[i]
-		if field, value, err := c.check(); err != nil {
+		if field, value, err := c.validate(); err != nil {
 			return nil, &ChangeError{i, field, value, err}
 		}
 		e := edits[c.Entry.Service]
@@ -44,11 +46,11 @@
 		case len(entries) == 0:
 			delete(sections, name)
 		case entries[0].Kind != Service && t.sections[name] == nil:
-			return nil, &ChangeError{e.first, "service", name, ErrUnknownService}
+			return nil, &ChangeError{e.firstChange, "service", name, ErrUnknownService}
 		case entries[0].Kind != Service:
-			return nil, &ChangeError{e.removal, "service", name, ErrServiceInUse}
+			return nil, &ChangeError{e.serviceRemoval, "service", name, ErrServiceInUse}
 		case len(entries) > MaxEntries:
-			return nil, &ChangeError{e.first, "service", name, ErrTooLarge}
+			return nil, &ChangeError{e.firstChange, "service", name, ErrTooLarge}
 		default:
 			sections[name] = newSection(entries)
 		}
@@ -59,25 +61,25 @@
 	return newTree(sections), nil
 }
 
-// key names an entry within its service.
+// key identifies an entry within its service.
 type key struct {
 	kind Kind
 	name string
 }
 
-// editor collects the changes of one service.
+// editor collects the changes to one service.
 type editor struct {
-	before  []Entry
-	edits   map[key]*Entry // nil where the entry is removed
-	first   int            // index of the first change
-	removal int            // index of the change that removes the service's own entry
+	before         []Entry
+	edits          map[key]*Entry // nil if the entry is removed
+	firstChange    int            // index of the first change
+	serviceRemoval int            // index of the change that removes the service's own entry
 }
 
 func newEditor(before []Entry, first int) *editor {
-	return &editor{before: before, edits: make(map[key]*Entry), first: first}
+	return &editor{before: before, edits: make(map[key]*Entry), firstChange: first}
 }
 
-// apply takes one change, and reports false where it removes what is not there.
+// apply records one change. It returns false if the change removes an entry that does not exist.
 func (e *editor) apply(index int, c *Change) bool {
 	k := key{c.Entry.Kind, c.Entry.Name}
 	if !c.Remove {
@@ -95,7 +97,7 @@
 		}
 	}
 	if e.edits[k] = nil; k.kind == Service {
-		e.removal = index
+		e.serviceRemoval = index
 	}
 	return true
 }
--- a/internal/configdist/content/tree.go
+++ b/internal/configdist/content/tree.go
@@ -8,56 +8,56 @@
 	"slices"
 )
 
-// Hash is a content hash: the first half of a SHA-256.
+// Hash is a content hash: the first half of a SHA-256 digest.
 type Hash [16]byte
 
-// String words a hash.
+// String returns the hash in hexadecimal.
 func (h Hash) String() string { return hex.EncodeToString(h[:]) }
 
-// Ref names a version: its number, the term of the log entry that made it, and the hash of its content.
+// Ref identifies a version by its number, the term of the log entry that created it, and the hash of its content.
 type Ref struct {
 	Term   uint64
 	Number uint64
 	Hash   Hash
 }
 
-// String words a version.
+// String returns the number, the term and the first 8 digits of the hash.
 func (r Ref) String() string { return fmt.Sprintf("%d@%d %.8s", r.Number, r.Term, r.Hash) }
 
-// section is one service's part of a tree. It is never changed.
+// section is one service's part of a tree. It is immutable.
 type section struct {
-	entries []Entry // by kind and name; the first is the service's own
+	entries []Entry // sorted by kind and name; the first is the service's own entry
 	hash    Hash
 }
 
 func newSection(entries []Entry) *section {
-	sum := sha256.New()
+	digest := sha256.New()
 	var length [8]byte
-	put := func(s string) {
+	writeString := func(s string) {
 		for i := range length {
 			length[i] = byte(len(s) >> (8 * i))
 		}
-		sum.Write(length[:])
-		sum.Write([]byte(s))
+		digest.Write(length[:])
+		digest.Write([]byte(s))
 	}
 	for i := range entries {
-		sum.Write([]byte{byte(entries[i].Kind)})
-		put(entries[i].Name)
-		put(entries[i].Body)
+		digest.Write([]byte{byte(entries[i].Kind)})
+		writeString(entries[i].Name)
+		writeString(entries[i].Body)
 	}
 	s := &section{entries: entries}
-	copy(s.hash[:], sum.Sum(nil))
+	copy(s.hash[:], digest.Sum(nil))
 	return s
 }
 
-// Tree is one configuration, or the part of it that some services are. It is never changed.
+// Tree is a configuration, or the part of one that belongs to some services. It is immutable.
 type Tree struct {
 	sections map[string]*section
 	names    []string // of the services, sorted
 	hash     Hash
 }
 
-// Empty returns a tree without a service.
+// Empty returns a tree without services.
 func Empty() *Tree { return newTree(map[string]*section{}) }
 
 func newTree(sections map[string]*section) *Tree {
@@ -66,26 +66,25 @@
 	return t
 }
 
-// Hash is that of all the tree's services.
+// Hash returns the hash of all services of the tree.
 func (t *Tree) Hash() Hash { return t.hash }
 
-// ScopeHash is what the hash of a tree would be that has only these of its services. The names are sorted and each
-// there once.
+// ScopeHash returns the hash of the tree restricted to the given services. The names must be sorted and distinct.
 func (t *Tree) ScopeHash(services []string) Hash {
-	sum := sha256.New()
+	digest := sha256.New()
 	for _, name := range services {
 		if s := t.sections[name]; s != nil {
-			sum.Write([]byte{byte(len(name))})
-			sum.Write([]byte(name))
-			sum.Write(s.hash[:])
+			digest.Write([]byte{byte(len(name))})
+			digest.Write([]byte(name))
+			digest.Write(s.hash[:])
 		}
 	}
 	var h Hash
-	copy(h[:], sum.Sum(nil))
+	copy(h[:], digest.Sum(nil))
 	return h
 }
 
-// Scope is the part of a tree that some services are. The names are sorted and each there once.
+// Scope returns the tree restricted to the given services. The names must be sorted and distinct.
 func (t *Tree) Scope(services []string) *Tree {
 	sections := make(map[string]*section, len(services))
 	for _, name := range services {
@@ -96,10 +95,10 @@
 	return newTree(sections)
 }
 
-// Services lists the services by name. The list is not to be changed.
+// Services returns the names of the services, sorted. The caller must not modify the slice.
 func (t *Tree) Services() []string { return t.names }
 
-// Entries lists a service's entries, its own first. The list is not to be changed.
+// Entries returns the entries of a service, the service's own entry first. The caller must not modify the slice.
 func (t *Tree) Entries(service string) []Entry {
 	if s := t.sections[service]; s != nil {
 		return s.entries
@@ -107,7 +106,7 @@
 	return nil
 }
 
-// Len counts the entries.
+// Len returns the number of entries.
 func (t *Tree) Len() (count int) {
 	for _, s := range t.sections {
 		count += len(s.entries)
@@ -115,7 +114,7 @@
 	return count
 }
 
-// Size is about how many bytes the entries take.
+// Size returns the approximate size of the entries in bytes.
 func (t *Tree) Size() (bytes int) {
 	for _, s := range t.sections {
 		for i := range s.entries {
@@ -125,7 +124,7 @@
 	return bytes
 }
 
-// Affected lists the services that differ between two trees, by name.
+// Affected returns the names of the services that differ between two trees, sorted.
 func Affected(a, b *Tree) (services []string) {
 	for _, name := range b.names {
 		if other := a.sections[name]; other != b.sections[name] &&
--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -7,77 +7,77 @@
 	"time"
 )
 
-// MaxClockDrift is by how much two clocks may differ in rate, as a part of the time: a holder counts its lease
-// shorter by it.
+// MaxClockDrift is the maximum difference between the rates of two clocks, as a fraction. A holder shortens the
+// duration of its lease by this fraction.
 const MaxClockDrift = 0.05
 
 const (
-	// renewFraction of a grant's time, as the client counts it, has passed when it renews the grant.
+	// renewFraction is the fraction of a grant's usable duration after which the client renews the grant.
 	renewFraction = 0.5
-	// retryInterval is the pause before a client that waits in a queue, or was rejected, asks again.
+	// retryInterval is the interval after which a client that is queued, or was rejected, sends the command again.
 	retryInterval = 500 * time.Millisecond
-	// answerTimeout is how long a command may have no answer before it goes out again, the same.
+	// answerTimeout is the time after which an unanswered command is resent unchanged.
 	answerTimeout = time.Second
 )
 
-// ErrTwice is the cause where a lease is requested twice.
-var ErrTwice = errors.New("is wanted twice")
+// ErrDuplicateRequest is returned by SetRequests if a lease is requested twice.
+var ErrDuplicateRequest = errors.New("is requested twice")
 
-// Request is a lease that a client is to hold.
+// Request is a lease that a client should hold.
 type Request struct {
 	Name     string
-	Slots    int           // how many may hold it at once
+	Slots    int           // maximum number of simultaneous holders
 	Duration time.Duration // of each grant
 }
 
-// clientLease is a client's own side of one lease.
+// clientLease is a client's state of one lease.
 type clientLease struct {
 	Request
-	wanted        bool
-	token         uint64        // 0: not held
+	requested     bool
+	token         uint64        // fencing token; 0 if not held
 	expires       time.Duration // on the client's clock
 	nextCommand   time.Duration
 	queuePosition int
-	reason        string // of a rejection
+	reason        string // reason of the last rejection
 }
 
-// heldAt reports whether the grant has not expired on the client's clock.
+// heldAt reports whether there is a grant that has not expired on the client's clock.
 func (l *clientLease) heldAt(now time.Duration) bool { return l.token > 0 && now < l.expires }
 
-// Client asks for leases and knows which it holds. It has one command in flight at a time: commands are numbered,
-// and the table keeps only the last answer. Times are of one clock that never goes back, however fast it runs within
-// MaxClockDrift, and that goes on while the process stands still.
+// Client requests leases and records which ones it holds. It has at most one command in flight, because the table
+// stores only the answer to a client's last command. All times passed to it are of one clock that never goes back,
+// whose rate is within MaxClockDrift, and which continues to run while the process is paused.
 type Client struct {
 	name        string
 	incarnation uint64
-	seq         uint64 // of the last command
+	seq         uint64 // number of the last command
 	leases      map[string]*clientLease
 
 	inFlight *Command
-	sentAt   time.Duration // when it went out first: its grant counts from then
+	sentAt   time.Duration // when it was first sent: the duration of its grant starts then
 	resendAt time.Duration
 }
 
-// NewClient begins for a process. A later process of the same name has a higher incarnation.
+// NewClient returns the client of a process. A later process of the same name must have a higher incarnation.
 func NewClient(name string, incarnation uint64) *Client {
 	return &Client{name: name, incarnation: incarnation, leases: make(map[string]*clientLease)}
 }
 
-// SetRequests says which leases the client is to hold from now on. Those that it holds and should not are released.
+// SetRequests sets the leases that the client should hold from now on. Other leases that it holds are released.
 func (c *Client) SetRequests(now time.Duration, requests []Request) error {
 	for i, r := range requests {
-		probe := Command{
+		command := Command{
 			Kind: Acquire, Client: c.name, Incarnation: 1, Seq: 1, Lease: r.Name, Slots: r.Slots, Duration: r.Duration,
 		}
-		if err := probe.check(); err != nil {
+		if err := command.validate(); err != nil {
 			return fmt.Errorf("lease: %s: %w", r.Name, err)
 		}
 		if slices.ContainsFunc(requests[:i], func(other Request) bool { return other.Name == r.Name }) {
-			return fmt.Errorf("lease: %s %w", r.Name, ErrTwice)
+			return fmt.Errorf("lease: %s %w", r.Name, ErrDuplicateRequest)
 		}
 	}
 	for _, l := range c.leases {
-		l.wanted = false
+		l.requested = false
 	}
 	for _, r := range requests {
 		l := c.leases[r.Name]
@@ -85,31 +85,31 @@
 			l = &clientLease{nextCommand: now}
 			c.leases[r.Name] = l
 		}
-		if !l.wanted && l.token == 0 {
+		if !l.requested && l.token == 0 {
 			l.nextCommand = now
 		}
-		l.Request, l.wanted = r, true
+		l.Request, l.requested = r, true
 	}
 	for _, l := range c.leases {
-		if !l.wanted {
-			l.nextCommand = now // to be released
+		if !l.requested {
+			l.nextCommand = now // release it now
 		}
 	}
 	return nil
 }
 
-// Token reports whether the client holds a lease at this moment, and its fencing token. It is to be asked before
-// each effect of the leased task, with a clock that was read for it: a process that stood still learns here that its
-// time is over.
+// Token reports whether the client holds a lease at now, and returns its fencing token. It must be called before each
+// effect of the leased task, with a clock reading taken for that call: this is how a process that was paused detects
+// that its lease has expired.
 func (c *Client) Token(now time.Duration, name string) (token uint64, held bool) {
 	l := c.leases[name]
-	if l == nil || !l.heldAt(now) || !l.wanted {
+	if l == nil || !l.heldAt(now) || !l.requested {
 		return 0, false
 	}
 	return l.token, true
 }
 
-// Remaining is for how long the client holds a lease yet.
+// Remaining returns how much longer the client holds a lease; 0 if it does not hold it.
 func (c *Client) Remaining(now time.Duration, name string) time.Duration {
 	if l := c.leases[name]; l != nil && l.token > 0 {
 		return max(0, l.expires-now)
@@ -117,7 +117,7 @@
 	return 0
 }
 
-// Held lists the leases that the client holds now.
+// Held returns the names of the leases that the client holds at now.
 func (c *Client) Held(now time.Duration) (names []string) {
 	for _, name := range sortedKeys(c.leases) {
 		if _, held := c.Token(now, name); held {
@@ -127,8 +127,8 @@
 	return names
 }
 
-// NextCommand returns the command that is to go out now, if there is one: a new one, or again one that has had no
-// answer.
+// NextCommand returns the command to send now, if there is one: a new command, or the one in flight again if it has
+// not been answered in time.
 func (c *Client) NextCommand(now time.Duration) (Command, bool) {
 	if c.inFlight != nil {
 		if now < c.resendAt {
@@ -137,7 +137,7 @@
 		c.resendAt = now + answerTimeout
 		return *c.inFlight, true
 	}
-	l := c.due(now)
+	l := c.mostOverdue(now)
 	if l == nil {
 		return Command{}, false
 	}
@@ -146,9 +146,9 @@
 		Lease: l.Name, Slots: l.Slots, Duration: l.Duration, FencingToken: l.token,
 	}
 	switch {
-	case !l.wanted:
+	case !l.requested:
 		command.Kind = Release
-		l.expires = 0 // nothing more is done under it, whatever becomes of the command
+		l.expires = 0 // no effect may use the lease from now on, even if the command is lost
 	case l.heldAt(now):
 		command.Kind = Renew
 	default:
@@ -159,17 +159,17 @@
 	return command, true
 }
 
-// due is the lease whose command is most overdue, or nil.
-func (c *Client) due(now time.Duration) (first *clientLease) {
+// mostOverdue returns the lease whose next command has been due for longest, or nil if none is due.
+func (c *Client) mostOverdue(now time.Duration) (oldest *clientLease) {
 	for _, name := range sortedKeys(c.leases) {
-		if l := c.leases[name]; l.nextCommand <= now && (first == nil || l.nextCommand < first.nextCommand) {
-			first = l
+		if l := c.leases[name]; l.nextCommand <= now && (oldest == nil || l.nextCommand < oldest.nextCommand) {
+			oldest = l
 		}
 	}
-	return first
+	return oldest
 }
 
-// NextWake is when NextCommand has a command at the latest; ok is false if nothing is requested.
+// NextWake returns the time at which NextCommand must be called next. ok is false if there is nothing to do.
 func (c *Client) NextWake() (at time.Duration, ok bool) {
 	if c.inFlight != nil {
 		return c.resendAt, true
@@ -182,8 +182,8 @@
 	return at, ok
 }
 
-// Receive takes the answer to a command. One to another command than that in flight is passed over: its time is
-// over.
+// Receive processes the answer to the command with number seq. An answer to any command other than the one in flight
+// is outdated and ignored.
 func (c *Client) Receive(now time.Duration, seq uint64, a Answer) {
 	if c.inFlight == nil || c.inFlight.Seq != seq {
 		return
@@ -198,7 +198,7 @@
 	switch {
 	case command.Kind == Release:
 		l.token = 0
-		if !l.wanted {
+		if !l.requested {
 			delete(c.leases, command.Lease)
 		}
 	case a.Verdict == Granted:
@@ -210,31 +210,32 @@
 	}
 }
 
-// grant counts a grant from before the client asked, shorter by what two clocks may differ.
+// grant records a grant. Its duration starts when the command was first sent and is shortened by the possible
+// difference between two clocks.
 func (l *clientLease) grant(now, sentAt time.Duration, a Answer) {
 	usable := time.Duration(float64(a.Duration) * (1 - MaxClockDrift))
 	l.token, l.expires = a.FencingToken, sentAt+usable
 	l.nextCommand = sentAt + time.Duration(float64(usable)*renewFraction)
-	if !l.wanted {
+	if !l.requested {
 		l.nextCommand = now
 	}
 }
 
-// Undelivered tells that the command in flight got no answer and never will on this path: it goes out again at
-// once, the same.
+// Undelivered reports to the client that the command in flight will not be answered on the path it was sent on.
+// NextCommand then returns it again immediately, unchanged.
 func (c *Client) Undelivered(now time.Duration) { c.resendAt = min(c.resendAt, now) }
 
-// State is what operators read of one lease.
+// State is a client's state of one lease, for operators.
 type State struct {
 	Lease         string
 	Held          bool
 	Token         uint64
 	Remaining     time.Duration
 	QueuePosition int
-	Reason        string // of a rejection
+	Reason        string // of the last rejection
 }
 
-// States lists all that the client requests or still holds, by name.
+// States returns the states of all leases that the client requests or still holds, sorted by name.
 func (c *Client) States(now time.Duration) (states []State) {
 	for _, name := range sortedKeys(c.leases) {
 		l := c.leases[name]
--- a/internal/lease/command.go
+++ b/internal/lease/command.go
@@ -10,20 +10,20 @@
 
 // Bounds of a table and of its commands.
 const (
-	MaxNameBytes = 64 // of a lease's or a client's name
+	MaxNameBytes = 64 // length of a lease's or a client's name
 	MaxLeases    = 20_000
-	MaxSlots     = 100 // holders of one lease
-	MaxQueue     = 500 // clients that wait for one lease
+	MaxSlots     = 100 // maximum number of holders of one lease
+	MaxQueue     = 500 // maximum number of clients that wait for one lease
 	MaxClients   = 2_000
-	// MinDuration and MaxDuration bound how long a grant holds.
+	// MinDuration and MaxDuration bound the duration of a grant.
 	MinDuration = 100 * time.Millisecond
 	MaxDuration = 10 * time.Minute
 )
 
-// ErrCommand is the cause where a command is out of its bounds.
-var ErrCommand = errors.New("unusable command")
+// ErrCommand is returned for a command that is out of its bounds.
+var ErrCommand = errors.New("invalid command")
 
-// Kind is what a command asks.
+// Kind is the operation that a command requests.
 type Kind uint8
 
 // The kinds of commands.
@@ -33,25 +33,27 @@
 	Release
 )
 
-// Command is one entry of the log. Its encoded form is stored: the tags keep it.
+// Command is one entry of the log. Its encoded form is stored, so the tags must not change.
 type Command struct {
 	Kind   Kind   `json:"Kind"`
-	Client string `json:"Client"` // who asks
-	// Incarnation of the client's process: commands of an earlier one change nothing any more.
+	Client string `json:"Client"` // name of the client that sends the command
+	// Incarnation is that of the client's process. Once a command of a later incarnation has been applied, commands
+	// of an earlier one have no effect.
 	Incarnation uint64 `json:"Start"`
-	// Seq numbers the client's commands from 1; a repeat of the last one has the same answer.
+	// Seq numbers the client's commands from 1. A repetition of the last command gets the same answer.
 	Seq   uint64 `json:"Seq"`
-	Lease string `json:"Duty"` // its name
-	// Slots is, with Acquire, how many may hold the lease at once. The first to ask for a lease that nobody
-	// holds or waits for settles it.
+	Lease string `json:"Duty"` // name of the lease
+	// Slots is, with Acquire, the maximum number of simultaneous holders of the lease. The first command for a lease
+	// without holders and queue sets it; later commands must name the same number.
 	Slots        int           `json:"Places"`
 	Duration     time.Duration `json:"Lease"` // with Acquire and Renew
-	FencingToken uint64        `json:"Fence"` // with Renew and Release: of the grant
-	At           time.Duration `json:"At"`    // the log's time, which the leader gives it
+	FencingToken uint64        `json:"Fence"` // with Renew and Release: token of the grant
+	At           time.Duration `json:"At"`    // log time, set by the leader
 }
 
-// check holds a command to the bounds.
-func (c *Command) check() error {
+// validate checks that a command is within the bounds. The texts of its errors reach the Reason of answers, which is
+// stored in the replicated table: replicas with different texts would differ.
+func (c *Command) validate() error {
 	switch {
 	case c.Client == "" || len(c.Client) > MaxNameBytes || c.Lease == "" || len(c.Lease) > MaxNameBytes:
 		return commandError("names of 1 to %d bytes are needed", MaxNameBytes)
@@ -71,34 +73,34 @@
 	return fielderror.Worded(ErrCommand, format, args...)
 }
 
-// Verdict is what a command came to.
+// Verdict is the outcome of a command.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Granted  Verdict = iota + 1
 	Queued           // the client waits in the queue
-	Released         // the client neither holds nor waits any more
-	Expired          // the grant is no longer the client's
-	Stale            // the command is of an earlier process, or older than one that was applied
-	Rejected         // the command cannot be
+	Released         // the client neither holds the lease nor waits for it
+	Expired          // the grant has expired or belongs to another client
+	Stale            // the command is from an earlier process, or older than one that was applied
+	Rejected         // the command is invalid or exceeds a bound
 )
 
-// String words a verdict.
+// String returns the name of a verdict.
 func (v Verdict) String() string {
 	return [...]string{"none", "granted", "taken", "released", "lapsed", "stale", "refused"}[min(v, Rejected)]
 }
 
-// Answer is what the client is told. The table keeps each client's last one: the tags keep its encoded form.
+// Answer is the answer to a command. The table stores the last one of each client, so the tags must not change.
 type Answer struct {
 	Verdict       Verdict       `json:"Verdict"`
-	FencingToken  uint64        `json:"Fence"` // of the grant
-	Duration      time.Duration `json:"Lease"` // of the grant, from before the client asked
-	QueuePosition int           `json:"Ahead"` // with Queued: how many wait before it
-	Reason        string        `json:"Why"`   // with Rejected
+	FencingToken  uint64        `json:"Fence"` // with Granted: token of the grant
+	Duration      time.Duration `json:"Lease"` // with Granted: counted by the client from before it sent the command
+	QueuePosition int           `json:"Ahead"` // with Queued: number of clients ahead in the queue
+	Reason        string        `json:"Why"`   // with Rejected: what is wrong with the command
 }
 
-// rejected is the answer to a command that cannot be.
+// rejected returns the answer to a command that is rejected, with the reason.
 func rejected(format string, args ...any) Answer {
 	return Answer{Verdict: Rejected, Reason: fmt.Sprintf(format, args...)}
 }
--- a/internal/lease/encoding_test.go
+++ b/internal/lease/encoding_test.go
@@ -62,7 +62,8 @@
 	if err := client.SetRequests(0, []Request{{"d", 0, second}}); !errors.Is(err, ErrCommand) {
 		t.Error(err)
 	}
-	if err := client.SetRequests(0, []Request{{"d", 1, second}, {"d", 1, second}}); !errors.Is(err, ErrTwice) {
+	twice := []Request{{"d", 1, second}, {"d", 1, second}}
+	if err := client.SetRequests(0, twice); !errors.Is(err, ErrDuplicateRequest) {
 		t.Error(err)
 	}
 	if _, err := Restore([]byte("{}")); !errors.Is(err, ErrSnapshot) {
--- a/internal/lease/guard.go
+++ b/internal/lease/guard.go
@@ -5,20 +5,21 @@
 	"slices"
 )
 
-// Guard stands where the effects of leased tasks arrive: it admits those with the highest fencing token that it
-// has seen, or a higher one. It is bounded: of more leases than its capacity it forgets the one with the lowest
-// token, whose holder is likely long gone.
+// Guard checks the effects of leased tasks at their receiver. It admits an effect if its fencing token is at least
+// the highest one admitted for the lease. Its memory is bounded: if there are more leases than its capacity, it
+// forgets the one with the lowest token, because the holder of that lease has probably ended long ago.
 type Guard struct {
 	capacity int
-	highest  map[string]uint64 // token, by lease
+	highest  map[string]uint64 // highest admitted token, by lease name
 }
 
-// NewGuard has room for so many leases, one at least.
+// NewGuard returns a guard that remembers up to capacity leases, at least one.
 func NewGuard(capacity int) *Guard {
 	return &Guard{capacity: max(1, capacity), highest: make(map[string]uint64)}
 }
 
-// Admit reports whether an effect under a lease's token may happen. Token 0 is none.
+// Admit reports whether an effect with a fencing token of a lease may happen, and records the token if so. Token 0 is
+// never admitted.
 func (g *Guard) Admit(lease string, token uint64) bool {
 	highest, known := g.highest[lease]
 	if token == 0 || token < highest {
--- a/internal/lease/shard.go
+++ b/internal/lease/shard.go
@@ -7,9 +7,10 @@
 	"github.com/zeebo/xxh3"
 )
 
-// AssignShards says which of the living members should hold each shard: by rendezvous hashing, with a bound on
-// each member's part, so that parts are even to one and few shards move where somebody comes or goes. Every gateway
-// with the same view works out the same; where views differ the leases decide.
+// AssignShards returns the living member that should hold each shard, by shard. It uses rendezvous hashing with a
+// maximum number of shards per member, so that no member has more than its even share, rounded up, and few shards
+// move when a member joins or leaves. All gateways with the same view compute the same assignment; if views differ,
+// the leases decide.
 func AssignShards(shards, living []string) map[string]string {
 	assigned := make(map[string]string, len(shards))
 	if len(living) == 0 {
@@ -17,32 +18,33 @@
 	}
 	living = slices.Compact(slices.Sorted(slices.Values(living)))
 	shards = slices.Compact(slices.Sorted(slices.Values(shards)))
-	type favourite struct {
+	type preference struct {
 		shard int
-		score uint64 // of the member that ranks first, the less the better
+		score uint64 // of the best member for the shard; lower is better
 	}
-	// Shards take, one after another, the best member that has room; those with a strong favourite go first.
-	order := make([]favourite, 0, len(shards))
-	everybody := func(int) bool { return true }
+	// Each shard gets the best member that is below the maximum, in the order of the best scores.
+	preferences := make([]preference, 0, len(shards))
+	anyMember := func(int) bool { return true }
 	for i, shard := range shards {
-		_, score := bestMember(shard, living, everybody)
-		order = append(order, favourite{shard: i, score: score})
+		_, score := bestMember(shard, living, anyMember)
+		preferences = append(preferences, preference{shard: i, score: score})
 	}
-	slices.SortFunc(order, func(a, b favourite) int {
+	slices.SortFunc(preferences, func(a, b preference) int {
 		return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.shard, b.shard))
 	})
-	limit := (len(shards) + len(living) - 1) / len(living)
+	maxShards := (len(shards) + len(living) - 1) / len(living)
 	count := make([]int, len(living))
-	hasRoom := func(member int) bool { return count[member] < limit }
-	for _, f := range order {
-		member, _ := bestMember(shards[f.shard], living, hasRoom)
+	hasRoom := func(member int) bool { return count[member] < maxShards }
+	for _, p := range preferences {
+		member, _ := bestMember(shards[p.shard], living, hasRoom)
 		count[member]++
-		assigned[shards[f.shard]] = living[member]
+		assigned[shards[p.shard]] = living[member]
 	}
 	return assigned
 }
 
-// bestMember is the eligible member that ranks first for a shard, and its score; -1 if none is eligible.
+// bestMember returns the index of the eligible member with the lowest score for a shard, and the score. The index is
+// -1 if no member is eligible.
 func bestMember(shard string, members []string, eligible func(member int) bool) (best int, score uint64) {
 	best = -1
 	for m, name := range members {
--- a/internal/lease/table.go
+++ b/internal/lease/table.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// reservation is how long a free slot is kept for the client at the head of the queue.
-	reservation = 2 * time.Second
-	// queueTimeout is how long one that waits may say nothing.
+	// reservationPeriod is how long a free slot is reserved for the client at the head of the queue.
+	reservationPeriod = 2 * time.Second
+	// queueTimeout is how long a waiting client may send no Acquire before it is removed from the queue.
 	queueTimeout = 10 * time.Second
-	// sweepInterval is how often everything is looked through for what has expired.
+	// sweepInterval is the interval at which the whole table is searched for expired grants, waiters and clients.
 	sweepInterval = 10 * time.Second
 )
 
-// holder is one grant.
+// holder is one grant of a lease.
 type holder struct {
 	Client       string        `json:"Client"`
 	Incarnation  uint64        `json:"Start"`
@@ -33,23 +33,23 @@
 type leaseState struct {
 	Name          string        `json:"Name"`
 	Slots         int           `json:"Places"`
-	Holders       []holder      `json:"Holders"` // by fencing token
+	Holders       []holder      `json:"Holders"` // sorted by fencing token
 	Queue         []waiter      `json:"Line"`
-	ReservedUntil time.Duration `json:"Reserved"` // for the head of the queue; 0 if no slot is
+	ReservedUntil time.Duration `json:"Reserved"` // for the head of the queue; 0 if no slot is reserved
 }
 
-// client is what is remembered of one that has commanded.
+// client is the record of a client that has sent commands.
 type client struct {
 	Name        string        `json:"Name"`
 	Incarnation uint64        `json:"Start"`
 	Seq         uint64        `json:"Seq"`
-	Answer      Answer        `json:"Answer"` // to the command Seq
+	Answer      Answer        `json:"Answer"` // to command number Seq
 	LastSeen    time.Duration `json:"Heard"`
 }
 
-// Table is the state. The same commands in the same order give the same table.
+// Table is the lease table. The same commands in the same order result in the same table.
 type Table struct {
-	now       time.Duration // the log's time
+	now       time.Duration // log time
 	lastToken uint64
 	leases    map[string]*leaseState
 	clients   map[string]*client
@@ -61,16 +61,16 @@
 	return &Table{leases: make(map[string]*leaseState), clients: make(map[string]*client)}
 }
 
-// Now is the log's time: that of the last command.
+// Now returns the log time, which is that of the last command.
 func (t *Table) Now() time.Duration { return t.now }
 
-// LastToken is the highest fencing token given.
+// LastToken returns the highest fencing token issued.
 func (t *Table) LastToken() uint64 { return t.lastToken }
 
-// Len is how many leases are held or waited for.
+// Len returns the number of leases that have a holder or a queue.
 func (t *Table) Len() int { return len(t.leases) }
 
-// Holders lists who holds a lease now, by the age of their grants.
+// Holders returns the clients that hold a lease now, the oldest grant first.
 func (t *Table) Holders(name string) (clients []string) {
 	l := t.leases[name]
 	if l == nil {
@@ -84,36 +84,37 @@
 	return clients
 }
 
-// Apply applies a command. Time never goes back: a command with an earlier one is applied at the present.
+// Apply applies a command and returns its answer. Log time never goes back: a command with an earlier time is applied
+// at the current log time.
 func (t *Table) Apply(c Command) Answer {
 	t.now = max(t.now, c.At)
 	t.sweep()
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return rejected("%v", err)
 	}
-	k := t.clients[c.Client]
+	record := t.clients[c.Client]
 	switch {
-	case k == nil:
+	case record == nil:
 		if len(t.clients) >= MaxClients {
 			return rejected("too many clients")
 		}
-		k = &client{Name: c.Client, Incarnation: c.Incarnation}
-		t.clients[c.Client] = k
-	case c.Incarnation < k.Incarnation || c.Incarnation == k.Incarnation && c.Seq < k.Seq:
+		record = &client{Name: c.Client, Incarnation: c.Incarnation}
+		t.clients[c.Client] = record
+	case c.Incarnation < record.Incarnation || c.Incarnation == record.Incarnation && c.Seq < record.Seq:
 		return Answer{Verdict: Stale}
-	case c.Incarnation == k.Incarnation && c.Seq == k.Seq:
-		return k.Answer // a proposal that came twice
-	case c.Incarnation > k.Incarnation:
-		// What the process before held stays held until it expires: that process may still act on it. Its places
-		// in queues go.
-		k.Incarnation = c.Incarnation
-		for _, l := range t.sorted() {
+	case c.Incarnation == record.Incarnation && c.Seq == record.Seq:
+		return record.Answer // the command was proposed twice
+	case c.Incarnation > record.Incarnation:
+		// Leases of the previous process stay held until they expire, because it may still act on them. Its positions
+		// in queues are removed.
+		record.Incarnation = c.Incarnation
+		for _, l := range t.sortedLeases() {
 			l.dequeue(c.Client)
 		}
 	}
-	k.Seq, k.LastSeen = c.Seq, t.now
-	k.Answer = t.execute(c)
-	return k.Answer
+	record.Seq, record.LastSeen = c.Seq, t.now
+	record.Answer = t.execute(c)
+	return record.Answer
 }
 
 func (t *Table) execute(c Command) Answer {
@@ -138,7 +139,7 @@
 	return t.extend(h, c.Duration)
 }
 
-// extend lets a grant hold from now on.
+// extend lets a grant expire after duration from now.
 func (t *Table) extend(h *holder, duration time.Duration) Answer {
 	h.Expires = t.now + duration
 	return Answer{Verdict: Granted, FencingToken: h.FencingToken, Duration: duration}
@@ -167,11 +168,11 @@
 	if l.Slots != c.Slots {
 		return rejected("%s has %d places, not %d", c.Lease, l.Slots, c.Slots)
 	}
-	// One that holds it already, by an answer that was lost: the same grant for longer. Only its own process may
-	// have it so.
-	own := func(h holder) bool { return h.Client == c.Client && h.Incarnation == c.Incarnation }
-	if at := slices.IndexFunc(l.Holders, own); at >= 0 {
-		return t.extend(&l.Holders[at], c.Duration)
+	// If this process already holds the lease, because the answer to an earlier Acquire was lost, the same grant is
+	// extended. Another process of the same client does not get the grant.
+	sameProcess := func(h holder) bool { return h.Client == c.Client && h.Incarnation == c.Incarnation }
+	if index := slices.IndexFunc(l.Holders, sameProcess); index >= 0 {
+		return t.extend(&l.Holders[index], c.Duration)
 	}
 	position := slices.IndexFunc(l.Queue, func(w waiter) bool { return w.Client == c.Client })
 	if position < 0 {
@@ -182,14 +183,14 @@
 		l.Queue = append(l.Queue, waiter{Client: c.Client})
 	}
 	l.Queue[position].Incarnation, l.Queue[position].LastSeen = c.Incarnation, t.now
-	t.expire(l) // it may be at the head now
+	t.expire(l) // the client may be at the head of the queue now
 	if free := l.Slots - len(l.Holders); position >= free {
 		return Answer{Verdict: Queued, QueuePosition: position}
 	}
 	return t.grant(l, position, c)
 }
 
-// grant gives a free slot to a client in the queue, under a new fencing token.
+// grant gives a free slot to the client at a position in the queue, with a new fencing token.
 func (t *Table) grant(l *leaseState, position int, c Command) Answer {
 	l.Queue = slices.Delete(l.Queue, position, position+1)
 	t.lastToken++
@@ -201,26 +202,26 @@
 	return Answer{Verdict: Granted, FencingToken: t.lastToken, Duration: c.Duration}
 }
 
-// grantOf is the grant that a command names, if it has not expired.
+// grantOf returns the grant that a command names, or nil if there is none any more.
 func (l *leaseState) grantOf(c Command) *holder {
 	if l == nil {
 		return nil
 	}
-	at := slices.IndexFunc(l.Holders, func(h holder) bool {
+	index := slices.IndexFunc(l.Holders, func(h holder) bool {
 		return h.Client == c.Client && h.Incarnation == c.Incarnation && h.FencingToken == c.FencingToken
 	})
-	if at < 0 {
+	if index < 0 {
 		return nil
 	}
-	return &l.Holders[at]
+	return &l.Holders[index]
 }
 
 func (l *leaseState) dequeue(client string) {
 	l.Queue = slices.DeleteFunc(l.Queue, func(w waiter) bool { return w.Client == client })
 }
 
-// expire drops what has expired, and moves back those at the head of the queue who have let a free slot pass. A
-// lease that nobody holds or waits for is forgotten.
+// expire removes expired grants and waiters of a lease. If the client at the head of the queue has not used its
+// reservation of a free slot, it is moved to the end. A lease without holders and queue is deleted.
 func (t *Table) expire(l *leaseState) {
 	l.Holders = slices.DeleteFunc(l.Holders, func(h holder) bool { return h.Expires <= t.now })
 	l.Queue = slices.DeleteFunc(l.Queue, func(w waiter) bool { return t.now-w.LastSeen > queueTimeout })
@@ -228,11 +229,11 @@
 	case len(l.Holders) >= l.Slots || len(l.Queue) == 0:
 		l.ReservedUntil = 0
 	case l.ReservedUntil == 0:
-		l.ReservedUntil = t.now + reservation
-	case t.now >= l.ReservedUntil && t.now-l.Queue[0].LastSeen > reservation && len(l.Queue) > 1:
-		// It has been its turn, and it has not asked: it goes to the end.
+		l.ReservedUntil = t.now + reservationPeriod
+	case t.now >= l.ReservedUntil && t.now-l.Queue[0].LastSeen > reservationPeriod && len(l.Queue) > 1:
+		// The reservation has expired and the client has sent no Acquire during it.
 		l.Queue = append(l.Queue[1:], l.Queue[0])
-		l.ReservedUntil = t.now + reservation
+		l.ReservedUntil = t.now + reservationPeriod
 	}
 	if len(l.Holders) == 0 && len(l.Queue) == 0 {
 		delete(t.leases, l.Name)
@@ -241,31 +242,32 @@
 	}
 }
 
-// sweep keeps the table bounded by what is in use.
+// sweep removes expired grants and waiters, and clients that neither hold nor wait for a lease and have sent no
+// command for MaxDuration, so that the size of the table is bounded by what is in use.
 func (t *Table) sweep() {
 	if t.now-t.lastSweep < sweepInterval {
 		return
 	}
 	t.lastSweep = t.now
-	busy := make(map[string]bool)
-	for _, l := range t.sorted() {
+	inUse := make(map[string]bool)
+	for _, l := range t.sortedLeases() {
 		t.expire(l)
 		for _, h := range l.Holders {
-			busy[h.Client] = true
+			inUse[h.Client] = true
 		}
 		for _, w := range l.Queue {
-			busy[w.Client] = true
+			inUse[w.Client] = true
 		}
 	}
 	for _, name := range sortedKeys(t.clients) {
-		if !busy[name] && t.now-t.clients[name].LastSeen > MaxDuration {
+		if !inUse[name] && t.now-t.clients[name].LastSeen > MaxDuration {
 			delete(t.clients, name)
 		}
 	}
 }
 
-// sorted lists the leases by name.
-func (t *Table) sorted() []*leaseState {
+// sortedLeases returns the leases sorted by name.
+func (t *Table) sortedLeases() []*leaseState {
 	list := make([]*leaseState, 0, len(t.leases))
 	for _, name := range sortedKeys(t.leases) {
 		list = append(list, t.leases[name])
--- a/internal/raft/cluster_test.go
+++ b/internal/raft/cluster_test.go
@@ -71,7 +71,7 @@
 const duty = "sweep"
 
 // keepEntries is how many entries stay in the log after a snapshot.
-const keepEntries = keptIntervals * defaultSnapshotEvery
+const keepEntries = retainedIntervals * defaultSnapshotInterval
 
 func newCluster(t testing.TB, seed uint64, n, clients int, duration time.Duration) *cluster {
 	c := &cluster{t: t, rng: rand.New(rand.NewPCG(seed, 9)), voters: make(map[uint64]*voter),
@@ -121,7 +121,7 @@
 	if v.node == nil {
 		return
 	}
-	out, err := v.node.Take(v.disk.keep)
+	out, err := v.node.ProcessReady(v.disk.keep)
 	if err != nil && !errors.Is(err, ErrFailed) {
 		c.t.Fatal(err)
 	}
--- a/internal/raft/doc.go
+++ b/internal/raft/doc.go
@@ -1,7 +1,7 @@
-// Package raft is one voter's replica of a replicated log over go.etcd.io/raft, as a reducer. Times, messages and
-// commands go in; what has to be persisted, messages and answers come out. What the log replicates is a
-// StateMachine; Node is the log of the lease table.
+// Package raft wraps go.etcd.io/raft as a reducer that maintains one member's replica of a replicated log. Its inputs
+// are times, messages and commands; its outputs are the state to persist, messages to send and answers to commands.
+// The log replicates a StateMachine. Node is a replica whose state machine is the lease table.
 //
-// It does no I/O and has no clock. The running gateway does not use it yet. docs/design/leases.md says why it is
-// as it is.
+// The package does no I/O and does not read a clock. The running gateway does not use it yet. docs/design/leases.md
+// gives the reasons for the design.
 package raft
--- a/internal/raft/errors.go
+++ b/internal/raft/errors.go
@@ -7,23 +7,26 @@
 	"thymebend/internal/fielderror"
 )
 
-// Errors that a caller can act on.
+// Errors that callers can match with errors.Is.
 var (
-	ErrNotLeader = errors.New("raft: another leads, or nobody")
-	ErrBusy      = errors.New("raft: too many commands wait")
-	ErrFailed    = errors.New("raft: what has to be kept could not be; this voter takes no more part")
-	// ErrConfig is a Config whose members cannot be, or whose persistent state does not fit together.
-	ErrConfig = errors.New("raft: unusable configuration")
-	// ErrMessage is a message that cannot be read or is not for this voter.
-	ErrMessage = errors.New("raft: unusable message")
-	// ErrMembers is a change of the members that cannot be.
-	ErrMembers = errors.New("raft: unusable change of members")
+	// ErrNotLeader is returned by a proposal to a replica that does not lead.
+	ErrNotLeader = errors.New("raft: this replica is not the leader")
+	// ErrBusy is returned by a proposal that exceeds the bound of uncommitted or unanswered commands.
+	ErrBusy = errors.New("raft: too many commands are pending")
+	// ErrFailed is returned by a replica that has stopped because its state could not be persisted or applied.
+	ErrFailed = errors.New("raft: this replica has stopped: its state could not be persisted or applied")
+	// ErrConfig is returned for a Config with invalid members or inconsistent persistent state.
+	ErrConfig = errors.New("raft: invalid configuration")
+	// ErrMessage is returned for a message that cannot be decoded or is not addressed to this replica.
+	ErrMessage = errors.New("raft: invalid message")
+	// ErrMembers is returned for an invalid membership change.
+	ErrMembers = errors.New("raft: invalid membership change")
 )
 
-// fault is an error that errors.Is matches with kind.
-func fault(kind error, format string, args ...any) error {
+// newError returns an error with the given text that errors.Is matches with kind.
+func newError(kind error, format string, args ...any) error {
 	return fielderror.Worded(kind, "raft: "+format, args...)
 }
 
-// failed is ErrFailed with its cause.
-func failed(cause error) error { return fmt.Errorf("%w: %w", ErrFailed, cause) }
+// wrapFailure returns ErrFailed with its cause.
+func wrapFailure(cause error) error { return fmt.Errorf("%w: %w", ErrFailed, cause) }
--- a/internal/raft/lease.go
+++ b/internal/raft/lease.go
@@ -8,10 +8,10 @@
 	"thymebend/internal/lease"
 )
 
-// maxPending bounds the proposals of one voter that have no answer yet.
-const maxPending = 1000
+// maxPendingProposals is the maximum number of unanswered proposals of one replica.
+const maxPendingProposals = 1000
 
-// Answer is one to a command that this voter proposed.
+// Answer is the answer to a lease command that this replica proposed.
 type Answer struct {
 	Client      string
 	Incarnation uint64
@@ -19,13 +19,13 @@
 	lease.Answer
 }
 
-// Output is what is to be done now.
+// Output holds the messages and answers that the caller must send.
 type Output struct {
 	Messages []Message
 	Answers  []Answer
 }
 
-// proposal is a command of this voter's that has no answer yet.
+// proposal identifies a command that this replica has proposed and not answered yet.
 type proposal struct {
 	client      string
 	incarnation uint64
@@ -34,13 +34,13 @@
 
 func proposalOf(c lease.Command) proposal { return proposal{c.Client, c.Incarnation, c.Seq} }
 
-// leaseMachine is the StateMachine of a lease table.
+// leaseMachine is the StateMachine that applies log entries to a lease table.
 type leaseMachine struct {
-	table        *lease.Table
-	leadingSince time.Duration // on this voter's clock
-	timeAtStart  time.Duration // the log's time then
-	pending      map[proposal]bool
-	answers      []Answer
+	table          *lease.Table
+	leadingSince   time.Duration // on this replica's clock
+	logTimeAtStart time.Duration // log time at leadingSince
+	pending        map[proposal]bool
+	answers        []Answer
 }
 
 // Apply implements StateMachine.
@@ -50,8 +50,8 @@
 		return err
 	}
 	answer := l.table.Apply(c)
-	if p := proposalOf(c); l.pending[p] {
-		delete(l.pending, p)
+	if key := proposalOf(c); l.pending[key] {
+		delete(l.pending, key)
 		l.answers = append(l.answers, Answer{c.Client, c.Incarnation, c.Seq, answer})
 	}
 	return nil
@@ -75,22 +75,22 @@
 	return err
 }
 
-// LeadershipChanged implements StateMachine. The log's time goes on from the last command applied.
-func (l *leaseMachine) LeadershipChanged(now time.Duration, leads bool) {
-	if leads {
-		l.leadingSince, l.timeAtStart = now, l.table.Now()
+// LeadershipChanged implements StateMachine. A new leader continues the log's time from the last applied command.
+func (l *leaseMachine) LeadershipChanged(now time.Duration, isLeader bool) {
+	if isLeader {
+		l.leadingSince, l.logTimeAtStart = now, l.table.Now()
 	} else {
 		clear(l.pending)
 	}
 }
 
-// Node is one voter of the log of leases, or a learner that is to become one.
+// Node is a replica of the lease log: a voter, or a learner that will become one.
 type Node struct {
 	*Replica
 	leases *leaseMachine
 }
 
-// New starts a voter of the log of leases.
+// New starts a replica of the lease log.
 func New(cfg Config, now time.Duration) (*Node, error) {
 	l := &leaseMachine{table: lease.NewTable(), pending: make(map[proposal]bool)}
 	replica, err := NewReplica(cfg, l, now)
@@ -100,16 +100,17 @@
 	return &Node{Replica: replica, leases: l}, nil
 }
 
-// Propose puts a command into the log. Its answer comes out of Take once most voters have it, or never: then the
-// client asks again, with the same number.
+// Propose appends a command to the log, with the log's current time. ProcessReady returns its answer once the command
+// is committed. If the command is lost, no answer follows and the client sends the command again with the same
+// sequence number.
 func (n *Node) Propose(now time.Duration, c lease.Command) error {
 	if err := n.CheckLeader(now); err != nil {
 		return err
 	}
-	if len(n.leases.pending) >= maxPending {
+	if len(n.leases.pending) >= maxPendingProposals {
 		return ErrBusy
 	}
-	c.At = n.leases.timeAtStart + n.now - n.leases.leadingSince
+	c.At = n.leases.logTimeAtStart + n.now - n.leases.leadingSince
 	data, err := json.Marshal(c)
 	if err != nil {
 		return fmt.Errorf("raft: %w", err)
@@ -121,23 +122,23 @@
 	return nil
 }
 
-// Take does all that is ready; see Replica.Ready.
-func (n *Node) Take(persist func(PersistentState) error) (Output, error) {
+// ProcessReady processes everything that is ready, as Replica.Ready does, and also returns the answers to commands.
+func (n *Node) ProcessReady(persist func(PersistentState) error) (Output, error) {
 	messages, err := n.Ready(persist)
 	answers := n.leases.answers
 	n.leases.answers = nil
 	return Output{Messages: messages, Answers: answers}, err
 }
 
-// LeaseStatus is how a voter of the log of leases stands.
+// LeaseStatus is the status of a replica of the lease log.
 type LeaseStatus struct {
 	Status
-	Leases    int           // held or waited for
-	LastToken uint64        // highest fencing token given
-	Time      time.Duration // of the log
+	Leases    int           // number of leases that have a holder or a queue
+	LastToken uint64        // highest fencing token issued
+	Time      time.Duration // log time
 }
 
-// Status tells how this voter stands.
+// Status returns the status of this replica.
 func (n *Node) Status() LeaseStatus {
 	table := n.leases.table
 	return LeaseStatus{
@@ -145,5 +146,6 @@
 	}
 }
 
-// Holders lists who holds a lease, as far as this voter has applied the log: for operators, no ground for an effect.
+// Holders returns the clients that hold a lease according to the entries this replica has applied. The list may be
+// outdated: it is for operators, and no effect may be based on it.
 func (n *Node) Holders(name string) []string { return n.leases.table.Holders(name) }
--- a/internal/raft/members.go
+++ b/internal/raft/members.go
@@ -8,21 +8,21 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// maxLag is how many entries a learner may lack when it is promoted.
-const maxLag = 100
+// maxLearnerLag is the maximum number of committed entries that a learner may lack when it is promoted to voter.
+const maxLearnerLag = 100
 
-// AddLearner has a voter that has forgotten everything come back under a new id, or one take another's place for
-// good: it learns first, and votes in the old one's place once it has caught up. A change that cannot be is an
-// ErrMembers.
+// AddLearner proposes to replace a voter permanently, either by the same machine under a new id after the loss of its
+// persistent state, or by another machine. The new member joins as a learner and becomes a voter in place of the
+// replaced one once it has caught up. It returns an ErrMembers for an invalid change.
 func (r *Replica) AddLearner(now time.Duration, learner, replaces uint64) error {
 	if err := r.CheckLeader(now); err != nil {
 		return err
 	}
 	switch {
 	case learner == 0 || learner == replaces || slices.Contains(r.members.Voters, learner):
-		return fault(ErrMembers, "%d cannot learn to replace %d", learner, replaces)
+		return newError(ErrMembers, "member %d cannot be a learner that replaces voter %d", learner, replaces)
 	case !slices.Contains(r.members.Voters, replaces):
-		return fault(ErrMembers, "%d is no voter", replaces)
+		return newError(ErrMembers, "member %d is not a voter", replaces)
 	}
 	r.replacements[learner] = replaces
 	if slices.Contains(r.members.Learners, learner) {
@@ -33,15 +33,16 @@
 	}})
 }
 
-// promoteLearner gives a learner that has caught up the place of whom it replaces, in one change of two majorities.
+// promoteLearner proposes to promote a learner that has caught up and to remove the voter that it replaces. Both take
+// place in one joint-consensus change, which needs the majority of the old and of the new voters.
 func (r *Replica) promoteLearner() {
 	if len(r.replacements) == 0 || len(r.members.VotersOutgoing) > 0 {
 		return
 	}
 	status := r.node.Status()
 	for _, learner := range slices.Sorted(maps.Keys(r.replacements)) {
-		p, ok := status.Progress[learner]
-		if !ok || !p.IsLearner || p.Match+maxLag < status.Commit || p.Match == 0 {
+		progress, ok := status.Progress[learner]
+		if !ok || !progress.IsLearner || progress.Match+maxLearnerLag < status.Commit || progress.Match == 0 {
 			continue
 		}
 		err := r.node.ProposeConfChange(raftpb.ConfChangeV2{
--- a/internal/raft/memory.go
+++ b/internal/raft/memory.go
@@ -7,7 +7,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// MemoryStorage keeps what a voter persists, in place of a disk: for tests and runs with virtual time.
+// MemoryStorage stores a replica's persistent state in memory instead of on a disk, for tests and simulations in
+// virtual time.
 type MemoryStorage struct {
 	state    raftpb.HardState
 	snapshot raftpb.Snapshot
@@ -15,29 +16,29 @@
 	writes   int
 }
 
-// Save persists what Ready gives it.
-func (m *MemoryStorage) Save(p PersistentState) error {
+// Save stores an update of the persistent state. It is meant to be the persist function of Replica.Ready.
+func (m *MemoryStorage) Save(saved PersistentState) error {
 	m.writes++
-	if !raft.IsEmptyHardState(p.State) {
-		m.state = p.State
+	if !raft.IsEmptyHardState(saved.State) {
+		m.state = saved.State
 	}
-	if !raft.IsEmptySnap(p.Snapshot) {
-		m.snapshot = p.Snapshot
-		m.drop(func(index uint64) bool { return index <= p.Snapshot.Metadata.Index })
+	if !raft.IsEmptySnap(saved.Snapshot) {
+		m.snapshot = saved.Snapshot
+		m.drop(func(index uint64) bool { return index <= saved.Snapshot.Metadata.Index })
 	}
-	if len(p.Entries) > 0 {
-		m.drop(func(index uint64) bool { return index >= p.Entries[0].Index })
-		m.entries = append(m.entries, p.Entries...)
+	if len(saved.Entries) > 0 {
+		m.drop(func(index uint64) bool { return index >= saved.Entries[0].Index })
+		m.entries = append(m.entries, saved.Entries...)
 	}
 	return nil
 }
 
-// drop removes entries by their index. What Load has returned stays.
-func (m *MemoryStorage) drop(dropped func(index uint64) bool) {
-	m.entries = slices.DeleteFunc(slices.Clone(m.entries), func(e raftpb.Entry) bool { return dropped(e.Index) })
+// drop removes the entries whose index matches. Slices that Load has returned are not modified.
+func (m *MemoryStorage) drop(matches func(index uint64) bool) {
+	m.entries = slices.DeleteFunc(slices.Clone(m.entries), func(e raftpb.Entry) bool { return matches(e.Index) })
 }
 
-// Load is what the next process starts from, nil where nothing was saved.
+// Load returns the state that the next process restores, or nil if nothing was saved.
 func (m *MemoryStorage) Load() *PersistentState {
 	if m.writes == 0 {
 		return nil
--- a/internal/raft/raft_test.go
+++ b/internal/raft/raft_test.go
@@ -115,7 +115,8 @@
 		gaps[len(gaps)-1], both[len(both)/2], both[len(both)-1])
 }
 
-// A voter that has forgotten all comes back under a new id, learns, and takes its old one's place; then another may go.
+// A voter that has forgotten all comes back under a new id, learns, and takes its old one's place; then another may
+// go.
 func TestAForgetfulVoterComesBackAsALearner(t *testing.T) {
 	c := newCluster(t, 1, 3, 3, 2*time.Second)
 	c.run(5*time.Second, nil)
@@ -197,12 +198,12 @@
 	c.run(5*time.Second, nil)
 	leader := c.leader()
 	if got, want := away.node.Status().Applied,
-		leader.node.Status().Applied; want < keepEntries+2*defaultSnapshotEvery || got < want-50 {
+		leader.node.Status().Applied; want < keepEntries+2*defaultSnapshotInterval || got < want-50 {
 		t.Errorf("one that was away has applied %d of %d", got, want)
 	}
 	first, _ := leader.node.storage.FirstIndex()
 	last, _ := leader.node.storage.LastIndex()
-	if last-first > keepEntries+2*defaultSnapshotEvery || len(leader.disk.entries) > 2*defaultSnapshotEvery {
+	if last-first > keepEntries+2*defaultSnapshotInterval || len(leader.disk.entries) > 2*defaultSnapshotInterval {
 		t.Errorf("%d entries in the log, %d kept", last-first, len(leader.disk.entries))
 	}
 	if len(c.wrong) > 0 {
@@ -225,7 +226,7 @@
 	}
 	for name, data := range map[string][]byte{
 		"noise":        []byte("\x08\xff\xff\xff"),
-		"too large":    make([]byte, 2*maxMessage+1),
+		"too large":    make([]byte, 2*maxMessageBytes+1),
 		"to another":   word(raftpb.Message{Type: raftpb.MsgHeartbeat, From: 2, To: 3, Term: 99}),
 		"from another": word(raftpb.Message{Type: raftpb.MsgHeartbeat, From: 3, To: 1, Term: 99}),
 		"a local one":  word(raftpb.Message{Type: raftpb.MsgHup, From: 2, To: 1}),
@@ -267,7 +268,7 @@
 	tick := func() []Message {
 		now += TickInterval
 		nodes[1].Tick(now)
-		out, err := nodes[1].Take(keep)
+		out, err := nodes[1].ProcessReady(keep)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -277,8 +278,8 @@
 	for len(post) == 0 {
 		post = tick()
 	}
-	for nodes[1].silentTicks < electionTicks+1 { // before it campaigns again
-		if tick(); nodes[1].silentTicks == 0 {
+	for nodes[1].ticksSinceLeaderMessage < electionTicks+1 { // before it campaigns again
+		if tick(); nodes[1].ticksSinceLeaderMessage == 0 {
 			t.Fatal("this seed's patience is too short")
 		}
 	}
@@ -291,7 +292,7 @@
 		if err := to.Step(now, from[string(post[0].Data)], post[0].Data); err != nil {
 			t.Fatal(err)
 		}
-		out, err := to.Take(keep)
+		out, err := to.ProcessReady(keep)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/raft/ready.go
+++ b/internal/raft/ready.go
@@ -9,22 +9,23 @@
 )
 
 const (
-	// defaultSnapshotEvery is how many entries are applied between two snapshots.
-	defaultSnapshotEvery = 1000
-	// keptIntervals is how many intervals' entries stay in the log after a snapshot, for followers that lag.
-	keptIntervals = 2
+	// defaultSnapshotInterval is the default number of entries applied between two snapshots.
+	defaultSnapshotInterval = 1000
+	// retainedIntervals is the number of snapshot intervals whose entries remain in the log after a snapshot, so that
+	// lagging followers can catch up without a snapshot.
+	retainedIntervals = 2
 )
 
-// Ready does all that is ready, and returns the messages to be sent. What has to be persisted is given to persist
-// before anything that rests on it comes out; if persist fails this voter takes no more part, for what it has said
-// would not be found again.
+// Ready processes everything that raft has ready and returns the messages to send. It calls persist with new state
+// before it returns messages or applies entries that depend on that state. If persist fails, this replica stops
+// permanently: after a restart it could not restore the votes and acknowledgements that it has sent.
 func (r *Replica) Ready(persist func(PersistentState) error) (messages []Message, err error) {
-	if r.initial != nil && !r.failed {
-		if err := persist(*r.initial); err != nil {
+	if r.initialState != nil && !r.failed {
+		if err := persist(*r.initialState); err != nil {
 			r.failed = true
-			return nil, failed(err)
+			return nil, wrapFailure(err)
 		}
-		r.initial = nil
+		r.initialState = nil
 	}
 	for !r.failed && r.node.HasReady() {
 		ready := r.node.Ready()
@@ -32,21 +33,22 @@
 			state := PersistentState{State: ready.HardState, Entries: ready.Entries, Snapshot: ready.Snapshot}
 			if err := persist(state); err != nil {
 				r.failed = true
-				return nil, failed(err)
+				return nil, wrapFailure(err)
 			}
 		}
-		if messages, err = r.process(ready, messages); err != nil {
+		if messages, err = r.processReady(ready, messages); err != nil {
 			r.failed = true
 			return nil, err
 		}
 		r.node.Advance(ready)
-		r.noteLeadership()
+		r.updateLeadership()
 	}
 	return messages, r.compact(persist)
 }
 
-// process takes what is ready into the storage and the machine, and appends the messages to be sent.
-func (r *Replica) process(ready raft.Ready, messages []Message) ([]Message, error) {
+// processReady stores what raft has ready, applies the committed entries to the state machine, and appends the
+// messages to send to messages.
+func (r *Replica) processReady(ready raft.Ready, messages []Message) ([]Message, error) {
 	if err := r.store(ready); err != nil {
 		return nil, err
 	}
@@ -54,11 +56,11 @@
 		m := &ready.Messages[i]
 		data, err := m.Marshal()
 		if err != nil {
-			return nil, fmt.Errorf("raft: message: %w", err)
+			return nil, fmt.Errorf("raft: encoding a message: %w", err)
 		}
 		messages = append(messages, Message{To: m.To, Data: data})
 		if m.Type == raftpb.MsgSnap {
-			r.node.ReportSnapshot(m.To, raft.SnapshotFinish) // whether it came shows in what is answered
+			r.node.ReportSnapshot(m.To, raft.SnapshotFinish) // the follower's responses show whether it arrived
 		}
 	}
 	for i := range ready.CommittedEntries {
@@ -69,11 +71,11 @@
 	return messages, nil
 }
 
-// store takes what was persisted into the storage that raft reads.
+// store copies what was persisted to the in-memory storage that raft reads.
 func (r *Replica) store(ready raft.Ready) error {
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		if err := r.storage.ApplySnapshot(ready.Snapshot); err != nil {
-			return fmt.Errorf("raft: snapshot: %w", err)
+			return fmt.Errorf("raft: storing a snapshot: %w", err)
 		}
 		if err := r.installSnapshot(ready.Snapshot); err != nil {
 			return err
@@ -81,17 +83,17 @@
 	}
 	if !raft.IsEmptyHardState(ready.HardState) {
 		if err := r.storage.SetHardState(ready.HardState); err != nil {
-			return fmt.Errorf("raft: state: %w", err)
+			return fmt.Errorf("raft: storing the hard state: %w", err)
 		}
 	}
 	if err := r.storage.Append(ready.Entries); err != nil {
-		return fmt.Errorf("raft: entries: %w", err)
+		return fmt.Errorf("raft: storing log entries: %w", err)
 	}
 	return nil
 }
 
-// errOldConfChange is a change of voters that no voter of this program makes.
-var errOldConfChange = errors.New("raft: a change of voters of the old form")
+// errConfChangeV1 is returned for a membership change in raft's old form, which this program never proposes.
+var errConfChangeV1 = errors.New("raft: unsupported V1 membership change in the log")
 
 func (r *Replica) apply(e *raftpb.Entry) error {
 	r.applied = e.Index
@@ -99,24 +101,24 @@
 	case e.Type == raftpb.EntryConfChangeV2:
 		var change raftpb.ConfChangeV2
 		if err := change.Unmarshal(e.Data); err != nil {
-			return fmt.Errorf("raft: change of voters: %w", err)
+			return fmt.Errorf("raft: decoding a membership change: %w", err)
 		}
 		r.members = *r.node.ApplyConfChange(change)
 		r.membersChanged = true
 	case e.Type == raftpb.EntryConfChange:
-		return errOldConfChange
+		return errConfChangeV1
 	case len(e.Data) > 0: // a new leader's first entry is empty
 		if err := r.machine.Apply(Entry{Index: e.Index, Term: e.Term, Data: e.Data}); err != nil {
-			return fmt.Errorf("raft: command: %w", err)
+			return fmt.Errorf("raft: applying a command: %w", err)
 		}
 	}
 	return nil
 }
 
-// compact has the log begin later, where it has grown; and after each change of the voters, for who is new takes no
-// snapshot that does not know it.
+// compact takes a snapshot and discards old entries, after each snapshot interval and after each membership change: a
+// new member rejects a snapshot whose configuration does not include it.
 func (r *Replica) compact(persist func(PersistentState) error) error {
-	if r.failed || !r.membersChanged && r.applied < r.lastSnapshot+r.snapshotEvery {
+	if r.failed || !r.membersChanged && r.applied < r.lastSnapshot+r.snapshotInterval {
 		return nil
 	}
 	r.membersChanged = false
@@ -130,12 +132,12 @@
 	}
 	if err != nil {
 		r.failed = true
-		return failed(err)
+		return wrapFailure(err)
 	}
 	r.lastSnapshot = r.applied
-	kept := keptIntervals * r.snapshotEvery
-	if first, _ := r.storage.FirstIndex(); r.applied > kept && r.applied-kept >= first {
-		_ = r.storage.Compact(r.applied - kept) // within what is there
+	retained := retainedIntervals * r.snapshotInterval
+	if first, _ := r.storage.FirstIndex(); r.applied > retained && r.applied-retained >= first {
+		_ = r.storage.Compact(r.applied - retained) // cannot fail: the index is within the log
 	}
 	return nil
 }
--- a/internal/raft/replica.go
+++ b/internal/raft/replica.go
@@ -15,28 +15,30 @@
 )
 
 const (
-	// TickInterval is how often Tick is to be called.
+	// TickInterval is the interval at which the caller must call Tick.
 	TickInterval = 100 * time.Millisecond
-	// electionTicks without a leader's message are the least before a voter campaigns; each waits up to twice that.
+	// electionTicks is the minimum number of ticks without a leader's message after which a voter starts an election.
+	// Each voter waits a random time from this up to twice as long.
 	electionTicks = 10
-	// maxMessage is how many bytes a message has at most, beside a snapshot.
-	maxMessage = 1 << 20
-	// maxInFlight bounds the messages to one follower that have no answer yet.
+	// maxMessageBytes bounds the uncommitted entries of a leader, in bytes. An append message carries up to a quarter
+	// of it. A received message may take up to twice as much, plus Config.MaxSnapshot.
+	maxMessageBytes = 1 << 20
+	// maxInFlight is the maximum number of unanswered append messages to one follower.
 	maxInFlight = 64
 )
 
-// StateMachine is what a log replicates. The same entries in the same order give the same state at each replica.
+// StateMachine is the state that a log replicates. It is deterministic: the same entries in the same order result in
+// the same state at each replica.
 type StateMachine interface {
-	// Apply applies one committed entry. An error means that the entry can be no command at all: the voter takes
-	// no more part.
+	// Apply applies one committed entry. An error means that the entry is not a command; the replica stops.
 	Apply(Entry) error
 	// Snapshot encodes the state.
 	Snapshot() ([]byte, error)
-	// Restore takes an encoded state in place of its own; with an error nothing has changed.
+	// Restore replaces the state by an encoded one. If it returns an error, the state is unchanged.
 	Restore(data []byte) error
-	// Validate reports whether Restore would take it.
+	// Validate returns the error that Restore would return, without changing the state.
 	Validate(data []byte) error
-	// LeadershipChanged is told when this voter begins and ceases to lead.
+	// LeadershipChanged is called when this replica becomes the leader and when it no longer is.
 	LeadershipChanged(now time.Duration, leads bool)
 }
 
@@ -46,50 +48,50 @@
 	Data        []byte
 }
 
-// Message is one to be sent.
+// Message is an encoded raft message to send to another replica.
 type Message struct {
 	To   uint64
 	Data []byte
 }
 
-// Replica is that of one voter, or of a learner.
+// Replica is one member's copy of a replicated log and of its state machine. The member is a voter or a learner.
 type Replica struct {
-	id            uint64
-	node          *raft.RawNode
-	storage       *raft.MemoryStorage
-	rng           *rand.Rand
-	machine       StateMachine
-	members       raftpb.ConfState
-	applied       uint64 // index
-	lastSnapshot  uint64 // applied index of it
-	maxMessage    int    // bytes, with a snapshot
-	snapshotEvery uint64 // entries between two snapshots
+	id               uint64
+	node             *raft.RawNode
+	storage          *raft.MemoryStorage
+	rng              *rand.Rand
+	machine          StateMachine
+	members          raftpb.ConfState
+	applied          uint64 // index of the last applied entry
+	lastSnapshot     uint64 // index of the last entry in the last snapshot
+	maxMessageBytes  int    // maximum size of a received message, with a snapshot
+	snapshotInterval uint64 // entries between two snapshots
 
-	now             time.Duration
-	silentTicks     int // without a leader's message
-	electionTimeout int // ticks of silence until it campaigns
-	leading         bool
-	failed          bool
-	membersChanged  bool             // since the last snapshot
-	initial         *PersistentState // of the first start, to be persisted before anything else
+	now                     time.Duration
+	ticksSinceLeaderMessage int // ticks since the last message of a leader
+	electionTimeoutTicks    int // ticks without a leader's message until it starts an election
+	leading                 bool
+	failed                  bool
+	membersChanged          bool             // since the last snapshot
+	initialState            *PersistentState // of a new log, persisted before anything else; nil afterwards
 
-	replacements map[uint64]uint64 // by learner: whom it replaces once it has caught up
+	replacements map[uint64]uint64 // by learner id: the voter that it replaces once it has caught up
 }
 
-// NewReplica starts a voter, or a learner, whose log is applied to a machine that is empty.
+// NewReplica starts a replica. machine must be empty; the restored state and the log are applied to it.
 func NewReplica(cfg Config, machine StateMachine, now time.Duration) (*Replica, error) {
-	if err := cfg.check(); err != nil {
+	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
 	r := &Replica{
-		id:            cfg.ID,
-		storage:       raft.NewMemoryStorage(),
-		rng:           rand.New(rand.NewPCG(cfg.Seed, cfg.ID)),
-		machine:       machine,
-		now:           now,
-		maxMessage:    2*maxMessage + cfg.MaxSnapshot,
-		snapshotEvery: uint64(cmp.Or(cfg.SnapshotEvery, defaultSnapshotEvery)),
-		replacements:  make(map[uint64]uint64),
+		id:               cfg.ID,
+		storage:          raft.NewMemoryStorage(),
+		rng:              rand.New(rand.NewPCG(cfg.Seed, cfg.ID)),
+		machine:          machine,
+		now:              now,
+		maxMessageBytes:  2*maxMessageBytes + cfg.MaxSnapshot,
+		snapshotInterval: uint64(cmp.Or(cfg.SnapshotEvery, defaultSnapshotInterval)),
+		replacements:     make(map[uint64]uint64),
 	}
 	if err := r.restore(cfg); err != nil {
 		return nil, err
@@ -101,9 +103,9 @@
 		HeartbeatTick:             1,
 		Storage:                   r.storage,
 		Applied:                   r.applied,
-		MaxSizePerMsg:             maxMessage / 4,
+		MaxSizePerMsg:             maxMessageBytes / 4,
 		MaxInflightMsgs:           maxInFlight,
-		MaxUncommittedEntriesSize: maxMessage,
+		MaxUncommittedEntriesSize: maxMessageBytes,
 		CheckQuorum:               true,
 		PreVote:                   true,
 		DisableProposalForwarding: true,
@@ -111,22 +113,22 @@
 		Logger:                    discardLogger(),
 	})
 	if err != nil {
-		return nil, fault(ErrConfig, "%w", err)
+		return nil, newError(ErrConfig, "%w", err)
 	}
 	r.resetElectionTimer()
 	return r, nil
 }
 
-// discardLogger is raft's logger: what it has to say is in the status.
+// discardLogger returns a logger for raft that discards its output. Status reports the same information.
 func discardLogger() raft.Logger { return &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)} }
 
-// resetElectionTimer draws how long this voter waits for a leader's message. Raft's own draw would be another in
-// each run of the same seed.
+// resetElectionTimer restarts the wait for a leader's message with a new random timeout. The random timeout of the
+// raft library is not used because it differs between runs with the same seed.
 func (r *Replica) resetElectionTimer() {
-	r.silentTicks, r.electionTimeout = 0, electionTicks+r.rng.IntN(electionTicks)
+	r.ticksSinceLeaderMessage, r.electionTimeoutTicks = 0, electionTicks+r.rng.IntN(electionTicks)
 }
 
-// Tick is to be called every TickInterval.
+// Tick advances the election and heartbeat timers. The caller must call it every TickInterval.
 func (r *Replica) Tick(now time.Duration) {
 	if r.failed {
 		return
@@ -138,9 +140,9 @@
 		return
 	}
 	r.node.TickQuiesced()
-	if r.silentTicks++; r.silentTicks >= r.electionTimeout && r.isVoter() {
+	if r.ticksSinceLeaderMessage++; r.ticksSinceLeaderMessage >= r.electionTimeoutTicks && r.isVoter() {
 		r.resetElectionTimer()
-		_ = r.node.Campaign() // raft refuses where it may not
+		_ = r.node.Campaign() // raft ignores it if this voter may not start an election
 	}
 }
 
@@ -149,7 +151,8 @@
 	return slices.Contains(r.members.Voters, r.id) || slices.Contains(r.members.VotersOutgoing, r.id)
 }
 
-// Step takes a message. What cannot be read, or is not for this voter, is an ErrMessage and changes nothing.
+// Step processes a received message. It returns an ErrMessage, and changes nothing, if the message cannot be decoded
+// or is not addressed to this replica.
 func (r *Replica) Step(now time.Duration, from uint64, data []byte) error {
 	if r.failed {
 		return ErrFailed
@@ -170,31 +173,31 @@
 	return nil
 }
 
-// decode reads a message and holds it to what another voter may send.
+// decode decodes a message and verifies that another member may send it.
 func (r *Replica) decode(from uint64, data []byte) (m raftpb.Message, err error) {
-	if len(data) > r.maxMessage {
-		return m, fault(ErrMessage, "a message of %d bytes, %d at most", len(data), r.maxMessage)
+	if len(data) > r.maxMessageBytes {
+		return m, newError(ErrMessage, "message of %d bytes exceeds the maximum of %d bytes", len(data), r.maxMessageBytes)
 	}
 	if err := m.Unmarshal(data); err != nil {
-		return m, fault(ErrMessage, "message: %w", err)
+		return m, newError(ErrMessage, "decoding a message: %w", err)
 	}
 	switch {
 	case m.From != from || m.To != r.id:
-		return m, fault(ErrMessage, "a message of %d to %d came from %d to %d", m.From, m.To, from, r.id)
+		return m, newError(ErrMessage, "message from %d to %d was received from %d by %d", m.From, m.To, from, r.id)
 	case raft.IsLocalMsg(m.Type) || m.Type == raftpb.MsgProp:
-		return m, fault(ErrMessage, "a message of kind %v from another", m.Type)
+		return m, newError(ErrMessage, "message type %v is not allowed from another member", m.Type)
 	case m.Type == raftpb.MsgSnap && m.Snapshot == nil:
-		return m, fault(ErrMessage, "a snapshot without one")
+		return m, newError(ErrMessage, "snapshot message without a snapshot")
 	case m.Type == raftpb.MsgSnap:
 		return m, r.machine.Validate(m.Snapshot.Data)
 	}
 	return m, nil
 }
 
-// CheckLeader reports why nothing can be proposed here, or nil.
+// CheckLeader returns nil if this replica leads and can accept proposals, and otherwise ErrFailed or ErrNotLeader.
 func (r *Replica) CheckLeader(now time.Duration) error {
 	r.now = max(r.now, now)
-	r.noteLeadership()
+	r.updateLeadership()
 	switch {
 	case r.failed:
 		return ErrFailed
@@ -204,7 +207,8 @@
 	return nil
 }
 
-// Propose puts a command into the log. The machine applies it once most voters have it, or never does.
+// Propose appends a command to the log. The state machine applies it once a majority of the voters has it; a command
+// that is lost is never applied.
 func (r *Replica) Propose(now time.Duration, data []byte) error {
 	if err := r.CheckLeader(now); err != nil {
 		return err
@@ -215,38 +219,38 @@
 	return nil
 }
 
-// noteLeadership notes when this voter begins and ceases to lead.
-func (r *Replica) noteLeadership() {
-	leads := r.node.BasicStatus().RaftState == raft.StateLeader
-	if leads == r.leading {
+// updateLeadership detects whether this replica has gained or lost leadership and notifies the state machine.
+func (r *Replica) updateLeadership() {
+	isLeader := r.node.BasicStatus().RaftState == raft.StateLeader
+	if isLeader == r.leading {
 		return
 	}
-	if !leads {
+	if !isLeader {
 		clear(r.replacements)
 	}
-	r.leading = leads
-	r.machine.LeadershipChanged(r.now, leads)
+	r.leading = isLeader
+	r.machine.LeadershipChanged(r.now, isLeader)
 }
 
-// Status is what operators and other gateways are told.
+// Status is the status of a replica, for operators and other gateways.
 type Status struct {
-	ID, Leader       uint64 // Leader is 0 where none is known
+	ID, Leader       uint64 // Leader is 0 if unknown
 	IsLeader         bool
-	Quorum           bool // a leader is known and heard of lately; one that hears no majority leads no more
+	Quorum           bool // a leader is known and has sent a message recently; a leader without a majority steps down
 	Term, Applied    uint64
 	Voters, Learners []uint64
 	Failed           bool
 }
 
-// Status tells how this replica stands.
+// Status returns the status of this replica.
 func (r *Replica) Status() Status {
 	b := r.node.BasicStatus()
-	leads := b.RaftState == raft.StateLeader
+	isLeader := b.RaftState == raft.StateLeader
 	return Status{
 		ID:       r.id,
 		Leader:   b.Lead,
-		IsLeader: leads,
-		Quorum:   leads || b.Lead != 0 && r.silentTicks < electionTicks,
+		IsLeader: isLeader,
+		Quorum:   isLeader || b.Lead != 0 && r.ticksSinceLeaderMessage < electionTicks,
 		Term:     b.Term,
 		Applied:  r.applied,
 		Voters:   slices.Clone(r.members.Voters),
--- a/internal/raft/restore.go
+++ b/internal/raft/restore.go
@@ -9,35 +9,38 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// PersistentState is all that a voter has to find again after a restart. Without it the voter has forgotten its vote
-// and must not use its id again.
+// PersistentState is everything that a replica must restore after a restart. A replica that has lost it no longer
+// knows its vote and must not use its id again.
 type PersistentState struct {
 	State    raftpb.HardState
 	Snapshot raftpb.Snapshot
 	Entries  []raftpb.Entry
 }
 
-// Config is what a voter starts from.
+// Config configures a replica.
 type Config struct {
-	// ID is above 0; a process that has nothing restored needs one that was never used.
+	// ID is greater than 0. A process without Restored state needs an id that was never used before.
 	ID uint64
-	// Voters of the first start of all: the same at each, and none for one that is to be admitted.
+	// Voters are the initial voters of the cluster: the same at every initial member, and empty at a member that is
+	// added later.
 	Voters []uint64
-	// Learners of the first start of all: they have the log and do not vote.
+	// Learners are the initial members of the cluster that receive the log and do not vote.
 	Learners []uint64
-	// Restored is what the process before has persisted, or nil.
+	// Restored is the state that the previous process persisted, or nil.
 	Restored *PersistentState
-	Seed     uint64
-	// MaxSnapshot is how many bytes a machine's snapshot may have beyond an ordinary message.
+	Seed     uint64 // of the random election timeouts
+	// MaxSnapshot is the number of bytes by which a message with a snapshot may exceed the size of other messages.
 	MaxSnapshot int
-	// SnapshotEvery so many applied entries, of which twice as many are kept; 0 is 1,000.
+	// SnapshotEvery is the number of applied entries between two snapshots. Twice as many entries remain in the log.
+	// 0 selects the default of 1,000.
 	SnapshotEvery int
 }
 
-// check holds the first members to their rules: an odd number of voters, nobody twice, and this one among them.
-func (c *Config) check() error {
+// validate checks the id and the initial members: the number of voters is odd, no member is listed twice, and this
+// one is listed.
+func (c *Config) validate() error {
 	if c.ID == 0 || c.ID == math.MaxUint64 {
-		return fault(ErrConfig, "id %d is none", c.ID)
+		return newError(ErrConfig, "invalid id %d", c.ID)
 	}
 	all := slices.Concat(c.Voters, c.Learners)
 	if len(all) == 0 {
@@ -45,13 +48,14 @@
 	}
 	distinct := len(slices.Compact(slices.Sorted(slices.Values(all)))) == len(all)
 	if len(c.Voters)%2 == 0 || !slices.Contains(all, c.ID) || !distinct {
-		return fault(ErrConfig, "voters %v, learners %v: an odd number of voters, each once, with %d among them",
+		return newError(ErrConfig, "voters %v, learners %v: need an odd number of voters, each once, with %d among them",
 			c.Voters, c.Learners, c.ID)
 	}
 	return nil
 }
 
-// restore takes what the process before has persisted, or begins a log with its first voters in it.
+// restore restores the state that the previous process persisted, or starts a log with the initial members. A member
+// that is added later starts empty.
 func (r *Replica) restore(cfg Config) error {
 	switch {
 	case cfg.Restored != nil:
@@ -62,33 +66,36 @@
 	return nil
 }
 
-func (r *Replica) restoreState(p *PersistentState) error {
-	if !raft.IsEmptySnap(p.Snapshot) {
-		if err := r.storage.ApplySnapshot(p.Snapshot); err != nil {
-			return fault(ErrConfig, "kept snapshot: %w", err)
+func (r *Replica) restoreState(saved *PersistentState) error {
+	if !raft.IsEmptySnap(saved.Snapshot) {
+		if err := r.storage.ApplySnapshot(saved.Snapshot); err != nil {
+			return newError(ErrConfig, "restored snapshot: %w", err)
 		}
-		if err := r.installSnapshot(p.Snapshot); err != nil {
+		if err := r.installSnapshot(saved.Snapshot); err != nil {
 			return err
 		}
 	}
-	if err := r.storage.SetHardState(p.State); err != nil {
-		return fault(ErrConfig, "kept state: %w", err)
+	if err := r.storage.SetHardState(saved.State); err != nil {
+		return newError(ErrConfig, "restored hard state: %w", err)
 	}
-	if last, _ := r.storage.LastIndex(); len(p.Entries) > 0 && p.Entries[0].Index > last+1 {
-		return fault(ErrConfig, "kept entries begin at %d, the log ends at %d", p.Entries[0].Index, last)
+	if last, _ := r.storage.LastIndex(); len(saved.Entries) > 0 && saved.Entries[0].Index > last+1 {
+		return newError(ErrConfig, "gap in the log: restored entries start at %d, the snapshot ends at %d",
+			saved.Entries[0].Index, last)
 	}
-	if err := r.storage.Append(p.Entries); err != nil {
-		return fault(ErrConfig, "kept entries: %w", err)
+	if err := r.storage.Append(saved.Entries); err != nil {
+		return newError(ErrConfig, "restored entries: %w", err)
 	}
 	first, _ := r.storage.FirstIndex()
 	last, _ := r.storage.LastIndex()
-	if committed := p.State.Commit; committed+1 < first || committed > last {
-		return fault(ErrConfig, "kept state is committed to %d, the log is %d to %d", committed, first, last)
+	if committed := saved.State.Commit; committed+1 < first || committed > last {
+		return newError(ErrConfig, "restored hard state is committed to %d, outside the log of %d to %d",
+			committed, first, last)
 	}
 	return nil
 }
 
-// bootstrap begins the log. All begin with the same snapshot: an empty machine and who votes.
+// bootstrap starts the log. All initial members start from the same snapshot, which holds an empty state machine and
+// the initial members.
 func (r *Replica) bootstrap(cfg Config) error {
 	data, err := r.machine.Snapshot()
 	if err != nil {
@@ -101,10 +108,10 @@
 	first := raftpb.Snapshot{
 		Data: data, Metadata: raftpb.SnapshotMetadata{Index: 1, Term: 1, ConfState: members},
 	}
-	r.initial = &PersistentState{State: raftpb.HardState{Term: 1, Commit: 1}, Snapshot: first}
+	r.initialState = &PersistentState{State: raftpb.HardState{Term: 1, Commit: 1}, Snapshot: first}
 	err = r.storage.ApplySnapshot(first)
 	if err == nil {
-		err = r.storage.SetHardState(r.initial.State)
+		err = r.storage.SetHardState(r.initialState.State)
 	}
 	if err != nil {
 		return fmt.Errorf("raft: %w", err)
@@ -112,7 +119,7 @@
 	return r.installSnapshot(first)
 }
 
-// installSnapshot has the machine be what a snapshot says.
+// installSnapshot restores the state machine and the members from a snapshot.
 func (r *Replica) installSnapshot(s raftpb.Snapshot) error {
 	if err := r.machine.Restore(s.Data); err != nil {
 		return fmt.Errorf("raft: %w", err)
