--- a/internal/configdist/codec/frame_test.go
+++ b/internal/configdist/codec/frame_test.go
@@ -9,7 +9,7 @@
 	"thymebend/internal/configdist/content"
 )
 
-const fleet = 7
+const testCluster = 7
 
 func samples() []Message {
 	ref := content.Ref{Term: 3, Number: 9, Hash: content.Hash{1, 2, 3}}
@@ -33,9 +33,9 @@
 	}
 }
 
-// Guards against a field that is encoded and not read back.
-func TestWhatIsWordedIsRead(t *testing.T) {
-	s, r := Sender{Cluster: fleet, Incarnation: 1}, Receiver{Cluster: fleet}
+// Guards against a field that is not encoded, or not decoded, in any kind of message.
+func TestMessagesRoundTrip(t *testing.T) {
+	s, r := Sender{Cluster: testCluster, Incarnation: 1}, Receiver{Cluster: testCluster}
 	var stream []byte
 	for _, m := range samples() {
 		stream = s.Append(stream, m)
@@ -48,81 +48,81 @@
 		stream = stream[used:]
 	}
 	if len(samples()) != int(lastKind) || len(stream) != 0 {
-		t.Errorf("%d kinds, %d bytes left", len(samples()), len(stream))
+		t.Errorf("%d message kinds covered, %d bytes left after the last frame", len(samples()), len(stream))
 	}
 }
 
-// reframe words a frame whose header was changed, with a right checksum if it can have one.
+// reframe returns an encoded frame after a change. The checksum is not recomputed.
 func reframe(change func(b []byte) []byte) []byte {
-	s := Sender{Cluster: fleet, Incarnation: 1}
+	s := Sender{Cluster: testCluster, Incarnation: 1}
 	return change(s.Append(nil, &UnknownSession{Session: 300}))
 }
 
-// Guards against a faulty frame that is taken, or that changes the receiver.
-func TestFaultyFramesAreNamed(t *testing.T) {
+// Guards against an invalid frame that is accepted, gets the wrong error, or changes the receiver.
+func TestFaultyFramesAreRejected(t *testing.T) {
 	set := func(at int, v byte) func([]byte) []byte {
 		return func(b []byte) []byte { b[at] = v; return b }
 	}
-	other := Sender{Cluster: fleet + 1, Incarnation: 1}
-	long := Sender{Cluster: fleet, Incarnation: 1}
-	malformed := Sender{Cluster: fleet, Incarnation: 1}
+	other := Sender{Cluster: testCluster + 1, Incarnation: 1}
+	long := Sender{Cluster: testCluster, Incarnation: 1}
+	malformed := Sender{Cluster: testCluster, Incarnation: 1}
 	for name, c := range map[string]struct {
 		frame []byte
 		want  error
 	}{
-		"nothing":         {nil, ErrTruncated},
-		"half a header":   {reframe(func(b []byte) []byte { return b[:headerSize-1] }), ErrTruncated},
-		"without its end": {reframe(func(b []byte) []byte { return b[:len(b)-1] }), ErrTruncated},
-		"version":         {reframe(set(0, 2)), ErrVersion},
-		"kind 0":          {reframe(set(1, 0)), ErrKind},
-		"kind 99":         {reframe(set(1, 99)), ErrKind},
-		"length":          {reframe(set(2, 1)), ErrTooLong},
-		"a flipped bit":   {reframe(set(headerSize, 0)), ErrChecksum},
-		"another fleet":   {other.Append(nil, &UnknownSession{}), ErrCluster},
-		"a long body": {long.Append(nil, &Subscribe{Services: strings.Split(strings.Repeat("x,", MaxBody), ",")}),
+		"empty":             {nil, ErrTruncated},
+		"half a header":     {reframe(func(b []byte) []byte { return b[:headerSize-1] }), ErrTruncated},
+		"last byte missing": {reframe(func(b []byte) []byte { return b[:len(b)-1] }), ErrTruncated},
+		"version":           {reframe(set(0, 2)), ErrVersion},
+		"kind 0":            {reframe(set(1, 0)), ErrKind},
+		"kind 99":           {reframe(set(1, 99)), ErrKind},
+		"length too large":  {reframe(set(2, 1)), ErrTooLong},
+		"changed body":      {reframe(set(headerSize, 0)), ErrChecksum},
+		"other cluster":     {other.Append(nil, &UnknownSession{}), ErrCluster},
+		"body too long": {long.Append(nil, &Subscribe{Services: strings.Split(strings.Repeat("x,", MaxBody), ",")}),
 			ErrTooLong},
-		"a long reason": {malformed.Append(nil, &Report{State: State{Reason: strings.Repeat("x", MaxReason+1)}}),
+		"reason too long": {malformed.Append(nil, &Report{State: State{Reason: strings.Repeat("x", MaxReason+1)}}),
 			ErrMalformed},
-		"a verdict": {malformed.Append(nil, &Report{State: State{Verdict: lastVerdict + 1}}), ErrMalformed},
+		"unknown verdict": {malformed.Append(nil, &Report{State: State{Verdict: lastVerdict + 1}}), ErrMalformed},
 	} {
-		r := Receiver{Cluster: fleet}
+		r := Receiver{Cluster: testCluster}
 		if m, _, err := r.Receive(c.frame); !errors.Is(err, c.want) || m != nil {
 			t.Errorf("%s: %v, want %v", name, err, c.want)
 		}
-		if r != (Receiver{Cluster: fleet}) {
-			t.Errorf("%s has changed the receiver", name)
+		if r != (Receiver{Cluster: testCluster}) {
+			t.Errorf("%s: the rejected frame changed the receiver", name)
 		}
 	}
 }
 
-// Guards against a frame that is taken twice, or for an earlier process.
-func TestEachFrameIsTakenOnce(t *testing.T) {
-	s, r := Sender{Cluster: fleet, Incarnation: 5}, Receiver{Cluster: fleet}
+// Guards against accepting a frame twice, or from a process before the current one.
+func TestDuplicateFramesAreRejected(t *testing.T) {
+	s, r := Sender{Cluster: testCluster, Incarnation: 5}, Receiver{Cluster: testCluster}
 	var frames [][]byte
 	for range replayWindow + 3 {
 		frames = append(frames, s.Append(nil, &UnknownSession{}))
 	}
-	take := func(frame []byte, want error) {
+	receive := func(frame []byte, want error) {
 		t.Helper()
 		if _, used, err := r.Receive(frame); !errors.Is(err, want) || used != len(frame) {
 			t.Errorf("%v, want %v", err, want)
 		}
 	}
-	take(frames[1], nil)
-	take(frames[0], nil) // overtaken
-	take(frames[0], ErrRepeated)
-	take(frames[1], ErrRepeated)
-	take(frames[replayWindow+2], nil)
-	take(frames[2], ErrRepeated) // too old to know
-	take(frames[3], nil)
-	next, before := Sender{Cluster: fleet, Incarnation: 6}, Sender{Cluster: fleet, Incarnation: 4}
-	take(next.Append(nil, &UnknownSession{}), nil)
-	take(frames[10], ErrRepeated) // of a process before
-	take(before.Append(nil, &UnknownSession{}), ErrRepeated)
+	receive(frames[1], nil)
+	receive(frames[0], nil) // overtaken by frame 1
+	receive(frames[0], ErrRepeated)
+	receive(frames[1], ErrRepeated)
+	receive(frames[replayWindow+2], nil)
+	receive(frames[2], ErrRepeated) // older than the replay window
+	receive(frames[3], nil)
+	next, before := Sender{Cluster: testCluster, Incarnation: 6}, Sender{Cluster: testCluster, Incarnation: 4}
+	receive(next.Append(nil, &UnknownSession{}), nil)
+	receive(frames[10], ErrRepeated) // of an earlier process
+	receive(before.Append(nil, &UnknownSession{}), ErrRepeated)
 }
 
-// Guards against a reader that fails at the fields of a later version.
-func TestLaterFieldsAreSkipped(t *testing.T) {
+// Guards against a reader that rejects a body with additional fields of a later program version.
+func TestUnknownTrailingFieldsAreSkipped(t *testing.T) {
 	body := append((&Offer{Session: 5, Attempt: 3}).appendBody(nil), "more"...)
 	var m Offer
 	r := NewReader(body)
@@ -132,12 +132,12 @@
 }
 
 func FuzzReceive(f *testing.F) {
-	s := Sender{Cluster: fleet, Incarnation: 1}
+	s := Sender{Cluster: testCluster, Incarnation: 1}
 	for _, m := range samples() {
 		f.Add(s.Append(nil, m)[headerSize:], byte(m.Kind()))
 	}
 	f.Fuzz(func(t *testing.T, body []byte, kind byte) {
-		r := Receiver{Cluster: fleet}
+		r := Receiver{Cluster: testCluster}
 		_, _, _ = r.Receive(body)
 		m := newMessage(Kind(kind))
 		if m == nil {
@@ -147,11 +147,11 @@
 		if m.readBody(reader); reader.Err() != nil {
 			return
 		}
-		// What was read can be worded and read again.
-		again := newMessage(Kind(kind))
+		// A decoded message can be encoded and decoded again without change.
+		decoded := newMessage(Kind(kind))
 		reader = NewReader(m.appendBody(nil))
-		if again.readBody(reader); reader.Err() != nil || !reflect.DeepEqual(m, again) {
-			t.Fatalf("%v\n%+v\n%+v", reader.Err(), m, again)
+		if decoded.readBody(reader); reader.Err() != nil || !reflect.DeepEqual(m, decoded) {
+			t.Fatalf("%v\n%+v\n%+v", reader.Err(), m, decoded)
 		}
 	})
 }
--- a/internal/configdist/content/tree_test.go
+++ b/internal/configdist/content/tree_test.go
@@ -29,11 +29,11 @@
 		put(Service, "b", "b", "y"))
 }
 
-// Guards against a faulty change that is taken in part, or whose field is not named.
-func TestFaultyChangesAreNamedAndChangeNothing(t *testing.T) {
+// Guards against an invalid proposal that is applied in part, or whose error does not name the change and the field.
+func TestInvalidChangesAreReportedAndNotApplied(t *testing.T) {
 	tree := sample(t)
 	before := tree.Hash()
-	good := put(Tenant, "a", "t2", "")
+	valid := put(Tenant, "a", "t2", "")
 	for name, c := range map[string]struct {
 		change Change
 		want   error
@@ -42,19 +42,20 @@
 		"route of no service":     {put(Route, "c", "r", ""), ErrUnknownService, "service"},
 		"tenant of no service":    {put(Tenant, "c", "t", ""), ErrUnknownService, "service"},
 		"service under a route":   {remove(Service, "a", "a"), ErrServiceInUse, "service"},
-		"removal of nothing":      {remove(Route, "a", "r9"), ErrNotPresent, "name"},
+		"removal of no entry":     {remove(Route, "a", "r9"), ErrNotPresent, "name"},
 		"removal in no service":   {remove(Service, "z", "z"), ErrNotPresent, "name"},
-		"no name":                 {put(Route, "a", "", ""), ErrBadName, "name"},
-		"a space":                 {put(Route, "a", "r 1", ""), ErrBadName, "name"},
-		"long service":            {put(Route, strings.Repeat("a", MaxName+1), "r", ""), ErrBadName, "service"},
+		"empty name":              {put(Route, "a", "", ""), ErrBadName, "name"},
+		"space in a name":         {put(Route, "a", "r 1", ""), ErrBadName, "name"},
+		"service name too long":   {put(Route, strings.Repeat("a", MaxName+1), "r", ""), ErrBadName, "service"},
 		"service of another name": {put(Service, "a", "b", ""), ErrBadName, "name"},
 		"kind 0":                  {put(0, "a", "r", ""), ErrBadKind, "kind"},
 		"kind 9":                  {put(9, "a", "r", ""), ErrBadKind, "kind"},
-		"long body":               {put(Route, "a", "r", strings.Repeat("x", MaxBody+1)), ErrTooLarge, "body"},
+		"body too long":           {put(Route, "a", "r", strings.Repeat("x", MaxBody+1)), ErrTooLarge, "body"},
 	} {
-		got, err := tree.Apply([]Change{good, c.change})
-		var at *ChangeError
-		if !errors.Is(err, c.want) || !errors.As(err, &at) || at.Field != c.field || at.Index != 1 || got != nil {
+		got, err := tree.Apply([]Change{valid, c.change})
+		var changeErr *ChangeError
+		if !errors.Is(err, c.want) || !errors.As(err, &changeErr) || changeErr.Field != c.field ||
+			changeErr.Index != 1 || got != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -62,11 +63,11 @@
 		t.Errorf("too many changes: %v", err)
 	}
 	if tree.Hash() != before || tree.Len() != 4 {
-		t.Errorf("the tree has changed")
+		t.Errorf("rejected changes modified the tree")
 	}
 }
 
-// Guards against replicas whose hashes differ for the same content.
+// Guards against replicas whose hashes differ for the same content, and equal hashes of different content.
 func TestEqualContentHasEqualHashes(t *testing.T) {
 	a := sample(t)
 	b := mustApply(t, Empty(), put(Service, "b", "b", "y"))
@@ -79,16 +80,16 @@
 		t.Error("equal content, different hashes")
 	}
 	if moved := mustApply(t, a, remove(Tenant, "a", "t1"), put(Route, "a", "t1", "1")); moved.Hash() == a.Hash() {
-		t.Error("a tenant that has become a route has the same hash")
+		t.Error("a tenant replaced by a route of the same name has the same hash")
 	}
 	if scope := a.Scope([]string{"b", "nothing"}); scope.Hash() != a.ScopeHash([]string{"b", "nothing"}) ||
 		scope.Len() != 1 {
-		t.Errorf("scope of %d entries", scope.Len())
+		t.Errorf("scope of %d entries, wanted 1, or its hash differs from ScopeHash", scope.Len())
 	}
 }
 
-// Pages of any size lead from one tree to the other, of the services that are asked for and no others.
-func TestPagesLeadFromOneTreeToTheOther(t *testing.T) {
+// Verifies that the pages of any size transform one tree into the other, for the requested services only.
+func TestPagesTransformOneTreeIntoTheOther(t *testing.T) {
 	a := sample(t)
 	for i := range 40 {
 		a = mustApply(t, a, put(Tenant, "a", fmt.Sprint("u", i), "old"))
@@ -118,9 +119,9 @@
 		}
 	}
 	if got := Affected(a, b); fmt.Sprint(got) != "[a b c]" {
-		t.Errorf("touched %v", got)
+		t.Errorf("unexpected affected services %v", got)
 	}
 	if got := Affected(a, mustApply(t, a, put(Service, "b", "b", "z"))); fmt.Sprint(got) != "[b]" {
-		t.Errorf("touched %v", got)
+		t.Errorf("unexpected affected services %v", got)
 	}
 }
--- a/internal/lease/encoding_test.go
+++ b/internal/lease/encoding_test.go
@@ -6,24 +6,24 @@
 	"testing"
 )
 
-// The encoded form is stored and sent: a renamed Go field must not change it.
+// Guards against a change of the encoded form, which is stored and sent, for example when a Go field is renamed.
 func TestEncodedFormIsPinned(t *testing.T) {
 	command := Command{Kind: Renew, Client: "a", Incarnation: 1, Seq: 2, Lease: "d", Slots: 1, Duration: 3 * second,
 		FencingToken: 4, At: 5}
 	const encoded = `{"Kind":2,"Client":"a","Start":1,"Seq":2,"Duty":"d","Places":1,` +
 		`"Lease":3000000000,"Fence":4,"At":5}`
-	raw, err := json.Marshal(command)
-	if err != nil || string(raw) != encoded {
-		t.Errorf("%v\n%s\n%s", err, raw, encoded)
+	encodedCommand, err := json.Marshal(command)
+	if err != nil || string(encodedCommand) != encoded {
+		t.Errorf("%v\n%s\n%s", err, encodedCommand, encoded)
 	}
-	var read Command
-	if err := json.Unmarshal(raw, &read); err != nil || read != command {
-		t.Errorf("%v: %+v", err, read)
+	var decoded Command
+	if err := json.Unmarshal(encodedCommand, &decoded); err != nil || decoded != command {
+		t.Errorf("%v: %+v", err, decoded)
 	}
 	tab := NewTable()
-	tab.Apply(ask("a", 1, second))
+	tab.Apply(acquireCommand("a", 1, second))
 	for i, client := range []string{"b", "c"} {
-		c := ask(client, 1, 2*second)
+		c := acquireCommand(client, 1, 2*second)
 		c.Incarnation, c.Slots = uint64(i+2), i+1
 		tab.Apply(c)
 	}
@@ -43,10 +43,10 @@
 		if got, err := tab.Snapshot(); err != nil || string(got) != want {
 			t.Errorf("%v\n%s\n%s", err, got, want)
 		}
-		if again, err := Restore([]byte(want)); err != nil {
+		if restored, err := Restore([]byte(want)); err != nil {
 			t.Error(err)
-		} else if got, _ := again.Snapshot(); string(got) != want {
-			t.Errorf("read back\n%s\n%s", got, want)
+		} else if got, _ := restored.Snapshot(); string(got) != want {
+			t.Errorf("snapshot after Restore\n%s\nwant\n%s", got, want)
 		}
 	}
 	compare(`{"version":1,"now_ns":2000000000,"swept_ns":0,"fence":1,` + held + `,"clients":[` + granted + `,` +
@@ -56,8 +56,8 @@
 		others + `]}`)
 }
 
-// Callers can tell the causes apart.
-func TestFaultsCanBeMatched(t *testing.T) {
+// Verifies that errors.Is matches errors with their exported kinds.
+func TestErrorsMatchTheirKinds(t *testing.T) {
 	client := NewClient("a", 1)
 	if err := client.SetRequests(0, []Request{{"d", 0, second}}); !errors.Is(err, ErrCommand) {
 		t.Error(err)
--- a/internal/lease/shard_test.go
+++ b/internal/lease/shard_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Shards are even to one, and few move where somebody comes.
+// Verifies that shards are evenly distributed and that few move when a member joins.
 func TestShardsAreAssignedEvenly(t *testing.T) {
 	var shards, living []string
 	for i := range 1000 {
@@ -14,17 +14,17 @@
 	for i := range 30 {
 		living = append(living, fmt.Sprint("g", i))
 	}
-	count := func(of map[string]string) map[string]int {
+	countByMember := func(assignment map[string]string) map[string]int {
 		n := make(map[string]int)
-		for _, m := range of {
+		for _, m := range assignment {
 			n[m]++
 		}
 		return n
 	}
 	before, after := AssignShards(shards, living), AssignShards(shards, append(living[:29:29], "new", "g29"))
-	for m, n := range count(before) {
+	for m, n := range countByMember(before) {
 		if n < 20 || n > 34 {
-			t.Errorf("%s has %d of 1000 shards", m, n)
+			t.Errorf("%s has %d of 1000 shards, wanted 20 to 34", m, n)
 		}
 	}
 	moved := 0
@@ -33,10 +33,10 @@
 			moved++
 		}
 	}
-	if got := count(after)["new"]; got < 20 || moved > 4*got {
-		t.Errorf("the newcomer has %d, and %d moved", got, moved)
+	if got := countByMember(after)["new"]; got < 20 || moved > 4*got {
+		t.Errorf("the new member has %d shards, and %d moved", got, moved)
 	}
 	if len(AssignShards(shards, nil)) != 0 {
-		t.Error("shards of nobody")
+		t.Error("shards were assigned without members")
 	}
 }
--- a/internal/raft/cluster_test.go
+++ b/internal/raft/cluster_test.go
@@ -14,92 +14,94 @@
 	"thymebend/internal/lease"
 )
 
-// disk keeps what a voter gives it, until it is full.
+// disk stores a voter's persistent state, and returns an error if it is full.
 type disk struct {
 	MemoryStorage
 	full bool
 }
 
-func (d *disk) keep(k PersistentState) error {
+func (d *disk) persist(state PersistentState) error {
 	if d.full {
 		return errors.New("no space left")
 	}
-	return d.Save(k)
+	return d.Save(state)
 }
 
-// voter is a process that runs a node, or has ended.
+// voter is a process that runs a node. After the process has ended, node is nil.
 type voter struct {
-	id      uint64
-	node    *Node
-	disk    *disk
-	stopped time.Duration // it stands still until then
-	ticked  time.Duration
+	id          uint64
+	node        *Node
+	disk        *disk
+	pausedUntil time.Duration // the process does nothing until then
+	lastTick    time.Duration
 }
 
-type letter struct {
-	at time.Duration
-	do func()
+// delivery is the arrival of a message at a time, or a restart.
+type delivery struct {
+	dueAt   time.Duration
+	deliver func()
 }
 
-// cluster is voters, clients that ask them, and what lies between.
+// cluster simulates voters, clients that send them commands, and the network between them.
 type cluster struct {
-	t       testing.TB
-	rng     *rand.Rand
-	now     time.Duration
-	voters  map[uint64]*voter
-	first   []uint64
-	post    []letter
-	loss    float64
-	cut     func(from, to uint64) bool // clients are 0
-	clients []*asker
-	wrong   []string
-	highest uint64
-	guard   *lease.Guard
-	effects int
-	last    time.Duration // of an effect
-	gap     time.Duration // longest time without
-	volatil bool          // voters forget all when they end, and come back under the same id: a planted defect
+	t             testing.TB
+	rng           *rand.Rand
+	now           time.Duration
+	voters        map[uint64]*voter
+	initialVoters []uint64
+	network       []delivery
+	loss          float64
+	blocked       func(from, to uint64) bool // whether messages are lost; clients have id 0
+	clients       []*leaseClient
+	violations    []string
+	highestToken  uint64
+	guard         *lease.Guard
+	effects       int
+	lastEffect    time.Duration // time of the last effect
+	longestGap    time.Duration // longest time without an effect
+	losesState    bool          // planted defect: voters restart without their state, under the same id
 }
 
-type asker struct {
+// leaseClient is a lease client that sends its commands to one voter after another.
+type leaseClient struct {
 	*lease.Client
-	n       int
-	at      uint64 // voter that it asks next
-	stopped time.Duration
+	index       int
+	nextVoter   uint64 // index of the voter that it sends the next command to
+	pausedUntil time.Duration
 }
 
-const duty = "sweep"
+const leaseName = "sweep"
 
-// keepEntries is how many entries stay in the log after a snapshot.
-const keepEntries = retainedIntervals * defaultSnapshotInterval
+// retainedEntries is the number of entries that remain in the log after a snapshot.
+const retainedEntries = retainedIntervals * defaultSnapshotInterval
 
 func newCluster(t testing.TB, seed uint64, n, clients int, duration time.Duration) *cluster {
 	c := &cluster{t: t, rng: rand.New(rand.NewPCG(seed, 9)), voters: make(map[uint64]*voter),
-		guard: lease.NewGuard(100), cut: func(uint64, uint64) bool { return false }}
+		guard: lease.NewGuard(100), blocked: func(uint64, uint64) bool { return false }}
 	for id := uint64(1); id <= uint64(n); id++ {
-		c.first = append(c.first, id)
+		c.initialVoters = append(c.initialVoters, id)
 	}
-	for _, id := range c.first {
+	for _, id := range c.initialVoters {
 		c.voters[id] = &voter{id: id, disk: &disk{}}
 		c.start(id)
 	}
 	for i := range clients {
-		a := &asker{Client: lease.NewClient(fmt.Sprint("g", i), 1), n: i}
-		if err := a.SetRequests(0, []lease.Request{{Name: duty, Slots: 1, Duration: duration}}); err != nil {
+		client := &leaseClient{Client: lease.NewClient(fmt.Sprint("g", i), 1), index: i}
+		if err := client.SetRequests(0, []lease.Request{{Name: leaseName, Slots: 1, Duration: duration}}); err != nil {
 			t.Fatal(err)
 		}
-		c.clients = append(c.clients, a)
+		c.clients = append(c.clients, client)
 	}
 	return c
 }
 
 func (c *cluster) start(id uint64) {
 	v := c.voters[id]
-	cfg := Config{ID: id, Voters: c.first, Restored: v.disk.Load(), Seed: c.rng.Uint64()}
-	if !slices.Contains(c.first, id) {
+	cfg := Config{ID: id, Voters: c.initialVoters, Restored: v.disk.Load(), Seed: c.rng.Uint64()}
+	if !slices.Contains(c.initialVoters, id) {
 		cfg.Voters = nil
 	}
-	if c.volatil {
+	if c.losesState {
 		cfg.Restored = nil
 	}
 	var err error
@@ -109,39 +111,40 @@
 }
 
 func (c *cluster) send(from, to uint64, do func()) {
-	if c.cut(from, to) || c.rng.Float64() < c.loss {
+	if c.blocked(from, to) || c.rng.Float64() < c.loss {
 		return
 	}
-	c.post = append(c.post, letter{c.now + time.Millisecond + time.Duration(c.rng.Int64N(int64(20*time.Millisecond))),
+	c.network = append(c.network, delivery{
+		c.now + time.Millisecond + time.Duration(c.rng.Int64N(int64(20*time.Millisecond))),
 		do})
 }
 
-// take does what a voter has ready.
-func (c *cluster) take(v *voter) {
+// processReady processes what a voter has ready, and sends its messages and answers.
+func (c *cluster) processReady(v *voter) {
 	if v.node == nil {
 		return
 	}
-	out, err := v.node.ProcessReady(v.disk.keep)
+	out, err := v.node.ProcessReady(v.disk.persist)
 	if err != nil && !errors.Is(err, ErrFailed) {
 		c.t.Fatal(err)
 	}
 	for _, m := range out.Messages {
 		c.send(v.id, m.To, func() {
-			if to := c.voters[m.To]; to != nil && to.node != nil && c.now >= to.stopped {
+			if to := c.voters[m.To]; to != nil && to.node != nil && c.now >= to.pausedUntil {
 				if err := to.node.Step(c.now, v.id, m.Data); err != nil && !errors.Is(err, ErrFailed) &&
 					!errors.Is(err, raft.ErrStepPeerNotFound) {
 					c.t.Fatalf("at %v: %v", c.now, err)
 				}
-				c.take(to)
+				c.processReady(to)
 			}
 		})
 	}
-	for _, a := range out.Answers {
-		for _, k := range c.clients {
-			if fmt.Sprint("g", k.n) == a.Client {
+	for _, answer := range out.Answers {
+		for _, client := range c.clients {
+			if fmt.Sprint("g", client.index) == answer.Client {
 				c.send(v.id, 0, func() {
-					if c.now >= k.stopped {
-						k.Receive(c.now, a.Seq, a.Answer)
+					if c.now >= client.pausedUntil {
+						client.Receive(c.now, answer.Seq, answer.Answer)
 					}
 				})
 			}
@@ -151,7 +154,7 @@
 
 func (c *cluster) leader() *voter {
 	for _, id := range slices.Sorted(maps.Keys(c.voters)) {
-		if v := c.voters[id]; v.node != nil && c.now >= v.stopped && v.node.Status().IsLeader &&
+		if v := c.voters[id]; v.node != nil && c.now >= v.pausedUntil && v.node.Status().IsLeader &&
 			v.node.Status().Quorum {
 			return v
 		}
@@ -159,115 +162,119 @@
 	return nil
 }
 
-// run lets time pass. each is called every 10 ms.
-func (c *cluster) run(length time.Duration, each func()) {
+// run advances the simulation by a time, in steps of 10 ms. It calls everyStep, if not nil, at the start of each
+// step.
+func (c *cluster) run(length time.Duration, everyStep func()) {
 	for end := c.now + length; c.now < end; c.now += 10 * time.Millisecond {
-		if each != nil {
-			each()
+		if everyStep != nil {
+			everyStep()
 		}
-		kept := c.post[:0]
-		var due []letter
-		for _, l := range c.post {
-			if l.at <= c.now {
-				due = append(due, l)
+		later := c.network[:0]
+		var due []delivery
+		for _, d := range c.network {
+			if d.dueAt <= c.now {
+				due = append(due, d)
 			} else {
-				kept = append(kept, l)
+				later = append(later, d)
 			}
 		}
-		c.post = kept
-		for _, l := range due {
-			l.do()
+		c.network = later
+		for _, d := range due {
+			d.deliver()
 		}
 		for _, id := range slices.Sorted(maps.Keys(c.voters)) {
 			v := c.voters[id]
-			if v.node == nil || c.now < v.stopped {
+			if v.node == nil || c.now < v.pausedUntil {
 				continue
 			}
-			if c.now-v.ticked >= TickInterval {
-				v.ticked = c.now
+			if c.now-v.lastTick >= TickInterval {
+				v.lastTick = c.now
 				v.node.Tick(c.now)
 			}
-			c.take(v)
+			c.processReady(v)
 		}
-		for _, k := range c.clients {
-			if c.now >= k.stopped {
-				c.act(k)
+		for _, client := range c.clients {
+			if c.now >= client.pausedUntil {
+				c.step(client)
 			}
 		}
 	}
 }
 
-// act has a client ask some voter, and do its duty if it may.
-func (c *cluster) act(k *asker) {
-	if cmd, ok := k.NextCommand(c.now); ok {
+// step lets a client send its next command and perform an effect of its task if it holds the lease.
+func (c *cluster) step(client *leaseClient) {
+	if cmd, ok := client.NextCommand(c.now); ok {
 		ids := slices.Sorted(maps.Keys(c.voters))
-		for range ids { // one after another until somebody leads; each try may be lost
-			k.at++
-			to := c.voters[ids[int(k.at)%len(ids)]]
-			if to.node == nil || c.now < to.stopped || c.cut(0, to.id) || !to.node.Status().IsLeader {
+		for range ids { // until a voter is the leader; the message to it may be lost
+			client.nextVoter++
+			to := c.voters[ids[int(client.nextVoter)%len(ids)]]
+			if to.node == nil || c.now < to.pausedUntil || c.blocked(0, to.id) || !to.node.Status().IsLeader {
 				continue
 			}
 			c.send(0, to.id, func() {
-				if to.node != nil && c.now >= to.stopped {
+				if to.node != nil && c.now >= to.pausedUntil {
 					_ = to.node.Propose(c.now, cmd)
-					c.take(to)
+					c.processReady(to)
 				}
 			})
 			break
 		}
 	}
-	fence, ok := k.Token(c.now, duty)
+	token, ok := client.Token(c.now, leaseName)
 	if !ok {
 		return
 	}
-	if !c.guard.Admit(duty, fence) || fence < c.highest {
-		c.wrong = append(c.wrong, fmt.Sprintf("at %v: g%d acts with number %d after %d", c.now, k.n, fence, c.highest))
+	if !c.guard.Admit(leaseName, token) || token < c.highestToken {
+		c.violations = append(c.violations, fmt.Sprintf("at %v: g%d performs an effect with token %d after token %d",
+			c.now, client.index, token, c.highestToken))
 	}
-	c.highest = max(c.highest, fence)
+	c.highestToken = max(c.highestToken, token)
 	c.effects++
-	c.gap = max(c.gap, c.now-c.last)
-	c.last = c.now
-	for _, o := range c.clients {
-		if _, both := o.Token(c.now, duty); both && o != k {
-			c.wrong = append(c.wrong, fmt.Sprintf("at %v: g%d and g%d hold it", c.now, k.n, o.n))
+	c.longestGap = max(c.longestGap, c.now-c.lastEffect)
+	c.lastEffect = c.now
+	for _, other := range c.clients {
+		if _, held := other.Token(c.now, leaseName); held && other != client {
+			c.violations = append(c.violations, fmt.Sprintf("at %v: g%d and g%d both hold the lease",
+				c.now, client.index, other.index))
 		}
 	}
 }
 
-// trouble is what befalls a cluster at random.
-func (c *cluster) trouble(withDisk bool) func() {
-	healed := time.Duration(0)
+// injectFaults returns a function that injects random faults: partitions, paused voters and clients and, if
+// withRestarts, restarted voters.
+func (c *cluster) injectFaults(withRestarts bool) func() {
+	healAt := time.Duration(0)
 	return func() {
 		switch {
-		case c.rng.IntN(300) == 0: // a cut: one voter, one way, or two parts
-			at, how := c.rng.Uint64N(uint64(len(c.first)))+1, c.rng.IntN(3)
-			c.cut = func(from, to uint64) bool {
-				switch how {
+		case c.rng.IntN(300) == 0: // partition: one voter isolated, one voter's sent messages lost, or two parts
+			member, kind := c.rng.Uint64N(uint64(len(c.initialVoters)))+1, c.rng.IntN(3)
+			c.blocked = func(from, to uint64) bool {
+				switch kind {
 				case 0:
-					return from == at || to == at
+					return from == member || to == member
 				case 1:
-					return from == at
+					return from == member
 				}
-				return from != 0 && to != 0 && (from <= at) != (to <= at)
+				return from != 0 && to != 0 && (from <= member) != (to <= member)
 			}
-			healed = c.now + time.Duration(c.rng.Int64N(int64(4*time.Second)))
-		case c.now >= healed && healed > 0:
-			c.cut, healed = func(uint64, uint64) bool { return false }, 0
+			healAt = c.now + time.Duration(c.rng.Int64N(int64(4*time.Second)))
+		case c.now >= healAt && healAt > 0:
+			c.blocked, healAt = func(uint64, uint64) bool { return false }, 0
 		case c.rng.IntN(400) == 0:
-			v := c.voters[c.first[c.rng.IntN(len(c.first))]]
-			v.stopped = c.now + time.Duration(c.rng.Int64N(int64(3*time.Second)))
-		case c.rng.IntN(400) == 0 && withDisk:
-			v := c.voters[c.first[c.rng.IntN(len(c.first))]]
+			v := c.voters[c.initialVoters[c.rng.IntN(len(c.initialVoters))]]
+			v.pausedUntil = c.now + time.Duration(c.rng.Int64N(int64(3*time.Second)))
+		case c.rng.IntN(400) == 0 && withRestarts:
+			v := c.voters[c.initialVoters[c.rng.IntN(len(c.initialVoters))]]
 			v.node = nil
 			id := v.id
-			c.post = append(c.post, letter{c.now + time.Duration(c.rng.Int64N(int64(3*time.Second))), func() {
+			c.network = append(c.network, delivery{c.now + time.Duration(c.rng.Int64N(int64(3*time.Second))), func() {
 				if c.voters[id].node == nil {
 					c.start(id)
 				}
 			}})
 		case c.rng.IntN(300) == 0:
-			k := c.clients[c.rng.IntN(len(c.clients))]
-			k.stopped = c.now + time.Duration(c.rng.Int64N(int64(4*time.Second)))
+			client := c.clients[c.rng.IntN(len(c.clients))]
+			client.pausedUntil = c.now + time.Duration(c.rng.Int64N(int64(4*time.Second)))
 		}
 	}
 }
--- a/internal/raft/raft_test.go
+++ b/internal/raft/raft_test.go
@@ -13,111 +13,115 @@
 	"thymebend/internal/lease"
 )
 
-// Voters that are cut off, stand still, die and come back with what they kept; clients that stand still; a third of
-// all messages lost: never two holders, numbers that only grow, and the duty goes on.
-func TestOneHoldsThroughTroubles(t *testing.T) {
+// Guards against two simultaneous holders, decreasing fencing tokens, and a task that does not continue after the
+// faults. Voters are partitioned, paused and restarted with their persistent state, clients are paused, and up to 30%
+// of the messages are lost.
+func TestSingleHolderUnderFaults(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			c := newCluster(t, seed, 3+2*int(seed%2), 4, 2*time.Second)
 			c.loss = 0.3 * float64(seed%3) / 2
-			c.run(60*time.Second, c.trouble(true))
-			if len(c.wrong) > 0 {
-				t.Fatalf("%s and %d more", c.wrong[0], len(c.wrong)-1)
+			c.run(60*time.Second, c.injectFaults(true))
+			if len(c.violations) > 0 {
+				t.Fatalf("%s; %d more violations", c.violations[0], len(c.violations)-1)
 			}
-			c.loss, c.cut = 0, func(uint64, uint64) bool { return false }
-			for _, id := range c.first {
-				if c.voters[id].stopped = 0; c.voters[id].node == nil {
+			c.loss, c.blocked = 0, func(uint64, uint64) bool { return false }
+			for _, id := range c.initialVoters {
+				if c.voters[id].pausedUntil = 0; c.voters[id].node == nil {
 					c.start(id)
 				}
 			}
 			before := c.effects
 			c.run(10*time.Second, nil)
-			if len(c.wrong) > 0 || c.effects-before < 300 {
-				t.Errorf("%d effects in the last 10 s without troubles, %v", c.effects-before, c.wrong)
+			if len(c.violations) > 0 || c.effects-before < 300 {
+				t.Errorf("%d effects in 10 s without faults, wanted at least 300; violations: %v",
+					c.effects-before, c.violations)
 			}
 		})
 	}
 }
 
-// A voter without a disk that votes again under its old id breaks the promise or the log; that is why it must not.
-func TestAForgottenVoteBreaksThePromise(t *testing.T) {
-	broken := func(seed uint64) (how string) {
+// Verifies why a voter that has lost its state must not vote again under its old id: committed entries are lost, or a
+// safety property of the leases is violated.
+func TestReusedIDWithoutStateViolatesSafety(t *testing.T) {
+	violationOf := func(seed uint64) (violation string) {
 		defer func() {
 			if r := recover(); r != nil {
-				how = fmt.Sprint(r) // raft finds that what was committed is gone
+				violation = fmt.Sprint(r) // raft panics when it detects that a committed entry is missing
 			}
 		}()
 		c := newCluster(t, seed, 3, 4, 2*time.Second)
-		c.volatil = true
-		c.run(60*time.Second, c.trouble(true))
-		if len(c.wrong) > 0 {
-			return c.wrong[0]
+		c.losesState = true
+		c.run(60*time.Second, c.injectFaults(true))
+		if len(c.violations) > 0 {
+			return c.violations[0]
 		}
 		return ""
 	}
-	lost, twice := 0, 0
+	lostEntries, unsafe := 0, 0
 	for seed := range uint64(30) {
-		how := broken(seed)
+		violation := violationOf(seed)
 		switch {
-		case how == "":
-		case strings.Contains(how, "is out of range"):
-			lost++
+		case violation == "":
+		case strings.Contains(violation, "is out of range"):
+			lostEntries++
 		default:
-			if twice++; twice == 1 {
-				t.Logf("seed %d: %s", seed, how)
+			if unsafe++; unsafe == 1 {
+				t.Logf("seed %d: %s", seed, violation)
 			}
 		}
 	}
-	t.Logf("of 30 seeds %d lose what was committed, %d break the promise", lost, twice)
-	if lost+twice == 0 {
-		t.Error("not caught in 30 seeds")
+	t.Logf("of 30 seeds, %d lose committed entries and %d violate lease safety", lostEntries, unsafe)
+	if lostEntries+unsafe == 0 {
+		t.Error("reused ids caused no violation in 30 seeds")
 	}
 }
 
-// The holder dies: another acts within lease, election and a second; and the same where the leader dies with it.
-func TestADutyIsHandedOn(t *testing.T) {
-	const lease = 2 * time.Second
-	var gaps, both []time.Duration
+// Verifies that after the holder of a lease stops, another client performs effects within the lease duration and a
+// second. If the leader dies too, the longest election and another second are added.
+func TestLeaseIsTakenOverWithinBound(t *testing.T) {
+	const leaseDuration = 2 * time.Second
+	var holderGaps, bothGaps []time.Duration
 	for seed := range uint64(100) {
-		c := newCluster(t, seed, 3, 4, lease)
+		c := newCluster(t, seed, 3, 4, leaseDuration)
 		c.run(8*time.Second, nil)
-		for _, k := range c.clients {
-			if _, ok := k.Token(c.now, duty); ok {
-				k.stopped = time.Hour
+		for _, client := range c.clients {
+			if _, ok := client.Token(c.now, leaseName); ok {
+				client.pausedUntil = time.Hour
 			}
 		}
-		leaderToo := seed%2 == 1
+		leaderDies := seed%2 == 1
 		if l := c.leader(); l == nil {
-			t.Fatalf("seed %d: nobody leads after 8 s", seed)
-		} else if leaderToo {
+			t.Fatalf("seed %d: no leader after 8 s", seed)
+		} else if leaderDies {
 			l.node = nil
 		}
-		c.gap = 0
+		c.longestGap = 0
 		c.run(10*time.Second, nil)
-		if len(c.wrong) > 0 {
-			t.Fatalf("seed %d: %s", seed, c.wrong[0])
+		if len(c.violations) > 0 {
+			t.Fatalf("seed %d: %s", seed, c.violations[0])
 		}
-		most := lease + time.Second
-		if leaderToo {
-			most += 2*electionTicks*TickInterval + time.Second
-			both = append(both, c.gap)
+		maxGap := leaseDuration + time.Second
+		if leaderDies {
+			maxGap += 2*electionTicks*TickInterval + time.Second
+			bothGaps = append(bothGaps, c.longestGap)
 		} else {
-			gaps = append(gaps, c.gap)
+			holderGaps = append(holderGaps, c.longestGap)
 		}
-		if c.gap > most || c.gap == 0 {
-			t.Errorf("seed %d: nobody acted for %v, wanted %v at most", seed, c.gap, most)
+		if c.longestGap > maxGap || c.longestGap == 0 {
+			t.Errorf("seed %d: no effect for %v, wanted more than 0 and at most %v", seed, c.longestGap, maxGap)
 		}
 	}
-	slices.Sort(gaps)
-	slices.Sort(both)
-	t.Logf("handed on after %v in the median, %v at worst; with the leader dead too %v, %v", gaps[len(gaps)/2],
-		gaps[len(gaps)-1], both[len(both)/2], both[len(both)-1])
+	slices.Sort(holderGaps)
+	slices.Sort(bothGaps)
+	t.Logf("time without effects: median %v, maximum %v; if the leader dies too: median %v, maximum %v",
+		holderGaps[len(holderGaps)/2], holderGaps[len(holderGaps)-1], bothGaps[len(bothGaps)/2], bothGaps[len(bothGaps)-1])
 }
 
-// A voter that has forgotten all comes back under a new id, learns, and takes its old one's place; then another may
-// go.
-func TestAForgetfulVoterComesBackAsALearner(t *testing.T) {
+// Verifies that a voter without its state can rejoin under a new id as a learner, replaces its old id as a voter, and
+// that the cluster then survives the loss of another voter.
+func TestVoterWithoutStateRejoinsAsLearner(t *testing.T) {
 	c := newCluster(t, 1, 3, 3, 2*time.Second)
 	c.run(5*time.Second, nil)
 	lost := uint64(1)
@@ -131,44 +135,45 @@
 	if err := c.leader().node.AddLearner(c.now, 7, lost); err != nil {
 		t.Fatal(err)
 	}
-	for _, faulty := range [][2]uint64{{7, 99}, {0, lost}, {c.leader().id, lost}} {
-		if err := c.leader().node.AddLearner(c.now, faulty[0], faulty[1]); err == nil {
-			t.Errorf("%v was admitted", faulty)
+	for _, invalid := range [][2]uint64{{7, 99}, {0, lost}, {c.leader().id, lost}} {
+		if err := c.leader().node.AddLearner(c.now, invalid[0], invalid[1]); err == nil {
+			t.Errorf("AddLearner accepted the invalid change %v (learner, replaced voter)", invalid)
 		}
 	}
 	c.run(5*time.Second, nil)
-	st := c.leader().node.Status()
-	if !slices.Contains(st.Voters, 7) || slices.Contains(st.Voters, lost) || len(st.Voters) != 3 ||
-		len(st.Learners) != 0 {
-		t.Fatalf("%+v", st)
+	status := c.leader().node.Status()
+	if !slices.Contains(status.Voters, 7) || slices.Contains(status.Voters, lost) || len(status.Voters) != 3 ||
+		len(status.Learners) != 0 {
+		t.Fatalf("voters not replaced: %+v", status)
 	}
-	// The new one's vote is needed from now on.
+	// From now on the new voter's vote is needed for a majority.
 	c.leader().node = nil
 	before := c.effects
 	c.run(12*time.Second, nil)
-	if len(c.wrong) > 0 || c.effects-before < 300 {
-		t.Errorf("%d effects after another was lost, %v", c.effects-before, c.wrong)
+	if len(c.violations) > 0 || c.effects-before < 300 {
+		t.Errorf("%d effects in 12 s after the loss of another voter, wanted at least 300; violations: %v",
+			c.effects-before, c.violations)
 	}
 }
 
-// Without a majority leases lapse and nobody acquires; a voter that cannot keep what it says takes no more part.
-func TestWithoutQuorumNothingIsGranted(t *testing.T) {
+// Verifies that without a majority leases expire and none is granted, and that a voter whose disk is full stops.
+func TestNoGrantWithoutQuorum(t *testing.T) {
 	c := newCluster(t, 2, 3, 3, 2*time.Second)
 	c.run(5*time.Second, nil)
 	leader := c.leader()
-	for _, id := range c.first {
+	for _, id := range c.initialVoters {
 		if id != leader.id {
 			c.voters[id].disk.full = true
 		}
 	}
 	c.run(6*time.Second, nil)
-	was := c.effects
+	before := c.effects
 	c.run(10*time.Second, nil)
-	if c.effects != was || len(c.wrong) > 0 {
-		t.Errorf("%d effects without a majority, %v", c.effects-was, c.wrong)
+	if c.effects != before || len(c.violations) > 0 {
+		t.Errorf("%d effects without a majority, wanted 0; violations: %v", c.effects-before, c.violations)
 	}
 	if c.leader() != nil {
-		t.Error("somebody leads")
+		t.Error("there is a leader without a majority")
 	}
 	failed := 0
 	for _, v := range c.voters {
@@ -180,44 +185,46 @@
 		}
 	}
 	if failed == 0 {
-		t.Error("full disks, and nobody has failed")
+		t.Error("no voter has failed although disks are full")
 	}
 }
 
-// The log stays bounded through many commands, and one that was away long is brought up by a snapshot.
-func TestTheLogStaysBounded(t *testing.T) {
+// Verifies that the log stays bounded over many commands, and that a voter that was down for 500 s catches up by a
+// snapshot.
+func TestLogStaysBounded(t *testing.T) {
 	c := newCluster(t, 3, 3, 8, 200*time.Millisecond)
 	c.run(3*time.Second, nil)
-	away := c.voters[1]
-	if c.leader() == away {
-		away = c.voters[2]
+	lagging := c.voters[1]
+	if c.leader() == lagging {
+		lagging = c.voters[2]
 	}
-	away.node = nil
+	lagging.node = nil
 	c.run(500*time.Second, nil)
-	c.start(away.id)
+	c.start(lagging.id)
 	c.run(5*time.Second, nil)
 	leader := c.leader()
-	if got, want := away.node.Status().Applied,
-		leader.node.Status().Applied; want < keepEntries+2*defaultSnapshotInterval || got < want-50 {
-		t.Errorf("one that was away has applied %d of %d", got, want)
+	if got, want := lagging.node.Status().Applied,
+		leader.node.Status().Applied; want < retainedEntries+2*defaultSnapshotInterval || got < want-50 {
+		t.Errorf("the restarted voter has applied %d entries, the leader %d", got, want)
 	}
 	first, _ := leader.node.storage.FirstIndex()
 	last, _ := leader.node.storage.LastIndex()
-	if last-first > keepEntries+2*defaultSnapshotInterval || len(leader.disk.entries) > 2*defaultSnapshotInterval {
-		t.Errorf("%d entries in the log, %d kept", last-first, len(leader.disk.entries))
+	if last-first > retainedEntries+2*defaultSnapshotInterval || len(leader.disk.entries) > 2*defaultSnapshotInterval {
+		t.Errorf("%d entries in the log, %d on the disk", last-first, len(leader.disk.entries))
 	}
-	if len(c.wrong) > 0 {
-		t.Error(c.wrong[0])
+	if len(c.violations) > 0 {
+		t.Error(c.violations[0])
 	}
 }
 
-// What is no message, or another's, changes nothing.
-func TestStrangeMessagesAreRefused(t *testing.T) {
+// Verifies that invalid messages, and messages from or to another member, are rejected without effect, and that
+// invalid configurations are rejected.
+func TestInvalidMessagesAndConfigsAreRejected(t *testing.T) {
 	c := newCluster(t, 4, 3, 1, 2*time.Second)
 	c.run(3*time.Second, nil)
-	n := c.voters[1].node
-	before := n.Status()
-	word := func(m raftpb.Message) []byte {
+	node := c.voters[1].node
+	before := node.Status()
+	encode := func(m raftpb.Message) []byte {
 		raw, err := m.Marshal()
 		if err != nil {
 			t.Fatal(err)
@@ -225,36 +232,36 @@
 		return raw
 	}
 	for name, data := range map[string][]byte{
-		"noise":        []byte("\x08\xff\xff\xff"),
-		"too large":    make([]byte, 2*maxMessageBytes+1),
-		"to another":   word(raftpb.Message{Type: raftpb.MsgHeartbeat, From: 2, To: 3, Term: 99}),
-		"from another": word(raftpb.Message{Type: raftpb.MsgHeartbeat, From: 3, To: 1, Term: 99}),
-		"a local one":  word(raftpb.Message{Type: raftpb.MsgHup, From: 2, To: 1}),
-		"a proposal":   word(raftpb.Message{Type: raftpb.MsgProp, From: 2, To: 1}),
-		"no snapshot":  word(raftpb.Message{Type: raftpb.MsgSnap, From: 2, To: 1, Term: 99}),
-		"a spoilt one": word(raftpb.Message{Type: raftpb.MsgSnap, From: 2, To: 1, Term: 99,
+		"malformed":     []byte("\x08\xff\xff\xff"),
+		"too large":     make([]byte, 2*maxMessageBytes+1),
+		"to another":    encode(raftpb.Message{Type: raftpb.MsgHeartbeat, From: 2, To: 3, Term: 99}),
+		"from another":  encode(raftpb.Message{Type: raftpb.MsgHeartbeat, From: 3, To: 1, Term: 99}),
+		"local message": encode(raftpb.Message{Type: raftpb.MsgHup, From: 2, To: 1}),
+		"proposal":      encode(raftpb.Message{Type: raftpb.MsgProp, From: 2, To: 1}),
+		"no snapshot":   encode(raftpb.Message{Type: raftpb.MsgSnap, From: 2, To: 1, Term: 99}),
+		"invalid snapshot": encode(raftpb.Message{Type: raftpb.MsgSnap, From: 2, To: 1, Term: 99,
 			Snapshot: &raftpb.Snapshot{Data: []byte("x"), Metadata: raftpb.SnapshotMetadata{Index: 1e6, Term: 99}}}),
-		"an empty answer": nil,
+		"empty message": nil,
 	} {
-		if err := n.Step(c.now, 2, data); err == nil {
-			t.Errorf("%s: heard", name)
+		if err := node.Step(c.now, 2, data); err == nil {
+			t.Errorf("%s: accepted", name)
 		}
 	}
-	if after := n.Status(); after.Term != before.Term || after.Applied != before.Applied ||
+	if after := node.Status(); after.Term != before.Term || after.Applied != before.Applied ||
 		after.Leader != before.Leader {
-		t.Errorf("%+v, was %+v", after, before)
+		t.Errorf("invalid messages changed the status from %+v to %+v", before, after)
 	}
-	for want, cfg := range map[string]Config{"id 0": {}, "odd": {ID: 1, Voters: []uint64{1, 2}},
-		"each once": {ID: 1, Voters: []uint64{1, 2, 2}}, "among them": {ID: 4, Voters: []uint64{1, 2, 3}}} {
+	for name, cfg := range map[string]Config{"id 0": {}, "even number of voters": {ID: 1, Voters: []uint64{1, 2}},
+		"voter listed twice": {ID: 1, Voters: []uint64{1, 2, 2}}, "not a member": {ID: 4, Voters: []uint64{1, 2, 3}}} {
 		if _, err := New(cfg, 0); err == nil {
-			t.Errorf("%s: started", want)
+			t.Errorf("%s: configuration accepted", name)
 		}
 	}
 }
 
-// A voter whose votes come late leads with a quorum like any other: what it waited as a candidate is no silence of a
-// leader.
-func TestALateElectionIsAQuorum(t *testing.T) {
+// Guards against a new leader that reports no quorum because its votes arrived late: the ticks that it waited as a
+// candidate do not count as silence of a leader.
+func TestLateElectionReportsQuorum(t *testing.T) {
 	nodes := make(map[uint64]*Node)
 	for id := uint64(1); id <= 3; id++ {
 		n, err := New(Config{ID: id, Voters: []uint64{1, 2, 3}, Seed: 3}, 0)
@@ -263,51 +270,51 @@
 		}
 		nodes[id] = n
 	}
-	keep := func(PersistentState) error { return nil }
+	discard := func(PersistentState) error { return nil }
 	now := time.Duration(0)
 	tick := func() []Message {
 		now += TickInterval
 		nodes[1].Tick(now)
-		out, err := nodes[1].ProcessReady(keep)
+		out, err := nodes[1].ProcessReady(discard)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return out.Messages
 	}
-	var post []Message
-	for len(post) == 0 {
-		post = tick()
+	var pending []Message
+	for len(pending) == 0 {
+		pending = tick()
 	}
-	for nodes[1].ticksSinceLeaderMessage < electionTicks+1 { // before it campaigns again
+	for nodes[1].ticksSinceLeaderMessage < electionTicks+1 { // until just before it starts another election
 		if tick(); nodes[1].ticksSinceLeaderMessage == 0 {
-			t.Fatal("this seed's patience is too short")
+			t.Fatal("the election timeout of this seed is too short: voter 1 started another election")
 		}
 	}
-	from := make(map[string]uint64)
-	for _, m := range post {
-		from[string(m.Data)] = 1
+	senderOf := make(map[string]uint64)
+	for _, m := range pending {
+		senderOf[string(m.Data)] = 1
 	}
-	for ; len(post) > 0; post = post[1:] {
-		to := nodes[post[0].To]
-		if err := to.Step(now, from[string(post[0].Data)], post[0].Data); err != nil {
+	for ; len(pending) > 0; pending = pending[1:] {
+		to := nodes[pending[0].To]
+		if err := to.Step(now, senderOf[string(pending[0].Data)], pending[0].Data); err != nil {
 			t.Fatal(err)
 		}
-		out, err := to.ProcessReady(keep)
+		out, err := to.ProcessReady(discard)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, m := range out.Messages {
-			from[string(m.Data)] = to.Status().ID
+			senderOf[string(m.Data)] = to.Status().ID
 		}
-		post = append(post, out.Messages...)
+		pending = append(pending, out.Messages...)
 	}
 	if s := nodes[1].Status(); !s.IsLeader || !s.Quorum {
-		t.Errorf("%+v", s)
+		t.Errorf("not a leader with a quorum: %+v", s)
 	}
 }
 
-// Callers can tell the causes apart.
-func TestFaultsCanBeMatched(t *testing.T) {
+// Verifies that errors.Is matches errors with their exported kinds.
+func TestErrorsMatchTheirKinds(t *testing.T) {
 	if _, err := New(Config{ID: 1, Voters: []uint64{1, 2}}, 0); !errors.Is(err, ErrConfig) {
 		t.Error(err)
 	}
--- a/internal/raft/replica.go
+++ b/internal/raft/replica.go
@@ -176,7 +176,8 @@
 // decode decodes a message and verifies that another member may send it.
 func (r *Replica) decode(from uint64, data []byte) (m raftpb.Message, err error) {
 	if len(data) > r.maxMessageBytes {
-		return m, newError(ErrMessage, "message of %d bytes exceeds the maximum of %d bytes", len(data), r.maxMessageBytes)
+		return m, newError(ErrMessage, "message of %d bytes exceeds the maximum of %d bytes",
+			len(data), r.maxMessageBytes)
 	}
 	if err := m.Unmarshal(data); err != nil {
 		return m, newError(ErrMessage, "decoding a message: %w", err)
--- a/internal/raft/restore.go
+++ b/internal/raft/restore.go
@@ -48,7 +48,8 @@
 	}
 	distinct := len(slices.Compact(slices.Sorted(slices.Values(all)))) == len(all)
 	if len(c.Voters)%2 == 0 || !slices.Contains(all, c.ID) || !distinct {
-		return newError(ErrConfig, "voters %v, learners %v: need an odd number of voters, each once, with %d among them",
+		return newError(ErrConfig,
+			"voters %v, learners %v: need an odd number of voters, each once, with %d among them",
 			c.Voters, c.Learners, c.ID)
 	}
 	return nil
