--- a/internal/configdist/codec/frame.go
+++ b/internal/configdist/codec/frame.go
@@ -14,11 +14,11 @@
 
 // Sizes of a frame, in bytes.
 const (
-	headerSize   = 1 + 1 + 4 + 8 + 8 + 8 // version, kind, length, cluster, incarnation, number
-	checksumSize = 4
-	Overhead     = headerSize + checksumSize // of a frame beside its body
-	MaxBody      = 128 << 10                 // maximum in frames from and to gateways
-	MaxPeerBody  = 40 << 20                  // maximum in frames between control machines, for a snapshot of the log
+	headerSize          = 1 + 1 + 4 + 8 + 8 + 8 // version, kind, length, cluster, incarnation, number
+	checksumSize        = 4
+	FrameOverhead       = headerSize + checksumSize // of a frame beside its body
+	MaxGatewayBodyBytes = 128 << 10                 // maximum in frames from and to gateways
+	MaxPeerBodyBytes    = 40 << 20                  // maximum in frames between control machines, for a snapshot of the log
 )
 
 // Errors that Receive returns for a frame.
@@ -82,10 +82,10 @@
 	case size > maxBody(kind):
 		return nil, len(b), fmt.Errorf("%w: body of %d bytes exceeds the maximum of %d bytes", ErrTooLong, size,
 			maxBody(kind))
-	case len(b) < size+Overhead:
-		return nil, 0, fmt.Errorf("%w: %d of %d bytes", ErrTruncated, len(b), size+Overhead)
+	case len(b) < size+FrameOverhead:
+		return nil, 0, fmt.Errorf("%w: %d of %d bytes", ErrTruncated, len(b), size+FrameOverhead)
 	}
-	consumed = size + Overhead
+	consumed = size + FrameOverhead
 	end := headerSize + size
 	if crc32.Checksum(b[:end], castagnoli) != binary.BigEndian.Uint32(b[end:]) {
 		return nil, consumed, ErrChecksum
@@ -107,9 +107,9 @@
 
 func maxBody(k Kind) int {
 	if k >= KindRaftMessage {
-		return MaxPeerBody
+		return MaxPeerBodyBytes
 	}
-	return MaxBody
+	return MaxGatewayBodyBytes
 }
 
 // replayWindow is the number of frame numbers, up to the highest received one, for which the receiver knows whether
--- a/internal/configdist/codec/frame_test.go
+++ b/internal/configdist/codec/frame_test.go
@@ -79,7 +79,7 @@
 		"length too large":  {reframe(set(2, 1)), ErrTooLong},
 		"changed body":      {reframe(set(headerSize, 0)), ErrChecksum},
 		"other cluster":     {other.Append(nil, &UnknownSession{}), ErrCluster},
-		"body too long": {long.Append(nil, &Subscribe{Services: strings.Split(strings.Repeat("x,", MaxBody), ",")}),
+		"body too long": {long.Append(nil, &Subscribe{Services: strings.Split(strings.Repeat("x,", MaxGatewayBodyBytes), ",")}),
 			ErrTooLong},
 		"reason too long": {malformed.Append(nil, &Report{State: State{Reason: strings.Repeat("x", MaxReason+1)}}),
 			ErrMalformed},
--- a/internal/configdist/codec/reader.go
+++ b/internal/configdist/codec/reader.go
@@ -113,13 +113,13 @@
 // Entry decodes an entry.
 func (r *Reader) Entry() content.Entry {
 	return content.Entry{Kind: r.kind(), Service: r.String(content.MaxName), Name: r.String(content.MaxName),
-		Body: r.String(content.MaxBody)}
+		Body: r.String(content.MaxBodyBytes)}
 }
 
 // Changes decodes a list of changes.
 func (r *Reader) Changes() []content.Change {
 	n := r.Count()
-	list := make([]content.Change, 0, min(n, content.MaxChanges))
+	list := make([]content.Change, 0, min(n, content.MaxProposalChanges))
 	for range n {
 		if r.failed {
 			return nil
--- a/internal/configdist/content/patch.go
+++ b/internal/configdist/content/patch.go
@@ -9,8 +9,8 @@
 // Apply applies the changes in order and returns the new tree, or a *ChangeError for an invalid change. t is not
 // modified.
 func (t *Tree) Apply(changes []Change) (*Tree, error) {
-	if len(changes) > MaxChanges {
-		return nil, &ChangeError{MaxChanges, "changes", fmt.Sprint(len(changes)), ErrTooLarge}
+	if len(changes) > MaxProposalChanges {
+		return nil, &ChangeError{MaxProposalChanges, "changes", fmt.Sprint(len(changes)), ErrTooLarge}
 	}
 	bytes := 0
 	for i := range changes {
--- a/internal/configdist/content/tree_test.go
+++ b/internal/configdist/content/tree_test.go
@@ -50,7 +50,7 @@
 		"service of another name": {put(Service, "a", "b", ""), ErrBadName, "name"},
 		"kind 0":                  {put(0, "a", "r", ""), ErrBadKind, "kind"},
 		"kind 9":                  {put(9, "a", "r", ""), ErrBadKind, "kind"},
-		"body too long":           {put(Route, "a", "r", strings.Repeat("x", MaxBody+1)), ErrTooLarge, "body"},
+		"body too long":           {put(Route, "a", "r", strings.Repeat("x", MaxBodyBytes+1)), ErrTooLarge, "body"},
 	} {
 		got, err := tree.Apply([]Change{valid, c.change})
 		var changeErr *ChangeError
@@ -59,7 +59,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := tree.Apply(make([]Change, MaxChanges+1)); !errors.Is(err, ErrTooLarge) {
+	if _, err := tree.Apply(make([]Change, MaxProposalChanges+1)); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("too many changes: %v", err)
 	}
 	if tree.Hash() != before || tree.Len() != 4 {
--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -27,7 +27,7 @@
 type Request struct {
 	Name     string
 	Slots    int           // maximum number of simultaneous holders
-	Duration time.Duration // of each grant
+	Duration time.Duration // duration of each grant
 }
 
 // clientLease is a client's state of one lease.
@@ -35,8 +35,8 @@
 	Request
 	requested     bool
 	token         uint64        // fencing token; 0 if not held
-	expires       time.Duration // on the client's clock
-	nextCommand   time.Duration
+	expires       time.Duration // when the grant expires on the client's clock
+	nextCommand   time.Duration // when the next command is due
 	queuePosition int
 	reason        string // reason of the last rejection
 }
@@ -55,7 +55,7 @@
 
 	inFlight *Command
 	sentAt   time.Duration // when it was first sent: the duration of its grant starts then
-	resendAt time.Duration
+	resendAt time.Duration // when it is sent again if unanswered
 }
 
 // NewClient returns the client of a process. A later process of the same name must have a higher incarnation.
@@ -232,7 +232,7 @@
 	Token         uint64
 	Remaining     time.Duration
 	QueuePosition int
-	Reason        string // of the last rejection
+	Reason        string // reason of the last rejection
 }
 
 // States returns the states of all leases that the client requests or still holds, sorted by name.
--- a/internal/lease/command.go
+++ b/internal/lease/command.go
@@ -10,11 +10,11 @@
 
 // Bounds of a table and of its commands.
 const (
-	MaxNameBytes = 64 // length of a lease's or a client's name
-	MaxLeases    = 20_000
-	MaxSlots     = 100 // maximum number of holders of one lease
-	MaxQueue     = 500 // maximum number of clients that wait for one lease
-	MaxClients   = 2_000
+	MaxNameBytes = 64     // maximum length of a lease's or a client's name
+	MaxLeases    = 20_000 // maximum number of leases in a table
+	MaxSlots     = 100    // maximum number of holders of one lease
+	MaxQueue     = 500    // maximum number of clients that wait for one lease
+	MaxClients   = 2_000  // maximum number of clients in a table
 	// MinDuration and MaxDuration bound the duration of a grant.
 	MinDuration = 100 * time.Millisecond
 	MaxDuration = 10 * time.Minute
@@ -46,7 +46,7 @@
 	// Slots is, with Acquire, the maximum number of simultaneous holders of the lease. The first command for a lease
 	// without holders and queue sets it; later commands must name the same number.
 	Slots        int           `json:"Places"`
-	Duration     time.Duration `json:"Lease"` // with Acquire and Renew
+	Duration     time.Duration `json:"Lease"` // with Acquire and Renew: duration of the grant
 	FencingToken uint64        `json:"Fence"` // with Renew and Release: token of the grant
 	At           time.Duration `json:"At"`    // log time, set by the leader
 }
@@ -81,7 +81,7 @@
 	Granted  Verdict = iota + 1
 	Queued           // the client waits in the queue
 	Released         // the client neither holds the lease nor waits for it
-	Expired          // the grant has expired or belongs to another client
+	Expired          // the grant has expired, or was issued to another client or process
 	Stale            // the command is from an earlier process, or older than one that was applied
 	Rejected         // the command is invalid or exceeds a bound
 )
--- a/internal/raft/lease.go
+++ b/internal/raft/lease.go
@@ -37,7 +37,7 @@
 // leaseMachine is the StateMachine that applies log entries to a lease table.
 type leaseMachine struct {
 	table          *lease.Table
-	leadingSince   time.Duration // on this replica's clock
+	leadingSince   time.Duration // start of its leadership, on this replica's clock
 	logTimeAtStart time.Duration // log time at leadingSince
 	pending        map[proposal]bool
 	answers        []Answer
--- a/internal/raft/replica.go
+++ b/internal/raft/replica.go
@@ -72,8 +72,8 @@
 	electionTimeoutTicks    int // ticks without a leader's message until it starts an election
 	leading                 bool
 	failed                  bool
-	membersChanged          bool             // since the last snapshot
-	initialState            *PersistentState // of a new log, persisted before anything else; nil afterwards
+	membersChanged          bool             // members have changed since the last snapshot
+	initialState            *PersistentState // of a new log, to be persisted before anything else; nil once persisted
 
 	replacements map[uint64]uint64 // by learner id: the voter that it replaces once it has caught up
 }
--- a/internal/raft/restore.go
+++ b/internal/raft/restore.go
@@ -28,7 +28,7 @@
 	Learners []uint64
 	// Restored is the state that the previous process persisted, or nil.
 	Restored *PersistentState
-	Seed     uint64 // of the random election timeouts
+	Seed     uint64 // seeds the random election timeouts
 	// MaxSnapshot is the number of bytes by which a message with a snapshot may exceed the size of other messages.
 	MaxSnapshot int
 	// SnapshotEvery is the number of applied entries between two snapshots. Twice as many entries remain in the log.
