--- a/internal/configdist/codec/frame.go
+++ b/internal/configdist/codec/frame.go
@@ -16,9 +16,9 @@
 const (
 	headerSize          = 1 + 1 + 4 + 8 + 8 + 8 // version, kind, length, cluster, incarnation, number
 	checksumSize        = 4
-	FrameOverhead       = headerSize + checksumSize // of a frame beside its body
-	MaxGatewayBodyBytes = 128 << 10                 // maximum in frames from and to gateways
-	MaxPeerBodyBytes    = 40 << 20                  // maximum in frames between control machines, for a snapshot of the log
+	FrameOverhead       = headerSize + checksumSize // bytes of a frame beside its body
+	MaxGatewayBodyBytes = 128 << 10                 // maximum from and to gateways
+	MaxPeerBodyBytes    = 40 << 20                  // maximum between control machines: a snapshot of the log
 )
 
 // Errors that Receive returns for a frame.
--- a/internal/lease/table.go
+++ b/internal/lease/table.go
@@ -35,7 +35,7 @@
 	Slots         int           `json:"Places"`
 	Holders       []holder      `json:"Holders"` // sorted by fencing token
 	Queue         []waiter      `json:"Line"`
-	ReservedUntil time.Duration `json:"Reserved"` // end of the reservation for the head of the queue; 0 if no slot is reserved
+	ReservedUntil time.Duration `json:"Reserved"` // for the head of the queue; 0 if no slot is reserved
 }
 
 // client is the record of a client that has sent commands.
--- a/internal/raft/raft_test.go
+++ b/internal/raft/raft_test.go
@@ -116,7 +116,8 @@
 	slices.Sort(holderGaps)
 	slices.Sort(bothGaps)
 	t.Logf("time without effects: median %v, maximum %v; if the leader dies too: median %v, maximum %v",
-		holderGaps[len(holderGaps)/2], holderGaps[len(holderGaps)-1], bothGaps[len(bothGaps)/2], bothGaps[len(bothGaps)-1])
+		holderGaps[len(holderGaps)/2], holderGaps[len(holderGaps)-1],
+		bothGaps[len(bothGaps)/2], bothGaps[len(bothGaps)-1])
 }
 
 // Verifies that a voter without its state can rejoin under a new id as a learner, replaces its old id as a voter, and
