--- a/internal/configdist/codec/messages.go
+++ b/internal/configdist/codec/messages.go
@@ -57,8 +57,8 @@
 // Verdict is a gateway's result for a version of the configuration.
 type Verdict uint8
 
-// The verdicts. Fine: no problem is known. Rejected: the gateway did not apply the version and keeps the last valid
-// one in force. Failed: the version is in force and the gateway fails with it.
+// The verdicts. The first one means that no problem is known. Rejected: the gateway did not apply the version and
+// keeps the last valid one in force. Failed: the version is in force and the gateway fails with it.
 const (
 	Fine Verdict = iota
 	Rejected
@@ -72,7 +72,7 @@
 	Verdict Verdict
 	Version uint64 // number of the version that the verdict is about
 	Attempt uint64 // number of the rollout attempt of that version
-	Reason  string // of a rejection or failure, at most MaxReason bytes
+	Reason  string // of a rejection or failure, at most 256 bytes
 }
 
 func appendState(b []byte, s *State) []byte {
--- a/internal/raft/replica.go
+++ b/internal/raft/replica.go
@@ -21,7 +21,7 @@
 	// Each voter waits a random time from this up to twice as long.
 	electionTicks = 10
 	// maxMessageBytes bounds the uncommitted entries of a leader, in bytes. An append message carries up to a quarter
-	// of it. A received message may take up to twice as much, plus Config.MaxSnapshot.
+	// of it. A received message may take up to twice as much, plus the configured size of a snapshot.
 	maxMessageBytes = 1 << 20
 	// maxInFlight is the maximum number of unanswered append messages to one follower.
 	maxInFlight = 64
