--- a/internal/configdist/agent.go
+++ b/internal/configdist/agent.go
@@ -140,8 +140,8 @@
 
 // NewAgent starts an agent. It subscribes at once.
 func NewAgent(cfg AgentConfig, now time.Duration) (*Agent, error) {
-	if len(cfg.Controllers) == 0 || cfg.Gateway == "" || len(cfg.Gateway) > content.MaxName ||
-		len(cfg.Zone) > content.MaxName {
+	if len(cfg.Controllers) == 0 || cfg.Gateway == "" || len(cfg.Gateway) > content.MaxNameBytes ||
+		len(cfg.Zone) > content.MaxNameBytes {
 		return nil, agentError("gateway %q of zone %q with %d control machines",
 			cfg.Gateway, cfg.Zone, len(cfg.Controllers))
 	}
@@ -155,7 +155,7 @@
 		controllers: controllerOrder(cfg),
 		now:         now,
 		session:     cfg.Session,
-		tree:        content.Empty(),
+		tree:        content.EmptyTree(),
 		backoff:     minBackoff,
 	}
 	if cfg.LastGood != nil {
--- a/internal/configdist/agent_test.go
+++ b/internal/configdist/agent_test.go
@@ -47,7 +47,7 @@
 
 // whole words a page with all of a version.
 func whole(a *Agent, v *Version) *codec.Page {
-	changes, _, _ := content.Page(content.Empty(), v.Tree, v.Tree.Services(), content.Cursor{}, math.MaxInt)
+	changes, _, _ := content.Page(content.EmptyTree(), v.Tree, v.Tree.Services(), content.Cursor{}, math.MaxInt)
 	return &codec.Page{Session: a.session, Target: v.Ref, Scope: v.Tree.Hash(), Last: true, Changes: changes}
 }
 
@@ -131,7 +131,7 @@
 // Guards against an older or forked version in force after a newer one.
 func TestTheFence(t *testing.T) {
 	a := newTestAgent(t, AgentConfig{})
-	one := version(t, 1, content.Empty(), service("a", "1"))
+	one := version(t, 1, content.EmptyTree(), service("a", "1"))
 	five := version(t, 5, one.Tree, service("a", "5"))
 	five.Ref.Term = 3
 	from, _ := a.Controller()
@@ -139,7 +139,7 @@
 	if !take(a, 0, nil) || a.InForce().Ref != five.Ref {
 		t.Fatalf("%v in force", a.InForce().Ref)
 	}
-	fork := version(t, 5, content.Empty(), service("a", "other"))
+	fork := version(t, 5, content.EmptyTree(), service("a", "other"))
 	fork.Ref.Term = 3
 	oldTerm := version(t, 6, five.Tree, service("a", "6"))
 	stranger := whole(a, version(t, 7, five.Tree, service("a", "7")))
@@ -167,7 +167,7 @@
 func TestARefusedVersionIsTriedAgainInAnotherAttemptOnly(t *testing.T) {
 	a := newTestAgent(t, AgentConfig{})
 	from, _ := a.Controller()
-	one := version(t, 1, content.Empty(), service("a", "1"))
+	one := version(t, 1, content.EmptyTree(), service("a", "1"))
 	a.Receive(0, from, whole(a, one))
 	take(a, 0, nil)
 	page := whole(a, version(t, 2, one.Tree, service("a", "2")))
@@ -182,7 +182,7 @@
 		t.Error("tried again in the same attempt")
 	}
 	page.Attempt = 2
-	if a.Receive(0, from, page); !take(a, 0, nil) || a.state().Verdict != codec.Fine || a.InForce().Ref != page.Target {
+	if a.Receive(0, from, page); !take(a, 0, nil) || a.state().Verdict != codec.Healthy || a.InForce().Ref != page.Target {
 		t.Errorf("%+v", a.state())
 	}
 }
@@ -191,7 +191,7 @@
 func TestContentThatIsNotItsVersionsIsNotTaken(t *testing.T) {
 	a := newTestAgent(t, AgentConfig{})
 	from, _ := a.Controller()
-	page := whole(a, version(t, 1, content.Empty(), service("a", "1")))
+	page := whole(a, version(t, 1, content.EmptyTree(), service("a", "1")))
 	page.Scope[0]++
 	if a.Receive(0, from, page); take(a, 0, nil) || a.Counts().Mismatched != 1 {
 		t.Errorf("%+v", a.Counts())
--- a/internal/configdist/codec/frame.go
+++ b/internal/configdist/codec/frame.go
@@ -29,7 +29,7 @@
 	ErrKind      = errors.New("codec: unknown frame kind")
 	ErrCluster   = errors.New("codec: frame from another cluster")
 	ErrChecksum  = errors.New("codec: wrong frame checksum")
-	ErrRepeated  = errors.New("codec: frame was received before, or is too old to tell")
+	ErrDuplicate = errors.New("codec: frame was received before, or is too old to tell")
 )
 
 // ClusterID returns the number that identifies a cluster in frames.
@@ -100,7 +100,7 @@
 	}
 	incarnation, number := binary.BigEndian.Uint64(b[14:]), binary.BigEndian.Uint64(b[22:])
 	if !r.recordIfNew(incarnation, number) {
-		return nil, consumed, fmt.Errorf("%w: number %d of incarnation %d", ErrRepeated, number, incarnation)
+		return nil, consumed, fmt.Errorf("%w: number %d of incarnation %d", ErrDuplicate, number, incarnation)
 	}
 	return m, consumed, nil
 }
--- a/internal/configdist/codec/frame_test.go
+++ b/internal/configdist/codec/frame_test.go
@@ -27,7 +27,7 @@
 		&UnknownSession{Session: 5},
 		&Busy{Session: 5},
 		&RaftMessage{Data: []byte("raft")},
-		&GatewayReports{Head: 4, Full: true,
+		&GatewayReports{NewestVersion: 4, Full: true,
 			Gateways: []GatewayReport{{Gateway: "g", Zone: "z", Session: 8, State: state, Target: 4, Affected: true,
 				Silent: true}}},
 	}
@@ -81,7 +81,7 @@
 		"other cluster":     {other.Append(nil, &UnknownSession{}), ErrCluster},
 		"body too long": {long.Append(nil,
 			&Subscribe{Services: strings.Split(strings.Repeat("x,", MaxGatewayBodyBytes), ",")}), ErrTooLong},
-		"reason too long": {malformed.Append(nil, &Report{State: State{Reason: strings.Repeat("x", MaxReason+1)}}),
+		"reason too long": {malformed.Append(nil, &Report{State: State{Reason: strings.Repeat("x", MaxReasonBytes+1)}}),
 			ErrMalformed},
 		"unknown verdict": {malformed.Append(nil, &Report{State: State{Verdict: lastVerdict + 1}}), ErrMalformed},
 	} {
@@ -110,15 +110,15 @@
 	}
 	receive(frames[1], nil)
 	receive(frames[0], nil) // overtaken by frame 1
-	receive(frames[0], ErrRepeated)
-	receive(frames[1], ErrRepeated)
+	receive(frames[0], ErrDuplicate)
+	receive(frames[1], ErrDuplicate)
 	receive(frames[replayWindow+2], nil)
-	receive(frames[2], ErrRepeated) // older than the replay window
+	receive(frames[2], ErrDuplicate) // older than the replay window
 	receive(frames[3], nil)
 	next, before := Sender{Cluster: testCluster, Incarnation: 6}, Sender{Cluster: testCluster, Incarnation: 4}
 	receive(next.Append(nil, &UnknownSession{}), nil)
-	receive(frames[10], ErrRepeated) // of an earlier process
-	receive(before.Append(nil, &UnknownSession{}), ErrRepeated)
+	receive(frames[10], ErrDuplicate) // of an earlier process
+	receive(before.Append(nil, &UnknownSession{}), ErrDuplicate)
 }
 
 // Guards against a reader that rejects a body with additional fields of a later program version.
--- a/internal/configdist/codec/messages.go
+++ b/internal/configdist/codec/messages.go
@@ -2,8 +2,8 @@
 
 import "thymebend/internal/configdist/content"
 
-// MaxReason is the maximum length of the reason of a rejection or failure, in bytes.
-const MaxReason = 256
+// MaxReasonBytes is the maximum length of the reason of a rejection or failure, in bytes.
+const MaxReasonBytes = 256
 
 // Kind is the type of the message in a frame.
 type Kind uint8
@@ -60,7 +60,7 @@
 // The verdicts. The first one means that no problem is known. Rejected: the gateway did not apply the version and
 // keeps the last valid one in force. Failed: the version is in force and the gateway fails with it.
 const (
-	Fine Verdict = iota
+	Healthy Verdict = iota
 	Rejected
 	Failed
 	lastVerdict = Failed
@@ -87,7 +87,7 @@
 	} else {
 		r.fail()
 	}
-	s.Version, s.Attempt, s.Reason = r.Uint(), r.Uint(), r.String(MaxReason)
+	s.Version, s.Attempt, s.Reason = r.Uint(), r.Uint(), r.String(MaxReasonBytes)
 	return s
 }
 
@@ -158,9 +158,9 @@
 
 // GatewayReports holds a control machine's reports to the leader: either the changed ones or, if Full, all.
 type GatewayReports struct {
-	Head     uint64 // number of the newest version, to which Affected refers
-	Full     bool   // gateways that are not listed are no longer subscribed to the control machine
-	Gateways []GatewayReport
+	NewestVersion uint64 // number of the newest version, to which Affected refers
+	Full          bool   // gateways that are not listed are no longer subscribed to the control machine
+	Gateways      []GatewayReport
 }
 
 // Kind implements Message.
@@ -196,8 +196,8 @@
 }
 
 func (m *Subscribe) readBody(r *Reader) {
-	m.Gateway, m.Zone, m.Session = r.String(content.MaxName), r.String(content.MaxName), r.Uint()
-	m.Services, m.State = r.Strings(content.MaxName), r.state()
+	m.Gateway, m.Zone, m.Session = r.String(content.MaxNameBytes), r.String(content.MaxNameBytes), r.Uint()
+	m.Services, m.State = r.Strings(content.MaxNameBytes), r.state()
 }
 
 func (m *Report) appendBody(b []byte) []byte {
@@ -205,7 +205,7 @@
 }
 
 func (m *Report) readBody(r *Reader) {
-	m.Gateway, m.Session, m.State = r.String(content.MaxName), r.Uint(), r.state()
+	m.Gateway, m.Session, m.State = r.String(content.MaxNameBytes), r.Uint(), r.state()
 }
 
 func (m *Fetch) appendBody(b []byte) []byte {
@@ -214,7 +214,7 @@
 }
 
 func (m *Fetch) readBody(r *Reader) {
-	m.Gateway, m.Session, m.From = r.String(content.MaxName), r.Uint(), r.Ref()
+	m.Gateway, m.Session, m.From = r.String(content.MaxNameBytes), r.Uint(), r.Ref()
 	m.Target, m.After = r.Uint(), r.Cursor()
 }
 
@@ -246,7 +246,7 @@
 }
 
 func (m *GatewayReports) appendBody(b []byte) []byte {
-	b = AppendUint(AppendBool(AppendUint(b, m.Head), m.Full), uint64(len(m.Gateways)))
+	b = AppendUint(AppendBool(AppendUint(b, m.NewestVersion), m.Full), uint64(len(m.Gateways)))
 	for i := range m.Gateways {
 		g := &m.Gateways[i]
 		b = appendState(AppendUint(AppendString(AppendString(b, g.Gateway), g.Zone), g.Session), &g.State)
@@ -256,13 +256,13 @@
 }
 
 func (m *GatewayReports) readBody(r *Reader) {
-	m.Head, m.Full = r.Uint(), r.Bool()
+	m.NewestVersion, m.Full = r.Uint(), r.Bool()
 	for range r.Count() {
 		if r.failed {
 			return
 		}
-		m.Gateways = append(m.Gateways, GatewayReport{Gateway: r.String(content.MaxName),
-			Zone:    r.String(content.MaxName),
+		m.Gateways = append(m.Gateways, GatewayReport{Gateway: r.String(content.MaxNameBytes),
+			Zone:    r.String(content.MaxNameBytes),
 			Session: r.Uint(), State: r.state(), Target: r.Uint(), Affected: r.Bool(), Silent: r.Bool()})
 	}
 }
--- a/internal/configdist/codec/reader.go
+++ b/internal/configdist/codec/reader.go
@@ -112,7 +112,7 @@
 
 // Entry decodes an entry.
 func (r *Reader) Entry() content.Entry {
-	return content.Entry{Kind: r.kind(), Service: r.String(content.MaxName), Name: r.String(content.MaxName),
+	return content.Entry{Kind: r.kind(), Service: r.String(content.MaxNameBytes), Name: r.String(content.MaxNameBytes),
 		Body: r.String(content.MaxBodyBytes)}
 }
 
@@ -131,7 +131,7 @@
 
 // Cursor decodes a position in the difference between two trees.
 func (r *Reader) Cursor() content.Cursor {
-	return content.Cursor{Service: r.String(content.MaxName), Kind: r.kind(), Name: r.String(content.MaxName)}
+	return content.Cursor{Service: r.String(content.MaxNameBytes), Kind: r.kind(), Name: r.String(content.MaxNameBytes)}
 }
 
 // AppendUint appends a variable-length unsigned integer to b.
--- a/internal/configdist/content/entry.go
+++ b/internal/configdist/content/entry.go
@@ -8,12 +8,12 @@
 
 // Bounds of a configuration and of a proposal.
 const (
-	MaxName            = 128       // length of a name in bytes
+	MaxNameBytes       = 128       // length of a name in bytes
 	MaxBodyBytes       = 16 << 10  // length of a body in bytes
 	MaxServices        = 16_384    // in a tree
 	MaxEntries         = 1_000_000 // in a service
 	MaxProposalChanges = 10_000    // in one proposal
-	MaxBytes           = 256 << 10 // total size of the entries of one proposal
+	MaxProposalBytes   = 256 << 10 // total size of the entries of one proposal
 )
 
 // Errors of a change. They are wrapped in a *ChangeError, which names the change and the field.
@@ -91,7 +91,7 @@
 }
 
 func validName(s string) bool {
-	if len(s) == 0 || len(s) > MaxName {
+	if len(s) == 0 || len(s) > MaxNameBytes {
 		return false
 	}
 	for i := range len(s) {
--- a/internal/configdist/content/patch.go
+++ b/internal/configdist/content/patch.go
@@ -14,7 +14,7 @@
 	}
 	bytes := 0
 	for i := range changes {
-		if bytes += changes[i].Entry.size(); bytes > MaxBytes {
+		if bytes += changes[i].Entry.size(); bytes > MaxProposalBytes {
 			return nil, &ChangeError{i, "changes", fmt.Sprintf("%d bytes", bytes), ErrTooLarge}
 		}
 	}
--- a/internal/configdist/content/tree.go
+++ b/internal/configdist/content/tree.go
@@ -57,8 +57,8 @@
 	hash     Hash
 }
 
-// Empty returns a tree without services.
-func Empty() *Tree { return newTree(map[string]*section{}) }
+// EmptyTree returns a tree without services.
+func EmptyTree() *Tree { return newTree(map[string]*section{}) }
 
 func newTree(sections map[string]*section) *Tree {
 	t := &Tree{sections: sections, names: slices.Sorted(maps.Keys(sections))}
@@ -124,8 +124,8 @@
 	return bytes
 }
 
-// Affected returns the names of the services that differ between two trees, sorted.
-func Affected(a, b *Tree) (services []string) {
+// ChangedServices returns the names of the services that differ between two trees, sorted.
+func ChangedServices(a, b *Tree) (services []string) {
 	for _, name := range b.names {
 		if other := a.sections[name]; other != b.sections[name] &&
 			(other == nil || other.hash != b.sections[name].hash) {
--- a/internal/configdist/content/tree_test.go
+++ b/internal/configdist/content/tree_test.go
@@ -25,7 +25,7 @@
 }
 
 func sample(t *testing.T) *Tree {
-	return mustApply(t, Empty(), put(Service, "a", "a", "x"), put(Route, "a", "r1", "1"), put(Tenant, "a", "t1", "1"),
+	return mustApply(t, EmptyTree(), put(Service, "a", "a", "x"), put(Route, "a", "r1", "1"), put(Tenant, "a", "t1", "1"),
 		put(Service, "b", "b", "y"))
 }
 
@@ -46,7 +46,7 @@
 		"removal in no service":   {remove(Service, "z", "z"), ErrNotPresent, "name"},
 		"empty name":              {put(Route, "a", "", ""), ErrBadName, "name"},
 		"space in a name":         {put(Route, "a", "r 1", ""), ErrBadName, "name"},
-		"service name too long":   {put(Route, strings.Repeat("a", MaxName+1), "r", ""), ErrBadName, "service"},
+		"service name too long":   {put(Route, strings.Repeat("a", MaxNameBytes+1), "r", ""), ErrBadName, "service"},
 		"service of another name": {put(Service, "a", "b", ""), ErrBadName, "name"},
 		"kind 0":                  {put(0, "a", "r", ""), ErrBadKind, "kind"},
 		"kind 9":                  {put(9, "a", "r", ""), ErrBadKind, "kind"},
@@ -70,7 +70,7 @@
 // Guards against replicas whose hashes differ for the same content, and equal hashes of different content.
 func TestEqualContentHasEqualHashes(t *testing.T) {
 	a := sample(t)
-	b := mustApply(t, Empty(), put(Service, "b", "b", "y"))
+	b := mustApply(t, EmptyTree(), put(Service, "b", "b", "y"))
 	b = mustApply(t, b, put(Tenant, "a", "t1", "1"), put(Service, "a", "a", "z"), put(Route, "a", "r1", "2"))
 	if a.Hash() == b.Hash() {
 		t.Error("different content, equal hashes")
@@ -98,7 +98,7 @@
 		put(Route, "a", "r0", "1"),
 		remove(Service, "b", "b"), put(Service, "c", "c", "1"), put(Route, "c", "r", "1"))
 	all := []string{"a", "b", "c"}
-	for _, base := range []*Tree{Empty(), a, b} {
+	for _, base := range []*Tree{EmptyTree(), a, b} {
 		for _, services := range [][]string{all, {"a"}, {"b", "c"}} {
 			for _, limit := range []int{1, 50, 1 << 20} {
 				var changes []Change
@@ -118,10 +118,10 @@
 			}
 		}
 	}
-	if got := Affected(a, b); fmt.Sprint(got) != "[a b c]" {
+	if got := ChangedServices(a, b); fmt.Sprint(got) != "[a b c]" {
 		t.Errorf("unexpected affected services %v", got)
 	}
-	if got := Affected(a, mustApply(t, a, put(Service, "b", "b", "z"))); fmt.Sprint(got) != "[b]" {
+	if got := ChangedServices(a, mustApply(t, a, put(Service, "b", "b", "z"))); fmt.Sprint(got) != "[b]" {
 		t.Errorf("unexpected affected services %v", got)
 	}
 }
--- a/internal/configdist/report.go
+++ b/internal/configdist/report.go
@@ -36,7 +36,7 @@
 	}
 	c.coordinator.impactReports = reportRepeats
 	c.impact = impact{from: store.released.Ref.Number, to: to.Ref.Number, services: make(map[string]bool)}
-	for _, name := range content.Affected(store.released.Tree, to.Tree) {
+	for _, name := range content.ChangedServices(store.released.Tree, to.Tree) {
 		c.impact.services[name] = true
 	}
 	for _, s := range c.subscribers {
@@ -54,7 +54,7 @@
 		return
 	}
 	full := c.reportedTo != status.Leader || c.now >= c.nextFullReport
-	m := &codec.GatewayReports{Head: c.impact.to, Full: full}
+	m := &codec.GatewayReports{NewestVersion: c.impact.to, Full: full}
 	for _, name := range c.names {
 		if s := c.subscribers[name]; full || s.reportsLeft > 0 {
 			s.reportsLeft = max(0, s.reportsLeft-1)
--- a/internal/configdist/snapshot.go
+++ b/internal/configdist/snapshot.go
@@ -20,10 +20,10 @@
 	b = codec.AppendUint(codec.AppendUint(codec.AppendUint(b, s.released.Ref.Number), r.Version), uint64(r.Stage))
 	b = codec.AppendString(codec.AppendString(codec.AppendString(b, r.Canary), r.Zone), r.Reason)
 	b = codec.AppendUint(codec.AppendUint(b, r.Attempt), uint64(len(s.versions)))
-	before := content.Empty()
+	before := content.EmptyTree()
 	for _, v := range s.versions {
 		b = codec.AppendUint(codec.AppendRef(b, v.Ref), v.Proposal)
-		changes, _, _ := content.Page(before, v.Tree, content.Affected(before, v.Tree), content.Cursor{}, math.MaxInt)
+		changes, _, _ := content.Page(before, v.Tree, content.ChangedServices(before, v.Tree), content.Cursor{}, math.MaxInt)
 		b = codec.AppendChanges(b, changes)
 		before = v.Tree
 	}
@@ -47,9 +47,9 @@
 	s := &Store{rollout: Rollout{
 		Version: r.Uint(),
 		Stage:   Stage(r.Uint()),
-		Canary:  r.String(content.MaxName),
-		Zone:    r.String(content.MaxName),
-		Reason:  r.String(codec.MaxReason),
+		Canary:  r.String(content.MaxNameBytes),
+		Zone:    r.String(content.MaxNameBytes),
+		Reason:  r.String(codec.MaxReasonBytes),
 		Attempt: r.Uint(),
 	}}
 	if err := s.readVersions(r); err != nil {
@@ -65,7 +65,7 @@
 
 // readVersions reads the versions, each as what differs from the one before.
 func (s *Store) readVersions(r *codec.Reader) error {
-	tree := content.Empty()
+	tree := content.EmptyTree()
 	for range r.Count() {
 		v := &Version{Ref: r.Ref(), Proposal: r.Uint()}
 		changes := r.Changes()
--- a/internal/configdist/store.go
+++ b/internal/configdist/store.go
@@ -36,7 +36,7 @@
 
 // NewStore returns a store whose released version 0 is empty.
 func NewStore() *Store {
-	tree := content.Empty()
+	tree := content.EmptyTree()
 	first := &Version{Ref: content.Ref{Hash: tree.Hash()}, Tree: tree}
 	return &Store{versions: []*Version{first}, released: first}
 }
@@ -151,7 +151,7 @@
 // moveStage begins the rollout of a version that is newer than the released one, or moves the one under way on. A
 // stage may be begun again with another gateway or zone.
 func (s *Store) moveStage(c *Command) (content.Ref, error) {
-	if len(c.Canary) > content.MaxName || len(c.Zone) > content.MaxName {
+	if len(c.Canary) > content.MaxNameBytes || len(c.Zone) > content.MaxNameBytes {
 		return content.Ref{}, ErrCommand
 	}
 	wanted := s.rollout.Version
--- a/internal/configdist/subscriber.go
+++ b/internal/configdist/subscriber.go
@@ -126,7 +126,7 @@
 // page is a part of what a gateway needs for a version: from what it has, or from nothing. Where what it has is
 // not kept, it begins a snapshot.
 func (c *Controller) page(s *subscriber, v *Version, from content.Ref, after content.Cursor, limit int) *codec.Page {
-	base := content.Empty()
+	base := content.EmptyTree()
 	if from != (content.Ref{}) {
 		if old := c.machine.store.Version(from.Number); old != nil && old.Ref == from {
 			base = old.Tree
--- a/internal/raft/replica.go
+++ b/internal/raft/replica.go
@@ -89,8 +89,8 @@
 		rng:              rand.New(rand.NewPCG(cfg.Seed, cfg.ID)),
 		machine:          machine,
 		now:              now,
-		maxMessageBytes:  2*maxMessageBytes + cfg.MaxSnapshot,
-		snapshotInterval: uint64(cmp.Or(cfg.SnapshotEvery, defaultSnapshotInterval)),
+		maxMessageBytes:  2*maxMessageBytes + cfg.MaxSnapshotBytes,
+		snapshotInterval: uint64(cmp.Or(cfg.SnapshotInterval, defaultSnapshotInterval)),
 		replacements:     make(map[uint64]uint64),
 	}
 	if err := r.restore(cfg); err != nil {
--- a/internal/raft/restore.go
+++ b/internal/raft/restore.go
@@ -29,11 +29,11 @@
 	// Restored is the state that the previous process persisted, or nil.
 	Restored *PersistentState
 	Seed     uint64 // seeds the random election timeouts
-	// MaxSnapshot is the number of bytes by which a message with a snapshot may exceed the size of other messages.
-	MaxSnapshot int
-	// SnapshotEvery is the number of applied entries between two snapshots. Twice as many entries remain in the log.
+	// MaxSnapshotBytes is the number of bytes by which a message with a snapshot may exceed the size of other messages.
+	MaxSnapshotBytes int
+	// SnapshotInterval is the number of applied entries between two snapshots. Twice as many entries remain in the log.
 	// 0 selects the default of 1,000.
-	SnapshotEvery int
+	SnapshotInterval int
 }
 
 // validate checks the id and the initial members: the number of voters is odd, no member is listed twice, and this
