--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -42,7 +42,7 @@
 	// sooner was rejected by a service that is down or sheds load. Such a failure does not show how many
 	// calls the service can handle, and the service may recover at any moment.
 	minQueuedTime = 500 * time.Millisecond
-	// maxDoublings bounds the shifts against overflow. Fewer doublings reach maxInterval.
+	// maxDoublings bounds the shifts against overflow. The interval reaches maxInterval with fewer doublings.
 	maxDoublings = 10
 	// maxEndedDelay is the maximum of the random delay after a call whose answer ended. The delay is needed
 	// because the answers to all gateways may have ended at the same time.
@@ -58,7 +58,7 @@
 	// failure doubles it, up to the regular interval.
 	Initial        time.Duration
 	failures       int // consecutive failures other than Ended
-	queuedFailures int // those of failures that waited in the service's queue, see minQueuedTime
+	queuedFailures int // how many of them waited in the service's queue, see minQueuedTime
 }
 
 // Succeeded records that a call was answered, which resets the backoff.
--- a/internal/balancer/api.go
+++ b/internal/balancer/api.go
@@ -14,9 +14,10 @@
 	ID     RequestID
 	Class  int // index into Config.Classes, see Reload
 	Tenant int // index into Config.Tenants
-	// ClientTimeout is how long the client waits before it abandons this try. A retry by the client was first
-	// tried Deadline-ClientTimeout ago. If clients do not mark retries, the first tries of a
-	// class should share one value, within a few percent; a request with another value counts as a retry.
+	// ClientTimeout is how long the client waits before it abandons this try. A client's retry is assumed to
+	// have been first tried Deadline-ClientTimeout ago, with the Deadline of its class. If clients do not
+	// mark retries, the first tries of a class should share one value, within a few percent; a request with
+	// another value counts as a retry.
 	ClientTimeout time.Duration
 	Retry         bool // marked by the client as a retry
 	// Elapsed is the part of the client timeout that had passed before the gateway could accept the request.
@@ -82,7 +83,7 @@
 // AssignedEndpoint is an endpoint that the cluster of gateways assigns to this gateway.
 type AssignedEndpoint struct {
 	ID               EndpointID
-	Weight           float64 // of the endpoint relative to the others in use, above 0
+	Weight           float64 // relative to the weights of the other assigned endpoints, above 0
 	Share            float64 // share of the endpoint's capacity that this gateway may use; 0 for a spare
 	SuspectedByPeers bool    // several other gateways consider it faulty
 }
--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -61,9 +61,9 @@
 	a.started, r.arrivedAt, r.firstTriedAt, r.deadline = now, now, now, now+r.ClientTimeout
 }
 
-// MayStartAttempt reports whether the gateway may still write an attempt of which it has written nothing. A
-// connection may be established late, and the dedup window of a keyed request must not have ended when the
-// request is written, not only when the attempt was decided.
+// MayStartAttempt reports whether the gateway may still write an attempt of which it has written nothing. The
+// connection may be established long after the decision, and the dedup window of a keyed request must still
+// be open when the request is written.
 func (b *Balancer) MayStartAttempt(now time.Duration, id RequestID, number int) bool {
 	b.now = now
 	r := b.requests.byID[id]
@@ -114,7 +114,8 @@
 		ep.classes[r.Class].RecordAnswer(b.now)
 		b.recordAnswer(r, ep, end.Latency)
 		b.recordSuccess(ep)
-		// The time is capped: a single heavy request says little about how long the endpoint stays busy.
+		// The busy time is capped: the duration of one heavy request does not show how loaded the endpoint
+		// is.
 		b.enforceFractionalLimit(ep,
 			min(stats.Milliseconds(end.Latency), 2*ep.serviceMS(b.classes.referenceMS)))
 	case OutcomeError, OutcomeReset, OutcomeConnectFailed:
@@ -143,8 +144,8 @@
 	}
 }
 
-// recordAnswer records the service time of an answer, scaled to the average class, for the concurrency limit
-// of ep, and the response time for the response setpoint.
+// recordAnswer records the service time of an answer for its class and, scaled to the average class, for the
+// concurrency limit of ep, and the response time for the response setpoint.
 func (b *Balancer) recordAnswer(r *requestState, ep *endpointState, latency time.Duration) {
 	c := b.classOf(r)
 	ms := c.recordServiceTime(latency)
--- a/internal/balancer/classes.go
+++ b/internal/balancer/classes.go
@@ -145,7 +145,7 @@
 
 // observe records the client timeout of a request and returns how long ago its client first tried: 0 if its
 // timeout is the common one or becomes it, otherwise deadline - timeout. This avoids serving clients' retries
-// whose latency objective was half spent before they arrived.
+// as first tries, although half of their latency objective may have passed before they arrived.
 func (v *timeoutVotes) observe(timeout, deadline time.Duration) (sinceFirstTry time.Duration) {
 	tolerance := stats.Scale(v.common, timeoutTolerance)
 	if timeout >= v.common-tolerance && timeout <= v.common+tolerance {
--- a/internal/balancer/classes_test.go
+++ b/internal/balancer/classes_test.go
@@ -38,8 +38,9 @@
 	}
 }
 
-// The latency objective of a client's retry counts from the first try, or the gateway would serve retries whose
-// objective is half spent. A retry is recognised by a client timeout that first tries do not have.
+// The latency objective of a client's retry counts from the first try. Otherwise the gateway would serve
+// retries although half of their objective has passed. A retry is recognised by a client timeout that first
+// tries do not have.
 func TestClientRetriesCountFromTheFirstTry(t *testing.T) {
 	r := newRig(t, testConfig(), ready(1, 0, 0))
 	r.b.classes.entries[0].serviceMS = stats.Mean{N: concurrency.MinAnswers, Value: 100}
@@ -68,7 +69,7 @@
 	var v timeoutVotes
 	for range 100 {
 		if since := v.observe(1900*millisecond, deadline); since != 0 {
-			t.Fatalf("a first try counts as begun %v ago, want 0", since)
+			t.Fatalf("a first try counts as first tried %v ago, want 0", since)
 		}
 	}
 	for _, c := range []struct {
--- a/internal/balancer/concurrency/limit.go
+++ b/internal/balancer/concurrency/limit.go
@@ -137,8 +137,9 @@
 // each sample. The baseline of an endpoint that became permanently slower adapts within some minutes.
 const baselineDecay = 1e-3
 
-// updateBaseline sets the baseline to the minimum of the smoothed service time, which decays slowly, see
-// baselineDecay. Until more than MinAnswers samples are recorded it equals the smoothed service time.
+// updateBaseline sets the baseline to the minimum of the smoothed service time. In each sample the baseline
+// also moves a little towards the present smoothed service time, see baselineDecay. Until more than
+// MinAnswers samples are recorded it equals the smoothed service time.
 func (l *Limit) updateBaseline() {
 	if l.ServiceMS.N <= MinAnswers || l.ServiceMS.Value < l.BaselineMS {
 		l.BaselineMS = l.ServiceMS.Value
@@ -167,8 +168,8 @@
 
 // SetpointMS returns the service time that the limit is regulated to, in ms scaled to the average class.
 // Unlike in the paper, it has a minimum above the baseline service time; otherwise the limit would stay at
-// one where the budget is shorter than the uncongested service time. Short latency objectives bound the
-// excess over the baseline too: requests then wait at the gateway, which can still choose their endpoint.
+// its minimum where the budget is shorter than the uncongested service time. Short latency objectives bound
+// the excess over the baseline too: requests then wait at the gateway, which can still choose their endpoint.
 func (l *Limit) SetpointMS(target ServiceTarget) float64 {
 	baseline, budget := l.BaselineMS, target.BudgetMS
 	return max(budget*target.Response, min(setpointFactor*baseline, baseline+setpointShare*budget))
--- a/internal/balancer/cooldown.go
+++ b/internal/balancer/cooldown.go
@@ -6,8 +6,8 @@
 	"thymebend/internal/balancer/stats"
 )
 
-// minCooldownShare is the shortest cooldown, as a share of the latency objective. It applies before the first
-// answer, while service times are unknown.
+// minCooldownShare is the shortest cooldown, as a share of the latency objective. It is needed before the
+// first answer, while service times are unknown.
 const minCooldownShare = 1.0 / 64
 
 // maxRejectionDoublings bounds how often consecutive rejections double the cooldown of an endpoint.
@@ -25,12 +25,13 @@
 // extend makes the cooldown last at least until the given time.
 func (c *cooldown) extend(until time.Duration) { c.until = max(c.until, until) }
 
-// afterFailure starts a cooldown of one service time of the average class.
+// afterFailure starts a cooldown of one service time of the average class, but at least minCooldownShare.
 func (c *cooldown) afterFailure(now time.Duration, referenceMS float64, objective time.Duration) {
 	c.until = now + max(stats.FromMilliseconds(referenceMS), stats.Scale(objective, minCooldownShare))
 }
 
-// afterRejection starts a cooldown of one service time, which doubles with each consecutive rejection.
+// afterRejection starts a cooldown like that of afterFailure. It doubles with each consecutive rejection, up
+// to maxRejectionDoublings times.
 func (c *cooldown) afterRejection(now time.Duration, referenceMS float64, objective time.Duration) {
 	base := max(referenceMS, stats.Milliseconds(objective)*minCooldownShare)
 	c.until = now + stats.FromMilliseconds(base*float64(int(1)<<min(c.rejections, maxRejectionDoublings)))
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -109,7 +109,7 @@
 type preference int
 
 const (
-	// ejected with a due probe: if it did not come first it would never be probed
+	// ejected, with a probe due: it is preferred, because otherwise it would never be probed
 	preferProbe         preference = iota
 	preferLocalZone                // in the subset and the local zone
 	preferRemoteZone               // in the subset, in another zone
@@ -130,9 +130,9 @@
 }
 
 // pickEndpoint returns the most preferred endpoint with the most free capacity for r, or nil. Free capacity
-// only shrinks during a Dispatch. So once a first attempt finds none, further first attempts of the same
-// class that may go to the same zones are not searched for: examining every endpoint for every queued request
-// would take more CPU than a gateway has.
+// only shrinks during a Dispatch. Once the search for a first attempt finds none, it is therefore skipped for
+// further first attempts of the same class that may go to the same zones: examining every endpoint for every
+// queued request would take more CPU than a gateway has.
 func (b *Balancer) pickEndpoint(r *requestState) *endpointState {
 	class := b.classOf(r)
 	firstAttempt, candidates := len(r.attempts) == 0, b.endpoints.subset
@@ -164,8 +164,9 @@
 	return best
 }
 
-// crossZoneWait returns how long a request waits before it may go to another zone: the cost of the crossing,
-// expressed as a share of the latency objective, but always less than the time after which it is shed.
+// crossZoneWait returns how long a request waits before it may go to another zone: CrossZoneCost as a share
+// of its latency objective, but at most ServiceShare of that objective and at most crossZoneShare of the
+// queue time after which the request is shed.
 func (b *Balancer) crossZoneWait(class *classState, r *requestState) time.Duration {
 	return min(stats.Scale(class.LatencyObjective, min(b.cfg.CrossZoneCost, concurrency.ServiceShare)),
 		stats.Scale(class.maxQueueTime.forQuota(r.overQuota), crossZoneShare))
--- a/internal/balancer/dispatch_test.go
+++ b/internal/balancer/dispatch_test.go
@@ -102,7 +102,7 @@
 		return r.b.rng.Uint64()
 	}
 	if randomAfter(50) != randomAfter(1) {
-		t.Error("fifty similar queued requests cause another number of searches than one")
+		t.Error("fifty similar queued requests cause a different number of searches than one request")
 	}
 }
 
--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -17,8 +17,9 @@
 // writes the request. Every request that arrived gets exactly one final answer: an endpoint's response,
 // Reject or Fail; an abandoned request gets none.
 //
-// A Balancer is not safe for concurrent use, has no state outside itself, and keeps no reference to the
-// caller's memory after a call returns. The same calls with the same seed give the same actions.
+// A Balancer is not safe for concurrent use and has no state outside itself. After a call returns it keeps no
+// reference to the caller's memory, except to the slices of its Config. The same calls with the same seed
+// give the same actions.
 //
 // # Units
 //
@@ -30,10 +31,10 @@
 // # Algorithm
 //
 // The basic algorithm is ILAC-0.9: requests wait at the gateway in a first-come queue, and each is dispatched
-// to the endpoint of the subset that has the most free capacity under its concurrency limit. An integral
-// loop adjusts that limit by service time. A threshold bounds the queue time, and a slower loop splits the
-// latency objective between queueing and service. Outlier detection, slow start, subsetting, retries, quotas
-// and load shedding are added to it. Comments mark each deviation from the paper as an exception.
+// to the endpoint of the subset that has the most free capacity under its concurrency limit. An integral loop
+// adjusts that limit by service time. A threshold bounds the queue time, and a slower loop splits the latency
+// objective between queueing and service. Outlier detection, slow start, subsetting, retries, quotas and load
+// shedding are added to it. Comments say where the code deviates from the paper.
 //
 // # Files
 //
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -4,8 +4,8 @@
 	"thymebend/internal/balancer/outlierdetection"
 )
 
-// recordSuccess records an answer of ep. The answer may end the ejection of ep, whose concurrency limit then
-// starts at its minimum.
+// recordSuccess records an answer of ep. If the answer ends the ejection of ep, the concurrency limit is
+// reset to its minimum.
 func (b *Balancer) recordSuccess(ep *endpointState) {
 	ep.cooldown.answered()
 	if ep.health.RecordAnswer(b.now) {
@@ -40,8 +40,8 @@
 }
 
 // eject takes ep out of rotation until it answers a probe, unless too large a part of the subset would be
-// ejected. An endpoint of the expansion is always ejected, without a log line, and does not count in that
-// part.
+// ejected. If ep is ejected already, its next probe is postponed. An endpoint of the expansion is always
+// ejected, without a log line, and does not count towards that part.
 func (b *Balancer) eject(ep *endpointState, reason string) {
 	if !ep.health.Ejected && !ep.subset.expansion {
 		ejected, ready := 1, 0
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -36,7 +36,7 @@
 	expansion    bool    // in the subset beyond the regular part, because this gateway is short of capacity
 	users        float64 // number of gateways with the endpoint in their regular part, at least 1
 	relativeLoad float64 // users of this endpoint, relative to the mean over endpoints
-	weight       float64 // assigned by the cluster, relative to the subset; 0 without an assignment
+	weight       float64 // see AssignedEndpoint.Weight; 0 without an assignment
 }
 
 // classServiceMS returns the expected service time of an attempt of class c, in ms: that of the class or of
@@ -144,7 +144,7 @@
 // subsets of all gateways one for one.
 func (s *endpointSet) assignPositions(added []*endpointState, zone int) {
 	slices.SortFunc(added, func(x, y *endpointState) int {
-		return cmp.Compare(x.ID, y.ID) // mixes zones and cells: the loss of one takes no whole subset
+		return cmp.Compare(x.ID, y.ID) // mixes zones and cells: no subset is lost with one of them
 	})
 	nextLocal, nextRemote := 0, 0 // all positions before these are taken
 	for _, ep := range added {
@@ -156,7 +156,8 @@
 	}
 }
 
-// takePosition puts ep at the first free position from next on. It returns the order and that position.
+// takePosition puts ep at the first position from next on that is free, draining or removed. It returns the
+// order and that position.
 func takePosition(order []*endpointState, next int, ep *endpointState) ([]*endpointState, int) {
 	for next < len(order) && order[next].State == EndpointReady && order[next].listed {
 		next++
--- a/internal/balancer/loadshedding.go
+++ b/internal/balancer/loadshedding.go
@@ -49,7 +49,7 @@
 //
 // A request is queued at most until the threshold, and no longer than an answer could still come in time. The
 // less a request adds to the goal per ms of work, compared with other classes, the shorter is its maximum.
-// The last two rules are exceptions to the paper, which has one class.
+// The last two rules are not in the paper, which has one class.
 func (s loadShedding) setMaxQueueTimes(
 	classes *classTable, threshold float64, completionInterval time.Duration,
 ) {
@@ -75,7 +75,7 @@
 }
 
 // setGoalDensities computes the gain in the operators' goal from one more request of each class that is
-// answered in time, per ms of work, and returns the largest gain. The worst-served class has an additional
+// answered in time, per ms of work, and returns the largest one. The worst-served class has an additional
 // goal weight: without it, a class of low weight would take the whole loss when capacity is short.
 func (s loadShedding) setGoalDensities(classes *classTable) (best float64) {
 	var total float64
@@ -106,8 +106,10 @@
 	return c.Weight
 }
 
-// latestStart returns the queue time after which an answer of class c would likely come too late. The margin
-// is reduced by the share that a late answer still earns, because only the remaining weight is at risk.
+// latestStart returns the queue time after which an answer of class c would likely come too late, but at
+// least ServiceShare of the objective and, if the objective allows it, minCompletions completion intervals.
+// The margin is reduced by the share that a late answer still earns, because only the remaining weight is at
+// risk.
 func latestStart(c *classState, completionInterval time.Duration) time.Duration {
 	margin := stats.FromMilliseconds(marginDeviations * (1 - c.LateWeight) * c.deviationMS.Value)
 	latest := max(c.LatencyObjective-c.expectedService, 0)
--- a/internal/balancer/outlierdetection/health.go
+++ b/internal/balancer/outlierdetection/health.go
@@ -32,8 +32,8 @@
 // clock.
 type Health struct {
 	FailureRate float64 // smoothed share of failures, 0 to 1
-	// LastResponseAt is the time of the last outcome other than a timeout, or of the start of the first
-	// attempt after a period without attempts in flight, whichever is later.
+	// LastResponseAt is the time of the last answer, rejection, error, reset or failed connect, or of the
+	// start of the first attempt after a period without attempts in flight, whichever is later.
 	LastResponseAt   time.Duration
 	Ejected          bool          // receives probe requests only
 	Silent           bool          // ejected because it did not answer
@@ -83,7 +83,7 @@
 }
 
 // TooManyEjected reports whether the share of ejected endpoints among the ready ones is so high that overload
-// is the more probable cause. The caller then ejects none.
+// is the more probable cause. The caller then ejects no further endpoint.
 func TooManyEjected(ejected, ready int) bool {
 	return float64(ejected) > maxEjectedShare*float64(ready)
 }
--- a/internal/balancer/reload.go
+++ b/internal/balancer/reload.go
@@ -16,7 +16,8 @@
 // used in Request.Class from now on. Requests in progress keep the class with which they arrived. An
 // unchanged class keeps its index; a changed or new class gets another index and takes over the statistics of
 // the previous class of the same name. The statistics of endpoints are kept. Rank and Zone keep their initial
-// values. An invalid cfg changes nothing; the error is a *ConfigError.
+// values, and Gateways keeps its value if the new one is not above Rank. An invalid cfg changes nothing; the
+// error is a *ConfigError.
 func (b *Balancer) Reload(now time.Duration, cfg Config) ([]int, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
--- a/internal/balancer/sampling.go
+++ b/internal/balancer/sampling.go
@@ -45,14 +45,15 @@
 	s.signals.WarmingUp = slices.ContainsFunc(s.subset, func(ep *endpointState) bool {
 		return ep.subset.regular && b.warmUpFraction(ep) < 1
 	})
-	pause := stats.Scale(b.classes.meanObjective(), 0.5+b.rng.Float64())
-	if s.expansion.Update(b.now, s.signals, float64(len(s.all)), pause) {
+	initialCooldown := stats.Scale(b.classes.meanObjective(), 0.5+b.rng.Float64())
+	if s.expansion.Update(b.now, s.signals, float64(len(s.all)), initialCooldown) {
 		s.stale = true
 	}
 	s.signals = subset.Signals{}
 }
 
-// updateQueueTimes recomputes the maximum queue times of each class.
+// updateQueueTimes recomputes the maximum queue times of each class, after it has decayed the arrival counts
+// and updated the expected service times, from which they are computed.
 func (b *Balancer) updateQueueTimes() {
 	for i := range b.classes.entries {
 		b.classes.entries[i].refresh()
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -9,7 +9,7 @@
 )
 
 // State is what a gateway process passes to its successor in a hot restart: the measurements it has made, and
-// the slow-start budgets as far as they are spent, so that the two processes do not spend one budget twice.
+// what remains of the slow-start budgets, so that the two processes do not spend one budget twice.
 type State struct {
 	QueueThreshold   float64         `json:"psi"`
 	ResponseSetpoint float64         `json:"response"`
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -63,8 +63,8 @@
 func (a *adminEndpoint) listenerEvent(e loop.Event) {
 	switch e.Kind {
 	case loop.Readable:
-		// Few at once: accepted connections use descriptors before the oldest ones are closed to make room for
-		// them.
+		// Few are accepted at once, because accepted connections use descriptors before the oldest ones are
+		// closed to make room for them.
 		a.emit(loop.Effect{Op: loop.Accept, Conn: loop.Admin, MaxAccepts: adminAcceptBatch})
 	case loop.AcceptFailed:
 		a.log.Warn().Err(e.Err).Msg("accept on the admin endpoint")
@@ -117,12 +117,13 @@
 	}
 }
 
-// ready reports whether this process accepts clients.
+// ready reports whether new clients should connect to this process. It is false from SIGTERM on, although
+// connections are still accepted for acceptAfterSIGTERM.
 func (a *adminEndpoint) ready() bool {
 	return a.listener.phase != notListening && !a.shutdown.stopping() && !a.restart.handedOver()
 }
 
-// unreadyReason returns the text of /ops/readiness while this process accepts no clients.
+// unreadyReason returns the text of /ops/readiness while this process is not ready.
 func (a *adminEndpoint) unreadyReason() string {
 	switch {
 	case a.shutdown.stopping():
--- a/internal/gateway/assignment.go
+++ b/internal/gateway/assignment.go
@@ -19,7 +19,7 @@
 	"thymebend/internal/tokenschedule"
 )
 
-// Propagation times of membership changes, and intervals of the work on the view.
+// Propagation times of membership changes, and intervals between updates of the assignment.
 const (
 	membershipPropagation = time.Second     // by then a membership change has usually reached all gateways
 	membershipConvergence = 3 * time.Second // by then it has certainly reached them, even with lost datagrams
@@ -28,9 +28,9 @@
 	errorLogInterval      = time.Second     // minimum time between two log lines of logError
 )
 
-// subsetAssignment derives from the cluster's view what this gateway has to do, if the gossip file has a table
-// [shares]: which subset of the endpoints it uses and with which weights, which tokens for endpoints in slow
-// start it may use, and what its load reports say. The balancer is notified of the subset and the tokens, and
+// subsetAssignment derives from the view of the cluster, if the gossip file has a table [shares], which
+// subset of the endpoints this gateway uses and with which weights, which tokens for endpoints in slow start
+// it may use, and what its load reports contain. The balancer is notified of the subset and the tokens, and
 // chooses among the endpoints itself.
 type subsetAssignment struct {
 	*core
@@ -57,15 +57,17 @@
 	updatedAt        time.Duration
 	endpointsChanged bool // the endpoint list has changed since the last update
 
-	agreedSince   time.Duration     // since when most alive members have this config hash; 0 if they do not
+	agreedSince   time.Duration     // since when most members have this config hash, see updateAgreement; 0 if not
 	warming       []warmingEndpoint // endpoints in slow start for which this gateway may own tokens
 	assigned      []balancer.AssignedEndpoint
 	tokens        uint64        // number of tokens taken since joining
 	errorLoggedAt time.Duration // when logError last logged
 }
 
-// begin is called when this process joins the cluster. Until the view has converged, the balancer derives its
-// subset from the configured number of gateways and the rank of this one, and no slow-start tokens are granted.
+// begin is called when this process joins the cluster. Until the view has converged, the endpoints are
+// assigned among the seed peers. In a flat cluster, where gateways that are not seed peers may join, the
+// balancer instead derives its subset from the configured number of gateways and the rank of this one until
+// then, and no slow-start tokens are granted.
 func (s *subsetAssignment) begin() {
 	gossip := s.cfg.Gossip
 	if gossip.Assignment == nil {
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -36,13 +36,13 @@
 
 // attempt is one attempt in progress.
 type attempt struct {
-	request  *request
-	number   int
-	id       uint64
-	endpoint balancer.EndpointID
-	conn     *upstream.Conn
-	began    time.Duration
-	deadline time.Duration // when the attempt ends if it is not complete
+	request   *request
+	number    int
+	id        uint64
+	endpoint  balancer.EndpointID
+	conn      *upstream.Conn
+	startedAt time.Duration // for an uploaded body, when its last byte was written to the endpoint
+	deadline  time.Duration // when the attempt ends if it is not complete
 	// invariantIndex is the attempt's index in the request's invariant record, notWritten before its first byte
 	// is written.
 	invariantIndex int
@@ -86,7 +86,7 @@
 		Attempt:      ended.attempt.number,
 		Endpoint:     ended.attempt.endpoint,
 		Outcome:      outcome,
-		Latency:      a.now - ended.attempt.began,
+		Latency:      a.now - ended.attempt.startedAt,
 		RequestDone:  req.done,
 		BodyConsumed: req.upload != nil && req.upload.consumed,
 	}
@@ -103,7 +103,7 @@
 	a.nextID++
 	att := &attempt{
 		request: req, number: req.started, id: a.nextID, endpoint: to,
-		began: a.now, deadline: req.deadline, invariantIndex: notWritten,
+		startedAt: a.now, deadline: req.deadline, invariantIndex: notWritten,
 	}
 	req.started++
 	req.running = append(req.running, att)
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -72,8 +72,8 @@
 	c.emit(loop.Effect{Op: loop.Bind, Conn: loop.Gossip, Addr: c.cfg.Gossip.Listen, Urgent: true})
 }
 
-// quit ends the membership. With announce it notifies the peers that this gateway leaves; without, it ends
-// silently, because the successor continues under the same identity.
+// quit ends the membership. If announce is set it notifies the peers that this gateway leaves. Otherwise the
+// peers are not notified, because the successor continues under the same identity.
 func (c *cluster) quit(announce bool) {
 	view := c.membership
 	if view == nil {
--- a/internal/gateway/deadlines_test.go
+++ b/internal/gateway/deadlines_test.go
@@ -101,13 +101,13 @@
 	}
 	r.step(loop.Event{Kind: loop.Accepted, Conn: c, AcceptedBy: loop.Listener})
 	r.step(loop.Event{Kind: loop.Data, Conn: c, Data: append(requestText("a"), requestText("b")...)})
-	r.endRound()
+	r.endTurn()
 	endpoint := r.pendingConn(endpointAddr(1))
 	r.establish(endpoint)
 	r.advance(300 * time.Millisecond)
 	r.respond(endpoint, "200 OK")
 	r.step(loop.Event{Kind: loop.Flushed, Conn: c})
-	r.endRound()
+	r.endTurn()
 	if !bytes.Contains(r.written[endpoint], []byte("X-Expires-In: 1700m")) {
 		t.Errorf("the endpoint received %q, want 1700 ms left in the second request; the client received %q",
 			r.written[endpoint], r.written[c])
@@ -154,12 +154,12 @@
 	r.connectWatch()
 	for range 12 {
 		r.sendRequest(0, 0)
-		r.endRound()
+		r.endTurn()
 		if c := r.lastDialled(endpointAddr(1)); c != 0 && len(r.written[c]) == 0 {
 			r.step(loop.Event{Kind: loop.Broken, Conn: c, Err: errors.New("cannot assign requested address"),
 				LocalFailure: true})
 			r.closed[c] = true
-			r.endRound()
+			r.endTurn()
 		}
 		r.advance(20 * time.Millisecond)
 	}
@@ -168,12 +168,12 @@
 	}
 }
 
-// A connection is established in the same round of events in which the client's timeout expires. Nothing may be
-// written on it.
+// A connection is established in the same turn of the loop in which the client's timeout expires. Nothing may
+// be written on it.
 func TestNoAttemptIsWrittenAfterClientTimeout(t *testing.T) {
 	r := newRig(t, "subscribe", listLine(1, true, listEntry(1, "up", 0)))
 	r.sendRequest(0, 0)
-	r.endRound()
+	r.endTurn()
 	endpoint := r.pendingConn(endpointAddr(1))
 	r.now += 2100 * time.Millisecond // past the timeout of 2 s; socket events are handled before timers
 	r.establish(endpoint)
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -14,11 +14,12 @@
 )
 
 // redialInterval is the minimum time between two polls of discovery's new address while the watch of the old
-// address is still open. It is short because changes count as notified 4 s after a reload, and the old address
-// is about to close.
+// address is still open. It is short because this gateway is held responsible for knowing every change 4 s
+// after a reload, and the old address is about to close.
 const redialInterval = 200 * time.Millisecond
 
-// randStream separates the gateway's own random draws from other draws with the same seed.
+// randStream is the second seed value of the gateway's random source, so that its draws differ from those of
+// other sources with the same seed.
 const randStream = 0x6c697374
 
 // watchLoss is how the current watch was lost.
@@ -43,7 +44,7 @@
 	unanswered  *discovery.Watch // an older poll that may still wait in discovery's queue, in addition to a newer one
 	loss        watchLoss        // how the current watch was lost, until the balancer is notified at the end of the Step
 
-	pollNotBefore time.Duration // time before which discovery does not want to be polled, from its Retry-After
+	pollNotBefore time.Duration // time before which discovery must not be polled, from its Retry-After
 	silentSince   time.Duration // when the watch ended, while no poll has been answered or has failed since; else 0
 	staleSince    time.Duration // since when the agent has had an older list than this gateway; 0 if it has not
 	backoff       backoff.Backoff
--- a/internal/gateway/discovery_silence.go
+++ b/internal/gateway/discovery_silence.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// silenceBeforePause is the time after the end of a watch from which changes count as notified, unless a poll
-// has failed since. From then on attempts are paused until a poll is answered or fails. This prevents attempts
-// at an endpoint whose removal waits behind a poll in discovery's queue.
+// silenceBeforePause is the time after the end of a watch from which this gateway is held responsible for
+// knowing every change, unless a poll has failed since. From then on attempts are paused until a poll is
+// answered or fails. This prevents attempts at an endpoint whose removal is not yet received because the poll
+// waits in discovery's queue.
 const silenceBeforePause = 2 * time.Second
 
 // maxPause limits the duration of that pause: a discovery that is silent for longer is considered out of order,
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -36,13 +36,13 @@
 	stages := map[string]func(r *rig) func(){
 		"waits for its connection": func(r *rig) func() {
 			r.sendRequest(0, 0)
-			r.endRound()
+			r.endTurn()
 			c := r.pendingConn(endpointAddr(1))
 			return func() { r.establish(c) }
 		},
 		"waits for its connection, with the rest of a long body still to be received": func(r *rig) func() {
 			r.sendRequest(200_000, 70_000)
-			r.endRound()
+			r.endTurn()
 			c := r.pendingConn(endpointAddr(1))
 			return func() {
 				r.establish(c)
@@ -51,7 +51,7 @@
 		},
 		"its body is incomplete": func(r *rig) func() {
 			r.sendRequest(1000, 500)
-			r.endRound()
+			r.endTurn()
 			return func() {
 				r.step(loop.Event{Kind: loop.Data, Conn: r.lastClient,
 					Data: []byte(strings.Repeat("x", 500))})
@@ -63,7 +63,7 @@
 		},
 		"arrives while a connection is idle": func(r *rig) func() {
 			r.sendRequest(0, 0)
-			r.endRound()
+			r.endTurn()
 			c := r.pendingConn(endpointAddr(1))
 			r.establish(c)
 			r.respond(c, "200 OK")
@@ -71,18 +71,18 @@
 		},
 		"was written on an idle connection that proves stale": func(r *rig) func() {
 			r.sendRequest(0, 0)
-			r.endRound()
+			r.endTurn()
 			c := r.pendingConn(endpointAddr(1))
 			r.establish(c)
 			r.respond(c, "200 OK")
 			r.sendRequest(0, 0)
-			r.endRound()
+			r.endTurn()
 			r.written[c] = r.written[c][:len(r.written[c])/2] // nothing of the second request was sent
 			return func() { r.step(loop.Event{Kind: loop.Stale, Conn: c}) }
 		},
 		"was rejected and waits for a retry": func(r *rig) func() {
 			r.sendRequest(0, 0)
-			r.endRound()
+			r.endTurn()
 			c := r.pendingConn(endpointAddr(1))
 			r.establish(c)
 			r.respond(c, "503 No\r\nX-Never-Ran: 1")
@@ -90,11 +90,11 @@
 		},
 		"waits for capacity while another is in progress": func(r *rig) func() {
 			r.sendRequest(0, 0)
-			r.endRound()
+			r.endTurn()
 			c := r.pendingConn(endpointAddr(1))
 			r.establish(c)
 			r.sendRequest(0, 0)
-			r.endRound()
+			r.endTurn()
 			return func() { r.respond(c, "200 OK") }
 		},
 	}
@@ -108,7 +108,7 @@
 				r.sendLine(w, text)
 				resume()
 				for range 40 {
-					r.endRound()
+					r.endTurn()
 					for c := range r.dialled {
 						if !r.closed[c] && r.dialled[c].String() == endpointAddr(1) && len(r.written[c]) == 0 {
 							r.establish(c)
@@ -134,7 +134,7 @@
 			r := newRig(t, "subscribe", listLine(1, true, listEntry(1, "up", 0)))
 			w := r.connectWatch()
 			r.sendRequest(0, 0)
-			r.endRound()
+			r.endTurn()
 			c := r.pendingConn(endpointAddr(1))
 			r.sendLine(w, text)
 			r.establish(c)
@@ -212,7 +212,7 @@
 			r := newRig(t, "automatic", listLine(9, true, listEntry(1, "up", 7), listEntry(2, "draining", 0)))
 			w := r.connectWatch()
 			r.sendRequest(0, 0)
-			r.endRound()
+			r.endTurn()
 			endpoint := r.pendingConn(endpointAddr(1))
 			r.sendLine(w, c.line)
 			r.sendLine(w, listLine(4, false, listEntry(2, "up", 0)))
@@ -276,7 +276,7 @@
 			t.Errorf("%d endpoints after an indented list of %d", n, count-1)
 		}
 		r.sendRequest(0, 0)
-		r.endRound()
+		r.endTurn()
 		if len(r.dialled) != 2 {
 			t.Errorf("%d connections, want the watch and one to an endpoint", len(r.dialled))
 		}
@@ -327,12 +327,12 @@
 			w, n := r.connectWatch(), 0
 			before := heapInUse()
 			r.sendLine(w, texts[1])
-			r.endRound()
+			r.endTurn()
 			kept := heapInUse() - before
 			b.ReportAllocs()
 			for b.Loop() {
 				r.sendLine(w, texts[n%2])
-				r.endRound()
+				r.endTurn()
 				n++
 			}
 			b.ReportMetric(float64(kept)/float64(count), "kept-B/host")
--- a/internal/gateway/discovery_updates.go
+++ b/internal/gateway/discovery_updates.go
@@ -12,9 +12,9 @@
 // an old list until it receives the newer ones.
 const staleAgentTimeout = 30 * time.Second
 
-// handleData applies the complete lines of received data. The first line answers the poll, even if it is only a
-// heartbeat. Complete lines count as notified even if one of them is malformed: the lines before it are
-// applied, and of the lines after it the removals.
+// handleData applies the complete lines of received data. The first line answers the poll, even if it is only
+// a heartbeat. This gateway is held responsible for all complete lines even if one of them is malformed: the
+// lines before it are applied, and of that line and the lines after it the removals.
 func (d *discoveryWatch) handleData(w *discovery.Watch, data []byte) {
 	first := !w.Started()
 	lines, ended, malformed := w.Feed(d.now, data)
@@ -113,8 +113,8 @@
 	return true
 }
 
-// applyRemovals applies the removals of a line that is not applied otherwise, because even such a line counts
-// as notified.
+// applyRemovals applies the removals of a line that is not applied otherwise. No attempt may start at an
+// endpoint whose removal was received, even in a malformed or outdated line.
 func (d *discoveryWatch) applyRemovals(update discovery.Update) {
 	if len(update.Entries) > 0 {
 		d.attempts.endpointsChanged(update.Changed)
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -36,10 +36,10 @@
 // # The balancer
 //
 // The balancer (internal/balancer) decides; this package notifies it of what happened and carries out its
-// actions. The balancer must not be called from one of its own actions. Notifications that arise during an action
-// are therefore stored (attemptTable.ended and progress, discoveryWatch.loss) and delivered at the end of the Step.
-// Each notification sets core.dispatchNeeded; at the end of each round of events, loop.Turn, the balancer
-// dispatches if it is set.
+// actions. The balancer must not be called from one of its own actions. Notifications that arise during an
+// action are therefore stored (attemptTable.ended and progress, discoveryWatch.loss) and delivered at the end
+// of the Step. Each notification sets core.dispatchNeeded; at the end of each turn of the loop, loop.TurnEnd,
+// the balancer dispatches if it is set.
 //
 // # Invariants
 //
--- a/internal/gateway/downstream.go
+++ b/internal/gateway/downstream.go
@@ -177,7 +177,7 @@
 	d.resumeReading(conn)
 	idleTimeout := downstream.IdleTimeout
 	if conn.Requests == 1 && d.conns.OverReuseLimit() && d.restart.isOnlyProcess() {
-		idleTimeout = downstream.SingleUseIdleTimeout // accepted closes it only if a new connection arrives
+		idleTimeout = downstream.SingleUseIdleTimeout // the method accepted closes it only when another one arrives
 	}
 	if !conn.Pending() { // otherwise awaitRequest sets the deadline of the next request
 		d.setDeadline(conn, d.now+idleTimeout)
--- a/internal/gateway/downstream_timeouts.go
+++ b/internal/gateway/downstream_timeouts.go
@@ -74,9 +74,9 @@
 	d.stopTimer(timerDownstream, uint64(conn.ID))
 }
 
-// checkDeadline checks a connection after each event on it: a timer or a request must be able to end it, and a
-// partly received request must have a deadline that is early enough. A final read is answered in the same round
-// of events.
+// checkDeadline checks a connection after each event on it: a timer or a request must be able to end it, and
+// a partly received request must have a deadline that is early enough. A connection with a final read in
+// progress needs no timer, because the result of the read arrives in the same turn of the loop.
 func (d *downstreamConns) checkDeadline(conn *downstream.Conn) {
 	request := conn.Busy && conn.RequestID != 0 || conn.FinalRead
 	if !d.invariants.CheckDeadline(conn.TimerAt != 0, request) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -122,7 +122,7 @@
 }
 
 // Step handles one event and returns the effects to carry out, in order; they are valid until the next Step.
-// The balancer is notified only between events and before Dispatch, never from within one of its own actions.
+// Notifications that arise within an action of the balancer are delivered to it at the end of the Step.
 func (g *Gateway) Step(now time.Duration, e loop.Event) []loop.Effect {
 	g.now, g.effects = now, g.effects[:0]
 	switch e.Kind {
--- a/internal/gateway/hotrestart.go
+++ b/internal/gateway/hotrestart.go
@@ -30,7 +30,7 @@
 	predecessorDescriptors int              // number of descriptors that the predecessor needs
 	successor              *hotrestart.Conn // connection to the next process
 	handover               handoverPhase    // phase of the handover to the successor
-	idlePending            bool             // there may be an idle downstream connection that is not yet passed
+	idlePending            bool             // an idle downstream connection may still have to be passed
 	unacknowledged         []loop.Conn      // connections passed and not yet acknowledged
 	reportedDescriptors    int              // number last reported to the successor
 	heapBytes              int64            // heap limit last set
@@ -85,8 +85,8 @@
 // handedOver reports whether the successor accepts clients instead of this process.
 func (h *hotRestart) handedOver() bool { return h.handover == successorServes }
 
-// connIdle records that a downstream connection may have become idle. It is passed on at the end of the round
-// of events.
+// connIdle records that a downstream connection may have become idle. It is passed to the successor at the
+// end of the turn of the loop.
 func (h *hotRestart) connIdle() { h.idlePending = true }
 
 // isOnlyProcess reports whether this is the only process of its gateway. While there are two, idle connections
@@ -94,7 +94,7 @@
 // closed connection.
 func (h *hotRestart) isOnlyProcess() bool { return h.successor == nil && h.predecessor == nil }
 
-// timerDue drops the connection to the other process, which has not answered in time.
+// timerDue continues without the other process, which has not answered in time.
 func (h *hotRestart) timerDue(kind timerKind) {
 	switch {
 	case kind == timerPredecessor && h.predecessor != nil:
--- a/internal/gateway/hotrestart_predecessor.go
+++ b/internal/gateway/hotrestart_predecessor.go
@@ -39,8 +39,8 @@
 	h.receive(&h.successor, e, h.fromSuccessor, h.loseSuccessor)
 }
 
-// fromSuccessor handles a message of the successor. A successor takes over in three steps: Hello, Taking, and
-// an Acknowledge for each batch of connections.
+// fromSuccessor handles a message of the successor. A successor takes over in three steps: Hello, Accepting,
+// and an Acknowledge for each batch of connections.
 func (h *hotRestart) fromSuccessor(m hotrestart.Message) {
 	switch m.Kind {
 	case hotrestart.Hello:
@@ -84,7 +84,7 @@
 	h.send(h.successor, state, []loop.Conn{loop.Listener})
 }
 
-// yield leaves new clients to the successor.
+// yield leaves new clients, the cluster membership and the slow-start budgets to the successor.
 func (h *hotRestart) yield() {
 	h.stopTimer(timerSuccessor, 0)
 	h.log.Info().Msg("the successor takes clients")
@@ -99,8 +99,8 @@
 	}
 }
 
-// passIdleConns passes the idle downstream connections to the successor. It is called at the end of a round of
-// events, when all data that were read from them have been handled; unread data stay in the socket and are
+// passIdleConns passes the idle downstream connections to the successor. It is called at the end of a turn of
+// the loop, when all data that were read from them have been handled; unread data stay in the socket and are
 // passed with it.
 func (h *hotRestart) passIdleConns() {
 	if !h.handedOver() || !h.idlePending || len(h.unacknowledged) > 0 {
--- a/internal/gateway/inspect.go
+++ b/internal/gateway/inspect.go
@@ -13,7 +13,8 @@
 type Inspector interface {
 	// Membership returns this process's view of the cluster, or nil while the process is not a member.
 	Membership() *membership.Membership
-	// AssignmentTracker returns the current assignment, or nil while no assignment is in force.
+	// AssignmentTracker returns the tracker of the assignment, or nil while this process is not a member of a
+	// cluster that divides the endpoints.
 	AssignmentTracker() *assignment.Tracker
 	// EndpointKnowledge reports whether this gateway has ejected an endpoint, whether its peers suspect the
 	// endpoint, and whether the endpoint is assigned to this gateway.
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -79,8 +79,8 @@
 	h.attempts.pool.Resize(min(h.attempts.pool.Limit(), open+spareUpstreamConns))
 }
 
-// closeSurplus closes idle upstream connections beyond the budget, whose descriptors belong to the other
-// process.
+// closeSurplus closes idle upstream connections beyond the limit of the pool, because their descriptors
+// belong to the other process.
 func (h *hotRestart) closeSurplus() {
 	for _, conn := range h.attempts.pool.Surplus() {
 		h.attempts.dropConn(conn, ReasonIdleClosed)
--- a/internal/gateway/logfields.go
+++ b/internal/gateway/logfields.go
@@ -3,7 +3,7 @@
 // Field names of log lines. Durations are in milliseconds.
 const (
 	fieldAccepting         = "accepting"
-	fieldAfter             = "after" // time since the request, response or attempt began
+	fieldAfter             = "after" // time since the start of the request, response or attempt
 	fieldAge               = "age"   // time since the connection was accepted
 	fieldAlive             = "alive"
 	fieldAttempt           = "attempt" // index of an attempt, 0 for the first
--- a/internal/gateway/logging.go
+++ b/internal/gateway/logging.go
@@ -65,7 +65,7 @@
 // logAttemptEnd logs why an attempt failed.
 func (c *core) logAttemptEnd(att *attempt, end TerminationReason) {
 	c.log.Debug().Uint32(fieldRequest, uint32(att.request.id)).Str(fieldID, att.request.ID).
-		Int(fieldAttempt, att.number).Stringer(fieldEnd, end).Dur(fieldAfter, c.now-att.began).
+		Int(fieldAttempt, att.number).Stringer(fieldEnd, end).Dur(fieldAfter, c.now-att.startedAt).
 		Msg("attempt ended")
 }
 
@@ -82,7 +82,7 @@
 	c.log.Debug().Str(fieldID, r.id).Str(fieldDetail, detail).AnErr(fieldCause, err).
 		Int64(fieldLength, r.length).Int(fieldReceived, r.received).
 		Bool(fieldDownstreamWriting, r.writing).Bool(fieldUpstreamPaused, r.paused).
-		Dur(fieldAfter, c.now-r.began).Msg("large response cut")
+		Dur(fieldAfter, c.now-r.startedAt).Msg("large response cut")
 }
 
 // logConnEnded counts the end of a downstream connection by its reason and logs it.
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -37,9 +37,9 @@
 	downstream     *downstream.Conn
 	upstream       *upstream.Conn
 	id             string // the client's id of the request
-	began          time.Duration
+	startedAt      time.Duration
 	length         int64 // of the body; -1 if not stated
-	received       int   // bytes of the body received since the relay began
+	received       int   // bytes of the body received since the start of the relay
 	class          string
 	chunked        bool // the response is sent to the client in chunks
 	reusable       bool // the upstream connection may carry another request afterwards
@@ -67,7 +67,7 @@
 		keep, client.Closing = false, true
 	}
 	r := &relay{
-		downstream: client, upstream: conn, id: req.ID, class: req.Class.Name, began: t.now,
+		downstream: client, upstream: conn, id: req.ID, class: req.Class.Name, startedAt: t.now,
 		length: length, chunked: chunked, reusable: reusable,
 	}
 	t.byConn[client.ID], t.byConn[conn.ID] = r, r
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -15,7 +15,7 @@
 func (r *rig) largeResponse(head string, size int) (client, endpoint loop.Conn, unread int) {
 	r.t.Helper()
 	r.sendRequest(0, 0)
-	r.endRound()
+	r.endTurn()
 	client, endpoint = r.lastClient, r.pendingConn(endpointAddr(1))
 	r.establish(endpoint)
 	r.step(loop.Event{Kind: loop.Flushed, Conn: endpoint})
@@ -78,7 +78,7 @@
 			r.step(c.event)
 			got := r.readAll(client)
 			if complete := got == size && r.g.downstream.conns.ByConn[client] != nil; complete != c.complete {
-				t.Errorf("%d of %d bytes, whole %v, want %v", got, size, complete, c.complete)
+				t.Errorf("%d of %d bytes, complete %v, want %v", got, size, complete, c.complete)
 			}
 			if r.g.relays.buffered != 0 || len(r.g.relays.byConn) != 0 {
 				t.Errorf("%d bytes still counted as read ahead, %d relays remain", r.g.relays.buffered,
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -32,7 +32,7 @@
 	timers       map[loop.Timer]time.Duration
 	log          bytes.Buffer
 	lastClient   loop.Conn
-	sentRequests int // requests
+	sentRequests int // number of requests sent, which is the id of the last one
 }
 
 // newRig starts a gateway with a cached endpoint list. mode is its registry_mode, which determines whether it
@@ -84,7 +84,7 @@
 	}
 }
 
-func (r *rig) endRound() { r.step(loop.Event{Kind: loop.TurnEnd}) }
+func (r *rig) endTurn() { r.step(loop.Event{Kind: loop.TurnEnd}) }
 
 // lastDialled returns the most recent connection that was dialled to an address and is not closed, or 0.
 func (r *rig) lastDialled(addr string) (last loop.Conn) {
@@ -131,7 +131,7 @@
 }
 
 // sendRequest sends a request on a new client connection. If length is not 0 the request has a body of that
-// length, of which the first part bytes are sent.
+// length, and only the first bytes of the body, as many as part says, are sent.
 func (r *rig) sendRequest(length, part int) {
 	r.lastClient++
 	r.sentRequests++
@@ -189,7 +189,7 @@
 				r.step(loop.Event{Kind: loop.TimerDue, Timer: key})
 			}
 		}
-		r.endRound()
+		r.endTurn()
 	}
 }
 
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -89,8 +89,8 @@
 }
 
 // tooLate reports whether a request with this timeout might still be in progress at SIGKILL, which would lose
-// it. Such requests are completed only after the listener has been closed, or arrive on a connection that was
-// open until then.
+// it. It is checked only for requests that are parsed after new connections are no longer accepted: they were
+// incomplete until then, or arrive on a connection that was already open.
 func (s *shutdown) tooLate(timeout time.Duration) bool {
 	return s.closing() && !s.restart.handedOver() && s.now+timeout > s.answerBy
 }
@@ -108,7 +108,7 @@
 	s.downstream.closeIdle()
 }
 
-// endListener closes the listener finally.
+// endListener closes the listener; from now on no connection is accepted.
 func (s *shutdown) endListener() {
 	s.phase = phaseDrained
 	s.stopTimer(timerStop, 0)
--- a/internal/gateway/termination.go
+++ b/internal/gateway/termination.go
@@ -5,8 +5,8 @@
 // TerminationReason is the reason for which an attempt, a connection or a watch ended.
 type TerminationReason uint8
 
-// Reasons for the end of attempts come first: those that prove that the request was never executed, then those
-// that leave this open, then the one for a served request. Reasons for the end of downstream connections and of
+// Reasons for the end of attempts come first: those that prove that the request was never executed, then
+// those that leave this open, then the one for a served request. Reasons for the end of connections and of
 // the watch follow.
 const (
 	ReasonRequestOver     TerminationReason = iota // not started: the request was done, or had no time or attempts left
--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -17,13 +17,14 @@
 	nextTokenCheck time.Duration
 }
 
-// updateAgreement records since when more than half of the alive members have had this gateway's config hash.
+// updateAgreement records since when more than half of the alive and suspected members have had this
+// gateway's config hash. Members of which only the name is known do not count.
 func (s *subsetAssignment) updateAgreement(members []membership.Member, reports []loadreport.PeerReport) {
 	alive, agreeing := 0, 0
 	for i, m := range members {
 		if m.State > gossipcodec.Suspect || !reports[i].HasFigures && m.Name != s.cfg.Gossip.Name &&
 			len(m.Payload) == 0 {
-			continue // nothing is known of this member except its name
+			continue // it is dead or has left, or only its name is known
 		}
 		alive++
 		if reports[i].HasFigures && reports[i].ConfigHash == s.state.configHash || m.Name == s.cfg.Gossip.Name {
--- a/internal/gateway/upload.go
+++ b/internal/gateway/upload.go
@@ -33,8 +33,8 @@
 }
 
 // begin makes a connection with the first part of a body wait until the balancer has chosen an endpoint. If
-// more data arrive before that, reading is paused; until then a client that has stopped sending can be told
-// from one that waits.
+// more data arrive before that, reading is paused. Until then a client that has stopped sending can be
+// distinguished from one that waits for the gateway.
 func (u *uploads) begin(req *request, conn *downstream.Conn) {
 	req.upload = &upload{length: conn.BeginStream()}
 	u.downstream.setDeadline(conn, u.downstream.requestDeadline(conn))
@@ -87,7 +87,7 @@
 	// From now on the endpoint executes the request. The client's timeout counts from the client's last byte.
 	att.conn.Phase = upstream.Awaiting
 	u.stats.forwarded++
-	att.began, att.deadline = u.now, up.completedAt+att.request.ClientTimeout
+	att.startedAt, att.deadline = u.now, up.completedAt+att.request.ClientTimeout
 	att.request.deadline, att.request.invariants.Deadline = att.deadline, att.deadline
 	u.setTimer(timerAttempt, att.id, att.deadline)
 	u.attempts.noteProgress(att, true)
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -119,8 +119,8 @@
 	return until
 }
 
-// CheckDeadline reports whether something will end the state of a downstream connection after an event. That is either
-// a timer, or a request whose answer is pending or being written.
+// CheckDeadline reports whether a downstream connection, as an event has left it, is certain to progress or
+// be closed: it has a timer, or a request whose answer is pending or being written.
 func (c *Checker) CheckDeadline(timer, request bool) bool {
 	if !timer && !request {
 		return c.recordViolation(ConnWithoutDeadline, "", "the connection has neither a timer nor a request")
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -25,7 +25,8 @@
 	// AnsweredLate is a timeout after which a client that stopped sending within a request would receive its error too
 	// late.
 	AnsweredLate
-	// ConnWithoutDeadline is a downstream connection that no timer and no request would ever end.
+	// ConnWithoutDeadline is a downstream connection that could stay open forever, as it has neither a timer
+	// nor a request.
 	ConnWithoutDeadline
 	// ExitWithOpenRequests is the exit of the process while requests wait for their answers.
 	ExitWithOpenRequests
--- a/internal/subset/expansion.go
+++ b/internal/subset/expansion.go
@@ -13,11 +13,11 @@
 
 // Expansion determines how many endpoints a gateway that is short of capacity uses in addition to its regular
 // subset. It is needed because traffic may be distributed over zones and gateways in other proportions than
-// endpoints, which no endpoint list shows. It grows by one endpoint per sample while the gateway is short,
-// and shrinks slowly while it is not. It shrinks by half if one of its endpoints is full or unreachable, as
-// other gateways then need that endpoint or a zone has failed; after that it does not grow during a cooldown,
-// which doubles with each further halving. This prevents hundreds of gateways that are short at the same time
-// from taking connections away from each other.
+// endpoints, which no endpoint list shows. It grows by one endpoint per sample while the gateway is short of
+// capacity and no endpoint of its regular subset is warming up, and otherwise shrinks slowly. It shrinks by
+// half if one of its endpoints is full or unreachable, as other gateways then need that endpoint or a zone
+// has failed; after that it does not grow during a cooldown, which doubles with each further halving. This
+// prevents hundreds of gateways that are short at the same time from taking connections away from each other.
 type Expansion struct {
 	Size     float64       // number of endpoints, including a fraction of one
 	halvings int           // halvings since the last sample without need for the expansion
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -11,8 +11,8 @@
 )
 
 // Zone holds the numbers of ready endpoints in one zone (Ready) and in all other zones (OtherReady), and how
-// many of them a gateway of the zone uses (Local and Remote). The fractional part of Local and Remote is the
-// share of the gateways that use one more.
+// many of each a gateway of the zone uses (Local and Remote). Local and Remote are means over gateways: their
+// fractional parts are the shares of the gateways that use one more endpoint.
 type Zone struct {
 	Zone              int
 	Ready, OtherReady float64
@@ -35,7 +35,7 @@
 	return out
 }
 
-// Rule is how many gateways use each endpoint: Local gateways of the endpoint's zone and Remote gateways of
+// Rule sets how many gateways use each endpoint: Local gateways of the endpoint's zone and Remote gateways of
 // the other zones. A gateway uses at least Min endpoints overall, or all if there are fewer.
 type Rule struct{ Local, Remote, Min float64 }
 
