--- a/internal/balancer/api.go
+++ b/internal/balancer/api.go
@@ -118,8 +118,8 @@
 	CloseIdle(to EndpointID)
 	// SetTimer requests one TimerFired event with this token, no earlier than after the delay.
 	SetTimer(after time.Duration, token uint32)
-	// WatchEndpoints requests the changes of the endpoint list from now on. The gateway answers with one
-	// UpdateEndpoints.
+	// WatchEndpoints requests the changes of the endpoint list from now on. The gateway calls UpdateEndpoints
+	// for the answer and for each later change, or with WatchFailed or WatchUnreachable.
 	WatchEndpoints()
 	// Log writes a line for the engineers on call.
 	Log(line string)
--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -10,12 +10,12 @@
 //   - of the cluster of gateways: AssignEndpoints, GrantSlowStartToken;
 //   - of the process: TimerFired, Reload, State and Restore, YieldSlowStart.
 //
-// The gateway passes events that arrive together one after another and then calls Dispatch once. The
-// Balancer issues its decisions by calling the methods of Actions during New, an event or Dispatch. The
-// gateway carries them out in the order of these calls and must not call back into the Balancer meanwhile.
-// If the connection for an attempt was established late, the gateway calls MayStartAttempt just before it
-// writes the request. Every request that arrived gets exactly one final answer: an endpoint's response,
-// Reject or Fail; an abandoned request gets none.
+// The gateway passes events that arrive together one after another and then calls Dispatch once. The Balancer
+// issues its decisions by calling the methods of Actions during New, an event or Dispatch. The gateway
+// carries them out in the order of these calls and must not call back into the Balancer meanwhile. Just
+// before the gateway writes the request of an attempt it calls MayStartAttempt, because time may have passed
+// until the connection was established. Every request that arrived gets exactly one final answer: an
+// endpoint's response, Reject or Fail; an abandoned request gets none.
 //
 // A Balancer is not safe for concurrent use and has no state outside itself. After a call returns it keeps no
 // reference to the caller's memory, except to the slices of its Config. The same calls with the same seed
--- a/internal/balancer/report_test.go
+++ b/internal/balancer/report_test.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// A load report states the recent traffic, at any age of the process at which it is known, and the ejected endpoints.
+// A load report states the ejected endpoints and, at every age of the process from which reports are valid,
+// the recent traffic.
 func TestLoadReportMatchesTraffic(t *testing.T) {
 	r := newRig(t, testConfig(), warmEndpoints(3)...)
 	if r.b.LoadReport(r.now + time.Second).Valid {
-		t.Error("the load report of a process of 1 s counts as known")
+		t.Error("the load report of a process of 1 s counts as valid")
 	}
 	for seconds := range 40 {
 		r.playRequests(RequestID(1+seconds*25), 25, alwaysOK) // 35 ms each: 28 per second
--- a/internal/balancer/watch.go
+++ b/internal/balancer/watch.go
@@ -57,8 +57,8 @@
 	b.endpoints.update(now, kind, entries, b.cfg.Zone, len(b.classes.entries))
 }
 
-// WatchStarted reports that the call requested by WatchEndpoints starts only now, because discovery had asked
-// for a later call.
+// WatchStarted reports that the call requested by WatchEndpoints starts only now, because discovery's
+// previous answer had a Retry-After.
 func (b *Balancer) WatchStarted(now time.Duration) {
 	b.now = now
 	b.watch.calledAt = now
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -218,7 +218,7 @@
 }
 
 // suppressed reports whether an attempt must not be written now, and with which reason it ends in that case.
-// Time has passed since the balancer's decision: the endpoint may have left, or the retry window or the
+// Time has passed since the balancer's decision: the endpoint may have left, or the dedup window or the
 // client's timeout may have expired.
 func (a *attemptTable) suppressed(att *attempt) (end TerminationReason, suppress bool) {
 	endpoint := a.discovery.endpoints.Find(att.endpoint)
--- a/internal/gateway/discovery_watch_test.go
+++ b/internal/gateway/discovery_watch_test.go
@@ -23,9 +23,9 @@
 // Bytes that do not complete a line must not postpone the time at which a watch counts as silent.
 func TestPartialLineIsNotAHeartbeat(t *testing.T) {
 	for name, c := range map[string]struct {
-		started bool
-		pieces  []string
-		most    time.Duration
+		started    bool
+		pieces     []string
+		maxSilence time.Duration
 	}{
 		"of an answered watch": {true, []string{"40\r\n{\"seq\"", ":2,", "\"whole\""},
 			discovery.HeartbeatTimeout},
@@ -50,8 +50,8 @@
 				r.step(loop.Event{Kind: loop.Data, Conn: w, Data: []byte(piece)})
 			}
 			r.waitUntilSilent(w, 10*time.Second)
-			if took := r.now - from; took > c.most+20*time.Millisecond {
-				t.Errorf("watch found silent after %v, want %v", took, c.most)
+			if took := r.now - from; took > c.maxSilence+20*time.Millisecond {
+				t.Errorf("watch found silent after %v, want %v", took, c.maxSilence)
 			}
 		})
 	}
--- a/internal/gateway/downstream_request.go
+++ b/internal/gateway/downstream_request.go
@@ -17,8 +17,8 @@
 // advance handles the complete requests of a connection, in order, until one is in progress.
 func (d *downstreamConns) advance(conn *downstream.Conn) {
 	for !conn.Busy && !conn.WriteClosed {
-		incoming, whole := conn.Next(d.classes.find)
-		if !whole {
+		incoming, complete := conn.Next(d.classes.find)
+		if !complete {
 			d.awaitRequest(conn)
 			return
 		}
--- a/internal/gateway/hotrestart.go
+++ b/internal/gateway/hotrestart.go
@@ -14,9 +14,9 @@
 	successorServes               // the successor accepts clients; this process accepts none
 )
 
-// hotRestart passes the listener, the learned state and the idle downstream connections from one process of
-// this gateway to the next. A process may be both the successor of the previous process and the predecessor of
-// the next.
+// hotRestart passes the listener, the balancer's state and the idle downstream connections from one process
+// of this gateway to the next. A process may be both the successor of the previous process and the
+// predecessor of the next.
 type hotRestart struct {
 	*core
 	attempts   *attemptTable
--- a/internal/gateway/hotrestart_predecessor.go
+++ b/internal/gateway/hotrestart_predecessor.go
@@ -59,9 +59,8 @@
 	}
 }
 
-// passState sends the successor what it needs to serve: the listening socket, the endpoint list, the state
-// learned by the balancer and the identity in the cluster. It declines if this process cannot pass the listener
-// on.
+// passState sends the successor what it needs to serve: the listening socket, the endpoint list, the state of
+// the balancer and the identity in the cluster. It declines if this process cannot pass the listener on.
 func (h *hotRestart) passState(listen string) {
 	if listen != h.cfg.Listen.String() || h.listener.phase == notListening ||
 		h.shutdown.closing() || h.handedOver() {
--- a/internal/gateway/hotrestart_test.go
+++ b/internal/gateway/hotrestart_test.go
@@ -29,7 +29,8 @@
 	}
 }
 
-// The limit on messages must allow 8,000 endpoints with long names and all learned values.
+// The limit on messages must allow 8,000 endpoints with long names and a value in every field of their
+// statistics.
 func TestLongListsAreHandedOver(t *testing.T) {
 	for _, count := range []int{1024, 8000} {
 		entries := make([]string, count)
--- a/internal/gateway/termination.go
+++ b/internal/gateway/termination.go
@@ -9,12 +9,14 @@
 // those that leave this open, then the one for a served request. Reasons for the end of connections and of
 // the watch follow.
 const (
-	ReasonRequestOver     TerminationReason = iota // not started: the request was done, or had no time or attempts left
-	ReasonDedupWindowOver                          // connected after the retry window had ended: nothing was written
-	ReasonEndpointLeft                             // the endpoint drains or was removed: nothing was written
-	ReasonNoDescriptor                             // no descriptor was available for a connection
-	ReasonConnectFailed                            // the connection was refused or broke before it was established
-	ReasonLocalResources                           // this machine lacks a resource that a connection needs
+	// Not started: the request was done or had no time or attempts left, or an invariant did not allow the
+	// attempt.
+	ReasonRequestOver     TerminationReason = iota
+	ReasonDedupWindowOver                   // connected after the dedup window had ended: nothing was written
+	ReasonEndpointLeft                      // the endpoint drains or was removed: nothing was written
+	ReasonNoDescriptor                      // no descriptor was available for a connection
+	ReasonConnectFailed                     // the connection was refused or broke before it was established
+	ReasonLocalResources                    // this machine lacks a resource that a connection needs
 	// The connection was not established in time, or too late for the attempt.
 	ReasonConnectTimeout
 	// The connection broke, or the write timed out, before the last byte was written.
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -106,9 +106,9 @@
 	return true
 }
 
-// LimitWait limits until, the time until which the gateway waits for the rest of an incomplete request, and returns the
-// result. The client must receive an error or a close at most maxWait after its last byte, which was received at
-// lastByteAt.
+// LimitWait limits until, the time until which the gateway waits for the remainder of an incomplete request,
+// and returns the result. The client must receive an error or a close at most maxWait after its last byte,
+// which was received at lastByteAt.
 func (c *Checker) LimitWait(until, lastByteAt, maxWait time.Duration) time.Duration {
 	latest := lastByteAt + maxWait
 	if until > latest {
