--- a/internal/configdist/agent_test.go
+++ b/internal/configdist/agent_test.go
@@ -13,7 +13,7 @@
 	"thymebend/internal/raft"
 )
 
-func machinesOf(n int) (list []ControlMachine) {
+func controlMachines(n int) (list []ControlMachine) {
 	for i := range n {
 		list = append(list, ControlMachine{ID: uint64(i + 1), Region: fmt.Sprint("r", i/2)})
 	}
@@ -26,7 +26,7 @@
 		cfg.Gateway = "g"
 	}
 	if cfg.Controllers == nil {
-		cfg.Controllers = machinesOf(4)
+		cfg.Controllers = controlMachines(4)
 	}
 	a, err := NewAgent(cfg, 0)
 	if err != nil {
@@ -35,8 +35,8 @@
 	return a
 }
 
-// version words one of a tree.
-func version(t *testing.T, number uint64, tree *content.Tree, changes ...content.Change) *Version {
+// newVersion words one of a tree.
+func newVersion(t *testing.T, number uint64, tree *content.Tree, changes ...content.Change) *Version {
 	t.Helper()
 	next, err := tree.Apply(changes)
 	if err != nil {
@@ -45,14 +45,14 @@
 	return &Version{Ref: content.Ref{Term: 1, Number: number, Hash: next.Hash()}, Tree: next}
 }
 
-// whole words a page with all of a version.
-func whole(a *Agent, v *Version) *codec.Page {
+// snapshotPage words a page with all of a version.
+func snapshotPage(a *Agent, v *Version) *codec.Page {
 	changes, _, _ := content.Page(content.Empty(), v.Tree, v.Tree.Services(), content.Cursor{}, math.MaxInt)
 	return &codec.Page{Session: a.session, Target: v.Ref, Scope: v.Tree.Hash(), Last: true, Changes: changes}
 }
 
-// take installs what an agent hands over, and returns that it did.
-func take(a *Agent, now time.Duration, err error) bool {
+// completeInstall installs what an agent hands over, and returns that it did.
+func completeInstall(a *Agent, now time.Duration, err error) bool {
 	out := a.Take()
 	if out.Install != nil {
 		a.Installed(now, out.Install.Ref, err)
@@ -61,13 +61,13 @@
 }
 
 // Guards against control machines with too many agents, and agents that prefer another region.
-func TestAgentsSpreadOverControlMachines(t *testing.T) {
+func TestControllerOrderPrefersOwnRegionAndBalances(t *testing.T) {
 	const agents = 870
 	first, second := make(map[uint64]int), make(map[uint64]int)
 	for i := range agents {
-		cfg := AgentConfig{Gateway: fmt.Sprintf("g-%04d", i), Region: fmt.Sprint("r", i%2), Controllers: machinesOf(4)}
+		cfg := AgentConfig{Gateway: fmt.Sprintf("g-%04d", i), Region: fmt.Sprint("r", i%2), Controllers: controlMachines(4)}
 		order := controllerOrder(cfg)
-		if near := order[0] <= 2; near != (cfg.Region == "r0") || (order[1] <= 2) != near {
+		if local := order[0] <= 2; local != (cfg.Region == "r0") || (order[1] <= 2) != local {
 			t.Fatalf("%s of %s asks %v", cfg.Gateway, cfg.Region, order)
 		}
 		first[order[0]]++
@@ -86,25 +86,25 @@
 }
 
 // Guards against an agent that stays with a silent control machine, or asks without backoff.
-func TestAnAgentGoesOnFromSilentMachinesWithBackoff(t *testing.T) {
+func TestAgentTriesNextControllerWithBackoff(t *testing.T) {
 	a := newTestAgent(t, AgentConfig{Seed: 5})
-	var asked []uint64
+	var contacted []uint64
 	var pauses []time.Duration
 	for last := time.Duration(0); a.NextWake() < 40*time.Second; {
 		for _, m := range a.Take().Messages {
-			if len(asked) == 0 || asked[len(asked)-1] != m.To {
-				asked, pauses = append(asked, m.To), append(pauses, a.now-last)
+			if len(contacted) == 0 || contacted[len(contacted)-1] != m.To {
+				contacted, pauses = append(contacted, m.To), append(pauses, a.now-last)
 				last = a.now
 			}
 		}
 		a.Advance(a.NextWake())
 	}
-	if len(asked) < 9 || !slices.Equal(asked[:4], asked[4:8]) ||
-		len(slices.Compact(slices.Sorted(slices.Values(asked[:4])))) != 4 {
-		t.Errorf("asked %v", asked)
+	if len(contacted) < 9 || !slices.Equal(contacted[:4], contacted[4:8]) ||
+		len(slices.Compact(slices.Sorted(slices.Values(contacted[:4])))) != 4 {
+		t.Errorf("asked %v", contacted)
 	}
 	for i, p := range pauses {
-		if most := maxSends*answerTimeout*11/10 + 3*maxBackoff/2; p > most {
+		if limit := maxSends*answerTimeout*11/10 + 3*maxBackoff/2; p > limit {
 			t.Errorf("pause %d of %v", i, p)
 		}
 	}
@@ -114,12 +114,12 @@
 }
 
 // Guards against a subscription that no frame can hold.
-func TestTooManyServicesAreAnError(t *testing.T) {
+func TestTooManyServicesAreRejected(t *testing.T) {
 	var names []string
 	for i := range maxServiceNameBytes / 10 {
 		names = append(names, fmt.Sprintf("service-%05d", i))
 	}
-	if _, err := NewAgent(AgentConfig{Gateway: "g", Controllers: machinesOf(1), Services: names}, 0); err == nil {
+	if _, err := NewAgent(AgentConfig{Gateway: "g", Controllers: controlMachines(1), Services: names}, 0); err == nil {
 		t.Error("taken at the start")
 	}
 	a := newTestAgent(t, AgentConfig{Services: names[:2]})
@@ -129,71 +129,71 @@
 }
 
 // Guards against an older or forked version in force after a newer one.
-func TestTheFence(t *testing.T) {
+func TestAgentIgnoresOlderAndForkedVersions(t *testing.T) {
 	a := newTestAgent(t, AgentConfig{})
-	one := version(t, 1, content.Empty(), service("a", "1"))
-	five := version(t, 5, one.Tree, service("a", "5"))
+	one := newVersion(t, 1, content.Empty(), service("a", "1"))
+	five := newVersion(t, 5, one.Tree, service("a", "5"))
 	five.Ref.Term = 3
 	from, _ := a.Controller()
-	a.Receive(0, from, whole(a, five))
-	if !take(a, 0, nil) || a.InForce().Ref != five.Ref {
+	a.Receive(0, from, snapshotPage(a, five))
+	if !completeInstall(a, 0, nil) || a.InForce().Ref != five.Ref {
 		t.Fatalf("%v in force", a.InForce().Ref)
 	}
-	fork := version(t, 5, content.Empty(), service("a", "other"))
+	fork := newVersion(t, 5, content.Empty(), service("a", "other"))
 	fork.Ref.Term = 3
-	oldTerm := version(t, 6, five.Tree, service("a", "6"))
-	stranger := whole(a, version(t, 7, five.Tree, service("a", "7")))
-	stranger.Session++
-	for name, m := range map[string]codec.Message{"an older one": whole(a, one), "a fork": whole(a, fork),
-		"an older term": whole(a, oldTerm), "another session": stranger,
+	oldTerm := newVersion(t, 6, five.Tree, service("a", "6"))
+	otherSession := snapshotPage(a, newVersion(t, 7, five.Tree, service("a", "7")))
+	otherSession.Session++
+	for name, m := range map[string]codec.Message{"an older one": snapshotPage(a, one), "a fork": snapshotPage(a, fork),
+		"an older term": snapshotPage(a, oldTerm), "another session": otherSession,
 		"an offer of an older one": &codec.Offer{Session: a.session, Target: one.Ref}} {
-		if a.Receive(0, from, m); take(a, 0, nil) || a.InForce().Ref != five.Ref {
+		if a.Receive(0, from, m); completeInstall(a, 0, nil) || a.InForce().Ref != five.Ref {
 			t.Errorf("%s: %v in force", name, a.InForce().Ref)
 		}
 	}
-	a.Receive(0, from+1, whole(a, version(t, 7, five.Tree, service("a", "7"))))
-	if c := a.Counts(); take(a, 0, nil) || c.Fenced != 3 || c.Forked != 1 || c.Stale != 2 {
+	a.Receive(0, from+1, snapshotPage(a, newVersion(t, 7, five.Tree, service("a", "7"))))
+	if c := a.Counts(); completeInstall(a, 0, nil) || c.Fenced != 3 || c.Forked != 1 || c.Stale != 2 {
 		t.Errorf("%+v", c)
 	}
-	kept := a.InForce()
-	next := newTestAgent(t, AgentConfig{LastGood: &kept, Session: 1 << 20})
-	from, _ = next.Controller()
-	if next.Receive(0, from, whole(next, one)); take(next, 0, nil) || next.InForce().Ref != five.Ref {
-		t.Errorf("after a restart: %v in force", next.InForce().Ref)
+	lastGood := a.InForce()
+	restarted := newTestAgent(t, AgentConfig{LastGood: &lastGood, Session: 1 << 20})
+	from, _ = restarted.Controller()
+	if restarted.Receive(0, from, snapshotPage(restarted, one)); completeInstall(restarted, 0, nil) || restarted.InForce().Ref != five.Ref {
+		t.Errorf("after a restart: %v in force", restarted.InForce().Ref)
 	}
 }
 
 // Guards against a rejected version that is installed again and again.
-func TestARefusedVersionIsTriedAgainInAnotherAttemptOnly(t *testing.T) {
+func TestRejectedVersionIsRetriedOnlyInNewAttempt(t *testing.T) {
 	a := newTestAgent(t, AgentConfig{})
 	from, _ := a.Controller()
-	one := version(t, 1, content.Empty(), service("a", "1"))
-	a.Receive(0, from, whole(a, one))
-	take(a, 0, nil)
-	page := whole(a, version(t, 2, one.Tree, service("a", "2")))
+	one := newVersion(t, 1, content.Empty(), service("a", "1"))
+	a.Receive(0, from, snapshotPage(a, one))
+	completeInstall(a, 0, nil)
+	page := snapshotPage(a, newVersion(t, 2, one.Tree, service("a", "2")))
 	page.Attempt = 1
 	a.Receive(0, from, page)
-	take(a, 0, errors.New("line 3: no such pool"))
+	completeInstall(a, 0, errors.New("line 3: no such pool"))
 	if s := a.state(); s.InForce != one.Ref || s.Verdict != codec.Rejected || s.Version != 2 ||
 		s.Reason != "line 3: no such pool" {
 		t.Errorf("%+v", s)
 	}
-	if a.Receive(0, from, page); take(a, 0, nil) {
+	if a.Receive(0, from, page); completeInstall(a, 0, nil) {
 		t.Error("tried again in the same attempt")
 	}
 	page.Attempt = 2
-	if a.Receive(0, from, page); !take(a, 0, nil) || a.state().Verdict != codec.Fine || a.InForce().Ref != page.Target {
+	if a.Receive(0, from, page); !completeInstall(a, 0, nil) || a.state().Verdict != codec.Fine || a.InForce().Ref != page.Target {
 		t.Errorf("%+v", a.state())
 	}
 }
 
 // Guards against content in force that is not what its version says.
-func TestContentThatIsNotItsVersionsIsNotTaken(t *testing.T) {
+func TestContentWithWrongHashIsNotInstalled(t *testing.T) {
 	a := newTestAgent(t, AgentConfig{})
 	from, _ := a.Controller()
-	page := whole(a, version(t, 1, content.Empty(), service("a", "1")))
+	page := snapshotPage(a, newVersion(t, 1, content.Empty(), service("a", "1")))
 	page.Scope[0]++
-	if a.Receive(0, from, page); take(a, 0, nil) || a.Counts().Mismatched != 1 {
+	if a.Receive(0, from, page); completeInstall(a, 0, nil) || a.Counts().Mismatched != 1 {
 		t.Errorf("%+v", a.Counts())
 	}
 	if to, _ := a.Controller(); to == from {
@@ -201,8 +201,8 @@
 	}
 }
 
-// lone is a control machine that leads alone.
-func lone(t *testing.T, cfg ControllerConfig) (c *Controller, now time.Duration) {
+// newSingleController is a control machine that leads alone.
+func newSingleController(t *testing.T, cfg ControllerConfig) (c *Controller, now time.Duration) {
 	t.Helper()
 	cfg.ID, cfg.Voters = 1, []uint64{1}
 	c, err := NewController(cfg, 0)
@@ -212,12 +212,12 @@
 	for range 30 {
 		now += raft.TickInterval
 		c.Advance(now)
-		run(t, c)
+		takeOutput(t, c)
 	}
 	return c, now
 }
 
-func run(t *testing.T, c *Controller) ControllerOutput {
+func takeOutput(t *testing.T, c *Controller) ControllerOutput {
 	t.Helper()
 	out, err := c.Take((&raft.MemoryStorage{}).Save)
 	if err != nil {
@@ -226,13 +226,13 @@
 	return out
 }
 
-// propose has a change become a version.
-func propose(t *testing.T, c *Controller, now time.Duration, command Command) Result {
+// proposeVersion has a change become a version.
+func proposeVersion(t *testing.T, c *Controller, now time.Duration, command Command) Result {
 	t.Helper()
 	if err := c.Propose(now, command); err != nil {
 		t.Fatal(err)
 	}
-	out := run(t, c)
+	out := takeOutput(t, c)
 	if len(out.Results) != 1 || out.Results[0].ID != command.ID {
 		t.Fatalf("results %+v", out.Results)
 	}
@@ -240,11 +240,11 @@
 }
 
 // Guards against an offer of a stage that has passed while the control machine stood still.
-func TestAControlMachineThatStoodStillOffersNoStagedVersion(t *testing.T) {
-	c, now := lone(t, ControllerConfig{})
-	propose(t, c, now, Command{Kind: Propose, ID: 1, Changes: []content.Change{service("a", "1")}})
-	_ = c.propose(*stage(1, StageCanary))
-	run(t, c)
+func TestNoStagedVersionIsOfferedAfterStall(t *testing.T) {
+	c, now := newSingleController(t, ControllerConfig{})
+	proposeVersion(t, c, now, Command{Kind: Propose, ID: 1, Changes: []content.Change{service("a", "1")}})
+	_ = c.propose(*moveStageCommand(1, StageCanary))
+	takeOutput(t, c)
 	s := &subscriber{gateway: "g"}
 	if v, _ := c.targetOf(s); v.Ref.Number != 1 {
 		t.Fatalf("before: version %d", v.Ref.Number)
@@ -261,8 +261,8 @@
 }
 
 // Guards against gateways that wait for a control machine that does not serve them.
-func TestAFullControlMachineIsBusyAndAnUnknownSessionIsTold(t *testing.T) {
-	c, now := lone(t, ControllerConfig{MaxSubscribers: 1})
+func TestFullControllerAnswersBusyAndUnknownSessionIsReported(t *testing.T) {
+	c, now := newSingleController(t, ControllerConfig{MaxSubscribers: 1})
 	for name, m := range map[string]struct {
 		m    codec.Message
 		want codec.Message
@@ -275,13 +275,13 @@
 		if err := c.Receive(now, 9, m.m); err != nil {
 			t.Fatal(err)
 		}
-		out := run(t, c).Gateways
+		out := takeOutput(t, c).Gateways
 		if len(out) != 1 || out[0].Link != 9 || fmt.Sprint(out[0].Message) != fmt.Sprint(m.want) {
 			t.Errorf("%s: %+v", name, out)
 		}
 	}
 	_ = c.Receive(now, 9, &codec.Subscribe{Gateway: "second", Session: 5})
-	if out := run(t, c).Gateways; len(out) != 1 || fmt.Sprint(out[0].Message) != fmt.Sprint(&codec.Busy{Session: 5}) {
+	if out := takeOutput(t, c).Gateways; len(out) != 1 || fmt.Sprint(out[0].Message) != fmt.Sprint(&codec.Busy{Session: 5}) {
 		t.Errorf("the second: %+v", out)
 	}
 	if c.Receive(now, 9, &codec.RaftMessage{}) == nil || c.ReceivePeer(now, 2, &codec.Report{}) == nil ||
@@ -291,21 +291,21 @@
 }
 
 // The leader says who lags and why.
-func TestLagSaysWhoAndWhy(t *testing.T) {
-	c, now := lone(t, ControllerConfig{})
-	ref := propose(t, c, now, Command{Kind: Propose, ID: 1, Changes: []content.Change{service("a", "1")}}).Ref
+func TestLaggingGatewaysListsReasons(t *testing.T) {
+	c, now := newSingleController(t, ControllerConfig{})
+	ref := proposeVersion(t, c, now, Command{Kind: Propose, ID: 1, Changes: []content.Change{service("a", "1")}}).Ref
 	states := map[string]codec.State{"has-it": {InForce: ref},
 		"refuses": {Verdict: codec.Rejected, Version: 1, Reason: "no pool"},
 		"fails":   {InForce: ref, Verdict: codec.Failed, Version: 1, Reason: "503s"}, "waits": {}}
-	silent := now
+	lastMessage := now
 	for name, s := range states {
 		_ = c.Receive(now, 1, &codec.Subscribe{Gateway: name, Session: 1, State: s})
 	}
-	want := map[string]Reason{"refuses": ReasonRejected, "fails": ReasonFailed, "waits": ReasonNotItsStage}
+	want := map[string]Reason{"refuses": ReasonRejected, "fails": ReasonFailed, "waits": ReasonOtherStage}
 	check := func() {
 		t.Helper()
 		got := make(map[string]Reason)
-		for _, l := range c.Lag(now) {
+		for _, l := range c.LaggingGateways(now) {
 			got[l.Gateway] = l.Reason
 		}
 		if fmt.Sprint(got) != fmt.Sprint(want) {
@@ -316,10 +316,10 @@
 		t.Errorf("a proposal that does not follow: %v", err)
 	}
 	check()
-	for now < silent+silenceTimeout+time.Second {
+	for now < lastMessage+silenceTimeout+time.Second {
 		now += raft.TickInterval
 		c.Advance(now)
-		run(t, c)
+		takeOutput(t, c)
 	}
 	want = map[string]Reason{"refuses": ReasonSilent, "fails": ReasonSilent, "waits": ReasonSilent}
 	check()
--- a/internal/configdist/controller.go
+++ b/internal/configdist/controller.go
@@ -31,8 +31,8 @@
 	maxPendingResults     = 1000     // commands of this control machine that have no result yet
 )
 
-// ErrSender is a message from one that does not send such messages.
-var ErrSender = errors.New("configdist: a message of another sender's kind")
+// ErrUnexpectedMessage is a message from one that does not send such messages.
+var ErrUnexpectedMessage = errors.New("configdist: a message of another sender's kind")
 
 // ControllerConfig is what a control machine starts from.
 type ControllerConfig struct {
@@ -71,12 +71,12 @@
 type Controller struct {
 	cfg     ControllerConfig
 	log     *raft.Replica
-	machine *machine
+	machine *stateMachine
 	output  ControllerOutput
 
 	now            time.Duration
 	nextTick       time.Duration
-	leaderSeen     time.Duration // the leader's last message
+	leaderLastSeen time.Duration // the leader's last message
 	quietUntil     time.Duration // no staged version is offered: it stood still
 	subscribers    map[string]*subscriber
 	names          []string // of the subscribers, sorted
@@ -90,7 +90,7 @@
 func NewController(cfg ControllerConfig, now time.Duration) (*Controller, error) {
 	cfg.MaxSubscribers = cmp.Or(cfg.MaxSubscribers, defaultMaxSubscribers)
 	cfg.PageBytes = cmp.Or(cfg.PageBytes, defaultPageBytes)
-	m := &machine{store: NewStore(), waiting: make(map[uint64]bool)}
+	m := &stateMachine{store: NewStore(), pending: make(map[uint64]bool)}
 	log, err := raft.NewReplica(raft.Config{
 		ID: cfg.ID, Voters: cfg.Voters, Learners: cfg.Standbys, Restored: cfg.Restored, Seed: cfg.Seed,
 		MaxSnapshot: maxSnapshotBytes, SnapshotEvery: cfg.SnapshotEvery,
@@ -126,7 +126,7 @@
 	if err := c.log.CheckLeader(now); err != nil {
 		return err
 	}
-	if len(c.machine.waiting) >= maxPendingResults {
+	if len(c.machine.pending) >= maxPendingResults {
 		return raft.ErrBusy
 	}
 	if r := c.machine.store.dryRun(&command); r.Err != nil {
@@ -145,7 +145,7 @@
 		return err
 	}
 	if command.ID != 0 {
-		c.machine.waiting[command.ID] = true
+		c.machine.pending[command.ID] = true
 	}
 	return nil
 }
@@ -190,12 +190,12 @@
 			return err
 		}
 		if c.log.Status().Leader == from {
-			c.leaderSeen = c.now
+			c.leaderLastSeen = c.now
 		}
 	case *codec.GatewayReports:
 		c.coordinator.receive(c.now, from, m)
 	default:
-		return fmt.Errorf("%w: a gateway's message from a control machine", ErrSender)
+		return fmt.Errorf("%w: a gateway's message from a control machine", ErrUnexpectedMessage)
 	}
 	return nil
 }
@@ -216,7 +216,7 @@
 			c.sendPage(s, m)
 		}
 	default:
-		return fmt.Errorf("%w: a control machine's message from a gateway", ErrSender)
+		return fmt.Errorf("%w: a control machine's message from a gateway", ErrUnexpectedMessage)
 	}
 	return nil
 }
--- a/internal/configdist/coordinator.go
+++ b/internal/configdist/coordinator.go
@@ -11,8 +11,8 @@
 
 // Policy is how a leader moves rollouts on. The zero Policy has the values of DefaultPolicy.
 type Policy struct {
-	// Settle is waited for at most until all control machines have told whom a change affects.
-	Settle time.Duration
+	// ImpactTimeout is waited for at most until all control machines have told whom a change affects.
+	ImpactTimeout time.Duration
 	// Soak is how long each stage lasts once most of its gateways have the version in force.
 	Soak time.Duration
 	// CanaryTimeout is how long a canary may not answer before another is tried; longer with each that was tried.
@@ -26,7 +26,7 @@
 // DefaultPolicy is for a change in force everywhere within 8 s.
 func DefaultPolicy() Policy {
 	return Policy{
-		Settle:         300 * time.Millisecond,
+		ImpactTimeout:  300 * time.Millisecond,
 		Soak:           500 * time.Millisecond,
 		CanaryTimeout:  800 * time.Millisecond,
 		ZoneTimeout:    time.Second,
@@ -36,8 +36,8 @@
 
 // Limits of a stage that gets no further.
 const (
-	zoneLimit = 10 * time.Second // then a zone of which less than half has answered stops the rollout
-	allLimit  = 10 * time.Second // then the rollout is over, with those that lag
+	zoneStageTimeout = 10 * time.Second // then a zone of which less than half has answered stops the rollout
+	allStageTimeout  = 10 * time.Second // then the rollout is over, with those that lag
 	// proposeInterval is how long a proposal may come to nothing before the leader makes another.
 	proposeInterval = time.Second
 	// peerReportTimeout is how long a new leader waits for those control machines that have not reported.
@@ -46,15 +46,15 @@
 
 // Shares of a stage's gateways that have the version in force.
 const (
-	mostOfThem = 0.9
-	halfOfThem = 0.5
+	soakShare        = 0.9
+	zoneTimeoutShare = 0.5
 )
 
 // Reasons of a stop, which the log keeps.
 const (
-	reasonNoAnswer   = "less than half of the zone has answered"
-	reasonOfOne      = "gateway %s: %s"
-	reasonOfFailures = "%d of %d gateways failed, the first is %s: %s"
+	reasonNoAnswer      = "less than half of the zone has answered"
+	reasonCanaryFailed  = "gateway %s: %s"
+	reasonTooManyFailed = "%d of %d gateways failed, the first is %s: %s"
 )
 
 // stageKey tells one stage from the next.
@@ -67,16 +67,16 @@
 
 // coordinator is what a leader knows beside the log: what others have reported, and since when a stage has lasted.
 type coordinator struct {
-	policy        Policy
-	peers         map[uint64]*peer
-	impactReports int // reports of a follower that still have to tell its impact's version
-	key           stageKey
-	stageSince    time.Duration
-	soakingSince  time.Duration // 0 while too few gateways have the version in force
-	proposedAt    time.Duration // 0 while nothing is proposed for the stage
-	leading       bool
-	leadingSince  time.Duration
-	canaries      map[string]bool // gateways that were the canary of this rollout
+	policy               Policy
+	peers                map[uint64]*peer
+	pendingImpactReports int // reports of a follower that still have to tell its impact's version
+	key                  stageKey
+	stageSince           time.Duration
+	soakingSince         time.Duration // 0 while too few gateways have the version in force
+	proposedAt           time.Duration // 0 while nothing is proposed for the stage
+	leading              bool
+	leadingSince         time.Duration
+	canaries             map[string]bool // gateways that were the canary of this rollout
 }
 
 func newCoordinator(p Policy) coordinator {
@@ -95,7 +95,7 @@
 		p = &peer{gateways: make(map[string]codec.GatewayReport)}
 		co.peers[from] = p
 	}
-	p.head, p.lastSeen = m.Head, now
+	p.newestVersion, p.lastSeen = m.Head, now
 	for _, r := range m.Gateways {
 		p.gateways[r.Gateway] = r
 	}
@@ -139,8 +139,8 @@
 // decide finds what follows from the stage and from what gateways have told.
 func (c *Controller) decide(r Rollout) (Command, bool) {
 	co := &c.coordinator
-	lasted := c.now - co.stageSince
-	if !c.allHeardOf() || lasted < co.policy.Settle && !c.allReported() {
+	elapsed := c.now - co.stageSince
+	if !c.allPeersReported() || elapsed < co.policy.ImpactTimeout && !c.allReportedImpact() {
 		return Command{}, false
 	}
 	gateways := c.gateways()
@@ -157,18 +157,18 @@
 		if soaked && t.live > 0 {
 			return Command{Kind: MoveStage, Version: r.Version, Stage: StageZone, Canary: r.Canary, Zone: t.zone}, true
 		}
-		if t.acked == 0 && lasted >= co.policy.CanaryTimeout*time.Duration(max(1, len(co.canaries))) {
+		if t.acked == 0 && elapsed >= co.policy.CanaryTimeout*time.Duration(max(1, len(co.canaries))) {
 			return c.startRollout(gateways, r), true
 		}
 	case StageZone:
-		if soaked || lasted >= co.policy.ZoneTimeout && t.enough(halfOfThem) {
+		if soaked || elapsed >= co.policy.ZoneTimeout && t.reached(zoneTimeoutShare) {
 			return Command{Kind: MoveStage, Version: r.Version, Stage: StageAll}, true
 		}
-		if lasted >= zoneLimit {
+		if elapsed >= zoneStageTimeout {
 			return Command{Kind: Stop, Version: r.Version, Reason: reasonNoAnswer}, true
 		}
 	case StageAll:
-		if soaked || lasted >= allLimit {
+		if soaked || elapsed >= allStageTimeout {
 			return Command{Kind: MoveStage, Version: r.Version, Stage: stageReleased}, true
 		}
 	}
@@ -177,7 +177,7 @@
 
 // soaked reports whether most of a stage's gateways have had the version in force for long enough.
 func (co *coordinator) soaked(now time.Duration, t *stageTally) bool {
-	if !t.enough(mostOfThem) {
+	if !t.reached(soakShare) {
 		co.soakingSince = 0
 		return false
 	}
@@ -187,18 +187,18 @@
 	return now-co.soakingSince >= co.policy.Soak
 }
 
-// allHeardOf reports whether each control machine has reported to this leader; one that has not for long is taken for
+// allPeersReported reports whether each control machine has reported to this leader; one that has not for long is taken for
 // dead.
-func (c *Controller) allHeardOf() bool {
+func (c *Controller) allPeersReported() bool {
 	status := c.log.Status()
 	return len(c.coordinator.peers)+1 >= len(status.Voters)+len(status.Learners) ||
 		c.now-c.coordinator.leadingSince >= peerReportTimeout
 }
 
-// allReported reports whether each control machine that is heard of has told whom the version affects.
-func (c *Controller) allReported() bool {
+// allReportedImpact reports whether each control machine that is heard of has told whom the version affects.
+func (c *Controller) allReportedImpact() bool {
 	for _, p := range c.coordinator.peers {
-		if c.now-p.lastSeen < silenceTimeout && p.head != c.impact.to {
+		if c.now-p.lastSeen < silenceTimeout && p.newestVersion != c.impact.to {
 			return false
 		}
 	}
@@ -222,14 +222,14 @@
 // pickCanary is the gateway that ranks first for a version, by rendezvous, of those that can be its canary; empty if
 // there is none.
 func (co *coordinator) pickCanary(gateways []gatewayStatus, version uint64) string {
-	best, score := "", uint64(0)
+	best, bestScore := "", uint64(0)
 	for i := range gateways {
 		g := &gateways[i]
 		if !g.Affected || g.Silent || g.State.Verdict == codec.Failed || co.canaries[g.Gateway] {
 			continue
 		}
-		if s := xxh3.HashStringSeed(g.Gateway, version); best == "" || s > score {
-			best, score = g.Gateway, s
+		if s := xxh3.HashStringSeed(g.Gateway, version); best == "" || s > bestScore {
+			best, bestScore = g.Gateway, s
 		}
 	}
 	return best
--- a/internal/configdist/lag.go
+++ b/internal/configdist/lag.go
@@ -16,7 +16,7 @@
 	ReasonSilent       Reason = "not heard of"
 	ReasonRejected     Reason = "refused"
 	ReasonFailed       Reason = "failed"
-	ReasonNotItsStage  Reason = "not its stage"
+	ReasonOtherStage   Reason = "not its stage"
 	ReasonNotInstalled Reason = "offered, not in force yet"
 	ReasonNotOffered   Reason = "not offered yet"
 )
@@ -37,8 +37,8 @@
 		l.Controller, l.InForce.Number, l.Newest, l.Reason, l.Detail)
 }
 
-// Lag lists who lags and why, by name. Only the leader knows of all gateways; another control machine knows of its own.
-func (c *Controller) Lag(now time.Duration) (lagging []Lagging) {
+// LaggingGateways lists who lags and why, by name. Only the leader knows of all gateways; another control machine knows of its own.
+func (c *Controller) LaggingGateways(now time.Duration) (lagging []Lagging) {
 	c.advanceClock(now)
 	store := c.machine.store
 	newest := store.Head().Ref.Number
@@ -61,7 +61,7 @@
 		case store.released.Ref.Number > s.InForce.Number:
 			l.Reason = ReasonNotOffered
 		default:
-			l.Reason, l.Detail = ReasonNotItsStage, store.rollout.Stage.String()
+			l.Reason, l.Detail = ReasonOtherStage, store.rollout.Stage.String()
 		}
 		lagging = append(lagging, l)
 	}
--- a/internal/configdist/machine.go
+++ b/internal/configdist/machine.go
@@ -6,34 +6,34 @@
 	"thymebend/internal/raft"
 )
 
-// machine is the raft.StateMachine of a Store.
-type machine struct {
+// stateMachine is the raft.StateMachine of a Store.
+type stateMachine struct {
 	store   *Store
-	waiting map[uint64]bool // IDs of the commands that were proposed here and have no result yet
+	pending map[uint64]bool // IDs of the commands that were proposed here and have no result yet
 	results []Result        // since the last Take
 	changed bool            // the store, since the last Take
 }
 
 // Apply implements raft.StateMachine. An entry that is no command changes nothing, at each replica alike.
-func (m *machine) Apply(e raft.Entry) error {
+func (m *stateMachine) Apply(e raft.Entry) error {
 	command, err := ParseCommand(e.Data)
 	if err != nil {
 		return nil
 	}
 	result := m.store.Apply(&command, e.Term)
 	m.changed = m.changed || result.Err == nil
-	if command.ID != 0 && m.waiting[command.ID] {
-		delete(m.waiting, command.ID)
+	if command.ID != 0 && m.pending[command.ID] {
+		delete(m.pending, command.ID)
 		m.results = append(m.results, result)
 	}
 	return nil
 }
 
 // Snapshot implements raft.StateMachine.
-func (m *machine) Snapshot() ([]byte, error) { return m.store.Snapshot(), nil }
+func (m *stateMachine) Snapshot() ([]byte, error) { return m.store.Snapshot(), nil }
 
 // Restore implements raft.StateMachine.
-func (m *machine) Restore(data []byte) error {
+func (m *stateMachine) Restore(data []byte) error {
 	store, err := RestoreStore(data)
 	if err == nil {
 		m.store, m.changed = store, true
@@ -42,14 +42,14 @@
 }
 
 // Validate implements raft.StateMachine.
-func (m *machine) Validate(data []byte) error {
+func (m *stateMachine) Validate(data []byte) error {
 	_, err := RestoreStore(data)
 	return err
 }
 
 // LeadershipChanged implements raft.StateMachine.
-func (m *machine) LeadershipChanged(_ time.Duration, leads bool) {
+func (m *stateMachine) LeadershipChanged(_ time.Duration, leads bool) {
 	if !leads {
-		clear(m.waiting)
+		clear(m.pending)
 	}
 }
--- a/internal/configdist/report.go
+++ b/internal/configdist/report.go
@@ -34,14 +34,14 @@
 	if c.impact.services != nil && c.impact.from == store.released.Ref.Number && c.impact.to == to.Ref.Number {
 		return
 	}
-	c.coordinator.impactReports = reportRepeats
+	c.coordinator.pendingImpactReports = reportRepeats
 	c.impact = impact{from: store.released.Ref.Number, to: to.Ref.Number, services: make(map[string]bool)}
 	for _, name := range content.Affected(store.released.Tree, to.Tree) {
 		c.impact.services[name] = true
 	}
 	for _, s := range c.subscribers {
 		if affected := c.impact.affects(s); affected != s.affected {
-			s.affected, s.reportsLeft = affected, reportRepeats
+			s.affected, s.pendingReports = affected, reportRepeats
 		}
 	}
 }
@@ -56,15 +56,15 @@
 	full := c.reportedTo != status.Leader || c.now >= c.nextFullReport
 	m := &codec.GatewayReports{Head: c.impact.to, Full: full}
 	for _, name := range c.names {
-		if s := c.subscribers[name]; full || s.reportsLeft > 0 {
-			s.reportsLeft = max(0, s.reportsLeft-1)
+		if s := c.subscribers[name]; full || s.pendingReports > 0 {
+			s.pendingReports = max(0, s.pendingReports-1)
 			m.Gateways = append(m.Gateways, c.reportOf(s))
 		}
 	}
-	if !full && len(m.Gateways) == 0 && c.coordinator.impactReports == 0 {
+	if !full && len(m.Gateways) == 0 && c.coordinator.pendingImpactReports == 0 {
 		return
 	}
-	c.coordinator.impactReports = max(0, c.coordinator.impactReports-1)
+	c.coordinator.pendingImpactReports = max(0, c.coordinator.pendingImpactReports-1)
 	if full {
 		c.reportedTo, c.nextFullReport = status.Leader, c.now+fullReportInterval
 	}
@@ -83,9 +83,9 @@
 
 // peer is what another control machine has reported.
 type peer struct {
-	head     uint64 // version that its reports' Affected is about
-	lastSeen time.Duration
-	gateways map[string]codec.GatewayReport
+	newestVersion uint64 // version that its reports' Affected is about
+	lastSeen      time.Duration
+	gateways      map[string]codec.GatewayReport
 }
 
 // gatewayStatus is a gateway's report with the control machine where it is subscribed.
--- a/internal/configdist/snapshot.go
+++ b/internal/configdist/snapshot.go
@@ -20,12 +20,12 @@
 	b = codec.AppendUint(codec.AppendUint(codec.AppendUint(b, s.released.Ref.Number), r.Version), uint64(r.Stage))
 	b = codec.AppendString(codec.AppendString(codec.AppendString(b, r.Canary), r.Zone), r.Reason)
 	b = codec.AppendUint(codec.AppendUint(b, r.Attempt), uint64(len(s.versions)))
-	before := content.Empty()
+	previous := content.Empty()
 	for _, v := range s.versions {
 		b = codec.AppendUint(codec.AppendRef(b, v.Ref), v.Proposal)
-		changes, _, _ := content.Page(before, v.Tree, content.Affected(before, v.Tree), content.Cursor{}, math.MaxInt)
+		changes, _, _ := content.Page(previous, v.Tree, content.Affected(previous, v.Tree), content.Cursor{}, math.MaxInt)
 		b = codec.AppendChanges(b, changes)
-		before = v.Tree
+		previous = v.Tree
 	}
 	return b
 }
--- a/internal/configdist/store.go
+++ b/internal/configdist/store.go
@@ -52,12 +52,12 @@
 
 // Version returns a kept version, or nil.
 func (s *Store) Version(number uint64) *Version {
-	at, found := slices.BinarySearchFunc(s.versions, number,
+	index, found := slices.BinarySearchFunc(s.versions, number,
 		func(v *Version, n uint64) int { return int(int64(v.Ref.Number) - int64(n)) })
 	if !found {
 		return nil
 	}
-	return s.versions[at]
+	return s.versions[index]
 }
 
 // Candidate is the version that is rolled out, or nil.
@@ -97,8 +97,8 @@
 }
 
 func (s *Store) propose(c *Command, term uint64) (content.Ref, error) {
-	if again := s.versionOf(c.ID); again != nil {
-		return again.Ref, nil
+	if existing := s.versionOf(c.ID); existing != nil {
+		return existing.Ref, nil
 	}
 	head := s.Head()
 	switch {
@@ -122,11 +122,11 @@
 	if id == 0 {
 		return nil
 	}
-	at := slices.IndexFunc(s.versions, func(v *Version) bool { return v.Proposal == id })
-	if at < 0 {
+	index := slices.IndexFunc(s.versions, func(v *Version) bool { return v.Proposal == id })
+	if index < 0 {
 		return nil
 	}
-	return s.versions[at]
+	return s.versions[index]
 }
 
 func (s *Store) add(tree *content.Tree, term, id uint64) *Version {
@@ -143,9 +143,9 @@
 	if excess <= 0 {
 		return
 	}
-	old := slices.DeleteFunc(slices.Clone(s.versions[:excess]),
+	retained := slices.DeleteFunc(slices.Clone(s.versions[:excess]),
 		func(v *Version) bool { return v != s.released && v.Ref.Number != s.rollout.Version })
-	s.versions = slices.Concat(old, s.versions[excess:])
+	s.versions = slices.Concat(retained, s.versions[excess:])
 }
 
 // moveStage begins the rollout of a version that is newer than the released one, or moves the one under way on. A
@@ -154,13 +154,13 @@
 	if len(c.Canary) > content.MaxName || len(c.Zone) > content.MaxName {
 		return content.Ref{}, ErrCommand
 	}
-	wanted := s.rollout.Version
-	if wanted == 0 {
-		wanted = c.Version // another may have become the newest while the command was under way
+	expected := s.rollout.Version
+	if expected == 0 {
+		expected = c.Version // another may have become the newest while the command was under way
 	}
 	switch {
-	case c.Version != wanted || c.Version <= s.released.Ref.Number:
-		return content.Ref{}, &FieldError{"version", c.Version, max(wanted, s.released.Ref.Number+1), ErrStage}
+	case c.Version != expected || c.Version <= s.released.Ref.Number:
+		return content.Ref{}, &FieldError{"version", c.Version, max(expected, s.released.Ref.Number+1), ErrStage}
 	case s.Version(c.Version) == nil:
 		return content.Ref{}, &FieldError{"version", c.Version, s.Head().Ref.Number, ErrNoVersion}
 	case c.Stage < StageCanary || c.Stage > stageReleased || c.Stage == StageStopped || s.rollout.Stage == StageStopped,
@@ -216,21 +216,21 @@
 // revert makes a new version with the content of an older one. Back to the released one from a stopped rollout it
 // goes to all at once: that content is known. Back to another one it is rolled out like any change.
 func (s *Store) revert(c *Command, term uint64) (content.Ref, error) {
-	if again := s.versionOf(c.ID); again != nil {
-		return again.Ref, nil
+	if existing := s.versionOf(c.ID); existing != nil {
+		return existing.Ref, nil
 	}
-	old := s.Version(c.Version)
+	source := s.Version(c.Version)
 	stopped := s.rollout.Stage == StageStopped
 	switch {
-	case old == nil:
+	case source == nil:
 		return content.Ref{}, &FieldError{"version", c.Version, s.Head().Ref.Number, ErrNoVersion}
-	case !stopped && old.Tree.Hash() == s.Head().Tree.Hash():
+	case !stopped && source.Tree.Hash() == s.Head().Tree.Hash():
 		return content.Ref{}, ErrNoChange
 	}
-	v := s.add(old.Tree, term, c.ID)
+	v := s.add(source.Tree, term, c.ID)
 	if stopped {
 		s.rollout = Rollout{Attempt: s.rollout.Attempt}
-		if old == s.released {
+		if source == s.released {
 			s.rollout = Rollout{Version: v.Ref.Number, Stage: StageAll, Attempt: s.rollout.Attempt + 1}
 		}
 		s.compact()
--- a/internal/configdist/subscriber.go
+++ b/internal/configdist/subscriber.go
@@ -18,12 +18,12 @@
 	state         codec.State
 	lastSeen      time.Duration
 
-	offered      *Version
-	attempt      uint64        // of the rollout that the offer belongs to
-	nextOffer    time.Duration // when it is offered again; 0 where no acknowledgement is awaited
-	offerBackoff time.Duration // from one offer to the next
-	reportsLeft  int           // reports to the leader that still have to tell of it
-	affected     bool          // by the versions of Controller.impact
+	offered        *Version
+	attempt        uint64        // of the rollout that the offer belongs to
+	nextOffer      time.Duration // when it is offered again; 0 where no acknowledgement is awaited
+	offerBackoff   time.Duration // from one offer to the next
+	pendingReports int           // reports to the leader that still have to tell of it
+	affected       bool          // by the versions of Controller.impact
 }
 
 // receiveSubscribe begins a gateway's session, in place of an earlier one.
@@ -36,13 +36,13 @@
 		c.send(link, &codec.Busy{Session: m.Session})
 		return
 	case s == nil:
-		at, _ := slices.BinarySearch(c.names, m.Gateway)
-		c.names = slices.Insert(c.names, at, m.Gateway)
+		index, _ := slices.BinarySearch(c.names, m.Gateway)
+		c.names = slices.Insert(c.names, index, m.Gateway)
 	}
 	services := slices.Compact(slices.Sorted(slices.Values(m.Services)))
 	s = &subscriber{
 		gateway: m.Gateway, zone: m.Zone, link: link, session: m.Session, services: services, state: m.State,
-		lastSeen: c.now, reportsLeft: reportRepeats,
+		lastSeen: c.now, pendingReports: reportRepeats,
 	}
 	c.subscribers[m.Gateway] = s
 	s.affected = c.impact.affects(s)
@@ -67,7 +67,7 @@
 // acknowledge takes what a gateway tells of itself.
 func (c *Controller) acknowledge(s *subscriber, state codec.State) {
 	if s.state != state {
-		s.state, s.reportsLeft = state, reportRepeats
+		s.state, s.pendingReports = state, reportRepeats
 	}
 }
 
@@ -95,11 +95,11 @@
 		return false
 	}
 	status := c.log.Status()
-	return status.IsLeader || status.Quorum && c.now-c.leaderSeen < leaderTimeout
+	return status.IsLeader || status.Quorum && c.now-c.leaderLastSeen < leaderTimeout
 }
 
-// settled reports whether a gateway has nothing to do about a version: it has it, or a newer one, or has rejected it.
-func settled(s *subscriber, v *Version, attempt uint64) bool {
+// needsNoUpdate reports whether a gateway has nothing to do about a version: it has it, or a newer one, or has rejected it.
+func needsNoUpdate(s *subscriber, v *Version, attempt uint64) bool {
 	rejected := s.state.Verdict == codec.Rejected && s.state.Version == v.Ref.Number && s.state.Attempt >= attempt
 	return rejected || s.state.InForce.Number >= v.Ref.Number
 }
@@ -108,7 +108,7 @@
 func (c *Controller) offer(s *subscriber) {
 	v, attempt := c.targetOf(s)
 	s.offered, s.attempt = v, attempt
-	if settled(s, v, attempt) {
+	if needsNoUpdate(s, v, attempt) {
 		s.nextOffer, s.offerBackoff = 0, 0
 		c.send(s.link, &codec.Offer{Session: s.session, Target: v.Ref, Attempt: attempt})
 		return
@@ -128,8 +128,8 @@
 func (c *Controller) page(s *subscriber, v *Version, from content.Ref, after content.Cursor, limit int) *codec.Page {
 	base := content.Empty()
 	if from != (content.Ref{}) {
-		if old := c.machine.store.Version(from.Number); old != nil && old.Ref == from {
-			base = old.Tree
+		if known := c.machine.store.Version(from.Number); known != nil && known.Ref == from {
+			base = known.Tree
 		} else {
 			from, after = content.Ref{}, content.Cursor{}
 		}
@@ -168,17 +168,17 @@
 
 // serve offers what has changed, and again what was not acknowledged; it forgets gateways that are silent for long.
 func (c *Controller) serve() {
-	gone := false
+	removed := false
 	for _, name := range c.names {
 		s := c.subscribers[name]
 		if c.now-s.lastSeen > forgetTimeout {
 			delete(c.subscribers, name)
-			gone = true
+			removed = true
 			continue
 		}
 		v, attempt := c.targetOf(s)
 		switch {
-		case settled(s, v, attempt):
+		case needsNoUpdate(s, v, attempt):
 			s.nextOffer = 0
 		case v != s.offered || attempt != s.attempt:
 			c.offer(s)
@@ -188,7 +188,7 @@
 			c.send(s.link, &codec.Offer{Session: s.session, Target: v.Ref, Attempt: attempt})
 		}
 	}
-	if gone {
+	if removed {
 		c.names = slices.Sorted(maps.Keys(c.subscribers))
 	}
 }
--- a/internal/configdist/tally.go
+++ b/internal/configdist/tally.go
@@ -15,8 +15,8 @@
 	zone        string         // of the canary
 }
 
-// enough reports whether a share of the gateways that are heard of have the version in force.
-func (t *stageTally) enough(share float64) bool { return float64(t.acked) >= share*float64(t.live) }
+// reached reports whether a share of the gateways that are heard of have the version in force.
+func (t *stageTally) reached(share float64) bool { return float64(t.acked) >= share*float64(t.live) }
 
 // tally counts the gateways that a stage is about: those that the change affects.
 func tally(gateways []gatewayStatus, r Rollout) (t stageTally) {
@@ -68,7 +68,7 @@
 		return "", false
 	}
 	if stage == StageCanary {
-		return fmt.Sprintf(reasonOfOne, t.firstFailed.Gateway, t.firstFailed.State.Reason), true
+		return fmt.Sprintf(reasonCanaryFailed, t.firstFailed.Gateway, t.firstFailed.State.Reason), true
 	}
-	return fmt.Sprintf(reasonOfFailures, t.failed, answered, t.firstFailed.Gateway, t.firstFailed.State.Reason), true
+	return fmt.Sprintf(reasonTooManyFailed, t.failed, answered, t.firstFailed.Gateway, t.firstFailed.State.Reason), true
 }
--- a/internal/lab/configsim/changes.go
+++ b/internal/lab/configsim/changes.go
@@ -8,20 +8,20 @@
 	"thymebend/internal/configdist/content"
 )
 
-// faulty words a change that a share of the gateways refuse or fail with, or takes it back.
-func (r *run) faulty() []content.Change {
+// faultyChange words a change that a share of the gateways refuse or fail with, or takes it back.
+func (r *run) faultyChange() []content.Change {
 	c := content.Change{Entry: content.Entry{Kind: content.Route, Service: ServiceName(r.rng.IntN(r.size.Services)),
 		Name: faultyRoute}}
-	word := rejectedByWord
+	prefix := rejectPrefix
 	if r.rng.IntN(2) == 0 {
-		word = failsAtWord
+		prefix = failPrefix
 	}
-	c.Entry.Body = fmt.Sprint(word, []int{3, 50, 100}[r.rng.IntN(3)])
+	c.Entry.Body = fmt.Sprint(prefix, []int{3, 50, 100}[r.rng.IntN(3)])
 	return []content.Change{c}
 }
 
-// changeGuest has a tenant come, or go where it is there.
-func (r *run) changeGuest() []content.Change {
+// toggleTenant has a tenant come, or go where it is there.
+func (r *run) toggleTenant() []content.Change {
 	service := ServiceName(r.rng.IntN(r.size.Services))
 	c := content.Change{Entry: content.Entry{Kind: content.Tenant, Service: service, Name: "guest", Body: body(r.rng)}}
 	if leader := r.Cluster.Leader(); leader != nil {
@@ -32,38 +32,38 @@
 }
 
 func (r *run) drawChanges() {
-	pause := 300*time.Millisecond + r.upTo(4*time.Second)
-	faulty := r.rng.IntN(2) == 0
-	for at := startPhase; at < startPhase+faultPhase; at += pause/2 + r.upTo(pause) {
-		bad := faulty && r.rng.IntN(6) == 0
+	pause := 300*time.Millisecond + r.randomDuration(4*time.Second)
+	withFaulty := r.rng.IntN(2) == 0
+	for at := startPhase; at < startPhase+faultPhase; at += pause/2 + r.randomDuration(pause) {
+		proposeFaulty := withFaulty && r.rng.IntN(6) == 0
 		r.At(at, func() {
 			switch {
 			case r.rng.IntN(4) == 0:
-				r.submit(r.changeGuest())
+				r.submit(r.toggleTenant())
 				return
-			case !bad:
+			case !proposeFaulty:
 				r.submit(Change(r.size, r.rng))
 				return
 			}
-			change := r.faulty()
+			change := r.faultyChange()
 			r.Cluster.Submit(change, func(_ content.Ref, err error) {
 				if err == nil { // its author takes it back, whether it was stopped or not
-					r.At(r.Now()+2*time.Second, func() { r.takeBack(change) })
+					r.At(r.Now()+2*time.Second, func() { r.replaceFaulty(change) })
 				}
 			})
 		})
 	}
 }
 
-// takeBack has a faulty route replaced by one that is none. One that is not there any more does no harm by it.
-func (r *run) takeBack(change []content.Change) {
+// replaceFaulty has a faulty route replaced by one that is none. One that is not there any more does no harm by it.
+func (r *run) replaceFaulty(change []content.Change) {
 	c := change[0]
 	c.Entry.Body = body(r.rng)
 	r.submit([]content.Change{c})
 }
 
-// repair words a change after which no service has a faulty route.
-func (r *run) repair() (list []content.Change) {
+// repairChanges words a change after which no service has a faulty route.
+func (r *run) repairChanges() (list []content.Change) {
 	for i := range r.size.Services {
 		list = append(list, content.Change{Entry: content.Entry{Kind: content.Route, Service: ServiceName(i),
 			Name: faultyRoute, Body: body(r.rng)}})
--- a/internal/lab/configsim/check.go
+++ b/internal/lab/configsim/check.go
@@ -15,19 +15,19 @@
 	for _, c := range cl.ControlMachines {
 		released = max(released, c.Controller.Store().Released().Ref.Number)
 	}
-	took, ok := r.until(convergeWithin, func() bool { return cl.lagging(released) == "" })
-	if r.out.Converged = took; !ok {
-		cl.Violate("%v after the last trouble: %s", convergeWithin, cl.lagging(released))
+	elapsed, ok := r.waitUntil(convergenceLimit, func() bool { return cl.laggingGateway(released) == "" })
+	if r.out.Converged = elapsed; !ok {
+		cl.ReportViolation("%v after the last trouble: %s", convergenceLimit, cl.laggingGateway(released))
 	}
 	if r.releaseRepair(); len(cl.Violations) == 0 {
 		r.out.LastChange = r.lastChange()
 	}
 	// some author may still be at it
-	r.until(repairTimeout, func() bool {
-		return r.Now()-cl.invariants.versions[cl.invariants.newest].at >= convergeWithin
+	r.waitUntil(repairTimeout, func() bool {
+		return r.Now()-cl.invariants.versions[cl.invariants.newest].at >= convergenceLimit
 	})
-	if wrong := cl.lagging(cl.invariants.newest); wrong != "" && len(cl.Violations) == 0 {
-		cl.Violate("%v after the newest version was committed: %s", convergeWithin, wrong)
+	if lagging := cl.laggingGateway(cl.invariants.newest); lagging != "" && len(cl.Violations) == 0 {
+		cl.ReportViolation("%v after the newest version was committed: %s", convergenceLimit, lagging)
 	}
 	r.summarize()
 	return r.out
@@ -41,7 +41,7 @@
 // stopped, and it may be taken back with them: then it is submitted again.
 func (r *run) releaseRepair() {
 	cl := r.Cluster
-	_, ok := r.until(repairTimeout, func() bool {
+	_, ok := r.waitUntil(repairTimeout, func() bool {
 		leader := cl.Leader()
 		if leader == nil {
 			return false
@@ -50,17 +50,17 @@
 		if store.Released() != store.Head() {
 			return false
 		}
-		_, refused := faultShare(store.Head().Tree, rejectedByWord)
-		_, fails := faultShare(store.Head().Tree, failsAtWord)
-		if !refused && !fails {
+		_, rejects := faultShare(store.Head().Tree, rejectPrefix)
+		_, fails := faultShare(store.Head().Tree, failPrefix)
+		if !rejects && !fails {
 			return true
 		}
-		r.submit(r.repair())
+		r.submit(r.repairChanges())
 		r.Run(r.Now() + 3*time.Second)
 		return false
 	})
 	if !ok {
-		cl.Violate("%v after the troubles a rollout is still under way, or what is faulty is released", repairTimeout)
+		cl.ReportViolation("%v after the troubles a rollout is still under way, or what is faulty is released", repairTimeout)
 	}
 }
 
@@ -69,32 +69,32 @@
 	cl := r.Cluster
 	var ref content.Ref
 	var committedAt time.Duration
-	cl.Submit(Change(r.size, r.rng), func(made content.Ref, err error) {
+	cl.Submit(Change(r.size, r.rng), func(committed content.Ref, err error) {
 		if err != nil {
-			cl.Violate("the last change: %v", err)
+			cl.ReportViolation("the last change: %v", err)
 		}
-		ref, committedAt = made, r.Now()
+		ref, committedAt = committed, r.Now()
 	})
-	if _, ok := r.until(12*time.Second, func() bool { return ref.Number > 0 }); !ok {
-		cl.Violate("the last change is no version after 12 s")
+	if _, ok := r.waitUntil(12*time.Second, func() bool { return ref.Number > 0 }); !ok {
+		cl.ReportViolation("the last change is no version after 12 s")
 		return 0
 	}
-	if _, ok := r.until(convergeWithin, func() bool { return cl.lagging(ref.Number) == "" }); !ok {
-		cl.Violate("%v after version %v was committed: %s", convergeWithin, ref, cl.lagging(ref.Number))
+	if _, ok := r.waitUntil(convergenceLimit, func() bool { return cl.laggingGateway(ref.Number) == "" }); !ok {
+		cl.ReportViolation("%v after version %v was committed: %s", convergenceLimit, ref, cl.laggingGateway(ref.Number))
 	}
 	return r.Now() - committedAt
 }
 
-// until lets time pass until something holds.
-func (r *run) until(most time.Duration, holds func() bool) (time.Duration, bool) {
-	begin := r.Now()
-	for !holds() {
-		if r.Now()-begin >= most {
-			return r.Now() - begin, false
+// waitUntil lets time pass until something holds.
+func (r *run) waitUntil(timeout time.Duration, condition func() bool) (time.Duration, bool) {
+	startedAt := r.Now()
+	for !condition() {
+		if r.Now()-startedAt >= timeout {
+			return r.Now() - startedAt, false
 		}
 		r.Run(r.Now() + 20*time.Millisecond)
 	}
-	return r.Now() - begin, true
+	return r.Now() - startedAt, true
 }
 
 // summarize sums up the run, and checks what the counts show.
@@ -110,10 +110,10 @@
 		o.Fenced += counts.Fenced
 		o.Stalls += counts.Stalls
 		if counts.Forked > 0 {
-			cl.Violate("%s was offered another content of a version that it had", g.Name)
+			cl.ReportViolation("%s was offered another content of a version that it had", g.Name)
 		}
 		if counts.Mismatched > 0 {
-			cl.Violate("%s has collected what was not its version %d times", g.Name, counts.Mismatched)
+			cl.ReportViolation("%s has collected what was not its version %d times", g.Name, counts.Mismatched)
 		}
 	}
 	for _, v := range cl.invariants.versions {
@@ -122,7 +122,7 @@
 		}
 	}
 	if o.Rate = float64(bytes) / float64(len(cl.Gateways)) / r.Now().Seconds(); o.Rate > maxRate {
-		cl.Violate("%.0f bytes a second and gateway, %.0f at most", o.Rate, maxRate)
+		cl.ReportViolation("%.0f bytes a second and gateway, %.0f at most", o.Rate, maxRate)
 	}
 	if counts := cl.Leader(); counts != nil {
 		r.checkLag(counts.Controller)
@@ -132,10 +132,10 @@
 
 // checkLag holds the leader's report of who lags against what gateways have in force.
 func (r *run) checkLag(leader *configdist.Controller) {
-	for _, l := range leader.Lag(r.Now()) {
+	for _, l := range leader.LaggingGateways(r.Now()) {
 		for _, g := range r.Cluster.Gateways {
 			if g.Name == l.Gateway && g.Running.Ref.Number >= l.Newest && l.Reason != configdist.ReasonFailed {
-				r.Cluster.Violate("the leader says that %s lags: %s", g.Name, cmp.Or(l.Detail, string(l.Reason)))
+				r.Cluster.ReportViolation("the leader says that %s lags: %s", g.Name, cmp.Or(l.Detail, string(l.Reason)))
 			}
 		}
 	}
--- a/internal/lab/configsim/cluster.go
+++ b/internal/lab/configsim/cluster.go
@@ -24,8 +24,8 @@
 	Installed func(g *Gateway, ref content.Ref) // is told of each version in force, or nil
 }
 
-// machines is how many control machines there are: three voters and a standby.
-const machines = 4
+// controlMachineCount is how many control machines there are: three voters and a standby.
+const controlMachineCount = 4
 
 // Cluster is control machines and gateways.
 type Cluster struct {
@@ -38,7 +38,7 @@
 	net        Network
 	rng        *rand.Rand
 	invariants invariants
-	answer     map[uint64]func(configdist.Result) // by the command's ID
+	onResult   map[uint64]func(configdist.Result) // by the command's ID
 	nextID     uint64
 }
 
@@ -50,13 +50,13 @@
 		net:        net,
 		rng:        rand.New(rand.NewPCG(cfg.Seed, 0x4011)),
 		invariants: newInvariants(),
-		answer:     make(map[uint64]func(configdist.Result)),
+		onResult:   make(map[uint64]func(configdist.Result)),
 	}
-	for i := range machines {
+	for i := range controlMachineCount {
 		cl.ControlMachines = append(cl.ControlMachines, &ControlMachine{
 			process: process{cluster: cl, endpoint: Endpoint{true, i}},
 			ID:      uint64(i + 1),
-			Region:  regionName(i * cfg.Regions / machines),
+			Region:  regionName(i * cfg.Regions / controlMachineCount),
 			disk:    &raft.MemoryStorage{},
 		})
 	}
@@ -86,31 +86,31 @@
 	return cl.Gateways[e.Index].Region
 }
 
-// Violate notes a broken rule.
-func (cl *Cluster) Violate(format string, args ...any) {
+// ReportViolation notes a broken rule.
+func (cl *Cluster) ReportViolation(format string, args ...any) {
 	cl.Violations = append(cl.Violations, fmt.Sprintf("%.3f s: ", cl.clock.Now().Seconds())+fmt.Sprintf(format,
 		args...))
 }
 
 // InForce counts the gateways that are up, and those of them that have a version or a newer one in force.
-func (cl *Cluster) InForce(number uint64) (have, up int) {
+func (cl *Cluster) InForce(number uint64) (updated, up int) {
 	for _, g := range cl.Gateways {
 		if !g.up {
 			continue
 		}
 		up++
 		if g.Running.Ref.Number >= number {
-			have++
+			updated++
 		}
 	}
-	return have, up
+	return updated, up
 }
 
 // Newest is the highest version that was seen to be committed.
 func (cl *Cluster) Newest() uint64 { return cl.invariants.newest }
 
-// lagging names a living gateway that has not a version in force, or a newer one, and would not refuse either.
-func (cl *Cluster) lagging(number uint64) string {
+// laggingGateway names a living gateway that has not a version in force, or a newer one, and would not refuse either.
+func (cl *Cluster) laggingGateway(number uint64) string {
 	for _, g := range cl.Gateways {
 		if g.up && g.Running.Ref.Number < number && !cl.invariants.rejects(g, number) {
 			return fmt.Sprintf("%s has version %v in force, not %d", g.Name, g.Running.Ref, number)
--- a/internal/lab/configsim/control.go
+++ b/internal/lab/configsim/control.go
@@ -15,7 +15,7 @@
 	Region     string
 	Controller *configdist.Controller // nil while no process runs
 	disk       *raft.MemoryStorage
-	seen       storeView
+	lastView   storeView
 }
 
 // StartControl starts a control machine's process with what it has kept.
@@ -39,7 +39,7 @@
 		panic(err) // the configuration is ours
 	}
 	c.Controller = controller
-	c.called()
+	c.processOutput()
 }
 
 // KillControl ends a control machine's process without a word. What it kept stays.
@@ -77,46 +77,46 @@
 		command.ID = cl.nextID
 	}
 	if answer != nil {
-		cl.answer[command.ID] = answer
+		cl.onResult[command.ID] = answer
 	}
 	err := c.Controller.Propose(cl.clock.Now(), *command)
-	c.called()
+	c.processOutput()
 	return err
 }
 
 func (c *ControlMachine) advance() {
-	c.spend(func() { c.Controller.Advance(c.cluster.clock.Now()) })
-	c.called()
+	c.measureCPU(func() { c.Controller.Advance(c.cluster.clock.Now()) })
+	c.processOutput()
 }
 
-// called sends what a control machine wants sent, looks at its store, and has it called when it wants.
-func (c *ControlMachine) called() {
+// processOutput sends what a control machine wants sent, looks at its store, and has it called when it wants.
+func (c *ControlMachine) processOutput() {
 	cl := c.cluster
 	var out configdist.ControllerOutput
 	var err error
-	c.spend(func() { out, err = c.Controller.Take(c.disk.Save) })
+	c.measureCPU(func() { out, err = c.Controller.Take(c.disk.Save) })
 	if err != nil {
-		cl.Violate("control machine %d: %v", c.ID, err)
+		cl.ReportViolation("control machine %d: %v", c.ID, err)
 	}
 	cl.invariants.observe(cl, c)
 	for _, m := range out.Peers {
 		to := cl.ControlMachines[m.To-1]
-		c.send(&to.process, m.Message, func(heard codec.Message) {
+		c.send(&to.process, m.Message, func(received codec.Message) {
 			// one that has just failed says so; Take does too
-			to.spend(func() { _ = to.Controller.ReceivePeer(cl.clock.Now(), c.ID, heard) })
-			to.called()
+			to.measureCPU(func() { _ = to.Controller.ReceivePeer(cl.clock.Now(), c.ID, received) })
+			to.processOutput()
 		})
 	}
 	for _, m := range out.Gateways {
 		to := cl.Gateways[m.Link]
-		c.send(&to.process, m.Message, func(heard codec.Message) {
-			to.spend(func() { to.Agent.Receive(cl.clock.Now(), c.ID, heard) })
-			to.called()
+		c.send(&to.process, m.Message, func(received codec.Message) {
+			to.measureCPU(func() { to.Agent.Receive(cl.clock.Now(), c.ID, received) })
+			to.processOutput()
 		})
 	}
 	for _, r := range out.Results {
-		if answer := cl.answer[r.ID]; answer != nil {
-			delete(cl.answer, r.ID)
+		if answer := cl.onResult[r.ID]; answer != nil {
+			delete(cl.onResult, r.ID)
 			answer(r)
 		}
 	}
--- a/internal/lab/configsim/faults.go
+++ b/internal/lab/configsim/faults.go
@@ -7,8 +7,10 @@
 	return startPhase + time.Duration(r.rng.Int64N(int64(faultPhase)))
 }
 
-// upTo draws a time up to a bound.
-func (r *run) upTo(most time.Duration) time.Duration { return time.Duration(r.rng.Int64N(int64(most))) }
+// randomDuration draws a time up to a bound.
+func (r *run) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(r.rng.Int64N(int64(limit)))
+}
 
 // drawFaults draws faults of the network and of gateways, then those of control machines.
 func (r *run) drawFaults() {
@@ -23,21 +25,21 @@
 	}
 	if r.rng.IntN(2) == 0 { // gateways end, and come back or are replaced
 		for range 1 + r.rng.IntN(n) {
-			who, when, away, replaced := r.rng.IntN(n), r.faultTime(), r.upTo(8*time.Second), r.rng.IntN(4) == 0
-			r.At(when, func() { cl.KillGateway(who) })
-			r.At(when+away, func() {
+			index, at, downtime, replaced := r.rng.IntN(n), r.faultTime(), r.randomDuration(8*time.Second), r.rng.IntN(4) == 0
+			r.At(at, func() { cl.KillGateway(index) })
+			r.At(at+downtime, func() {
 				if replaced {
-					cl.ReplaceGateway(who)
+					cl.ReplaceGateway(index)
 				} else {
-					cl.StartGateway(who)
+					cl.StartGateway(index)
 				}
 			})
 		}
 	}
 	if r.rng.IntN(2) == 0 { // gateways stand still
 		for range 1 + r.rng.IntN(n) {
-			who, when, length := r.rng.IntN(n), r.faultTime(), r.upTo(20*time.Second)
-			r.At(when, func() { cl.StallGateway(who, length) })
+			index, at, length := r.rng.IntN(n), r.faultTime(), r.randomDuration(20*time.Second)
+			r.At(at, func() { cl.StallGateway(index, length) })
 		}
 	}
 	r.drawControlFaults()
@@ -47,36 +49,36 @@
 // drawControlFaults draws restarts and stalls of control machines.
 func (r *run) drawControlFaults() {
 	cl := r.Cluster
-	restart := func(i int, when, away time.Duration) {
-		r.At(when, func() { cl.KillControl(i) })
-		r.At(when+away, func() { cl.StartControl(i) })
+	restart := func(i int, at, downtime time.Duration) {
+		r.At(at, func() { cl.KillControl(i) })
+		r.At(at+downtime, func() { cl.StartControl(i) })
 	}
 	switch r.rng.IntN(5) {
 	case 0: // one after another
-		when := startPhase + r.upTo(10*time.Second)
+		at := startPhase + r.randomDuration(10*time.Second)
 		for i := range cl.ControlMachines {
-			restart(i, when+time.Duration(i)*3*time.Second, time.Duration(1+r.rng.IntN(2000))*time.Millisecond)
+			restart(i, at+time.Duration(i)*3*time.Second, time.Duration(1+r.rng.IntN(2000))*time.Millisecond)
 		}
 	case 1: // all at once
-		when := r.faultTime()
+		at := r.faultTime()
 		for i := range cl.ControlMachines {
-			restart(i, when, time.Duration(1+r.rng.IntN(3000))*time.Millisecond)
+			restart(i, at, time.Duration(1+r.rng.IntN(3000))*time.Millisecond)
 		}
 	case 2: // the leader, in the middle of something
 		for range 1 + r.rng.IntN(3) {
-			when, away := r.faultTime(), r.upTo(6*time.Second)
-			r.At(when, func() {
-				if l := cl.Leader(); l != nil {
-					cl.KillControl(l.endpoint.Index)
-					r.At(when+away, func() { cl.StartControl(l.endpoint.Index) })
+			at, downtime := r.faultTime(), r.randomDuration(6*time.Second)
+			r.At(at, func() {
+				if leader := cl.Leader(); leader != nil {
+					cl.KillControl(leader.endpoint.Index)
+					r.At(at+downtime, func() { cl.StartControl(leader.endpoint.Index) })
 				}
 			})
 		}
 	}
 	if r.rng.IntN(3) == 0 {
 		for range 1 + r.rng.IntN(4) {
-			who, when, length := r.rng.IntN(len(cl.ControlMachines)), r.faultTime(), r.upTo(8*time.Second)
-			r.At(when, func() { cl.StallControl(who, length) })
+			index, at, length := r.rng.IntN(len(cl.ControlMachines)), r.faultTime(), r.randomDuration(8*time.Second)
+			r.At(at, func() { cl.StallControl(index, length) })
 		}
 	}
 }
@@ -87,22 +89,22 @@
 	if r.rng.IntN(2) == 0 {
 		return
 	}
-	one, kind := r.rng.IntN(len(cl.ControlMachines)), r.rng.IntN(4)
-	when := r.faultTime()
-	r.At(when, func() {
+	machine, kind := r.rng.IntN(len(cl.ControlMachines)), r.rng.IntN(4)
+	at := r.faultTime()
+	r.At(at, func() {
 		r.Net.Cut = func(from, to Endpoint) bool {
 			switch kind {
 			case 0, 1: // regions are parted
 				return cl.RegionOf(from) != cl.RegionOf(to)
 			case 2: // one control machine is heard by nobody
-				return from.Control && from.Index == one
+				return from.Control && from.Index == machine
 			}
 			// one is cut off from the others, and its gateways are not
-			return from.Control && to.Control && (from.Index == one || to.Index == one)
+			return from.Control && to.Control && (from.Index == machine || to.Index == machine)
 		}
 	})
-	r.At(when+r.upTo(25*time.Second), func() { r.Net.Cut = nil })
+	r.At(at+r.randomDuration(25*time.Second), func() { r.Net.Cut = nil })
 	for range 3 { // a change on each side
-		r.At(when+r.upTo(10*time.Second), func() { r.submit(Change(r.size, r.rng)) })
+		r.At(at+r.randomDuration(10*time.Second), func() { r.submit(Change(r.size, r.rng)) })
 	}
 }
--- a/internal/lab/configsim/gateway.go
+++ b/internal/lab/configsim/gateway.go
@@ -17,8 +17,8 @@
 	Agent              *configdist.Agent    // nil while no process runs
 	Running            configdist.LastGood  // what its process has in force
 	disk               *configdist.LastGood // the last good configuration
-	fence              content.Ref          // the newest that was ever in force under this name
-	born               int                  // how often the place was given to a new machine
+	newestInForce      content.Ref          // the newest that was ever in force under this name
+	replacements       int                  // how often the place was given to a new machine
 }
 
 // StartGateway starts a gateway's process with its last good configuration.
@@ -46,7 +46,7 @@
 		panic(err) // the configuration is ours
 	}
 	g.Agent, g.Running = agent, agent.InForce()
-	g.called()
+	g.processOutput()
 }
 
 // KillGateway ends a gateway's process without a word.
@@ -59,9 +59,9 @@
 func (cl *Cluster) ReplaceGateway(i int) {
 	g := cl.Gateways[i]
 	cl.KillGateway(i)
-	g.disk, g.fence = nil, content.Ref{}
-	g.born++
-	g.Name = fmt.Sprintf("g-%04d-%d", i, g.born)
+	g.disk, g.newestInForce = nil, content.Ref{}
+	g.replacements++
+	g.Name = fmt.Sprintf("g-%04d-%d", i, g.replacements)
 	cl.StartGateway(i)
 }
 
@@ -72,29 +72,29 @@
 }
 
 func (g *Gateway) advance() {
-	g.spend(func() { g.Agent.Advance(g.cluster.clock.Now()) })
-	g.called()
+	g.measureCPU(func() { g.Agent.Advance(g.cluster.clock.Now()) })
+	g.processOutput()
 }
 
-// called sends what an agent wants sent, has the gateway install what it is handed, and has the agent called when it
+// processOutput sends what an agent wants sent, has the gateway install what it is handed, and has the agent called when it
 // wants.
-func (g *Gateway) called() {
+func (g *Gateway) processOutput() {
 	cl := g.cluster
 	out := g.Agent.Take()
 	for _, m := range out.Messages {
 		to := cl.ControlMachines[m.To-1]
 		link := uint64(g.endpoint.Index)
-		g.send(&to.process, m.Message, func(heard codec.Message) {
+		g.send(&to.process, m.Message, func(received codec.Message) {
 			// a gateway's messages are none of a control machine's
-			to.spend(func() { _ = to.Controller.Receive(cl.clock.Now(), link, heard) })
-			to.called()
+			to.measureCPU(func() { _ = to.Controller.Receive(cl.clock.Now(), link, received) })
+			to.processOutput()
 		})
 	}
 	if out.Install != nil {
 		g.install(*out.Install)
 	}
-	if has := g.Agent.InForce(); has.Ref != g.Running.Ref {
-		cl.Violate("%s: its agent has %v in force, the gateway %v", g.Name, has.Ref, g.Running.Ref)
+	if agent := g.Agent.InForce(); agent.Ref != g.Running.Ref {
+		cl.ReportViolation("%s: its agent has %v in force, the gateway %v", g.Name, agent.Ref, g.Running.Ref)
 	}
 	g.wake(g.Agent.NextWake(), g.advance)
 }
@@ -102,32 +102,32 @@
 // install validates and installs a configuration after the time that this takes, and tells the agent.
 func (g *Gateway) install(next configdist.Install) {
 	cl := g.cluster
-	life := g.incarnation
+	incarnation := g.incarnation
 	cl.clock.At(cl.clock.Now()+time.Duration(1+cl.rng.IntN(20))*time.Millisecond, func() {
-		if g.incarnation != life {
+		if g.incarnation != incarnation {
 			return
 		}
-		g.run(func() {
-			if g.incarnation != life {
+		g.runOrQueue(func() {
+			if g.incarnation != incarnation {
 				return
 			}
-			err := rejection(g, next)
+			err := rejectionError(g, next)
 			if err == nil {
 				cl.invariants.checkInstalled(cl, g, next)
 				g.Running = configdist.LastGood{Ref: next.Ref, Services: g.Services, Tree: next.Tree}
 			}
 			g.Agent.Installed(cl.clock.Now(), next.Ref, err)
 			if err == nil {
-				kept := g.Agent.InForce()
-				g.disk = &kept
+				lastGood := g.Agent.InForce()
+				g.disk = &lastGood
 				if cl.cfg.Installed != nil {
 					cl.cfg.Installed(g, next.Ref)
 				}
 			}
-			if reason := failure(g, next); err == nil && reason != "" {
+			if reason := failureReason(g, next); err == nil && reason != "" {
 				g.Agent.Fail(cl.clock.Now(), reason)
 			}
-			g.called()
+			g.processOutput()
 		})
 	})
 }
--- a/internal/lab/configsim/generate.go
+++ b/internal/lab/configsim/generate.go
@@ -20,7 +20,7 @@
 func Bootstrap(size Size, rng *rand.Rand) (proposals [][]content.Change) {
 	var list []content.Change
 	bytes := 0
-	put := func(e content.Entry) {
+	add := func(e content.Entry) {
 		list = append(list, content.Change{Entry: e})
 		if bytes += len(e.Service) + len(e.Name) + len(e.Body) + 8; bytes > content.MaxBytes/2 {
 			proposals = append(proposals, list)
@@ -28,14 +28,14 @@
 		}
 	}
 	for i := range size.Services {
-		put(content.Entry{Kind: content.Service, Service: ServiceName(i), Name: ServiceName(i), Body: body(rng)})
+		add(content.Entry{Kind: content.Service, Service: ServiceName(i), Name: ServiceName(i), Body: body(rng)})
 	}
 	for i := range size.Routes {
-		put(content.Entry{Kind: content.Route, Service: ServiceName(i % size.Services),
+		add(content.Entry{Kind: content.Route, Service: ServiceName(i % size.Services),
 			Name: fmt.Sprintf("route-%05d", i), Body: body(rng)})
 	}
 	for i := range size.Tenants {
-		put(content.Entry{Kind: content.Tenant, Service: ServiceName(i % size.Services),
+		add(content.Entry{Kind: content.Tenant, Service: ServiceName(i % size.Services),
 			Name: fmt.Sprintf("tenant-%05d", i), Body: body(rng)})
 	}
 	return append(proposals, list)
--- a/internal/lab/configsim/invariants.go
+++ b/internal/lab/configsim/invariants.go
@@ -15,25 +15,25 @@
 // Words in bodies by which a gateway refuses a configuration or fails with it: a share in percent of the gateways
 // follows.
 const (
-	rejectedByWord = "refused-by="
-	failsAtWord    = "fails-at="
+	rejectPrefix = "refused-by="
+	failPrefix   = "fails-at="
 )
 
 // stopPropagation is how long after a stop was committed a gateway may still take the version: the longest that a
 // control machine believes in its quorum or an agent in its session, a frame's way, and an installation.
 const stopPropagation = 5 * time.Second
 
-// rejection is why a gateway does not take a configuration.
-func rejection(g *Gateway, next configdist.Install) error {
-	if share, found := faultShare(next.Tree, rejectedByWord); found && affected(g, next.Ref.Number, share) {
+// rejectionError is why a gateway does not take a configuration.
+func rejectionError(g *Gateway, next configdist.Install) error {
+	if share, found := faultShare(next.Tree, rejectPrefix); found && isFaultyFor(g, next.Ref.Number, share) {
 		return errors.New("a body says that it is refused")
 	}
 	return nil
 }
 
-// failure is why a gateway fails with a configuration that it has taken.
-func failure(g *Gateway, next configdist.Install) string {
-	if share, found := faultShare(next.Tree, failsAtWord); found && affected(g, next.Ref.Number, share) {
+// failureReason is why a gateway fails with a configuration that it has taken.
+func failureReason(g *Gateway, next configdist.Install) string {
+	if share, found := faultShare(next.Tree, failPrefix); found && isFaultyFor(g, next.Ref.Number, share) {
 		return "a body says that it fails"
 	}
 	return ""
@@ -43,7 +43,7 @@
 // size.
 const faultyRoute = "faulty"
 
-func faultShare(t *content.Tree, word string) (share int, found bool) {
+func faultShare(t *content.Tree, prefix string) (share int, found bool) {
 	for _, name := range t.Services() {
 		for _, e := range t.Entries(name)[1:] {
 			if e.Kind != content.Route {
@@ -52,7 +52,7 @@
 			if e.Name != faultyRoute {
 				continue
 			}
-			if after, ok := strings.CutPrefix(e.Body, word); ok {
+			if after, ok := strings.CutPrefix(e.Body, prefix); ok {
 				if _, err := fmt.Sscan(after, &share); err == nil {
 					return share, true
 				}
@@ -62,8 +62,8 @@
 	return 0, false
 }
 
-func affected(g *Gateway, number uint64, share int) bool {
-	return xxh3.HashStringSeed(g.Name, number)%100 < uint64(share)
+func isFaultyFor(g *Gateway, number uint64, percent int) bool {
+	return xxh3.HashStringSeed(g.Name, number)%100 < uint64(percent)
 }
 
 // committed is one version as the log has it.
@@ -95,48 +95,48 @@
 }
 
 // observe takes what is new in a control machine's store, and holds it against what others have shown.
-func (l *invariants) observe(cl *Cluster, c *ControlMachine) {
+func (inv *invariants) observe(cl *Cluster, c *ControlMachine) {
 	store := c.Controller.Store()
 	head, released, stage := store.Head().Ref.Number, store.Released().Ref.Number, store.Rollout()
-	was := c.seen
-	c.seen = storeView{c.Controller, head, released, stage}
-	if c.seen == was {
+	previous := c.lastView
+	c.lastView = storeView{c.Controller, head, released, stage}
+	if c.lastView == previous {
 		return
 	}
-	if was.controller == c.Controller && (head < was.head || released < was.released) {
-		cl.Violate("control machine %d went back from version %d, %d released, to %d, %d", c.ID, was.head,
-			was.released, head, released)
+	if previous.controller == c.Controller && (head < previous.head || released < previous.released) {
+		cl.ReportViolation("control machine %d went back from version %d, %d released, to %d, %d", c.ID, previous.head,
+			previous.released, head, released)
 	}
-	from := was.head
-	if was.controller != c.Controller {
+	from := previous.head
+	if previous.controller != c.Controller {
 		from = 0
 	}
 	for n := from; n <= head; n++ {
 		if v := store.Version(n); v != nil {
-			l.observeVersion(cl, c, v)
+			inv.observeVersion(cl, c, v)
 		}
 	}
-	l.observeStage(cl, store, stage)
+	inv.observeStage(cl, store, stage)
 }
 
-func (l *invariants) observeVersion(cl *Cluster, c *ControlMachine, v *configdist.Version) {
-	known := l.versions[v.Ref.Number]
+func (inv *invariants) observeVersion(cl *Cluster, c *ControlMachine, v *configdist.Version) {
+	known := inv.versions[v.Ref.Number]
 	if known == nil {
-		l.versions[v.Ref.Number] = &committed{ref: v.Ref, tree: v.Tree, at: cl.clock.Now(),
+		inv.versions[v.Ref.Number] = &committed{ref: v.Ref, tree: v.Tree, at: cl.clock.Now(),
 			canaries: make(map[string]bool), zones: make(map[string]bool)}
-		l.newest = max(l.newest, v.Ref.Number)
+		inv.newest = max(inv.newest, v.Ref.Number)
 		return
 	}
 	if known.ref != v.Ref || v.Tree.Hash() != v.Ref.Hash {
-		cl.Violate("control machine %d has version %v, another has %v", c.ID, v.Ref, known.ref)
+		cl.ReportViolation("control machine %d has version %v, another has %v", c.ID, v.Ref, known.ref)
 	}
 }
 
-func (l *invariants) observeStage(cl *Cluster, store *configdist.Store, r configdist.Rollout) {
-	if v := l.versions[store.Released().Ref.Number]; v != nil {
+func (inv *invariants) observeStage(cl *Cluster, store *configdist.Store, r configdist.Rollout) {
+	if v := inv.versions[store.Released().Ref.Number]; v != nil {
 		v.all = true
 	}
-	v := l.versions[r.Version]
+	v := inv.versions[r.Version]
 	if r.Version == 0 || v == nil {
 		return
 	}
@@ -148,22 +148,22 @@
 	}
 	v.all = v.all || r.Stage == configdist.StageAll
 	switch {
-	case r.Stage == configdist.StageStopped && v.stoppedAt == 0 && r.Attempt >= l.attempt:
+	case r.Stage == configdist.StageStopped && v.stoppedAt == 0 && r.Attempt >= inv.attempt:
 		v.stoppedAt = cl.clock.Now()
-	case r.Stage != configdist.StageStopped && r.Attempt > l.attempt:
+	case r.Stage != configdist.StageStopped && r.Attempt > inv.attempt:
 		v.stoppedAt = 0 // resumed
 	}
-	l.attempt = max(l.attempt, r.Attempt)
+	inv.attempt = max(inv.attempt, r.Attempt)
 }
 
 // rejects tells whether a gateway would refuse some version from a number on.
-func (l *invariants) rejects(g *Gateway, number uint64) bool {
-	for ; number <= l.newest; number++ {
-		v := l.versions[number]
+func (inv *invariants) rejects(g *Gateway, number uint64) bool {
+	for ; number <= inv.newest; number++ {
+		v := inv.versions[number]
 		if v == nil {
 			continue
 		}
-		if share, found := faultShare(v.tree, rejectedByWord); found && affected(g, number, share) {
+		if share, found := faultShare(v.tree, rejectPrefix); found && isFaultyFor(g, number, share) {
 			return true
 		}
 	}
@@ -171,15 +171,15 @@
 }
 
 // checkInstalled holds a configuration that a gateway has put in force against the rules.
-func (l *invariants) checkInstalled(cl *Cluster, g *Gateway, next configdist.Install) {
+func (inv *invariants) checkInstalled(cl *Cluster, g *Gateway, next configdist.Install) {
 	ref := next.Ref
-	if ref.Number < g.fence.Number || ref.Term < g.fence.Term {
-		cl.Violate("%s: version %v in force after %v", g.Name, ref, g.fence)
+	if ref.Number < g.newestInForce.Number || ref.Term < g.newestInForce.Term {
+		cl.ReportViolation("%s: version %v in force after %v", g.Name, ref, g.newestInForce)
 	}
-	g.fence = ref
-	v := l.versions[ref.Number]
+	g.newestInForce = ref
+	v := inv.versions[ref.Number]
 	if v == nil || v.ref != ref {
-		cl.Violate("%s: version %v in force, which was never committed", g.Name, ref)
+		cl.ReportViolation("%s: version %v in force, which was never committed", g.Name, ref)
 		return
 	}
 	services := g.Services
@@ -187,12 +187,12 @@
 		services = v.tree.Services()
 	}
 	if next.Tree.Hash() != v.tree.ScopeHash(services) {
-		cl.Violate("%s: version %v in force with other content: not whole", g.Name, ref)
+		cl.ReportViolation("%s: version %v in force with other content: not whole", g.Name, ref)
 	}
 	if !v.all && !v.canaries[g.Name] && !v.zones[g.Zone] {
-		cl.Violate("%s: version %v in force, which is not at its stage", g.Name, ref)
+		cl.ReportViolation("%s: version %v in force, which is not at its stage", g.Name, ref)
 	}
 	if v.stoppedAt != 0 && cl.clock.Now() > v.stoppedAt+stopPropagation {
-		cl.Violate("%s: version %v in force %v after it was stopped", g.Name, ref, cl.clock.Now()-v.stoppedAt)
+		cl.ReportViolation("%s: version %v in force %v after it was stopped", g.Name, ref, cl.clock.Now()-v.stoppedAt)
 	}
 }
--- a/internal/lab/configsim/measure.go
+++ b/internal/lab/configsim/measure.go
@@ -11,23 +11,23 @@
 
 // change is one that is followed until it is in force everywhere.
 type change struct {
-	submitted, committed time.Duration
-	number               uint64
-	half, most, all      time.Duration // 0 until then
+	submitted, committed       time.Duration
+	number                     uint64
+	toHalf, to99Percent, toAll time.Duration // 0 until then
 }
 
 // measurement follows the changes of one run.
 type measurement struct {
 	*World
-	c       Case
-	rng     *rand.Rand
-	changes []*change
-	born    []time.Duration // since when each gateway's process runs
+	c         Scenario
+	rng       *rand.Rand
+	changes   []*change
+	startedAt []time.Duration // since when each gateway's process runs
 }
 
 // Measure plays a cluster: all start with nothing, one change is followed alone, then a day is pressed into the run.
-func Measure(c Case) Figures {
-	m := &measurement{c: c, rng: rand.New(rand.NewPCG(c.Seed, 0x3ea5)), born: make([]time.Duration, c.Gateways)}
+func Measure(c Scenario) Figures {
+	m := &measurement{c: c, rng: rand.New(rand.NewPCG(c.Seed, 0x3ea5)), startedAt: make([]time.Duration, c.Gateways)}
 	cfg := Config{Name: "measure", Gateways: c.Gateways, Zones: c.Zones, Regions: c.Regions, Seed: c.Seed}
 	if c.ServicesEach > 0 {
 		cfg.Services = func(i int) (list []string) {
@@ -38,38 +38,38 @@
 		}
 	}
 	m.World = NewWorld(cfg)
-	f := Figures{Case: c}
+	f := Figures{Scenario: c}
 	m.Cluster.RunOperator(time.Second, 0)
-	f.First = m.begin()
+	f.First = m.start()
 	before := m.traffic()
 	m.Run(m.Now() + 20*time.Second)
 	f.IdleRate = m.rate(before, 20*time.Second).mean
 	m.Net.Loss = c.Loss
-	one := m.submit()
+	single := m.submit()
 	m.follow(m.Now() + 15*time.Second)
-	f.Single = [3]time.Duration{one.half, one.most, one.all}
+	f.Single = [3]time.Duration{single.toHalf, single.to99Percent, single.toAll}
 	m.changes = nil
-	m.press()
+	m.scheduleEvents()
 	before = m.traffic()
-	used, spent := m.used()
-	begin := m.Now()
-	m.follow(begin + c.Length)
-	length := m.Now() - begin
+	gatewayBefore, controlBefore := m.cpuTimes()
+	startedAt := m.Now()
+	m.follow(startedAt + c.Length)
+	length := m.Now() - startedAt
 	rate := m.rate(before, length)
-	f.MeanRate, f.MaxRate, f.ControlRate, f.MaxControlRate = rate.mean, rate.most, rate.control, rate.controlMost
-	gatewayUsed, controlUsed := m.used()
-	f.GatewayCPU = (gatewayUsed - used).Seconds() / float64(c.Gateways) / length.Seconds()
-	for i := range controlUsed {
-		f.ControlCPU = max(f.ControlCPU, (controlUsed[i]-spent[i]).Seconds()/length.Seconds())
+	f.MeanRate, f.MaxRate, f.ControlRate, f.MaxControlRate = rate.mean, rate.max, rate.control, rate.controlMax
+	gatewayAfter, controlAfter := m.cpuTimes()
+	f.GatewayCPU = (gatewayAfter - gatewayBefore).Seconds() / float64(c.Gateways) / length.Seconds()
+	for i := range controlAfter {
+		f.ControlCPU = max(f.ControlCPU, (controlAfter[i]-controlBefore[i]).Seconds()/length.Seconds())
 	}
 	m.Net.Loss = 0
 	m.follow(m.Now() + 20*time.Second)
-	m.sum(&f)
+	m.summarize(&f)
 	return f
 }
 
-// begin starts everything, proposes the whole configuration, and waits until it is in force.
-func (m *measurement) begin() time.Duration {
+// start starts everything, proposes the whole configuration, and waits until it is in force.
+func (m *measurement) start() time.Duration {
 	for i := range m.Cluster.ControlMachines {
 		m.Cluster.StartControl(i)
 	}
@@ -88,14 +88,14 @@
 		m.Run(m.Now() + 100*time.Millisecond)
 	}
 	m.Run(m.Now() + 5*time.Second)
-	begin := m.Now()
+	startedAt := m.Now()
 	for i := range m.Cluster.Gateways {
 		m.Cluster.StartGateway(i)
 	}
-	for m.Cluster.lagging(m.Cluster.invariants.newest) != "" && m.Now()-begin < 5*time.Minute {
+	for m.Cluster.laggingGateway(m.Cluster.invariants.newest) != "" && m.Now()-startedAt < 5*time.Minute {
 		m.Run(m.Now() + 50*time.Millisecond)
 	}
-	return m.Now() - begin
+	return m.Now() - startedAt
 }
 
 // submit submits a change and follows it.
@@ -109,67 +109,67 @@
 	return c
 }
 
-// press draws the changes, restarts and failures of the run.
-func (m *measurement) press() {
-	within := func() time.Duration { return m.Now() + time.Duration(m.rng.Int64N(int64(m.c.Length))) }
+// scheduleEvents draws the changes, restarts and failures of the run.
+func (m *measurement) scheduleEvents() {
+	randomTime := func() time.Duration { return m.Now() + time.Duration(m.rng.Int64N(int64(m.c.Length))) }
 	for range m.c.Changes {
-		m.At(within(), func() { m.submit() })
-	}
-	end := func(at, away time.Duration, replaced bool) {
-		who := m.rng.IntN(m.c.Gateways)
-		m.At(at, func() { m.Cluster.KillGateway(who) })
-		m.At(at+away, func() {
-			if m.born[who] = m.Now(); replaced {
-				m.Cluster.ReplaceGateway(who)
+		m.At(randomTime(), func() { m.submit() })
+	}
+	scheduleOutage := func(at, downtime time.Duration, replaced bool) {
+		index := m.rng.IntN(m.c.Gateways)
+		m.At(at, func() { m.Cluster.KillGateway(index) })
+		m.At(at+downtime, func() {
+			if m.startedAt[index] = m.Now(); replaced {
+				m.Cluster.ReplaceGateway(index)
 			} else {
-				m.Cluster.StartGateway(who)
+				m.Cluster.StartGateway(index)
 			}
 		})
 	}
 	for i := range m.c.Restarts {
-		end(within(), time.Duration(1000+m.rng.IntN(2000))*time.Millisecond, i%10 == 0)
+		scheduleOutage(randomTime(), time.Duration(1000+m.rng.IntN(2000))*time.Millisecond, i%10 == 0)
 	}
 	for range m.c.Failures {
-		end(within(), time.Duration(10+m.rng.IntN(20))*time.Second, true)
+		scheduleOutage(randomTime(), time.Duration(10+m.rng.IntN(20))*time.Second, true)
 	}
 }
 
-// followEvery is how exactly times until in force are known.
-const followEvery = 20 * time.Millisecond
+// followInterval is how exactly times until in force are known.
+const followInterval = 20 * time.Millisecond
 
 // follow lets time pass, and notes when changes are in force.
 func (m *measurement) follow(until time.Duration) {
 	for m.Now() < until {
-		m.Run(min(until, m.Now()+followEvery))
+		m.Run(min(until, m.Now()+followInterval))
 		for _, c := range m.changes {
-			if c.all == 0 && c.number > 0 {
-				m.look(c)
+			if c.toAll == 0 && c.number > 0 {
+				m.updateChange(c)
 			}
 		}
 	}
 }
 
-// look counts the gateways that have lived since a change was submitted, and those of them that have it.
-func (m *measurement) look(c *change) {
-	lived, have := 0, 0
+// updateChange counts the gateways that have lived since a change was submitted, and those of them that have it.
+func (m *measurement) updateChange(c *change) {
+	eligible, updated := 0, 0
 	for i, g := range m.Cluster.Gateways {
-		if !g.up || m.born[i] > c.submitted {
+		if !g.up || m.startedAt[i] > c.submitted {
 			continue
 		}
-		lived++
+		eligible++
 		if g.Running.Ref.Number >= c.number {
-			have++
+			updated++
 		}
 	}
-	took := m.Now() - c.submitted
-	if c.half == 0 && 2*have >= lived {
-		c.half = took
+	elapsed := m.Now() - c.submitted
+	if c.toHalf == 0 && 2*updated >= eligible {
+		c.toHalf = elapsed
 	}
-	if c.most == 0 && 100*have >= 99*lived {
-		c.most = took
+	if c.to99Percent == 0 && 100*updated >= 99*eligible {
+		c.to99Percent = elapsed
 	}
-	if have == lived {
-		c.all = took
+	if updated == eligible {
+		c.toAll = elapsed
 	}
 }
 
@@ -184,23 +184,23 @@
 }
 
 // rates are bytes a second.
-type rates struct{ mean, most, control, controlMost float64 }
+type rates struct{ mean, max, control, controlMax float64 }
 
 func (m *measurement) rate(before []uint64, length time.Duration) (r rates) {
 	for i, now := range m.traffic() {
 		rate := float64(now-before[i]) / length.Seconds()
 		if i < m.c.Gateways {
 			r.mean += rate / float64(m.c.Gateways)
-			r.most = max(r.most, rate)
+			r.max = max(r.max, rate)
 		} else {
-			r.control += rate / machines
-			r.controlMost = max(r.controlMost, rate)
+			r.control += rate / controlMachineCount
+			r.controlMax = max(r.controlMax, rate)
 		}
 	}
 	return r
 }
 
-func (m *measurement) used() (gateways time.Duration, controls []time.Duration) {
+func (m *measurement) cpuTimes() (gateways time.Duration, controls []time.Duration) {
 	for _, g := range m.Cluster.Gateways {
 		gateways += g.CPUTime
 	}
@@ -210,20 +210,20 @@
 	return gateways, controls
 }
 
-func (m *measurement) sum(f *Figures) {
-	var half, most, all, committed []time.Duration
+func (m *measurement) summarize(f *Figures) {
+	var toHalf, to99Percent, toAll, fromCommit []time.Duration
 	for _, c := range m.changes {
-		if c.all == 0 {
+		if c.toAll == 0 {
 			f.Unfinished++
 			continue
 		}
-		half, most, all = append(half, c.half), append(most, c.most), append(all, c.all)
-		committed = append(committed, c.submitted+c.all-c.committed)
-		if c.all > convergeWithin {
+		toHalf, to99Percent, toAll = append(toHalf, c.toHalf), append(to99Percent, c.to99Percent), append(toAll, c.toAll)
+		fromCommit = append(fromCommit, c.submitted+c.toAll-c.committed)
+		if c.toAll > convergenceLimit {
 			f.Late++
 		}
 	}
-	f.Half, f.Most, f.All, f.FromCommit = spreadOf(half), spreadOf(most), spreadOf(all), spreadOf(committed)
+	f.Half, f.Most, f.All, f.FromCommit = distributionOf(toHalf), distributionOf(to99Percent), distributionOf(toAll), distributionOf(fromCommit)
 	for _, v := range m.Cluster.invariants.versions {
 		if v.stoppedAt != 0 {
 			f.Stopped++
@@ -234,7 +234,7 @@
 	}
 	if leader := m.Cluster.Leader(); leader != nil &&
 		leader.Controller.Store().Rollout().Stage == configdist.StageStopped {
-		m.Cluster.Violate("the run ends with a stopped rollout: %s", leader.Controller.Store().Rollout().Reason)
+		m.Cluster.ReportViolation("the run ends with a stopped rollout: %s", leader.Controller.Store().Rollout().Reason)
 	}
 	f.Violations = m.Cluster.Violations
 	m.changes = nil
--- a/internal/lab/configsim/net.go
+++ b/internal/lab/configsim/net.go
@@ -33,10 +33,10 @@
 		copies = 2
 	}
 	for range copies {
-		late := n.Latency + time.Duration(n.rng.Int64N(int64(n.Jitter)+1))
+		delay := n.Latency + time.Duration(n.rng.Int64N(int64(n.Jitter)+1))
 		if n.Region != nil && n.Region(from) != n.Region(to) {
-			late += n.RegionLatency
+			delay += n.RegionLatency
 		}
-		n.clock.At(n.clock.Now()+late, deliver)
+		n.clock.At(n.clock.Now()+delay, deliver)
 	}
 }
--- a/internal/lab/configsim/operator.go
+++ b/internal/lab/configsim/operator.go
@@ -11,11 +11,11 @@
 
 // RunOperator has an operator look after stopped rollouts: after a while some are resumed once and the others taken
 // back.
-func (cl *Cluster) RunOperator(wait time.Duration, resumeShare float64) {
+func (cl *Cluster) RunOperator(delay time.Duration, resumeShare float64) {
 	var handled uint64 // attempt
-	var look func()
-	look = func() {
-		cl.clock.At(cl.clock.Now()+operatorInterval, look)
+	var check func()
+	check = func() {
+		cl.clock.At(cl.clock.Now()+operatorInterval, check)
 		leader := cl.Leader()
 		if leader == nil {
 			return
@@ -27,22 +27,22 @@
 		}
 		handled = r.Attempt
 		resume := cl.rng.Float64() < resumeShare
-		cl.clock.At(cl.clock.Now()+wait, func() { cl.settleStopped(r, resume) })
+		cl.clock.At(cl.clock.Now()+delay, func() { cl.handleStopped(r, resume) })
 	}
-	look()
+	check()
 }
 
-// settleStopped resumes a stopped rollout or goes back to what is released, with whoever leads now; again, until it
+// handleStopped resumes a stopped rollout or goes back to what is released, with whoever leads now; again, until it
 // is done.
-func (cl *Cluster) settleStopped(r configdist.Rollout, resume bool) {
-	again := func() { cl.clock.At(cl.clock.Now()+proposeRetry, func() { cl.settleStopped(r, resume) }) }
+func (cl *Cluster) handleStopped(r configdist.Rollout, resume bool) {
+	retry := func() { cl.clock.At(cl.clock.Now()+proposeRetry, func() { cl.handleStopped(r, resume) }) }
 	leader := cl.Leader()
 	if leader == nil {
-		again()
+		retry()
 		return
 	}
 	store := leader.Controller.Store()
-	if now := store.Rollout(); now.Stage != configdist.StageStopped || now.Attempt != r.Attempt {
+	if current := store.Rollout(); current.Stage != configdist.StageStopped || current.Attempt != r.Attempt {
 		return
 	}
 	command := configdist.Command{Kind: configdist.Revert, Version: store.Released().Ref.Number}
@@ -50,5 +50,5 @@
 		command = configdist.Command{Kind: configdist.Resume, Version: r.Version}
 	}
 	_ = cl.Propose(leader, &command, nil) // whether it came shows in the rollout
-	again()
+	retry()
 }
--- a/internal/lab/configsim/play.go
+++ b/internal/lab/configsim/play.go
@@ -11,8 +11,8 @@
 
 // What a run must come to.
 const (
-	convergeWithin = 8 * time.Second // a change at all gateways that are alive and reachable
-	maxRate        = 2048.0          // bytes a second and gateway, sent and received, over a run
+	convergenceLimit = 8 * time.Second // a change at all gateways that are alive and reachable
+	maxRate          = 2048.0          // bytes a second and gateway, sent and received, over a run
 )
 
 // Phases of a run.
--- a/internal/lab/configsim/play_test.go
+++ b/internal/lab/configsim/play_test.go
@@ -8,24 +8,24 @@
 
 // Guards against a broken invariant in drawn runs, and against runs that do not reach the faults that they are there
 // for.
-func TestPlay(t *testing.T) {
-	stops, refused, fenced, stalls, repeated := 0, uint64(0), uint64(0), uint64(0), uint64(0)
+func TestDrawnRunsKeepInvariants(t *testing.T) {
+	stops, rejected, fenced, stalls, repeated := 0, uint64(0), uint64(0), uint64(0), uint64(0)
 	for seed := uint64(1); seed <= 30; seed++ {
 		o := Play(seed)
 		for _, f := range o.Violations[:min(3, len(o.Violations))] {
 			t.Errorf("seed %d: %s", seed, f)
 		}
 		stops += o.Stops
-		refused, fenced, stalls, repeated = refused+o.Rejected, fenced+o.Fenced, stalls+o.Stalls, repeated+o.Repeated
+		rejected, fenced, stalls, repeated = rejected+o.Rejected, fenced+o.Fenced, stalls+o.Stalls, repeated+o.Repeated
 	}
-	t.Logf("%d stops, %d refused, %d fenced, %d stalls, %d repeated frames", stops, refused, fenced, stalls, repeated)
-	if stops == 0 || refused == 0 || fenced == 0 || stalls == 0 || repeated == 0 {
+	t.Logf("%d stops, %d refused, %d fenced, %d stalls, %d repeated frames", stops, rejected, fenced, stalls, repeated)
+	if stops == 0 || rejected == 0 || fenced == 0 || stalls == 0 || repeated == 0 {
 		t.Error("the runs do not reach what they are there for")
 	}
 }
 
 // Guards against a run that depends on more than its seed.
-func TestASeedIsOneRun(t *testing.T) {
+func TestRunIsDeterminedBySeed(t *testing.T) {
 	if a, b := Play(7), Play(7); !reflect.DeepEqual(a, b) {
 		t.Errorf("%v, then %v", a, b)
 	}
@@ -33,8 +33,8 @@
 
 // A small cluster with changes and restarts pressed into it: what is held are bytes and times of the virtual clock,
 // which are the same on every machine.
-func TestMeasureHoldsTheSlopes(t *testing.T) {
-	c := Case{Gateways: 64, Zones: 7, Regions: 2, Size: Size{Services: 40, Routes: 200, Tenants: 800},
+func TestMeasureStaysWithinTrafficAndTimeBounds(t *testing.T) {
+	c := Scenario{Gateways: 64, Zones: 7, Regions: 2, Size: Size{Services: 40, Routes: 200, Tenants: 800},
 		ServicesEach: 8, Changes: 30, Restarts: 20, Failures: 2,
 		Length: 30 * time.Second, Loss: 0.05, Seed: 1}
 	f := Measure(c)
--- a/internal/lab/configsim/process.go
+++ b/internal/lab/configsim/process.go
@@ -60,7 +60,7 @@
 }
 
 // send words a message and sends it to another process, which takes it once.
-func (p *process) send(to *process, m codec.Message, hear func(codec.Message)) {
+func (p *process) send(to *process, m codec.Message, handle func(codec.Message)) {
 	s := p.senders[to.endpoint]
 	if s == nil {
 		s = &codec.Sender{Cluster: codec.ClusterID(p.cluster.cfg.Name), Incarnation: uint64(p.incarnation)}
@@ -73,12 +73,12 @@
 			return
 		}
 		to.Received += uint64(len(frame) + frameOverhead)
-		to.run(func() { to.receive(p.endpoint, frame, hear) })
+		to.runOrQueue(func() { to.receive(p.endpoint, frame, handle) })
 	})
 }
 
 // receive reads a frame, and has it heard if it is one.
-func (p *process) receive(from Endpoint, frame []byte, hear func(codec.Message)) {
+func (p *process) receive(from Endpoint, frame []byte, handle func(codec.Message)) {
 	r := p.receivers[from]
 	if r == nil {
 		r = &codec.Receiver{Cluster: codec.ClusterID(p.cluster.cfg.Name)}
@@ -92,14 +92,14 @@
 		}
 		return
 	}
-	hear(m)
+	handle(m)
 }
 
 // maxQueued is how many frames a process that stands still finds when it goes on.
 const maxQueued = 1000
 
-// run does something now, or when the process goes on after a stall.
-func (p *process) run(do func()) {
+// runOrQueue does something now, or when the process goes on after a stall.
+func (p *process) runOrQueue(do func()) {
 	switch {
 	case !p.up:
 	case !p.stalled:
@@ -116,9 +116,9 @@
 		return
 	}
 	p.stalled = true
-	life := p.incarnation
+	incarnation := p.incarnation
 	p.cluster.clock.At(p.cluster.clock.Now()+length, func() {
-		if p.incarnation == life {
+		if p.incarnation == incarnation {
 			p.resume(advance)
 		}
 	})
@@ -130,14 +130,14 @@
 		return
 	}
 	p.stalled = false
-	waiting := p.queued
+	queued := p.queued
 	p.queued = nil
 	if p.wakeDue {
 		p.wakeDue = false
 		advance()
 	}
-	for _, do := range waiting {
-		p.run(do)
+	for _, do := range queued {
+		p.runOrQueue(do)
 	}
 }
 
@@ -149,9 +149,9 @@
 	}
 	at = max(at, now+100*time.Microsecond)
 	p.nextWake = at
-	life := p.incarnation
+	incarnation := p.incarnation
 	p.cluster.clock.At(at, func() {
-		if p.incarnation != life || p.nextWake != at {
+		if p.incarnation != incarnation || p.nextWake != at {
 			return
 		}
 		p.nextWake = 0
@@ -163,9 +163,9 @@
 	})
 }
 
-// spend counts what a call takes of this machine's processor. Nothing of a run depends on it.
-func (p *process) spend(call func()) {
-	began := time.Now()
+// measureCPU counts what a call takes of this machine's processor. Nothing of a run depends on it.
+func (p *process) measureCPU(call func()) {
+	startedAt := time.Now()
 	call()
-	p.CPUTime += time.Since(began)
+	p.CPUTime += time.Since(startedAt)
 }
