--- a/internal/configdist/agent.go
+++ b/internal/configdist/agent.go
@@ -13,124 +13,125 @@
 	"thymebend/internal/fielderror"
 )
 
-// Times of an agent.
+// Intervals and timeouts of an agent.
 const (
-	reportInterval = 2 * time.Second        // between reports without news, which are a sign of life
-	answerTimeout  = 400 * time.Millisecond // of a control machine, before the same is sent again
-	minBackoff     = 250 * time.Millisecond // after all control machines were tried in vain
-	maxBackoff     = 2 * time.Second
-	returnInterval = time.Minute     // after which the first control machine of the agent's order is tried again
-	stallThreshold = 4 * time.Second // between two calls: what has waited meanwhile is dropped
+	reportInterval = 2 * time.Second        // between reports without a change; they show that the gateway is alive
+	answerTimeout  = 400 * time.Millisecond // for a control machine's answer; then the message is sent again
+	minBackoff     = 250 * time.Millisecond // first pause after no control machine has answered
+	maxBackoff     = 2 * time.Second        // maximum of that pause, before jitter
+	returnInterval = time.Minute            // then the agent returns to the first control machine of its order
+	stallThreshold = 4 * time.Second        // maximum gap between two calls; after a longer one a new session starts
 )
 
-// Bounds of an agent.
+// Limits of an agent.
 const (
-	maxSends            = 4        // of the same, before the next control machine is tried
-	maxTransferBytes    = 32 << 20 // of changes that are collected
-	maxServiceNameBytes = 96 << 10 // of all names of services; a gateway that serves more takes all services
+	maxSends            = 4        // of one message to one control machine; then the agent tries the next one
+	maxTransferBytes    = 32 << 20 // total size of the changes in one transfer
+	maxServiceNameBytes = 96 << 10 // total size of service names; a gateway with more must subscribe to all
 )
 
-// noReason stands for the reason of a rejection or failure that has none.
+// noReason is reported for a rejection or failure whose reason is empty.
 const noReason = "no reason given"
 
-// ErrAgentConfig is an agent's configuration, or a list of services, that cannot be.
+// ErrAgentConfig is returned when an agent's configuration or its list of services is invalid.
 var ErrAgentConfig = errors.New("unusable configuration of an agent")
 
-// ControlMachine is one that an agent may subscribe to.
+// ControlMachine identifies a control machine that an agent may subscribe to.
 type ControlMachine struct {
 	ID     uint64
 	Region string
 }
 
-// LastGood is the last good configuration, as a gateway keeps it over its restarts.
+// LastGood is the last configuration that a gateway had in force. The gateway stores it across restarts.
 type LastGood struct {
 	Ref      content.Ref
 	Services []string
 	Tree     *content.Tree
 }
 
-// AgentConfig is what an agent starts from.
+// AgentConfig is the configuration that an agent starts with.
 type AgentConfig struct {
 	Gateway, Zone, Region string
-	Services              []string // that the gateway serves; none is all
+	Services              []string // that the gateway serves; an empty list means all services
 	Controllers           []ControlMachine
-	LastGood              *LastGood // of the process before, or nil
-	Session               uint64    // above that of any process before, as Unix time in milliseconds is
+	LastGood              *LastGood // stored by the gateway's previous process, or nil
+	Session               uint64    // greater than in any earlier process, such as Unix time in milliseconds
 	Seed                  uint64
 }
 
-// ToController is a message to a control machine.
+// ToController is a message to the control machine with the ID To.
 type ToController struct {
 	To      uint64
 	Message codec.Message
 }
 
-// Install is a configuration to be put in force, whole or not at all. Agent.Installed takes how it went.
+// Install requests that the gateway put a configuration in force, completely or not at all. The gateway reports the
+// outcome to Agent.Installed.
 type Install struct {
 	Ref  content.Ref
 	Tree *content.Tree
 }
 
-// AgentOutput is what is to be done now.
+// AgentOutput lists the effects that the caller must carry out now.
 type AgentOutput struct {
 	Messages []ToController
 	Install  *Install
 }
 
-// AgentCounts are what has happened to an agent.
+// AgentCounts counts events of an agent since it started.
 type AgentCounts struct {
-	Installed, Rejected uint64 // versions
-	Sessions            uint64 // begun
-	Snapshots           uint64 // versions that were collected without a delta
-	Stale               uint64 // messages of another session or control machine, dropped
-	Fenced              uint64 // versions that were older than the one in force, or of an older term
-	Forked              uint64 // versions of the number in force with other content
-	Mismatched          uint64 // contents whose hash was not their version's
-	Stalls              uint64 // times that the agent stood still
-	Unreachable         uint64 // times that all control machines were tried in vain
+	Installed, Rejected uint64 // versions that the gateway put in force or rejected
+	Sessions            uint64 // sessions started
+	Snapshots           uint64 // versions that were transferred as a whole and not as a delta
+	Stale               uint64 // messages dropped because they were of another session or control machine
+	Fenced              uint64 // versions ignored because their number or term was lower than that of the one in force
+	Forked              uint64 // versions ignored because they had the number of the one in force but differed from it
+	Mismatched          uint64 // transfers whose content did not have the hash of the version
+	Stalls              uint64 // gaps between two calls that exceeded stallThreshold
+	Unreachable         uint64 // rounds in which no control machine served the agent
 }
 
-// Agent is a gateway's part.
+// Agent subscribes a gateway to a control machine, fetches new versions and reports which version is in force.
 type Agent struct {
 	cfg         AgentConfig
 	rng         *rand.Rand
-	controllers []uint64 // in the order in which they are tried
-	current     int      // index of the one that the agent speaks to
+	controllers []uint64 // IDs, in the order in which the agent tries them
+	current     int      // index in controllers of the one that the agent uses now
 	output      AgentOutput
 	counts      AgentCounts
 
 	now            time.Duration
 	session        uint64
 	subscribed     bool
-	awaitingAnswer bool // to what was sent last
-	sends          int  // of the same
-	unreachable    int  // control machines tried in vain, one after another
+	awaitingAnswer bool // to the last message sent
+	sends          int  // of the current message, including repeats
+	unreachable    int  // consecutive control machines that did not serve the agent
 	backoff        time.Duration
-	nextSend       time.Duration // of the next report, or of the same again
-	returnAt       time.Duration // to the first control machine
+	nextSend       time.Duration // time of the next report or repeat
+	returnAt       time.Duration // time to return to the first control machine
 
 	inForce         content.Ref
 	tree            *content.Tree
-	services        []string    // of the tree
-	servicesChanged bool        // they are not those that are served now
-	attempt         uint64      // of the rollout that brought what is in force
-	lastVerdict     codec.State // without InForce
-	wantSnapshot    bool        // a delta did not come to what its version says
-	transfer        *transfer   // nil where nothing is collected
-	installing      *installing // nil where the gateway has been handed nothing
+	services        []string    // that tree contains; empty means all
+	servicesChanged bool        // tree was built for other services than cfg.Services
+	attempt         uint64      // of the rollout that delivered the version in force
+	lastVerdict     codec.State // last rejection or failure; its InForce is not set
+	wantSnapshot    bool        // the last delta did not produce the hash of its version
+	transfer        *transfer   // nil if no transfer is in progress
+	installing      *installing // nil if no installation is in progress
 }
 
-// transfer is a configuration that is being collected.
+// transfer is a version that the agent is fetching page by page.
 type transfer struct {
 	from, target content.Ref // from is zero for a snapshot
 	attempt      uint64
-	scope        content.Hash   // of the gateway's services at target
-	after        content.Cursor // of the last page
+	scope        content.Hash   // expected hash of the gateway's services at target
+	after        content.Cursor // where the next page starts
 	changes      []content.Change
-	bytes        int // of the changes
+	bytes        int // total size of the changes
 }
 
-// installing is a configuration that the gateway has been handed.
+// installing is a configuration that was passed to the gateway and whose outcome is not known yet.
 type installing struct {
 	ref      content.Ref
 	attempt  uint64
@@ -138,11 +139,12 @@
 	services []string
 }
 
-// NewAgent starts an agent. It subscribes at once.
+// NewAgent starts an agent. Its first output subscribes to the first control machine of its order.
 func NewAgent(cfg AgentConfig, now time.Duration) (*Agent, error) {
 	if len(cfg.Controllers) == 0 || cfg.Gateway == "" || len(cfg.Gateway) > content.MaxName ||
 		len(cfg.Zone) > content.MaxName {
-		return nil, agentError("gateway %q of zone %q with %d control machines",
+		return nil, agentError("gateway %q in zone %q with %d control machines: "+
+			"a name is empty or too long, or no control machine is given",
 			cfg.Gateway, cfg.Zone, len(cfg.Controllers))
 	}
 	var err error
@@ -166,7 +168,7 @@
 	return a, nil
 }
 
-// Advance is to be called at NextWake.
+// Advance handles timers that are due. The caller calls it at the time that NextWake returns.
 func (a *Agent) Advance(now time.Duration) {
 	a.advanceClock(now)
 	switch {
@@ -181,7 +183,7 @@
 	}
 }
 
-// NextWake is when Advance is to be called.
+// NextWake returns the time at which Advance must be called next.
 func (a *Agent) NextWake() time.Duration {
 	if a.subscribed && a.current != 0 {
 		return min(a.nextSend, a.returnAt)
@@ -189,7 +191,8 @@
 	return a.nextSend
 }
 
-// Receive takes a message of a control machine.
+// Receive handles a message of the control machine with the ID from. Messages of another session, or of a control
+// machine that the agent does not use now, are dropped.
 func (a *Agent) Receive(now time.Duration, from uint64, m codec.Message) {
 	a.advanceClock(now)
 	if from != a.controllers[a.current] || sessionOf(m) != a.session {
@@ -215,7 +218,7 @@
 	}
 }
 
-// sessionOf is the session that a control machine's message belongs to.
+// sessionOf returns the session that a control machine's message belongs to, or 0.
 func sessionOf(m codec.Message) uint64 {
 	switch m := m.(type) {
 	case *codec.Offer:
@@ -230,7 +233,8 @@
 	return 0
 }
 
-// SetServices has the agent take other services. The ones in force stay until the new ones are there.
+// SetServices changes the services that the agent subscribes to; an empty list means all. The configuration in force
+// stays until that of the new services is installed. A list that is too long is an ErrAgentConfig.
 func (a *Agent) SetServices(now time.Duration, services []string) error {
 	a.advanceClock(now)
 	services, err := serviceList(services)
@@ -242,27 +246,28 @@
 	return nil
 }
 
-// Take returns what is to be done now.
+// Take returns the pending effects and removes them from the agent.
 func (a *Agent) Take() AgentOutput {
 	out := a.output
 	a.output = AgentOutput{}
 	return out
 }
 
-// InForce is the configuration that is in force, to be kept for the next process.
+// InForce returns the configuration that is in force. The caller stores it for the gateway's next process.
 func (a *Agent) InForce() LastGood {
 	return LastGood{Ref: a.inForce, Services: a.services, Tree: a.tree}
 }
 
-// Controller is the control machine that the agent speaks to, and whether that one has answered.
+// Controller returns the ID of the control machine that the agent uses, and whether that one has answered.
 func (a *Agent) Controller() (id uint64, subscribed bool) {
 	return a.controllers[a.current], a.subscribed
 }
 
-// Counts are what has happened so far.
+// Counts returns the event counts since the agent started.
 func (a *Agent) Counts() AgentCounts { return a.counts }
 
-// serviceList sorts the names of services, each once, and refuses more than a subscription can hold.
+// serviceList sorts the names of services and removes duplicates. Names that do not fit into a subscription are an
+// error.
 func serviceList(names []string) ([]string, error) {
 	names = slices.Compact(slices.Sorted(slices.Values(names)))
 	bytes := 0
@@ -270,7 +275,8 @@
 		bytes += len(name) + 1
 	}
 	if bytes > maxServiceNameBytes {
-		return nil, agentError("services: %d names of %d bytes, %d bytes at most; name none to take all",
+		return nil, agentError("services: %d names take %d bytes, the limit is %d; "+
+			"give an empty list to subscribe to all services",
 			len(names), bytes, maxServiceNameBytes)
 	}
 	return names, nil
--- a/internal/configdist/agent_session.go
+++ b/internal/configdist/agent_session.go
@@ -10,7 +10,8 @@
 	"thymebend/internal/configdist/codec"
 )
 
-// startSession begins a session with a control machine, after a pause. What comes of an earlier session is dropped.
+// startSession starts a new session with the current control machine after a pause. Messages of earlier sessions are
+// dropped from now on.
 func (a *Agent) startSession(pause time.Duration) {
 	a.session++
 	a.counts.Sessions++
@@ -22,12 +23,13 @@
 	}
 }
 
-// jitter stretches a time by up to a tenth.
+// jitter lengthens a duration by a random part of up to 10%.
 func (a *Agent) jitter(d time.Duration) time.Duration {
 	return d + time.Duration(a.rng.Int64N(int64(d)/10+1))
 }
 
-// nextController goes on to the next control machine; after all of them were tried in vain there is a backoff.
+// nextController changes to the next control machine. Once none of them has served the agent, it waits for a backoff
+// that doubles each time, up to maxBackoff, and is randomized between half and one and a half times its value.
 func (a *Agent) nextController() {
 	a.current = (a.current + 1) % len(a.controllers)
 	if a.unreachable++; a.unreachable < len(a.controllers) {
@@ -41,8 +43,8 @@
 	a.startSession(pause)
 }
 
-// advanceClock lets time pass. An agent that has stood still begins a new session: what has waited for it meanwhile
-// may be of a stopped rollout.
+// advanceClock sets the current time. If the agent was not called for longer than stallThreshold, it starts a new
+// session: messages that were queued meanwhile may belong to a rollout that was stopped.
 func (a *Agent) advanceClock(now time.Duration) {
 	stalled := now-a.now > stallThreshold
 	a.now = max(a.now, now)
@@ -52,7 +54,7 @@
 	}
 }
 
-// send sends what is due: a subscription, the next page's fetch, or a report.
+// send sends the message that the agent's state requires: a subscription, a fetch of the next page, or a report.
 func (a *Agent) send() {
 	switch {
 	case !a.subscribed:
@@ -73,7 +75,7 @@
 	a.output.Messages = append(a.output.Messages, ToController{a.controllers[a.current], m})
 }
 
-// Disconnected is told that the link to a control machine ended, or could not be made.
+// Disconnected reports to the agent that its link to a control machine ended or could not be established.
 func (a *Agent) Disconnected(now time.Duration, controller uint64) {
 	a.advanceClock(now)
 	if controller == a.controllers[a.current] && (a.subscribed || a.awaitingAnswer) {
@@ -81,8 +83,9 @@
 	}
 }
 
-// controllerOrder is the order in which an agent tries control machines: its own region's first, each by rendezvous,
-// so that agents spread evenly and few move when one is lost.
+// controllerOrder returns the IDs of the control machines in the order in which an agent tries them: first those in the
+// agent's region, then the others, each group ordered by rendezvous hashing. The agents are thus distributed evenly,
+// and only few change when a control machine fails.
 func controllerOrder(cfg AgentConfig) []uint64 {
 	score := func(c ControlMachine) uint64 { return xxh3.HashStringSeed(cfg.Gateway, c.ID) }
 	list := slices.SortedFunc(slices.Values(cfg.Controllers), func(a, b ControlMachine) int {
--- a/internal/configdist/agent_transfer.go
+++ b/internal/configdist/agent_transfer.go
@@ -7,21 +7,22 @@
 	"thymebend/internal/configdist/content"
 )
 
-// receiveOffer takes word of the version that the gateway is to have. solicited says that it answers what the agent
-// sent last.
+// receiveOffer handles the announcement of the version that the gateway should have in force. solicited says that the
+// agent was awaiting an answer to its last message.
 func (a *Agent) receiveOffer(m *codec.Offer, solicited bool) {
 	switch {
 	case a.transfer != nil && m.Target == a.transfer.target:
-		a.send() // the page may be lost
+		a.send() // repeats the fetch: the page may be lost
 	case a.accepts(m.Target, m.Attempt):
 		a.startTransfer(m.Target, m.Attempt)
 		a.send()
 	case !solicited && a.installing == nil:
-		a.send() // the control machine does not know how things stand
+		a.send() // reports the state, which the control machine does not know
 	}
 }
 
-// receivePage takes a part of a version, of the one that is being collected or of another that is to be.
+// receivePage handles one page of a version: of the current transfer, or of another version that the agent accepts,
+// for which it then starts a new transfer.
 func (a *Agent) receivePage(m *codec.Page, solicited bool) {
 	t := a.transfer
 	if t == nil || t.target != m.Target || t.attempt != m.Attempt {
@@ -35,7 +36,7 @@
 		t = a.transfer
 	}
 	if m.From == (content.Ref{}) && t.from != m.From && m.After == (content.Cursor{}) {
-		*t = transfer{target: t.target, attempt: t.attempt} // a snapshot, for the delta is no longer to be had
+		*t = transfer{target: t.target, attempt: t.attempt} // restarts as a snapshot: the delta is no longer available
 	}
 	if t.from != m.From || t.after != m.After {
 		a.send()
@@ -53,7 +54,7 @@
 	}
 }
 
-// add takes a page that follows those collected.
+// add appends a page that follows the pages received before.
 func (t *transfer) add(m *codec.Page) {
 	t.scope = m.Scope
 	t.changes = append(t.changes, m.Changes...)
@@ -63,12 +64,13 @@
 	t.after = m.Next
 }
 
-// accepts is the fence: only a newer version of no older term is taken, and none that was rejected in the same
-// attempt.
+// accepts reports whether the agent would install a version now. It must be newer than the version in force, its term
+// must not be lower, and the gateway must not have rejected it in the same or a later attempt of the rollout. The
+// version in force itself is accepted only if the gateway's services have changed.
 func (a *Agent) accepts(ref content.Ref, attempt uint64) bool {
 	switch {
 	case a.installing != nil || ref.Number == 0:
-		return false // version 0 is nothing at all
+		return false // version 0 is the empty initial configuration
 	case ref == a.inForce:
 		return a.servicesChanged
 	case ref.Number == a.inForce.Number:
@@ -82,7 +84,8 @@
 		a.lastVerdict.Attempt < attempt
 }
 
-// startTransfer begins to collect a version, as a delta where that is possible.
+// startTransfer starts to fetch a version: as a delta to the version in force, or as a snapshot if the last delta
+// failed or the gateway's services have changed.
 func (a *Agent) startTransfer(target content.Ref, attempt uint64) {
 	a.transfer = &transfer{target: target, attempt: attempt}
 	if !a.wantSnapshot && !a.servicesChanged {
@@ -90,7 +93,8 @@
 	}
 }
 
-// completeTransfer builds what was collected aside, and hands it to the gateway if it is what its version says.
+// completeTransfer builds the new configuration from the received changes and passes it to the gateway if its hash is
+// that of the version. Otherwise a delta is followed by a snapshot, and a snapshot by another control machine.
 func (a *Agent) completeTransfer() {
 	t := a.transfer
 	a.transfer = nil
@@ -103,7 +107,7 @@
 	if err != nil || tree.Hash() != t.scope {
 		a.counts.Mismatched++
 		if snapshot {
-			a.nextController() // another control machine may have it right
+			a.nextController() // another control machine may have correct content
 			return
 		}
 		a.wantSnapshot = true
--- a/internal/configdist/agent_verdict.go
+++ b/internal/configdist/agent_verdict.go
@@ -9,7 +9,8 @@
 	"thymebend/internal/configdist/content"
 )
 
-// state is the agent's acknowledgement.
+// state returns the agent's acknowledgement: the version in force and the last rejection or failure. While the
+// configuration in force is for other services than the gateway's, no version counts as in force.
 func (a *Agent) state() codec.State {
 	s := a.lastVerdict
 	if s.InForce = a.inForce; a.servicesChanged {
@@ -18,7 +19,8 @@
 	return s
 }
 
-// Installed takes how an Install went: it is in force, or the last good one still is.
+// Installed reports the outcome of an Install: without an error it is in force now; with one, the gateway rejected it
+// and the last good configuration is still in force.
 func (a *Agent) Installed(now time.Duration, ref content.Ref, err error) {
 	a.advanceClock(now)
 	next := a.installing
@@ -37,19 +39,19 @@
 	a.report()
 }
 
-// reject notes that a version was not taken; the last good one stays in force.
+// reject records and reports that a version was rejected; the last good one stays in force.
 func (a *Agent) reject(ref content.Ref, attempt uint64, reason string) {
 	a.counts.Rejected++
 	a.setVerdict(codec.Rejected, ref.Number, attempt, reason)
 }
 
-// Fail is told that the gateway fails with what is in force, for a reason.
+// Fail reports to the agent that the gateway does not work with the version in force, and the reason.
 func (a *Agent) Fail(now time.Duration, reason string) {
 	a.advanceClock(now)
 	a.setVerdict(codec.Failed, a.inForce.Number, a.attempt, reason)
 }
 
-// Recover is told that the gateway does not fail any more.
+// Recover reports to the agent that the gateway works again with the version in force.
 func (a *Agent) Recover(now time.Duration) {
 	a.advanceClock(now)
 	if a.lastVerdict.Verdict == codec.Failed {
@@ -58,7 +60,7 @@
 	}
 }
 
-// setVerdict notes what the gateway came to with a version, and reports it.
+// setVerdict records that the gateway rejected a version or failed with it, and reports that.
 func (a *Agent) setVerdict(v codec.Verdict, number, attempt uint64, reason string) {
 	reason = cmp.Or(reason, noReason)
 	a.lastVerdict = codec.State{Verdict: v, Version: number, Attempt: attempt,
@@ -66,7 +68,8 @@
 	a.report()
 }
 
-// report tells the control machine how things stand now.
+// report sends the current state to the control machine, unless a session is being set up or a transfer is in
+// progress.
 func (a *Agent) report() {
 	if a.subscribed && a.transfer == nil {
 		a.sends = 0
--- a/internal/configdist/command.go
+++ b/internal/configdist/command.go
@@ -8,18 +8,25 @@
 	"thymebend/internal/configdist/content"
 )
 
-// Errors of a command. Those of a proposal's changes are content.ChangeError.
+// Errors of a command that the store rejects. Errors in a proposal's changes are of type content.ChangeError.
 var (
-	ErrDoesNotFollow = errors.New("configdist: the version that the proposal follows is not the newest one")
-	ErrNoChange      = errors.New("configdist: nothing would change")
-	ErrStopped       = errors.New("configdist: a rollout was stopped; resume it or go back first")
-	ErrNotStopped    = errors.New("configdist: the rollout was not stopped")
-	ErrNoVersion     = errors.New("configdist: no such version is kept")
-	ErrStage         = errors.New("configdist: the rollout is not at a stage from which that follows")
-	ErrCommand       = errors.New("configdist: unknown command")
+	// ErrDoesNotFollow is returned when another version became the newest after the proposal was made.
+	ErrDoesNotFollow = errors.New("configdist: the proposal is not based on the newest version")
+	// ErrNoChange is returned when the new version would have the content of the newest one.
+	ErrNoChange = errors.New("configdist: the command would not change the configuration")
+	// ErrStopped is returned for a proposal while a stopped rollout awaits an operator.
+	ErrStopped = errors.New("configdist: a rollout is stopped; resume it or revert first")
+	// ErrNotStopped is returned when a rollout that is not stopped would be resumed.
+	ErrNotStopped = errors.New("configdist: the rollout is not stopped")
+	// ErrNoVersion is returned when the store does not hold the version any more, or never did.
+	ErrNoVersion = errors.New("configdist: the version does not exist or is no longer stored")
+	// ErrStage is returned when the command does not fit the rollout's version or stage.
+	ErrStage = errors.New("configdist: the command does not fit the stage of the rollout")
+	// ErrCommand is returned for a command of an unknown kind or with names that are too long.
+	ErrCommand = errors.New("configdist: unknown or malformed command")
 )
 
-// FieldError is the refusal of a command for one of its fields.
+// FieldError is returned when a command is rejected because of one of its fields. Err is the kind of error.
 type FieldError struct {
 	Field    string
 	Value    uint64
@@ -29,16 +36,17 @@
 
 // Error implements error.
 func (e *FieldError) Error() string {
-	return fmt.Sprintf("%v: %s is %d, not %d", e.Err, e.Field, e.Value, e.Expected)
+	return fmt.Sprintf("%v: %s is %d, expected %d", e.Err, e.Field, e.Value, e.Expected)
 }
 
-// Unwrap returns the kind of refusal.
+// Unwrap returns the kind of error.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// CommandKind is what a command asks.
+// CommandKind says what a command does.
 type CommandKind uint8
 
-// The kinds of commands. Operators propose, stop, resume and revert; the leader moves stages on, and stops by its rule.
+// The kinds of commands. Operators propose, stop, resume and revert. The leader moves a rollout to its next stage, and
+// stops it when too many gateways fail.
 const (
 	Propose CommandKind = iota + 1
 	MoveStage
@@ -47,33 +55,34 @@
 	Revert
 )
 
-// Stage is how far a rollout has come.
+// Stage is the progress of a rollout.
 type Stage uint8
 
-// The stages. Of a Waiting one no gateway has been told; a Stopped one is offered to nobody any more.
+// The stages of a rollout. In StageWaiting its version is not offered to any gateway yet; in StageStopped it is no
+// longer offered.
 const (
 	StageWaiting Stage = iota
 	StageCanary
 	StageZone
 	StageAll
 	StageStopped
-	stageReleased // as the target of MoveStage: the rollout is over
+	stageReleased // only as the target of MoveStage: the rollout is complete
 )
 
-// String words a stage for operators.
+// String describes a stage for operators.
 func (s Stage) String() string {
 	return [...]string{"waiting", "one gateway", "one zone", "all", "stopped", "released"}[min(s, stageReleased)]
 }
 
-// Command is one entry of the log.
+// Command is one entry of the replicated log.
 type Command struct {
 	Kind    CommandKind
-	ID      uint64           // of the publisher's; a proposal that comes twice under one is one version
-	Base    uint64           // Propose: the version that it follows
+	ID      uint64           // set by the publisher; a proposal or revert applied twice makes one version
+	Base    uint64           // Propose: the version that the changes apply to
 	Changes []content.Change // Propose
-	Version uint64           // MoveStage, Stop, Resume: of the rollout; Revert: whose content is wanted again
+	Version uint64           // version of the rollout; for Revert, the one whose content is restored
 	Stage   Stage            // MoveStage
-	Canary  string           // MoveStage: the gateway
+	Canary  string           // MoveStage: name of the gateway
 	Zone    string           // MoveStage
 	Reason  string           // Stop
 }
@@ -86,7 +95,7 @@
 	return codec.AppendChanges(b, c.Changes)
 }
 
-// ParseCommand reads a command back.
+// ParseCommand decodes a command that AppendTo encoded.
 func ParseCommand(data []byte) (Command, error) {
 	r := codec.NewReader(data)
 	c := Command{
@@ -103,9 +112,9 @@
 	return c, r.Err()
 }
 
-// Result is what a command came to.
+// Result is the outcome of a command after it was applied.
 type Result struct {
 	ID  uint64
-	Ref content.Ref // the version that it made or was about
+	Ref content.Ref // the version that the command created or refers to
 	Err error
 }
--- a/internal/configdist/controller.go
+++ b/internal/configdist/controller.go
@@ -10,64 +10,64 @@
 	"thymebend/internal/raft"
 )
 
-// Times of a control machine.
+// Intervals and timeouts of a control machine.
 const (
-	leaderTimeout      = time.Second            // without the leader's messages: then no staged version is offered
-	quietAfterStall    = 500 * time.Millisecond // in which no staged version is offered
-	minOfferBackoff    = 500 * time.Millisecond // where no acknowledgement came
+	leaderTimeout      = time.Second            // since the leader's last message; then rollouts' versions are not offered
+	quietAfterStall    = 500 * time.Millisecond // after a start or stall; until then no version in a rollout is offered
+	minOfferBackoff    = 500 * time.Millisecond // until an unacknowledged offer is repeated
 	maxOfferBackoff    = 4 * time.Second
-	silenceTimeout     = 5 * time.Second  // without a gateway's message: then it is silent
-	forgetTimeout      = 30 * time.Second // the same: then it is no subscriber any more
-	fullReportInterval = 2 * time.Second  // between reports of all gateways to the leader
+	silenceTimeout     = 5 * time.Second  // since a gateway's last message; then it counts as silent
+	forgetTimeout      = 30 * time.Second // since a gateway's last message; then its subscription ends
+	fullReportInterval = 2 * time.Second  // between full reports, which list all gateways, to the leader
 )
 
-// Sizes of a control machine.
+// Limits of a control machine.
 const (
-	reportRepeats         = 3        // of each change to the leader, a tick apart: one may get lost
-	defaultPageBytes      = 32 << 10 // of changes
-	pushedPageShare       = 4        // a page over what is sent with an offer
+	reportRepeats         = 3        // of each change to the leader, one per tick, because a report may be lost
+	defaultPageBytes      = 32 << 10 // of changes in a page
+	pushedPageShare       = 4        // a page sent in place of an offer is limited to PageBytes divided by this
 	defaultMaxSubscribers = 2048
-	maxSnapshotBytes      = 32 << 20 // of the log
-	maxPendingResults     = 1000     // commands of this control machine that have no result yet
+	maxSnapshotBytes      = 32 << 20 // of a snapshot of the log
+	maxPendingResults     = 1000     // commands proposed at this control machine that have no result yet
 )
 
-// ErrUnexpectedMessage is a message from one that does not send such messages.
-var ErrUnexpectedMessage = errors.New("configdist: a message of another sender's kind")
+// ErrUnexpectedMessage is returned for a message that this kind of sender does not send.
+var ErrUnexpectedMessage = errors.New("configdist: unexpected message for this kind of sender")
 
-// ControllerConfig is what a control machine starts from.
+// ControllerConfig is the configuration that a control machine starts with.
 type ControllerConfig struct {
 	ID             uint64
-	Voters         []uint64              // of the first start of all
-	Standbys       []uint64              // they have the log, serve gateways and do not vote
-	Restored       *raft.PersistentState // of the process before, or nil
+	Voters         []uint64              // IDs, as of the first start of the cluster
+	Standbys       []uint64              // IDs of machines that replicate the log and serve gateways, but do not vote
+	Restored       *raft.PersistentState // persisted by this machine's previous process, or nil
 	Seed           uint64
-	MaxSubscribers int // 0 is 2,048
-	PageBytes      int // of changes in a page, of which a quarter is sent with an offer; 0 is 32 KiB
-	SnapshotEvery  int // entries of the log between two snapshots; 0 is 1,000
+	MaxSubscribers int // limit of subscribed gateways; 0 means 2,048
+	PageBytes      int // limit of the changes in a page; a page sent as an offer has a quarter; 0 means 32 KiB
+	SnapshotEvery  int // entries of the log between two snapshots; 0 means 1,000
 	Policy         Policy
 }
 
-// ToGateway is a message to the gateway at a link.
+// ToGateway is a message to the gateway that is connected by a link.
 type ToGateway struct {
 	Link    uint64
 	Message codec.Message
 }
 
-// ToPeer is a message to another control machine.
+// ToPeer is a message to the control machine with the ID To.
 type ToPeer struct {
 	To      uint64
 	Message codec.Message
 }
 
-// ControllerOutput is what is to be done now.
+// ControllerOutput lists the effects that the caller must carry out now.
 type ControllerOutput struct {
 	Peers    []ToPeer
 	Gateways []ToGateway
-	Results  []Result // of commands that were proposed here
+	Results  []Result // of commands that were proposed at this control machine
 }
 
-// Controller is a control machine: a voter or standby of the replicated log that serves subscribed gateways, and
-// moves rollouts on while it leads.
+// Controller is the state of a control machine: a voter or standby of the replicated log that serves subscribed
+// gateways. While it is the leader, it also advances rollouts.
 type Controller struct {
 	cfg     ControllerConfig
 	log     *raft.Replica
@@ -76,17 +76,17 @@
 
 	now            time.Duration
 	nextTick       time.Duration
-	leaderLastSeen time.Duration // the leader's last message
-	quietUntil     time.Duration // no staged version is offered: it stood still
+	leaderLastSeen time.Duration // time of the leader's last message
+	quietUntil     time.Duration // until then no version in a rollout is offered, after a start or stall
 	subscribers    map[string]*subscriber
-	names          []string // of the subscribers, sorted
+	names          []string // of the subscribed gateways, sorted
 	impact         impact
-	reportedTo     uint64 // the leader that has had a full report; 0 is none
+	reportedTo     uint64 // ID of the leader that received the last full report; 0 means none
 	nextFullReport time.Duration
 	coordinator    coordinator
 }
 
-// NewController starts a control machine.
+// NewController starts a control machine, from its persisted state if there is one.
 func NewController(cfg ControllerConfig, now time.Duration) (*Controller, error) {
 	cfg.MaxSubscribers = cmp.Or(cfg.MaxSubscribers, defaultMaxSubscribers)
 	cfg.PageBytes = cmp.Or(cfg.PageBytes, defaultPageBytes)
@@ -110,17 +110,18 @@
 	}, nil
 }
 
-// Store is the state as far as this control machine has applied the log. It is not to be changed.
+// Store returns the state as of the last log entry applied here. Callers must not change it.
 func (c *Controller) Store() *Store { return c.machine.store }
 
-// Status tells how the replicated log stands.
+// Status returns the status of the replicated log.
 func (c *Controller) Status() raft.Status { return c.log.Status() }
 
-// Subscribers counts the gateways that have subscribed here.
+// Subscribers returns the number of gateways that are subscribed to this control machine.
 func (c *Controller) Subscribers() int { return len(c.subscribers) }
 
-// Propose puts a command into the log. Its result comes out of Take once most voters have it, or never: then it is
-// proposed again, with the same ID, which must not be 0. What can be rejected at once is.
+// Propose proposes a command for the log. Take returns its result once a majority of the voters have stored it; if the
+// command is lost, there is no result, and the caller proposes it again with the same ID, which must not be 0. It
+// returns an error if the current store would reject the command or this machine cannot propose now.
 func (c *Controller) Propose(now time.Duration, command Command) error {
 	c.advanceClock(now)
 	if err := c.log.CheckLeader(now); err != nil {
@@ -135,7 +136,7 @@
 	return c.propose(command)
 }
 
-// propose puts a command into the log that its own parser reads back.
+// propose proposes a command for the log, provided that ParseCommand accepts its encoding.
 func (c *Controller) propose(command Command) error {
 	data := command.AppendTo(nil)
 	if _, err := ParseCommand(data); err != nil {
@@ -150,14 +151,14 @@
 	return nil
 }
 
-// ReplaceVoter has a standby take the place of a voter that is lost for good.
+// ReplaceVoter makes a standby the replacement of a voter that is permanently lost.
 func (c *Controller) ReplaceVoter(now time.Duration, standby, lost uint64) error {
 	c.advanceClock(now)
 	return c.log.AddLearner(now, standby, lost)
 }
 
-// advanceClock lets time pass, and notes that the control machine stood still: what it believes of its leader may be
-// old.
+// advanceClock sets the current time. If it advances by more than leaderTimeout, the control machine was stalled and
+// its knowledge of the leader may be outdated; it then offers no version in a rollout for quietAfterStall.
 func (c *Controller) advanceClock(now time.Duration) {
 	if now-c.now > leaderTimeout {
 		c.quietUntil = now + quietAfterStall
@@ -165,10 +166,10 @@
 	c.now = max(c.now, now)
 }
 
-// NextWake is when Advance is to be called.
+// NextWake returns the time at which Advance must be called next.
 func (c *Controller) NextWake() time.Duration { return c.nextTick }
 
-// Advance is to be called at NextWake.
+// Advance handles the next tick, if it is due. The caller calls it at the time that NextWake returns.
 func (c *Controller) Advance(now time.Duration) {
 	c.advanceClock(now)
 	if c.now < c.nextTick {
@@ -181,7 +182,8 @@
 	c.coordinate()
 }
 
-// ReceivePeer takes a message of another control machine. One that cannot be used is an error and changes nothing.
+// ReceivePeer handles a message of another control machine. A message that cannot be used is an error and changes
+// nothing.
 func (c *Controller) ReceivePeer(now time.Duration, from uint64, m codec.Message) error {
 	c.advanceClock(now)
 	switch m := m.(type) {
@@ -195,12 +197,12 @@
 	case *codec.GatewayReports:
 		c.coordinator.receive(c.now, from, m)
 	default:
-		return fmt.Errorf("%w: a gateway's message from a control machine", ErrUnexpectedMessage)
+		return fmt.Errorf("%w: a control machine sent a message that only gateways send", ErrUnexpectedMessage)
 	}
 	return nil
 }
 
-// Receive takes a message of a gateway.
+// Receive handles a message of a gateway that arrived on a link. A message that gateways do not send is an error.
 func (c *Controller) Receive(now time.Duration, link uint64, m codec.Message) error {
 	c.advanceClock(now)
 	switch m := m.(type) {
@@ -216,13 +218,13 @@
 			c.sendPage(s, m)
 		}
 	default:
-		return fmt.Errorf("%w: a control machine's message from a gateway", ErrUnexpectedMessage)
+		return fmt.Errorf("%w: a gateway sent a message that only control machines send", ErrUnexpectedMessage)
 	}
 	return nil
 }
 
-// Take does all that is ready. What has to be persisted is given to persist before anything that rests on it comes
-// out.
+// Take processes what is ready, and returns the pending effects and removes them from the controller. It passes the
+// state that must be persisted to persist before it returns effects that depend on that state.
 func (c *Controller) Take(persist func(raft.PersistentState) error) (ControllerOutput, error) {
 	messages, err := c.log.Ready(persist)
 	for _, m := range messages {
--- a/internal/configdist/coordinator.go
+++ b/internal/configdist/coordinator.go
@@ -9,21 +9,24 @@
 	"thymebend/internal/configdist/codec"
 )
 
-// Policy is how a leader moves rollouts on. The zero Policy has the values of DefaultPolicy.
+// Policy sets the times and limits by which a leader advances rollouts. The zero Policy means DefaultPolicy.
 type Policy struct {
-	// ImpactTimeout is waited for at most until all control machines have told whom a change affects.
+	// ImpactTimeout is how long a stage waits at most for all control machines to report which gateways a change
+	// affects.
 	ImpactTimeout time.Duration
-	// Soak is how long each stage lasts once most of its gateways have the version in force.
+	// Soak is how long a stage continues after 90% of its gateways have the version in force.
 	Soak time.Duration
-	// CanaryTimeout is how long a canary may not answer before another is tried; longer with each that was tried.
+	// CanaryTimeout is how long a canary may leave the offer unanswered before another one is chosen. It is
+	// multiplied by the number of canaries chosen.
 	CanaryTimeout time.Duration
-	// ZoneTimeout is when half of a zone's gateways are enough, in place of most.
+	// ZoneTimeout is the duration of the zone stage after which half of its gateways are enough, in place of 90%.
 	ZoneTimeout time.Duration
-	// MaxFailedShare of the affected gateways that answered may fail; more stop the rollout.
+	// MaxFailedShare is the share of the affected gateways that answered which may fail. More of them stop the
+	// rollout.
 	MaxFailedShare float64
 }
 
-// DefaultPolicy is for a change in force everywhere within 8 s.
+// DefaultPolicy returns the policy that brings a change in force at all gateways within 8 s.
 func DefaultPolicy() Policy {
 	return Policy{
 		ImpactTimeout:  300 * time.Millisecond,
@@ -34,49 +37,50 @@
 	}
 }
 
-// Limits of a stage that gets no further.
+// Timeouts of a stage, a proposal and the reports to a new leader.
 const (
-	zoneStageTimeout = 10 * time.Second // then a zone of which less than half has answered stops the rollout
-	allStageTimeout  = 10 * time.Second // then the rollout is over, with those that lag
-	// proposeInterval is how long a proposal may come to nothing before the leader makes another.
+	zoneStageTimeout = 10 * time.Second // then the rollout stops if less than half of the zone has answered
+	allStageTimeout  = 10 * time.Second // then the rollout is complete, even if some gateways lag
+	// proposeInterval is how long the leader waits for a proposal to take effect before it proposes again.
 	proposeInterval = time.Second
-	// peerReportTimeout is how long a new leader waits for those control machines that have not reported.
+	// peerReportTimeout is how long a new leader waits for control machines that have not reported.
 	peerReportTimeout = 1500 * time.Millisecond
 )
 
-// Shares of a stage's gateways that have the version in force.
+// Shares of a stage's gateways that must have the version in force.
 const (
-	soakShare        = 0.9
-	zoneTimeoutShare = 0.5
+	soakShare        = 0.9 // for the soak time to run
+	zoneTimeoutShare = 0.5 // after Policy.ZoneTimeout
 )
 
-// Reasons of a stop, which the log keeps.
+// Reasons for a stop, which are stored in the log.
 const (
 	reasonNoAnswer      = "less than half of the zone has answered"
 	reasonCanaryFailed  = "gateway %s: %s"
 	reasonTooManyFailed = "%d of %d gateways failed, the first is %s: %s"
 )
 
-// stageKey tells one stage from the next.
+// stageKey identifies a stage of one rollout.
 type stageKey struct {
 	version, attempt uint64
 	stage            Stage
 	canary, zone     string
-	idle             bool // nothing is to be rolled out
+	idle             bool // no rollout is in progress, and the newest version is released
 }
 
-// coordinator is what a leader knows beside the log: what others have reported, and since when a stage has lasted.
+// coordinator is the leader's state outside the log: the reports of other control machines and the timing of the
+// current stage.
 type coordinator struct {
 	policy               Policy
 	peers                map[uint64]*peer
-	pendingImpactReports int // reports of a follower that still have to tell its impact's version
-	key                  stageKey
+	pendingImpactReports int      // number of reports to the leader that must still be sent after impact changed
+	key                  stageKey // of the current stage
 	stageSince           time.Duration
-	soakingSince         time.Duration // 0 while too few gateways have the version in force
-	proposedAt           time.Duration // 0 while nothing is proposed for the stage
+	soakingSince         time.Duration // when enough gateways had the version in force; 0 while too few have
+	proposedAt           time.Duration // time of the last proposal in this stage; 0 if there was none
 	leading              bool
 	leadingSince         time.Duration
-	canaries             map[string]bool // gateways that were the canary of this rollout
+	canaries             map[string]bool // gateways already chosen as a canary of this rollout
 }
 
 func newCoordinator(p Policy) coordinator {
@@ -88,7 +92,7 @@
 	}
 }
 
-// receive takes another control machine's reports.
+// receive stores another control machine's reports; a full report replaces all earlier ones of that machine.
 func (co *coordinator) receive(now time.Duration, from uint64, m *codec.GatewayReports) {
 	p := co.peers[from]
 	if p == nil || m.Full {
@@ -101,7 +105,7 @@
 	}
 }
 
-// coordinate moves the rollout on, where this control machine leads.
+// coordinate advances the rollout if this control machine is the leader.
 func (c *Controller) coordinate() {
 	co := &c.coordinator
 	if c.log.CheckLeader(c.now) != nil || c.now < c.quietUntil {
@@ -125,7 +129,7 @@
 	}
 }
 
-// enterStage notes since when the rollout is at a stage.
+// enterStage restarts the stage's timing if the stage has changed.
 func (co *coordinator) enterStage(now time.Duration, key stageKey) {
 	if key == co.key {
 		return
@@ -136,7 +140,7 @@
 	co.key, co.stageSince, co.soakingSince, co.proposedAt = key, now, 0, 0
 }
 
-// decide finds what follows from the stage and from what gateways have told.
+// decide returns the command that follows from the stage and the gateways' reports, if there is one.
 func (c *Controller) decide(r Rollout) (Command, bool) {
 	co := &c.coordinator
 	elapsed := c.now - co.stageSince
@@ -175,7 +179,7 @@
 	return Command{}, false
 }
 
-// soaked reports whether most of a stage's gateways have had the version in force for long enough.
+// soaked reports whether soakShare of a stage's gateways have had the version in force for the policy's soak time.
 func (co *coordinator) soaked(now time.Duration, t *stageTally) bool {
 	if !t.reached(soakShare) {
 		co.soakingSince = 0
@@ -187,15 +191,16 @@
 	return now-co.soakingSince >= co.policy.Soak
 }
 
-// allPeersReported reports whether each control machine has reported to this leader; one that has not for long is taken for
-// dead.
+// allPeersReported reports whether each control machine has reported to this leader. After peerReportTimeout the
+// leader considers those that have not reported dead.
 func (c *Controller) allPeersReported() bool {
 	status := c.log.Status()
 	return len(c.coordinator.peers)+1 >= len(status.Voters)+len(status.Learners) ||
 		c.now-c.coordinator.leadingSince >= peerReportTimeout
 }
 
-// allReportedImpact reports whether each control machine that is heard of has told whom the version affects.
+// allReportedImpact reports whether each control machine that is not silent has reported which gateways the version
+// affects.
 func (c *Controller) allReportedImpact() bool {
 	for _, p := range c.coordinator.peers {
 		if c.now-p.lastSeen < silenceTimeout && p.newestVersion != c.impact.to {
@@ -205,8 +210,9 @@
 	return true
 }
 
-// startRollout begins a rollout with a canary that it affects, another than before; where it affects no gateway, with
-// all.
+// startRollout returns the command that starts a rollout with a canary. The canary is an affected gateway that was not
+// a canary of this rollout before; once all were, any of them may be chosen again. If no gateway can be the canary, the
+// rollout starts with all gateways.
 func (c *Controller) startRollout(gateways []gatewayStatus, r Rollout) Command {
 	version := cmp.Or(r.Version, c.machine.store.Head().Ref.Number)
 	for range 2 {
@@ -214,13 +220,13 @@
 			c.coordinator.canaries[canary] = true
 			return Command{Kind: MoveStage, Version: version, Stage: StageCanary, Canary: canary}
 		}
-		clear(c.coordinator.canaries) // all were tried: once more
+		clear(c.coordinator.canaries) // all affected gateways were canaries: allow them again
 	}
 	return Command{Kind: MoveStage, Version: version, Stage: StageAll}
 }
 
-// pickCanary is the gateway that ranks first for a version, by rendezvous, of those that can be its canary; empty if
-// there is none.
+// pickCanary returns the gateway with the highest rendezvous score for a version among those that are affected, not
+// silent, not failing and not yet a canary, or an empty name if there is none.
 func (co *coordinator) pickCanary(gateways []gatewayStatus, version uint64) string {
 	best, bestScore := "", uint64(0)
 	for i := range gateways {
--- a/internal/configdist/doc.go
+++ b/internal/configdist/doc.go
@@ -1,7 +1,7 @@
 // Package configdist distributes versions of a configuration from a replicated log to all gateways. Store is the
-// state that the log replicates; Controller is a control machine's part, with the coordinator that moves a rollout from
-// one canary to its zone and to all; Agent is a gateway's part.
+// state that the log replicates. Controller runs on each control machine; it contains the coordinator, which moves a
+// rollout from one canary gateway to the canary's zone and then to all gateways. Agent runs in each gateway.
 //
-// All are reducers: events in, effects out, no clock and no I/O. The running gateway does not use them yet.
-// docs/design/configuration.md says why it is as it is.
+// All three are reducers: they take events and return effects, and use neither a clock nor I/O. The running gateway
+// does not use them yet. docs/design/configuration.md gives the reasons for the design.
 package configdist
--- a/internal/configdist/lag.go
+++ b/internal/configdist/lag.go
@@ -8,10 +8,10 @@
 	"thymebend/internal/configdist/content"
 )
 
-// Reason is why a gateway lags.
+// Reason says why a gateway lags.
 type Reason string
 
-// The reasons.
+// The reasons why a gateway lags, as operators read them.
 const (
 	ReasonSilent       Reason = "not heard of"
 	ReasonRejected     Reason = "refused"
@@ -21,23 +21,24 @@
 	ReasonNotOffered   Reason = "not offered yet"
 )
 
-// Lagging is a gateway that has not the newest version in force, or fails with it.
+// Lagging describes a gateway that does not have the newest version in force, or fails with it.
 type Lagging struct {
 	Gateway, Zone string
-	Controller    uint64 // control machine where it is subscribed
+	Controller    uint64 // ID of the control machine where the gateway is subscribed
 	InForce       content.Ref
 	Newest        uint64 // version
 	Reason        Reason
 	Detail        string
 }
 
-// String words it as a line for operators.
+// String formats the entry as a line for operators.
 func (l Lagging) String() string {
 	return fmt.Sprintf("%s zone=%s control=%d in_force=%d newest=%d why=%q detail=%q", l.Gateway, l.Zone,
 		l.Controller, l.InForce.Number, l.Newest, l.Reason, l.Detail)
 }
 
-// LaggingGateways lists who lags and why, by name. Only the leader knows of all gateways; another control machine knows of its own.
+// LaggingGateways lists the lagging gateways in the order of their names, with the reason for each. Only the leader
+// knows all gateways; another control machine lists only those subscribed to it.
 func (c *Controller) LaggingGateways(now time.Duration) (lagging []Lagging) {
 	c.advanceClock(now)
 	store := c.machine.store
--- a/internal/configdist/machine.go
+++ b/internal/configdist/machine.go
@@ -6,15 +6,16 @@
 	"thymebend/internal/raft"
 )
 
-// stateMachine is the raft.StateMachine of a Store.
+// stateMachine applies the entries of the replicated log to a Store. It implements raft.StateMachine.
 type stateMachine struct {
 	store   *Store
 	pending map[uint64]bool // IDs of the commands that were proposed here and have no result yet
-	results []Result        // since the last Take
-	changed bool            // the store, since the last Take
+	results []Result        // of commands applied since the last Take
+	changed bool            // the store has changed since the last Take
 }
 
-// Apply implements raft.StateMachine. An entry that is no command changes nothing, at each replica alike.
+// Apply implements raft.StateMachine. An entry that is not a valid command changes nothing; this is the same at each
+// replica.
 func (m *stateMachine) Apply(e raft.Entry) error {
 	command, err := ParseCommand(e.Data)
 	if err != nil {
--- a/internal/configdist/rapid_test.go
+++ b/internal/configdist/rapid_test.go
@@ -13,8 +13,8 @@
 	"thymebend/internal/raft"
 )
 
-// pair is a control machine that votes alone and one gateway's agent, with what lies between them in no order, and
-// the gateway's own idea of what is in force.
+// pair is a control machine that is the only voter and the agent of one gateway, with the messages in transit between
+// them, which may be reordered, and the configuration that the gateway has in force.
 type pair struct {
 	now          time.Duration
 	controller   *Controller
@@ -67,7 +67,8 @@
 	p.install = nil
 }
 
-// takeOutputs does what both want done.
+// takeOutputs queues the messages of both, and checks that no stored version changes and that no second installation is
+// requested before the outcome of the first is reported.
 func (p *pair) takeOutputs(t *rapid.T) {
 	out, err := p.controller.Take(p.disk.Save)
 	if err != nil {
@@ -79,7 +80,7 @@
 	store := p.controller.Store()
 	for _, v := range store.versions {
 		if known := p.committed[v.Ref.Number]; known != nil && known.Ref != v.Ref {
-			t.Fatalf("version %v was %v", v.Ref, known.Ref)
+			t.Fatalf("version %v replaces %v of the same number", v.Ref, known.Ref)
 		}
 		p.committed[v.Ref.Number] = v
 	}
@@ -89,13 +90,13 @@
 	}
 	if agentOutput.Install != nil {
 		if p.install != nil {
-			t.Fatal("a second configuration is handed over before the first is answered")
+			t.Fatal("a second installation is requested before the outcome of the first is reported")
 		}
 		p.install = agentOutput.Install
 	}
 }
 
-// tick lets time pass by ticks, with some of the messages underway.
+// tick advances time by some ticks and delivers some of the messages in transit.
 func (p *pair) tick(t *rapid.T) {
 	for range rapid.SampledFrom([]int{1, 5, 20}).Draw(t, "ticks") {
 		p.now += raft.TickInterval
@@ -109,14 +110,14 @@
 	}
 }
 
-// stall has both stand still.
+// stall advances time without calling either side.
 func (p *pair) stall(t *rapid.T) {
-	p.now += rapid.SampledFrom([]time.Duration{3 * time.Second, 40 * time.Second}).Draw(t, "stands still")
+	p.now += rapid.SampledFrom([]time.Duration{3 * time.Second, 40 * time.Second}).Draw(t, "stall")
 	p.controller.Advance(p.now)
 	p.agent.Advance(p.now)
 }
 
-// runInOrder lets time pass with every message arriving at once.
+// runInOrder advances time by some ticks; every message is delivered at once and in order.
 func (p *pair) runInOrder(t *rapid.T) {
 	for range rapid.IntRange(1, 30).Draw(t, "ticks") {
 		p.now += raft.TickInterval
@@ -131,7 +132,7 @@
 	}
 }
 
-// exchange has everything that is under way arrive, and what follows from it, in its order.
+// exchange delivers all messages in transit, and those sent in answer, in order.
 func (p *pair) exchange(t *rapid.T) {
 	for len(p.toAgent)+len(p.toController) > 0 {
 		for _, m := range p.toController {
@@ -149,19 +150,20 @@
 	}
 }
 
-// drawMessage takes a message out of the post, or leaves a copy there, or loses it.
+// drawMessage draws a message in transit and whether it is delivered, delivered with a copy left in transit, or lost.
+// It returns nil if there is none to deliver.
 func drawMessage(t *rapid.T, queue *[]codec.Message) codec.Message {
 	if len(*queue) == 0 {
 		return nil
 	}
 	index := rapid.IntRange(0, len(*queue)-1).Draw(t, "message")
 	m := (*queue)[index]
-	outcome := rapid.SampledFrom([]string{"arrives", "arrives", "arrives", "arrives and comes again", "is lost"}).Draw(t,
-		"it")
-	if outcome != "arrives and comes again" {
+	outcome := rapid.SampledFrom([]string{"delivered", "delivered", "delivered", "duplicated", "lost"}).Draw(t,
+		"outcome")
+	if outcome != "duplicated" {
 		*queue = slices.Delete(*queue, index, index+1)
 	}
-	if outcome == "is lost" {
+	if outcome == "lost" {
 		return nil
 	}
 	return m
@@ -203,7 +205,7 @@
 		services = v.Tree.Services()
 	}
 	if p.running.Ref != next.Ref || p.running.Tree.Hash() != v.Tree.ScopeHash(services) {
-		t.Fatalf("version %v of %v is not whole", next.Ref, services)
+		t.Fatalf("version %v in force has wrong content for services %v", next.Ref, services)
 	}
 }
 
@@ -233,7 +235,7 @@
 	default:
 		c.Version = p.controller.Store().Rollout().Version
 	}
-	_ = p.controller.Propose(p.now, c) // what cannot be is refused; the store's tests say what
+	_ = p.controller.Propose(p.now, c) // an error is allowed; store_test.go tests which commands are rejected
 }
 
 func (p *pair) restart(t *rapid.T) {
@@ -251,7 +253,7 @@
 	}
 }
 
-// fail has the gateway fail, or recover.
+// fail makes the gateway fail or recover.
 func (p *pair) fail(t *rapid.T) {
 	if rapid.Bool().Draw(t, "recovers") {
 		p.agent.Recover(p.now)
@@ -260,7 +262,8 @@
 	}
 }
 
-// checkConverged lets everything arrive, and then the agent must have what it is to have.
+// checkConverged ends all faults and verifies that after 30 s the newest version is released and in force, unless the
+// gateway rejected it or the rollout is stopped.
 func (p *pair) checkConverged(t *rapid.T) {
 	p.agent.Recover(p.now)
 	p.toAgent, p.toController = nil, nil
@@ -283,17 +286,17 @@
 		return
 	}
 	if store.Released() != store.Head() {
-		t.Fatalf("version %v is released, not %v: %+v", store.Released().Ref, store.Head().Ref, store.Rollout())
+		t.Fatalf("version %v is released, want %v: %+v", store.Released().Ref, store.Head().Ref, store.Rollout())
 	}
 	rejected := p.agent.lastVerdict.Verdict == codec.Rejected && p.agent.lastVerdict.Version == store.Head().Ref.Number
 	if p.running.Ref != store.Head().Ref && !rejected && store.Head().Ref.Number > 0 {
-		t.Fatalf("version %v is in force, not %v", p.running.Ref, store.Head().Ref)
+		t.Fatalf("version %v is in force, want %v", p.running.Ref, store.Head().Ref)
 	}
 }
 
-// Store, control machine and agent with messages that are lost, repeated and overtaken, restarts, stalls, refusals
-// and failures: what is in force is committed, whole and never older than before; and when all is well again it is
-// the newest.
+// Runs a control machine and an agent with lost, duplicated and reordered messages, restarts, stalls, rejections and
+// failures. The version in force must always be committed, complete and not older than before. Once the faults end, the
+// newest version must come into force.
 func TestControllerAndAgentConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPair(t)
@@ -302,7 +305,7 @@
 			"stall": p.stall, "restart": p.restart, "serve others": p.changeServices, "fail": p.fail})
 		p.checkConverged(t)
 		if n := p.agent.Counts().Mismatched; n > 0 {
-			t.Fatalf("%d contents were not their versions'", n)
+			t.Fatalf("the content of %d transfers did not have the hash of the version", n)
 		}
 	})
 }
--- a/internal/configdist/report.go
+++ b/internal/configdist/report.go
@@ -9,14 +9,14 @@
 	"thymebend/internal/configdist/content"
 )
 
-// impact is which services differ between the released version and the one that is rolled out, or is to be next.
-// Reports say of a gateway whether that affects it.
+// impact lists the services that differ between the released version and the candidate, which is the version being
+// rolled out or, without a rollout, the newest one. Reports say whether a gateway is affected by these differences.
 type impact struct {
 	from, to uint64 // versions
 	services map[string]bool
 }
 
-// affects reports whether a gateway has one of the services.
+// affects reports whether a gateway subscribes to one of the services.
 func (i *impact) affects(s *subscriber) bool {
 	if len(s.services) == 0 {
 		return len(i.services) > 0
@@ -24,7 +24,7 @@
 	return slices.ContainsFunc(s.services, func(name string) bool { return i.services[name] })
 }
 
-// updateImpact works out which gateways are affected, where the store has changed.
+// updateImpact recomputes which gateways are affected if the released version or the candidate has changed.
 func (c *Controller) updateImpact() {
 	store := c.machine.store
 	to := store.Candidate()
@@ -46,7 +46,8 @@
 	}
 }
 
-// reportToLeader sends the leader what has changed of this control machine's gateways, and everything now and then.
+// reportToLeader sends the leader the changed states of the gateways subscribed here, and the states of all of them
+// every fullReportInterval and to a new leader.
 func (c *Controller) reportToLeader() {
 	status := c.log.Status()
 	if status.IsLeader || status.Leader == 0 {
@@ -71,7 +72,7 @@
 	c.output.Peers = append(c.output.Peers, ToPeer{status.Leader, m})
 }
 
-// reportOf is what the leader is told of a gateway.
+// reportOf returns the report about a gateway for the leader.
 func (c *Controller) reportOf(s *subscriber) codec.GatewayReport {
 	r := codec.GatewayReport{Gateway: s.gateway, Zone: s.zone, Session: s.session, State: s.state,
 		Affected: s.affected, Silent: c.now-s.lastSeen > silenceTimeout}
@@ -81,21 +82,21 @@
 	return r
 }
 
-// peer is what another control machine has reported.
+// peer holds the reports of another control machine.
 type peer struct {
-	newestVersion uint64 // version that its reports' Affected is about
+	newestVersion uint64 // candidate version that Affected in its reports refers to
 	lastSeen      time.Duration
 	gateways      map[string]codec.GatewayReport
 }
 
-// gatewayStatus is a gateway's report with the control machine where it is subscribed.
+// gatewayStatus is a gateway's report with the ID of the control machine where the gateway is subscribed.
 type gatewayStatus struct {
 	codec.GatewayReport
 	Controller uint64
 }
 
-// gateways lists what is known of every gateway, by name. Where two control machines report one, the later session
-// counts.
+// gateways returns the status of every known gateway, sorted by name. If two control machines report the same gateway,
+// the report with the higher session is used.
 func (c *Controller) gateways() []gatewayStatus {
 	all := make(map[string]gatewayStatus)
 	add := func(controller uint64, r codec.GatewayReport) {
--- a/internal/configdist/snapshot.go
+++ b/internal/configdist/snapshot.go
@@ -9,11 +9,11 @@
 	"thymebend/internal/fielderror"
 )
 
-// snapshotVersion is that of the form below.
+// snapshotVersion is the version of the snapshot's encoding.
 const snapshotVersion = 1
 
-// Snapshot encodes the store: the oldest kept version whole, and each other one by what differs from the one before.
-// Equal stores have equal snapshots.
+// Snapshot encodes the store: the oldest stored version completely, and each further version by its differences from
+// the previous one. Equal stores have equal snapshots.
 func (s *Store) Snapshot() []byte {
 	b := codec.AppendUint(nil, snapshotVersion)
 	r := &s.rollout
@@ -30,18 +30,18 @@
 	return b
 }
 
-// ErrSnapshot is a text that no store encodes.
+// ErrSnapshot is returned when data is not a valid snapshot of a store.
 var ErrSnapshot = errors.New("unusable snapshot")
 
 func snapshotError(format string, args ...any) error {
 	return fielderror.Worded(ErrSnapshot, "configdist: snapshot"+format, args...)
 }
 
-// RestoreStore reads a store back. What no store encodes is an ErrSnapshot.
+// RestoreStore decodes a store from a snapshot. Invalid data is an ErrSnapshot.
 func RestoreStore(data []byte) (*Store, error) {
 	r := codec.NewReader(data)
 	if version := r.Uint(); version != snapshotVersion {
-		return nil, snapshotError(" of version %d, %d is known", version, snapshotVersion)
+		return nil, snapshotError(" has encoding version %d, only %d is supported", version, snapshotVersion)
 	}
 	released := r.Uint()
 	s := &Store{rollout: Rollout{
@@ -57,13 +57,14 @@
 	}
 	s.released = s.Version(released)
 	if s.released == nil || s.rollout.Version != 0 && s.Candidate() == nil || s.rollout.Stage > StageStopped {
-		return nil, snapshotError(": released %d, rolled out %d, of %d versions",
+		return nil, snapshotError(": released version %d or rollout of version %d does not fit the %d stored versions",
 			released, s.rollout.Version, len(s.versions))
 	}
 	return s, nil
 }
 
-// readVersions reads the versions, each as what differs from the one before.
+// readVersions decodes the versions, each from its differences to the previous one, and verifies their hashes and
+// order.
 func (s *Store) readVersions(r *codec.Reader) error {
 	tree := content.Empty()
 	for range r.Count() {
@@ -77,10 +78,10 @@
 			return snapshotError(": version %d: %w", v.Ref.Number, err)
 		}
 		if tree.Hash() != v.Ref.Hash {
-			return snapshotError(": version %v has content %v", v.Ref, tree.Hash())
+			return snapshotError(": version %v has content with hash %v", v.Ref, tree.Hash())
 		}
 		if n := len(s.versions); n > 0 && v.Ref.Number <= s.versions[n-1].Ref.Number {
-			return snapshotError(": version %d after %d", v.Ref.Number, s.versions[n-1].Ref.Number)
+			return snapshotError(": version %d follows version %d", v.Ref.Number, s.versions[n-1].Ref.Number)
 		}
 		v.Tree = tree
 		s.versions = append(s.versions, v)
--- a/internal/configdist/store.go
+++ b/internal/configdist/store.go
@@ -6,51 +6,52 @@
 	"thymebend/internal/configdist/content"
 )
 
-// keptVersions is how many versions are kept, beside those that are released or being rolled out.
+// keptVersions is how many of the newest versions are stored, in addition to the released version and the one being
+// rolled out.
 const keptVersions = 64
 
-// Version is one version with its content.
+// Version is one version of the configuration with its content.
 type Version struct {
 	Ref      content.Ref
 	Tree     *content.Tree
-	Proposal uint64 // ID of the command that made it
+	Proposal uint64 // ID of the command that created it
 }
 
-// Rollout is how the newest rollout stands.
+// Rollout is the state of the rollout in progress, or of none.
 type Rollout struct {
-	Version uint64 // that is rolled out; 0 where no rollout is under way
+	Version uint64 // being rolled out; 0 means that no rollout is in progress
 	Stage   Stage
-	Canary  string // the gateway of StageCanary
-	Zone    string
-	Reason  string // of a stop
-	Attempt uint64 // grows with each rollout and resumption
+	Canary  string // name of the canary gateway
+	Zone    string // zone of StageZone
+	Reason  string // why the rollout was stopped
+	Attempt uint64 // increases with each new rollout and each resumption
 }
 
-// Store is the configuration's history and the state of its rollout. The same commands in the same order give the
-// same store.
+// Store holds the configuration's recent versions and the state of the rollout. It is deterministic: the same commands
+// in the same order give the same store.
 type Store struct {
-	versions []*Version // ascending
-	released *Version   // in force everywhere, or to be
+	versions []*Version // in ascending order of their numbers
+	released *Version   // the version that all gateways should have in force
 	rollout  Rollout
 }
 
-// NewStore returns a store whose released version 0 is empty.
+// NewStore returns a store with the released version 0, which is empty.
 func NewStore() *Store {
 	tree := content.Empty()
 	first := &Version{Ref: content.Ref{Hash: tree.Hash()}, Tree: tree}
 	return &Store{versions: []*Version{first}, released: first}
 }
 
-// Head is the newest version.
+// Head returns the newest version.
 func (s *Store) Head() *Version { return s.versions[len(s.versions)-1] }
 
-// Released is the version whose rollout was the last to come to its end.
+// Released returns the version whose rollout was the last to be completed.
 func (s *Store) Released() *Version { return s.released }
 
-// Rollout tells how the rollout under way stands.
+// Rollout returns the state of the rollout in progress; its Version is 0 if there is none.
 func (s *Store) Rollout() Rollout { return s.rollout }
 
-// Version returns a kept version, or nil.
+// Version returns the stored version with a number, or nil.
 func (s *Store) Version(number uint64) *Version {
 	index, found := slices.BinarySearchFunc(s.versions, number,
 		func(v *Version, n uint64) int { return int(int64(v.Ref.Number) - int64(n)) })
@@ -60,7 +61,7 @@
 	return s.versions[index]
 }
 
-// Candidate is the version that is rolled out, or nil.
+// Candidate returns the version that is being rolled out, or nil.
 func (s *Store) Candidate() *Version {
 	if s.rollout.Version == 0 {
 		return nil
@@ -68,14 +69,14 @@
 	return s.Version(s.rollout.Version)
 }
 
-// dryRun is what a command would come to now.
+// dryRun returns the result that a command would have now, without changing the store.
 func (s *Store) dryRun(c *Command) Result {
 	copied := *s
 	copied.versions = slices.Clone(s.versions)
 	return copied.Apply(c, 0)
 }
 
-// Apply applies a command of a log entry's term. With an error nothing has changed.
+// Apply applies a command from a log entry of the given term. If the result has an error, the store is unchanged.
 func (s *Store) Apply(c *Command, term uint64) Result {
 	var ref content.Ref
 	var err error
@@ -117,7 +118,7 @@
 	return s.add(tree, term, c.ID).Ref, nil
 }
 
-// versionOf finds the version that a command has made already.
+// versionOf returns the stored version that the command with an ID has created, or nil.
 func (s *Store) versionOf(id uint64) *Version {
 	if id == 0 {
 		return nil
@@ -137,7 +138,7 @@
 	return v
 }
 
-// compact forgets the oldest versions beyond those that are kept.
+// compact removes the oldest versions in excess of keptVersions, except the released one and the candidate.
 func (s *Store) compact() {
 	excess := len(s.versions) - keptVersions
 	if excess <= 0 {
@@ -148,15 +149,15 @@
 	s.versions = slices.Concat(retained, s.versions[excess:])
 }
 
-// moveStage begins the rollout of a version that is newer than the released one, or moves the one under way on. A
-// stage may be begun again with another gateway or zone.
+// moveStage starts the rollout of a version that is newer than the released one, or advances the rollout in progress.
+// A stage may be restarted with another canary or zone.
 func (s *Store) moveStage(c *Command) (content.Ref, error) {
 	if len(c.Canary) > content.MaxName || len(c.Zone) > content.MaxName {
 		return content.Ref{}, ErrCommand
 	}
 	expected := s.rollout.Version
 	if expected == 0 {
-		expected = c.Version // another may have become the newest while the command was under way
+		expected = c.Version // may be older than the newest one, which can change before the command is applied
 	}
 	switch {
 	case c.Version != expected || c.Version <= s.released.Ref.Number:
@@ -181,7 +182,7 @@
 	return v.Ref, nil
 }
 
-// rolledOut is the rollout's version if it is the one that a command is about.
+// rolledOut returns the version being rolled out if the command refers to it; otherwise it returns an error.
 func (s *Store) rolledOut(c *Command) (*Version, error) {
 	if c.Version == 0 || c.Version != s.rollout.Version {
 		return nil, &FieldError{"version", c.Version, s.rollout.Version, ErrStage}
@@ -200,7 +201,7 @@
 	return v.Ref, nil
 }
 
-// resume begins a stopped rollout again. Gateways that rejected its version try it again, for the attempt is another.
+// resume restarts a stopped rollout. Gateways that rejected its version try it again, because the attempt is a new one.
 func (s *Store) resume(c *Command) (content.Ref, error) {
 	v, err := s.rolledOut(c)
 	switch {
@@ -213,8 +214,9 @@
 	return v.Ref, nil
 }
 
-// revert makes a new version with the content of an older one. Back to the released one from a stopped rollout it
-// goes to all at once: that content is known. Back to another one it is rolled out like any change.
+// revert creates a new version with the content of an older one. If a rollout is stopped and the content is that of
+// the released version, the new version is offered to all gateways at once, because that content is known to work.
+// Otherwise it is rolled out in stages like any change.
 func (s *Store) revert(c *Command, term uint64) (content.Ref, error) {
 	if existing := s.versionOf(c.ID); existing != nil {
 		return existing.Ref, nil
--- a/internal/configdist/subscriber.go
+++ b/internal/configdist/subscriber.go
@@ -9,29 +9,30 @@
 	"thymebend/internal/configdist/content"
 )
 
-// subscriber is a gateway that has subscribed here.
+// subscriber is the state of a gateway that is subscribed to this control machine.
 type subscriber struct {
 	gateway, zone string
-	link          uint64   // where it is reached
-	session       uint64   // the highest one
-	services      []string // sorted; none is all
+	link          uint64   // to the gateway
+	session       uint64   // highest session number of the gateway
+	services      []string // sorted; empty means all
 	state         codec.State
 	lastSeen      time.Duration
 
 	offered        *Version
-	attempt        uint64        // of the rollout that the offer belongs to
-	nextOffer      time.Duration // when it is offered again; 0 where no acknowledgement is awaited
-	offerBackoff   time.Duration // from one offer to the next
-	pendingReports int           // reports to the leader that still have to tell of it
-	affected       bool          // by the versions of Controller.impact
+	attempt        uint64        // rollout attempt that the offer belongs to
+	nextOffer      time.Duration // when the offer is repeated; 0 if no acknowledgement is expected
+	offerBackoff   time.Duration // interval between two offers
+	pendingReports int           // number of reports to the leader that must still include this gateway
+	affected       bool          // by the change described by Controller.impact
 }
 
-// receiveSubscribe begins a gateway's session, in place of an earlier one.
+// receiveSubscribe starts a gateway's session, which replaces an earlier one. If the control machine is full, it
+// answers that it is busy.
 func (c *Controller) receiveSubscribe(link uint64, m *codec.Subscribe) {
 	s := c.subscribers[m.Gateway]
 	switch {
 	case s != nil && m.Session < s.session:
-		return // of a process before
+		return // of an earlier process or session
 	case s == nil && len(c.subscribers) >= c.cfg.MaxSubscribers:
 		c.send(link, &codec.Busy{Session: m.Session})
 		return
@@ -49,7 +50,7 @@
 	c.offer(s)
 }
 
-// session finds a gateway's session, or tells the gateway that there is none.
+// session returns the subscriber with a gateway's session. If there is none, it sends UnknownSession and returns nil.
 func (c *Controller) session(link uint64, gateway string, session uint64) *subscriber {
 	s := c.subscribers[gateway]
 	if s == nil || s.session != session {
@@ -64,14 +65,15 @@
 	c.output.Gateways = append(c.output.Gateways, ToGateway{link, m})
 }
 
-// acknowledge takes what a gateway tells of itself.
+// acknowledge stores the state that a gateway reports.
 func (c *Controller) acknowledge(s *subscriber, state codec.State) {
 	if s.state != state {
 		s.state, s.pendingReports = state, reportRepeats
 	}
 }
 
-// targetOf is the version that a gateway is to have, and the attempt of its rollout.
+// targetOf returns the version that a gateway should have in force, and the attempt of that version's rollout; the
+// attempt is 0 for the released version.
 func (c *Controller) targetOf(s *subscriber) (v *Version, attempt uint64) {
 	store := c.machine.store
 	r := &store.rollout
@@ -89,7 +91,8 @@
 	return store.released, 0
 }
 
-// stageIsCurrent reports whether the stage that is known here is current: the leader has been heard of lately.
+// stageIsCurrent reports whether the rollout's stage in the local store is current: this control machine leads, or has
+// received a message from the leader within leaderTimeout.
 func (c *Controller) stageIsCurrent() bool {
 	if c.now < c.quietUntil {
 		return false
@@ -98,13 +101,15 @@
 	return status.IsLeader || status.Quorum && c.now-c.leaderLastSeen < leaderTimeout
 }
 
-// needsNoUpdate reports whether a gateway has nothing to do about a version: it has it, or a newer one, or has rejected it.
+// needsNoUpdate reports whether a gateway already has a version or a newer one in force, or has rejected the version in
+// this attempt or a later one.
 func needsNoUpdate(s *subscriber, v *Version, attempt uint64) bool {
 	rejected := s.state.Verdict == codec.Rejected && s.state.Version == v.Ref.Number && s.state.Attempt >= attempt
 	return rejected || s.state.InForce.Number >= v.Ref.Number
 }
 
-// offer tells a gateway which version it is to have, with the changes if they are few.
+// offer announces to a gateway the version that it should have in force. If the changes fit into a quarter of a page,
+// it sends them at once in place of the announcement.
 func (c *Controller) offer(s *subscriber) {
 	v, attempt := c.targetOf(s)
 	s.offered, s.attempt = v, attempt
@@ -123,8 +128,8 @@
 	c.send(s.link, &codec.Offer{Session: s.session, Target: v.Ref, Attempt: attempt})
 }
 
-// page is a part of what a gateway needs for a version: from what it has, or from nothing. Where what it has is
-// not kept, it begins a snapshot.
+// page returns a page of the changes that a gateway needs for a version, either from the version that it has or from
+// the empty configuration. If the version that it has is no longer stored here, the page is the first of a snapshot.
 func (c *Controller) page(s *subscriber, v *Version, from content.Ref, after content.Cursor, limit int) *codec.Page {
 	base := content.Empty()
 	if from != (content.Ref{}) {
@@ -144,7 +149,7 @@
 	return p
 }
 
-// union merges two sorted lists.
+// union merges two sorted lists without duplicates.
 func union(a, b []string) []string {
 	if slices.Equal(a, b) {
 		return b
@@ -152,8 +157,8 @@
 	return slices.Compact(slices.Sorted(slices.Values(slices.Concat(a, b))))
 }
 
-// sendPage answers a fetch. One of a version that the gateway is not to have any more is answered by an offer of the
-// one that it is.
+// sendPage answers a fetch. If the gateway should no longer have the requested version, the answer is an offer of the
+// version that it should have.
 func (c *Controller) sendPage(s *subscriber, m *codec.Fetch) {
 	v, _ := c.targetOf(s)
 	if v.Ref.Number != m.Target {
@@ -166,7 +171,8 @@
 	c.send(s.link, c.page(s, v, m.From, m.After, c.cfg.PageBytes))
 }
 
-// serve offers what has changed, and again what was not acknowledged; it forgets gateways that are silent for long.
+// serve sends offers whose version has changed, repeats offers that were not acknowledged, and removes gateways that
+// have been silent for forgetTimeout.
 func (c *Controller) serve() {
 	removed := false
 	for _, name := range c.names {
--- a/internal/configdist/tally.go
+++ b/internal/configdist/tally.go
@@ -6,19 +6,19 @@
 	"thymebend/internal/configdist/codec"
 )
 
-// stageTally is how the gateways of a stage stand.
+// stageTally counts the affected gateways of a stage by their state.
 type stageTally struct {
-	live        int            // that are heard of, or failed
-	acked       int            // that have the version in force
-	failed      int            // that rejected it or fail with it
-	firstFailed *gatewayStatus // by name; nil if none has
-	zone        string         // of the canary
+	live        int            // that are not silent, or failed
+	acked       int            // that acknowledged the version as in force
+	failed      int            // that rejected the version or fail with it
+	firstFailed *gatewayStatus // first in the order of names; nil if none failed
+	zone        string         // zone of the canary
 }
 
-// reached reports whether a share of the gateways that are heard of have the version in force.
+// reached reports whether at least a share of the live gateways have the version in force.
 func (t *stageTally) reached(share float64) bool { return float64(t.acked) >= share*float64(t.live) }
 
-// tally counts the gateways that a stage is about: those that the change affects.
+// tally counts the gateways that belong to the rollout's stage and are affected by the change.
 func tally(gateways []gatewayStatus, r Rollout) (t stageTally) {
 	for i := range gateways {
 		g := &gateways[i]
@@ -46,7 +46,7 @@
 	return t
 }
 
-// includes reports whether a gateway belongs to the rollout's stage.
+// includes reports whether the rollout's stage offers the version to a gateway.
 func (r *Rollout) includes(g *gatewayStatus) bool {
 	switch r.Stage {
 	case StageCanary:
@@ -57,8 +57,8 @@
 	return true
 }
 
-// failure is the rule by which a rollout stops: when its canary failed, or more than a share of the gateways that
-// answered.
+// failure reports whether a rollout must stop, and why: its canary failed, or more than a share of the gateways that
+// answered did.
 func (t *stageTally) failure(stage Stage, share float64) (reason string, stop bool) {
 	if t.failed == 0 {
 		return "", false
--- a/internal/lab/configsim/check.go
+++ b/internal/lab/configsim/check.go
@@ -60,7 +60,8 @@
 		return false
 	})
 	if !ok {
-		cl.ReportViolation("%v after the troubles a rollout is still under way, or what is faulty is released", repairTimeout)
+		cl.ReportViolation("%v after the troubles a rollout is still under way, or what is faulty is released",
+			repairTimeout)
 	}
 }
 
@@ -80,7 +81,8 @@
 		return 0
 	}
 	if _, ok := r.waitUntil(convergenceLimit, func() bool { return cl.laggingGateway(ref.Number) == "" }); !ok {
-		cl.ReportViolation("%v after version %v was committed: %s", convergenceLimit, ref, cl.laggingGateway(ref.Number))
+		cl.ReportViolation("%v after version %v was committed: %s", convergenceLimit, ref,
+			cl.laggingGateway(ref.Number))
 	}
 	return r.Now() - committedAt
 }
@@ -135,7 +137,8 @@
 	for _, l := range leader.LaggingGateways(r.Now()) {
 		for _, g := range r.Cluster.Gateways {
 			if g.Name == l.Gateway && g.Running.Ref.Number >= l.Newest && l.Reason != configdist.ReasonFailed {
-				r.Cluster.ReportViolation("the leader says that %s lags: %s", g.Name, cmp.Or(l.Detail, string(l.Reason)))
+				r.Cluster.ReportViolation("the leader says that %s lags: %s", g.Name,
+					cmp.Or(l.Detail, string(l.Reason)))
 			}
 		}
 	}
--- a/internal/lab/configsim/faults.go
+++ b/internal/lab/configsim/faults.go
@@ -25,7 +25,8 @@
 	}
 	if r.rng.IntN(2) == 0 { // gateways end, and come back or are replaced
 		for range 1 + r.rng.IntN(n) {
-			index, at, downtime, replaced := r.rng.IntN(n), r.faultTime(), r.randomDuration(8*time.Second), r.rng.IntN(4) == 0
+			index, at, downtime := r.rng.IntN(n), r.faultTime(), r.randomDuration(8*time.Second)
+			replaced := r.rng.IntN(4) == 0
 			r.At(at, func() { cl.KillGateway(index) })
 			r.At(at+downtime, func() {
 				if replaced {
--- a/internal/lab/configsim/measure.go
+++ b/internal/lab/configsim/measure.go
@@ -217,13 +217,15 @@
 			f.Unfinished++
 			continue
 		}
-		toHalf, to99Percent, toAll = append(toHalf, c.toHalf), append(to99Percent, c.to99Percent), append(toAll, c.toAll)
+		toHalf, to99Percent = append(toHalf, c.toHalf), append(to99Percent, c.to99Percent)
+		toAll = append(toAll, c.toAll)
 		fromCommit = append(fromCommit, c.submitted+c.toAll-c.committed)
 		if c.toAll > convergenceLimit {
 			f.Late++
 		}
 	}
-	f.Half, f.Most, f.All, f.FromCommit = distributionOf(toHalf), distributionOf(to99Percent), distributionOf(toAll), distributionOf(fromCommit)
+	f.Half, f.Most, f.All = distributionOf(toHalf), distributionOf(to99Percent), distributionOf(toAll)
+	f.FromCommit = distributionOf(fromCommit)
 	for _, v := range m.Cluster.invariants.versions {
 		if v.stoppedAt != 0 {
 			f.Stopped++
