--- a/internal/configdist/agent_session.go
+++ b/internal/configdist/agent_session.go
@@ -83,9 +83,9 @@
 	}
 }
 
-// controllerOrder returns the IDs of the control machines in the order in which an agent tries them: first those in the
-// agent's region, then the others, each group ordered by rendezvous hashing. The agents are thus distributed evenly,
-// and only few change when a control machine fails.
+// controllerOrder returns the IDs of the control machines in the order in which an agent tries them: first those in
+// the agent's region, then the others, each group ordered by rendezvous hashing. The agents are thus distributed
+// evenly, and only few change when a control machine fails.
 func controllerOrder(cfg AgentConfig) []uint64 {
 	score := func(c ControlMachine) uint64 { return xxh3.HashStringSeed(cfg.Gateway, c.ID) }
 	list := slices.SortedFunc(slices.Values(cfg.Controllers), func(a, b ControlMachine) int {
--- a/internal/configdist/agent_test.go
+++ b/internal/configdist/agent_test.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// Guards against an agent that installs an older version, one of an older term, another version of the same number, or
-// a message of another session or control machine; also after a restart.
+// Guards against an agent that installs an older version, one of an older term, another version of the same number,
+// or a message of another session or control machine; also after a restart.
 func TestAgentIgnoresOlderAndForkedVersions(t *testing.T) {
 	a := newTestAgent(t, AgentConfig{})
 	one := newVersion(t, 1, content.Empty(), service("a", "1"))
@@ -246,8 +246,8 @@
 	return out.Results[0]
 }
 
-// Guards against an offer for a rollout's stage that ended while the control machine was stalled. After a stall of 10 s
-// no version in a rollout may be offered until quietAfterStall has passed.
+// Guards against an offer for a rollout's stage that ended while the control machine was stalled. After a stall of 10
+// s no version in a rollout may be offered until quietAfterStall has passed.
 func TestNoStagedVersionIsOfferedAfterStall(t *testing.T) {
 	c, now := newSingleController(t, ControllerConfig{})
 	proposeVersion(t, c, now, Command{Kind: Propose, ID: 1, Changes: []content.Change{service("a", "1")}})
--- a/internal/configdist/command.go
+++ b/internal/configdist/command.go
@@ -45,8 +45,8 @@
 // CommandKind says what a command does.
 type CommandKind uint8
 
-// The kinds of commands. Operators propose, stop, resume and revert. The leader moves a rollout to its next stage, and
-// stops it when too many gateways fail.
+// The kinds of commands. Operators propose, stop, resume and revert. The leader moves a rollout to its next stage,
+// and stops it when too many gateways fail.
 const (
 	Propose CommandKind = iota + 1
 	MoveStage
--- a/internal/configdist/controller.go
+++ b/internal/configdist/controller.go
@@ -12,7 +12,7 @@
 
 // Intervals and timeouts of a control machine.
 const (
-	leaderTimeout      = time.Second            // since the leader's last message; then rollouts' versions are not offered
+	leaderTimeout      = time.Second            // since the leader's last message; then the stage counts as unknown
 	quietAfterStall    = 500 * time.Millisecond // after a start or stall; until then no version in a rollout is offered
 	minOfferBackoff    = 500 * time.Millisecond // until an unacknowledged offer is repeated
 	maxOfferBackoff    = 4 * time.Second
@@ -119,8 +119,8 @@
 // Subscribers returns the number of gateways that are subscribed to this control machine.
 func (c *Controller) Subscribers() int { return len(c.subscribers) }
 
-// Propose proposes a command for the log. Take returns its result once a majority of the voters have stored it; if the
-// command is lost, there is no result, and the caller proposes it again with the same ID, which must not be 0. It
+// Propose proposes a command for the log. Take returns its result once a majority of the voters have stored it; if
+// the command is lost, there is no result, and the caller proposes it again with the same ID, which must not be 0. It
 // returns an error if the current store would reject the command or this machine cannot propose now.
 func (c *Controller) Propose(now time.Duration, command Command) error {
 	c.advanceClock(now)
--- a/internal/configdist/coordinator.go
+++ b/internal/configdist/coordinator.go
@@ -210,9 +210,9 @@
 	return true
 }
 
-// startRollout returns the command that starts a rollout with a canary. The canary is an affected gateway that was not
-// a canary of this rollout before; once all were, any of them may be chosen again. If no gateway can be the canary, the
-// rollout starts with all gateways.
+// startRollout returns the command that starts a rollout with a canary. The canary is an affected gateway that was
+// not a canary of this rollout before; once all were, any of them may be chosen again. If no gateway can be the
+// canary, the rollout starts with all gateways.
 func (c *Controller) startRollout(gateways []gatewayStatus, r Rollout) Command {
 	version := cmp.Or(r.Version, c.machine.store.Head().Ref.Number)
 	for range 2 {
--- a/internal/configdist/rapid_test.go
+++ b/internal/configdist/rapid_test.go
@@ -67,8 +67,8 @@
 	p.install = nil
 }
 
-// takeOutputs queues the messages of both, and checks that no stored version changes and that no second installation is
-// requested before the outcome of the first is reported.
+// takeOutputs queues the messages of both, and checks that no stored version changes and that no second installation
+// is requested before the outcome of the first is reported.
 func (p *pair) takeOutputs(t *rapid.T) {
 	out, err := p.controller.Take(p.disk.Save)
 	if err != nil {
@@ -295,8 +295,8 @@
 }
 
 // Runs a control machine and an agent with lost, duplicated and reordered messages, restarts, stalls, rejections and
-// failures. The version in force must always be committed, complete and not older than before. Once the faults end, the
-// newest version must come into force.
+// failures. The version in force must always be committed, complete and not older than before. Once the faults end,
+// the newest version must come into force.
 func TestControllerAndAgentConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPair(t)
--- a/internal/configdist/report.go
+++ b/internal/configdist/report.go
@@ -95,8 +95,8 @@
 	Controller uint64
 }
 
-// gateways returns the status of every known gateway, sorted by name. If two control machines report the same gateway,
-// the report with the higher session is used.
+// gateways returns the status of every known gateway, sorted by name. If two control machines report the same
+// gateway, the report with the higher session is used.
 func (c *Controller) gateways() []gatewayStatus {
 	all := make(map[string]gatewayStatus)
 	add := func(controller uint64, r codec.GatewayReport) {
--- a/internal/configdist/snapshot.go
+++ b/internal/configdist/snapshot.go
@@ -23,7 +23,8 @@
 	previous := content.Empty()
 	for _, v := range s.versions {
 		b = codec.AppendUint(codec.AppendRef(b, v.Ref), v.Proposal)
-		changes, _, _ := content.Page(previous, v.Tree, content.Affected(previous, v.Tree), content.Cursor{}, math.MaxInt)
+		services := content.Affected(previous, v.Tree)
+		changes, _, _ := content.Page(previous, v.Tree, services, content.Cursor{}, math.MaxInt)
 		b = codec.AppendChanges(b, changes)
 		previous = v.Tree
 	}
--- a/internal/configdist/store.go
+++ b/internal/configdist/store.go
@@ -27,8 +27,8 @@
 	Attempt uint64 // increases with each new rollout and each resumption
 }
 
-// Store holds the configuration's recent versions and the state of the rollout. It is deterministic: the same commands
-// in the same order give the same store.
+// Store holds the configuration's recent versions and the state of the rollout. It is deterministic: the same
+// commands in the same order give the same store.
 type Store struct {
 	versions []*Version // in ascending order of their numbers
 	released *Version   // the version that all gateways should have in force
@@ -201,7 +201,8 @@
 	return v.Ref, nil
 }
 
-// resume restarts a stopped rollout. Gateways that rejected its version try it again, because the attempt is a new one.
+// resume restarts a stopped rollout. Gateways that rejected its version try it again, because the attempt is a new
+// one.
 func (s *Store) resume(c *Command) (content.Ref, error) {
 	v, err := s.rolledOut(c)
 	switch {
--- a/internal/configdist/subscriber.go
+++ b/internal/configdist/subscriber.go
@@ -91,8 +91,8 @@
 	return store.released, 0
 }
 
-// stageIsCurrent reports whether the rollout's stage in the local store is current: this control machine leads, or has
-// received a message from the leader within leaderTimeout.
+// stageIsCurrent reports whether the rollout's stage in the local store is current: this control machine leads, or
+// has received a message from the leader within leaderTimeout.
 func (c *Controller) stageIsCurrent() bool {
 	if c.now < c.quietUntil {
 		return false
@@ -101,8 +101,8 @@
 	return status.IsLeader || status.Quorum && c.now-c.leaderLastSeen < leaderTimeout
 }
 
-// needsNoUpdate reports whether a gateway already has a version or a newer one in force, or has rejected the version in
-// this attempt or a later one.
+// needsNoUpdate reports whether a gateway already has a version or a newer one in force, or has rejected the version
+// in this attempt or a later one.
 func needsNoUpdate(s *subscriber, v *Version, attempt uint64) bool {
 	rejected := s.state.Verdict == codec.Rejected && s.state.Version == v.Ref.Number && s.state.Attempt >= attempt
 	return rejected || s.state.InForce.Number >= v.Ref.Number
--- a/internal/lab/configsim/changes.go
+++ b/internal/lab/configsim/changes.go
@@ -8,7 +8,7 @@
 	"thymebend/internal/configdist/content"
 )
 
-// faultyChange words a change that a share of the gateways refuse or fail with, or takes it back.
+// faultyChange draws a change that adds a faulty route, which 3, 50 or 100% of the gateways reject or fail with.
 func (r *run) faultyChange() []content.Change {
 	c := content.Change{Entry: content.Entry{Kind: content.Route, Service: ServiceName(r.rng.IntN(r.size.Services)),
 		Name: faultyRoute}}
@@ -20,7 +20,7 @@
 	return []content.Change{c}
 }
 
-// toggleTenant has a tenant come, or go where it is there.
+// toggleTenant returns a change that adds a tenant named guest to a random service, or removes it if it exists there.
 func (r *run) toggleTenant() []content.Change {
 	service := ServiceName(r.rng.IntN(r.size.Services))
 	c := content.Change{Entry: content.Entry{Kind: content.Tenant, Service: service, Name: "guest", Body: body(r.rng)}}
@@ -31,6 +31,7 @@
 	return []content.Change{c}
 }
 
+// drawChanges schedules ordinary and faulty changes during the phase of faults.
 func (r *run) drawChanges() {
 	pause := 300*time.Millisecond + r.randomDuration(4*time.Second)
 	withFaulty := r.rng.IntN(2) == 0
@@ -47,7 +48,7 @@
 			}
 			change := r.faultyChange()
 			r.Cluster.Submit(change, func(_ content.Ref, err error) {
-				if err == nil { // its author takes it back, whether it was stopped or not
+				if err == nil { // the author replaces it, even if its rollout was stopped
 					r.At(r.Now()+2*time.Second, func() { r.replaceFaulty(change) })
 				}
 			})
@@ -55,14 +56,15 @@
 	}
 }
 
-// replaceFaulty has a faulty route replaced by one that is none. One that is not there any more does no harm by it.
+// replaceFaulty submits a change that makes a faulty route an ordinary one. If the faulty route no longer exists,
+// this adds an ordinary route, which does no harm.
 func (r *run) replaceFaulty(change []content.Change) {
 	c := change[0]
 	c.Entry.Body = body(r.rng)
 	r.submit([]content.Change{c})
 }
 
-// repairChanges words a change after which no service has a faulty route.
+// repairChanges returns changes that give each service an ordinary route under the name of the faulty one.
 func (r *run) repairChanges() (list []content.Change) {
 	for i := range r.size.Services {
 		list = append(list, content.Change{Entry: content.Entry{Kind: content.Route, Service: ServiceName(i),
--- a/internal/lab/configsim/check.go
+++ b/internal/lab/configsim/check.go
@@ -8,7 +8,7 @@
 	"thymebend/internal/configdist/content"
 )
 
-// check holds what has to be true after the troubles.
+// check verifies that the cluster converges once all faults have ended, and returns the outcome of the run.
 func (r *run) check() Outcome {
 	cl := r.Cluster
 	released := uint64(0)
@@ -22,7 +22,7 @@
 	if r.releaseRepair(); len(cl.Violations) == 0 {
 		r.out.LastChange = r.lastChange()
 	}
-	// some author may still be at it
+	// authors may still be submitting changes
 	r.waitUntil(repairTimeout, func() bool {
 		return r.Now()-cl.invariants.versions[cl.invariants.newest].at >= convergenceLimit
 	})
@@ -33,12 +33,13 @@
 	return r.out
 }
 
-// repairTimeout is how long the authors and the operator may take, after the troubles, to have released what no
-// gateway refuses.
+// repairTimeout is how long it may take, after the faults have ended, until the authors and the operator have
+// released a version that no gateway rejects or fails with.
 const repairTimeout = time.Minute
 
-// releaseRepair has what is faulty replaced until a version without it is released. Versions before it may be
-// stopped, and it may be taken back with them: then it is submitted again.
+// releaseRepair submits changes that replace the faulty routes until a version without them is released. The rollout
+// of an earlier version may be stopped and reverted, which also reverts the repair; then the repair is submitted
+// again.
 func (r *run) releaseRepair() {
 	cl := r.Cluster
 	_, ok := r.waitUntil(repairTimeout, func() bool {
@@ -65,7 +66,7 @@
 	}
 }
 
-// lastChange submits one more change, and finds how long after its commitment it is in force everywhere.
+// lastChange submits one more change, and returns the time from its commit until it is in force at all gateways.
 func (r *run) lastChange() time.Duration {
 	cl := r.Cluster
 	var ref content.Ref
@@ -87,7 +88,8 @@
 	return r.Now() - committedAt
 }
 
-// waitUntil lets time pass until something holds.
+// waitUntil advances time until a condition holds or the timeout has passed. It returns the time that passed and
+// whether the condition holds.
 func (r *run) waitUntil(timeout time.Duration, condition func() bool) (time.Duration, bool) {
 	startedAt := r.Now()
 	for !condition() {
@@ -99,7 +101,7 @@
 	return r.Now() - startedAt, true
 }
 
-// summarize sums up the run, and checks what the counts show.
+// summarize fills in the outcome of the run, and checks the agents' counts and the traffic.
 func (r *run) summarize() {
 	cl, o := r.Cluster, &r.out
 	o.Gateways, o.Versions = len(cl.Gateways), cl.invariants.newest
@@ -132,7 +134,8 @@
 	o.Violations = cl.Violations
 }
 
-// checkLag holds the leader's report of who lags against what gateways have in force.
+// checkLag verifies that no gateway that the leader lists as lagging has the newest version in force and works with
+// it.
 func (r *run) checkLag(leader *configdist.Controller) {
 	for _, l := range leader.LaggingGateways(r.Now()) {
 		for _, g := range r.Cluster.Gateways {
--- a/internal/lab/configsim/cluster.go
+++ b/internal/lab/configsim/cluster.go
@@ -10,24 +10,24 @@
 	"thymebend/internal/raft"
 )
 
-// Config is a cluster's size and ways.
+// Config sets a cluster's size and behaviour.
 type Config struct {
 	Name      string
 	Gateways  int
 	Zones     int
 	Regions   int
-	Services  func(gateway int) []string // that a gateway serves; nil for all
+	Services  func(gateway int) []string // returns the services of a gateway; nil means all
 	Policy    configdist.Policy
-	PageBytes int // see rollout.ControllerConfig
-	Snapshots int // entries between two of the log's; 0 for the default
+	PageBytes int // see configdist.ControllerConfig
+	Snapshots int // log entries between two snapshots; 0 means the default
 	Seed      uint64
-	Installed func(g *Gateway, ref content.Ref) // is told of each version in force, or nil
+	Installed func(g *Gateway, ref content.Ref) // is called after each installation, unless nil
 }
 
-// controlMachineCount is how many control machines there are: three voters and a standby.
+// controlMachineCount is the number of control machines: three voters and a standby.
 const controlMachineCount = 4
 
-// Cluster is control machines and gateways.
+// Cluster is a set of control machines and gateways, with the violations of invariants found so far.
 type Cluster struct {
 	ControlMachines []*ControlMachine
 	Gateways        []*Gateway
@@ -38,11 +38,11 @@
 	net        Network
 	rng        *rand.Rand
 	invariants invariants
-	onResult   map[uint64]func(configdist.Result) // by the command's ID
+	onResult   map[uint64]func(configdist.Result) // called with a command's result; by its ID
 	nextID     uint64
 }
 
-// New makes a cluster. None of its processes runs yet.
+// New returns a cluster. None of its processes runs yet.
 func New(cfg Config, clock Clock, net Network) *Cluster {
 	cl := &Cluster{
 		cfg:        cfg,
@@ -78,7 +78,7 @@
 
 func regionName(i int) string { return fmt.Sprint("region-", i) }
 
-// RegionOf is the region of a place.
+// RegionOf returns the region of an endpoint.
 func (cl *Cluster) RegionOf(e Endpoint) string {
 	if e.Control {
 		return cl.ControlMachines[e.Index].Region
@@ -86,13 +86,13 @@
 	return cl.Gateways[e.Index].Region
 }
 
-// ReportViolation notes a broken rule.
+// ReportViolation records the violation of an invariant, with the virtual time.
 func (cl *Cluster) ReportViolation(format string, args ...any) {
 	cl.Violations = append(cl.Violations, fmt.Sprintf("%.3f s: ", cl.clock.Now().Seconds())+fmt.Sprintf(format,
 		args...))
 }
 
-// InForce counts the gateways that are up, and those of them that have a version or a newer one in force.
+// InForce counts the gateways that are running, and those of them that have a version or a newer one in force.
 func (cl *Cluster) InForce(number uint64) (updated, up int) {
 	for _, g := range cl.Gateways {
 		if !g.up {
@@ -106,10 +106,11 @@
 	return updated, up
 }
 
-// Newest is the highest version that was seen to be committed.
+// Newest returns the number of the newest version that any control machine has shown as committed.
 func (cl *Cluster) Newest() uint64 { return cl.invariants.newest }
 
-// laggingGateway names a living gateway that has not a version in force, or a newer one, and would not refuse either.
+// laggingGateway describes a running gateway that has neither a version nor a newer one in force, although it would
+// not reject any of them. It returns an empty text if there is none.
 func (cl *Cluster) laggingGateway(number uint64) string {
 	for _, g := range cl.Gateways {
 		if g.up && g.Running.Ref.Number < number && !cl.invariants.rejects(g, number) {
--- a/internal/lab/configsim/control.go
+++ b/internal/lab/configsim/control.go
@@ -8,7 +8,7 @@
 	"thymebend/internal/raft"
 )
 
-// ControlMachine is a control machine's place.
+// ControlMachine is a control machine, whose process may be stopped and started again.
 type ControlMachine struct {
 	process
 	ID         uint64
@@ -18,7 +18,7 @@
 	lastView   storeView
 }
 
-// StartControl starts a control machine's process with what it has kept.
+// StartControl starts a control machine's process from its persisted state, unless it runs.
 func (cl *Cluster) StartControl(i int) {
 	c := cl.ControlMachines[i]
 	if c.up {
@@ -36,25 +36,25 @@
 		SnapshotEvery: cl.cfg.Snapshots,
 	}, cl.clock.Now())
 	if err != nil {
-		panic(err) // the configuration is ours
+		panic(err) // a fault of this package: it made the configuration
 	}
 	c.Controller = controller
 	c.processOutput()
 }
 
-// KillControl ends a control machine's process without a word. What it kept stays.
+// KillControl ends a control machine's process abruptly. Its persisted state is preserved.
 func (cl *Cluster) KillControl(i int) {
 	cl.ControlMachines[i].end()
 	cl.ControlMachines[i].Controller = nil
 }
 
-// StallControl has a control machine stand still for a while.
+// StallControl stalls a control machine's process for a time.
 func (cl *Cluster) StallControl(i int, length time.Duration) {
 	c := cl.ControlMachines[i]
 	c.stall(length, c.advance)
 }
 
-// Leader is a control machine that leads and is heard by most, or nil.
+// Leader returns a control machine that leads and is in contact with a quorum, or nil.
 func (cl *Cluster) Leader() *ControlMachine {
 	for _, c := range cl.ControlMachines {
 		if c.Controller != nil && !c.stalled {
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// Propose proposes a command to a control machine, under a new ID if it has none. answer is told how it went, if that
-// is ever known.
+// Propose proposes a command to a control machine, and assigns it a new ID if it has none. answer is called with the
+// result once it is known, which may be never.
 func (cl *Cluster) Propose(c *ControlMachine, command *configdist.Command, answer func(configdist.Result)) error {
 	if c.Controller == nil || c.stalled {
 		return raft.ErrNotLeader
@@ -89,7 +89,7 @@
 	c.processOutput()
 }
 
-// processOutput sends what a control machine wants sent, looks at its store, and has it called when it wants.
+// processOutput sends a control machine's messages, checks its store, reports results and schedules its next wake-up.
 func (c *ControlMachine) processOutput() {
 	cl := c.cluster
 	var out configdist.ControllerOutput
@@ -102,7 +102,7 @@
 	for _, m := range out.Peers {
 		to := cl.ControlMachines[m.To-1]
 		c.send(&to.process, m.Message, func(received codec.Message) {
-			// one that has just failed says so; Take does too
+			// processOutput reports the same error, from Take
 			to.measureCPU(func() { _ = to.Controller.ReceivePeer(cl.clock.Now(), c.ID, received) })
 			to.processOutput()
 		})
--- a/internal/lab/configsim/faults.go
+++ b/internal/lab/configsim/faults.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// faultTime draws a time within the faults' phase.
+// faultTime draws a time within the phase of faults.
 func (r *run) faultTime() time.Duration {
 	return startPhase + time.Duration(r.rng.Int64N(int64(faultPhase)))
 }
 
-// randomDuration draws a time up to a bound.
+// randomDuration draws a duration below a limit.
 func (r *run) randomDuration(limit time.Duration) time.Duration {
 	return time.Duration(r.rng.Int64N(int64(limit)))
 }
 
-// drawFaults draws faults of the network and of gateways, then those of control machines.
+// drawFaults draws and schedules the faults of the network, of the gateways and of the control machines.
 func (r *run) drawFaults() {
 	cl, n := r.Cluster, len(r.Cluster.Gateways)
 	r.Net.Jitter = time.Duration(1+r.rng.IntN(40)) * time.Millisecond
@@ -23,7 +23,7 @@
 	if r.rng.IntN(2) == 0 {
 		r.Net.Duplicate = 0.1
 	}
-	if r.rng.IntN(2) == 0 { // gateways end, and come back or are replaced
+	if r.rng.IntN(2) == 0 { // gateways crash, and restart or are replaced
 		for range 1 + r.rng.IntN(n) {
 			index, at, downtime := r.rng.IntN(n), r.faultTime(), r.randomDuration(8*time.Second)
 			replaced := r.rng.IntN(4) == 0
@@ -37,7 +37,7 @@
 			})
 		}
 	}
-	if r.rng.IntN(2) == 0 { // gateways stand still
+	if r.rng.IntN(2) == 0 { // gateways are stalled
 		for range 1 + r.rng.IntN(n) {
 			index, at, length := r.rng.IntN(n), r.faultTime(), r.randomDuration(20*time.Second)
 			r.At(at, func() { cl.StallGateway(index, length) })
@@ -47,7 +47,7 @@
 	r.drawPartitions()
 }
 
-// drawControlFaults draws restarts and stalls of control machines.
+// drawControlFaults draws and schedules restarts and stalls of control machines.
 func (r *run) drawControlFaults() {
 	cl := r.Cluster
 	restart := func(i int, at, downtime time.Duration) {
@@ -55,17 +55,17 @@
 		r.At(at+downtime, func() { cl.StartControl(i) })
 	}
 	switch r.rng.IntN(5) {
-	case 0: // one after another
+	case 0: // all restart one after another
 		at := startPhase + r.randomDuration(10*time.Second)
 		for i := range cl.ControlMachines {
 			restart(i, at+time.Duration(i)*3*time.Second, time.Duration(1+r.rng.IntN(2000))*time.Millisecond)
 		}
-	case 1: // all at once
+	case 1: // all restart at once
 		at := r.faultTime()
 		for i := range cl.ControlMachines {
 			restart(i, at, time.Duration(1+r.rng.IntN(3000))*time.Millisecond)
 		}
-	case 2: // the leader, in the middle of something
+	case 2: // the current leader crashes, up to three times
 		for range 1 + r.rng.IntN(3) {
 			at, downtime := r.faultTime(), r.randomDuration(6*time.Second)
 			r.At(at, func() {
@@ -84,7 +84,8 @@
 	}
 }
 
-// drawPartitions draws a partition of the network, with changes on each side.
+// drawPartitions draws and schedules a partition of the network, with three changes
+// submitted within 10 s of its start.
 func (r *run) drawPartitions() {
 	cl := r.Cluster
 	if r.rng.IntN(2) == 0 {
@@ -95,17 +96,17 @@
 	r.At(at, func() {
 		r.Net.Cut = func(from, to Endpoint) bool {
 			switch kind {
-			case 0, 1: // regions are parted
+			case 0, 1: // the regions are separated from each other
 				return cl.RegionOf(from) != cl.RegionOf(to)
-			case 2: // one control machine is heard by nobody
+			case 2: // nobody receives one control machine's messages
 				return from.Control && from.Index == machine
 			}
-			// one is cut off from the others, and its gateways are not
+			// one control machine is separated from the others, but not from gateways
 			return from.Control && to.Control && (from.Index == machine || to.Index == machine)
 		}
 	})
 	r.At(at+r.randomDuration(25*time.Second), func() { r.Net.Cut = nil })
-	for range 3 { // a change on each side
+	for range 3 { // each goes to a random control machine, on either side
 		r.At(at+r.randomDuration(10*time.Second), func() { r.submit(Change(r.size, r.rng)) })
 	}
 }
--- a/internal/lab/configsim/figures.go
+++ b/internal/lab/configsim/figures.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// Scenario is a cluster to be measured.
+// Scenario describes a cluster and the events of a run that Measure performs.
 type Scenario struct {
 	Gateways, Zones, Regions int
 	Size                     Size
-	ServicesEach             int // that a gateway serves; 0 for all
-	Changes                  int // pressed into the run
-	// of gateways, pressed into the run; a tenth of the restarts are replacements by machines that have kept nothing
+	ServicesEach             int // services of one gateway; 0 means all
+	Changes                  int // number of changes in the run
+	// Restarts and Failures are numbers of gateways in the run. A tenth of the restarts and all failures are followed
+	// by a replacement machine without stored data.
 	Restarts, Failures int
 	Length             time.Duration // of the run
 	Loss               float64
 	Seed               uint64
 }
 
-// FleetSize is the size that the cluster is to have in two years, with a day of it pressed into a run.
+// FleetSize returns a scenario with the cluster size expected in two years, and a day's events in one run.
 func FleetSize(length time.Duration, loss float64, seed uint64) Scenario {
 	return Scenario{
 		Gateways: 870, Zones: 7, Regions: 2, Size: Size{Services: 390, Routes: 4100, Tenants: 44_000},
@@ -27,7 +28,7 @@
 	}
 }
 
-// Distribution is how long something took, over many of it.
+// Distribution summarizes durations by their median, 99th percentile and maximum.
 type Distribution struct{ Median, P99, Max time.Duration }
 
 func distributionOf(list []time.Duration) (s Distribution) {
@@ -38,29 +39,30 @@
 	return Distribution{list[len(list)/2], list[min(len(list)-1, len(list)*99/100)], list[len(list)-1]}
 }
 
-// String words it.
+// String formats the three durations in seconds.
 func (s Distribution) String() string {
 	return fmt.Sprintf("%.2f / %.2f / %.2f s", s.Median.Seconds(), s.P99.Seconds(), s.Max.Seconds())
 }
 
-// Figures are what a cluster came to.
+// Figures are the results of a measured run.
 type Figures struct {
 	Scenario
-	First    time.Duration // until all have the first whole configuration, from the start of all
-	IdleRate float64       // bytes a second and gateway without changes
-	Single   [3]time.Duration
-	// of the changes, from their submission until in force at half, 99% and all of the gateways that lived all the
-	// while
+	First    time.Duration // from the start of all gateways until all have the complete configuration in force
+	IdleRate float64       // bytes per second and gateway without changes
+	// Single is the time of one change alone until it is in force at half, 99% and all of the gateways.
+	Single [3]time.Duration
+	// Half, Most and All are the times from the submission of a change until it is in force at half, 99% and all of
+	// the gateways that have run since then.
 	Half, Most, All             Distribution
-	FromCommit                  Distribution // the last of these from the commitment
-	Late                        int          // changes not in force at all of them 8 s after their submission
-	Unfinished                  int          // at the end of the run
-	Stopped                     int
-	MeanRate, MaxRate           float64 // bytes a second and gateway over the run, and those of the gateway with most
-	ControlRate, MaxControlRate float64 // bytes a second that a control machine sent, mean and most
-	GatewayCPU                  float64 // share of a core of an agent, by this machine's clock
-	ControlCPU                  float64 // of the control machine that used most
-	HeapEach                    uint64  // bytes of heap in use over the number of gateways, control machines included
-	Subscribers                 int     // of the control machine with most
+	FromCommit                  Distribution // as All, but from the commit of the change
+	Late                        int          // changes that took longer than 8 s to be in force at all of them
+	Unfinished                  int          // changes not in force at all of them at the end of the run
+	Stopped                     int          // versions whose rollout was stopped
+	MeanRate, MaxRate           float64      // bytes per second of a gateway over the run: mean and maximum
+	ControlRate, MaxControlRate float64      // bytes per second that a control machine sent: mean and maximum
+	GatewayCPU                  float64      // mean share of a core that an agent used, by real time
+	ControlCPU                  float64      // the same for a control machine, maximum
+	HeapEach                    uint64       // bytes of heap in use by the whole cluster per gateway
+	Subscribers                 int          // gateways subscribed to one control machine, maximum
 	Violations                  []string
 }
--- a/internal/lab/configsim/gateway.go
+++ b/internal/lab/configsim/gateway.go
@@ -9,19 +9,19 @@
 	"thymebend/internal/configdist/content"
 )
 
-// Gateway is a gateway's place.
+// Gateway is a gateway, whose process may be stopped and started again, also on a new machine.
 type Gateway struct {
 	process
 	Name, Zone, Region string
 	Services           []string
 	Agent              *configdist.Agent    // nil while no process runs
-	Running            configdist.LastGood  // what its process has in force
-	disk               *configdist.LastGood // the last good configuration
-	newestInForce      content.Ref          // the newest that was ever in force under this name
-	replacements       int                  // how often the place was given to a new machine
+	Running            configdist.LastGood  // configuration that its process has in force
+	disk               *configdist.LastGood // last good configuration, stored across restarts
+	newestInForce      content.Ref          // last version that was in force under this name
+	replacements       int                  // number of times that a new machine replaced it
 }
 
-// StartGateway starts a gateway's process with its last good configuration.
+// StartGateway starts a gateway's process from its last good configuration, unless it runs.
 func (cl *Cluster) StartGateway(i int) {
 	g := cl.Gateways[i]
 	if g.up {
@@ -43,19 +43,19 @@
 		Seed:        cl.rng.Uint64(),
 	}, cl.clock.Now())
 	if err != nil {
-		panic(err) // the configuration is ours
+		panic(err) // a fault of this package: it made the configuration
 	}
 	g.Agent, g.Running = agent, agent.InForce()
 	g.processOutput()
 }
 
-// KillGateway ends a gateway's process without a word.
+// KillGateway ends a gateway's process abruptly.
 func (cl *Cluster) KillGateway(i int) {
 	cl.Gateways[i].end()
 	cl.Gateways[i].Agent = nil
 }
 
-// ReplaceGateway has another machine, which has kept nothing, take a gateway's place.
+// ReplaceGateway replaces a gateway by a new machine, which has another name and no stored configuration.
 func (cl *Cluster) ReplaceGateway(i int) {
 	g := cl.Gateways[i]
 	cl.KillGateway(i)
@@ -65,7 +65,7 @@
 	cl.StartGateway(i)
 }
 
-// StallGateway has a gateway stand still for a while.
+// StallGateway stalls a gateway's process for a time.
 func (cl *Cluster) StallGateway(i int, length time.Duration) {
 	g := cl.Gateways[i]
 	g.stall(length, g.advance)
@@ -76,8 +76,7 @@
 	g.processOutput()
 }
 
-// processOutput sends what an agent wants sent, has the gateway install what it is handed, and has the agent called when it
-// wants.
+// processOutput sends an agent's messages, starts the installation that it requests, and schedules its next wake-up.
 func (g *Gateway) processOutput() {
 	cl := g.cluster
 	out := g.Agent.Take()
@@ -85,7 +84,7 @@
 		to := cl.ControlMachines[m.To-1]
 		link := uint64(g.endpoint.Index)
 		g.send(&to.process, m.Message, func(received codec.Message) {
-			// a gateway's messages are none of a control machine's
+			// the error is impossible: agents send only messages that gateways send
 			to.measureCPU(func() { _ = to.Controller.Receive(cl.clock.Now(), link, received) })
 			to.processOutput()
 		})
@@ -99,7 +98,8 @@
 	g.wake(g.Agent.NextWake(), g.advance)
 }
 
-// install validates and installs a configuration after the time that this takes, and tells the agent.
+// install validates a configuration, puts it in force after a delay of 1 to 20 ms, and reports the outcome to the
+// agent. A process that ends meanwhile does not complete it.
 func (g *Gateway) install(next configdist.Install) {
 	cl := g.cluster
 	incarnation := g.incarnation
--- a/internal/lab/configsim/generate.go
+++ b/internal/lab/configsim/generate.go
@@ -7,16 +7,17 @@
 	"thymebend/internal/configdist/content"
 )
 
-// minTimeoutMS is the least timeout in a generated body, in milliseconds.
+// minTimeoutMS is the minimum timeout in a generated body, in milliseconds.
 const minTimeoutMS = 40
 
-// Size is what a configuration holds.
+// Size is the number of entries of each kind in a configuration.
 type Size struct{ Services, Routes, Tenants int }
 
-// ServiceName names a service of a generated configuration.
+// ServiceName returns the name of a service in a generated configuration.
 func ServiceName(i int) string { return fmt.Sprintf("service-%03d", i) }
 
-// Bootstrap generates a configuration of a size as proposals that fit into the log, in their order.
+// Bootstrap generates a configuration of the given size, divided into proposals that each fit into a log entry. They
+// must be proposed in order.
 func Bootstrap(size Size, rng *rand.Rand) (proposals [][]content.Change) {
 	var list []content.Change
 	bytes := 0
@@ -41,12 +42,12 @@
 	return append(proposals, list)
 }
 
-// body draws the body of an entry.
+// body draws the body of a service, route or tenant.
 func body(rng *rand.Rand) string {
 	return fmt.Sprintf("limit=%d burst=%d timeout_ms=%d", rng.IntN(1000), rng.IntN(100), minTimeoutMS+rng.IntN(1000))
 }
 
-// Change draws an ordinary change: a tenant's or a route's body.
+// Change draws an ordinary change, which gives a tenant or a route a new body.
 func Change(size Size, rng *rand.Rand) []content.Change {
 	e := content.Entry{Kind: content.Tenant, Name: fmt.Sprintf("tenant-%05d", rng.IntN(max(1, size.Tenants)))}
 	number := 0
--- a/internal/lab/configsim/invariants.go
+++ b/internal/lab/configsim/invariants.go
@@ -12,18 +12,19 @@
 	"thymebend/internal/configdist/content"
 )
 
-// Words in bodies by which a gateway refuses a configuration or fails with it: a share in percent of the gateways
-// follows.
+// Prefixes of the body of a faulty route, which makes gateways reject a configuration or fail with it. The percentage
+// of the gateways that do so follows the prefix.
 const (
 	rejectPrefix = "refused-by="
 	failPrefix   = "fails-at="
 )
 
-// stopPropagation is how long after a stop was committed a gateway may still take the version: the longest that a
-// control machine believes in its quorum or an agent in its session, a frame's way, and an installation.
+// stopPropagation is how long after the commit of a stop a gateway may still install the version. It covers the
+// longest time for which a control machine assumes that it has a quorum or an agent that its session is valid, the
+// delay of a frame, and an installation.
 const stopPropagation = 5 * time.Second
 
-// rejectionError is why a gateway does not take a configuration.
+// rejectionError returns the error with which a gateway rejects a configuration, or nil.
 func rejectionError(g *Gateway, next configdist.Install) error {
 	if share, found := faultShare(next.Tree, rejectPrefix); found && isFaultyFor(g, next.Ref.Number, share) {
 		return errors.New("a body says that it is refused")
@@ -31,7 +32,7 @@
 	return nil
 }
 
-// failureReason is why a gateway fails with a configuration that it has taken.
+// failureReason returns why a gateway fails with a configuration that it has installed, or an empty text.
 func failureReason(g *Gateway, next configdist.Install) string {
 	if share, found := faultShare(next.Tree, failPrefix); found && isFaultyFor(g, next.Ref.Number, share) {
 		return "a body says that it fails"
@@ -39,10 +40,12 @@
 	return ""
 }
 
-// faultyRoute is the only name under which spoken looks, for a look through everything would cost much at a cluster's
-// size.
+// faultyRoute is the only route name that faultShare examines, because examining all routes would be expensive in a
+// cluster of full size.
 const faultyRoute = "faulty"
 
+// faultShare returns the percentage of gateways that a faulty route with the given prefix affects, if a service has
+// one.
 func faultShare(t *content.Tree, prefix string) (share int, found bool) {
 	for _, name := range t.Services() {
 		for _, e := range t.Entries(name)[1:] {
@@ -62,11 +65,13 @@
 	return 0, false
 }
 
+// isFaultyFor reports whether a gateway is among the percentage that is affected by a faulty version. The choice
+// depends on the gateway's name and the version's number.
 func isFaultyFor(g *Gateway, number uint64, percent int) bool {
 	return xxh3.HashStringSeed(g.Name, number)%100 < uint64(percent)
 }
 
-// committed is one version as the log has it.
+// committed describes a committed version, and the gateways to which its rollout has offered it.
 type committed struct {
 	ref       content.Ref
 	tree      *content.Tree
@@ -74,10 +79,10 @@
 	canaries  map[string]bool
 	zones     map[string]bool
 	all       bool
-	stoppedAt time.Duration // 0 where it is not stopped
+	stoppedAt time.Duration // 0 if its rollout is not stopped
 }
 
-// invariants is what control machines have shown to be committed.
+// invariants holds the versions that control machines have shown as committed.
 type invariants struct {
 	versions map[uint64]*committed
 	newest   uint64
@@ -86,7 +91,7 @@
 
 func newInvariants() invariants { return invariants{versions: make(map[uint64]*committed)} }
 
-// storeView is what was last seen of a control machine's store.
+// storeView is a summary of a control machine's store, as of the last check.
 type storeView struct {
 	controller *configdist.Controller
 	head       uint64
@@ -94,7 +99,8 @@
 	stage      configdist.Rollout
 }
 
-// observe takes what is new in a control machine's store, and holds it against what others have shown.
+// observe records what is new in a control machine's store. It verifies that the store does not go back to an older
+// version and agrees with the stores of the other control machines.
 func (inv *invariants) observe(cl *Cluster, c *ControlMachine) {
 	store := c.Controller.Store()
 	head, released, stage := store.Head().Ref.Number, store.Released().Ref.Number, store.Rollout()
@@ -156,7 +162,7 @@
 	inv.attempt = max(inv.attempt, r.Attempt)
 }
 
-// rejects tells whether a gateway would refuse some version from a number on.
+// rejects reports whether a gateway would reject the version with a number or any later one.
 func (inv *invariants) rejects(g *Gateway, number uint64) bool {
 	for ; number <= inv.newest; number++ {
 		v := inv.versions[number]
@@ -170,7 +176,9 @@
 	return false
 }
 
-// checkInstalled holds a configuration that a gateway has put in force against the rules.
+// checkInstalled verifies the invariants for a configuration that a gateway puts in force: it is not older than the
+// previous one, committed, complete, offered to this gateway by its stage, and not stopped for longer than
+// stopPropagation.
 func (inv *invariants) checkInstalled(cl *Cluster, g *Gateway, next configdist.Install) {
 	ref := next.Ref
 	if ref.Number < g.newestInForce.Number || ref.Term < g.newestInForce.Term {
--- a/internal/lab/configsim/measure.go
+++ b/internal/lab/configsim/measure.go
@@ -9,23 +9,24 @@
 	"thymebend/internal/configdist/content"
 )
 
-// change is one that is followed until it is in force everywhere.
+// change is a submitted change, followed until it is in force at all gateways.
 type change struct {
 	submitted, committed       time.Duration
 	number                     uint64
-	toHalf, to99Percent, toAll time.Duration // 0 until then
+	toHalf, to99Percent, toAll time.Duration // time from submission until in force at half, 99%, all; 0 before
 }
 
-// measurement follows the changes of one run.
+// measurement is one run of Measure.
 type measurement struct {
 	*World
 	c         Scenario
 	rng       *rand.Rand
 	changes   []*change
-	startedAt []time.Duration // since when each gateway's process runs
+	startedAt []time.Duration // last start of each gateway's process
 }
 
-// Measure plays a cluster: all start with nothing, one change is followed alone, then a day is pressed into the run.
+// Measure runs a cluster. All gateways start without a configuration and fetch the complete one, then one change is
+// followed alone, then the scenario's changes, restarts and failures happen within its length.
 func Measure(c Scenario) Figures {
 	m := &measurement{c: c, rng: rand.New(rand.NewPCG(c.Seed, 0x3ea5)), startedAt: make([]time.Duration, c.Gateways)}
 	cfg := Config{Name: "measure", Gateways: c.Gateways, Zones: c.Zones, Regions: c.Regions, Seed: c.Seed}
@@ -68,7 +69,8 @@
 	return f
 }
 
-// start starts everything, proposes the whole configuration, and waits until it is in force.
+// start starts the control machines, proposes the complete configuration, starts the gateways, and returns the time
+// until it is in force at all of them.
 func (m *measurement) start() time.Duration {
 	for i := range m.Cluster.ControlMachines {
 		m.Cluster.StartControl(i)
@@ -98,18 +100,17 @@
 	return m.Now() - startedAt
 }
 
-// submit submits a change and follows it.
+// submit submits a change and adds it to those that are followed.
 func (m *measurement) submit() *change {
 	c := &change{submitted: m.Now()}
 	m.changes = append(m.changes, c)
 	m.Cluster.Submit(Change(m.c.Size, m.rng), func(ref content.Ref, err error) {
-		c.number, c.committed = ref.Number,
-			m.Now()
+		c.number, c.committed = ref.Number, m.Now()
 	})
 	return c
 }
 
-// scheduleEvents draws the changes, restarts and failures of the run.
+// scheduleEvents draws and schedules the changes, restarts and failures of the run.
 func (m *measurement) scheduleEvents() {
 	randomTime := func() time.Duration { return m.Now() + time.Duration(m.rng.Int64N(int64(m.c.Length))) }
 	for range m.c.Changes {
@@ -134,10 +135,10 @@
 	}
 }
 
-// followInterval is how exactly times until in force are known.
+// followInterval is the resolution of the times until changes are in force.
 const followInterval = 20 * time.Millisecond
 
-// follow lets time pass, and notes when changes are in force.
+// follow advances time, and records when changes are in force.
 func (m *measurement) follow(until time.Duration) {
 	for m.Now() < until {
 		m.Run(min(until, m.Now()+followInterval))
@@ -149,7 +150,8 @@
 	}
 }
 
-// updateChange counts the gateways that have lived since a change was submitted, and those of them that have it.
+// updateChange counts the gateways that have run since a change was submitted, and those of them that have it in
+// force, and records the times at which the shares of half, 99% and all are reached.
 func (m *measurement) updateChange(c *change) {
 	eligible, updated := 0, 0
 	for i, g := range m.Cluster.Gateways {
@@ -173,6 +175,7 @@
 	}
 }
 
+// traffic returns the bytes that each gateway sent and received, then the bytes that each control machine sent.
 func (m *measurement) traffic() (list []uint64) {
 	for _, g := range m.Cluster.Gateways {
 		list = append(list, g.Sent+g.Received)
@@ -183,9 +186,10 @@
 	return list
 }
 
-// rates are bytes a second.
+// rates are in bytes per second: mean and maximum of the gateways, then of the control machines.
 type rates struct{ mean, max, control, controlMax float64 }
 
+// rate returns the rates since an earlier result of traffic, over a duration.
 func (m *measurement) rate(before []uint64, length time.Duration) (r rates) {
 	for i, now := range m.traffic() {
 		rate := float64(now-before[i]) / length.Seconds()
@@ -200,6 +204,7 @@
 	return r
 }
 
+// cpuTimes returns the processor time of all gateways together and of each control machine.
 func (m *measurement) cpuTimes() (gateways time.Duration, controls []time.Duration) {
 	for _, g := range m.Cluster.Gateways {
 		gateways += g.CPUTime
@@ -210,6 +215,7 @@
 	return gateways, controls
 }
 
+// summarize fills in the figures of the changes, the subscribers, the violations and the heap.
 func (m *measurement) summarize(f *Figures) {
 	var toHalf, to99Percent, toAll, fromCommit []time.Duration
 	for _, c := range m.changes {
--- a/internal/lab/configsim/net.go
+++ b/internal/lab/configsim/net.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Net is a virtual network: frames are late, lost, doubled, overtaken and cut off.
+// Net is a virtual network that delays, loses, duplicates and reorders frames, and can be partitioned.
 type Net struct {
 	Latency, Jitter time.Duration
-	RegionLatency   time.Duration // regions, more than Latency
+	RegionLatency   time.Duration // added to Latency between two regions
 	Loss, Duplicate float64
-	Cut             func(from, to Endpoint) bool // nil is no cut
-	Region          func(e Endpoint) string      // of a place
+	Cut             func(from, to Endpoint) bool // reports whether frames are dropped; nil means never
+	Region          func(e Endpoint) string      // returns the region of an endpoint
 
 	clock Clock
 	rng   *rand.Rand
 }
 
-// NewNet returns a network without troubles.
+// NewNet returns a network that only delays frames.
 func NewNet(clock Clock, seed uint64) *Net {
 	return &Net{Latency: 500 * time.Microsecond, Jitter: 4 * time.Millisecond, RegionLatency: 20 * time.Millisecond,
 		clock: clock, rng: rand.New(rand.NewPCG(seed, 0x2e7))}
--- a/internal/lab/configsim/operator.go
+++ b/internal/lab/configsim/operator.go
@@ -6,13 +6,13 @@
 	"thymebend/internal/configdist"
 )
 
-// operatorInterval is how often the operator looks after the rollouts.
+// operatorInterval is the interval at which the operator checks for a stopped rollout.
 const operatorInterval = 250 * time.Millisecond
 
-// RunOperator has an operator look after stopped rollouts: after a while some are resumed once and the others taken
-// back.
+// RunOperator starts a simulated operator that handles stopped rollouts. After a delay, it resumes a share of them
+// and reverts the others. It handles each stopped attempt of a rollout once.
 func (cl *Cluster) RunOperator(delay time.Duration, resumeShare float64) {
-	var handled uint64 // attempt
+	var handled uint64 // attempt of the last stopped rollout that was handled
 	var check func()
 	check = func() {
 		cl.clock.At(cl.clock.Now()+operatorInterval, check)
@@ -32,8 +32,8 @@
 	check()
 }
 
-// handleStopped resumes a stopped rollout or goes back to what is released, with whoever leads now; again, until it
-// is done.
+// handleStopped proposes to the current leader to resume a stopped rollout or to revert to the released version. It
+// repeats this until the rollout is no longer stopped.
 func (cl *Cluster) handleStopped(r configdist.Rollout, resume bool) {
 	retry := func() { cl.clock.At(cl.clock.Now()+proposeRetry, func() { cl.handleStopped(r, resume) }) }
 	leader := cl.Leader()
@@ -49,6 +49,6 @@
 	if resume {
 		command = configdist.Command{Kind: configdist.Resume, Version: r.Version}
 	}
-	_ = cl.Propose(leader, &command, nil) // whether it came shows in the rollout
+	_ = cl.Propose(leader, &command, nil) // the next retry sees in the rollout whether it succeeded
 	retry()
 }
--- a/internal/lab/configsim/play.go
+++ b/internal/lab/configsim/play.go
@@ -9,48 +9,48 @@
 	"thymebend/internal/lab/timeline"
 )
 
-// What a run must come to.
+// Limits that a run must meet.
 const (
-	convergenceLimit = 8 * time.Second // a change at all gateways that are alive and reachable
-	maxRate          = 2048.0          // bytes a second and gateway, sent and received, over a run
+	convergenceLimit = 8 * time.Second // until a change is in force at all running and reachable gateways
+	maxRate          = 2048.0          // bytes per second and gateway, sent and received, over a run
 )
 
 // Phases of a run.
 const (
-	startPhase = 8 * time.Second // then processes and the first versions are there
-	faultPhase = 40 * time.Second
+	startPhase = 8 * time.Second  // processes start and the first versions are proposed
+	faultPhase = 40 * time.Second // faults and changes happen
 )
 
-// Outcome is what a drawn run came to.
+// Outcome is the result of a run of Play.
 type Outcome struct {
 	Gateways   int
 	Versions   uint64
 	Stops      int           // rollouts that were stopped
-	Rejected   uint64        // by gateways
-	Fenced     uint64        // versions that agents did not take for they were older
-	Repeated   uint64        // frames that came twice
-	Stalls     uint64        // of agents, noticed
-	Converged  time.Duration // after the last trouble
-	LastChange time.Duration // the last change, from its commitment, at all
-	Rate       float64       // bytes a second and gateway
+	Rejected   uint64        // versions rejected by gateways
+	Fenced     uint64        // versions that agents ignored because they were older
+	Repeated   uint64        // frames that arrived twice
+	Stalls     uint64        // stalls that agents noticed
+	Converged  time.Duration // time from the end of the faults until the released version was in force
+	LastChange time.Duration // time from the commit of the last change until it was in force at all gateways
+	Rate       float64       // bytes per second and gateway
 	Violations []string
 }
 
-// String words it.
+// String formats the outcome on one line, without the violations.
 func (o Outcome) String() string {
 	return fmt.Sprintf("%d gateways, %d versions, %d stops, %d refused, %d fenced, "+
 		"converged after %v, last change in force after %v, %.0f bytes a second",
 		o.Gateways, o.Versions, o.Stops, o.Rejected, o.Fenced, o.Converged, o.LastChange, o.Rate)
 }
 
-// World is a cluster on a clock and a network of its own.
+// World is a cluster with a virtual clock and network that only it uses.
 type World struct {
 	*timeline.Timeline
 	Net     *Net
 	Cluster *Cluster
 }
 
-// NewWorld makes a cluster and what it lives by. None of its processes runs yet.
+// NewWorld returns a cluster with its clock and network. None of its processes runs yet.
 func NewWorld(cfg Config) *World {
 	clock := &timeline.Timeline{}
 	net := NewNet(clock, cfg.Seed)
@@ -59,7 +59,7 @@
 	return &World{clock, net, cl}
 }
 
-// run is one drawn run.
+// run is one run of Play.
 type run struct {
 	*World
 	rng  *rand.Rand
@@ -67,10 +67,10 @@
 	out  Outcome
 }
 
-// Play draws a cluster and its faults by a seed, and holds the invariants at each step: never an older version after a
-// newer one; what is in force is committed, whole and at its stage; a stopped version does not spread; after the last
-// trouble all gateways are at the newest version within 8 s, and a change is in force at all of them 8 s after it was
-// committed; what is sent stays bounded.
+// Play draws a cluster and its faults from a seed, runs it and checks the invariants at each step. A gateway never
+// puts an older version in force after a newer one. Versions in force are committed, complete and offered by their
+// stage. The version of a stopped rollout does not spread. Within 8 s of the end of the faults, all gateways have the
+// newest version in force, and a change is in force at all of them 8 s after its commit. Traffic stays bounded.
 func Play(seed uint64) Outcome {
 	rng := rand.New(rand.NewPCG(seed, 0x5eed))
 	gateways := 10 + rng.IntN(31)
@@ -109,19 +109,19 @@
 	r.submitAll(Bootstrap(r.size, r.rng))
 }
 
-// submitAll proposes changes one after another.
+// submitAll submits the changes one after another, each once the previous one is committed or rejected.
 func (r *run) submitAll(list [][]content.Change) {
 	if len(list) > 0 {
 		r.Cluster.Submit(list[0], func(content.Ref, error) { r.submitAll(list[1:]) })
 	}
 }
 
-// submit proposes a change, whatever becomes of it.
+// submit submits a change and ignores its result.
 func (r *run) submit(changes []content.Change) {
 	r.Cluster.Submit(changes, func(content.Ref, error) {})
 }
 
-// heal ends all faults.
+// heal ends all faults: it restarts stopped processes, resumes stalled ones and repairs the network.
 func (r *run) heal() {
 	cl := r.Cluster
 	r.Net.Loss, r.Net.Duplicate, r.Net.Cut = 0, 0, nil
--- a/internal/lab/configsim/play_test.go
+++ b/internal/lab/configsim/play_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against a broken invariant in drawn runs, and against runs that do not reach the faults that they are there
-// for.
+// Guards against violated invariants in 30 drawn runs, and against runs in which the faults do not happen: over all
+// runs there must be stops, rejections, ignored older versions, stalls and repeated frames.
 func TestDrawnRunsKeepInvariants(t *testing.T) {
 	stops, rejected, fenced, stalls, repeated := 0, uint64(0), uint64(0), uint64(0), uint64(0)
 	for seed := uint64(1); seed <= 30; seed++ {
@@ -20,19 +20,19 @@
 	}
 	t.Logf("%d stops, %d refused, %d fenced, %d stalls, %d repeated frames", stops, rejected, fenced, stalls, repeated)
 	if stops == 0 || rejected == 0 || fenced == 0 || stalls == 0 || repeated == 0 {
-		t.Error("the runs do not reach what they are there for")
+		t.Error("some kind of event never happened in the runs")
 	}
 }
 
-// Guards against a run that depends on more than its seed.
+// Guards against a run whose outcome depends on more than its seed.
 func TestRunIsDeterminedBySeed(t *testing.T) {
 	if a, b := Play(7), Play(7); !reflect.DeepEqual(a, b) {
-		t.Errorf("%v, then %v", a, b)
+		t.Errorf("two runs of one seed differ: %v, then %v", a, b)
 	}
 }
 
-// A small cluster with changes and restarts pressed into it: what is held are bytes and times of the virtual clock,
-// which are the same on every machine.
+// Runs a small cluster with many changes and restarts in a short time. The checked traffic and times are of the
+// simulation, so they are the same on every machine.
 func TestMeasureStaysWithinTrafficAndTimeBounds(t *testing.T) {
 	c := Scenario{Gateways: 64, Zones: 7, Regions: 2, Size: Size{Services: 40, Routes: 200, Tenants: 800},
 		ServicesEach: 8, Changes: 30, Restarts: 20, Failures: 2,
@@ -40,10 +40,11 @@
 	f := Measure(c)
 	t.Logf("%+v", f)
 	if len(f.Violations) > 0 || f.Unfinished > 0 || f.Late > 0 || f.Stopped > 0 {
-		t.Errorf("%v, %d unfinished, %d late, %d stopped", f.Violations, f.Unfinished, f.Late, f.Stopped)
+		t.Errorf("violations %v, %d changes unfinished, %d late, %d rollouts stopped", f.Violations, f.Unfinished,
+			f.Late, f.Stopped)
 	}
 	if f.IdleRate > 150 || f.MeanRate > 1000 || f.Single[2] > 4*time.Second || f.Subscribers > 40 {
-		t.Errorf("%.0f bytes a second at rest, %.0f in the run, a change alone %v, %d subscribers", f.IdleRate,
-			f.MeanRate, f.Single, f.Subscribers)
+		t.Errorf("%.0f bytes per second without changes, %.0f in the run, a single change took %v, %d subscribers",
+			f.IdleRate, f.MeanRate, f.Single, f.Subscribers)
 	}
 }
--- a/internal/lab/configsim/process.go
+++ b/internal/lab/configsim/process.go
@@ -7,44 +7,45 @@
 	"thymebend/internal/configdist/codec"
 )
 
-// Clock is what a cluster lives by. timeline.Timeline is one.
+// Clock is the virtual clock of a cluster; At schedules a call. timeline.Timeline implements it.
 type Clock interface {
 	Now() time.Duration
 	At(at time.Duration, do func())
 }
 
-// Endpoint is a process's place: a gateway or a control machine, by its index.
+// Endpoint identifies a gateway or a control machine by its index in the cluster.
 type Endpoint struct {
 	Control bool
 	Index   int
 }
 
-// Network carries frames. It calls deliver once for each copy that arrives, at its time.
+// Network transmits frames between endpoints. Send calls deliver once for each copy that arrives, at the time of its
+// arrival.
 type Network interface {
 	Send(from, to Endpoint, bytes int, deliver func())
 }
 
-// frameOverhead is what IP and TCP add to each frame.
+// frameOverhead is the number of bytes that the IP and TCP headers add to each frame.
 const frameOverhead = 52
 
-// process is what gateways and control machines have in common: lives, stalls, and frames.
+// process is the common part of a gateway and a control machine: starts and ends, stalls, and frames.
 type process struct {
 	cluster     *Cluster
 	endpoint    Endpoint
-	incarnation int // grows with each start and end
+	incarnation int // increases with each start and end
 	up          bool
 	stalled     bool
-	queued      []func()
-	wakeDue     bool
-	nextWake    time.Duration
+	queued      []func()      // calls that wait for the end of a stall
+	wakeDue     bool          // a wake-up was due during a stall
+	nextWake    time.Duration // scheduled wake-up; 0 if there is none
 
 	senders   map[Endpoint]*codec.Sender
 	receivers map[Endpoint]*codec.Receiver
 
-	// Traffic so far, in bytes, headers included.
+	// Sent and Received are bytes of traffic since the start of the run, headers included.
 	Sent, Received uint64
-	Rejected       uint64 // frames that were not taken
-	Repeated       uint64 // of those, frames that had come before
+	Rejected       uint64 // frames that could not be used
+	Repeated       uint64 // of those, frames that had arrived before
 	CPUTime        time.Duration
 }
 
@@ -59,7 +60,7 @@
 	p.up = false
 }
 
-// send words a message and sends it to another process, which takes it once.
+// send encodes a message and sends it to another process, which handles it once.
 func (p *process) send(to *process, m codec.Message, handle func(codec.Message)) {
 	s := p.senders[to.endpoint]
 	if s == nil {
@@ -77,7 +78,7 @@
 	})
 }
 
-// receive reads a frame, and has it heard if it is one.
+// receive decodes a frame and handles its message, if the frame is valid and new.
 func (p *process) receive(from Endpoint, frame []byte, handle func(codec.Message)) {
 	r := p.receivers[from]
 	if r == nil {
@@ -95,10 +96,10 @@
 	handle(m)
 }
 
-// maxQueued is how many frames a process that stands still finds when it goes on.
+// maxQueued is the maximum number of calls, mostly of received frames, that wait for the end of a stall.
 const maxQueued = 1000
 
-// runOrQueue does something now, or when the process goes on after a stall.
+// runOrQueue calls do now, or after the current stall. It drops the call if the process is down or the queue is full.
 func (p *process) runOrQueue(do func()) {
 	switch {
 	case !p.up:
@@ -109,8 +110,8 @@
 	}
 }
 
-// stall has the process stand still for a while, as SIGSTOP and SIGCONT do. Timers are late, then what has waited
-// comes.
+// stall stalls the process for a time, as SIGSTOP and SIGCONT do. Afterwards a timer that was due runs first, then
+// the queued calls.
 func (p *process) stall(length time.Duration, advance func()) {
 	if !p.up || p.stalled {
 		return
@@ -124,7 +125,7 @@
 	})
 }
 
-// resume ends a stall.
+// resume ends a stall and makes the calls that it delayed.
 func (p *process) resume(advance func()) {
 	if !p.stalled {
 		return
@@ -141,11 +142,11 @@
 	}
 }
 
-// wake has advance called at a time, in this life.
+// wake schedules a call of advance, unless the process ends before.
 func (p *process) wake(at time.Duration, advance func()) {
 	now := p.cluster.clock.Now()
 	if p.nextWake > now && p.nextWake <= at {
-		return // an earlier call is under way, after which this is asked for again
+		return // an earlier call is scheduled, after which wake is called again
 	}
 	at = max(at, now+100*time.Microsecond)
 	p.nextWake = at
@@ -163,7 +164,7 @@
 	})
 }
 
-// measureCPU counts what a call takes of this machine's processor. Nothing of a run depends on it.
+// measureCPU adds the real time that a call takes on this machine to CPUTime. The run does not depend on it.
 func (p *process) measureCPU(call func()) {
 	startedAt := time.Now()
 	call()
--- a/internal/lab/configsim/publisher.go
+++ b/internal/lab/configsim/publisher.go
@@ -9,23 +9,25 @@
 	"thymebend/internal/raft"
 )
 
+// Intervals of a Publisher.
 const (
-	proposeRetry  = 500 * time.Millisecond // where no control machine takes the proposal
-	resultTimeout = 2 * time.Second        // then the same is proposed again, under the same ID
+	proposeRetry  = 500 * time.Millisecond // after no control machine accepted the proposal
+	resultTimeout = 2 * time.Second        // then the change is proposed again, with the same ID
 )
 
-// Publisher proposes one change until it is a version, or is refused for what it is.
+// Publisher proposes one change until it is committed as a version, or is rejected for a reason that repetition does
+// not change.
 type Publisher struct {
 	cluster     *Cluster
 	changes     []content.Change
 	id          uint64
-	nextControl int // control machine asked next
+	nextControl int // control machine that is tried next, modulo their number
 	done        func(ref content.Ref, err error)
 	ended       bool
 }
 
-// Submit has a change proposed, first to a control machine that is drawn. done is told the version, or why it was
-// refused.
+// Submit proposes a change, first to a random control machine. done is called with the version that the change made,
+// or with the error for which it was rejected.
 func (cl *Cluster) Submit(changes []content.Change, done func(ref content.Ref, err error)) {
 	p := &Publisher{cluster: cl, changes: changes, nextControl: cl.rng.IntN(len(cl.ControlMachines)), done: done}
 	cl.nextID++
@@ -33,7 +35,8 @@
 	p.propose()
 }
 
-// propose proposes to one control machine after another until one takes it.
+// propose proposes the change to one control machine after another until one accepts it. It repeats the proposal
+// until there is a result.
 func (p *Publisher) propose() {
 	cl := p.cluster
 	if p.ended {
@@ -50,7 +53,7 @@
 		err := cl.Propose(c, &command, p.receiveResult)
 		switch {
 		case err == nil:
-			p.nextControl-- // the same one next time
+			p.nextControl-- // the next proposal goes to the same one
 			cl.clock.At(cl.clock.Now()+resultTimeout, p.propose)
 			return
 		case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrBusy), errors.Is(err, raft.ErrFailed):
@@ -62,6 +65,8 @@
 	cl.clock.At(cl.clock.Now()+proposeRetry, p.propose)
 }
 
+// receiveResult ends the publisher, or proposes the change again if it only conflicted with another version or a
+// stopped rollout.
 func (p *Publisher) receiveResult(r configdist.Result) {
 	switch {
 	case p.ended:
