--- a/internal/configdist/agent.go
+++ b/internal/configdist/agent.go
@@ -19,7 +19,7 @@
 	answerTimeout  = 400 * time.Millisecond // for a control machine's answer; then the message is sent again
 	minBackoff     = 250 * time.Millisecond // first pause after no control machine has answered
 	maxBackoff     = 2 * time.Second        // maximum of that pause, before jitter
-	returnInterval = time.Minute            // then the agent returns to the first control machine of its order
+	returnInterval = time.Minute            // with another control machine; then the agent returns to its first one
 	stallThreshold = 4 * time.Second        // maximum gap between two calls; after a longer one a new session starts
 )
 
--- a/internal/configdist/controller.go
+++ b/internal/configdist/controller.go
@@ -12,7 +12,7 @@
 
 // Intervals and timeouts of a control machine.
 const (
-	leaderTimeout      = time.Second            // since the leader's last message; then the stage counts as unknown
+	leaderTimeout      = time.Second            // since the leader's last message; then no rollout's version is offered
 	quietAfterStall    = 500 * time.Millisecond // after a start or stall; until then no version in a rollout is offered
 	minOfferBackoff    = 500 * time.Millisecond // until an unacknowledged offer is repeated
 	maxOfferBackoff    = 4 * time.Second
@@ -197,7 +197,8 @@
 	case *codec.GatewayReports:
 		c.coordinator.receive(c.now, from, m)
 	default:
-		return fmt.Errorf("%w: a control machine sent a message that only gateways send", ErrUnexpectedMessage)
+		return fmt.Errorf("%w: a control machine sent a message that control machines do not exchange",
+			ErrUnexpectedMessage)
 	}
 	return nil
 }
@@ -218,7 +219,7 @@
 			c.sendPage(s, m)
 		}
 	default:
-		return fmt.Errorf("%w: a gateway sent a message that only control machines send", ErrUnexpectedMessage)
+		return fmt.Errorf("%w: a gateway sent a message that gateways do not send", ErrUnexpectedMessage)
 	}
 	return nil
 }
--- a/internal/configdist/coordinator.go
+++ b/internal/configdist/coordinator.go
@@ -65,7 +65,7 @@
 	version, attempt uint64
 	stage            Stage
 	canary, zone     string
-	idle             bool // no rollout is in progress, and the newest version is released
+	idle             bool // there is nothing to roll out, or this control machine does not lead
 }
 
 // coordinator is the leader's state outside the log: the reports of other control machines and the timing of the
--- a/internal/configdist/subscriber.go
+++ b/internal/configdist/subscriber.go
@@ -92,7 +92,8 @@
 }
 
 // stageIsCurrent reports whether the rollout's stage in the local store is current: this control machine leads, or
-// has received a message from the leader within leaderTimeout.
+// is in contact with a quorum and has received a message from the leader within leaderTimeout. It is not current for
+// quietAfterStall after a start or stall.
 func (c *Controller) stageIsCurrent() bool {
 	if c.now < c.quietUntil {
 		return false
--- a/internal/lab/configsim/check.go
+++ b/internal/lab/configsim/check.go
@@ -51,8 +51,8 @@
 		if store.Released() != store.Head() {
 			return false
 		}
-		_, rejects := faultShare(store.Head().Tree, rejectPrefix)
-		_, fails := faultShare(store.Head().Tree, failPrefix)
+		_, rejects := faultPercent(store.Head().Tree, rejectPrefix)
+		_, fails := faultPercent(store.Head().Tree, failPrefix)
 		if !rejects && !fails {
 			return true
 		}
@@ -128,8 +128,8 @@
 	if o.Rate = float64(bytes) / float64(len(cl.Gateways)) / r.Now().Seconds(); o.Rate > maxRate {
 		cl.ReportViolation("%.0f bytes a second and gateway, %.0f at most", o.Rate, maxRate)
 	}
-	if counts := cl.Leader(); counts != nil {
-		r.checkLag(counts.Controller)
+	if leader := cl.Leader(); leader != nil {
+		r.checkLag(leader.Controller)
 	}
 	o.Violations = cl.Violations
 }
--- a/internal/lab/configsim/figures.go
+++ b/internal/lab/configsim/figures.go
@@ -31,17 +31,18 @@
 // Distribution summarizes durations by their median, 99th percentile and maximum.
 type Distribution struct{ Median, P99, Max time.Duration }
 
-func distributionOf(list []time.Duration) (s Distribution) {
+// distributionOf sorts the durations and summarizes them; an empty list gives zeros.
+func distributionOf(list []time.Duration) (d Distribution) {
 	if len(list) == 0 {
-		return s
+		return d
 	}
 	slices.Sort(list)
 	return Distribution{list[len(list)/2], list[min(len(list)-1, len(list)*99/100)], list[len(list)-1]}
 }
 
 // String formats the three durations in seconds.
-func (s Distribution) String() string {
-	return fmt.Sprintf("%.2f / %.2f / %.2f s", s.Median.Seconds(), s.P99.Seconds(), s.Max.Seconds())
+func (d Distribution) String() string {
+	return fmt.Sprintf("%.2f / %.2f / %.2f s", d.Median.Seconds(), d.P99.Seconds(), d.Max.Seconds())
 }
 
 // Figures are the results of a measured run.
@@ -51,10 +52,10 @@
 	IdleRate float64       // bytes per second and gateway without changes
 	// Single is the time of one change alone until it is in force at half, 99% and all of the gateways.
 	Single [3]time.Duration
-	// Half, Most and All are the times from the submission of a change until it is in force at half, 99% and all of
-	// the gateways that have run since then.
+	// These are the times from the submission of a change until it is in force at half, 99% and all of the gateways
+	// that have run since then.
 	Half, Most, All             Distribution
-	FromCommit                  Distribution // as All, but from the commit of the change
+	FromCommit                  Distribution // time until all of them, but from the commit of the change
 	Late                        int          // changes that took longer than 8 s to be in force at all of them
 	Unfinished                  int          // changes not in force at all of them at the end of the run
 	Stopped                     int          // versions whose rollout was stopped
--- a/internal/lab/configsim/invariants.go
+++ b/internal/lab/configsim/invariants.go
@@ -26,7 +26,7 @@
 
 // rejectionError returns the error with which a gateway rejects a configuration, or nil.
 func rejectionError(g *Gateway, next configdist.Install) error {
-	if share, found := faultShare(next.Tree, rejectPrefix); found && isFaultyFor(g, next.Ref.Number, share) {
+	if share, found := faultPercent(next.Tree, rejectPrefix); found && isFaultyFor(g, next.Ref.Number, share) {
 		return errors.New("a body says that it is refused")
 	}
 	return nil
@@ -34,19 +34,19 @@
 
 // failureReason returns why a gateway fails with a configuration that it has installed, or an empty text.
 func failureReason(g *Gateway, next configdist.Install) string {
-	if share, found := faultShare(next.Tree, failPrefix); found && isFaultyFor(g, next.Ref.Number, share) {
+	if share, found := faultPercent(next.Tree, failPrefix); found && isFaultyFor(g, next.Ref.Number, share) {
 		return "a body says that it fails"
 	}
 	return ""
 }
 
-// faultyRoute is the only route name that faultShare examines, because examining all routes would be expensive in a
+// faultyRoute is the only route name that faultPercent examines, because examining all routes would be expensive in a
 // cluster of full size.
 const faultyRoute = "faulty"
 
-// faultShare returns the percentage of gateways that a faulty route with the given prefix affects, if a service has
-// one.
-func faultShare(t *content.Tree, prefix string) (share int, found bool) {
+// faultPercent returns the percentage of gateways that a faulty route with the given prefix affects, and whether
+// there is such a route.
+func faultPercent(t *content.Tree, prefix string) (share int, found bool) {
 	for _, name := range t.Services() {
 		for _, e := range t.Entries(name)[1:] {
 			if e.Kind != content.Route {
@@ -75,10 +75,10 @@
 type committed struct {
 	ref       content.Ref
 	tree      *content.Tree
-	at        time.Duration
+	at        time.Duration // when a control machine first showed it
 	canaries  map[string]bool
 	zones     map[string]bool
-	all       bool
+	all       bool          // offered to all gateways
 	stoppedAt time.Duration // 0 if its rollout is not stopped
 }
 
@@ -86,7 +86,7 @@
 type invariants struct {
 	versions map[uint64]*committed
 	newest   uint64
-	attempt  uint64
+	attempt  uint64 // highest attempt of a rollout
 }
 
 func newInvariants() invariants { return invariants{versions: make(map[uint64]*committed)} }
@@ -125,6 +125,7 @@
 	inv.observeStage(cl, store, stage)
 }
 
+// observeVersion records a version, or verifies that it agrees with what another control machine has shown.
 func (inv *invariants) observeVersion(cl *Cluster, c *ControlMachine, v *configdist.Version) {
 	known := inv.versions[v.Ref.Number]
 	if known == nil {
@@ -138,6 +139,8 @@
 	}
 }
 
+// observeStage records the gateways to which the released version and the rollout's version are offered, and whether
+// the rollout is stopped.
 func (inv *invariants) observeStage(cl *Cluster, store *configdist.Store, r configdist.Rollout) {
 	if v := inv.versions[store.Released().Ref.Number]; v != nil {
 		v.all = true
@@ -169,7 +172,7 @@
 		if v == nil {
 			continue
 		}
-		if share, found := faultShare(v.tree, rejectPrefix); found && isFaultyFor(g, number, share) {
+		if share, found := faultPercent(v.tree, rejectPrefix); found && isFaultyFor(g, number, share) {
 			return true
 		}
 	}
--- a/internal/lab/configsim/measure.go
+++ b/internal/lab/configsim/measure.go
@@ -19,7 +19,7 @@
 // measurement is one run of Measure.
 type measurement struct {
 	*World
-	c         Scenario
+	scenario  Scenario
 	rng       *rand.Rand
 	changes   []*change
 	startedAt []time.Duration // last start of each gateway's process
@@ -27,25 +27,27 @@
 
 // Measure runs a cluster. All gateways start without a configuration and fetch the complete one, then one change is
 // followed alone, then the scenario's changes, restarts and failures happen within its length.
-func Measure(c Scenario) Figures {
-	m := &measurement{c: c, rng: rand.New(rand.NewPCG(c.Seed, 0x3ea5)), startedAt: make([]time.Duration, c.Gateways)}
-	cfg := Config{Name: "measure", Gateways: c.Gateways, Zones: c.Zones, Regions: c.Regions, Seed: c.Seed}
-	if c.ServicesEach > 0 {
+func Measure(scenario Scenario) Figures {
+	m := &measurement{scenario: scenario, rng: rand.New(rand.NewPCG(scenario.Seed, 0x3ea5)),
+		startedAt: make([]time.Duration, scenario.Gateways)}
+	cfg := Config{Name: "measure", Gateways: scenario.Gateways, Zones: scenario.Zones, Regions: scenario.Regions,
+		Seed: scenario.Seed}
+	if scenario.ServicesEach > 0 {
 		cfg.Services = func(i int) (list []string) {
-			for k := range c.ServicesEach {
-				list = append(list, ServiceName((i*c.ServicesEach+k)%c.Size.Services))
+			for k := range scenario.ServicesEach {
+				list = append(list, ServiceName((i*scenario.ServicesEach+k)%scenario.Size.Services))
 			}
 			return list
 		}
 	}
 	m.World = NewWorld(cfg)
-	f := Figures{Scenario: c}
+	f := Figures{Scenario: scenario}
 	m.Cluster.RunOperator(time.Second, 0)
 	f.First = m.start()
 	before := m.traffic()
 	m.Run(m.Now() + 20*time.Second)
 	f.IdleRate = m.rate(before, 20*time.Second).mean
-	m.Net.Loss = c.Loss
+	m.Net.Loss = scenario.Loss
 	single := m.submit()
 	m.follow(m.Now() + 15*time.Second)
 	f.Single = [3]time.Duration{single.toHalf, single.to99Percent, single.toAll}
@@ -54,12 +56,12 @@
 	before = m.traffic()
 	gatewayBefore, controlBefore := m.cpuTimes()
 	startedAt := m.Now()
-	m.follow(startedAt + c.Length)
+	m.follow(startedAt + scenario.Length)
 	length := m.Now() - startedAt
 	rate := m.rate(before, length)
 	f.MeanRate, f.MaxRate, f.ControlRate, f.MaxControlRate = rate.mean, rate.max, rate.control, rate.controlMax
 	gatewayAfter, controlAfter := m.cpuTimes()
-	f.GatewayCPU = (gatewayAfter - gatewayBefore).Seconds() / float64(c.Gateways) / length.Seconds()
+	f.GatewayCPU = (gatewayAfter - gatewayBefore).Seconds() / float64(scenario.Gateways) / length.Seconds()
 	for i := range controlAfter {
 		f.ControlCPU = max(f.ControlCPU, (controlAfter[i]-controlBefore[i]).Seconds()/length.Seconds())
 	}
@@ -85,7 +87,7 @@
 		}
 		m.Cluster.Submit(list[0], func(content.Ref, error) { next(list[1:]) })
 	}
-	next(Bootstrap(m.c.Size, m.rng))
+	next(Bootstrap(m.scenario.Size, m.rng))
 	for !done {
 		m.Run(m.Now() + 100*time.Millisecond)
 	}
@@ -104,7 +106,7 @@
 func (m *measurement) submit() *change {
 	c := &change{submitted: m.Now()}
 	m.changes = append(m.changes, c)
-	m.Cluster.Submit(Change(m.c.Size, m.rng), func(ref content.Ref, err error) {
+	m.Cluster.Submit(Change(m.scenario.Size, m.rng), func(ref content.Ref, err error) {
 		c.number, c.committed = ref.Number, m.Now()
 	})
 	return c
@@ -112,12 +114,12 @@
 
 // scheduleEvents draws and schedules the changes, restarts and failures of the run.
 func (m *measurement) scheduleEvents() {
-	randomTime := func() time.Duration { return m.Now() + time.Duration(m.rng.Int64N(int64(m.c.Length))) }
-	for range m.c.Changes {
+	randomTime := func() time.Duration { return m.Now() + time.Duration(m.rng.Int64N(int64(m.scenario.Length))) }
+	for range m.scenario.Changes {
 		m.At(randomTime(), func() { m.submit() })
 	}
 	scheduleOutage := func(at, downtime time.Duration, replaced bool) {
-		index := m.rng.IntN(m.c.Gateways)
+		index := m.rng.IntN(m.scenario.Gateways)
 		m.At(at, func() { m.Cluster.KillGateway(index) })
 		m.At(at+downtime, func() {
 			if m.startedAt[index] = m.Now(); replaced {
@@ -127,10 +129,10 @@
 			}
 		})
 	}
-	for i := range m.c.Restarts {
+	for i := range m.scenario.Restarts {
 		scheduleOutage(randomTime(), time.Duration(1000+m.rng.IntN(2000))*time.Millisecond, i%10 == 0)
 	}
-	for range m.c.Failures {
+	for range m.scenario.Failures {
 		scheduleOutage(randomTime(), time.Duration(10+m.rng.IntN(20))*time.Second, true)
 	}
 }
@@ -193,8 +195,8 @@
 func (m *measurement) rate(before []uint64, length time.Duration) (r rates) {
 	for i, now := range m.traffic() {
 		rate := float64(now-before[i]) / length.Seconds()
-		if i < m.c.Gateways {
-			r.mean += rate / float64(m.c.Gateways)
+		if i < m.scenario.Gateways {
+			r.mean += rate / float64(m.scenario.Gateways)
 			r.max = max(r.max, rate)
 		} else {
 			r.control += rate / controlMachineCount
@@ -249,5 +251,5 @@
 	var memory runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&memory)
-	f.HeapEach = memory.HeapInuse / uint64(m.c.Gateways)
+	f.HeapEach = memory.HeapInuse / uint64(m.scenario.Gateways)
 }
--- a/internal/lab/configsim/play_test.go
+++ b/internal/lab/configsim/play_test.go
@@ -34,10 +34,10 @@
 // Runs a small cluster with many changes and restarts in a short time. The checked traffic and times are of the
 // simulation, so they are the same on every machine.
 func TestMeasureStaysWithinTrafficAndTimeBounds(t *testing.T) {
-	c := Scenario{Gateways: 64, Zones: 7, Regions: 2, Size: Size{Services: 40, Routes: 200, Tenants: 800},
+	scenario := Scenario{Gateways: 64, Zones: 7, Regions: 2, Size: Size{Services: 40, Routes: 200, Tenants: 800},
 		ServicesEach: 8, Changes: 30, Restarts: 20, Failures: 2,
 		Length: 30 * time.Second, Loss: 0.05, Seed: 1}
-	f := Measure(c)
+	f := Measure(scenario)
 	t.Logf("%+v", f)
 	if len(f.Violations) > 0 || f.Unfinished > 0 || f.Late > 0 || f.Stopped > 0 {
 		t.Errorf("violations %v, %d changes unfinished, %d late, %d rollouts stopped", f.Violations, f.Unfinished,
--- a/internal/lab/configsim/process.go
+++ b/internal/lab/configsim/process.go
@@ -46,15 +46,17 @@
 	Sent, Received uint64
 	Rejected       uint64 // frames that could not be used
 	Repeated       uint64 // of those, frames that had arrived before
-	CPUTime        time.Duration
+	CPUTime        time.Duration // real time that its calls took
 }
 
+// start begins a new incarnation of the process, without state of the previous one.
 func (p *process) start() {
 	p.incarnation++
 	p.up, p.stalled, p.queued, p.wakeDue, p.nextWake = true, false, nil, false, 0
 	p.senders, p.receivers = make(map[Endpoint]*codec.Sender), make(map[Endpoint]*codec.Receiver)
 }
 
+// end ends the process; its queued calls and timers have no effect any more.
 func (p *process) end() {
 	p.incarnation++
 	p.up = false
