--- a/internal/lab/configsim/process.go
+++ b/internal/lab/configsim/process.go
@@ -44,8 +44,8 @@
 
 	// Sent and Received are bytes of traffic since the start of the run, headers included.
 	Sent, Received uint64
-	Rejected       uint64 // frames that could not be used
-	Repeated       uint64 // of those, frames that had arrived before
+	Rejected       uint64        // frames that could not be used
+	Repeated       uint64        // of those, frames that had arrived before
 	CPUTime        time.Duration // real time that its calls took
 }
 
