--- a/internal/configdist/agent_test.go
+++ b/internal/configdist/agent_test.go
@@ -61,8 +61,8 @@
 }
 
 // Guards against control machines with too many agents, and agents that prefer control machines of another region.
-// Each of the four control machines must be the first choice of a quarter of the agents, within 40. When
-// control machine 1 fails, its agents must use control machine 2, of the same region.
+// Each of the four control machines must be the first choice of a quarter of the agents, within 40. When control
+// machine 1 fails, its agents must use control machine 2, of the same region.
 func TestControllerOrderPrefersOwnRegionAndBalances(t *testing.T) {
 	const agents = 870
 	first, second := make(map[uint64]int), make(map[uint64]int)
@@ -241,13 +241,13 @@
 	}
 	out := takeOutput(t, c)
 	if len(out.Results) != 1 || out.Results[0].ID != command.ID {
-		t.Fatalf("results %+v", out.Results)
+		t.Fatalf("want one result, for command %d: %+v", command.ID, out.Results)
 	}
 	return out.Results[0]
 }
 
-// Guards against an offer for a rollout's stage that ended while the control machine was stalled. After a stall of 10
-// s no version in a rollout may be offered until quietAfterStall has passed.
+// Guards against an offer for a rollout's stage that ended while the control machine was stalled. After a stall of
+// 10 s no version in a rollout may be offered until quietAfterStall has passed.
 func TestNoStagedVersionIsOfferedAfterStall(t *testing.T) {
 	c, now := newSingleController(t, ControllerConfig{})
 	proposeVersion(t, c, now, Command{Kind: Propose, ID: 1, Changes: []content.Change{service("a", "1")}})
@@ -286,13 +286,13 @@
 		}
 		out := takeOutput(t, c).Gateways
 		if len(out) != 1 || out[0].Link != 9 || fmt.Sprint(out[0].Message) != fmt.Sprint(m.want) {
-			t.Errorf("%s: %+v", name, out)
+			t.Errorf("%s: answered by %+v", name, out)
 		}
 	}
 	_ = c.Receive(now, 9, &codec.Subscribe{Gateway: "second", Session: 5})
 	if out := takeOutput(t, c).Gateways; len(out) != 1 ||
 		fmt.Sprint(out[0].Message) != fmt.Sprint(&codec.Busy{Session: 5}) {
-		t.Errorf("second subscription: %+v", out)
+		t.Errorf("second subscription: answered by %+v", out)
 	}
 	if c.Receive(now, 9, &codec.RaftMessage{}) == nil || c.ReceivePeer(now, 2, &codec.Report{}) == nil ||
 		c.ReceivePeer(now, 2, &codec.RaftMessage{Data: []byte("x")}) == nil {
--- a/internal/configdist/rapid_test.go
+++ b/internal/configdist/rapid_test.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// stall advances time without calling either side.
+// stall advances time by 3 or 40 s during which neither side is called.
 func (p *pair) stall(t *rapid.T) {
 	p.now += rapid.SampledFrom([]time.Duration{3 * time.Second, 40 * time.Second}).Draw(t, "stall")
 	p.controller.Advance(p.now)
@@ -169,6 +169,7 @@
 	return m
 }
 
+// deliver delivers at most one message in each direction.
 func (p *pair) deliver(t *rapid.T) {
 	if m := drawMessage(t, &p.toAgent); m != nil {
 		p.agent.Receive(p.now, 1, m)
@@ -180,6 +181,8 @@
 	}
 }
 
+// answerInstall accepts or rejects the requested installation, and checks that an accepted version is not older than
+// the one in force, committed and complete.
 func (p *pair) answerInstall(t *rapid.T) {
 	if p.install == nil {
 		return
@@ -209,6 +212,7 @@
 	}
 }
 
+// propose draws a command and proposes it.
 func (p *pair) propose(t *rapid.T) {
 	p.nextID++
 	head := p.controller.Store().Head().Ref.Number
@@ -238,6 +242,7 @@
 	_ = p.controller.Propose(p.now, c) // an error is allowed; store_test.go tests which commands are rejected
 }
 
+// restart starts the agent or the control machine again from its stored state.
 func (p *pair) restart(t *rapid.T) {
 	if rapid.Bool().Draw(t, "the agent") {
 		p.startAgent(t)
@@ -246,6 +251,7 @@
 	}
 }
 
+// changeServices makes the gateway serve other services.
 func (p *pair) changeServices(t *rapid.T) {
 	p.services = rapid.SampledFrom([][]string{nil, {"a"}, {"b"}, {"a", "c"}}).Draw(t, "services")
 	if err := p.agent.SetServices(p.now, p.services); err != nil {
--- a/internal/lab/configsim/control.go
+++ b/internal/lab/configsim/control.go
@@ -102,7 +102,7 @@
 	for _, m := range out.Peers {
 		to := cl.ControlMachines[m.To-1]
 		c.send(&to.process, m.Message, func(received codec.Message) {
-			// processOutput reports the same error, from Take
+			// Take, called by processOutput, returns the same error
 			to.measureCPU(func() { _ = to.Controller.ReceivePeer(cl.clock.Now(), c.ID, received) })
 			to.processOutput()
 		})
--- a/internal/lab/configsim/faults.go
+++ b/internal/lab/configsim/faults.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// drawPartitions draws and schedules a partition of the network, with three changes
-// submitted within 10 s of its start.
+// drawPartitions draws and schedules a partition of the network, with three changes submitted within 10 s of its
+// start.
 func (r *run) drawPartitions() {
 	cl := r.Cluster
 	if r.rng.IntN(2) == 0 {
