--- a/internal/configdist/agent.go
+++ b/internal/configdist/agent.go
@@ -141,8 +141,8 @@
 
 // NewAgent starts an agent. Its first output subscribes to the first control machine of its order.
 func NewAgent(cfg AgentConfig, now time.Duration) (*Agent, error) {
-	if len(cfg.Controllers) == 0 || cfg.Gateway == "" || len(cfg.Gateway) > content.MaxName ||
-		len(cfg.Zone) > content.MaxName {
+	if len(cfg.Controllers) == 0 || cfg.Gateway == "" || len(cfg.Gateway) > content.MaxNameBytes ||
+		len(cfg.Zone) > content.MaxNameBytes {
 		return nil, agentError("gateway %q in zone %q with %d control machines: "+
 			"a name is empty or too long, or no control machine is given",
 			cfg.Gateway, cfg.Zone, len(cfg.Controllers))
@@ -157,7 +157,7 @@
 		controllers: controllerOrder(cfg),
 		now:         now,
 		session:     cfg.Session,
-		tree:        content.Empty(),
+		tree:        content.EmptyTree(),
 		backoff:     minBackoff,
 	}
 	if cfg.LastGood != nil {
@@ -283,5 +283,5 @@
 }
 
 func agentError(format string, args ...any) error {
-	return fielderror.Worded(ErrAgentConfig, "configdist: "+format, args...)
+	return fielderror.CauseWithText(ErrAgentConfig, "configdist: "+format, args...)
 }
--- a/internal/configdist/agent_test.go
+++ b/internal/configdist/agent_test.go
@@ -47,7 +47,7 @@
 
 // snapshotPage returns a page that contains a complete version, for the agent's session.
 func snapshotPage(a *Agent, v *Version) *codec.Page {
-	changes, _, _ := content.Page(content.Empty(), v.Tree, v.Tree.Services(), content.Cursor{}, math.MaxInt)
+	changes, _, _ := content.Page(content.EmptyTree(), v.Tree, v.Tree.Services(), content.Cursor{}, math.MaxInt)
 	return &codec.Page{Session: a.session, Target: v.Ref, Scope: v.Tree.Hash(), Last: true, Changes: changes}
 }
 
@@ -135,7 +135,7 @@
 // or a message of another session or control machine; also after a restart.
 func TestAgentIgnoresOlderAndForkedVersions(t *testing.T) {
 	a := newTestAgent(t, AgentConfig{})
-	one := newVersion(t, 1, content.Empty(), service("a", "1"))
+	one := newVersion(t, 1, content.EmptyTree(), service("a", "1"))
 	five := newVersion(t, 5, one.Tree, service("a", "5"))
 	five.Ref.Term = 3
 	from, _ := a.Controller()
@@ -143,7 +143,7 @@
 	if !completeInstall(a, 0, nil) || a.InForce().Ref != five.Ref {
 		t.Fatalf("version %v in force", a.InForce().Ref)
 	}
-	fork := newVersion(t, 5, content.Empty(), service("a", "other"))
+	fork := newVersion(t, 5, content.EmptyTree(), service("a", "other"))
 	fork.Ref.Term = 3
 	oldTerm := newVersion(t, 6, five.Tree, service("a", "6"))
 	otherSession := snapshotPage(a, newVersion(t, 7, five.Tree, service("a", "7")))
@@ -173,7 +173,7 @@
 func TestRejectedVersionIsRetriedOnlyInNewAttempt(t *testing.T) {
 	a := newTestAgent(t, AgentConfig{})
 	from, _ := a.Controller()
-	one := newVersion(t, 1, content.Empty(), service("a", "1"))
+	one := newVersion(t, 1, content.EmptyTree(), service("a", "1"))
 	a.Receive(0, from, snapshotPage(a, one))
 	completeInstall(a, 0, nil)
 	page := snapshotPage(a, newVersion(t, 2, one.Tree, service("a", "2")))
@@ -189,7 +189,7 @@
 	}
 	page.Attempt = 2
 	a.Receive(0, from, page)
-	if !completeInstall(a, 0, nil) || a.state().Verdict != codec.Fine || a.InForce().Ref != page.Target {
+	if !completeInstall(a, 0, nil) || a.state().Verdict != codec.Healthy || a.InForce().Ref != page.Target {
 		t.Errorf("state after the new attempt: %+v", a.state())
 	}
 }
@@ -198,7 +198,7 @@
 func TestContentWithWrongHashIsNotInstalled(t *testing.T) {
 	a := newTestAgent(t, AgentConfig{})
 	from, _ := a.Controller()
-	page := snapshotPage(a, newVersion(t, 1, content.Empty(), service("a", "1")))
+	page := snapshotPage(a, newVersion(t, 1, content.EmptyTree(), service("a", "1")))
 	page.Scope[0]++
 	if a.Receive(0, from, page); completeInstall(a, 0, nil) || a.Counts().Mismatched != 1 {
 		t.Errorf("installed, or wrong counts: %+v", a.Counts())
--- a/internal/configdist/agent_transfer.go
+++ b/internal/configdist/agent_transfer.go
@@ -98,7 +98,7 @@
 func (a *Agent) completeTransfer() {
 	t := a.transfer
 	a.transfer = nil
-	base := content.Empty()
+	base := content.EmptyTree()
 	snapshot := t.from == content.Ref{}
 	if !snapshot {
 		base = a.tree
--- a/internal/configdist/agent_verdict.go
+++ b/internal/configdist/agent_verdict.go
@@ -64,7 +64,7 @@
 func (a *Agent) setVerdict(v codec.Verdict, number, attempt uint64, reason string) {
 	reason = cmp.Or(reason, noReason)
 	a.lastVerdict = codec.State{Verdict: v, Version: number, Attempt: attempt,
-		Reason: reason[:min(len(reason), codec.MaxReason)]}
+		Reason: reason[:min(len(reason), codec.MaxReasonBytes)]}
 	a.report()
 }
 
--- a/internal/configdist/command.go
+++ b/internal/configdist/command.go
@@ -104,9 +104,9 @@
 		Base:    r.Uint(),
 		Version: r.Uint(),
 		Stage:   Stage(r.Uint()),
-		Canary:  r.String(content.MaxName),
-		Zone:    r.String(content.MaxName),
-		Reason:  r.String(codec.MaxReason),
+		Canary:  r.String(content.MaxNameBytes),
+		Zone:    r.String(content.MaxNameBytes),
+		Reason:  r.String(codec.MaxReasonBytes),
 		Changes: r.Changes(),
 	}
 	return c, r.Err()
--- a/internal/configdist/controller.go
+++ b/internal/configdist/controller.go
@@ -93,7 +93,7 @@
 	m := &stateMachine{store: NewStore(), pending: make(map[uint64]bool)}
 	log, err := raft.NewReplica(raft.Config{
 		ID: cfg.ID, Voters: cfg.Voters, Learners: cfg.Standbys, Restored: cfg.Restored, Seed: cfg.Seed,
-		MaxSnapshot: maxSnapshotBytes, SnapshotEvery: cfg.SnapshotEvery,
+		MaxSnapshotBytes: maxSnapshotBytes, SnapshotInterval: cfg.SnapshotEvery,
 	}, m, now)
 	if err != nil {
 		return nil, err
--- a/internal/configdist/coordinator.go
+++ b/internal/configdist/coordinator.go
@@ -99,7 +99,7 @@
 		p = &peer{gateways: make(map[string]codec.GatewayReport)}
 		co.peers[from] = p
 	}
-	p.newestVersion, p.lastSeen = m.Head, now
+	p.newestVersion, p.lastSeen = m.NewestVersion, now
 	for _, r := range m.Gateways {
 		p.gateways[r.Gateway] = r
 	}
@@ -153,7 +153,7 @@
 	}
 	t := tally(gateways, r)
 	if reason, stop := t.failure(r.Stage, co.policy.MaxFailedShare); stop {
-		return Command{Kind: Stop, Version: r.Version, Reason: reason[:min(len(reason), codec.MaxReason)]}, true
+		return Command{Kind: Stop, Version: r.Version, Reason: reason[:min(len(reason), codec.MaxReasonBytes)]}, true
 	}
 	soaked := co.soaked(c.now, &t)
 	switch r.Stage {
--- a/internal/configdist/report.go
+++ b/internal/configdist/report.go
@@ -36,7 +36,7 @@
 	}
 	c.coordinator.pendingImpactReports = reportRepeats
 	c.impact = impact{from: store.released.Ref.Number, to: to.Ref.Number, services: make(map[string]bool)}
-	for _, name := range content.Affected(store.released.Tree, to.Tree) {
+	for _, name := range content.ChangedServices(store.released.Tree, to.Tree) {
 		c.impact.services[name] = true
 	}
 	for _, s := range c.subscribers {
@@ -55,7 +55,7 @@
 		return
 	}
 	full := c.reportedTo != status.Leader || c.now >= c.nextFullReport
-	m := &codec.GatewayReports{Head: c.impact.to, Full: full}
+	m := &codec.GatewayReports{NewestVersion: c.impact.to, Full: full}
 	for _, name := range c.names {
 		if s := c.subscribers[name]; full || s.pendingReports > 0 {
 			s.pendingReports = max(0, s.pendingReports-1)
--- a/internal/configdist/snapshot.go
+++ b/internal/configdist/snapshot.go
@@ -20,10 +20,10 @@
 	b = codec.AppendUint(codec.AppendUint(codec.AppendUint(b, s.released.Ref.Number), r.Version), uint64(r.Stage))
 	b = codec.AppendString(codec.AppendString(codec.AppendString(b, r.Canary), r.Zone), r.Reason)
 	b = codec.AppendUint(codec.AppendUint(b, r.Attempt), uint64(len(s.versions)))
-	previous := content.Empty()
+	previous := content.EmptyTree()
 	for _, v := range s.versions {
 		b = codec.AppendUint(codec.AppendRef(b, v.Ref), v.Proposal)
-		services := content.Affected(previous, v.Tree)
+		services := content.ChangedServices(previous, v.Tree)
 		changes, _, _ := content.Page(previous, v.Tree, services, content.Cursor{}, math.MaxInt)
 		b = codec.AppendChanges(b, changes)
 		previous = v.Tree
@@ -35,7 +35,7 @@
 var ErrSnapshot = errors.New("unusable snapshot")
 
 func snapshotError(format string, args ...any) error {
-	return fielderror.Worded(ErrSnapshot, "configdist: snapshot"+format, args...)
+	return fielderror.CauseWithText(ErrSnapshot, "configdist: snapshot"+format, args...)
 }
 
 // RestoreStore decodes a store from a snapshot. Invalid data is an ErrSnapshot.
@@ -48,9 +48,9 @@
 	s := &Store{rollout: Rollout{
 		Version: r.Uint(),
 		Stage:   Stage(r.Uint()),
-		Canary:  r.String(content.MaxName),
-		Zone:    r.String(content.MaxName),
-		Reason:  r.String(codec.MaxReason),
+		Canary:  r.String(content.MaxNameBytes),
+		Zone:    r.String(content.MaxNameBytes),
+		Reason:  r.String(codec.MaxReasonBytes),
 		Attempt: r.Uint(),
 	}}
 	if err := s.readVersions(r); err != nil {
@@ -67,7 +67,7 @@
 // readVersions decodes the versions, each from its differences to the previous one, and verifies their hashes and
 // order.
 func (s *Store) readVersions(r *codec.Reader) error {
-	tree := content.Empty()
+	tree := content.EmptyTree()
 	for range r.Count() {
 		v := &Version{Ref: r.Ref(), Proposal: r.Uint()}
 		changes := r.Changes()
--- a/internal/configdist/store.go
+++ b/internal/configdist/store.go
@@ -37,7 +37,7 @@
 
 // NewStore returns a store with the released version 0, which is empty.
 func NewStore() *Store {
-	tree := content.Empty()
+	tree := content.EmptyTree()
 	first := &Version{Ref: content.Ref{Hash: tree.Hash()}, Tree: tree}
 	return &Store{versions: []*Version{first}, released: first}
 }
@@ -152,7 +152,7 @@
 // moveStage starts the rollout of a version that is newer than the released one, or advances the rollout in progress.
 // A stage may be restarted with another canary or zone.
 func (s *Store) moveStage(c *Command) (content.Ref, error) {
-	if len(c.Canary) > content.MaxName || len(c.Zone) > content.MaxName {
+	if len(c.Canary) > content.MaxNameBytes || len(c.Zone) > content.MaxNameBytes {
 		return content.Ref{}, ErrCommand
 	}
 	expected := s.rollout.Version
--- a/internal/configdist/subscriber.go
+++ b/internal/configdist/subscriber.go
@@ -132,7 +132,7 @@
 // page returns a page of the changes that a gateway needs for a version, either from the version that it has or from
 // the empty configuration. If the version that it has is no longer stored here, the page is the first of a snapshot.
 func (c *Controller) page(s *subscriber, v *Version, from content.Ref, after content.Cursor, limit int) *codec.Page {
-	base := content.Empty()
+	base := content.EmptyTree()
 	if from != (content.Ref{}) {
 		if known := c.machine.store.Version(from.Number); known != nil && known.Ref == from {
 			base = known.Tree
--- a/internal/lab/configsim/generate.go
+++ b/internal/lab/configsim/generate.go
@@ -23,7 +23,7 @@
 	bytes := 0
 	add := func(e content.Entry) {
 		list = append(list, content.Change{Entry: e})
-		if bytes += len(e.Service) + len(e.Name) + len(e.Body) + 8; bytes > content.MaxBytes/2 {
+		if bytes += len(e.Service) + len(e.Name) + len(e.Body) + 8; bytes > content.MaxProposalBytes/2 {
 			proposals = append(proposals, list)
 			list, bytes = nil, 0
 		}
--- a/internal/lab/configsim/process.go
+++ b/internal/lab/configsim/process.go
@@ -90,7 +90,7 @@
 	m, _, err := r.Receive(frame)
 	if err != nil {
 		p.Rejected++
-		if errors.Is(err, codec.ErrRepeated) {
+		if errors.Is(err, codec.ErrDuplicate) {
 			p.Repeated++
 		}
 		return
