--- a/internal/configdist/report.go
+++ b/internal/configdist/report.go
@@ -9,14 +9,14 @@
 	"thymebend/internal/configdist/content"
 )
 
-// impact is which services differ between the released version and the one that is rolled out, or is to be next.
-// Reports say of a gateway whether that affects it.
+// impact lists the services that differ between the released version and the candidate, which is the version being
+// rolled out or, without a rollout, the newest one. Reports say whether a gateway is affected by these differences.
 type impact struct {
 	from, to uint64 // versions
 	services map[string]bool
 }
 
-// affects reports whether a gateway has one of the services.
+// affects reports whether a gateway subscribes to one of the services.
 func (i *impact) affects(s *subscriber) bool {
 	if len(s.services) == 0 {
 		return len(i.services) > 0
@@ -24,7 +24,7 @@
 	return slices.ContainsFunc(s.services, func(name string) bool { return i.services[name] })
 }
 
-// updateImpact works out which gateways are affected, where the store has changed.
+// updateImpact recomputes which gateways are affected if the released version or the candidate has changed.
 func (c *Controller) updateImpact() {
 	store := c.machine.store
 	to := store.Candidate()
@@ -34,19 +34,20 @@
 	if c.impact.services != nil && c.impact.from == store.released.Ref.Number && c.impact.to == to.Ref.Number {
 		return
 	}
-	c.coordinator.impactReports = reportRepeats
+	c.coordinator.pendingImpactReports = reportRepeats
 	c.impact = impact{from: store.released.Ref.Number, to: to.Ref.Number, services: make(map[string]bool)}
 	for _, name := range content.ChangedServices(store.released.Tree, to.Tree) {
 		c.impact.services[name] = true
 	}
 	for _, s := range c.subscribers {
 		if affected := c.impact.affects(s); affected != s.affected {
-			s.affected, s.reportsLeft = affected, reportRepeats
+			s.affected, s.pendingReports = affected, reportRepeats
 		}
 	}
 }
 
-// reportToLeader sends the leader what has changed of this control machine's gateways, and everything now and then.
+// reportToLeader sends the leader the changed states of the gateways subscribed here, and the states of all of them
+// every fullReportInterval and to a new leader.
 func (c *Controller) reportToLeader() {
 	status := c.log.Status()
 	if status.IsLeader || status.Leader == 0 {
@@ -56,22 +57,22 @@
 	full := c.reportedTo != status.Leader || c.now >= c.nextFullReport
 	m := &codec.GatewayReports{NewestVersion: c.impact.to, Full: full}
 	for _, name := range c.names {
-		if s := c.subscribers[name]; full || s.reportsLeft > 0 {
-			s.reportsLeft = max(0, s.reportsLeft-1)
+		if s := c.subscribers[name]; full || s.pendingReports > 0 {
+			s.pendingReports = max(0, s.pendingReports-1)
 			m.Gateways = append(m.Gateways, c.reportOf(s))
 		}
 	}
-	if !full && len(m.Gateways) == 0 && c.coordinator.impactReports == 0 {
+	if !full && len(m.Gateways) == 0 && c.coordinator.pendingImpactReports == 0 {
 		return
 	}
-	c.coordinator.impactReports = max(0, c.coordinator.impactReports-1)
+	c.coordinator.pendingImpactReports = max(0, c.coordinator.pendingImpactReports-1)
 	if full {
 		c.reportedTo, c.nextFullReport = status.Leader, c.now+fullReportInterval
 	}
 	c.output.Peers = append(c.output.Peers, ToPeer{status.Leader, m})
 }
 
-// reportOf is what the leader is told of a gateway.
+// reportOf returns the report about a gateway for the leader.
 func (c *Controller) reportOf(s *subscriber) codec.GatewayReport {
 	r := codec.GatewayReport{Gateway: s.gateway, Zone: s.zone, Session: s.session, State: s.state,
 		Affected: s.affected, Silent: c.now-s.lastSeen > silenceTimeout}
@@ -81,21 +82,21 @@
 	return r
 }
 
-// peer is what another control machine has reported.
+// peer holds the reports of another control machine.
 type peer struct {
-	head     uint64 // version that its reports' Affected is about
-	lastSeen time.Duration
-	gateways map[string]codec.GatewayReport
+	newestVersion uint64 // candidate version that Affected in its reports refers to
+	lastSeen      time.Duration
+	gateways      map[string]codec.GatewayReport
 }
 
-// gatewayStatus is a gateway's report with the control machine where it is subscribed.
+// gatewayStatus is a gateway's report with the ID of the control machine where the gateway is subscribed.
 type gatewayStatus struct {
 	codec.GatewayReport
 	Controller uint64
 }
 
-// gateways lists what is known of every gateway, by name. Where two control machines report one, the later session
-// counts.
+// gateways returns the status of every known gateway, sorted by name. If two control machines report the same
+// gateway, the report with the higher session is used.
 func (c *Controller) gateways() []gatewayStatus {
 	all := make(map[string]gatewayStatus)
 	add := func(controller uint64, r codec.GatewayReport) {
--- a/internal/lab/configsim/cluster.go
+++ b/internal/lab/configsim/cluster.go
@@ -10,24 +10,24 @@
 	"thymebend/internal/raft"
 )
 
-// Config is a cluster's size and ways.
+// Config sets a cluster's size and behaviour.
 type Config struct {
 	Name      string
 	Gateways  int
 	Zones     int
 	Regions   int
-	Services  func(gateway int) []string // that a gateway serves; nil for all
+	Services  func(gateway int) []string // returns the services of a gateway; nil means all
 	Policy    configdist.Policy
-	PageBytes int // see rollout.ControllerConfig
-	Snapshots int // entries between two of the log's; 0 for the default
+	PageBytes int // see configdist.ControllerConfig
+	Snapshots int // log entries between two snapshots; 0 means the default
 	Seed      uint64
-	Installed func(g *Gateway, ref content.Ref) // is told of each version in force, or nil
+	Installed func(g *Gateway, ref content.Ref) // is called after each installation, unless nil
 }
 
-// machines is how many control machines there are: three voters and a standby.
-const machines = 4
+// controlMachineCount is the number of control machines: three voters and a standby.
+const controlMachineCount = 4
 
-// Cluster is control machines and gateways.
+// Cluster is a set of control machines and gateways, with the violations of invariants found so far.
 type Cluster struct {
 	ControlMachines []*ControlMachine
 	Gateways        []*Gateway
@@ -38,11 +38,11 @@
 	net        Network
 	rng        *rand.Rand
 	invariants invariants
-	answer     map[uint64]func(configdist.Result) // by the command's ID
+	onResult   map[uint64]func(configdist.Result) // called with a command's result; by its ID
 	nextID     uint64
 }
 
-// New makes a cluster. None of its processes runs yet.
+// New returns a cluster. None of its processes runs yet.
 func New(cfg Config, clock Clock, net Network) *Cluster {
 	cl := &Cluster{
 		cfg:        cfg,
@@ -50,13 +50,13 @@
 		net:        net,
 		rng:        rand.New(rand.NewPCG(cfg.Seed, 0x4011)),
 		invariants: newInvariants(),
-		answer:     make(map[uint64]func(configdist.Result)),
+		onResult:   make(map[uint64]func(configdist.Result)),
 	}
-	for i := range machines {
+	for i := range controlMachineCount {
 		cl.ControlMachines = append(cl.ControlMachines, &ControlMachine{
 			process: process{cluster: cl, endpoint: Endpoint{true, i}},
 			ID:      uint64(i + 1),
-			Region:  regionName(i * cfg.Regions / machines),
+			Region:  regionName(i * cfg.Regions / controlMachineCount),
 			disk:    &raft.MemoryStorage{},
 		})
 	}
@@ -78,7 +78,7 @@
 
 func regionName(i int) string { return fmt.Sprint("region-", i) }
 
-// RegionOf is the region of a place.
+// RegionOf returns the region of an endpoint.
 func (cl *Cluster) RegionOf(e Endpoint) string {
 	if e.Control {
 		return cl.ControlMachines[e.Index].Region
@@ -86,31 +86,32 @@
 	return cl.Gateways[e.Index].Region
 }
 
-// Violate notes a broken rule.
-func (cl *Cluster) Violate(format string, args ...any) {
+// ReportViolation records the violation of an invariant, with the virtual time.
+func (cl *Cluster) ReportViolation(format string, args ...any) {
 	cl.Violations = append(cl.Violations, fmt.Sprintf("%.3f s: ", cl.clock.Now().Seconds())+fmt.Sprintf(format,
 		args...))
 }
 
-// InForce counts the gateways that are up, and those of them that have a version or a newer one in force.
-func (cl *Cluster) InForce(number uint64) (have, up int) {
+// InForce counts the gateways that are running, and those of them that have a version or a newer one in force.
+func (cl *Cluster) InForce(number uint64) (updated, up int) {
 	for _, g := range cl.Gateways {
 		if !g.up {
 			continue
 		}
 		up++
 		if g.Running.Ref.Number >= number {
-			have++
+			updated++
 		}
 	}
-	return have, up
+	return updated, up
 }
 
-// Newest is the highest version that was seen to be committed.
+// Newest returns the number of the newest version that any control machine has shown as committed.
 func (cl *Cluster) Newest() uint64 { return cl.invariants.newest }
 
-// lagging names a living gateway that has not a version in force, or a newer one, and would not refuse either.
-func (cl *Cluster) lagging(number uint64) string {
+// laggingGateway describes a running gateway that has neither a version nor a newer one in force, although it would
+// not reject any of them. It returns an empty text if there is none.
+func (cl *Cluster) laggingGateway(number uint64) string {
 	for _, g := range cl.Gateways {
 		if g.up && g.Running.Ref.Number < number && !cl.invariants.rejects(g, number) {
 			return fmt.Sprintf("%s has version %v in force, not %d", g.Name, g.Running.Ref, number)
--- a/internal/lab/configsim/net.go
+++ b/internal/lab/configsim/net.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Net is a virtual network: frames are late, lost, doubled, overtaken and cut off.
+// Net is a virtual network that delays, loses, duplicates and reorders frames, and can be partitioned.
 type Net struct {
 	Latency, Jitter time.Duration
-	RegionLatency   time.Duration // regions, more than Latency
+	RegionLatency   time.Duration // added to Latency between two regions
 	Loss, Duplicate float64
-	Cut             func(from, to Endpoint) bool // nil is no cut
-	Region          func(e Endpoint) string      // of a place
+	Cut             func(from, to Endpoint) bool // reports whether frames are dropped; nil means never
+	Region          func(e Endpoint) string      // returns the region of an endpoint
 
 	clock Clock
 	rng   *rand.Rand
 }
 
-// NewNet returns a network without troubles.
+// NewNet returns a network that only delays frames.
 func NewNet(clock Clock, seed uint64) *Net {
 	return &Net{Latency: 500 * time.Microsecond, Jitter: 4 * time.Millisecond, RegionLatency: 20 * time.Millisecond,
 		clock: clock, rng: rand.New(rand.NewPCG(seed, 0x2e7))}
@@ -33,10 +33,10 @@
 		copies = 2
 	}
 	for range copies {
-		late := n.Latency + time.Duration(n.rng.Int64N(int64(n.Jitter)+1))
+		delay := n.Latency + time.Duration(n.rng.Int64N(int64(n.Jitter)+1))
 		if n.Region != nil && n.Region(from) != n.Region(to) {
-			late += n.RegionLatency
+			delay += n.RegionLatency
 		}
-		n.clock.At(n.clock.Now()+late, deliver)
+		n.clock.At(n.clock.Now()+delay, deliver)
 	}
 }
