--- a/internal/lab/cli/rollouts.go
+++ b/internal/lab/cli/rollouts.go
@@ -83,20 +83,20 @@
 
 func (c rolloutsCmd) fleet(e *env) error {
 	began := time.Now()
-	f := configsim.Measure(configsim.FleetSize(c.Length, c.Loss, c.From))
-	fmt.Fprintf(e.out, "%d gateways of %d services each, %d services, %d routes, %d tenants, loss %.0f%%, seed %d\n", f.Gateways, f.ServicesEach, f.Size.Services,
+	f := configsim.Measure(configsim.FullSizeScenario(c.Length, c.Loss, c.From))
+	fmt.Fprintf(e.out, "%d gateways of %d services each, %d services, %d routes, %d tenants, loss %.0f%%, seed %d\n", f.Gateways, f.ServicesPerGateway, f.Size.Services,
 		f.Size.Routes, f.Size.Tenants, 100*f.Loss, f.Seed)
 	fmt.Fprintf(e.out, "all start with nothing: whole configuration in force everywhere after %.2f s\n",
-		f.First.Seconds())
+		f.InitialDistribution.Seconds())
 	fmt.Fprintf(e.out, "one change alone, from its submission: half %.2f s, 99%% %.2f s, all %.2f s\n",
-		f.Single[0].Seconds(), f.Single[1].Seconds(), f.Single[2].Seconds())
+		f.SingleChange[0].Seconds(), f.SingleChange[1].Seconds(), f.SingleChange[2].Seconds())
 	fmt.Fprintf(e.out, "%d changes, %d restarts, %d failures in %v, median / 99%% / worst change: half %v, 99%% %v, all %v; from commitment %v\n", f.Changes, f.Restarts, f.Failures,
-		f.Length, f.Half, f.Most, f.All, f.FromCommit)
-	fmt.Fprintf(e.out, "later than 8 s: %d, unfinished: %d, stopped: %d\n", f.Late, f.Unfinished, f.Stopped)
+		f.Duration, f.TimeToHalf, f.TimeTo99Percent, f.TimeToAll, f.TimeToAllFromCommit)
+	fmt.Fprintf(e.out, "later than 8 s: %d, unfinished: %d, stopped: %d\n", f.LateChanges, f.UnfinishedChanges, f.StoppedVersions)
 	fmt.Fprintf(e.out, "bytes a second: gateway %.0f at rest, %.0f in the run, %.0f at most; control machine sends %.0f, %.0f at most, to %d gateways at most\n", f.IdleRate, f.MeanRate, f.MaxRate,
 		f.ControlRate, f.MaxControlRate, f.Subscribers)
 	fmt.Fprintf(e.out, "processor: gateway %.4f%% of a core, control machine %.2f%%; heap of everything over gateways %d KiB; took %.1f s\n", 100*f.GatewayCPU, 100*f.ControlCPU,
-		f.HeapEach>>10, time.Since(began).Seconds())
+		f.HeapPerGateway>>10, time.Since(began).Seconds())
 	for _, x := range f.Violations[:min(5, len(f.Violations))] {
 		fmt.Fprintln(e.out, x)
 	}
--- a/internal/lab/configsim/changes.go
+++ b/internal/lab/configsim/changes.go
@@ -43,7 +43,7 @@
 				r.submit(r.toggleTenant())
 				return
 			case !proposeFaulty:
-				r.submit(Change(r.size, r.rng))
+				r.submit(DrawChange(r.size, r.rng))
 				return
 			}
 			change := r.faultyChange()
--- a/internal/lab/configsim/check.go
+++ b/internal/lab/configsim/check.go
@@ -71,7 +71,7 @@
 	cl := r.Cluster
 	var ref content.Ref
 	var committedAt time.Duration
-	cl.Submit(Change(r.size, r.rng), func(committed content.Ref, err error) {
+	cl.Submit(DrawChange(r.size, r.rng), func(committed content.Ref, err error) {
 		if err != nil {
 			cl.ReportViolation("the last change: %v", err)
 		}
--- a/internal/lab/configsim/faults.go
+++ b/internal/lab/configsim/faults.go
@@ -107,6 +107,6 @@
 	})
 	r.At(at+r.randomDuration(25*time.Second), func() { r.Net.Cut = nil })
 	for range 3 { // each goes to a random control machine, on either side
-		r.At(at+r.randomDuration(10*time.Second), func() { r.submit(Change(r.size, r.rng)) })
+		r.At(at+r.randomDuration(10*time.Second), func() { r.submit(DrawChange(r.size, r.rng)) })
 	}
 }
--- a/internal/lab/configsim/figures.go
+++ b/internal/lab/configsim/figures.go
@@ -9,22 +9,22 @@
 // Scenario describes a cluster and the events of a run that Measure performs.
 type Scenario struct {
 	Gateways, Zones, Regions int
-	Size                     Size
-	ServicesEach             int // services of one gateway; 0 means all
+	Size                     ConfigurationSize
+	ServicesPerGateway       int // services of one gateway; 0 means all
 	Changes                  int // number of changes in the run
 	// Restarts and Failures are numbers of gateways in the run. A tenth of the restarts and all failures are followed
 	// by a replacement machine without stored data.
 	Restarts, Failures int
-	Length             time.Duration // of the run
+	Duration           time.Duration // of the run
 	Loss               float64
 	Seed               uint64
 }
 
-// FleetSize returns a scenario with the cluster size expected in two years, and a day's events in one run.
-func FleetSize(length time.Duration, loss float64, seed uint64) Scenario {
+// FullSizeScenario returns a scenario with the cluster size expected in two years, and a day's events in one run.
+func FullSizeScenario(length time.Duration, loss float64, seed uint64) Scenario {
 	return Scenario{
-		Gateways: 870, Zones: 7, Regions: 2, Size: Size{Services: 390, Routes: 4100, Tenants: 44_000},
-		ServicesEach: 40, Changes: 720, Restarts: 490, Failures: 21, Length: length, Loss: loss, Seed: seed,
+		Gateways: 870, Zones: 7, Regions: 2, Size: ConfigurationSize{Services: 390, Routes: 4100, Tenants: 44_000},
+		ServicesPerGateway: 40, Changes: 720, Restarts: 490, Failures: 21, Duration: length, Loss: loss, Seed: seed,
 	}
 }
 
@@ -48,22 +48,22 @@
 // Figures are the results of a measured run.
 type Figures struct {
 	Scenario
-	First    time.Duration // from the start of all gateways until all have the complete configuration in force
-	IdleRate float64       // bytes per second and gateway without changes
-	// Single is the time of one change alone until it is in force at half, 99% and all of the gateways.
-	Single [3]time.Duration
+	InitialDistribution time.Duration // from the start of all gateways until all have the complete configuration in force
+	IdleRate            float64       // bytes per second and gateway without changes
+	// SingleChange is the time of one change alone until it is in force at half, 99% and all of the gateways.
+	SingleChange [3]time.Duration
 	// These are the times from the submission of a change until it is in force at half, 99% and all of the gateways
 	// that have run since then.
-	Half, Most, All             Distribution
-	FromCommit                  Distribution // time until all of them, but from the commit of the change
-	Late                        int          // changes that took longer than 8 s to be in force at all of them
-	Unfinished                  int          // changes not in force at all of them at the end of the run
-	Stopped                     int          // versions whose rollout was stopped
-	MeanRate, MaxRate           float64      // bytes per second of a gateway over the run: mean and maximum
-	ControlRate, MaxControlRate float64      // bytes per second that a control machine sent: mean and maximum
-	GatewayCPU                  float64      // mean share of a core that an agent used, by real time
-	ControlCPU                  float64      // the same for a control machine, maximum
-	HeapEach                    uint64       // bytes of heap in use by the whole cluster per gateway
-	Subscribers                 int          // gateways subscribed to one control machine, maximum
-	Violations                  []string
+	TimeToHalf, TimeTo99Percent, TimeToAll Distribution
+	TimeToAllFromCommit                    Distribution // time until all of them, but from the commit of the change
+	LateChanges                            int          // changes that took longer than 8 s to be in force at all of them
+	UnfinishedChanges                      int          // changes not in force at all of them at the end of the run
+	StoppedVersions                        int          // versions whose rollout was stopped
+	MeanRate, MaxRate                      float64      // bytes per second of a gateway over the run: mean and maximum
+	ControlRate, MaxControlRate            float64      // bytes per second that a control machine sent: mean and maximum
+	GatewayCPU                             float64      // mean share of a core that an agent used, by real time
+	ControlCPU                             float64      // the same for a control machine, maximum
+	HeapPerGateway                         uint64       // bytes of heap in use by the whole cluster per gateway
+	Subscribers                            int          // gateways subscribed to one control machine, maximum
+	Violations                             []string
 }
--- a/internal/lab/configsim/generate.go
+++ b/internal/lab/configsim/generate.go
@@ -10,15 +10,15 @@
 // minTimeoutMS is the minimum timeout in a generated body, in milliseconds.
 const minTimeoutMS = 40
 
-// Size is the number of entries of each kind in a configuration.
-type Size struct{ Services, Routes, Tenants int }
+// ConfigurationSize is the number of entries of each kind in a configuration.
+type ConfigurationSize struct{ Services, Routes, Tenants int }
 
 // ServiceName returns the name of a service in a generated configuration.
 func ServiceName(i int) string { return fmt.Sprintf("service-%03d", i) }
 
-// Bootstrap generates a configuration of the given size, divided into proposals that each fit into a log entry. They
+// GenerateProposals generates a configuration of the given size, divided into proposals that each fit into a log entry. They
 // must be proposed in order.
-func Bootstrap(size Size, rng *rand.Rand) (proposals [][]content.Change) {
+func GenerateProposals(size ConfigurationSize, rng *rand.Rand) (proposals [][]content.Change) {
 	var list []content.Change
 	bytes := 0
 	add := func(e content.Entry) {
@@ -47,8 +47,8 @@
 	return fmt.Sprintf("limit=%d burst=%d timeout_ms=%d", rng.IntN(1000), rng.IntN(100), minTimeoutMS+rng.IntN(1000))
 }
 
-// Change draws an ordinary change, which gives a tenant or a route a new body.
-func Change(size Size, rng *rand.Rand) []content.Change {
+// DrawChange draws an ordinary change, which gives a tenant or a route a new body.
+func DrawChange(size ConfigurationSize, rng *rand.Rand) []content.Change {
 	e := content.Entry{Kind: content.Tenant, Name: fmt.Sprintf("tenant-%05d", rng.IntN(max(1, size.Tenants)))}
 	number := 0
 	if size.Tenants == 0 || rng.IntN(4) == 0 {
--- a/internal/lab/configsim/measure.go
+++ b/internal/lab/configsim/measure.go
@@ -32,10 +32,10 @@
 		startedAt: make([]time.Duration, scenario.Gateways)}
 	cfg := Config{Name: "measure", Gateways: scenario.Gateways, Zones: scenario.Zones, Regions: scenario.Regions,
 		Seed: scenario.Seed}
-	if scenario.ServicesEach > 0 {
+	if scenario.ServicesPerGateway > 0 {
 		cfg.Services = func(i int) (list []string) {
-			for k := range scenario.ServicesEach {
-				list = append(list, ServiceName((i*scenario.ServicesEach+k)%scenario.Size.Services))
+			for k := range scenario.ServicesPerGateway {
+				list = append(list, ServiceName((i*scenario.ServicesPerGateway+k)%scenario.Size.Services))
 			}
 			return list
 		}
@@ -43,20 +43,20 @@
 	m.World = NewWorld(cfg)
 	f := Figures{Scenario: scenario}
 	m.Cluster.RunOperator(time.Second, 0)
-	f.First = m.start()
+	f.InitialDistribution = m.start()
 	before := m.traffic()
 	m.Run(m.Now() + 20*time.Second)
 	f.IdleRate = m.rate(before, 20*time.Second).mean
 	m.Net.Loss = scenario.Loss
 	single := m.submit()
 	m.follow(m.Now() + 15*time.Second)
-	f.Single = [3]time.Duration{single.toHalf, single.to99Percent, single.toAll}
+	f.SingleChange = [3]time.Duration{single.toHalf, single.to99Percent, single.toAll}
 	m.changes = nil
 	m.scheduleEvents()
 	before = m.traffic()
 	gatewayBefore, controlBefore := m.cpuTimes()
 	startedAt := m.Now()
-	m.follow(startedAt + scenario.Length)
+	m.follow(startedAt + scenario.Duration)
 	length := m.Now() - startedAt
 	rate := m.rate(before, length)
 	f.MeanRate, f.MaxRate, f.ControlRate, f.MaxControlRate = rate.mean, rate.max, rate.control, rate.controlMax
@@ -87,7 +87,7 @@
 		}
 		m.Cluster.Submit(list[0], func(content.Ref, error) { next(list[1:]) })
 	}
-	next(Bootstrap(m.scenario.Size, m.rng))
+	next(GenerateProposals(m.scenario.Size, m.rng))
 	for !done {
 		m.Run(m.Now() + 100*time.Millisecond)
 	}
@@ -106,7 +106,7 @@
 func (m *measurement) submit() *change {
 	c := &change{submitted: m.Now()}
 	m.changes = append(m.changes, c)
-	m.Cluster.Submit(Change(m.scenario.Size, m.rng), func(ref content.Ref, err error) {
+	m.Cluster.Submit(DrawChange(m.scenario.Size, m.rng), func(ref content.Ref, err error) {
 		c.number, c.committed = ref.Number, m.Now()
 	})
 	return c
@@ -114,7 +114,7 @@
 
 // scheduleEvents draws and schedules the changes, restarts and failures of the run.
 func (m *measurement) scheduleEvents() {
-	randomTime := func() time.Duration { return m.Now() + time.Duration(m.rng.Int64N(int64(m.scenario.Length))) }
+	randomTime := func() time.Duration { return m.Now() + time.Duration(m.rng.Int64N(int64(m.scenario.Duration))) }
 	for range m.scenario.Changes {
 		m.At(randomTime(), func() { m.submit() })
 	}
@@ -222,21 +222,21 @@
 	var toHalf, to99Percent, toAll, fromCommit []time.Duration
 	for _, c := range m.changes {
 		if c.toAll == 0 {
-			f.Unfinished++
+			f.UnfinishedChanges++
 			continue
 		}
 		toHalf, to99Percent = append(toHalf, c.toHalf), append(to99Percent, c.to99Percent)
 		toAll = append(toAll, c.toAll)
 		fromCommit = append(fromCommit, c.submitted+c.toAll-c.committed)
 		if c.toAll > convergenceLimit {
-			f.Late++
+			f.LateChanges++
 		}
 	}
-	f.Half, f.Most, f.All = distributionOf(toHalf), distributionOf(to99Percent), distributionOf(toAll)
-	f.FromCommit = distributionOf(fromCommit)
+	f.TimeToHalf, f.TimeTo99Percent, f.TimeToAll = distributionOf(toHalf), distributionOf(to99Percent), distributionOf(toAll)
+	f.TimeToAllFromCommit = distributionOf(fromCommit)
 	for _, v := range m.Cluster.invariants.versions {
 		if v.stoppedAt != 0 {
-			f.Stopped++
+			f.StoppedVersions++
 		}
 	}
 	for _, c := range m.Cluster.ControlMachines {
@@ -251,5 +251,5 @@
 	var memory runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&memory)
-	f.HeapEach = memory.HeapInuse / uint64(m.scenario.Gateways)
+	f.HeapPerGateway = memory.HeapInuse / uint64(m.scenario.Gateways)
 }
--- a/internal/lab/configsim/play.go
+++ b/internal/lab/configsim/play.go
@@ -63,7 +63,7 @@
 type run struct {
 	*World
 	rng  *rand.Rand
-	size Size
+	size ConfigurationSize
 	out  Outcome
 }
 
@@ -74,7 +74,7 @@
 func Play(seed uint64) Outcome {
 	rng := rand.New(rand.NewPCG(seed, 0x5eed))
 	gateways := 10 + rng.IntN(31)
-	size := Size{Services: 12, Routes: 60, Tenants: 240}
+	size := ConfigurationSize{Services: 12, Routes: 60, Tenants: 240}
 	services := func(i int) (list []string) {
 		for k := range size.Services {
 			if (i*7+k*5)%3 == 0 || k == i%size.Services {
@@ -106,7 +106,7 @@
 		r.At(time.Duration(r.rng.IntN(3000))*time.Millisecond, func() { cl.StartGateway(i) })
 	}
 	cl.RunOperator(time.Duration(r.rng.IntN(1500))*time.Millisecond, 0.3)
-	r.submitAll(Bootstrap(r.size, r.rng))
+	r.submitAll(GenerateProposals(r.size, r.rng))
 }
 
 // submitAll submits the changes one after another, each once the previous one is committed or rejected.
--- a/internal/lab/configsim/play_test.go
+++ b/internal/lab/configsim/play_test.go
@@ -34,17 +34,17 @@
 // Runs a small cluster with many changes and restarts in a short time. The checked traffic and times are of the
 // simulation, so they are the same on every machine.
 func TestMeasureStaysWithinTrafficAndTimeBounds(t *testing.T) {
-	scenario := Scenario{Gateways: 64, Zones: 7, Regions: 2, Size: Size{Services: 40, Routes: 200, Tenants: 800},
-		ServicesEach: 8, Changes: 30, Restarts: 20, Failures: 2,
-		Length: 30 * time.Second, Loss: 0.05, Seed: 1}
+	scenario := Scenario{Gateways: 64, Zones: 7, Regions: 2, Size: ConfigurationSize{Services: 40, Routes: 200, Tenants: 800},
+		ServicesPerGateway: 8, Changes: 30, Restarts: 20, Failures: 2,
+		Duration: 30 * time.Second, Loss: 0.05, Seed: 1}
 	f := Measure(scenario)
 	t.Logf("%+v", f)
-	if len(f.Violations) > 0 || f.Unfinished > 0 || f.Late > 0 || f.Stopped > 0 {
-		t.Errorf("violations %v, %d changes unfinished, %d late, %d rollouts stopped", f.Violations, f.Unfinished,
-			f.Late, f.Stopped)
+	if len(f.Violations) > 0 || f.UnfinishedChanges > 0 || f.LateChanges > 0 || f.StoppedVersions > 0 {
+		t.Errorf("violations %v, %d changes unfinished, %d late, %d rollouts stopped", f.Violations, f.UnfinishedChanges,
+			f.LateChanges, f.StoppedVersions)
 	}
-	if f.IdleRate > 150 || f.MeanRate > 1000 || f.Single[2] > 4*time.Second || f.Subscribers > 40 {
+	if f.IdleRate > 150 || f.MeanRate > 1000 || f.SingleChange[2] > 4*time.Second || f.Subscribers > 40 {
 		t.Errorf("%.0f bytes per second without changes, %.0f in the run, a single change took %v, %d subscribers",
-			f.IdleRate, f.MeanRate, f.Single, f.Subscribers)
+			f.IdleRate, f.MeanRate, f.SingleChange, f.Subscribers)
 	}
 }
--- a/internal/lab/scale/changes.go
+++ b/internal/lab/scale/changes.go
@@ -38,7 +38,7 @@
 		}
 		r.rollouts.Submit(list[0], func(content.Ref, error) { next(list[1:]) })
 	}
-	next(configsim.Bootstrap(r.size(), r.rng))
+	next(configsim.GenerateProposals(r.size(), r.rng))
 	for end := r.sim.Now() + bootWithin; !stored && r.sim.Now() < end && !r.sim.Interrupted(); {
 		r.sim.Run(r.sim.Now() + 100*time.Millisecond)
 	}
@@ -84,7 +84,7 @@
 func (r *run) submit() {
 	c := &change{submitted: r.sim.Now()}
 	r.changes = append(r.changes, c)
-	r.rollouts.Submit(configsim.Change(r.size(), r.rng), func(ref content.Ref, err error) { c.number = ref.Number })
+	r.rollouts.Submit(configsim.DrawChange(r.size(), r.rng), func(ref content.Ref, err error) { c.number = ref.Number })
 }
 
 // lookAtChanges counts who has which change in force.
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -81,8 +81,8 @@
 }
 
 // size is that of the configuration.
-func (f *fleet) size() configsim.Size {
-	return configsim.Size{Services: f.options.Services, Routes: f.options.Routes, Tenants: f.options.Tenants}
+func (f *fleet) size() configsim.ConfigurationSize {
+	return configsim.ConfigurationSize{Services: f.options.Services, Routes: f.options.Routes, Tenants: f.options.Tenants}
 }
 
 // start starts a gateway's process; replaced says that another machine does, which has kept nothing.
