--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -32,7 +32,7 @@
 		if err != nil {
 			return err
 		}
-		if err := a.answer(&batch); err != nil {
+		if err := a.process(&batch); err != nil {
 			return err
 		}
 		if _, err := a.reply.WriteTo(out); err != nil {
@@ -56,8 +56,8 @@
 	reply     simproto.Reply
 }
 
-// answer handles all events of a batch, then lets each instance that had one dispatch.
-func (a *adapter) answer(batch *simproto.Batch) error {
+// process handles all events of a batch, then lets each instance that had one dispatch.
+func (a *adapter) process(batch *simproto.Batch) error {
 	a.reply.Reset()
 	a.touched = a.touched[:0]
 	a.batches++
@@ -72,7 +72,7 @@
 		}
 		if e.Instance != current {
 			current = e.Instance
-			a.touch(current)
+			a.markTouched(current)
 			a.reply.SetInstance(current)
 		}
 		if err := a.handle(batch, e); err != nil {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-func (a *adapter) touch(number int) {
+func (a *adapter) markTouched(number int) {
 	if a.lastBatch[number] == a.batches {
 		return
 	}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-const siteSettings = `balancers=2
+const instanceSettings = `balancers=2
 classes.count=1
 classes.0.aim_ms=500
 classes.0.give_up_ms=1000
@@ -28,45 +28,45 @@
 	return out
 }
 
-func number(code byte, skip int, v uint32) []byte {
+func recordWithUint32(code byte, skip int, v uint32) []byte {
 	return binary.LittleEndian.AppendUint32(append([]byte{code}, make([]byte, skip)...), v)
 }
 
-func start(length int) []byte {
-	return binary.LittleEndian.AppendUint32(number(10, 8, 0), uint32(length))
+func startRecord(length int) []byte {
+	return binary.LittleEndian.AppendUint32(recordWithUint32(10, 8, 0), uint32(length))
 }
 
-func query(id uint32) []byte {
-	rec := append(number(7, 0, id), make([]byte, 12)...)
+func requestRecord(id uint32) []byte {
+	rec := append(recordWithUint32(7, 0, id), make([]byte, 12)...)
 	return binary.LittleEndian.AppendUint64(rec, math.Float64bits(1000))
 }
 
-// codes lists instance and action code of each action in a stream of replies.
-func codes(t *testing.T, out []byte) [][2]int {
+// actionCodes lists instance and action code of each action in a stream of replies.
+func actionCodes(t *testing.T, out []byte) [][2]int {
 	t.Helper()
-	var acts [][2]int
-	inst := -1
+	var actions [][2]int
+	instance := -1
 	for len(out) > 0 {
 		count, size := binary.LittleEndian.Uint32(out), binary.LittleEndian.Uint32(out[4:])
 		for i := range count {
 			rec := out[8+24*i:]
 			if rec[0] == 13 {
-				inst = int(binary.LittleEndian.Uint16(rec[1:]))
+				instance = int(binary.LittleEndian.Uint16(rec[1:]))
 				continue
 			}
-			acts = append(acts, [2]int{inst, int(rec[0])})
+			actions = append(actions, [2]int{instance, int(rec[0])})
 		}
 		out = out[size:]
 	}
-	return acts
+	return actions
 }
 
 // Guards against events or actions that reach another instance than their own.
-func TestInstancesAreSeparate(t *testing.T) {
+func TestEventsAndActionsStayWithTheirInstance(t *testing.T) {
 	in := bytes.Join([][]byte{
-		batch(10, siteSettings, []byte{8, 1}, start(len(siteSettings)), []byte{8, 2}, start(len(siteSettings))),
-		batch(20, "", []byte{8, 2}, query(5)),
-		batch(30, "", []byte{8, 2}, []byte{11}, []byte{8, 1}, query(5)),
+		batch(10, instanceSettings, []byte{8, 1}, startRecord(len(instanceSettings)), []byte{8, 2}, startRecord(len(instanceSettings))),
+		batch(20, "", []byte{8, 2}, requestRecord(5)),
+		batch(30, "", []byte{8, 2}, []byte{11}, []byte{8, 1}, requestRecord(5)),
 		batch(40, ""),
 	}, nil)
 	var out bytes.Buffer
@@ -75,7 +75,7 @@
 	}
 	// Each start wakes for its samples; each request is held and asks for a look at the queue.
 	want := [][2]int{{1, 5}, {2, 5}, {2, 5}, {1, 5}}
-	got := codes(t, out.Bytes())
+	got := actionCodes(t, out.Bytes())
 	if len(got) != len(want) {
 		t.Fatalf("actions = %v, want %v", got, want)
 	}
@@ -87,21 +87,21 @@
 }
 
 // Guards against a faulty batch that is answered in part, or whose fault is not named.
-func TestFaultsEndTheRunWithoutAHalfReply(t *testing.T) {
-	ok := batch(10, siteSettings, []byte{8, 1}, start(len(siteSettings)))
-	for want, bad := range map[string][]byte{
-		"instance 9, which has not started": batch(20, "", []byte{8, 9}, query(1)),
+func TestFaultyBatchEndsTheRunWithoutAPartialReply(t *testing.T) {
+	valid := batch(10, instanceSettings, []byte{8, 1}, startRecord(len(instanceSettings)))
+	for want, faulty := range map[string][]byte{
+		"instance 9, which has not started": batch(20, "", []byte{8, 9}, requestRecord(1)),
 		"unknown event code 77":             batch(20, "", []byte{8, 1}, []byte{77}),
-		"balancers is missing":              batch(20, "zone=1", []byte{8, 2}, start(6)),
-		"cut short":                         batch(20, "", []byte{8, 1}, query(1))[:40],
-		"lie outside the tail":              batch(20, "", []byte{8, 1}, start(9)),
-		"Gateways is 0":                     batch(20, "balancers=0\nclasses.count=0\n", []byte{8, 2}, start(28)),
+		"balancers is missing":              batch(20, "zone=1", []byte{8, 2}, startRecord(6)),
+		"cut short":                         batch(20, "", []byte{8, 1}, requestRecord(1))[:40],
+		"lie outside the tail":              batch(20, "", []byte{8, 1}, startRecord(9)),
+		"Gateways is 0":                     batch(20, "balancers=0\nclasses.count=0\n", []byte{8, 2}, startRecord(28)),
 	} {
 		var first, out bytes.Buffer
-		if err := run(bytes.NewReader(ok), &first); err != nil {
+		if err := run(bytes.NewReader(valid), &first); err != nil {
 			t.Fatal(err)
 		}
-		err := run(bytes.NewReader(append(bytes.Clone(ok), bad...)), &out)
+		err := run(bytes.NewReader(append(bytes.Clone(valid), faulty...)), &out)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("err = %v, want one line with %q", err, want)
 		}
--- a/cmd/thymebend/adminclient.go
+++ b/cmd/thymebend/adminclient.go
@@ -17,8 +17,8 @@
 const maxAdminResponse = 4 << 20
 
 // getAdmin sends one GET to a gateway's admin endpoint and returns the response.
-func getAdmin(at netip.AddrPort, path string) (*http1.Message, error) {
-	c, err := net.DialTimeout("tcp", at.String(), adminTimeout)
+func getAdmin(address netip.AddrPort, path string) (*http1.Message, error) {
+	c, err := net.DialTimeout("tcp", address.String(), adminTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -26,7 +26,7 @@
 	if err := c.SetDeadline(time.Now().Add(adminTimeout)); err != nil {
 		return nil, err
 	}
-	request := http1.AppendRequest(nil, "GET", path, []http1.Field{{Name: "Host", Value: at.String()}}, nil)
+	request := http1.AppendRequest(nil, "GET", path, []http1.Field{{Name: "Host", Value: address.String()}}, nil)
 	if _, err := c.Write(request); err != nil {
 		return nil, err
 	}
--- a/cmd/thymebend/client_test.go
+++ b/cmd/thymebend/client_test.go
@@ -23,27 +23,27 @@
 	return strings.Contains(string(raw), to)
 }
 
-func (r *rig) dial() net.Conn {
-	r.t.Helper()
-	c, err := net.Dial("tcp", r.addr)
+func (g *gatewayProcess) dial() net.Conn {
+	g.t.Helper()
+	c, err := net.Dial("tcp", g.address)
 	if err != nil {
-		r.t.Fatal(err)
+		g.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { c.Close() })
+	g.t.Cleanup(func() { c.Close() })
 	return c
 }
 
-// ask writes raw bytes and reads one answer; status 0 means that none came.
-func ask(t *testing.T, c net.Conn, raw string) (int, http.Header, string) {
+// roundTrip writes raw bytes and reads one answer; status 0 means that none came.
+func roundTrip(t *testing.T, c net.Conn, raw string) (int, http.Header, string) {
 	t.Helper()
 	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(c, raw); err != nil {
 		return 0, nil, ""
 	}
-	return answer(c)
+	return readResponse(c)
 }
 
-func answer(c net.Conn) (int, http.Header, string) {
+func readResponse(c net.Conn) (int, http.Header, string) {
 	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -59,12 +59,12 @@
 	return resp.StatusCode, resp.Header, string(body)
 }
 
-func view(id string, ms int) string {
+func viewRequest(id string, ms int) string {
 	return fmt.Sprintf("GET /view/x?q=1 HTTP/1.1\r\nHost: o\r\n"+
 		"X-Trace-Id: %s\r\nX-Qos: view\r\nX-Expires-In: %dm\r\n\r\n", id, ms)
 }
 
-func lodge(id, body string) string {
+func lodgeRequest(id, body string) string {
 	return fmt.Sprintf("POST /lodge HTTP/1.1\r\nHost: o\r\nX-Trace-Id: %s\r\nX-Qos: lodge\r\nX-Expires-In: 2500m\r\n"+
 		"Content-Length: %d\r\n\r\n%s", id, len(body), body)
 }
--- a/cmd/thymebend/cluster_test.go
+++ b/cmd/thymebend/cluster_test.go
@@ -16,10 +16,10 @@
 // member is one gateway of a cluster in a test.
 type member struct {
 	name, control, file, udp string
-	rig                      *rig
+	process                  *gatewayProcess
 }
 
-type fleetView struct {
+type clusterView struct {
 	Speaking, Settled, Majority, Twin bool
 	Alive, Known                      int
 	Refused                           map[string]int
@@ -38,7 +38,7 @@
 	}
 }
 
-func freeUDP(t *testing.T) string {
+func freeUDPAddress(t *testing.T) string {
 	t.Helper()
 	c, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
@@ -54,49 +54,49 @@
 // startClusterWith has a table more in their files.
 func startClusterWith(t *testing.T, n int, table string) []*member {
 	t.Helper()
-	var all []*member
-	var book strings.Builder
+	var members []*member
+	var peers strings.Builder
 	for i := range n {
-		s := &member{name: fmt.Sprint("gw-", i), control: freePort(t), udp: freeUDP(t),
+		m := &member{name: fmt.Sprint("gw-", i), control: freeTCPAddress(t), udp: freeUDPAddress(t),
 			file: filepath.Join(t.TempDir(), "fleet.toml")}
-		fmt.Fprintf(&book, "[[peer]]\nname = %q\naddr = %q\n", s.name, s.udp)
-		all = append(all, s)
+		fmt.Fprintf(&peers, "[[peer]]\nname = %q\naddr = %q\n", m.name, m.udp)
+		members = append(members, m)
 	}
-	for _, s := range all {
-		text := fmt.Sprintf("fleet = \"f\"\nlisten = %q\n%s%s", s.udp, table, book.String())
-		if err := os.WriteFile(s.file, []byte(text), 0o600); err != nil {
+	for _, m := range members {
+		text := fmt.Sprintf("fleet = \"f\"\nlisten = %q\n%s%s", m.udp, table, peers.String())
+		if err := os.WriteFile(m.file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s.start(t)
+		m.start(t)
 	}
-	for _, s := range all {
-		s.until(t, "to know all", func(v fleetView) bool { return v.Alive == n && v.Known == n && v.Majority })
+	for _, m := range members {
+		m.waitFor(t, "to know all", func(v clusterView) bool { return v.Alive == n && v.Known == n && v.Majority })
 	}
-	return all
+	return members
 }
 
-func (s *member) start(t *testing.T) {
+func (m *member) start(t *testing.T) {
 	t.Helper()
-	t.Setenv("LB_FLEET", s.file)
-	h := newEndpoint(t, "s-1", ok)
-	s.rig = start(t, map[string]any{"name": s.name, "control": s.control}, h)
+	t.Setenv("LB_FLEET", m.file)
+	h := newEndpoint(t, "s-1", respondOK)
+	m.process = start(t, map[string]any{"name": m.name, "control": m.control}, h)
 }
 
-func (s *member) view(t *testing.T) (v fleetView) {
+func (m *member) view(t *testing.T) (v clusterView) {
 	t.Helper()
-	status, body := askAdmin(t, s.control, "GET /ops/fleet HTTP/1.1\r\nHost: x\r\n\r\n")
+	status, body := callAdmin(t, m.control, "GET /ops/fleet HTTP/1.1\r\nHost: x\r\n\r\n")
 	if err := json.Unmarshal([]byte(body), &v); status != 200 || err != nil {
-		t.Fatalf("%s: %d %q %v", s.name, status, body, err)
+		t.Fatalf("%s: %d %q %v", m.name, status, body, err)
 	}
 	return v
 }
 
-func (s *member) until(t *testing.T, what string, holds func(fleetView) bool) {
+func (m *member) waitFor(t *testing.T, what string, condition func(clusterView) bool) {
 	t.Helper()
-	until(t, s.name+" "+what, func() bool { return holds(s.view(t)) })
+	waitFor(t, m.name+" "+what, func() bool { return condition(m.view(t)) })
 }
 
-func (v fleetView) state(name string) string {
+func (v clusterView) state(name string) string {
 	for _, m := range v.Members {
 		if m.Name == name {
 			return m.State
@@ -107,67 +107,67 @@
 
 // Guards against a view that misses a kill, a restart under the same name, a leave or new seed peers.
 func TestMembershipFollowsProcesses(t *testing.T) {
-	all := startCluster(t, 4)
-	_ = all[3].rig.cmd.Process.Kill()
-	for _, s := range all[:3] {
-		s.until(t, "to hold the one that was killed for gone",
-			func(v fleetView) bool { return v.state("gw-3") == "gone" && v.Alive == 3 })
+	members := startCluster(t, 4)
+	_ = members[3].process.cmd.Process.Kill()
+	for _, m := range members[:3] {
+		m.waitFor(t, "to hold the one that was killed for gone",
+			func(v clusterView) bool { return v.state("gw-3") == "gone" && v.Alive == 3 })
 	}
-	all[3].start(t)
-	for _, s := range all {
-		s.until(t, "to know all again", func(v fleetView) bool { return v.Alive == 4 })
+	members[3].start(t)
+	for _, m := range members {
+		m.waitFor(t, "to know all again", func(v clusterView) bool { return v.Alive == 4 })
 	}
-	if err := all[2].rig.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+	if err := members[2].process.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range []*member{all[0], all[1], all[3]} {
-		s.until(t, "to hold the one that was stopped for left",
-			func(v fleetView) bool { return v.state("gw-2") == "left" && v.Known == 3 })
+	for _, m := range []*member{members[0], members[1], members[3]} {
+		m.waitFor(t, "to hold the one that was stopped for left",
+			func(v clusterView) bool { return v.state("gw-2") == "left" && v.Known == 3 })
 	}
-	if code := all[2].rig.exit(); code != 0 {
+	if code := members[2].process.waitExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
-	text, err := os.ReadFile(all[0].file)
+	text, err := os.ReadFile(members[0].file)
 	if err == nil {
-		err = os.WriteFile(all[0].file,
+		err = os.WriteFile(members[0].file,
 			append(text, "[[peer]]\nname = \"gw-9\"\naddr = \"127.0.0.1:1\"\n"...), 0o600)
 	}
 	if err == nil {
-		err = all[0].rig.cmd.Process.Signal(syscall.SIGHUP)
+		err = members[0].process.cmd.Process.Signal(syscall.SIGHUP)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	all[0].until(t, "to have the new book", func(v fleetView) bool { return v.Known == 4 && v.Alive == 3 })
-	if err := os.WriteFile(all[0].file, []byte("fleet = \"f\"\nlisten = 5\n"), 0o600); err != nil {
+	members[0].waitFor(t, "to have the new book", func(v clusterView) bool { return v.Known == 4 && v.Alive == 3 })
+	if err := os.WriteFile(members[0].file, []byte("fleet = \"f\"\nlisten = 5\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := all[0].rig.cmd.Process.Signal(syscall.SIGHUP); err != nil {
+	if err := members[0].process.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the faulty file to be refused", func() bool { return all[0].rig.logs("gossip file rejected") })
-	if v := all[0].view(t); v.Known != 4 {
+	waitFor(t, "the faulty file to be refused", func() bool { return members[0].process.hasLogged("gossip file rejected") })
+	if v := members[0].view(t); v.Known != 4 {
 		t.Errorf("a faulty file changed the view: %+v", v)
 	}
 }
 
 // Guards against a process that was stopped and, let go, takes others for gone.
-func TestStoppedGatewayComesBack(t *testing.T) {
-	all := startCluster(t, 3)
-	pid := all[1].rig.cmd.Process
+func TestResumedGatewayRejoinsTheCluster(t *testing.T) {
+	members := startCluster(t, 3)
+	pid := members[1].process.cmd.Process
 	if err := pid.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range []*member{all[0], all[2]} {
-		s.until(t, "to hold the one that stands still for gone",
-			func(v fleetView) bool { return v.state("gw-1") == "gone" })
+	for _, m := range []*member{members[0], members[2]} {
+		m.waitFor(t, "to hold the one that stands still for gone",
+			func(v clusterView) bool { return v.state("gw-1") == "gone" })
 	}
 	if err := pid.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range all {
-		s.until(t, "to know all again", func(v fleetView) bool {
-			if s == all[1] && (v.state("gw-0") == "gone" || v.state("gw-2") == "gone") {
+	for _, m := range members {
+		m.waitFor(t, "to know all again", func(v clusterView) bool {
+			if m == members[1] && (v.state("gw-0") == "gone" || v.state("gw-2") == "gone") {
 				t.Fatal("the one that stood still has thrown others out")
 			}
 			return v.Alive == 3
@@ -176,9 +176,9 @@
 }
 
 // Guards against foreign datagrams that change the view or keep the process awake.
-func TestNoiseOnTheGossipSocket(t *testing.T) {
-	all := startCluster(t, 2)
-	c, err := net.Dial("udp4", all[0].udp)
+func TestInvalidGossipDatagramsAreRejected(t *testing.T) {
+	members := startCluster(t, 2)
+	c, err := net.Dial("udp4", members[0].udp)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -189,19 +189,19 @@
 			t.Fatal(err)
 		}
 	}
-	all[0].until(t, "to count the noise", func(v fleetView) bool {
+	members[0].waitFor(t, "to count the noise", func(v clusterView) bool {
 		return v.Refused["spoilt"] == 1 && v.Refused["foreign"] == 1 && v.Refused["strange"] == 1
 	})
-	if v := all[0].view(t); v.Alive != 2 || v.Known != 2 {
+	if v := members[0].view(t); v.Alive != 2 || v.Known != 2 {
 		t.Errorf("%+v", v)
 	}
 }
 
 // Guards against a socket, a timer or a log line of the cluster where no gossip file is given.
-func TestWithoutAGossipFile(t *testing.T) {
-	control := freePort(t)
-	g := start(t, map[string]any{"control": control}, newEndpoint(t, "s-1", ok))
-	if status, _ := askAdmin(t, control, "GET /ops/fleet HTTP/1.1\r\nHost: x\r\n\r\n"); status != 404 {
+func TestNoClusterWithoutAGossipFile(t *testing.T) {
+	control := freeTCPAddress(t)
+	g := start(t, map[string]any{"control": control}, newEndpoint(t, "s-1", respondOK))
+	if status, _ := callAdmin(t, control, "GET /ops/fleet HTTP/1.1\r\nHost: x\r\n\r\n"); status != 404 {
 		t.Errorf("/ops/fleet: %d", status)
 	}
 	files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", g.cmd.Process.Pid))
@@ -238,38 +238,38 @@
 }
 
 // Guards against an upgrade that its peers take for a leave or a restart.
-func TestUpgradeIsNoLeave(t *testing.T) {
+func TestHotRestartIsNotALeave(t *testing.T) {
 	dir, err := os.MkdirTemp("", "up") // short: a Unix socket's path holds 107 bytes
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
 	t.Setenv("TMPDIR", dir)
-	all := startCluster(t, 3)
-	was, began := all[1].view(t), time.Now()
-	next, control := all[0].rig.upgrade()
-	until(t, "the next process to be ready", func() bool { return ready(t, control) })
-	if err := all[0].rig.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+	members := startCluster(t, 3)
+	before, upgradeStart := members[1].view(t), time.Now()
+	next, control := members[0].process.upgrade()
+	waitFor(t, "the next process to be ready", func() bool { return ready(t, control) })
+	if err := members[0].process.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if code := all[0].rig.exit(); code != 0 {
+	if code := members[0].process.waitExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
-	all[0].control, all[0].rig = control, next
-	all[0].until(t, "to speak on", func(v fleetView) bool { return v.Speaking && v.Alive == 3 })
-	for _, s := range all[1:] {
-		s.until(t, "to be settled", func(v fleetView) bool {
+	members[0].control, members[0].process = control, next
+	members[0].waitFor(t, "to speak on", func(v clusterView) bool { return v.Speaking && v.Alive == 3 })
+	for _, m := range members[1:] {
+		m.waitFor(t, "to be settled", func(v clusterView) bool {
 			if v.state("gw-0") != "alive" && v.state("gw-0") != "suspect" {
-				t.Fatalf("%s has the one that was upgraded as %s", s.name, v.state("gw-0"))
+				t.Fatalf("%s has the one that was upgraded as %s", m.name, v.state("gw-0"))
 			}
 			return v.Settled
 		})
 	}
 	// A leave that is taken back within moments shows in no poll, but in how long the state has held.
-	for i, m := range all[1].view(t).Members {
-		if m.StartMS != was.Members[i].StartMS || m.State != "alive" || m.SinceMS < time.Since(began).
+	for i, m := range members[1].view(t).Members {
+		if m.StartMS != before.Members[i].StartMS || m.State != "alive" || m.SinceMS < time.Since(upgradeStart).
 			Milliseconds() {
-			t.Errorf("%+v, was %+v before the upgrade, %v ago", m, was.Members[i], time.Since(began))
+			t.Errorf("%+v, was %+v before the upgrade, %v ago", m, before.Members[i], time.Since(upgradeStart))
 		}
 	}
 }
@@ -277,78 +277,78 @@
 // Guards against a gateway with another file that still takes slow-start tokens, and against others that stop
 // then.
 func TestAssignmentIsReported(t *testing.T) {
-	all := startClusterWith(t, 3, "[shares]\nwarm_rate = 20.0\n")
-	for _, s := range all {
-		s.until(t, "to have its portion", func(v fleetView) bool {
+	members := startClusterWith(t, 3, "[shares]\nwarm_rate = 20.0\n")
+	for _, m := range members {
+		m.waitFor(t, "to have its portion", func(v clusterView) bool {
 			return v.Portion != nil && v.Portion.Stage == "settled" && v.Portion.Agreed &&
 				len(v.Portion.Hosts) == 1 && v.Portion.Hosts[0].Name == "s-1"
 		})
 	}
-	out, err := exec.Command(program, "fleet", all[0].control).CombinedOutput()
+	out, err := exec.Command(program, "fleet", members[0].control).CombinedOutput()
 	if err != nil || !strings.Contains(string(out),
 		"portion: settled (the settled view's division) of 3 gateways") ||
 		!strings.Contains(string(out), "\ns-1   1.000") {
 		t.Errorf("%v\n%s", err, out)
 	}
-	good, err := os.ReadFile(all[0].file)
+	good, err := os.ReadFile(members[0].file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	reload := func(text string) {
 		t.Helper()
-		if err := os.WriteFile(all[0].file, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(members[0].file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := all[0].rig.cmd.Process.Signal(syscall.SIGHUP); err != nil {
+		if err := members[0].process.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 	}
 	reload(string(good) + "[[peer]]\nname = \"gw-9\"\naddr = \"127.0.0.1:1\"\n")
-	all[0].until(t, "to take no turns", func(v fleetView) bool { return !v.Portion.Agreed })
-	if out, _ := exec.Command(program, "fleet", all[0].control).
+	members[0].waitFor(t, "to take no turns", func(v clusterView) bool { return !v.Portion.Agreed })
+	if out, _ := exec.Command(program, "fleet", members[0].control).
 		CombinedOutput(); !strings.Contains(string(out), "NONE NOW") {
 		t.Errorf("%s", out)
 	}
-	for _, s := range all[1:] {
-		if v := s.view(t); !v.Portion.Agreed {
-			t.Errorf("%s takes no turns either", s.name)
+	for _, m := range members[1:] {
+		if v := m.view(t); !v.Portion.Agreed {
+			t.Errorf("%s takes no turns either", m.name)
 		}
 	}
 	reload(string(good))
-	all[0].until(t, "to take turns again", func(v fleetView) bool { return v.Portion.Agreed })
+	members[0].waitFor(t, "to take turns again", func(v clusterView) bool { return v.Portion.Agreed })
 }
 
 // Guards against a gossip configuration of the platform that is missed, or used where its settings refuse
 // datagrams.
-func TestGossipOfTheConfiguration(t *testing.T) {
-	addrs := []string{freeUDP(t), freeUDP(t)}
-	words := func(rank int, allowed string) json.RawMessage {
+func TestGossipConfiguredByThePlatform(t *testing.T) {
+	addrs := []string{freeUDPAddress(t), freeUDPAddress(t)}
+	settingsOf := func(rank int, allowed string) json.RawMessage {
 		s := strings.Replace(testSettings, `"balancers":1,"rank":0`,
 			fmt.Sprintf(`"balancers":2,"rank":%d`, rank), 1)
 		return json.RawMessage(strings.Replace(s, `"bounds":{`, `"bounds":{"peers":`+allowed+`,`, 1))
 	}
 	t.Setenv("LB_FLEET", "peers")
-	var all []*member
+	var members []*member
 	for n := range 2 {
-		s := &member{name: fmt.Sprint("gw-", n), control: freePort(t)}
-		s.rig = start(t, map[string]any{"name": fmt.Sprint("n", n), "control": s.control, "peers": addrs,
-			"peer_listen": addrs[n], "settings": words(n, "true")}, newEndpoint(t, "s-1", ok))
-		all = append(all, s)
-	}
-	for _, s := range all {
-		s.until(t, "to divide hosts", func(v fleetView) bool {
-			return v.Alive == 2 && v.state(s.name) == "alive" && v.Portion != nil &&
+		m := &member{name: fmt.Sprint("gw-", n), control: freeTCPAddress(t)}
+		m.process = start(t, map[string]any{"name": fmt.Sprint("n", n), "control": m.control, "peers": addrs,
+			"peer_listen": addrs[n], "settings": settingsOf(n, "true")}, newEndpoint(t, "s-1", respondOK))
+		members = append(members, m)
+	}
+	for _, m := range members {
+		m.waitFor(t, "to divide hosts", func(v clusterView) bool {
+			return v.Alive == 2 && v.state(m.name) == "alive" && v.Portion != nil &&
 				v.Portion.Stage == "settled" && v.Portion.Agreed
 		})
 	}
-	if err := all[0].rig.cmd.Process.Signal(syscall.SIGHUP); err != nil { // the configuration alone is read again
+	if err := members[0].process.cmd.Process.Signal(syscall.SIGHUP); err != nil { // the configuration alone is read again
 		t.Fatal(err)
 	}
-	until(t, "the reload", func() bool { return all[0].rig.logs(`"message":"reload"`) })
-	control := freePort(t)
+	waitFor(t, "the reload", func() bool { return members[0].process.hasLogged(`"message":"reload"`) })
+	control := freeTCPAddress(t)
 	start(t, map[string]any{"control": control, "peers": addrs, "peer_listen": addrs[0],
-		"settings": words(0, "false")}, newEndpoint(t, "s-1", ok))
-	if status, _ := askAdmin(t, control, "GET /ops/fleet HTTP/1.1\r\nHost: x\r\n\r\n"); status != 404 {
+		"settings": settingsOf(0, "false")}, newEndpoint(t, "s-1", respondOK))
+	if status, _ := callAdmin(t, control, "GET /ops/fleet HTTP/1.1\r\nHost: x\r\n\r\n"); status != 404 {
 		t.Errorf("datagrams are refused, and /ops/fleet answers %d", status)
 	}
 	for want, edit := range map[string]map[string]any{
@@ -356,7 +356,7 @@
 		"peer_listen":                            {"peers": addrs, "peer_listen": "here"},
 		"peers[1]":                               {"peers": []string{addrs[0], "there"}, "peer_listen": addrs[0]},
 	} {
-		edit["settings"] = words(0, "true")
+		edit["settings"] = settingsOf(0, "true")
 		cmd, _ := configure(t, `{"seq":1,"whole":true,"hosts":[]}`, "127.0.0.1:1", edit)
 		if out, err := cmd.CombinedOutput(); err == nil || !strings.Contains(string(out), want) {
 			t.Errorf("wanted %q: %v %s", want, err, out)
--- a/cmd/thymebend/command.go
+++ b/cmd/thymebend/command.go
@@ -17,8 +17,8 @@
 // errUsage marks errors that the caller has to mend.
 var errUsage = errors.New("unusable argument")
 
-// grammar is the command line.
-type grammar struct {
+// commandLine is the command line.
+type commandLine struct {
 	Fleet fleetCmd `cmd:"" help:"Print what a gateway knows of the others of its fleet."`
 }
 
@@ -35,9 +35,9 @@
 
 // runCommand runs a command line and returns its exit code.
 func runCommand(args []string, out, errOut io.Writer) int {
-	var g grammar
+	var commands commandLine
 	exited := -1
-	parser, err := kong.New(&g, kong.Name("thymebend"), kong.Writers(out, errOut),
+	parser, err := kong.New(&commands, kong.Name("thymebend"), kong.Writers(out, errOut),
 		kong.Exit(func(code int) { exited = code }),
 		kong.Description("The gateway. Without arguments it serves, as the environment says (LB_CONFIG)."))
 	if err != nil {
@@ -49,7 +49,7 @@
 	case exited >= 0: // help was asked for
 		return exited
 	case err == nil:
-		err = g.Fleet.run(out)
+		err = commands.Fleet.run(out)
 	default:
 		err = fmt.Errorf("%w: %w", errUsage, err)
 	}
--- a/cmd/thymebend/config_test.go
+++ b/cmd/thymebend/config_test.go
@@ -13,9 +13,9 @@
 		"seed":                 {"seed": "xyz"},
 		"limits.sockets":       {"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 3}},
 		"limits.memory_mb":     {"limits": map[string]any{"cores": 1, "sockets": 1024}},
-		"classes.count":        {"settings": settingsWith(`"classes"`, `"unknown"`)},
-		"classes.1.give_up_ms": {"settings": settingsWith(`"give_up_ms":2500`, `"give_up_ms":"long"`)},
-		"number above 0":       {"settings": settingsWith(`"give_up_ms":2500`, `"give_up_ms":0`)},
+		"classes.count":        {"settings": settingsWithReplacement(`"classes"`, `"unknown"`)},
+		"classes.1.give_up_ms": {"settings": settingsWithReplacement(`"give_up_ms":2500`, `"give_up_ms":"long"`)},
+		"number above 0":       {"settings": settingsWithReplacement(`"give_up_ms":2500`, `"give_up_ms":0`)},
 	} {
 		cmd, _ := configure(t, endpointList(1, true), "127.0.0.1:1", edit)
 		out, err := cmd.CombinedOutput()
--- a/cmd/thymebend/fleet_command_test.go
+++ b/cmd/thymebend/fleet_command_test.go
@@ -14,11 +14,11 @@
 
 // Guards against a wrong table, message or exit code of thymebend fleet.
 func TestFleetCommandPrintsTheView(t *testing.T) {
-	all := startCluster(t, 3)
-	_ = all[2].rig.cmd.Process.Kill()
-	all[0].until(t, "to hold the one that was killed for gone",
-		func(v fleetView) bool { return v.state("gw-2") == "gone" })
-	out, err := exec.Command(program, "fleet", all[0].control).CombinedOutput()
+	members := startCluster(t, 3)
+	_ = members[2].process.cmd.Process.Kill()
+	members[0].waitFor(t, "to hold the one that was killed for gone",
+		func(v clusterView) bool { return v.state("gw-2") == "gone" })
+	out, err := exec.Command(program, "fleet", members[0].control).CombinedOutput()
 	lines := strings.Split(string(out), "\n")
 	if err != nil || !strings.HasPrefix(lines[0], "gw-0 in fleet f: ") ||
 		!strings.Contains(lines[0], "2 of 3 alive") {
@@ -30,15 +30,15 @@
 		t.Errorf("the one in trouble does not stand first:\n%s", out)
 	}
 	t.Setenv("LB_FLEET", "")
-	none := freePort(t)
-	start(t, map[string]any{"control": none}, newEndpoint(t, "s-1", ok))
+	none := freeTCPAddress(t)
+	start(t, map[string]any{"control": none}, newEndpoint(t, "s-1", respondOK))
 	for _, c := range []struct {
 		args []string
 		code int
 		want string
 	}{
 		{[]string{"fleet", none}, 1, "404: no fleet: LB_FLEET names no file"},
-		{[]string{"fleet", freePort(t)}, 1, "connection refused"},
+		{[]string{"fleet", freeTCPAddress(t)}, 1, "connection refused"},
 		{[]string{"fleet", "nowhere"}, 2, `ADDRESS "nowhere" is no address and port`},
 		{[]string{"fleet"}, 2, "<address>"},
 		{[]string{"flete", none}, 2, "flete"},
@@ -54,19 +54,19 @@
 
 // Guards against a limit on the response that is below a view of 500 gateways.
 func TestFleetCommandPrintsALargeView(t *testing.T) {
-	s := &member{name: "gw-0", control: freePort(t), udp: freeUDP(t),
+	m := &member{name: "gw-0", control: freeTCPAddress(t), udp: freeUDPAddress(t),
 		file: filepath.Join(t.TempDir(), "fleet.toml")}
-	text := fmt.Sprintf("fleet = \"f\"\nlisten = %q\nflat = true\n", s.udp)
-	if err := os.WriteFile(s.file, []byte(text), 0o600); err != nil {
+	text := fmt.Sprintf("fleet = \"f\"\nlisten = %q\nflat = true\n", m.udp)
+	if err := os.WriteFile(m.file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s.start(t)
-	c, err := net.Dial("udp4", s.udp)
+	m.start(t)
+	c, err := net.Dial("udp4", m.udp)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	s.until(t, "to speak", func(v fleetView) bool { return v.Speaking })
+	m.waitFor(t, "to speak", func(v clusterView) bool { return v.Speaking })
 	for n := range 500 { // each speaks once
 		b := gossipcodec.Append(nil, &gossipcodec.Message{Cluster: "f",
 			From: fmt.Sprintf("a-gateway-of-a-long-name-%04d", n), Start: 1, Kind: gossipcodec.Gossip})
@@ -74,10 +74,10 @@
 			t.Fatal(err)
 		}
 		if n%50 == 49 {
-			s.until(t, "to know them", func(v fleetView) bool { return len(v.Members) == n+2 })
+			m.waitFor(t, "to know them", func(v clusterView) bool { return len(v.Members) == n+2 })
 		}
 	}
-	out, err := exec.Command(program, "fleet", s.control).CombinedOutput()
+	out, err := exec.Command(program, "fleet", m.control).CombinedOutput()
 	if err != nil || strings.Count(string(out), "a-gateway-of-a-long-name-") != 500 {
 		t.Errorf("%v, %d of 500 gateways", err, strings.Count(string(out), "a-gateway-of-a-long-name-"))
 	}
--- a/cmd/thymebend/large_test.go
+++ b/cmd/thymebend/large_test.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// highest is the most memory that a process has held, in MB.
-func highest(t *testing.T, pid int) int {
+// peakMemoryMB is the most memory that a process has held, in MB.
+func peakMemoryMB(t *testing.T, pid int) int {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -28,28 +28,28 @@
 	return kb / 1024
 }
 
-// pattern is a body of n bytes that differs everywhere.
-func pattern(n int) io.Reader {
+// patternReader is a body of n bytes that differs everywhere.
+func patternReader(n int) io.Reader {
 	block := make([]byte, 64<<10)
 	for i := range block {
 		block[i] = byte(i * 7 / 3)
 	}
 	var parts []io.Reader
-	for left := n; left > 0; left -= len(block) {
-		parts = append(parts, bytes.NewReader(block[:min(left, len(block))]))
+	for remaining := n; remaining > 0; remaining -= len(block) {
+		parts = append(parts, bytes.NewReader(block[:min(remaining, len(block))]))
 	}
 	return io.MultiReader(parts...)
 }
 
-func sumOf(r io.Reader) string {
+func digestOf(r io.Reader) string {
 	h := sha256.New()
 	n, _ := io.Copy(h, r)
 	return fmt.Sprintf("%d %x", n, h.Sum(nil)[:8])
 }
 
-// large words a bid with a body of n bytes to follow, or of chunks if n is 0.
-func large(id, query string, n int) string {
-	head := strings.Replace(lodge(id, ""), "POST /lodge", "POST /lodge?"+query, 1)
+// largeLodgeRequest words a bid with a body of n bytes to follow, or of chunks if n is 0.
+func largeLodgeRequest(id, query string, n int) string {
+	head := strings.Replace(lodgeRequest(id, ""), "POST /lodge", "POST /lodge?"+query, 1)
 	if n == 0 {
 		return strings.Replace(head, "Content-Length: 0", "Transfer-Encoding: chunked", 1)
 	}
@@ -60,22 +60,22 @@
 func TestLargeBodiesAreStreamed(t *testing.T) {
 	g := start(t, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 1024}},
 		bulkEndpoint(t, "s-1", nil))
-	const most = 32 << 20
+	const maxBody = 32 << 20
 	for i, how := range []string{"length", "chunks", "close"} {
 		c := g.dial()
 		_ = c.SetDeadline(time.Now().Add(30 * time.Second))
-		size := most - i // a body in chunks on the second try
+		size := maxBody - i // a body in chunks on the second try
 		stated := size
 		if i == 1 {
 			stated = 0
 		}
 		go func() {
-			fmt.Fprint(c, large(fmt.Sprint("b", i), fmt.Sprintf("size=%d&how=%s", size, how), stated))
+			fmt.Fprint(c, largeLodgeRequest(fmt.Sprint("b", i), fmt.Sprintf("size=%d&how=%s", size, how), stated))
 			if stated > 0 {
-				_, _ = io.Copy(c, pattern(size))
+				_, _ = io.Copy(c, patternReader(size))
 				return
 			}
-			body, _ := io.ReadAll(pattern(size))
+			body, _ := io.ReadAll(patternReader(size))
 			for len(body) > 0 {
 				n := min(len(body), 70001)
 				fmt.Fprintf(c, "%x\r\n%s\r\n", n, body[:n])
@@ -89,25 +89,25 @@
 			t.Fatalf("%s: %v", how, err)
 		}
 		n, err := io.Copy(io.Discard, resp.Body)
-		if got := resp.Header.Get("X-Got"); err != nil || n != int64(size) || got != sumOf(pattern(size)) {
+		if got := resp.Header.Get("X-Got"); err != nil || n != int64(size) || got != digestOf(patternReader(size)) {
 			t.Errorf("%s: %d of %d bytes back, %v; the host got %s", how, n, size, err, got)
 		}
-		if status, _, _ := ask(t, c, view(fmt.Sprint("after", i), 900)); status != 200 {
+		if status, _, _ := roundTrip(t, c, viewRequest(fmt.Sprint("after", i), 900)); status != 200 {
 			t.Errorf("%s: the next request on the link: %d", how, status)
 		}
 	}
-	if mb := highest(t, g.cmd.Process.Pid); mb > 96 { // with the race detector, which takes some of it
+	if mb := peakMemoryMB(t, g.cmd.Process.Pid); mb > 96 { // with the race detector, which takes some of it
 		t.Errorf("the gateway held %d MB", mb)
 	}
 }
 
 // Guards against retrying an upload whose first bytes are gone, and against missing an early response.
-func TestUploadsThatBreak(t *testing.T) {
-	var tries atomic.Int32
+func TestInterruptedUploads(t *testing.T) {
+	var attempts atomic.Int32
 	h := bulkEndpoint(t, "s-1", func(r *http.Request, c net.Conn) bool {
 		switch id := r.Header.Get("X-Trace-Id"); {
 		case strings.HasPrefix(id, "cut"):
-			tries.Add(1)
+			attempts.Add(1)
 			_, _ = io.CopyN(io.Discard, r.Body, 100<<10)
 			return false
 		case strings.HasPrefix(id, "early"):
@@ -125,59 +125,59 @@
 			n = 0
 		}
 		go func() {
-			fmt.Fprint(c, large(id, "size=2", n))
+			fmt.Fprint(c, largeLodgeRequest(id, "size=2", n))
 			if n == 0 {
 				fmt.Fprintf(c, "%x\r\n%s\r\nzz\r\n", 100000, strings.Repeat("x", 100000))
 				return
 			}
-			_, _ = io.Copy(c, pattern(n))
+			_, _ = io.Copy(c, patternReader(n))
 		}()
-		if status, _, _ := answer(c); status != want {
+		if status, _, _ := readResponse(c); status != want {
 			t.Errorf("%s: %d, want %d", id, status, want)
 		}
 	}
-	if n := tries.Load(); n != 1 {
+	if n := attempts.Load(); n != 1 {
 		t.Errorf("a body whose first bytes were gone went out %d times", n)
 	}
-	left := g.dial()
-	fmt.Fprint(left, large("left", "size=2", 1<<20)+strings.Repeat("x", 200<<10))
-	left.Close()
-	if status, _, _ := ask(t, g.dial(), view("v", 900)); status != 200 {
+	abandoned := g.dial()
+	fmt.Fprint(abandoned, largeLodgeRequest("left", "size=2", 1<<20)+strings.Repeat("x", 200<<10))
+	abandoned.Close()
+	if status, _, _ := roundTrip(t, g.dial(), viewRequest("v", 900)); status != 200 {
 		t.Errorf("a view beside them: %d", status)
 	}
-	if _, asked, _ := h.seen(); asked != 1 {
+	if _, asked, _ := h.counts(); asked != 1 {
 		t.Errorf("%d requests ran, want the view alone", asked)
 	}
 }
 
 // Guards against a cut response that looks complete in any framing, and against a slow reader that holds up
 // others.
-func TestResponsesThatBreakOrAreReadSlowly(t *testing.T) {
+func TestTruncatedAndSlowlyReadResponses(t *testing.T) {
 	g := start(t, nil, bulkEndpoint(t, "s-1", nil))
-	for _, old := range []bool{false, true} {
+	for _, http10 := range []bool{false, true} {
 		c := g.dial()
-		raw := strings.Replace(view("b", 1500), "q=1", "how=break&size=400000", 1)
-		if old {
+		raw := strings.Replace(viewRequest("b", 1500), "q=1", "how=break&size=400000", 1)
+		if http10 {
 			raw = strings.Replace(raw, "HTTP/1.1", "HTTP/1.0", 1)
 		}
-		if status, _, _ := ask(t, c, raw); status != 0 {
-			t.Errorf("half an answer passed as whole (old %v)", old)
+		if status, _, _ := roundTrip(t, c, raw); status != 0 {
+			t.Errorf("half an answer passed as whole (old %v)", http10)
 		}
 	}
 	c := g.dial()
 	const size = 12 << 20
-	fmt.Fprint(c, strings.Replace(view("slow", 1500), "q=1", fmt.Sprint("size=", size), 1))
+	fmt.Fprint(c, strings.Replace(viewRequest("slow", 1500), "q=1", fmt.Sprint("size=", size), 1))
 	resp, err := http.ReadResponse(bufio.NewReaderSize(c, 16), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 5 {
-		if status, _, _ := ask(t, g.dial(), view(fmt.Sprint("v", i), 1500)); status != 200 {
+		if status, _, _ := roundTrip(t, g.dial(), viewRequest(fmt.Sprint("v", i), 1500)); status != 200 {
 			t.Errorf("a view beside a slow reader: %d", status)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	if got := sumOf(resp.Body); got != sumOf(pattern(size)) {
+	if got := digestOf(resp.Body); got != digestOf(patternReader(size)) {
 		t.Errorf("the slow reader got %s", got)
 	}
 }
--- a/cmd/thymebend/overload_test.go
+++ b/cmd/thymebend/overload_test.go
@@ -16,21 +16,21 @@
 )
 
 // Guards against clients that flood or send garbage and keep others from being served, or reach an endpoint.
-func TestFloodsLeaveOthersServed(t *testing.T) {
-	h := newEndpoint(t, "s-1", ok)
+func TestFloodsDoNotBlockOtherClients(t *testing.T) {
+	h := newEndpoint(t, "s-1", respondOK)
 	g := start(t, nil, h)
 	noise := strings.Repeat("noise and no request\r\n", 15<<10)
 	var floods sync.WaitGroup
 	for i := range 100 {
 		floods.Go(func() {
-			c, err := net.Dial("tcp", g.addr)
+			c, err := net.Dial("tcp", g.address)
 			if err != nil {
 				return // the queue of those that wait is full, which is the flood's own affair
 			}
 			defer c.Close()
 			_ = c.SetDeadline(time.Now().Add(testTimeout))
 			if i%2 == 0 {
-				_, _ = io.WriteString(c, view(fmt.Sprint("bad", i), 900)[:30]+noise) // and goes
+				_, _ = io.WriteString(c, viewRequest(fmt.Sprint("bad", i), 900)[:30]+noise) // and goes
 				return
 			}
 			_, _ = io.WriteString(c, noise[:100])
@@ -41,12 +41,12 @@
 	}
 	c := g.dial()
 	for i := range 50 {
-		if status, _, _ := ask(t, c, view(fmt.Sprint("good", i), 1900)); status != 200 {
+		if status, _, _ := roundTrip(t, c, viewRequest(fmt.Sprint("good", i), 1900)); status != 200 {
 			t.Errorf("view %d beside the flood: %d", i, status)
 		}
 	}
 	floods.Wait()
-	h.count(func() {
+	h.withLock(func() {
 		for _, id := range h.ids {
 			if !strings.HasPrefix(id, "good") {
 				t.Errorf("a host was asked for %q", id)
@@ -57,23 +57,23 @@
 
 // Guards against thousands of unfinished requests that keep true ones, the admin endpoint or a shutdown from
 // being served.
-func TestClientsThatNeverFinish(t *testing.T) {
-	control := freePort(t)
+func TestUnfinishedRequestsDoNotBlockOtherClients(t *testing.T) {
+	control := freeTCPAddress(t)
 	g := start(t, map[string]any{"control": control, "limits": map[string]any{"cores": 1, "memory_mb": 32,
-		"sockets": 192}}, newEndpoint(t, "s-1", ok))
-	ask(t, g.dial(), view("first", 1500)) // the patience of the others
+		"sockets": 192}}, newEndpoint(t, "s-1", respondOK))
+	roundTrip(t, g.dial(), viewRequest("first", 1500)) // the patience of the others
 	var stop atomic.Bool
-	var crowd, trueOnes sync.WaitGroup
-	var came, served atomic.Int64
+	var crowd, completeRequests sync.WaitGroup
+	var connected, served atomic.Int64
 	for i := range 4 {
 		crowd.Go(func() {
 			var held []net.Conn
 			for n := 0; !stop.Load() && n < 1500; n++ {
-				c, err := net.DialTimeout("tcp", g.addr, 100*time.Millisecond)
+				c, err := net.DialTimeout("tcp", g.address, 100*time.Millisecond)
 				if err != nil {
 					continue
 				}
-				came.Add(1)
+				connected.Add(1)
 				if (n+i)%2 == 0 {
 					fmt.Fprint(c, "GET /view/x HTTP/1.1\r\nHost: o\r\nX-Tra")
 				}
@@ -89,20 +89,20 @@
 		})
 	}
 	request := func(i int, slow time.Duration) {
-		trueOnes.Go(func() {
-			c, err := net.Dial("tcp", g.addr)
+		completeRequests.Go(func() {
+			c, err := net.Dial("tcp", g.address)
 			if err != nil {
 				t.Errorf("request %d: %v", i, err)
 				return
 			}
 			defer c.Close()
-			raw := view(fmt.Sprint("v", i), 1500)
+			raw := viewRequest(fmt.Sprint("v", i), 1500)
 			for n := 0; n < len(raw) && slow > 0; n += 10 { // written in pieces
 				fmt.Fprint(c, raw[:10])
 				raw = raw[10:]
 				time.Sleep(slow / 14)
 			}
-			status, _, _ := ask(t, c, raw)
+			status, _, _ := roundTrip(t, c, raw)
 			if status == 200 {
 				served.Add(1)
 			} else {
@@ -114,7 +114,7 @@
 		request(i, time.Duration(i%5)*250*time.Millisecond)
 		if i%20 == 0 {
 			began := time.Now()
-			stats(t, control)
+			fetchStats(t, control)
 			if took := time.Since(began); took > time.Second {
 				t.Errorf("stats took %v", took)
 			}
@@ -127,30 +127,30 @@
 	for i := 100; i < 105; i++ {
 		request(i, 0)
 	}
-	trueOnes.Wait()
+	completeRequests.Wait()
 	stop.Store(true)
 	crowd.Wait()
-	if code := g.exit(); code != 0 {
+	if code := g.waitExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
-	t.Logf("%d of the crowd came, %d true requests served, %d MB at the highest", came.Load(), served.Load(),
+	t.Logf("%d of the crowd came, %d true requests served, %d MB at the highest", connected.Load(), served.Load(),
 		g.cmd.ProcessState.SysUsage().(*syscall.Rusage).Maxrss/1024)
 }
 
 // Guards against half-read requests that stand still and keep new clients out, and against evicting one that
 // goes on.
-func TestHalfReadRequestsGiveWayByProgress(t *testing.T) {
+func TestStalledRequestReadsAreEvictedFirst(t *testing.T) {
 	g := start(t, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": 192}},
-		newEndpoint(t, "s-1", ok))
-	ask(t, g.dial(), view("first", 1500))
-	slow, raw := g.dial(), view("slow", 1500)
+		newEndpoint(t, "s-1", respondOK))
+	roundTrip(t, g.dial(), viewRequest("first", 1500))
+	slow, raw := g.dial(), viewRequest("slow", 1500)
 	done := make(chan int)
 	go func() {
 		for ; len(raw) > 10; raw = raw[10:] {
 			fmt.Fprint(slow, raw[:10])
 			time.Sleep(100 * time.Millisecond)
 		}
-		status, _, _ := ask(t, slow, raw)
+		status, _, _ := roundTrip(t, slow, raw)
 		done <- status
 	}()
 	for range 300 {
@@ -162,7 +162,7 @@
 		t.Errorf("%d descriptors: %v", len(fds), err)
 	}
 	began := time.Now()
-	if status, _, _ := ask(t, g.dial(), view("behind", 1500)); status != 200 {
+	if status, _, _ := roundTrip(t, g.dial(), viewRequest("behind", 1500)); status != 200 {
 		t.Errorf("the request behind the crowd: %d", status)
 	}
 	if took := time.Since(began); took > 2400*time.Millisecond {
@@ -174,24 +174,24 @@
 }
 
 // Guards against queued requests that hold every connection while new clients wait unheard.
-func TestOverloadAnswersAll(t *testing.T) {
+func TestOverloadAnswersEveryRequest(t *testing.T) {
 	h := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request,
 		body string) {
 		time.Sleep(400 * time.Millisecond)
-		ok(c, r, body)
+		respondOK(c, r, body)
 	})
 	g := start(t, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": 96}}, h)
 	var all sync.WaitGroup
 	var answered, late atomic.Int64
 	for i := range 300 {
 		all.Go(func() {
-			c, err := net.Dial("tcp", g.addr)
+			c, err := net.Dial("tcp", g.address)
 			if err != nil {
 				return
 			}
 			defer c.Close()
 			began := time.Now()
-			if status, _, _ := ask(t, c, lodge(fmt.Sprint("l", i), "x")); status != 0 {
+			if status, _, _ := roundTrip(t, c, lodgeRequest(fmt.Sprint("l", i), "x")); status != 0 {
 				answered.Add(1)
 			}
 			if time.Since(began) > 1500*time.Millisecond {
--- a/cmd/thymebend/peers_test.go
+++ b/cmd/thymebend/peers_test.go
@@ -18,13 +18,13 @@
 
 // fakeEndpoint plays an endpoint. answer gets each request once it is whole, on its connection.
 type fakeEndpoint struct {
-	name   string
-	ln     net.Listener
-	answer func(c net.Conn, r *http.Request, body string)
-	mu     sync.Mutex
-	conns  int
-	ids    []string // the ids of the requests that came whole
-	ends   int      // connections that the gateway ended
+	name    string
+	ln      net.Listener
+	respond func(c net.Conn, r *http.Request, body string)
+	mu      sync.Mutex
+	conns   int
+	ids     []string // the ids of the requests that came whole
+	closed  int      // connections that the gateway ended
 }
 
 func listen(t *testing.T) net.Listener {
@@ -38,33 +38,33 @@
 }
 
 func newEndpoint(t *testing.T, name string, answer func(net.Conn, *http.Request, string)) *fakeEndpoint {
-	h := &fakeEndpoint{name: name, ln: listen(t), answer: answer}
-	go each(h.ln, func(c net.Conn) {
-		h.count(func() { h.conns++ })
+	e := &fakeEndpoint{name: name, ln: listen(t), respond: answer}
+	go serveEach(e.ln, func(c net.Conn) {
+		e.withLock(func() { e.conns++ })
 		in := bufio.NewReader(c)
 		for {
 			r, err := http.ReadRequest(in)
 			if err != nil {
-				h.count(func() { h.ends++ })
+				e.withLock(func() { e.closed++ })
 				return
 			}
 			body, _ := io.ReadAll(r.Body)
-			h.count(func() { h.ids = append(h.ids, r.Header.Get("X-Trace-Id")) })
-			h.answer(c, r, string(body))
+			e.withLock(func() { e.ids = append(e.ids, r.Header.Get("X-Trace-Id")) })
+			e.respond(c, r, string(body))
 		}
 	})
-	return h
+	return e
 }
 
-func (h *fakeEndpoint) count(f func()) { h.mu.Lock(); defer h.mu.Unlock(); f() }
+func (e *fakeEndpoint) withLock(f func()) { e.mu.Lock(); defer e.mu.Unlock(); f() }
 
-func (h *fakeEndpoint) seen() (conns, asked, ends int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.conns, len(h.ids), h.ends
+func (e *fakeEndpoint) counts() (conns, requests, closed int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.conns, len(e.ids), e.closed
 }
 
-func each(ln net.Listener, serve func(net.Conn)) {
+func serveEach(ln net.Listener, serve func(net.Conn)) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
@@ -74,25 +74,25 @@
 	}
 }
 
-// ok answers 200 with the id and the request's body.
-func ok(c net.Conn, r *http.Request, body string) {
+// respondOK answers 200 with the id and the request's body.
+func respondOK(c net.Conn, r *http.Request, body string) {
 	writeResponse(c, "200 OK", "Endpoint-Load-Metrics: TEXT busy_reqs=1, pending=0\r\nX-Kept: yes\r\n",
 		r.Header.Get("X-Trace-Id")+":"+body)
 }
 
-// singleCore returns an answer that takes one request after another, and counts the most that wait for it at
+// serialResponder returns an answer that takes one request after another, and counts the most that wait for it at
 // once.
-func singleCore(most *atomic.Int32, load string) func(net.Conn, *http.Request, string) {
+func serialResponder(maxWaiting *atomic.Int32, load string) func(net.Conn, *http.Request, string) {
 	var core sync.Mutex
-	var held atomic.Int32
+	var waiting atomic.Int32
 	return func(c net.Conn, r *http.Request, body string) {
-		if n := held.Add(1); n > most.Load() {
-			most.Store(n)
+		if n := waiting.Add(1); n > maxWaiting.Load() {
+			maxWaiting.Store(n)
 		}
 		core.Lock()
 		defer core.Unlock()
 		time.Sleep(3 * time.Millisecond)
-		held.Add(-1)
+		waiting.Add(-1)
 		writeResponse(c, "200 OK", load, r.Header.Get("X-Trace-Id")+":"+body)
 	}
 }
@@ -101,10 +101,10 @@
 	fmt.Fprintf(c, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, fields, len(body), body)
 }
 
-// entry is an endpoint as discovery tells it; state is up, draining or removed.
-func entry(h *fakeEndpoint, state string) string {
+// endpointEntry is an endpoint as discovery tells it; state is up, draining or removed.
+func endpointEntry(endpoint *fakeEndpoint, state string) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"m","block":0,"health":%q,"share":1.0,"born_ms":0}`,
-		h.name, h.ln.Addr(), state)
+		endpoint.name, endpoint.ln.Addr(), state)
 }
 
 func endpointList(seq int, whole bool, entries ...string) string {
@@ -113,37 +113,37 @@
 
 // fakeDiscovery plays discovery: a watch is answered with the list, then with what is told, then with beats.
 type fakeDiscovery struct {
-	ln    net.Listener
-	polls chan string      // the targets asked for
-	send  chan string      // lines for the open watch; "cut" ends it
-	reply func(int) string // the first line for the n-th call; "" answers 503
+	ln        net.Listener
+	polls     chan string      // the targets asked for
+	send      chan string      // lines for the open watch; "cut" ends it
+	firstLine func(int) string // the first line for the n-th call; "" answers 503
 }
 
 func newDiscovery(t *testing.T, reply func(int) string) *fakeDiscovery {
-	d := &fakeDiscovery{ln: listen(t), polls: make(chan string, 64), send: make(chan string), reply: reply}
+	d := &fakeDiscovery{ln: listen(t), polls: make(chan string, 64), send: make(chan string), firstLine: reply}
 	n := 0
-	go each(d.ln, func(c net.Conn) {
+	go serveEach(d.ln, func(c net.Conn) {
 		r, err := http.ReadRequest(bufio.NewReader(c))
 		if err != nil {
 			return
 		}
 		n++
 		d.polls <- r.URL.String()
-		line := d.reply(n)
+		line := d.firstLine(n)
 		if line == "" {
 			writeResponse(c, "503 Service Unavailable", "", "")
 			return
 		}
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-		gone := make(chan bool) // a watch that the gateway has ended must not take what is told
-		go func() { _, _ = io.Copy(io.Discard, c); close(gone) }()
+		closed := make(chan bool) // a watch that the gateway has ended must not take what is told
+		go func() { _, _ = io.Copy(io.Discard, c); close(closed) }()
 		for line != "cut" {
 			if _, err := fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(line)+1, line); err != nil {
 				return
 			}
 			select {
 			case line = <-d.send:
-			case <-gone:
+			case <-closed:
 				return
 			case <-time.After(time.Second):
 				line = ""
@@ -187,7 +187,7 @@
 // fillBacklog has connections wait at a listener until no more come up, and returns those that did.
 func fillBacklog(t *testing.T, ln net.Listener) (waiting int) {
 	t.Helper()
-	until(t, "the queue to fill", func() bool {
+	waitFor(t, "the queue to fill", func() bool {
 		c, err := net.DialTimeout("tcp", ln.Addr().String(), 100*time.Millisecond)
 		if err == nil {
 			waiting++
@@ -199,13 +199,13 @@
 }
 
 // bulkEndpoint reads bodies as they come and answers with what the target's request asks for.
-func bulkEndpoint(t *testing.T, name string, begun func(r *http.Request, c net.Conn) bool) *fakeEndpoint {
-	h := &fakeEndpoint{name: name, ln: listen(t)}
-	go each(h.ln, func(c net.Conn) {
+func bulkEndpoint(t *testing.T, name string, accept func(r *http.Request, c net.Conn) bool) *fakeEndpoint {
+	e := &fakeEndpoint{name: name, ln: listen(t)}
+	go serveEach(e.ln, func(c net.Conn) {
 		in := bufio.NewReaderSize(c, 4096)
 		for {
 			r, err := http.ReadRequest(in)
-			if err != nil || begun != nil && !begun(r, c) {
+			if err != nil || accept != nil && !accept(r, c) {
 				return
 			}
 			sum := sha256.New()
@@ -214,14 +214,14 @@
 				return
 			}
 			got := fmt.Sprintf("%d %x", n, sum.Sum(nil)[:8])
-			h.count(func() { h.ids = append(h.ids, r.Header.Get("X-Trace-Id")) })
+			e.withLock(func() { e.ids = append(e.ids, r.Header.Get("X-Trace-Id")) })
 			size, out := 0, bufio.NewWriter(c)
 			fmt.Sscan(r.URL.Query().Get("size"), &size)
 			switch r.URL.Query().Get("how") {
 			case "chunks":
 				fmt.Fprintf(out, "HTTP/1.1 200 OK\r\nX-Got: %s\r\nTransfer-Encoding: chunked\r\n\r\n", got)
-				for left := size; left > 0; left -= 5000 {
-					n := min(left, 5000)
+				for remaining := size; remaining > 0; remaining -= 5000 {
+					n := min(remaining, 5000)
 					fmt.Fprintf(out, "%x;ext=1\r\n%s\r\n", n, strings.Repeat("z", n))
 				}
 				fmt.Fprint(out, "0\r\nTrailer: t\r\n\r\n")
@@ -236,10 +236,10 @@
 				return
 			default:
 				fmt.Fprintf(out, "HTTP/1.1 200 OK\r\nX-Got: %s\r\nContent-Length: %d\r\n\r\n", got, size)
-				_, _ = io.Copy(out, pattern(size))
+				_, _ = io.Copy(out, patternReader(size))
 			}
 			out.Flush()
 		}
 	})
-	return h
+	return e
 }
--- a/cmd/thymebend/reload_test.go
+++ b/cmd/thymebend/reload_test.go
@@ -14,32 +14,32 @@
 // Guards against a gap between the old address's watch and the new one's, a faulty file that changes
 // something, and a shutdown that a reload disturbs.
 func TestReloadMovesTheWatch(t *testing.T) {
-	a, b := newEndpoint(t, "s-1", ok), newEndpoint(t, "s-2", ok)
-	whole, answers := endpointList(1, true, entry(a, "up"), entry(b, "up")), make(chan string)
+	a, b := newEndpoint(t, "s-1", respondOK), newEndpoint(t, "s-2", respondOK)
+	whole, answers := endpointList(1, true, endpointEntry(a, "up"), endpointEntry(b, "up")), make(chan string)
 	next := newDiscovery(t, func(int) string { return <-answers })
 	g := start(t, nil, a, b)
 	<-g.discovery.polls
 	g.reload("seed", "what")
-	until(t, "the fault to be logged", func() bool { return g.logs("seed \\\"what") })
+	waitFor(t, "the fault to be logged", func() bool { return g.hasLogged("seed \\\"what") })
 	g.reload("seed", "8c1f30d27a5be964")
 	g.reload("discovery", next.ln.Addr().String())
 	<-next.polls
-	g.discovery.send <- endpointList(2, false, entry(a, "draining"))
+	g.discovery.send <- endpointList(2, false, endpointEntry(a, "draining"))
 	g.discovery.send <- endpointList(3, false)
 	answers <- "" // a call that fails is made again
 	if call := <-next.polls; !strings.HasSuffix(call, "index=3") {
 		t.Errorf("the new address is asked %q, want what the old one told last", call)
 	}
-	_, before, _ := a.seen()
+	_, before, _ := a.counts()
 	answers <- endpointList(4, false)
-	next.send <- endpointList(5, true, entry(b, "up"))
+	next.send <- endpointList(5, true, endpointEntry(b, "up"))
 	next.send <- endpointList(6, false)
 	for i := range 8 {
-		if status, _, _ := ask(t, g.dial(), view(fmt.Sprint("v", i), 900)); status != 200 {
+		if status, _, _ := roundTrip(t, g.dial(), viewRequest(fmt.Sprint("v", i), 900)); status != 200 {
 			t.Errorf("view: %d", status)
 		}
 	}
-	if _, after, _ := a.seen(); after != before {
+	if _, after, _ := a.counts(); after != before {
 		t.Errorf("%d executions went to a host that drains", after-before)
 	}
 	for range 3 { // the address of the first watch again, and back
@@ -53,16 +53,16 @@
 	if err := g.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if code := g.exit(); code != 0 {
+	if code := g.waitExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 }
 
 // Guards against a faulty file that changes more than its count.
-func TestFaultyFilesChangeNothing(t *testing.T) {
-	control := freePort(t)
-	g := start(t, map[string]any{"control": control}, newEndpoint(t, "s-1", ok))
-	raw, err := os.ReadFile(g.path)
+func TestInvalidConfigurationFilesChangeNothing(t *testing.T) {
+	control := freeTCPAddress(t)
+	g := start(t, map[string]any{"control": control}, newEndpoint(t, "s-1", respondOK))
+	raw, err := os.ReadFile(g.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,18 +78,18 @@
 			`"most_tries":null`), with(`"most_tries":4`, `"most_tries":true`),
 		with(`"most_tries":4`, `"most_tries":1e99`), with(`"name":"lodge"`, `"name":"look"`)}
 	for i, text := range faulty {
-		g.replace(text)
-		until(t, fmt.Sprintf("file %d to be counted", i), func() bool {
-			return *stats(t, control).ConfigsRejected == i+1
+		g.replaceConfig(text)
+		waitFor(t, fmt.Sprintf("file %d to be counted", i), func() bool {
+			return *fetchStats(t, control).ConfigsRejected == i+1
 		})
 	}
-	if status, _, _ := ask(t, g.dial(), view("v", 900)); status != 200 || *stats(t, control).
+	if status, _, _ := roundTrip(t, g.dial(), viewRequest("v", 900)); status != 200 || *fetchStats(t, control).
 		ConfigsAccepted != 0 {
 		t.Errorf("the settings changed: %d", status)
 	}
-	g.replace(good)
-	until(t, "the good file to be taken", func() bool { return *stats(t, control).ConfigsAccepted == 1 })
-	if status, _, _ := ask(t, g.dial(), view("v", 900)); status != 404 {
+	g.replaceConfig(good)
+	waitFor(t, "the good file to be taken", func() bool { return *fetchStats(t, control).ConfigsAccepted == 1 })
+	if status, _, _ := roundTrip(t, g.dial(), viewRequest("v", 900)); status != 404 {
 		t.Errorf("a class that vanished: %d, want 404", status)
 	}
 }
@@ -97,42 +97,42 @@
 // Guards against a reload that changes the class of requests under way, or leaves something of classes that
 // went.
 func TestRequestsKeepTheirClassThroughReloads(t *testing.T) {
-	control, reloaded := freePort(t), make(chan bool)
+	control, reloaded := freeTCPAddress(t), make(chan bool)
 	a := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) {
 		if r.Header.Get("X-Trace-Id") == "early" {
 			<-reloaded
 		}
 		c.Close()
 	})
-	b := newEndpoint(t, "s-2", ok)
+	b := newEndpoint(t, "s-2", respondOK)
 	g := start(t, map[string]any{"control": control}, a)
 	answers := make(chan int)
 	early := g.dial()
-	go func() { status, _, _ := ask(t, early, view("early", 1900)); answers <- status }()
-	until(t, "the early view to be under way", func() bool { _, asked, _ := a.seen(); return asked == 1 })
-	g.discovery.send <- endpointList(2, false, entry(b, "up"))
-	g.discovery.send <- endpointList(3, false, entry(b, "up")) // once taken, the first was
-	raw, err := os.ReadFile(g.path)
+	go func() { status, _, _ := roundTrip(t, early, viewRequest("early", 1900)); answers <- status }()
+	waitFor(t, "the early view to be under way", func() bool { _, asked, _ := a.counts(); return asked == 1 })
+	g.discovery.send <- endpointList(2, false, endpointEntry(b, "up"))
+	g.discovery.send <- endpointList(3, false, endpointEntry(b, "up")) // once taken, the first was
+	raw, err := os.ReadFile(g.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.replace(strings.Replace(string(raw), `"repeat":"repeatable"`, `"repeat":"once"`, 1))
-	until(t, "the reload", func() bool { return *stats(t, control).ConfigsAccepted == 1 })
+	g.replaceConfig(strings.Replace(string(raw), `"repeat":"repeatable"`, `"repeat":"once"`, 1))
+	waitFor(t, "the reload", func() bool { return *fetchStats(t, control).ConfigsAccepted == 1 })
 	close(reloaded)
 	if status := <-answers; status != 200 {
 		t.Errorf("the early view: %d, want its second try's 200", status)
 	}
 	for n := 2; n <= 101; n++ {
 		added := fmt.Sprintf(`{"name":"new%d","aim_ms":800,"give_up_ms":%d,"repeat":"once","worth":8},`, n, 1000+n)
-		g.replace(strings.Replace(string(raw), `{"name":"view"`, added+`{"name":"view"`, 1))
-		until(t, "the reload", func() bool { return *stats(t, control).ConfigsAccepted == n })
+		g.replaceConfig(strings.Replace(string(raw), `{"name":"view"`, added+`{"name":"view"`, 1))
+		waitFor(t, "the reload", func() bool { return *fetchStats(t, control).ConfigsAccepted == n })
 		if n%25 == 0 {
 			c := g.dial()
-			if _, err := io.WriteString(c, strings.ReplaceAll(lodge(fmt.Sprint("n", n), "x"), "lodge",
+			if _, err := io.WriteString(c, strings.ReplaceAll(lodgeRequest(fmt.Sprint("n", n), "x"), "lodge",
 				fmt.Sprint("new", n))); err != nil {
 				t.Fatal(err)
 			}
-			if status, _, _ := answer(c); status != 200 && status != 502 {
+			if status, _, _ := readResponse(c); status != 200 && status != 502 {
 				t.Errorf("new class %d: %d", n, status)
 			}
 		}
--- a/cmd/thymebend/response_test.go
+++ b/cmd/thymebend/response_test.go
@@ -42,7 +42,7 @@
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 			reset(c)
 		}, 502, ""},
-		"drips and never ends": {drip, 502, ""},
+		"drips and never ends": {respondEndlessly, 502, ""},
 		"hints and never answers": {func(c net.Conn, _ <-chan bool) {
 			fmt.Fprint(c, "HTTP/1.1 102 Processing\r\n\r\n")
 			_, _ = io.Copy(io.Discard, c)
@@ -64,25 +64,25 @@
 			})
 			g := start(t, nil, h)
 			client := g.dial()
-			if _, err := io.WriteString(client, strings.Replace(lodge("bid", "x"), "2500m", "1500m",
+			if _, err := io.WriteString(client, strings.Replace(lodgeRequest("bid", "x"), "2500m", "1500m",
 				1)); err != nil {
 				t.Fatal(err)
 			}
 			<-asked // the endpoint has it whole
 			close(seen)
-			status, _, body := answer(client)
+			status, _, body := readResponse(client)
 			if status != c.want || c.want == 200 && body != c.body {
 				t.Errorf("%d %q, want %d %q", status, body, c.want, c.body)
 			}
-			if _, n, _ := h.seen(); n != 1 {
+			if _, n, _ := h.counts(); n != 1 {
 				t.Errorf("sent %d times", n)
 			}
 		})
 	}
 }
 
-// drip answers in small chunks until nobody takes them.
-func drip(c net.Conn, _ <-chan bool) {
+// respondEndlessly answers in small chunks until nobody takes them.
+func respondEndlessly(c net.Conn, _ <-chan bool) {
 	_, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	for tick := time.NewTicker(20 * time.Millisecond); err == nil; <-tick.C {
 		_, err = fmt.Fprint(c, "1\r\nx\r\n")
@@ -93,32 +93,32 @@
 func TestSecondResponseOnAnIdleConnection(t *testing.T) {
 	second := make(chan bool)
 	h := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) {
-		ok(c, r, body)
+		respondOK(c, r, body)
 		if r.Header.Get("X-Trace-Id") == "first" {
 			<-second
-			ok(c, r, "not asked for")
+			respondOK(c, r, "not asked for")
 		}
 	})
 	g := start(t, nil, h)
 	c := g.dial()
-	if status, _, body := ask(t, c, lodge("first", "x")); status != 200 || body != "first:x" {
+	if status, _, body := roundTrip(t, c, lodgeRequest("first", "x")); status != 200 || body != "first:x" {
 		t.Fatal(status, body)
 	}
 	close(second)
-	until(t, "the gateway to end that connection", func() bool { _, _, ends := h.seen(); return ends == 1 })
-	if status, _, body := ask(t, c, lodge("next", "y")); status != 200 || body != "next:y" {
+	waitFor(t, "the gateway to end that connection", func() bool { _, _, ends := h.counts(); return ends == 1 })
+	if status, _, body := roundTrip(t, c, lodgeRequest("next", "y")); status != 200 || body != "next:y" {
 		t.Errorf("%d %q", status, body)
 	}
-	if conns, _, _ := h.seen(); conns != 2 {
+	if conns, _, _ := h.counts(); conns != 2 {
 		t.Errorf("%d connections", conns)
 	}
 }
 
 // Guards against answers that reach another client, however their bytes come together.
-func TestManyClientsGetTheirOwnAnswers(t *testing.T) {
+func TestConcurrentClientsGetTheirOwnResponses(t *testing.T) {
 	var hosts []*fakeEndpoint
 	for i := range 4 {
-		hosts = append(hosts, newEndpoint(t, fmt.Sprint("s-", i), ok))
+		hosts = append(hosts, newEndpoint(t, fmt.Sprint("s-", i), respondOK))
 	}
 	g := start(t, nil, hosts...)
 	done := make(chan string, 40)
@@ -128,7 +128,7 @@
 			fault := ""
 			for j := range 20 {
 				id := fmt.Sprintf("c%d-%d", i, j)
-				if status, _, body := ask(t, c, lodge(id, id)); status == 200 && body != id+":"+id ||
+				if status, _, body := roundTrip(t, c, lodgeRequest(id, id)); status == 200 && body != id+":"+id ||
 					status == 0 {
 					fault = fmt.Sprintf("%s: %d %q", id, status, body)
 				}
@@ -144,36 +144,36 @@
 }
 
 // Guards against a reported queue that is not read by the settings' names.
-func TestReportedQueueKeepsTheLimitLow(t *testing.T) {
-	var most, mostOther atomic.Int32
+func TestReportedQueueLowersTheConcurrencyLimit(t *testing.T) {
+	var maxWaiting, maxWaitingOther atomic.Int32
 	crowded := newEndpoint(t, "s-1",
-		singleCore(&most, "Endpoint-Load-Metrics: TEXT pending=9.5, busy_reqs=10\r\n"))
-	start(t, nil, crowded, newEndpoint(t, "s-2", singleCore(&mostOther, ""))).load(3 * time.Second)
-	if n, other := most.Load(), mostOther.Load(); n > 2 || other < 3 {
+		serialResponder(&maxWaiting, "Endpoint-Load-Metrics: TEXT pending=9.5, busy_reqs=10\r\n"))
+	start(t, nil, crowded, newEndpoint(t, "s-2", serialResponder(&maxWaitingOther, ""))).runLoad(3 * time.Second)
+	if n, other := maxWaiting.Load(), maxWaitingOther.Load(); n > 2 || other < 3 {
 		t.Errorf("%d at once at a crowded host, %d at another", n, other)
 	}
 }
 
 // Guards against a late response on a connection that another request uses.
-func TestLateResponseReachesNobodyElse(t *testing.T) {
+func TestLateResponseReachesNoOtherRequest(t *testing.T) {
 	release := make(chan bool)
 	var late atomic.Bool
 	h := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) {
 		if late.CompareAndSwap(false, true) {
 			<-release
 		}
-		ok(c, r, body)
+		respondOK(c, r, body)
 	})
 	g := start(t, nil, h)
 	c := g.dial()
 	began := time.Now()
-	status, _, _ := ask(t, c, view("slow", 300))
+	status, _, _ := roundTrip(t, c, viewRequest("slow", 300))
 	if took := time.Since(began); status == 200 || status == 0 || took > 2*time.Second {
 		t.Errorf("a request out of time: status %d after %v", status, took)
 	}
 	close(release)
-	until(t, "another answer", func() bool {
-		status, _, body := ask(t, c, view("next", 900))
+	waitFor(t, "another answer", func() bool {
+		status, _, body := roundTrip(t, c, viewRequest("next", 900))
 		if status == 200 && body != "next:" {
 			t.Fatalf("the next query got %q", body)
 		}
--- a/cmd/thymebend/retry_test.go
+++ b/cmd/thymebend/retry_test.go
@@ -16,7 +16,7 @@
 	h := &fakeEndpoint{name: "s-1", ln: shortBacklog(t)}
 	g := start(t, map[string]any{"settings": keyedSettings(600)}, h)
 	c := g.dial()
-	if _, err := io.WriteString(c, lodge("bid", "x")); err != nil {
+	if _, err := io.WriteString(c, lodgeRequest("bid", "x")); err != nil {
 		t.Fatal(err)
 	}
 	first, err := h.ln.Accept()
@@ -29,7 +29,7 @@
 	waiting := fillBacklog(t, h.ln)
 	_ = first.(*net.TCPConn).SetLinger(0) // a reset: it may have run, so the class repeats it
 	first.Close()
-	until(t, "the repeat's connection, which the full queue keeps from coming up",
+	waitFor(t, "the repeat's connection, which the full queue keeps from coming up",
 		func() bool { return connecting(t, h.ln.Addr()) })
 	for range waiting {
 		if _, err := h.ln.Accept(); err != nil {
@@ -43,18 +43,18 @@
 	if data, _ := io.ReadAll(late); len(data) > 0 {
 		t.Errorf("sent after the window: %.60q", data)
 	}
-	if status, _, _ := answer(c); status != 502 {
+	if status, _, _ := readResponse(c); status != 502 {
 		t.Errorf("answered %d, want 502: it may have run", status)
 	}
 }
 
 // Guards against an endpoint whose connections never come up and that costs more than the connect timeout.
 func TestConnectTimeoutIsRetriedElsewhere(t *testing.T) {
-	mute, live := newEndpoint(t, "s-1", ok), newEndpoint(t, "s-2", ok)
-	mute.ln = fullBacklog(t)
-	g := start(t, nil, mute, live)
+	unreachable, live := newEndpoint(t, "s-1", respondOK), newEndpoint(t, "s-2", respondOK)
+	unreachable.ln = fullBacklog(t)
+	g := start(t, nil, unreachable, live)
 	for i := range 4 {
-		if status, _, _ := ask(t, g.dial(), lodge(fmt.Sprint("l", i), "x")); status != 200 {
+		if status, _, _ := roundTrip(t, g.dial(), lodgeRequest(fmt.Sprint("l", i), "x")); status != 200 {
 			t.Errorf("lodge %d: %d", i, status)
 		}
 	}
@@ -64,19 +64,19 @@
 func TestEndpointStalledForOneClass(t *testing.T) {
 	hang := make(chan bool)
 	defer close(hang)
-	var lodged, viewed, most atomic.Int32
-	answer := singleCore(&most, "")
+	var lodgeRequests, viewRequests, maxWaiting atomic.Int32
+	answer := serialResponder(&maxWaiting, "")
 	half := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) {
 		if r.Method == "POST" {
-			lodged.Add(1)
+			lodgeRequests.Add(1)
 			<-hang
 			return
 		}
-		viewed.Add(1)
+		viewRequests.Add(1)
 		answer(c, r, body)
 	})
-	start(t, nil, half, newEndpoint(t, "s-2", singleCore(&most, ""))).load(3 * time.Second)
-	if n, v := lodged.Load(), viewed.Load(); n > 12 || v < 200 {
+	start(t, nil, half, newEndpoint(t, "s-2", serialResponder(&maxWaiting, ""))).runLoad(3 * time.Second)
+	if n, v := lodgeRequests.Load(), viewRequests.Load(); n > 12 || v < 200 {
 		t.Errorf("%d bids and %d views went to a host that answers no bid", n, v)
 	}
 }
@@ -112,18 +112,18 @@
 					c.broken(conn, r, body)
 					return
 				}
-				ok(conn, r, body)
+				respondOK(conn, r, body)
 			}
 			a, b := newEndpoint(t, "s-1", once), newEndpoint(t, "s-2", once)
 			g := start(t, nil, a, b)
-			status, _, _ := ask(t, g.dial(), lodge("bid", "x"))
-			_, inA, _ := a.seen()
-			_, inB, _ := b.seen()
+			status, _, _ := roundTrip(t, g.dial(), lodgeRequest("bid", "x"))
+			_, inA, _ := a.counts()
+			_, inB, _ := b.counts()
 			if status != c.lodged || inA+inB != map[bool]int{false: 1, true: 2}[c.retried] {
 				t.Errorf("lodge: status %d after %d executions", status, inA+inB)
 			}
 			first.Store(false)
-			if status, _, _ = ask(t, g.dial(), view("look", 1500)); status != 200 {
+			if status, _, _ = roundTrip(t, g.dial(), viewRequest("look", 1500)); status != 200 {
 				t.Errorf("view, safe to repeat: status %d", status)
 			}
 		})
@@ -132,11 +132,11 @@
 
 // Guards against a refused connection that fails its request.
 func TestRefusedConnectionIsRetriedElsewhere(t *testing.T) {
-	dead, live := newEndpoint(t, "s-1", ok), newEndpoint(t, "s-2", ok)
+	dead, live := newEndpoint(t, "s-1", respondOK), newEndpoint(t, "s-2", respondOK)
 	dead.ln.Close()
 	g := start(t, nil, dead, live)
 	for i := range 6 {
-		if status, _, _ := ask(t, g.dial(), lodge(fmt.Sprint("l", i), "x")); status != 200 {
+		if status, _, _ := roundTrip(t, g.dial(), lodgeRequest(fmt.Sprint("l", i), "x")); status != 200 {
 			t.Errorf("lodge %d: %d", i, status)
 		}
 	}
@@ -146,7 +146,7 @@
 func TestConnectionClosedByItsEndpointIsNotReused(t *testing.T) {
 	closed := make(chan bool, 10)
 	h := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) {
-		ok(c, r,
+		respondOK(c, r,
 			body)
 		c.Close()
 		closed <- true
@@ -157,7 +157,7 @@
 		if i > 0 {
 			<-closed
 		}
-		if status, _, _ := ask(t, c, lodge(fmt.Sprint("l", i), "x")); status != 200 {
+		if status, _, _ := roundTrip(t, c, lodgeRequest(fmt.Sprint("l", i), "x")); status != 200 {
 			t.Errorf("lodge %d: %d", i, status)
 		}
 	}
--- a/cmd/thymebend/rig_test.go
+++ b/cmd/thymebend/rig_test.go
@@ -57,33 +57,33 @@
 	).Replace(testSettings))
 }
 
-// load has eight clients ask for so long, a view and then a bid that waits 400 ms.
-func (r *rig) load(last time.Duration) {
-	r.t.Helper()
+// runLoad has eight clients ask for so long, a view and then a bid that waits 400 ms.
+func (g *gatewayProcess) runLoad(duration time.Duration) {
+	g.t.Helper()
 	var done sync.WaitGroup
-	began := time.Now()
+	started := time.Now()
 	for i := range 8 {
-		c := r.dial()
+		c := g.dial()
 		done.Go(func() {
-			for j := 0; time.Since(began) < last; j++ {
+			for j := 0; time.Since(started) < duration; j++ {
 				id := fmt.Sprintf("%d-%d", i, j)
-				ask(r.t, c, view("v"+id, 400))
-				ask(r.t, c, strings.Replace(lodge("l"+id, "x"), "2500m", "400m", 1))
+				roundTrip(g.t, c, viewRequest("v"+id, 400))
+				roundTrip(g.t, c, strings.Replace(lodgeRequest("l"+id, "x"), "2500m", "400m", 1))
 			}
 		})
 	}
 	done.Wait()
 }
 
-// rig is a running gateway.
-type rig struct {
-	t         *testing.T
-	cmd       *exec.Cmd
-	addr      string
-	path      string // of its configuration
-	log       *logBuffer
-	discovery *fakeDiscovery
-	done      chan error
+// gatewayProcess is a running gateway.
+type gatewayProcess struct {
+	t          *testing.T
+	cmd        *exec.Cmd
+	address    string
+	configPath string // of its configuration
+	log        *logBuffer
+	discovery  *fakeDiscovery
+	done       chan error
 }
 
 // settings of the tests: one safe class and one unsafe.
@@ -94,9 +94,9 @@
  "classes":[{"name":"view","aim_ms":800,"give_up_ms":2000,"repeat":"repeatable","worth":1},
   {"name":"lodge","aim_ms":800,"give_up_ms":2500,"repeat":"once","worth":8}]}`
 
-// ownAddress is an address for a gateway. A socket that does not listen has its port for as long as the test
+// reservedAddress is an address for a gateway. A socket that does not listen has its port for as long as the test
 // lasts, so that nobody gets it but who asks for it by SO_REUSEPORT, as the gateway does.
-func ownAddress(t *testing.T) string {
+func reservedAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err == nil {
@@ -117,12 +117,12 @@
 }
 
 // configure writes a configuration and returns the program ready to start. edit may change its fields.
-func configure(t *testing.T, known string, disc string, edit map[string]any) (*exec.Cmd, string) {
+func configure(t *testing.T, knownList string, discovery string, edit map[string]any) (*exec.Cmd, string) {
 	t.Helper()
-	addr := ownAddress(t)
-	fields := map[string]any{"name": "n0", "listen": addr, "discovery": disc, "seed": "8c1f30d27a5be964",
+	addr := reservedAddress(t)
+	fields := map[string]any{"name": "n0", "listen": addr, "discovery": discovery, "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
-		"known":    json.RawMessage(known),
+		"known":    json.RawMessage(knownList),
 		"settings": json.RawMessage(testSettings)}
 	for k, v := range edit {
 		fields[k] = v
@@ -141,68 +141,68 @@
 }
 
 // start runs a gateway over the endpoints, all up, and waits until it is ready.
-func start(t *testing.T, edit map[string]any, hosts ...*fakeEndpoint) *rig {
+func start(t *testing.T, edit map[string]any, endpoints ...*fakeEndpoint) *gatewayProcess {
 	t.Helper()
 	var entries []string
-	for _, h := range hosts {
-		entries = append(entries, entry(h, "up"))
+	for _, endpoint := range endpoints {
+		entries = append(entries, endpointEntry(endpoint, "up"))
 	}
 	whole := endpointList(1, true, entries...)
 	return startWith(t, edit, whole, newDiscovery(t, func(int) string { return whole }))
 }
 
-func startWith(t *testing.T, edit map[string]any, known string, d *fakeDiscovery) *rig {
+func startWith(t *testing.T, edit map[string]any, knownList string, d *fakeDiscovery) *gatewayProcess {
 	t.Helper()
-	r := launch(t, edit, known, d)
-	r.ready()
-	return r
+	g := launch(t, edit, knownList, d)
+	g.waitReady()
+	return g
 }
 
-// ready waits until the gateway answers that it is.
-func (r *rig) ready() {
-	r.t.Helper()
-	until(r.t, "the gateway to be ready", func() bool {
-		c, err := net.Dial("tcp", r.addr)
+// waitReady waits until the gateway answers that it is.
+func (g *gatewayProcess) waitReady() {
+	g.t.Helper()
+	waitFor(g.t, "the gateway to be ready", func() bool {
+		c, err := net.Dial("tcp", g.address)
 		if err != nil {
 			return false
 		}
 		defer c.Close()
-		status, _, _ := ask(r.t, c, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+		status, _, _ := roundTrip(g.t, c, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 		return status == 200
 	})
 }
 
 // startUnready runs a gateway that knows no endpoint, and waits until it takes clients.
-func startUnready(t *testing.T, edit map[string]any, known string, d *fakeDiscovery) *rig {
+func startUnready(t *testing.T, edit map[string]any, knownList string, d *fakeDiscovery) *gatewayProcess {
 	t.Helper()
-	r := launch(t, edit, known, d)
-	until(t, "the gateway to take clients", func() bool { return r.logs("taking clients") })
-	return r
+	g := launch(t, edit, knownList, d)
+	waitFor(t, "the gateway to take clients", func() bool { return g.hasLogged("taking clients") })
+	return g
 }
 
 // launch runs a gateway and does not wait.
-func launch(t *testing.T, edit map[string]any, known string, d *fakeDiscovery) *rig {
+func launch(t *testing.T, edit map[string]any, knownList string, d *fakeDiscovery) *gatewayProcess {
 	t.Helper()
-	cmd, addr := configure(t, known, d.ln.Addr().String(), edit)
+	cmd, addr := configure(t, knownList, d.ln.Addr().String(), edit)
 	path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-2], "LB_CONFIG=")
 	cmd.Env = append(cmd.Env, "LB_DISCOVERY="+d.ln.Addr().String())
-	r := &rig{t: t, cmd: cmd, addr: addr, path: path, log: &logBuffer{}, discovery: d, done: make(chan error, 1)}
-	cmd.Stderr = r.log
+	g := &gatewayProcess{t: t, cmd: cmd, address: addr, configPath: path, log: &logBuffer{}, discovery: d, done: make(chan error, 1)}
+	cmd.Stderr = g.log
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go func() { r.done <- cmd.Wait() }()
+	go func() { g.done <- cmd.Wait() }()
 	t.Cleanup(func() {
 		_ = cmd.Process.Kill()
-		<-r.done
-		if r.logs("DATA RACE") || r.logs("panic:") {
+		<-g.done
+		if g.hasLogged("DATA RACE") || g.hasLogged("panic:") {
 			t.Error("the gateway raced or panicked")
 		}
 		if t.Failed() {
-			t.Logf("log of the gateway:\n%s", r.log)
+			t.Logf("log of the gateway:\n%s", g.log)
 		}
 	})
-	return r
+	return g
 }
 
 // logBuffer is the program's log, read while it is written.
@@ -220,35 +220,35 @@
 func (l *logBuffer) String() string { l.mu.Lock(); defer l.mu.Unlock(); return l.b.String() }
 
 // reload replaces a field of the configuration and sends SIGHUP.
-func (r *rig) reload(field string, value any) {
-	r.t.Helper()
+func (g *gatewayProcess) reload(field string, value any) {
+	g.t.Helper()
 	fields := map[string]any{}
-	raw, err := os.ReadFile(r.path)
+	raw, err := os.ReadFile(g.configPath)
 	if err == nil {
 		err = json.Unmarshal(raw, &fields)
 	}
 	fields[field] = value
 	if raw, _ = json.Marshal(fields); err == nil {
-		err = os.WriteFile(r.path, raw, 0o600)
+		err = os.WriteFile(g.configPath, raw, 0o600)
 	}
 	if err == nil {
-		err = r.cmd.Process.Signal(syscall.SIGHUP)
+		err = g.cmd.Process.Signal(syscall.SIGHUP)
 	}
 	if err != nil {
-		r.t.Fatal(err)
+		g.t.Fatal(err)
 	}
 }
 
-func (r *rig) signal(s syscall.Signal) {
-	r.t.Helper()
-	if err := r.cmd.Process.Signal(s); err != nil {
-		r.t.Fatal(err)
+func (g *gatewayProcess) signal(s syscall.Signal) {
+	g.t.Helper()
+	if err := g.cmd.Process.Signal(s); err != nil {
+		g.t.Fatal(err)
 	}
 	if s == syscall.SIGSTOP {
-		until(r.t, "all threads to stand still", func() bool {
-			threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", r.cmd.Process.Pid))
+		waitFor(g.t, "all threads to stand still", func() bool {
+			threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", g.cmd.Process.Pid))
 			if err != nil || len(threads) == 0 {
-				r.t.Fatal("no such process")
+				g.t.Fatal("no such process")
 			}
 			for _, path := range threads {
 				raw, _ := os.ReadFile(path) // a thread may have ended meanwhile
@@ -261,38 +261,38 @@
 	}
 }
 
-// exit waits for the program's end and returns its exit code.
-func (r *rig) exit() int {
-	r.t.Helper()
+// waitExit waits for the program's end and returns its exit code.
+func (g *gatewayProcess) waitExit() int {
+	g.t.Helper()
 	select {
-	case err := <-r.done:
-		r.done <- err
+	case err := <-g.done:
+		g.done <- err
 	case <-time.After(testTimeout):
-		r.t.Fatal("the gateway did not exit")
+		g.t.Fatal("the gateway did not exit")
 	}
-	return r.cmd.ProcessState.ExitCode()
+	return g.cmd.ProcessState.ExitCode()
 }
 
 // awaitShutdown waits until the gateway has taken its SIGTERM.
-func (r *rig) awaitShutdown() {
-	r.t.Helper()
-	until(r.t, "the stop to begin", func() bool {
-		_, fields, _ := ask(r.t, r.dial(), view("first", 900))
+func (g *gatewayProcess) awaitShutdown() {
+	g.t.Helper()
+	waitFor(g.t, "the stop to begin", func() bool {
+		_, fields, _ := roundTrip(g.t, g.dial(), viewRequest("first", 900))
 		return fields.Get("Connection") == "close"
 	})
 }
 
-// until waits for a condition.
-func until(t *testing.T, what string, holds func() bool) {
+// waitFor waits for a condition.
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain for %s", what)
 		}
 	}
 }
 
-func settingsWith(old, new string) json.RawMessage {
+func settingsWithReplacement(old, new string) json.RawMessage {
 	return json.RawMessage(strings.Replace(testSettings, old, new, 1))
 }
 
--- a/cmd/thymebend/serve_test.go
+++ b/cmd/thymebend/serve_test.go
@@ -12,67 +12,67 @@
 // Guards against changed requests or responses, and against connections that are not reused.
 func TestServesUnchangedOnReusedConnections(t *testing.T) {
 	h := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) {
-		ok(c, r, r.Method+r.URL.String()+body+r.Header.Get("X-Expires-In")[:1])
+		respondOK(c, r, r.Method+r.URL.String()+body+r.Header.Get("X-Expires-In")[:1])
 	})
 	g := start(t, nil, h)
 	c := g.dial()
 	for i := range 5 {
-		status, fields, body := ask(t, c, view(fmt.Sprint("v", i), 900))
+		status, fields, body := roundTrip(t, c, viewRequest(fmt.Sprint("v", i), 900))
 		if want := fmt.Sprintf("v%d:GET/view/x?q=18", i); status != 200 || body != want ||
 			fields.Get("X-Kept") != "yes" {
 			t.Fatalf("view: %d %q, want %q", status, body, want)
 		}
-		if status, _, body = ask(t, c, lodge(fmt.Sprint("l", i), "bid")); status != 200 ||
+		if status, _, body = roundTrip(t, c, lodgeRequest(fmt.Sprint("l", i), "bid")); status != 200 ||
 			body != fmt.Sprintf("l%d:POST/lodgebid2", i) {
 			t.Fatalf("lodge: %d %q", status, body)
 		}
 	}
-	if conns, asked, _ := h.seen(); conns != 1 || asked != 10 {
+	if conns, asked, _ := h.counts(); conns != 1 || asked != 10 {
 		t.Errorf("%d links for %d executions, want 1 for 10: handshakes cost hosts", conns, asked)
 	}
 }
 
 // Guards against bad input that is forwarded or gets no error.
-func TestBadInputIsAnsweredAndNeverForwarded(t *testing.T) {
-	h := newEndpoint(t, "s-1", ok)
+func TestInvalidRequestsAreRejectedAndNotForwarded(t *testing.T) {
+	h := newEndpoint(t, "s-1", respondOK)
 	g := start(t, nil, h)
-	good := view("a", 900)
+	good := viewRequest("a", 900)
 	for raw, want := range map[string]int{
 		"nonsense\r\n\r\n": 400,
-		"GET /view HTTP/1.1\r\nHost: o\r\nbad line\r\n\r\n":                                              400,
-		strings.Replace(good, "X-Trace-Id: a\r\n", "", 1):                                                400,
-		strings.Replace(good, "X-Trace-Id: a", "X-Trace-Id: a, b", 1):                                    400,
-		strings.Replace(good, "X-Qos: view", "X-Qos: other", 1):                                          400,
-		strings.Replace(good, "X-Qos: view\r\n", "", 1):                                                  400,
-		strings.Replace(good, "900m", "soon", 1):                                                         400,
-		strings.Replace(good, "900m", "-5m", 1):                                                          400,
-		strings.Replace(good, "900m", "1e3m", 1):                                                         400,
-		strings.Replace(good, "X-Expires-In: 900m\r\n", "", 1):                                           400,
-		strings.Replace(good, "GET", "DELETE", 1):                                                        400,
-		strings.Replace(good, "/view/x", "/elsewhere", 1):                                                404,
-		strings.Replace(lodge("a", "x"), "Host", "Transfer-Encoding: chunked\r\nHost", 1):                400,
-		strings.Replace(lodge("a", ""), "Length: 0", "Length: 33554433", 1):                              413,
-		strings.Replace(lodge("a", ""), "Length: 0", "Length: -1", 1):                                    400,
-		strings.Replace(good, "Host: o", "Host: "+strings.Repeat("o", 17<<10), 1):                        431,
-		strings.Replace(lodge("a", ""), "Content-Length: 0", "Transfer-Encoding: chunked", 1) + "zz\r\n": 400,
-		"POST /healthz HTTP/1.1\r\nHost: o\r\nContent-Length: 0\r\n\r\n":                                 400,
+		"GET /view HTTP/1.1\r\nHost: o\r\nbad line\r\n\r\n":                                                     400,
+		strings.Replace(good, "X-Trace-Id: a\r\n", "", 1):                                                       400,
+		strings.Replace(good, "X-Trace-Id: a", "X-Trace-Id: a, b", 1):                                           400,
+		strings.Replace(good, "X-Qos: view", "X-Qos: other", 1):                                                 400,
+		strings.Replace(good, "X-Qos: view\r\n", "", 1):                                                         400,
+		strings.Replace(good, "900m", "soon", 1):                                                                400,
+		strings.Replace(good, "900m", "-5m", 1):                                                                 400,
+		strings.Replace(good, "900m", "1e3m", 1):                                                                400,
+		strings.Replace(good, "X-Expires-In: 900m\r\n", "", 1):                                                  400,
+		strings.Replace(good, "GET", "DELETE", 1):                                                               400,
+		strings.Replace(good, "/view/x", "/elsewhere", 1):                                                       404,
+		strings.Replace(lodgeRequest("a", "x"), "Host", "Transfer-Encoding: chunked\r\nHost", 1):                400,
+		strings.Replace(lodgeRequest("a", ""), "Length: 0", "Length: 33554433", 1):                              413,
+		strings.Replace(lodgeRequest("a", ""), "Length: 0", "Length: -1", 1):                                    400,
+		strings.Replace(good, "Host: o", "Host: "+strings.Repeat("o", 17<<10), 1):                               431,
+		strings.Replace(lodgeRequest("a", ""), "Content-Length: 0", "Transfer-Encoding: chunked", 1) + "zz\r\n": 400,
+		"POST /healthz HTTP/1.1\r\nHost: o\r\nContent-Length: 0\r\n\r\n":                                        400,
 	} {
-		if status, _, _ := ask(t, g.dial(), raw); status != want {
+		if status, _, _ := roundTrip(t, g.dial(), raw); status != want {
 			t.Errorf("%.60q: status %d, want %d", raw, status, want)
 		}
 	}
-	if _, asked, _ := h.seen(); asked != 0 {
+	if _, asked, _ := h.counts(); asked != 0 {
 		t.Errorf("%d faulty requests were forwarded", asked)
 	}
-	if status, _, _ := ask(t, g.dial(), good); status != 200 {
+	if status, _, _ := roundTrip(t, g.dial(), good); status != 200 {
 		t.Errorf("a good request after them: %d", status)
 	}
 }
 
 // Guards against a request that is misread where its bytes come in pieces.
 func TestRequestsArriveInPieces(t *testing.T) {
-	g := start(t, nil, newEndpoint(t, "s-1", ok))
-	raw := strings.Replace(lodge("a", ""), "Content-Length: 0", "Transfer-Encoding: chunked",
+	g := start(t, nil, newEndpoint(t, "s-1", respondOK))
+	raw := strings.Replace(lodgeRequest("a", ""), "Content-Length: 0", "Transfer-Encoding: chunked",
 		1) + "3;x=y\r\nbid\r\n0\r\n\r\n"
 	c := g.dial()
 	for i := range len(raw) - 1 {
@@ -80,7 +80,7 @@
 			t.Fatal(err)
 		}
 	}
-	if status, _, body := ask(t, c, raw[len(raw)-1:]); status != 200 || body != "a:bid" {
+	if status, _, body := roundTrip(t, c, raw[len(raw)-1:]); status != 200 || body != "a:bid" {
 		t.Errorf("%d %q", status, body)
 	}
 }
@@ -88,21 +88,21 @@
 // Guards against the id of an open request that reaches an endpoint a second time.
 func TestOpenRequestIDIsRejected(t *testing.T) {
 	release := make(chan bool)
-	h := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) { <-release; ok(c, r, body) })
+	h := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) { <-release; respondOK(c, r, body) })
 	g := start(t, nil, h)
 	first := g.dial()
-	if _, err := io.WriteString(first, lodge("same", "x")); err != nil {
+	if _, err := io.WriteString(first, lodgeRequest("same", "x")); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the execution", func() bool { _, asked, _ := h.seen(); return asked == 1 })
-	if status, _, _ := ask(t, g.dial(), lodge("same", "y")); status != 400 {
+	waitFor(t, "the execution", func() bool { _, asked, _ := h.counts(); return asked == 1 })
+	if status, _, _ := roundTrip(t, g.dial(), lodgeRequest("same", "y")); status != 400 {
 		t.Errorf("the same id meanwhile: status %d, want 400", status)
 	}
 	close(release)
-	if status, _, body := answer(first); status != 200 || body != "same:x" {
+	if status, _, body := readResponse(first); status != 200 || body != "same:x" {
 		t.Errorf("the first: %d %q", status, body)
 	}
-	if _, asked, _ := h.seen(); asked != 1 {
+	if _, asked, _ := h.counts(); asked != 1 {
 		t.Errorf("%d executions, want 1", asked)
 	}
 }
@@ -110,17 +110,17 @@
 // Guards against taking a client's first try with a short timeout for a retry past its objective.
 func TestFirstAttemptWithAShortTimeoutIsServed(t *testing.T) {
 	for marks, want := range map[string]int{`"clients":{"marks_retry":true},`: 200, "": 503} {
-		g := start(t, map[string]any{"settings": settingsWith(`"classes"`, marks+`"classes"`)},
-			newEndpoint(t, "s-1", ok))
+		g := start(t, map[string]any{"settings": settingsWithReplacement(`"classes"`, marks+`"classes"`)},
+			newEndpoint(t, "s-1", respondOK))
 		c := g.dial()
 		for i := range 5 {
-			ask(t, c, view(fmt.Sprint("usual", i), 2000))
+			roundTrip(t, c, viewRequest(fmt.Sprint("usual", i), 2000))
 		}
-		if status, _, _ := ask(t, c, view("hasty", 300)); status != want {
+		if status, _, _ := roundTrip(t, c, viewRequest("hasty", 300)); status != want {
 			t.Errorf("%q: status %d, want %d", marks, status, want)
 		}
-		marked := strings.Replace(view("repeat", 300), "Host", "X-Second-Try: 1\r\nHost", 1)
-		if status, _, _ := ask(t, c, marked); status != 503 {
+		marked := strings.Replace(viewRequest("repeat", 300), "Host", "X-Second-Try: 1\r\nHost", 1)
+		if status, _, _ := roundTrip(t, c, marked); status != 503 {
 			t.Errorf("a marked repeat, begun long ago: status %d, want 503", status)
 		}
 	}
--- a/cmd/thymebend/stopped_clients_test.go
+++ b/cmd/thymebend/stopped_clients_test.go
@@ -17,12 +17,12 @@
 	"time"
 )
 
-// owedWithin is how soon a client that stops in the middle of a request is owed an error or a close.
-const owedWithin = 3 * time.Second
+// stallTimeout is how soon a client that stops in the middle of a request is owed an error or a close.
+const stallTimeout = 3 * time.Second
 
-// longDeadlines are the settings of the tests with the deadlines of the incident of stopped clients: 3.682
+// incidentDeadlineSettings are the settings of the tests with the deadlines of the incident of stopped clients: 3.682
 // and 4.603 s.
-func longDeadlines() json.RawMessage {
+func incidentDeadlineSettings() json.RawMessage {
 	text := strings.Replace(testSettings, `"give_up_ms":2000`, `"give_up_ms":3682`, 1)
 	return json.RawMessage(strings.Replace(text, `"give_up_ms":2500`, `"give_up_ms":4603`, 1))
 }
@@ -32,7 +32,7 @@
 func stallingProxy(t *testing.T, to string, bytesPassed int64) string {
 	t.Helper()
 	ln := listen(t)
-	go each(ln, func(client net.Conn) {
+	go serveEach(ln, func(client net.Conn) {
 		gateway, err := net.Dial("tcp", to)
 		if err != nil {
 			return
@@ -55,15 +55,15 @@
 	pause  time.Duration // between the pieces
 }
 
-// stalls are the places in a request at which a client may stop.
-func stalls(prefix string) []stall {
+// stallCases are the places in a request at which a client may stop.
+func stallCases(prefix string) []stall {
 	body := func(sent, stated int) string {
-		whole := lodge(fmt.Sprintf("%s%d-%d", prefix, sent, stated), strings.Repeat("x", stated))
+		whole := lodgeRequest(fmt.Sprintf("%s%d-%d", prefix, sent, stated), strings.Repeat("x", stated))
 		return whole[:len(whole)-stated+sent]
 	}
-	chunked := strings.Replace(lodge(prefix+"chunked", ""), "Content-Length: 0", "Transfer-Encoding: chunked", 1)
+	chunked := strings.Replace(lodgeRequest(prefix+"chunked", ""), "Content-Length: 0", "Transfer-Encoding: chunked", 1)
 	expects := strings.Replace(body(0, 50), "Host: o", "Host: o\r\nExpect: 100-continue", 1)
-	half := view(prefix+"half", 900)
+	half := viewRequest(prefix+"half", 900)
 	half = half[:len(half)/2]
 	list := []stall{
 		{name: "nothing sent"},
@@ -79,19 +79,19 @@
 		{name: "a streamed body in pieces", sends: []string{body(80<<10, 300<<10),
 			strings.Repeat("x", 10<<10), strings.Repeat("x", 10<<10)},
 			pause: 300 * time.Millisecond},
-		{name: "half a request behind an answered one", before: view(prefix+"answered", 900),
+		{name: "half a request behind an answered one", before: viewRequest(prefix+"answered", 900),
 			sends: []string{half}},
-		{name: "half a body behind an answered one", before: view(prefix+"answered-too", 900),
+		{name: "half a body behind an answered one", before: viewRequest(prefix+"answered-too", 900),
 			sends: []string{body(40, 101)}},
-		{name: "half a request in one piece with a whole one", sends: []string{view(prefix+"whole", 900) + half}},
+		{name: "half a request in one piece with a whole one", sends: []string{viewRequest(prefix+"whole", 900) + half}},
 		{name: "a slow head", sends: []string{half[:10], half[10:20], half[20:]}, pause: 600 * time.Millisecond},
 	}
 	return list
 }
 
-// play has a client stop, and returns how long it then waits for an error or a close, from when it sent its
+// run has a client stop, and returns how long it then waits for an error or a close, from when it sent its
 // last byte, or from its connecting if it never sent any.
-func (s stall) play(addr string) (time.Duration, error) {
+func (s stall) run(addr string) (time.Duration, error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return 0, err
@@ -103,7 +103,7 @@
 		if _, err := io.WriteString(c, s.before); err != nil {
 			return 0, err
 		}
-		if err := answerWithin(c, http.StatusOK); err != nil {
+		if err := expectStatus(c, http.StatusOK); err != nil {
 			return 0, err
 		}
 	}
@@ -129,24 +129,24 @@
 	}
 }
 
-// answerWithin reads one answer with a body of stated length.
-func answerWithin(c net.Conn, want int) error {
-	status, _, _ := answer(c)
+// expectStatus reads one answer with a body of stated length.
+func expectStatus(c net.Conn, want int) error {
+	status, _, _ := readResponse(c)
 	if status != want {
 		return fmt.Errorf("status %d, want %d", status, want)
 	}
 	return nil
 }
 
-// playStalls has clients stop in every way at once, and returns how long each waited.
-func playStalls(t *testing.T, addr string, list []stall) {
+// runStalls has clients stop in every way at once, and returns how long each waited.
+func runStalls(t *testing.T, addr string, list []stall) {
 	t.Helper()
 	var all sync.WaitGroup
 	for _, s := range list {
 		all.Go(func() {
-			if waited, err := s.play(addr); err != nil || waited > owedWithin {
+			if waited, err := s.run(addr); err != nil || waited > stallTimeout {
 				t.Errorf("%s: an error or a close after %v (%v), owed within %v", s.name,
-					waited.Round(time.Millisecond), err, owedWithin)
+					waited.Round(time.Millisecond), err, stallTimeout)
 			}
 		})
 	}
@@ -159,51 +159,51 @@
 func TestStoppedClientsGetAnErrorOrAClose(t *testing.T) {
 	for name, settings := range map[string]json.RawMessage{
 		"deadlines of 2.5 s": json.RawMessage(testSettings),
-		"deadlines of 4.6 s": longDeadlines(),
-		"deadlines of 12 s":  settingsWith(`"give_up_ms":2500`, `"give_up_ms":12000`),
+		"deadlines of 4.6 s": incidentDeadlineSettings(),
+		"deadlines of 12 s":  settingsWithReplacement(`"give_up_ms":2500`, `"give_up_ms":12000`),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h := newEndpoint(t, "s-1", ok)
+			h := newEndpoint(t, "s-1", respondOK)
 			g := start(t, map[string]any{"settings": settings}, h)
-			playStalls(t, g.addr, stalls("a"))
-			if status, _, _ := ask(t, g.dial(), view("other", 900)); status != 200 {
+			runStalls(t, g.address, stallCases("a"))
+			if status, _, _ := roundTrip(t, g.dial(), viewRequest("other", 900)); status != 200 {
 				t.Errorf("another client: %d", status)
 			}
 		})
 	}
 	t.Run("behind a proxy", func(t *testing.T) {
 		t.Parallel()
-		g := start(t, map[string]any{"settings": longDeadlines()}, newEndpoint(t, "s-1", ok))
-		whole := lodge("proxied", strings.Repeat("x", 500))
+		g := start(t, map[string]any{"settings": incidentDeadlineSettings()}, newEndpoint(t, "s-1", respondOK))
+		whole := lodgeRequest("proxied", strings.Repeat("x", 500))
 		for _, passed := range []int64{0, 20, int64(len(whole)) - 500, int64(len(whole)) - 1} {
-			playStalls(t, stallingProxy(t, g.addr, passed), []stall{{name: fmt.Sprint(passed,
+			runStalls(t, stallingProxy(t, g.address, passed), []stall{{name: fmt.Sprint(passed,
 				" bytes passed"), sends: []string{whole}}})
 		}
 	})
 	t.Run("through a reload to longer deadlines", func(t *testing.T) {
 		t.Parallel()
-		g := start(t, nil, newEndpoint(t, "s-1", ok))
+		g := start(t, nil, newEndpoint(t, "s-1", respondOK))
 		c := g.dial()
-		fmt.Fprint(c, view("before", 900)[:30])
-		g.reload("settings", longDeadlines())
-		until(t, "the reload", func() bool { return g.logs(`"message":"reload"`) })
-		playStalls(t, g.addr, stalls("r"))
-		if status, _, _ := answer(c); status != 408 {
+		fmt.Fprint(c, viewRequest("before", 900)[:30])
+		g.reload("settings", incidentDeadlineSettings())
+		waitFor(t, "the reload", func() bool { return g.hasLogged(`"message":"reload"`) })
+		runStalls(t, g.address, stallCases("r"))
+		if status, _, _ := readResponse(c); status != 408 {
 			t.Errorf("half a request from before the reload: %d, want 408", status)
 		}
 	})
 	t.Run("in a planned end", func(t *testing.T) {
 		t.Parallel()
-		g := start(t, map[string]any{"settings": longDeadlines()}, newEndpoint(t, "s-1", ok))
+		g := start(t, map[string]any{"settings": incidentDeadlineSettings()}, newEndpoint(t, "s-1", respondOK))
 		var all sync.WaitGroup
-		all.Go(func() { playStalls(t, g.addr, stalls("e")) })
-		until(t, "half requests to come", func() bool {
+		all.Go(func() { runStalls(t, g.address, stallCases("e")) })
+		waitFor(t, "half requests to come", func() bool {
 			return strings.Count(g.log.String(), "request begins to come") >= 10
 		})
 		g.signal(syscall.SIGTERM)
 		all.Wait()
-		if code := g.exit(); code != 0 {
+		if code := g.waitExit(); code != 0 {
 			t.Errorf("exit code %d", code)
 		}
 	})
@@ -212,16 +212,16 @@
 		h := &fakeEndpoint{name: "s-1", ln: listen(t)}
 		held := make(chan bool)
 		t.Cleanup(func() { close(held) })
-		go each(h.ln, func(net.Conn) { <-held }) // its machine takes what its buffers hold
-		g := start(t, map[string]any{"settings": longDeadlines()}, h)
+		go serveEach(h.ln, func(net.Conn) { <-held }) // its machine takes what its buffers hold
+		g := start(t, map[string]any{"settings": incidentDeadlineSettings()}, h)
 		c := g.dial()
 		body := make([]byte, 64<<10)
-		fmt.Fprint(c, large("stuck", "size=2", 30<<20))
+		fmt.Fprint(c, largeLodgeRequest("stuck", "size=2", 30<<20))
 		for _, err := c.Write(body); err == nil; _, err = c.Write(body) { // until nothing more is taken: there it stops
 			_ = c.SetWriteDeadline(time.Now().Add(200 * time.Millisecond))
 		}
 		stopped := time.Now()
-		if status, _, _ := answer(c); status < 400 || time.Since(stopped) > owedWithin {
+		if status, _, _ := readResponse(c); status < 400 || time.Since(stopped) > stallTimeout {
 			t.Errorf("%d after %v", status, time.Since(stopped))
 		}
 	})
@@ -231,17 +231,17 @@
 		t.Cleanup(func() { close(release) })
 		var hung atomic.Int32
 		h := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) { hung.Add(1); <-release })
-		g := start(t, map[string]any{"settings": longDeadlines()}, h)
+		g := start(t, map[string]any{"settings": incidentDeadlineSettings()}, h)
 		for i := range 8 {
-			fmt.Fprint(g.dial(), view(fmt.Sprint("hangs", i), 3600))
+			fmt.Fprint(g.dial(), viewRequest(fmt.Sprint("hangs", i), 3600))
 		}
-		until(t, "requests to hang", func() bool { return hung.Load() > 0 })
+		waitFor(t, "requests to hang", func() bool { return hung.Load() > 0 })
 		var list []stall
-		for _, s := range stalls("h") {
+		for _, s := range stallCases("h") {
 			if s.before == "" && !strings.Contains(s.name, "whole one") { // these wait for an answer first
 				list = append(list, s)
 			}
 		}
-		playStalls(t, g.addr, list)
+		runStalls(t, g.address, list)
 	})
 }
--- a/cmd/thymebend/timeouts_test.go
+++ b/cmd/thymebend/timeouts_test.go
@@ -18,14 +18,14 @@
 				`"aim_ms":500,"give_up_ms":`+deadline, 1)
 			settings = strings.Replace(settings, `"aim_ms":800,"give_up_ms":2500`,
 				`"aim_ms":500,"give_up_ms":`+deadline, 1)
-			g := start(t, map[string]any{"settings": json.RawMessage(settings)}, newEndpoint(t, "s-1", ok))
+			g := start(t, map[string]any{"settings": json.RawMessage(settings)}, newEndpoint(t, "s-1", respondOK))
 			silent, slow := g.dial(), g.dial()
 			began, ended := time.Now(), make(chan time.Duration, 1)
 			go func() {
-				_, _, _ = answer(silent)
+				_, _, _ = readResponse(silent)
 				ended <- time.Since(began)
 			}()
-			raw := lodge("slow", strings.Repeat("x", 40<<10))
+			raw := lodgeRequest("slow", strings.Repeat("x", 40<<10))
 			head := strings.Index(raw, "\r\n\r\n") + 4
 			for _, part := range []string{raw[:head/3], raw[head/3 : 2*head/3], raw[2*head/3 : head]} {
 				fmt.Fprint(slow, part)
@@ -36,10 +36,10 @@
 				fmt.Fprint(slow, rest[:n])
 				rest = rest[n:]
 			}
-			if status, _, _ := answer(slow); status != 200 {
+			if status, _, _ := readResponse(slow); status != 200 {
 				t.Errorf("a slow client: %d after %v", status, time.Since(began))
 			}
-			if took := <-ended; took < 2*time.Second || took > owedWithin {
+			if took := <-ended; took < 2*time.Second || took > stallTimeout {
 				t.Errorf("a connection that says nothing was ended after %v", took)
 			}
 		})
@@ -47,10 +47,10 @@
 }
 
 // Guards against giving up a client that is slow but goes on.
-func TestSlowClientsHaveTheirTime(t *testing.T) {
-	g := start(t, nil, newEndpoint(t, "s-1", ok))
+func TestSlowClientsAreNotTimedOut(t *testing.T) {
+	g := start(t, nil, newEndpoint(t, "s-1", respondOK))
 	c := g.dial()
-	raw := lodge("slow", strings.Repeat("x", 60<<10))
+	raw := lodgeRequest("slow", strings.Repeat("x", 60<<10))
 	head := strings.Index(raw, "\r\n\r\n") + 4
 	fmt.Fprint(c, raw[:20])
 	time.Sleep(2 * time.Second)
@@ -60,17 +60,17 @@
 		fmt.Fprint(c, rest[:n])
 		rest = rest[n:]
 	}
-	if status, _, _ := answer(c); status != 200 {
+	if status, _, _ := readResponse(c); status != 200 {
 		t.Errorf("a slow client's bid: %d", status)
 	}
 }
 
 // Guards against a connection that says nothing, or sends a head without end, and holds a descriptor for
 // long.
-func TestFirstRequestIsBoundedFromTheAccept(t *testing.T) {
-	g := start(t, nil, newEndpoint(t, "s-1", ok))
+func TestFirstRequestTimeoutStartsAtTheAccept(t *testing.T) {
+	g := start(t, nil, newEndpoint(t, "s-1", respondOK))
 	asked, silent, trickle := g.dial(), g.dial(), g.dial()
-	ask(t, asked, view("before", 900))
+	roundTrip(t, asked, viewRequest("before", 900))
 	began, ended := time.Now(), make(chan bool)
 	go func() { // a byte each time: none of them may renew the bound
 		for _, err := io.WriteString(trickle,
@@ -82,17 +82,17 @@
 			}
 		}
 	}()
-	if status, _, _ := answer(trickle); status != 408 {
+	if status, _, _ := readResponse(trickle); status != 408 {
 		t.Errorf("a head without end: status %d, want 408", status)
 	}
 	close(ended)
-	if status, _, _ := answer(silent); status != 0 {
+	if status, _, _ := readResponse(silent); status != 0 {
 		t.Errorf("a silent connection: status %d, want a close", status)
 	}
 	if took := time.Since(began); took > 3*time.Second {
 		t.Errorf("both ended after %v", took)
 	}
-	if status, _, _ := ask(t, asked, view("after", 900)); status != 200 {
+	if status, _, _ := roundTrip(t, asked, viewRequest("after", 900)); status != 200 {
 		t.Errorf("a link that has asked: %d", status)
 	}
 }
--- a/internal/ci/docstree_test.go
+++ b/internal/ci/docstree_test.go
@@ -18,15 +18,15 @@
 
 // This file knows what the tree holds, and tells whether a code span names something in it.
 
-// runsNone is the pattern by which commands for benchmarks run no test.
-const runsNone = "xxx"
+// noTestPattern is the pattern by which commands for benchmarks run no test.
+const noTestPattern = "xxx"
 
 // otherProjects are names of the projects that DEVELOPERS.md takes as models.
 var otherProjects = []string{"resolver", "roundrobin", "outlierdetection", "selectionpolicies.go", "healthchecks.go",
 	"upstreams.go", "streaming.go", "tracker.Progress", "quorum"}
 
-// benchDays are days of the operators' bench that no file of the tree names.
-var benchDays = []string{"herd", "throng", "wide"}
+// benchProfiles are days of the operators' bench that no file of the tree names.
+var benchProfiles = []string{"herd", "throng", "wide"}
 
 // tree is what stands in the repository, as far as docs may name it.
 type tree struct {
@@ -58,7 +58,7 @@
 // readTree parses all Go files under a root, and lists the words of the data files.
 func readTree(t *testing.T, root string) *tree {
 	t.Helper()
-	r := &tree{root: root, packages: map[string]*goPackage{}, tests: map[string]bool{},
+	result := &tree{root: root, packages: map[string]*goPackage{}, tests: map[string]bool{},
 		idents: map[string]bool{}, data: map[string]bool{}, keys: map[string]bool{}, standard: map[string]bool{}}
 	err := filepath.WalkDir(root, func(name string, entry fs.DirEntry, err error) error {
 		if err != nil {
@@ -75,13 +75,13 @@
 			}
 			return nil
 		}
-		r.files = append(r.files, rel)
+		result.files = append(result.files, rel)
 		switch {
 		case path.Ext(rel) == ".go" && !strings.Contains(rel, "/testdata/"):
-			return r.readGo(name, rel)
+			return result.readGo(name, rel)
 		case path.Ext(rel) == ".toml", path.Ext(rel) == ".json", rel == "Makefile":
 			text, err := os.ReadFile(name)
-			r.readData(string(text), true)
+			result.readData(string(text), true)
 			return err
 		}
 		return nil
@@ -89,21 +89,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return result
 }
 
 // readData lists the words of a text, which may be keys of a file or a message.
-func (r *tree) readData(text string, keys bool) {
+func (t *tree) readData(text string, keys bool) {
 	for _, w := range dataWord.FindAllString(text, -1) {
-		r.data[w] = true
+		t.data[w] = true
 		if keys {
-			r.keys[w] = true
+			t.keys[w] = true
 		}
 	}
 }
 
 // readGo takes in the declarations and literals of one file.
-func (r *tree) readGo(name, rel string) error {
+func (t *tree) readGo(name, rel string) error {
 	files := token.NewFileSet()
 	file, err := parser.ParseFile(files, name, nil, parser.SkipObjectResolution|parser.ParseComments)
 	if err != nil {
@@ -112,21 +112,21 @@
 	for _, group := range file.Comments {
 		for _, comment := range group.List {
 			for _, p := range docsPage.FindAllString(comment.Text, -1) {
-				r.named = append(r.named, mention{rel, located{files.Position(comment.Pos()).Line, p}})
+				t.named = append(t.named, mention{rel, located{files.Position(comment.Pos()).Line, p}})
 			}
 		}
 	}
 	folder := path.Dir(rel)
-	p := r.packages[folder]
+	p := t.packages[folder]
 	if p == nil {
 		p = &goPackage{name: strings.TrimSuffix(file.Name.Name, "_test"), members: map[string]map[string]bool{},
 			embeds: map[string][]string{}}
-		r.packages[folder] = p
+		t.packages[folder] = p
 	}
 	for _, i := range file.Imports {
 		imported, _ := strconv.Unquote(i.Path.Value) // the parser has read it
 		if !strings.HasPrefix(imported, "thymebend/") {
-			r.standard[path.Base(imported)] = true
+			t.standard[path.Base(imported)] = true
 		}
 	}
 	for _, d := range file.Decls {
@@ -136,31 +136,31 @@
 	ast.Inspect(file, func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.FuncDecl:
-			r.idents[n.Name.Name] = true
+			t.idents[n.Name.Name] = true
 			if isTest && n.Recv == nil && testFunction.MatchString(n.Name.Name) {
-				r.tests[n.Name.Name] = true
+				t.tests[n.Name.Name] = true
 			}
 		case *ast.TypeSpec:
-			r.idents[n.Name.Name] = true
+			t.idents[n.Name.Name] = true
 		case *ast.ValueSpec:
-			r.declared(n.Names)
+			t.declared(n.Names)
 		case *ast.Field:
-			r.declared(n.Names)
+			t.declared(n.Names)
 			if n.Tag != nil {
-				r.readData(n.Tag.Value, true)
+				t.readData(n.Tag.Value, true)
 			}
 		case *ast.AssignStmt:
 			for _, left := range n.Lhs {
 				if id, ok := left.(*ast.Ident); ok && n.Tok == token.DEFINE {
-					r.idents[id.Name] = true
+					t.idents[id.Name] = true
 				}
 			}
 		case *ast.BasicLit:
 			// The literals of this file's own table name what must not exist.
 			if n.Kind == token.STRING && rel != "internal/ci/docs_test.go" {
-				r.readData(n.Value, false)
+				t.readData(n.Value, false)
 				if !isTest {
-					r.literals = append(r.literals, n.Value)
+					t.literals = append(t.literals, n.Value)
 				}
 			}
 		}
@@ -169,9 +169,9 @@
 	return nil
 }
 
-func (r *tree) declared(names []*ast.Ident) {
+func (t *tree) declared(names []*ast.Ident) {
 	for _, n := range names {
-		r.idents[n.Name] = true
+		t.idents[n.Name] = true
 	}
 }
 
@@ -183,7 +183,7 @@
 			p.add(d.Name.Name, "")
 			return
 		}
-		p.add(baseName(d.Recv.List[0].Type), d.Name.Name)
+		p.add(typeName(d.Recv.List[0].Type), d.Name.Name)
 	case *ast.GenDecl:
 		for _, spec := range d.Specs {
 			switch spec := spec.(type) {
@@ -208,7 +208,7 @@
 	case *ast.InterfaceType:
 		fields = kind.Methods
 	default:
-		p.embeds[name] = append(p.embeds[name], baseName(kind))
+		p.embeds[name] = append(p.embeds[name], typeName(kind))
 		return
 	}
 	for _, f := range fields.List {
@@ -216,8 +216,8 @@
 			p.add(name, n.Name)
 		}
 		if len(f.Names) == 0 {
-			p.add(name, baseName(f.Type))
-			p.embeds[name] = append(p.embeds[name], baseName(f.Type))
+			p.add(name, typeName(f.Type))
+			p.embeds[name] = append(p.embeds[name], typeName(f.Type))
 		}
 	}
 }
@@ -231,15 +231,15 @@
 	}
 }
 
-// baseName is the name of a type without pointers, parameters and package.
-func baseName(e ast.Expr) string {
+// typeName is the name of a type without pointers, parameters and package.
+func typeName(e ast.Expr) string {
 	switch e := e.(type) {
 	case *ast.StarExpr:
-		return baseName(e.X)
+		return typeName(e.X)
 	case *ast.IndexExpr:
-		return baseName(e.X)
+		return typeName(e.X)
 	case *ast.IndexListExpr:
-		return baseName(e.X)
+		return typeName(e.X)
 	case *ast.SelectorExpr:
 		return e.Sel.Name
 	case *ast.Ident:
@@ -249,16 +249,16 @@
 }
 
 // check reports what a code span names that is not in the tree. A span may be a name, a path or a command with several.
-func (r *tree) check(span string) error {
+func (t *tree) check(span string) error {
 	words, option := separator.Split(span, -1), ""
 	for _, written := range words {
 		w := strings.TrimRight(strings.Trim(written, `"'$^:&*=!?`), ".")
-		err := r.checkWord(w)
+		err := t.checkWord(w)
 		switch {
 		case option == "-run" || option == "-bench":
-			err = r.checkPattern(w, option == "-bench")
-		case len(words) == 1 && plainWord.MatchString(w) && !r.idents[w] && !r.data[w] &&
-			!slices.Contains(benchDays, w) && !slices.Contains(otherProjects, w):
+			err = t.checkPattern(w, option == "-bench")
+		case len(words) == 1 && plainWord.MatchString(w) && !t.idents[w] && !t.data[w] &&
+			!slices.Contains(benchProfiles, w) && !slices.Contains(otherProjects, w):
 			err = fmt.Errorf("nothing is named %s", w)
 		}
 		if err != nil {
@@ -273,11 +273,11 @@
 
 // writes reports whether some program can write a log line: its parts stand in string literals. A part is the value of a field,
 // or what stands around a figure or name, which the page may write as N.
-func (r *tree) writes(line string) bool {
+func (t *tree) writes(line string) bool {
 	line = strings.Trim(reasonField.ReplaceAllString(line, ""), `"`)
 	for _, part := range figure.Split(line, -1) {
 		part = strings.TrimSpace(part)
-		if !slices.ContainsFunc(r.literals, func(l string) bool { return strings.Contains(l, part) }) {
+		if !slices.ContainsFunc(t.literals, func(l string) bool { return strings.Contains(l, part) }) {
 			return false
 		}
 	}
@@ -285,11 +285,11 @@
 }
 
 // checkPattern checks what chooses tests or benchmarks by a part of their names.
-func (r *tree) checkPattern(w string, benchmark bool) error {
-	if w == runsNone || w == "" {
+func (t *tree) checkPattern(w string, benchmark bool) error {
+	if w == noTestPattern || w == "" {
 		return nil // an empty pattern is what is left of one that takes all
 	}
-	for name := range r.tests {
+	for name := range t.tests {
 		if strings.Contains(name, w) && strings.HasPrefix(name, "Benchmark") == benchmark {
 			return nil
 		}
@@ -297,28 +297,28 @@
 	return fmt.Errorf("no test has %s in its name", w)
 }
 
-func (r *tree) checkWord(w string) error {
+func (t *tree) checkWord(w string) error {
 	w = strings.TrimPrefix(w, "thymebend/")
 	switch {
-	case w == "" || r.data[w] || slices.Contains(otherProjects, w):
+	case w == "" || t.data[w] || slices.Contains(otherProjects, w):
 		return nil
 	case testFunction.MatchString(w):
 		name, _, _ := strings.Cut(w, "/")
-		if !r.tests[name] && !r.idents[name] {
+		if !t.tests[name] && !t.idents[name] {
 			return fmt.Errorf("no test %s", name)
 		}
 	case codePath.MatchString(w):
-		return r.checkPath(strings.TrimPrefix(w, "./"))
+		return t.checkPath(strings.TrimPrefix(w, "./"))
 	case strings.HasSuffix(w, ".go"):
-		if !slices.ContainsFunc(r.files, func(f string) bool { return f == w || strings.HasSuffix(f, "/"+w) }) {
+		if !slices.ContainsFunc(t.files, func(f string) bool { return f == w || strings.HasSuffix(f, "/"+w) }) {
 			return fmt.Errorf("no file %s", w)
 		}
 	case filePath.MatchString(w):
 		return nil // pages and data files outside the tree's own folders: links are checked
 	case dotted.MatchString(w):
-		return r.checkDotted(w)
+		return t.checkDotted(w)
 	case word.MatchString(w) && (inCamel.MatchString(w) || w[0] >= 'A' && w[0] <= 'Z' && strings.ToUpper(w) != w):
-		if !r.idents[w] {
+		if !t.idents[w] {
 			return fmt.Errorf("nothing is named %s", w)
 		}
 	}
@@ -326,69 +326,69 @@
 }
 
 // checkPath checks a path from the root, which may end with a name of that package.
-func (r *tree) checkPath(w string) error {
+func (t *tree) checkPath(w string) error {
 	w = strings.TrimSuffix(strings.TrimSuffix(w, "..."), "/")
 	if strings.ContainsAny(w, "*{}<>") {
-		found, err := filepath.Glob(filepath.Join(r.root, filepath.FromSlash(w)))
+		found, err := filepath.Glob(filepath.Join(t.root, filepath.FromSlash(w)))
 		if err != nil || len(found) == 0 {
 			return fmt.Errorf("no path matches %s", w)
 		}
 		return nil
 	}
-	if _, err := os.Stat(filepath.Join(r.root, filepath.FromSlash(w))); err == nil {
+	if _, err := os.Stat(filepath.Join(t.root, filepath.FromSlash(w))); err == nil {
 		return nil
 	}
 	folder, name, ok := strings.Cut(w, ".")
-	if p := r.packages[folder]; ok && p != nil {
-		return r.checkMember(p, name)
+	if p := t.packages[folder]; ok && p != nil {
+		return t.checkMember(p, name)
 	}
 	return fmt.Errorf("no path %s", w)
 }
 
 // checkDotted checks package.Name, Type.Name and package.Type.Name. Where several packages or types have the name, one of
 // them must have what follows.
-func (r *tree) checkDotted(w string) error {
+func (t *tree) checkDotted(w string) error {
 	first, rest, _ := strings.Cut(w, ".")
 	known := false
-	for folder, p := range r.packages {
+	for folder, p := range t.packages {
 		if folder == first || strings.HasSuffix(folder, "/"+first) || p.name == first {
 			known = true
-			if r.checkMember(p, rest) == nil {
+			if t.checkMember(p, rest) == nil {
 				return nil
 			}
 		}
 		if p.members[first] != nil {
 			known = true
-			if r.checkMember(p, w) == nil {
+			if t.checkMember(p, w) == nil {
 				return nil
 			}
 		}
 	}
 	switch last := w[strings.LastIndex(w, ".")+1:]; {
-	case strings.ToLower(w) == w && r.keys[last]:
+	case strings.ToLower(w) == w && t.keys[last]:
 		return nil // a path in the settings or in a file of figures
 	case known:
 		return fmt.Errorf("%s has no %s", first, rest)
-	case r.standard[path.Base(first)]:
+	case t.standard[path.Base(first)]:
 		return nil
 	}
 	return fmt.Errorf("no package or type %s", first)
 }
 
 // checkMember checks a name of a package, or of one of its types.
-func (r *tree) checkMember(p *goPackage, name string) error {
+func (t *tree) checkMember(p *goPackage, name string) error {
 	first, rest, more := strings.Cut(name, ".")
 	if p.members[first] == nil {
 		return fmt.Errorf("package %s has no %s", p.name, first)
 	}
-	if more && !r.has(p, first, rest, map[string]bool{}) {
+	if more && !t.has(p, first, rest, map[string]bool{}) {
 		return fmt.Errorf("%s.%s has no %s", p.name, first, rest)
 	}
 	return nil
 }
 
 // has reports whether a type has a member, its own or one of a type that it embeds.
-func (r *tree) has(p *goPackage, name, member string, seen map[string]bool) bool {
+func (t *tree) has(p *goPackage, name, member string, seen map[string]bool) bool {
 	if p.members[name][member] {
 		return true
 	}
@@ -397,8 +397,8 @@
 			continue
 		}
 		seen[embedded] = true
-		for _, q := range r.packages {
-			if q.members[embedded] != nil && r.has(q, embedded, member, seen) {
+		for _, q := range t.packages {
+			if q.members[embedded] != nil && t.has(q, embedded, member, seen) {
 				return true
 			}
 		}
--- a/internal/ci/knownred.go
+++ b/internal/ci/knownred.go
@@ -42,7 +42,7 @@
 		}
 		entry, err := parseKnownRed(line)
 		if err == nil {
-			err = admit(list, entry, exists)
+			err = checkEntry(list, entry, exists)
 		}
 		if err != nil {
 			return nil, &fielderror.Error{File: file, Line: i + 1, Err: err}
@@ -73,8 +73,8 @@
 	return entry, nil
 }
 
-// admit reports why an entry may not follow those before it, or nil.
-func admit(list []knownRed, entry knownRed, exists func(pkg, test string) error) error {
+// checkEntry reports why an entry may not follow those before it, or nil.
+func checkEntry(list []knownRed, entry knownRed, exists func(pkg, test string) error) error {
 	if len(list) == maxKnownRed {
 		return fmt.Errorf("more than %d tests", maxKnownRed)
 	}
@@ -97,8 +97,8 @@
 		return fmt.Errorf("%s is no package", pkg)
 	}
 	want := strings.TrimSpace(string(path))
-	if have := packagesWith(test, string(out)); len(have) != 1 || have[0] != want {
-		return fmt.Errorf("%s is a test of %v, want of %s alone", test, have, want)
+	if found := packagesWith(test, string(out)); len(found) != 1 || found[0] != want {
+		return fmt.Errorf("%s is a test of %v, want of %s alone", test, found, want)
 	}
 	return nil
 }
--- a/internal/ci/knownred_test.go
+++ b/internal/ci/knownred_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-func write(t *testing.T, text string) string {
+func writeList(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -22,7 +22,7 @@
 // Guards against a faulty list that is taken, or whose line is not named.
 func TestKnownRedNamesTheLineOfAFault(t *testing.T) {
 	line := func(n int) string { return fmt.Sprintf("./internal/loop TestThing%d | it fails | issue 28\n", n) }
-	there := func(_, test string) error {
+	exists := func(_, test string) error {
 		if test == "TestMissing" {
 			return errors.New("no such test")
 		}
@@ -39,29 +39,29 @@
 		line(1) + "./a TestMissing | it fails | issue 28": ":2: no such test",
 	} {
 		t.Run(want, func(t *testing.T) {
-			list, err := readKnownRed(write(t, text), there)
+			list, err := readKnownRed(writeList(t, text), exists)
 			if err == nil || !strings.Contains(err.Error(), "KNOWN-RED.txt"+want) || list != nil {
 				t.Errorf("%q: %v, want %q", text, err, want)
 			}
 		})
 	}
-	list, err := readKnownRed(write(t, line(1)+line(2)), there)
+	list, err := readKnownRed(writeList(t, line(1)+line(2)), exists)
 	if err != nil || pattern(list) != "^(TestThing1|TestThing2)$" {
 		t.Errorf("%v: %v", err, list)
 	}
-	if list, err := readKnownRed(filepath.Join(t.TempDir(), "none"), there); err != nil || pattern(list) != "^$" {
+	if list, err := readKnownRed(filepath.Join(t.TempDir(), "none"), exists); err != nil || pattern(list) != "^$" {
 		t.Errorf("no file: %v, %v", list, err)
 	}
 }
 
 // The list in force is right: each test is there, once.
-func TestTheListInForce(t *testing.T) {
+func TestKnownRedListIsValid(t *testing.T) {
 	t.Chdir("../..")
 	if _, err := readKnownRed("KNOWN-RED.txt", testExists); err != nil {
 		t.Error(err)
 	}
 	for _, c := range []struct{ pkg, test string }{{"./internal/ci", "TestNowhere"},
-		{"./internal/loop", "TestTheListInForce"}, {"./nowhere", "TestTheListInForce"}} {
+		{"./internal/loop", "TestKnownRedListIsValid"}, {"./nowhere", "TestKnownRedListIsValid"}} {
 		if testExists(c.pkg, c.test) == nil {
 			t.Errorf("%s is said to have %s", c.pkg, c.test)
 		}
@@ -69,7 +69,7 @@
 }
 
 // A test that fails is printed as known, and one that passes again is said to.
-func TestKnownRedIsRunAndPrinted(t *testing.T) {
+func TestKnownRedRunReportsEachTest(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{"go.mod": "module red\n\ngo 1.24\n",
 		"a_test.go": "package red\n\nimport \"testing\"\n\n" +
--- a/internal/ci/policy_test.go
+++ b/internal/ci/policy_test.go
@@ -13,8 +13,8 @@
 // What a reader of the decision code can take in at once: lines of a file that say something, and columns of a line,
 // a tab being four.
 const (
-	mostLines   = 400
-	mostColumns = 110
+	maxLines   = 400
+	maxColumns = 110
 )
 
 // quoted finds the texts of a list in TOML.
@@ -84,12 +84,12 @@
 			if strings.TrimSpace(line) != "" {
 				lines++
 			}
-			if columns := len([]rune(strings.ReplaceAll(line, "\t", "    "))); columns > mostColumns {
-				t.Errorf("%s:%d: %d columns, %d at most", name, number+1, columns, mostColumns)
+			if columns := len([]rune(strings.ReplaceAll(line, "\t", "    "))); columns > maxColumns {
+				t.Errorf("%s:%d: %d columns, %d at most", name, number+1, columns, maxColumns)
 			}
 		}
-		if lines > mostLines {
-			t.Errorf("%s: %d lines, %d at most", name, lines, mostLines)
+		if lines > maxLines {
+			t.Errorf("%s: %d lines, %d at most", name, lines, maxLines)
 		}
 	}
 }
--- a/internal/ci/site.go
+++ b/internal/ci/site.go
@@ -77,8 +77,8 @@
 	if err != nil {
 		return s, err
 	}
-	for _, beside := range []string{"real.json", s.Wire} {
-		if err := checkJSON(filepath.Join(dir, beside)); err != nil {
+	for _, companion := range []string{"real.json", s.Wire} {
+		if err := checkJSON(filepath.Join(dir, companion)); err != nil {
 			return s, err
 		}
 	}
@@ -158,7 +158,7 @@
 
 // check reports what is wrong with a class by itself.
 func (c class) check() error {
-	low, high, ok := span(c.Share)
+	low, high, ok := parseRange(c.Share)
 	switch {
 	case c.Name == "" || strings.ContainsAny(c.Name, " /?"):
 		return errors.New("its name must do as the first part of a path")
@@ -185,8 +185,8 @@
 	return nil
 }
 
-// span reads one number or two: a value or its bounds.
-func span(v any) (low, high float64, ok bool) {
+// parseRange reads one number or two: a value or its bounds.
+func parseRange(v any) (low, high float64, ok bool) {
 	number := func(v any) (float64, bool) {
 		switch v := v.(type) {
 		case float64:
