--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,6 @@
-// Command simadapter hosts instances of the balancer behind the simulator's protocol on standard input and
-// output. It takes no decisions.
+// Command simadapter runs instances of the balancer for the simulator. It reads batches of events in the
+// simulator's protocol from standard input and writes the balancer's actions to standard output. It makes no
+// balancing decisions itself.
 package main
 
 import (
@@ -20,7 +21,8 @@
 	}
 }
 
-// run answers batches until the input ends. A reply is written whole or not at all.
+// run processes batches until the input ends. The reply to a batch is written only after the whole batch was
+// processed, so a faulty batch ends the run without a partial reply.
 func run(in io.Reader, out io.Writer) error {
 	a := adapter{instances: make(map[int]*instance), lastBatch: make(map[int]uint64)}
 	reader := simproto.NewReader(in)
@@ -41,22 +43,22 @@
 	}
 }
 
-// instance is one balancer.
+// instance is one balancer and the setting that the adapter needs to interpret its load reports.
 type instance struct {
 	*balancer.Balancer
-	queueLengthColumn int // of its load reports
+	queueLengthColumn int // column of the load reports that holds the queue length
 }
 
-// adapter keeps the instances of this process by their number.
+// adapter holds the instances of this process by their number, and the state of the current batch.
 type adapter struct {
 	instances map[int]*instance
-	touched   []int // instances with an event in this batch, in the order of their first
-	batches   uint64
-	lastBatch map[int]uint64 // by instance: the batch in which it was touched last
+	touched   []int          // instances with an event in this batch, in the order of their first event
+	batches   uint64         // number of batches processed, including the current one
+	lastBatch map[int]uint64 // by instance: the number of the last batch with an event for it
 	reply     simproto.Reply
 }
 
-// process handles all events of a batch, then lets each instance that had one dispatch.
+// process handles all events of a batch, then calls Dispatch on each instance that had an event.
 func (a *adapter) process(batch *simproto.Batch) error {
 	a.reply.Reset()
 	a.touched = a.touched[:0]
@@ -88,6 +90,7 @@
 	return nil
 }
 
+// markTouched adds an instance to touched if this is its first event in the batch.
 func (a *adapter) markTouched(number int) {
 	if a.lastBatch[number] == a.batches {
 		return
@@ -96,6 +99,8 @@
 	a.touched = append(a.touched, number)
 }
 
+// handle starts or stops an instance, or passes an event to it. An event for an instance that has not started is
+// an error.
 func (a *adapter) handle(batch *simproto.Batch, e simproto.Event) error {
 	switch e.Kind {
 	case simproto.InstanceStarted:
@@ -126,7 +131,7 @@
 	return nil
 }
 
-// start begins an instance, in place of one of the same number.
+// start creates an instance from the settings in the event. It replaces an instance with the same number.
 func (a *adapter) start(batch *simproto.Batch, e simproto.Event) error {
 	set, err := settings.Parse(e.Settings)
 	if err != nil {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -15,7 +15,7 @@
 classes.0.repeat=repeatable
 `
 
-// batch builds a frame of records and a tail.
+// batch builds the frame of a batch: header, records of 48 bytes and the tail with variable-length data.
 func batch(clock float64, tail string, records ...[]byte) []byte {
 	out := make([]byte, 16)
 	for _, r := range records {
@@ -28,20 +28,23 @@
 	return out
 }
 
+// recordWithUint32 builds a record of an event code, skip zero bytes and a little-endian number.
 func recordWithUint32(code byte, skip int, v uint32) []byte {
 	return binary.LittleEndian.AppendUint32(append([]byte{code}, make([]byte, skip)...), v)
 }
 
+// startRecord builds the event that starts an instance whose settings take length bytes of the tail.
 func startRecord(length int) []byte {
 	return binary.LittleEndian.AppendUint32(recordWithUint32(10, 8, 0), uint32(length))
 }
 
+// requestRecord builds the arrival of a request with a time of 1000.
 func requestRecord(id uint32) []byte {
 	rec := append(recordWithUint32(7, 0, id), make([]byte, 12)...)
 	return binary.LittleEndian.AppendUint64(rec, math.Float64bits(1000))
 }
 
-// actionCodes lists instance and action code of each action in a stream of replies.
+// actionCodes returns the instance number and action code of each action in a stream of replies.
 func actionCodes(t *testing.T, out []byte) [][2]int {
 	t.Helper()
 	var actions [][2]int
@@ -61,7 +64,7 @@
 	return actions
 }
 
-// Guards against events or actions that reach another instance than their own.
+// Guards against events that are passed to another instance, and actions attributed to another instance.
 func TestEventsAndActionsStayWithTheirInstance(t *testing.T) {
 	in := bytes.Join([][]byte{
 		batch(10, instanceSettings, []byte{8, 1}, startRecord(len(instanceSettings)), []byte{8, 2}, startRecord(len(instanceSettings))),
@@ -73,7 +76,8 @@
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
-	// Each start wakes for its samples; each request is held and asks for a look at the queue.
+	// Action 5 sets a timer. Each instance sets one for its samples when it starts, and one to check its queue
+	// when a request is queued.
 	want := [][2]int{{1, 5}, {2, 5}, {2, 5}, {1, 5}}
 	got := actionCodes(t, out.Bytes())
 	if len(got) != len(want) {
@@ -86,7 +90,7 @@
 	}
 }
 
-// Guards against a faulty batch that is answered in part, or whose fault is not named.
+// Guards against a partial reply to a faulty batch, and against an error that does not name the fault.
 func TestFaultyBatchEndsTheRunWithoutAPartialReply(t *testing.T) {
 	valid := batch(10, instanceSettings, []byte{8, 1}, startRecord(len(instanceSettings)))
 	for want, faulty := range map[string][]byte{
@@ -106,7 +110,7 @@
 			t.Errorf("err = %v, want one line with %q", err, want)
 		}
 		if !bytes.Equal(out.Bytes(), first.Bytes()) {
-			t.Errorf("%s: wrote more than the reply to the good batch", want)
+			t.Errorf("%s: output contains more than the reply to the valid batch", want)
 		}
 	}
 }
--- a/cmd/thymebend/adminclient.go
+++ b/cmd/thymebend/adminclient.go
@@ -9,14 +9,15 @@
 	"thymebend/internal/http1"
 )
 
-// adminTimeout is how long a gateway may take to connect, and to answer.
+// adminTimeout bounds the time to connect to a gateway, and separately the time until its whole response has
+// arrived.
 const adminTimeout = 2 * time.Second
 
-// maxAdminResponse bounds a response in bytes. The view of 2,000 gateways is larger than what a response of
-// an endpoint may be.
+// maxAdminResponse is the maximum size of a response in bytes. It is separate from the limit for responses of
+// endpoints because the view of 2,000 gateways exceeds that limit.
 const maxAdminResponse = 4 << 20
 
-// getAdmin sends one GET to a gateway's admin endpoint and returns the response.
+// getAdmin sends one GET request to a gateway's admin endpoint and returns the response.
 func getAdmin(address netip.AddrPort, path string) (*http1.Message, error) {
 	c, err := net.DialTimeout("tcp", address.String(), adminTimeout)
 	if err != nil {
@@ -43,9 +44,9 @@
 		case head != nil && done:
 			return &http1.Message{Head: head, Body: body}, nil
 		case len(body) > maxAdminResponse:
-			return nil, fmt.Errorf("an answer of over %d bytes", maxAdminResponse)
+			return nil, fmt.Errorf("the response is larger than %d bytes", maxAdminResponse)
 		case err != nil:
-			return nil, fmt.Errorf("no whole answer: %w", err)
+			return nil, fmt.Errorf("the response is incomplete: %w", err)
 		}
 	}
 }
--- a/cmd/thymebend/cluster_test.go
+++ b/cmd/thymebend/cluster_test.go
@@ -286,7 +286,7 @@
 	}
 	out, err := exec.Command(program, "fleet", members[0].control).CombinedOutput()
 	if err != nil || !strings.Contains(string(out),
-		"portion: settled (the settled view's division) of 3 gateways") ||
+		"portion: settled (computed from the settled view) of 3 gateways") ||
 		!strings.Contains(string(out), "\ns-1   1.000") {
 		t.Errorf("%v\n%s", err, out)
 	}
--- a/cmd/thymebend/fleet.go
+++ b/cmd/thymebend/fleet.go
@@ -13,11 +13,11 @@
 	"thymebend/internal/admin"
 )
 
-// run prints the view.
+// run fetches a gateway's view of its cluster and prints it.
 func (c fleetCmd) run(out io.Writer) error {
 	address, err := netip.ParseAddrPort(c.Address)
 	if err != nil || address.Port() == 0 {
-		return fmt.Errorf("%w: ADDRESS %q is no address and port", errUsage, c.Address)
+		return fmt.Errorf("%w: ADDRESS %q is not an IP address and port", errUsage, c.Address)
 	}
 	response, err := getAdmin(address, "/ops/fleet")
 	if err != nil {
@@ -28,13 +28,13 @@
 	}
 	var view admin.Cluster
 	if err := json.Unmarshal(response.Body, &view); err != nil {
-		return fmt.Errorf("%s: what it answers is no view: %w", address, err)
+		return fmt.Errorf("%s: the response is not a view of a cluster: %w", address, err)
 	}
 	return printView(out, view)
 }
 
-// printView prints a view: how far it may be trusted, the members, those in trouble first, and the
-// assignment.
+// printView prints a view: a summary of how reliable it is, the members, and the assignment of endpoints if there
+// is one.
 func printView(out io.Writer, view admin.Cluster) error {
 	printSummary(out, view)
 	if err := printMembers(out, view); err != nil || view.Assignment == nil {
@@ -43,7 +43,8 @@
 	return printAssignment(out, view.Assignment)
 }
 
-// printSummary prints how far a view may be trusted.
+// printSummary prints the facts from which an operator judges how reliable a view is: convergence, majority,
+// answered probes, local health, and the datagrams sent, received and refused.
 func printSummary(out io.Writer, view admin.Cluster) {
 	choose := func(v bool, yes, no string) string {
 		if v {
@@ -52,11 +53,12 @@
 		return no
 	}
 	fmt.Fprintf(out, "%s in fleet %s: %s, %s, %d of %d alive, ", view.Name, view.Cluster,
-		choose(view.Converged, "settled", "NOT SETTLED"), choose(view.Majority, "a majority", "NO MAJORITY"), view.Alive, view.Known)
-	fmt.Fprintf(out, "%.0f%% of those asked answer, quiet for %v, own health %d\n",
+		choose(view.Converged, "settled", "NOT SETTLED"), choose(view.Majority, "a majority", "NO MAJORITY"),
+		view.Alive, view.Known)
+	fmt.Fprintf(out, "%.0f%% of probes answered, no change for %v, local health score %d (0 is best)\n",
 		100*view.ProbeAnswerShare, roundedMS(view.StableForMS), view.LocalHealth)
 	if !view.Active {
-		fmt.Fprintln(out, "it does not speak: its socket is not open, or another process speaks for it")
+		fmt.Fprintln(out, "it does not gossip: its socket is not open, or another process gossips for it")
 	}
 	if view.DuplicateName {
 		fmt.Fprintln(out, "ANOTHER LIVING PROCESS USES THIS NAME")
@@ -75,7 +77,7 @@
 	fmt.Fprint(out, "\n\n")
 }
 
-// printMembers prints the members of a view, those in trouble first.
+// printMembers prints the members of a view, sorted by state: suspect, gone, left, alive.
 func printMembers(out io.Writer, view admin.Cluster) error {
 	order := []string{"suspect", "gone", "left", "alive"}
 	slices.SortStableFunc(view.Members, func(a, b admin.Member) int {
@@ -102,27 +104,29 @@
 	return table.Flush()
 }
 
-// roundedMS is a duration in milliseconds, rounded for reading.
+// roundedMS converts milliseconds to a duration rounded to 100 ms.
 func roundedMS(ms int64) time.Duration {
 	return (time.Duration(ms) * time.Millisecond).Round(100 * time.Millisecond)
 }
 
-// printAssignment prints which endpoints a gateway uses, and on what ground: those suspected by peers or in
-// slow start first.
+// printAssignment prints which endpoints are assigned to a gateway and from which membership the assignment was
+// computed. Endpoints suspected by peers come first, then endpoints in slow start, then all others.
 func printAssignment(out io.Writer, assignment *admin.Assignment) error {
 	explanation := map[string]string{
-		"waiting":  "no view has settled yet: hosts by count and number, nothing to cold ones",
-		"settled":  "the settled view's division",
-		"kept":     "the last settled division, for the view is not settled",
-		"changing": "what the present and the former division both give, for a second",
+		"waiting": "no view has settled yet: hosts divided by the configured number of gateways and rank, " +
+			"none in slow start",
+		"settled":  "computed from the settled view",
+		"kept":     "computed from the last settled view, because the present view is not settled",
+		"changing": "the part that the present and the former assignment have in common, used for a second",
 	}[assignment.Stage]
-	tokens := fmt.Sprintf("%d turns at cold hosts taken", assignment.Tokens)
+	tokens := fmt.Sprintf("%d tokens for hosts in slow start used", assignment.Tokens)
 	if !assignment.TokensActive {
-		tokens += ", NONE NOW: most of the living do not have this file, or have not for 3 s"
+		tokens += ", NONE NOW: most live gateways do not have the same file, or have had it for less than 3 s"
 	}
-	fmt.Fprintf(out, "\nportion: %s (%s) of %d gateways, most loaded host %.2f of the mean, ",
+	fmt.Fprintf(out, "\nportion: %s (%s) of %d gateways, load of the most loaded host %.2f times the mean, ",
 		assignment.Stage, explanation, assignment.Gateways, assignment.RelativeLoad)
-	fmt.Fprintf(out, "own demand %.1f a second, %d spares\n%s\n\n", assignment.Demand, assignment.SpareEndpoints, tokens)
+	fmt.Fprintf(out, "own demand %.1f requests/s, %d spare hosts\n%s\n\n", assignment.Demand,
+		assignment.SpareEndpoints, tokens)
 	rank := func(endpoint admin.AssignedEndpoint) int {
 		switch {
 		case endpoint.SuspectedByPeers:
@@ -134,9 +138,9 @@
 	}
 	slices.SortStableFunc(assignment.Endpoints, func(a, b admin.AssignedEndpoint) int { return rank(a) - rank(b) })
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "HOST\tWEIGHT\tPART OF IT\tSTATE")
+	fmt.Fprintln(table, "HOST\tWEIGHT\tSHARE OF IT\tSTATE")
 	for _, endpoint := range assignment.Endpoints {
-		state := [...]string{"doubted by others", "cold: turns alone", ""}[rank(endpoint)]
+		state := [...]string{"suspected by peers", "slow start: tokens only", ""}[rank(endpoint)]
 		fmt.Fprintf(table, "%s\t%.3f\t%.3f\t%s\n", endpoint.Name, endpoint.Weight, endpoint.Share, state)
 	}
 	return table.Flush()
--- a/cmd/thymebend/fleet_command_test.go
+++ b/cmd/thymebend/fleet_command_test.go
@@ -39,10 +39,10 @@
 	}{
 		{[]string{"fleet", none}, 1, "404: no fleet: LB_FLEET names no file"},
 		{[]string{"fleet", freeTCPAddress(t)}, 1, "connection refused"},
-		{[]string{"fleet", "nowhere"}, 2, `ADDRESS "nowhere" is no address and port`},
+		{[]string{"fleet", "nowhere"}, 2, `ADDRESS "nowhere" is not an IP address and port`},
 		{[]string{"fleet"}, 2, "<address>"},
 		{[]string{"flete", none}, 2, "flete"},
-		{[]string{"--help"}, 0, "Without arguments it serves"},
+		{[]string{"--help"}, 0, "Without arguments it serves requests"},
 	} {
 		cmd := exec.Command(program, c.args...)
 		out, _ := cmd.CombinedOutput()
--- a/cmd/thymebend/main.go
+++ b/cmd/thymebend/main.go
@@ -1,8 +1,8 @@
-// Command thymebend is the gateway. Without arguments it reads its configuration, serves, and exits when it
-// is stopped; with arguments it asks a running gateway, see thymebend --help.
+// Command thymebend is the gateway. Without arguments it reads its configuration, serves requests, and exits
+// when it receives SIGTERM or SIGINT. With arguments it queries a running gateway, see thymebend --help.
 //
-// Environment: LB_CONFIG names the configuration file, see internal/config for the others; LB_LOG is the
-// level of the log on standard error (debug, info, warn, error; default info).
+// Environment: LB_CONFIG names the configuration file; LB_LOG sets the level of the log on standard error
+// (debug, info, warn, error; default info). See internal/config for the other variables.
 package main
 
 import (
@@ -29,7 +29,7 @@
 	}
 }
 
-// newLogger logs to standard error, at info where level is empty or unknown.
+// newLogger returns a logger that writes to standard error. Its level is info if level is empty or unknown.
 func newLogger(level string) zerolog.Logger {
 	log := zerolog.New(os.Stderr).With().Timestamp().Logger().Level(zerolog.InfoLevel)
 	if parsed, err := zerolog.ParseLevel(level); err == nil && level != "" {
@@ -38,7 +38,8 @@
 	return log
 }
 
-// serve runs the gateway until it is stopped.
+// serve runs the gateway until it has shut down. It returns an error if the gateway cannot start or its event
+// loop fails.
 func serve(log zerolog.Logger) error {
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
--- a/cmd/thymelab/main.go
+++ b/cmd/thymelab/main.go
@@ -1,4 +1,4 @@
-// Command thymelab is the laboratory: emulated hosts and discovery, an open-loop load tool, experiments and
+// Command thymelab is the laboratory: emulated hosts and discovery, an open-loop load generator, experiments and
 // their reports. See thymelab --help.
 package main
 
--- a/internal/ci/knownred.go
+++ b/internal/ci/knownred.go
@@ -13,10 +13,10 @@
 	"thymebend/internal/fielderror"
 )
 
-// maxKnownRed is how many tests may be known to fail.
+// maxKnownRed is the maximum number of entries in the list of tests that are known to fail.
 const maxKnownRed = 3
 
-// knownRed is a test that is known to fail, and why it may.
+// knownRed is one entry of the list: a test that is known to fail, the cause, and the issue that tracks it.
 type knownRed struct{ pkg, test, cause, issue string }
 
 var (
@@ -24,9 +24,9 @@
 	issueName = regexp.MustCompile(`^issue [0-9]+$`)
 )
 
-// readKnownRed reads the list: on each line a package with its test, the cause and the issue, parted by bars. No
-// file is no test. exists reports why a package has not got a test, or nil. Faults are a fielderror.Error with
-// file and line.
+// readKnownRed reads the list. Each line names a package and its test, the cause and the issue, separated by
+// vertical bars. If the file does not exist, the list is empty. exists returns an error if the package lacks the
+// test. An invalid line is reported as a fielderror.Error with file and line.
 func readKnownRed(file string, exists func(pkg, test string) error) ([]knownRed, error) {
 	text, err := os.ReadFile(file)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -52,7 +52,7 @@
 	return list, nil
 }
 
-// parseKnownRed reads one line.
+// parseKnownRed parses one line of the list.
 func parseKnownRed(line string) (knownRed, error) {
 	parts := strings.Split(line, "|")
 	if len(parts) != 3 {
@@ -73,20 +73,20 @@
 	return entry, nil
 }
 
-// checkEntry reports why an entry may not follow those before it, or nil.
+// checkEntry returns an error if the list is full, already names the test, or the test does not exist.
 func checkEntry(list []knownRed, entry knownRed, exists func(pkg, test string) error) error {
 	if len(list) == maxKnownRed {
-		return fmt.Errorf("more than %d tests", maxKnownRed)
+		return fmt.Errorf("more than %d tests on the list", maxKnownRed)
 	}
 	for _, other := range list {
 		if other.test == entry.test {
-			return fmt.Errorf("%s stands there twice", entry.test) // they are left out by name, in all packages
+			return fmt.Errorf("%s is listed twice", entry.test) // go test -skip matches by name, in all packages
 		}
 	}
 	return exists(entry.pkg, entry.test)
 }
 
-// testExists reports why it is not so that a package has a test and no other package one of that name, or nil.
+// testExists returns an error unless the package has the test and no other package has a test of that name.
 func testExists(pkg, test string) error {
 	out, err := exec.Command("go", "test", "-list", "^"+test+"$", "./...").CombinedOutput()
 	if err != nil {
@@ -94,17 +94,17 @@
 	}
 	path, err := exec.Command("go", "list", pkg).Output()
 	if err != nil {
-		return fmt.Errorf("%s is no package", pkg)
+		return fmt.Errorf("%s is not a package", pkg)
 	}
 	want := strings.TrimSpace(string(path))
 	if found := packagesWith(test, string(out)); len(found) != 1 || found[0] != want {
-		return fmt.Errorf("%s is a test of %v, want of %s alone", test, found, want)
+		return fmt.Errorf("test %s exists in the packages %v, want it in %s only", test, found, want)
 	}
 	return nil
 }
 
-// packagesWith lists the packages that have a test, from what go test -list printed: the line of a package follows
-// the names of its tests.
+// packagesWith returns the packages that have a test, from the output of go test -list. In that output the names of
+// a package's tests precede the line of the package.
 func packagesWith(test, listing string) (packages []string) {
 	found := false
 	for line := range strings.SplitSeq(listing, "\n") {
@@ -119,7 +119,7 @@
 	return packages
 }
 
-// pattern matches the tests by name, and nothing where there are none.
+// pattern returns a regular expression that matches the names of the tests, or no test if the list is empty.
 func pattern(list []knownRed) string {
 	var names []string
 	for _, entry := range list {
@@ -131,14 +131,15 @@
 	return "^(" + strings.Join(names, "|") + ")$"
 }
 
-// runKnownRed runs the tests and prints what became of each. One that passes again is said so: its line has to go.
+// runKnownRed runs the tests and prints the result and output of each. For a test that passes again it prints that
+// its line must be removed from the list.
 func runKnownRed(w io.Writer, list []knownRed) {
 	for _, entry := range list {
 		test := exec.Command("go", "test", "-count=1", "-timeout", "8m", "-run", "^"+entry.test+"$", entry.pkg)
 		out, err := test.CombinedOutput()
-		verdict := "fails, as is known"
+		verdict := "fails as expected"
 		if err == nil {
-			verdict = "PASSES AGAIN: take its line out"
+			verdict = "PASSES AGAIN: remove its line from the list"
 		}
 		fmt.Fprintf(w, "known red: %s %s: %s (%s; %s)\n", entry.pkg, entry.test, verdict, entry.cause, entry.issue)
 		for line := range strings.SplitSeq(strings.TrimSpace(string(out)), "\n") {
--- a/internal/ci/knownred_test.go
+++ b/internal/ci/knownred_test.go
@@ -19,7 +19,7 @@
 	return path
 }
 
-// Guards against a faulty list that is taken, or whose line is not named.
+// Guards against an invalid list that is accepted, or whose error does not name the line.
 func TestKnownRedNamesTheLineOfAFault(t *testing.T) {
 	line := func(n int) string { return fmt.Sprintf("./internal/loop TestThing%d | it fails | issue 28\n", n) }
 	exists := func(_, test string) error {
@@ -29,8 +29,8 @@
 		return nil
 	}
 	for text, want := range map[string]string{
-		line(1) + line(2) + line(3) + line(4):             ":4: more than 3",
-		line(1) + "\n" + line(1):                          ":3: TestThing1 stands there twice",
+		line(1) + line(2) + line(3) + line(4):             ":4: more than 3 tests on the list",
+		line(1) + "\n" + line(1):                          ":3: TestThing1 is listed twice",
 		"./internal/loop TestThing |  | issue 28":         ":1: the cause is missing",
 		"./internal/loop TestThing | it fails":            ":1: want PACKAGE TEST | CAUSE | issue NUMBER",
 		"./internal/loop TestThing | it fails | soon":     ":1: want the issue",
@@ -54,7 +54,7 @@
 	}
 }
 
-// The list in force is right: each test is there, once.
+// Verifies that each test on the list of the repository exists, in one package only.
 func TestKnownRedListIsValid(t *testing.T) {
 	t.Chdir("../..")
 	if _, err := readKnownRed("KNOWN-RED.txt", testExists); err != nil {
@@ -63,12 +63,13 @@
 	for _, c := range []struct{ pkg, test string }{{"./internal/ci", "TestNowhere"},
 		{"./internal/loop", "TestKnownRedListIsValid"}, {"./nowhere", "TestKnownRedListIsValid"}} {
 		if testExists(c.pkg, c.test) == nil {
-			t.Errorf("%s is said to have %s", c.pkg, c.test)
+			t.Errorf("testExists accepts %s with %s, want an error", c.pkg, c.test)
 		}
 	}
 }
 
-// A test that fails is printed as known, and one that passes again is said to.
+// Verifies that a failing test is printed as expected, and that a passing test is reported with the request to
+// remove its line.
 func TestKnownRedRunReportsEachTest(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{"go.mod": "module red\n\ngo 1.24\n",
@@ -81,7 +82,7 @@
 	t.Chdir(dir)
 	var out bytes.Buffer
 	runKnownRed(&out, []knownRed{{"./", "TestBad", "why", "issue 1"}, {"./", "TestGood", "why not", "issue 2"}})
-	for _, want := range []string{"TestBad: fails, as is known (why; issue 1)", "oh", "TestGood: PASSES AGAIN"} {
+	for _, want := range []string{"TestBad: fails as expected (why; issue 1)", "oh", "TestGood: PASSES AGAIN: remove its line"} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("%q is missing in %s", want, &out)
 		}
--- a/internal/ci/main.go
+++ b/internal/ci/main.go
@@ -1,5 +1,5 @@
-// Command ci checks what the tests of single packages cannot: the list of tests that are known to fail, and the site
-// variants under deploy/sites. A fault names file and line; it changes nothing.
+// Command ci checks two things that span the repository: the list of tests that are known to fail, and the site
+// variants under deploy/sites. It reports an invalid file with file and line, and modifies no file.
 package main
 
 import (
@@ -9,11 +9,11 @@
 	"os"
 )
 
-const usage = `usage: ci known-red FILE          checks the list and prints the tests, as a pattern for go test -skip
-       ci known-red FILE --run    runs them and prints what they do
-       ci sites DIR               checks the site variants in a folder`
+const usage = `usage: ci known-red FILE          checks the list and prints a pattern of its tests for go test -skip
+       ci known-red FILE --run    runs the tests of the list and prints their results
+       ci sites DIR               checks the site variants in a directory`
 
-// errUsage is that of arguments that no command has.
+// errUsage is returned when the arguments match no sub-command.
 var errUsage = errors.New(usage)
 
 func main() {
--- a/internal/ci/site.go
+++ b/internal/ci/site.go
@@ -16,7 +16,8 @@
 	"thymebend/internal/fielderror"
 )
 
-// site is what can be checked of a variant without the operators' bench. Other fields are the bench's affair.
+// site holds the fields of a site variant that can be checked without the operators' bench. Only the bench can check
+// the other fields.
 type site struct {
 	Name    string     `toml:"name"`
 	Wire    string     `toml:"wire"`
@@ -32,7 +33,7 @@
 	} `toml:"rules"`
 }
 
-// class is one class of requests. Times are in milliseconds.
+// class is a class of requests in a site variant. Times are in milliseconds.
 type class struct {
 	Name        string  `toml:"name"`
 	Share       any     `toml:"share"`
@@ -45,7 +46,7 @@
 	DedupWindow float64 `toml:"window_ms"`
 }
 
-// checkSites checks every folder of a folder as a variant, and says which it found.
+// checkSites checks each subdirectory of a directory as a site variant and prints the variants.
 func checkSites(w io.Writer, dir string) error {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -53,7 +54,7 @@
 	}
 	for _, e := range entries {
 		if !e.IsDir() {
-			return fmt.Errorf("%s: a variant is a folder", filepath.Join(dir, e.Name()))
+			return fmt.Errorf("%s: not a directory; each site variant is a directory", filepath.Join(dir, e.Name()))
 		}
 		s, err := checkSite(filepath.Join(dir, e.Name()), e.Name())
 		if err != nil {
@@ -66,7 +67,7 @@
 
 var unlockLine = regexp.MustCompile(`^unlock [a-z_,]+ [0-9a-f]{16}$`)
 
-// checkSite checks one variant: its file, and those that the bench wants beside it.
+// checkSite checks one variant: its TOML file, and the files that the bench requires in the same directory.
 func checkSite(dir, name string) (site, error) {
 	file := filepath.Join(dir, name+".toml")
 	text, err := os.ReadFile(file)
@@ -85,7 +86,7 @@
 	return s, checkUnlock(filepath.Join(dir, "unlock.txt"))
 }
 
-// parseSite reads a variant's own file, whose text is at hand.
+// parseSite parses and checks the TOML text of a variant. file is used in errors only.
 func parseSite(file, name string, text []byte) (site, error) {
 	var s site
 	if err := toml.Unmarshal(text, &s); err != nil {
@@ -98,9 +99,9 @@
 	}
 	switch {
 	case s.Name != name:
-		return s, faultAt(file, lineOf(text, "name"), fmt.Errorf("name is %q, want that of the folder", s.Name))
+		return s, faultAt(file, lineOf(text, "name"), fmt.Errorf("name is %q, want the name of the directory", s.Name))
 	case len(s.Classes) == 0 || len(s.Tiers) == 0:
-		return s, faultAt(file, 0, errors.New("no class, or no tier"))
+		return s, faultAt(file, 0, errors.New("want at least one class and one tier"))
 	case !(s.Rules.Grace > 0 && s.Rules.Multiple >= 1 && s.Rules.Within > 0):
 		return s, faultAt(file, lineOf(text, "[rules]"),
 			errors.New("rules need drain_grace_ms, fall_multiple and fall_ms above 0"))
@@ -112,19 +113,19 @@
 			return s, faultAt(file, lines[i], fmt.Errorf("class %q: %w", c.Name, err))
 		}
 		if seen[c.Name] {
-			return s, faultAt(file, lines[i], fmt.Errorf("class %q stands there twice", c.Name))
+			return s, faultAt(file, lines[i], fmt.Errorf("class %q is defined twice", c.Name))
 		}
 		seen[c.Name] = true
 	}
 	return s, nil
 }
 
-// faultAt is a fault of a file's line; 0 is the file as a whole.
+// faultAt returns an error at a line of a file; line 0 means the whole file.
 func faultAt(file string, line int, cause error) error {
 	return &fielderror.Error{File: file, Line: line, Err: cause}
 }
 
-// checkJSON holds a file to be a JSON object that is not empty.
+// checkJSON verifies that a file contains a JSON object that is not empty.
 func checkJSON(path string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -137,12 +138,12 @@
 		if errors.As(err, &at) {
 			line += strings.Count(string(raw[:at.Offset]), "\n")
 		}
-		return faultAt(path, line, fielderror.Worded(err, "no JSON object: %v", err))
+		return faultAt(path, line, fielderror.Worded(err, "not a JSON object: %v", err))
 	}
 	return nil
 }
 
-// checkUnlock holds each line of a file to be an unlock of the bench.
+// checkUnlock verifies that each line of a file has the form of the bench's unlock lines.
 func checkUnlock(path string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -156,19 +157,20 @@
 	return nil
 }
 
-// check reports what is wrong with a class by itself.
+// check returns an error if a field of the class is invalid or contradicts another field of the class.
 func (c class) check() error {
 	low, high, ok := parseRange(c.Share)
 	switch {
 	case c.Name == "" || strings.ContainsAny(c.Name, " /?"):
-		return errors.New("its name must do as the first part of a path")
+		return errors.New("its name must not be empty or contain ' ', '/' or '?': it starts a URL path")
 	case !ok || low <= 0 || high < low || high > 1:
-		return fmt.Errorf("share is %v, want one or two ascending parts of 1", c.Share)
+		return fmt.Errorf("share is %v, want a fraction above 0 and at most 1, or two ascending ones", c.Share)
 	case !(c.Objective > 0 && c.Deadline >= c.Objective):
-		return fmt.Errorf("deadline_ms is %v and aim_ms %v, want a deadline of the aim at least",
+		return fmt.Errorf("deadline_ms is %v and aim_ms %v, want aim_ms above 0 and deadline_ms not below it",
 			c.Deadline, c.Objective)
 	case !(c.Weight > 0 && c.LateWeight >= 0 && c.LateWeight <= 1):
-		return fmt.Errorf("worth is %v and late_worth %v, want above 0, and from 0 to 1", c.Weight, c.LateWeight)
+		return fmt.Errorf("worth is %v and late_worth %v, want worth above 0 and late_worth from 0 to 1",
+			c.Weight, c.LateWeight)
 	}
 	switch c.Idempotency {
 	case "safe", "unsafe":
@@ -185,7 +187,7 @@
 	return nil
 }
 
-// parseRange reads one number or two: a value or its bounds.
+// parseRange reads a number, or a list of two numbers as lower and upper bound. For a single number both are equal.
 func parseRange(v any) (low, high float64, ok bool) {
 	number := func(v any) (float64, bool) {
 		switch v := v.(type) {
@@ -209,7 +211,7 @@
 	return low, low, ok
 }
 
-// classLines are the lines on which the classes begin.
+// classLines returns the line numbers of the [[class]] tables.
 func classLines(text []byte) (lines []int) {
 	var p unstable.Parser
 	p.Reset(text)
@@ -227,7 +229,7 @@
 	return lines
 }
 
-// lineOf is the first line that begins with a word; 1 if none does.
+// lineOf returns the number of the first line that starts with a word, or 1 if there is none.
 func lineOf(text []byte, word string) int {
 	for i, line := range strings.Split(string(text), "\n") {
 		if strings.HasPrefix(strings.TrimSpace(line), word) {
--- a/internal/ci/site_test.go
+++ b/internal/ci/site_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Guards against a faulty site variant that passes, or whose file and line are not named.
+// Guards against an invalid site variant that passes, or whose error does not name the file and line.
 func TestSiteVariants(t *testing.T) {
 	var out bytes.Buffer
 	if err := checkSites(&out, "../../deploy/sites"); err != nil {
@@ -26,9 +26,9 @@
 		"a short deadline": {"clinic-slots.toml", "deadline_ms = 1600", "deadline_ms = 16",
 			`class "look-up": deadline_ms`},
 		"a share of two":    {"clinic-slots.toml", "share = [0.4, 0.6]", "share = [0.4, 2]", `class "look-up": share`},
-		"twice":             {"clinic-slots.toml", `name = "reserve"`, `name = "look-up"`, "stands there twice"},
+		"twice":             {"clinic-slots.toml", `name = "reserve"`, `name = "look-up"`, "is defined twice"},
 		"no worth":          {"clinic-slots.toml", "worth = 6", "worth = 0", `class "reserve": worth`},
-		"a name with a gap": {"clinic-slots.toml", `name = "reserve"`, `name = "re serve"`, "its name"},
+		"a name with a gap": {"clinic-slots.toml", `name = "reserve"`, `name = "re serve"`, "its name must not"},
 		"no grace":          {"clinic-slots.toml", "drain_grace_ms = 900", "drain_grace_ms = 0", "rules need"},
 		"wire":              {"wire.json", `"v": 1,`, `"v": 1`, "wire.json:"},
 		"real":              {"real.json", "{", "", "real.json:"},
@@ -42,7 +42,7 @@
 			path := filepath.Join(dir, "clinic-slots", c.file)
 			text, err := os.ReadFile(path)
 			if err != nil || !strings.Contains(string(text), c.old) {
-				t.Fatalf("%v, or nothing to spoil", err)
+				t.Fatalf("error %v, or the text to replace is missing", err)
 			}
 			if err := os.WriteFile(path, []byte(strings.Replace(string(text), c.old, c.new, 1)), 0o600); err != nil {
 				t.Fatal(err)
@@ -53,6 +53,6 @@
 		})
 	}
 	if err := checkSites(&out, filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a folder that is not there passes")
+		t.Error("a directory that does not exist passes")
 	}
 }
