--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -67,7 +67,8 @@
 // Guards against events that are passed to another instance, and actions attributed to another instance.
 func TestEventsAndActionsStayWithTheirInstance(t *testing.T) {
 	in := bytes.Join([][]byte{
-		batch(10, instanceSettings, []byte{8, 1}, startRecord(len(instanceSettings)), []byte{8, 2}, startRecord(len(instanceSettings))),
+		batch(10, instanceSettings, []byte{8, 1}, startRecord(len(instanceSettings)), []byte{8, 2},
+			startRecord(len(instanceSettings))),
 		batch(20, "", []byte{8, 2}, requestRecord(5)),
 		batch(30, "", []byte{8, 2}, []byte{11}, []byte{8, 1}, requestRecord(5)),
 		batch(40, ""),
@@ -99,7 +100,8 @@
 		"balancers is missing":              batch(20, "zone=1", []byte{8, 2}, startRecord(6)),
 		"cut short":                         batch(20, "", []byte{8, 1}, requestRecord(1))[:40],
 		"lie outside the tail":              batch(20, "", []byte{8, 1}, startRecord(9)),
-		"Gateways is 0":                     batch(20, "balancers=0\nclasses.count=0\n", []byte{8, 2}, startRecord(28)),
+		"Gateways is 0": batch(20, "balancers=0\nclasses.count=0\n", []byte{8, 2},
+			startRecord(28)),
 	} {
 		var first, out bytes.Buffer
 		if err := run(bytes.NewReader(valid), &first); err != nil {
--- a/cmd/thymebend/admin_test.go
+++ b/cmd/thymebend/admin_test.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// freeTCPAddress is an address on which nobody listens.
+// freeTCPAddress returns a TCP address on which nothing listens.
 func freeTCPAddress(t *testing.T) string {
 	t.Helper()
 	ln := listen(t)
@@ -22,7 +22,7 @@
 	return ln.Addr().String()
 }
 
-// callAdmin makes one call at the second address.
+// callAdmin sends one raw request to an admin endpoint and verifies that the response closes the connection.
 func callAdmin(t *testing.T, control, raw string) (int, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", control)
@@ -32,11 +32,12 @@
 	defer c.Close()
 	status, fields, body := roundTrip(t, c, raw)
 	if status != 0 && fields.Get("Connection") != "close" {
-		t.Errorf("%q: the connection stays", raw)
+		t.Errorf("%q: the response keeps the connection open", raw)
 	}
 	return status, body
 }
 
+// adminStats holds the counters of /ops/stats that the tests examine.
 type adminStats struct {
 	Fulfilled, Throttled, Faulted map[string]int
 	Relayed                       *int
@@ -56,7 +57,7 @@
 	return f
 }
 
-// Guards against an end of a request that is missing in the figures, and a class that is.
+// Guards against a request outcome or a class that the counters of /ops/stats omit.
 func TestStatsCountEveryRequestOutcome(t *testing.T) {
 	control := freeTCPAddress(t)
 	a := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) {
@@ -74,34 +75,35 @@
 	g := start(t, map[string]any{"control": control}, a)
 	if f := fetchStats(t, control); len(f.Fulfilled) != 2 || len(f.Throttled) != 2 || len(f.Faulted) != 2 ||
 		*f.Endpoints != 1 {
-		t.Errorf("first figures: %+v", f)
+		t.Errorf("statistics before the first request: %+v", f)
 	}
 	c := g.dial()
-	for i, raw := range []string{viewRequest("v1", 900), viewRequest("v2", 900), lodgeRequest("l1", "x"), lodgeRequest("bad1", "x"),
+	for i, raw := range []string{viewRequest("v1", 900), viewRequest("v2", 900), lodgeRequest("l1", "x"),
+		lodgeRequest("bad1", "x"),
 		viewRequest("full", 900),
 		strings.Replace(viewRequest("v3", 900), "X-Expires-In: 900m", "X-Expires-In: soon", 1)} {
 		if status, _, _ := roundTrip(t, c, raw); status != []int{200, 200, 200, 502, 503, 400}[i] {
-			t.Errorf("%q: %d", raw, status)
+			t.Errorf("%q: unexpected status %d", raw, status)
 		}
 	}
 	abandoned := g.dial()
 	fmt.Fprint(abandoned, lodgeRequest("mute1", "x"))
-	waitFor(t, "the open request to show", func() bool { return *fetchStats(t, control).OpenRequests == 1 })
+	waitFor(t, "the open request to be counted", func() bool { return *fetchStats(t, control).OpenRequests == 1 })
 	abandoned.Close()
-	waitFor(t, "open requests to be gone", func() bool { return *fetchStats(t, control).OpenRequests == 0 })
+	waitFor(t, "the open request to end", func() bool { return *fetchStats(t, control).OpenRequests == 0 })
 	f := fetchStats(t, control)
 	if f.Fulfilled["view"] != 2 || f.Fulfilled["lodge"] != 1 || f.Throttled["view"] != 1 ||
 		f.Faulted["view"] != 1 ||
 		f.Faulted["lodge"] != 2 || f.Throttled["lodge"] != 0 {
-		t.Errorf("figures: %+v", f)
+		t.Errorf("statistics after all requests: %+v", f)
 	}
-	if _, asked, _ := a.counts(); *f.Relayed != asked {
-		t.Errorf("%d attempts relayed, the host has seen %d", *f.Relayed, asked)
+	if _, requests, _ := a.counts(); *f.Relayed != requests {
+		t.Errorf("%d attempts counted as relayed, the endpoint received %d", *f.Relayed, requests)
 	}
 }
 
-// Guards against silent connections that keep the admin endpoint from answering, and faulty requests without
-// their status.
+// Guards against idle connections that keep the admin endpoint from responding, and against invalid requests that
+// get a wrong status.
 func TestAdminEndpointAnswersDespiteSilentClients(t *testing.T) {
 	control := freeTCPAddress(t)
 	g := start(t, map[string]any{"control": control}, newEndpoint(t, "s-1", respondOK))
@@ -124,13 +126,13 @@
 		began := time.Now()
 		fetchStats(t, control)
 		if took := time.Since(began); took > time.Second {
-			t.Errorf("stats took %v beside %d silent callers", took, i)
+			t.Errorf("stats took %v with %d idle admin connections", took, i)
 		}
 	}
 	if err := g.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "readiness to say no", func() bool {
+	waitFor(t, "readiness to be 503", func() bool {
 		status, _ := callAdmin(t, control, "GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n")
 		return status == 503
 	})
@@ -139,7 +141,7 @@
 	}
 }
 
-// replaceConfig writes the configuration's file anew and sends SIGHUP.
+// replaceConfig overwrites the configuration file and sends SIGHUP.
 func (g *gatewayProcess) replaceConfig(raw string) {
 	g.t.Helper()
 	err := os.WriteFile(g.configPath, []byte(raw), 0o600)
@@ -151,7 +153,7 @@
 	}
 }
 
-// Guards against spinning while an admin connection waits for a descriptor.
+// Guards against a busy loop while an admin connection waits in the backlog because no descriptor is free.
 func TestAdminWaitsWithoutSpinning(t *testing.T) {
 	control := freeTCPAddress(t)
 	g := start(t, map[string]any{"control": control}, newEndpoint(t, "s-1", respondOK))
@@ -173,24 +175,24 @@
 	before := processorTime(t, pid)
 	time.Sleep(time.Second)
 	if spent := processorTime(t, pid) - before; spent > 300*time.Millisecond {
-		t.Errorf("%v of processor time in a second of waiting", spent)
+		t.Errorf("%v of processor time used in a second of waiting, want 300 ms at most", spent)
 	}
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &original, nil); err != nil {
 		t.Fatal(err)
 	}
 	if status := <-answers; status != 200 {
-		t.Errorf("the call that waited: %d", status)
+		t.Errorf("the admin request that waited: status %d, want 200", status)
 	}
 }
 
-// Guards against a removed endpoint that counts as unavailable, and a draining one that does not.
+// Guards against counting a removed endpoint as unavailable, and against not counting a draining one.
 func TestUnavailableFollowsTheList(t *testing.T) {
 	control := freeTCPAddress(t)
 	a, b := newEndpoint(t, "s-1", respondOK), newEndpoint(t, "s-2", respondOK)
 	g := start(t, map[string]any{"control": control}, a, b)
 	for i, want := range [][2]int{{2, 1}, {1, 0}} {
 		g.discovery.send <- endpointList(2+i, false, endpointEntry(a, []string{"draining", "removed"}[i]))
-		waitFor(t, fmt.Sprint("listed and avoided to be ", want), func() bool {
+		waitFor(t, fmt.Sprint("listed and unavailable endpoints to be ", want), func() bool {
 			f := fetchStats(t, control)
 			return *f.Endpoints == want[0] && *f.Unavailable == want[1]
 		})
--- a/cmd/thymebend/cancel_test.go
+++ b/cmd/thymebend/cancel_test.go
@@ -11,17 +11,18 @@
 	"time"
 )
 
-// Guards against forwarding for a client that left while its connection was not read and its request was
-// queued.
+// Guards against forwarding a request whose client disconnected while the gateway had paused reading from the
+// connection and the request was queued.
 func TestClientLeavesOnAPausedConnection(t *testing.T) {
 	for name, raw := range map[string]string{
 		"sent far ahead": viewRequest("gone", 25000) + strings.Repeat(viewRequest("more", 1900), 1100),
-		// More than the gateway takes in before there is an endpoint: the rest lies unread.
+		// The body is larger than what the gateway reads before the request has an endpoint; the rest stays in
+		// the socket buffer.
 		"in the middle of a body": strings.NewReplacer("Content-Length: 184320", "Content-Length: 200000",
 			"2500m", "25000m").Replace(lodgeRequest("gone", strings.Repeat("x", 180<<10))),
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newEndpoint(t, "s-1", respondOK)
+			endpoint := newEndpoint(t, "s-1", respondOK)
 			empty := endpointList(1, true)
 			long := map[string]any{"settings": longDeadlineSettings()}
 			g := startUnready(t, long, empty, newDiscovery(t, func(int) string { return empty }))
@@ -30,37 +31,42 @@
 			if _, err := io.WriteString(c, raw); err != nil {
 				t.Fatal(err)
 			}
-			waitFor(t, "the link to be read no further", func() bool { return g.hasLogged("read no further") })
+			waitFor(t, "the gateway to pause reading the connection",
+				func() bool { return g.hasLogged("read no further") })
 			c.Close()
 			closedAt := time.Now()
-			waitFor(t, "the client's end to be seen", func() bool { return g.hasLogged(`"end":"client gone"`) })
-			// The request is rejected some 6 s after it came, and the connection read on.
+			waitFor(t, "the gateway to notice the client's close",
+				func() bool { return g.hasLogged(`"end":"client gone"`) })
+			// The request is rejected some 6 s after its arrival, and only then reading resumes. The close must be
+			// noticed earlier.
 			if delay := time.Since(closedAt); delay > 2*time.Second {
-				t.Errorf("seen after %v", delay)
+				t.Errorf("the close was noticed after %v, want 2 s at most", delay)
 			}
-			g.discovery.send <- endpointList(2, false, endpointEntry(h, "up"))
+			g.discovery.send <- endpointList(2, false, endpointEntry(endpoint, "up"))
 			if status, _, _ := roundTrip(t, g.dial(), viewRequest("stays", 25000)); status != 200 {
-				t.Errorf("a client that stays got %d", status)
+				t.Errorf("a client that stays got status %d, want 200", status)
 			}
-			h.withLock(func() {
-				if h.conns != 1 || len(h.ids) != 1 || h.ids[0] != "stays" {
-					t.Errorf("%d connections, asked %v", h.conns, h.ids)
+			endpoint.withLock(func() {
+				if endpoint.conns != 1 || len(endpoint.ids) != 1 || endpoint.ids[0] != "stays" {
+					t.Errorf("%d connections, requests %v, want 1 connection and the staying client's request",
+						endpoint.conns, endpoint.ids)
 				}
 			})
 		})
 	}
 }
 
-// Guards against forwarding a request that comes in one round of events with its client's close.
+// Guards against forwarding a request that the event loop receives in the same batch of events as the close of its
+// client's connection.
 func TestRequestAndCloseInOneEventBatch(t *testing.T) {
-	h := newEndpoint(t, "s-1", respondOK)
-	g := start(t, nil, h)
+	endpoint := newEndpoint(t, "s-1", respondOK)
+	g := start(t, nil, endpoint)
 	staying := g.dial()
 	if status, _, _ := roundTrip(t, staying, viewRequest("before", 900)); status != 200 {
 		t.Fatal(status)
 	}
 	leaving := g.dial()
-	roundTrip(t, leaving, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n") // it is accepted
+	roundTrip(t, leaving, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n") // so that the connection is accepted
 	g.signal(syscall.SIGSTOP)
 	if _, err := io.WriteString(leaving, viewRequest("left", 1900)+viewRequest("behind", 1900)); err != nil {
 		t.Fatal(err)
@@ -71,51 +77,53 @@
 	}
 	g.signal(syscall.SIGCONT)
 	if status, _, _ := readResponse(staying); status != 200 {
-		t.Errorf("the client that stays got %d", status)
+		t.Errorf("the client that stays got status %d, want 200", status)
 	}
-	h.withLock(func() {
-		for _, id := range h.ids {
+	endpoint.withLock(func() {
+		for _, id := range endpoint.ids {
 			if id == "left" || id == "behind" {
-				t.Errorf("asked for a client that had left: %v", h.ids)
+				t.Errorf("forwarded a request of a client that had disconnected: %v", endpoint.ids)
 			}
 		}
 	})
 }
 
-// Guards against writing for a client that left while the upstream connection came up.
+// Guards against writing a request upstream whose client disconnected while the upstream connection was being
+// established.
 func TestClientLeavesWhileConnecting(t *testing.T) {
-	h := &fakeEndpoint{name: "s-1", ln: shortBacklog(t)}
+	endpoint := &fakeEndpoint{name: "s-1", ln: shortBacklog(t)}
 	g := start(t, map[string]any{"settings": settingsWithReplacement(`"connect_timeout_ms":250`,
-		`"connect_timeout_ms":5000`)}, h)
-	waiting := fillBacklog(t, h.ln)
+		`"connect_timeout_ms":5000`)}, endpoint)
+	waiting := fillBacklog(t, endpoint.ln)
 	c := g.dial()
 	if _, err := io.WriteString(c, lodgeRequest("left", "x")); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the connection, which the full queue keeps from coming up",
-		func() bool { return connecting(t, h.ln.Addr()) })
+	waitFor(t, "the upstream connection attempt, which the full backlog delays",
+		func() bool { return connecting(t, endpoint.ln.Addr()) })
 	c.Close()
-	waitFor(t, "the client's end to be seen", func() bool { return g.hasLogged(`"end":"client gone"`) })
-	waitFor(t, "the connection to be given up", func() bool { return !connecting(t, h.ln.Addr()) })
+	waitFor(t, "the gateway to notice the client's close", func() bool { return g.hasLogged(`"end":"client gone"`) })
+	waitFor(t, "the upstream connection attempt to be cancelled",
+		func() bool { return !connecting(t, endpoint.ln.Addr()) })
 	for range waiting {
-		if _, err := h.ln.Accept(); err != nil {
+		if _, err := endpoint.ln.Accept(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	go func() { _, _ = io.WriteString(g.dial(), lodgeRequest("stays", "x")) }()
-	up, err := h.ln.Accept()
+	up, err := endpoint.ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if r, err := http.ReadRequest(bufio.NewReader(up)); err != nil || r.Header.Get("X-Trace-Id") != "stays" {
-		t.Errorf("%v %v: the first request to come should be of who stays", r, err)
+		t.Errorf("request %v, error %v, want the request of the client that stays first", r, err)
 	}
 }
 
-// Guards against a retry for a client that left while its request was queued for it.
+// Guards against a retry of a request whose client disconnected while the request was queued for the retry.
 func TestClientLeavesBetweenAttempts(t *testing.T) {
 	requests, proceed := make(chan string, 8), make(chan bool)
-	h := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) {
+	endpoint := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) {
 		if requests <- r.Header.Get("X-Trace-Id"); r.Header.Get("X-Trace-Id") == "left" {
 			<-proceed
 			writeResponse(c, "503 Full", "X-Never-Ran: 1\r\n", "")
@@ -123,7 +131,7 @@
 		}
 		respondOK(c, r, body)
 	})
-	g := start(t, map[string]any{"settings": longDeadlineSettings()}, h)
+	g := start(t, map[string]any{"settings": longDeadlineSettings()}, endpoint)
 	<-g.discovery.polls
 	c := g.dial()
 	if _, err := io.WriteString(c, viewRequest("left", 25000)); err != nil {
@@ -132,35 +140,43 @@
 	if id := <-requests; id != "left" {
 		t.Fatal(id)
 	}
-	g.discovery.send <- endpointList(2, false, endpointEntry(h, "draining"))
-	g.discovery.send <- endpointList(3, false) // taken once the one before has been
+	g.discovery.send <- endpointList(2, false, endpointEntry(endpoint, "draining"))
+	g.discovery.send <- endpointList(3, false) // sent only after the list before it was received
 	close(proceed)
-	waitFor(t, "the turning away, after which nobody is left to ask",
+	waitFor(t, "the endpoint's refusal, after which no endpoint remains",
 		func() bool { return g.hasLogged(`"end":"turned away"`) })
 	c.Close()
-	waitFor(t, "the client's end to be seen", func() bool { return g.hasLogged(`"end":"client gone"`) })
-	g.discovery.send <- endpointList(4, false, endpointEntry(h, "up"))
+	waitFor(t, "the gateway to notice the client's close", func() bool { return g.hasLogged(`"end":"client gone"`) })
+	g.discovery.send <- endpointList(4, false, endpointEntry(endpoint, "up"))
 	if status, _, _ := roundTrip(t, g.dial(), viewRequest("stays", 25000)); status != 200 {
-		t.Errorf("a client that stays got %d", status)
+		t.Errorf("a client that stays got status %d, want 200", status)
 	}
 	if id := <-requests; id != "stays" {
-		t.Errorf("asked for %q after its client had left", id)
+		t.Errorf("received %q, want the request of the client that stays", id)
 	}
 }
 
-// Guards against attempts that go on for a client that has left.
+// Guards against attempts that continue after their client has disconnected.
 func TestClientLeavingEndsItsAttempts(t *testing.T) {
 	hold := make(chan bool)
 	defer close(hold)
-	h := newEndpoint(t, "s-1", func(c net.Conn, _ *http.Request, _ string) {
+	endpoint := newEndpoint(t, "s-1", func(c net.Conn, _ *http.Request, _ string) {
 		go func() { <-hold; c.Close() }()
 	})
-	g := start(t, nil, h)
+	g := start(t, nil, endpoint)
 	c := g.dial()
 	if _, err := io.WriteString(c, viewRequest("left", 2000)); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the execution", func() bool { _, asked, _ := h.counts(); return asked == 1 })
+	waitFor(t, "the attempt to reach the endpoint", func() bool {
+		_, requests,
+			_ := endpoint.counts()
+		return requests == 1
+	})
 	c.Close()
-	waitFor(t, "its link to end", func() bool { _, _, ends := h.counts(); return ends == 1 })
+	waitFor(t, "the upstream connection to be closed", func() bool {
+		_, _,
+			closed := endpoint.counts()
+		return closed == 1
+	})
 }
--- a/cmd/thymebend/cluster_test.go
+++ b/cmd/thymebend/cluster_test.go
@@ -13,24 +13,29 @@
 	"time"
 )
 
-// member is one gateway of a cluster in a test.
+// member is one gateway of a cluster in a test: its name, the address of its admin endpoint, the path of its gossip
+// file, the address of its gossip socket and its process.
 type member struct {
 	name, control, file, udp string
 	process                  *gatewayProcess
 }
 
+// clusterView holds the fields of the response to /ops/fleet that the tests examine.
 type clusterView struct {
-	Speaking, Settled, Majority, Twin bool
-	Alive, Known                      int
-	Refused                           map[string]int
-	Portion                           *struct {
-		Stage  string
-		Agreed bool
-		Hosts  []struct {
-			Name string
-			Part float64
-		}
-	}
+	Active        bool `json:"speaking"`
+	Converged     bool `json:"settled"`
+	Majority      bool
+	DuplicateName bool `json:"twin"`
+	Alive, Known  int
+	Refused       map[string]int
+	Assignment    *struct {
+		Stage        string
+		TokensActive bool `json:"agreed"`
+		Endpoints    []struct {
+			Name  string
+			Share float64 `json:"part"`
+		} `json:"hosts"`
+	} `json:"portion"`
 	Members []struct {
 		Name, State string
 		StartMS     uint64 `json:"start_ms"`
@@ -38,6 +43,7 @@
 	}
 }
 
+// freeUDPAddress returns a UDP address that is not in use.
 func freeUDPAddress(t *testing.T) string {
 	t.Helper()
 	c, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -48,10 +54,10 @@
 	return c.LocalAddr().String()
 }
 
-// startCluster starts n gateways that know each other.
+// startCluster starts n gateways with each other as seed peers and waits until each one sees all others alive.
 func startCluster(t *testing.T, n int) []*member { return startClusterWith(t, n, "") }
 
-// startClusterWith has a table more in their files.
+// startClusterWith does the same as startCluster and adds a TOML table to each gossip file.
 func startClusterWith(t *testing.T, n int, table string) []*member {
 	t.Helper()
 	var members []*member
@@ -70,7 +76,9 @@
 		m.start(t)
 	}
 	for _, m := range members {
-		m.waitFor(t, "to know all", func(v clusterView) bool { return v.Alive == n && v.Known == n && v.Majority })
+		m.waitFor(t, "to see all members alive", func(v clusterView) bool {
+			return v.Alive == n && v.Known == n && v.Majority
+		})
 	}
 	return members
 }
@@ -78,8 +86,8 @@
 func (m *member) start(t *testing.T) {
 	t.Helper()
 	t.Setenv("LB_FLEET", m.file)
-	h := newEndpoint(t, "s-1", respondOK)
-	m.process = start(t, map[string]any{"name": m.name, "control": m.control}, h)
+	endpoint := newEndpoint(t, "s-1", respondOK)
+	m.process = start(t, map[string]any{"name": m.name, "control": m.control}, endpoint)
 }
 
 func (m *member) view(t *testing.T) (v clusterView) {
@@ -105,12 +113,13 @@
 	return "unknown"
 }
 
-// Guards against a view that misses a kill, a restart under the same name, a leave or new seed peers.
+// Guards against a view that does not reflect a killed member, a restart under the same name, a leave, or new seed
+// peers.
 func TestMembershipFollowsProcesses(t *testing.T) {
 	members := startCluster(t, 4)
 	_ = members[3].process.cmd.Process.Kill()
 	for _, m := range members[:3] {
-		m.waitFor(t, "to hold the one that was killed for gone",
+		m.waitFor(t, "to see the killed member as gone",
 			func(v clusterView) bool { return v.state("gw-3") == "gone" && v.Alive == 3 })
 	}
 	members[3].start(t)
@@ -121,7 +130,7 @@
 		t.Fatal(err)
 	}
 	for _, m := range []*member{members[0], members[1], members[3]} {
-		m.waitFor(t, "to hold the one that was stopped for left",
+		m.waitFor(t, "to see the stopped member as left",
 			func(v clusterView) bool { return v.state("gw-2") == "left" && v.Known == 3 })
 	}
 	if code := members[2].process.waitExit(); code != 0 {
@@ -138,20 +147,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	members[0].waitFor(t, "to have the new book", func(v clusterView) bool { return v.Known == 4 && v.Alive == 3 })
+	members[0].waitFor(t, "to read the new seed peers",
+		func(v clusterView) bool { return v.Known == 4 && v.Alive == 3 })
 	if err := os.WriteFile(members[0].file, []byte("fleet = \"f\"\nlisten = 5\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := members[0].process.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the faulty file to be refused", func() bool { return members[0].process.hasLogged("gossip file rejected") })
+	waitFor(t, "the faulty file to be rejected",
+		func() bool { return members[0].process.hasLogged("gossip file rejected") })
 	if v := members[0].view(t); v.Known != 4 {
 		t.Errorf("a faulty file changed the view: %+v", v)
 	}
 }
 
-// Guards against a process that was stopped and, let go, takes others for gone.
+// Guards against a process that was suspended by SIGSTOP and, once resumed, declares other members gone because
+// their timeouts have passed.
 func TestResumedGatewayRejoinsTheCluster(t *testing.T) {
 	members := startCluster(t, 3)
 	pid := members[1].process.cmd.Process
@@ -159,7 +171,7 @@
 		t.Fatal(err)
 	}
 	for _, m := range []*member{members[0], members[2]} {
-		m.waitFor(t, "to hold the one that stands still for gone",
+		m.waitFor(t, "to see the suspended member as gone",
 			func(v clusterView) bool { return v.state("gw-1") == "gone" })
 	}
 	if err := pid.Signal(syscall.SIGCONT); err != nil {
@@ -168,14 +180,14 @@
 	for _, m := range members {
 		m.waitFor(t, "to know all again", func(v clusterView) bool {
 			if m == members[1] && (v.state("gw-0") == "gone" || v.state("gw-2") == "gone") {
-				t.Fatal("the one that stood still has thrown others out")
+				t.Fatal("the resumed member has declared others gone")
 			}
 			return v.Alive == 3
 		})
 	}
 }
 
-// Guards against foreign datagrams that change the view or keep the process awake.
+// Guards against invalid datagrams and datagrams of another cluster that change the view or keep the process busy.
 func TestInvalidGossipDatagramsAreRejected(t *testing.T) {
 	members := startCluster(t, 2)
 	c, err := net.Dial("udp4", members[0].udp)
@@ -189,20 +201,21 @@
 			t.Fatal(err)
 		}
 	}
-	members[0].waitFor(t, "to count the noise", func(v clusterView) bool {
+	members[0].waitFor(t, "to count the rejected datagrams", func(v clusterView) bool {
 		return v.Refused["spoilt"] == 1 && v.Refused["foreign"] == 1 && v.Refused["strange"] == 1
 	})
 	if v := members[0].view(t); v.Alive != 2 || v.Known != 2 {
-		t.Errorf("%+v", v)
+		t.Errorf("view after the invalid datagrams: %+v, want 2 members, both alive", v)
 	}
 }
 
-// Guards against a socket, a timer or a log line of the cluster where no gossip file is given.
+// Guards against a gossip socket, a timer, a view at /ops/fleet or a log line of the cluster although no gossip file
+// is configured.
 func TestNoClusterWithoutAGossipFile(t *testing.T) {
 	control := freeTCPAddress(t)
 	g := start(t, map[string]any{"control": control}, newEndpoint(t, "s-1", respondOK))
 	if status, _ := callAdmin(t, control, "GET /ops/fleet HTTP/1.1\r\nHost: x\r\n\r\n"); status != 404 {
-		t.Errorf("/ops/fleet: %d", status)
+		t.Errorf("/ops/fleet: status %d, want 404", status)
 	}
 	files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", g.cmd.Process.Pid))
 	if err != nil {
@@ -213,17 +226,17 @@
 		link, _ := os.Readlink(fmt.Sprintf("/proc/%d/fd/%s", g.cmd.Process.Pid, f.Name()))
 		if inode := strings.TrimSuffix(strings.TrimPrefix(link, "socket:["), "]"); inode != link &&
 			strings.Contains(string(udp), " "+inode+" ") {
-			t.Errorf("a datagram socket is open: %s", link)
+			t.Errorf("a UDP socket is open: %s", link)
 		}
 	}
 	for _, word := range []string{"cluster", "gossip", "fleet"} {
 		if strings.Contains(g.log.String(), word) {
-			t.Errorf("the log speaks of a %s", word)
+			t.Errorf("the log contains the word %s", word)
 		}
 	}
 }
 
-// Guards against an error that does not name line and column of a faulty gossip file.
+// Guards against an error that does not name the line and column of a fault in the gossip file.
 func TestFaultyGossipFileNamesTheLine(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "fleet.toml")
 	if err := os.WriteFile(file, []byte("fleet = \"f\"\nlisten = \"nowhere\"\n"), 0o600); err != nil {
@@ -233,13 +246,13 @@
 	cmd.Env = append(cmd.Env, "LB_FLEET="+file)
 	out, err := cmd.CombinedOutput()
 	if err == nil || !strings.Contains(string(out), file+":2:") {
-		t.Errorf("%v %s", err, out)
+		t.Errorf("error %v, output %s, want an error at %s:2", err, out, file)
 	}
 }
 
-// Guards against an upgrade that its peers take for a leave or a restart.
+// Guards against a hot restart that the other members treat as a leave or a restart.
 func TestHotRestartIsNotALeave(t *testing.T) {
-	dir, err := os.MkdirTemp("", "up") // short: a Unix socket's path holds 107 bytes
+	dir, err := os.MkdirTemp("", "up") // short, because the path of a Unix socket is limited to 107 bytes
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -248,7 +261,7 @@
 	members := startCluster(t, 3)
 	before, upgradeStart := members[1].view(t), time.Now()
 	next, control := members[0].process.upgrade()
-	waitFor(t, "the next process to be ready", func() bool { return ready(t, control) })
+	waitFor(t, "the successor to be ready", func() bool { return ready(t, control) })
 	if err := members[0].process.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -256,32 +269,34 @@
 		t.Errorf("exit code %d", code)
 	}
 	members[0].control, members[0].process = control, next
-	members[0].waitFor(t, "to speak on", func(v clusterView) bool { return v.Speaking && v.Alive == 3 })
+	members[0].waitFor(t, "to gossip again", func(v clusterView) bool { return v.Active && v.Alive == 3 })
 	for _, m := range members[1:] {
-		m.waitFor(t, "to be settled", func(v clusterView) bool {
+		m.waitFor(t, "to converge", func(v clusterView) bool {
 			if v.state("gw-0") != "alive" && v.state("gw-0") != "suspect" {
-				t.Fatalf("%s has the one that was upgraded as %s", m.name, v.state("gw-0"))
+				t.Fatalf("%s sees the member that was hot restarted as %s", m.name, v.state("gw-0"))
 			}
-			return v.Settled
+			return v.Converged
 		})
 	}
-	// A leave that is taken back within moments shows in no poll, but in how long the state has held.
+	// A leave that is reverted quickly may fall between two polls of the view, but it resets SinceMS.
 	for i, m := range members[1].view(t).Members {
 		if m.StartMS != before.Members[i].StartMS || m.State != "alive" || m.SinceMS < time.Since(upgradeStart).
 			Milliseconds() {
-			t.Errorf("%+v, was %+v before the upgrade, %v ago", m, before.Members[i], time.Since(upgradeStart))
+			t.Errorf("%+v, was %+v before the hot restart, which began %v ago", m, before.Members[i],
+				time.Since(upgradeStart))
 		}
 	}
 }
 
-// Guards against a gateway with another file that still takes slow-start tokens, and against others that stop
-// then.
+// Guards against a gateway that still uses slow-start tokens although its gossip file differs from that of the
+// majority, and against the other gateways ceasing to use them. Also verifies the assignment that thymebend fleet
+// prints.
 func TestAssignmentIsReported(t *testing.T) {
 	members := startClusterWith(t, 3, "[shares]\nwarm_rate = 20.0\n")
 	for _, m := range members {
-		m.waitFor(t, "to have its portion", func(v clusterView) bool {
-			return v.Portion != nil && v.Portion.Stage == "settled" && v.Portion.Agreed &&
-				len(v.Portion.Hosts) == 1 && v.Portion.Hosts[0].Name == "s-1"
+		m.waitFor(t, "to have its assignment", func(v clusterView) bool {
+			return v.Assignment != nil && v.Assignment.Stage == "settled" && v.Assignment.TokensActive &&
+				len(v.Assignment.Endpoints) == 1 && v.Assignment.Endpoints[0].Name == "s-1"
 		})
 	}
 	out, err := exec.Command(program, "fleet", members[0].control).CombinedOutput()
@@ -304,22 +319,22 @@
 		}
 	}
 	reload(string(good) + "[[peer]]\nname = \"gw-9\"\naddr = \"127.0.0.1:1\"\n")
-	members[0].waitFor(t, "to take no turns", func(v clusterView) bool { return !v.Portion.Agreed })
+	members[0].waitFor(t, "to use no tokens", func(v clusterView) bool { return !v.Assignment.TokensActive })
 	if out, _ := exec.Command(program, "fleet", members[0].control).
 		CombinedOutput(); !strings.Contains(string(out), "NONE NOW") {
-		t.Errorf("%s", out)
+		t.Errorf("thymebend fleet does not report that tokens are unused:\n%s", out)
 	}
 	for _, m := range members[1:] {
-		if v := m.view(t); !v.Portion.Agreed {
-			t.Errorf("%s takes no turns either", m.name)
+		if v := m.view(t); !v.Assignment.TokensActive {
+			t.Errorf("%s uses no tokens either, though its file is that of the majority", m.name)
 		}
 	}
 	reload(string(good))
-	members[0].waitFor(t, "to take turns again", func(v clusterView) bool { return v.Portion.Agreed })
+	members[0].waitFor(t, "to use tokens again", func(v clusterView) bool { return v.Assignment.TokensActive })
 }
 
-// Guards against a gossip configuration of the platform that is missed, or used where its settings refuse
-// datagrams.
+// Guards against a gossip configuration of the platform (fields peers and peer_listen) that is ignored, or that is
+// used although the settings do not allow gossip.
 func TestGossipConfiguredByThePlatform(t *testing.T) {
 	addrs := []string{freeUDPAddress(t), freeUDPAddress(t)}
 	settingsOf := func(rank int, allowed string) json.RawMessage {
@@ -336,12 +351,13 @@
 		members = append(members, m)
 	}
 	for _, m := range members {
-		m.waitFor(t, "to divide hosts", func(v clusterView) bool {
-			return v.Alive == 2 && v.state(m.name) == "alive" && v.Portion != nil &&
-				v.Portion.Stage == "settled" && v.Portion.Agreed
+		m.waitFor(t, "to have a settled assignment", func(v clusterView) bool {
+			return v.Alive == 2 && v.state(m.name) == "alive" && v.Assignment != nil &&
+				v.Assignment.Stage == "settled" && v.Assignment.TokensActive
 		})
 	}
-	if err := members[0].process.cmd.Process.Signal(syscall.SIGHUP); err != nil { // the configuration alone is read again
+	// There is no gossip file: only the configuration is read again.
+	if err := members[0].process.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "the reload", func() bool { return members[0].process.hasLogged(`"message":"reload"`) })
@@ -349,7 +365,7 @@
 	start(t, map[string]any{"control": control, "peers": addrs, "peer_listen": addrs[0],
 		"settings": settingsOf(0, "false")}, newEndpoint(t, "s-1", respondOK))
 	if status, _ := callAdmin(t, control, "GET /ops/fleet HTTP/1.1\r\nHost: x\r\n\r\n"); status != 404 {
-		t.Errorf("datagrams are refused, and /ops/fleet answers %d", status)
+		t.Errorf("gossip is not allowed by the settings, but /ops/fleet returns %d, want 404", status)
 	}
 	for want, edit := range map[string]map[string]any{
 		"peers names 1 gateways, the settings 2": {"peers": addrs[:1], "peer_listen": addrs[0]},
@@ -359,7 +375,7 @@
 		edit["settings"] = settingsOf(0, "true")
 		cmd, _ := configure(t, `{"seq":1,"whole":true,"hosts":[]}`, "127.0.0.1:1", edit)
 		if out, err := cmd.CombinedOutput(); err == nil || !strings.Contains(string(out), want) {
-			t.Errorf("wanted %q: %v %s", want, err, out)
+			t.Errorf("error %[2]v, output %[3]s, want an error with %[1]q", want, err, out)
 		}
 	}
 }
--- a/cmd/thymebend/config_test.go
+++ b/cmd/thymebend/config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Guards against an error that does not name the field of a faulty configuration.
+// Guards against an error that does not name the invalid field of a configuration.
 func TestFaultyConfigurationNamesTheField(t *testing.T) {
 	for want, edit := range map[string]map[string]any{
 		"listen":               {"listen": "nowhere"},
@@ -20,7 +20,7 @@
 		cmd, _ := configure(t, endpointList(1, true), "127.0.0.1:1", edit)
 		out, err := cmd.CombinedOutput()
 		if err == nil || !strings.Contains(string(out), want) {
-			t.Errorf("%s: err %v, output %s", want, err, out)
+			t.Errorf("%s: error %v, output %s, want an error that names the field", want, err, out)
 		}
 	}
 }
--- a/cmd/thymebend/deploy_test.go
+++ b/cmd/thymebend/deploy_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// Guards against a static program, into which the platform cannot load its library.
+// Guards against a statically linked program, because the platform loads its library into the process.
 func TestDeployedProgramIsLinkedDynamically(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -18,7 +18,7 @@
 	}
 	line := regexp.MustCompile(`(?m)^build = "(.*)"$`).FindSubmatch(text)
 	if line == nil {
-		t.Fatal("deploy/balancer.toml: no build")
+		t.Fatal("deploy/balancer.toml has no build line")
 	}
 	dir := t.TempDir()
 	intoDir := strings.NewReplacer(" bin ", " "+dir+" ", " bin/ ", " "+dir+"/ ")
@@ -33,6 +33,7 @@
 	}
 	defer file.Close()
 	if libs, err := file.ImportedLibraries(); err != nil || file.Section(".interp") == nil || len(libs) == 0 {
-		t.Errorf("loader %v, libraries %v, %v", file.Section(".interp"), libs, err)
+		t.Errorf("loader %v, libraries %v, error %v: want a dynamically linked program", file.Section(".interp"),
+			libs, err)
 	}
 }
--- a/cmd/thymebend/descriptors_test.go
+++ b/cmd/thymebend/descriptors_test.go
@@ -12,13 +12,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Guards against idle clients that take the descriptor which discovery needs.
+// Guards against idle clients that use up the file descriptors, so that polls of discovery get none.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
-	h := newEndpoint(t, "s-1", respondOK)
+	endpoint := newEndpoint(t, "s-1", respondOK)
 	var up atomic.Bool
 	d := newDiscovery(t, func(int) string {
 		if up.Load() {
-			return endpointList(2, true, endpointEntry(h, "up"))
+			return endpointList(2, true, endpointEntry(endpoint, "up"))
 		}
 		return ""
 	})
@@ -29,9 +29,10 @@
 		g.dial()
 	}
 	before := len(d.polls)
-	waitFor(t, "two more calls to discovery beside the crowd", func() bool { return len(d.polls) >= before+2 })
+	waitFor(t, "two more polls of discovery while the clients are connected",
+		func() bool { return len(d.polls) >= before+2 })
 	up.Store(true)
-	waitFor(t, "the list", func() bool {
+	waitFor(t, "the gateway to receive the list", func() bool {
 		status, _, _ := roundTrip(t, g.dial(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 		return status == 200
 	})
@@ -42,7 +43,8 @@
 	}
 }
 
-// Guards against clients that open a connection for each request and run out of descriptors themselves.
+// Guards against clients that open a connection for each request and keep it, until they run out of descriptors
+// themselves.
 func TestSingleUseConnectionsAreClosedAboveTheThreshold(t *testing.T) {
 	g := start(t, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": 192}},
 		newEndpoint(t, "s-1", respondOK))
@@ -51,15 +53,16 @@
 		roundTrip(t, used, viewRequest(fmt.Sprint("u", i), 1500))
 	}
 	var conns []net.Conn
-	for i := range 90 { // fewer than there is room for
+	for i := range 90 { // fewer than the limit of open connections
 		if i == 192/4 || i == 80 {
-			// The last ones find the first rested for long enough to close two each, while those between,
-			// which came to rest while there were many, are not due yet: when they are, there are few.
+			// Each of the last connections closes two of the first, which have been idle long enough. The
+			// connections between became idle while many were open and are not due yet; once they are due,
+			// few are open.
 			time.Sleep(60 * time.Millisecond)
 		}
 		c := g.dial()
 		if status, _, _ := roundTrip(t, c, viewRequest(fmt.Sprint("o", i), 1500)); status != 200 {
-			t.Errorf("query %d: %d", i, status)
+			t.Errorf("request %d: status %d, want 200", i, status)
 		}
 		conns = append(conns, c)
 	}
@@ -72,21 +75,22 @@
 		}
 		return n
 	}
-	waitFor(t, "links of one query to be closed", func() bool { return open() <= 192/4 })
+	waitFor(t, "single-use connections to be closed", func() bool { return open() <= 192/4 })
 	time.Sleep(300 * time.Millisecond)
 	if n := open(); n < 192/4-3 {
-		t.Errorf("%d of 90 links are open: few are no burden", n)
+		t.Errorf("%d of 90 connections are open: too many were closed", n)
 	}
 	if status, _, _ := roundTrip(t, used, viewRequest("again", 1500)); status != 200 {
-		t.Errorf("the link in use: %d", status)
+		t.Errorf("the connection in use: status %d, want 200", status)
 	}
 }
 
-// Guards against idle connections that keep new clients out, and against spinning where none can give way.
+// Guards against idle connections that keep new clients out when descriptors run out, and against a busy loop when
+// no connection can be evicted.
 func TestDescriptorExhaustion(t *testing.T) {
 	g := start(t, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 64}},
 		newEndpoint(t, "s-1", respondOK))
-	lowered := unix.Rlimit{Cur: 30, Max: 30} // less than the program was told: accept itself must fail
+	lowered := unix.Rlimit{Cur: 30, Max: 30} // below the configured limit, so that accept itself fails
 	if err := unix.Prlimit(g.cmd.Process.Pid, unix.RLIMIT_NOFILE, &lowered, nil); err != nil {
 		t.Fatal(err)
 	}
@@ -106,19 +110,20 @@
 		}
 	}
 	before := processorTime(t, g.cmd.Process.Pid)
-	time.Sleep(time.Second) // what it uses while nothing can happen is what is measured
+	time.Sleep(time.Second) // measures the processor time used while nothing can progress
 	if used := processorTime(t, g.cmd.Process.Pid) - before; used > 500*time.Millisecond {
-		t.Errorf("%v of processor time in a second: it spins", used)
+		t.Errorf("%v of processor time used in a second of waiting, want 500 ms at most", used)
 	}
 	for _, c := range half {
 		c.Close()
 	}
 	if status, _, _ := roundTrip(t, g.dial(), viewRequest("after", 1900)); status != 200 {
-		t.Errorf("view after the crowd: %d", status)
+		t.Errorf("view after the partial requests ended: status %d, want 200", status)
 	}
 }
 
-// Guards against evicting a connection that has only asked for health, whose first request is to come.
+// Guards against evicting a connection that has carried a health check only and whose first request is still
+// expected.
 func TestUsedConnectionsAreEvictedFirst(t *testing.T) {
 	g := start(t, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 64}},
 		newEndpoint(t, "s-1", respondOK))
@@ -132,6 +137,6 @@
 		}
 	}
 	if status, _, _ := roundTrip(t, checked, viewRequest("first", 900)); status != 200 {
-		t.Errorf("the first query of a link that asked for health: %d", status)
+		t.Errorf("the first request on a connection after a health check: status %d, want 200", status)
 	}
 }
--- a/cmd/thymebend/fleet_command_test.go
+++ b/cmd/thymebend/fleet_command_test.go
@@ -12,22 +12,22 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// Guards against a wrong table, message or exit code of thymebend fleet.
+// Guards against a wrong table, error message or exit code of thymebend fleet.
 func TestFleetCommandPrintsTheView(t *testing.T) {
 	members := startCluster(t, 3)
 	_ = members[2].process.cmd.Process.Kill()
-	members[0].waitFor(t, "to hold the one that was killed for gone",
+	members[0].waitFor(t, "to see the killed member as gone",
 		func(v clusterView) bool { return v.state("gw-2") == "gone" })
 	out, err := exec.Command(program, "fleet", members[0].control).CombinedOutput()
 	lines := strings.Split(string(out), "\n")
 	if err != nil || !strings.HasPrefix(lines[0], "gw-0 in fleet f: ") ||
 		!strings.Contains(lines[0], "2 of 3 alive") {
-		t.Fatalf("%v %s", err, out)
+		t.Fatalf("error %v, want the summary in the first line of:\n%s", err, out)
 	}
 	if len(lines) < 7 || !strings.HasPrefix(lines[3], "NAME") || !strings.HasPrefix(lines[4], "gw-2 ") ||
 		!strings.Contains(lines[4], " gone ") ||
 		!strings.Contains(string(out), "gw-0 (itself)") {
-		t.Errorf("the one in trouble does not stand first:\n%s", out)
+		t.Errorf("the gone member is not printed first:\n%s", out)
 	}
 	t.Setenv("LB_FLEET", "")
 	none := freeTCPAddress(t)
@@ -47,12 +47,12 @@
 		cmd := exec.Command(program, c.args...)
 		out, _ := cmd.CombinedOutput()
 		if code := cmd.ProcessState.ExitCode(); code != c.code || !strings.Contains(string(out), c.want) {
-			t.Errorf("%v: exit %d, %s", c.args, code, out)
+			t.Errorf("%v: exit code %d, want %d; output %s, want %q in it", c.args, code, c.code, out, c.want)
 		}
 	}
 }
 
-// Guards against a limit on the response that is below a view of 500 gateways.
+// Guards against a limit on the size of the admin response that a view of 500 gateways exceeds.
 func TestFleetCommandPrintsALargeView(t *testing.T) {
 	m := &member{name: "gw-0", control: freeTCPAddress(t), udp: freeUDPAddress(t),
 		file: filepath.Join(t.TempDir(), "fleet.toml")}
@@ -66,19 +66,20 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	m.waitFor(t, "to speak", func(v clusterView) bool { return v.Speaking })
-	for n := range 500 { // each speaks once
+	m.waitFor(t, "to gossip", func(v clusterView) bool { return v.Active })
+	for n := range 500 { // one gossip message from each
 		b := gossipcodec.Append(nil, &gossipcodec.Message{Cluster: "f",
 			From: fmt.Sprintf("a-gateway-of-a-long-name-%04d", n), Start: 1, Kind: gossipcodec.Gossip})
 		if _, err := c.Write(b); err != nil {
 			t.Fatal(err)
 		}
 		if n%50 == 49 {
-			m.waitFor(t, "to know them", func(v clusterView) bool { return len(v.Members) == n+2 })
+			m.waitFor(t, "to list the members sent up to now",
+				func(v clusterView) bool { return len(v.Members) == n+2 })
 		}
 	}
 	out, err := exec.Command(program, "fleet", m.control).CombinedOutput()
 	if err != nil || strings.Count(string(out), "a-gateway-of-a-long-name-") != 500 {
-		t.Errorf("%v, %d of 500 gateways", err, strings.Count(string(out), "a-gateway-of-a-long-name-"))
+		t.Errorf("error %v, %d of 500 gateways printed", err, strings.Count(string(out), "a-gateway-of-a-long-name-"))
 	}
 }
--- a/cmd/thymebend/large_test.go
+++ b/cmd/thymebend/large_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// peakMemoryMB is the most memory that a process has held, in MB.
+// peakMemoryMB returns the peak resident memory of a process in MB.
 func peakMemoryMB(t *testing.T, pid int) int {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -28,7 +28,8 @@
 	return kb / 1024
 }
 
-// patternReader is a body of n bytes that differs everywhere.
+// patternReader returns a body of n bytes in a fixed pattern of 64 KB, so that shifted or repeated data changes the
+// digest.
 func patternReader(n int) io.Reader {
 	block := make([]byte, 64<<10)
 	for i := range block {
@@ -41,13 +42,14 @@
 	return io.MultiReader(parts...)
 }
 
+// digestOf returns the length and the start of the SHA-256 sum of what a reader returns.
 func digestOf(r io.Reader) string {
 	h := sha256.New()
 	n, _ := io.Copy(h, r)
 	return fmt.Sprintf("%d %x", n, h.Sum(nil)[:8])
 }
 
-// largeLodgeRequest words a bid with a body of n bytes to follow, or of chunks if n is 0.
+// largeLodgeRequest returns the head of a lodge request whose body has n bytes, or is chunked if n is 0.
 func largeLodgeRequest(id, query string, n int) string {
 	head := strings.Replace(lodgeRequest(id, ""), "POST /lodge", "POST /lodge?"+query, 1)
 	if n == 0 {
@@ -56,7 +58,7 @@
 	return strings.Replace(head, "Length: 0", fmt.Sprintf("Length: %d", n), 1)
 }
 
-// Guards against bodies of 32 MB that are held in memory, in any framing, or cost their connections.
+// Guards against keeping bodies of 32 MB in memory, in any framing, and against closing their connections.
 func TestLargeBodiesAreStreamed(t *testing.T) {
 	g := start(t, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 1024}},
 		bulkEndpoint(t, "s-1", nil))
@@ -64,7 +66,7 @@
 	for i, how := range []string{"length", "chunks", "close"} {
 		c := g.dial()
 		_ = c.SetDeadline(time.Now().Add(30 * time.Second))
-		size := maxBody - i // a body in chunks on the second try
+		size := maxBody - i // the second request has a chunked body
 		stated := size
 		if i == 1 {
 			stated = 0
@@ -90,21 +92,22 @@
 		}
 		n, err := io.Copy(io.Discard, resp.Body)
 		if got := resp.Header.Get("X-Got"); err != nil || n != int64(size) || got != digestOf(patternReader(size)) {
-			t.Errorf("%s: %d of %d bytes back, %v; the host got %s", how, n, size, err, got)
+			t.Errorf("%s: received %d of %d bytes, error %v; the endpoint received %s", how, n, size, err, got)
 		}
 		if status, _, _ := roundTrip(t, c, viewRequest(fmt.Sprint("after", i), 900)); status != 200 {
-			t.Errorf("%s: the next request on the link: %d", how, status)
+			t.Errorf("%s: the next request on the connection: status %d, want 200", how, status)
 		}
 	}
-	if mb := peakMemoryMB(t, g.cmd.Process.Pid); mb > 96 { // with the race detector, which takes some of it
-		t.Errorf("the gateway held %d MB", mb)
+	if mb := peakMemoryMB(t, g.cmd.Process.Pid); mb > 96 { // includes the memory of the race detector
+		t.Errorf("the gateway used %d MB, want 96 at most", mb)
 	}
 }
 
-// Guards against retrying an upload whose first bytes are gone, and against missing an early response.
+// Guards against retrying an upload whose first bytes are no longer in memory, and against ignoring a response that
+// arrives before the upload ends.
 func TestInterruptedUploads(t *testing.T) {
 	var attempts atomic.Int32
-	h := bulkEndpoint(t, "s-1", func(r *http.Request, c net.Conn) bool {
+	endpoint := bulkEndpoint(t, "s-1", func(r *http.Request, c net.Conn) bool {
 		switch id := r.Header.Get("X-Trace-Id"); {
 		case strings.HasPrefix(id, "cut"):
 			attempts.Add(1)
@@ -117,7 +120,7 @@
 		}
 		return true
 	})
-	g := start(t, nil, h)
+	g := start(t, nil, endpoint)
 	for id, want := range map[string]int{"cut": 503, "early": 503, "wrong": 400} {
 		c := g.dial()
 		n := 8 << 20
@@ -137,21 +140,21 @@
 		}
 	}
 	if n := attempts.Load(); n != 1 {
-		t.Errorf("a body whose first bytes were gone went out %d times", n)
+		t.Errorf("an upload whose first bytes were no longer in memory was sent %d times, want once", n)
 	}
 	abandoned := g.dial()
 	fmt.Fprint(abandoned, largeLodgeRequest("left", "size=2", 1<<20)+strings.Repeat("x", 200<<10))
 	abandoned.Close()
 	if status, _, _ := roundTrip(t, g.dial(), viewRequest("v", 900)); status != 200 {
-		t.Errorf("a view beside them: %d", status)
+		t.Errorf("a view request after the interrupted uploads: status %d, want 200", status)
 	}
-	if _, asked, _ := h.counts(); asked != 1 {
-		t.Errorf("%d requests ran, want the view alone", asked)
+	if _, requests, _ := endpoint.counts(); requests != 1 {
+		t.Errorf("%d requests reached the endpoint completely, want the view request only", requests)
 	}
 }
 
-// Guards against a cut response that looks complete in any framing, and against a slow reader that holds up
-// others.
+// Guards against a truncated response that the client takes for complete, in HTTP/1.1 or HTTP/1.0 framing, and
+// against a slow reader that delays other clients.
 func TestTruncatedAndSlowlyReadResponses(t *testing.T) {
 	g := start(t, nil, bulkEndpoint(t, "s-1", nil))
 	for _, http10 := range []bool{false, true} {
@@ -161,7 +164,7 @@
 			raw = strings.Replace(raw, "HTTP/1.1", "HTTP/1.0", 1)
 		}
 		if status, _, _ := roundTrip(t, c, raw); status != 0 {
-			t.Errorf("half an answer passed as whole (old %v)", http10)
+			t.Errorf("a truncated response appeared complete (HTTP/1.0 %v)", http10)
 		}
 	}
 	c := g.dial()
@@ -173,11 +176,11 @@
 	}
 	for i := range 5 {
 		if status, _, _ := roundTrip(t, g.dial(), viewRequest(fmt.Sprint("v", i), 1500)); status != 200 {
-			t.Errorf("a view beside a slow reader: %d", status)
+			t.Errorf("a view request during a slow read: status %d, want 200", status)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	if got := digestOf(resp.Body); got != digestOf(patternReader(size)) {
-		t.Errorf("the slow reader got %s", got)
+		t.Errorf("the slow reader received %s, want the whole pattern", got)
 	}
 }
--- a/cmd/thymebend/peers_test.go
+++ b/cmd/thymebend/peers_test.go
@@ -16,17 +16,18 @@
 	"time"
 )
 
-// fakeEndpoint plays an endpoint. answer gets each request once it is whole, on its connection.
+// fakeEndpoint emulates an endpoint. It calls respond with each complete request and its connection.
 type fakeEndpoint struct {
 	name    string
 	ln      net.Listener
 	respond func(c net.Conn, r *http.Request, body string)
 	mu      sync.Mutex
 	conns   int
-	ids     []string // the ids of the requests that came whole
-	closed  int      // connections that the gateway ended
+	ids     []string // ids of the requests received completely
+	closed  int      // connections that ended, other than by respond
 }
 
+// listen returns a listener on a free loopback port that is closed when the test ends.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,6 +38,7 @@
 	return ln
 }
 
+// newEndpoint starts an emulated endpoint.
 func newEndpoint(t *testing.T, name string, answer func(net.Conn, *http.Request, string)) *fakeEndpoint {
 	e := &fakeEndpoint{name: name, ln: listen(t), respond: answer}
 	go serveEach(e.ln, func(c net.Conn) {
@@ -58,12 +60,14 @@
 
 func (e *fakeEndpoint) withLock(f func()) { e.mu.Lock(); defer e.mu.Unlock(); f() }
 
+// counts returns the number of accepted connections, complete requests and ended connections.
 func (e *fakeEndpoint) counts() (conns, requests, closed int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.conns, len(e.ids), e.closed
 }
 
+// serveEach accepts connections until the listener is closed and serves each in a goroutine, then closes it.
 func serveEach(ln net.Listener, serve func(net.Conn)) {
 	for {
 		c, err := ln.Accept()
@@ -74,14 +78,14 @@
 	}
 }
 
-// respondOK answers 200 with the id and the request's body.
+// respondOK responds with 200, a load report, and the id and body of the request as the body.
 func respondOK(c net.Conn, r *http.Request, body string) {
 	writeResponse(c, "200 OK", "Endpoint-Load-Metrics: TEXT busy_reqs=1, pending=0\r\nX-Kept: yes\r\n",
 		r.Header.Get("X-Trace-Id")+":"+body)
 }
 
-// serialResponder returns an answer that takes one request after another, and counts the most that wait for it at
-// once.
+// serialResponder returns a responder that processes one request at a time, for 3 ms each. It stores the maximum
+// number of requests present at once in maxWaiting and sends load as the fields of each response.
 func serialResponder(maxWaiting *atomic.Int32, load string) func(net.Conn, *http.Request, string) {
 	var core sync.Mutex
 	var waiting atomic.Int32
@@ -101,24 +105,27 @@
 	fmt.Fprintf(c, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, fields, len(body), body)
 }
 
-// endpointEntry is an endpoint as discovery tells it; state is up, draining or removed.
+// endpointEntry returns the JSON of an endpoint as discovery sends it. state is up, draining or removed.
 func endpointEntry(endpoint *fakeEndpoint, state string) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"m","block":0,"health":%q,"share":1.0,"born_ms":0}`,
 		endpoint.name, endpoint.ln.Addr(), state)
 }
 
+// endpointList returns the JSON of a list: the whole list if whole is true, otherwise the changed entries.
 func endpointList(seq int, whole bool, entries ...string) string {
 	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, whole, strings.Join(entries, ","))
 }
 
-// fakeDiscovery plays discovery: a watch is answered with the list, then with what is told, then with beats.
+// fakeDiscovery emulates discovery. It responds to a watch with firstLine, then with each line of send, and with an
+// empty line after each second without one.
 type fakeDiscovery struct {
 	ln        net.Listener
-	polls     chan string      // the targets asked for
+	polls     chan string      // request targets of the polls
 	send      chan string      // lines for the open watch; "cut" ends it
-	firstLine func(int) string // the first line for the n-th call; "" answers 503
+	firstLine func(int) string // first line of the response to the n-th poll; "" means 503
 }
 
+// newDiscovery starts an emulated discovery.
 func newDiscovery(t *testing.T, reply func(int) string) *fakeDiscovery {
 	d := &fakeDiscovery{ln: listen(t), polls: make(chan string, 64), send: make(chan string), firstLine: reply}
 	n := 0
@@ -135,7 +142,7 @@
 			return
 		}
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-		closed := make(chan bool) // a watch that the gateway has ended must not take what is told
+		closed := make(chan bool) // an ended watch must not take lines from send
 		go func() { _, _ = io.Copy(io.Discard, c); close(closed) }()
 		for line != "cut" {
 			if _, err := fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(line)+1, line); err != nil {
@@ -153,7 +160,7 @@
 	return d
 }
 
-// fullBacklog is a listener on which connections never come up: nobody accepts and its queue is full.
+// fullBacklog returns a listener to which no connection can be established: its backlog is full and nothing accepts.
 func fullBacklog(t *testing.T) net.Listener {
 	t.Helper()
 	ln := shortBacklog(t)
@@ -161,7 +168,7 @@
 	return ln
 }
 
-// shortBacklog is a listener whose queue holds one connection more than its backlog of 0.
+// shortBacklog returns a listener with a backlog of 0, for which the kernel queues one connection.
 func shortBacklog(t *testing.T) net.Listener {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -174,7 +181,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := os.NewFile(uintptr(fd), "scarce")
+	f := os.NewFile(uintptr(fd), "short backlog")
 	ln, err := net.FileListener(f)
 	if err != nil {
 		t.Fatal(err)
@@ -184,10 +191,11 @@
 	return ln
 }
 
-// fillBacklog has connections wait at a listener until no more come up, and returns those that did.
+// fillBacklog connects to a listener that does not accept until a connection is no longer established. It returns the
+// number of established connections.
 func fillBacklog(t *testing.T, ln net.Listener) (waiting int) {
 	t.Helper()
-	waitFor(t, "the queue to fill", func() bool {
+	waitFor(t, "the backlog to fill", func() bool {
 		c, err := net.DialTimeout("tcp", ln.Addr().String(), 100*time.Millisecond)
 		if err == nil {
 			waiting++
@@ -198,7 +206,9 @@
 	return waiting
 }
 
-// bulkEndpoint reads bodies as they come and answers with what the target's request asks for.
+// bulkEndpoint starts an emulated endpoint that hashes bodies while it reads them. Its response has the size and
+// framing that the query parameters size and how request. accept may examine a request before its body is read, and
+// return false to end the connection.
 func bulkEndpoint(t *testing.T, name string, accept func(r *http.Request, c net.Conn) bool) *fakeEndpoint {
 	e := &fakeEndpoint{name: name, ln: listen(t)}
 	go serveEach(e.ln, func(c net.Conn) {
--- a/cmd/thymebend/reload_test.go
+++ b/cmd/thymebend/reload_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// Guards against a gap between the old address's watch and the new one's, a faulty file that changes
-// something, and a shutdown that a reload disturbs.
+// Guards against list changes lost between the watch of the old discovery address and that of the new one, against
+// an invalid configuration that changes something, and against a reload that disturbs a shutdown.
 func TestReloadMovesTheWatch(t *testing.T) {
 	a, b := newEndpoint(t, "s-1", respondOK), newEndpoint(t, "s-2", respondOK)
 	whole, answers := endpointList(1, true, endpointEntry(a, "up"), endpointEntry(b, "up")), make(chan string)
@@ -20,15 +20,15 @@
 	g := start(t, nil, a, b)
 	<-g.discovery.polls
 	g.reload("seed", "what")
-	waitFor(t, "the fault to be logged", func() bool { return g.hasLogged("seed \\\"what") })
+	waitFor(t, "the invalid configuration to be logged", func() bool { return g.hasLogged("seed \\\"what") })
 	g.reload("seed", "8c1f30d27a5be964")
 	g.reload("discovery", next.ln.Addr().String())
 	<-next.polls
 	g.discovery.send <- endpointList(2, false, endpointEntry(a, "draining"))
 	g.discovery.send <- endpointList(3, false)
-	answers <- "" // a call that fails is made again
+	answers <- "" // 503: the poll is repeated
 	if call := <-next.polls; !strings.HasSuffix(call, "index=3") {
-		t.Errorf("the new address is asked %q, want what the old one told last", call)
+		t.Errorf("the new address receives %q, want the index of the last list from the old address", call)
 	}
 	_, before, _ := a.counts()
 	answers <- endpointList(4, false)
@@ -40,9 +40,9 @@
 		}
 	}
 	if _, after, _ := a.counts(); after != before {
-		t.Errorf("%d executions went to a host that drains", after-before)
+		t.Errorf("%d requests went to a draining endpoint", after-before)
 	}
-	for range 3 { // the address of the first watch again, and back
+	for range 3 { // back to the address of the first watch, and to the new one again
 		g.reload("discovery", g.discovery.ln.Addr().String())
 		<-g.discovery.polls
 		g.reload("discovery", next.ln.Addr().String())
@@ -58,7 +58,7 @@
 	}
 }
 
-// Guards against a faulty file that changes more than its count.
+// Guards against an invalid configuration file that changes anything except the count of rejected files.
 func TestInvalidConfigurationFilesChangeNothing(t *testing.T) {
 	control := freeTCPAddress(t)
 	g := start(t, map[string]any{"control": control}, newEndpoint(t, "s-1", respondOK))
@@ -66,7 +66,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := strings.Replace(string(raw), `"name":"view"`, `"name":"look"`, 1) // taken, it would show
+	good := strings.Replace(string(raw), `"name":"view"`, `"name":"look"`, 1) // a change that is visible if accepted
 	with := func(old, new string) string { return strings.Replace(good, old, new, 1) }
 	faulty := []string{"", good[:len(good)/2], good + "x", with(`"cancel":true,`, ""),
 		with(`"seed"`, `"sead"`), with(`"worth":1`, `"w":1`),
@@ -79,23 +79,23 @@
 		with(`"most_tries":4`, `"most_tries":1e99`), with(`"name":"lodge"`, `"name":"look"`)}
 	for i, text := range faulty {
 		g.replaceConfig(text)
-		waitFor(t, fmt.Sprintf("file %d to be counted", i), func() bool {
+		waitFor(t, fmt.Sprintf("invalid file %d to be counted", i), func() bool {
 			return *fetchStats(t, control).ConfigsRejected == i+1
 		})
 	}
 	if status, _, _ := roundTrip(t, g.dial(), viewRequest("v", 900)); status != 200 || *fetchStats(t, control).
 		ConfigsAccepted != 0 {
-		t.Errorf("the settings changed: %d", status)
+		t.Errorf("an invalid file changed the settings or was counted as accepted: status %d, want 200", status)
 	}
 	g.replaceConfig(good)
-	waitFor(t, "the good file to be taken", func() bool { return *fetchStats(t, control).ConfigsAccepted == 1 })
+	waitFor(t, "the valid file to be accepted", func() bool { return *fetchStats(t, control).ConfigsAccepted == 1 })
 	if status, _, _ := roundTrip(t, g.dial(), viewRequest("v", 900)); status != 404 {
-		t.Errorf("a class that vanished: %d, want 404", status)
+		t.Errorf("a class that the reload removed: status %d, want 404", status)
 	}
 }
 
-// Guards against a reload that changes the class of requests under way, or leaves something of classes that
-// went.
+// Guards against a reload that changes the class of requests in progress, and against leftovers of removed classes
+// after many reloads.
 func TestRequestsKeepTheirClassThroughReloads(t *testing.T) {
 	control, reloaded := freeTCPAddress(t), make(chan bool)
 	a := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) {
@@ -109,9 +109,11 @@
 	answers := make(chan int)
 	early := g.dial()
 	go func() { status, _, _ := roundTrip(t, early, viewRequest("early", 1900)); answers <- status }()
-	waitFor(t, "the early view to be under way", func() bool { _, asked, _ := a.counts(); return asked == 1 })
+	waitFor(t, "the early request to reach the endpoint",
+		func() bool { _, requests, _ := a.counts(); return requests == 1 })
 	g.discovery.send <- endpointList(2, false, endpointEntry(b, "up"))
-	g.discovery.send <- endpointList(3, false, endpointEntry(b, "up")) // once taken, the first was
+	g.discovery.send <- endpointList(3, false, endpointEntry(b,
+		"up")) // sent only after the list before it was received
 	raw, err := os.ReadFile(g.configPath)
 	if err != nil {
 		t.Fatal(err)
@@ -120,7 +122,7 @@
 	waitFor(t, "the reload", func() bool { return *fetchStats(t, control).ConfigsAccepted == 1 })
 	close(reloaded)
 	if status := <-answers; status != 200 {
-		t.Errorf("the early view: %d, want its second try's 200", status)
+		t.Errorf("the early view request: status %d, want 200 of its retry, since its class was repeatable", status)
 	}
 	for n := 2; n <= 101; n++ {
 		added := fmt.Sprintf(`{"name":"new%d","aim_ms":800,"give_up_ms":%d,"repeat":"once","worth":8},`, n, 1000+n)
@@ -133,7 +135,7 @@
 				t.Fatal(err)
 			}
 			if status, _, _ := readResponse(c); status != 200 && status != 502 {
-				t.Errorf("new class %d: %d", n, status)
+				t.Errorf("class new%d: status %d, want 200 or 502", n, status)
 			}
 		}
 	}
--- a/cmd/thymebend/retry_test.go
+++ b/cmd/thymebend/retry_test.go
@@ -11,44 +11,45 @@
 	"time"
 )
 
-// Guards against a keyed retry that is written after its window ended while its connection came up.
+// Guards against writing a keyed retry whose deduplication window ended while its connection was being established.
 func TestNothingIsWrittenAfterTheDedupWindow(t *testing.T) {
-	h := &fakeEndpoint{name: "s-1", ln: shortBacklog(t)}
-	g := start(t, map[string]any{"settings": keyedSettings(600)}, h)
+	endpoint := &fakeEndpoint{name: "s-1", ln: shortBacklog(t)}
+	g := start(t, map[string]any{"settings": keyedSettings(600)}, endpoint)
 	c := g.dial()
 	if _, err := io.WriteString(c, lodgeRequest("bid", "x")); err != nil {
 		t.Fatal(err)
 	}
-	first, err := h.ln.Accept()
+	first, err := endpoint.ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if r, err := http.ReadRequest(bufio.NewReader(first)); err != nil || r.Header.Get("X-Trace-Id") != "bid" {
 		t.Fatalf("first attempt: %v", err)
 	}
-	waiting := fillBacklog(t, h.ln)
-	_ = first.(*net.TCPConn).SetLinger(0) // a reset: it may have run, so the class repeats it
+	waiting := fillBacklog(t, endpoint.ln)
+	_ = first.(*net.TCPConn).SetLinger(0) // a reset: the request may have run, so it is retried by its key
 	first.Close()
-	waitFor(t, "the repeat's connection, which the full queue keeps from coming up",
-		func() bool { return connecting(t, h.ln.Addr()) })
+	waitFor(t, "the connection attempt of the retry, which the full backlog delays",
+		func() bool { return connecting(t, endpoint.ln.Addr()) })
 	for range waiting {
-		if _, err := h.ln.Accept(); err != nil {
+		if _, err := endpoint.ln.Accept(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	late, err := h.ln.Accept() // once the kernel asks again, a second after it asked first
+	retryConn, err := endpoint.ln.Accept() // after the kernel's SYN retransmission, 1 s after the first SYN
 	if err != nil {
 		t.Fatal(err)
 	}
-	if data, _ := io.ReadAll(late); len(data) > 0 {
+	if data, _ := io.ReadAll(retryConn); len(data) > 0 {
 		t.Errorf("sent after the window: %.60q", data)
 	}
 	if status, _, _ := readResponse(c); status != 502 {
-		t.Errorf("answered %d, want 502: it may have run", status)
+		t.Errorf("status %d, want 502, because the request may have run", status)
 	}
 }
 
-// Guards against an endpoint whose connections never come up and that costs more than the connect timeout.
+// Guards against an endpoint to which no connection can be established delaying a request by more than the connect
+// timeout.
 func TestConnectTimeoutIsRetriedElsewhere(t *testing.T) {
 	unreachable, live := newEndpoint(t, "s-1", respondOK), newEndpoint(t, "s-2", respondOK)
 	unreachable.ln = fullBacklog(t)
@@ -60,7 +61,8 @@
 	}
 }
 
-// Guards against an endpoint that answers only one class and still gets the other, or loses the first.
+// Guards against an endpoint that responds to one class only and still gets requests of the other class, or no longer
+// gets those of the first.
 func TestEndpointStalledForOneClass(t *testing.T) {
 	hang := make(chan bool)
 	defer close(hang)
@@ -77,17 +79,18 @@
 	})
 	start(t, nil, half, newEndpoint(t, "s-2", serialResponder(&maxWaiting, ""))).runLoad(3 * time.Second)
 	if n, v := lodgeRequests.Load(), viewRequests.Load(); n > 12 || v < 200 {
-		t.Errorf("%d bids and %d views went to a host that answers no bid", n, v)
+		t.Errorf("%d lodge requests (want 12 at most) and %d view requests (want 200 at least) went to the endpoint "+
+			"that does not respond to lodge", n, v)
 	}
 }
 
-// Guards against retrying, or rejecting, work that is not idempotent and may have run; a rejection tells the
-// client that it may retry.
+// Guards against retrying work that is not idempotent and may have run, and against rejecting it, since a rejection
+// permits the client to retry.
 func TestNonIdempotentWorkNeverRunsTwice(t *testing.T) {
 	for name, c := range map[string]struct {
-		broken  func(net.Conn, *http.Request, string)
-		lodged  int // status of the unsafe request
-		retried bool
+		fail       func(net.Conn, *http.Request, string)
+		wantStatus int // status of the request that is not idempotent
+		wantRetry  bool
 	}{
 		"never ran": {func(c net.Conn, _ *http.Request, _ string) {
 			writeResponse(c, "503 Full",
@@ -109,7 +112,7 @@
 			var first atomic.Bool
 			once := func(conn net.Conn, r *http.Request, body string) {
 				if first.CompareAndSwap(false, true) {
-					c.broken(conn, r, body)
+					c.fail(conn, r, body)
 					return
 				}
 				respondOK(conn, r, body)
@@ -119,18 +122,18 @@
 			status, _, _ := roundTrip(t, g.dial(), lodgeRequest("bid", "x"))
 			_, inA, _ := a.counts()
 			_, inB, _ := b.counts()
-			if status != c.lodged || inA+inB != map[bool]int{false: 1, true: 2}[c.retried] {
-				t.Errorf("lodge: status %d after %d executions", status, inA+inB)
+			if status != c.wantStatus || inA+inB != map[bool]int{false: 1, true: 2}[c.wantRetry] {
+				t.Errorf("lodge: status %d after %d attempts", status, inA+inB)
 			}
 			first.Store(false)
 			if status, _, _ = roundTrip(t, g.dial(), viewRequest("look", 1500)); status != 200 {
-				t.Errorf("view, safe to repeat: status %d", status)
+				t.Errorf("view, which is repeatable: status %d, want 200", status)
 			}
 		})
 	}
 }
 
-// Guards against a refused connection that fails its request.
+// Guards against a request that fails because one endpoint refuses connections.
 func TestRefusedConnectionIsRetriedElsewhere(t *testing.T) {
 	dead, live := newEndpoint(t, "s-1", respondOK), newEndpoint(t, "s-2", respondOK)
 	dead.ln.Close()
@@ -142,16 +145,16 @@
 	}
 }
 
-// Guards against a request lost on an idle connection that its endpoint has closed.
+// Guards against losing a request on an idle connection that the endpoint has closed.
 func TestConnectionClosedByItsEndpointIsNotReused(t *testing.T) {
 	closed := make(chan bool, 10)
-	h := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) {
+	endpoint := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) {
 		respondOK(c, r,
 			body)
 		c.Close()
 		closed <- true
 	})
-	g := start(t, nil, h)
+	g := start(t, nil, endpoint)
 	c := g.dial()
 	for i := range 10 {
 		if i > 0 {
--- a/cmd/thymebend/rig_test.go
+++ b/cmd/thymebend/rig_test.go
@@ -17,15 +17,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// The tests start the real program and play its peers: clients, endpoints and discovery, on loopback.
+// The tests start the built program and emulate its peers on loopback: clients, endpoints and discovery.
 
-// testTimeout is for what must happen soon; a failed test takes that long.
+// testTimeout bounds each wait of a test. It is reached only if the test fails.
 const testTimeout = 10 * time.Second
 
-// program is the path of the built gateway.
+// program is the path of the gateway binary that TestMain builds.
 var program string
 
-// TestMain builds the gateway once, with the race detector.
+// TestMain builds the gateway once for all tests, with the race detector.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "gateway")
 	if err != nil {
@@ -41,14 +41,16 @@
 	os.Exit(code)
 }
 
-// keyedSettings has a class that may be repeated within a window, in its cell alone.
+// keyedSettings returns settings whose class lodge may be retried by key, within a deduplication window and in its
+// cell only. Their connect timeout is 5 s.
 func keyedSettings(windowMS int) json.RawMessage {
 	slowConnect := strings.Replace(testSettings, `"connect_timeout_ms":250`, `"connect_timeout_ms":5000`, 1)
 	keyed := fmt.Sprintf(`"repeat":"by_key","group":"cell","window_ms":%d`, windowMS)
 	return json.RawMessage(strings.Replace(slowConnect, `"repeat":"once"`, keyed, 1))
 }
 
-// longDeadlineSettings have classes that wait long, so that a request is held until a test lets it go on.
+// longDeadlineSettings returns settings with a latency objective of 20 s and client deadlines of 25 s, so that a
+// request stays open until the test completes it.
 func longDeadlineSettings() json.RawMessage {
 	return json.RawMessage(strings.NewReplacer(
 		`"aim_ms":800`, `"aim_ms":20000`,
@@ -57,7 +59,8 @@
 	).Replace(testSettings))
 }
 
-// runLoad has eight clients ask for so long, a view and then a bid that waits 400 ms.
+// runLoad runs eight clients for a duration. Each alternates a view request and a lodge request, both with a client
+// timeout of 400 ms.
 func (g *gatewayProcess) runLoad(duration time.Duration) {
 	g.t.Helper()
 	var done sync.WaitGroup
@@ -75,18 +78,18 @@
 	done.Wait()
 }
 
-// gatewayProcess is a running gateway.
+// gatewayProcess is a running gateway and the emulated discovery that it uses.
 type gatewayProcess struct {
 	t          *testing.T
 	cmd        *exec.Cmd
 	address    string
-	configPath string // of its configuration
+	configPath string
 	log        *logBuffer
 	discovery  *fakeDiscovery
 	done       chan error
 }
 
-// settings of the tests: one safe class and one unsafe.
+// testSettings are the default settings of the tests: view is a repeatable class, lodge must not be repeated.
 const testSettings = `{"balancers":1,"rank":0,"zone":0,"zones":["a","b"],"tick_ms":5,"registry_mode":"subscribe",
  "report":{"columns":["pending","busy_reqs"],"how":"piggyback"},
  "bounds":{"connect_timeout_ms":250,"conn_idle_ms":30000,"most_tries":4,"cancel":true,"retry_after":true,
@@ -94,8 +97,8 @@
  "classes":[{"name":"view","aim_ms":800,"give_up_ms":2000,"repeat":"repeatable","worth":1},
   {"name":"lodge","aim_ms":800,"give_up_ms":2500,"repeat":"once","worth":8}]}`
 
-// reservedAddress is an address for a gateway. A socket that does not listen has its port for as long as the test
-// lasts, so that nobody gets it but who asks for it by SO_REUSEPORT, as the gateway does.
+// reservedAddress returns an address for a gateway. A bound socket that does not listen reserves the port until the
+// test ends: only sockets with SO_REUSEPORT, such as the gateway's, can bind to it.
 func reservedAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -116,7 +119,8 @@
 	return fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port)
 }
 
-// configure writes a configuration and returns the program ready to start. edit may change its fields.
+// configure writes a configuration file and returns the command to start the gateway with it, and the gateway's
+// address. The entries of edit replace fields of the configuration.
 func configure(t *testing.T, knownList string, discovery string, edit map[string]any) (*exec.Cmd, string) {
 	t.Helper()
 	addr := reservedAddress(t)
@@ -140,7 +144,7 @@
 	return cmd, addr
 }
 
-// start runs a gateway over the endpoints, all up, and waits until it is ready.
+// start runs a gateway with the given endpoints, all of them up, and waits until it is ready.
 func start(t *testing.T, edit map[string]any, endpoints ...*fakeEndpoint) *gatewayProcess {
 	t.Helper()
 	var entries []string
@@ -151,6 +155,7 @@
 	return startWith(t, edit, whole, newDiscovery(t, func(int) string { return whole }))
 }
 
+// startWith runs a gateway with a cached list and an emulated discovery, and waits until it is ready.
 func startWith(t *testing.T, edit map[string]any, knownList string, d *fakeDiscovery) *gatewayProcess {
 	t.Helper()
 	g := launch(t, edit, knownList, d)
@@ -158,7 +163,7 @@
 	return g
 }
 
-// waitReady waits until the gateway answers that it is.
+// waitReady waits until the gateway responds to /healthz with 200.
 func (g *gatewayProcess) waitReady() {
 	g.t.Helper()
 	waitFor(g.t, "the gateway to be ready", func() bool {
@@ -172,21 +177,23 @@
 	})
 }
 
-// startUnready runs a gateway that knows no endpoint, and waits until it takes clients.
+// startUnready runs a gateway whose cached list has no endpoint, and waits until it accepts clients.
 func startUnready(t *testing.T, edit map[string]any, knownList string, d *fakeDiscovery) *gatewayProcess {
 	t.Helper()
 	g := launch(t, edit, knownList, d)
-	waitFor(t, "the gateway to take clients", func() bool { return g.hasLogged("taking clients") })
+	waitFor(t, "the gateway to accept clients", func() bool { return g.hasLogged("taking clients") })
 	return g
 }
 
-// launch runs a gateway and does not wait.
+// launch runs a gateway without waiting for it to be ready. When the test ends, it kills the process and fails the
+// test if the log shows a data race or a panic.
 func launch(t *testing.T, edit map[string]any, knownList string, d *fakeDiscovery) *gatewayProcess {
 	t.Helper()
 	cmd, addr := configure(t, knownList, d.ln.Addr().String(), edit)
 	path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-2], "LB_CONFIG=")
 	cmd.Env = append(cmd.Env, "LB_DISCOVERY="+d.ln.Addr().String())
-	g := &gatewayProcess{t: t, cmd: cmd, address: addr, configPath: path, log: &logBuffer{}, discovery: d, done: make(chan error, 1)}
+	g := &gatewayProcess{t: t, cmd: cmd, address: addr, configPath: path, log: &logBuffer{}, discovery: d,
+		done: make(chan error, 1)}
 	cmd.Stderr = g.log
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -196,7 +203,7 @@
 		_ = cmd.Process.Kill()
 		<-g.done
 		if g.hasLogged("DATA RACE") || g.hasLogged("panic:") {
-			t.Error("the gateway raced or panicked")
+			t.Error("the log of the gateway shows a data race or a panic")
 		}
 		if t.Failed() {
 			t.Logf("log of the gateway:\n%s", g.log)
@@ -205,7 +212,7 @@
 	return g
 }
 
-// logBuffer is the program's log, read while it is written.
+// logBuffer collects the log of a process and may be read while the process writes.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -219,7 +226,7 @@
 
 func (l *logBuffer) String() string { l.mu.Lock(); defer l.mu.Unlock(); return l.b.String() }
 
-// reload replaces a field of the configuration and sends SIGHUP.
+// reload replaces a field of the configuration file and sends SIGHUP.
 func (g *gatewayProcess) reload(field string, value any) {
 	g.t.Helper()
 	fields := map[string]any{}
@@ -239,19 +246,20 @@
 	}
 }
 
+// signal sends a signal. After SIGSTOP it waits until all threads of the process are stopped.
 func (g *gatewayProcess) signal(s syscall.Signal) {
 	g.t.Helper()
 	if err := g.cmd.Process.Signal(s); err != nil {
 		g.t.Fatal(err)
 	}
 	if s == syscall.SIGSTOP {
-		waitFor(g.t, "all threads to stand still", func() bool {
+		waitFor(g.t, "all threads to be stopped", func() bool {
 			threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", g.cmd.Process.Pid))
 			if err != nil || len(threads) == 0 {
-				g.t.Fatal("no such process")
+				g.t.Fatalf("process %d has no threads, error %v", g.cmd.Process.Pid, err)
 			}
 			for _, path := range threads {
-				raw, _ := os.ReadFile(path) // a thread may have ended meanwhile
+				raw, _ := os.ReadFile(path) // the thread may have ended since the glob
 				if len(raw) > 0 && !bytes.HasPrefix(raw[bytes.LastIndexByte(raw, ')')+1:], []byte(" T")) {
 					return false
 				}
@@ -261,7 +269,7 @@
 	}
 }
 
-// waitExit waits for the program's end and returns its exit code.
+// waitExit waits until the process has ended and returns its exit code.
 func (g *gatewayProcess) waitExit() int {
 	g.t.Helper()
 	select {
@@ -273,30 +281,31 @@
 	return g.cmd.ProcessState.ExitCode()
 }
 
-// awaitShutdown waits until the gateway has taken its SIGTERM.
+// awaitShutdown waits until the gateway has processed a SIGTERM, that is, until its responses close their connections.
 func (g *gatewayProcess) awaitShutdown() {
 	g.t.Helper()
-	waitFor(g.t, "the stop to begin", func() bool {
+	waitFor(g.t, "the shutdown to begin", func() bool {
 		_, fields, _ := roundTrip(g.t, g.dial(), viewRequest("first", 900))
 		return fields.Get("Connection") == "close"
 	})
 }
 
-// waitFor waits for a condition.
+// waitFor polls until a condition is true. After testTimeout it fails the test.
 func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out after %v waiting for %s", testTimeout, what)
 		}
 	}
 }
 
+// settingsWithReplacement returns testSettings with the first occurrence of a text replaced.
 func settingsWithReplacement(old, new string) json.RawMessage {
 	return json.RawMessage(strings.Replace(testSettings, old, new, 1))
 }
 
-// processorTime is what a process has used so far.
+// processorTime returns the user and system time that a process has used since its start.
 func processorTime(t *testing.T, pid int) time.Duration {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
--- a/cmd/thymebend/serve_test.go
+++ b/cmd/thymebend/serve_test.go
@@ -9,33 +9,34 @@
 	"testing"
 )
 
-// Guards against changed requests or responses, and against connections that are not reused.
+// Guards against requests or responses that the gateway alters, and against upstream connections that are not reused.
 func TestServesUnchangedOnReusedConnections(t *testing.T) {
-	h := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) {
+	endpoint := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) {
 		respondOK(c, r, r.Method+r.URL.String()+body+r.Header.Get("X-Expires-In")[:1])
 	})
-	g := start(t, nil, h)
+	g := start(t, nil, endpoint)
 	c := g.dial()
 	for i := range 5 {
 		status, fields, body := roundTrip(t, c, viewRequest(fmt.Sprint("v", i), 900))
 		if want := fmt.Sprintf("v%d:GET/view/x?q=18", i); status != 200 || body != want ||
 			fields.Get("X-Kept") != "yes" {
-			t.Fatalf("view: %d %q, want %q", status, body, want)
+			t.Fatalf("view: status %d, body %q, want 200, body %q and field X-Kept", status, body, want)
 		}
 		if status, _, body = roundTrip(t, c, lodgeRequest(fmt.Sprint("l", i), "bid")); status != 200 ||
 			body != fmt.Sprintf("l%d:POST/lodgebid2", i) {
-			t.Fatalf("lodge: %d %q", status, body)
+			t.Fatalf("lodge: status %d, body %q", status, body)
 		}
 	}
-	if conns, asked, _ := h.counts(); conns != 1 || asked != 10 {
-		t.Errorf("%d links for %d executions, want 1 for 10: handshakes cost hosts", conns, asked)
+	if conns, requests, _ := endpoint.counts(); conns != 1 || requests != 10 {
+		t.Errorf("%d upstream connections for %d requests, want 1 for 10: each handshake costs the endpoint work",
+			conns, requests)
 	}
 }
 
-// Guards against bad input that is forwarded or gets no error.
+// Guards against invalid input that is forwarded or gets no error response.
 func TestInvalidRequestsAreRejectedAndNotForwarded(t *testing.T) {
-	h := newEndpoint(t, "s-1", respondOK)
-	g := start(t, nil, h)
+	endpoint := newEndpoint(t, "s-1", respondOK)
+	g := start(t, nil, endpoint)
 	good := viewRequest("a", 900)
 	for raw, want := range map[string]int{
 		"nonsense\r\n\r\n": 400,
@@ -61,15 +62,15 @@
 			t.Errorf("%.60q: status %d, want %d", raw, status, want)
 		}
 	}
-	if _, asked, _ := h.counts(); asked != 0 {
-		t.Errorf("%d faulty requests were forwarded", asked)
+	if _, requests, _ := endpoint.counts(); requests != 0 {
+		t.Errorf("%d invalid requests were forwarded", requests)
 	}
 	if status, _, _ := roundTrip(t, g.dial(), good); status != 200 {
-		t.Errorf("a good request after them: %d", status)
+		t.Errorf("a valid request after them: status %d, want 200", status)
 	}
 }
 
-// Guards against a request that is misread where its bytes come in pieces.
+// Guards against a request that is parsed wrongly because its bytes arrive one by one.
 func TestRequestsArriveInPieces(t *testing.T) {
 	g := start(t, nil, newEndpoint(t, "s-1", respondOK))
 	raw := strings.Replace(lodgeRequest("a", ""), "Content-Length: 0", "Transfer-Encoding: chunked",
@@ -81,33 +82,41 @@
 		}
 	}
 	if status, _, body := roundTrip(t, c, raw[len(raw)-1:]); status != 200 || body != "a:bid" {
-		t.Errorf("%d %q", status, body)
+		t.Errorf("status %d, body %q, want 200 with the decoded body", status, body)
 	}
 }
 
-// Guards against the id of an open request that reaches an endpoint a second time.
+// Guards against forwarding a second request with the id of an open one.
 func TestOpenRequestIDIsRejected(t *testing.T) {
 	release := make(chan bool)
-	h := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) { <-release; respondOK(c, r, body) })
-	g := start(t, nil, h)
+	endpoint := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request,
+		body string) {
+		<-release
+		respondOK(c, r, body)
+	})
+	g := start(t, nil, endpoint)
 	first := g.dial()
 	if _, err := io.WriteString(first, lodgeRequest("same", "x")); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the execution", func() bool { _, asked, _ := h.counts(); return asked == 1 })
+	waitFor(t, "the request to reach the endpoint", func() bool {
+		_, requests,
+			_ := endpoint.counts()
+		return requests == 1
+	})
 	if status, _, _ := roundTrip(t, g.dial(), lodgeRequest("same", "y")); status != 400 {
-		t.Errorf("the same id meanwhile: status %d, want 400", status)
+		t.Errorf("a request with the id of an open one: status %d, want 400", status)
 	}
 	close(release)
 	if status, _, body := readResponse(first); status != 200 || body != "same:x" {
-		t.Errorf("the first: %d %q", status, body)
+		t.Errorf("the first request: status %d, body %q", status, body)
 	}
-	if _, asked, _ := h.counts(); asked != 1 {
-		t.Errorf("%d executions, want 1", asked)
+	if _, requests, _ := endpoint.counts(); requests != 1 {
+		t.Errorf("%d requests reached the endpoint, want 1", requests)
 	}
 }
 
-// Guards against taking a client's first try with a short timeout for a retry past its objective.
+// Guards against treating a client's first attempt with a short timeout as a retry whose latency objective has passed.
 func TestFirstAttemptWithAShortTimeoutIsServed(t *testing.T) {
 	for marks, want := range map[string]int{`"clients":{"marks_retry":true},`: 200, "": 503} {
 		g := start(t, map[string]any{"settings": settingsWithReplacement(`"classes"`, marks+`"classes"`)},
@@ -121,7 +130,7 @@
 		}
 		marked := strings.Replace(viewRequest("repeat", 300), "Host", "X-Second-Try: 1\r\nHost", 1)
 		if status, _, _ := roundTrip(t, c, marked); status != 503 {
-			t.Errorf("a marked repeat, begun long ago: status %d, want 503", status)
+			t.Errorf("a marked retry of an old request: status %d, want 503", status)
 		}
 	}
 }
--- a/cmd/thymebend/shutdown_test.go
+++ b/cmd/thymebend/shutdown_test.go
@@ -11,55 +11,58 @@
 	"time"
 )
 
-// Guards against requests lost where SIGTERM comes in one round with them, and against an exit that waits for
-// clients which never close; a second SIGTERM and a SIGHUP with a faulty file change nothing.
+// Guards against losing requests that the event loop receives in one batch with SIGTERM, and against an exit that
+// waits for clients which never close their connections. A second SIGTERM and a SIGHUP with an invalid configuration
+// must change nothing.
 func TestSIGTERMInOneEventBatchWithRequests(t *testing.T) {
-	h := newEndpoint(t, "s-1", respondOK)
-	g := start(t, nil, h)
-	reused, idle, half := g.dial(), g.dial(), g.dial()
+	endpoint := newEndpoint(t, "s-1", respondOK)
+	g := start(t, nil, endpoint)
+	reused, idle, partial := g.dial(), g.dial(), g.dial()
 	for _, c := range []net.Conn{reused, idle} {
 		if status, _, _ := roundTrip(t, c, viewRequest(fmt.Sprint("before", c == idle), 900)); status != 200 {
 			t.Fatal(status)
 		}
 	}
-	roundTrip(t, half, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+	roundTrip(t, partial, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 	g.signal(syscall.SIGSTOP)
-	fresh := g.dial()
-	for c, raw := range map[net.Conn]string{reused: viewRequest("rested", 1900), fresh: viewRequest("fresh", 1900),
-		half: viewRequest("half", 900)[:40]} {
+	newConn := g.dial()
+	for c, raw := range map[net.Conn]string{reused: viewRequest("rested", 1900), newConn: viewRequest("fresh", 1900),
+		partial: viewRequest("half", 900)[:40]} {
 		if _, err := io.WriteString(c, raw); err != nil {
 			t.Fatal(err)
 		}
 	}
 	g.signal(syscall.SIGTERM)
 	g.signal(syscall.SIGCONT)
-	for _, c := range []net.Conn{reused, fresh} {
+	for _, c := range []net.Conn{reused, newConn} {
 		if status, _, _ := readResponse(c); status != 200 {
-			t.Errorf("%d", status)
+			t.Errorf("a request received with SIGTERM: status %d, want 200", status)
 		}
 	}
 	g.signal(syscall.SIGTERM)
 	g.reload("seed", "what")
-	waitFor(t, "the faulty file to be logged", func() bool { return g.hasLogged("seed \\\"what") })
-	if status, fields, _ := roundTrip(t, half, viewRequest("half", 900)[40:]); status != 200 ||
+	waitFor(t, "the invalid configuration to be logged", func() bool { return g.hasLogged("seed \\\"what") })
+	if status, fields, _ := roundTrip(t, partial, viewRequest("half", 900)[40:]); status != 200 ||
 		fields.Get("Connection") != "close" {
-		t.Errorf("the half request: %d, Connection %q", status, fields.Get("Connection"))
+		t.Errorf("the request that was half received: status %d, Connection %q, want 200 and close", status,
+			fields.Get("Connection"))
 	}
-	if code := g.waitExit(); code != 0 { // with four connections that their clients keep open
+	if code := g.waitExit(); code != 0 { // although the clients keep four connections open
 		t.Errorf("exit code %d", code)
 	}
 	if n := strings.Count(g.log.String(), `"message":"stopping"`); n != 1 {
-		t.Errorf("it began to stop %d times", n)
+		t.Errorf("the shutdown began %d times, want once", n)
 	}
 }
 
-// Guards against half a request, completed late in a shutdown, that SIGKILL would lose, and against rejecting
-// one that has its time.
+// Guards against accepting a request completed during a shutdown whose deadline lies beyond the SIGKILL, which would
+// lose it, and against rejecting one that ends in time.
 func TestRequestCompletedDuringAShutdown(t *testing.T) {
-	h := newEndpoint(t, "s-1", respondOK)
-	g := start(t, nil, h)
+	endpoint := newEndpoint(t, "s-1", respondOK)
+	g := start(t, nil, endpoint)
 	long, short := g.dial(), g.dial()
-	for c, raw := range map[net.Conn]string{long: viewRequest("long", 3500)[:40], short: viewRequest("short", 900)[:40]} {
+	for c, raw := range map[net.Conn]string{long: viewRequest("long", 3500)[:40],
+		short: viewRequest("short", 900)[:40]} {
 		if _, err := io.WriteString(c, raw); err != nil {
 			t.Fatal(err)
 		}
@@ -73,27 +76,27 @@
 		return err != nil
 	})
 	if status, _, _ := roundTrip(t, long, viewRequest("long", 3500)[40:]); status != 503 {
-		t.Errorf("the one that waits past SIGKILL got %d, want a refusal", status)
+		t.Errorf("the request with a deadline beyond the SIGKILL got %d, want 503", status)
 	}
 	if status, _, _ := roundTrip(t, short, viewRequest("short", 900)[40:]); status != 200 {
-		t.Errorf("the one that does not got %d", status)
+		t.Errorf("the request with a deadline before the SIGKILL got %d, want 200", status)
 	}
-	if _, asked, _ := h.counts(); asked != 1 {
-		t.Errorf("%d requests were sent on, want one", asked)
+	if _, requests, _ := endpoint.counts(); requests != 1 {
+		t.Errorf("%d requests were forwarded, want one", requests)
 	}
 }
 
-// Guards against requests that a shutdown leaves unanswered.
+// Guards against accepted requests that get no response during a shutdown.
 func TestShutdownAnswersAllAcceptedRequests(t *testing.T) {
 	release := make(chan bool)
-	h := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) {
+	endpoint := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) {
 		if r.Header.Get("X-Trace-Id") == "held" {
 			<-release
 		}
 		respondOK(c, r, body)
 	})
-	b := newEndpoint(t, "s-2", h.respond)
-	g := start(t, nil, h, b)
+	b := newEndpoint(t, "s-2", endpoint.respond)
+	g := start(t, nil, endpoint, b)
 	held, idle := g.dial(), g.dial()
 	if status, _, _ := roundTrip(t, idle, viewRequest("before", 900)); status != 200 {
 		t.Fatal(status)
@@ -101,8 +104,8 @@
 	if _, err := io.WriteString(held, lodgeRequest("held", "x")); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the execution", func() bool {
-		_, x, _ := h.counts()
+	waitFor(t, "the request to reach an endpoint", func() bool {
+		_, x, _ := endpoint.counts()
 		_, y, _ := b.counts()
 		return x+y == 2
 	})
@@ -112,7 +115,8 @@
 	g.awaitShutdown()
 	if status, fields, _ := roundTrip(t, idle, viewRequest("kept", 900)); status != 200 ||
 		fields.Get("Connection") != "close" {
-		t.Errorf("on a link from before: %d, Connection %q", status, fields.Get("Connection"))
+		t.Errorf("on a connection from before the shutdown: status %d, Connection %q, want 200 and close", status,
+			fields.Get("Connection"))
 	}
 	waitFor(t, "the listener to close", func() bool {
 		c, err := net.Dial("tcp", g.address)
@@ -124,7 +128,8 @@
 	close(release)
 	if status, fields, body := readResponse(held); status != 200 || body != "held:x" ||
 		fields.Get("Connection") != "close" {
-		t.Errorf("what was in work: %d %q", status, body)
+		t.Errorf("the request in flight at the shutdown: status %d, body %q, want 200 and Connection: close",
+			status, body)
 	}
 	held.Close()
 	if code := g.waitExit(); code != 0 {
@@ -132,7 +137,8 @@
 	}
 }
 
-// Guards against connections in the backlog beyond one accept that a shutdown drops.
+// Guards against a shutdown that drops connections waiting in the accept backlog because one round of accepts does
+// not take them all.
 func TestShutdownDrainsTheAcceptBacklog(t *testing.T) {
 	g := start(t, nil, newEndpoint(t, "s-1", respondOK))
 	signal := func(s syscall.Signal) {
@@ -150,7 +156,7 @@
 			t.Fatal(err)
 		}
 	}
-	time.Sleep(600 * time.Millisecond) // until the listener is due to close: no peer can see that
+	time.Sleep(600 * time.Millisecond) // until the listener is due to close, which no peer can observe
 	signal(syscall.SIGCONT)
 	for i, c := range waiting {
 		if status, _, _ := readResponse(c); status != 200 && status != 503 {
--- a/cmd/thymebend/stopped_clients_test.go
+++ b/cmd/thymebend/stopped_clients_test.go
@@ -17,18 +17,19 @@
 	"time"
 )
 
-// stallTimeout is how soon a client that stops in the middle of a request is owed an error or a close.
+// stallTimeout is the time within which the gateway must send an error to a client that stops in the middle of a
+// request, or close its connection.
 const stallTimeout = 3 * time.Second
 
-// incidentDeadlineSettings are the settings of the tests with the deadlines of the incident of stopped clients: 3.682
-// and 4.603 s.
+// incidentDeadlineSettings returns testSettings with client deadlines of 3.682 and 4.603 s, as in the incident in
+// which stopped clients got no response.
 func incidentDeadlineSettings() json.RawMessage {
 	text := strings.Replace(testSettings, `"give_up_ms":2000`, `"give_up_ms":3682`, 1)
 	return json.RawMessage(strings.Replace(text, `"give_up_ms":2500`, `"give_up_ms":4603`, 1))
 }
 
-// stallingProxy takes clients to an address, and passes on only so many bytes of what each sends. The gateway
-// behind it has a client that stops there and stays.
+// stallingProxy returns the address of a proxy that forwards only the first bytesPassed bytes of each client. To the
+// gateway at the address to, the client appears to stop there and stay connected.
 func stallingProxy(t *testing.T, to string, bytesPassed int64) string {
 	t.Helper()
 	ln := listen(t)
@@ -40,57 +41,59 @@
 		defer gateway.Close()
 		go func() {
 			_, _ = io.CopyN(gateway, client, bytesPassed)
-			_, _ = io.Copy(io.Discard, client) // the client goes on; the gateway hears nothing of it
+			_, _ = io.Copy(io.Discard, client) // the client continues; the gateway receives none of it
 		}()
 		_, _ = io.Copy(client, gateway)
 	})
 	return ln.Addr().String()
 }
 
-// stall is a way in which a client stops in the middle of a request.
+// stall is one way in which a client stops in the middle of a request.
 type stall struct {
 	name   string
-	before string // asked and answered first, on the same connection
-	sends  []string
-	pause  time.Duration // between the pieces
+	before string // complete request that is sent and answered first on the same connection
+	pieces []string
+	pause  time.Duration // between two pieces
 }
 
-// stallCases are the places in a request at which a client may stop.
+// stallCases returns a stall for each position in a request at which a client may stop. prefix makes the ids unique.
 func stallCases(prefix string) []stall {
 	body := func(sent, stated int) string {
 		whole := lodgeRequest(fmt.Sprintf("%s%d-%d", prefix, sent, stated), strings.Repeat("x", stated))
 		return whole[:len(whole)-stated+sent]
 	}
-	chunked := strings.Replace(lodgeRequest(prefix+"chunked", ""), "Content-Length: 0", "Transfer-Encoding: chunked", 1)
+	chunked := strings.Replace(lodgeRequest(prefix+"chunked", ""), "Content-Length: 0",
+		"Transfer-Encoding: chunked", 1)
 	expects := strings.Replace(body(0, 50), "Host: o", "Host: o\r\nExpect: 100-continue", 1)
 	half := viewRequest(prefix+"half", 900)
 	half = half[:len(half)/2]
 	list := []stall{
 		{name: "nothing sent"},
-		{name: "half a request line", sends: []string{"GET /vi"}},
-		{name: "half a head", sends: []string{half}},
-		{name: "a head without a body", sends: []string{body(0, 100)}},
-		{name: "half a body", sends: []string{body(60, 100)}},
-		{name: "most of a body that is held", sends: []string{body(60<<10, 62<<10)}},
-		{name: "half a chunk", sends: []string{chunked + "10\r\nabc"}},
-		{name: "no last chunk", sends: []string{chunked + "3\r\nabc\r\n"}},
-		{name: "asked to go on", sends: []string{expects}},
-		{name: "a body that is streamed", sends: []string{body(100<<10, 300<<10)}},
-		{name: "a streamed body in pieces", sends: []string{body(80<<10, 300<<10),
+		{name: "half a request line", pieces: []string{"GET /vi"}},
+		{name: "half a head", pieces: []string{half}},
+		{name: "a head without a body", pieces: []string{body(0, 100)}},
+		{name: "half a body", pieces: []string{body(60, 100)}},
+		{name: "most of a buffered body", pieces: []string{body(60<<10, 62<<10)}},
+		{name: "half a chunk", pieces: []string{chunked + "10\r\nabc"}},
+		{name: "no last chunk", pieces: []string{chunked + "3\r\nabc\r\n"}},
+		{name: "expects 100-continue", pieces: []string{expects}},
+		{name: "half a streamed body", pieces: []string{body(100<<10, 300<<10)}},
+		{name: "a streamed body in pieces", pieces: []string{body(80<<10, 300<<10),
 			strings.Repeat("x", 10<<10), strings.Repeat("x", 10<<10)},
 			pause: 300 * time.Millisecond},
 		{name: "half a request behind an answered one", before: viewRequest(prefix+"answered", 900),
-			sends: []string{half}},
+			pieces: []string{half}},
 		{name: "half a body behind an answered one", before: viewRequest(prefix+"answered-too", 900),
-			sends: []string{body(40, 101)}},
-		{name: "half a request in one piece with a whole one", sends: []string{viewRequest(prefix+"whole", 900) + half}},
-		{name: "a slow head", sends: []string{half[:10], half[10:20], half[20:]}, pause: 600 * time.Millisecond},
+			pieces: []string{body(40, 101)}},
+		{name: "half a request in one piece with a whole one",
+			pieces: []string{viewRequest(prefix+"whole", 900) + half}},
+		{name: "a slow head", pieces: []string{half[:10], half[10:20], half[20:]}, pause: 600 * time.Millisecond},
 	}
 	return list
 }
 
-// run has a client stop, and returns how long it then waits for an error or a close, from when it sent its
-// last byte, or from its connecting if it never sent any.
+// run plays the client and returns the time until it gets an error or a close, measured from its last byte, or from
+// its connect if it sends none.
 func (s stall) run(addr string) (time.Duration, error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -107,16 +110,16 @@
 			return 0, err
 		}
 	}
-	for i, piece := range s.sends {
+	for i, piece := range s.pieces {
 		if i > 0 {
-			time.Sleep(s.pause) // of a client that is slow before it stops; no verdict hangs on it
+			time.Sleep(s.pause) // emulates a slow client; no check depends on it
 		}
 		if _, err := io.WriteString(c, piece); err != nil {
 			return 0, err
 		}
 		stopped = time.Now()
 	}
-	for { // an answer to a whole request in front, or the word to go on, is no error
+	for { // skips the response to a complete request before, and 100 Continue
 		var raw [4096]byte
 		n, err := c.Read(raw[:])
 		switch {
@@ -129,7 +132,7 @@
 	}
 }
 
-// expectStatus reads one answer with a body of stated length.
+// expectStatus reads one response and returns an error unless it has the status want.
 func expectStatus(c net.Conn, want int) error {
 	status, _, _ := readResponse(c)
 	if status != want {
@@ -138,14 +141,14 @@
 	return nil
 }
 
-// runStalls has clients stop in every way at once, and returns how long each waited.
+// runStalls runs the stalls concurrently and fails the test for each client that waits longer than stallTimeout.
 func runStalls(t *testing.T, addr string, list []stall) {
 	t.Helper()
 	var all sync.WaitGroup
 	for _, s := range list {
 		all.Go(func() {
 			if waited, err := s.run(addr); err != nil || waited > stallTimeout {
-				t.Errorf("%s: an error or a close after %v (%v), owed within %v", s.name,
+				t.Errorf("%s: an error or a close after %v (error %v), want it within %v", s.name,
 					waited.Round(time.Millisecond), err, stallTimeout)
 			}
 		})
@@ -153,9 +156,9 @@
 	all.Wait()
 }
 
-// Guards against a client that stops in the middle of a request and hears nothing for over 3 s, wherever it
-// stops, behind a proxy, through a reload or in a shutdown; others are served and no endpoint gets a complete
-// request of it.
+// Guards against a client that stops in the middle of a request and gets neither an error nor a close for over 3 s,
+// wherever it stops, also behind a proxy, across a reload or in a shutdown. Other clients are served, and no endpoint
+// gets a complete request from it.
 func TestStoppedClientsGetAnErrorOrAClose(t *testing.T) {
 	for name, settings := range map[string]json.RawMessage{
 		"deadlines of 2.5 s": json.RawMessage(testSettings),
@@ -164,11 +167,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h := newEndpoint(t, "s-1", respondOK)
-			g := start(t, map[string]any{"settings": settings}, h)
+			endpoint := newEndpoint(t, "s-1", respondOK)
+			g := start(t, map[string]any{"settings": settings}, endpoint)
 			runStalls(t, g.address, stallCases("a"))
 			if status, _, _ := roundTrip(t, g.dial(), viewRequest("other", 900)); status != 200 {
-				t.Errorf("another client: %d", status)
+				t.Errorf("another client: status %d, want 200", status)
 			}
 		})
 	}
@@ -178,7 +181,7 @@
 		whole := lodgeRequest("proxied", strings.Repeat("x", 500))
 		for _, passed := range []int64{0, 20, int64(len(whole)) - 500, int64(len(whole)) - 1} {
 			runStalls(t, stallingProxy(t, g.address, passed), []stall{{name: fmt.Sprint(passed,
-				" bytes passed"), sends: []string{whole}}})
+				" bytes passed"), pieces: []string{whole}}})
 		}
 	})
 	t.Run("through a reload to longer deadlines", func(t *testing.T) {
@@ -190,15 +193,15 @@
 		waitFor(t, "the reload", func() bool { return g.hasLogged(`"message":"reload"`) })
 		runStalls(t, g.address, stallCases("r"))
 		if status, _, _ := readResponse(c); status != 408 {
-			t.Errorf("half a request from before the reload: %d, want 408", status)
+			t.Errorf("a request half sent before the reload: status %d, want 408", status)
 		}
 	})
-	t.Run("in a planned end", func(t *testing.T) {
+	t.Run("in a shutdown", func(t *testing.T) {
 		t.Parallel()
 		g := start(t, map[string]any{"settings": incidentDeadlineSettings()}, newEndpoint(t, "s-1", respondOK))
 		var all sync.WaitGroup
 		all.Go(func() { runStalls(t, g.address, stallCases("e")) })
-		waitFor(t, "half requests to come", func() bool {
+		waitFor(t, "partial requests to arrive", func() bool {
 			return strings.Count(g.log.String(), "request begins to come") >= 10
 		})
 		g.signal(syscall.SIGTERM)
@@ -207,38 +210,38 @@
 			t.Errorf("exit code %d", code)
 		}
 	})
-	t.Run("behind a host that takes nothing", func(t *testing.T) {
+	t.Run("with an endpoint that reads nothing", func(t *testing.T) {
 		t.Parallel()
-		h := &fakeEndpoint{name: "s-1", ln: listen(t)}
+		endpoint := &fakeEndpoint{name: "s-1", ln: listen(t)}
 		held := make(chan bool)
 		t.Cleanup(func() { close(held) })
-		go serveEach(h.ln, func(net.Conn) { <-held }) // its machine takes what its buffers hold
-		g := start(t, map[string]any{"settings": incidentDeadlineSettings()}, h)
+		go serveEach(endpoint.ln, func(net.Conn) { <-held }) // data is accepted until the socket buffers are full
+		g := start(t, map[string]any{"settings": incidentDeadlineSettings()}, endpoint)
 		c := g.dial()
 		body := make([]byte, 64<<10)
 		fmt.Fprint(c, largeLodgeRequest("stuck", "size=2", 30<<20))
-		for _, err := c.Write(body); err == nil; _, err = c.Write(body) { // until nothing more is taken: there it stops
+		for _, err := c.Write(body); err == nil; _, err = c.Write(body) { // until a write blocks for 200 ms
 			_ = c.SetWriteDeadline(time.Now().Add(200 * time.Millisecond))
 		}
 		stopped := time.Now()
 		if status, _, _ := readResponse(c); status < 400 || time.Since(stopped) > stallTimeout {
-			t.Errorf("%d after %v", status, time.Since(stopped))
+			t.Errorf("status %d after %v, want an error", status, time.Since(stopped))
 		}
 	})
-	t.Run("while hosts hang", func(t *testing.T) {
+	t.Run("while endpoints hang", func(t *testing.T) {
 		t.Parallel()
 		release := make(chan bool)
 		t.Cleanup(func() { close(release) })
 		var hung atomic.Int32
-		h := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) { hung.Add(1); <-release })
-		g := start(t, map[string]any{"settings": incidentDeadlineSettings()}, h)
+		endpoint := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) { hung.Add(1); <-release })
+		g := start(t, map[string]any{"settings": incidentDeadlineSettings()}, endpoint)
 		for i := range 8 {
 			fmt.Fprint(g.dial(), viewRequest(fmt.Sprint("hangs", i), 3600))
 		}
-		waitFor(t, "requests to hang", func() bool { return hung.Load() > 0 })
+		waitFor(t, "a request to hang at the endpoint", func() bool { return hung.Load() > 0 })
 		var list []stall
 		for _, s := range stallCases("h") {
-			if s.before == "" && !strings.Contains(s.name, "whole one") { // these wait for an answer first
+			if s.before == "" && !strings.Contains(s.name, "whole one") { // the others need a response first
 				list = append(list, s)
 			}
 		}
--- a/cmd/thymebend/timeouts_test.go
+++ b/cmd/thymebend/timeouts_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Guards against a time to read a request that depends on the deadlines of the settings.
+// Guards against a request read timeout that depends on the client deadlines of the settings.
 func TestRequestReadTimeoutIsFixed(t *testing.T) {
 	for _, deadline := range []string{"700", "12000"} {
 		t.Run(deadline, func(t *testing.T) {
@@ -29,7 +29,7 @@
 			head := strings.Index(raw, "\r\n\r\n") + 4
 			for _, part := range []string{raw[:head/3], raw[head/3 : 2*head/3], raw[2*head/3 : head]} {
 				fmt.Fprint(slow, part)
-				time.Sleep(700 * time.Millisecond) // a slow client is what is played here
+				time.Sleep(700 * time.Millisecond) // emulates a slow client
 			}
 			for rest := raw[head:]; len(rest) > 0; time.Sleep(50 * time.Millisecond) {
 				n := min(len(rest), 3200)
@@ -37,16 +37,16 @@
 				rest = rest[n:]
 			}
 			if status, _, _ := readResponse(slow); status != 200 {
-				t.Errorf("a slow client: %d after %v", status, time.Since(began))
+				t.Errorf("a slow client: status %d after %v, want 200", status, time.Since(began))
 			}
 			if took := <-ended; took < 2*time.Second || took > stallTimeout {
-				t.Errorf("a connection that says nothing was ended after %v", took)
+				t.Errorf("a silent connection was closed after %v, want 2 to 3 s", took)
 			}
 		})
 	}
 }
 
-// Guards against giving up a client that is slow but goes on.
+// Guards against timing out a client that is slow but makes progress.
 func TestSlowClientsAreNotTimedOut(t *testing.T) {
 	g := start(t, nil, newEndpoint(t, "s-1", respondOK))
 	c := g.dial()
@@ -61,18 +61,18 @@
 		rest = rest[n:]
 	}
 	if status, _, _ := readResponse(c); status != 200 {
-		t.Errorf("a slow client's bid: %d", status)
+		t.Errorf("a slow client's lodge request: status %d, want 200", status)
 	}
 }
 
-// Guards against a connection that says nothing, or sends a head without end, and holds a descriptor for
-// long.
+// Guards against a connection that keeps a descriptor for long because it is silent, or sends a request head without
+// end.
 func TestFirstRequestTimeoutStartsAtTheAccept(t *testing.T) {
 	g := start(t, nil, newEndpoint(t, "s-1", respondOK))
-	asked, silent, trickle := g.dial(), g.dial(), g.dial()
-	roundTrip(t, asked, viewRequest("before", 900))
+	used, silent, trickle := g.dial(), g.dial(), g.dial()
+	roundTrip(t, used, viewRequest("before", 900))
 	began, ended := time.Now(), make(chan bool)
-	go func() { // a byte each time: none of them may renew the bound
+	go func() { // one byte at a time: none of them may restart the timeout
 		for _, err := io.WriteString(trickle,
 			"GET /view HTTP/1.1\r\nX-Pad: "); err == nil; _, err = io.WriteString(trickle, "x") {
 			select {
@@ -83,16 +83,16 @@
 		}
 	}()
 	if status, _, _ := readResponse(trickle); status != 408 {
-		t.Errorf("a head without end: status %d, want 408", status)
+		t.Errorf("a request head without end: status %d, want 408", status)
 	}
 	close(ended)
 	if status, _, _ := readResponse(silent); status != 0 {
 		t.Errorf("a silent connection: status %d, want a close", status)
 	}
 	if took := time.Since(began); took > 3*time.Second {
-		t.Errorf("both ended after %v", took)
+		t.Errorf("both connections ended after %v, want 3 s at most", took)
 	}
-	if status, _, _ := roundTrip(t, asked, viewRequest("after", 900)); status != 200 {
-		t.Errorf("a link that has asked: %d", status)
+	if status, _, _ := roundTrip(t, used, viewRequest("after", 900)); status != 200 {
+		t.Errorf("a connection that has carried a request: status %d, want 200", status)
 	}
 }
--- a/cmd/thymebend/upgrade_test.go
+++ b/cmd/thymebend/upgrade_test.go
@@ -17,10 +17,11 @@
 
 const readinessRequest = "GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// startUpgradable starts a gateway with a directory for the hand-over.
+// startUpgradable starts a gateway with a directory for the hot-restart socket, and returns the address of its admin
+// endpoint too.
 func startUpgradable(t *testing.T, edit map[string]any, endpoints ...*fakeEndpoint) (*gatewayProcess, string) {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "up") // short: a Unix socket's path holds 107 bytes
+	dir, err := os.MkdirTemp("", "up") // short, because the path of a Unix socket is limited to 107 bytes
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,14 +34,16 @@
 	return start(t, edit, endpoints...), edit["control"].(string)
 }
 
-// upgrade starts the program once more as an upgrade does: the same addresses but for the second one.
+// upgrade starts a successor for a hot restart. It has the same configuration except for the address of its admin
+// endpoint, which is returned.
 func (g *gatewayProcess) upgrade() (*gatewayProcess, string) {
 	g.t.Helper()
 	control := freeTCPAddress(g.t)
 	cmd := exec.Command(program)
 	cmd.Env = append(append([]string(nil), g.cmd.Env...), "LB_CONTROL="+control)
-	next := &gatewayProcess{t: g.t, cmd: cmd, address: g.address, configPath: g.configPath, log: &logBuffer{}, discovery: g.discovery,
-		done: make(chan error, 1)}
+	next := &gatewayProcess{t: g.t, cmd: cmd, address: g.address, configPath: g.configPath, log: &logBuffer{},
+		discovery: g.discovery,
+		done:      make(chan error, 1)}
 	cmd.Stderr = next.log
 	if err := cmd.Start(); err != nil {
 		g.t.Fatal(err)
@@ -51,27 +54,31 @@
 		<-next.done
 		if text := next.log.String(); strings.Contains(text, "DATA RACE") ||
 			strings.Contains(text, "panic:") || g.t.Failed() {
-			g.t.Errorf("log of a process that came later:\n%s", text)
+			g.t.Errorf("log of a successor:\n%s", text)
 		}
 	})
 	return next, control
 }
 
+// ready reports whether the gateway's admin endpoint reports readiness.
 func ready(t *testing.T, control string) bool {
 	status, _ := callAdmin(t, control, readinessRequest)
 	return status == 200
 }
 
+// hasLogged reports whether the gateway's log contains a text.
 func (g *gatewayProcess) hasLogged(text string) bool { return strings.Contains(g.log.String(), text) }
 
-// upgradeLoad keeps clients asking, some on connections that stay, some on a new connection for each request.
+// upgradeLoad runs clients that send requests until stopped, half of them on a persistent connection, the others on a
+// new connection for each request.
 type upgradeLoad struct {
 	stop           atomic.Bool
 	done           sync.WaitGroup
 	requests, lost atomic.Int64
-	wave           int // how often start was called; part of each request's id, so that no id comes twice
+	wave           int // number of calls of start; part of each request id, so that ids are unique
 }
 
+// start starts the clients.
 func (u *upgradeLoad) start(t *testing.T, addr string, clients int) {
 	u.wave++
 	wave := u.wave
@@ -83,7 +90,7 @@
 					var err error
 					if c, err = net.Dial("tcp", addr); err != nil {
 						u.lost.Add(1)
-						t.Errorf("turned back: %v", err)
+						t.Errorf("connection refused: %v", err)
 						return
 					}
 				}
@@ -108,46 +115,48 @@
 	}
 }
 
-// Guards against requests that upgrades under load lose, reject or run twice, also where a successor dies
-// after it took clients.
+// Guards against hot restarts under load that lose, reject or run requests twice, including one whose successor is
+// killed after it accepted clients.
 func TestHotRestartsUnderLoadLoseNoRequest(t *testing.T) {
-	h := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request,
+	endpoint := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request,
 		body string) {
 		time.Sleep(2 * time.Millisecond)
 		respondOK(c, r, body)
 	})
-	g, control := startUpgradable(t, nil, h, newEndpoint(t, "s-2", respondOK))
+	g, control := startUpgradable(t, nil, endpoint, newEndpoint(t, "s-2", respondOK))
 	var u upgradeLoad
 	u.start(t, g.address, 24)
 	for n := range 3 {
 		began := time.Now()
-		next, after := g.upgrade()
-		waitFor(t, "the newcomer to say yes", func() bool { return ready(t, after) })
-		t.Logf("upgrade %d: yes after %v", n, time.Since(began))
-		waitFor(t, "the newcomer to say that it does not listen alone",
+		next, nextControl := g.upgrade()
+		waitFor(t, "the successor to be ready", func() bool { return ready(t, nextControl) })
+		t.Logf("hot restart %d: successor ready after %v", n, time.Since(began))
+		waitFor(t, "the successor to log that its predecessor listens too",
 			func() bool { return next.hasLogged("\"handed_over\":true") })
-		waitFor(t, "the elder to yield", func() bool { return !ready(t, control) })
-		if n == 1 { // it dies between two requests of the load, or with some: those are lost with it, no others
+		waitFor(t, "the predecessor to be not ready", func() bool { return !ready(t, control) })
+		// The second successor is killed. Requests open in it would be lost with it, so the load stops before; no
+		// other request may be lost.
+		if n == 1 {
 			u.stop.Store(true)
 			u.done.Wait()
 			_ = next.cmd.Process.Kill()
-			waitFor(t, "the elder to go on", func() bool { return ready(t, control) })
+			waitFor(t, "the predecessor to be ready again", func() bool { return ready(t, control) })
 			u.stop.Store(false)
 			u.start(t, g.address, 24)
-			next, after = g.upgrade()
-			waitFor(t, "the next newcomer to say yes", func() bool { return ready(t, after) })
+			next, nextControl = g.upgrade()
+			waitFor(t, "the next successor to be ready", func() bool { return ready(t, nextControl) })
 		}
 		time.Sleep(50 * time.Millisecond)
 		if err := g.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
 		if code := g.waitExit(); code != 0 {
-			t.Errorf("upgrade %d: the elder's exit code is %d", n, code)
+			t.Errorf("hot restart %d: exit code of the predecessor is %d", n, code)
 		}
-		if f := fetchStats(t, after); *f.Endpoints != 2 {
-			t.Errorf("the newcomer knows %d hosts", *f.Endpoints)
+		if f := fetchStats(t, nextControl); *f.Endpoints != 2 {
+			t.Errorf("the successor knows %d endpoints, want 2", *f.Endpoints)
 		}
-		g, control = next, after
+		g, control = next, nextControl
 	}
 	u.stop.Store(true)
 	u.done.Wait()
@@ -155,8 +164,8 @@
 		t.Errorf("%d of %d requests lost", u.lost.Load(), u.requests.Load())
 	}
 	seen := map[string]bool{}
-	h.withLock(func() {
-		for _, id := range h.ids {
+	endpoint.withLock(func() {
+		for _, id := range endpoint.ids {
 			if strings.HasPrefix(id, "l") && seen[id] {
 				t.Errorf("%s ran twice", id)
 			}
@@ -165,29 +174,30 @@
 	})
 }
 
-// Guards against an idle connection that an upgrade closes, and against one in use that is passed on too
-// early.
+// Guards against a hot restart that closes an idle connection, or hands over a connection whose request is still in
+// progress.
 func TestConnectionsAreHandedOverOpen(t *testing.T) {
-	h := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) {
+	endpoint := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) {
 		if strings.HasPrefix(r.Header.Get("X-Trace-Id"), "slow") {
 			time.Sleep(700 * time.Millisecond)
 		}
 		respondOK(c, r, body)
 	})
-	g, _ := startUpgradable(t, nil, h)
+	g, _ := startUpgradable(t, nil, endpoint)
 	idle, half, busy := g.dial(), g.dial(), g.dial()
 	roundTrip(t, idle, viewRequest("first", 1500))
 	whole := lodgeRequest("half", "hello")
 	fmt.Fprint(half, whole[:40])
 	fmt.Fprint(busy, lodgeRequest("slow", "x"))
-	waitFor(t, "the slow bid to be under way", func() bool { _, asked, _ := h.counts(); return asked == 2 })
-	next, after := g.upgrade()
-	waitFor(t, "the newcomer to say yes", func() bool { return ready(t, after) })
+	waitFor(t, "the slow request to reach the endpoint",
+		func() bool { _, requests, _ := endpoint.counts(); return requests == 2 })
+	next, nextControl := g.upgrade()
+	waitFor(t, "the successor to be ready", func() bool { return ready(t, nextControl) })
 	_ = g.cmd.Process.Signal(syscall.SIGTERM)
 	fmt.Fprint(half, whole[40:])
 	for name, c := range map[string]net.Conn{"half": half, "busy": busy} {
 		if status, fields, _ := readResponse(c); status != 200 || fields.Get("Connection") == "close" {
-			t.Errorf("%s: %d, %v", name, status, fields)
+			t.Errorf("%s: status %d, fields %v, want 200 on a connection that stays open", name, status, fields)
 		}
 	}
 	if code := g.waitExit(); code != 0 {
@@ -195,19 +205,20 @@
 	}
 	for name, c := range map[string]net.Conn{"idle": idle, "half": half, "busy": busy} {
 		if status, _, _ := roundTrip(t, c, viewRequest("again-"+name, 1500)); status != 200 {
-			t.Errorf("%s: %d on the same link", name, status)
+			t.Errorf("%s: status %d on the same connection, want 200", name, status)
 		}
 	}
-	if n := fetchStats(t, after).Fulfilled["view"]; n != 3 {
-		t.Errorf("the newcomer served %d of 3 views", n)
+	if n := fetchStats(t, nextControl).Fulfilled["view"]; n != 3 {
+		t.Errorf("the successor served %d of 3 view requests", n)
 	}
 	_ = next
 }
 
-// Guards against a process that does not take clients in time, whatever sits at the hot-restart socket.
+// Guards against a process that does not become ready in time because the process at the hot-restart socket is
+// faulty or the socket is stale.
 func TestStartWithAFaultyPredecessor(t *testing.T) {
 	frame := func(text string) string { return fmt.Sprintf("\x00\x00\x00%c%s", len(text), text) }
-	for name, play := range map[string]func(net.Conn){
+	for name, predecessor := range map[string]func(net.Conn){
 		"hangs": func(c net.Conn) { time.Sleep(3 * time.Second) },
 		"breaks off": func(c net.Conn) {
 			fmt.Fprint(c,
@@ -242,12 +253,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if play == nil {
+			if predecessor == nil {
 				ln.(*net.UnixListener).SetUnlinkOnClose(false)
 				ln.Close()
 			} else {
 				defer ln.Close()
-				go serveEach(ln, play)
+				go serveEach(ln, predecessor)
 			}
 			if err := cmd.Start(); err != nil {
 				t.Fatal(err)
@@ -256,33 +267,33 @@
 			began := time.Now()
 			waitFor(t, "readiness", func() bool { return ready(t, control) })
 			if took := time.Since(began); took > 3*time.Second {
-				t.Errorf("it took %v", took)
+				t.Errorf("ready after %v, want 3 s at most", took)
 			}
 			if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
-				t.Errorf("its own socket: %v %v", info, err)
+				t.Errorf("hot-restart socket of the new process: %v, error %v, want mode 0600", info, err)
 			}
 		})
 	}
 }
 
-// Guards against a predecessor that is held up by successors that are silent, faulty or die.
+// Guards against a predecessor that stops serving because a successor is silent, faulty or dies.
 func TestPredecessorSurvivesBadSuccessors(t *testing.T) {
 	g, control := startUpgradable(t, nil, newEndpoint(t, "s-1", respondOK))
 	path := filepath.Join(os.Getenv("TMPDIR"), "thymebend-"+strings.Replace(g.address, ":", "-", 1)+".sock")
-	for _, say := range []string{"", "\x00\x00\x00\x02{}", "\xff\xff\xff\xff",
+	for _, sent := range []string{"", "\x00\x00\x00\x02{}", "\xff\xff\xff\xff",
 		"\x00\x00\x00\x1d{\"version\":1,\"kind\":\"taking\"}"} {
 		c, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprint(c, say)
+		fmt.Fprint(c, sent)
 		time.Sleep(20 * time.Millisecond)
 		c.Close()
 		if status, _, _ := roundTrip(t, g.dial(), viewRequest("v", 1500)); status != 200 {
-			t.Errorf("after %q: %d", say, status)
+			t.Errorf("after a successor that sent %q: status %d, want 200", sent, status)
 		}
-		waitFor(t, "the elder to take clients", func() bool { return ready(t, control) })
+		waitFor(t, "the predecessor to be ready", func() bool { return ready(t, control) })
 	}
-	_, after := g.upgrade()
-	waitFor(t, "a good newcomer to say yes", func() bool { return ready(t, after) })
+	_, nextControl := g.upgrade()
+	waitFor(t, "a working successor to be ready", func() bool { return ready(t, nextControl) })
 }
