--- a/internal/ci/comments_test.go
+++ b/internal/ci/comments_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// Guards against exported items without a doc comment, which staticcheck does not report (it checks the form of
-// those that are there).
+// Guards against exported items without a doc comment. staticcheck does not report them: it checks only the form of
+// existing comments.
 func TestExportedItemsHaveDocComments(t *testing.T) {
 	files := token.NewFileSet()
 	err := filepath.WalkDir(filepath.Join("..", ".."), func(path string, entry fs.DirEntry, err error) error {
@@ -34,7 +34,7 @@
 	}
 }
 
-// undocumented lists the exported names of a declaration that no comment describes.
+// undocumented returns the exported names of a declaration that have no comment.
 func undocumented(declaration ast.Decl) (names []*ast.Ident) {
 	switch declaration := declaration.(type) {
 	case *ast.FuncDecl:
@@ -61,7 +61,7 @@
 	return names
 }
 
-// ofUnexportedType reports whether a function is a method of a type that other packages cannot name.
+// ofUnexportedType reports whether a function is a method of an unexported type.
 func ofUnexportedType(function *ast.FuncDecl) bool {
 	if function.Recv == nil {
 		return false
--- a/internal/ci/deploy_test.go
+++ b/internal/ci/deploy_test.go
@@ -8,9 +8,10 @@
 	"testing"
 )
 
-// The deploy file names every package of ours that the gateway is built from, and nothing else.
+// Verifies that the node line of the deploy file names exactly the packages of this module from which the gateway is
+// built.
 func TestDeployFileNamesThePackages(t *testing.T) {
-	// Packages of the standard library have no module.
+	// The template skips packages of the standard library, which have no module, and of other modules.
 	out, err := exec.Command("go", "list", "-deps", "-f",
 		`{{if .Module}}{{if eq .Module.Path "thymebend"}}{{.Dir}}{{end}}{{end}}`, "../../cmd/thymebend").Output()
 	if err != nil {
@@ -38,13 +39,13 @@
 			t.Fatal(err)
 		}
 		if path == "." {
-			continue // the module, which policy and the adapter name
+			continue // the module's root, which the policy and adapter lines name
 		}
 		if used++; !strings.Contains(node, `"`+path+`"`) {
-			t.Errorf("deploy/balancer.toml: node lacks %s", path)
+			t.Errorf("deploy/balancer.toml: the node line lacks %s", path)
 		}
 	}
 	if used != named {
-		t.Errorf("deploy/balancer.toml: node names %d folders, the gateway is built from %d", named, used)
+		t.Errorf("deploy/balancer.toml: the node line names %d directories, the gateway is built from %d", named, used)
 	}
 }
--- a/internal/ci/docs_test.go
+++ b/internal/ci/docs_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// Guards against docs that name code which exists no more: every code span of a page that has the form of a Go name, a package
-// or a file must be in the tree, unless it is a name of the wire, the settings or the data files.
+// Guards against docs that name code which no longer exists. Each code span of a page that has the form of a Go name, a
+// package or a file must exist in the tree, unless it is a name on the wire, in the settings or in the data files.
 func TestDocsNameExistingCode(t *testing.T) {
 	tree := readTree(t, repository)
 	for _, page := range pages(t, repository) {
@@ -22,13 +22,14 @@
 	}
 }
 
-// Guards against links between pages that lead nowhere.
+// Guards against links between pages whose target does not exist.
 func TestDocsLinksResolve(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(repository, "CHANGELOG.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := append(pages(t, repository), page{"CHANGELOG.md", string(text)}) // its names of code are those of its day
+	// The changelog may name code that no longer exists, so only its links are checked.
+	all := append(pages(t, repository), page{"CHANGELOG.md", string(text)})
 	anchors := make(map[string][]string, len(all))
 	for _, page := range all {
 		anchors[page.name] = headings(page.text)
@@ -42,18 +43,18 @@
 	}
 }
 
-// Guards against comments that send their reader to a page which is no more.
+// Guards against comments that refer to a page which no longer exists.
 func TestDocsNamedInCodeExist(t *testing.T) {
 	tree := readTree(t, repository)
 	for _, p := range tree.named {
 		if !slices.Contains(tree.files, p.text) {
-			t.Errorf("%s:%d: no page %s", p.file, p.line, p.text)
+			t.Errorf("%s:%d: the page %s does not exist", p.file, p.line, p.text)
 		}
 	}
 }
 
-// Guards against packages that the page on the architecture does not show. Parts of a package stand for themselves in it; the
-// laboratory's are listed in a page of their own.
+// Guards against packages that the architecture page does not show. A package counts as shown if the page names it or a
+// directory above it; the laboratory's packages are listed in a separate page.
 func TestDocsShowEveryPackage(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(repository, "docs", "architecture.md"))
 	if err != nil {
@@ -70,8 +71,8 @@
 	}
 }
 
-// Guards against on-call pages that tell to look for log lines which the programs write no more, and against names of rules and
-// planted defects that are not in the laboratory.
+// Guards against on-call pages that name log lines which no program writes any more, and against names of rules and
+// planted defects that do not exist in the laboratory.
 func TestDocsLogLinesExist(t *testing.T) {
 	tree := readTree(t, repository)
 	for _, page := range pages(t, repository) {
@@ -85,12 +86,13 @@
 		}
 		for _, s := range written {
 			if !tree.writes(s.text) {
-				t.Errorf("%s:%d: `%s`: no program writes this", page.name, s.line, s.text)
+				t.Errorf("%s:%d: `%s`: no program writes this text", page.name, s.line, s.text)
 			}
 		}
 	}
 }
 
+// Verifies which code spans count as log messages: several plain words that are not a command.
 func TestDocsMessages(t *testing.T) {
 	text := "`fleet: gone away`, `one`, `two words`, `make build`, `a = b`, `go run x`\n\n    indented words\n"
 	want := []located{{1, "fleet: gone away"}, {1, "two words"}}
@@ -99,6 +101,7 @@
 	}
 }
 
+// Verifies how log lines are read from tables, and which ones count as written by a program.
 func TestDocsLogLines(t *testing.T) {
 	text := "| log | meaning |\n| --- | --- |\n| debug `watch`, `\"end\":\"list lost\"` | `not this` |\n| `host N is back` | |\n\n| figure | |\n| --- | --- |\n| `seq` | |\n"
 	want := []located{{3, "watch"}, {3, `"end":"list lost"`}, {4, "host N is back"}}
@@ -129,6 +132,7 @@
 	}
 }
 
+// Verifies for each form of a code span whether it is accepted, with a name that exists and one that does not.
 func TestDocsNameClassifier(t *testing.T) {
 	tree := fixture(t)
 	for _, c := range []struct {
@@ -209,7 +213,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			err := tree.check(c.span)
 			if c.fails && err == nil {
-				t.Errorf("`%s` passes, want an error", c.span)
+				t.Errorf("`%s` is accepted, want an error", c.span)
 			}
 			if !c.fails && err != nil {
 				t.Errorf("`%s`: %v", c.span, err)
@@ -218,6 +222,7 @@
 	}
 }
 
+// Verifies that code spans and lines of code blocks are found with their line numbers.
 func TestDocsSpans(t *testing.T) {
 	text := "# `first`\n\nsome `a.B` and ``c `d` e``.\n\n```sh\ngo test ./internal/x # `not`\n```\n    indented ./internal/y\n`two\nlines`\n"
 	want := []located{{1, "first"}, {3, "a.B"}, {3, "c `d` e"}, {6, "go test ./internal/x # `not`"}, {8, "indented ./internal/y"}, {9, "two lines"}}
@@ -226,6 +231,7 @@
 	}
 }
 
+// Verifies which targets of links are accepted.
 func TestDocsLinks(t *testing.T) {
 	root := t.TempDir()
 	writeFile(t, root, "docs/a.md", "")
@@ -248,13 +254,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			err := resolve(root, "docs/design/b.md", c.link, anchors)
 			if (err != nil) != c.fails {
-				t.Errorf("%s: error %v, want one: %v", c.link, err, c.fails)
+				t.Errorf("%s: error %v, want an error: %v", c.link, err, c.fails)
 			}
 		})
 	}
 }
 
-// fixture is a small tree with one name of each kind.
+// fixture returns a small tree with names of each kind that the checks distinguish.
 func fixture(t *testing.T) *tree {
 	t.Helper()
 	root := t.TempDir()
@@ -291,6 +297,7 @@
 	return readTree(t, root)
 }
 
+// writeFile writes a file of a test's tree and creates its directory.
 func writeFile(t *testing.T, root, name, text string) {
 	t.Helper()
 	name = filepath.Join(root, filepath.FromSlash(name))
--- a/internal/ci/docspages_test.go
+++ b/internal/ci/docspages_test.go
@@ -12,21 +12,21 @@
 	"testing"
 )
 
-// This file reads pages of Markdown: their code, links and headings.
+// This file parses Markdown pages: their code, links and headings.
 
-// repository is the root of the tree that the tests look at.
+// repository is the root of the source tree that the tests check.
 var repository = filepath.Join("..", "..")
 
-// page is one page of the docs, by its path from the root.
+// page is one page of the docs: its path from the root and its text.
 type page struct{ name, text string }
 
-// located is a piece of a page and the line that it begins in, from 1.
+// located is a part of a page and the number of the line in which it begins, counted from 1.
 type located struct {
 	line int
 	text string
 }
 
-// pages reads the pages that the checks cover.
+// pages reads the pages that are checked: README.md, DEVELOPERS.md if it exists, and all pages under docs.
 func pages(t *testing.T, root string) (all []page) {
 	t.Helper()
 	names := []string{"README.md", "DEVELOPERS.md"}
@@ -54,7 +54,7 @@
 	return all
 }
 
-// spans returns the code of a page: spans in backquotes, and the lines of code blocks.
+// spans returns the code in a page: spans in backquotes, and the lines of code blocks.
 func spans(text string) (all []located) {
 	lines := strings.Split(text, "\n")
 	fenced := false
@@ -84,7 +84,7 @@
 	return all
 }
 
-// firstColumns returns the spans in the first column of the tables whose first column has one of the headers.
+// firstColumns returns the code spans in the first column of each table whose first header is one of headers.
 func firstColumns(text string, headers []string) (all []located) {
 	inTable := false
 	for i, line := range strings.Split(text, "\n") {
@@ -103,7 +103,8 @@
 	return all
 }
 
-// messages returns the spans of several plain words, which are no commands: lines of a log and names of rules.
+// messages returns the code spans that consist of several plain words and are not commands. These are log messages and
+// names of rules.
 func messages(text string) (all []located) {
 	lines := strings.Split(text, "\n")
 	for _, s := range spans(text) {
@@ -116,7 +117,7 @@
 	return all
 }
 
-// headings returns the anchors of a page's headings, as the usual renderers of Markdown form them.
+// headings returns the anchors of a page's headings, formed as common Markdown renderers do.
 func headings(text string) (all []string) {
 	fenced := false
 	for line := range strings.SplitSeq(text, "\n") {
@@ -131,7 +132,7 @@
 	return all
 }
 
-// links returns the targets of a page's links.
+// links returns the targets of the links in a page.
 func links(text string) (all []located) {
 	for i, line := range strings.Split(text, "\n") {
 		for _, m := range link.FindAllStringSubmatch(line, -1) {
@@ -141,7 +142,7 @@
 	return all
 }
 
-// resolve reports where a link of a page leads nowhere.
+// resolve returns an error if the target of a link in the page from does not exist.
 func resolve(root, from, target string, anchors map[string][]string) error {
 	if strings.Contains(target, "://") || strings.HasPrefix(target, "mailto:") {
 		return nil
@@ -152,10 +153,10 @@
 		to = path.Join(path.Dir(from), file)
 	}
 	if _, err := os.Stat(filepath.Join(root, filepath.FromSlash(to))); err != nil {
-		return fmt.Errorf("no file %s", to)
+		return fmt.Errorf("the file %s does not exist", to)
 	}
 	if anchor != "" && !slices.Contains(anchors[to], anchor) {
-		return fmt.Errorf("no heading #%s in %s", anchor, to)
+		return fmt.Errorf("%[2]s has no heading #%[1]s", anchor, to)
 	}
 	return nil
 }
--- a/internal/ci/docstree_test.go
+++ b/internal/ci/docstree_test.go
@@ -16,46 +16,46 @@
 	"testing"
 )
 
-// This file knows what the tree holds, and tells whether a code span names something in it.
+// This file indexes the names in the source tree and checks whether a code span names something that exists.
 
-// noTestPattern is the pattern by which commands for benchmarks run no test.
+// noTestPattern is the -run pattern with which commands run benchmarks and no tests.
 const noTestPattern = "xxx"
 
-// otherProjects are names of the projects that DEVELOPERS.md takes as models.
+// otherProjects are names from other projects that DEVELOPERS.md refers to.
 var otherProjects = []string{"resolver", "roundrobin", "outlierdetection", "selectionpolicies.go", "healthchecks.go",
 	"upstreams.go", "streaming.go", "tracker.Progress", "quorum"}
 
-// benchProfiles are days of the operators' bench that no file of the tree names.
+// benchProfiles are load profiles of the operators' bench. No file of the tree names them.
 var benchProfiles = []string{"herd", "throng", "wide"}
 
-// tree is what stands in the repository, as far as docs may name it.
+// tree is an index of the names in the repository that docs may mention.
 type tree struct {
 	root     string
 	packages map[string]*goPackage // by path from the root
 	files    []string              // paths from the root
 	tests    map[string]bool
 	idents   map[string]bool // every name declared anywhere
-	data     map[string]bool // words of string literals, struct tags and data files
-	keys     map[string]bool // those of them in struct tags and data files
-	literals []string        // of programs, not of tests
-	named    []mention       // pages that comments name
-	standard map[string]bool // names of the packages imported from elsewhere
+	data     map[string]bool // words in string literals, struct tags and data files
+	keys     map[string]bool // the subset of data found in struct tags and data files
+	literals []string        // string literals outside of tests
+	named    []mention       // references to docs pages in comments
+	standard map[string]bool // names of imported packages from outside this module
 }
 
-// mention is a page that a comment names.
+// mention is a reference to a docs page in a comment of a file.
 type mention struct {
 	file string
 	located
 }
 
-// goPackage is a package's declarations: of each name at the top level, the names that may follow it.
+// goPackage holds the declarations of a package. members maps each top-level name to its methods and fields.
 type goPackage struct {
 	name    string
 	members map[string]map[string]bool
-	embeds  map[string][]string // by type, the names of the types that it embeds
+	embeds  map[string][]string // by type, the names of its embedded types
 }
 
-// readTree parses all Go files under a root, and lists the words of the data files.
+// readTree parses all Go files under a root and indexes the words of the data files.
 func readTree(t *testing.T, root string) *tree {
 	t.Helper()
 	result := &tree{root: root, packages: map[string]*goPackage{}, tests: map[string]bool{},
@@ -92,7 +92,7 @@
 	return result
 }
 
-// readData lists the words of a text, which may be keys of a file or a message.
+// readData indexes the words of a text. keys reports that the words may be keys of a data file.
 func (t *tree) readData(text string, keys bool) {
 	for _, w := range dataWord.FindAllString(text, -1) {
 		t.data[w] = true
@@ -102,7 +102,7 @@
 	}
 }
 
-// readGo takes in the declarations and literals of one file.
+// readGo indexes the declarations, literals and references to docs pages of one Go file.
 func (t *tree) readGo(name, rel string) error {
 	files := token.NewFileSet()
 	file, err := parser.ParseFile(files, name, nil, parser.SkipObjectResolution|parser.ParseComments)
@@ -124,7 +124,7 @@
 		t.packages[folder] = p
 	}
 	for _, i := range file.Imports {
-		imported, _ := strconv.Unquote(i.Path.Value) // the parser has read it
+		imported, _ := strconv.Unquote(i.Path.Value) // the parser has accepted it, so it is valid
 		if !strings.HasPrefix(imported, "thymebend/") {
 			t.standard[path.Base(imported)] = true
 		}
@@ -156,7 +156,7 @@
 				}
 			}
 		case *ast.BasicLit:
-			// The literals of this file's own table name what must not exist.
+			// The test table in docs_test.go contains names that must not exist, so its literals are skipped.
 			if n.Kind == token.STRING && rel != "internal/ci/docs_test.go" {
 				t.readData(n.Value, false)
 				if !isTest {
@@ -169,13 +169,14 @@
 	return nil
 }
 
+// declared indexes declared names.
 func (t *tree) declared(names []*ast.Ident) {
 	for _, n := range names {
 		t.idents[n.Name] = true
 	}
 }
 
-// declare takes in one declaration at the top level.
+// declare indexes one top-level declaration.
 func (p *goPackage) declare(d ast.Decl) {
 	switch d := d.(type) {
 	case *ast.FuncDecl:
@@ -222,6 +223,7 @@
 	}
 }
 
+// add records a top-level name and, unless member is empty, one of its methods or fields.
 func (p *goPackage) add(name, member string) {
 	if p.members[name] == nil {
 		p.members[name] = map[string]bool{}
@@ -231,7 +233,7 @@
 	}
 }
 
-// typeName is the name of a type without pointers, parameters and package.
+// typeName returns the name of a type expression without pointer, type parameters and package.
 func typeName(e ast.Expr) string {
 	switch e := e.(type) {
 	case *ast.StarExpr:
@@ -248,7 +250,8 @@
 	return ""
 }
 
-// check reports what a code span names that is not in the tree. A span may be a name, a path or a command with several.
+// check returns an error if a code span names something that is not in the tree. A span may be a name, a path or a
+// command with several of them.
 func (t *tree) check(span string) error {
 	words, option := separator.Split(span, -1), ""
 	for _, written := range words {
@@ -271,8 +274,8 @@
 	return nil
 }
 
-// writes reports whether some program can write a log line: its parts stand in string literals. A part is the value of a field,
-// or what stands around a figure or name, which the page may write as N.
+// writes reports whether a program can write a log line: each part of the line must occur in a string literal. Parts
+// are the values of fields, and the text around numbers or names, for which a page may write N.
 func (t *tree) writes(line string) bool {
 	line = strings.Trim(reasonField.ReplaceAllString(line, ""), `"`)
 	for _, part := range figure.Split(line, -1) {
@@ -284,19 +287,20 @@
 	return true
 }
 
-// checkPattern checks what chooses tests or benchmarks by a part of their names.
+// checkPattern verifies that a -run or -bench pattern matches a part of the name of a test or benchmark.
 func (t *tree) checkPattern(w string, benchmark bool) error {
 	if w == noTestPattern || w == "" {
-		return nil // an empty pattern is what is left of one that takes all
+		return nil // a pattern such as . that matches all names is empty after trimming
 	}
 	for name := range t.tests {
 		if strings.Contains(name, w) && strings.HasPrefix(name, "Benchmark") == benchmark {
 			return nil
 		}
 	}
-	return fmt.Errorf("no test has %s in its name", w)
+	return fmt.Errorf("no test or benchmark has %s in its name", w)
 }
 
+// checkWord returns an error if a single word of a span has the form of a name or path that is not in the tree.
 func (t *tree) checkWord(w string) error {
 	w = strings.TrimPrefix(w, "thymebend/")
 	switch {
@@ -314,7 +318,7 @@
 			return fmt.Errorf("no file %s", w)
 		}
 	case filePath.MatchString(w):
-		return nil // pages and data files outside the tree's own folders: links are checked
+		return nil // pages and data files elsewhere; the test of links checks those
 	case dotted.MatchString(w):
 		return t.checkDotted(w)
 	case word.MatchString(w) && (inCamel.MatchString(w) || w[0] >= 'A' && w[0] <= 'Z' && strings.ToUpper(w) != w):
@@ -325,7 +329,7 @@
 	return nil
 }
 
-// checkPath checks a path from the root, which may end with a name of that package.
+// checkPath checks a path from the root. The path may be a pattern, or end with a name of the package.
 func (t *tree) checkPath(w string) error {
 	w = strings.TrimSuffix(strings.TrimSuffix(w, "..."), "/")
 	if strings.ContainsAny(w, "*{}<>") {
@@ -345,8 +349,8 @@
 	return fmt.Errorf("no path %s", w)
 }
 
-// checkDotted checks package.Name, Type.Name and package.Type.Name. Where several packages or types have the name, one of
-// them must have what follows.
+// checkDotted checks package.Name, Type.Name and package.Type.Name. If several packages or types match the first name,
+// at least one of them must have the rest.
 func (t *tree) checkDotted(w string) error {
 	first, rest, _ := strings.Cut(w, ".")
 	known := false
@@ -366,7 +370,7 @@
 	}
 	switch last := w[strings.LastIndex(w, ".")+1:]; {
 	case strings.ToLower(w) == w && t.keys[last]:
-		return nil // a path in the settings or in a file of figures
+		return nil // a path of keys in the settings or in a result file
 	case known:
 		return fmt.Errorf("%s has no %s", first, rest)
 	case t.standard[path.Base(first)]:
@@ -375,7 +379,7 @@
 	return fmt.Errorf("no package or type %s", first)
 }
 
-// checkMember checks a name of a package, or of one of its types.
+// checkMember checks a top-level name of a package, or a member of one of its types.
 func (t *tree) checkMember(p *goPackage, name string) error {
 	first, rest, more := strings.Cut(name, ".")
 	if p.members[first] == nil {
@@ -387,7 +391,7 @@
 	return nil
 }
 
-// has reports whether a type has a member, its own or one of a type that it embeds.
+// has reports whether a type has a member, declared or promoted from an embedded type.
 func (t *tree) has(p *goPackage, name, member string, seen map[string]bool) bool {
 	if p.members[name][member] {
 		return true
@@ -406,7 +410,7 @@
 	return false
 }
 
-// The forms of what a span may hold.
+// Forms of the parts of a code span.
 var (
 	reasonField  = regexp.MustCompile(`^"?end"?: ?`)
 	figure       = regexp.MustCompile(`\bN\b|[0-9]+`)
--- a/internal/ci/knownred_test.go
+++ b/internal/ci/knownred_test.go
@@ -10,6 +10,7 @@
 	"testing"
 )
 
+// writeList writes a list of known failures to a temporary file and returns its path.
 func writeList(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
@@ -41,16 +42,16 @@
 		t.Run(want, func(t *testing.T) {
 			list, err := readKnownRed(writeList(t, text), exists)
 			if err == nil || !strings.Contains(err.Error(), "KNOWN-RED.txt"+want) || list != nil {
-				t.Errorf("%q: %v, want %q", text, err, want)
+				t.Errorf("%q: error %v, want one with %q and no list", text, err, want)
 			}
 		})
 	}
 	list, err := readKnownRed(writeList(t, line(1)+line(2)), exists)
 	if err != nil || pattern(list) != "^(TestThing1|TestThing2)$" {
-		t.Errorf("%v: %v", err, list)
+		t.Errorf("valid list: error %v, list %v", err, list)
 	}
 	if list, err := readKnownRed(filepath.Join(t.TempDir(), "none"), exists); err != nil || pattern(list) != "^$" {
-		t.Errorf("no file: %v, %v", list, err)
+		t.Errorf("missing file: list %v, error %v, want an empty list", list, err)
 	}
 }
 
--- a/internal/ci/policy_test.go
+++ b/internal/ci/policy_test.go
@@ -10,17 +10,17 @@
 	"testing"
 )
 
-// What a reader of the decision code can take in at once: lines of a file that say something, and columns of a line,
-// a tab being four.
+// Limits that keep the decision code readable: non-blank lines of a file, and columns of a line, where a tab counts as
+// four.
 const (
 	maxLines   = 400
 	maxColumns = 110
 )
 
-// quoted finds the texts of a list in TOML.
+// quoted matches the strings of a list in TOML.
 var quoted = regexp.MustCompile(`"([^"]*)"`)
 
-// policyFiles are those that the deploy file names as deciding.
+// policyFiles returns the files in the policy line of the deploy file, which names the files that make decisions.
 func policyFiles(t *testing.T, root string) (files []string) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(root, "deploy/balancer.toml"))
@@ -37,7 +37,7 @@
 	return files
 }
 
-// sourcesOf lists the sources of the decision module and of the packages of ours that it imports.
+// sourcesOf returns the source files of the balancer and of the packages of this module that it imports.
 func sourcesOf(t *testing.T, root string) (files []string) {
 	t.Helper()
 	const format = `{{if .Module}}{{if eq .Module.Path "thymebend"}}{{$dir := .Dir}}` +
@@ -58,7 +58,8 @@
 	return files
 }
 
-// The deploy file names every file that takes part in decisions, and nothing else; each can be read at a sitting.
+// Verifies that the policy line of the deploy file names exactly the source files that take part in decisions, and that
+// each file keeps the limits on lines and columns.
 func TestPolicyIsCompleteAndReadable(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -67,12 +68,12 @@
 	named, used := policyFiles(t, root), sourcesOf(t, root)
 	for _, name := range used {
 		if !slices.Contains(named, name) {
-			t.Errorf("deploy/balancer.toml: policy lacks %s", name)
+			t.Errorf("deploy/balancer.toml: the policy line lacks %s", name)
 		}
 	}
 	for _, name := range named {
 		if !slices.Contains(used, name) {
-			t.Errorf("deploy/balancer.toml: policy names %s, which the module is not built from", name)
+			t.Errorf("deploy/balancer.toml: the policy line names %s, from which the balancer is not built", name)
 			continue
 		}
 		text, err := os.ReadFile(filepath.Join(root, name))
--- a/internal/ci/site_test.go
+++ b/internal/ci/site_test.go
@@ -15,24 +15,24 @@
 		t.Fatal(err)
 	}
 	if n := strings.Count(out.String(), "\n"); n < 2 {
-		t.Errorf("%d variants", n)
+		t.Errorf("%d variants, want 2 at least", n)
 	}
 	for name, c := range map[string]struct{ file, old, new, want string }{
-		"no toml": {"clinic-slots.toml", "[goal]", "[goal", "clinic-slots.toml:"},
-		"another name": {"clinic-slots.toml", `name = "clinic-slots"`, `name = "other"`,
+		"invalid TOML": {"clinic-slots.toml", "[goal]", "[goal", "clinic-slots.toml:"},
+		"name differs from the directory": {"clinic-slots.toml", `name = "clinic-slots"`, `name = "other"`,
 			"clinic-slots.toml:1: name"},
-		"unknown effect": {"clinic-slots.toml", `effect = "safe"`, `effect = "mild"`, `class "look-up": effect`},
-		"no window":      {"clinic-slots.toml", "window_ms = 500\n", "", `class "reserve": a keyed class`},
-		"a short deadline": {"clinic-slots.toml", "deadline_ms = 1600", "deadline_ms = 16",
+		"unknown effect":               {"clinic-slots.toml", `effect = "safe"`, `effect = "mild"`, `class "look-up": effect`},
+		"keyed class without a window": {"clinic-slots.toml", "window_ms = 500\n", "", `class "reserve": a keyed class`},
+		"deadline below the objective": {"clinic-slots.toml", "deadline_ms = 1600", "deadline_ms = 16",
 			`class "look-up": deadline_ms`},
-		"a share of two":    {"clinic-slots.toml", "share = [0.4, 0.6]", "share = [0.4, 2]", `class "look-up": share`},
-		"twice":             {"clinic-slots.toml", `name = "reserve"`, `name = "look-up"`, "is defined twice"},
-		"no worth":          {"clinic-slots.toml", "worth = 6", "worth = 0", `class "reserve": worth`},
-		"a name with a gap": {"clinic-slots.toml", `name = "reserve"`, `name = "re serve"`, "its name must not"},
-		"no grace":          {"clinic-slots.toml", "drain_grace_ms = 900", "drain_grace_ms = 0", "rules need"},
-		"wire":              {"wire.json", `"v": 1,`, `"v": 1`, "wire.json:"},
-		"real":              {"real.json", "{", "", "real.json:"},
-		"unlock":            {"unlock.txt", "unlock ", "open ", "unlock.txt:1:"},
+		"share above 1":             {"clinic-slots.toml", "share = [0.4, 0.6]", "share = [0.4, 2]", `class "look-up": share`},
+		"class defined twice":       {"clinic-slots.toml", `name = "reserve"`, `name = "look-up"`, "is defined twice"},
+		"worth of 0":                {"clinic-slots.toml", "worth = 6", "worth = 0", `class "reserve": worth`},
+		"name with a space":         {"clinic-slots.toml", `name = "reserve"`, `name = "re serve"`, "its name must not"},
+		"grace of 0":                {"clinic-slots.toml", "drain_grace_ms = 900", "drain_grace_ms = 0", "rules need"},
+		"invalid JSON in wire.json": {"wire.json", `"v": 1,`, `"v": 1`, "wire.json:"},
+		"invalid JSON in real.json": {"real.json", "{", "", "real.json:"},
+		"invalid unlock line":       {"unlock.txt", "unlock ", "open ", "unlock.txt:1:"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
