--- a/cmd/thymebend/admin_test.go
+++ b/cmd/thymebend/admin_test.go
@@ -48,11 +48,12 @@
 	ConfigsRejected               *int `json:"cfg_invalid"`
 }
 
+// fetchStats fetches /ops/stats from an admin endpoint.
 func fetchStats(t *testing.T, control string) (f adminStats) {
 	t.Helper()
 	status, body := callAdmin(t, control, "GET /ops/stats HTTP/1.1\r\nHost: x\r\n\r\n")
 	if err := json.Unmarshal([]byte(body), &f); status != 200 || err != nil || f.ConfigsRejected == nil {
-		t.Fatalf("stats: %d %q %v", status, body, err)
+		t.Fatalf("/ops/stats: status %d, body %q, error %v", status, body, err)
 	}
 	return f
 }
@@ -137,7 +138,7 @@
 		return status == 503
 	})
 	if code := g.waitExit(); code != 0 {
-		t.Errorf("exit code %d", code)
+		t.Errorf("exit code %d, want 0", code)
 	}
 }
 
--- a/cmd/thymebend/cluster_test.go
+++ b/cmd/thymebend/cluster_test.go
@@ -16,8 +16,8 @@
 // member is one gateway of a cluster in a test: its name, the address of its admin endpoint, the path of its gossip
 // file, the address of its gossip socket and its process.
 type member struct {
-	name, control, file, udp string
-	process                  *gatewayProcess
+	name, adminAddress, gossipFile, gossipAddress string
+	process                                       *gatewayProcess
 }
 
 // clusterView holds the fields of the response to /ops/fleet that the tests examine.
@@ -63,14 +63,14 @@
 	var members []*member
 	var peers strings.Builder
 	for i := range n {
-		m := &member{name: fmt.Sprint("gw-", i), control: freeTCPAddress(t), udp: freeUDPAddress(t),
-			file: filepath.Join(t.TempDir(), "fleet.toml")}
-		fmt.Fprintf(&peers, "[[peer]]\nname = %q\naddr = %q\n", m.name, m.udp)
+		m := &member{name: fmt.Sprint("gw-", i), adminAddress: freeTCPAddress(t), gossipAddress: freeUDPAddress(t),
+			gossipFile: filepath.Join(t.TempDir(), "fleet.toml")}
+		fmt.Fprintf(&peers, "[[peer]]\nname = %q\naddr = %q\n", m.name, m.gossipAddress)
 		members = append(members, m)
 	}
 	for _, m := range members {
-		text := fmt.Sprintf("fleet = \"f\"\nlisten = %q\n%s%s", m.udp, table, peers.String())
-		if err := os.WriteFile(m.file, []byte(text), 0o600); err != nil {
+		text := fmt.Sprintf("fleet = \"f\"\nlisten = %q\n%s%s", m.gossipAddress, table, peers.String())
+		if err := os.WriteFile(m.gossipFile, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		m.start(t)
@@ -83,27 +83,31 @@
 	return members
 }
 
+// start starts the gateway with its gossip file and one endpoint, and waits until it is ready.
 func (m *member) start(t *testing.T) {
 	t.Helper()
-	t.Setenv("LB_FLEET", m.file)
+	t.Setenv("LB_FLEET", m.gossipFile)
 	endpoint := newEndpoint(t, "s-1", respondOK)
-	m.process = start(t, map[string]any{"name": m.name, "control": m.control}, endpoint)
+	m.process = start(t, map[string]any{"name": m.name, "control": m.adminAddress}, endpoint)
 }
 
+// view fetches the gateway's view of the cluster from its admin endpoint.
 func (m *member) view(t *testing.T) (v clusterView) {
 	t.Helper()
-	status, body := callAdmin(t, m.control, "GET /ops/fleet HTTP/1.1\r\nHost: x\r\n\r\n")
+	status, body := callAdmin(t, m.adminAddress, "GET /ops/fleet HTTP/1.1\r\nHost: x\r\n\r\n")
 	if err := json.Unmarshal([]byte(body), &v); status != 200 || err != nil {
-		t.Fatalf("%s: %d %q %v", m.name, status, body, err)
+		t.Fatalf("%s: /ops/fleet: status %d, body %q, error %v", m.name, status, body, err)
 	}
 	return v
 }
 
+// waitFor polls the gateway's view until a condition is true.
 func (m *member) waitFor(t *testing.T, what string, condition func(clusterView) bool) {
 	t.Helper()
 	waitFor(t, m.name+" "+what, func() bool { return condition(m.view(t)) })
 }
 
+// state returns the state of a member by name, or unknown if the view does not list it.
 func (v clusterView) state(name string) string {
 	for _, m := range v.Members {
 		if m.Name == name {
@@ -134,11 +138,11 @@
 			func(v clusterView) bool { return v.state("gw-2") == "left" && v.Known == 3 })
 	}
 	if code := members[2].process.waitExit(); code != 0 {
-		t.Errorf("exit code %d", code)
+		t.Errorf("exit code %d, want 0", code)
 	}
-	text, err := os.ReadFile(members[0].file)
+	text, err := os.ReadFile(members[0].gossipFile)
 	if err == nil {
-		err = os.WriteFile(members[0].file,
+		err = os.WriteFile(members[0].gossipFile,
 			append(text, "[[peer]]\nname = \"gw-9\"\naddr = \"127.0.0.1:1\"\n"...), 0o600)
 	}
 	if err == nil {
@@ -149,7 +153,7 @@
 	}
 	members[0].waitFor(t, "to read the new seed peers",
 		func(v clusterView) bool { return v.Known == 4 && v.Alive == 3 })
-	if err := os.WriteFile(members[0].file, []byte("fleet = \"f\"\nlisten = 5\n"), 0o600); err != nil {
+	if err := os.WriteFile(members[0].gossipFile, []byte("fleet = \"f\"\nlisten = 5\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := members[0].process.cmd.Process.Signal(syscall.SIGHUP); err != nil {
@@ -190,7 +194,7 @@
 // Guards against invalid datagrams and datagrams of another cluster that change the view or keep the process busy.
 func TestInvalidGossipDatagramsAreRejected(t *testing.T) {
 	members := startCluster(t, 2)
-	c, err := net.Dial("udp4", members[0].udp)
+	c, err := net.Dial("udp4", members[0].gossipAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -266,9 +270,9 @@
 		t.Fatal(err)
 	}
 	if code := members[0].process.waitExit(); code != 0 {
-		t.Errorf("exit code %d", code)
+		t.Errorf("exit code %d, want 0", code)
 	}
-	members[0].control, members[0].process = control, next
+	members[0].adminAddress, members[0].process = control, next
 	members[0].waitFor(t, "to gossip again", func(v clusterView) bool { return v.Active && v.Alive == 3 })
 	for _, m := range members[1:] {
 		m.waitFor(t, "to converge", func(v clusterView) bool {
@@ -299,28 +303,28 @@
 				len(v.Assignment.Endpoints) == 1 && v.Assignment.Endpoints[0].Name == "s-1"
 		})
 	}
-	out, err := exec.Command(program, "fleet", members[0].control).CombinedOutput()
+	out, err := exec.Command(program, "fleet", members[0].adminAddress).CombinedOutput()
 	if err != nil || !strings.Contains(string(out),
 		"portion: settled (computed from the settled view) of 3 gateways") ||
 		!strings.Contains(string(out), "\ns-1   1.000") {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("thymebend fleet: error %v, unexpected assignment in:\n%s", err, out)
 	}
-	good, err := os.ReadFile(members[0].file)
+	validText, err := os.ReadFile(members[0].gossipFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	reload := func(text string) {
 		t.Helper()
-		if err := os.WriteFile(members[0].file, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(members[0].gossipFile, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if err := members[0].process.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 	}
-	reload(string(good) + "[[peer]]\nname = \"gw-9\"\naddr = \"127.0.0.1:1\"\n")
+	reload(string(validText) + "[[peer]]\nname = \"gw-9\"\naddr = \"127.0.0.1:1\"\n")
 	members[0].waitFor(t, "to use no tokens", func(v clusterView) bool { return !v.Assignment.TokensActive })
-	if out, _ := exec.Command(program, "fleet", members[0].control).
+	if out, _ := exec.Command(program, "fleet", members[0].adminAddress).
 		CombinedOutput(); !strings.Contains(string(out), "NONE NOW") {
 		t.Errorf("thymebend fleet does not report that tokens are unused:\n%s", out)
 	}
@@ -329,7 +333,7 @@
 			t.Errorf("%s uses no tokens either, though its file is that of the majority", m.name)
 		}
 	}
-	reload(string(good))
+	reload(string(validText))
 	members[0].waitFor(t, "to use tokens again", func(v clusterView) bool { return v.Assignment.TokensActive })
 }
 
@@ -345,8 +349,8 @@
 	t.Setenv("LB_FLEET", "peers")
 	var members []*member
 	for n := range 2 {
-		m := &member{name: fmt.Sprint("gw-", n), control: freeTCPAddress(t)}
-		m.process = start(t, map[string]any{"name": fmt.Sprint("n", n), "control": m.control, "peers": addrs,
+		m := &member{name: fmt.Sprint("gw-", n), adminAddress: freeTCPAddress(t)}
+		m.process = start(t, map[string]any{"name": fmt.Sprint("n", n), "control": m.adminAddress, "peers": addrs,
 			"peer_listen": addrs[n], "settings": settingsOf(n, "true")}, newEndpoint(t, "s-1", respondOK))
 		members = append(members, m)
 	}
--- a/cmd/thymebend/descriptors_test.go
+++ b/cmd/thymebend/descriptors_test.go
@@ -38,7 +38,7 @@
 	})
 	for i := range 10 {
 		if status, _, _ := roundTrip(t, g.dial(), viewRequest(fmt.Sprint("v", i), 1900)); status != 200 {
-			t.Errorf("view %d: %d", i, status)
+			t.Errorf("view request %d: status %d, want 200", i, status)
 		}
 	}
 }
@@ -99,7 +99,7 @@
 	}
 	for i := range 10 {
 		if status, _, _ := roundTrip(t, g.dial(), viewRequest(fmt.Sprint("v", i), 1900)); status != 200 {
-			t.Errorf("view %d: %d", i, status)
+			t.Errorf("view request %d: status %d, want 200", i, status)
 		}
 	}
 	var half []net.Conn
@@ -133,7 +133,7 @@
 	}
 	for i := range 100 {
 		if status, _, _ := roundTrip(t, g.dial(), viewRequest(fmt.Sprint("v", i), 900)); status != 200 {
-			t.Fatalf("view %d: %d", i, status)
+			t.Fatalf("view request %d: status %d, want 200", i, status)
 		}
 	}
 	if status, _, _ := roundTrip(t, checked, viewRequest("first", 900)); status != 200 {
--- a/cmd/thymebend/discovery_test.go
+++ b/cmd/thymebend/discovery_test.go
@@ -48,7 +48,7 @@
 	_, before, _ := a.counts()
 	for i := range 8 {
 		if status, _, _ := roundTrip(t, c, viewRequest(fmt.Sprint("v", i), 900)); status != 200 {
-			t.Errorf("view: %d", status)
+			t.Errorf("view request: status %d, want 200", status)
 		}
 	}
 	if _, after, _ := a.counts(); after != before {
@@ -91,7 +91,7 @@
 	d.send <- "cut"
 	<-d.polls
 	if status, _, _ := roundTrip(t, g.dial(), viewRequest("v", 900)); status != 200 {
-		t.Errorf("view: %d", status)
+		t.Errorf("view request: status %d, want 200", status)
 	}
 }
 
--- a/cmd/thymebend/downstream_test.go
+++ b/cmd/thymebend/downstream_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	if code := g.waitExit(); code != 0 {
-		t.Errorf("exit code %d", code)
+		t.Errorf("exit code %d, want 0", code)
 	}
 	waitFor(t, "the connection to be reset", func() bool {
 		_, err := c.Write([]byte("x"))
--- a/cmd/thymebend/fleet_command_test.go
+++ b/cmd/thymebend/fleet_command_test.go
@@ -18,7 +18,7 @@
 	_ = members[2].process.cmd.Process.Kill()
 	members[0].waitFor(t, "to see the killed member as gone",
 		func(v clusterView) bool { return v.state("gw-2") == "gone" })
-	out, err := exec.Command(program, "fleet", members[0].control).CombinedOutput()
+	out, err := exec.Command(program, "fleet", members[0].adminAddress).CombinedOutput()
 	lines := strings.Split(string(out), "\n")
 	if err != nil || !strings.HasPrefix(lines[0], "gw-0 in fleet f: ") ||
 		!strings.Contains(lines[0], "2 of 3 alive") {
@@ -54,14 +54,14 @@
 
 // Guards against a limit on the size of the admin response that a view of 500 gateways exceeds.
 func TestFleetCommandPrintsALargeView(t *testing.T) {
-	m := &member{name: "gw-0", control: freeTCPAddress(t), udp: freeUDPAddress(t),
-		file: filepath.Join(t.TempDir(), "fleet.toml")}
-	text := fmt.Sprintf("fleet = \"f\"\nlisten = %q\nflat = true\n", m.udp)
-	if err := os.WriteFile(m.file, []byte(text), 0o600); err != nil {
+	m := &member{name: "gw-0", adminAddress: freeTCPAddress(t), gossipAddress: freeUDPAddress(t),
+		gossipFile: filepath.Join(t.TempDir(), "fleet.toml")}
+	text := fmt.Sprintf("fleet = \"f\"\nlisten = %q\nflat = true\n", m.gossipAddress)
+	if err := os.WriteFile(m.gossipFile, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	m.start(t)
-	c, err := net.Dial("udp4", m.udp)
+	c, err := net.Dial("udp4", m.gossipAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 				func(v clusterView) bool { return len(v.Members) == n+2 })
 		}
 	}
-	out, err := exec.Command(program, "fleet", m.control).CombinedOutput()
+	out, err := exec.Command(program, "fleet", m.adminAddress).CombinedOutput()
 	if err != nil || strings.Count(string(out), "a-gateway-of-a-long-name-") != 500 {
 		t.Errorf("error %v, %d of 500 gateways printed", err, strings.Count(string(out), "a-gateway-of-a-long-name-"))
 	}
--- a/cmd/thymebend/overload_test.go
+++ b/cmd/thymebend/overload_test.go
@@ -63,10 +63,10 @@
 		"sockets": 192}}, newEndpoint(t, "s-1", respondOK))
 	roundTrip(t, g.dial(), viewRequest("first", 1500)) // shows the gateway the client timeout of the requests below
 	var stop atomic.Bool
-	var crowd, completeRequests sync.WaitGroup
+	var unfinished, completeRequests sync.WaitGroup
 	var connected, served atomic.Int64
 	for i := range 4 {
-		crowd.Go(func() {
+		unfinished.Go(func() {
 			var open []net.Conn
 			for n := 0; !stop.Load() && n < 1500; n++ {
 				c, err := net.DialTimeout("tcp", g.address, 100*time.Millisecond)
@@ -88,7 +88,7 @@
 			}
 		})
 	}
-	request := func(i int, slow time.Duration) {
+	request := func(i int, duration time.Duration) {
 		completeRequests.Go(func() {
 			c, err := net.Dial("tcp", g.address)
 			if err != nil {
@@ -97,16 +97,16 @@
 			}
 			defer c.Close()
 			raw := viewRequest(fmt.Sprint("v", i), 1500)
-			for n := 0; n < len(raw) && slow > 0; n += 10 { // a slow client writes 10 bytes at a time
+			for n := 0; n < len(raw) && duration > 0; n += 10 { // a slow client writes 10 bytes at a time
 				fmt.Fprint(c, raw[:10])
 				raw = raw[10:]
-				time.Sleep(slow / 14)
+				time.Sleep(duration / 14)
 			}
 			status, _, _ := roundTrip(t, c, raw)
 			if status == 200 {
 				served.Add(1)
 			} else {
-				t.Errorf("request %d (written over %v): status %d, want 200", i, slow, status)
+				t.Errorf("request %d (written over %v): status %d, want 200", i, duration, status)
 			}
 		})
 	}
@@ -129,9 +129,9 @@
 	}
 	completeRequests.Wait()
 	stop.Store(true)
-	crowd.Wait()
+	unfinished.Wait()
 	if code := g.waitExit(); code != 0 {
-		t.Errorf("exit code %d", code)
+		t.Errorf("exit code %d, want 0", code)
 	}
 	t.Logf("%d unfinished connections accepted, %d complete requests served, peak memory %d MB",
 		connected.Load(), served.Load(),
--- a/cmd/thymebend/peers_test.go
+++ b/cmd/thymebend/peers_test.go
@@ -24,7 +24,7 @@
 	mu      sync.Mutex
 	conns   int
 	ids     []string // ids of the requests received completely
-	closed  int      // connections that ended, other than by respond
+	closed  int      // connections on which no further request could be read, usually because the gateway closed them
 }
 
 // listen returns a listener on a free loopback port that is closed when the test ends.
@@ -39,8 +39,8 @@
 }
 
 // newEndpoint starts an emulated endpoint.
-func newEndpoint(t *testing.T, name string, answer func(net.Conn, *http.Request, string)) *fakeEndpoint {
-	e := &fakeEndpoint{name: name, ln: listen(t), respond: answer}
+func newEndpoint(t *testing.T, name string, respond func(net.Conn, *http.Request, string)) *fakeEndpoint {
+	e := &fakeEndpoint{name: name, ln: listen(t), respond: respond}
 	go serveEach(e.ln, func(c net.Conn) {
 		e.withLock(func() { e.conns++ })
 		in := bufio.NewReader(c)
@@ -58,6 +58,7 @@
 	return e
 }
 
+// withLock calls f with the endpoint's mutex held.
 func (e *fakeEndpoint) withLock(f func()) { e.mu.Lock(); defer e.mu.Unlock(); f() }
 
 // counts returns the number of accepted connections, complete requests and ended connections.
@@ -101,6 +102,7 @@
 	}
 }
 
+// writeResponse writes a response with Content-Length. fields must end with a line break unless empty.
 func writeResponse(c net.Conn, status, fields, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, fields, len(body), body)
 }
@@ -126,8 +128,8 @@
 }
 
 // newDiscovery starts an emulated discovery.
-func newDiscovery(t *testing.T, reply func(int) string) *fakeDiscovery {
-	d := &fakeDiscovery{ln: listen(t), polls: make(chan string, 64), send: make(chan string), firstLine: reply}
+func newDiscovery(t *testing.T, firstLine func(int) string) *fakeDiscovery {
+	d := &fakeDiscovery{ln: listen(t), polls: make(chan string, 64), send: make(chan string), firstLine: firstLine}
 	n := 0
 	go serveEach(d.ln, func(c net.Conn) {
 		r, err := http.ReadRequest(bufio.NewReader(c))
--- a/cmd/thymebend/pushed_test.go
+++ b/cmd/thymebend/pushed_test.go
@@ -33,7 +33,7 @@
 	c := g.dial()
 	for i := range 4 {
 		if status, _, _ := roundTrip(t, c, viewRequest(fmt.Sprint("v", i), 900)); status != 200 {
-			t.Errorf("view: %d", status)
+			t.Errorf("view request: status %d, want 200", status)
 		}
 	}
 	if _, after, _ := a.counts(); after != before {
@@ -51,14 +51,14 @@
 	endpoint := newEndpoint(t, "s-1", respondOK)
 	ln := listen(t)
 	var watches, closed atomic.Int32
-	speak := make(chan bool)
+	respond := make(chan bool)
 	go serveEach(ln, func(c net.Conn) {
 		n := watches.Add(1)
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		if n == 1 {
 			fmt.Fprint(c, "1\r\n\n\r\n")
 		} else {
-			go func() { <-speak; fmt.Fprint(c, "1\r\n\n\r\n") }()
+			go func() { <-respond; fmt.Fprint(c, "1\r\n\n\r\n") }()
 		}
 		_, _ = io.Copy(io.Discard, c)
 		closed.Add(1)
@@ -68,7 +68,7 @@
 	if status, _, _ := roundTrip(t, g.dial(), viewRequest("v", 900)); status != 200 || closed.Load() > 0 {
 		t.Errorf("while the agent is silent: status %d, %d watches closed, want 200 and 0", status, closed.Load())
 	}
-	speak <- true
+	respond <- true
 	waitFor(t, "the silent watch to be closed after the second one responded",
 		func() bool { return closed.Load() == 1 })
 	if watches.Load() != 2 || !g.hasLogged("list replaced") {
@@ -89,7 +89,7 @@
 	conn := g.dial()
 	for i := range 6 {
 		if status, _, _ := roundTrip(t, conn, viewRequest(fmt.Sprint("v", i), 900)); status != 200 {
-			t.Errorf("view: %d", status)
+			t.Errorf("view request: status %d, want 200", status)
 		}
 	}
 	_, x, _ := removed.counts()
@@ -119,6 +119,6 @@
 	g.reload("settings", settingsWithReplacement("", ""))
 	<-g.discovery.polls
 	if status, _, _ := roundTrip(t, g.dial(), viewRequest("v", 900)); status != 200 {
-		t.Errorf("view: %d", status)
+		t.Errorf("view request: status %d, want 200", status)
 	}
 }
--- a/cmd/thymebend/reload_test.go
+++ b/cmd/thymebend/reload_test.go
@@ -14,32 +14,33 @@
 // Guards against list changes lost between the watch of the old discovery address and that of the new one, against
 // an invalid configuration that changes something, and against a reload that disturbs a shutdown.
 func TestReloadMovesTheWatch(t *testing.T) {
-	a, b := newEndpoint(t, "s-1", respondOK), newEndpoint(t, "s-2", respondOK)
-	whole, answers := endpointList(1, true, endpointEntry(a, "up"), endpointEntry(b, "up")), make(chan string)
+	first, second := newEndpoint(t, "s-1", respondOK), newEndpoint(t, "s-2", respondOK)
+	whole, answers := endpointList(1, true, endpointEntry(first, "up"),
+		endpointEntry(second, "up")), make(chan string)
 	next := newDiscovery(t, func(int) string { return <-answers })
-	g := start(t, nil, a, b)
+	g := start(t, nil, first, second)
 	<-g.discovery.polls
 	g.reload("seed", "what")
 	waitFor(t, "the invalid configuration to be logged", func() bool { return g.hasLogged("seed \\\"what") })
 	g.reload("seed", "8c1f30d27a5be964")
 	g.reload("discovery", next.ln.Addr().String())
 	<-next.polls
-	g.discovery.send <- endpointList(2, false, endpointEntry(a, "draining"))
+	g.discovery.send <- endpointList(2, false, endpointEntry(first, "draining"))
 	g.discovery.send <- endpointList(3, false)
 	answers <- "" // 503: the poll is repeated
 	if call := <-next.polls; !strings.HasSuffix(call, "index=3") {
 		t.Errorf("the new address receives %q, want the index of the last list from the old address", call)
 	}
-	_, before, _ := a.counts()
+	_, before, _ := first.counts()
 	answers <- endpointList(4, false)
-	next.send <- endpointList(5, true, endpointEntry(b, "up"))
+	next.send <- endpointList(5, true, endpointEntry(second, "up"))
 	next.send <- endpointList(6, false)
 	for i := range 8 {
 		if status, _, _ := roundTrip(t, g.dial(), viewRequest(fmt.Sprint("v", i), 900)); status != 200 {
-			t.Errorf("view: %d", status)
+			t.Errorf("view request: status %d, want 200", status)
 		}
 	}
-	if _, after, _ := a.counts(); after != before {
+	if _, after, _ := first.counts(); after != before {
 		t.Errorf("%d requests went to a draining endpoint", after-before)
 	}
 	for range 3 { // back to the address of the first watch, and to the new one again
@@ -54,7 +55,7 @@
 		t.Fatal(err)
 	}
 	if code := g.waitExit(); code != 0 {
-		t.Errorf("exit code %d", code)
+		t.Errorf("exit code %d, want 0", code)
 	}
 }
 
@@ -66,9 +67,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := strings.Replace(string(raw), `"name":"view"`, `"name":"look"`, 1) // a change that is visible if accepted
-	with := func(old, new string) string { return strings.Replace(good, old, new, 1) }
-	faulty := []string{"", good[:len(good)/2], good + "x", with(`"cancel":true,`, ""),
+	valid := strings.Replace(string(raw), `"name":"view"`, `"name":"look"`, 1) // a change that is visible if accepted
+	with := func(old, new string) string { return strings.Replace(valid, old, new, 1) }
+	faulty := []string{"", valid[:len(valid)/2], valid + "x", with(`"cancel":true,`, ""),
 		with(`"seed"`, `"sead"`), with(`"worth":1`, `"w":1`),
 		with(`"classes"`, `"klasses"`), with(`"give_up_ms":2000`,
 			`"give_up_ms":null`), with(`"give_up_ms":2000`, `"give_up_ms":"2000"`),
@@ -87,7 +88,7 @@
 		ConfigsAccepted != 0 {
 		t.Errorf("an invalid file changed the settings or was counted as accepted: status %d, want 200", status)
 	}
-	g.replaceConfig(good)
+	g.replaceConfig(valid)
 	waitFor(t, "the valid file to be accepted", func() bool { return *fetchStats(t, control).ConfigsAccepted == 1 })
 	if status, _, _ := roundTrip(t, g.dial(), viewRequest("v", 900)); status != 404 {
 		t.Errorf("a class that the reload removed: status %d, want 404", status)
--- a/cmd/thymebend/response_test.go
+++ b/cmd/thymebend/response_test.go
@@ -20,9 +20,9 @@
 		c.Close()
 	}
 	for name, c := range map[string]struct {
-		host func(c net.Conn, seen <-chan bool)
-		want int
-		body string
+		respond func(c net.Conn, proceed <-chan bool)
+		want    int
+		body    string
 	}{
 		"ends with the connection": {func(c net.Conn, _ <-chan bool) {
 			fmt.Fprint(c,
@@ -31,13 +31,13 @@
 		}, 200, "whole"},
 		"reset in the middle": {func(c net.Conn, _ <-chan bool) { fmt.Fprint(c, open+"half"); reset(c) },
 			502, ""},
-		"reset long after": {func(c net.Conn, seen <-chan bool) {
+		"reset long after": {func(c net.Conn, proceed <-chan bool) {
 			fmt.Fprint(c,
 				open+"half")
-			<-seen
+			<-proceed
 			reset(c)
 		}, 502, ""},
-		"reset without a response": {func(c net.Conn, seen <-chan bool) { <-seen; reset(c) }, 502, ""},
+		"reset without a response": {func(c net.Conn, proceed <-chan bool) { <-proceed; reset(c) }, 502, ""},
 		"reset before the stated length": {func(c net.Conn, _ <-chan bool) {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 			reset(c)
@@ -47,20 +47,20 @@
 			fmt.Fprint(c, "HTTP/1.1 102 Processing\r\n\r\n")
 			_, _ = io.Copy(io.Discard, c)
 		}, 502, ""},
-		"half a line, then a reset": {func(c net.Conn, seen <-chan bool) {
+		"half a line, then a reset": {func(c net.Conn, proceed <-chan bool) {
 			fmt.Fprint(c,
 				"HTTP/1.1 200 O")
-			<-seen
+			<-proceed
 			reset(c)
 		}, 502, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			asked, seen := make(chan bool, 8), make(chan bool)
+			received, proceed := make(chan bool, 8), make(chan bool)
 			endpoint := newEndpoint(t, "s-1", func(conn net.Conn, _ *http.Request,
 				_ string) {
-				asked <- true
-				c.host(conn, seen)
+				received <- true
+				c.respond(conn, proceed)
 			})
 			g := start(t, nil, endpoint)
 			client := g.dial()
@@ -68,8 +68,8 @@
 				1)); err != nil {
 				t.Fatal(err)
 			}
-			<-asked // the endpoint has received the whole request
-			close(seen)
+			<-received // the endpoint has received the whole request
+			close(proceed)
 			status, _, body := readResponse(client)
 			if status != c.want || c.want == 200 && body != c.body {
 				t.Errorf("status %d, body %q, want %d %q", status, body, c.want, c.body)
--- a/cmd/thymebend/retry_test.go
+++ b/cmd/thymebend/retry_test.go
@@ -56,7 +56,7 @@
 	g := start(t, nil, unreachable, live)
 	for i := range 4 {
 		if status, _, _ := roundTrip(t, g.dial(), lodgeRequest(fmt.Sprint("l", i), "x")); status != 200 {
-			t.Errorf("lodge %d: %d", i, status)
+			t.Errorf("lodge request %d: status %d, want 200", i, status)
 		}
 	}
 }
@@ -67,7 +67,7 @@
 	hang := make(chan bool)
 	defer close(hang)
 	var lodgeRequests, viewRequests, maxWaiting atomic.Int32
-	answer := serialResponder(&maxWaiting, "")
+	respond := serialResponder(&maxWaiting, "")
 	half := newEndpoint(t, "s-1", func(c net.Conn, r *http.Request, body string) {
 		if r.Method == "POST" {
 			lodgeRequests.Add(1)
@@ -75,7 +75,7 @@
 			return
 		}
 		viewRequests.Add(1)
-		answer(c, r, body)
+		respond(c, r, body)
 	})
 	start(t, nil, half, newEndpoint(t, "s-2", serialResponder(&maxWaiting, ""))).runLoad(3 * time.Second)
 	if n, v := lodgeRequests.Load(), viewRequests.Load(); n > 12 || v < 200 {
@@ -140,7 +140,7 @@
 	g := start(t, nil, dead, live)
 	for i := range 6 {
 		if status, _, _ := roundTrip(t, g.dial(), lodgeRequest(fmt.Sprint("l", i), "x")); status != 200 {
-			t.Errorf("lodge %d: %d", i, status)
+			t.Errorf("lodge request %d: status %d, want 200", i, status)
 		}
 	}
 }
@@ -161,7 +161,7 @@
 			<-closed
 		}
 		if status, _, _ := roundTrip(t, c, lodgeRequest(fmt.Sprint("l", i), "x")); status != 200 {
-			t.Errorf("lodge %d: %d", i, status)
+			t.Errorf("lodge request %d: status %d, want 200", i, status)
 		}
 	}
 }
--- a/cmd/thymebend/shutdown_test.go
+++ b/cmd/thymebend/shutdown_test.go
@@ -48,7 +48,7 @@
 			fields.Get("Connection"))
 	}
 	if code := g.waitExit(); code != 0 { // although the clients keep four connections open
-		t.Errorf("exit code %d", code)
+		t.Errorf("exit code %d, want 0", code)
 	}
 	if n := strings.Count(g.log.String(), `"message":"stopping"`); n != 1 {
 		t.Errorf("the shutdown began %d times, want once", n)
@@ -60,9 +60,9 @@
 func TestRequestCompletedDuringAShutdown(t *testing.T) {
 	endpoint := newEndpoint(t, "s-1", respondOK)
 	g := start(t, nil, endpoint)
-	long, short := g.dial(), g.dial()
-	for c, raw := range map[net.Conn]string{long: viewRequest("long", 3500)[:40],
-		short: viewRequest("short", 900)[:40]} {
+	beyondKill, beforeKill := g.dial(), g.dial()
+	for c, raw := range map[net.Conn]string{beyondKill: viewRequest("long", 3500)[:40],
+		beforeKill: viewRequest("short", 900)[:40]} {
 		if _, err := io.WriteString(c, raw); err != nil {
 			t.Fatal(err)
 		}
@@ -75,10 +75,10 @@
 		}
 		return err != nil
 	})
-	if status, _, _ := roundTrip(t, long, viewRequest("long", 3500)[40:]); status != 503 {
+	if status, _, _ := roundTrip(t, beyondKill, viewRequest("long", 3500)[40:]); status != 503 {
 		t.Errorf("the request with a deadline beyond the SIGKILL got %d, want 503", status)
 	}
-	if status, _, _ := roundTrip(t, short, viewRequest("short", 900)[40:]); status != 200 {
+	if status, _, _ := roundTrip(t, beforeKill, viewRequest("short", 900)[40:]); status != 200 {
 		t.Errorf("the request with a deadline before the SIGKILL got %d, want 200", status)
 	}
 	if _, requests, _ := endpoint.counts(); requests != 1 {
@@ -133,7 +133,7 @@
 	}
 	held.Close()
 	if code := g.waitExit(); code != 0 {
-		t.Errorf("exit code %d", code)
+		t.Errorf("exit code %d, want 0", code)
 	}
 }
 
@@ -165,6 +165,6 @@
 		c.Close()
 	}
 	if code := g.waitExit(); code != 0 {
-		t.Errorf("exit code %d", code)
+		t.Errorf("exit code %d, want 0", code)
 	}
 }
--- a/cmd/thymebend/stopped_clients_test.go
+++ b/cmd/thymebend/stopped_clients_test.go
@@ -207,7 +207,7 @@
 		g.signal(syscall.SIGTERM)
 		all.Wait()
 		if code := g.waitExit(); code != 0 {
-			t.Errorf("exit code %d", code)
+			t.Errorf("exit code %d, want 0", code)
 		}
 	})
 	t.Run("with an endpoint that reads nothing", func(t *testing.T) {
--- a/cmd/thymebend/timeouts_test.go
+++ b/cmd/thymebend/timeouts_test.go
@@ -31,10 +31,10 @@
 				fmt.Fprint(slow, part)
 				time.Sleep(700 * time.Millisecond) // emulates a slow client
 			}
-			for rest := raw[head:]; len(rest) > 0; time.Sleep(50 * time.Millisecond) {
-				n := min(len(rest), 3200)
-				fmt.Fprint(slow, rest[:n])
-				rest = rest[n:]
+			for remaining := raw[head:]; len(remaining) > 0; time.Sleep(50 * time.Millisecond) {
+				n := min(len(remaining), 3200)
+				fmt.Fprint(slow, remaining[:n])
+				remaining = remaining[n:]
 			}
 			if status, _, _ := readResponse(slow); status != 200 {
 				t.Errorf("a slow client: status %d after %v, want 200", status, time.Since(began))
@@ -55,10 +55,10 @@
 	fmt.Fprint(c, raw[:20])
 	time.Sleep(2 * time.Second)
 	fmt.Fprint(c, raw[20:head])
-	for rest := raw[head:]; len(rest) > 0; time.Sleep(50 * time.Millisecond) {
-		n := min(len(rest), 3200)
-		fmt.Fprint(c, rest[:n])
-		rest = rest[n:]
+	for remaining := raw[head:]; len(remaining) > 0; time.Sleep(50 * time.Millisecond) {
+		n := min(len(remaining), 3200)
+		fmt.Fprint(c, remaining[:n])
+		remaining = remaining[n:]
 	}
 	if status, _, _ := readResponse(c); status != 200 {
 		t.Errorf("a slow client's lodge request: status %d, want 200", status)
--- a/cmd/thymebend/upgrade_test.go
+++ b/cmd/thymebend/upgrade_test.go
@@ -15,6 +15,7 @@
 	"time"
 )
 
+// readinessRequest is a request to an admin endpoint for the readiness of its gateway.
 const readinessRequest = "GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n"
 
 // startUpgradable starts a gateway with a directory for the hot-restart socket, and returns the address of its admin
@@ -75,13 +76,13 @@
 	stop           atomic.Bool
 	done           sync.WaitGroup
 	requests, lost atomic.Int64
-	wave           int // number of calls of start; part of each request id, so that ids are unique
+	round          int // number of calls of start; part of each request id, so that ids are unique
 }
 
 // start starts the clients.
 func (u *upgradeLoad) start(t *testing.T, addr string, clients int) {
-	u.wave++
-	wave := u.wave
+	u.round++
+	round := u.round
 	for i := range clients {
 		u.done.Go(func() {
 			var c net.Conn
@@ -94,9 +95,9 @@
 						return
 					}
 				}
-				raw := viewRequest(fmt.Sprintf("v%d-%d-%d", wave, i, n), 1500)
+				raw := viewRequest(fmt.Sprintf("v%d-%d-%d", round, i, n), 1500)
 				if n%2 == 0 {
-					raw = lodgeRequest(fmt.Sprintf("l%d-%d-%d", wave, i, n), "x")
+					raw = lodgeRequest(fmt.Sprintf("l%d-%d-%d", round, i, n), "x")
 				}
 				status, fields, _ := roundTrip(t, c, raw)
 				if u.requests.Add(1); status == 0 {
@@ -163,13 +164,13 @@
 	if u.lost.Load() > 0 || u.requests.Load() < 500 {
 		t.Errorf("%d of %d requests lost", u.lost.Load(), u.requests.Load())
 	}
-	seen := map[string]bool{}
+	ran := map[string]bool{}
 	endpoint.withLock(func() {
 		for _, id := range endpoint.ids {
-			if strings.HasPrefix(id, "l") && seen[id] {
+			if strings.HasPrefix(id, "l") && ran[id] {
 				t.Errorf("%s ran twice", id)
 			}
-			seen[id] = true
+			ran[id] = true
 		}
 	})
 }
@@ -201,7 +202,7 @@
 		}
 	}
 	if code := g.waitExit(); code != 0 {
-		t.Errorf("exit code %d", code)
+		t.Errorf("exit code %d, want 0", code)
 	}
 	for name, c := range map[string]net.Conn{"idle": idle, "half": half, "busy": busy} {
 		if status, _, _ := roundTrip(t, c, viewRequest("again-"+name, 1500)); status != 200 {
