--- a/cmd/thymebend/upgrade_test.go
+++ b/cmd/thymebend/upgrade_test.go
@@ -91,7 +91,7 @@
 					var err error
 					if c, err = net.Dial("tcp", addr); err != nil {
 						u.lost.Add(1)
-						t.Errorf("connection refused: %v", err)
+						t.Errorf("cannot connect: %v", err)
 						return
 					}
 				}
