--- a/cmd/thymebend/adminclient.go
+++ b/cmd/thymebend/adminclient.go
@@ -9,16 +9,17 @@
 	"thymebend/internal/http1"
 )
 
-// adminTimeout is how long a gateway may take to connect, and to answer.
+// adminTimeout bounds the time to connect to a gateway, and separately the time until its whole response has
+// arrived.
 const adminTimeout = 2 * time.Second
 
-// maxAdminResponse bounds a response in bytes. The view of 2,000 gateways is larger than what a response of
-// an endpoint may be.
+// maxAdminResponse is the maximum size of a response in bytes. It is separate from the limit for responses of
+// endpoints because the view of 2,000 gateways exceeds that limit.
 const maxAdminResponse = 4 << 20
 
-// getAdmin sends one GET to a gateway's admin endpoint and returns the response.
-func getAdmin(at netip.AddrPort, path string) (*http1.Message, error) {
-	c, err := net.DialTimeout("tcp", at.String(), adminTimeout)
+// getAdmin sends one GET request to a gateway's admin endpoint and returns the response.
+func getAdmin(address netip.AddrPort, path string) (*http1.Message, error) {
+	c, err := net.DialTimeout("tcp", address.String(), adminTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -26,7 +27,7 @@
 	if err := c.SetDeadline(time.Now().Add(adminTimeout)); err != nil {
 		return nil, err
 	}
-	request := http1.AppendRequest(nil, "GET", path, []http1.Field{{Name: "Host", Value: at.String()}}, nil)
+	request := http1.AppendRequest(nil, "GET", path, []http1.Field{{Name: "Host", Value: address.String()}}, nil)
 	if _, err := c.Write(request); err != nil {
 		return nil, err
 	}
@@ -43,9 +44,9 @@
 		case head != nil && done:
 			return &http1.Message{Head: head, Body: body}, nil
 		case len(body) > maxAdminResponse:
-			return nil, fmt.Errorf("an answer of over %d bytes", maxAdminResponse)
+			return nil, fmt.Errorf("the response is larger than %d bytes", maxAdminResponse)
 		case err != nil:
-			return nil, fmt.Errorf("no whole answer: %w", err)
+			return nil, fmt.Errorf("the response is incomplete: %w", err)
 		}
 	}
 }
--- a/cmd/thymebend/cluster_test.go
+++ b/cmd/thymebend/cluster_test.go
@@ -13,24 +13,29 @@
 	"time"
 )
 
-// member is one gateway of a cluster in a test.
+// member is one gateway of a cluster in a test: its name, the address of its admin endpoint, the path of its gossip
+// file, the address of its gossip socket and its process.
 type member struct {
-	name, control, file, udp string
-	rig                      *rig
+	name, adminAddress, gossipFile, gossipAddress string
+	process                                       *gatewayProcess
 }
 
-type fleetView struct {
-	Speaking, Settled, Majority, Twin bool
-	Alive, Known                      int
-	Refused                           map[string]int
-	Portion                           *struct {
-		Stage  string
-		Agreed bool
-		Hosts  []struct {
-			Name string
-			Part float64
-		}
-	}
+// clusterView holds the fields of the response to /ops/fleet that the tests examine.
+type clusterView struct {
+	Active        bool `json:"speaking"`
+	Converged     bool `json:"settled"`
+	Majority      bool
+	DuplicateName bool `json:"twin"`
+	Alive, Known  int
+	Refused       map[string]int
+	Assignment    *struct {
+		Stage        string
+		TokensActive bool `json:"agreed"`
+		Endpoints    []struct {
+			Name  string
+			Share float64 `json:"part"`
+		} `json:"hosts"`
+	} `json:"portion"`
 	Members []struct {
 		Name, State string
 		StartMS     uint64 `json:"start_ms"`
@@ -38,7 +43,8 @@
 	}
 }
 
-func freeUDP(t *testing.T) string {
+// freeUDPAddress returns a UDP address that is not in use.
+func freeUDPAddress(t *testing.T) string {
 	t.Helper()
 	c, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
@@ -48,55 +54,61 @@
 	return c.LocalAddr().String()
 }
 
-// startCluster starts n gateways that know each other.
+// startCluster starts n gateways with each other as seed peers and waits until each one sees all others alive.
 func startCluster(t *testing.T, n int) []*member { return startClusterWith(t, n, "") }
 
-// startClusterWith has a table more in their files.
+// startClusterWith does the same as startCluster and adds a TOML table to each gossip file.
 func startClusterWith(t *testing.T, n int, table string) []*member {
 	t.Helper()
-	var all []*member
-	var book strings.Builder
+	var members []*member
+	var peers strings.Builder
 	for i := range n {
-		s := &member{name: fmt.Sprint("gw-", i), control: freePort(t), udp: freeUDP(t),
-			file: filepath.Join(t.TempDir(), "fleet.toml")}
-		fmt.Fprintf(&book, "[[peer]]\nname = %q\naddr = %q\n", s.name, s.udp)
-		all = append(all, s)
-	}
-	for _, s := range all {
-		text := fmt.Sprintf("fleet = \"f\"\nlisten = %q\n%s%s", s.udp, table, book.String())
-		if err := os.WriteFile(s.file, []byte(text), 0o600); err != nil {
+		m := &member{name: fmt.Sprint("gw-", i), adminAddress: freeTCPAddress(t), gossipAddress: freeUDPAddress(t),
+			gossipFile: filepath.Join(t.TempDir(), "fleet.toml")}
+		fmt.Fprintf(&peers, "[[peer]]\nname = %q\naddr = %q\n", m.name, m.gossipAddress)
+		members = append(members, m)
+	}
+	for _, m := range members {
+		text := fmt.Sprintf("fleet = \"f\"\nlisten = %q\n%s%s", m.gossipAddress, table, peers.String())
+		if err := os.WriteFile(m.gossipFile, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s.start(t)
+		m.start(t)
 	}
-	for _, s := range all {
-		s.until(t, "to know all", func(v fleetView) bool { return v.Alive == n && v.Known == n && v.Majority })
+	for _, m := range members {
+		m.waitFor(t, "to see all members alive", func(v clusterView) bool {
+			return v.Alive == n && v.Known == n && v.Majority
+		})
 	}
-	return all
+	return members
 }
 
-func (s *member) start(t *testing.T) {
+// start starts the gateway with its gossip file and one endpoint, and waits until it is ready.
+func (m *member) start(t *testing.T) {
 	t.Helper()
-	t.Setenv("LB_FLEET", s.file)
-	h := newEndpoint(t, "s-1", ok)
-	s.rig = start(t, map[string]any{"name": s.name, "control": s.control}, h)
+	t.Setenv("LB_FLEET", m.gossipFile)
+	endpoint := newEndpoint(t, "s-1", respondOK)
+	m.process = start(t, map[string]any{"name": m.name, "control": m.adminAddress}, endpoint)
 }
 
-func (s *member) view(t *testing.T) (v fleetView) {
+// view fetches the gateway's view of the cluster from its admin endpoint.
+func (m *member) view(t *testing.T) (v clusterView) {
 	t.Helper()
-	status, body := askAdmin(t, s.control, "GET /ops/fleet HTTP/1.1\r\nHost: x\r\n\r\n")
+	status, body := callAdmin(t, m.adminAddress, "GET /ops/fleet HTTP/1.1\r\nHost: x\r\n\r\n")
 	if err := json.Unmarshal([]byte(body), &v); status != 200 || err != nil {
-		t.Fatalf("%s: %d %q %v", s.name, status, body, err)
+		t.Fatalf("%s: /ops/fleet: status %d, body %q, error %v", m.name, status, body, err)
 	}
 	return v
 }
 
-func (s *member) until(t *testing.T, what string, holds func(fleetView) bool) {
+// waitFor polls the gateway's view until a condition is true.
+func (m *member) waitFor(t *testing.T, what string, condition func(clusterView) bool) {
 	t.Helper()
-	until(t, s.name+" "+what, func() bool { return holds(s.view(t)) })
+	waitFor(t, m.name+" "+what, func() bool { return condition(m.view(t)) })
 }
 
-func (v fleetView) state(name string) string {
+// state returns the state of a member by name, or unknown if the view does not list it.
+func (v clusterView) state(name string) string {
 	for _, m := range v.Members {
 		if m.Name == name {
 			return m.State
@@ -105,80 +117,84 @@
 	return "unknown"
 }
 
-// Guards against a view that misses a kill, a restart under the same name, a leave or new seed peers.
+// Guards against a view that does not reflect a killed member, a restart under the same name, a leave, or new seed
+// peers.
 func TestMembershipFollowsProcesses(t *testing.T) {
-	all := startCluster(t, 4)
-	_ = all[3].rig.cmd.Process.Kill()
-	for _, s := range all[:3] {
-		s.until(t, "to hold the one that was killed for gone",
-			func(v fleetView) bool { return v.state("gw-3") == "gone" && v.Alive == 3 })
+	members := startCluster(t, 4)
+	_ = members[3].process.cmd.Process.Kill()
+	for _, m := range members[:3] {
+		m.waitFor(t, "to see the killed member as gone",
+			func(v clusterView) bool { return v.state("gw-3") == "gone" && v.Alive == 3 })
 	}
-	all[3].start(t)
-	for _, s := range all {
-		s.until(t, "to know all again", func(v fleetView) bool { return v.Alive == 4 })
+	members[3].start(t)
+	for _, m := range members {
+		m.waitFor(t, "to know all again", func(v clusterView) bool { return v.Alive == 4 })
 	}
-	if err := all[2].rig.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+	if err := members[2].process.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range []*member{all[0], all[1], all[3]} {
-		s.until(t, "to hold the one that was stopped for left",
-			func(v fleetView) bool { return v.state("gw-2") == "left" && v.Known == 3 })
+	for _, m := range []*member{members[0], members[1], members[3]} {
+		m.waitFor(t, "to see the stopped member as left",
+			func(v clusterView) bool { return v.state("gw-2") == "left" && v.Known == 3 })
 	}
-	if code := all[2].rig.exit(); code != 0 {
-		t.Errorf("exit code %d", code)
+	if code := members[2].process.waitExit(); code != 0 {
+		t.Errorf("exit code %d, want 0", code)
 	}
-	text, err := os.ReadFile(all[0].file)
+	text, err := os.ReadFile(members[0].gossipFile)
 	if err == nil {
-		err = os.WriteFile(all[0].file,
+		err = os.WriteFile(members[0].gossipFile,
 			append(text, "[[peer]]\nname = \"gw-9\"\naddr = \"127.0.0.1:1\"\n"...), 0o600)
 	}
 	if err == nil {
-		err = all[0].rig.cmd.Process.Signal(syscall.SIGHUP)
+		err = members[0].process.cmd.Process.Signal(syscall.SIGHUP)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	all[0].until(t, "to have the new book", func(v fleetView) bool { return v.Known == 4 && v.Alive == 3 })
-	if err := os.WriteFile(all[0].file, []byte("fleet = \"f\"\nlisten = 5\n"), 0o600); err != nil {
+	members[0].waitFor(t, "to read the new seed peers",
+		func(v clusterView) bool { return v.Known == 4 && v.Alive == 3 })
+	if err := os.WriteFile(members[0].gossipFile, []byte("fleet = \"f\"\nlisten = 5\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := all[0].rig.cmd.Process.Signal(syscall.SIGHUP); err != nil {
+	if err := members[0].process.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the faulty file to be refused", func() bool { return all[0].rig.logs("gossip file rejected") })
-	if v := all[0].view(t); v.Known != 4 {
+	waitFor(t, "the faulty file to be rejected",
+		func() bool { return members[0].process.hasLogged("gossip file rejected") })
+	if v := members[0].view(t); v.Known != 4 {
 		t.Errorf("a faulty file changed the view: %+v", v)
 	}
 }
 
-// Guards against a process that was stopped and, let go, takes others for gone.
-func TestStoppedGatewayComesBack(t *testing.T) {
-	all := startCluster(t, 3)
-	pid := all[1].rig.cmd.Process
+// Guards against a process that was suspended by SIGSTOP and, once resumed, declares other members gone because
+// their timeouts have passed.
+func TestResumedGatewayRejoinsTheCluster(t *testing.T) {
+	members := startCluster(t, 3)
+	pid := members[1].process.cmd.Process
 	if err := pid.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range []*member{all[0], all[2]} {
-		s.until(t, "to hold the one that stands still for gone",
-			func(v fleetView) bool { return v.state("gw-1") == "gone" })
+	for _, m := range []*member{members[0], members[2]} {
+		m.waitFor(t, "to see the suspended member as gone",
+			func(v clusterView) bool { return v.state("gw-1") == "gone" })
 	}
 	if err := pid.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range all {
-		s.until(t, "to know all again", func(v fleetView) bool {
-			if s == all[1] && (v.state("gw-0") == "gone" || v.state("gw-2") == "gone") {
-				t.Fatal("the one that stood still has thrown others out")
+	for _, m := range members {
+		m.waitFor(t, "to know all again", func(v clusterView) bool {
+			if m == members[1] && (v.state("gw-0") == "gone" || v.state("gw-2") == "gone") {
+				t.Fatal("the resumed member has declared others gone")
 			}
 			return v.Alive == 3
 		})
 	}
 }
 
-// Guards against foreign datagrams that change the view or keep the process awake.
-func TestNoiseOnTheGossipSocket(t *testing.T) {
-	all := startCluster(t, 2)
-	c, err := net.Dial("udp4", all[0].udp)
+// Guards against invalid datagrams and datagrams of another cluster that change the view or keep the process busy.
+func TestInvalidGossipDatagramsAreRejected(t *testing.T) {
+	members := startCluster(t, 2)
+	c, err := net.Dial("udp4", members[0].gossipAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -189,20 +205,21 @@
 			t.Fatal(err)
 		}
 	}
-	all[0].until(t, "to count the noise", func(v fleetView) bool {
+	members[0].waitFor(t, "to count the rejected datagrams", func(v clusterView) bool {
 		return v.Refused["spoilt"] == 1 && v.Refused["foreign"] == 1 && v.Refused["strange"] == 1
 	})
-	if v := all[0].view(t); v.Alive != 2 || v.Known != 2 {
-		t.Errorf("%+v", v)
+	if v := members[0].view(t); v.Alive != 2 || v.Known != 2 {
+		t.Errorf("view after the invalid datagrams: %+v, want 2 members, both alive", v)
 	}
 }
 
-// Guards against a socket, a timer or a log line of the cluster where no gossip file is given.
-func TestWithoutAGossipFile(t *testing.T) {
-	control := freePort(t)
-	g := start(t, map[string]any{"control": control}, newEndpoint(t, "s-1", ok))
-	if status, _ := askAdmin(t, control, "GET /ops/fleet HTTP/1.1\r\nHost: x\r\n\r\n"); status != 404 {
-		t.Errorf("/ops/fleet: %d", status)
+// Guards against a gossip socket, a timer, a view at /ops/fleet or a log line of the cluster although no gossip file
+// is configured.
+func TestNoClusterWithoutAGossipFile(t *testing.T) {
+	control := freeTCPAddress(t)
+	g := start(t, map[string]any{"control": control}, newEndpoint(t, "s-1", respondOK))
+	if status, _ := callAdmin(t, control, "GET /ops/fleet HTTP/1.1\r\nHost: x\r\n\r\n"); status != 404 {
+		t.Errorf("/ops/fleet: status %d, want 404", status)
 	}
 	files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", g.cmd.Process.Pid))
 	if err != nil {
@@ -213,17 +230,17 @@
 		link, _ := os.Readlink(fmt.Sprintf("/proc/%d/fd/%s", g.cmd.Process.Pid, f.Name()))
 		if inode := strings.TrimSuffix(strings.TrimPrefix(link, "socket:["), "]"); inode != link &&
 			strings.Contains(string(udp), " "+inode+" ") {
-			t.Errorf("a datagram socket is open: %s", link)
+			t.Errorf("a UDP socket is open: %s", link)
 		}
 	}
 	for _, word := range []string{"cluster", "gossip", "fleet"} {
 		if strings.Contains(g.log.String(), word) {
-			t.Errorf("the log speaks of a %s", word)
+			t.Errorf("the log contains the word %s", word)
 		}
 	}
 }
 
-// Guards against an error that does not name line and column of a faulty gossip file.
+// Guards against an error that does not name the line and column of a fault in the gossip file.
 func TestFaultyGossipFileNamesTheLine(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "fleet.toml")
 	if err := os.WriteFile(file, []byte("fleet = \"f\"\nlisten = \"nowhere\"\n"), 0o600); err != nil {
@@ -233,133 +250,136 @@
 	cmd.Env = append(cmd.Env, "LB_FLEET="+file)
 	out, err := cmd.CombinedOutput()
 	if err == nil || !strings.Contains(string(out), file+":2:") {
-		t.Errorf("%v %s", err, out)
+		t.Errorf("error %v, output %s, want an error at %s:2", err, out, file)
 	}
 }
 
-// Guards against an upgrade that its peers take for a leave or a restart.
-func TestUpgradeIsNoLeave(t *testing.T) {
-	dir, err := os.MkdirTemp("", "up") // short: a Unix socket's path holds 107 bytes
+// Guards against a hot restart that the other members treat as a leave or a restart.
+func TestHotRestartIsNotALeave(t *testing.T) {
+	dir, err := os.MkdirTemp("", "up") // short, because the path of a Unix socket is limited to 107 bytes
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
 	t.Setenv("TMPDIR", dir)
-	all := startCluster(t, 3)
-	was, began := all[1].view(t), time.Now()
-	next, control := all[0].rig.upgrade()
-	until(t, "the next process to be ready", func() bool { return ready(t, control) })
-	if err := all[0].rig.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+	members := startCluster(t, 3)
+	before, upgradeStart := members[1].view(t), time.Now()
+	next, control := members[0].process.upgrade()
+	waitFor(t, "the successor to be ready", func() bool { return ready(t, control) })
+	if err := members[0].process.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if code := all[0].rig.exit(); code != 0 {
-		t.Errorf("exit code %d", code)
+	if code := members[0].process.waitExit(); code != 0 {
+		t.Errorf("exit code %d, want 0", code)
 	}
-	all[0].control, all[0].rig = control, next
-	all[0].until(t, "to speak on", func(v fleetView) bool { return v.Speaking && v.Alive == 3 })
-	for _, s := range all[1:] {
-		s.until(t, "to be settled", func(v fleetView) bool {
+	members[0].adminAddress, members[0].process = control, next
+	members[0].waitFor(t, "to gossip again", func(v clusterView) bool { return v.Active && v.Alive == 3 })
+	for _, m := range members[1:] {
+		m.waitFor(t, "to converge", func(v clusterView) bool {
 			if v.state("gw-0") != "alive" && v.state("gw-0") != "suspect" {
-				t.Fatalf("%s has the one that was upgraded as %s", s.name, v.state("gw-0"))
+				t.Fatalf("%s sees the member that was hot restarted as %s", m.name, v.state("gw-0"))
 			}
-			return v.Settled
+			return v.Converged
 		})
 	}
-	// A leave that is taken back within moments shows in no poll, but in how long the state has held.
-	for i, m := range all[1].view(t).Members {
-		if m.StartMS != was.Members[i].StartMS || m.State != "alive" || m.SinceMS < time.Since(began).
+	// A leave that is reverted quickly may fall between two polls of the view, but it resets SinceMS.
+	for i, m := range members[1].view(t).Members {
+		if m.StartMS != before.Members[i].StartMS || m.State != "alive" || m.SinceMS < time.Since(upgradeStart).
 			Milliseconds() {
-			t.Errorf("%+v, was %+v before the upgrade, %v ago", m, was.Members[i], time.Since(began))
+			t.Errorf("%+v, was %+v before the hot restart, which began %v ago", m, before.Members[i],
+				time.Since(upgradeStart))
 		}
 	}
 }
 
-// Guards against a gateway with another file that still takes slow-start tokens, and against others that stop
-// then.
+// Guards against a gateway that still uses slow-start tokens although its gossip file differs from that of the
+// majority, and against the other gateways ceasing to use them. Also verifies the assignment that thymebend fleet
+// prints.
 func TestAssignmentIsReported(t *testing.T) {
-	all := startClusterWith(t, 3, "[shares]\nwarm_rate = 20.0\n")
-	for _, s := range all {
-		s.until(t, "to have its portion", func(v fleetView) bool {
-			return v.Portion != nil && v.Portion.Stage == "settled" && v.Portion.Agreed &&
-				len(v.Portion.Hosts) == 1 && v.Portion.Hosts[0].Name == "s-1"
+	members := startClusterWith(t, 3, "[shares]\nwarm_rate = 20.0\n")
+	for _, m := range members {
+		m.waitFor(t, "to have its assignment", func(v clusterView) bool {
+			return v.Assignment != nil && v.Assignment.Stage == "settled" && v.Assignment.TokensActive &&
+				len(v.Assignment.Endpoints) == 1 && v.Assignment.Endpoints[0].Name == "s-1"
 		})
 	}
-	out, err := exec.Command(program, "fleet", all[0].control).CombinedOutput()
+	out, err := exec.Command(program, "fleet", members[0].adminAddress).CombinedOutput()
 	if err != nil || !strings.Contains(string(out),
-		"portion: settled (the settled view's division) of 3 gateways") ||
+		"portion: settled (computed from the settled view) of 3 gateways") ||
 		!strings.Contains(string(out), "\ns-1   1.000") {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("thymebend fleet: error %v, unexpected assignment in:\n%s", err, out)
 	}
-	good, err := os.ReadFile(all[0].file)
+	validText, err := os.ReadFile(members[0].gossipFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	reload := func(text string) {
 		t.Helper()
-		if err := os.WriteFile(all[0].file, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(members[0].gossipFile, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := all[0].rig.cmd.Process.Signal(syscall.SIGHUP); err != nil {
+		if err := members[0].process.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 	}
-	reload(string(good) + "[[peer]]\nname = \"gw-9\"\naddr = \"127.0.0.1:1\"\n")
-	all[0].until(t, "to take no turns", func(v fleetView) bool { return !v.Portion.Agreed })
-	if out, _ := exec.Command(program, "fleet", all[0].control).
+	reload(string(validText) + "[[peer]]\nname = \"gw-9\"\naddr = \"127.0.0.1:1\"\n")
+	members[0].waitFor(t, "to use no tokens", func(v clusterView) bool { return !v.Assignment.TokensActive })
+	if out, _ := exec.Command(program, "fleet", members[0].adminAddress).
 		CombinedOutput(); !strings.Contains(string(out), "NONE NOW") {
-		t.Errorf("%s", out)
+		t.Errorf("thymebend fleet does not report that tokens are unused:\n%s", out)
 	}
-	for _, s := range all[1:] {
-		if v := s.view(t); !v.Portion.Agreed {
-			t.Errorf("%s takes no turns either", s.name)
+	for _, m := range members[1:] {
+		if v := m.view(t); !v.Assignment.TokensActive {
+			t.Errorf("%s uses no tokens either, though its file is that of the majority", m.name)
 		}
 	}
-	reload(string(good))
-	all[0].until(t, "to take turns again", func(v fleetView) bool { return v.Portion.Agreed })
+	reload(string(validText))
+	members[0].waitFor(t, "to use tokens again", func(v clusterView) bool { return v.Assignment.TokensActive })
 }
 
-// Guards against a gossip configuration of the platform that is missed, or used where its settings refuse
-// datagrams.
-func TestGossipOfTheConfiguration(t *testing.T) {
-	addrs := []string{freeUDP(t), freeUDP(t)}
-	words := func(rank int, allowed string) json.RawMessage {
+// Guards against a gossip configuration of the platform (fields peers and peer_listen) that is ignored, or that is
+// used although the settings do not allow gossip.
+func TestGossipConfiguredByThePlatform(t *testing.T) {
+	addrs := []string{freeUDPAddress(t), freeUDPAddress(t)}
+	settingsOf := func(rank int, allowed string) json.RawMessage {
 		s := strings.Replace(testSettings, `"balancers":1,"rank":0`,
 			fmt.Sprintf(`"balancers":2,"rank":%d`, rank), 1)
 		return json.RawMessage(strings.Replace(s, `"bounds":{`, `"bounds":{"peers":`+allowed+`,`, 1))
 	}
 	t.Setenv("LB_FLEET", "peers")
-	var all []*member
+	var members []*member
 	for n := range 2 {
-		s := &member{name: fmt.Sprint("gw-", n), control: freePort(t)}
-		s.rig = start(t, map[string]any{"name": fmt.Sprint("n", n), "control": s.control, "peers": addrs,
-			"peer_listen": addrs[n], "settings": words(n, "true")}, newEndpoint(t, "s-1", ok))
-		all = append(all, s)
-	}
-	for _, s := range all {
-		s.until(t, "to divide hosts", func(v fleetView) bool {
-			return v.Alive == 2 && v.state(s.name) == "alive" && v.Portion != nil &&
-				v.Portion.Stage == "settled" && v.Portion.Agreed
+		m := &member{name: fmt.Sprint("gw-", n), adminAddress: freeTCPAddress(t)}
+		m.process = start(t, map[string]any{"name": fmt.Sprint("n", n), "control": m.adminAddress, "peers": addrs,
+			"peer_listen": addrs[n], "settings": settingsOf(n, "true")}, newEndpoint(t, "s-1", respondOK))
+		members = append(members, m)
+	}
+	for _, m := range members {
+		m.waitFor(t, "to have a settled assignment", func(v clusterView) bool {
+			return v.Alive == 2 && v.state(m.name) == "alive" && v.Assignment != nil &&
+				v.Assignment.Stage == "settled" && v.Assignment.TokensActive
 		})
 	}
-	if err := all[0].rig.cmd.Process.Signal(syscall.SIGHUP); err != nil { // the configuration alone is read again
+	// There is no gossip file: only the configuration is read again.
+	if err := members[0].process.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the reload", func() bool { return all[0].rig.logs(`"message":"reload"`) })
-	control := freePort(t)
+	waitFor(t, "the reload", func() bool { return members[0].process.hasLogged(`"message":"reload"`) })
+	control := freeTCPAddress(t)
 	start(t, map[string]any{"control": control, "peers": addrs, "peer_listen": addrs[0],
-		"settings": words(0, "false")}, newEndpoint(t, "s-1", ok))
-	if status, _ := askAdmin(t, control, "GET /ops/fleet HTTP/1.1\r\nHost: x\r\n\r\n"); status != 404 {
-		t.Errorf("datagrams are refused, and /ops/fleet answers %d", status)
+		"settings": settingsOf(0, "false")}, newEndpoint(t, "s-1", respondOK))
+	if status, _ := callAdmin(t, control, "GET /ops/fleet HTTP/1.1\r\nHost: x\r\n\r\n"); status != 404 {
+		t.Errorf("gossip is not allowed by the settings, but /ops/fleet returns %d, want 404", status)
 	}
 	for want, edit := range map[string]map[string]any{
 		"peers names 1 gateways, the settings 2": {"peers": addrs[:1], "peer_listen": addrs[0]},
 		"peer_listen":                            {"peers": addrs, "peer_listen": "here"},
 		"peers[1]":                               {"peers": []string{addrs[0], "there"}, "peer_listen": addrs[0]},
 	} {
-		edit["settings"] = words(0, "true")
+		edit["settings"] = settingsOf(0, "true")
 		cmd, _ := configure(t, `{"seq":1,"whole":true,"hosts":[]}`, "127.0.0.1:1", edit)
 		if out, err := cmd.CombinedOutput(); err == nil || !strings.Contains(string(out), want) {
-			t.Errorf("wanted %q: %v %s", want, err, out)
+			t.Errorf("error %[2]v, output %[3]s, want an error with %[1]q", want, err, out)
 		}
 	}
 }
--- a/cmd/thymebend/rig_test.go
+++ b/cmd/thymebend/rig_test.go
@@ -17,15 +17,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// The tests start the real program and play its peers: clients, endpoints and discovery, on loopback.
+// The tests start the built program and emulate its peers on loopback: clients, endpoints and discovery.
 
-// testTimeout is for what must happen soon; a failed test takes that long.
+// testTimeout bounds each wait of a test. It is reached only if the test fails.
 const testTimeout = 10 * time.Second
 
-// program is the path of the built gateway.
+// program is the path of the gateway binary that TestMain builds.
 var program string
 
-// TestMain builds the gateway once, with the race detector.
+// TestMain builds the gateway once for all tests, with the race detector.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "gateway")
 	if err != nil {
@@ -41,14 +41,16 @@
 	os.Exit(code)
 }
 
-// keyedSettings has a class that may be repeated within a window, in its cell alone.
+// keyedSettings returns settings whose class lodge may be retried by key, within a deduplication window and in its
+// cell only. Their connect timeout is 5 s.
 func keyedSettings(windowMS int) json.RawMessage {
 	slowConnect := strings.Replace(testSettings, `"connect_timeout_ms":250`, `"connect_timeout_ms":5000`, 1)
 	keyed := fmt.Sprintf(`"repeat":"by_key","group":"cell","window_ms":%d`, windowMS)
 	return json.RawMessage(strings.Replace(slowConnect, `"repeat":"once"`, keyed, 1))
 }
 
-// longDeadlineSettings have classes that wait long, so that a request is held until a test lets it go on.
+// longDeadlineSettings returns settings with a latency objective of 20 s and client deadlines of 25 s, so that a
+// request stays open until the test completes it.
 func longDeadlineSettings() json.RawMessage {
 	return json.RawMessage(strings.NewReplacer(
 		`"aim_ms":800`, `"aim_ms":20000`,
@@ -57,36 +59,37 @@
 	).Replace(testSettings))
 }
 
-// load has eight clients ask for so long, a view and then a bid that waits 400 ms.
-func (r *rig) load(last time.Duration) {
-	r.t.Helper()
+// runLoad runs eight clients for a duration. Each alternates a view request and a lodge request, both with a client
+// timeout of 400 ms.
+func (g *gatewayProcess) runLoad(duration time.Duration) {
+	g.t.Helper()
 	var done sync.WaitGroup
-	began := time.Now()
+	started := time.Now()
 	for i := range 8 {
-		c := r.dial()
+		c := g.dial()
 		done.Go(func() {
-			for j := 0; time.Since(began) < last; j++ {
+			for j := 0; time.Since(started) < duration; j++ {
 				id := fmt.Sprintf("%d-%d", i, j)
-				ask(r.t, c, view("v"+id, 400))
-				ask(r.t, c, strings.Replace(lodge("l"+id, "x"), "2500m", "400m", 1))
+				roundTrip(g.t, c, viewRequest("v"+id, 400))
+				roundTrip(g.t, c, strings.Replace(lodgeRequest("l"+id, "x"), "2500m", "400m", 1))
 			}
 		})
 	}
 	done.Wait()
 }
 
-// rig is a running gateway.
-type rig struct {
-	t         *testing.T
-	cmd       *exec.Cmd
-	addr      string
-	path      string // of its configuration
-	log       *logBuffer
-	discovery *fakeDiscovery
-	done      chan error
+// gatewayProcess is a running gateway and the emulated discovery that it uses.
+type gatewayProcess struct {
+	t          *testing.T
+	cmd        *exec.Cmd
+	address    string
+	configPath string
+	log        *logBuffer
+	discovery  *fakeDiscovery
+	done       chan error
 }
 
-// settings of the tests: one safe class and one unsafe.
+// testSettings are the default settings of the tests: view is a repeatable class, lodge must not be repeated.
 const testSettings = `{"balancers":1,"rank":0,"zone":0,"zones":["a","b"],"tick_ms":5,"registry_mode":"subscribe",
  "report":{"columns":["pending","busy_reqs"],"how":"piggyback"},
  "bounds":{"connect_timeout_ms":250,"conn_idle_ms":30000,"most_tries":4,"cancel":true,"retry_after":true,
@@ -94,9 +97,9 @@
  "classes":[{"name":"view","aim_ms":800,"give_up_ms":2000,"repeat":"repeatable","worth":1},
   {"name":"lodge","aim_ms":800,"give_up_ms":2500,"repeat":"once","worth":8}]}`
 
-// ownAddress is an address for a gateway. A socket that does not listen has its port for as long as the test
-// lasts, so that nobody gets it but who asks for it by SO_REUSEPORT, as the gateway does.
-func ownAddress(t *testing.T) string {
+// reservedAddress returns an address for a gateway. A bound socket that does not listen reserves the port until the
+// test ends: only sockets with SO_REUSEPORT, such as the gateway's, can bind to it.
+func reservedAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err == nil {
@@ -116,13 +119,14 @@
 	return fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port)
 }
 
-// configure writes a configuration and returns the program ready to start. edit may change its fields.
-func configure(t *testing.T, known string, disc string, edit map[string]any) (*exec.Cmd, string) {
+// configure writes a configuration file and returns the command to start the gateway with it, and the gateway's
+// address. The entries of edit replace fields of the configuration.
+func configure(t *testing.T, knownList string, discovery string, edit map[string]any) (*exec.Cmd, string) {
 	t.Helper()
-	addr := ownAddress(t)
-	fields := map[string]any{"name": "n0", "listen": addr, "discovery": disc, "seed": "8c1f30d27a5be964",
+	addr := reservedAddress(t)
+	fields := map[string]any{"name": "n0", "listen": addr, "discovery": discovery, "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
-		"known":    json.RawMessage(known),
+		"known":    json.RawMessage(knownList),
 		"settings": json.RawMessage(testSettings)}
 	for k, v := range edit {
 		fields[k] = v
@@ -140,72 +144,75 @@
 	return cmd, addr
 }
 
-// start runs a gateway over the endpoints, all up, and waits until it is ready.
-func start(t *testing.T, edit map[string]any, hosts ...*fakeEndpoint) *rig {
+// start runs a gateway with the given endpoints, all of them up, and waits until it is ready.
+func start(t *testing.T, edit map[string]any, endpoints ...*fakeEndpoint) *gatewayProcess {
 	t.Helper()
 	var entries []string
-	for _, h := range hosts {
-		entries = append(entries, entry(h, "up"))
+	for _, endpoint := range endpoints {
+		entries = append(entries, endpointEntry(endpoint, "up"))
 	}
 	whole := endpointList(1, true, entries...)
 	return startWith(t, edit, whole, newDiscovery(t, func(int) string { return whole }))
 }
 
-func startWith(t *testing.T, edit map[string]any, known string, d *fakeDiscovery) *rig {
+// startWith runs a gateway with a cached list and an emulated discovery, and waits until it is ready.
+func startWith(t *testing.T, edit map[string]any, knownList string, d *fakeDiscovery) *gatewayProcess {
 	t.Helper()
-	r := launch(t, edit, known, d)
-	r.ready()
-	return r
+	g := launch(t, edit, knownList, d)
+	g.waitReady()
+	return g
 }
 
-// ready waits until the gateway answers that it is.
-func (r *rig) ready() {
-	r.t.Helper()
-	until(r.t, "the gateway to be ready", func() bool {
-		c, err := net.Dial("tcp", r.addr)
+// waitReady waits until the gateway responds to /healthz with 200.
+func (g *gatewayProcess) waitReady() {
+	g.t.Helper()
+	waitFor(g.t, "the gateway to be ready", func() bool {
+		c, err := net.Dial("tcp", g.address)
 		if err != nil {
 			return false
 		}
 		defer c.Close()
-		status, _, _ := ask(r.t, c, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+		status, _, _ := roundTrip(g.t, c, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 		return status == 200
 	})
 }
 
-// startUnready runs a gateway that knows no endpoint, and waits until it takes clients.
-func startUnready(t *testing.T, edit map[string]any, known string, d *fakeDiscovery) *rig {
+// startUnready runs a gateway whose cached list has no endpoint, and waits until it accepts clients.
+func startUnready(t *testing.T, edit map[string]any, knownList string, d *fakeDiscovery) *gatewayProcess {
 	t.Helper()
-	r := launch(t, edit, known, d)
-	until(t, "the gateway to take clients", func() bool { return r.logs("taking clients") })
-	return r
+	g := launch(t, edit, knownList, d)
+	waitFor(t, "the gateway to accept clients", func() bool { return g.hasLogged("taking clients") })
+	return g
 }
 
-// launch runs a gateway and does not wait.
-func launch(t *testing.T, edit map[string]any, known string, d *fakeDiscovery) *rig {
+// launch runs a gateway without waiting for it to be ready. When the test ends, it kills the process and fails the
+// test if the log shows a data race or a panic.
+func launch(t *testing.T, edit map[string]any, knownList string, d *fakeDiscovery) *gatewayProcess {
 	t.Helper()
-	cmd, addr := configure(t, known, d.ln.Addr().String(), edit)
+	cmd, addr := configure(t, knownList, d.ln.Addr().String(), edit)
 	path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-2], "LB_CONFIG=")
 	cmd.Env = append(cmd.Env, "LB_DISCOVERY="+d.ln.Addr().String())
-	r := &rig{t: t, cmd: cmd, addr: addr, path: path, log: &logBuffer{}, discovery: d, done: make(chan error, 1)}
-	cmd.Stderr = r.log
+	g := &gatewayProcess{t: t, cmd: cmd, address: addr, configPath: path, log: &logBuffer{}, discovery: d,
+		done: make(chan error, 1)}
+	cmd.Stderr = g.log
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go func() { r.done <- cmd.Wait() }()
+	go func() { g.done <- cmd.Wait() }()
 	t.Cleanup(func() {
 		_ = cmd.Process.Kill()
-		<-r.done
-		if r.logs("DATA RACE") || r.logs("panic:") {
-			t.Error("the gateway raced or panicked")
+		<-g.done
+		if g.hasLogged("DATA RACE") || g.hasLogged("panic:") {
+			t.Error("the log of the gateway shows a data race or a panic")
 		}
 		if t.Failed() {
-			t.Logf("log of the gateway:\n%s", r.log)
+			t.Logf("log of the gateway:\n%s", g.log)
 		}
 	})
-	return r
+	return g
 }
 
-// logBuffer is the program's log, read while it is written.
+// logBuffer collects the log of a process and may be read while the process writes.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -219,39 +226,40 @@
 
 func (l *logBuffer) String() string { l.mu.Lock(); defer l.mu.Unlock(); return l.b.String() }
 
-// reload replaces a field of the configuration and sends SIGHUP.
-func (r *rig) reload(field string, value any) {
-	r.t.Helper()
+// reload replaces a field of the configuration file and sends SIGHUP.
+func (g *gatewayProcess) reload(field string, value any) {
+	g.t.Helper()
 	fields := map[string]any{}
-	raw, err := os.ReadFile(r.path)
+	raw, err := os.ReadFile(g.configPath)
 	if err == nil {
 		err = json.Unmarshal(raw, &fields)
 	}
 	fields[field] = value
 	if raw, _ = json.Marshal(fields); err == nil {
-		err = os.WriteFile(r.path, raw, 0o600)
+		err = os.WriteFile(g.configPath, raw, 0o600)
 	}
 	if err == nil {
-		err = r.cmd.Process.Signal(syscall.SIGHUP)
+		err = g.cmd.Process.Signal(syscall.SIGHUP)
 	}
 	if err != nil {
-		r.t.Fatal(err)
+		g.t.Fatal(err)
 	}
 }
 
-func (r *rig) signal(s syscall.Signal) {
-	r.t.Helper()
-	if err := r.cmd.Process.Signal(s); err != nil {
-		r.t.Fatal(err)
+// signal sends a signal. After SIGSTOP it waits until all threads of the process are stopped.
+func (g *gatewayProcess) signal(s syscall.Signal) {
+	g.t.Helper()
+	if err := g.cmd.Process.Signal(s); err != nil {
+		g.t.Fatal(err)
 	}
 	if s == syscall.SIGSTOP {
-		until(r.t, "all threads to stand still", func() bool {
-			threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", r.cmd.Process.Pid))
+		waitFor(g.t, "all threads to be stopped", func() bool {
+			threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", g.cmd.Process.Pid))
 			if err != nil || len(threads) == 0 {
-				r.t.Fatal("no such process")
+				g.t.Fatalf("process %d has no threads, error %v", g.cmd.Process.Pid, err)
 			}
 			for _, path := range threads {
-				raw, _ := os.ReadFile(path) // a thread may have ended meanwhile
+				raw, _ := os.ReadFile(path) // the thread may have ended since the glob
 				if len(raw) > 0 && !bytes.HasPrefix(raw[bytes.LastIndexByte(raw, ')')+1:], []byte(" T")) {
 					return false
 				}
@@ -261,42 +269,43 @@
 	}
 }
 
-// exit waits for the program's end and returns its exit code.
-func (r *rig) exit() int {
-	r.t.Helper()
+// waitExit waits until the process has ended and returns its exit code.
+func (g *gatewayProcess) waitExit() int {
+	g.t.Helper()
 	select {
-	case err := <-r.done:
-		r.done <- err
+	case err := <-g.done:
+		g.done <- err
 	case <-time.After(testTimeout):
-		r.t.Fatal("the gateway did not exit")
+		g.t.Fatal("the gateway did not exit")
 	}
-	return r.cmd.ProcessState.ExitCode()
+	return g.cmd.ProcessState.ExitCode()
 }
 
-// awaitShutdown waits until the gateway has taken its SIGTERM.
-func (r *rig) awaitShutdown() {
-	r.t.Helper()
-	until(r.t, "the stop to begin", func() bool {
-		_, fields, _ := ask(r.t, r.dial(), view("first", 900))
+// awaitShutdown waits until the gateway has processed a SIGTERM, that is, until its responses close their connections.
+func (g *gatewayProcess) awaitShutdown() {
+	g.t.Helper()
+	waitFor(g.t, "the shutdown to begin", func() bool {
+		_, fields, _ := roundTrip(g.t, g.dial(), viewRequest("first", 900))
 		return fields.Get("Connection") == "close"
 	})
 }
 
-// until waits for a condition.
-func until(t *testing.T, what string, holds func() bool) {
+// waitFor polls until a condition is true. After testTimeout it fails the test.
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out after %v waiting for %s", testTimeout, what)
 		}
 	}
 }
 
-func settingsWith(old, new string) json.RawMessage {
+// settingsWithReplacement returns testSettings with the first occurrence of a text replaced.
+func settingsWithReplacement(old, new string) json.RawMessage {
 	return json.RawMessage(strings.Replace(testSettings, old, new, 1))
 }
 
-// processorTime is what a process has used so far.
+// processorTime returns the user and system time that a process has used since its start.
 func processorTime(t *testing.T, pid int) time.Duration {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
--- a/internal/ci/knownred_test.go
+++ b/internal/ci/knownred_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-func write(t *testing.T, text string) string {
+// writeList writes a list of known failures to a temporary file and returns its path.
+func writeList(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -19,18 +20,18 @@
 	return path
 }
 
-// Guards against a faulty list that is taken, or whose line is not named.
+// Guards against an invalid list that is accepted, or whose error does not name the line.
 func TestKnownRedNamesTheLineOfAFault(t *testing.T) {
 	line := func(n int) string { return fmt.Sprintf("./internal/loop TestThing%d | it fails | issue 28\n", n) }
-	there := func(_, test string) error {
+	exists := func(_, test string) error {
 		if test == "TestMissing" {
 			return errors.New("no such test")
 		}
 		return nil
 	}
 	for text, want := range map[string]string{
-		line(1) + line(2) + line(3) + line(4):             ":4: more than 3",
-		line(1) + "\n" + line(1):                          ":3: TestThing1 stands there twice",
+		line(1) + line(2) + line(3) + line(4):             ":4: more than 3 tests on the list",
+		line(1) + "\n" + line(1):                          ":3: TestThing1 is listed twice",
 		"./internal/loop TestThing |  | issue 28":         ":1: the cause is missing",
 		"./internal/loop TestThing | it fails":            ":1: want PACKAGE TEST | CAUSE | issue NUMBER",
 		"./internal/loop TestThing | it fails | soon":     ":1: want the issue",
@@ -39,37 +40,38 @@
 		line(1) + "./a TestMissing | it fails | issue 28": ":2: no such test",
 	} {
 		t.Run(want, func(t *testing.T) {
-			list, err := readKnownRed(write(t, text), there)
+			list, err := readKnownRed(writeList(t, text), exists)
 			if err == nil || !strings.Contains(err.Error(), "KNOWN-RED.txt"+want) || list != nil {
-				t.Errorf("%q: %v, want %q", text, err, want)
+				t.Errorf("%q: error %v, want one with %q and no list", text, err, want)
 			}
 		})
 	}
-	list, err := readKnownRed(write(t, line(1)+line(2)), there)
+	list, err := readKnownRed(writeList(t, line(1)+line(2)), exists)
 	if err != nil || pattern(list) != "^(TestThing1|TestThing2)$" {
-		t.Errorf("%v: %v", err, list)
+		t.Errorf("valid list: error %v, list %v", err, list)
 	}
-	if list, err := readKnownRed(filepath.Join(t.TempDir(), "none"), there); err != nil || pattern(list) != "^$" {
-		t.Errorf("no file: %v, %v", list, err)
+	if list, err := readKnownRed(filepath.Join(t.TempDir(), "none"), exists); err != nil || pattern(list) != "^$" {
+		t.Errorf("missing file: list %v, error %v, want an empty list", list, err)
 	}
 }
 
-// The list in force is right: each test is there, once.
-func TestTheListInForce(t *testing.T) {
+// Verifies that each test on the list of the repository exists, in one package only.
+func TestKnownRedListIsValid(t *testing.T) {
 	t.Chdir("../..")
 	if _, err := readKnownRed("KNOWN-RED.txt", testExists); err != nil {
 		t.Error(err)
 	}
 	for _, c := range []struct{ pkg, test string }{{"./internal/ci", "TestNowhere"},
-		{"./internal/loop", "TestTheListInForce"}, {"./nowhere", "TestTheListInForce"}} {
+		{"./internal/loop", "TestKnownRedListIsValid"}, {"./nowhere", "TestKnownRedListIsValid"}} {
 		if testExists(c.pkg, c.test) == nil {
-			t.Errorf("%s is said to have %s", c.pkg, c.test)
+			t.Errorf("testExists accepts %s with %s, want an error", c.pkg, c.test)
 		}
 	}
 }
 
-// A test that fails is printed as known, and one that passes again is said to.
-func TestKnownRedIsRunAndPrinted(t *testing.T) {
+// Verifies that a failing test is printed as expected, and that a passing test is reported with the request to
+// remove its line.
+func TestKnownRedRunReportsEachTest(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{"go.mod": "module red\n\ngo 1.24\n",
 		"a_test.go": "package red\n\nimport \"testing\"\n\n" +
@@ -81,7 +83,7 @@
 	t.Chdir(dir)
 	var out bytes.Buffer
 	runKnownRed(&out, []knownRed{{"./", "TestBad", "why", "issue 1"}, {"./", "TestGood", "why not", "issue 2"}})
-	for _, want := range []string{"TestBad: fails, as is known (why; issue 1)", "oh", "TestGood: PASSES AGAIN"} {
+	for _, want := range []string{"TestBad: fails as expected (why; issue 1)", "oh", "TestGood: PASSES AGAIN: remove its line"} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("%q is missing in %s", want, &out)
 		}
