--- a/internal/lab/simulation/hunt_test.go
+++ b/internal/lab/simulation/hunt_test.go
@@ -16,7 +16,7 @@
 func ordered() map[string]string {
 	return map[string]string{
 		"gateway.closeAfterAnswers":   "sets a flag on each",
-		"upstream.Oldest":             "keeps the first by number",
+		"upstream.OldestIdle":         "keeps the first by number",
 		"upstream.ConnectingTo":       "sorts what it found",
 		"upstream.Surplus":            "sorts what it found",
 		"discovery.removeUnlisted":    "sorts what it found",
