--- a/internal/admin/stats.go
+++ b/internal/admin/stats.go
@@ -6,7 +6,7 @@
 	Fulfilled       map[string]int64 `json:"fulfilled"` // requests answered with the response of an endpoint
 	Throttled       map[string]int64 `json:"throttled"` // requests rejected
 	Faulted         map[string]int64 `json:"faulted"`   // requests that failed
-	Forwarded       int64            `json:"relayed"`
+	Forwarded       int64            `json:"relayed"`   // requests written completely to endpoints
 	OpenRequests    int              `json:"open_requests"`
 	Endpoints       int              `json:"registry_entries"`
 	Unavailable     int              `json:"out_of_rotation"`
@@ -39,7 +39,7 @@
 	DuplicateName    bool              `json:"twin"`      // another live process uses the name of this gateway
 	Alive            int               `json:"alive"`     // live members, including this gateway and suspected members
 	Known            int               `json:"known"`     // Alive, members that failed recently, unreached seed peers
-	ProbeAnswerShare float64           `json:"answering"` // share of the latest periodic probes that were answered, 0 to 1
+	ProbeAnswerShare float64           `json:"answering"` // answered share of the last 16 periodic probes, 0 to 1
 	LocalHealth      int               `json:"health"`    // local health score: 0 is best, 8 is worst
 	StableForMS      int64             `json:"quiet_ms"`  // time since the state of a member last changed
 	Sent             uint64            `json:"sent"`
@@ -51,15 +51,17 @@
 	Assignment       *Assignment       `json:"portion,omitempty"`
 }
 
-// Assignment is the part of the endpoints that is assigned to this gateway, and the inputs of the assignment.
+// Assignment describes the endpoints that are assigned to this gateway, and the inputs of the assignment.
 type Assignment struct {
-	Stage          string             `json:"stage"`    // state of the assignment: waiting, settled, kept or changing
-	Gateways       int                `json:"gateways"` // number of gateways among which the endpoints are divided
-	TokensActive   bool               `json:"agreed"`   // most live members have the same settings: tokens are used
-	RelativeLoad   float64            `json:"crowd"`    // highest endpoint load for its capacity, relative to the mean
-	Demand         float64            `json:"demand"`   // requests per second of the average class, sent to members
-	Tokens         uint64             `json:"turns"`    // number of slow-start tokens that this process has used
-	SpareEndpoints int                `json:"spares"`   // other endpoints, used if the assigned ones fail or are full
+	Stage    string `json:"stage"`    // state of the assignment: waiting, settled, kept or changing
+	Gateways int    `json:"gateways"` // number of gateways among which the endpoints are divided
+	// TokensActive reports that slow-start tokens are used: a majority has had the same settings long enough.
+	TokensActive bool    `json:"agreed"`
+	RelativeLoad float64 `json:"crowd"` // highest load per capacity of any endpoint, relative to the mean
+	// Demand is the demand that this gateway reports to the others, in requests per second of the average class.
+	Demand         float64            `json:"demand"`
+	Tokens         uint64             `json:"turns"`  // number of slow-start tokens that this process has used
+	SpareEndpoints int                `json:"spares"` // other endpoints, used if the assigned ones fail or are full
 	Endpoints      []AssignedEndpoint `json:"hosts"`
 }
 
@@ -69,7 +71,7 @@
 	Weight           float64 `json:"weight"` // relative to the weights of this gateway's other endpoints
 	Share            float64 `json:"part"`   // this gateway's share of the endpoint
 	SlowStart        bool    `json:"cold"`
-	SuspectedByPeers bool    `json:"doubted"` // several other gateways report the endpoint as unhealthy
+	SuspectedByPeers bool    `json:"doubted"` // at least two other gateways report that they have ejected the endpoint
 }
 
 // Member is one gateway of a Cluster.
--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -133,9 +133,10 @@
 }
 
 // Intersect returns what a gateway may use during the change from one assignment to another: the endpoints that both
-// assignments give it, each with the smaller of the two shares. The shares of an endpoint then add up to at most 1,
-// provided that no gateway uses the new assignment alone while another still uses the old one alone. Each gateway
-// therefore has to use the intersection for as long as a change takes to reach the last gateway.
+// assignments give it, each with the smaller of the two shares. It scales the weights so that they add up to 1. The
+// shares of an endpoint then add up to at most 1, provided that no gateway uses the new assignment alone while another
+// still uses the old one alone. Each gateway therefore has to use the intersection for as long as a change takes to
+// reach the last gateway.
 func Intersect(a, b []Assigned) []Assigned {
 	var out []Assigned
 	for i, j := 0, 0; i < len(a) && j < len(b); {
@@ -154,8 +155,8 @@
 		}
 	}
 	sum := 0.0
-	for _, one := range out {
-		sum += one.Weight
+	for _, assigned := range out {
+		sum += assigned.Weight
 	}
 	for i := range out {
 		out[i].Weight /= sum
--- a/internal/assignment/assignment_test.go
+++ b/internal/assignment/assignment_test.go
@@ -74,7 +74,8 @@
 	gateways, endpoints := cluster(300, 200, lastGatewayTenfold(300))
 	a := compute(t, unboundedRule(), gateways, endpoints)
 	if heavy, light := len(a.Of("gateway-0299")), len(a.Of("gateway-0000")); heavy < 7*light {
-		t.Errorf("a gateway with ten times the demand has %d endpoints, the others have %d; want at least 7 times as many",
+		t.Errorf("a gateway with ten times the demand has %d endpoints, the others have %d; "+
+			"want at least 7 times as many",
 			heavy, light)
 	}
 }
--- a/internal/assignment/input.go
+++ b/internal/assignment/input.go
@@ -32,9 +32,11 @@
 		return inputErrorf("Rule.MinEndpoints", "minimum number of endpoints per gateway is %d, must not be negative",
 			r.MinEndpoints)
 	case r.MaxUsers != 0 && float64(r.MaxUsers) < r.Users:
-		return inputErrorf("Rule.MaxUsers", "maximum of %d users per endpoint is below the mean of %v", r.MaxUsers, r.Users)
+		return inputErrorf("Rule.MaxUsers", "maximum of %d users per endpoint is below the mean of %v", r.MaxUsers,
+			r.Users)
 	case !(r.RemoteZoneOdds >= 0 && r.RemoteZoneOdds <= 1):
-		return inputErrorf("Rule.RemoteZoneOdds", "odds of endpoints in other zones are %v, must be 0 to 1", r.RemoteZoneOdds)
+		return inputErrorf("Rule.RemoteZoneOdds", "odds of endpoints in other zones are %v, must be 0 to 1",
+			r.RemoteZoneOdds)
 	}
 	return nil
 }
@@ -69,7 +71,8 @@
 			return inputErrorf("Endpoints", "endpoint %d is listed twice", e.ID)
 		}
 		if !(e.Capacity > 0) || math.IsInf(e.Capacity, 0) {
-			return inputErrorf("Endpoints", "endpoint %d has a capacity of %v, must be above 0 and finite", e.ID, e.Capacity)
+			return inputErrorf("Endpoints", "endpoint %d has a capacity of %v, must be above 0 and finite", e.ID,
+				e.Capacity)
 		}
 	}
 	return nil
--- a/internal/assignment/tracker.go
+++ b/internal/assignment/tracker.go
@@ -73,8 +73,8 @@
 	return t.changedAt + t.changeDelay, t.previous != nil
 }
 
-// Observe updates the assignment from an observation and reports whether the endpoints of this gateway or their
-// shares have changed. It returns the errors of [Compute]; after an error the tracker is unchanged.
+// Observe updates the assignment from an observation and reports whether the endpoints of this gateway, their weights
+// or their shares have changed. It returns the errors of [Compute]; after an error the tracker is unchanged.
 func (t *Tracker) Observe(at time.Duration, observation Observation) (changed bool, err error) {
 	next := *t
 	if observation.Converged && !slices.Equal(t.gateways, observation.Alive) {
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// Spares returns the endpoints outside the subset of this gateway, which is in the given zone. The best score comes
-// first: in this order the gateway turns to them when the endpoints of its subset fail or are full.
+// Spares returns the endpoints outside the subset of this gateway, which is in the given zone, sorted by the gateway's
+// score for them, best first. The gateway uses them in this order when the endpoints of its subset fail or are full.
 func (t *Tracker) Spares(zone int) []uint64 {
 	if len(t.endpoints) <= len(t.assigned) {
 		return nil
--- a/internal/assignment/tracker_test.go
+++ b/internal/assignment/tracker_test.go
@@ -100,7 +100,8 @@
 	tracker := newTracker(0, nil)
 	observe(t, tracker, 0, 6, true, 40)
 	duplicated := append(equalEndpoints(2), Endpoint{ID: 1, Capacity: 1})
-	_, err := tracker.Observe(7*time.Second, Observation{Alive: equalGateways(3), Converged: true, Endpoints: duplicated})
+	observation := Observation{Alive: equalGateways(3), Converged: true, Endpoints: duplicated}
+	_, err := tracker.Observe(7*time.Second, observation)
 	if err == nil {
 		t.Error("Observe accepted an endpoint that is listed twice")
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -50,7 +50,7 @@
 	Limits          Limits
 	CachedEndpoints json.RawMessage // the last known endpoint list, in discovery's format; may be empty
 	Settings        settings.Settings
-	Path            string // of the configuration file, which a reload reads again
+	Path            string // path of the configuration file, which a reload reads again
 	// HotRestartSocket is the path of the socket on which a successor process requests to take over; empty if no
 	// directory for it is configured (TMPDIR).
 	HotRestartSocket string
@@ -102,9 +102,9 @@
 }
 
 // Reload parses the new text of the configuration file. The gateway keeps its name and its listening sockets. The
-// address of discovery is taken from the file alone, because the environment still holds the value from the start,
-// which the file replaces. A file that lacks a field of the configuration in force was most likely read while it was
-// being written, so Reload rejects the whole file.
+// address of discovery is taken from the file alone: LB_DISCOVERY still has the value from the start, and would hide a
+// changed address in the file. A file that lacks a field of the configuration in force was most likely read while it
+// was being written, so Reload rejects the whole file.
 func (c Config) Reload(raw []byte) (Config, error) {
 	admin := ""
 	if c.Admin.IsValid() {
--- a/internal/discovery/endpoints.go
+++ b/internal/discovery/endpoints.go
@@ -2,7 +2,7 @@
 // format, applies snapshots and deltas to the copy, and splits the stream of a watch into objects. It does no I/O:
 // the caller opens the connections and passes in the received bytes with the time of the read.
 //
-// Another source of endpoint lists would need a package of its own beside this one.
+// Support for another source of endpoint lists would be a separate package beside this one.
 package discovery
 
 import (
--- a/internal/discovery/format.go
+++ b/internal/discovery/format.go
@@ -69,8 +69,8 @@
 // maxCapacity bounds the capacity that a list may state: a value above it, or below its inverse, counts as 1.
 const maxCapacity = 1000.0
 
-// EndpointIDFromName derives an endpoint's ID from its name alone, so that every gateway computes the same ID: the gateways
-// divide the endpoints among themselves by ID.
+// EndpointIDFromName derives an endpoint's ID from its name alone, so that every gateway computes the same ID: the
+// gateways divide the endpoints among themselves by ID.
 func EndpointIDFromName(name string) balancer.EndpointID {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(name)) // a hash never returns an error
--- a/internal/discovery/framing.go
+++ b/internal/discovery/framing.go
@@ -8,7 +8,7 @@
 )
 
 // scan processes the next byte of the stream and reports whether it ends a heartbeat or an object. It returns
-// ErrTruncatedString or ErrTruncatedObject where the byte shows that the object was cut off.
+// ErrTruncatedString or ErrTruncatedObject if the byte shows that the object was cut off.
 func (w *Watch) scan(b byte) (end bool, err error) {
 	switch {
 	case b == '\n' && w.inString:
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -82,9 +82,9 @@
 	return removed
 }
 
-// ApplyStaleRemovals applies only part of an object that is older than the list in force: endpoints that the object reports as
-// draining or removed change to that state if the object states the same start time as the list. It returns the
-// update. The version in force stays.
+// ApplyStaleRemovals applies only part of an object that is older than the list in force: endpoints that the object
+// reports as draining or removed change to that state if the object states the same start time as the list. It returns
+// the update. The version in force stays.
 func (eps *Endpoints) ApplyStaleRemovals(raw []byte) Update {
 	var doc document
 	if err := json.Unmarshal(raw, &doc); err != nil {
--- a/internal/downstream/arrivals.go
+++ b/internal/downstream/arrivals.go
@@ -121,8 +121,9 @@
 	return c.arrivals.sentAt(c.arrivals.bytesReceived - int64(c.reader.Buffered()))
 }
 
-// RemainingTimeout returns the remaining time of the request's client timeout. The timeout does not start before the whole body
-// has been received, unless the remainder of the body may already be waiting in the kernel's receive buffer.
+// RemainingTimeout returns the remaining time of the request's client timeout. The timeout does not start before the
+// whole body has been received, unless the remainder of the body may already be waiting in the kernel's receive buffer
+// because reading was paused: it then starts at the earliest time at which that remainder may have been sent.
 func (c *Conn) RemainingTimeout(now, clientTimeout time.Duration) time.Duration {
 	switch {
 	case c.Upload && c.reader.Complete():
--- a/internal/downstream/arrivals_test.go
+++ b/internal/downstream/arrivals_test.go
@@ -17,7 +17,7 @@
 	conn.Feed(ms(100), []byte(viewRequest+viewRequest[:10]))
 	conn.Feed(ms(400), []byte(viewRequest[10:]+viewRequest))
 	for i, want := range []time.Duration{ms(100), ms(400), ms(400)} {
-		if _, whole := conn.Next(testClasses); !whole {
+		if _, complete := conn.Next(testClasses); !complete {
 			t.Fatalf("request %d is not complete", i)
 		}
 		if got := conn.LastByteSent(); got != want {
@@ -84,7 +84,7 @@
 
 // The client timeout of a request with a streamed body starts only when the whole body has arrived, or may have arrived
 // because reading is paused.
-func TestTimeLeftOfStreamedRequest(t *testing.T) {
+func TestRemainingTimeoutOfStreamedRequest(t *testing.T) {
 	conn := NewConns(1).Add(1, 0)
 	raw := partialBid(300<<10, 300<<10)
 	conn.Feed(ms(10), raw[:100<<10])
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -73,7 +73,8 @@
 
 	// AcceptedAt is when the connection was accepted.
 	AcceptedAt time.Duration
-	// IdleSince is when the connection became idle: when it was accepted or when its last response was completely written.
+	// IdleSince is when the connection became idle: when it was accepted or when its last response was completely
+	// written.
 	IdleSince time.Duration
 	// RequestStart is when the read timeout of the request being received started: at its first byte, or, for the first
 	// request, when the connection was accepted.
@@ -107,8 +108,8 @@
 	return c.reader.BeginStream()
 }
 
-// ReadStream returns the data of a streamed body that has arrived since the last call, and whether the body has ended. The
-// data is valid until the next call.
+// ReadStream returns the data of a streamed body that has arrived since the last call, and whether the body has ended.
+// The data is valid until the next call.
 func (c *Conn) ReadStream() (piece []byte, done bool, fault *http1.Fault) {
 	_, piece, done, fault = c.reader.ReadStream()
 	return piece, done, fault
--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -18,7 +18,7 @@
 	ReuseLimit int // with more connections than this, connections that are not reused are closed, see SingleUse
 
 	// The eviction queues. Each connection is in at most one. Requeue chooses it.
-	fullyClosed   evictionQueue // the gateway has ended its sending, after the last response
+	writeClosed   evictionQueue // the gateway has ended its sending, after the last response
 	unused        evictionQueue // nothing received yet; in order of acceptance
 	partialFirst  evictionQueue // the first request is incomplete; in order of the last byte received
 	usedOnce      evictionQueue // idle after one request
@@ -60,7 +60,7 @@
 	switch {
 	case c.Busy, c.FinalRead:
 	case c.WriteClosed:
-		s.fullyClosed.push(c)
+		s.writeClosed.push(c)
 	case c.Pending() && c.HasRequested:
 		s.partialLater.push(c)
 	case c.Pending():
@@ -78,7 +78,8 @@
 
 // Evictable returns the connection to evict when connections have run out, or nil if none may be evicted. It prevents
 // clients that connect and send nothing, that send one request and stay connected, or that never complete a request
-// from using up the connections. It returns the first connection that exists of this list:
+// from using up the connections. It returns a connection for the first case of this list that
+// applies to one:
 //
 //  1. the last response is written and the gateway has ended its sending, FirstByteGrace ago
 //  2. nothing received since the connection was accepted, FirstRequestGrace ago
@@ -123,7 +124,7 @@
 // FullyClosed returns a connection on which the gateway has ended its sending after the last response, FirstByteGrace
 // ago or earlier, so that the client has had time to read the response. It returns nil if there is none.
 func (s *Conns) FullyClosed(now time.Duration) *Conn {
-	if c := s.fullyClosed.head; c != nil && now-c.IdleSince >= FirstByteGrace {
+	if c := s.writeClosed.head; c != nil && now-c.IdleSince >= FirstByteGrace {
 		return c
 	}
 	return nil
--- a/internal/fielderror/fielderror.go
+++ b/internal/fielderror/fielderror.go
@@ -36,8 +36,8 @@
 	return Inline(field, fmt.Errorf(format, args...))
 }
 
-// CauseWithText returns a cause that errors.Is matches with kind but whose text is the formatted text alone. The format may
-// wrap another error with %w.
+// CauseWithText returns a cause that errors.Is matches with kind but whose text is the formatted text alone. The format
+// may wrap another error with %w.
 func CauseWithText(kind error, format string, args ...any) error {
 	return &textCause{kind: kind, text: fmt.Errorf(format, args...)}
 }
--- a/internal/gossipcodec/decode.go
+++ b/internal/gossipcodec/decode.go
@@ -185,7 +185,8 @@
 	case state > uint64(maxState):
 		return c, fieldErrorf("state", "unknown state %d in a claim about %s", state, c.Name)
 	case len(c.Payload) > MaxPayload:
-		return c, fieldErrorf("payload", "payload of %d bytes exceeds the maximum of %d bytes", len(c.Payload), MaxPayload)
+		return c, fieldErrorf("payload", "payload of %d bytes exceeds the maximum of %d bytes", len(c.Payload),
+			MaxPayload)
 	case c.Start > MaxStart:
 		return c, fieldErrorf("start",
 			"process start %d, incarnation %d in a claim about %s: the start exceeds the maximum of %d",
--- a/internal/gossipcodec/message.go
+++ b/internal/gossipcodec/message.go
@@ -43,7 +43,7 @@
 // are part of the wire format.
 const (
 	Alive    State = iota
-	Suspect        // did not answer a probe and has not refuted that yet
+	Suspect        // did not answer a probe and has not refuted the suspicion yet
 	Gone           // considered dead
 	Left           // announced that it leaves the cluster
 	maxState = Left
@@ -57,7 +57,7 @@
 	return [...]string{"alive", "suspect", "gone", "left"}[s]
 }
 
-// Claim states what its originator assumes about one process of one member.
+// Claim is a statement about one process of one member: the state that the claim's originator assumes.
 type Claim struct {
 	Name        string
 	Start       uint64 // when the process started, in ms of Unix time
--- a/internal/gossipconfig/assignment.go
+++ b/internal/gossipconfig/assignment.go
@@ -40,7 +40,8 @@
 const (
 	maxUsers    = 100
 	maxWarmRate = 1e6 // requests a second
-	// A slow-start token is valid for a quarter of the token rule's window, minus twice the clock skew.
+	// A slow-start token is valid for a quarter of the token rule's window, minus twice the clock skew. A larger skew
+	// would leave too little of that time.
 	maxClockSkew = 100 * time.Millisecond
 )
 
@@ -101,7 +102,7 @@
 	return a
 }
 
-// override sets value if the file states one.
+// override sets *value to *stated, unless stated is nil because the file lacks the key.
 func override[T any](value, stated *T) {
 	if stated != nil {
 		*value = *stated
--- a/internal/gossipconfig/gossipconfig_test.go
+++ b/internal/gossipconfig/gossipconfig_test.go
@@ -102,8 +102,10 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := Parse("x.toml", []byte(test.text), "me")
 			var fault *fielderror.Error
-			if !errors.Is(err, test.want) || !errors.As(err, &fault) || fault.Line != test.line || fault.Field != test.field {
-				t.Errorf("error %v, fault %+v; want %v at field %s, line %d", err, fault, test.want, test.field, test.line)
+			if !errors.Is(err, test.want) || !errors.As(err, &fault) || fault.Line != test.line ||
+				fault.Field != test.field {
+				t.Errorf("error %v, fault %+v; want %v at field %s, line %d", err, fault, test.want, test.field,
+					test.line)
 			}
 		})
 	}
--- a/internal/hotrestart/conn.go
+++ b/internal/hotrestart/conn.go
@@ -41,7 +41,8 @@
 	switch {
 	case m.Version != Version:
 		return m, false, &VersionError{PeerVersion: m.Version}
-	case m.DescriptorsPassed < 0 || m.DescriptorsPassed > len(c.unclaimed) || m.DescriptorsPassed != m.descriptorsNeeded():
+	case m.DescriptorsPassed < 0 || m.DescriptorsPassed > len(c.unclaimed) ||
+		m.DescriptorsPassed != m.descriptorsNeeded():
 		return m, false, fmt.Errorf("hand-over message %q states %d descriptors, %d were received",
 			m.Kind, m.DescriptorsPassed, len(c.unclaimed))
 	}
@@ -50,7 +51,8 @@
 	return m, true, nil
 }
 
-// UnclaimedConns returns the sockets that belong to no decoded message. The caller closes them together with the connection.
+// UnclaimedConns returns the sockets that belong to no decoded message. The caller closes them together with the
+// connection.
 func (c *Conn) UnclaimedConns() []loop.Conn { return c.unclaimed }
 
 // Limits of the communication between predecessor and successor.
@@ -58,8 +60,8 @@
 	// AnswerTimeout is how long a successor waits for the predecessor's answer before it opens a listening socket
 	// itself.
 	AnswerTimeout = time.Second
-	// TakeoverTimeout is how long a predecessor waits for the successor to accept clients, and for it to acknowledge
-	// passed connections.
+	// TakeoverTimeout is how long a predecessor waits for the successor to accept clients, and then for each
+	// acknowledgement of passed connections.
 	TakeoverTimeout = 3 * time.Second
 	// MaxBatch is the maximum number of downstream connections passed with one message.
 	MaxBatch = 64
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -25,8 +25,8 @@
 	Hello     Kind = "hello"  // from the successor: it requests a hot restart
 	State     Kind = "state"  // from the predecessor: its state, with the listening socket
 	Accepting Kind = "taking" // from the successor: it now accepts clients
-	// PassConns is from the predecessor: it passes any number of idle downstream connections and states how many
-	// descriptors it still needs.
+	// PassConns is from the predecessor: it passes up to MaxBatch idle downstream connections, possibly none, and
+	// states how many descriptors the predecessor still needs.
 	PassConns   Kind = "links"
 	Acknowledge Kind = "got" // from the successor: it has received the connections
 	Decline     Kind = "bye" // from the predecessor: no hot restart is possible, with the reason
@@ -38,12 +38,12 @@
 	Kind            Kind            `json:"kind"`
 	Listen          string          `json:"listen,omitempty"`  // for Hello: the address at which clients connect
 	Reason          string          `json:"reason,omitempty"`  // for Decline
-	List            json.RawMessage `json:"list,omitempty"`    // for State: the endpoint list in the format of discovery
+	List            json.RawMessage `json:"list,omitempty"`    // for State: the endpoint list in discovery's format
 	Balancer        *balancer.State `json:"learned,omitempty"` // for State: the state of the balancer
-	DescriptorsHeld int             `json:"holds,omitempty"`   // the number of descriptors that the predecessor still needs
+	DescriptorsHeld int             `json:"holds,omitempty"`   // for State, PassConns: descriptors the predecessor needs
 	Idle            []IdleConn      `json:"links,omitempty"`   // for PassConns: the connections passed
-	// For State: the start id and the incarnation with which the successor continues in the cluster; both are 0 if this
-	// process is in no cluster.
+	// For State: the process start, in ms of Unix time, and the incarnation with which the successor continues in the
+	// cluster; both are 0 if the predecessor is in no cluster.
 	ClusterStartID     uint64      `json:"fleet_start,omitempty"`
 	ClusterIncarnation uint64      `json:"fleet_incarnation,omitempty"`
 	DescriptorsPassed  int         `json:"passed,omitempty"` // the number of descriptors passed with this message
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -65,8 +65,8 @@
 	return false
 }
 
-// IsHopByHop reports whether a field is hop-by-hop: it applies only to the connection on which it was received and must not be
-// forwarded.
+// IsHopByHop reports whether a field is hop-by-hop: it applies only to the connection on which it was received and must
+// not be forwarded.
 func (h *Head) IsHopByHop(name string) bool {
 	for _, hop := range [...]string{"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer",
 		"Transfer-Encoding", "Upgrade", "Content-Length", "Expect"} {
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -85,8 +85,8 @@
 // Full reports whether the buffer for decoded data of the body is full.
 func (r *Reader) Full() bool { return len(r.payload) >= MaxBufferedBody }
 
-// BeginStream switches the body of the current message to streaming: from now on, the caller reads its data as it arrives.
-// length is the length of the body in bytes, or -1 if it is not stated.
+// BeginStream switches the body of the current message to streaming: from now on, the caller reads its data as it
+// arrives. length is the length of the body in bytes, or -1 if it is not stated.
 func (r *Reader) BeginStream() (length int64) {
 	r.streamed = true
 	if r.body.framing != byLength {
--- a/internal/loadreport/codec.go
+++ b/internal/loadreport/codec.go
@@ -61,8 +61,8 @@
 	return byte(math.Round(min(share, 1) * shareSteps))
 }
 
-// Append appends the encoded report to b and returns the result. Values out of bounds are replaced by the nearest
-// bound.
+// Append appends the encoded report to b and returns the result. It replaces values out of bounds by the nearest
+// bound, and omits ejected endpoints beyond MaxEjected.
 func Append(b []byte, r Report) []byte {
 	zone := uint64(min(max(r.Zone, 0), maxZone))
 	if !r.HasFigures {
--- a/internal/loadreport/reporter.go
+++ b/internal/loadreport/reporter.go
@@ -16,9 +16,9 @@
 
 // Minimum changes of a figure for which a new report is sent.
 const (
-	minDemandChange = 2 // steps of factor demandStep
-	minShareChange  = shareSteps/4 + 1
-	minHealthChange = 2
+	minDemandChange = 2                // steps of factor demandStep
+	minShareChange  = shareSteps/4 + 1 // steps of 1/shareSteps
+	minHealthChange = 2                // points of the local health
 )
 
 // Reporter decides when a gateway sends a new report. The zero value has sent none.
@@ -28,9 +28,10 @@
 	reported bool
 }
 
-// Next returns whether the report is to be sent now, and if so its payload. The first report is sent at once. Later
-// ones are sent if a figure has changed by its minimum or something urgent has changed, and if the minimum interval
-// for this kind of change, which depends on the number of gateways, has passed since the last report.
+// Next returns the payload of the report and true if this gateway must send the report now. It must send the first
+// report at once. It must send a later one if a figure has changed by its minimum or something urgent has changed,
+// and if the minimum interval for this kind of change, which depends on the number of gateways, has passed since the
+// last report.
 func (r *Reporter) Next(now time.Duration, report Report, gateways int) ([]byte, bool) {
 	elapsed, n := now-r.lastAt, time.Duration(gateways)
 	due := !r.reported ||
@@ -46,7 +47,8 @@
 // urgentlyDiffers reports whether two reports differ in the ejected endpoints, the settings, the zone or in whether
 // the figures are known.
 func urgentlyDiffers(a, b *Report) bool {
-	return a.Zone != b.Zone || a.HasFigures != b.HasFigures || a.ConfigHash != b.ConfigHash || !slices.Equal(a.Ejected, b.Ejected)
+	return a.Zone != b.Zone || a.HasFigures != b.HasFigures || a.ConfigHash != b.ConfigHash ||
+		!slices.Equal(a.Ejected, b.Ejected)
 }
 
 // figuresDiffer reports whether a figure of two reports differs by its minimum change or more.
--- a/internal/loop/calls_test.go
+++ b/internal/loop/calls_test.go
@@ -298,7 +298,8 @@
 			recorded, _ := dialAndExchange(t, inject, []byte("x"))
 			last := recorded.events[len(recorded.events)-1]
 			if last.Kind != Broken || last.LocalFailure != c.local {
-				t.Errorf("%s fails with %v: last event has kind %v, Local %v", name, c.err, last.Kind, last.LocalFailure)
+				t.Errorf("%s fails with %v: last event has kind %v, LocalFailure %v", name, c.err, last.Kind,
+					last.LocalFailure)
 			}
 		}
 	}
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -47,7 +47,7 @@
 	syscalls       syscalls
 	epollFD        int
 	wakeFD         int            // an eventfd that is written when a signal arrives, to end the wait for sockets
-	pendingSignals chan os.Signal // signals that are not yet delivered to the reducer
+	pendingSignals chan os.Signal // signals not yet delivered to the reducer
 	reloadSignal   os.Signal
 	byConn         map[Conn]*socket
 	byFD           map[int]*socket
@@ -124,8 +124,8 @@
 	go func() {
 		for s := range received {
 			l.pendingSignals <- s
-			one := [8]byte{1}
-			_, _ = unix.Write(l.wakeFD, one[:]) // an eventfd takes all eight bytes or none
+			increment := [8]byte{1}
+			_, _ = unix.Write(l.wakeFD, increment[:]) // an eventfd takes all eight bytes or none
 		}
 	}()
 }
@@ -155,12 +155,12 @@
 
 // wait blocks until a socket is ready or a timer expires, and returns the number of ready sockets.
 func (l *Loop) wait() (int, error) {
-	wait := l.timers.wait(l.clock.Now())
+	timeoutMS := l.timers.wait(l.clock.Now())
 	if l.turnRequested {
-		wait = 0
+		timeoutMS = 0
 	}
 	l.turnRequested = false
-	n, err := l.syscalls.wait(l.epollFD, l.readyEvents, wait)
+	n, err := l.syscalls.wait(l.epollFD, l.readyEvents, timeoutMS)
 	if err != nil && !errors.Is(err, unix.EINTR) {
 		return 0, fmt.Errorf("wait for epoll: %w", err)
 	}
@@ -230,9 +230,9 @@
 }
 
 // resolveMore converts a readMore event into the event that the reducer receives, or returns false if there is none.
-// The reducer learns of the end of a stream in the turn in which the loop detects it, and of all data of an urgent
-// socket, so that no request is dispatched for a client that has left or to an endpoint that the remainder of a
-// discovery list removes.
+// The reducer receives the end of a stream in the turn in which the loop detects it, and all data of an urgent socket
+// in the turn in which the first part arrives, so that no request is dispatched for a client that has left or to an
+// endpoint that the remainder of a discovery list removes.
 func (l *Loop) resolveMore(e *Event) bool {
 	s := l.byConn[e.Conn]
 	switch {
--- a/internal/loop/sockets.go
+++ b/internal/loop/sockets.go
@@ -103,9 +103,9 @@
 	l.queueEvent(Event{Kind: Broken, Conn: s.conn, Err: err})
 }
 
-// accept accepts the connections that wait at a listener: at most limit, or maxAcceptPerTurn if limit is 0 or larger.
-// If descriptors run out, it queues AcceptFailed. The reducer must then pause the listener, because epoll reports it
-// as ready in every turn while connections wait.
+// accept accepts the connections that wait at a listener: at most limit, but never more than maxAcceptPerTurn; a limit
+// of 0 means maxAcceptPerTurn. If descriptors run out, it queues AcceptFailed. The reducer must then pause the
+// listener, because epoll reports it as ready in every turn while connections wait.
 func (l *Loop) accept(s *socket, limit int) {
 	for range min(cmp.Or(limit, maxAcceptPerTurn), maxAcceptPerTurn) {
 		fd, err := l.syscalls.accept(s.fd)
@@ -254,7 +254,7 @@
 // isIdle reports whether the peer of an idle connection has neither sent data nor closed. It prevents a request from
 // being sent on a connection whose end has arrived since the last epoll_wait: a reset would end that request.
 func (l *Loop) isIdle(fd int) bool {
-	var one [1]byte
-	_, err := retryInterrupted(func() (int, error) { return 0, l.syscalls.peek(fd, one[:]) })
+	var buf [1]byte
+	_, err := retryInterrupted(func() (int, error) { return 0, l.syscalls.peek(fd, buf[:]) })
 	return errors.Is(err, unix.EAGAIN)
 }
--- a/internal/loop/types.go
+++ b/internal/loop/types.go
@@ -44,18 +44,18 @@
 	Broken                   // an error has closed the socket, or the socket could not be opened
 	Flushed                  // the kernel has taken everything that was written to a socket
 	Stale                    // nothing was written, since the peer has meanwhile sent data or closed
-	// PeerShutdown reports that the peer of a socket whose reading is paused has ended its sending, perhaps after unread
-	// data. It is delivered only where the effect that paused the reading requested it.
+	// PeerShutdown reports that the peer of a socket whose reading is paused has ended its sending, perhaps after
+	// unread data. It is delivered only if the effect that paused the reading set ReportShutdown.
 	PeerShutdown
 	Listening // a listening or datagram socket is open
 	TimerDue  // a timer has expired
 	Start     // the loop has started; this is the first event, and it is delivered once
 	Stop      // a signal to stop the program has arrived
 	Reload    // the signal to read the configuration again has arrived
-	FileRead  // the contents of a file that was to be read, or the error
+	FileRead  // the result of ReadFile: the contents of the file, or the error
 	TurnEnd   // the events of all ready sockets and expired timers of one turn of the loop have been delivered
-	// readMore is internal to this package: it marks that the end of the stream, or more data of an urgent socket,
-	// is known to follow the data just read.
+	// readMore is internal to this package: the peer of a socket that was just read has ended its sending, or an urgent
+	// socket may have more data because the read filled its buffer.
 	readMore
 )
 
@@ -67,14 +67,14 @@
 	Timer      Timer
 	// Data holds received bytes or the contents of a file. It is valid only while the reducer handles the event.
 	Data []byte
-	// PassedConns lists the sockets that another process passed beside Data on a Unix socket. Their reading is paused. The
-	// reducer may turn a passed listening socket into a listener of this process.
+	// PassedConns lists the sockets that another process passed beside Data on a Unix socket. Their reading is paused.
+	// The effect AdoptListener makes a passed listening socket a listener of this process.
 	PassedConns []Conn
 	// From is the sender of Data on a datagram socket. Each datagram is delivered as a separate event.
 	From netip.AddrPort
 	Err  error
-	// LocalFailure reports, for a dial that failed, that this machine or process has run out of a resource; the endpoint
-	// may be healthy.
+	// LocalFailure reports, for a dial that failed, that this machine or process has run out of a resource; the
+	// endpoint may be healthy.
 	LocalFailure bool
 }
 
@@ -83,25 +83,25 @@
 
 // The effects. The comment of each names the events that report its result.
 const (
-	Accept         Op = iota // accepts waiting connections: Accepted for each, AcceptFailed, or a report that none is left
+	Accept         Op = iota // accepts waiting connections: Accepted for each, AcceptFailed, WouldBlock if none is left
 	Dial                     // connects to Addr, or to the Unix socket at Path: Connected or Broken
 	Listen                   // listens as Conn at Addr, or at Path with a Unix socket of mode 0600: Listening or Broken
 	Bind                     // opens Conn as a datagram socket at Addr: Listening or Broken
-	SendTo                   // sends Data as one datagram to Addr; a datagram that cannot be sent is lost without an event
-	PassSockets              // writes Data on a Unix socket, passes sockets with it and closes them here, except Listener
-	AdoptListener            // makes the passed socket Conn a listening socket under another number: Listening or Broken
+	SendTo                   // sends Data as one datagram to Addr; if that fails, the datagram is lost without an event
+	PassSockets              // writes Data on a Unix socket with passed sockets and closes these here, except Listener
+	AdoptListener            // makes the passed socket Conn a listener with the number AdoptAs: Listening or Broken
 	SetMemoryLimit           // sets the soft memory limit of the Go runtime to Bytes
-	Read                     // reads at most one buffer: Data, EOF, Broken, or a report that nothing is waiting
+	Read                     // reads at most one buffer: Data, EOF, Broken, or WouldBlock if nothing is waiting
 	Write                    // writes Data, at once or when the kernel has room: Flushed or Broken
 	WriteIfIdle              // writes Data unless the peer has sent data or closed: Flushed, Broken or Stale
-	Shutdown                 // ends our sending; the peer may go on sending
+	Shutdown                 // ends this side's sending; the peer may continue to send
 	Close                    // closes the socket, without an event
 	Abort                    // closes the socket so that the peer receives a reset and not a regular end
-	PauseReading             // delivers no Readable event of the socket until reading is resumed, except after an error
+	PauseReading             // stops Readable events of the socket until ResumeReading, except after an error
 	ResumeReading            // resumes the reading of a socket
 	SetTimer                 // sets Timer to expire at At
 	StopTimer                // stops Timer
-	ReadFile                 // reads the whole file at Path; an event returns the contents
+	ReadFile                 // reads the whole file at Path: FileRead
 	RequestTurn              // starts one more turn of the loop without waiting for a socket or a timer
 	Exit                     // ends Run after the current turn of the loop
 )
--- a/internal/membership/antientropy.go
+++ b/internal/membership/antientropy.go
@@ -13,8 +13,8 @@
 	maxRepairPages = 8
 )
 
-// beginRepair sends this gateway's bucket sums to a member whose digest differs. It does not while claims are queued
-// for broadcast, since these may explain the difference.
+// beginRepair sends this gateway's bucket sums to a member whose digest differs, at most once per repairInterval. It
+// sends nothing while claims are queued for broadcast, since these may explain the difference.
 func (m *Membership) beginRepair(peer *member, msg *gossipcodec.Message) {
 	if msg.Digest == m.table.digest || msg.Kind == gossipcodec.Digest || m.queue.len() > 0 ||
 		m.now < m.next.repair || m.disabled.includes(AntiEntropy) {
@@ -24,8 +24,8 @@
 	m.send(peer, &gossipcodec.Message{Kind: gossipcodec.Digest, BucketSums: m.table.bucketSums[:]}, nil)
 }
 
-// answerDigest sends a member this gateway's claims from the buckets whose sums differ, and requests the same in
-// return unless msg is itself a reply.
+// answerDigest sends a member this gateway's claims from the buckets whose sums differ. Unless msg is itself a reply,
+// it also replies with this gateway's bucket sums, so that the member sends its claims from these buckets too.
 func (m *Membership) answerDigest(peer *member, msg *gossipcodec.Message) {
 	if m.disabled.includes(AntiEntropy) {
 		return
@@ -36,11 +36,11 @@
 	for page := 0; len(claims) > 0 && page < maxRepairPages && m.allowSend(gossipcodec.Gossip); page++ {
 		datagram := m.encode(&gossipcodec.Message{Kind: gossipcodec.Gossip})
 		for len(claims) > 0 {
-			longer, ok := gossipcodec.AppendClaim(datagram, &claims[0])
+			extended, ok := gossipcodec.AppendClaim(datagram, &claims[0])
 			if !ok {
 				break
 			}
-			datagram, claims = longer, claims[1:]
+			datagram, claims = extended, claims[1:]
 		}
 		m.enqueue(peer.Addr, datagram)
 	}
--- a/internal/membership/broadcast_queue.go
+++ b/internal/membership/broadcast_queue.go
@@ -23,7 +23,7 @@
 }
 
 // broadcastQueue holds at most one claim for each name. It finds the next claim to send in time that is logarithmic
-// in the number of claims, since each member has a claim about every other one while a cluster starts.
+// in the number of claims: while a cluster starts, the queue of each member has a claim about every other member.
 type broadcastQueue struct {
 	byName       map[string]*broadcastItem
 	heap         broadcastHeap
@@ -71,13 +71,13 @@
 	var kept []*broadcastItem
 	for misfits := 0; len(q.heap) > 0 && misfits < maxMisfits; {
 		item := heap.Pop(&q.heap).(*broadcastItem)
-		longer, ok := gossipcodec.AppendClaim(datagram, &item.claim)
+		extended, ok := gossipcodec.AppendClaim(datagram, &item.claim)
 		if !ok {
 			kept = append(kept, item)
 			misfits++
 			continue
 		}
-		datagram = longer
+		datagram = extended
 		if item.transmits++; item.transmits >= limit(item.claim.State) {
 			delete(q.byName, item.claim.Name)
 			continue
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -55,7 +55,8 @@
 func (c *Config) validate() error {
 	switch {
 	case !gossipcodec.ValidName(c.Cluster):
-		return configErrorf("Cluster", "invalid cluster name %q: need 1 to %d printable ASCII characters without spaces",
+		return configErrorf("Cluster",
+			"invalid cluster name %q: need 1 to %d printable ASCII characters without spaces",
 			c.Cluster, gossipcodec.MaxName)
 	case !gossipcodec.ValidName(c.Name):
 		return configErrorf("Name", "invalid gateway name %q: need 1 to %d printable ASCII characters without spaces",
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -10,7 +10,7 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// stallThreshold is the delay of a wake-up from which on this process is assumed to have been stopped meanwhile.
+// stallThreshold is the delay of a wake-up from which on the membership assumes that this process was stopped.
 const stallThreshold = 250 * time.Millisecond
 
 // Datagram is a datagram to send, with its destination.
@@ -156,7 +156,7 @@
 	for _, peer := range m.suspects {
 		peer.suspicion.postpone(delay)
 	}
-	m.probes.dropPeriodic() // whether its target answered is unknown
+	m.probes.dropPeriodic() // it is unknown whether the target of the periodic probe answered
 	m.awareness.degrade(1 + int(delay/time.Second))
 	m.wakeAt = now
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -51,7 +51,7 @@
 	originSeq   uint64         // of a relayed probe: the sequence number of the request
 }
 
-// probes holds the pending probes and the results of finished periodic ones.
+// probes holds the pending probes and the results of the last periodic probes.
 type probes struct {
 	pending     map[uint64]*probe // by sequence number
 	periodicSeq uint64            // sequence number of the period's probe; 0 for none
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -18,7 +18,7 @@
 	duplicateNameWindow = 10 * time.Second
 )
 
-// Member describes one gateway as this gateway's view has it.
+// Member is one gateway of the cluster in this gateway's view.
 type Member struct {
 	Name          string
 	State         gossipcodec.State
@@ -53,8 +53,8 @@
 	// and datagrams from an address that is not known for the sender's name.
 	OtherCluster, Malformed, UnknownSender uint64
 	RateLimited                            uint64 // datagrams not sent because of the rate limit
-	TableFull                              uint64 // attempts to add a member to a table that already held MaxMembers
-	FalseAlarms                            uint64 // claims that this gateway was suspect, gone or left, which it refuted
+	TableFull                              uint64 // attempts to add a member while the table held MaxMembers
+	FalseAlarms                            uint64 // refuted claims that this gateway was suspect, gone or left
 }
 
 // Counts returns the counters since the start of the membership.
--- a/internal/simproto/endpoint.go
+++ b/internal/simproto/endpoint.go
@@ -47,7 +47,8 @@
 	}
 	state := rec[13]
 	if int(state) >= len(endpointStates) {
-		return balancer.Endpoint{}, fielderror.CauseWithText(ErrUnknownCode, "unknown availability %d at byte 13", state)
+		return balancer.Endpoint{}, fielderror.CauseWithText(ErrUnknownCode,
+			"unknown availability %d at byte 13", state)
 	}
 	return balancer.Endpoint{
 		Zone:      int(rec[4]),
--- a/internal/simproto/frame.go
+++ b/internal/simproto/frame.go
@@ -82,7 +82,8 @@
 			"%d bytes, the header alone has %d", len(frame), batchHeaderSize))
 	}
 	if n := binary.LittleEndian.Uint32(frame); int64(n) != int64(len(frame)) {
-		return Batch{}, batchError(fielderror.CauseWithText(ErrSize, "states %d bytes at byte 0, has %d", n, len(frame)))
+		return Batch{}, batchError(fielderror.CauseWithText(ErrSize,
+			"states %d bytes at byte 0, has %d", n, len(frame)))
 	}
 	clock := math.Float64frombits(binary.LittleEndian.Uint64(frame[4:]))
 	if !(clock >= 0 && clock < maxMillis) {
--- a/internal/tokenschedule/budget_test.go
+++ b/internal/tokenschedule/budget_test.go
@@ -234,7 +234,8 @@
 			}
 			t.Logf("worst window: %.2f of the allowed requests; lowest use: %.2f", worstWindow, leastUsed)
 			if worstWindow > 1 || leastUsed < test.minUsed {
-				t.Errorf("worst window: %.2f of the allowed requests, want at most 1; lowest use: %.2f, want at least %.2f",
+				t.Errorf("worst window: %.2f of the allowed requests, want at most 1; "+
+					"lowest use: %.2f, want at least %.2f",
 					worstWindow, leastUsed, test.minUsed)
 			}
 		})
--- a/internal/tokenschedule/owners.go
+++ b/internal/tokenschedule/owners.go
@@ -20,9 +20,9 @@
 // ShareOf returns the share of a gateway in the tokens of an endpoint, given the endpoint's owners. It is 0 if the
 // gateway is not one of them.
 func ShareOf(owners []OwnerShare, name string) float64 {
-	for _, one := range owners {
-		if one.Name == name {
-			return one.Share
+	for _, owner := range owners {
+		if owner.Name == name {
+			return owner.Share
 		}
 	}
 	return 0
@@ -36,11 +36,12 @@
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], endpoint)
 	offset := float64(xxh3.Hash(b[:])>>11) / (1 << 53)
-	// Multiples of the golden ratio distribute the tokens of each share evenly over the numbers.
+	// Modulo 1, multiples of the golden ratio are spread evenly, so the tokens of each owner are spread evenly among
+	// the token numbers.
 	_, position := math.Modf(offset + float64(token)*math.Phi)
-	for _, one := range owners {
-		if position -= one.Share; position < 0 {
-			return one.Name
+	for _, owner := range owners {
+		if position -= owner.Share; position < 0 {
+			return owner.Name
 		}
 	}
 	return owners[len(owners)-1].Name
@@ -139,8 +140,8 @@
 	}
 	slices.SortFunc(best, func(a, b scored) int { return cmp.Compare(a.name, b.name) })
 	owners := make([]OwnerShare, len(best))
-	for i, one := range best {
-		owners[i] = OwnerShare{Name: one.name, Share: 1 / float64(len(best))}
+	for i, gateway := range best {
+		owners[i] = OwnerShare{Name: gateway.name, Share: 1 / float64(len(best))}
 	}
 	return owners
 }
--- a/internal/tokenschedule/schedule.go
+++ b/internal/tokenschedule/schedule.go
@@ -54,8 +54,9 @@
 func (r Rule) ValidFor() time.Duration { return r.Window/validityDivisor - 2*r.ClockSkew }
 
 // rateFactor returns the factor by which the capacity is multiplied to get the rate of tokens. It is lower than
-// OverloadMultiple. The requests of a window use the tokens that begin in it, earlier tokens that are still valid,
-// and one partial token at each end of the window. With this factor they stay within OverloadMultiple.
+// OverloadMultiple. The requests of a window use the tokens that begin in it, earlier tokens that are still valid
+// by clocks that differ by up to ClockSkew, and one partial token at each end of the window. With this factor they
+// stay within OverloadMultiple.
 func (r Rule) rateFactor() float64 {
 	window := r.Window.Seconds()
 	return r.OverloadMultiple * window / (window + (r.ValidFor() + 2*r.ClockSkew).Seconds())
--- a/internal/tokenschedule/taker.go
+++ b/internal/tokenschedule/taker.go
@@ -14,10 +14,10 @@
 	progress map[uint64]progress
 }
 
-// progress records how far the tokens since one start of an endpoint have been used.
+// progress records the next unused token of an endpoint. The tokens are numbered from one start of the endpoint.
 type progress struct {
 	startedAt time.Duration
-	next      uint64 // first token that has not been used or passed over
+	next      uint64 // every token below this number has been used or skipped
 }
 
 // NewTaker returns a Taker for the process of the gateway called name that started at start. It uses no tokens from
@@ -59,8 +59,8 @@
 	return 0, false
 }
 
-// Next returns when the next token of this process can be used, at the latest the time ahead from now. ok is false if
-// there is none until then.
+// Next returns when this gateway can use its next token. It considers only the tokens that begin up to the duration
+// ahead from now; ok is false if this gateway owns none of them.
 func (t *Taker) Next(now time.Duration, e Endpoint, ahead time.Duration, ownerships ...[]OwnerShare) (at time.Duration,
 	ok bool) {
 	r := t.rule
--- a/internal/tokenschedule/taker_test.go
+++ b/internal/tokenschedule/taker_test.go
@@ -50,7 +50,8 @@
 		t.Helper()
 		until, ok := taker.Take(now, e, ownerships...)
 		if ok && (until <= now || until > now+r.ValidFor()) {
-			t.Errorf("at %v: token valid until %v, want a time after now and at most ValidFor ahead", now-started, until-started)
+			t.Errorf("at %v: token valid until %v, want a time after now and at most ValidFor ahead", now-started,
+				until-started)
 		}
 		return ok
 	}
--- a/internal/tomlfile/schema.go
+++ b/internal/tomlfile/schema.go
@@ -60,8 +60,8 @@
 	return ""
 }
 
-// ClosestMatch returns the known word with the smallest edit distance to word, or "" if all are more than maxEditDistance
-// edits apart.
+// ClosestMatch returns the known word with the smallest edit distance to word, or "" if all are more than
+// maxEditDistance edits apart.
 func ClosestMatch(word string, known []string) string {
 	best, bestDistance := "", maxEditDistance+1
 	for _, k := range known {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -116,7 +116,8 @@
 // Unwrap returns ErrDecode and the decoder's error.
 func (e decodeError) Unwrap() []error { return []error{ErrDecode, e.cause} }
 
-// AddFault adds a fault of a field, which is given by its path, such as event.2.at. The format may wrap a cause with %w.
+// AddFault adds a fault of a field, which is given by its path, such as event.2.at. The format may wrap a cause with
+// %w.
 func (f *File) AddFault(path, format string, args ...any) { f.add(path, fmt.Errorf(format, args...)) }
 
 // add adds a fault at the position of a field or, if the file lacks the field, of the innermost table around it that
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -56,15 +56,15 @@
 	return nil
 }
 
-// BeginStream switches the response being received to streaming: from now on, the caller reads the body as it arrives. length
-// is the length of the body in bytes, or -1 if the endpoint does not state it.
+// BeginStream switches the response being received to streaming: from now on, the caller reads the body as it arrives.
+// length is the length of the body in bytes, or -1 if the endpoint does not state it.
 func (c *Conn) BeginStream() (length int64) { return c.reader.BeginStream() }
 
 // FeedStream adds received bytes of a streamed response.
 func (c *Conn) FeedStream(data []byte) { c.reader.Feed(data) }
 
-// ReadStream returns the data of a streamed body that has arrived since the last call, and whether the response has ended.
-// The data is valid until the next call.
+// ReadStream returns the data of a streamed body that has arrived since the last call, and whether the response has
+// ended. The data is valid until the next call.
 func (c *Conn) ReadStream() (piece []byte, done bool, err error) {
 	_, piece, done, fault := c.reader.ReadStream()
 	if fault != nil {
