--- a/internal/admin/conn.go
+++ b/internal/admin/conn.go
@@ -78,7 +78,8 @@
 func (s *Conns) Len() int { return len(s.conns) }
 
 // Add adds a new connection. If there are already MaxConns, it returns the connection to evict: the oldest one whose
-// request is not answered, so that connections without a request cannot block others, or else the oldest.
+// request is not answered, so that connections without a request cannot block others, or else the oldest. The caller
+// must close the evicted connection and remove it.
 func (s *Conns) Add(id loop.Conn) (evicted *Conn) {
 	if len(s.conns) >= MaxConns {
 		index := max(0, slices.IndexFunc(s.conns, func(c *Conn) bool { return !c.Answered }))
--- a/internal/assignment/assignment_test.go
+++ b/internal/assignment/assignment_test.go
@@ -106,8 +106,8 @@
 	subsetSize := len(before.Of("gateway-0100"))
 	fewerGateways := append(slices.Clone(gateways[:100]), gateways[101:]...)
 	if n := countMovedPairs(gateways, before, compute(t, unboundedRule(), fewerGateways, endpoints)); n > 3*subsetSize {
-		t.Errorf("removing a gateway with %d endpoints moved %d pairs of other gateways, want at most %d", subsetSize, n,
-			3*subsetSize)
+		t.Errorf("removing a gateway with %d endpoints moved %d pairs of other gateways, want at most %d", subsetSize,
+			n, 3*subsetSize)
 	}
 	users := 0
 	for _, g := range gateways {
--- a/internal/assignment/size_test.go
+++ b/internal/assignment/size_test.go
@@ -49,12 +49,12 @@
 	gateways, endpoints := clusterOfSize(3, MaxEndpoints+1)
 	_, err := Compute(defaultRule(), gateways, endpoints)
 	if err == nil || !strings.Contains(err.Error(), fmt.Sprint(MaxEndpoints+1)) {
-		t.Errorf("%d endpoints: error %v, want one that states the number", MaxEndpoints+1, err)
+		t.Errorf("%d endpoints: error %v, want an error that states the number", MaxEndpoints+1, err)
 	}
 	gateways, endpoints = clusterOfSize(MaxGateways+1, 3)
 	_, err = Compute(defaultRule(), gateways, endpoints)
 	if err == nil || !strings.Contains(err.Error(), fmt.Sprint(MaxGateways+1)) {
-		t.Errorf("%d gateways: error %v, want one that states the number", MaxGateways+1, err)
+		t.Errorf("%d gateways: error %v, want an error that states the number", MaxGateways+1, err)
 	}
 }
 
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -9,9 +9,9 @@
 	"thymebend/internal/balancer"
 )
 
-// encodedList returns an object in discovery's format: a snapshot if whole is true, otherwise a delta.
-func encodedList(seq int, whole bool, entries ...string) []byte {
-	return fmt.Appendf(nil, `{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, whole, strings.Join(entries, ","))
+// encodedList returns an object in discovery's format: a snapshot or a delta.
+func encodedList(seq int, snapshot bool, entries ...string) []byte {
+	return fmt.Appendf(nil, `{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, snapshot, strings.Join(entries, ","))
 }
 
 // encodedEntry returns one entry of an object, with its start time in milliseconds.
@@ -45,9 +45,9 @@
 // several entries for one endpoint or with another start time than the one in force.
 func TestContradictoryEntries(t *testing.T) {
 	for name, c := range map[string]struct {
-		whole   bool
-		entries []string
-		want    string
+		snapshot bool
+		entries  []string
+		want     string
 	}{
 		"delta: the last entry applies, up": {false,
 			[]string{encodedEntry("a", "draining", 5), encodedEntry("a", "up", 5)},
@@ -84,12 +84,12 @@
 		first := mustApply(t, balancerList,
 			encodedList(4, true, encodedEntry("a", "up", 5), encodedEntry("b", "up", 5)))
 		bal.UpdateEndpoints(time.Second, balancer.Snapshot, first.Entries)
-		update := mustApply(t, endpoints, encodedList(5, c.whole, c.entries...))
+		update := mustApply(t, endpoints, encodedList(5, c.snapshot, c.entries...))
 		if got := states(endpoints); got != c.want {
 			t.Errorf("%s: the list has %q, want %q", name, got, c.want)
 		}
 		kind := balancer.Delta
-		if c.whole {
+		if c.snapshot {
 			kind = balancer.Snapshot
 		}
 		bal.UpdateEndpoints(2*time.Second, kind, update.Entries)
@@ -121,8 +121,10 @@
 		"entry is a number": `17`,
 	}
 	for name, entry := range faulty {
-		for _, whole := range []bool{false, true} {
-			for _, raw := range [][]byte{encodedList(5, whole, leaving, entry), encodedList(5, whole, entry, leaving)} {
+		for _, snapshot := range []bool{false, true} {
+			for _, raw := range [][]byte{
+				encodedList(5, snapshot, leaving, entry), encodedList(5, snapshot, entry, leaving),
+			} {
 				endpoints := NewEndpoints([]string{"a"})
 				mustApply(t, endpoints, encodedList(4, true,
 					encodedEntry("a", "up", 5), encodedEntry("b", "up", 5), encodedEntry("c", "up", 5)))
@@ -131,7 +133,7 @@
 					t.Fatalf("%s: %s was accepted", name, raw)
 				}
 				if got := states(endpoints); got != "a2/5 c1/5" || endpoints.version != 4 {
-					t.Errorf("%s, whole %v: the list has %q at version %d", name, whole, got, endpoints.version)
+					t.Errorf("%s, snapshot %v: the list has %q at version %d", name, snapshot, got, endpoints.version)
 				}
 				if len(update.Changed) != 2 || len(update.Entries) != 2 || update.Snapshot ||
 					update.Entries[0].State == balancer.EndpointReady ||
--- a/internal/downstream/arrivals_test.go
+++ b/internal/downstream/arrivals_test.go
@@ -36,7 +36,7 @@
 	a.pause(ms(20))
 	a.pause(ms(25))
 	a.add(ms(500), loop.ReadSize)
-	a.add(ms(501), 1000) // perhaps a short read: bytes may still be waiting
+	a.add(ms(501), 1000) // a short read: more bytes may be waiting, and another read follows within markInterval
 	a.add(ms(503), 1000)
 	at := func(offset int64) time.Duration { b := a; return b.sentAt(offset) }
 	if got := at(a.bytesReceived); got != ms(20) {
@@ -51,8 +51,8 @@
 	}
 }
 
-// The kernel's receive buffer holds at most maxUnread bytes, so that bytes read after more than that many were sent
-// after the pause began.
+// The kernel's receive buffer holds at most maxUnread bytes. Bytes that are read after that many others must therefore
+// have been sent after the pause began.
 func TestSendTimeBehindFullReceiveBuffer(t *testing.T) {
 	var a arrivals
 	a.pause(ms(0))
--- a/internal/hotrestart/conn.go
+++ b/internal/hotrestart/conn.go
@@ -43,8 +43,8 @@
 		return m, false, &VersionError{PeerVersion: m.Version}
 	case m.DescriptorsPassed < 0 || m.DescriptorsPassed > len(c.unclaimed) ||
 		m.DescriptorsPassed != m.descriptorsNeeded():
-		return m, false, fmt.Errorf("hand-over message %q states %d descriptors, %d were received",
-			m.Kind, m.DescriptorsPassed, len(c.unclaimed))
+		return m, false, fmt.Errorf("hand-over message %q states %d descriptors, needs %d, and %d were received",
+			m.Kind, m.DescriptorsPassed, m.descriptorsNeeded(), len(c.unclaimed))
 	}
 	m.Conns, c.unclaimed = c.unclaimed[:m.DescriptorsPassed:m.DescriptorsPassed], c.unclaimed[m.DescriptorsPassed:]
 	c.received = append([]byte(nil), c.received[lengthPrefix+size:]...)
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -34,14 +34,15 @@
 
 // Message is a message from either process.
 type Message struct {
-	Version         int             `json:"version"`
-	Kind            Kind            `json:"kind"`
-	Listen          string          `json:"listen,omitempty"`  // for Hello: the address at which clients connect
-	Reason          string          `json:"reason,omitempty"`  // for Decline
-	List            json.RawMessage `json:"list,omitempty"`    // for State: the endpoint list in discovery's format
-	Balancer        *balancer.State `json:"learned,omitempty"` // for State: the state of the balancer
-	DescriptorsHeld int             `json:"holds,omitempty"`   // for State, PassConns: descriptors the predecessor needs
-	Idle            []IdleConn      `json:"links,omitempty"`   // for PassConns: the connections passed
+	Version  int             `json:"version"`
+	Kind     Kind            `json:"kind"`
+	Listen   string          `json:"listen,omitempty"`  // for Hello: the address at which clients connect
+	Reason   string          `json:"reason,omitempty"`  // for Decline
+	List     json.RawMessage `json:"list,omitempty"`    // for State: the endpoint list in discovery's format
+	Balancer *balancer.State `json:"learned,omitempty"` // for State: the state of the balancer
+	// DescriptorsHeld, in State and PassConns, is the number of descriptors that the predecessor still needs.
+	DescriptorsHeld int        `json:"holds,omitempty"`
+	Idle            []IdleConn `json:"links,omitempty"` // for PassConns: the connections passed
 	// For State: the process start, in ms of Unix time, and the incarnation with which the successor continues in the
 	// cluster; both are 0 if the predecessor is in no cluster.
 	ClusterStartID     uint64      `json:"fleet_start,omitempty"`
--- a/internal/http1/cut_test.go
+++ b/internal/http1/cut_test.go
@@ -95,8 +95,9 @@
 		f.Add(true, []byte(s), []byte{1, 2})
 	}
 	f.Fuzz(func(t *testing.T, response bool, stream, cuts []byte) {
-		if whole, parts := readAll(response, stream, nil), readAll(response, stream, cuts); whole != parts {
-			t.Errorf("stream %q\nin one piece: %q\nin pieces by %v: %q", stream, whole, cuts, parts)
+		inOnePiece, inPieces := readAll(response, stream, nil), readAll(response, stream, cuts)
+		if inOnePiece != inPieces {
+			t.Errorf("stream %q\nin one piece: %q\nin pieces by %v: %q", stream, inOnePiece, cuts, inPieces)
 		}
 	})
 }
--- a/internal/loadreport/peers_test.go
+++ b/internal/loadreport/peers_test.go
@@ -14,7 +14,7 @@
 // Guards against a gateway that reports a wrong demand and gets more than eight times the median, and against an
 // expired report that counts as no demand instead of as unknown demand.
 func TestReportedDemandIsBounded(t *testing.T) {
-	silent := func(demand float64, d time.Duration) PeerReport {
+	notAlive := func(demand float64, d time.Duration) PeerReport {
 		peer := known(demand)
 		peer.NotAliveFor = d
 		return peer
@@ -26,7 +26,7 @@
 	}{
 		{"wrong, idle, unknown and expired reports",
 			append(slices.Repeat([]PeerReport{known(10)}, 9), known(1e9), known(0), PeerReport{},
-				silent(30, 9*time.Second), silent(30, 10*time.Second)),
+				notAlive(30, 9*time.Second), notAlive(30, 10*time.Second)),
 			append(slices.Repeat([]float64{10}, 9), 80, 10.0/64, 0, 30, 0)},
 		{"half idle", []PeerReport{known(0), known(0), known(5)}, []float64{5.0 / 64, 5.0 / 64, 5}},
 		{"all idle", []PeerReport{{}, known(0)}, []float64{0, 0}},
@@ -44,14 +44,14 @@
 // against counting the reports of gateways that are unhealthy themselves or no longer alive.
 func TestOneReporterSuspectsNoEndpoint(t *testing.T) {
 	all := EndpointHashes([]uint64{1, 2, 3, 4, 5, 6, 7, 8})
-	liar := PeerReport{Report: Report{HasFigures: true, Ejected: append(slices.Clone(all), all...)}}
-	unwell := PeerReport{Report: Report{HasFigures: true, Ejected: all, LocalHealth: 5}}
+	allEjected := PeerReport{Report: Report{HasFigures: true, Ejected: append(slices.Clone(all), all...)}}
+	unhealthy := PeerReport{Report: Report{HasFigures: true, Ejected: all, LocalHealth: 5}}
 	gone := PeerReport{Report: Report{HasFigures: true, Ejected: all}, NotAliveFor: time.Second}
-	if suspected := SuspectedByPeers([]PeerReport{liar, unwell, gone, known(0)}); len(suspected) > 0 {
+	if suspected := SuspectedByPeers([]PeerReport{allEjected, unhealthy, gone, known(0)}); len(suspected) > 0 {
 		t.Errorf("%v are suspected, but only one report counts", suspected)
 	}
-	honest := PeerReport{Report: Report{HasFigures: true, Ejected: all[2:3]}}
-	if suspected := SuspectedByPeers([]PeerReport{liar, honest}); len(suspected) != 1 || !suspected[all[2]] {
+	oneEjected := PeerReport{Report: Report{HasFigures: true, Ejected: all[2:3]}}
+	if suspected := SuspectedByPeers([]PeerReport{allEjected, oneEjected}); len(suspected) != 1 || !suspected[all[2]] {
 		t.Errorf("suspected: %v, want only the endpoint that two gateways report", suspected)
 	}
 }
--- a/internal/loop/calls_test.go
+++ b/internal/loop/calls_test.go
@@ -93,8 +93,8 @@
 	return netip.MustParseAddrPort(ln.Addr().String()), accepted
 }
 
-// acceptOneClient runs a loop with a listener to which one client connects. The loop exits at the first event, of those
-// that it does not handle itself, for which isLast returns true.
+// acceptOneClient runs a loop with a listener to which one client connects. The loop exits at the first event for
+// which isLast returns true, apart from the events with which it listens and accepts.
 func acceptOneClient(t *testing.T, inject func(c *syscalls), isLast func(e Event) bool) *recording {
 	t.Helper()
 	addr := netip.MustParseAddrPort("127.0.0.1:0")
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -153,7 +153,8 @@
 	return l.exitError
 }
 
-// wait blocks until a socket is ready or a timer expires, and returns the number of ready sockets.
+// wait blocks until a socket is ready, the next timer expires or maxWaitMS has passed, and returns the number of ready
+// sockets. It does not block if RequestTurn has requested another turn.
 func (l *Loop) wait() (int, error) {
 	timeoutMS := l.timers.wait(l.clock.Now())
 	if l.turnRequested {
--- a/internal/membership/antientropy_test.go
+++ b/internal/membership/antientropy_test.go
@@ -20,7 +20,7 @@
 	m.Receive(epoch+time.Second, addr(3), datagram("c", 900, gossipcodec.Gossip)) // the digest of this datagram is 0
 	_, digests := takeSent(t, m, gossipcodec.Digest)
 	if len(digests) != 1 || digests[0].Reply {
-		t.Fatalf("sent %d Digest messages %+v, want one that is no reply", len(digests), digests)
+		t.Fatalf("sent %d Digest messages %+v, want one that is not a reply", len(digests), digests)
 	}
 	equal := *digests[0]
 	for _, test := range []struct {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// NextWake returns when [Membership.Advance] is due next. If Advance or another call with a time is delayed by
-// stallThreshold or more, the membership concludes that this process was stopped.
+// NextWake returns when [Membership.Advance] is due next. If Advance, Receive or another call that changes the
+// membership comes later than that by stallThreshold or more, the membership concludes that this process was stopped.
 func (m *Membership) NextWake() time.Duration {
 	if m.leaving {
 		return math.MaxInt64
--- a/internal/membership/probe_test.go
+++ b/internal/membership/probe_test.go
@@ -138,7 +138,7 @@
 		t.Errorf("b is %v, want alive", got.State)
 	}
 	if m.awareness.score != 4 || m.probes.pending[pending] != nil {
-		t.Errorf("local health %d, probe of before the stall still pending: %v; want 4 and false",
+		t.Errorf("local health %d, probe from before the stall still pending: %v; want 4 and false",
 			m.awareness.score, m.probes.pending[pending] != nil)
 	}
 }
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -129,9 +129,9 @@
 // Callers can match each cause with errors.Is, and get the part of the frame and the field with errors.As.
 func TestErrorCausesCanBeMatched(t *testing.T) {
 	for name, c := range map[string]struct {
-		frame      []byte
-		want       error
-		part, item string
+		frame       []byte
+		want        error
+		part, field string
 	}{
 		"header":       {[]byte{1, 2, 3}, ErrTruncated, "batch", ""},
 		"clock":        {frame(-1, nil), ErrTime, "batch", ""},
@@ -145,7 +145,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := decodeAll(c.frame)
 			var fault *fielderror.Error
-			if !errors.Is(err, c.want) || !errors.As(err, &fault) || fault.File != c.part || fault.Field != c.item {
+			if !errors.Is(err, c.want) || !errors.As(err, &fault) || fault.File != c.part || fault.Field != c.field {
 				t.Errorf("%v: %+v", err, fault)
 			}
 		})
@@ -238,8 +238,8 @@
 	}
 }
 
-// FuzzDecode searches for frames whose decoding panics, never ends, or returns an error without a
-// text or more events than the frame has room for.
+// FuzzDecode searches for frames whose decoding panics, does not end, returns an error without a text, or returns more
+// events than the frame has room for.
 func FuzzDecode(f *testing.F) {
 	f.Add(frame(1, nil))
 	f.Add(frame(5, []byte("balancers=4\nclasses.count=2\nclasses.0.aim_ms=300.5\nzone=1\n"), selectRecord(1),
--- a/internal/tokenschedule/owners_test.go
+++ b/internal/tokenschedule/owners_test.go
@@ -74,7 +74,7 @@
 			len(owned), moved)
 	}
 	for name, n := range owned {
-		if n < 8 || n > 45 { // 24 on the mean
+		if n < 8 || n > 45 { // 24 on average
 			t.Errorf("%s owns tokens of %d endpoints of 200, want 8 to 45", name, n)
 		}
 	}
