--- a/internal/assignment/assignment_test.go
+++ b/internal/assignment/assignment_test.go
@@ -74,7 +74,8 @@
 	gateways, endpoints := cluster(300, 200, lastGatewayTenfold(300))
 	a := compute(t, unboundedRule(), gateways, endpoints)
 	if heavy, light := len(a.Of("gateway-0299")), len(a.Of("gateway-0000")); heavy < 7*light {
-		t.Errorf("a gateway with ten times the demand has %d endpoints, the others have %d; want at least 7 times as many",
+		t.Errorf("a gateway with ten times the demand has %d endpoints, the others have %d; "+
+			"want at least 7 times as many",
 			heavy, light)
 	}
 }
@@ -105,8 +106,8 @@
 	subsetSize := len(before.Of("gateway-0100"))
 	fewerGateways := append(slices.Clone(gateways[:100]), gateways[101:]...)
 	if n := countMovedPairs(gateways, before, compute(t, unboundedRule(), fewerGateways, endpoints)); n > 3*subsetSize {
-		t.Errorf("removing a gateway with %d endpoints moved %d pairs of other gateways, want at most %d", subsetSize, n,
-			3*subsetSize)
+		t.Errorf("removing a gateway with %d endpoints moved %d pairs of other gateways, want at most %d", subsetSize,
+			n, 3*subsetSize)
 	}
 	users := 0
 	for _, g := range gateways {
--- a/internal/downstream/arrivals_test.go
+++ b/internal/downstream/arrivals_test.go
@@ -17,7 +17,7 @@
 	conn.Feed(ms(100), []byte(viewRequest+viewRequest[:10]))
 	conn.Feed(ms(400), []byte(viewRequest[10:]+viewRequest))
 	for i, want := range []time.Duration{ms(100), ms(400), ms(400)} {
-		if _, whole := conn.Next(testClasses); !whole {
+		if _, complete := conn.Next(testClasses); !complete {
 			t.Fatalf("request %d is not complete", i)
 		}
 		if got := conn.LastByteSent(); got != want {
@@ -36,7 +36,7 @@
 	a.pause(ms(20))
 	a.pause(ms(25))
 	a.add(ms(500), loop.ReadSize)
-	a.add(ms(501), 1000) // perhaps a short read: bytes may still be waiting
+	a.add(ms(501), 1000) // a short read: more bytes may be waiting, and another read follows within markInterval
 	a.add(ms(503), 1000)
 	at := func(offset int64) time.Duration { b := a; return b.sentAt(offset) }
 	if got := at(a.bytesReceived); got != ms(20) {
@@ -51,8 +51,8 @@
 	}
 }
 
-// The kernel's receive buffer holds at most maxUnread bytes, so that bytes read after more than that many were sent
-// after the pause began.
+// The kernel's receive buffer holds at most maxUnread bytes. Bytes that are read after that many others must therefore
+// have been sent after the pause began.
 func TestSendTimeBehindFullReceiveBuffer(t *testing.T) {
 	var a arrivals
 	a.pause(ms(0))
@@ -84,7 +84,7 @@
 
 // The client timeout of a request with a streamed body starts only when the whole body has arrived, or may have arrived
 // because reading is paused.
-func TestTimeLeftOfStreamedRequest(t *testing.T) {
+func TestRemainingTimeoutOfStreamedRequest(t *testing.T) {
 	conn := NewConns(1).Add(1, 0)
 	raw := partialBid(300<<10, 300<<10)
 	conn.Feed(ms(10), raw[:100<<10])
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -10,7 +10,7 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// stallThreshold is the delay of a wake-up from which on this process is assumed to have been stopped meanwhile.
+// stallThreshold is the delay of a wake-up from which on the membership assumes that this process was stopped.
 const stallThreshold = 250 * time.Millisecond
 
 // Datagram is a datagram to send, with its destination.
@@ -125,8 +125,8 @@
 	}
 }
 
-// NextWake returns when [Membership.Advance] is due next. If Advance or another call with a time is delayed by
-// stallThreshold or more, the membership concludes that this process was stopped.
+// NextWake returns when [Membership.Advance] is due next. If Advance, Receive or another call that changes the
+// membership comes later than that by stallThreshold or more, the membership concludes that this process was stopped.
 func (m *Membership) NextWake() time.Duration {
 	if m.leaving {
 		return math.MaxInt64
@@ -156,7 +156,7 @@
 	for _, peer := range m.suspects {
 		peer.suspicion.postpone(delay)
 	}
-	m.probes.dropPeriodic() // whether its target answered is unknown
+	m.probes.dropPeriodic() // it is unknown whether the target of the periodic probe answered
 	m.awareness.degrade(1 + int(delay/time.Second))
 	m.wakeAt = now
 }
