--- a/internal/lab/simulation/answers.go
+++ b/internal/lab/simulation/answers.go
@@ -9,8 +9,8 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// answer reads a whole answer; extra tells that bytes came past it.
-func answer(in []byte, ended bool) (status int, body []byte, keep, extra, whole bool) {
+// parseResponse reads a whole answer; extra tells that bytes came past it.
+func parseResponse(in []byte, closed bool) (status int, body []byte, keep, extra, whole bool) {
 	src := bytes.NewReader(in)
 	buffered := bufio.NewReader(src)
 	for {
@@ -21,7 +21,7 @@
 		if r.StatusCode < 200 {
 			continue
 		}
-		if r.ContentLength < 0 && len(r.TransferEncoding) == 0 && !ended {
+		if r.ContentLength < 0 && len(r.TransferEncoding) == 0 && !closed {
 			return 0, nil, false, false, false
 		}
 		body, err = io.ReadAll(r.Body)
@@ -32,23 +32,23 @@
 	}
 }
 
-func (c *client) answered(status int, body []byte, keep bool) {
+func (c *client) handleResponse(status int, body []byte, keep bool) {
 	if status == 200 {
-		body = unpadded(body, c.req.Pad)
+		body = trimPadding(body, c.req.Pad)
 	}
 	if (status == 400 || status == 404 || status == 405 || status == 413) &&
-		(c.req.Act == "" || c.req.Act == "trickle") {
-		c.w.find(Wronged, c.id, "a good request got %d", status)
+		(c.req.Behaviour == "" || c.req.Behaviour == "trickle") {
+		c.run.addFinding(Wronged, c.id, "a good request got %d", status)
 	}
-	c.w.sim.Note("client %s got %d %x", c.id, status, requestrecord.Hash(body))
-	c.w.clients.Update(c.id, func(t *requestrecord.Attempt) {
+	c.run.sim.Note("client %s got %d %x", c.id, status, requestrecord.Hash(body))
+	c.run.clients.Update(c.id, func(t *requestrecord.Attempt) {
 		t.Answers++
 		t.Status, t.Hash = status, requestrecord.Hash(body)
 	})
-	c.w.statuses[status]++
-	c.over = true
-	now := c.w.sim.Now()
-	c.w.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Ended = now })
+	c.run.statuses[status]++
+	c.ended = true
+	now := c.run.sim.Now()
+	c.run.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Ended = now })
 	if keep {
 		c.keepAlive()
 	} else {
@@ -56,12 +56,12 @@
 		c.end.Close()
 	}
 	if status != 200 {
-		c.again()
+		c.retry()
 	}
 }
 
-// unpadded is a body without what the host was asked to add. One that is added otherwise is left, and found.
-func unpadded(body []byte, n int) []byte {
+// trimPadding is a body without what the host was asked to add. One that is added otherwise is left, and found.
+func trimPadding(body []byte, n int) []byte {
 	if at := len(body) - n; at >= 0 && bytes.Equal(body[at:], bytes.Repeat([]byte{'p'}, n)) {
 		return body[:at]
 	}
@@ -70,24 +70,24 @@
 
 // keepAlive rests the link. What comes on it now is an answer that nobody asked for.
 func (c *client) keepAlive() {
-	l := &link{end: c.end, gw: c.gw}
-	c.w.idle = append(c.w.idle, l)
+	l := &idleLink{end: c.end, gateway: c.gateway}
+	c.run.idle = append(c.run.idle, l)
 	id := c.id
 	c.end.ready = func() {
 		if len(l.end.inbox) > 0 {
 			l.end.Read(1 << 20)
-			c.w.clients.Update(id, func(t *requestrecord.Attempt) { t.Answers++ })
+			c.run.clients.Update(id, func(t *requestrecord.Attempt) { t.Answers++ })
 		}
 		if l.end.Gone() {
 			// What counts is when the gateway ended it, not when that shows.
-			if p := l.end.peer; p != nil && !l.end.cut && p.ended > 0 && p.ended >= l.gw.since &&
-				p.ended <= l.gw.until {
-				c.w.find(ShutDoor, id, "%s closed a link at rest during an upgrade", l.gw.name)
+			if p := l.end.peer; p != nil && !l.end.cutByNetwork && p.endedAt > 0 && p.endedAt >= l.gateway.upgradeFrom &&
+				p.endedAt <= l.gateway.upgradeUntil {
+				c.run.addFinding(ShutDoor, id, "%s closed a link at rest during an upgrade", l.gateway.name)
 			}
 			l.end.Close()
-			for i, x := range c.w.idle {
+			for i, x := range c.run.idle {
 				if x == l {
-					c.w.idle = append(c.w.idle[:i:i], c.w.idle[i+1:]...)
+					c.run.idle = append(c.run.idle[:i:i], c.run.idle[i+1:]...)
 					break
 				}
 			}
@@ -95,28 +95,28 @@
 	}
 }
 
-func (c *client) received() {
-	if c.over {
+func (c *client) onReadable() {
+	if c.ended {
 		return
 	}
-	if len(c.out) > 0 && !c.end.reset {
-		c.pump()
+	if len(c.pending) > 0 && !c.end.reset {
+		c.writePending()
 	}
 	c.inbox = append(c.inbox, c.end.Read(1<<20)...)
 	if len(c.inbox) > 0 {
-		if status, body, keep, extra, whole := answer(c.inbox, c.end.fin); whole {
+		if status, body, keep, extra, whole := parseResponse(c.inbox, c.end.fin); whole {
 			if extra { // an answer that nobody asked for
-				c.w.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Answers++ })
+				c.run.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Answers++ })
 			}
-			c.answered(status, body, keep && !extra)
+			c.handleResponse(status, body, keep && !extra)
 			return
 		}
 	}
 	if c.end.Gone() {
-		if c.req.Act == "stop" {
+		if c.req.Behaviour == "stop" {
 			c.finish("closed")
 			return
 		}
-		c.broken("closed")
+		c.handleBroken("closed")
 	}
 }
--- a/internal/lab/simulation/assignments_test.go
+++ b/internal/lab/simulation/assignments_test.go
@@ -23,7 +23,7 @@
 			if f.Op != loop.SendTo {
 				return []loop.Effect{f}
 			}
-			f.Data = reword(f.Data, func(c *gossipcodec.Claim) {
+			f.Data = rewriteClaims(f.Data, func(c *gossipcodec.Claim) {
 				if c.Name == name && c.State == gossipcodec.Alive {
 					c.Payload = change(c.Payload)
 				}
@@ -48,8 +48,8 @@
 		}
 	}
 	p.Requests = calm
-	p.Faults = []Fault{{AtMS: 9000, Do: "host-errors", Who: 4, ForMS: 4000, Share: 0.5},
-		{AtMS: 10000, Do: "host-replace", Who: 2}}
+	p.Faults = []Fault{{AtMS: 9000, Kind: "host-errors", Target: 4, ForMS: 4000, Share: 0.5},
+		{AtMS: 10000, Kind: "host-replace", Target: 2}}
 	return p
 }
 
@@ -59,7 +59,7 @@
 	p := steady(t)
 	var all []uint64
 	for n := range p.Hosts {
-		all = append(all, uint64(discovery.Identity(day(p).Spec(day(p).Hosts[0], n).Name)))
+		all = append(all, uint64(discovery.Identity(buildExperiment(p).Spec(buildExperiment(p).Hosts[0], n).Name)))
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	words := func(s loadreport.Report) func([]byte) []byte {
@@ -90,7 +90,7 @@
 	} {
 		o := play(p, nil, notifying(1, lie))
 		for _, f := range o.Findings {
-			if f.Rule != NotWhole { // who lies of its traffic goes by another division than those who believe it
+			if f.Rule != SharesDisagree { // who lies of its traffic goes by another division than those who believe it
 				t.Errorf("%s: %+v", name, f)
 			}
 		}
--- a/internal/lab/simulation/build.go
+++ b/internal/lab/simulation/build.go
@@ -10,8 +10,8 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// day is the fleet and the classes of every plan.
-func day(p Plan) *experiment.File {
+// buildExperiment is the fleet and the classes of every plan.
+func buildExperiment(p Plan) *experiment.File {
 	d := func(t time.Duration) experiment.Duration { return experiment.Duration{Duration: t} }
 	f := &experiment.File{Name: "seed"}
 	f.Gateways = experiment.Gateways{Count: p.Gateways, Cores: 1, MemoryMB: 64, Sockets: p.Sockets}
@@ -48,92 +48,92 @@
 }
 
 // zone is where a host stands; one that replaces another stands where that stood.
-func (w *simulator) zone(place int) experiment.Hosts {
-	if w.plan.Zones == 0 {
-		return w.file.Hosts[0]
+func (s *simulator) zone(index int) experiment.Hosts {
+	if s.plan.Zones == 0 {
+		return s.file.Hosts[0]
 	}
-	return w.file.Hosts[zoneOfHost(place, w.plan.hostZones())]
+	return s.file.Hosts[zoneOfHost(index, s.plan.hostZones())]
 }
 
-func (w *simulator) build() {
-	p := w.plan
-	w.disc = &discoveryServer{w: w, list: registry.New(), doors: make([]*Listener, p.Gateways),
+func (s *simulator) build() {
+	p := s.plan
+	s.discovery = &discoveryServer{run: s, list: registry.New(), listeners: make([]*Listener, p.Gateways),
 		addrs: make([]netip.AddrPort, p.Gateways), port: 8500}
 	for n := range p.Gateways {
-		w.disc.open(n)
-		w.gateways = append(w.gateways, &gatewayNode{w: w, n: n, name: gatewayName(n),
+		s.discovery.listen(n)
+		s.gateways = append(s.gateways, &gatewayNode{run: s, index: n, name: gatewayName(n),
 			addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(n), 1 + byte(n>>8)}), 8443)})
 		if n < len(p.ClockErrors) {
-			w.gateways[n].clockError = time.Duration(p.ClockErrors[n]) * time.Second
+			s.gateways[n].clockError = time.Duration(p.ClockErrors[n]) * time.Second
 		}
 	}
 	switch {
 	case p.Calls != nil:
-		w.disc.queue = &callQueue{CallQueue: *p.Calls}
-		w.disc.latest = &notificationDeadlines{sim: w.sim, work: p.Calls.work(p.Hosts)}
-		w.disc.latest.caused(p.Gateways)
-	case w.rates != nil:
-		w.disc.queue = &callQueue{CallQueue: clusterCalls()}
+		s.discovery.queue = &callQueue{CallQueue: *p.Calls}
+		s.discovery.deadlines = &notificationDeadlines{sim: s.sim, work: p.Calls.work(p.Hosts)}
+		s.discovery.deadlines.addCalls(p.Gateways)
+	case s.rates != nil:
+		s.discovery.queue = &callQueue{CallQueue: clusterCalls()}
 	}
 	for n := range p.Hosts {
-		w.addHost(n, nil, p.Cold && n%2 == 0)
+		s.addHost(n, nil, p.Cold && n%2 == 0)
 	}
-	w.disc.lag = msec(p.LagMS)
+	s.discovery.lag = msec(p.LagMS)
 	if p.Pushed {
 		for n := range p.Gateways {
-			w.disc.agents = append(w.disc.agents, &agent{d: w.disc, via: n, list: w.disc.list.Copy()})
+			s.discovery.agents = append(s.discovery.agents, &agent{server: s.discovery, gateway: n, list: s.discovery.list.Copy()})
 		}
 	}
 	if p.Views {
-		w.views = newViewChecker(w)
+		s.views = newViewChecker(s)
 	}
-	for _, m := range w.gateways {
-		m.start()
+	for _, g := range s.gateways {
+		g.start()
 	}
 }
 
 // addHost starts a host; it takes over another's addresses if they are given.
-func (w *simulator) addHost(n int, addrs []netip.AddrPort, cold bool) {
-	spec := w.file.Spec(w.zone(n), n)
-	h := &host{w: w, n: n, name: spec.Name, spec: spec, record: requestrecord.NewEndpointRecord(spec.Name),
-		addrs: addrs, share: make(map[string]float64)}
+func (s *simulator) addHost(n int, addrs []netip.AddrPort, cold bool) {
+	spec := s.file.Spec(s.zone(n), n)
+	h := &host{run: s, index: n, name: spec.Name, spec: spec, record: requestrecord.NewEndpointRecord(spec.Name),
+		addrs: addrs, faultShares: make(map[string]float64)}
 	if addrs == nil {
-		for g := range w.gateways {
+		for g := range s.gateways {
 			h.addrs = append(h.addrs,
 				netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 3 + byte(n>>8), byte(n), byte(g%250 + 1)}),
 					uint16(9000+g/250)))
 		}
 	}
 	h.start(cold)
-	if n < len(w.hosts) {
-		w.hosts[n] = h
+	if n < len(s.hosts) {
+		s.hosts[n] = h
 	} else {
-		w.hosts = append(w.hosts, h)
+		s.hosts = append(s.hosts, h)
 	}
-	w.list(h, registry.Up, cold)
+	s.announce(h, registry.Up, cold)
 }
 
-func (w *simulator) list(h *host, state string, cold bool) {
+func (s *simulator) announce(h *host, state string, cold bool) {
 	e := registry.Entry{Host: h.name, Site: h.spec.Site, Kind: "h", State: state, Dial: make(map[string]string)}
-	if old, ok := w.disc.list.Find(h.name); ok {
+	if old, ok := s.discovery.list.Find(h.name); ok {
 		e.Born = old.Born
 	}
 	if cold {
-		e.Born = w.sim.Now().Milliseconds()
+		e.Born = s.sim.Now().Milliseconds()
 	}
 	for g, a := range h.addrs {
 		e.Dial[gatewayName(g)] = a.String()
 	}
-	if w.disc.lag == 0 && w.sim.Since() == 0 {
-		w.disc.list.Put(e)
+	if s.discovery.lag == 0 && s.sim.Since() == 0 {
+		s.discovery.list.Put(e)
 		return
 	}
-	w.disc.put(e)
+	s.discovery.publish(e)
 }
 
-func (w *simulator) host(n int) *host {
-	if n < 0 || n >= len(w.hosts) || w.hosts[n].gone {
+func (s *simulator) host(n int) *host {
+	if n < 0 || n >= len(s.hosts) || s.hosts[n].removed {
 		return nil
 	}
-	return w.hosts[n]
+	return s.hosts[n]
 }
--- a/internal/lab/simulation/callqueue.go
+++ b/internal/lab/simulation/callqueue.go
@@ -50,17 +50,17 @@
 // callQueue is the queue of calls: all of them are known by when the last is done.
 type callQueue struct {
 	CallQueue
-	busy time.Duration // with accepted calls until then
+	busyUntil time.Duration // with accepted calls until then
 }
 
-// enter adds a call and tells when it is answered, and whether it is served then or refused with 503.
-func (q *callQueue) enter(now, work time.Duration) (at time.Duration, served bool) {
-	begin := max(q.busy, now)
+// enqueue adds a call and tells when it is answered, and whether it is served then or refused with 503.
+func (q *callQueue) enqueue(now, work time.Duration) (at time.Duration, served bool) {
+	begin := max(q.busyUntil, now)
 	timeout := msec(q.TimeoutMS)
 	switch {
 	case begin-now <= timeout:
-		q.busy = begin + work
-		return q.busy, true
+		q.busyUntil = begin + work
+		return q.busyUntil, true
 	case q.ShedAtOnce:
 		return now, false
 	default:
--- a/internal/lab/simulation/callqueue_test.go
+++ b/internal/lab/simulation/callqueue_test.go
@@ -38,12 +38,12 @@
 		{second, 5 * second, true}, // what was refused has cost nothing
 		{9 * second, 10 * second, true},
 	} {
-		if at, served := q.enter(want.now, second); at != want.at || served != want.served {
+		if at, served := q.enqueue(want.now, second); at != want.at || served != want.served {
 			t.Errorf("call %d: at %v, served %v", i, at, served)
 		}
 	}
-	q.ShedAtOnce, q.busy = true, 13*second
-	if at, served := q.enter(9*second, second); at != 9*second || served {
+	q.ShedAtOnce, q.busyUntil = true, 13*second
+	if at, served := q.enqueue(9*second, second); at != 9*second || served {
 		t.Errorf("a queue that is too long answers at %v, served %v", at, served)
 	}
 }
@@ -55,31 +55,31 @@
 	latest := &notificationDeadlines{sim: sim, work: 100 * time.Millisecond}
 	start := sim.Now()
 	after := func(d time.Duration) time.Duration { sim.Run(start + d); return d }
-	latest.changed(registry.Entry{Host: "a", State: registry.Draining})
-	latest.caused(20)
+	latest.recordChange(registry.Entry{Host: "a", State: registry.Draining})
+	latest.addCalls(20)
 	after(3 * time.Second)
-	latest.changed(registry.Entry{Host: "a", State: registry.Removed}) // the first notice counts
+	latest.recordChange(registry.Entry{Host: "a", State: registry.Removed}) // the first notice counts
 	after(5999 * time.Millisecond)
-	if told, ok := latest.notified("a"); ok {
-		t.Errorf("told early: %v", told)
+	if notice, ok := latest.overdue("a"); ok {
+		t.Errorf("told early: %v", notice)
 	}
-	after(notifiedAtTheLatest)
-	if told, ok := latest.notified("a"); !ok || told.At != start+notifiedAtTheLatest ||
-		told.State != registry.Draining {
-		t.Errorf("%v, %v", told, ok)
+	after(notificationLimit)
+	if notice, ok := latest.overdue("a"); !ok || notice.At != start+notificationLimit ||
+		notice.State != registry.Draining {
+		t.Errorf("%v, %v", notice, ok)
 	}
-	latest.changed(registry.Entry{Host: "b", State: registry.Draining})
+	latest.recordChange(registry.Entry{Host: "b", State: registry.Draining})
 	from := after(7 * time.Second)
-	latest.caused(100) // 10 s of work
+	latest.addCalls(100) // 10 s of work
 	after(25 * time.Second)
-	if told, ok := latest.notified("b"); !ok || told.At != start+from+silenceNoticed+15*time.Second {
-		t.Errorf("%v, %v", told, ok)
+	if notice, ok := latest.overdue("b"); !ok || notice.At != start+from+silenceDetection+15*time.Second {
+		t.Errorf("%v, %v", notice, ok)
 	}
-	if told, ok := latest.notified("a"); !ok || told.At != start+notifiedAtTheLatest {
-		t.Errorf("what was told is put off: %v, %v", told, ok)
+	if notice, ok := latest.overdue("a"); !ok || notice.At != start+notificationLimit {
+		t.Errorf("what was told is put off: %v, %v", notice, ok)
 	}
-	latest.changed(registry.Entry{Host: "a", State: registry.Up})
-	if _, ok := latest.notified("a"); ok {
+	latest.recordChange(registry.Entry{Host: "a", State: registry.Up})
+	if _, ok := latest.overdue("a"); ok {
 		t.Error("a host that is up counts as leaving")
 	}
 }
@@ -87,16 +87,16 @@
 // watchers starts a world of gateways with a discovery that works in turn, and lets each have its list.
 func watchers(t *testing.T, calls CallQueue) *simulator {
 	t.Helper()
-	w := newSimulator(Plan{Seed: 1, Gateways: 4, Hosts: 3, Sockets: 300,
+	s := newSimulator(Plan{Seed: 1, Gateways: 4, Hosts: 3, Sockets: 300,
 		NetworkPlan: NetworkPlan{LatencyUS: 200}, CostUS: 10,
 		Calls: &calls}, nil,
 		func(r loop.Reducer) loop.Reducer { return r })
-	w.build()
-	w.sim.Run(epoch + 3*time.Second)
-	if n := len(w.disc.listed()); n != 4 {
+	s.build()
+	s.sim.Run(epoch + 3*time.Second)
+	if n := len(s.discovery.listed()); n != 4 {
 		t.Fatalf("%d gateways have a list", n)
 	}
-	return w
+	return s
 }
 
 // listed is the gateways that have a watch with a list.
@@ -104,7 +104,7 @@
 	list := make(map[int]bool)
 	for _, c := range d.watches {
 		if c.notified && !c.end.closed {
-			list[c.via] = true
+			list[c.gateway] = true
 		}
 	}
 	return list
@@ -115,21 +115,21 @@
 func TestWatchesThatEndAndListsWithoutDrainingHosts(t *testing.T) {
 	calls := CallQueue{LinesPerSecond: 1000, CallLines: 20, HostLines: 1, TimeoutMS: 3000, EndWatches: 1,
 		WholeFirst: true}
-	w := watchers(t, calls)
-	before := slices.Clone(w.disc.watches)
-	w.list(w.hosts[0], registry.Draining, false)
-	w.sim.Run(w.sim.Now() + time.Millisecond)
+	s := watchers(t, calls)
+	before := slices.Clone(s.discovery.watches)
+	s.announce(s.hosts[0], registry.Draining, false)
+	s.sim.Run(s.sim.Now() + time.Millisecond)
 	for _, c := range before {
 		if !c.end.closed {
-			t.Errorf("the watch of %s stands", gatewayName(c.via))
+			t.Errorf("the watch of %s stands", gatewayName(c.gateway))
 		}
 	}
-	line := string(w.disc.list.ServingLine("g0"))
+	line := string(s.discovery.list.ServingLine("g0"))
 	whole := strings.Contains(line, `"whole":true`)
-	if strings.Contains(line, w.hosts[0].name+`"`) || !strings.Contains(line, w.hosts[1].name) || !whole {
+	if strings.Contains(line, s.hosts[0].name+`"`) || !strings.Contains(line, s.hosts[1].name) || !whole {
 		t.Errorf("%s", line)
 	}
-	changed, serving := w.disc.list.ChangedCount(w.disc.list.Seq()-1), w.disc.list.ServingCount()
+	changed, serving := s.discovery.list.ChangedCount(s.discovery.list.Seq()-1), s.discovery.list.ServingCount()
 	if changed != 1 || serving != 2 {
 		t.Errorf("%d changed, %d serve", changed, serving)
 	}
@@ -138,18 +138,18 @@
 		after time.Duration // until every gateway has another watch
 	}{
 		{func() {}, time.Second},
-		{w.disc.resetOpen, time.Second},
-		{func() { w.disc.silence(10 * time.Second) }, 4 * time.Second},
+		{s.discovery.resetOpen, time.Second},
+		{func() { s.discovery.silenceWatches(10 * time.Second) }, 4 * time.Second},
 	} {
-		old := w.disc.watches
+		old := s.discovery.watches
 		storm.do()
-		w.sim.Run(w.sim.Now() + storm.after)
-		silent := slices.ContainsFunc(w.disc.watches, func(c *watch) bool {
+		s.sim.Run(s.sim.Now() + storm.after)
+		silent := slices.ContainsFunc(s.discovery.watches, func(c *watch) bool {
 			return slices.Contains(old, c) &&
-				c.silent > 0
+				c.silentUntil > 0
 		})
-		if len(w.disc.listed()) != 4 || silent {
-			t.Errorf("%d of 4 gateways have a list", len(w.disc.listed()))
+		if len(s.discovery.listed()) != 4 || silent {
+			t.Errorf("%d of 4 gateways have a list", len(s.discovery.listed()))
 		}
 	}
 }
--- a/internal/lab/simulation/calls_test.go
+++ b/internal/lab/simulation/calls_test.go
@@ -154,8 +154,8 @@
 			var inbox []byte
 			e.ready = func() {
 				inbox = append(inbox, e.Read(1<<16)...)
-				for _, _, rest, whole, err := message(inbox); whole && err == nil; _, _, rest, whole,
-					err = message(inbox) {
+				for _, _, rest, whole, err := parseRequest(inbox); whole && err == nil; _, _, rest, whole,
+					err = parseRequest(inbox) {
 					inbox = rest
 					*came = append(*came, sim.Now())
 					_, _ = e.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -10,52 +10,52 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// slack is how much later than its client timeout a client still looks, as for every time limit on
+// timeoutSlack is how much later than its client timeout a client still looks, as for every time limit on
 // sockets.
-const slack = 50 * time.Millisecond
+const timeoutSlack = 50 * time.Millisecond
 
-// noticeDead is how long the front goes on sending to a gateway that has died.
-const noticeDead = time.Second
+// deathNoticeDelay is how long the front goes on sending to a gateway that has died.
+const deathNoticeDelay = time.Second
 
 // client is one try of one request.
 type client struct {
-	w       *simulator
-	req     Request
-	number  int // of the request
-	try     int
-	id      string
-	gw      *gatewayNode
-	end     *End
-	used    bool // the connection carried a request before
-	inbox   []byte
-	over    bool
-	sent    bool // its last byte is written
-	crossed bool // it was sent anew because the link closed without reading it
-	waited  bool // for the reset that may follow an end
-	strict  bool // asks as for an unsafe view
-	out     []byte
+	run          *simulator
+	req          Request
+	number       int // of the request
+	try          int
+	id           string
+	gateway      *gatewayNode
+	end          *End
+	reused       bool // the connection carried a request before
+	inbox        []byte
+	ended        bool
+	sent         bool // its last byte is written
+	resent       bool // it was sent anew because the link closed without reading it
+	awaitedReset bool // for the reset that may follow an end
+	unsafeViews  bool // asks as for an unsafe view
+	pending      []byte
 }
 
-func (w *simulator) arrive(n int, r Request, try int) {
-	w.lastID++
-	c := &client{w: w, req: r, number: n, try: try, id: fmt.Sprintf("%08x", w.lastID)}
-	if c.gw = w.front(); c.gw == nil {
+func (s *simulator) startRequest(n int, r Request, try int) {
+	s.lastID++
+	c := &client{run: s, req: r, number: n, try: try, id: fmt.Sprintf("%08x", s.lastID)}
+	if c.gateway = s.pickGateway(); c.gateway == nil {
 		return
 	}
 	class := "tender-view"
 	if r.Unsafe {
 		class = "bid-lodge"
 	}
-	c.strict = w.strict
-	_ = w.clients.Add(requestrecord.Attempt{ID: c.id, Request: n, Number: try, Class: class, Unsafe: r.Unsafe ||
-		c.strict, Target: c.gw.name,
-		Due: w.sim.Now()})
-	w.sim.Note("client %s asks %s", c.id, c.gw.name)
-	w.asked++
-	if r.Act == "" && !r.Fresh || r.Act == "stop" && r.Pieces%2 == 0 {
-		if l := w.rest(c.gw); l != nil {
-			c.end, c.used = l.end, true
-			c.end.ready = c.received
+	c.unsafeViews = s.unsafeViews
+	_ = s.clients.Add(requestrecord.Attempt{ID: c.id, Request: n, Number: try, Class: class, Unsafe: r.Unsafe ||
+		c.unsafeViews, Target: c.gateway.name,
+		Due: s.sim.Now()})
+	s.sim.Note("client %s asks %s", c.id, c.gateway.name)
+	s.attempts++
+	if r.Behaviour == "" && !r.NewConnection || r.Behaviour == "stop" && r.Pieces%2 == 0 {
+		if l := s.takeIdle(c.gateway); l != nil {
+			c.end, c.reused = l.end, true
+			c.end.ready = c.onReadable
 			c.write()
 			return
 		}
@@ -63,11 +63,11 @@
 	c.dial()
 }
 
-// rest takes an idle connection to a gateway.
-func (w *simulator) rest(gw *gatewayNode) *link {
-	for i, l := range w.idle {
-		if l.gw == gw && !l.end.Gone() && len(l.end.inbox) == 0 {
-			w.idle = append(w.idle[:i:i], w.idle[i+1:]...)
+// takeIdle takes an idle connection to a gateway.
+func (s *simulator) takeIdle(gw *gatewayNode) *idleLink {
+	for i, l := range s.idle {
+		if l.gateway == gw && !l.end.Gone() && len(l.end.inbox) == 0 {
+			s.idle = append(s.idle[:i:i], s.idle[i+1:]...)
 			return l
 		}
 	}
@@ -75,27 +75,27 @@
 }
 
 func (c *client) dial() {
-	c.used, c.inbox = false, nil
-	c.end = c.w.net.Dial(c.gw.addr, nil, func(err error) {
-		if c.over {
+	c.reused, c.inbox = false, nil
+	c.end = c.run.net.Dial(c.gateway.addr, nil, func(err error) {
+		if c.ended {
 			return
 		}
 		if err != nil {
 			c.finish("connect refused")
 			return
 		}
-		c.end.ready = c.received
+		c.end.ready = c.onReadable
 		c.write()
 	})
 	end := c.end
-	c.w.sim.After(msec(c.req.Patient), func() {
-		if !c.over && !c.sent && c.end == end {
+	c.run.sim.After(msec(c.req.TimeoutMS), func() {
+		if !c.ended && !c.sent && c.end == end {
 			c.finish("never connected")
 		}
 	})
 }
 
-func (c *client) text() []byte {
+func (c *client) encode() []byte {
 	mark := ""
 	if c.try > 0 {
 		mark = "X-Second-Try: 1\r\n"
@@ -112,13 +112,13 @@
 		path, class, body = "/bid-lodge", "bid-lodge", fmt.Appendf(nil, "%040d", c.number)
 		body = append(body, bytes.Repeat([]byte{'b'}, c.req.Body)...)
 	}
-	if !c.req.Unsafe && !c.strict {
+	if !c.req.Unsafe && !c.unsafeViews {
 		return fmt.Appendf(nil,
 			"GET %s%s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %dm\r\n%s\r\n",
-			path, query, c.id, class, c.req.Patient, mark)
+			path, query, c.id, class, c.req.TimeoutMS, mark)
 	}
 	head := fmt.Appendf(nil, "POST %s%s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %dm\r\n%s",
-		path, query, c.id, class, c.req.Patient, mark)
+		path, query, c.id, class, c.req.TimeoutMS, mark)
 	if c.req.Chunks && len(body) > 0 {
 		return append(append(head, "Transfer-Encoding: chunked\r\n\r\n"...), chunked(body)...)
 	}
@@ -135,68 +135,68 @@
 	return append(out, "0\r\n\r\n"...)
 }
 
-// pump writes what is left of a large request as there is room.
-func (c *client) pump() {
-	n, err := c.end.Write(c.out)
+// writePending writes what is left of a large request as there is room.
+func (c *client) writePending() {
+	n, err := c.end.Write(c.pending)
 	switch {
-	case err == unix.EAGAIN || err == nil && n < len(c.out):
-		c.out = c.out[n:]
+	case err == unix.EAGAIN || err == nil && n < len(c.pending):
+		c.pending = c.pending[n:]
 	case err != nil:
-		c.out = nil // what has come is read
+		c.pending = nil // what has come is read
 	default:
-		c.out = nil
-		c.wasSent()
+		c.pending = nil
+		c.markSent()
 	}
 }
 
 func (c *client) write() {
-	text := c.text()
-	switch c.req.Act {
+	text := c.encode()
+	switch c.req.Behaviour {
 	case "silent": // connects and says nothing
-		c.w.sim.After(msec(c.req.Patient), func() { c.finish("said nothing") })
+		c.run.sim.After(msec(c.req.TimeoutMS), func() { c.finish("said nothing") })
 		return
 	case "half":
 		_, _ = c.end.Write(text[:len(text)/2])
-		c.w.sim.After(50*time.Millisecond, func() { c.finish("half a request") })
+		c.run.sim.After(50*time.Millisecond, func() { c.finish("half a request") })
 		return
 	case "garbage":
 		_, _ = c.end.Write([]byte("\x00\x01nonsense\r\n\r\nContent-Length: -1\r\n\r\n"))
-		c.w.sim.After(3*time.Second, func() {
-			if !c.over {
-				c.w.find("rude client not answered", c.id, "neither an error nor a close within 3 s")
+		c.run.sim.After(3*time.Second, func() {
+			if !c.ended {
+				c.run.addFinding("rude client not answered", c.id, "neither an error nor a close within 3 s")
 			}
 			c.finish("garbage")
 		})
 		return
 	case "stop":
-		c.stop(text[:int(c.req.Sends*float64(len(text)))], max(1, c.req.Pieces))
+		c.sendPart(text[:int(c.req.SentShare*float64(len(text)))], max(1, c.req.Pieces))
 		return
 	case "trickle":
 		c.trickle(text)
 		return
 	case "leave":
-		c.w.sim.After(c.w.sim.Between(time.Millisecond, 300*time.Millisecond), func() { c.finish("left") })
+		c.run.sim.After(c.run.sim.Between(time.Millisecond, 300*time.Millisecond), func() { c.finish("left") })
 	}
 	if c.req.Body > 0 {
-		c.out = text
-		c.pump()
+		c.pending = text
+		c.writePending()
 		return
 	}
 	n, err := c.end.Write(text)
 	if err != nil || n < len(text) {
-		c.broken("write")
+		c.handleBroken("write")
 		return
 	}
-	c.wasSent()
+	c.markSent()
 }
 
-// owedWithin is how soon a client that stops in the middle of a request is owed an error or a close.
-const owedWithin = 3 * time.Second
+// stoppedClientDeadline is how soon a client that stops in the middle of a request is owed an error or a close.
+const stoppedClientDeadline = 3 * time.Second
 
-// stop sends a part of a request in pieces, and then nothing more. Its client is owed an error or a
+// sendPart sends a part of a request in pieces, and then nothing more. Its client is owed an error or a
 // close from then on.
-func (c *client) stop(text []byte, pieces int) {
-	if c.over {
+func (c *client) sendPart(text []byte, pieces int) {
+	if c.ended {
 		return
 	}
 	part := text[:len(text)/pieces]
@@ -206,23 +206,23 @@
 		c.finish("closed")
 		return
 	case err == unix.EAGAIN || n < len(part): // there is no room: it has sent all that it can for now
-		c.w.sim.After(10*time.Millisecond, func() { c.stop(text[n:], pieces) })
+		c.run.sim.After(10*time.Millisecond, func() { c.sendPart(text[n:], pieces) })
 		return
 	case pieces > 1:
-		c.w.sim.After(msec(c.req.PauseMS), func() { c.stop(text[n:], pieces-1) })
+		c.run.sim.After(msec(c.req.PauseMS), func() { c.sendPart(text[n:], pieces-1) })
 		return
 	}
-	c.w.sim.After(owedWithin+slack, func() {
-		if !c.over {
-			c.w.find(NotHeard, c.id, "%s told a client that stopped neither an error nor a close within %v",
-				c.gw.name, owedWithin)
+	c.run.sim.After(stoppedClientDeadline+timeoutSlack, func() {
+		if !c.ended {
+			c.run.addFinding(NotHeard, c.id, "%s told a client that stopped neither an error nor a close within %v",
+				c.gateway.name, stoppedClientDeadline)
 			c.finish("not heard")
 		}
 	})
 }
 
 func (c *client) trickle(text []byte) {
-	if c.over {
+	if c.ended {
 		return
 	}
 	n := min(len(text), 1+len(text)/6)
@@ -231,81 +231,81 @@
 		return
 	}
 	if n == len(text) {
-		c.wasSent()
+		c.markSent()
 		return
 	}
-	c.w.sim.After(40*time.Millisecond, func() { c.trickle(text[n:]) })
+	c.run.sim.After(40*time.Millisecond, func() { c.trickle(text[n:]) })
 }
 
-func (c *client) wasSent() {
+func (c *client) markSent() {
 	c.sent = true
-	now := c.w.sim.Now()
-	c.w.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Whole, t.Sent = true, now })
-	c.w.sim.After(msec(c.req.Patient)+slack, func() { c.finish("silence") })
+	now := c.run.sim.Now()
+	c.run.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Whole, t.Sent = true, now })
+	c.run.sim.After(msec(c.req.TimeoutMS)+timeoutSlack, func() { c.finish("silence") })
 }
 
-// broken ends a try whose link broke. What the gateway has not read is sent once more on a new link: a reset
+// handleBroken ends a try whose link broke. What the gateway has not read is sent once more on a new link: a reset
 // without a byte of an answer tells so, unless the network was to blame.
-func (c *client) broken(why string) {
-	if c.used && !c.crossed && !c.waited && len(c.inbox) == 0 && c.end.fin && !c.end.reset {
+func (c *client) handleBroken(cause string) {
+	if c.reused && !c.resent && !c.awaitedReset && len(c.inbox) == 0 && c.end.fin && !c.end.reset {
 		// The end may have crossed the request; the reset that says so is a round trip behind it.
-		c.waited = true
+		c.awaitedReset = true
 		end := c.end
-		c.w.sim.After(3*(c.w.net.Latency+c.w.net.Jitter)+time.Millisecond, func() {
-			if !c.over && c.end == end {
-				c.broken(why)
+		c.run.sim.After(3*(c.run.net.Latency+c.run.net.Jitter)+time.Millisecond, func() {
+			if !c.ended && c.end == end {
+				c.handleBroken(cause)
 			}
 		})
 		return
 	}
-	if c.used && !c.crossed && len(c.inbox) == 0 && c.end.reset && !c.end.cut {
-		c.crossed, c.sent = true, false
-		c.w.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Whole = false })
+	if c.reused && !c.resent && len(c.inbox) == 0 && c.end.reset && !c.end.cutByNetwork {
+		c.resent, c.sent = true, false
+		c.run.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Whole = false })
 		c.end.Close()
 		c.dial()
 		return
 	}
-	if c.end.cut {
-		why = "cut by the network"
+	if c.end.cutByNetwork {
+		cause = "cut by the network"
 	}
-	if c.req.Pad > 0 && bytes.HasPrefix(c.inbox, []byte("HTTP/1.1 200")) && len(c.w.plan.Faults) > 0 {
-		why = "half a large answer" // a host or gateway had its troubles, and the client can tell
+	if c.req.Pad > 0 && bytes.HasPrefix(c.inbox, []byte("HTTP/1.1 200")) && len(c.run.plan.Faults) > 0 {
+		cause = "half a large answer" // a host or gateway had its troubles, and the client can tell
 	}
-	c.finish(why)
+	c.finish(cause)
 }
 
 // finish ends a try without an answer.
-func (c *client) finish(why string) {
-	if c.over {
+func (c *client) finish(cause string) {
+	if c.ended {
 		return
 	}
-	c.over = true
-	c.w.sim.Note("client %s ends: %s", c.id, why)
-	now := c.w.sim.Now()
-	c.w.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Ended, t.Cause = now, why })
+	c.ended = true
+	c.run.sim.Note("client %s ends: %s", c.id, cause)
+	now := c.run.sim.Now()
+	c.run.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Ended, t.Cause = now, cause })
 	if c.end != nil {
 		c.end.ready = nil
 		c.end.Close()
 	}
-	if why != "left" && c.req.Act == "" {
-		c.again()
+	if cause != "left" && c.req.Behaviour == "" {
+		c.retry()
 	}
 }
 
-func (c *client) again() {
+func (c *client) retry() {
 	if c.try < c.req.Retries {
 		r, n, try := c.req, c.number, c.try+1
-		c.w.sim.After(c.w.sim.Between(40*time.Millisecond, 300*time.Millisecond), func() { c.w.arrive(n, r, try) })
+		c.run.sim.After(c.run.sim.Between(40*time.Millisecond, 300*time.Millisecond), func() { c.run.startRequest(n, r, try) })
 	}
 }
 
-// front deals requests out in turn among the gateways that it does not know to be dead.
-func (w *simulator) front() *gatewayNode {
-	for range w.gateways {
-		w.turn++
-		m := w.gateways[w.turn%len(w.gateways)]
-		if !m.left && (m.up || w.sim.Now()-m.died < noticeDead) {
-			return m
+// pickGateway deals requests out in turn among the gateways that it does not know to be dead.
+func (s *simulator) pickGateway() *gatewayNode {
+	for range s.gateways {
+		s.lastPicked++
+		g := s.gateways[s.lastPicked%len(s.gateways)]
+		if !g.withdrawn && (g.up || s.sim.Now()-g.diedAt < deathNoticeDelay) {
+			return g
 		}
 	}
 	return nil
--- a/internal/lab/simulation/clusterrates.go
+++ b/internal/lab/simulation/clusterrates.go
@@ -13,116 +13,116 @@
 
 // Rules of the sums.
 const (
-	OverSent   = "too many sends"       // at one host in a second, by all gateways together
-	OverOpened = "too many connections" // opened at one host in a second
-	OverAsked  = "too many calls"       // at discovery in a second
+	TooManySends       = "too many sends"       // at one host in a second, by all gateways together
+	TooManyConnections = "too many connections" // opened at one host in a second
+	TooManyCalls       = "too many calls"       // at discovery in a second
 )
 
 // The sums in figures. Those at a host hold while half of the hosts of its zone are left. With half,
 // each has twice its part of the gateways, and the bounds leave half as much again; with fewer the
 // gateways have to use the same few, and sends and connections opened may grow as the hosts get fewer.
 const (
-	// maxAttempts a second: a host of the plans does 25 of mean work and queues 14, and what it turns
+	// maxSendsPerSecond a second: a host of the plans does 25 of mean work and queues 14, and what it turns
 	// away has to be asked for before it is known to be full.
-	maxAttempts = 120
-	// maxOpened is one for each connection that it may hold, twice over: a second may see a host
+	maxSendsPerSecond = 120
+	// maxConnectsPerSecond is one for each connection that it may hold, twice over: a second may see a host
 	// restart and all come back.
-	maxOpened = 2 * maxConnections
+	maxConnectsPerSecond = 2 * maxConnections
 )
 
-// sumOf names a sum: a rule, and the host at which it holds.
-type sumOf struct{ rule, host string }
+// rateKey names a sum: a rule, and the host at which it holds.
+type rateKey struct{ rule, host string }
 
 // clusterRates counts over the second under way.
 type clusterRates struct {
-	w         *simulator
-	second    time.Duration
-	sums      map[sumOf]int
-	broken    map[sumOf]bool
-	strain    map[int]float64 // of each zone
-	most      map[string]int  // of each rule, over the run
-	calls     int
-	mostCalls int // over the run
+	run         *simulator
+	start       time.Duration
+	counts      map[rateKey]int
+	reported    map[rateKey]bool
+	loadFactors map[int]float64 // of each zone
+	peaks       map[string]int  // of each rule, over the run
+	calls       int
+	peakCalls   int // over the run
 }
 
-func newClusterRates(w *simulator) *clusterRates {
-	return &clusterRates{w: w, sums: make(map[sumOf]int), broken: make(map[sumOf]bool),
-		strain: make(map[int]float64), most: make(map[string]int)}
+func newClusterRates(s *simulator) *clusterRates {
+	return &clusterRates{run: s, counts: make(map[rateKey]int), reported: make(map[rateKey]bool),
+		loadFactors: make(map[int]float64), peaks: make(map[string]int)}
 }
 
-// strained is how many times more gateways use a host of this zone than where half of the zone's hosts
+// loadFactor is how many times more gateways use a host of this zone than where half of the zone's hosts
 // run and are listed as up: 1 while so many are left.
-func (w *simulator) strained(zone int) float64 {
-	all, left := 0, 0
-	for _, h := range w.hosts {
+func (s *simulator) loadFactor(zone int) float64 {
+	total, serving := 0, 0
+	for _, h := range s.hosts {
 		if h.zone() != zone {
 			continue
 		}
-		all++
-		if e, ok := w.disc.list.Find(h.name); ok && h.up && e.State == registry.Up {
-			left++
+		total++
+		if e, ok := s.discovery.list.Find(h.name); ok && h.up && e.State == registry.Up {
+			serving++
 		}
 	}
-	return max(1, float64(all)/float64(2*left))
+	return max(1, float64(total)/float64(2*serving))
 }
 
-// begin begins a new second if one is over.
-func (r *clusterRates) begin() {
-	if now := r.w.sim.Since(); now-r.second >= time.Second {
-		r.second = now - now%time.Second
-		clear(r.sums)
-		clear(r.broken)
-		clear(r.strain)
-		r.calls = 0
+// advance begins a new second if one is over.
+func (c *clusterRates) advance() {
+	if now := c.run.sim.Since(); now-c.start >= time.Second {
+		c.start = now - now%time.Second
+		clear(c.counts)
+		clear(c.reported)
+		clear(c.loadFactors)
+		c.calls = 0
 	}
 }
 
-func (r *clusterRates) send(h *host) { r.count(OverSent, h, maxAttempts) }
+func (c *clusterRates) countSend(h *host) { c.count(TooManySends, h, maxSendsPerSecond) }
 
-func (r *clusterRates) open(h *host) { r.count(OverOpened, h, maxOpened) }
+func (c *clusterRates) countConnect(h *host) { c.count(TooManyConnections, h, maxConnectsPerSecond) }
 
 // count adds one to a host's sum under a rule, and finds it over its bound once in a second.
-func (r *clusterRates) count(rule string, h *host, most int) {
-	if r == nil {
+func (c *clusterRates) count(rule string, h *host, limit int) {
+	if c == nil {
 		return
 	}
-	r.begin()
-	sum := sumOf{rule, h.name}
-	r.sums[sum]++
-	r.most[rule] = max(r.most[rule], r.sums[sum])
-	if r.sums[sum] <= most || r.broken[sum] {
+	c.advance()
+	sum := rateKey{rule, h.name}
+	c.counts[sum]++
+	c.peaks[rule] = max(c.peaks[rule], c.counts[sum])
+	if c.counts[sum] <= limit || c.reported[sum] {
 		return
 	}
-	if bound := float64(most) * r.strainOf(h.zone()); float64(r.sums[sum]) > bound {
-		r.broken[sum] = true
-		r.w.find(rule, h.name, "over %.0f in the second from %v", bound, r.second)
+	if bound := float64(limit) * c.maxLoadFactor(h.zone()); float64(c.counts[sum]) > bound {
+		c.reported[sum] = true
+		c.run.addFinding(rule, h.name, "over %.0f in the second from %v", bound, c.start)
 	}
 }
 
-// strainOf is how strained a zone was at most in this second, as far as it was asked for: a zone that
+// maxLoadFactor is how strained a zone was at most in this second, as far as it was asked for: a zone that
 // had few hosts left may have more at each of them in all of it.
-func (r *clusterRates) strainOf(zone int) float64 {
-	r.strain[zone] = max(r.strain[zone], r.w.strained(zone))
-	return r.strain[zone]
+func (c *clusterRates) maxLoadFactor(zone int) float64 {
+	c.loadFactors[zone] = max(c.loadFactors[zone], c.run.loadFactor(zone))
+	return c.loadFactors[zone]
 }
 
-// call counts a call at discovery. Each gateway may call twice in a second: once more after one that failed.
-func (r *clusterRates) call() {
-	if r == nil {
+// countCall counts a call at discovery. Each gateway may call twice in a second: once more after one that failed.
+func (c *clusterRates) countCall() {
+	if c == nil {
 		return
 	}
-	r.begin()
-	r.calls++
-	r.mostCalls = max(r.mostCalls, r.calls)
-	if r.calls == 2*r.w.plan.Gateways+1 {
-		r.w.find(OverAsked, "discovery", "over %d in the second from %v", 2*r.w.plan.Gateways, r.second)
+	c.advance()
+	c.calls++
+	c.peakCalls = max(c.peakCalls, c.calls)
+	if c.calls == 2*c.run.plan.Gateways+1 {
+		c.run.addFinding(TooManyCalls, "discovery", "over %d in the second from %v", 2*c.run.plan.Gateways, c.start)
 	}
 }
 
-func (r *clusterRates) String() string {
-	if r == nil {
+func (c *clusterRates) String() string {
+	if c == nil {
 		return ""
 	}
 	return fmt.Sprintf("most in a second: %d sends and %d connections at one host, %d calls at discovery",
-		r.most[OverSent], r.most[OverOpened], r.mostCalls)
+		c.peaks[TooManySends], c.peaks[TooManyConnections], c.peakCalls)
 }
--- a/internal/lab/simulation/clusterrates_test.go
+++ b/internal/lab/simulation/clusterrates_test.go
@@ -10,20 +10,20 @@
 // counts what is asked of them.
 func twoZones(t *testing.T) *simulator {
 	t.Helper()
-	w := newSimulator(Plan{Seed: 1, Gateways: 2, Hosts: 12, Sockets: 200, Zones: 2,
+	s := newSimulator(Plan{Seed: 1, Gateways: 2, Hosts: 12, Sockets: 200, Zones: 2,
 		NetworkPlan: NetworkPlan{LatencyUS: 200}}, nil, nil)
-	w.rates = newClusterRates(w)
-	w.disc = &discoveryServer{w: w, list: registry.New()}
-	for n := range w.plan.Hosts {
-		w.addHost(n, nil, false)
+	s.rates = newClusterRates(s)
+	s.discovery = &discoveryServer{run: s, list: registry.New()}
+	for n := range s.plan.Hosts {
+		s.addHost(n, nil, false)
 	}
-	return w
+	return s
 }
 
 // lose stops so many hosts of a zone and returns one that is left.
-func (w *simulator) lose(zone, many int) *host {
+func (s *simulator) lose(zone, many int) *host {
 	var left *host
-	for _, h := range w.hosts {
+	for _, h := range s.hosts {
 		switch {
 		case h.zone() != zone:
 		case many > 0:
@@ -46,47 +46,47 @@
 		most        int
 		mayBeDenied bool // a connection beyond what the host holds is no finding
 	}{
-		{"all run", [2]int{0, 0}, 0, maxAttempts, false},
-		{"half of the zone", [2]int{4, 0}, 0, maxAttempts, false},
-		{"a quarter of the zone, though half of all", [2]int{0, 3}, 1, 2 * maxAttempts, true},
-		{"the zone is whole, though fewer than half of all are left", [2]int{7, 0}, 1, maxAttempts, false},
-		{"one of eight", [2]int{7, 0}, 0, 4 * maxAttempts, true},
+		{"all run", [2]int{0, 0}, 0, maxSendsPerSecond, false},
+		{"half of the zone", [2]int{4, 0}, 0, maxSendsPerSecond, false},
+		{"a quarter of the zone, though half of all", [2]int{0, 3}, 1, 2 * maxSendsPerSecond, true},
+		{"the zone is whole, though fewer than half of all are left", [2]int{7, 0}, 1, maxSendsPerSecond, false},
+		{"one of eight", [2]int{7, 0}, 0, 4 * maxSendsPerSecond, true},
 	} {
-		w := twoZones(t)
-		w.lose(0, c.lost[0])
-		w.lose(1, c.lost[1])
-		h := w.lose(c.zone, 0)
-		if few := w.strained(c.zone) > 1; few != c.mayBeDenied {
+		s := twoZones(t)
+		s.lose(0, c.lost[0])
+		s.lose(1, c.lost[1])
+		h := s.lose(c.zone, 0)
+		if few := s.loadFactor(c.zone) > 1; few != c.mayBeDenied {
 			t.Errorf("%s: few are left: %v", c.name, few)
 		}
 		for range c.most {
-			w.rates.send(h)
+			s.rates.countSend(h)
 		}
-		if len(w.found) > 0 {
-			t.Errorf("%s: %+v", c.name, w.found)
+		if len(s.findings) > 0 {
+			t.Errorf("%s: %+v", c.name, s.findings)
 		}
-		w.rates.send(h)
-		w.rates.send(h)
-		if len(w.found) != 1 || w.found[0].Rule != OverSent || w.found[0].ID != h.name {
-			t.Errorf("%s: one more: %+v", c.name, w.found)
+		s.rates.countSend(h)
+		s.rates.countSend(h)
+		if len(s.findings) != 1 || s.findings[0].Rule != TooManySends || s.findings[0].ID != h.name {
+			t.Errorf("%s: one more: %+v", c.name, s.findings)
 		}
 	}
 }
 
 // What came to a host while few were left does not break a bound once the others are back in the same second.
 func TestBoundsOfAHostLastASecond(t *testing.T) {
-	w := twoZones(t)
-	h := w.lose(1, 3)
-	for range 2*maxOpened - 1 {
-		w.rates.open(h)
+	s := twoZones(t)
+	h := s.lose(1, 3)
+	for range 2*maxConnectsPerSecond - 1 {
+		s.rates.countConnect(h)
 	}
-	for _, other := range w.hosts {
+	for _, other := range s.hosts {
 		other.up = true
 	}
-	if w.rates.open(h); len(w.found) > 0 {
-		t.Errorf("%+v", w.found)
+	if s.rates.countConnect(h); len(s.findings) > 0 {
+		t.Errorf("%+v", s.findings)
 	}
-	if w.rates.open(h); len(w.found) != 1 {
-		t.Errorf("one more: %+v", w.found)
+	if s.rates.countConnect(h); len(s.findings) != 1 {
+		t.Errorf("one more: %+v", s.findings)
 	}
 }
--- a/internal/lab/simulation/conform_test.go
+++ b/internal/lab/simulation/conform_test.go
@@ -150,7 +150,7 @@
 		}
 		return nil
 	}
-	var elder loop.Conn
+	var predecessor loop.Conn
 	client := func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
 		switch {
 		case e.Kind == loop.Start:
@@ -160,9 +160,9 @@
 		case e.Kind == loop.Readable && e.Conn == loop.HotRestart:
 			return []loop.Effect{{Op: loop.Accept, Conn: e.Conn}}
 		case e.Kind == loop.Accepted && e.AcceptedBy == loop.HotRestart:
-			elder = e.Conn
+			predecessor = e.Conn
 		case e.Kind == loop.Accepted:
-			return []loop.Effect{{Op: loop.PassSockets, Conn: elder, Data: []byte("!"), PassConns: []loop.Conn{e.Conn}}}
+			return []loop.Effect{{Op: loop.PassSockets, Conn: predecessor, Data: []byte("!"), PassConns: []loop.Conn{e.Conn}}}
 		case e.Kind == loop.Data && len(e.PassedConns) == 1:
 			return []loop.Effect{{Op: loop.ResumeReading, Conn: e.PassedConns[0]}}
 		}
@@ -528,13 +528,13 @@
 		t.Fatal(err)
 	}
 	var want []string
-	told := func() []string {
+	notice := func() []string {
 		return slices.DeleteFunc(s.told(), func(x string) bool { return x == "timer 99" })
 	}
 	for _, st := range c.steps {
 		st.do(p)
 		want = append(want, st.want...)
-		for end := time.Now().Add(5 * time.Second); !slices.Equal(told(), want) && time.Now().Before(end); {
+		for end := time.Now().Add(5 * time.Second); !slices.Equal(notice(), want) && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -549,7 +549,7 @@
 			t.Errorf("the peer saw %q, want %q", p.end(), c.end)
 		}
 	}
-	compare(t, told(), want)
+	compare(t, notice(), want)
 	close(quit)
 	if err := <-done; err != nil {
 		t.Error(err)
--- a/internal/lab/simulation/datagrams.go
+++ b/internal/lab/simulation/datagrams.go
@@ -13,9 +13,9 @@
 
 // Sizes of the real loop's datagram sockets, and of a kernel's buffer.
 const (
-	maxDatagram    = 2048
-	datagramsAtOne = 32
-	maxQueued      = 256
+	maxDatagram        = 2048
+	datagramsPerRead   = 32
+	maxQueuedDatagrams = 256
 )
 
 // datagramSocket is a datagram socket.
@@ -24,7 +24,7 @@
 	conn   loop.Conn
 	addr   netip.AddrPort
 	urgent bool
-	muted  bool
+	paused bool
 	inbox  []datagram
 }
 
@@ -33,12 +33,12 @@
 	data []byte
 }
 
-func (s *datagramSocket) isReady() bool { return !s.muted && len(s.inbox) > 0 }
+func (s *datagramSocket) isReady() bool { return !s.paused && len(s.inbox) > 0 }
 
 // bind opens a datagram socket. Where two processes have one address the later one hears; the real
 // kernel deals them out.
 func (l *Loop) bind(f loop.Effect) {
-	if l.full() {
+	if l.descriptorsExhausted() {
 		l.queueEvent(loop.Event{Kind: loop.Broken, Conn: f.Conn, Err: unix.EMFILE})
 		return
 	}
@@ -57,7 +57,7 @@
 func (l *Loop) carryOutOnDatagrams(s *datagramSocket, f loop.Effect) {
 	switch f.Op {
 	case loop.Read:
-		for range datagramsAtOne {
+		for range datagramsPerRead {
 			if len(s.inbox) == 0 {
 				l.queueEvent(loop.Event{Kind: loop.WouldBlock, Conn: s.conn})
 				return
@@ -73,13 +73,13 @@
 	case loop.Close:
 		l.unbind(s)
 	case loop.PauseReading, loop.ResumeReading:
-		s.muted = f.Op == loop.PauseReading
+		s.paused = f.Op == loop.PauseReading
 		l.wake(l.sim.Now())
 	}
 }
 
-// bindings returns the datagram sockets in order.
-func (l *Loop) bindings() []*datagramSocket {
+// orderedDatagramSockets returns the datagram sockets in order.
+func (l *Loop) orderedDatagramSockets() []*datagramSocket {
 	return slices.SortedFunc(maps.Values(l.datagrams),
 		func(a, b *datagramSocket) int { return cmp.Compare(a.conn, b.conn) })
 }
@@ -88,16 +88,16 @@
 // overtake one another.
 func (n *Net) datagram(from *datagramSocket, to netip.AddrPort, data []byte) {
 	copies := 1
-	if n.sim.Chance(n.DoubleDatagrams) {
+	if n.sim.Chance(n.DuplicateDatagramChance) {
 		copies = 2
 	}
 	for range copies {
-		if n.sim.Chance(n.LoseDatagrams) || n.CutDatagrams != nil && n.CutDatagrams(from.addr, to) {
+		if n.sim.Chance(n.LoseDatagramChance) || n.CutDatagrams != nil && n.CutDatagrams(from.addr, to) {
 			continue
 		}
 		n.sim.After(n.delay(), func() {
 			s := n.bound[to]
-			if s == nil || !s.loop.Running() || len(s.inbox) >= maxQueued || s.loop.silent != nil && *s.loop.silent {
+			if s == nil || !s.loop.Running() || len(s.inbox) >= maxQueuedDatagrams || s.loop.silent != nil && *s.loop.silent {
 				return
 			}
 			s.inbox = append(s.inbox, datagram{from.addr, data})
--- a/internal/lab/simulation/discovery_load_test.go
+++ b/internal/lab/simulation/discovery_load_test.go
@@ -43,24 +43,24 @@
 }
 
 // recoverFleet starts gateways, resets their watches and waits until all have a list, for at most so long.
-func recoverFleet(seed uint64, gateways int, queue CallQueue, most time.Duration) recovery {
+func recoverFleet(seed uint64, gateways int, queue CallQueue, limit time.Duration) recovery {
 	var r recovery
-	w := newSimulator(Plan{Seed: seed, Gateways: gateways, Hosts: 2, Sockets: 300,
+	s := newSimulator(Plan{Seed: seed, Gateways: gateways, Hosts: 2, Sockets: 300,
 		NetworkPlan: NetworkPlan{LatencyUS: 200}, CostUS: 10}, nil,
 		func(gw loop.Reducer) loop.Reducer { return callCounter{gw, &r.calls} })
-	w.build()
-	w.sim.Run(epoch + 5*time.Second + w.sim.Between(0, 2*time.Second)) // each call has been answered at once until now
-	w.disc.queue = &callQueue{CallQueue: queue}
-	start := w.sim.Now()
+	s.build()
+	s.sim.Run(epoch + 5*time.Second + s.sim.Between(0, 2*time.Second)) // each call has been answered at once until now
+	s.discovery.queue = &callQueue{CallQueue: queue}
+	start := s.sim.Now()
 	r.calls = 0
-	w.disc.resetOpen()
+	s.discovery.resetOpen()
 	const step = 20 * time.Millisecond
-	for !r.whole && w.sim.Now() < start+most {
-		w.sim.Run(w.sim.Now() + step)
-		r.have = len(w.disc.listed())
+	for !r.whole && s.sim.Now() < start+limit {
+		s.sim.Run(s.sim.Now() + step)
+		r.have = len(s.discovery.listed())
 		r.whole = r.have == gateways
 	}
-	r.took = w.sim.Now() - start
+	r.took = s.sim.Now() - start
 	return r
 }
 
--- a/internal/lab/simulation/draw.go
+++ b/internal/lab/simulation/draw.go
@@ -8,22 +8,22 @@
 	"strings"
 )
 
-// drawing is a plan under way. The order of its random draws must not change: kept seeds go on playing
+// planDrawer is a plan under way. The order of its random draws must not change: kept seeds go on playing
 // what they did.
-type drawing struct {
-	rng    *rand.Rand
-	plan   Plan
-	kinds  []string        // faults of the profile
-	on     map[string]bool // those of this plan
-	length int             // of the traffic, in ms
-	rate   float64         // requests a second
+type planDrawer struct {
+	rng     *rand.Rand
+	plan    Plan
+	kinds   []string        // faults of the profile
+	enabled map[string]bool // those of this plan
+	length  int             // of the traffic, in ms
+	rate    float64         // requests a second
 }
 
 // between draws an integer from a closed interval.
-func (d *drawing) between(least, most int) int { return least + d.rng.IntN(most-least+1) }
+func (d *planDrawer) between(low, high int) int { return low + d.rng.IntN(high-low+1) }
 
 // drawProfile draws what the profile has of its own.
-func (d *drawing) drawProfile() {
+func (d *planDrawer) drawProfile() {
 	p, rng := &d.plan, d.rng
 	switch p.Profile {
 	case coldReturnProfile:
@@ -38,7 +38,7 @@
 		p.Gateways, p.Hosts = 2+rng.IntN(15), 2+rng.IntN(15)
 		p.Views, p.Shares, p.Cold = true, true, rng.IntN(2) == 0
 		if rng.IntN(3) == 0 {
-			p.Zones, p.Barren = 2+rng.IntN(3), rng.IntN(2) == 0
+			p.Zones, p.HostlessZone = 2+rng.IntN(3), rng.IntN(2) == 0
 		}
 	case pushedProfile:
 		p.Pushed = true
@@ -56,45 +56,45 @@
 
 // drawKinds turns a subset of the profile's faults on (swarm testing): faults that are always on
 // together hide one another.
-func (d *drawing) drawKinds() {
+func (d *planDrawer) drawKinds() {
 	for _, kind := range d.kinds {
 		if d.rng.IntN(2) == 0 {
-			d.on[kind] = true
+			d.enabled[kind] = true
 		}
 	}
 }
 
 // drawNetwork draws what is wrong with the network.
-func (d *drawing) drawNetwork() {
+func (d *planDrawer) drawNetwork() {
 	p := &d.plan
-	if d.on["net-split"] {
+	if d.enabled["net-split"] {
 		p.Split, p.Partial = 0.2, 0.3
 	}
-	if d.on["net-jitter"] {
+	if d.enabled["net-jitter"] {
 		p.JitterUS = d.between(500, 8000)
 	}
-	if d.on["net-reset"] {
+	if d.enabled["net-reset"] {
 		p.Resets = 0.002
 	}
-	if d.on["net-lose"] {
+	if d.enabled["net-lose"] {
 		p.LoseDials = 0.02
 	}
-	if d.on["net-lose-data"] {
+	if d.enabled["net-lose-data"] {
 		p.LoseData = 0.02 + 0.13*d.rng.Float64()
 		if p.Profile == sharesProfile {
 			p.LoseData = 0.5 * d.rng.Float64()
 		}
 	}
-	if d.on["net-double-data"] {
+	if d.enabled["net-double-data"] {
 		p.DoubleData = 0.1
 	}
-	if d.on["net-slow"] {
+	if d.enabled["net-slow"] {
 		p.CostUS = d.between(100, 400)
 	}
 }
 
 // drawTraffic draws how long requests come and how many a second, and bounds the cost of an event.
-func (d *drawing) drawTraffic(size Size) {
+func (d *planDrawer) drawTraffic(size Size) {
 	p := &d.plan
 	d.length = d.between(6000, 14000)
 	if p.Profile == fleetProfile {
@@ -106,7 +106,7 @@
 	d.rate = float64(p.Hosts) * (8 + 12*d.rng.Float64()) // of some 25 a second that a host can do
 	if p.Profile == discoveryLoadProfile {
 		d.length, d.rate = d.between(24000, 32000), d.rate*0.4
-		p.Calls = p.drawCalls(d.on, d.rng)
+		p.Calls = p.drawCalls(d.enabled, d.rng)
 	}
 	if size.Requests > 0 {
 		d.length = max(2000, int(float64(size.Requests)/d.rate*1000))
@@ -117,28 +117,28 @@
 }
 
 // drawFaults draws when which fault happens, and for how long.
-func (d *drawing) drawFaults() {
+func (d *planDrawer) drawFaults() {
 	p := &d.plan
 	times := 1 + (p.Hosts+p.Gateways)/20*d.length/20000 // faults are as dense in large runs
 	for _, kind := range d.kinds {
-		if !d.on[kind] || isState(kind) {
+		if !d.enabled[kind] || drawnSeparately(kind) {
 			continue
 		}
-		d.on[kind] = false // some stand in a profile twice
+		d.enabled[kind] = false // some stand in a profile twice
 		for range times * d.between(1, 3) {
 			p.Faults = append(p.Faults, d.drawFault(kind))
 		}
 	}
-	p.Faults = append(p.Faults, p.fleetFaults(d.on, d.between)...)
+	p.Faults = append(p.Faults, p.fleetFaults(d.enabled, d.between)...)
 	if p.Profile == discoveryLoadProfile {
-		p.Faults = append(p.Faults, p.loadFaults(d.on, d.between, d.length)...)
+		p.Faults = append(p.Faults, p.loadFaults(d.enabled, d.between, d.length)...)
 	}
 	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return cmp.Compare(a.AtMS, b.AtMS) })
 }
 
-// isState reports whether a kind of fault is none of a moment: it holds for the run, is drawn with the
+// drawnSeparately reports whether a kind of fault is none of a moment: it holds for the run, is drawn with the
 // requests, or befalls many at once.
-func isState(kind string) bool {
+func drawnSeparately(kind string) bool {
 	for _, prefix := range [...]string{"net-", "flee", "load", "rude"} {
 		if strings.HasPrefix(kind, prefix) {
 			return true
@@ -148,22 +148,22 @@
 }
 
 // drawFault draws one fault of a kind.
-func (d *drawing) drawFault(kind string) Fault {
-	f := Fault{AtMS: d.between(500, d.length-1000), Do: kind, ForMS: d.between(200, 4000)}
+func (d *planDrawer) drawFault(kind string) Fault {
+	f := Fault{AtMS: d.between(500, d.length-1000), Kind: kind, ForMS: d.between(200, 4000)}
 	switch target, _, _ := strings.Cut(kind, "-"); target {
 	case "host":
-		f.Who = d.rng.IntN(d.plan.Hosts)
+		f.Target = d.rng.IntN(d.plan.Hosts)
 	case "gateway", "view", "clock", "agent":
-		f.Who = d.rng.IntN(d.plan.Gateways)
+		f.Target = d.rng.IntN(d.plan.Gateways)
 	}
 	switch kind {
 	case "view-cut":
-		f.What, f.ForMS = []string{"part", "one-way", "pair"}[d.rng.IntN(3)], d.between(500, 20000)
+		f.Variant, f.ForMS = []string{"part", "one-way", "pair"}[d.rng.IntN(3)], d.between(500, 20000)
 	case "gateway-halt":
 		f.ForMS = d.between(200, 9000)
 	case "host-spoil":
-		what := spoils()
-		f.What, f.Share = what[d.rng.IntN(len(what))], 0.02+0.3*d.rng.Float64()
+		what := responseFaults()
+		f.Variant, f.Share = what[d.rng.IntN(len(what))], 0.02+0.3*d.rng.Float64()
 	case "host-cut", "host-half":
 		f.Share = 0.1 + 0.4*d.rng.Float64()
 	case "host-errors":
@@ -176,22 +176,22 @@
 		f.Share = float64(drawClockError(d.rng))
 	case "gateway-reload":
 		if d.rng.IntN(4) == 0 {
-			f.What = "faulty"
+			f.Variant = "faulty"
 		}
 	}
 	return f
 }
 
 // drawRequests draws what clients ask, and when.
-func (d *drawing) drawRequests() {
+func (d *planDrawer) drawRequests() {
 	var rude []string
 	for _, kind := range d.kinds {
-		if name, ok := strings.CutPrefix(kind, "rude-"); ok && d.on[kind] {
+		if name, ok := strings.CutPrefix(kind, "rude-"); ok && d.enabled[kind] {
 			rude = append(rude, name)
 		}
 	}
 	surgeFrom, surgeTo := d.between(2000, d.length), 0
-	if d.on["surge"] {
+	if d.enabled["surge"] {
 		surgeTo = surgeFrom + d.between(1000, 4000)
 	}
 	for at := 0.0; at < float64(d.length); {
@@ -205,13 +205,14 @@
 }
 
 // drawRequest draws one request of a client, who may misbehave in one of several ways.
-func (d *drawing) drawRequest(atMS int, rude []string) Request {
+func (d *planDrawer) drawRequest(atMS int, rude []string) Request {
 	rng := d.rng
-	r := Request{AtMS: atMS, Unsafe: rng.Float64() < 0.36, Patient: d.between(1200, 2500), Fresh: rng.IntN(20) == 0}
+	r := Request{AtMS: atMS, Unsafe: rng.Float64() < 0.36, TimeoutMS: d.between(1200, 2500),
+		NewConnection: rng.IntN(20) == 0}
 	if rng.IntN(3) == 0 {
 		r.Retries = 1
 	}
-	if d.on["bulk"] && rng.IntN(8) == 0 {
+	if d.enabled["bulk"] && rng.IntN(8) == 0 {
 		r.Chunks = rng.IntN(2) == 0
 		if r.Unsafe {
 			r.Body = 50_000 + rng.IntN(300_000)
@@ -221,10 +222,10 @@
 		}
 	}
 	if len(rude) > 0 && rng.IntN(10) == 0 {
-		r.Act, r.Retries = rude[rng.IntN(len(rude))], 0
+		r.Behaviour, r.Retries = rude[rng.IntN(len(rude))], 0
 	}
-	if r.Act == "stop" {
-		r.Sends, r.Pieces, r.PauseMS = rng.Float64(), d.between(1, 3), d.between(10, 700)
+	if r.Behaviour == "stop" {
+		r.SentShare, r.Pieces, r.PauseMS = rng.Float64(), d.between(1, 3), d.between(10, 700)
 	}
 	return r
 }
@@ -258,7 +259,7 @@
 	if !ok {
 		return Plan{}, fmt.Errorf("profile %q is none of %v", profile, all)
 	}
-	d := drawing{rng: rng, kinds: kinds, on: make(map[string]bool)}
+	d := planDrawer{rng: rng, kinds: kinds, enabled: make(map[string]bool)}
 	d.plan = Plan{
 		Seed: seed, Profile: profile, Gateways: 1 + rng.IntN(3), Hosts: 2 + rng.IntN(7), Sockets: 256 + rng.IntN(512),
 		LagMS: rng.IntN(1500), NetworkPlan: NetworkPlan{LatencyUS: 50 + rng.IntN(400)}, CostUS: 5 + rng.IntN(30),
@@ -286,14 +287,14 @@
 	if on["fleet-replace"] {
 		at, within := between(1500, 3000), between(500, 4000)
 		for n := 0; n < p.Hosts; n += 2 {
-			list = append(list, Fault{AtMS: at + between(0, within), Do: "host-replace", Who: n})
+			list = append(list, Fault{AtMS: at + between(0, within), Kind: "host-replace", Target: n})
 		}
 	}
 	if on["fleet-kill"] {
 		at := between(2000, 8000)
 		for n := range p.Gateways {
 			if between(1, 10) <= 7 {
-				list = append(list, Fault{AtMS: at + between(0, 300), Do: "gateway-kill", Who: n,
+				list = append(list, Fault{AtMS: at + between(0, 300), Kind: "gateway-kill", Target: n,
 					ForMS: between(200, 1500)})
 			}
 		}
@@ -302,7 +303,7 @@
 		at, zone, gone := between(2000, 6000), between(0, p.Zones-1), between(1500, 4000)
 		for n := range p.Hosts {
 			if zoneOfHost(n, p.hostZones()) == zone {
-				list = append(list, Fault{AtMS: at, Do: "host-down", Who: n, ForMS: gone + between(0, 300)})
+				list = append(list, Fault{AtMS: at, Kind: "host-down", Target: n, ForMS: gone + between(0, 300)})
 			}
 		}
 	}
@@ -330,10 +331,10 @@
 	leaving := 0
 	for at := between(2000, 4000); at < length-8000; at += between(6000, 9000) {
 		if on["load-reset"] {
-			list = append(list, Fault{AtMS: at, Do: "discovery-reset"})
+			list = append(list, Fault{AtMS: at, Kind: "discovery-reset"})
 		}
 		if on["load-silence"] {
-			list = append(list, Fault{AtMS: at + between(-500, 2000), Do: "discovery-silence",
+			list = append(list, Fault{AtMS: at + between(-500, 2000), Kind: "discovery-silence",
 				ForMS: between(1000, 6000)})
 		}
 		for range between(1, 2) {
@@ -341,7 +342,7 @@
 				break
 			}
 			how := []string{"host-drain", "host-replace"}[between(0, 1)]
-			list = append(list, Fault{AtMS: at + between(-500, 3000), Do: how, Who: leaving,
+			list = append(list, Fault{AtMS: at + between(-500, 3000), Kind: how, Target: leaving,
 				ForMS: between(9000, 15000)})
 			leaving++
 		}
@@ -351,7 +352,7 @@
 
 // hostZones is how many zones have hosts.
 func (p *Plan) hostZones() int {
-	if p.Barren {
+	if p.HostlessZone {
 		return p.Zones - 1
 	}
 	return p.Zones
--- a/internal/lab/simulation/effects.go
+++ b/internal/lab/simulation/effects.go
@@ -23,10 +23,10 @@
 		data, err := l.Files(f.Path)
 		l.queueEvent(loop.Event{Kind: loop.FileRead, Data: data, Err: err})
 	case loop.RequestTurn:
-		l.again = true
+		l.turnRequested = true
 	case loop.SetMemoryLimit: // memory is not simulated
 	case loop.Exit:
-		l.exited, l.failed = true, f.ExitError
+		l.exited, l.exitErr = true, f.ExitError
 	default:
 		l.carryOutOnConn(f)
 	}
@@ -35,16 +35,16 @@
 // carryOutOnConn does what an effect asks for on a socket of any kind. One that is closed meanwhile is
 // passed over.
 func (l *Loop) carryOutOnConn(f loop.Effect) {
-	if p := l.ports[f.Conn]; p != nil {
-		l.carryOutOnPort(p, f)
+	if p := l.listenSockets[f.Conn]; p != nil {
+		l.carryOutOnListenSocket(p, f)
 	} else if s := l.datagrams[f.Conn]; s != nil {
 		l.carryOutOnDatagrams(s, f)
 	} else if ln := l.offered[f.Conn]; ln != nil {
 		delete(l.offered, f.Conn)
 		if f.Op == loop.AdoptListener {
-			l.addPort(&port{conn: f.AdoptAs, Listener: ln})
+			l.addListenSocket(&listenSocket{conn: f.AdoptAs, Listener: ln})
 		}
-		ln.landed()
+		ln.endTransit()
 	} else if s := l.socks[f.Conn]; s != nil {
 		l.carryOutOnSocket(s, f)
 	}
@@ -76,21 +76,21 @@
 	case loop.Close:
 		l.remove(s)
 	case loop.PauseReading, loop.ResumeReading:
-		s.muted, s.leaving = f.Op == loop.PauseReading, f.Op == loop.PauseReading && f.ReportShutdown
+		s.paused, s.reportShutdown = f.Op == loop.PauseReading, f.Op == loop.PauseReading && f.ReportShutdown
 		l.markMaybeReady(s)
 	default:
 		panic(fmt.Sprintf("effect %d is not known", f.Op))
 	}
 }
 
-func (l *Loop) carryOutOnPort(p *port, f loop.Effect) {
+func (l *Loop) carryOutOnListenSocket(p *listenSocket, f loop.Effect) {
 	switch f.Op {
 	case loop.Accept:
 		l.accept(p, f.MaxAccepts)
 	case loop.Close:
-		l.closePort(p)
+		l.closeListenSocket(p)
 	case loop.PauseReading, loop.ResumeReading:
-		p.muted = f.Op == loop.PauseReading
+		p.paused = f.Op == loop.PauseReading
 		l.wake(l.sim.Now())
 	}
 }
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -8,64 +8,64 @@
 // This file carries out the faults of a plan.
 
 // inject carries out one fault and has it undone after its time.
-func (w *simulator) inject(f Fault) {
-	w.sim.Note("fault %s %d", f.Do, f.Who)
-	undo := func(do func()) { w.sim.After(msec(f.ForMS), do) }
-	switch target, _, _ := strings.Cut(f.Do, "-"); target {
+func (s *simulator) inject(f Fault) {
+	s.sim.Note("fault %s %d", f.Kind, f.Target)
+	undo := func(do func()) { s.sim.After(msec(f.ForMS), do) }
+	switch target, _, _ := strings.Cut(f.Kind, "-"); target {
 	case "host":
-		if h := w.host(f.Who); h != nil {
-			w.injectAtHost(f, h, undo)
+		if h := s.host(f.Target); h != nil {
+			s.injectAtHost(f, h, undo)
 		}
 	case "discovery":
-		w.injectAtDiscovery(f, undo)
+		s.injectAtDiscovery(f, undo)
 	case "gateway":
-		w.injectAtGateway(f, undo)
+		s.injectAtGateway(f, undo)
 	case "agent":
-		if f.Who < len(w.disc.agents) {
-			w.disc.agents[f.Who].restart(msec(f.ForMS), f.Do == "agent-old")
+		if f.Target < len(s.discovery.agents) {
+			s.discovery.agents[f.Target].restart(msec(f.ForMS), f.Kind == "agent-old")
 		}
 	case "view":
-		w.injectAtMembership(f)
+		s.injectAtMembership(f)
 	case "clock":
-		if f.Who < len(w.gateways) {
-			w.gateways[f.Who].clockError = time.Duration(f.Share * float64(time.Second))
+		if f.Target < len(s.gateways) {
+			s.gateways[f.Target].clockError = time.Duration(f.Share * float64(time.Second))
 		}
 	}
 }
 
 // injectAtMembership disturbs the datagrams between gateways.
-func (w *simulator) injectAtMembership(f Fault) {
-	switch f.Do {
+func (s *simulator) injectAtMembership(f Fault) {
+	switch f.Kind {
 	case "view-cut":
-		w.views.inject(f)
+		s.views.inject(f)
 	case "view-noise":
-		w.views.nonsense(f.Who)
+		s.views.sendMalformed(f.Target)
 	}
 }
 
 // injectAtDiscovery carries out a fault of discovery.
-func (w *simulator) injectAtDiscovery(f Fault, undo func(func())) {
-	switch f.Do {
+func (s *simulator) injectAtDiscovery(f Fault, undo func(func())) {
+	switch f.Kind {
 	case "discovery-down":
-		w.disc.setDown(true)
-		undo(func() { w.disc.setDown(false) })
+		s.discovery.setDown(true)
+		undo(func() { s.discovery.setDown(false) })
 	case "discovery-mute":
-		w.disc.mute = true
-		undo(func() { w.disc.mute = false; w.disc.push(); w.disc.notifyAll() })
+		s.discovery.paused = true
+		undo(func() { s.discovery.paused = false; s.discovery.push(); s.discovery.notifyAll() })
 	case "discovery-reset":
-		w.disc.resetOpen()
+		s.discovery.resetOpen()
 	case "discovery-silence":
-		w.disc.silence(msec(f.ForMS))
+		s.discovery.silenceWatches(msec(f.ForMS))
 	case "discovery-flap":
-		w.disc.list.Flap()
-		w.disc.push()
-		w.disc.notifyAll()
+		s.discovery.list.Flap()
+		s.discovery.push()
+		s.discovery.notifyAll()
 	case "discovery-anew":
-		w.disc.list.Anew()
-		for _, a := range w.disc.agents {
-			a.anew()
+		s.discovery.list.Anew()
+		for _, a := range s.discovery.agents {
+			a.renumber()
 		}
 	case "discovery-lag":
-		w.disc.lag = msec(int(f.Share))
+		s.discovery.lag = msec(int(f.Share))
 	}
 }
--- a/internal/lab/simulation/gatewayfaults.go
+++ b/internal/lab/simulation/gatewayfaults.go
@@ -11,120 +11,120 @@
 )
 
 // injectAtGateway carries out a fault of a gateway's process, one after another.
-func (w *simulator) injectAtGateway(f Fault, undo func(func())) {
-	if f.Who >= len(w.gateways) {
+func (s *simulator) injectAtGateway(f Fault, undo func(func())) {
+	if f.Target >= len(s.gateways) {
 		return
 	}
-	m := w.gateways[f.Who]
-	if !m.up || m.left || m.predecessor != nil || m.halted() {
+	g := s.gateways[f.Target]
+	if !g.up || g.withdrawn || g.predecessor != nil || g.halted() {
 		return
 	}
-	switch f.Do {
+	switch f.Kind {
 	case "gateway-kill":
-		w.kill(m)
-		undo(m.start)
+		s.kill(g)
+		undo(g.start)
 	case "gateway-halt":
-		w.views.halt(m, msec(f.ForMS))
+		s.views.halt(g, msec(f.ForMS))
 	case "gateway-term":
-		w.term(m, f)
+		s.term(g, f)
 	case "gateway-upgrade", "gateway-stillborn":
-		w.upgrade(m, f)
+		s.upgrade(g, f)
 	case "gateway-retune":
-		w.retune(f)
+		s.retune(f)
 	case "gateway-reload":
-		w.reload(m, f.What == "faulty")
+		s.reload(g, f.Variant == "faulty")
 	}
 }
 
 // kill ends a gateway's process as kill -9 does.
-func (w *simulator) kill(m *gatewayNode) {
-	now := w.sim.Now()
-	m.kills = append(m.kills, now)
-	m.loop.Kill()
-	if w.views != nil {
-		w.views.ended(m.process.pid)
+func (s *simulator) kill(g *gatewayNode) {
+	now := s.sim.Now()
+	g.kills = append(g.kills, now)
+	g.loop.Kill()
+	if s.views != nil {
+		s.views.ended(g.process.pid)
 	}
-	m.up, m.died = false, now
-	m.ended()
+	g.up, g.diedAt = false, now
+	g.saveLastList()
 }
 
 // reload has a gateway read its configuration anew: one that moves discovery, or one that is cut off in
 // the middle.
-func (w *simulator) reload(m *gatewayNode, faulty bool) {
+func (s *simulator) reload(g *gatewayNode, faulty bool) {
 	if faulty {
-		w.reloadFaulty(m)
+		s.reloadFaulty(g)
 		return
 	}
 	var fields map[string]any
-	if err := json.Unmarshal(m.conf, &fields); err != nil {
+	if err := json.Unmarshal(g.configFile, &fields); err != nil {
 		return // the good file is not back yet
 	}
-	w.disc.open(m.n)
-	fields["discovery"] = w.disc.addrs[m.n].String()
-	m.conf, _ = json.Marshal(fields) // plain values cannot fail
-	m.loop.Signal(loop.Reload)
+	s.discovery.listen(g.index)
+	fields["discovery"] = s.discovery.addrs[g.index].String()
+	g.configFile, _ = json.Marshal(fields) // plain values cannot fail
+	g.loop.Signal(loop.Reload)
 }
 
 // reloadFaulty has a gateway read a file that is cut off in the middle. The good one is back after 50 ms.
-func (w *simulator) reloadFaulty(m *gatewayNode) {
-	good := m.conf
-	m.conf = good[:len(good)/2]
-	broken := m.conf
-	m.loop.Signal(loop.Reload)
-	w.sim.After(50*time.Millisecond, func() {
-		if &m.conf[0] == &broken[0] {
-			m.conf = good
+func (s *simulator) reloadFaulty(g *gatewayNode) {
+	good := g.configFile
+	g.configFile = good[:len(good)/2]
+	broken := g.configFile
+	g.loop.Signal(loop.Reload)
+	s.sim.After(50*time.Millisecond, func() {
+		if &g.configFile[0] == &broken[0] {
+			g.configFile = good
 		}
 	})
 }
 
 // upgrade starts the next process of a gateway beside the one that serves. A stillborn one dies within
 // its first moments.
-func (w *simulator) upgrade(m *gatewayNode, f Fault) {
-	elder := m.loop
-	m.predecessor = elder
-	m.up = false
-	m.since = math.MaxInt64 // neither process can know of the other before the next one has the listening socket
-	m.start()
-	next := m.loop
+func (s *simulator) upgrade(g *gatewayNode, f Fault) {
+	predecessor := g.loop
+	g.predecessor = predecessor
+	g.up = false
+	g.upgradeFrom = math.MaxInt64 // neither process can know of the other before the next one has the listening socket
+	g.start()
+	next := g.loop
 	// The kernel refuses what goes beyond the limit; none of the two may be driven to that by the other.
 	var watch func()
 	watch = func() {
-		if m.predecessor != elder || !elder.Running() || !next.Running() {
+		if g.predecessor != predecessor || !predecessor.Running() || !next.Running() {
 			return
 		}
-		if n := elder.files() + next.files(); n > w.plan.Sockets {
-			w.find(Overspent, m.name, "%d descriptors of %d", n, w.plan.Sockets)
+		if n := predecessor.descriptors() + next.descriptors(); n > s.plan.Sockets {
+			s.addFinding(Overspent, g.name, "%d descriptors of %d", n, s.plan.Sockets)
 			return
 		}
-		w.sim.After(5*time.Millisecond, watch)
+		s.sim.After(5*time.Millisecond, watch)
 	}
 	watch()
-	if f.Do == "gateway-stillborn" {
-		w.sim.After(time.Duration(w.sim.Rand.IntN(3000))*time.Microsecond, func() {
-			if next.Running() && elder.Running() {
-				m.kills = append(m.kills, w.sim.Now()) // the links that it has die with it
-				m.loop, m.predecessor, m.until = elder, nil, 0
+	if f.Kind == "gateway-stillborn" {
+		s.sim.After(time.Duration(s.sim.Rand.IntN(3000))*time.Microsecond, func() {
+			if next.Running() && predecessor.Running() {
+				g.kills = append(g.kills, s.sim.Now()) // the links that it has die with it
+				g.loop, g.predecessor, g.upgradeUntil = predecessor, nil, 0
 				next.Kill()
-				if w.views != nil {
-					w.views.ended(m.process.pid)
+				if s.views != nil {
+					s.views.ended(g.process.pid)
 				}
-				m.process, m.before = m.before, process{}
+				g.process, g.previous = g.previous, process{}
 			}
 		})
 		return
 	}
-	m.until = w.sim.Now() + 4*time.Second
-	w.sim.After(500*time.Millisecond, func() {
-		elder.Signal(loop.Stop)
-		w.sim.After(3700*time.Millisecond, func() {
-			if elder.Running() {
-				elder.Kill()
-				if w.views != nil {
-					w.views.ended(m.before.pid)
+	g.upgradeUntil = s.sim.Now() + 4*time.Second
+	s.sim.After(500*time.Millisecond, func() {
+		predecessor.Signal(loop.Stop)
+		s.sim.After(3700*time.Millisecond, func() {
+			if predecessor.Running() {
+				predecessor.Kill()
+				if s.views != nil {
+					s.views.ended(g.previous.pid)
 				}
-				w.find(Stuck, m.name, "the elder process was alive 3.7 s after SIGTERM")
-				m.predecessor = nil
+				s.addFinding(Stuck, g.name, "the elder process was alive 3.7 s after SIGTERM")
+				g.predecessor = nil
 			}
 		})
 	})
@@ -132,18 +132,18 @@
 
 // retune changes the settings of every gateway: views become unsafe and a class comes, or the other way
 // round. Clients go by the new ones 1.2 s later.
-func (w *simulator) retune(f Fault) {
-	strict := !w.strict
-	for _, m := range w.gateways {
-		if !json.Valid(m.conf) {
+func (s *simulator) retune(f Fault) {
+	strict := !s.unsafeViews
+	for _, g := range s.gateways {
+		if !json.Valid(g.configFile) {
 			return // the good file is not back yet
 		}
 	}
-	w.file.Classes[0].Unsafe = strict // also for what starts from now on
-	for _, m := range w.gateways {
+	s.file.Classes[0].Unsafe = strict // also for what starts from now on
+	for _, g := range s.gateways {
 		var fields map[string]any
-		_ = json.Unmarshal(m.conf, &fields) // it is valid
-		settings := w.file.Settings(m.n)
+		_ = json.Unmarshal(g.configFile, &fields) // it is valid
+		settings := s.file.Settings(g.index)
 		if strict {
 			classes := settings["classes"].([]map[string]any)
 			extra := maps.Clone(classes[0])
@@ -153,44 +153,44 @@
 			settings["bounds"].(map[string]any)["most_tries"] = 2
 		}
 		fields["settings"] = settings
-		m.conf, _ = json.Marshal(fields) // plain values cannot fail
-		if m.up {
-			m.loop.Signal(loop.Reload)
+		g.configFile, _ = json.Marshal(fields) // plain values cannot fail
+		if g.up {
+			g.loop.Signal(loop.Reload)
 		}
 	}
-	w.sim.After(1200*time.Millisecond, func() { w.strict = strict })
+	s.sim.After(1200*time.Millisecond, func() { s.unsafeViews = strict })
 }
 
 // term restarts a gateway as planned.
-func (w *simulator) term(m *gatewayNode, f Fault) {
-	m.stops = append(m.stops, w.sim.Now())
-	m.loop.Signal(loop.Stop)
-	if w.views != nil {
-		w.views.history.Leaving(m.n, w.sim.Since()) // it speaks no more
+func (s *simulator) term(g *gatewayNode, f Fault) {
+	g.stops = append(g.stops, s.sim.Now())
+	g.loop.Signal(loop.Stop)
+	if s.views != nil {
+		s.views.history.Leaving(g.index, s.sim.Since()) // it speaks no more
 	}
-	w.sim.After(leaveFront, func() { m.left = true })
-	life := m.life
+	s.sim.After(withdrawDelay, func() { g.withdrawn = true })
+	life := g.generation
 	var wait func(tries int)
 	wait = func(tries int) {
 		switch {
-		case m.life != life:
-		case !m.up:
-			m.ended()
-			w.sim.After(msec(f.ForMS), func() {
-				if !m.up {
-					m.start()
+		case g.generation != life:
+		case !g.up:
+			g.saveLastList()
+			s.sim.After(msec(f.ForMS), func() {
+				if !g.up {
+					g.start()
 				}
 			})
 		case tries == 0:
 			// The platform kills it now. What it had taken in time and not answered is lost by its own fault.
-			m.loop.Kill()
-			if w.views != nil {
-				w.views.ended(m.process.pid)
+			g.loop.Kill()
+			if s.views != nil {
+				s.views.ended(g.process.pid)
 			}
-			m.up, m.died = false, w.sim.Now()
-			w.sim.After(0, func() { wait(1) })
+			g.up, g.diedAt = false, s.sim.Now()
+			s.sim.After(0, func() { wait(1) })
 		default:
-			w.sim.After(100*time.Millisecond, func() { wait(tries - 1) })
+			s.sim.After(100*time.Millisecond, func() { wait(tries - 1) })
 		}
 	}
 	wait(37) // the longest client timeout, the time to take more, and half a second
--- a/internal/lab/simulation/hosts.go
+++ b/internal/lab/simulation/hosts.go
@@ -18,8 +18,8 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// message takes one whole request from what a connection brought; ok is false while it is not whole.
-func message(in []byte) (r *http.Request, body []byte, rest []byte, ok bool, err error) {
+// parseRequest takes one whole request from what a connection brought; ok is false while it is not whole.
+func parseRequest(in []byte) (r *http.Request, body []byte, rest []byte, ok bool, err error) {
 	at := bytes.Index(in, []byte("\r\n\r\n"))
 	if at < 0 {
 		return nil, nil, in, false, nil
@@ -32,30 +32,30 @@
 	if body, err = io.ReadAll(r.Body); err != nil {
 		return nil, nil, in, false, nil // more is to come
 	}
-	left := src.Len() + buffered.Buffered()
-	return r, body, in[len(in)-left:], true, nil
+	unread := src.Len() + buffered.Buffered()
+	return r, body, in[len(in)-unread:], true, nil
 }
 
 // host is a host on the virtual network: the fleet's model behind a listener for each gateway.
 type host struct {
-	w       *simulator
-	n       int
-	name    string
-	spec    hostmodel.Spec
-	model   *hostmodel.Host
-	record  *requestrecord.EndpointRecord
-	doors   []*Listener
-	addrs   []netip.AddrPort
-	conns   []*hostConn // open ones, oldest first
-	waits   map[uint64]*hostConn
-	due     uint64 // number of the timer that counts
-	silent  bool
-	up      bool
-	share   map[string]float64 // of answers spoilt, by how
-	gone    bool
-	leaving bool // drains, for good
-	most    int  // links at once
-	budget  budget
+	run             *simulator
+	index           int
+	name            string
+	spec            hostmodel.Spec
+	model           *hostmodel.Host
+	record          *requestrecord.EndpointRecord
+	listeners       []*Listener
+	addrs           []netip.AddrPort
+	conns           []*hostConn // open ones, oldest first
+	waiting         map[uint64]*hostConn
+	timerNumber     uint64 // number of the timer that counts
+	silent          bool
+	up              bool
+	faultShares     map[string]float64 // of answers spoilt, by how
+	removed         bool
+	draining        bool // drains, for good
+	peakConnections int  // links at once
+	budget          slowStartArrivals
 }
 
 // maxConnections is how many all gateways of a fleet may have at one host: three times the twelve that
@@ -63,116 +63,116 @@
 const maxConnections = 36
 
 type hostConn struct {
-	end     *End
-	via     int
-	inbox   []byte
-	first   time.Duration // when the first byte of the request was sent
-	busy    bool
-	model   *hostmodel.Host
-	closing bool
-	pad     int
-	chunks  bool
-	out     []byte // of an answer, not yet taken
+	end         *End
+	gateway     int
+	inbox       []byte
+	firstByteAt time.Duration // when the first byte of the request was sent
+	busy        bool
+	model       *hostmodel.Host
+	closing     bool
+	pad         int
+	chunks      bool
+	pending     []byte // of an answer, not yet taken
 }
 
 // zone is the number of the zone in which the host stands.
-func (h *host) zone() int { return zoneOfHost(h.n, h.w.plan.hostZones()) }
+func (h *host) zone() int { return zoneOfHost(h.index, h.run.plan.hostZones()) }
 
 func (h *host) start(cold bool) {
-	model, err := hostmodel.New(h.spec, h.w.sim.Rand.Uint64(), h.w.sim.Now(), cold, h.record)
+	model, err := hostmodel.New(h.spec, h.run.sim.Rand.Uint64(), h.run.sim.Now(), cold, h.record)
 	if err != nil {
 		panic(err) // plans hold no such spec
 	}
-	h.model, h.up, h.waits = model, true, make(map[uint64]*hostConn)
-	h.doors = nil
+	h.model, h.up, h.waiting = model, true, make(map[uint64]*hostConn)
+	h.listeners = nil
 	for g, addr := range h.addrs {
 		var l *Listener
-		l = h.w.net.Listen(addr, 128, &h.silent, func() { h.accept(l, g) })
-		h.doors = append(h.doors, l)
+		l = h.run.net.Listen(addr, 128, &h.silent, func() { h.accept(l, g) })
+		h.listeners = append(h.listeners, l)
 	}
 }
 
 func (h *host) accept(l *Listener, via int) {
 	for e := l.Accept(); e != nil; e = l.Accept() {
-		c := &hostConn{end: e, via: via, model: h.model}
-		h.w.rates.open(h)
-		if !h.model.Connected(h.w.sim.Now()) { // it holds no more
-			few := h.w.strained(h.zone()) > 1
+		c := &hostConn{end: e, gateway: via, model: h.model}
+		h.run.rates.countConnect(h)
+		if !h.model.Connected(h.run.sim.Now()) { // it holds no more
+			few := h.run.loadFactor(h.zone()) > 1
 			if len(h.conns) >= maxConnections && !few { // else it has fallen over, or is one of few left in its zone
 				by := make(map[int]int)
 				for _, x := range h.conns {
-					by[x.via]++
+					by[x.gateway]++
 				}
-				h.w.find(Crowded, h.name, "one more than %d connections, of %d gateways", len(h.conns), len(by))
+				h.run.addFinding(Crowded, h.name, "one more than %d connections, of %d gateways", len(h.conns), len(by))
 			}
 			e.Reset()
 			continue
 		}
 		h.conns = append(h.conns, c)
-		h.most = max(h.most, len(h.conns))
-		e.ready = func() { h.received(c) }
-		h.received(c)
+		h.peakConnections = max(h.peakConnections, len(h.conns))
+		e.ready = func() { h.onReadable(c) }
+		h.onReadable(c)
 	}
 }
 
-// stop ends the process: its connections are reset, new ones refused.
-func (h *host) stop() {
+// fail ends the process: its connections are reset, new ones refused.
+func (h *host) fail() {
 	if !h.up {
 		return
 	}
 	h.up = false
-	h.model.Fall(h.w.sim.Now())
-	for _, l := range h.doors {
+	h.model.Fall(h.run.sim.Now())
+	for _, l := range h.listeners {
 		l.Close()
 	}
 	for _, c := range h.conns {
 		c.end.Reset()
 	}
 	h.conns = nil
-	h.settle()
+	h.advance()
 }
 
 func (h *host) drop(c *hostConn) {
 	for i, x := range h.conns {
 		if x == c {
 			h.conns = append(h.conns[:i:i], h.conns[i+1:]...)
-			c.model.Disconnected(h.w.sim.Now())
+			c.model.Disconnected(h.run.sim.Now())
 			return
 		}
 	}
 }
 
-func (h *host) received(c *hostConn) {
+func (h *host) onReadable(c *hostConn) {
 	h.write(c, nil)
-	begun := c.end.begun
+	begun := c.end.firstSentAt
 	if data := c.end.Read(1 << 20); len(data) > 0 {
 		if len(c.inbox) == 0 {
-			c.first = begun // a send's time starts at its first byte, however long it is on the way
+			c.firstByteAt = begun // a send's time starts at its first byte, however long it is on the way
 		}
 		c.inbox = append(c.inbox, data...)
 	}
 	if !c.busy && !c.closing {
-		r, body, rest, whole, err := message(c.inbox)
+		r, body, rest, whole, err := parseRequest(c.inbox)
 		switch {
 		// while a body comes
-		case err == nil && !whole && len(c.inbox) > 20_000 && h.w.sim.Chance(h.share["host-cut"]/20):
+		case err == nil && !whole && len(c.inbox) > 20_000 && h.run.sim.Chance(h.faultShares["host-cut"]/20):
 			c.end.Reset()
 			h.drop(c)
 			return
 		case err != nil:
-			h.w.find("garbled request", h.name, "a host was sent what cannot be read: %v", err)
+			h.run.addFinding("garbled request", h.name, "a host was sent what cannot be read: %v", err)
 			c.end.Close()
 			h.drop(c)
 			return
 		case whole && r.URL.Path == "/bid-lodge" && (len(body) < 40 || strings.Trim(string(body[:40]),
 			"0123456789") != ""):
-			h.w.find("garbled request", h.name, "a bid came without the beginning of its body")
+			h.run.addFinding("garbled request", h.name, "a bid came without the beginning of its body")
 			c.end.Close()
 			h.drop(c)
 			return
 		case whole:
 			c.inbox, c.busy = rest, true
-			h.arrive(c, r)
+			h.handleRequest(c, r)
 		}
 	}
 	if c.end.Gone() {
@@ -181,45 +181,45 @@
 	}
 }
 
-func (h *host) arrive(c *hostConn, r *http.Request) {
+func (h *host) handleRequest(c *hostConn, r *http.Request) {
 	id, class := r.Header.Get("X-Trace-Id"), r.Header.Get("X-Qos")
-	now := h.w.sim.Now()
-	h.w.arrived(h, c.via, id, c.first)
-	h.w.cold(h, h.w.sim.Now())
+	now := h.run.sim.Now()
+	h.run.checkArrival(h, c.gateway, id, c.firstByteAt)
+	h.run.countSlowStart(h, h.run.sim.Now())
 	token := h.model.Arrive(now, hostmodel.Request{ID: id, Class: class})
-	h.w.sim.Note("host %s got %s from %d", h.name, id, c.via)
-	h.waits[token] = c
+	h.run.sim.Note("host %s got %s from %d", h.name, id, c.gateway)
+	h.waiting[token] = c
 	c.pad, _ = strconv.Atoi(r.URL.Query().Get("pad"))
 	c.chunks = r.URL.Query().Get("how") == "chunks"
-	h.settle()
+	h.advance()
 }
 
 // write sends what the connection takes of an answer, and the rest as there is room.
 func (h *host) write(c *hostConn, data []byte) {
-	c.out = append(c.out, data...)
-	if n, err := c.end.Write(c.out); len(c.out) > 0 && err != unix.EAGAIN {
-		c.out = c.out[n:]
+	c.pending = append(c.pending, data...)
+	if n, err := c.end.Write(c.pending); len(c.pending) > 0 && err != unix.EAGAIN {
+		c.pending = c.pending[n:]
 		if err != nil {
-			c.out = nil // a connection that has ended takes nothing
+			c.pending = nil // a connection that has ended takes nothing
 		}
 	}
 }
 
-// settle answers what is done and waits for the next.
-func (h *host) settle() {
-	now := h.w.sim.Now()
+// advance answers what is done and waits for the next.
+func (h *host) advance() {
+	now := h.run.sim.Now()
 	for _, r := range h.model.Advance(now) {
-		if c := h.waits[r.Token]; c != nil {
-			delete(h.waits, r.Token)
+		if c := h.waiting[r.Token]; c != nil {
+			delete(h.waiting, r.Token)
 			h.answer(c, r)
 		}
 	}
-	h.due++
-	number := h.due
+	h.timerNumber++
+	number := h.timerNumber
 	if at, ok := h.model.Next(); ok {
-		h.w.sim.At(at, func() {
-			if number == h.due && h.up {
-				h.settle()
+		h.run.sim.At(at, func() {
+			if number == h.timerNumber && h.up {
+				h.advance()
 			}
 		})
 	}
@@ -228,11 +228,11 @@
 func (h *host) answer(c *hostConn, r hostmodel.Reply) {
 	c.busy = false
 	load := ""
-	if l, ok := h.model.Report(h.w.sim.Now()); ok {
+	if l, ok := h.model.Report(h.run.sim.Now()); ok {
 		f := emulation.DefaultFields()
 		load = fmt.Sprintf("Endpoint-Load-Metrics: TEXT %s=%.3g, %s=%.3g\r\n", f.InFlight, l.InFlight, f.Queue, l.Queue)
 	}
-	say := func(status int, fields string, body []byte) []byte {
+	encode := func(status int, fields string, body []byte) []byte {
 		return append(fmt.Appendf(nil, "HTTP/1.1 %d X\r\n%s%sContent-Length: %d\r\n\r\n", status, load, fields,
 			len(body)), body...)
 	}
@@ -242,41 +242,41 @@
 		c.end.Reset()
 		return
 	case hostmodel.TurnedAway:
-		out = say(503, "X-Never-Ran: 1\r\n", nil)
+		out = encode(503, "X-Never-Ran: 1\r\n", nil)
 	case hostmodel.Errored:
-		out = say(500, "", nil)
+		out = encode(500, "", nil)
 	default:
-		out = say(200, "", r.Body)
+		out = encode(200, "", r.Body)
 		if c.pad > 0 {
 			body := append(append([]byte(nil), r.Body...), bytes.Repeat([]byte{'p'}, c.pad)...)
-			if out = say(200, "", body); c.chunks {
+			if out = encode(200, "", body); c.chunks {
 				out = append(fmt.Appendf(nil, "HTTP/1.1 200 X\r\n%sTransfer-Encoding: chunked\r\n\r\n", load),
 					chunked(body)...)
 			}
 			break
 		}
-		for _, s := range spoils() {
-			if h.w.sim.Chance(h.share[s]) {
-				h.w.sim.Note("host %s spoils %s: %s", h.name, r.ID, s)
-				if h.spoil(c, s, out, r.Body) {
+		for _, s := range responseFaults() {
+			if h.run.sim.Chance(h.faultShares[s]) {
+				h.run.sim.Note("host %s spoils %s: %s", h.name, r.ID, s)
+				if h.writeFaultyResponse(c, s, out, r.Body) {
 					return
 				}
 				break
 			}
 		}
 	}
-	if c.pad > 0 && r.Kind != hostmodel.TurnedAway && h.w.sim.Chance(h.share["host-half"]) {
+	if c.pad > 0 && r.Kind != hostmodel.TurnedAway && h.run.sim.Chance(h.faultShares["host-half"]) {
 		h.write(c, out[:len(out)/2])
 		c.closing = true
-		h.w.sim.After(20*time.Millisecond, func() { c.end.Close(); h.drop(c) })
+		h.run.sim.After(20*time.Millisecond, func() { c.end.Close(); h.drop(c) })
 		return
 	}
 	h.write(c, out)
-	h.w.sim.After(0, func() { h.received(c) })
+	h.run.sim.After(0, func() { h.onReadable(c) })
 }
 
-// spoil writes a spoilt answer, and reports whether it did so; otherwise the good one follows.
-func (h *host) spoil(c *hostConn, how string, whole, body []byte) bool {
+// writeFaultyResponse writes a spoilt answer, and reports whether it did so; otherwise the good one follows.
+func (h *host) writeFaultyResponse(c *hostConn, how string, whole, body []byte) bool {
 	switch how {
 	case "reset-before":
 		c.end.Reset()
@@ -286,16 +286,16 @@
 	case "garbage":
 		noise := make([]byte, 200)
 		for i := range noise {
-			noise[i] = byte(h.w.sim.Rand.Uint32())
+			noise[i] = byte(h.run.sim.Rand.Uint32())
 		}
 		_, _ = c.end.Write(noise)
 		c.closing = true
 	case "extra":
 		_, _ = c.end.Write(append(whole[:len(whole):len(whole)], whole...))
-		h.w.sim.After(0, func() { h.received(c) })
+		h.run.sim.After(0, func() { h.onReadable(c) })
 	case "bare-503": // it has run; only a refusal that says so never ran
 		_, _ = c.end.Write([]byte("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"))
-		h.w.sim.After(0, func() { h.received(c) })
+		h.run.sim.After(0, func() { h.onReadable(c) })
 	case "interim":
 		_, _ = c.end.Write([]byte("HTTP/1.1 103 Early Hints\r\n\r\n"))
 		return false
@@ -304,7 +304,7 @@
 		var more func()
 		more = func() {
 			if _, err := c.end.Write([]byte("HTTP/1.1 102 Processing\r\n\r\n")); err == nil && h.up {
-				h.w.sim.After(20*time.Millisecond, more)
+				h.run.sim.After(20*time.Millisecond, more)
 			}
 		}
 		more()
@@ -316,7 +316,7 @@
 	case "close-after":
 		_, _ = c.end.Write(whole)
 		c.closing = true
-		h.w.sim.After(5*time.Millisecond, func() { c.end.Close(); h.drop(c) })
+		h.run.sim.After(5*time.Millisecond, func() { c.end.Close(); h.drop(c) })
 	default:
 		return false
 	}
--- a/internal/lab/simulation/link.go
+++ b/internal/lab/simulation/link.go
@@ -1,7 +1,7 @@
 package simulation
 
-// link is a client connection at rest.
-type link struct {
-	end *End
-	gw  *gatewayNode
+// idleLink is a client connection at rest.
+type idleLink struct {
+	end     *End
+	gateway *gatewayNode
 }
--- a/internal/lab/simulation/loop.go
+++ b/internal/lab/simulation/loop.go
@@ -12,27 +12,27 @@
 
 // What the real loop has; the conformance suite holds this one to it.
 const (
-	readSize         = 64 << 10
-	maxReady         = 256
-	maxAcceptPerTurn = 64
-	backlog          = 1024
-	firstAccepted    = loop.Conn(1 << 63)
-	ownFiles         = 5 // descriptors of the process that are no sockets
+	readSize           = 64 << 10
+	maxReady           = 256
+	maxAcceptPerTurn   = 64
+	backlog            = 1024
+	firstAccepted      = loop.Conn(1 << 63)
+	processDescriptors = 5 // descriptors of the process that are no sockets
 )
 
 type socket struct {
-	conn       loop.Conn
-	end        *End
-	seq        uint64
-	since      uint64 // when it became ready, in the order of the run; 0 while it is not
-	connecting bool
-	up         bool
-	dialed     error
-	muted      bool
-	leaving    bool // while muted: the end of the peer's sending is to be told
-	urgent     bool
-	out        []byte
-	maybeReady bool // is in the loop's list of those that may be ready
+	conn           loop.Conn
+	end            *End
+	seq            uint64
+	readySeq       uint64 // when it became ready, in the order of the run; 0 while it is not
+	connecting     bool
+	dialDone       bool
+	dialErr        error
+	paused         bool
+	reportShutdown bool // while muted: the end of the peer's sending is to be told
+	urgent         bool
+	pending        []byte
+	maybeReady     bool // is in the loop's list of those that may be ready
 }
 
 // Loop is a gateway's process: the reducer on simulated sockets, timers, files, signals and descriptors.
@@ -45,22 +45,22 @@
 	Cost    time.Duration // processor time of one event
 	Partial float64       // chance that a read brings less than has come
 
-	Beside  func() int // descriptors of the other process of this gateway
-	Listens func()     // called when the process has the clients' listening socket; may be nil
+	OtherDescriptors func() int // descriptors of the other process of this gateway
+	OnListen         func()     // called when the process has the clients' listening socket; may be nil
 
 	sockets
-	sleeping
-	seq     uint64
-	timers  timerHeap
-	byKey   map[loop.Timer]*timer
-	events  []loop.Event
-	signals []loop.Kind
-	again   bool
-	exited  bool
-	failed  error
-	killed  bool
-	silent  *bool
-	onExit  func(error)
+	wakeSchedule
+	seq           uint64
+	timers        timerHeap
+	byKey         map[loop.Timer]*timer
+	events        []loop.Event
+	signals       []loop.Kind
+	turnRequested bool
+	exited        bool
+	exitErr       error
+	killed        bool
+	silent        *bool
+	onExit        func(error)
 	// ClockError is how far the machine's wall clock was ahead of the true time when the process began.
 	// The process's own clock starts there and is monotonic from then on.
 	ClockError time.Duration
@@ -68,34 +68,34 @@
 
 // sockets are what a process has open.
 type sockets struct {
-	socks      map[loop.Conn]*socket
-	maybeReady []*socket // of socks, those that may be ready
-	accepted   loop.Conn // number of the socket accepted last
-	ports      map[loop.Conn]*port
-	offered    map[loop.Conn]*Listener // passed and not yet adopted
-	datagrams  map[loop.Conn]*datagramSocket
+	socks         map[loop.Conn]*socket
+	maybeReady    []*socket // of socks, those that may be ready
+	accepted      loop.Conn // number of the socket accepted last
+	listenSockets map[loop.Conn]*listenSocket
+	offered       map[loop.Conn]*Listener // passed and not yet adopted
+	datagrams     map[loop.Conn]*datagramSocket
 }
 
-// sleeping is when a process runs next.
-type sleeping struct {
-	busy   time.Duration // until then the processor works on what came before
-	waking uint64        // number of the wake-up that counts
-	wakeAt time.Duration
-	asleep bool
-	rounds uint64 // how often it woke up
+// wakeSchedule is when a process runs next.
+type wakeSchedule struct {
+	busy       time.Duration // until then the processor works on what came before
+	wakeNumber uint64        // number of the wake-up that counts
+	wakeAt     time.Duration
+	asleep     bool
+	wakeups    uint64 // how often it woke up
 }
 
-// port is a listening socket.
-type port struct {
+// listenSocket is a listening socket.
+type listenSocket struct {
 	*Listener
 	loop   *Loop
 	conn   loop.Conn
 	urgent bool
-	muted  bool
+	paused bool
 }
 
-// more is told by the loop to itself: the end of what comes lies behind what was just read.
-const more loop.Kind = 255
+// endBehindData is told by the loop to itself: the end of what comes lies behind what was just read.
+const endBehindData loop.Kind = 255
 
 // NewLoop starts a process.
 func NewLoop(sim *Sim, net *Net, silent *bool, onExit func(error)) *Loop {
@@ -103,15 +103,16 @@
 		sim: sim, net: net, silent: silent, onExit: onExit, byKey: make(map[loop.Timer]*timer),
 		Files: func(string) ([]byte, error) { return nil, os.ErrNotExist },
 		sockets: sockets{
-			socks: make(map[loop.Conn]*socket), accepted: firstAccepted, ports: make(map[loop.Conn]*port),
+			socks: make(map[loop.Conn]*socket), accepted: firstAccepted, listenSockets: make(map[loop.Conn]*listenSocket),
 			offered: make(map[loop.Conn]*Listener), datagrams: make(map[loop.Conn]*datagramSocket),
 		},
 	}
 }
 
-// listening returns the open listening sockets in order.
-func (l *Loop) listening() []*port {
-	return slices.SortedFunc(maps.Values(l.ports), func(a, b *port) int { return cmp.Compare(a.conn, b.conn) })
+// orderedListenSockets returns the open listening sockets in order.
+func (l *Loop) orderedListenSockets() []*listenSocket {
+	return slices.SortedFunc(maps.Values(l.listenSockets),
+		func(a, b *listenSocket) int { return cmp.Compare(a.conn, b.conn) })
 }
 
 // Run starts the reducer.
@@ -138,23 +139,23 @@
 }
 
 func (l *Loop) closeAll() {
-	for _, p := range l.listening() {
-		l.closePort(p)
+	for _, p := range l.orderedListenSockets() {
+		l.closeListenSocket(p)
 	}
-	for _, s := range l.bindings() {
+	for _, s := range l.orderedDatagramSockets() {
 		l.unbind(s)
 	}
 	for _, c := range slices.Sorted(maps.Keys(l.offered)) {
-		l.offered[c].landed()
+		l.offered[c].endTransit()
 	}
-	for _, s := range l.ordered() {
+	for _, s := range l.orderedSockets() {
 		s.end.ready = nil
 		s.end.Close()
 	}
 	l.socks = nil
 }
 
-func (l *Loop) ordered() []*socket {
+func (l *Loop) orderedSockets() []*socket {
 	all := make([]*socket, 0, len(l.socks))
 	for _, s := range l.socks {
 		all = append(all, s)
@@ -175,8 +176,8 @@
 	}
 }
 
-// Rounds is how often the process woke up; Held is how many sockets and timers it has.
-func (l *Loop) Rounds() uint64 { return l.rounds }
+// Wakeups is how often the process woke up; Held is how many sockets and timers it has.
+func (l *Loop) Wakeups() uint64 { return l.wakeups }
 
 // OpenCounts is the number of sockets and timers.
 func (l *Loop) OpenCounts() (sockets, timers int) { return len(l.socks), len(l.byKey) }
@@ -191,10 +192,10 @@
 		return
 	}
 	l.asleep, l.wakeAt = true, at
-	l.waking++
-	number := l.waking
+	l.wakeNumber++
+	number := l.wakeNumber
 	l.sim.At(at, func() {
-		if number == l.waking && l.Running() {
+		if number == l.wakeNumber && l.Running() {
 			l.asleep = false
 			l.round()
 		}
@@ -207,29 +208,29 @@
 		return
 	}
 	now := l.sim.Now()
-	if l.again || len(l.ready()) > 0 || l.listenerReady() || slices.ContainsFunc(l.bindings(),
+	if l.turnRequested || len(l.readySockets()) > 0 || l.listenerReady() || slices.ContainsFunc(l.orderedDatagramSockets(),
 		(*datagramSocket).isReady) {
 		l.wake(now)
 		return
 	}
 	if len(l.timers) > 0 {
-		left := l.timers[0].at - now
+		remaining := l.timers[0].at - now
 		// epoll sleeps whole milliseconds, rounded up.
-		l.wake(now + max(0, (left+time.Millisecond-1)/time.Millisecond*time.Millisecond))
+		l.wake(now + max(0, (remaining+time.Millisecond-1)/time.Millisecond*time.Millisecond))
 	}
 }
 
 // round is one turn of the loop: what is urgent and signals, what else is ready, timers, Turn.
 func (l *Loop) round() {
-	l.rounds++
-	l.again = false
-	ready := l.ready()
-	waiting := slices.DeleteFunc(l.listening(), func(p *port) bool { return !p.isReady() })
-	received := slices.DeleteFunc(l.bindings(), func(s *datagramSocket) bool { return !s.isReady() })
+	l.wakeups++
+	l.turnRequested = false
+	ready := l.readySockets()
+	waiting := slices.DeleteFunc(l.orderedListenSockets(), func(p *listenSocket) bool { return !p.isReady() })
+	received := slices.DeleteFunc(l.orderedDatagramSockets(), func(s *datagramSocket) bool { return !s.isReady() })
 	ready = ready[:min(len(ready), maxReady)]
 	for _, s := range ready { // level-triggered: what stays ready queues up anew
 		l.seq++
-		s.since = l.seq
+		s.readySeq = l.seq
 	}
 	l.deliverSignals()
 	l.deliverReady(waiting, received, ready, true)
@@ -246,12 +247,12 @@
 func (l *Loop) deliver() {
 	for i := 0; i < len(l.events) && l.Running(); i++ {
 		e := l.events[i]
-		if e.Kind == more && !l.resolveMore(&e) {
+		if e.Kind == endBehindData && !l.resolveMore(&e) {
 			continue
 		}
 		l.busy = max(l.busy, l.sim.Now()) + l.Cost
 		for _, f := range l.reducer.Step(l.sim.Now()+l.ClockError, e) {
-			l.sim.effect(f)
+			l.sim.hashEffect(f)
 			l.carryOut(f)
 		}
 	}
@@ -259,7 +260,7 @@
 	l.events = l.events[:0]
 	if l.exited && l.socks != nil {
 		l.closeAll()
-		l.onExit(l.failed)
+		l.onExit(l.exitErr)
 	}
 }
 
@@ -267,10 +268,10 @@
 func (l *Loop) resolveMore(e *loop.Event) bool {
 	s := l.socks[e.Conn]
 	switch {
-	case s == nil, s.muted && !s.leaving:
+	case s == nil, s.paused && !s.reportShutdown:
 		return false
-	case s.muted:
-		s.leaving = false
+	case s.paused:
+		s.reportShutdown = false
 		e.Kind = loop.PeerShutdown
 	default:
 		e.Kind = loop.Readable
@@ -278,15 +279,15 @@
 	return true
 }
 
-func (l *Loop) full() bool {
+func (l *Loop) descriptorsExhausted() bool {
 	beside := 0
-	if l.Beside != nil {
-		beside = l.Beside()
+	if l.OtherDescriptors != nil {
+		beside = l.OtherDescriptors()
 	}
-	return l.Sockets > 0 && l.files()+beside >= l.Sockets
+	return l.Sockets > 0 && l.descriptors()+beside >= l.Sockets
 }
 
-// files is how many descriptors the process has.
-func (l *Loop) files() int {
-	return len(l.socks) + len(l.ports) + len(l.offered) + len(l.datagrams) + ownFiles
+// descriptors is how many descriptors the process has.
+func (l *Loop) descriptors() int {
+	return len(l.socks) + len(l.listenSockets) + len(l.offered) + len(l.datagrams) + processDescriptors
 }
--- a/internal/lab/simulation/loopsockets.go
+++ b/internal/lab/simulation/loopsockets.go
@@ -18,16 +18,17 @@
 	}
 	ready := func() { l.wake(l.sim.Now()) }
 	if f.Path != "" {
-		l.addPort(&port{conn: f.Conn, urgent: f.Urgent, Listener: l.net.ListenUnix(f.Path, ready)})
+		l.addListenSocket(&listenSocket{conn: f.Conn, urgent: f.Urgent, Listener: l.net.ListenUnix(f.Path, ready)})
 	} else {
-		l.addPort(&port{conn: f.Conn, urgent: f.Urgent, Listener: l.net.Listen(f.Addr, backlog, l.silent, ready)})
+		l.addListenSocket(&listenSocket{conn: f.Conn, urgent: f.Urgent,
+			Listener: l.net.Listen(f.Addr, backlog, l.silent, ready)})
 	}
 }
 
-// addPort gives this process a listening socket, perhaps beside others.
-func (l *Loop) addPort(p *port) {
+// addListenSocket gives this process a listening socket, perhaps beside others.
+func (l *Loop) addListenSocket(p *listenSocket) {
 	p.loop = l
-	l.ports[p.conn] = p
+	l.listenSockets[p.conn] = p
 	p.holders = append(p.holders, p)
 	p.ready = func() {
 		for _, h := range slices.Clone(p.holders) {
@@ -35,16 +36,16 @@
 		}
 	}
 	l.queueEvent(loop.Event{Kind: loop.Listening, Conn: p.conn})
-	if p.conn == loop.Listener && l.Listens != nil {
-		l.Listens()
+	if p.conn == loop.Listener && l.OnListen != nil {
+		l.OnListen()
 	}
 }
 
-// closePort ends this process's part in a listening socket, which closes with the last.
-func (l *Loop) closePort(p *port) {
-	delete(l.ports, p.conn)
-	if p.holders = slices.DeleteFunc(p.holders, func(h *port) bool { return h == p }); len(p.holders) == 0 &&
-		p.flying == 0 {
+// closeListenSocket ends this process's part in a listening socket, which closes with the last.
+func (l *Loop) closeListenSocket(p *listenSocket) {
+	delete(l.listenSockets, p.conn)
+	if p.holders = slices.DeleteFunc(p.holders, func(h *listenSocket) bool { return h == p }); len(p.holders) == 0 &&
+		p.inTransit == 0 {
 		p.Close()
 	}
 }
@@ -53,14 +54,14 @@
 func (l *Loop) pass(s *socket, f loop.Effect) {
 	var rights []descriptor
 	for _, c := range f.PassConns {
-		if p := l.ports[c]; p != nil {
-			p.flying++
+		if p := l.listenSockets[c]; p != nil {
+			p.inTransit++
 			rights = append(rights, descriptor{ln: p.Listener})
 		} else if given := l.socks[c]; given != nil {
 			rights = append(rights, descriptor{end: given.end})
 		}
 	}
-	if len(rights) != len(f.PassConns) || len(s.out) > 0 || s.end.reset || s.end.closed {
+	if len(rights) != len(f.PassConns) || len(s.pending) > 0 || s.end.reset || s.end.closed {
 		l.breakSocket(s, unix.EPIPE)
 		return
 	}
@@ -78,28 +79,28 @@
 	l.write(s, f.Data[n:])
 }
 
-// received gives this process the sockets that came beside what was read.
-func (l *Loop) received(e *End) (passed []loop.Conn) {
-	for _, r := range e.rights {
+// adoptPassed gives this process the sockets that came beside what was read.
+func (l *Loop) adoptPassed(e *End) (passed []loop.Conn) {
+	for _, r := range e.passed {
 		l.accepted++
 		passed = append(passed, l.accepted)
 		if r.ln != nil {
 			l.offered[l.accepted] = r.ln
 			continue
 		}
-		l.add(&socket{conn: l.accepted, end: r.end, muted: true})
+		l.add(&socket{conn: l.accepted, end: r.end, paused: true})
 	}
-	e.rights = nil
+	e.passed = nil
 	return passed
 }
 
-func (l *Loop) accept(p *port, most int) {
-	for range min(cmp.Or(most, maxAcceptPerTurn), maxAcceptPerTurn) {
+func (l *Loop) accept(p *listenSocket, limit int) {
+	for range min(cmp.Or(limit, maxAcceptPerTurn), maxAcceptPerTurn) {
 		if len(p.backlog) == 0 {
 			l.queueEvent(loop.Event{Kind: loop.WouldBlock, Conn: p.conn})
 			return
 		}
-		if l.full() {
+		if l.descriptorsExhausted() {
 			l.queueEvent(loop.Event{Kind: loop.AcceptFailed, Conn: p.conn, Err: unix.EMFILE})
 			return
 		}
@@ -117,9 +118,9 @@
 		if l.socks[s.conn] != s || !s.isReady() {
 			return
 		}
-		if s.since == 0 {
+		if s.readySeq == 0 {
 			l.seq++
-			s.since = l.seq
+			s.readySeq = l.seq
 		}
 		l.markMaybeReady(s)
 		l.wake(l.sim.Now())
@@ -140,14 +141,14 @@
 		l.queueEvent(loop.Event{Kind: loop.Connected, Conn: f.Conn})
 		return
 	}
-	if l.full() {
+	if l.descriptorsExhausted() {
 		l.queueEvent(loop.Event{Kind: loop.Broken, Conn: f.Conn, Err: unix.EMFILE})
 		return
 	}
 	s := &socket{conn: f.Conn, connecting: true, urgent: f.Urgent}
 	s.end = l.net.Dial(f.Addr, l.silent, func(err error) {
-		s.up, s.dialed = true, err
-		s.end.heard()
+		s.dialDone, s.dialErr = true, err
+		s.end.notifyReady()
 	})
 	l.add(s)
 }
@@ -167,14 +168,14 @@
 	e := s.end
 	switch {
 	case len(e.inbox) > 0:
-		most := readSize
+		limit := readSize
 		if l.sim.Chance(l.Partial) {
-			most = 1 + l.sim.Rand.IntN(len(e.inbox))
+			limit = 1 + l.sim.Rand.IntN(len(e.inbox))
 		}
-		data := append([]byte(nil), e.Read(most)...)
-		l.queueEvent(loop.Event{Kind: loop.Data, Conn: s.conn, Data: data, PassedConns: l.received(e)})
+		data := append([]byte(nil), e.Read(limit)...)
+		l.queueEvent(loop.Event{Kind: loop.Data, Conn: s.conn, Data: data, PassedConns: l.adoptPassed(e)})
 		if e.fin {
-			l.queueEvent(loop.Event{Kind: more, Conn: s.conn})
+			l.queueEvent(loop.Event{Kind: endBehindData, Conn: s.conn})
 		}
 	case e.reset:
 		l.breakSocket(s, unix.ECONNRESET)
@@ -186,16 +187,16 @@
 }
 
 func (l *Loop) write(s *socket, data []byte) {
-	waiting := len(s.out) > 0
-	s.out = append(s.out, data...)
+	waiting := len(s.pending) > 0
+	s.pending = append(s.pending, data...)
 	if !waiting {
 		l.flush(s)
 	}
 }
 
 func (l *Loop) flush(s *socket) {
-	for len(s.out) > 0 {
-		n, err := s.end.Write(s.out)
+	for len(s.pending) > 0 {
+		n, err := s.end.Write(s.pending)
 		if err == unix.EAGAIN {
 			return
 		}
@@ -203,7 +204,7 @@
 			l.breakSocket(s, err)
 			return
 		}
-		s.out = s.out[:copy(s.out, s.out[n:])]
+		s.pending = s.pending[:copy(s.pending, s.pending[n:])]
 	}
 	l.queueEvent(loop.Event{Kind: loop.Flushed, Conn: s.conn})
 }
--- a/internal/lab/simulation/measure.go
+++ b/internal/lab/simulation/measure.go
@@ -27,11 +27,11 @@
 
 // Times of the run that is measured.
 const (
-	badFrom  = 9 * time.Second
-	badFor   = 8 * time.Second
-	lookBad  = 50 * time.Millisecond
-	restFrom = 8 * time.Second
-	badHosts = 5
+	badFrom         = 9 * time.Second
+	badFor          = 8 * time.Second
+	badHostInterval = 50 * time.Millisecond
+	steadyFrom      = 8 * time.Second
+	badHosts        = 5
 )
 
 // MeasureAssignment plays gateways that divide hosts. Some hosts fail all requests from the ninth
@@ -44,16 +44,16 @@
 	}
 	m := assignmentMeasurement{hosts: hosts, reports: reports}
 	m.figures.Known = make([]time.Duration, badHosts)
-	m.w = newSimulator(p, nil, func(r loop.Reducer) loop.Reducer { return effectObserver{r, m.observe} })
+	m.run = newSimulator(p, nil, func(r loop.Reducer) loop.Reducer { return effectObserver{r, m.observe} })
 	m.schedule()
-	m.w.sim.ctx = ctx
-	o := m.w.run()
+	m.run.sim.ctx = ctx
+	o := m.run.run()
 	if o.Partial {
 		return m.figures, ctx.Err()
 	}
 	out := m.figures
 	out.Cold, out.Refuse, out.Broken = m.used/m.allowed, float64(o.Refused)/float64(max(1, o.Tries)), o.Findings
-	out.Bytes = float64(m.restingBytes) / (badFrom + badFor - restFrom).Seconds() / float64(gateways)
+	out.Bytes = float64(m.steadyBytes) / (badFrom + badFor - steadyFrom).Seconds() / float64(gateways)
 	return out, nil
 }
 
@@ -70,19 +70,19 @@
 	at := int(badFrom.Milliseconds())
 	for who := range badHosts {
 		p.Faults = append(p.Faults,
-			Fault{AtMS: at, Do: "host-errors", Who: who, ForMS: int(badFor.Milliseconds()), Share: 1},
-			Fault{AtMS: at, Do: "host-cold", Who: hosts - 1 - who})
+			Fault{AtMS: at, Kind: "host-errors", Target: who, ForMS: int(badFor.Milliseconds()), Share: 1},
+			Fault{AtMS: at, Kind: "host-cold", Target: hosts - 1 - who})
 	}
 	return p, nil
 }
 
 // assignmentMeasurement is a run that is measured.
 type assignmentMeasurement struct {
-	w             *simulator
+	run           *simulator
 	hosts         int
 	reports       bool // gateways tell each other of hosts found bad
 	figures       AssignmentFigures
-	restingBytes  int // of datagrams, while only the faults that are measured happen
+	steadyBytes   int // of datagrams, while only the faults that are measured happen
 	used, allowed float64
 }
 
@@ -92,35 +92,35 @@
 		return
 	}
 	if !m.reports {
-		f.Data = withoutBad(f.Data)
+		f.Data = removeEjections(f.Data)
 	}
-	if now := m.w.sim.Since(); now >= restFrom && now < badFrom+badFor {
-		m.restingBytes += len(f.Data)
+	if now := m.run.sim.Since(); now >= steadyFrom && now < badFrom+badFor {
+		m.steadyBytes += len(f.Data)
 	}
 }
 
 // schedule has the figures taken at their times.
 func (m *assignmentMeasurement) schedule() {
-	sim, start := m.w.sim, epoch+300*time.Millisecond
-	sim.At(start+badFrom, func() { m.countAsked(-1) })
-	sim.At(start+badFrom+badFor, func() { m.countAsked(1) })
-	for at := lookBad; at < badFor; at += lookBad {
-		sim.At(start+badFrom+at, func() { m.lookAtBadHosts(at) })
+	sim, start := m.run.sim, epoch+300*time.Millisecond
+	sim.At(start+badFrom, func() { m.countBadHostAttempts(-1) })
+	sim.At(start+badFrom+badFor, func() { m.countBadHostAttempts(1) })
+	for at := badHostInterval; at < badFor; at += badHostInterval {
+		sim.At(start+badFrom+at, func() { m.checkBadHosts(at) })
 	}
 	sim.At(start+badFrom+badFor+5*time.Second, m.sumSlowStart)
 }
 
-// countAsked adds or subtracts what the bad hosts were asked so far.
-func (m *assignmentMeasurement) countAsked(sign int) {
+// countBadHostAttempts adds or subtracts what the bad hosts were asked so far.
+func (m *assignmentMeasurement) countBadHostAttempts(sign int) {
 	for who := range badHosts {
-		m.figures.Asked += sign * m.w.hosts[who].record.Len()
+		m.figures.Asked += sign * m.run.hosts[who].record.Len()
 	}
 }
 
-// lookAtBadHosts notes which bad hosts are known by now.
-func (m *assignmentMeasurement) lookAtBadHosts(at time.Duration) {
+// checkBadHosts notes which bad hosts are known by now.
+func (m *assignmentMeasurement) checkBadHosts(at time.Duration) {
 	for who := range badHosts {
-		if m.figures.Known[who] == 0 && m.w.known(m.w.hosts[who]) >= 0.95 {
+		if m.figures.Known[who] == 0 && m.run.knownShare(m.run.hosts[who]) >= 0.95 {
 			m.figures.Known[who] = at
 		}
 	}
@@ -129,23 +129,23 @@
 // sumSlowStart adds up what cold hosts were sent, and what they may get.
 func (m *assignmentMeasurement) sumSlowStart() {
 	for who := range badHosts {
-		h := m.w.hosts[m.hosts-1-who]
+		h := m.run.hosts[m.hosts-1-who]
 		cold := h.spec.Cold
-		m.used += float64(h.budget.all)
+		m.used += float64(h.budget.total)
 		m.allowed += cold.FallMultiple * warmRate * (1 + cold.From) / 2 * cold.For.Seconds()
 	}
 }
 
-// known is the share of the gateways that use a host which have ejected it themselves, or are told to
+// knownShare is the share of the gateways that use a host which have ejected it themselves, or are told to
 // doubt it.
-func (w *simulator) known(h *host) float64 {
+func (s *simulator) knownShare(h *host) float64 {
 	id := discovery.Identity(h.name)
 	users, know := 0, 0
-	for _, m := range w.gateways {
-		if !m.up || m.process.gw == nil || m.process.gw.AssignmentTracker() == nil {
+	for _, g := range s.gateways {
+		if !g.up || g.process.gw == nil || g.process.gw.AssignmentTracker() == nil {
 			continue
 		}
-		bad, doubted, uses := m.process.gw.EndpointKnowledge(id)
+		bad, doubted, uses := g.process.gw.EndpointKnowledge(id)
 		if !uses {
 			continue
 		}
@@ -163,21 +163,21 @@
 // effectObserver sees each effect before it is carried out.
 type effectObserver struct {
 	loop.Reducer
-	see func(*loop.Effect)
+	observe func(*loop.Effect)
 }
 
 // Step implements loop.Reducer.
-func (d effectObserver) Step(now time.Duration, e loop.Event) []loop.Effect {
-	list := d.Reducer.Step(now, e)
+func (o effectObserver) Step(now time.Duration, e loop.Event) []loop.Effect {
+	list := o.Reducer.Step(now, e)
 	for i := range list {
-		d.see(&list[i])
+		o.observe(&list[i])
 	}
 	return list
 }
 
-// withoutBad is a datagram in which nobody names bad hosts.
-func withoutBad(data []byte) []byte {
-	return reword(data, func(c *gossipcodec.Claim) {
+// removeEjections is a datagram in which nobody names bad hosts.
+func removeEjections(data []byte) []byte {
+	return rewriteClaims(data, func(c *gossipcodec.Claim) {
 		if s, err := loadreport.Parse(c.Payload); err == nil && len(s.Ejected) > 0 {
 			s.Ejected = nil
 			c.Payload = loadreport.Append(nil, s)
@@ -185,8 +185,8 @@
 	})
 }
 
-// reword changes the claims of a datagram. One that no longer fits is left out.
-func reword(data []byte, change func(*gossipcodec.Claim)) []byte {
+// rewriteClaims changes the claims of a datagram. One that no longer fits is left out.
+func rewriteClaims(data []byte, change func(*gossipcodec.Claim)) []byte {
 	m, err := gossipcodec.Parse(data)
 	if err != nil {
 		return data
--- a/internal/lab/simulation/net.go
+++ b/internal/lab/simulation/net.go
@@ -12,20 +12,20 @@
 
 // Net is the network: listeners, and connections whose bytes take time and may be cut anywhere.
 type Net struct {
-	sim       *Sim
-	listeners map[netip.AddrPort]*Listener
-	paths     map[string]*Listener // Unix sockets, whose connections have no faults
-	unix      *Net
-	Latency   time.Duration // one way
-	Jitter    time.Duration // more, at most
-	Split     float64       // chance that a write arrives in pieces, cut at any byte
-	ResetAt   float64       // chance that a write resets its connection at any of its bytes
-	LoseDial  float64       // chance that a connection never comes up
+	sim            *Sim
+	listeners      map[netip.AddrPort]*Listener
+	paths          map[string]*Listener // Unix sockets, whose connections have no faults
+	unix           *Net
+	Latency        time.Duration // one way
+	Jitter         time.Duration // more, at most
+	SplitChance    float64       // chance that a write arrives in pieces, cut at any byte
+	ResetChance    float64       // chance that a write resets its connection at any of its bytes
+	LoseDialChance float64       // chance that a connection never comes up
 
-	bound           map[netip.AddrPort]*datagramSocket
-	LoseDatagrams   float64
-	DoubleDatagrams float64
-	CutDatagrams    func(from, to netip.AddrPort) bool // one way; nil is no cut
+	bound                   map[netip.AddrPort]*datagramSocket
+	LoseDatagramChance      float64
+	DuplicateDatagramChance float64
+	CutDatagrams            func(from, to netip.AddrPort) bool // one way; nil is no cut
 }
 
 // NewNet returns a network without faults.
@@ -47,19 +47,19 @@
 		r.end.Close()
 		return
 	}
-	r.ln.landed()
+	r.ln.endTransit()
 }
 
-// landed notes that a listener has arrived somewhere, or was dropped on the way.
-func (l *Listener) landed() {
-	if l.flying--; l.flying == 0 && len(l.holders) == 0 {
+// endTransit notes that a listener has arrived somewhere, or was dropped on the way.
+func (l *Listener) endTransit() {
+	if l.inTransit--; l.inTransit == 0 && len(l.holders) == 0 {
 		l.Close()
 	}
 }
 
 // ListenUnix takes the place at a path, whoever had it.
 func (n *Net) ListenUnix(path string, ready func()) *Listener {
-	l := &Listener{net: n, path: path, most: backlog, ready: ready}
+	l := &Listener{net: n, path: path, maxBacklog: backlog, ready: ready}
 	n.paths[path] = l
 	return l
 }
@@ -73,8 +73,8 @@
 	case l.closed:
 		return nil, unix.ECONNREFUSED
 	}
-	a := &End{net: n.unix, room: sendBuffer}
-	b := &End{net: n.unix, room: sendBuffer, peer: a}
+	a := &End{net: n.unix, space: sendBuffer}
+	b := &End{net: n.unix, space: sendBuffer, peer: a}
 	a.peer = b
 	l.backlog = append(l.backlog, b)
 	l.ready()
@@ -91,48 +91,48 @@
 			}
 			return
 		}
-		p.rights = append(p.rights, rights...)
+		p.passed = append(p.passed, rights...)
 	})
 	return e.Write(data)
 }
 
 // Listener takes connections, as the kernel does, until its backlog is full.
 type Listener struct {
-	net     *Net
-	addr    netip.AddrPort
-	backlog []*End
-	most    int
-	silent  *bool // the machine says nothing while it is set
-	ready   func()
-	closed  bool
-	holders []*port // the processes that have it; it closes with the last
-	flying  int     // how often it is being passed
-	path    string  // of a Unix socket
+	net        *Net
+	addr       netip.AddrPort
+	backlog    []*End
+	maxBacklog int
+	silent     *bool // the machine says nothing while it is set
+	ready      func()
+	closed     bool
+	holders    []*listenSocket // the processes that have it; it closes with the last
+	inTransit  int             // how often it is being passed
+	path       string          // of a Unix socket
 }
 
 // End is one end of a connection.
 type End struct {
-	net    *Net
-	peer   *End
-	inbox  []byte
-	begun  time.Duration // when the first of these bytes was sent
-	fin    bool          // the peer's sending has ended
-	reset  bool
-	cut    bool // the network has reset it, neither end did
-	closed bool
-	shut   bool          // our sending has ended
-	ended  time.Duration // then; 0 while it has not
-	room   int           // bytes that the connection still takes from us
-	last   time.Duration
-	silent *bool        // this end's machine says nothing while it is set
-	held   []func()     // what is on the way to a silent machine
-	ready  func()       // something came, or there is room again
-	rights []descriptor // sockets passed beside what has come
+	net          *Net
+	peer         *End
+	inbox        []byte
+	firstSentAt  time.Duration // when the first of these bytes was sent
+	fin          bool          // the peer's sending has ended
+	reset        bool
+	cutByNetwork bool // the network has reset it, neither end did
+	closed       bool
+	writeClosed  bool          // our sending has ended
+	endedAt      time.Duration // then; 0 while it has not
+	space        int           // bytes that the connection still takes from us
+	lastDelivery time.Duration
+	silent       *bool        // this end's machine says nothing while it is set
+	undelivered  []func()     // what is on the way to a silent machine
+	ready        func()       // something came, or there is room again
+	passed       []descriptor // sockets passed beside what has come
 }
 
 // Listen opens a listener. ready is called when a connection waits.
 func (n *Net) Listen(addr netip.AddrPort, backlog int, silent *bool, ready func()) *Listener {
-	l := &Listener{net: n, addr: addr, most: backlog, silent: silent, ready: ready}
+	l := &Listener{net: n, addr: addr, maxBacklog: backlog, silent: silent, ready: ready}
 	n.listeners[addr] = l
 	return l
 }
@@ -167,8 +167,8 @@
 // Dial connects. done is called once it is known how that ended; it never is where nobody answers. The end is
 // valid at once: closing it gives the attempt up.
 func (n *Net) Dial(addr netip.AddrPort, silent *bool, done func(err error)) *End {
-	a := &End{net: n, room: sendBuffer, silent: silent}
-	lost := n.sim.Chance(n.LoseDial)
+	a := &End{net: n, space: sendBuffer, silent: silent}
+	lost := n.sim.Chance(n.LoseDialChance)
 	n.sim.After(n.delay(), func() {
 		l := n.listeners[addr]
 		switch {
@@ -181,10 +181,10 @@
 				}
 			})
 			return
-		case len(l.backlog) >= l.most:
+		case len(l.backlog) >= l.maxBacklog:
 			return
 		}
-		b := &End{net: n, room: sendBuffer, peer: a, silent: l.silent}
+		b := &End{net: n, space: sendBuffer, peer: a, silent: l.silent}
 		a.peer = b
 		l.backlog = append(l.backlog, b)
 		l.ready()
@@ -199,32 +199,32 @@
 
 // deliver has something reach an end in the order in which it was sent.
 func (e *End) deliver(do func()) {
-	at := max(e.last, e.net.sim.Now()+e.net.delay())
-	e.last = at
+	at := max(e.lastDelivery, e.net.sim.Now()+e.net.delay())
+	e.lastDelivery = at
 	e.net.sim.At(at, func() {
-		if e.cutOff() {
-			e.held = append(e.held, do)
+		if e.isSilent() {
+			e.undelivered = append(e.undelivered, do)
 			return
 		}
 		do()
 	})
 }
 
-// cutOff reports that one of the two machines says and hears nothing.
-func (e *End) cutOff() bool {
+// isSilent reports that one of the two machines says and hears nothing.
+func (e *End) isSilent() bool {
 	return e.silent != nil && *e.silent || e.peer != nil && e.peer.silent != nil && *e.peer.silent
 }
 
 // Heal delivers what was on its way to a machine that was silent.
 func (e *End) Heal() {
-	held := e.held
-	e.held = nil
+	held := e.undelivered
+	e.undelivered = nil
 	for _, do := range held {
 		do()
 	}
 }
 
-func (e *End) heard() {
+func (e *End) notifyReady() {
 	if e.ready != nil && !e.closed {
 		e.ready()
 	}
@@ -235,28 +235,28 @@
 	switch {
 	case e.reset:
 		return 0, unix.ECONNRESET
-	case e.shut || e.closed:
+	case e.writeClosed || e.closed:
 		return 0, unix.EPIPE
 	}
-	n := min(len(data), e.room)
+	n := min(len(data), e.space)
 	if n == 0 {
 		return 0, unix.EAGAIN
 	}
-	e.room -= n
+	e.space -= n
 	sent := append([]byte(nil), data[:n]...)
-	if s := e.net.sim; s.Chance(e.net.ResetAt) {
+	if s := e.net.sim; s.Chance(e.net.ResetChance) {
 		cut := s.Rand.IntN(n + 1)
 		e.send(sent[:cut])
 		p := e.peer
-		e.cut, p.cut = true, true
-		p.deliver(func() { p.gotReset() })
-		e.deliver(func() { e.gotReset() })
+		e.cutByNetwork, p.cutByNetwork = true, true
+		p.deliver(func() { p.receiveReset() })
+		e.deliver(func() { e.receiveReset() })
 		return n, nil
 	}
-	for e.net.sim.Chance(e.net.Split) && len(sent) > 1 {
+	for e.net.sim.Chance(e.net.SplitChance) && len(sent) > 1 {
 		cut := 1 + e.net.sim.Rand.IntN(len(sent)-1)
 		e.send(sent[:cut])
-		e.peer.last = max(e.peer.last, e.net.sim.Now()) + e.net.sim.Between(0, 3*time.Millisecond)
+		e.peer.lastDelivery = max(e.peer.lastDelivery, e.net.sim.Now()) + e.net.sim.Between(0, 3*time.Millisecond)
 		sent = sent[cut:]
 	}
 	e.send(sent)
@@ -270,36 +270,36 @@
 	p, sent := e.peer, e.net.sim.Now()
 	p.deliver(func() {
 		if len(p.inbox) == 0 {
-			p.begun = sent
+			p.firstSentAt = sent
 		}
 		switch {
 		case p.reset:
 		case p.closed: // nobody is there to read it
-			e.deliver(func() { e.gotReset() })
+			e.deliver(func() { e.receiveReset() })
 		default:
 			p.inbox = append(p.inbox, data...)
-			p.heard()
+			p.notifyReady()
 		}
 	})
 }
 
-func (e *End) gotReset() {
+func (e *End) receiveReset() {
 	if !e.reset {
 		e.reset = true
-		e.heard()
+		e.notifyReady()
 	}
 }
 
 // Read takes at most so many bytes of what has come, and makes room for as many at the peer.
-func (e *End) Read(most int) []byte {
-	n := min(most, len(e.inbox))
+func (e *End) Read(limit int) []byte {
+	n := min(limit, len(e.inbox))
 	data := e.inbox[:n:n]
 	e.inbox = e.inbox[n:]
 	if p := e.peer; n > 0 {
-		was := p.room
-		p.room += n
-		if was == 0 {
-			p.deliver(func() { p.heard() })
+		before := p.space
+		p.space += n
+		if before == 0 {
+			p.deliver(func() { p.notifyReady() })
 		}
 	}
 	return data
@@ -307,14 +307,14 @@
 
 // CloseWrite ends our sending.
 func (e *End) CloseWrite() {
-	if e.shut || e.closed || e.peer == nil {
+	if e.writeClosed || e.closed || e.peer == nil {
 		return
 	}
-	e.shut, e.ended = true, e.net.sim.Now()
+	e.writeClosed, e.endedAt = true, e.net.sim.Now()
 	p := e.peer
 	p.deliver(func() {
 		p.fin = true
-		p.heard()
+		p.notifyReady()
 	})
 }
 
@@ -323,10 +323,10 @@
 	if e.closed {
 		return
 	}
-	for _, r := range e.rights {
+	for _, r := range e.passed {
 		r.drop()
 	}
-	e.rights = nil
+	e.passed = nil
 	if len(e.inbox) > 0 {
 		e.Reset()
 		return
@@ -341,11 +341,11 @@
 		return
 	}
 	e.closed = true
-	if e.ended == 0 {
-		e.ended = e.net.sim.Now()
+	if e.endedAt == 0 {
+		e.endedAt = e.net.sim.Now()
 	}
 	if p := e.peer; p != nil && !e.reset {
-		p.deliver(func() { p.gotReset() })
+		p.deliver(func() { p.receiveReset() })
 	}
 }
 
--- a/internal/lab/simulation/notificationdeadlines.go
+++ b/internal/lab/simulation/notificationdeadlines.go
@@ -20,16 +20,16 @@
 //
 // A discovery that is down or mute is not played with this rule: no fault of the profile is one.
 const (
-	notifiedAtTheLatest = 6 * time.Second
-	silenceNoticed      = 2800 * time.Millisecond // a missed beat, 2.4 s, and the spread of the calls after it, 0.4 s
-	workStretch         = 1.5                     // refused calls come again up to 1.5 s later, in no order
+	notificationLimit = 6 * time.Second
+	silenceDetection  = 2800 * time.Millisecond // a missed beat, 2.4 s, and the spread of the calls after it, 0.4 s
+	workStretch       = 1.5                     // refused calls come again up to 1.5 s later, in no order
 )
 
 // departure is a host that drains or is gone, and when that counts as notified at the latest.
 type departure struct {
-	host  string
-	state string
-	by    time.Duration
+	host     string
+	state    string
+	deadline time.Duration
 }
 
 // notificationDeadlines keeps when changes count as notified at the latest.
@@ -40,58 +40,58 @@
 	departures []departure   // in the order in which they came
 }
 
-// within is the time that gateways have from now on.
-func (t *notificationDeadlines) within() time.Duration {
-	backlog := max(0, t.busyUntil-t.sim.Now())
-	return max(notifiedAtTheLatest, silenceNoticed+time.Duration(workStretch*float64(backlog)))
+// allowance is the time that gateways have from now on.
+func (n *notificationDeadlines) allowance() time.Duration {
+	backlog := max(0, n.busyUntil-n.sim.Now())
+	return max(notificationLimit, silenceDetection+time.Duration(workStretch*float64(backlog)))
 }
 
-// changed notes a change of the list.
-func (t *notificationDeadlines) changed(e registry.Entry) {
-	if t == nil {
+// recordChange notes a change of the list.
+func (n *notificationDeadlines) recordChange(e registry.Entry) {
+	if n == nil {
 		return
 	}
-	for i, d := range t.departures {
+	for i, d := range n.departures {
 		if d.host != e.Host {
 			continue
 		}
 		if e.State == registry.Up {
-			t.departures = append(t.departures[:i:i], t.departures[i+1:]...)
+			n.departures = append(n.departures[:i:i], n.departures[i+1:]...)
 		}
 		return // the first notice of its leaving counts
 	}
 	if e.State != registry.Up {
-		t.departures = append(t.departures, departure{e.Host, e.State, t.sim.Now() + t.within()})
+		n.departures = append(n.departures, departure{e.Host, e.State, n.sim.Now() + n.allowance()})
 	}
 }
 
-// caused notes calls that discovery has caused, which put off what does not yet count as notified where
+// addCalls notes calls that discovery has caused, which put off what does not yet count as notified where
 // there are too many.
-func (t *notificationDeadlines) caused(calls int) {
-	if t == nil || calls == 0 {
+func (n *notificationDeadlines) addCalls(calls int) {
+	if n == nil || calls == 0 {
 		return
 	}
-	now := t.sim.Now()
-	t.busyUntil = max(t.busyUntil, now) + time.Duration(calls)*t.work
-	if t.within() <= notifiedAtTheLatest {
+	now := n.sim.Now()
+	n.busyUntil = max(n.busyUntil, now) + time.Duration(calls)*n.work
+	if n.allowance() <= notificationLimit {
 		return
 	}
-	for i := range t.departures {
-		if d := &t.departures[i]; d.by > now {
-			d.by = max(d.by, now+t.within())
+	for i := range n.departures {
+		if d := &n.departures[i]; d.deadline > now {
+			d.deadline = max(d.deadline, now+n.allowance())
 		}
 	}
 }
 
-// notified is when a host's leaving counts as notified at the latest; ok is false if it does not leave
+// overdue is when a host's leaving counts as notified at the latest; ok is false if it does not leave
 // or the time is not over.
-func (t *notificationDeadlines) notified(host string) (at registry.Notification, ok bool) {
-	if t == nil {
+func (n *notificationDeadlines) overdue(host string) (at registry.Notification, ok bool) {
+	if n == nil {
 		return registry.Notification{}, false
 	}
-	for _, d := range t.departures {
-		if d.host == host && d.by <= t.sim.Now() {
-			return registry.Notification{At: d.by, State: d.state}, true
+	for _, d := range n.departures {
+		if d.host == host && d.deadline <= n.sim.Now() {
+			return registry.Notification{At: d.deadline, State: d.state}, true
 		}
 	}
 	return registry.Notification{}, false
--- a/internal/lab/simulation/plan.go
+++ b/internal/lab/simulation/plan.go
@@ -9,29 +9,29 @@
 
 // Fault is something that goes wrong at a time. Times are milliseconds after the run's begin.
 type Fault struct {
-	AtMS  int     `json:"at_ms"`
-	Do    string  `json:"do"`
-	Who   int     `json:"who"`    // number of the host or gateway
-	ForMS int     `json:"for_ms"` // until it is undone
-	Share float64 `json:"share,omitempty"`
-	What  string  `json:"what,omitempty"`
+	AtMS    int     `json:"at_ms"`
+	Kind    string  `json:"do"`
+	Target  int     `json:"who"`    // number of the host or gateway
+	ForMS   int     `json:"for_ms"` // until it is undone
+	Share   float64 `json:"share,omitempty"`
+	Variant string  `json:"what,omitempty"`
 }
 
 // Request is what one client asks.
 type Request struct {
-	AtMS    int    `json:"at_ms"`
-	Unsafe  bool   `json:"unsafe,omitempty"`
-	Patient int    `json:"patience_ms"`
-	Retries int    `json:"retries,omitempty"`
-	Act     string `json:"act,omitempty"` // "" as it should; leave, trickle, half, garbage, silent, stop
-	// Sends is the share of the request that a client sends that stops, in Pieces of PauseMS apart.
-	Sends   float64 `json:"sends,omitempty"`
-	Pieces  int     `json:"pieces,omitempty"`
-	PauseMS int     `json:"pause_ms,omitempty"`
-	Body    int     `json:"body,omitempty"`   // bytes of a bid's body, past the usual
-	Pad     int     `json:"pad,omitempty"`    // bytes that the host adds to its answer
-	Chunks  bool    `json:"chunks,omitempty"` // both in chunks
-	Fresh   bool    `json:"fresh,omitempty"`
+	AtMS      int    `json:"at_ms"`
+	Unsafe    bool   `json:"unsafe,omitempty"`
+	TimeoutMS int    `json:"patience_ms"`
+	Retries   int    `json:"retries,omitempty"`
+	Behaviour string `json:"act,omitempty"` // "" as it should; leave, trickle, half, garbage, silent, stop
+	// SentShare is the share of the request that a client sends that stops, in Pieces of PauseMS apart.
+	SentShare     float64 `json:"sends,omitempty"`
+	Pieces        int     `json:"pieces,omitempty"`
+	PauseMS       int     `json:"pause_ms,omitempty"`
+	Body          int     `json:"body,omitempty"`   // bytes of a bid's body, past the usual
+	Pad           int     `json:"pad,omitempty"`    // bytes that the host adds to its answer
+	Chunks        bool    `json:"chunks,omitempty"` // both in chunks
+	NewConnection bool    `json:"fresh,omitempty"`
 }
 
 // Plan is a whole run: what it consists of, and every fault and request in it.
@@ -43,13 +43,13 @@
 	Sockets  int    `json:"sockets"`
 	LagMS    int    `json:"lag_ms"`
 	NetworkPlan
-	CostUS int  `json:"cost_us,omitempty"`
-	Cold   bool `json:"cold,omitempty"`
-	Zones  int  `json:"zones,omitempty"`  // of a fleet; 0 is one zone for all
-	Barren bool `json:"barren,omitempty"` // the last zone has gateways and no hosts
-	Views  bool `json:"views,omitempty"`  // gateways know of each other
-	Shares bool `json:"shares,omitempty"` // and divide hosts among them, with Views
-	Pushed bool `json:"pushed,omitempty"` // lists come by an agent on each gateway's machine
+	CostUS       int  `json:"cost_us,omitempty"`
+	Cold         bool `json:"cold,omitempty"`
+	Zones        int  `json:"zones,omitempty"`  // of a fleet; 0 is one zone for all
+	HostlessZone bool `json:"barren,omitempty"` // the last zone has gateways and no hosts
+	Views        bool `json:"views,omitempty"`  // gateways know of each other
+	Shares       bool `json:"shares,omitempty"` // and divide hosts among them, with Views
+	Pushed       bool `json:"pushed,omitempty"` // lists come by an agent on each gateway's machine
 	// DeadlineMS is the longest deadline of every class; 0 is the usual ones.
 	DeadlineMS int `json:"deadline_ms,omitempty"`
 	// ClockErrors are how many seconds the machines' wall clocks are ahead at the begin, by gateway.
--- a/internal/lab/simulation/profiles.go
+++ b/internal/lab/simulation/profiles.go
@@ -85,7 +85,7 @@
 	return names
 }
 
-func spoils() []string {
+func responseFaults() []string {
 	return []string{"reset-before", "reset-middle", "garbage", "extra", "interim", "long-length", "close-after",
 		"endless-1xx", "bare-503"}
 }
--- a/internal/lab/simulation/ready.go
+++ b/internal/lab/simulation/ready.go
@@ -8,23 +8,23 @@
 	"thymebend/internal/loop"
 )
 
-func (l *Loop) ready() (list []*socket) {
+func (l *Loop) readySockets() (list []*socket) {
 	kept := l.maybeReady[:0]
 	for _, s := range l.maybeReady {
 		if l.socks[s.conn] != s || !s.isReady() {
-			s.maybeReady, s.since = false, 0
+			s.maybeReady, s.readySeq = false, 0
 			continue
 		}
-		if s.since == 0 {
+		if s.readySeq == 0 {
 			l.seq++
-			s.since = l.seq
+			s.readySeq = l.seq
 		}
 		kept = append(kept, s)
 	}
 	clear(l.maybeReady[len(kept):])
 	l.maybeReady = kept
 	list = slices.Clone(kept)
-	slices.SortFunc(list, func(a, b *socket) int { return cmp.Compare(a.since, b.since) })
+	slices.SortFunc(list, func(a, b *socket) int { return cmp.Compare(a.readySeq, b.readySeq) })
 	return list
 }
 
@@ -39,23 +39,23 @@
 // isReady is what epoll would report: readable, writable with something to write, or broken.
 func (s *socket) isReady() bool {
 	if s.connecting {
-		return s.up
+		return s.dialDone
 	}
 	e := s.end
-	return !s.muted && (len(e.inbox) > 0 || e.fin) || s.leaving && e.fin || e.reset || e.fin && e.shut ||
-		len(s.out) > 0 && e.room > 0
+	return !s.paused && (len(e.inbox) > 0 || e.fin) || s.reportShutdown && e.fin || e.reset || e.fin && e.writeClosed ||
+		len(s.pending) > 0 && e.space > 0
 }
 
 func (l *Loop) listenerReady() bool {
-	return slices.ContainsFunc(l.listening(), (*port).isReady)
+	return slices.ContainsFunc(l.orderedListenSockets(), (*listenSocket).isReady)
 }
 
-func (p *port) isReady() bool { return !p.closed && !p.muted && len(p.backlog) > 0 }
+func (p *listenSocket) isReady() bool { return !p.closed && !p.paused && len(p.backlog) > 0 }
 
 func (l *Loop) socketReady(s *socket) {
 	if s.connecting {
-		if s.dialed != nil {
-			l.breakSocket(s, s.dialed)
+		if s.dialErr != nil {
+			l.breakSocket(s, s.dialErr)
 			return
 		}
 		s.connecting = false
@@ -63,21 +63,21 @@
 		return
 	}
 	e := s.end
-	if len(s.out) > 0 && (e.room > 0 || e.reset) {
+	if len(s.pending) > 0 && (e.space > 0 || e.reset) {
 		l.flush(s)
 	}
-	if l.socks[s.conn] == s && s.leaving && e.fin && !e.reset && !e.shut {
-		s.leaving = false
+	if l.socks[s.conn] == s && s.reportShutdown && e.fin && !e.reset && !e.writeClosed {
+		s.reportShutdown = false
 		l.queueEvent(loop.Event{Kind: loop.PeerShutdown, Conn: s.conn})
 		return
 	}
-	if l.socks[s.conn] == s && (!s.muted && (len(e.inbox) > 0 || e.fin) || e.reset || e.fin && e.shut) {
+	if l.socks[s.conn] == s && (!s.paused && (len(e.inbox) > 0 || e.fin) || e.reset || e.fin && e.writeClosed) {
 		l.queueEvent(loop.Event{Kind: loop.Readable, Conn: s.conn})
 	}
 }
 
 // deliverReady reports what is ready on the urgent sockets, or on all others.
-func (l *Loop) deliverReady(waiting []*port, received []*datagramSocket, ready []*socket, urgent bool) {
+func (l *Loop) deliverReady(waiting []*listenSocket, received []*datagramSocket, ready []*socket, urgent bool) {
 	for _, p := range waiting {
 		if p.urgent == urgent && p.isReady() {
 			l.queueEvent(loop.Event{Kind: loop.Readable, Conn: p.conn})
--- a/internal/lab/simulation/shrink.go
+++ b/internal/lab/simulation/shrink.go
@@ -7,23 +7,23 @@
 
 // Shrink drops faults and requests as long as the run still breaks the rule, halves first. It plays at
 // most so many runs, and none once ctx is done: the plan is then the smallest so far.
-func Shrink(ctx context.Context, p Plan, rule string, most int) (Plan, int) {
+func Shrink(ctx context.Context, p Plan, rule string, limit int) (Plan, int) {
 	runs := 0
 	breaks := func(q Plan) bool {
 		runs++
 		return slices.ContainsFunc(PlayContext(ctx, q, nil).Findings, func(f Finding) bool { return f.Rule == rule })
 	}
-	for again := true; again && runs < most && ctx.Err() == nil; {
+	for again := true; again && runs < limit && ctx.Err() == nil; {
 		again = false
 		p.Faults = reduce(p.Faults, func(part []Fault) bool {
 			q := p
 			q.Faults = part
-			return runs < most && ctx.Err() == nil && breaks(q)
+			return runs < limit && ctx.Err() == nil && breaks(q)
 		}, &again)
 		p.Requests = reduce(p.Requests, func(part []Request) bool {
 			q := p
 			q.Requests = part
-			return runs < most && ctx.Err() == nil && breaks(q)
+			return runs < limit && ctx.Err() == nil && breaks(q)
 		}, &again)
 	}
 	return p, runs
--- a/internal/lab/simulation/sim.go
+++ b/internal/lab/simulation/sim.go
@@ -23,7 +23,7 @@
 	Rand  *rand.Rand
 	now   time.Duration
 	seq   uint64
-	due   events
+	queue events
 	hash  xxh3.Hasher
 	trace io.Writer
 	steps uint64
@@ -69,7 +69,7 @@
 // At has something done at a time; what is past is done now, after what is due already.
 func (s *Sim) At(at time.Duration, do func()) {
 	s.seq++
-	heap.Push(&s.due, &event{max(at, s.now), s.seq, do})
+	heap.Push(&s.queue, &event{max(at, s.now), s.seq, do})
 }
 
 // After has something done after a time.
@@ -80,11 +80,11 @@
 
 // Run lets time pass until nothing is left to happen before a time, or until the run is interrupted.
 func (s *Sim) Run(until time.Duration) {
-	for len(s.due) > 0 && s.due[0].at <= until {
+	for len(s.queue) > 0 && s.queue[0].at <= until {
 		if s.steps%interruptCheckSteps == 0 && s.interrupted() {
 			return
 		}
-		e := heap.Pop(&s.due).(*event)
+		e := heap.Pop(&s.queue).(*event)
 		s.now = e.at
 		s.steps++
 		e.do()
@@ -109,8 +109,8 @@
 	}
 }
 
-// effect enters an effect into the hash: the same events must have the same effects, in the same order.
-func (s *Sim) effect(f loop.Effect) {
+// hashEffect enters an effect into the hash: the same events must have the same effects, in the same order.
+func (s *Sim) hashEffect(f loop.Effect) {
 	var b [40]byte
 	b[0], b[1] = byte(f.Op), f.Timer.Kind
 	binary.LittleEndian.PutUint64(b[8:], uint64(f.Conn))
@@ -128,9 +128,9 @@
 func (s *Sim) Chance(p float64) bool { return p > 0 && s.Rand.Float64() < p }
 
 // Between draws a time.
-func (s *Sim) Between(least, most time.Duration) time.Duration {
-	if most <= least {
-		return least
+func (s *Sim) Between(low, high time.Duration) time.Duration {
+	if high <= low {
+		return low
 	}
-	return least + time.Duration(s.Rand.Int64N(int64(most-least)))
+	return low + time.Duration(s.Rand.Int64N(int64(high-low)))
 }
--- a/internal/lab/simulation/simulator.go
+++ b/internal/lab/simulation/simulator.go
@@ -29,12 +29,12 @@
 
 // The rules in figures; see the operators' pages.
 const (
-	drainGrace = 300 * time.Millisecond
-	leaveFront = 300 * time.Millisecond
-	killSpread = 5 * time.Millisecond // what news of a kill may take
-	quietFor   = 8 * time.Second      // of nothing at the end of the day
-	maxRounds  = 40                   // of a gateway in the last half of that: heartbeats, and the balancer's own
-	endWithin  = 12 * time.Second     // of SIGTERM
+	drainGrace       = 300 * time.Millisecond
+	withdrawDelay    = 300 * time.Millisecond
+	killNoticeMargin = 5 * time.Millisecond // what news of a kill may take
+	quietPeriod      = 8 * time.Second      // of nothing at the end of the day
+	maxIdleWakeups   = 40                   // of a gateway in the last half of that: heartbeats, and the balancer's own
+	shutdownLimit    = 12 * time.Second     // of SIGTERM
 )
 
 // Finding is a broken rule.
@@ -63,19 +63,19 @@
 	file        *experiment.File
 	sim         *Sim
 	net         *Net
-	disc        *discoveryServer
+	discovery   *discoveryServer
 	hosts       []*host
 	formerHosts []*requestrecord.EndpointRecord
 	gateways    []*gatewayNode
 	clients     *requestrecord.ClientRecord
-	idle        []*link
-	found       []Finding
+	idle        []*idleLink
+	findings    []Finding
 	statuses    map[int]int
-	asked       int
+	attempts    int
 	lastID      uint64
-	turn        int
+	lastPicked  int
 	replaced    int
-	strict      bool // views are unsafe now, as clients know it
+	unsafeViews bool // views are unsafe now, as clients know it
 	views       *viewChecker
 	rates       *clusterRates // of a fleet; nil elsewhere
 	wrap        func(loop.Reducer) loop.Reducer
@@ -88,9 +88,9 @@
 // PlayContext runs a plan until it is over or ctx is done. In the second case the outcome is Partial:
 // it holds what was found until then, and nothing was compared at the end.
 func PlayContext(ctx context.Context, p Plan, trace io.Writer) Outcome {
-	w := newSimulator(p, trace, func(r loop.Reducer) loop.Reducer { return r })
-	w.sim.ctx = ctx
-	return w.run()
+	s := newSimulator(p, trace, func(r loop.Reducer) loop.Reducer { return r })
+	s.sim.ctx = ctx
+	return s.run()
 }
 
 // play runs a plan with each gateway wrapped; tests plant defects so.
@@ -100,59 +100,59 @@
 
 func newSimulator(p Plan, trace io.Writer, wrap func(loop.Reducer) loop.Reducer) *simulator {
 	sim := NewSim(p.Seed, trace)
-	w := &simulator{plan: p, sim: sim, net: NewNet(sim), clients: requestrecord.NewClients(),
-		statuses: make(map[int]int), file: day(p), wrap: wrap}
-	w.net.Latency, w.net.Jitter = time.Duration(p.LatencyUS)*time.Microsecond,
+	s := &simulator{plan: p, sim: sim, net: NewNet(sim), clients: requestrecord.NewClients(),
+		statuses: make(map[int]int), file: buildExperiment(p), wrap: wrap}
+	s.net.Latency, s.net.Jitter = time.Duration(p.LatencyUS)*time.Microsecond,
 		time.Duration(p.JitterUS)*time.Microsecond
-	return w
+	return s
 }
 
-func (w *simulator) run() (out Outcome) {
-	p, sim := w.plan, w.sim
+func (s *simulator) run() (out Outcome) {
+	p, sim := s.plan, s.sim
 	defer func() {
 		if r := recover(); r != nil {
-			w.find(Panicked, "gateway", "%v at %s", r, place(string(debug.Stack())))
-			out = w.outcome()
+			s.addFinding(Panicked, "gateway", "%v at %s", r, panicLocation(string(debug.Stack())))
+			out = s.outcome()
 		}
 	}()
 	if p.Zones > 0 && !p.Shares {
-		w.rates = newClusterRates(w) // its bounds are those of parts by count and number
+		s.rates = newClusterRates(s) // its bounds are those of parts by count and number
 	}
-	w.build()
+	s.build()
 	// Faults of the network begin once everything stands.
 	sim.Run(epoch + 300*time.Millisecond)
-	w.net.Split, w.net.ResetAt, w.net.LoseDial = p.Split, p.Resets, p.LoseDials
+	s.net.SplitChance, s.net.ResetChance, s.net.LoseDialChance = p.Split, p.Resets, p.LoseDials
 	start := sim.Now()
 	end := 0
 	for i, r := range p.Requests {
-		sim.At(start+msec(r.AtMS), func() { w.arrive(i, r, 0) })
-		end = max(end, r.AtMS+2*(r.Patient+400))
+		sim.At(start+msec(r.AtMS), func() { s.startRequest(i, r, 0) })
+		end = max(end, r.AtMS+2*(r.TimeoutMS+400))
 	}
 	for _, f := range p.Faults {
-		sim.At(start+msec(f.AtMS), func() { w.inject(f) })
+		sim.At(start+msec(f.AtMS), func() { s.inject(f) })
 		end = max(end, f.AtMS+f.ForMS+1000)
 	}
 	sim.Run(start + msec(end) + 3*time.Second)
-	if w.views != nil {
-		sim.Run(sim.Now() + agreeFor)
+	if s.views != nil {
+		sim.Run(sim.Now() + convergencePeriod)
 	}
-	found := len(w.found) // what an interrupted run shows afterwards is no finding
-	w.quiet()
-	if w.views != nil {
-		w.checkAssignments()
-		w.views.check()
+	found := len(s.findings) // what an interrupted run shows afterwards is no finding
+	s.checkIdle()
+	if s.views != nil {
+		s.checkAssignments()
+		s.views.check()
 	}
-	w.stopAll()
-	w.compare()
-	w.checkSuppressed()
+	s.stopAll()
+	s.compareRecords()
+	s.checkSuppressed()
 	if sim.interrupted() {
-		w.found = w.found[:found]
+		s.findings = s.findings[:found]
 	}
-	return w.outcome()
+	return s.outcome()
 }
 
-// place is where a panic came from: the first line of this project's in a stack, below the panic itself.
-func place(stack string) string {
+// panicLocation is where a panic came from: the first line of this project's in a stack, below the panic itself.
+func panicLocation(stack string) string {
 	lines := strings.Split(stack, "\n")
 	seen := false
 	for _, l := range lines {
--- a/internal/lab/simulation/simulator_test.go
+++ b/internal/lab/simulation/simulator_test.go
@@ -506,7 +506,7 @@
 	p := Plan{Seed: 1, Profile: "pushed", Pushed: true, Gateways: 2, Hosts: hosts, Sockets: 400, LagMS: 300,
 		NetworkPlan: NetworkPlan{LatencyUS: 200}, CostUS: 10, Faults: faults}
 	for at := 0; at < ms; at += 80 {
-		p.Requests = append(p.Requests, Request{AtMS: at, Unsafe: at%240 == 0, Patient: 2000, Retries: 1})
+		p.Requests = append(p.Requests, Request{AtMS: at, Unsafe: at%240 == 0, TimeoutMS: 2000, Retries: 1})
 	}
 	return p
 }
@@ -514,9 +514,9 @@
 // A gateway comes back on its last list while all hosts of it but one are gone and others stand in
 // their places.
 func TestARestartOnAListOfTheGone(t *testing.T) {
-	faults := []Fault{{AtMS: 1000, Do: "gateway-kill", Who: 0, ForMS: 9000}}
+	faults := []Fault{{AtMS: 1000, Kind: "gateway-kill", Target: 0, ForMS: 9000}}
 	for n := range 5 {
-		faults = append(faults, Fault{AtMS: 1100 + 10*n, Do: "host-replace", Who: n})
+		faults = append(faults, Fault{AtMS: 1100 + 10*n, Kind: "host-replace", Target: n})
 	}
 	o := holds(t, pushedDay(6, 14000, faults...))
 	if o.Served < o.Tries*8/10 {
@@ -527,9 +527,9 @@
 // Versions that begin anew are passed over for half a minute, then taken: what is told later holds, new
 // hosts are used.
 func TestVersionsThatBeginAnew(t *testing.T) {
-	o := holds(t, pushedDay(4, 50000, Fault{AtMS: 3000, Do: "discovery-anew"},
-		Fault{AtMS: 38000, Do: "host-replace", Who: 0}, Fault{AtMS: 38100, Do: "host-replace", Who: 1},
-		Fault{AtMS: 38200, Do: "host-replace", Who: 2}))
+	o := holds(t, pushedDay(4, 50000, Fault{AtMS: 3000, Kind: "discovery-anew"},
+		Fault{AtMS: 38000, Kind: "host-replace", Target: 0}, Fault{AtMS: 38100, Kind: "host-replace", Target: 1},
+		Fault{AtMS: 38200, Kind: "host-replace", Target: 2}))
 	if o.Served < o.Tries*9/10 {
 		t.Errorf("%+v", o)
 	}
--- a/internal/lab/simulation/times_test.go
+++ b/internal/lab/simulation/times_test.go
@@ -79,7 +79,7 @@
 }
 
 func (r *scriptedDiscovery) call(e *End) {
-	_, _, _, whole, _ := message(e.inbox)
+	_, _, _, whole, _ := parseRequest(e.inbox)
 	if e.Gone() || !whole {
 		return
 	}
@@ -123,10 +123,10 @@
 	beat = func() {
 		if r.open[e] && !e.closed && !e.reset {
 			chunk("\n")
-			r.sim.After(beatEvery, beat)
+			r.sim.After(heartbeatInterval, beat)
 		}
 	}
-	r.sim.After(beatEvery, beat)
+	r.sim.After(heartbeatInterval, beat)
 }
 
 // gatewayOn starts a gateway that asks, or is told by, a scriptedDiscovery.
@@ -267,7 +267,7 @@
 	var look func()
 	seen := loop.Conn(0)
 	look = func() {
-		for _, s := range l.ordered() {
+		for _, s := range l.orderedSockets() {
 			if reachable && r.silent && s.connecting && s.conn > seen {
 				seen = s.conn
 				r.calls++
--- a/internal/lab/simulation/upgrade_test.go
+++ b/internal/lab/simulation/upgrade_test.go
@@ -13,23 +13,23 @@
 	p := Plan{Seed: 1, Profile: "upgrade", Gateways: 1, Hosts: 60, Sockets: 256,
 		NetworkPlan: NetworkPlan{LatencyUS: 200}, CostUS: 10}
 	for host := range 10 {
-		p.Faults = append(p.Faults, Fault{AtMS: upgraded - 100, Do: "host-hang", Who: host, ForMS: 4000})
+		p.Faults = append(p.Faults, Fault{AtMS: upgraded - 100, Kind: "host-hang", Target: host, ForMS: 4000})
 	}
-	p.Faults = append(p.Faults, Fault{AtMS: upgraded, Do: "gateway-upgrade", Who: 0, ForMS: 500})
+	p.Faults = append(p.Faults, Fault{AtMS: upgraded, Kind: "gateway-upgrade", Target: 0, ForMS: 500})
 	const held = 120
 	for n := range held { // each link carries two requests, so that it counts as one that goes on being used
-		p.Requests = append(p.Requests, Request{AtMS: opened + n/2, Patient: 2000, Fresh: true})
+		p.Requests = append(p.Requests, Request{AtMS: opened + n/2, TimeoutMS: 2000, NewConnection: true})
 	}
 	for n := range held {
-		p.Requests = append(p.Requests, Request{AtMS: opened + 70 + n/2, Patient: 2000})
+		p.Requests = append(p.Requests, Request{AtMS: opened + 70 + n/2, TimeoutMS: 2000})
 	}
 	for n := range 30 { // unsafe ones that a hanging host has are not sent to another
-		p.Requests = append(p.Requests, Request{AtMS: upgraded - 40 + n, Patient: 2400, Unsafe: true})
+		p.Requests = append(p.Requests, Request{AtMS: upgraded - 40 + n, TimeoutMS: 2400, Unsafe: true})
 	}
 	for at := upgraded; at < ended; at += 10 {
-		p.Requests = append(p.Requests, Request{AtMS: at, Patient: 2000})
+		p.Requests = append(p.Requests, Request{AtMS: at, TimeoutMS: 2000})
 		if at%50 == 0 {
-			p.Requests = append(p.Requests, Request{AtMS: at, Patient: 1200, Fresh: true})
+			p.Requests = append(p.Requests, Request{AtMS: at, TimeoutMS: 1200, NewConnection: true})
 		}
 	}
 	return p
@@ -51,11 +51,11 @@
 		NetworkPlan: NetworkPlan{LatencyUS: 200}, CostUS: 30}
 	for at := begin; at < end; at += 4 {
 		for n := range 3 {
-			p.Requests = append(p.Requests, Request{AtMS: at + n, Patient: 2000, Fresh: true})
+			p.Requests = append(p.Requests, Request{AtMS: at + n, TimeoutMS: 2000, NewConnection: true})
 		}
 	}
 	for at := begin + 500; at < end-500; at += 1200 {
-		p.Faults = append(p.Faults, Fault{AtMS: at, Do: "gateway-upgrade", Who: 0, ForMS: 500})
+		p.Faults = append(p.Faults, Fault{AtMS: at, Kind: "gateway-upgrade", Target: 0, ForMS: 500})
 	}
 	return p
 }
--- a/internal/lab/simulation/viewchecker.go
+++ b/internal/lab/simulation/viewchecker.go
@@ -21,15 +21,15 @@
 
 // Times of what is believed.
 const (
-	lookEvery   = 500 * time.Millisecond
-	agreeFor    = 16 * time.Second // of nothing more at the end, before all must agree
-	viewRounds  = 240              // wake-ups that a view may cost in half of quietFor
-	excuseAfter = 500 * time.Millisecond
+	observeInterval   = 500 * time.Millisecond
+	convergencePeriod = 16 * time.Second // of nothing more at the end, before all must agree
+	membershipWakeups = 240              // wake-ups that a view may cost in half of quietFor
+	excuseAfter       = 500 * time.Millisecond
 )
 
 // viewChecker is what the world knows of its gateways' views; nil where they have none.
 type viewChecker struct {
-	w       *simulator
+	run     *simulator
 	history *membershipcheck.History
 	names   []string
 	index   map[string]int
@@ -43,45 +43,45 @@
 	pid int
 	gw  *gateway.Gateway
 
-	view   *membership.Membership // at the last look
-	joined int
+	lastView *membership.Membership // at the last look
+	joined   int
 }
 
 func gossipAddr(n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(n), 1 + byte(n>>8)}), 7946)
 }
 
-func newViewChecker(w *simulator) *viewChecker {
-	b := &viewChecker{w: w, index: make(map[string]int)}
-	for n := range w.plan.Gateways {
-		b.names = append(b.names, gatewayName(n))
-		b.index[gatewayName(n)] = n
+func newViewChecker(s *simulator) *viewChecker {
+	v := &viewChecker{run: s, index: make(map[string]int)}
+	for n := range s.plan.Gateways {
+		v.names = append(v.names, gatewayName(n))
+		v.index[gatewayName(n)] = n
 	}
-	b.history = membershipcheck.NewHistory(b.names)
-	if w.plan.Shares {
-		b.history.ReportsLoad()
+	v.history = membershipcheck.NewHistory(v.names)
+	if s.plan.Shares {
+		v.history.ReportsLoad()
 	}
-	w.net.LoseDatagrams, w.net.DoubleDatagrams = w.plan.LoseData, w.plan.DoubleData
-	w.net.CutDatagrams = func(from, to netip.AddrPort) bool { return b.cut(place4(from), place4(to)) }
-	if w.plan.LoseData > 0 {
-		for x := range b.names {
-			for y := range b.names {
-				b.history.Path(x, y, membershipcheck.PathState{Loss: w.plan.LoseData})
+	s.net.LoseDatagramChance, s.net.DuplicateDatagramChance = s.plan.LoseData, s.plan.DoubleData
+	s.net.CutDatagrams = func(from, to netip.AddrPort) bool { return v.cut(gatewayByAddr(from), gatewayByAddr(to)) }
+	if s.plan.LoseData > 0 {
+		for x := range v.names {
+			for y := range v.names {
+				v.history.Path(x, y, membershipcheck.PathState{Loss: s.plan.LoseData})
 			}
 		}
 	}
-	w.sim.After(lookEvery, b.observe)
-	return b
+	s.sim.After(observeInterval, v.observe)
+	return v
 }
 
-// place4 is a gateway's number by its address.
-func place4(a netip.AddrPort) int {
+// gatewayByAddr is a gateway's number by its address.
+func gatewayByAddr(a netip.AddrPort) int {
 	raw := a.Addr().As4()
 	return int(raw[3]-1)<<8 | int(raw[2])
 }
 
-func (b *viewChecker) cut(from, to int) bool {
-	for _, c := range b.cuts {
+func (v *viewChecker) cut(from, to int) bool {
+	for _, c := range v.cuts {
 		if c != nil && c(from, to) {
 			return true
 		}
@@ -89,16 +89,16 @@
 	return false
 }
 
-// path is where a gateway's fleet file lies; text is what it says.
-func (b *viewChecker) path(n int) string { return b.names[n] + ".fleet.toml" }
+// gossipPath is where a gateway's fleet file lies; text is what it says.
+func (v *viewChecker) gossipPath(n int) string { return v.names[n] + ".fleet.toml" }
 
-func (b *viewChecker) text(n int) []byte {
+func (v *viewChecker) gossipText(n int) []byte {
 	var out strings.Builder
 	fmt.Fprintf(&out, "fleet = \"virtual\"\nlisten = %q\n", gossipAddr(n))
-	if b.w.plan.Shares {
+	if v.run.plan.Shares {
 		fmt.Fprintf(&out, "[shares]\nwarm_rate = %.1f\n", warmRate)
 	}
-	for o, name := range b.names {
+	for o, name := range v.names {
 		if o != n {
 			fmt.Fprintf(&out, "[[peer]]\nname = %q\naddr = %q\n", name, gossipAddr(o))
 		}
@@ -106,8 +106,8 @@
 	return []byte(out.String())
 }
 
-func (b *viewChecker) file(n int) *gossipconfig.Config {
-	f, err := gossipconfig.Parse(b.path(n), b.text(n), b.names[n])
+func (v *viewChecker) gossipConfig(n int) *gossipconfig.Config {
+	f, err := gossipconfig.Parse(v.gossipPath(n), v.gossipText(n), v.names[n])
 	if err != nil {
 		panic(err) // the text is ours
 	}
@@ -115,34 +115,34 @@
 }
 
 // started notes a process.
-func (b *viewChecker) started(m *gatewayNode, gw *gateway.Gateway) {
-	b.pids++
-	m.process = process{pid: b.pids, gw: gw}
-	b.history.Started(m.n, b.pids, b.w.sim.Since(), false, m.predecessor != nil)
+func (v *viewChecker) started(g *gatewayNode, gw *gateway.Gateway) {
+	v.pids++
+	g.process = process{pid: v.pids, gw: gw}
+	v.history.Started(g.index, v.pids, v.run.sim.Since(), false, g.predecessor != nil)
 }
 
-func (b *viewChecker) ended(pid int) { b.history.Ended(pid, b.w.sim.Since()) }
+func (v *viewChecker) ended(pid int) { v.history.Ended(pid, v.run.sim.Since()) }
 
 // observe notes what each process believes that speaks. Nobody wakes up for it.
-func (b *viewChecker) observe() {
-	if b.done {
+func (v *viewChecker) observe() {
+	if v.done {
 		return
 	}
-	for _, m := range b.w.gateways {
-		for _, p := range []*process{&m.process, &m.before} {
-			if p.gw == nil || p.gw.Membership() == nil || p == &m.process && !m.up && m.predecessor == nil {
+	for _, g := range v.run.gateways {
+		for _, p := range []*process{&g.process, &g.previous} {
+			if p.gw == nil || p.gw.Membership() == nil || p == &g.process && !g.up && g.predecessor == nil {
 				continue
 			}
-			v := p.gw.Membership()
-			if v != p.view {
-				p.view, p.joined = v, p.joined+1
+			view := p.gw.Membership()
+			if view != p.lastView {
+				p.lastView, p.joined = view, p.joined+1
 			}
-			st := v.Status(b.w.sim.Now())
-			l := membershipcheck.Observation{At: b.w.sim.Since(), Gateway: m.n, PID: p.pid, Speaking: true,
+			st := view.Status(v.run.sim.Now())
+			l := membershipcheck.Observation{At: v.run.sim.Since(), Gateway: g.index, PID: p.pid, Speaking: true,
 				Join: p.joined, Settled: st.Converged, Majority: st.Majority, DuplicateName: st.DuplicateName,
-				Alive: st.Alive, Sent: v.Counts().SentBytes, Beliefs: make([]membershipcheck.Belief, len(b.names))}
-			for _, o := range v.Members() {
-				i, ok := b.index[o.Name]
+				Alive: st.Alive, Sent: view.Counts().SentBytes, Beliefs: make([]membershipcheck.Belief, len(v.names))}
+			for _, o := range view.Members() {
+				i, ok := v.index[o.Name]
 				if !ok {
 					l.Strangers++
 				} else {
@@ -151,18 +151,18 @@
 						Previous: o.PreviousState.String(), SuspectedBy: o.SuspectedBy}
 				}
 			}
-			b.history.Observe(l)
+			v.history.Observe(l)
 			break
 		}
 	}
-	b.w.sim.After(lookEvery, b.observe)
+	v.run.sim.After(observeInterval, v.observe)
 }
 
 // inject is a cut of datagrams: a part from the rest, one that is heard by none, or a single pair.
-func (b *viewChecker) inject(f Fault) {
-	n, who := len(b.names), f.Who
+func (v *viewChecker) inject(f Fault) {
+	n, who := len(v.names), f.Target
 	var c func(from, to int) bool
-	switch f.What {
+	switch f.Variant {
 	case "part":
 		c = func(from, to int) bool { return (from <= who) != (to <= who) }
 	case "one-way":
@@ -172,58 +172,58 @@
 			return from == who && to == (who+1)%n || to == who && from == (who+1)%n
 		}
 	}
-	at := len(b.cuts)
-	b.change(func() { b.cuts = append(b.cuts, c) })
-	b.w.sim.After(msec(f.ForMS), func() { b.change(func() { b.cuts[at] = nil }) })
+	at := len(v.cuts)
+	v.recordPathChanges(func() { v.cuts = append(v.cuts, c) })
+	v.run.sim.After(msec(f.ForMS), func() { v.recordPathChanges(func() { v.cuts[at] = nil }) })
 }
 
-// change notes which paths a change of the cuts concerns.
-func (b *viewChecker) change(do func()) {
-	was := make(map[[2]int]bool)
-	for x := range b.names {
-		for y := range b.names {
-			was[[2]int{x, y}] = b.cut(x, y)
+// recordPathChanges notes which paths a change of the cuts concerns.
+func (v *viewChecker) recordPathChanges(do func()) {
+	before := make(map[[2]int]bool)
+	for x := range v.names {
+		for y := range v.names {
+			before[[2]int{x, y}] = v.cut(x, y)
 		}
 	}
 	do()
-	for x := range b.names {
-		for y := range b.names {
-			if is := b.cut(x, y); x != y && is != was[[2]int{x, y}] {
-				b.history.Path(x, y, membershipcheck.PathState{At: b.w.sim.Since(), Cut: is, Loss: b.w.plan.LoseData})
+	for x := range v.names {
+		for y := range v.names {
+			if cut := v.cut(x, y); x != y && cut != before[[2]int{x, y}] {
+				v.history.Path(x, y, membershipcheck.PathState{At: v.run.sim.Since(), Cut: cut, Loss: v.run.plan.LoseData})
 			}
 		}
 	}
 }
 
 // halt stops a gateway's process for a while, as SIGSTOP does.
-func (b *viewChecker) halt(m *gatewayNode, length time.Duration) {
-	now := b.w.sim.Now()
-	m.halts = append(m.halts, [2]time.Duration{now, now + length})
-	b.history.Stopped(m.n, b.w.sim.Since(), true)
-	m.loop.Halt(length)
-	pid := m.process.pid
-	b.w.sim.After(length, func() {
-		if m.process.pid == pid {
-			b.history.Stopped(m.n, b.w.sim.Since(), false)
+func (v *viewChecker) halt(g *gatewayNode, length time.Duration) {
+	now := v.run.sim.Now()
+	g.halts = append(g.halts, [2]time.Duration{now, now + length})
+	v.history.Stopped(g.index, v.run.sim.Since(), true)
+	g.loop.Halt(length)
+	pid := g.process.pid
+	v.run.sim.After(length, func() {
+		if g.process.pid == pid {
+			v.history.Stopped(g.index, v.run.sim.Since(), false)
 		}
 	})
 }
 
 // check finds the rules on views that were broken.
-func (b *viewChecker) check() {
-	b.done = true
-	for _, f := range membershipcheck.Check(b.history) {
-		b.w.find(f.Rule, f.ID, "%s", f.Detail)
+func (v *viewChecker) check() {
+	v.done = true
+	for _, f := range membershipcheck.Check(v.history) {
+		v.run.addFinding(f.Rule, f.ID, "%s", f.Detail)
 	}
 }
 
-// nonsense sends a gateway datagrams that nobody meant: of another fleet, spoilt, cut short, or from a
+// sendMalformed sends a gateway datagrams that nobody meant: of another fleet, spoilt, cut short, or from a
 // stranger.
-func (b *viewChecker) nonsense(n int) {
-	r := b.w.sim.Rand
-	from := &datagramSocket{addr: gossipAddr((n + 1) % len(b.names))}
+func (v *viewChecker) sendMalformed(n int) {
+	r := v.run.sim.Rand
+	from := &datagramSocket{addr: gossipAddr((n + 1) % len(v.names))}
 	foreign := gossipcodec.Append(nil, &gossipcodec.Message{Cluster: "other",
-		From: gatewayName((n + 1) % len(b.names)), Start: 1 << 45, Kind: gossipcodec.Gossip})
+		From: gatewayName((n + 1) % len(v.names)), Start: 1 << 45, Kind: gossipcodec.Gossip})
 	noise := make([]byte, r.IntN(300))
 	for i := range noise {
 		noise[i] = byte(r.Uint32())
@@ -231,6 +231,6 @@
 	whole := gossipcodec.Append(nil, &gossipcodec.Message{Cluster: "virtual", From: "nobody", Start: 1 << 45,
 		Kind: gossipcodec.Ping, Seq: 9})
 	for _, data := range [][]byte{foreign, noise, whole, whole[:len(whole)/2]} {
-		b.w.net.datagram(from, gossipAddr(n), data)
+		v.run.net.datagram(from, gossipAddr(n), data)
 	}
 }
