--- a/internal/lab/simulation/agents.go
+++ b/internal/lab/simulation/agents.go
@@ -33,11 +33,11 @@
 const maxHistory = 6
 
 // listFor is the list that a gateway's calls are answered from: its agent's, or discovery's own where it is asked.
-func (d *discoveryServer) listFor(via int) *registry.Registry {
+func (d *discoveryServer) listFor(gateway int) *registry.Registry {
 	if len(d.agents) == 0 {
 		return d.list
 	}
-	return d.agents[via].list
+	return d.agents[gateway].list
 }
 
 // notification is when a gateway was told, or counts as notified, that a host drains or is gone.
@@ -95,7 +95,7 @@
 // restart takes the agent away, with its watches, and has it come back; old says with an earlier list,
 // which the next push replaces a while later. Only what its gateway has read is forgotten so: nobody
 // could know of the rest.
-func (a *agent) restart(after time.Duration, old bool) {
+func (a *agent) restart(after time.Duration, outdated bool) {
 	if a.down || a.writtenVersion < a.list.Seq() ||
 		a.server.run.sim.Now()-a.writtenAt < minQuietBeforeRestart || !a.server.run.gateways[a.gateway].up {
 		return
@@ -105,7 +105,7 @@
 	a.server.run.sim.After(after, func() {
 		a.down = false
 		a.server.run.sim.Note("the agent of %s is back", gatewayName(a.gateway))
-		if !old || len(a.history) == 0 {
+		if !outdated || len(a.history) == 0 {
 			a.receive()
 			a.notify()
 			return
--- a/internal/lab/simulation/answers.go
+++ b/internal/lab/simulation/answers.go
@@ -38,7 +38,7 @@
 	}
 	if (status == 400 || status == 404 || status == 405 || status == 413) &&
 		(c.req.Behaviour == "" || c.req.Behaviour == "trickle") {
-		c.run.addFinding(Wronged, c.id, "a good request got %d", status)
+		c.run.addFinding(ValidRequestRefused, c.id, "a good request got %d", status)
 	}
 	c.run.sim.Note("client %s got %d %x", c.id, status, requestrecord.Hash(body))
 	c.run.clients.Update(c.id, func(t *requestrecord.Attempt) {
@@ -78,11 +78,11 @@
 			l.end.Read(1 << 20)
 			c.run.clients.Update(id, func(t *requestrecord.Attempt) { t.Answers++ })
 		}
-		if l.end.Gone() {
+		if l.end.ReadEnded() {
 			// What counts is when the gateway ended it, not when that shows.
 			if p := l.end.peer; p != nil && !l.end.cutByNetwork && p.endedAt > 0 && p.endedAt >= l.gateway.upgradeFrom &&
 				p.endedAt <= l.gateway.upgradeUntil {
-				c.run.addFinding(ShutDoor, id, "%s closed a link at rest during an upgrade", l.gateway.name)
+				c.run.addFinding(IdleClosedDuringUpgrade, id, "%s closed a link at rest during an upgrade", l.gateway.name)
 			}
 			l.end.Close()
 			for i, x := range c.run.idle {
@@ -112,7 +112,7 @@
 			return
 		}
 	}
-	if c.end.Gone() {
+	if c.end.ReadEnded() {
 		if c.req.Behaviour == "stop" {
 			c.finish("closed")
 			return
--- a/internal/lab/simulation/assignments_test.go
+++ b/internal/lab/simulation/assignments_test.go
@@ -10,8 +10,8 @@
 	"thymebend/internal/loop"
 )
 
-// notifying changes the payload that one gateway tells of itself, in every datagram of its own.
-func notifying(gateway int, change func(payload []byte) []byte) func(loop.Reducer) loop.Reducer {
+// alterPayload changes the payload that one gateway tells of itself, in every datagram of its own.
+func alterPayload(gateway int, change func(payload []byte) []byte) func(loop.Reducer) loop.Reducer {
 	started := 0
 	name := gatewayName(gateway)
 	return func(r loop.Reducer) loop.Reducer {
@@ -33,14 +33,14 @@
 	}
 }
 
-// steady is a day of gateways that divide hosts, with one host that fails half of its requests for a while.
-func steady(t *testing.T) Plan {
+// steadyPlan is a day of gateways that divide hosts, with one host that fails half of its requests for a while.
+func steadyPlan(t *testing.T) Plan {
 	t.Helper()
 	p, err := DrawSized(3, sharesProfile, Size{Gateways: 6, Hosts: 12})
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.LoseData, p.DoubleData, p.JitterUS, p.Cold, p.Zones = 0, 0, 0, false, 0
+	p.LoseDatagrams, p.DuplicateDatagrams, p.JitterUS, p.Cold, p.Zones = 0, 0, 0, false, 0
 	calm := p.Requests[:0]
 	for i, r := range p.Requests { // half of what the seed draws: what is lost then is lost by the lie
 		if i%2 == 0 {
@@ -55,14 +55,14 @@
 
 // One gateway that reports every host as bad, or as idle with no traffic of its own, or as having all
 // traffic, or nonsense, costs the others next to nothing and breaks no rule.
-func TestOneLyingGatewayChangesLittle(t *testing.T) {
-	p := steady(t)
+func TestOneFalseReporterHasLittleEffect(t *testing.T) {
+	p := steadyPlan(t)
 	var all []uint64
 	for n := range p.Hosts {
 		all = append(all, uint64(discovery.Identity(buildExperiment(p).Spec(buildExperiment(p).Hosts[0], n).Name)))
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	words := func(s loadreport.Report) func([]byte) []byte {
+	reporting := func(s loadreport.Report) func([]byte) []byte {
 		return func(was []byte) []byte {
 			if told, err := loadreport.Parse(was); err == nil {
 				s.ConfigHash = told.ConfigHash
@@ -76,10 +76,10 @@
 		t.Fatalf("without a lie: %+v", honest)
 	}
 	for name, lie := range map[string]func([]byte) []byte{
-		"every host is bad":  words(loadreport.Report{Demand: 50, Ejected: loadreport.EndpointHashes(all)}),
-		"every host is idle": words(loadreport.Report{FreeCapacity: 1}),
-		"all traffic":        words(loadreport.Report{Demand: 1e9, Rejected: 1}),
-		"another file":       words(loadreport.Report{Demand: 50, ConfigHash: 1}),
+		"every host is bad":  reporting(loadreport.Report{Demand: 50, Ejected: loadreport.EndpointHashes(all)}),
+		"every host is idle": reporting(loadreport.Report{FreeCapacity: 1}),
+		"all traffic":        reporting(loadreport.Report{Demand: 1e9, Rejected: 1}),
+		"another file":       reporting(loadreport.Report{Demand: 50, ConfigHash: 1}),
 		"nonsense": func([]byte) []byte {
 			b := make([]byte, rng.IntN(gossipcodec.MaxPayload))
 			for i := range b {
@@ -88,7 +88,7 @@
 			return b
 		},
 	} {
-		o := play(p, nil, notifying(1, lie))
+		o := play(p, nil, alterPayload(1, lie))
 		for _, f := range o.Findings {
 			if f.Rule != SharesDisagree { // who lies of its traffic goes by another division than those who believe it
 				t.Errorf("%s: %+v", name, f)
--- a/internal/lab/simulation/build.go
+++ b/internal/lab/simulation/build.go
@@ -124,7 +124,7 @@
 	for g, a := range h.addrs {
 		e.Dial[gatewayName(g)] = a.String()
 	}
-	if s.discovery.lag == 0 && s.sim.Since() == 0 {
+	if s.discovery.lag == 0 && s.sim.Elapsed() == 0 {
 		s.discovery.list.Put(e)
 		return
 	}
--- a/internal/lab/simulation/callqueue_test.go
+++ b/internal/lab/simulation/callqueue_test.go
@@ -19,7 +19,7 @@
 
 // Calls are worked off in turn. One that would wait for its turn longer than the time-out is refused,
 // costs nothing and is told so at once or when the time-out has come.
-func TestCallsAreAnsweredInTurn(t *testing.T) {
+func TestCallQueueAnswersInOrderAndShedsOnTimeout(t *testing.T) {
 	const second = time.Second
 	q := callQueue{CallQueue: CallQueue{LinesPerSecond: 30, CallLines: 25, HostLines: 1, TimeoutMS: 3000}}
 	if work := q.work(5); work != second {
@@ -50,42 +50,42 @@
 
 // A change counts as notified after 6 s, or after the time that discovery needs for the calls that it
 // has caused.
-func TestWhenAChangeCountsAsTold(t *testing.T) {
+func TestNotificationDeadline(t *testing.T) {
 	sim := NewSim(1, nil)
-	latest := &notificationDeadlines{sim: sim, work: 100 * time.Millisecond}
+	deadlines := &notificationDeadlines{sim: sim, work: 100 * time.Millisecond}
 	start := sim.Now()
 	after := func(d time.Duration) time.Duration { sim.Run(start + d); return d }
-	latest.recordChange(registry.Entry{Host: "a", State: registry.Draining})
-	latest.addCalls(20)
+	deadlines.recordChange(registry.Entry{Host: "a", State: registry.Draining})
+	deadlines.addCalls(20)
 	after(3 * time.Second)
-	latest.recordChange(registry.Entry{Host: "a", State: registry.Removed}) // the first notice counts
+	deadlines.recordChange(registry.Entry{Host: "a", State: registry.Removed}) // the first notice counts
 	after(5999 * time.Millisecond)
-	if notice, ok := latest.overdue("a"); ok {
+	if notice, ok := deadlines.overdue("a"); ok {
 		t.Errorf("told early: %v", notice)
 	}
 	after(notificationLimit)
-	if notice, ok := latest.overdue("a"); !ok || notice.At != start+notificationLimit ||
+	if notice, ok := deadlines.overdue("a"); !ok || notice.At != start+notificationLimit ||
 		notice.State != registry.Draining {
 		t.Errorf("%v, %v", notice, ok)
 	}
-	latest.recordChange(registry.Entry{Host: "b", State: registry.Draining})
+	deadlines.recordChange(registry.Entry{Host: "b", State: registry.Draining})
 	from := after(7 * time.Second)
-	latest.addCalls(100) // 10 s of work
+	deadlines.addCalls(100) // 10 s of work
 	after(25 * time.Second)
-	if notice, ok := latest.overdue("b"); !ok || notice.At != start+from+silenceDetection+15*time.Second {
+	if notice, ok := deadlines.overdue("b"); !ok || notice.At != start+from+silenceDetection+15*time.Second {
 		t.Errorf("%v, %v", notice, ok)
 	}
-	if notice, ok := latest.overdue("a"); !ok || notice.At != start+notificationLimit {
+	if notice, ok := deadlines.overdue("a"); !ok || notice.At != start+notificationLimit {
 		t.Errorf("what was told is put off: %v, %v", notice, ok)
 	}
-	latest.recordChange(registry.Entry{Host: "a", State: registry.Up})
-	if _, ok := latest.overdue("a"); ok {
+	deadlines.recordChange(registry.Entry{Host: "a", State: registry.Up})
+	if _, ok := deadlines.overdue("a"); ok {
 		t.Error("a host that is up counts as leaving")
 	}
 }
 
-// watchers starts a world of gateways with a discovery that works in turn, and lets each have its list.
-func watchers(t *testing.T, calls CallQueue) *simulator {
+// startWithWatches starts a world of gateways with a discovery that works in turn, and lets each have its list.
+func startWithWatches(t *testing.T, calls CallQueue) *simulator {
 	t.Helper()
 	s := newSimulator(Plan{Seed: 1, Gateways: 4, Hosts: 3, Sockets: 300,
 		NetworkPlan: NetworkPlan{LatencyUS: 200}, CostUS: 10,
@@ -93,14 +93,14 @@
 		func(r loop.Reducer) loop.Reducer { return r })
 	s.build()
 	s.sim.Run(epoch + 3*time.Second)
-	if n := len(s.discovery.listed()); n != 4 {
+	if n := len(s.discovery.gatewaysWithList()); n != 4 {
 		t.Fatalf("%d gateways have a list", n)
 	}
 	return s
 }
 
-// listed is the gateways that have a watch with a list.
-func (d *discoveryServer) listed() map[int]bool {
+// gatewaysWithList is the gateways that have a watch with a list.
+func (d *discoveryServer) gatewaysWithList() map[int]bool {
 	list := make(map[int]bool)
 	for _, c := range d.watches {
 		if c.notified && !c.end.closed {
@@ -112,10 +112,10 @@
 
 // Watches end when the list changes, are all reset, or fall silent; the list that answers the next call
 // leaves out who drains.
-func TestWatchesThatEndAndListsWithoutDrainingHosts(t *testing.T) {
+func TestWatchFaultsAndListsWithoutDrainingHosts(t *testing.T) {
 	calls := CallQueue{LinesPerSecond: 1000, CallLines: 20, HostLines: 1, TimeoutMS: 3000, EndWatches: 1,
 		WholeFirst: true}
-	s := watchers(t, calls)
+	s := startWithWatches(t, calls)
 	before := slices.Clone(s.discovery.watches)
 	s.announce(s.hosts[0], registry.Draining, false)
 	s.sim.Run(s.sim.Now() + time.Millisecond)
@@ -148,14 +148,14 @@
 			return slices.Contains(old, c) &&
 				c.silentUntil > 0
 		})
-		if len(s.discovery.listed()) != 4 || silent {
-			t.Errorf("%d of 4 gateways have a list", len(s.discovery.listed()))
+		if len(s.discovery.gatewaysWithList()) != 4 || silent {
+			t.Errorf("%d of 4 gateways have a list", len(s.discovery.gatewaysWithList()))
 		}
 	}
 }
 
 // The profile is drawn when it is asked for alone, and a plan comes back from its file as it was.
-func TestPlansOfDiscoveryUnderLoad(t *testing.T) {
+func TestDiscoveryLoadPlans(t *testing.T) {
 	for seed := range uint64(300) {
 		if p := draw(t, seed, ""); p.Calls != nil {
 			t.Fatalf("seed %d has drawn it", seed)
@@ -185,22 +185,22 @@
 	}
 }
 
-// impatientClient is a gateway with a planted defect: it gives a call up that waits in discovery's
+// callAbandoner is a gateway with a planted defect: it gives a call up that waits in discovery's
 // queue, and calls again.
-type impatientClient struct {
+type callAbandoner struct {
 	loop.Reducer
 	waiting map[loop.Conn]bool // calls that nothing has been heard of
 }
 
-// giveUpAfter is shorter than discovery's time-out, so that such a call still costs its turn.
-const giveUpAfter = 2700 * time.Millisecond
+// abandonAfter is shorter than discovery's time-out, so that such a call still costs its turn.
+const abandonAfter = 2700 * time.Millisecond
 
-// giveUpTimer is a kind of timer that the gateway does not have.
-const giveUpTimer = 201
+// abandonTimer is a kind of timer that the gateway does not have.
+const abandonTimer = 201
 
 // Step implements loop.Reducer.
-func (g *impatientClient) Step(now time.Duration, e loop.Event) []loop.Effect {
-	if e.Kind == loop.TimerDue && e.Timer.Kind == giveUpTimer {
+func (g *callAbandoner) Step(now time.Duration, e loop.Event) []loop.Effect {
+	if e.Kind == loop.TimerDue && e.Timer.Kind == abandonTimer {
 		conn := loop.Conn(e.Timer.ID)
 		if !g.waiting[conn] {
 			return nil
@@ -214,22 +214,22 @@
 	for _, f := range list {
 		if f.Op == loop.Write && bytes.HasPrefix(f.Data, []byte("GET /v1/servers")) {
 			g.waiting[f.Conn] = true
-			timer := loop.Timer{Kind: giveUpTimer, ID: uint64(f.Conn)}
-			list = append(list, loop.Effect{Op: loop.SetTimer, Timer: timer, At: now + giveUpAfter})
+			timer := loop.Timer{Kind: abandonTimer, ID: uint64(f.Conn)}
+			list = append(list, loop.Effect{Op: loop.SetTimer, Timer: timer, At: now + abandonAfter})
 		}
 	}
 	return list
 }
 
-func makeImpatient(r loop.Reducer) loop.Reducer {
-	return &impatientClient{Reducer: r, waiting: make(map[loop.Conn]bool)}
+func abandonQueuedCalls(r loop.Reducer) loop.Reducer {
+	return &callAbandoner{Reducer: r, waiting: make(map[loop.Conn]bool)}
 }
 
 // The rule on when a change counts as notified can fail: gateways that give up calls in the queue break
 // it.
-func TestCallsGivenUpInTheQueueAreCaught(t *testing.T) {
+func TestAbandoningQueuedCallsIsDetected(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
-		o := play(draw(t, seed, discoveryLoadProfile), nil, makeImpatient)
+		o := play(draw(t, seed, discoveryLoadProfile), nil, abandonQueuedCalls)
 		if slices.ContainsFunc(o.Findings, func(f Finding) bool { return f.Rule == requestrecord.LateToDrained }) {
 			t.Logf("caught at seed %d", seed)
 			return
--- a/internal/lab/simulation/calls_test.go
+++ b/internal/lab/simulation/calls_test.go
@@ -11,18 +11,18 @@
 // caller is a gateway that calls a scriptedDiscovery, and when it did.
 type caller struct {
 	scriptedDiscovery
-	calledAt []time.Duration // since the play's start
-	toldAt   []time.Duration
+	calledAt   []time.Duration // since the play's start
+	notifiedAt []time.Duration
 }
 
 // newCaller prepares a scriptedDiscovery that treats calls one by one as listed, and those after the
 // list as served.
-func newCaller(seed uint64, calls ...treat) *caller {
+func newCaller(seed uint64, calls ...callOutcome) *caller {
 	sim := NewSim(seed, nil)
 	c := &caller{scriptedDiscovery: scriptedDiscovery{sim: sim, net: NewNet(sim),
-		at: netip.MustParseAddrPort("10.2.0.1:8500"), open: make(map[*End]bool)}}
-	c.told = func() { c.toldAt = append(c.toldAt, sim.Now()-epoch) }
-	c.treat = func(call int) treat {
+		addr: netip.MustParseAddrPort("10.2.0.1:8500"), open: make(map[*End]bool)}}
+	c.onListSent = func() { c.notifiedAt = append(c.notifiedAt, sim.Now()-epoch) }
+	c.outcomeOf = func(call int) callOutcome {
 		if call > 0 && len(c.calledAt) < call {
 			c.calledAt = append(c.calledAt, sim.Now()-epoch)
 		}
@@ -31,20 +31,20 @@
 		}
 		return served
 	}
-	c.prepare()
+	c.prepareNextCall()
 	return c
 }
 
 // A call that waits in discovery's queue keeps its place though it is made good by another: its late
 // answer is used, and the younger call given up.
-func TestACallKeepsItsPlaceInTheQueue(t *testing.T) {
+func TestQueuedCallIsNotAbandonedForALaterOne(t *testing.T) {
 	for seed := range uint64(20) {
-		c := newCaller(seed, queued, mute, mute, mute)
-		c.turn = 8 * time.Second
-		gatewayOn(t, c.sim, c.net, c.at, "subscribe", nil)
+		c := newCaller(seed, queued, unanswered, unanswered, unanswered)
+		c.queueDelay = 8 * time.Second
+		startGateway(t, c.sim, c.net, c.addr, "subscribe", nil)
 		c.sim.Run(epoch + 20*time.Second)
-		if len(c.toldAt) != 1 || c.toldAt[0]-c.calledAt[0] != c.turn {
-			t.Fatalf("seed %d: told at %v, want once, with the answer to the first call", seed, c.toldAt)
+		if len(c.notifiedAt) != 1 || c.notifiedAt[0]-c.calledAt[0] != c.queueDelay {
+			t.Fatalf("seed %d: told at %v, want once, with the answer to the first call", seed, c.notifiedAt)
 		}
 		if len(c.calledAt) != 3 || c.calledAt[1] > 3500*time.Millisecond {
 			t.Errorf("seed %d: called at %v, want a second call soon after 3.1 s and a third 3 s later", seed,
@@ -55,16 +55,16 @@
 
 // Discovery says when it wants to be called again. It is heeded as long as a change is still heard of
 // in the 6 s after which it counts as notified; a longer time is cut to that.
-func TestCallsHeedRetryAfter(t *testing.T) {
+func TestCallsHonourRetryAfter(t *testing.T) {
 	for _, c := range []struct {
 		again       string
 		least, most time.Duration
 	}{{"4.5", 4500 * time.Millisecond, 5 * time.Second}, {"7.5", 5 * time.Second, 5500 * time.Millisecond},
 		{"60", 5 * time.Second, 5500 * time.Millisecond}} {
 		for seed := range uint64(20) {
-			d := newCaller(seed, shed)
-			d.again = c.again
-			gatewayOn(t, d.sim, d.net, d.at, "subscribe", nil)
+			d := newCaller(seed, shedWithRetryAfter)
+			d.retryAfter = c.again
+			startGateway(t, d.sim, d.net, d.addr, "subscribe", nil)
 			d.sim.Run(epoch + 20*time.Second)
 			if len(d.calledAt) != 2 || d.calledAt[1]-d.calledAt[0] < c.least || d.calledAt[1]-d.calledAt[0] > c.most {
 				t.Errorf("asked for %s s, seed %d: called at %v, want %v to %v apart", c.again, seed,
@@ -75,15 +75,15 @@
 }
 
 // A call that begins late, as discovery asked, is not replaced while it waits its turn.
-func TestACallAfterRetryAfterKeepsItsPlace(t *testing.T) {
+func TestCallAfterRetryAfterIsNotReplacedWhileQueued(t *testing.T) {
 	for seed := range uint64(20) {
-		c := newCaller(seed, shed, queued)
-		c.again, c.turn = "4.8", 2*time.Second
-		gatewayOn(t, c.sim, c.net, c.at, "subscribe", nil)
+		c := newCaller(seed, shedWithRetryAfter, queued)
+		c.retryAfter, c.queueDelay = "4.8", 2*time.Second
+		startGateway(t, c.sim, c.net, c.addr, "subscribe", nil)
 		c.sim.Run(epoch + 20*time.Second)
-		if len(c.calledAt) != 2 || len(c.toldAt) != 1 {
+		if len(c.calledAt) != 2 || len(c.notifiedAt) != 1 {
 			t.Errorf("seed %d: called at %v, told at %v, want one call after the refusal, and its answer", seed,
-				c.calledAt, c.toldAt)
+				c.calledAt, c.notifiedAt)
 		}
 	}
 }
@@ -91,28 +91,28 @@
 // From the time at which a change counts as notified after a watch has ended, nothing is sent while the
 // call after it waits: its answer may name the very host. A call that fails, or waits for too long,
 // lets requests go on by the list there is.
-func TestNothingIsSentWhileTheCallAfterAWatchWaits(t *testing.T) {
+func TestNoAttemptsWhileCallAfterWatchIsQueued(t *testing.T) {
 	const list = `{"seq":2,"whole":true,"hosts":[{"host":"h","dial":"10.3.0.1:80","site":"a","class":"c","block":0,"health":"up","share":1,"born_ms":0}]}`
 	for _, play := range []struct {
 		name    string
-		calls   []treat
+		calls   []callOutcome
 		turn    time.Duration
 		quiet   bool // between 2.1 s and 2.7 s after the watch's end
 		early   bool // requests go on between 3.75 s and 3.95 s
 		resumes bool // at 5 s at the latest
 	}{
-		{"the call waits and is served", []treat{served, queued}, 2800 * time.Millisecond, true, true, true},
-		{"the call fails", []treat{served, failed, mute}, 0, false, true, true},
-		{"the call is kept, and fails while a younger one waits", []treat{served, expired, mute, mute},
+		{"the call waits and is served", []callOutcome{served, queued}, 2800 * time.Millisecond, true, true, true},
+		{"the call fails", []callOutcome{served, failed, unanswered}, 0, false, true, true},
+		{"the call is kept, and fails while a younger one waits", []callOutcome{served, queueTimeout, unanswered, unanswered},
 			3400 * time.Millisecond, true, true, true},
-		{"the call is never answered", []treat{served, mute, mute, mute}, 0, true, false, true},
-		{"the call is served", []treat{served, served}, 0, false, true, true},
+		{"the call is never answered", []callOutcome{served, unanswered, unanswered, unanswered}, 0, true, false, true},
+		{"the call is served", []callOutcome{served, served}, 0, false, true, true},
 	} {
 		t.Run(play.name, func(t *testing.T) {
 			c := newCaller(1, play.calls...)
-			c.line, c.turn = list, play.turn
-			sent := hostOn(c.sim, c.net, netip.MustParseAddrPort("10.3.0.1:80"))
-			gatewayOn(t, c.sim, c.net, c.at, "subscribe", nil)
+			c.line, c.queueDelay = list, play.turn
+			sent := startHost(c.sim, c.net, netip.MustParseAddrPort("10.3.0.1:80"))
+			startGateway(t, c.sim, c.net, c.addr, "subscribe", nil)
 			var ended time.Duration
 			c.sim.At(epoch+3*time.Second, func() {
 				ended = c.sim.Now()
@@ -121,7 +121,7 @@
 				}
 				clear(c.open)
 			})
-			requestsOn(c.sim, c.net, netip.MustParseAddrPort("10.1.0.1:8443"), 40*time.Millisecond)
+			sendRequests(c.sim, c.net, netip.MustParseAddrPort("10.1.0.1:8443"), 40*time.Millisecond)
 			c.sim.Run(epoch + 12*time.Second)
 			between := func(from, until time.Duration) bool {
 				return slices.ContainsFunc(*sent, func(at time.Duration) bool {
@@ -145,9 +145,9 @@
 	}
 }
 
-// hostOn is a host that serves each request at once. It returns when requests came.
-func hostOn(sim *Sim, net *Net, at netip.AddrPort) *[]time.Duration {
-	came := new([]time.Duration)
+// startHost is a host that serves each request at once. It returns when requests came.
+func startHost(sim *Sim, net *Net, at netip.AddrPort) *[]time.Duration {
+	arrivals := new([]time.Duration)
 	var l *Listener
 	l = net.Listen(at, 64, nil, func() {
 		for e := l.Accept(); e != nil; e = l.Accept() {
@@ -157,18 +157,18 @@
 				for _, _, rest, whole, err := parseRequest(inbox); whole && err == nil; _, _, rest, whole,
 					err = parseRequest(inbox) {
 					inbox = rest
-					*came = append(*came, sim.Now())
+					*arrivals = append(*arrivals, sim.Now())
 					_, _ = e.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 				}
 			}
 			e.ready()
 		}
 	})
-	return came
+	return arrivals
 }
 
-// requestsOn sends a request on a connection of its own again and again.
-func requestsOn(sim *Sim, net *Net, to netip.AddrPort, every time.Duration) {
+// sendRequests sends a request on a connection of its own again and again.
+func sendRequests(sim *Sim, net *Net, to netip.AddrPort, every time.Duration) {
 	id := 0
 	var next func()
 	next = func() {
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -66,7 +66,7 @@
 // takeIdle takes an idle connection to a gateway.
 func (s *simulator) takeIdle(gw *gatewayNode) *idleLink {
 	for i, l := range s.idle {
-		if l.gateway == gw && !l.end.Gone() && len(l.end.inbox) == 0 {
+		if l.gateway == gw && !l.end.ReadEnded() && len(l.end.inbox) == 0 {
 			s.idle = append(s.idle[:i:i], s.idle[i+1:]...)
 			return l
 		}
@@ -214,7 +214,7 @@
 	}
 	c.run.sim.After(stoppedClientDeadline+timeoutSlack, func() {
 		if !c.ended {
-			c.run.addFinding(NotHeard, c.id, "%s told a client that stopped neither an error nor a close within %v",
+			c.run.addFinding(StoppedClientUnanswered, c.id, "%s told a client that stopped neither an error nor a close within %v",
 				c.gateway.name, stoppedClientDeadline)
 			c.finish("not heard")
 		}
--- a/internal/lab/simulation/clusterrates.go
+++ b/internal/lab/simulation/clusterrates.go
@@ -68,7 +68,7 @@
 
 // advance begins a new second if one is over.
 func (c *clusterRates) advance() {
-	if now := c.run.sim.Since(); now-c.start >= time.Second {
+	if now := c.run.sim.Elapsed(); now-c.start >= time.Second {
 		c.start = now - now%time.Second
 		clear(c.counts)
 		clear(c.reported)
--- a/internal/lab/simulation/clusterrates_test.go
+++ b/internal/lab/simulation/clusterrates_test.go
@@ -6,9 +6,9 @@
 	"thymebend/internal/lab/registry"
 )
 
-// twoZones is a world of twelve hosts that all run: eight in the first zone, four in the second. It
+// newTwoZoneSimulator is a world of twelve hosts that all run: eight in the first zone, four in the second. It
 // counts what is asked of them.
-func twoZones(t *testing.T) *simulator {
+func newTwoZoneSimulator(t *testing.T) *simulator {
 	t.Helper()
 	s := newSimulator(Plan{Seed: 1, Gateways: 2, Hosts: 12, Sockets: 200, Zones: 2,
 		NetworkPlan: NetworkPlan{LatencyUS: 200}}, nil, nil)
@@ -20,8 +20,8 @@
 	return s
 }
 
-// lose stops so many hosts of a zone and returns one that is left.
-func (s *simulator) lose(zone, many int) *host {
+// stopHosts stops so many hosts of a zone and returns one that is left.
+func (s *simulator) stopHosts(zone, many int) *host {
 	var left *host
 	for _, h := range s.hosts {
 		switch {
@@ -38,7 +38,7 @@
 
 // The bounds of a host's sums hold while half of the hosts of its zone are left, whatever is left of
 // the others; with fewer they grow as the hosts get fewer.
-func TestBoundsOfAHostFollowItsZone(t *testing.T) {
+func TestHostRateBoundsScaleWithServingHostsOfZone(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		lost        [2]int // hosts, by zone
@@ -52,10 +52,10 @@
 		{"the zone is whole, though fewer than half of all are left", [2]int{7, 0}, 1, maxSendsPerSecond, false},
 		{"one of eight", [2]int{7, 0}, 0, 4 * maxSendsPerSecond, true},
 	} {
-		s := twoZones(t)
-		s.lose(0, c.lost[0])
-		s.lose(1, c.lost[1])
-		h := s.lose(c.zone, 0)
+		s := newTwoZoneSimulator(t)
+		s.stopHosts(0, c.lost[0])
+		s.stopHosts(1, c.lost[1])
+		h := s.stopHosts(c.zone, 0)
 		if few := s.loadFactor(c.zone) > 1; few != c.mayBeDenied {
 			t.Errorf("%s: few are left: %v", c.name, few)
 		}
@@ -74,9 +74,9 @@
 }
 
 // What came to a host while few were left does not break a bound once the others are back in the same second.
-func TestBoundsOfAHostLastASecond(t *testing.T) {
-	s := twoZones(t)
-	h := s.lose(1, 3)
+func TestHostRateBoundsUseMaxLoadFactorOfSecond(t *testing.T) {
+	s := newTwoZoneSimulator(t)
+	h := s.stopHosts(1, 3)
 	for range 2*maxConnectsPerSecond - 1 {
 		s.rates.countConnect(h)
 	}
--- a/internal/lab/simulation/conform_test.go
+++ b/internal/lab/simulation/conform_test.go
@@ -82,7 +82,7 @@
 	return s.on(s, now, e)
 }
 
-func (s *script) told() []string { s.mu.Lock(); defer s.mu.Unlock(); return slices.Clone(s.log) }
+func (s *script) events() []string { s.mu.Lock(); defer s.mu.Unlock(); return slices.Clone(s.log) }
 
 // peer is the other side of a case, on either network.
 type peer interface {
@@ -133,7 +133,7 @@
 	// process: the listener is adopted as another, the client's first bytes came before and are read
 	// after.
 	path := filepath.Join(os.TempDir(), fmt.Sprintf("conform-%d", os.Getpid()))
-	over := func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
+	passListener := func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
 		switch {
 		case e.Kind == loop.Start:
 			return []loop.Effect{{Op: loop.Dial, Conn: 7, Path: path + "-none"},
@@ -151,7 +151,7 @@
 		return nil
 	}
 	var predecessor loop.Conn
-	client := func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
+	passConnection := func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
 		switch {
 		case e.Kind == loop.Start:
 			return []loop.Effect{{Op: loop.Listen, Conn: loop.HotRestart, Path: path + "c"}}
@@ -187,7 +187,7 @@
 		}
 	}
 	nothing := func(loop.Event) []loop.Effect { return nil }
-	var muted loop.Conn
+	var paused loop.Conn
 	return []testCase{
 		{name: "data, then the peer's end", on: plain(closeAtEnd), steps: []step{connect,
 			{func(p peer) { p.send(5) }, []string{"data c1 5"}},
@@ -226,11 +226,11 @@
 		{name: "muted, then not", on: plain(func(_ *script, now time.Duration, e loop.Event) []loop.Effect {
 			switch e.Kind {
 			case loop.Accepted:
-				muted = e.Conn
+				paused = e.Conn
 				return []loop.Effect{{Op: loop.PauseReading, Conn: e.Conn},
 					{Op: loop.SetTimer, Timer: loop.Timer{ID: 1}, At: now + 200*time.Millisecond}}
 			case loop.TimerDue:
-				return []loop.Effect{{Op: loop.ResumeReading, Conn: muted}}
+				return []loop.Effect{{Op: loop.ResumeReading, Conn: paused}}
 			}
 			return nil
 		}), steps: []step{{func(p peer) { p.connect(); p.send(4) }, []string{"accepted c1", "timer 1", "data c1 4"}}}},
@@ -251,11 +251,11 @@
 			on: plain(func(_ *script, now time.Duration, e loop.Event) []loop.Effect {
 				switch e.Kind {
 				case loop.Accepted:
-					muted = e.Conn
+					paused = e.Conn
 					return []loop.Effect{{Op: loop.PauseReading, Conn: e.Conn},
 						{Op: loop.SetTimer, Timer: loop.Timer{ID: 1}, At: now + 200*time.Millisecond}}
 				case loop.TimerDue:
-					return []loop.Effect{{Op: loop.ResumeReading, Conn: muted}}
+					return []loop.Effect{{Op: loop.ResumeReading, Conn: paused}}
 				case loop.EOF:
 					return []loop.Effect{{Op: loop.Close, Conn: e.Conn}}
 				}
@@ -266,11 +266,11 @@
 			on: plain(func(s *script, now time.Duration, e loop.Event) []loop.Effect {
 				switch e.Kind {
 				case loop.Accepted:
-					muted = e.Conn
+					paused = e.Conn
 					return []loop.Effect{{Op: loop.PauseReading, Conn: e.Conn},
 						{Op: loop.SetTimer, Timer: loop.Timer{ID: 1}, At: now + 200*time.Millisecond}}
 				case loop.TimerDue:
-					return []loop.Effect{{Op: loop.ResumeReading, Conn: muted}}
+					return []loop.Effect{{Op: loop.ResumeReading, Conn: paused}}
 				case loop.TurnEnd:
 					if n := len(s.log); n > 0 && strings.HasPrefix(s.log[n-1], "data") {
 						s.log = append(s.log, "turn")
@@ -285,11 +285,11 @@
 			on: plain(func(_ *script, now time.Duration, e loop.Event) []loop.Effect {
 				switch e.Kind {
 				case loop.Accepted:
-					muted = e.Conn
+					paused = e.Conn
 					return []loop.Effect{{Op: loop.PauseReading, Conn: e.Conn},
 						{Op: loop.SetTimer, Timer: loop.Timer{ID: 1}, At: now + 200*time.Millisecond}}
 				case loop.TimerDue:
-					return []loop.Effect{{Op: loop.WriteIfIdle, Conn: muted, Data: []byte("x")}}
+					return []loop.Effect{{Op: loop.WriteIfIdle, Conn: paused, Data: []byte("x")}}
 				}
 				return nil
 			}), steps: []step{{func(p peer) { p.connect(); p.shut() }, []string{"accepted c1", "timer 1",
@@ -344,10 +344,10 @@
 					return nil
 				}
 			}, steps: []step{{func(peer) {}, []string{"timer 1", "data c1 5", "data c2 15", "timer 2"}}}},
-		{name: "a listener passed and adopted", on: plain(over), steps: []step{
+		{name: "a listener passed and adopted", on: plain(passListener), steps: []step{
 			{func(peer) {}, []string{"broken c1 false", "connected c2", "accepted c3", "flushed c3", "data c2 2"}},
 			{func(p peer) { p.connect(); p.send(3) }, []string{"accepted c4", "data c4 3"}}}},
-		{name: "a connection passed and read on", on: plain(client), steps: []step{
+		{name: "a connection passed and read on", on: plain(passConnection), steps: []step{
 			{func(peer) {}, []string{"connected c1", "accepted c2"}},
 			{func(p peer) { p.connect() }, []string{"accepted c3", "flushed c2", "data c1 1"}},
 			{func(p peer) { p.send(5) }, []string{"data c4 5"}}}},
@@ -380,7 +380,7 @@
 	}
 }
 
-func TestVirtualLoopConformsToTheRealOne(t *testing.T) {
+func TestSimulatedLoopConformsToRealLoop(t *testing.T) {
 	for i, c := range cases() {
 		t.Run(c.name+"/real", func(t *testing.T) { onReal(t, cases()[i]) })
 		t.Run(c.name+"/virtual", func(t *testing.T) { onVirtual(t, c) })
@@ -394,10 +394,10 @@
 	}
 }
 
-// taken is a port of this machine that a socket has for as long as the test lasts, which does not
+// reservePort is a port of this machine that a socket has for as long as the test lasts, which does not
 // listen: connections to it are refused. Nobody else gets it, unless it is shared, and then only who
 // asks for it by SO_REUSEPORT, as the loop does.
-func taken(t *testing.T, shared bool) uint16 {
+func reservePort(t *testing.T, shared bool) uint16 {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -446,12 +446,12 @@
 }
 func (p *realPeer) send(n int) {
 	go func(c net.Conn) { _, _ = c.Write(make([]byte, n)) }(p.conn())
-	p.settle(n)
+	p.waitForKernel(n)
 }
 
-// settle waits until the kernel has taken what is sent, or the other side has ended.
-func (p *realPeer) settle(int)         { time.Sleep(5 * time.Millisecond) }
-func (p *realPeer) shut()              { p.settle(0); _ = p.conn().(*net.TCPConn).CloseWrite() }
+// waitForKernel waits until the kernel has taken what is sent, or the other side has ended.
+func (p *realPeer) waitForKernel(int)  { time.Sleep(5 * time.Millisecond) }
+func (p *realPeer) shut()              { p.waitForKernel(0); _ = p.conn().(*net.TCPConn).CloseWrite() }
 func (p *realPeer) close()             { _ = p.conn().Close() }
 func (p *realPeer) reset()             { _ = p.conn().(*net.TCPConn).SetLinger(0); _ = p.conn().Close() }
 func (p *realPeer) addr() netip.Addr   { return netip.MustParseAddr("127.0.0.1") }
@@ -474,13 +474,13 @@
 func (p *realPeer) end() string { p.mu.Lock(); defer p.mu.Unlock(); return p.ended }
 
 func onReal(t *testing.T, c testCase) {
-	dead := taken(t, false)
+	dead := reservePort(t, false)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	at := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), taken(t, true))
+	at := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), reservePort(t, true))
 	p := &realPeer{t: t, at: at.String(), ln: ln, dead: dead, conns: make(chan net.Conn, 4)}
 	go func() {
 		for {
@@ -529,7 +529,7 @@
 	}
 	var want []string
 	notice := func() []string {
-		return slices.DeleteFunc(s.told(), func(x string) bool { return x == "timer 99" })
+		return slices.DeleteFunc(s.events(), func(x string) bool { return x == "timer 99" })
 	}
 	for _, st := range c.steps {
 		st.do(p)
@@ -571,10 +571,10 @@
 func (p *virtualPeer) connect() {
 	p.last = p.net.Dial(p.at, nil, func(error) {})
 	p.sim.Run(p.sim.Now() + 20*time.Millisecond)
-	p.watch()
+	p.setReady()
 }
-func (p *virtualPeer) watch() { p.last.ready = p.heard }
-func (p *virtualPeer) heard() {
+func (p *virtualPeer) setReady() { p.last.ready = p.onReady }
+func (p *virtualPeer) onReady() {
 	if p.reading {
 		p.last.Read(1 << 30)
 	}
@@ -589,11 +589,11 @@
 		p.ended = "eof"
 	}
 }
-func (p *virtualPeer) send(n int)         { p.pending = append(p.pending, make([]byte, n)...); p.heard() }
+func (p *virtualPeer) send(n int)         { p.pending = append(p.pending, make([]byte, n)...); p.onReady() }
 func (p *virtualPeer) shut()              { p.sim.Run(p.sim.Now() + 20*time.Millisecond); p.last.CloseWrite() }
 func (p *virtualPeer) close()             { p.last.Close() }
 func (p *virtualPeer) reset()             { p.last.Reset() }
-func (p *virtualPeer) drain()             { p.reading = true; p.heard() }
+func (p *virtualPeer) drain()             { p.reading = true; p.onReady() }
 func (p *virtualPeer) signal(k loop.Kind) { p.loop.Signal(k) }
 func (p *virtualPeer) end() string {
 	return p.ended
@@ -608,7 +608,7 @@
 	at := netip.MustParseAddrPort("10.0.0.2:8443")
 	p := &virtualPeer{sim: sim, net: n, at: at}
 	var ln *Listener
-	ln = n.Listen(netip.AddrPortFrom(p.addr(), p.port()), 16, nil, func() { p.last = ln.Accept(); p.watch() })
+	ln = n.Listen(netip.AddrPortFrom(p.addr(), p.port()), 16, nil, func() { p.last = ln.Accept(); p.setReady() })
 	l := NewLoop(sim, n, nil, func(error) {})
 	inner := c.on(p)
 	s := &script{names: make(map[loop.Conn]string), on: func(s *script, now time.Duration, e loop.Event) []loop.Effect {
@@ -632,5 +632,5 @@
 			t.Errorf("the peer saw %q, want %q", p.end(), c.end)
 		}
 	}
-	compare(t, s.told(), want)
+	compare(t, s.events(), want)
 }
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -43,27 +43,27 @@
 	silentUntil time.Duration // it is written nothing until then
 }
 
-func (d *discoveryServer) listen(via int) {
+func (d *discoveryServer) listen(gateway int) {
 	d.port++
-	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 2, byte(via), 1 + byte(via>>8)}), d.port)
+	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 2, byte(gateway), 1 + byte(gateway>>8)}), d.port)
 	var l *Listener
 	l = d.run.net.Listen(addr, 64, nil, func() {
 		for e := l.Accept(); e != nil; e = l.Accept() {
-			if len(d.agents) > 0 && d.agents[via].down {
+			if len(d.agents) > 0 && d.agents[gateway].down {
 				e.Reset()
 				continue
 			}
-			c := &watch{end: e, gateway: via, lastWrite: d.run.sim.Now()}
+			c := &watch{end: e, gateway: gateway, lastWrite: d.run.sim.Now()}
 			d.watches = append(d.watches, c)
 			e.ready = func() { d.onReadable(c) }
 			d.onReadable(c)
 		}
 	})
-	if old := d.listeners[via]; old != nil {
+	if old := d.listeners[gateway]; old != nil {
 		old.Close()
 		var stay []*watch
 		for _, c := range d.watches {
-			if c.gateway == via {
+			if c.gateway == gateway {
 				stay = append(stay, c)
 			}
 		}
@@ -73,7 +73,7 @@
 			}
 		})
 	}
-	d.listeners[via], d.addrs[via] = l, addr
+	d.listeners[gateway], d.addrs[gateway] = l, addr
 }
 
 func (d *discoveryServer) closeWatch(c *watch) {
@@ -88,7 +88,7 @@
 
 func (d *discoveryServer) onReadable(c *watch) {
 	c.inbox = append(c.inbox, c.end.Read(1<<16)...)
-	if c.end.Gone() {
+	if c.end.ReadEnded() {
 		d.closeWatch(c)
 		return
 	}
--- a/internal/lab/simulation/discovery_load_test.go
+++ b/internal/lab/simulation/discovery_load_test.go
@@ -19,10 +19,10 @@
 
 // recovery is what became of a fleet after its watches were reset.
 type recovery struct {
-	took  time.Duration // until every gateway had a list
-	whole bool          // and whether that came to be before the look at it ended
-	calls int           // that the gateways began meanwhile
-	have  int           // gateways with a list in the end
+	took     time.Duration // until every gateway had a list
+	complete bool          // and whether that came to be before the look at it ended
+	calls    int           // that the gateways began meanwhile
+	withList int           // gateways with a list in the end
 }
 
 // callCounter counts the calls that a gateway begins.
@@ -55,10 +55,10 @@
 	r.calls = 0
 	s.discovery.resetOpen()
 	const step = 20 * time.Millisecond
-	for !r.whole && s.sim.Now() < start+limit {
+	for !r.complete && s.sim.Now() < start+limit {
 		s.sim.Run(s.sim.Now() + step)
-		r.have = len(s.discovery.listed())
-		r.whole = r.have == gateways
+		r.withList = len(s.discovery.gatewaysWithList())
+		r.complete = r.withList == gateways
 	}
 	r.took = s.sim.Now() - start
 	return r
@@ -71,7 +71,7 @@
 }
 
 // Every gateway has its list again in little more than the time that discovery needs for a call of each.
-func TestAFleetHasItsListAgainInTime(t *testing.T) {
+func TestGatewaysRecoverListsInTime(t *testing.T) {
 	for _, c := range []struct {
 		gateways  int
 		perSecond float64
@@ -94,9 +94,9 @@
 					}
 				}
 				t.Logf("ideal %v, allowed %v, at worst %v, with %d calls and %d lists",
-					ideal, within, worst.took, worst.calls, worst.have)
-				if !worst.whole || worst.took > within {
-					t.Errorf("after %v %d of %d gateways have a list", worst.took, worst.have, c.gateways)
+					ideal, within, worst.took, worst.calls, worst.withList)
+				if !worst.complete || worst.took > within {
+					t.Errorf("after %v %d of %d gateways have a list", worst.took, worst.withList, c.gateways)
 				}
 			})
 		}
@@ -105,11 +105,11 @@
 
 // A change is kept to 6 s after discovery had it, while discovery works through calls in turn and all
 // watches break.
-func TestDiscoveryUnderLoadHoldsTheRules(t *testing.T) {
+func TestDiscoveryLoadHoldsTheRules(t *testing.T) {
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			if o := holds(t, draw(t, seed, discoveryLoadProfile)); o.Tries < 500 || o.Served < o.Tries/2 {
+			if o := playAndVerify(t, draw(t, seed, discoveryLoadProfile)); o.Tries < 500 || o.Served < o.Tries/2 {
 				t.Errorf("a run of nothing: %+v", o)
 			}
 		})
--- a/internal/lab/simulation/draw.go
+++ b/internal/lab/simulation/draw.go
@@ -68,7 +68,7 @@
 func (d *planDrawer) drawNetwork() {
 	p := &d.plan
 	if d.enabled["net-split"] {
-		p.Split, p.Partial = 0.2, 0.3
+		p.Split, p.PartialReads = 0.2, 0.3
 	}
 	if d.enabled["net-jitter"] {
 		p.JitterUS = d.between(500, 8000)
@@ -80,13 +80,13 @@
 		p.LoseDials = 0.02
 	}
 	if d.enabled["net-lose-data"] {
-		p.LoseData = 0.02 + 0.13*d.rng.Float64()
+		p.LoseDatagrams = 0.02 + 0.13*d.rng.Float64()
 		if p.Profile == sharesProfile {
-			p.LoseData = 0.5 * d.rng.Float64()
+			p.LoseDatagrams = 0.5 * d.rng.Float64()
 		}
 	}
 	if d.enabled["net-double-data"] {
-		p.DoubleData = 0.1
+		p.DuplicateDatagrams = 0.1
 	}
 	if d.enabled["net-slow"] {
 		p.CostUS = d.between(100, 400)
--- a/internal/lab/simulation/gatewayfaults.go
+++ b/internal/lab/simulation/gatewayfaults.go
@@ -94,7 +94,7 @@
 			return
 		}
 		if n := predecessor.descriptors() + next.descriptors(); n > s.plan.Sockets {
-			s.addFinding(Overspent, g.name, "%d descriptors of %d", n, s.plan.Sockets)
+			s.addFinding(DescriptorsExceeded, g.name, "%d descriptors of %d", n, s.plan.Sockets)
 			return
 		}
 		s.sim.After(5*time.Millisecond, watch)
@@ -133,18 +133,18 @@
 // retune changes the settings of every gateway: views become unsafe and a class comes, or the other way
 // round. Clients go by the new ones 1.2 s later.
 func (s *simulator) retune(f Fault) {
-	strict := !s.unsafeViews
+	unsafeViews := !s.unsafeViews
 	for _, g := range s.gateways {
 		if !json.Valid(g.configFile) {
 			return // the good file is not back yet
 		}
 	}
-	s.file.Classes[0].Unsafe = strict // also for what starts from now on
+	s.file.Classes[0].Unsafe = unsafeViews // also for what starts from now on
 	for _, g := range s.gateways {
 		var fields map[string]any
 		_ = json.Unmarshal(g.configFile, &fields) // it is valid
 		settings := s.file.Settings(g.index)
-		if strict {
+		if unsafeViews {
 			classes := settings["classes"].([]map[string]any)
 			extra := maps.Clone(classes[0])
 			extra["repeat"] = "repeatable"
@@ -158,7 +158,7 @@
 			g.loop.Signal(loop.Reload)
 		}
 	}
-	s.sim.After(1200*time.Millisecond, func() { s.unsafeViews = strict })
+	s.sim.After(1200*time.Millisecond, func() { s.unsafeViews = unsafeViews })
 }
 
 // term restarts a gateway as planned.
@@ -166,7 +166,7 @@
 	g.stops = append(g.stops, s.sim.Now())
 	g.loop.Signal(loop.Stop)
 	if s.views != nil {
-		s.views.history.Leaving(g.index, s.sim.Since()) // it speaks no more
+		s.views.history.Leaving(g.index, s.sim.Elapsed()) // it speaks no more
 	}
 	s.sim.After(withdrawDelay, func() { g.withdrawn = true })
 	life := g.generation
--- a/internal/lab/simulation/gatewaynode.go
+++ b/internal/lab/simulation/gatewaynode.go
@@ -110,8 +110,8 @@
 	var l *Loop
 	l = NewLoop(s.sim, s.net, nil, func(err error) { g.exited(l, pid, err) })
 	l.ClockError = g.clockError
-	l.Sockets, l.Partial = s.plan.Sockets, s.plan.Partial
-	l.Cost = time.Duration(s.plan.CostUS) * time.Microsecond
+	l.Sockets, l.PartialReadChance = s.plan.Sockets, s.plan.PartialReads
+	l.EventCost = time.Duration(s.plan.CostUS) * time.Microsecond
 	l.OnListen = func() { g.upgradeFrom = s.sim.Now() }
 	l.OtherDescriptors = func() int { return g.otherDescriptors(l) }
 	l.Files = g.readFile
@@ -214,6 +214,6 @@
 type logLine struct{ sim *Sim }
 
 func (l logLine) Write(line []byte) (int, error) {
-	_, err := fmt.Fprintf(l.sim.trace, "%d log %s", l.sim.Since().Microseconds(), line)
+	_, err := fmt.Fprintf(l.sim.trace, "%d log %s", l.sim.Elapsed().Microseconds(), line)
 	return len(line), err
 }
--- a/internal/lab/simulation/hosts.go
+++ b/internal/lab/simulation/hosts.go
@@ -19,7 +19,7 @@
 )
 
 // parseRequest takes one whole request from what a connection brought; ok is false while it is not whole.
-func parseRequest(in []byte) (r *http.Request, body []byte, rest []byte, ok bool, err error) {
+func parseRequest(in []byte) (r *http.Request, body []byte, remaining []byte, ok bool, err error) {
 	at := bytes.Index(in, []byte("\r\n\r\n"))
 	if at < 0 {
 		return nil, nil, in, false, nil
@@ -92,9 +92,9 @@
 	}
 }
 
-func (h *host) accept(l *Listener, via int) {
+func (h *host) accept(l *Listener, gateway int) {
 	for e := l.Accept(); e != nil; e = l.Accept() {
-		c := &hostConn{end: e, gateway: via, model: h.model}
+		c := &hostConn{end: e, gateway: gateway, model: h.model}
 		h.run.rates.countConnect(h)
 		if !h.model.Connected(h.run.sim.Now()) { // it holds no more
 			few := h.run.loadFactor(h.zone()) > 1
@@ -103,7 +103,7 @@
 				for _, x := range h.conns {
 					by[x.gateway]++
 				}
-				h.run.addFinding(Crowded, h.name, "one more than %d connections, of %d gateways", len(h.conns), len(by))
+				h.run.addFinding(HostConnectionsExceeded, h.name, "one more than %d connections, of %d gateways", len(h.conns), len(by))
 			}
 			e.Reset()
 			continue
@@ -175,7 +175,7 @@
 			h.handleRequest(c, r)
 		}
 	}
-	if c.end.Gone() {
+	if c.end.ReadEnded() {
 		c.end.Close()
 		h.drop(c)
 	}
@@ -327,8 +327,8 @@
 func (h *host) setSilent(on bool) {
 	if h.silent = on; !on {
 		for _, c := range append([]*hostConn(nil), h.conns...) {
-			c.end.Heal()
-			c.end.peer.Heal()
+			c.end.DeliverHeld()
+			c.end.peer.DeliverHeld()
 		}
 	}
 }
--- a/internal/lab/simulation/hunt_test.go
+++ b/internal/lab/simulation/hunt_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// ordered are the functions that walk a map and may, and why that has no order.
-func ordered() map[string]string {
+// allowedMapLoops are the functions that walk a map and may, and why that has no order.
+func allowedMapLoops() map[string]string {
 	return map[string]string{
 		"gateway.closeAfterAnswers":   "sets a flag on each",
 		"upstream.Oldest":             "keeps the first by number",
@@ -27,8 +27,8 @@
 }
 
 // The code under simulation has one clock, one random source and no order but that of its events.
-func TestNothingIsDrawnFromOutside(t *testing.T) {
-	allowed := ordered()
+func TestSimulatedCodeIsDeterministic(t *testing.T) {
+	allowed := allowedMapLoops()
 	fset := token.NewFileSet()
 	imports := importer.ForCompiler(fset, "source", nil)
 	for _, dir := range []string{"internal/balancer", "internal/balancer/concurrency",
--- a/internal/lab/simulation/invariants.go
+++ b/internal/lab/simulation/invariants.go
@@ -19,11 +19,11 @@
 }
 
 // checkArrival holds every request against what its gateway had been told.
-func (s *simulator) checkArrival(h *host, via int, id string, first time.Duration) {
+func (s *simulator) checkArrival(h *host, gateway int, id string, firstByteAt time.Duration) {
 	s.rates.countSend(h)
-	if notice, ok := s.discovery.notification(via, h.name); ok && first-notice.At > drainGrace {
+	if notice, ok := s.discovery.notification(gateway, h.name); ok && firstByteAt-notice.At > drainGrace {
 		s.addFinding(requestrecord.LateToDrained, id, "%s got it from %s %v after it counted as told %s", h.name,
-			gatewayName(via), first-notice.At, notice.State)
+			gatewayName(gateway), firstByteAt-notice.At, notice.State)
 	}
 }
 
@@ -66,7 +66,7 @@
 			limit += membershipWakeups
 		}
 		if n := g.loop.wakeups - before[i]; n > limit {
-			s.addFinding(NotAsleep, g.name, "woke up %d times in %v of nothing", n, quietPeriod/2)
+			s.addFinding(WokeUpIdle, g.name, "woke up %d times in %v of nothing", n, quietPeriod/2)
 		}
 		resting := 0
 		for _, l := range s.idle {
@@ -123,14 +123,14 @@
 	for _, process := range s.checkers {
 		violations := process.gateway.Violations()
 		for _, rule := range slices.Sorted(maps.Keys(violations)) {
-			s.addFinding(HeldBack, process.name, "%s, %d times", rule, violations[rule])
+			s.addFinding(EffectSuppressed, process.name, "%s, %d times", rule, violations[rule])
 		}
 	}
 }
 
 func (s *simulator) outcome() Outcome {
 	o := Outcome{Hash: s.sim.Hash(), Findings: s.findings, Tries: s.attempts, Steps: s.sim.Steps(),
-		Lasted: s.sim.Since(), Sums: s.rates.String(),
+		Lasted: s.sim.Elapsed(), Sums: s.rates.String(),
 		Partial: s.sim.interrupted()}
 	for status, n := range s.statuses {
 		switch {
--- a/internal/lab/simulation/loop.go
+++ b/internal/lab/simulation/loop.go
@@ -37,13 +37,13 @@
 
 // Loop is a gateway's process: the reducer on simulated sockets, timers, files, signals and descriptors.
 type Loop struct {
-	sim     *Sim
-	net     *Net
-	reducer loop.Reducer
-	Files   func(path string) ([]byte, error)
-	Sockets int           // descriptors that the process may have; 0: no limit
-	Cost    time.Duration // processor time of one event
-	Partial float64       // chance that a read brings less than has come
+	sim               *Sim
+	net               *Net
+	reducer           loop.Reducer
+	Files             func(path string) ([]byte, error)
+	Sockets           int           // descriptors that the process may have; 0: no limit
+	EventCost         time.Duration // processor time of one event
+	PartialReadChance float64       // chance that a read brings less than has come
 
 	OtherDescriptors func() int // descriptors of the other process of this gateway
 	OnListen         func()     // called when the process has the clients' listening socket; may be nil
@@ -250,7 +250,7 @@
 		if e.Kind == endBehindData && !l.resolveMore(&e) {
 			continue
 		}
-		l.busy = max(l.busy, l.sim.Now()) + l.Cost
+		l.busy = max(l.busy, l.sim.Now()) + l.EventCost
 		for _, f := range l.reducer.Step(l.sim.Now()+l.ClockError, e) {
 			l.sim.hashEffect(f)
 			l.carryOut(f)
--- a/internal/lab/simulation/loopsockets.go
+++ b/internal/lab/simulation/loopsockets.go
@@ -169,7 +169,7 @@
 	switch {
 	case len(e.inbox) > 0:
 		limit := readSize
-		if l.sim.Chance(l.Partial) {
+		if l.sim.Chance(l.PartialReadChance) {
 			limit = 1 + l.sim.Rand.IntN(len(e.inbox))
 		}
 		data := append([]byte(nil), e.Read(limit)...)
--- a/internal/lab/simulation/measure.go
+++ b/internal/lab/simulation/measure.go
@@ -66,7 +66,7 @@
 	if hosts < 4*badHosts {
 		return Plan{}, fmt.Errorf("%d hosts, %d at least", hosts, 4*badHosts)
 	}
-	p.LoseData, p.DoubleData, p.JitterUS, p.Cold, p.Faults = 0, 0, 0, false, nil
+	p.LoseDatagrams, p.DuplicateDatagrams, p.JitterUS, p.Cold, p.Faults = 0, 0, 0, false, nil
 	at := int(badFrom.Milliseconds())
 	for who := range badHosts {
 		p.Faults = append(p.Faults,
@@ -94,7 +94,7 @@
 	if !m.reports {
 		f.Data = removeEjections(f.Data)
 	}
-	if now := m.run.sim.Since(); now >= steadyFrom && now < badFrom+badFor {
+	if now := m.run.sim.Elapsed(); now >= steadyFrom && now < badFrom+badFor {
 		m.steadyBytes += len(f.Data)
 	}
 }
--- a/internal/lab/simulation/net.go
+++ b/internal/lab/simulation/net.go
@@ -215,8 +215,8 @@
 	return e.silent != nil && *e.silent || e.peer != nil && e.peer.silent != nil && *e.peer.silent
 }
 
-// Heal delivers what was on its way to a machine that was silent.
-func (e *End) Heal() {
+// DeliverHeld delivers what was on its way to a machine that was silent.
+func (e *End) DeliverHeld() {
 	held := e.undelivered
 	e.undelivered = nil
 	for _, do := range held {
@@ -349,5 +349,5 @@
 	}
 }
 
-// Gone reports that the connection has ended for this end's reader, with all bytes read.
-func (e *End) Gone() bool { return len(e.inbox) == 0 && (e.fin || e.reset) }
+// ReadEnded reports that the connection has ended for this end's reader, with all bytes read.
+func (e *End) ReadEnded() bool { return len(e.inbox) == 0 && (e.fin || e.reset) }
--- a/internal/lab/simulation/plan.go
+++ b/internal/lab/simulation/plan.go
@@ -62,14 +62,14 @@
 
 // NetworkPlan is how the network behaves. Chances are 0 to 1.
 type NetworkPlan struct {
-	LatencyUS  int     `json:"latency_us"`
-	JitterUS   int     `json:"jitter_us"`
-	Split      float64 `json:"split,omitempty"`      // chance that a write arrives in pieces
-	Partial    float64 `json:"partial,omitempty"`    // chance that a read brings less than has come
-	Resets     float64 `json:"resets,omitempty"`     // chance that a connection is reset
-	LoseDials  float64 `json:"lose_dials,omitempty"` // chance that a connection never comes up
-	LoseData   float64 `json:"lose_datagrams,omitempty"`
-	DoubleData float64 `json:"double_datagrams,omitempty"`
+	LatencyUS          int     `json:"latency_us"`
+	JitterUS           int     `json:"jitter_us"`
+	Split              float64 `json:"split,omitempty"`      // chance that a write arrives in pieces
+	PartialReads       float64 `json:"partial,omitempty"`    // chance that a read brings less than has come
+	Resets             float64 `json:"resets,omitempty"`     // chance that a connection is reset
+	LoseDials          float64 `json:"lose_dials,omitempty"` // chance that a connection never comes up
+	LoseDatagrams      float64 `json:"lose_datagrams,omitempty"`
+	DuplicateDatagrams float64 `json:"double_datagrams,omitempty"`
 }
 
 // Bounds of a plan's size. The addresses of the virtual network have room for so many gateways.
--- a/internal/lab/simulation/sim.go
+++ b/internal/lab/simulation/sim.go
@@ -63,8 +63,8 @@
 // Now is the virtual time.
 func (s *Sim) Now() time.Duration { return s.now }
 
-// Since is the time since the run's begin.
-func (s *Sim) Since() time.Duration { return s.now - epoch }
+// Elapsed is the time since the run's begin.
+func (s *Sim) Elapsed() time.Duration { return s.now - epoch }
 
 // At has something done at a time; what is past is done now, after what is due already.
 func (s *Sim) At(at time.Duration, do func()) {
@@ -100,7 +100,7 @@
 
 // Note enters something into the trace and its hash.
 func (s *Sim) Note(format string, args ...any) {
-	line := fmt.Appendf(nil, "%d ", s.Since().Microseconds())
+	line := fmt.Appendf(nil, "%d ", s.Elapsed().Microseconds())
 	line = fmt.Appendf(line, format, args...)
 	line = append(line, '\n')
 	_, _ = s.hash.Write(line) // a hash never fails
--- a/internal/lab/simulation/simulator.go
+++ b/internal/lab/simulation/simulator.go
@@ -14,17 +14,17 @@
 
 // Rules beyond those of the records.
 const (
-	Panicked  = "panic"
-	Stuck     = "stuck"      // a gateway did not end after SIGTERM though nothing was left to answer
-	NotAsleep = "not asleep" // a gateway woke up though nothing happened
-	Leaked    = "leaked"     // links or timers beyond those that rest at the end of the day
-	Wronged   = "wronged"    // a good request was answered as a faulty one
-	Overspent = "overspent"  // two processes of one gateway had more descriptors than it may
-	BadExit   = "bad exit"   // a process ended with an error
-	Crowded   = "crowded"    // more connections at one host than the parts of a fleet come to
-	ShutDoor  = "shut door"  // an upgrade closed a link under its client
-	NotHeard  = "not heard"  // a client that stopped in the middle of a request was not told in time
-	HeldBack  = "held back"  // a gateway's invariant checker suppressed an effect that would have broken a rule
+	Panicked                = "panic"
+	Stuck                   = "stuck"      // a gateway did not end after SIGTERM though nothing was left to answer
+	WokeUpIdle              = "not asleep" // a gateway woke up though nothing happened
+	Leaked                  = "leaked"     // links or timers beyond those that rest at the end of the day
+	ValidRequestRefused     = "wronged"    // a good request was answered as a faulty one
+	DescriptorsExceeded     = "overspent"  // two processes of one gateway had more descriptors than it may
+	BadExit                 = "bad exit"   // a process ended with an error
+	HostConnectionsExceeded = "crowded"    // more connections at one host than the parts of a fleet come to
+	IdleClosedDuringUpgrade = "shut door"  // an upgrade closed a link under its client
+	StoppedClientUnanswered = "not heard"  // a client that stopped in the middle of a request was not told in time
+	EffectSuppressed        = "held back"  // a gateway's invariant checker suppressed an effect that would have broken a rule
 )
 
 // The rules in figures; see the operators' pages.
--- a/internal/lab/simulation/simulator_test.go
+++ b/internal/lab/simulation/simulator_test.go
@@ -38,8 +38,8 @@
 	return p
 }
 
-// holds plays a plan and shows the first rules that it broke.
-func holds(t *testing.T, p Plan) Outcome {
+// playAndVerify plays a plan and shows the first rules that it broke.
+func playAndVerify(t *testing.T, p Plan) Outcome {
 	t.Helper()
 	o := Play(p, nil)
 	for _, f := range o.Findings[:min(3, len(o.Findings))] {
@@ -52,7 +52,7 @@
 	for seed := range uint64(50) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			o := holds(t, draw(t, seed, ""))
+			o := playAndVerify(t, draw(t, seed, ""))
 			if o.Tries < 50 || o.Served+o.Refused+o.Failed == 0 {
 				t.Errorf("a run of nothing: %+v", o)
 			}
@@ -61,7 +61,7 @@
 }
 
 // Sixty gateways with thin traffic in zones that differ, and troubles of many at once.
-func TestAFleetHoldsTheRules(t *testing.T) {
+func TestLargeClusterHoldsTheRules(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -69,7 +69,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			o := holds(t, p)
+			o := playAndVerify(t, p)
 			if o.Tries < 6000 || o.Served < o.Tries/3 {
 				t.Errorf("a run of nothing: %+v", o)
 			}
@@ -84,7 +84,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			p := draw(t, seed, viewsProfile)
-			if o := holds(t, p); o.Tries < 50 || !p.Views || p.Gateways < 2 {
+			if o := playAndVerify(t, p); o.Tries < 50 || !p.Views || p.Gateways < 2 {
 				t.Errorf("a run of nothing: %+v", o)
 			}
 		})
@@ -109,7 +109,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if o := holds(t, p); o.Tries < 50 || !p.Shares || o.Served < o.Tries/5 {
+			if o := playAndVerify(t, p); o.Tries < 50 || !p.Shares || o.Served < o.Tries/5 {
 				t.Errorf("a run of nothing: %+v", o)
 			}
 		})
@@ -117,7 +117,7 @@
 }
 
 // Plans that once broke a rule.
-func TestKeptPlansHold(t *testing.T) {
+func TestSavedPlansHoldTheRules(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.json")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%d plans, %v", len(files), err)
@@ -158,14 +158,14 @@
 // defect changes what a gateway asks for, or what it hears.
 type defect struct {
 	loop.Reducer
-	n       int
+	calls   int
 	now     time.Duration
-	hear    func(d *defect, e *loop.Event) bool // false drops the event
+	onEvent func(d *defect, e *loop.Event) bool // false drops the event
 	effects func(d *defect, e loop.Event, list []loop.Effect) []loop.Effect
 }
 
 func (d *defect) Step(now time.Duration, e loop.Event) []loop.Effect {
-	if d.hear != nil && !d.hear(d, &e) {
+	if d.onEvent != nil && !d.onEvent(d, &e) {
 		return nil
 	}
 	d.now = now
@@ -177,7 +177,7 @@
 }
 
 // every counts and is true each so many times.
-func (d *defect) every(n int) bool { d.n++; return d.n%n == 0 }
+func (d *defect) every(n int) bool { d.calls++; return d.calls%n == 0 }
 
 // toClient and toHost tell writes apart by the socket and what is written.
 func toClient(f loop.Effect, head string) bool {
@@ -249,10 +249,10 @@
 				return []loop.Effect{f}
 			})}},
 		{"hears no drains", "drain-retry", requestrecord.LateToDrained,
-			defect{hear: func(d *defect, e *loop.Event) bool {
+			defect{onEvent: func(d *defect, e *loop.Event) bool {
 				return e.Kind != loop.Data || !bytes.Contains(e.Data, []byte(`"draining"`))
 			}}},
-		{"a timer that never stops", "reload", NotAsleep,
+		{"a timer that never stops", "reload", WokeUpIdle,
 			defect{effects: func(d *defect, e loop.Event, list []loop.Effect) []loop.Effect {
 				if e.Kind == loop.Start || e.Kind == loop.TimerDue && e.Timer.Kind == 200 {
 					list = append(list, loop.Effect{Op: loop.SetTimer, Timer: loop.Timer{Kind: 200},
@@ -273,7 +273,7 @@
 			}
 			return []loop.Effect{f}
 		})}},
-		{"panics", "reload", Panicked, defect{hear: func(d *defect, e *loop.Event) bool {
+		{"panics", "reload", Panicked, defect{onEvent: func(d *defect, e *loop.Event) bool {
 			if d.every(3000) {
 				panic("planted")
 			}
@@ -293,7 +293,7 @@
 				}
 				return []loop.Effect{f}
 			})}},
-		{"hears no datagram", viewsProfile, membershipcheck.Diverged, defect{hear: func(_ *defect, e *loop.Event) bool {
+		{"hears no datagram", viewsProfile, membershipcheck.Diverged, defect{onEvent: func(_ *defect, e *loop.Event) bool {
 			return e.Kind != loop.Data || e.Conn != loop.Gossip
 		}}},
 		{"is heard by none at times", viewsProfile, membershipcheck.WronglyRemoved,
@@ -311,8 +311,8 @@
 				}
 				return []loop.Effect{f}
 			})}},
-		{"takes no new settings", "retune", Wronged,
-			defect{hear: func(_ *defect, e *loop.Event) bool { return e.Kind != loop.FileRead }}},
+		{"takes no new settings", "retune", ValidRequestRefused,
+			defect{onEvent: func(_ *defect, e *loop.Event) bool { return e.Kind != loop.FileRead }}},
 		{"skips a piece of a large body", "bulk", requestrecord.ForeignBody,
 			defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
 				if f.Op == loop.Write && f.Conn >= firstAccepted && len(f.Data) > 10_000 && bytes.HasSuffix(f.Data,
@@ -347,7 +347,7 @@
 }
 
 // A failing plan is reduced to little that still fails, and comes back from its file as it was.
-func TestShrinkKeepsWhatMatters(t *testing.T) {
+func TestShrinkKeepsFailureAndPlansRoundTrip(t *testing.T) {
 	list := make([]int, 100)
 	for i := range list {
 		list[i] = i
@@ -385,7 +385,7 @@
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			o := holds(t, draw(t, seed, "pushed"))
+			o := playAndVerify(t, draw(t, seed, "pushed"))
 			if o.Tries < 50 || o.Served < o.Tries/10 {
 				t.Errorf("a run of nothing: %+v", o)
 			}
@@ -404,7 +404,7 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			o := holds(t, draw(t, seed, stoppedProfile))
+			o := playAndVerify(t, draw(t, seed, stoppedProfile))
 			if o.Tries < 50 || o.Served == 0 {
 				t.Errorf("a run of nothing: %+v", o)
 			}
@@ -422,13 +422,13 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			holds(t, draw(t, seed, clockProfile))
+			playAndVerify(t, draw(t, seed, clockProfile))
 		})
 	}
 }
 
 // Seeds that once broke a rule, or a check that was wrong.
-func TestSeedsThatOnceFailedHold(t *testing.T) {
+func TestRegressionSeedsHoldTheRules(t *testing.T) {
 	for _, c := range []struct {
 		seed    uint64
 		profile string
@@ -442,7 +442,7 @@
 
 // Seeds of sixty gateways at which a cold host was sent more than it survives by first requests that
 // many gateways had saved up before they came to use it.
-func TestFleetSeedsThatPushedAColdHostHold(t *testing.T) {
+func TestSeedsThatOverloadedAColdHostHoldTheRules(t *testing.T) {
 	for _, seed := range []uint64{27, 40, 73, 103, 129, 229, 284} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -450,29 +450,29 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			holds(t, p)
+			playAndVerify(t, p)
 		})
 	}
 }
 
 // Half of the hosts are replaced while a zone is lost: of the hosts of that zone three are left, which
 // all its gateways use.
-func TestFleetSeedThatCrowdsAHost(t *testing.T) {
+func TestSeedWithThreeHostsLeftInAZoneHoldsTheRules(t *testing.T) {
 	p, err := DrawSized(258, fleetProfile, Size{Gateways: 60, Hosts: 40})
 	if err != nil {
 		t.Fatal(err)
 	}
-	holds(t, p)
+	playAndVerify(t, p)
 }
 
 // Three gateways over two hundred hosts, each with all its descriptors in use, are upgraded: the two
 // processes together keep to them.
-func TestUpgradesWithManyHostsKeepToTheirDescriptors(t *testing.T) {
+func TestUpgradesWithManyHostsStayWithinDescriptorLimit(t *testing.T) {
 	for _, c := range []struct {
 		seed    uint64
 		profile string
 	}{{7, "upgrade"}, {2, viewsProfile}, {9, viewsProfile}} {
-		manyHosts(t, c.seed, c.profile)
+		verifyManyHosts(t, c.seed, c.profile)
 	}
 }
 
@@ -480,29 +480,29 @@
 // link at rest.
 func TestUpgradesWithManyHostsAnswerAll(t *testing.T) {
 	for _, seed := range []uint64{6, 8} {
-		manyHosts(t, seed, "upgrade")
+		verifyManyHosts(t, seed, "upgrade")
 	}
 }
 
-func manyHosts(t *testing.T, seed uint64, profile string) {
+func verifyManyHosts(t *testing.T, seed uint64, profile string) {
 	t.Run(fmt.Sprint(profile, seed), func(t *testing.T) {
 		t.Parallel()
 		p, err := DrawSized(seed, profile, Size{Gateways: 3, Hosts: 200})
 		if err != nil {
 			t.Fatal(err)
 		}
-		holds(t, p)
+		playAndVerify(t, p)
 	})
 }
 
 // Gateways hear that one is suspected which was just upgraded: by another that is cut off from it, and
 // so are those that it asks.
-func TestUpgradeIsNoEndThoughDatagramsAreLost(t *testing.T) {
-	holds(t, draw(t, 156, sharesProfile))
+func TestUpgradeIsNotTakenForAFailureWhenDatagramsAreLost(t *testing.T) {
+	playAndVerify(t, draw(t, 156, sharesProfile))
 }
 
-// pushedDay is a day of pushed lists with stated faults and a request every 80 ms.
-func pushedDay(hosts, ms int, faults ...Fault) Plan {
+// pushedPlan is a day of pushed lists with stated faults and a request every 80 ms.
+func pushedPlan(hosts, ms int, faults ...Fault) Plan {
 	p := Plan{Seed: 1, Profile: "pushed", Pushed: true, Gateways: 2, Hosts: hosts, Sockets: 400, LagMS: 300,
 		NetworkPlan: NetworkPlan{LatencyUS: 200}, CostUS: 10, Faults: faults}
 	for at := 0; at < ms; at += 80 {
@@ -513,12 +513,12 @@
 
 // A gateway comes back on its last list while all hosts of it but one are gone and others stand in
 // their places.
-func TestARestartOnAListOfTheGone(t *testing.T) {
+func TestRestartWithAListOfRemovedHosts(t *testing.T) {
 	faults := []Fault{{AtMS: 1000, Kind: "gateway-kill", Target: 0, ForMS: 9000}}
 	for n := range 5 {
 		faults = append(faults, Fault{AtMS: 1100 + 10*n, Kind: "host-replace", Target: n})
 	}
-	o := holds(t, pushedDay(6, 14000, faults...))
+	o := playAndVerify(t, pushedPlan(6, 14000, faults...))
 	if o.Served < o.Tries*8/10 {
 		t.Errorf("%+v", o)
 	}
@@ -526,8 +526,8 @@
 
 // Versions that begin anew are passed over for half a minute, then taken: what is told later holds, new
 // hosts are used.
-func TestVersionsThatBeginAnew(t *testing.T) {
-	o := holds(t, pushedDay(4, 50000, Fault{AtMS: 3000, Kind: "discovery-anew"},
+func TestListVersionsThatRestart(t *testing.T) {
+	o := playAndVerify(t, pushedPlan(4, 50000, Fault{AtMS: 3000, Kind: "discovery-anew"},
 		Fault{AtMS: 38000, Kind: "host-replace", Target: 0}, Fault{AtMS: 38100, Kind: "host-replace", Target: 1},
 		Fault{AtMS: 38200, Kind: "host-replace", Target: 2}))
 	if o.Served < o.Tries*9/10 {
--- a/internal/lab/simulation/upgrade_test.go
+++ b/internal/lab/simulation/upgrade_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// upgradedAtItsLimit is a day on which clients hold all links that a gateway may have. It is upgraded,
+// planUpgradeAtLimit is a day on which clients hold all links that a gateway may have. It is upgraded,
 // hosts that hang keep the old process from its end, and clients come on new links while others go on
 // using theirs.
-func upgradedAtItsLimit() Plan {
+func planUpgradeAtLimit() Plan {
 	const opened, upgraded, ended = 1000, 2000, 4000
 	p := Plan{Seed: 1, Profile: "upgrade", Gateways: 1, Hosts: 60, Sockets: 256,
 		NetworkPlan: NetworkPlan{LatencyUS: 200}, CostUS: 10}
@@ -36,16 +36,16 @@
 }
 
 // Those that come on new links are answered in their time, and no link at rest is closed for them.
-func TestUpgradeAtTheLimitOfLinksAnswersThoseWhoWait(t *testing.T) {
-	o := holds(t, upgradedAtItsLimit())
+func TestUpgradeAtTheConnectionLimitAnswersNewClients(t *testing.T) {
+	o := playAndVerify(t, planUpgradeAtLimit())
 	if o.Served < o.Tries*9/10 {
 		t.Errorf("%d of %d served", o.Served, o.Tries)
 	}
 }
 
-// upgradedAmongNewLinks is a day on which every client comes on a new link and keeps it, so that links
+// planUpgradesAmongNewConnections is a day on which every client comes on a new link and keeps it, so that links
 // at rest are closed for being many, and the gateway is upgraded again and again in the midst of that.
-func upgradedAmongNewLinks(seed uint64) Plan {
+func planUpgradesAmongNewConnections(seed uint64) Plan {
 	const begin, end = 1000, 9000
 	p := Plan{Seed: seed, Profile: "upgrade", Gateways: 1, Hosts: 60, Sockets: 256,
 		NetworkPlan: NetworkPlan{LatencyUS: 200}, CostUS: 30}
@@ -61,10 +61,10 @@
 }
 
 // A time limit that a link at rest was given before an upgrade does not close it during one.
-func TestUpgradeClosesNoLinkWhoseTimeLimitIsOlder(t *testing.T) {
+func TestUpgradeClosesNoConnectionWithAnOlderTimeout(t *testing.T) {
 	for _, seed := range []uint64{3, 5} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			o := holds(t, upgradedAmongNewLinks(seed))
+			o := playAndVerify(t, planUpgradesAmongNewConnections(seed))
 			if o.Served < o.Tries*8/10 {
 				t.Errorf("%d of %d served", o.Served, o.Tries)
 			}
--- a/internal/lab/simulation/viewchecker.go
+++ b/internal/lab/simulation/viewchecker.go
@@ -61,12 +61,12 @@
 	if s.plan.Shares {
 		v.history.ReportsLoad()
 	}
-	s.net.LoseDatagramChance, s.net.DuplicateDatagramChance = s.plan.LoseData, s.plan.DoubleData
+	s.net.LoseDatagramChance, s.net.DuplicateDatagramChance = s.plan.LoseDatagrams, s.plan.DuplicateDatagrams
 	s.net.CutDatagrams = func(from, to netip.AddrPort) bool { return v.cut(gatewayByAddr(from), gatewayByAddr(to)) }
-	if s.plan.LoseData > 0 {
+	if s.plan.LoseDatagrams > 0 {
 		for x := range v.names {
 			for y := range v.names {
-				v.history.Path(x, y, membershipcheck.PathState{Loss: s.plan.LoseData})
+				v.history.Path(x, y, membershipcheck.PathState{Loss: s.plan.LoseDatagrams})
 			}
 		}
 	}
@@ -118,10 +118,10 @@
 func (v *viewChecker) started(g *gatewayNode, gw *gateway.Gateway) {
 	v.pids++
 	g.process = process{pid: v.pids, gw: gw}
-	v.history.Started(g.index, v.pids, v.run.sim.Since(), false, g.predecessor != nil)
+	v.history.Started(g.index, v.pids, v.run.sim.Elapsed(), false, g.predecessor != nil)
 }
 
-func (v *viewChecker) ended(pid int) { v.history.Ended(pid, v.run.sim.Since()) }
+func (v *viewChecker) ended(pid int) { v.history.Ended(pid, v.run.sim.Elapsed()) }
 
 // observe notes what each process believes that speaks. Nobody wakes up for it.
 func (v *viewChecker) observe() {
@@ -138,7 +138,7 @@
 				p.lastView, p.joined = view, p.joined+1
 			}
 			st := view.Status(v.run.sim.Now())
-			l := membershipcheck.Observation{At: v.run.sim.Since(), Gateway: g.index, PID: p.pid, Speaking: true,
+			l := membershipcheck.Observation{At: v.run.sim.Elapsed(), Gateway: g.index, PID: p.pid, Speaking: true,
 				Join: p.joined, Settled: st.Converged, Majority: st.Majority, DuplicateName: st.DuplicateName,
 				Alive: st.Alive, Sent: view.Counts().SentBytes, Beliefs: make([]membershipcheck.Belief, len(v.names))}
 			for _, o := range view.Members() {
@@ -189,7 +189,7 @@
 	for x := range v.names {
 		for y := range v.names {
 			if cut := v.cut(x, y); x != y && cut != before[[2]int{x, y}] {
-				v.history.Path(x, y, membershipcheck.PathState{At: v.run.sim.Since(), Cut: cut, Loss: v.run.plan.LoseData})
+				v.history.Path(x, y, membershipcheck.PathState{At: v.run.sim.Elapsed(), Cut: cut, Loss: v.run.plan.LoseDatagrams})
 			}
 		}
 	}
@@ -199,12 +199,12 @@
 func (v *viewChecker) halt(g *gatewayNode, length time.Duration) {
 	now := v.run.sim.Now()
 	g.halts = append(g.halts, [2]time.Duration{now, now + length})
-	v.history.Stopped(g.index, v.run.sim.Since(), true)
+	v.history.Stopped(g.index, v.run.sim.Elapsed(), true)
 	g.loop.Halt(length)
 	pid := g.process.pid
 	v.run.sim.After(length, func() {
 		if g.process.pid == pid {
-			v.history.Stopped(g.index, v.run.sim.Since(), false)
+			v.history.Stopped(g.index, v.run.sim.Elapsed(), false)
 		}
 	})
 }
