--- a/internal/lab/simulation/agents.go
+++ b/internal/lab/simulation/agents.go
@@ -6,33 +6,34 @@
 	"thymebend/internal/lab/registry"
 )
 
-// Where lists are pushed, each gateway's machine has an agent: it answers at once with the list that it
-// has been sent, is sent changes late and each at its own time, and hears nothing while discovery is
-// down or mute. What it has counts as notified.
+// In runs with pushed lists, each gateway's machine has an agent. The agent answers its gateway's watches at once
+// with the list that it has received. It receives changes with a delay of its own, and none while discovery is
+// down or paused. A change that the agent has counts as notified to its gateway.
 
-// maxPushDelay is how much later than the first agent the last is sent a change.
+// maxPushDelay is the greatest delay with which an agent receives a pushed change.
 const maxPushDelay = 120 * time.Millisecond
 
-// agent is one machine's agent.
+// agent is the agent on one gateway's machine.
 type agent struct {
 	server  *discoveryServer
 	gateway int
 	list    *registry.Registry
-	history []*registry.Registry // as it was before, oldest first
+	history []*registry.Registry // earlier versions of list, oldest first
 	down    bool
 
-	writtenVersion int           // the version that its gateway was written last, if it lives
-	writtenAt      time.Duration // and when
+	writtenVersion int           // version last written to the gateway, if its process is alive
+	writtenAt      time.Duration // time of that write
 }
 
-// minQuietBeforeRestart is how long an agent is left alone before it goes, or goes again: a gateway that could not
-// have asked in between could not have been told.
+// minQuietBeforeRestart is the least time between the last write to the gateway and a restart of its agent, and
+// between two restarts. A gateway that could not call in between could not have received the change either.
 const minQuietBeforeRestart = 500 * time.Millisecond
 
-// maxHistory is how many versions back an agent may return with.
+// maxHistory is the largest number of versions by which a restarted agent's list may be out of date.
 const maxHistory = 6
 
-// listFor is the list that a gateway's calls are answered from: its agent's, or discovery's own where it is asked.
+// listFor returns the list that answers the calls of a gateway: its agent's list, or discovery's where there are
+// no agents.
 func (d *discoveryServer) listFor(gateway int) *registry.Registry {
 	if len(d.agents) == 0 {
 		return d.list
@@ -40,7 +41,8 @@
 	return d.agents[gateway].list
 }
 
-// notification is when a gateway was told, or counts as notified, that a host drains or is gone.
+// notification returns when a gateway was notified that a host drains or is removed, or when that counts as
+// notified.
 func (d *discoveryServer) notification(gateway int, host string) (registry.Notification, bool) {
 	t, ok := d.listFor(gateway).Told(gatewayName(gateway), host)
 	if by, over := d.deadlines.overdue(host); over && (!ok || by.At < t.At) {
@@ -49,19 +51,19 @@
 	return t, ok
 }
 
-// forget drops what a gateway was told, as one that has restarted knows it no more.
+// forget deletes the notifications of a gateway whose process has ended: the next process does not know them.
 func (d *discoveryServer) forget(gateway int) {
 	d.listFor(gateway).Forget(gatewayName(gateway))
 }
 
-// push sends the list as it stands to every agent.
+// push sends the current list to every agent.
 func (d *discoveryServer) push() {
 	for _, a := range d.agents {
 		d.run.sim.After(time.Duration(d.run.sim.Rand.Int64N(int64(maxPushDelay))), a.receive)
 	}
 }
 
-// receive takes the list as it stands now, if discovery speaks and this agent listens.
+// receive copies discovery's current list, unless discovery or this agent is down or discovery is paused.
 func (a *agent) receive() {
 	if a.down || a.server.down || a.server.paused || a.list.Seq() >= a.server.list.Seq() {
 		return
@@ -73,7 +75,7 @@
 	a.notify()
 }
 
-// notify has what the agent has count as notified, and writes it to whoever watches.
+// notify records the agent's list as notified to its gateway, and writes it to the open watches.
 func (a *agent) notify() {
 	if a.server.run.gateways[a.gateway].up && !a.down {
 		a.list.Note(gatewayName(a.gateway), a.server.run.sim.Now())
@@ -81,20 +83,20 @@
 	a.server.notifyAll()
 }
 
-// renumber has the agent take a list whose versions have begun anew.
+// renumber makes the agent adopt a list whose version numbers have started again.
 func (a *agent) renumber() {
 	a.history = nil
 	a.list.Follow(a.server.list)
-	a.resetWatches() // an agent that is given another history closes what it told by the old one
+	a.resetWatches() // an agent that adopts another history closes the watches that reported the old one
 }
 
 func (a *agent) resetWatches() {
 	a.server.reset(func(c *watch) bool { return c.gateway == a.gateway })
 }
 
-// restart takes the agent away, with its watches, and has it come back; old says with an earlier list,
-// which the next push replaces a while later. Only what its gateway has read is forgotten so: nobody
-// could know of the rest.
+// restart takes the agent down, resets its watches and brings it back after the given time. If outdated is set, it
+// returns with an earlier list, which the next push replaces 2*after + 1 s later. The agent restarts only when its
+// gateway has read the agent's whole list: otherwise the gateway would miss changes that it has no means to know.
 func (a *agent) restart(after time.Duration, outdated bool) {
 	if a.down || a.writtenVersion < a.list.Seq() ||
 		a.server.run.sim.Now()-a.writtenAt < minQuietBeforeRestart || !a.server.run.gateways[a.gateway].up {
--- a/internal/lab/simulation/answers.go
+++ b/internal/lab/simulation/answers.go
@@ -9,7 +9,8 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// parseResponse reads a whole answer; extra tells that bytes came past it.
+// parseResponse reads a complete response, after any interim ones. extra reports that bytes follow it; whole is
+// false while it is incomplete.
 func parseResponse(in []byte, closed bool) (status int, body []byte, keep, extra, whole bool) {
 	src := bytes.NewReader(in)
 	buffered := bufio.NewReader(src)
@@ -60,7 +61,8 @@
 	}
 }
 
-// trimPadding is a body without what the host was asked to add. One that is added otherwise is left, and found.
+// trimPadding returns a body without the n bytes of padding that the host was asked to add. Other padding is kept,
+// so that the comparison of bodies reports it.
 func trimPadding(body []byte, n int) []byte {
 	if at := len(body) - n; at >= 0 && bytes.Equal(body[at:], bytes.Repeat([]byte{'p'}, n)) {
 		return body[:at]
@@ -68,7 +70,8 @@
 	return body
 }
 
-// keepAlive rests the link. What comes on it now is an answer that nobody asked for.
+// keepAlive puts the connection among the idle ones. Whatever arrives on it now is counted as an unsolicited
+// response.
 func (c *client) keepAlive() {
 	l := &idleLink{end: c.end, gateway: c.gateway}
 	c.run.idle = append(c.run.idle, l)
@@ -79,7 +82,8 @@
 			c.run.clients.Update(id, func(t *requestrecord.Attempt) { t.Answers++ })
 		}
 		if l.end.ReadEnded() {
-			// What counts is when the gateway ended it, not when that shows.
+			// The time at which the gateway closed the connection decides, not the time at which the client
+			// notices.
 			if p := l.end.peer; p != nil && !l.end.cutByNetwork && p.endedAt > 0 && p.endedAt >= l.gateway.upgradeFrom &&
 				p.endedAt <= l.gateway.upgradeUntil {
 				c.run.addFinding(IdleClosedDuringUpgrade, id, "%s closed a link at rest during an upgrade", l.gateway.name)
@@ -105,7 +109,7 @@
 	c.inbox = append(c.inbox, c.end.Read(1<<20)...)
 	if len(c.inbox) > 0 {
 		if status, body, keep, extra, whole := parseResponse(c.inbox, c.end.fin); whole {
-			if extra { // an answer that nobody asked for
+			if extra { // an unsolicited response
 				c.run.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Answers++ })
 			}
 			c.handleResponse(status, body, keep && !extra)
--- a/internal/lab/simulation/assignments.go
+++ b/internal/lab/simulation/assignments.go
@@ -9,29 +9,32 @@
 	"thymebend/internal/lab/registry"
 )
 
-// Gateways that divide hosts by their view: what all of them together send a cold host is held against
-// its turns, and at the end of a day their assignments against each other.
+// Checks of gateways that divide the hosts by their membership view: the requests that all gateways together send
+// to a host in slow start are compared with its allowance, and at the end of the run the gateways' assignments are
+// compared with one another.
 
-// sharesProfile is gateways with a view that divide hosts, among troubles of both.
+// sharesProfile plays gateways with a membership view that divide the hosts, with faults of gateways, hosts and
+// datagrams.
 const sharesProfile = "shares"
 
-// Rules of assignments.
+// Rules about assignments.
 const (
-	SlowStartExceeded = "more than its turns" // sent a cold host in a window, by all gateways together
-	// of a host, at the end of a day without troubles: more than one whole, or nobody's
+	SlowStartExceeded = "more than its turns" // too many requests to a host in slow start in one window
+	// The gateways' shares of a host, at the end of a run and after a time without faults, add up to more or less
+	// than 1.
 	SharesDisagree = "portions do not agree"
-	NotDivided     = "nothing divided" // a gateway with a settled view goes by count and number
+	NotDivided     = "nothing divided" // a gateway whose view has converged still uses the division by count and rank
 )
 
-// warmRate is what a host of the plans does when it is warm, in requests a second of the class with the
+// warmRate is the throughput of a fully warmed-up host of the plans, in requests a second of the class with the
 // most work.
 const warmRate = 17.0
 
-// slowStartSlack is by how much arrivals may bunch up on their way, beyond the network's own jitter: a new
-// connection comes first.
+// slowStartSlack is by how much arrivals may bunch up on their way in addition to the network's jitter: on a new
+// connection, the handshake precedes the request.
 const slowStartSlack = 30 * time.Millisecond
 
-// slowStartArrivals is what one start of a host was sent while it was cold.
+// slowStartArrivals holds the requests that a host received during one slow start.
 type slowStartArrivals struct {
 	startedAt time.Duration
 	window    []time.Duration
@@ -39,8 +42,8 @@
 	exceeded  bool
 }
 
-// countSlowStart counts an arrival at a cold host: no window of the rule may hold more than what the host may get
-// at that time.
+// countSlowStart counts a request that arrives at a host in slow start. It records a finding if one window of the
+// rule holds more requests than the host may receive at that time.
 func (s *simulator) countSlowStart(h *host, now time.Duration) {
 	e, ok := s.discovery.list.Find(h.name)
 	if !s.plan.Shares || !ok || e.Born == 0 || s.views.done {
@@ -70,8 +73,7 @@
 	}
 }
 
-// checkAssignments holds what each gateway goes by against the others', after a time in which nothing
-// happened.
+// checkAssignments compares the gateways' assignments with one another, after a time without faults and traffic.
 func (s *simulator) checkAssignments() {
 	if !s.plan.Shares {
 		return
@@ -84,14 +86,14 @@
 		}
 		view, tracker := g.process.gw.Membership(), g.process.gw.AssignmentTracker()
 		if !view.Status(s.sim.Now()).Converged {
-			continue // the rules on views speak of that
+			continue // the rules about views cover a view that has not converged
 		}
 		if tracker == nil || tracker.Stage() == assignment.Waiting {
 			s.addFinding(NotDivided, g.name, "its view is settled, and its portion %v", stageOf(tracker))
 			continue
 		}
 		if tracker.Stage() != assignment.Settled {
-			continue // traffic that fades moves demand: both divisions count for a second
+			continue // demand shifts while traffic fades: the old and the new assignment both apply for a second
 		}
 		settled++
 		for _, u := range tracker.Assigned() {
--- a/internal/lab/simulation/build.go
+++ b/internal/lab/simulation/build.go
@@ -10,7 +10,8 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// buildExperiment is the fleet and the classes of every plan.
+// buildExperiment returns the cluster and the request classes, which are the same in every plan but for its sizes
+// and deadlines.
 func buildExperiment(p Plan) *experiment.File {
 	d := func(t time.Duration) experiment.Duration { return experiment.Duration{Duration: t} }
 	f := &experiment.File{Name: "seed"}
@@ -47,7 +48,8 @@
 	return f
 }
 
-// zone is where a host stands; one that replaces another stands where that stood.
+// zone returns the settings of the zone in which the host at an index runs. A replacement runs in the zone of its
+// predecessor.
 func (s *simulator) zone(index int) experiment.Hosts {
 	if s.plan.Zones == 0 {
 		return s.file.Hosts[0]
@@ -81,7 +83,8 @@
 	s.discovery.lag = msec(p.LagMS)
 	if p.Pushed {
 		for n := range p.Gateways {
-			s.discovery.agents = append(s.discovery.agents, &agent{server: s.discovery, gateway: n, list: s.discovery.list.Copy()})
+			s.discovery.agents = append(s.discovery.agents,
+				&agent{server: s.discovery, gateway: n, list: s.discovery.list.Copy()})
 		}
 	}
 	if p.Views {
@@ -92,7 +95,7 @@
 	}
 }
 
-// addHost starts a host; it takes over another's addresses if they are given.
+// addHost starts a host, at the given addresses if there are any.
 func (s *simulator) addHost(n int, addrs []netip.AddrPort, cold bool) {
 	spec := s.file.Spec(s.zone(n), n)
 	h := &host{run: s, index: n, name: spec.Name, spec: spec, record: requestrecord.NewEndpointRecord(spec.Name),
--- a/internal/lab/simulation/callqueue.go
+++ b/internal/lab/simulation/callqueue.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// CallQueue describes a discovery that works through calls one after another with a limited capacity. A
-// call whose gateway has given it up still costs its turn: discovery learns of the closed connection
-// only when it writes the answer.
+// CallQueue describes a discovery that answers calls one after another with limited capacity. A call that its
+// gateway has abandoned still costs its turn: discovery detects the closed connection only when it writes the
+// answer.
 type CallQueue struct {
-	// LinesPerSecond is the capacity. A call's work is CallLines and HostLines for each host on the
-	// line that answers it.
+	// LinesPerSecond is the capacity. The work of a call is CallLines, plus HostLines for each host in the line
+	// that answers it.
 	LinesPerSecond float64 `json:"lines_per_second"`
 	CallLines      float64 `json:"call_lines"`
 	HostLines      float64 `json:"host_lines,omitempty"`
-	// TimeoutMS bounds the wait for a turn: a call whose turn does not begin by then is answered 503,
-	// when the time-out has come, or at once with ShedAtOnce.
+	// TimeoutMS limits the wait in the queue: a call that could not be started by then is answered with 503, after
+	// that time or, with ShedAtOnce, immediately.
 	TimeoutMS  int  `json:"timeout_ms"`
 	ShedAtOnce bool `json:"shed_at_once,omitempty"`
-	// EndWatches is the chance that a watch ends when the list changes, instead of telling.
+	// EndWatches is the chance that a watch ends, instead of reporting the change, when the list changes.
 	EndWatches float64 `json:"end_watches,omitempty"`
-	// WholeFirst has each call answered with the whole list, which leaves out draining hosts.
+	// WholeFirst answers each call with the whole list, without draining hosts.
 	WholeFirst bool `json:"whole_first,omitempty"`
 }
 
-// clusterCalls is the discovery of the fleet profile: it answers 667 calls a second, whatever their lists.
+// clusterCalls is the discovery of the fleet profile: it answers 667 calls a second, whatever the length of the
+// lists.
 func clusterCalls() CallQueue {
 	return CallQueue{LinesPerSecond: 1000, CallLines: 1.5, TimeoutMS: 1000}
 }
 
-// check refuses what cannot be played.
+// check returns an error for settings that cannot be simulated.
 func (c CallQueue) check() error {
 	switch {
 	case c.LinesPerSecond <= 0:
@@ -42,18 +43,19 @@
 	return nil
 }
 
-// work is how long discovery works on a call that is answered with a number of hosts.
+// work returns how long discovery takes for a call whose answer names the given number of hosts.
 func (c CallQueue) work(hosts int) time.Duration {
 	return time.Duration((c.CallLines + c.HostLines*float64(hosts)) / c.LinesPerSecond * float64(time.Second))
 }
 
-// callQueue is the queue of calls: all of them are known by when the last is done.
+// callQueue is a queue of calls. Since calls are served in order, the time at which the last one ends describes it
+// wholly.
 type callQueue struct {
 	CallQueue
-	busyUntil time.Duration // with accepted calls until then
+	busyUntil time.Duration // when the last accepted call ends
 }
 
-// enqueue adds a call and tells when it is answered, and whether it is served then or refused with 503.
+// enqueue adds a call. It returns when the call is answered, and whether it is served then or refused with 503.
 func (q *callQueue) enqueue(now, work time.Duration) (at time.Duration, served bool) {
 	begin := max(q.busyUntil, now)
 	timeout := msec(q.TimeoutMS)
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -10,18 +10,18 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// timeoutSlack is how much later than its client timeout a client still looks, as for every time limit on
-// sockets.
+// timeoutSlack is how long a client waits for a response after its timeout; every time limit on sockets has this
+// slack.
 const timeoutSlack = 50 * time.Millisecond
 
-// deathNoticeDelay is how long the front goes on sending to a gateway that has died.
+// deathNoticeDelay is how long the front load balancer keeps sending to a gateway that has died.
 const deathNoticeDelay = time.Second
 
-// client is one try of one request.
+// client is one attempt by a client to make one request.
 type client struct {
 	run          *simulator
 	req          Request
-	number       int // of the request
+	number       int // index of the request in the plan
 	try          int
 	id           string
 	gateway      *gatewayNode
@@ -29,10 +29,10 @@
 	reused       bool // the connection carried a request before
 	inbox        []byte
 	ended        bool
-	sent         bool // its last byte is written
-	resent       bool // it was sent anew because the link closed without reading it
-	awaitedReset bool // for the reset that may follow an end
-	unsafeViews  bool // asks as for an unsafe view
+	sent         bool // the last byte of the request is written
+	resent       bool // the request was sent a second time because the connection closed without reading it
+	awaitedReset bool // the client has waited for the reset that may follow a close
+	unsafeViews  bool // the request is sent as for settings in which views are unsafe
 	pending      []byte
 }
 
@@ -63,7 +63,7 @@
 	c.dial()
 }
 
-// takeIdle takes an idle connection to a gateway.
+// takeIdle removes an idle connection to a gateway from the idle ones and returns it, or nil.
 func (s *simulator) takeIdle(gw *gatewayNode) *idleLink {
 	for i, l := range s.idle {
 		if l.gateway == gw && !l.end.ReadEnded() && len(l.end.inbox) == 0 {
@@ -125,7 +125,7 @@
 	return append(fmt.Appendf(head, "Content-Length: %d\r\n\r\n", len(body)), body...)
 }
 
-// chunked words a body in chunks.
+// chunked encodes a body in chunks.
 func chunked(body []byte) (out []byte) {
 	for len(body) > 0 {
 		n := min(len(body), 9973)
@@ -135,14 +135,14 @@
 	return append(out, "0\r\n\r\n"...)
 }
 
-// writePending writes what is left of a large request as there is room.
+// writePending writes as much of a large request as there is room for.
 func (c *client) writePending() {
 	n, err := c.end.Write(c.pending)
 	switch {
 	case err == unix.EAGAIN || err == nil && n < len(c.pending):
 		c.pending = c.pending[n:]
 	case err != nil:
-		c.pending = nil // what has come is read
+		c.pending = nil // a response that has arrived is still read
 	default:
 		c.pending = nil
 		c.markSent()
@@ -152,7 +152,7 @@
 func (c *client) write() {
 	text := c.encode()
 	switch c.req.Behaviour {
-	case "silent": // connects and says nothing
+	case "silent": // connects and sends nothing
 		c.run.sim.After(msec(c.req.TimeoutMS), func() { c.finish("said nothing") })
 		return
 	case "half":
@@ -190,11 +190,12 @@
 	c.markSent()
 }
 
-// stoppedClientDeadline is how soon a client that stops in the middle of a request is owed an error or a close.
+// stoppedClientDeadline is how soon a client that stops in the middle of a request must receive an error or a
+// close.
 const stoppedClientDeadline = 3 * time.Second
 
-// sendPart sends a part of a request in pieces, and then nothing more. Its client is owed an error or a
-// close from then on.
+// sendPart sends part of a request in the given number of pieces, then nothing more. After the last piece it
+// verifies that the client receives an error or a close within stoppedClientDeadline.
 func (c *client) sendPart(text []byte, pieces int) {
 	if c.ended {
 		return
@@ -205,7 +206,7 @@
 	case err != nil && err != unix.EAGAIN:
 		c.finish("closed")
 		return
-	case err == unix.EAGAIN || n < len(part): // there is no room: it has sent all that it can for now
+	case err == unix.EAGAIN || n < len(part): // no room: everything that can be sent for now is sent
 		c.run.sim.After(10*time.Millisecond, func() { c.sendPart(text[n:], pieces) })
 		return
 	case pieces > 1:
@@ -214,8 +215,9 @@
 	}
 	c.run.sim.After(stoppedClientDeadline+timeoutSlack, func() {
 		if !c.ended {
-			c.run.addFinding(StoppedClientUnanswered, c.id, "%s told a client that stopped neither an error nor a close within %v",
-				c.gateway.name, stoppedClientDeadline)
+			c.run.addFinding(StoppedClientUnanswered, c.id,
+				"%s told a client that stopped neither an error nor a close within %v", c.gateway.name,
+				stoppedClientDeadline)
 			c.finish("not heard")
 		}
 	})
@@ -244,11 +246,11 @@
 	c.run.sim.After(msec(c.req.TimeoutMS)+timeoutSlack, func() { c.finish("silence") })
 }
 
-// handleBroken ends a try whose link broke. What the gateway has not read is sent once more on a new link: a reset
-// without a byte of an answer tells so, unless the network was to blame.
+// handleBroken ends an attempt whose connection broke. A request that the gateway has not read is sent once more
+// on a new connection: a reset without a byte of a response indicates this, unless the network caused the reset.
 func (c *client) handleBroken(cause string) {
 	if c.reused && !c.resent && !c.awaitedReset && len(c.inbox) == 0 && c.end.fin && !c.end.reset {
-		// The end may have crossed the request; the reset that says so is a round trip behind it.
+		// The close may have crossed the request on the way; the reset that shows this arrives a round trip later.
 		c.awaitedReset = true
 		end := c.end
 		c.run.sim.After(3*(c.run.net.Latency+c.run.net.Jitter)+time.Millisecond, func() {
@@ -269,12 +271,12 @@
 		cause = "cut by the network"
 	}
 	if c.req.Pad > 0 && bytes.HasPrefix(c.inbox, []byte("HTTP/1.1 200")) && len(c.run.plan.Faults) > 0 {
-		cause = "half a large answer" // a host or gateway had its troubles, and the client can tell
+		cause = "half a large answer" // hosts or gateways had faults, and the client can detect the truncation
 	}
 	c.finish(cause)
 }
 
-// finish ends a try without an answer.
+// finish ends an attempt that got no response.
 func (c *client) finish(cause string) {
 	if c.ended {
 		return
@@ -295,11 +297,12 @@
 func (c *client) retry() {
 	if c.try < c.req.Retries {
 		r, n, try := c.req, c.number, c.try+1
-		c.run.sim.After(c.run.sim.Between(40*time.Millisecond, 300*time.Millisecond), func() { c.run.startRequest(n, r, try) })
+		c.run.sim.After(c.run.sim.Between(40*time.Millisecond, 300*time.Millisecond),
+			func() { c.run.startRequest(n, r, try) })
 	}
 }
 
-// pickGateway deals requests out in turn among the gateways that it does not know to be dead.
+// pickGateway selects, round-robin, a gateway that the front load balancer does not know to be dead or restarting.
 func (s *simulator) pickGateway() *gatewayNode {
 	for range s.gateways {
 		s.lastPicked++
--- a/internal/lab/simulation/clusterrates.go
+++ b/internal/lab/simulation/clusterrates.go
@@ -7,40 +7,41 @@
 	"thymebend/internal/lab/registry"
 )
 
-// Standing checks of a fleet: what all gateways together ask of one host or of discovery within one
-// second. A gateway alone keeps each of these easily; what is held here is the sum. Gateways choose
-// their hosts by zones, so hosts are counted by zones.
+// Rate checks of a large cluster: what all gateways together send to one host or to discovery within one second. A
+// single gateway stays far below these bounds; the checks apply to the sum. Gateways choose hosts by zone, so the
+// bounds for a host depend on its zone.
 
-// Rules of the sums.
+// Rules about rates.
 const (
-	TooManySends       = "too many sends"       // at one host in a second, by all gateways together
-	TooManyConnections = "too many connections" // opened at one host in a second
-	TooManyCalls       = "too many calls"       // at discovery in a second
+	TooManySends       = "too many sends"       // sent to one host in a second by all gateways together
+	TooManyConnections = "too many connections" // opened to one host in a second by all gateways together
+	TooManyCalls       = "too many calls"       // made to discovery in a second by all gateways together
 )
 
-// The sums in figures. Those at a host hold while half of the hosts of its zone are left. With half,
-// each has twice its part of the gateways, and the bounds leave half as much again; with fewer the
-// gateways have to use the same few, and sends and connections opened may grow as the hosts get fewer.
+// The bounds for a host apply while at least half of the hosts of its zone are serving. With half of them, each
+// host has twice its share of the gateways, and the bounds leave half as much again. With fewer, all gateways have
+// to use the same few hosts, and the bounds grow as the number of serving hosts falls.
 const (
-	// maxSendsPerSecond a second: a host of the plans does 25 of mean work and queues 14, and what it turns
-	// away has to be asked for before it is known to be full.
+	// maxSendsPerSecond is the bound on requests sent to one host. A host of the plans completes 25 requests a
+	// second of mean work and queues 14; those that it rejects must have been sent before the gateways know that
+	// it is full.
 	maxSendsPerSecond = 120
-	// maxConnectsPerSecond is one for each connection that it may hold, twice over: a second may see a host
-	// restart and all come back.
+	// maxConnectsPerSecond is twice the number of connections that a host may hold: within one second a host may
+	// restart and all its gateways reconnect.
 	maxConnectsPerSecond = 2 * maxConnections
 )
 
-// rateKey names a sum: a rule, and the host at which it holds.
+// rateKey identifies a counter: a rule, and the host to which it applies.
 type rateKey struct{ rule, host string }
 
-// clusterRates counts over the second under way.
+// clusterRates counts sends, connections and calls within the current second.
 type clusterRates struct {
 	run         *simulator
 	start       time.Duration
 	counts      map[rateKey]int
 	reported    map[rateKey]bool
-	loadFactors map[int]float64 // of each zone
-	peaks       map[string]int  // of each rule, over the run
+	loadFactors map[int]float64 // by zone, the highest of the current second
+	peaks       map[string]int  // by rule, over the run
 	calls       int
 	peakCalls   int // over the run
 }
@@ -50,8 +51,8 @@
 		loadFactors: make(map[int]float64), peaks: make(map[string]int)}
 }
 
-// loadFactor is how many times more gateways use a host of this zone than where half of the zone's hosts
-// run and are listed as up: 1 while so many are left.
+// loadFactor returns by what factor a host of the zone has more gateways than it would with half of the zone's
+// hosts running and listed as up. It is 1 while at least half of them are.
 func (s *simulator) loadFactor(zone int) float64 {
 	total, serving := 0, 0
 	for _, h := range s.hosts {
@@ -66,7 +67,7 @@
 	return max(1, float64(total)/float64(2*serving))
 }
 
-// advance begins a new second if one is over.
+// advance starts a new second if the current one is over.
 func (c *clusterRates) advance() {
 	if now := c.run.sim.Elapsed(); now-c.start >= time.Second {
 		c.start = now - now%time.Second
@@ -81,7 +82,8 @@
 
 func (c *clusterRates) countConnect(h *host) { c.count(TooManyConnections, h, maxConnectsPerSecond) }
 
-// count adds one to a host's sum under a rule, and finds it over its bound once in a second.
+// count adds one to a host's counter under a rule, and records a finding the first time in a second that it
+// exceeds its bound.
 func (c *clusterRates) count(rule string, h *host, limit int) {
 	if c == nil {
 		return
@@ -99,14 +101,14 @@
 	}
 }
 
-// maxLoadFactor is how strained a zone was at most in this second, as far as it was asked for: a zone that
-// had few hosts left may have more at each of them in all of it.
+// maxLoadFactor returns the zone's highest load factor of the current second, over the times at which it was
+// requested: if few hosts were serving, each of them may receive more for the whole second.
 func (c *clusterRates) maxLoadFactor(zone int) float64 {
 	c.loadFactors[zone] = max(c.loadFactors[zone], c.run.loadFactor(zone))
 	return c.loadFactors[zone]
 }
 
-// countCall counts a call at discovery. Each gateway may call twice in a second: once more after one that failed.
+// countCall counts a call to discovery. Each gateway may make two in a second: one more after a failed call.
 func (c *clusterRates) countCall() {
 	if c == nil {
 		return
--- a/internal/lab/simulation/datagrams.go
+++ b/internal/lab/simulation/datagrams.go
@@ -11,14 +11,14 @@
 	"thymebend/internal/loop"
 )
 
-// Sizes of the real loop's datagram sockets, and of a kernel's buffer.
+// Sizes of the real loop's datagram sockets and of a kernel's receive buffer.
 const (
 	maxDatagram        = 2048
 	datagramsPerRead   = 32
 	maxQueuedDatagrams = 256
 )
 
-// datagramSocket is a datagram socket.
+// datagramSocket is a simulated datagram socket of a process.
 type datagramSocket struct {
 	loop   *Loop
 	conn   loop.Conn
@@ -35,8 +35,8 @@
 
 func (s *datagramSocket) isReady() bool { return !s.paused && len(s.inbox) > 0 }
 
-// bind opens a datagram socket. Where two processes have one address the later one hears; the real
-// kernel deals them out.
+// bind opens a datagram socket. Where two processes bind the same address, the later one receives all datagrams;
+// the real kernel distributes them.
 func (l *Loop) bind(f loop.Effect) {
 	if l.descriptorsExhausted() {
 		l.queueEvent(loop.Event{Kind: loop.Broken, Conn: f.Conn, Err: unix.EMFILE})
@@ -64,7 +64,7 @@
 			}
 			d := s.inbox[0]
 			s.inbox = s.inbox[1:]
-			if len(d.data) > 0 && len(d.data) <= maxDatagram { // a longer one comes cut, and is dropped
+			if len(d.data) > 0 && len(d.data) <= maxDatagram { // a longer datagram arrives truncated and is dropped
 				l.queueEvent(loop.Event{Kind: loop.Data, Conn: s.conn, Data: d.data, From: d.from})
 			}
 		}
@@ -78,13 +78,13 @@
 	}
 }
 
-// orderedDatagramSockets returns the datagram sockets in order.
+// orderedDatagramSockets returns the datagram sockets in order of their connection numbers.
 func (l *Loop) orderedDatagramSockets() []*datagramSocket {
 	return slices.SortedFunc(maps.Values(l.datagrams),
 		func(a, b *datagramSocket) int { return cmp.Compare(a.conn, b.conn) })
 }
 
-// datagram carries one datagram, or loses, doubles or delays it. Each takes its own time, so they may
+// datagram carries one datagram, or loses, duplicates or delays it. Each has its own delay, so datagrams may
 // overtake one another.
 func (n *Net) datagram(from *datagramSocket, to netip.AddrPort, data []byte) {
 	copies := 1
@@ -97,7 +97,8 @@
 		}
 		n.sim.After(n.delay(), func() {
 			s := n.bound[to]
-			if s == nil || !s.loop.Running() || len(s.inbox) >= maxQueuedDatagrams || s.loop.silent != nil && *s.loop.silent {
+			if s == nil || !s.loop.Running() || len(s.inbox) >= maxQueuedDatagrams ||
+				s.loop.silent != nil && *s.loop.silent {
 				return
 			}
 			s.inbox = append(s.inbox, datagram{from.addr, data})
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -9,26 +9,26 @@
 	"thymebend/internal/lab/registry"
 )
 
-// heartbeatInterval is how often discovery writes an empty line while nothing changes.
+// heartbeatInterval is how often discovery writes an empty line to a watch while nothing changes.
 const heartbeatInterval = 2 * time.Second
 
-// moveGrace is how long the old address of discovery keeps its open connections after a move.
+// moveGrace is how long discovery keeps the open connections of its old address after a move.
 const moveGrace = 1500 * time.Millisecond
 
-// discovery plays discovery: the roster behind a listener for each gateway.
+// discoveryServer simulates discovery: the list of hosts behind one listener for each gateway.
 type discoveryServer struct {
 	run       *simulator
 	list      *registry.Registry
 	listeners []*Listener
 	addrs     []netip.AddrPort
 	port      uint16
-	watches   []*watch // open ones, oldest first
+	watches   []*watch // open watches, oldest first
 	down      bool
-	queue     *callQueue             // of calls, where each takes its time
-	deadlines *notificationDeadlines // with Plan.Calls
+	queue     *callQueue             // calls that wait for their turn; nil answers each at once
+	deadlines *notificationDeadlines // set with Plan.Calls
 	paused    bool
 	lag       time.Duration
-	agents    []*agent // where lists are pushed, by gateway
+	agents    []*agent // by gateway, where lists are pushed; else empty
 }
 
 type watch struct {
@@ -38,9 +38,9 @@
 	after       int
 	requested   bool
 	started     bool
-	notified    bool // its first line has gone out
+	notified    bool // the first line has been written
 	lastWrite   time.Duration
-	silentUntil time.Duration // it is written nothing until then
+	silentUntil time.Duration // nothing is written to the watch until then
 }
 
 func (d *discoveryServer) listen(gateway int) {
@@ -112,12 +112,12 @@
 	d.run.sim.At(at, func() { d.answer(c, served) })
 }
 
-// answersWholeList tells whether a watch is to be answered with the whole list without draining hosts.
+// answersWholeList reports whether a watch is answered next with the whole list without draining hosts.
 func (d *discoveryServer) answersWholeList(c *watch) bool {
 	return d.queue != nil && d.queue.WholeFirst && !c.notified
 }
 
-// hostsFor is how many hosts the next line of a watch names.
+// hostsFor returns how many hosts the next line for a watch names.
 func (d *discoveryServer) hostsFor(c *watch) int {
 	if d.answersWholeList(c) {
 		return d.listFor(c.gateway).ServingCount()
@@ -125,7 +125,7 @@
 	return d.listFor(c.gateway).ChangedCount(c.after)
 }
 
-// answer begins a watch, or refuses it.
+// answer starts a watch, or refuses it.
 func (d *discoveryServer) answer(c *watch, served bool) {
 	if c.end.closed || c.end.reset {
 		return
@@ -141,7 +141,7 @@
 	d.scheduleHeartbeat(c)
 }
 
-// notify writes what the watch has not been told.
+// notify writes the changes that the watch has not reported yet.
 func (d *discoveryServer) notify(c *watch) {
 	list := d.listFor(c.gateway)
 	if d.paused && len(d.agents) == 0 || d.run.sim.Now() < c.silentUntil || !c.started ||
@@ -158,11 +158,11 @@
 	}
 	c.after, c.notified = list.Seq(), true
 	d.write(c, line)
-	if len(d.agents) > 0 { // it was told when its agent was
+	if len(d.agents) > 0 { // the gateway was notified when its agent was
 		d.agents[c.gateway].writtenVersion, d.agents[c.gateway].writtenAt = list.Seq(), d.run.sim.Now()
 		return
 	}
-	// What a reset of the network has taken with it was not told; the watch that follows tells it.
+	// A line lost to a reset by the network does not count as notified; the following watch repeats it.
 	if d.run.gateways[c.gateway].up && !c.end.cutByNetwork {
 		d.list.Note(gatewayName(c.gateway), d.run.sim.Now())
 	}
@@ -211,7 +211,7 @@
 	}
 }
 
-// reset resets watches and returns how many.
+// reset resets the watches that match and returns their number.
 func (d *discoveryServer) reset(which func(*watch) bool) (count int) {
 	for _, c := range append([]*watch(nil), d.watches...) {
 		if which(c) {
@@ -223,12 +223,12 @@
 	return count
 }
 
-// resetOpen resets all watches that stand. Calls that wait in the queue stay there.
+// resetOpen resets all established watches. Calls that wait in the queue stay there.
 func (d *discoveryServer) resetOpen() {
 	d.deadlines.addCalls(d.reset(func(c *watch) bool { return c.notified }))
 }
 
-// silenceWatches has all watches that stand be written nothing for a while. Calls are answered as ever.
+// silenceWatches stops writing to all established watches for the given time. Calls are still answered.
 func (d *discoveryServer) silenceWatches(length time.Duration) {
 	count := 0
 	for _, c := range d.watches {
@@ -241,7 +241,7 @@
 	d.run.sim.After(length, d.notifyAll)
 }
 
-// endWatch ends a watch whose gateway then has to call again to hear of a change.
+// endWatch ends a watch whose gateway then has to call again to receive a change.
 func (d *discoveryServer) endWatch(c *watch) {
 	_, _ = c.end.Write([]byte("0\r\n\r\n"))
 	d.closeWatch(c)
--- a/internal/lab/simulation/draw.go
+++ b/internal/lab/simulation/draw.go
@@ -8,27 +8,27 @@
 	"strings"
 )
 
-// planDrawer is a plan under way. The order of its random draws must not change: kept seeds go on playing
-// what they did.
+// planDrawer is a plan that is being drawn. The order of its random draws must not change, so that known seeds
+// keep their plans.
 type planDrawer struct {
 	rng     *rand.Rand
 	plan    Plan
-	kinds   []string        // faults of the profile
-	enabled map[string]bool // those of this plan
-	length  int             // of the traffic, in ms
+	kinds   []string        // fault kinds of the profile
+	enabled map[string]bool // fault kinds of this plan
+	length  int             // duration of the traffic, in ms
 	rate    float64         // requests a second
 }
 
-// between draws an integer from a closed interval.
+// between draws an integer from the closed interval from low to high.
 func (d *planDrawer) between(low, high int) int { return low + d.rng.IntN(high-low+1) }
 
-// drawProfile draws what the profile has of its own.
+// drawProfile draws the settings that only the plan's profile has.
 func (d *planDrawer) drawProfile() {
 	p, rng := &d.plan, d.rng
 	switch p.Profile {
 	case coldReturnProfile:
 		if rng.IntN(2) == 0 {
-			p.Gateways = 4 + rng.IntN(13) // it is all gateways together that push a cold host over
+			p.Gateways = 4 + rng.IntN(13) // a host in slow start is overloaded only by many gateways together
 		}
 	case fleetProfile:
 		p.Gateways, p.Hosts, p.Zones = 100+rng.IntN(201), 60+rng.IntN(141), 2+rng.IntN(4)
@@ -54,8 +54,8 @@
 	}
 }
 
-// drawKinds turns a subset of the profile's faults on (swarm testing): faults that are always on
-// together hide one another.
+// drawKinds enables a random subset of the profile's fault kinds (swarm testing): faults that always occur
+// together mask one another.
 func (d *planDrawer) drawKinds() {
 	for _, kind := range d.kinds {
 		if d.rng.IntN(2) == 0 {
@@ -64,7 +64,7 @@
 	}
 }
 
-// drawNetwork draws what is wrong with the network.
+// drawNetwork draws the faults of the network.
 func (d *planDrawer) drawNetwork() {
 	p := &d.plan
 	if d.enabled["net-split"] {
@@ -93,7 +93,7 @@
 	}
 }
 
-// drawTraffic draws how long requests come and how many a second, and bounds the cost of an event.
+// drawTraffic draws the duration of the traffic and the request rate, and limits the processor time of an event.
 func (d *planDrawer) drawTraffic(size Size) {
 	p := &d.plan
 	d.length = d.between(6000, 14000)
@@ -101,9 +101,9 @@
 		d.length = 14000
 	}
 	if p.Profile == sharesProfile {
-		d.length += 8000 // membership settles in some seconds, and a host takes twelve to warm
+		d.length += 8000 // membership takes some seconds to converge, and a host's slow start lasts 12 s
 	}
-	d.rate = float64(p.Hosts) * (8 + 12*d.rng.Float64()) // of some 25 a second that a host can do
+	d.rate = float64(p.Hosts) * (8 + 12*d.rng.Float64()) // a host completes about 25 requests a second
 	if p.Profile == discoveryLoadProfile {
 		d.length, d.rate = d.between(24000, 32000), d.rate*0.4
 		p.Calls = p.drawCalls(d.enabled, d.rng)
@@ -111,20 +111,21 @@
 	if size.Requests > 0 {
 		d.length = max(2000, int(float64(size.Requests)/d.rate*1000))
 	}
-	// A slow processor is one thing, one that cannot do its work at all another: no rule can be kept on that.
+	// A slow processor is a fault that gateways have to handle; one that is overloaded for good could keep no
+	// rule.
 	const eventsOfRequest, surge, most = 20, 2.5, 0.6
 	p.CostUS = min(p.CostUS, int(most*1e6/(d.rate/float64(p.Gateways)*eventsOfRequest*surge)))
 }
 
-// drawFaults draws when which fault happens, and for how long.
+// drawFaults draws the time, kind and duration of each fault.
 func (d *planDrawer) drawFaults() {
 	p := &d.plan
-	times := 1 + (p.Hosts+p.Gateways)/20*d.length/20000 // faults are as dense in large runs
+	times := 1 + (p.Hosts+p.Gateways)/20*d.length/20000 // large runs have the same density of faults
 	for _, kind := range d.kinds {
 		if !d.enabled[kind] || drawnSeparately(kind) {
 			continue
 		}
-		d.enabled[kind] = false // some stand in a profile twice
+		d.enabled[kind] = false // a profile may list a kind twice
 		for range times * d.between(1, 3) {
 			p.Faults = append(p.Faults, d.drawFault(kind))
 		}
@@ -136,8 +137,8 @@
 	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return cmp.Compare(a.AtMS, b.AtMS) })
 }
 
-// drawnSeparately reports whether a kind of fault is none of a moment: it holds for the run, is drawn with the
-// requests, or befalls many at once.
+// drawnSeparately reports whether a fault kind has no start time of its own: it lasts for the whole run, is drawn
+// with the requests, or affects many hosts or gateways together.
 func drawnSeparately(kind string) bool {
 	for _, prefix := range [...]string{"net-", "flee", "load", "rude"} {
 		if strings.HasPrefix(kind, prefix) {
@@ -147,7 +148,7 @@
 	return kind == "surge" || kind == "bulk"
 }
 
-// drawFault draws one fault of a kind.
+// drawFault draws one fault of the given kind.
 func (d *planDrawer) drawFault(kind string) Fault {
 	f := Fault{AtMS: d.between(500, d.length-1000), Kind: kind, ForMS: d.between(200, 4000)}
 	switch target, _, _ := strings.Cut(kind, "-"); target {
@@ -182,7 +183,7 @@
 	return f
 }
 
-// drawRequests draws what clients ask, and when.
+// drawRequests draws the requests and their times.
 func (d *planDrawer) drawRequests() {
 	var rude []string
 	for _, kind := range d.kinds {
@@ -204,7 +205,7 @@
 	}
 }
 
-// drawRequest draws one request of a client, who may misbehave in one of several ways.
+// drawRequest draws one request, whose client may misbehave in one of the given ways.
 func (d *planDrawer) drawRequest(atMS int, rude []string) Request {
 	rng := d.rng
 	r := Request{AtMS: atMS, Unsafe: rng.Float64() < 0.36, TimeoutMS: d.between(1200, 2500),
@@ -230,10 +231,10 @@
 	return r
 }
 
-// Size overrides how large a run is drawn; zero leaves a figure to the seed.
+// Size overrides the drawn size of a run. A zero leaves a field to the seed.
 type Size struct{ Gateways, Hosts, Requests int }
 
-// check bounds a stated size.
+// check returns an error if the size is out of bounds.
 func (s Size) check() error {
 	gatewaysFit := s.Gateways >= 0 && s.Gateways <= maxGateways
 	hostsFit := s.Hosts >= 0 && s.Hosts <= maxHosts
@@ -244,10 +245,10 @@
 		maxRequests)
 }
 
-// Draw makes the plan of a seed. An empty profile takes one by the seed.
+// Draw returns the plan of a seed. With an empty profile, the seed also selects the profile.
 func Draw(seed uint64, profile string) (Plan, error) { return DrawSized(seed, profile, Size{}) }
 
-// DrawSized makes a plan of a stated size.
+// DrawSized is like Draw, with the given size in place of the drawn one.
 func DrawSized(seed uint64, profile string, size Size) (Plan, error) {
 	rng := rand.New(rand.NewPCG(seed, 0xd1ce))
 	all := Profiles()
@@ -277,11 +278,12 @@
 	return d.plan, nil
 }
 
-// drawClockError is how many seconds a machine's wall clock is ahead.
+// drawClockError draws by how many seconds a machine's wall clock is ahead.
 func drawClockError(rng *rand.Rand) int { return []int{-3600, 3600, -7, 0}[rng.IntN(4)] }
 
-// fleetFaults are what befalls many at once: every other host replaced within some seconds, seven in
-// ten gateways killed within moments, all hosts of a zone gone for seconds and back cold.
+// fleetFaults returns the faults that affect many hosts or gateways at once: every other host replaced within 0.5
+// to 4 s, seven in ten gateways killed within 0.3 s, or all hosts of a zone down for 1.5 to 4 s and back in slow
+// start.
 func (p *Plan) fleetFaults(on map[string]bool, between func(int, int) int) []Fault {
 	var list []Fault
 	if on["fleet-replace"] {
@@ -310,7 +312,7 @@
 	return list
 }
 
-// drawCalls is a discovery that needs 1 to 4 s for a call of each gateway, one in four up to 10 s.
+// drawCalls draws a discovery that needs 1 to 4 s to answer a call of every gateway; one in four needs up to 10 s.
 func (p *Plan) drawCalls(on map[string]bool, rng *rand.Rand) *CallQueue {
 	calls := &CallQueue{CallLines: float64(20 + rng.IntN(41)), HostLines: 1, TimeoutMS: 3000,
 		ShedAtOnce: on["load-at-once"], WholeFirst: on["load-whole"]}
@@ -325,7 +327,8 @@
 	return calls
 }
 
-// loadFaults are storms of calls at discovery with hosts that leave meanwhile, half of them at most.
+// loadFaults returns faults that make many gateways call discovery at once, with hosts that leave in the meantime;
+// at most half of the hosts leave.
 func (p *Plan) loadFaults(on map[string]bool, between func(int, int) int, length int) []Fault {
 	var list []Fault
 	leaving := 0
@@ -350,7 +353,7 @@
 	return list
 }
 
-// hostZones is how many zones have hosts.
+// hostZones returns the number of zones that have hosts.
 func (p *Plan) hostZones() int {
 	if p.HostlessZone {
 		return p.Zones - 1
@@ -358,5 +361,6 @@
 	return p.Zones
 }
 
-// zoneOfHost puts twice as many hosts into the first zone as into each other. Gateways are spread evenly.
+// zoneOfHost returns the zone of a host. The first zone gets twice as many hosts as each other one, while gateways
+// are distributed evenly.
 func zoneOfHost(n, zones int) int { return max(0, n%(zones+1)-1) }
--- a/internal/lab/simulation/effects.go
+++ b/internal/lab/simulation/effects.go
@@ -6,7 +6,7 @@
 	"thymebend/internal/loop"
 )
 
-// carryOut does what an effect asks for.
+// carryOut executes an effect that the reducer has returned.
 func (l *Loop) carryOut(f loop.Effect) {
 	switch f.Op {
 	case loop.Dial:
@@ -32,8 +32,8 @@
 	}
 }
 
-// carryOutOnConn does what an effect asks for on a socket of any kind. One that is closed meanwhile is
-// passed over.
+// carryOutOnConn executes an effect on a socket of any kind. An effect on a socket that has been closed is
+// ignored.
 func (l *Loop) carryOutOnConn(f loop.Effect) {
 	if p := l.listenSockets[f.Conn]; p != nil {
 		l.carryOutOnListenSocket(p, f)
@@ -50,12 +50,12 @@
 	}
 }
 
-// carryOutOnSocket does what an effect asks for on a connection.
+// carryOutOnSocket executes an effect on a connection.
 func (l *Loop) carryOutOnSocket(s *socket, f loop.Effect) {
 	switch f.Op {
 	case loop.PassSockets:
 		l.pass(s, f)
-	case loop.SendTo: // on what is no datagram socket: nothing is sent
+	case loop.SendTo: // not a datagram socket: nothing is sent
 	case loop.Read:
 		l.read(s)
 	case loop.Write:
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// This file carries out the faults of a plan.
+// This file injects the faults of a plan.
 
-// inject carries out one fault and has it undone after its time.
+// inject starts one fault and schedules its end.
 func (s *simulator) inject(f Fault) {
 	s.sim.Note("fault %s %d", f.Kind, f.Target)
 	undo := func(do func()) { s.sim.After(msec(f.ForMS), do) }
@@ -43,7 +43,7 @@
 	}
 }
 
-// injectAtDiscovery carries out a fault of discovery.
+// injectAtDiscovery starts a fault of discovery.
 func (s *simulator) injectAtDiscovery(f Fault, undo func(func())) {
 	switch f.Kind {
 	case "discovery-down":
--- a/internal/lab/simulation/gatewayfaults.go
+++ b/internal/lab/simulation/gatewayfaults.go
@@ -10,7 +10,7 @@
 	"thymebend/internal/loop"
 )
 
-// injectAtGateway carries out a fault of a gateway's process, one after another.
+// injectAtGateway starts a fault of a gateway's process, unless another fault of that process is in progress.
 func (s *simulator) injectAtGateway(f Fault, undo func(func())) {
 	if f.Target >= len(s.gateways) {
 		return
@@ -48,8 +48,8 @@
 	g.saveLastList()
 }
 
-// reload has a gateway read its configuration anew: one that moves discovery, or one that is cut off in
-// the middle.
+// reload makes a gateway read its configuration again: either one with a new address of discovery, or a truncated
+// file.
 func (s *simulator) reload(g *gatewayNode, faulty bool) {
 	if faulty {
 		s.reloadFaulty(g)
@@ -57,7 +57,7 @@
 	}
 	var fields map[string]any
 	if err := json.Unmarshal(g.configFile, &fields); err != nil {
-		return // the good file is not back yet
+		return // the complete file is not back yet
 	}
 	s.discovery.listen(g.index)
 	fields["discovery"] = s.discovery.addrs[g.index].String()
@@ -65,7 +65,7 @@
 	g.loop.Signal(loop.Reload)
 }
 
-// reloadFaulty has a gateway read a file that is cut off in the middle. The good one is back after 50 ms.
+// reloadFaulty makes a gateway read a truncated configuration file. The complete file is back after 50 ms.
 func (s *simulator) reloadFaulty(g *gatewayNode) {
 	good := g.configFile
 	g.configFile = good[:len(good)/2]
@@ -78,16 +78,17 @@
 	})
 }
 
-// upgrade starts the next process of a gateway beside the one that serves. A stillborn one dies within
-// its first moments.
+// upgrade starts a gateway's successor process beside the running one. With gateway-stillborn, the successor dies
+// within its first 3 ms.
 func (s *simulator) upgrade(g *gatewayNode, f Fault) {
 	predecessor := g.loop
 	g.predecessor = predecessor
 	g.up = false
-	g.upgradeFrom = math.MaxInt64 // neither process can know of the other before the next one has the listening socket
+	// Neither process can know of the other before the successor has the listening socket.
+	g.upgradeFrom = math.MaxInt64
 	g.start()
 	next := g.loop
-	// The kernel refuses what goes beyond the limit; none of the two may be driven to that by the other.
+	// The kernel refuses descriptors beyond the limit; neither process may be driven to the limit by the other.
 	var watch func()
 	watch = func() {
 		if g.predecessor != predecessor || !predecessor.Running() || !next.Running() {
@@ -103,7 +104,7 @@
 	if f.Kind == "gateway-stillborn" {
 		s.sim.After(time.Duration(s.sim.Rand.IntN(3000))*time.Microsecond, func() {
 			if next.Running() && predecessor.Running() {
-				g.kills = append(g.kills, s.sim.Now()) // the links that it has die with it
+				g.kills = append(g.kills, s.sim.Now()) // the successor's connections die with it
 				g.loop, g.predecessor, g.upgradeUntil = predecessor, nil, 0
 				next.Kill()
 				if s.views != nil {
@@ -130,16 +131,16 @@
 	})
 }
 
-// retune changes the settings of every gateway: views become unsafe and a class comes, or the other way
-// round. Clients go by the new ones 1.2 s later.
+// retune changes the settings of every gateway: views become unsafe and a class is added, or the reverse. Clients
+// use the new settings 1.2 s later.
 func (s *simulator) retune(f Fault) {
 	unsafeViews := !s.unsafeViews
 	for _, g := range s.gateways {
 		if !json.Valid(g.configFile) {
-			return // the good file is not back yet
+			return // the complete file is not back yet
 		}
 	}
-	s.file.Classes[0].Unsafe = unsafeViews // also for what starts from now on
+	s.file.Classes[0].Unsafe = unsafeViews // also for processes that start later
 	for _, g := range s.gateways {
 		var fields map[string]any
 		_ = json.Unmarshal(g.configFile, &fields) // it is valid
@@ -149,7 +150,7 @@
 			extra := maps.Clone(classes[0])
 			extra["repeat"] = "repeatable"
 			extra["name"] = fmt.Sprintf("new-%d", f.AtMS)
-			settings["classes"] = []map[string]any{extra, classes[1], classes[0]} // places move
+			settings["classes"] = []map[string]any{extra, classes[1], classes[0]} // the classes change their indices
 			settings["bounds"].(map[string]any)["most_tries"] = 2
 		}
 		fields["settings"] = settings
@@ -161,12 +162,12 @@
 	s.sim.After(1200*time.Millisecond, func() { s.unsafeViews = unsafeViews })
 }
 
-// term restarts a gateway as planned.
+// term performs a planned restart of a gateway: SIGTERM, the end of the process, then a new one.
 func (s *simulator) term(g *gatewayNode, f Fault) {
 	g.stops = append(g.stops, s.sim.Now())
 	g.loop.Signal(loop.Stop)
 	if s.views != nil {
-		s.views.history.Leaving(g.index, s.sim.Elapsed()) // it speaks no more
+		s.views.history.Leaving(g.index, s.sim.Elapsed()) // its membership sends nothing from now on
 	}
 	s.sim.After(withdrawDelay, func() { g.withdrawn = true })
 	life := g.generation
@@ -182,7 +183,8 @@
 				}
 			})
 		case tries == 0:
-			// The platform kills it now. What it had taken in time and not answered is lost by its own fault.
+			// The platform kills the process now. Requests that it accepted in time and has not answered count as
+			// lost by its own fault.
 			g.loop.Kill()
 			if s.views != nil {
 				s.views.ended(g.process.pid)
@@ -193,5 +195,5 @@
 			s.sim.After(100*time.Millisecond, func() { wait(tries - 1) })
 		}
 	}
-	wait(37) // the longest client timeout, the time to take more, and half a second
+	wait(37) // 3.7 s: the longest client timeout, the time to accept more requests, and half a second
 }
--- a/internal/lab/simulation/gatewaynode.go
+++ b/internal/lab/simulation/gatewaynode.go
@@ -14,37 +14,37 @@
 	"thymebend/internal/lab/registry"
 )
 
-// gatewayNode is a gateway's machine; its process may end and start again.
+// gatewayNode is a gateway's machine. Its process may end and start again.
 type gatewayNode struct {
 	run          *simulator
 	index        int
 	name         string
 	addr         netip.AddrPort
-	configFile   []byte // its configuration file
+	configFile   []byte // contents of its configuration file
 	loop         *Loop
-	predecessor  *Loop // the process before, while an upgrade lasts
+	predecessor  *Loop // the predecessor process during an upgrade
 	up           bool
-	withdrawn    bool // the front knows that it restarts
+	withdrawn    bool // the front load balancer sends it no requests, since it is about to restart
 	diedAt       time.Duration
-	lastList     *registry.Registry // the list that it had when it ended, where lists are pushed
-	upgradeFrom  time.Duration      // an upgrade lasts from then: its next process has the listening socket
-	upgradeUntil time.Duration      // until then
+	lastList     *registry.Registry // where lists are pushed: the list at the end of the last process
+	upgradeFrom  time.Duration      // an upgrade lasts from this time, when the successor has the listening socket,
+	upgradeUntil time.Duration      // to this time
 	kills        []time.Duration
 	stops        []time.Duration
-	halts        [][2]time.Duration // stopped from, to
+	halts        [][2]time.Duration // start and end of each halt
 	generation   int
-	// clockError is how far the machine's wall clock is ahead now. A process that runs does not notice
-	// a step.
+	// clockError is by how much the machine's wall clock is ahead at present. A running process does not notice a
+	// step of that clock.
 	clockError time.Duration
 
-	process, previous process // the one that was started last, and its predecessor
+	process, previous process // the latest process, and during an upgrade its predecessor
 }
 
-// start starts a gateway's process, which knows nothing but its last list.
+// start starts a gateway's process, which knows only the list saved by the previous one.
 func (g *gatewayNode) start() {
 	s := g.run
 	if g.up {
-		return // a kill within a planned restart: both would start it again
+		return // a kill during a planned restart: both would start the process again
 	}
 	cfg := g.configure()
 	g.up, g.withdrawn = true, false
@@ -65,7 +65,7 @@
 	g.loop.Run(s.wrap(gw))
 }
 
-// configure writes the gateway's configuration file and reads it as its process does.
+// configure writes the gateway's configuration file and parses it as the process does.
 func (g *gatewayNode) configure() config.Config {
 	s := g.run
 	conf, err := json.Marshal(map[string]any{
@@ -92,7 +92,7 @@
 	return cfg
 }
 
-// settings are the day's, with the gateway's zone.
+// settings returns the settings of the plan's experiment, with the gateway's zone.
 func (g *gatewayNode) settings() map[string]any {
 	settings := g.run.file.Settings(g.index)
 	if g.run.plan.Pushed {
@@ -118,7 +118,7 @@
 	return l
 }
 
-// exited notes the end of a process.
+// exited records the end of a process.
 func (g *gatewayNode) exited(l *Loop, pid int, err error) {
 	s := g.run
 	s.sim.Note("%s exits", g.name)
@@ -135,7 +135,7 @@
 	}
 }
 
-// otherDescriptors is how many descriptors the gateway's other process has, while an upgrade lasts.
+// otherDescriptors returns the number of descriptors of the gateway's other process during an upgrade.
 func (g *gatewayNode) otherDescriptors(l *Loop) int {
 	for _, other := range []*Loop{g.loop, g.predecessor} {
 		if other != nil && other != l && other.Running() {
@@ -145,7 +145,7 @@
 	return 0
 }
 
-// readFile is what the gateway's process reads at a path.
+// readFile returns the contents of a file that the gateway's process reads.
 func (g *gatewayNode) readFile(path string) ([]byte, error) {
 	views := g.run.views
 	switch {
@@ -157,21 +157,22 @@
 	return nil, os.ErrNotExist
 }
 
-// halted tells whether the gateway's process stands still.
+// halted reports whether the gateway's process is stopped, as by SIGSTOP.
 func (g *gatewayNode) halted() bool {
 	n := len(g.halts)
 	return n > 0 && g.run.sim.Now() < g.halts[n-1][1]
 }
 
-// saveLastList keeps the list that a gateway had when it ended, which is all that it has when it starts again.
+// saveLastList saves the list of a process that has ended; its successor has no other list when it starts.
 func (g *gatewayNode) saveLastList() {
-	if len(g.run.discovery.agents) > 0 && (g.lastList == nil || g.run.discovery.listFor(g.index).Seq() > g.lastList.Seq()) {
+	if len(g.run.discovery.agents) > 0 &&
+		(g.lastList == nil || g.run.discovery.listFor(g.index).Seq() > g.lastList.Seq()) {
 		g.lastList = g.run.discovery.listFor(g.index).Copy()
 	}
 	g.run.discovery.forget(g.index)
 }
 
-// initialList is the list that a gateway starts with.
+// initialList returns the list with which a process starts.
 func (g *gatewayNode) initialList() *registry.Registry {
 	if g.lastList != nil {
 		return g.lastList
@@ -179,11 +180,10 @@
 	return g.run.discovery.listFor(g.index)
 }
 
-// noteInitialList has the list that a gateway starts with and that of its agent, if that is newer,
-// count as notified now.
+// noteInitialList records as notified the list with which a process starts, and its agent's list if that is newer.
 func (g *gatewayNode) noteInitialList() {
 	list := g.run.discovery.listFor(g.index)
-	if g.lastList != nil && g.predecessor == nil { // the next process of an upgrade hears from its predecessor
+	if g.lastList != nil && g.predecessor == nil { // in an upgrade, the successor gets the list from its predecessor
 		now := list.Copy()
 		list.Follow(g.lastList)
 		list.Note(g.name, g.run.sim.Now())
@@ -194,7 +194,7 @@
 	}
 }
 
-// logger writes a gateway's log into the trace, where there is one. The hash does not take it in.
+// logger writes a gateway's log into the trace, if there is one. The hash does not include the log.
 func (g *gatewayNode) logger() zerolog.Logger {
 	if g.run.sim.trace == nil {
 		return zerolog.Nop()
@@ -202,7 +202,7 @@
 	return zerolog.New(logLine{g.run.sim}).Level(zerolog.InfoLevel).With().Str("name", g.name).Logger()
 }
 
-// checkedGateway is a process that ran, whose invariant checker is asked at the end.
+// checkedGateway is a gateway process of the run. Its invariant checker's counts are read at the end.
 type checkedGateway struct {
 	name    string
 	gateway *gateway.Gateway
@@ -210,7 +210,7 @@
 
 func gatewayName(n int) string { return fmt.Sprintf("g%d", n) }
 
-// logLine puts the time before each line of a log.
+// logLine prefixes each line of a log with the time since the start of the run, in microseconds.
 type logLine struct{ sim *Sim }
 
 func (l logLine) Write(line []byte) (int, error) {
--- a/internal/lab/simulation/hostfaults.go
+++ b/internal/lab/simulation/hostfaults.go
@@ -8,7 +8,7 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// injectAtHost carries out a fault of a host.
+// injectAtHost starts a fault of a host.
 func (s *simulator) injectAtHost(f Fault, h *host, undo func(func())) {
 	now := s.sim.Now()
 	switch f.Kind {
@@ -18,7 +18,7 @@
 		}
 		h.fail()
 		if f.Kind == "host-cold" {
-			// It is back when discovery tells so: of a restart that is over sooner no gateway can know.
+			// The host is back when discovery reports it: no gateway can know of a restart that is over sooner.
 			s.sim.After(s.discovery.lag+10*time.Millisecond, func() { s.restartHost(h, 0) })
 			return
 		}
@@ -52,12 +52,12 @@
 	}
 }
 
-// drain has a host announced as draining, then removed and stopped, and replaced where the fault says so.
+// drain announces a host as draining, removes and stops it later, and replaces it with host-replace.
 func (s *simulator) drain(h *host, f Fault) {
 	if !h.up || h.draining {
 		return
 	}
-	h.draining = true // who leaves does not come back: its address may soon be another's
+	h.draining = true // a draining host does not come back: its address may soon belong to another
 	s.announce(h, registry.Draining, false)
 	s.sim.After(s.discovery.lag+drainGrace+500*time.Millisecond, func() {
 		h.model.Drain(s.sim.Now(), true)
@@ -71,7 +71,7 @@
 	})
 }
 
-// retire ends a host that was removed, and puts another in its place if it is to be replaced.
+// retire stops a removed host, and starts a replacement at its index if replace is set.
 func (s *simulator) retire(h *host, replace bool) {
 	if h.removed {
 		return
@@ -85,8 +85,8 @@
 	}
 }
 
-// drainsFor is how long a host drains before it is removed. It is longer than a change takes to count
-// as notified where the rule on that is held.
+// drainsFor returns how long a host drains before it is removed. With a call queue, where the rule on late
+// notifications applies, this is longer than a change takes to count as notified.
 func (s *simulator) drainsFor(f Fault) time.Duration {
 	if s.plan.Calls == nil {
 		return 4 * time.Second
@@ -94,7 +94,7 @@
 	return msec(f.ForMS)
 }
 
-// restartHost brings a host back, cold, and has discovery tell so.
+// restartHost starts a stopped host again, in slow start, and announces it after the given lag.
 func (s *simulator) restartHost(h *host, lag time.Duration) {
 	if h.removed || h.up || h.draining {
 		return
@@ -106,7 +106,7 @@
 	s.discovery.lag = before
 }
 
-// addHostAt puts a new host with a name of its own in another's place, at its addresses.
+// addHostAt starts a host with a new name at another's index and addresses.
 func (s *simulator) addHostAt(index, n int, addrs []netip.AddrPort) {
 	spec := s.file.Spec(s.zone(index), n)
 	h := &host{run: s, index: index, name: spec.Name, spec: spec, record: requestrecord.NewEndpointRecord(spec.Name),
--- a/internal/lab/simulation/hosts.go
+++ b/internal/lab/simulation/hosts.go
@@ -18,7 +18,8 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// parseRequest takes one whole request from what a connection brought; ok is false while it is not whole.
+// parseRequest parses one complete request from the bytes that a connection has received, and returns the bytes
+// after it. ok is false while the request is incomplete.
 func parseRequest(in []byte) (r *http.Request, body []byte, remaining []byte, ok bool, err error) {
 	at := bytes.Index(in, []byte("\r\n\r\n"))
 	if at < 0 {
@@ -30,13 +31,13 @@
 		return nil, nil, in, false, err
 	}
 	if body, err = io.ReadAll(r.Body); err != nil {
-		return nil, nil, in, false, nil // more is to come
+		return nil, nil, in, false, nil // more bytes follow
 	}
 	unread := src.Len() + buffered.Buffered()
 	return r, body, in[len(in)-unread:], true, nil
 }
 
-// host is a host on the virtual network: the fleet's model behind a listener for each gateway.
+// host is a host on the simulated network: the laboratory's host model behind one listener for each gateway.
 type host struct {
 	run             *simulator
 	index           int
@@ -46,42 +47,43 @@
 	record          *requestrecord.EndpointRecord
 	listeners       []*Listener
 	addrs           []netip.AddrPort
-	conns           []*hostConn // open ones, oldest first
+	conns           []*hostConn // open connections, oldest first
 	waiting         map[uint64]*hostConn
-	timerNumber     uint64 // number of the timer that counts
+	timerNumber     uint64 // number of the current timer; earlier ones are ignored
 	silent          bool
 	up              bool
-	faultShares     map[string]float64 // of answers spoilt, by how
+	faultShares     map[string]float64 // share of faulty responses, by kind of fault
 	removed         bool
-	draining        bool // drains, for good
-	peakConnections int  // links at once
+	draining        bool // it drains and will not come back
+	peakConnections int  // most connections at one time
 	budget          slowStartArrivals
 }
 
-// maxConnections is how many all gateways of a fleet may have at one host: three times the twelve that
-// use it by their parts, for what reaches it and for several requests of one gateway.
+// maxConnections is how many connections all gateways of a cluster may have to one host. It is three times the
+// number of gateways that use the host by their assignments, twelve, since further gateways reach it at times and
+// one gateway may need several connections.
 const maxConnections = 36
 
 type hostConn struct {
 	end         *End
 	gateway     int
 	inbox       []byte
-	firstByteAt time.Duration // when the first byte of the request was sent
+	firstByteAt time.Duration // when the gateway sent the first byte of the current request
 	busy        bool
 	model       *hostmodel.Host
 	closing     bool
 	pad         int
 	chunks      bool
-	pending     []byte // of an answer, not yet taken
+	pending     []byte // rest of a response, not yet accepted by the connection
 }
 
-// zone is the number of the zone in which the host stands.
+// zone returns the number of the host's zone.
 func (h *host) zone() int { return zoneOfHost(h.index, h.run.plan.hostZones()) }
 
 func (h *host) start(cold bool) {
 	model, err := hostmodel.New(h.spec, h.run.sim.Rand.Uint64(), h.run.sim.Now(), cold, h.record)
 	if err != nil {
-		panic(err) // plans hold no such spec
+		panic(err) // plans contain no invalid spec
 	}
 	h.model, h.up, h.waiting = model, true, make(map[uint64]*hostConn)
 	h.listeners = nil
@@ -96,14 +98,15 @@
 	for e := l.Accept(); e != nil; e = l.Accept() {
 		c := &hostConn{end: e, gateway: gateway, model: h.model}
 		h.run.rates.countConnect(h)
-		if !h.model.Connected(h.run.sim.Now()) { // it holds no more
+		if !h.model.Connected(h.run.sim.Now()) { // the host holds no more connections
 			few := h.run.loadFactor(h.zone()) > 1
-			if len(h.conns) >= maxConnections && !few { // else it has fallen over, or is one of few left in its zone
+			if len(h.conns) >= maxConnections && !few { // else the host crashed, or few hosts of its zone are serving
 				by := make(map[int]int)
 				for _, x := range h.conns {
 					by[x.gateway]++
 				}
-				h.run.addFinding(HostConnectionsExceeded, h.name, "one more than %d connections, of %d gateways", len(h.conns), len(by))
+				h.run.addFinding(HostConnectionsExceeded, h.name, "one more than %d connections, of %d gateways",
+					len(h.conns), len(by))
 			}
 			e.Reset()
 			continue
@@ -115,7 +118,7 @@
 	}
 }
 
-// fail ends the process: its connections are reset, new ones refused.
+// fail ends the host's process: its connections are reset, new ones are refused.
 func (h *host) fail() {
 	if !h.up {
 		return
@@ -147,14 +150,14 @@
 	begun := c.end.firstSentAt
 	if data := c.end.Read(1 << 20); len(data) > 0 {
 		if len(c.inbox) == 0 {
-			c.firstByteAt = begun // a send's time starts at its first byte, however long it is on the way
+			c.firstByteAt = begun // a send is timed at its first byte, however long the bytes take
 		}
 		c.inbox = append(c.inbox, data...)
 	}
 	if !c.busy && !c.closing {
 		r, body, rest, whole, err := parseRequest(c.inbox)
 		switch {
-		// while a body comes
+		// the body is still incomplete
 		case err == nil && !whole && len(c.inbox) > 20_000 && h.run.sim.Chance(h.faultShares["host-cut"]/20):
 			c.end.Reset()
 			h.drop(c)
@@ -194,18 +197,18 @@
 	h.advance()
 }
 
-// write sends what the connection takes of an answer, and the rest as there is room.
+// write writes as much of a response as the connection accepts, and keeps the rest for later.
 func (h *host) write(c *hostConn, data []byte) {
 	c.pending = append(c.pending, data...)
 	if n, err := c.end.Write(c.pending); len(c.pending) > 0 && err != unix.EAGAIN {
 		c.pending = c.pending[n:]
 		if err != nil {
-			c.pending = nil // a connection that has ended takes nothing
+			c.pending = nil // a closed connection accepts nothing
 		}
 	}
 }
 
-// advance answers what is done and waits for the next.
+// advance answers the requests that are done and sets a timer for the next one.
 func (h *host) advance() {
 	now := h.run.sim.Now()
 	for _, r := range h.model.Advance(now) {
@@ -275,7 +278,8 @@
 	h.run.sim.After(0, func() { h.onReadable(c) })
 }
 
-// writeFaultyResponse writes a spoilt answer, and reports whether it did so; otherwise the good one follows.
+// writeFaultyResponse writes a faulty response of the given kind and returns true. It returns false if the correct
+// response is still to be written.
 func (h *host) writeFaultyResponse(c *hostConn, how string, whole, body []byte) bool {
 	switch how {
 	case "reset-before":
@@ -293,7 +297,7 @@
 	case "extra":
 		_, _ = c.end.Write(append(whole[:len(whole):len(whole)], whole...))
 		h.run.sim.After(0, func() { h.onReadable(c) })
-	case "bare-503": // it has run; only a refusal that says so never ran
+	case "bare-503": // the request has run; only a rejection with X-Never-Ran says that it has not
 		_, _ = c.end.Write([]byte("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"))
 		h.run.sim.After(0, func() { h.onReadable(c) })
 	case "interim":
@@ -323,7 +327,7 @@
 	return true
 }
 
-// setSilent cuts the machine off, or lets it speak again.
+// setSilent disconnects the machine from the network, or connects it again and delivers what was held back.
 func (h *host) setSilent(on bool) {
 	if h.silent = on; !on {
 		for _, c := range append([]*hostConn(nil), h.conns...) {
--- a/internal/lab/simulation/invariants.go
+++ b/internal/lab/simulation/invariants.go
@@ -11,14 +11,15 @@
 	"thymebend/internal/loop"
 )
 
-// This file holds what happened in a run against the rules.
+// This file compares what happened in a run with the rules.
 
 func (s *simulator) addFinding(rule, id, format string, args ...any) {
 	s.findings = append(s.findings, Finding{rule, id, fmt.Sprintf(format, args...)})
 	s.sim.Note("BROKEN %s: %s", rule, id)
 }
 
-// checkArrival holds every request against what its gateway had been told.
+// checkArrival verifies that a request was not sent to a host more than drainGrace after its gateway was notified
+// that the host drains or is removed.
 func (s *simulator) checkArrival(h *host, gateway int, id string, firstByteAt time.Duration) {
 	s.rates.countSend(h)
 	if notice, ok := s.discovery.notification(gateway, h.name); ok && firstByteAt-notice.At > drainGrace {
@@ -27,7 +28,7 @@
 	}
 }
 
-// stopAll ends the day with SIGTERM everywhere: each gateway must end by itself.
+// stopAll ends the run with SIGTERM to every gateway, and verifies that each process exits within shutdownLimit.
 func (s *simulator) stopAll() {
 	for _, l := range append([]*idleLink(nil), s.idle...) {
 		l.end.ready = nil
@@ -49,7 +50,8 @@
 	}
 }
 
-// checkIdle lets nothing happen for a while, and looks whether the gateways sleep and hold no more than at rest.
+// checkIdle lets quietPeriod pass without requests and faults. It verifies that the gateways hardly wake up and
+// hold no more timers than idle connections need.
 func (s *simulator) checkIdle() {
 	s.sim.Run(s.sim.Now() + quietPeriod/2)
 	before := make([]uint64, len(s.gateways))
@@ -75,8 +77,7 @@
 			}
 		}
 		sockets, timers := g.loop.OpenCounts()
-		// Each upstream connection at rest has a timer, each downstream connection too; the watch and
-		// the balancer have a few.
+		// Each idle upstream and downstream connection has a timer; the watch and the balancer have a few.
 		if most := 2*resting + sockets + 60; timers > most {
 			s.addFinding(Leaked, g.name, "%d timers with %d sockets and %d client links at rest", timers, sockets, resting)
 		}
@@ -118,7 +119,7 @@
 	}
 }
 
-// checkSuppressed finds what the gateways' guards suppressed.
+// checkSuppressed records a finding for every rule whose violation a gateway's invariant checker has suppressed.
 func (s *simulator) checkSuppressed() {
 	for _, process := range s.checkers {
 		violations := process.gateway.Violations()
--- a/internal/lab/simulation/link.go
+++ b/internal/lab/simulation/link.go
@@ -1,6 +1,6 @@
 package simulation
 
-// idleLink is a client connection at rest.
+// idleLink is an idle client connection.
 type idleLink struct {
 	end     *End
 	gateway *gatewayNode
--- a/internal/lab/simulation/loop.go
+++ b/internal/lab/simulation/loop.go
@@ -10,42 +10,43 @@
 	"thymebend/internal/loop"
 )
 
-// What the real loop has; the conformance suite holds this one to it.
+// Constants of the real loop, which the simulated loop must share; the conformance suite compares the two.
 const (
 	readSize           = 64 << 10
 	maxReady           = 256
 	maxAcceptPerTurn   = 64
 	backlog            = 1024
 	firstAccepted      = loop.Conn(1 << 63)
-	processDescriptors = 5 // descriptors of the process that are no sockets
+	processDescriptors = 5 // descriptors of the process that are not sockets
 )
 
 type socket struct {
 	conn           loop.Conn
 	end            *End
 	seq            uint64
-	readySeq       uint64 // when it became ready, in the order of the run; 0 while it is not
+	readySeq       uint64 // when it became ready, as a sequence number of the run; 0 while it is not ready
 	connecting     bool
 	dialDone       bool
 	dialErr        error
 	paused         bool
-	reportShutdown bool // while muted: the end of the peer's sending is to be told
+	reportShutdown bool // while paused: the peer's shutdown has to be reported
 	urgent         bool
 	pending        []byte
-	maybeReady     bool // is in the loop's list of those that may be ready
+	maybeReady     bool // it is in the loop's list of sockets that may be ready
 }
 
-// Loop is a gateway's process: the reducer on simulated sockets, timers, files, signals and descriptors.
+// Loop is the loop of a simulated gateway process. It runs the reducer on simulated sockets, timers, files,
+// signals and descriptors.
 type Loop struct {
 	sim               *Sim
 	net               *Net
 	reducer           loop.Reducer
 	Files             func(path string) ([]byte, error)
-	Sockets           int           // descriptors that the process may have; 0: no limit
+	Sockets           int           // limit on the process's descriptors; 0: no limit
 	EventCost         time.Duration // processor time of one event
-	PartialReadChance float64       // chance that a read brings less than has come
+	PartialReadChance float64       // chance that a read returns fewer bytes than have arrived
 
-	OtherDescriptors func() int // descriptors of the other process of this gateway
+	OtherDescriptors func() int // returns the number of descriptors of the gateway's other process
 	OnListen         func()     // called when the process has the clients' listening socket; may be nil
 
 	sockets
@@ -61,31 +62,31 @@
 	killed        bool
 	silent        *bool
 	onExit        func(error)
-	// ClockError is how far the machine's wall clock was ahead of the true time when the process began.
-	// The process's own clock starts there and is monotonic from then on.
+	// ClockError is by how much the machine's wall clock was ahead of the true time when the process started. The
+	// clock of the process starts with that error and is monotonic afterwards.
 	ClockError time.Duration
 }
 
-// sockets are what a process has open.
+// sockets holds the open sockets of a process.
 type sockets struct {
 	socks         map[loop.Conn]*socket
-	maybeReady    []*socket // of socks, those that may be ready
-	accepted      loop.Conn // number of the socket accepted last
+	maybeReady    []*socket // the sockets of socks that may be ready
+	accepted      loop.Conn // number of the last accepted socket
 	listenSockets map[loop.Conn]*listenSocket
-	offered       map[loop.Conn]*Listener // passed and not yet adopted
+	offered       map[loop.Conn]*Listener // received from another process and not yet adopted
 	datagrams     map[loop.Conn]*datagramSocket
 }
 
-// wakeSchedule is when a process runs next.
+// wakeSchedule holds when a process runs next.
 type wakeSchedule struct {
-	busy       time.Duration // until then the processor works on what came before
-	wakeNumber uint64        // number of the wake-up that counts
+	busy       time.Duration // end of the processor time of the events so far
+	wakeNumber uint64        // number of the current wake-up; earlier ones are ignored
 	wakeAt     time.Duration
 	asleep     bool
-	wakeups    uint64 // how often it woke up
+	wakeups    uint64 // number of times that the process woke up
 }
 
-// listenSocket is a listening socket.
+// listenSocket is one process's handle on a listening socket, which several processes may share.
 type listenSocket struct {
 	*Listener
 	loop   *Loop
@@ -94,10 +95,11 @@
 	paused bool
 }
 
-// endBehindData is told by the loop to itself: the end of what comes lies behind what was just read.
+// endBehindData is an event that the loop queues for itself: the peer's shutdown follows the data that was just
+// read.
 const endBehindData loop.Kind = 255
 
-// NewLoop starts a process.
+// NewLoop returns the loop of a new process. onExit is called when its reducer exits, with the error if it failed.
 func NewLoop(sim *Sim, net *Net, silent *bool, onExit func(error)) *Loop {
 	return &Loop{
 		sim: sim, net: net, silent: silent, onExit: onExit, byKey: make(map[loop.Timer]*timer),
@@ -109,7 +111,7 @@
 	}
 }
 
-// orderedListenSockets returns the open listening sockets in order.
+// orderedListenSockets returns the open listening sockets in order of their connection numbers.
 func (l *Loop) orderedListenSockets() []*listenSocket {
 	return slices.SortedFunc(maps.Values(l.listenSockets),
 		func(a, b *listenSocket) int { return cmp.Compare(a.conn, b.conn) })
@@ -123,7 +125,7 @@
 	l.sleep()
 }
 
-// Signal has the process told Stop or Reload.
+// Signal delivers a Stop or Reload signal to the process.
 func (l *Loop) Signal(k loop.Kind) {
 	l.signals = append(l.signals, k)
 	l.wake(l.sim.Now())
@@ -164,10 +166,10 @@
 	return all
 }
 
-// Running reports whether the process lives.
+// Running reports whether the process is alive.
 func (l *Loop) Running() bool { return !l.exited && !l.killed }
 
-// Halt stops the process for a while: nothing is done meanwhile, what comes waits.
+// Halt stops the process for the given time. Events that occur meanwhile wait.
 func (l *Loop) Halt(length time.Duration) {
 	l.busy = max(l.busy, l.sim.Now()+length)
 	if l.asleep {
@@ -176,13 +178,13 @@
 	}
 }
 
-// Wakeups is how often the process woke up; Held is how many sockets and timers it has.
+// Wakeups returns how often the process woke up.
 func (l *Loop) Wakeups() uint64 { return l.wakeups }
 
-// OpenCounts is the number of sockets and timers.
+// OpenCounts returns the numbers of connections and timers.
 func (l *Loop) OpenCounts() (sockets, timers int) { return len(l.socks), len(l.byKey) }
 
-// wake has a round run at a time, unless one will earlier.
+// wake schedules a round at the given time, unless one is scheduled earlier.
 func (l *Loop) wake(at time.Duration) {
 	if !l.Running() || l.reducer == nil {
 		return
@@ -202,14 +204,14 @@
 	})
 }
 
-// sleep waits for what is ready already, for the next timer, or for news.
+// sleep schedules the next round: now if something is ready, or when the next timer expires.
 func (l *Loop) sleep() {
 	if !l.Running() {
 		return
 	}
 	now := l.sim.Now()
-	if l.turnRequested || len(l.readySockets()) > 0 || l.listenerReady() || slices.ContainsFunc(l.orderedDatagramSockets(),
-		(*datagramSocket).isReady) {
+	if l.turnRequested || len(l.readySockets()) > 0 || l.listenerReady() ||
+		slices.ContainsFunc(l.orderedDatagramSockets(), (*datagramSocket).isReady) {
 		l.wake(now)
 		return
 	}
@@ -220,7 +222,8 @@
 	}
 }
 
-// round is one turn of the loop: what is urgent and signals, what else is ready, timers, Turn.
+// round is one turn of the loop. It delivers signals and events of urgent sockets, events of other sockets,
+// expired timers, and TurnEnd.
 func (l *Loop) round() {
 	l.wakeups++
 	l.turnRequested = false
@@ -228,7 +231,7 @@
 	waiting := slices.DeleteFunc(l.orderedListenSockets(), func(p *listenSocket) bool { return !p.isReady() })
 	received := slices.DeleteFunc(l.orderedDatagramSockets(), func(s *datagramSocket) bool { return !s.isReady() })
 	ready = ready[:min(len(ready), maxReady)]
-	for _, s := range ready { // level-triggered: what stays ready queues up anew
+	for _, s := range ready { // level-triggered: a socket that stays ready is queued again
 		l.seq++
 		s.readySeq = l.seq
 	}
@@ -241,7 +244,7 @@
 	l.sleep()
 }
 
-// queueEvent has the reducer told of something after what is queued already.
+// queueEvent queues an event for the reducer.
 func (l *Loop) queueEvent(e loop.Event) { l.events = append(l.events, e) }
 
 func (l *Loop) deliver() {
@@ -264,7 +267,8 @@
 	}
 }
 
-// resolveMore is the real loop's.
+// resolveMore replaces an endBehindData event with the event that the real loop reports then, and returns false if
+// it reports none.
 func (l *Loop) resolveMore(e *loop.Event) bool {
 	s := l.socks[e.Conn]
 	switch {
@@ -287,7 +291,7 @@
 	return l.Sockets > 0 && l.descriptors()+beside >= l.Sockets
 }
 
-// descriptors is how many descriptors the process has.
+// descriptors returns the number of descriptors of the process.
 func (l *Loop) descriptors() int {
 	return len(l.socks) + len(l.listenSockets) + len(l.offered) + len(l.datagrams) + processDescriptors
 }
--- a/internal/lab/simulation/loopsockets.go
+++ b/internal/lab/simulation/loopsockets.go
@@ -9,7 +9,7 @@
 	"thymebend/internal/loop"
 )
 
-// This file has the effects of sockets: what the kernel does in loop.Loop.
+// This file executes the effects on sockets: it simulates what the kernel does for loop.Loop.
 
 func (l *Loop) listen(f loop.Effect) {
 	if f.Path == "" && l.net.listeners[f.Addr] != nil {
@@ -25,7 +25,7 @@
 	}
 }
 
-// addListenSocket gives this process a listening socket, perhaps beside others.
+// addListenSocket gives this process a listening socket, which other processes may hold too.
 func (l *Loop) addListenSocket(p *listenSocket) {
 	p.loop = l
 	l.listenSockets[p.conn] = p
@@ -41,7 +41,7 @@
 	}
 }
 
-// closeListenSocket ends this process's part in a listening socket, which closes with the last.
+// closeListenSocket closes this process's handle on a listening socket. The socket closes with the last handle.
 func (l *Loop) closeListenSocket(p *listenSocket) {
 	delete(l.listenSockets, p.conn)
 	if p.holders = slices.DeleteFunc(p.holders, func(h *listenSocket) bool { return h == p }); len(p.holders) == 0 &&
@@ -50,7 +50,7 @@
 	}
 }
 
-// pass writes data on a Unix socket with others beside it.
+// pass writes data on a Unix socket, accompanied by other sockets.
 func (l *Loop) pass(s *socket, f loop.Effect) {
 	var rights []descriptor
 	for _, c := range f.PassConns {
@@ -79,7 +79,7 @@
 	l.write(s, f.Data[n:])
 }
 
-// adoptPassed gives this process the sockets that came beside what was read.
+// adoptPassed gives this process the sockets that accompanied the data just read.
 func (l *Loop) adoptPassed(e *End) (passed []loop.Conn) {
 	for _, r := range e.passed {
 		l.accepted++
@@ -125,7 +125,7 @@
 		l.markMaybeReady(s)
 		l.wake(l.sim.Now())
 	}
-	if s.isReady() { // what came before it was accepted
+	if s.isReady() { // data arrived before the connection was accepted
 		l.markMaybeReady(s)
 	}
 }
--- a/internal/lab/simulation/measure.go
+++ b/internal/lab/simulation/measure.go
@@ -12,20 +12,20 @@
 	"thymebend/internal/loop"
 )
 
-// AssignmentFigures are what a division of hosts by the fleet's view comes to in a run without other
-// troubles.
+// AssignmentFigures are the results of a run in which gateways divide the hosts by their membership view, without
+// faults other than those that are measured.
 type AssignmentFigures struct {
-	// from a host's going bad until 95% of the gateways that use it have ejected it or doubt it, by
-	// host; 0: never
+	// by host: time from when the host starts to fail until 95% of the gateways that use it have ejected it or
+	// doubt it; 0: never
 	Known  []time.Duration
-	Asked  int     // requests asked of hosts while they were bad
-	Bytes  float64 // a gateway sends in datagrams, a second, from the eighth second on
-	Cold   float64 // what cold hosts were sent, over what they may get
-	Refuse float64 // share of the tries
+	Asked  int     // requests sent to hosts while these failed
+	Bytes  float64 // bytes that a gateway sends in datagrams a second, from the eighth second on
+	Cold   float64 // requests sent to hosts in slow start, divided by what these may receive
+	Refuse float64 // rejected share of the attempts
 	Broken []Finding
 }
 
-// Times of the run that is measured.
+// Times of the measured run.
 const (
 	badFrom         = 9 * time.Second
 	badFor          = 8 * time.Second
@@ -34,9 +34,9 @@
 	badHosts        = 5
 )
 
-// MeasureAssignment plays gateways that divide hosts. Some hosts fail all requests from the ninth
-// second on, and as many are replaced with cold ones; without peer reports nobody names hosts found
-// bad. Once ctx is done it ends with ctx's error.
+// MeasureAssignment plays gateways that divide the hosts. Some hosts fail all requests from the ninth second on,
+// and as many are replaced with hosts in slow start. Without reports, no gateway reports the hosts that it has
+// found bad to the others. Once ctx is done, the run ends with ctx's error.
 func MeasureAssignment(ctx context.Context, seed uint64, gateways, hosts int, reports bool) (AssignmentFigures, error) {
 	p, err := assignmentPlan(seed, gateways, hosts)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return out, nil
 }
 
-// assignmentPlan is a run without other faults than those that are measured.
+// assignmentPlan returns the plan of a run with only the faults that are measured.
 func assignmentPlan(seed uint64, gateways, hosts int) (Plan, error) {
 	p, err := DrawSized(seed, sharesProfile, Size{Gateways: gateways, Hosts: hosts})
 	if err != nil {
@@ -80,13 +80,14 @@
 type assignmentMeasurement struct {
 	run           *simulator
 	hosts         int
-	reports       bool // gateways tell each other of hosts found bad
+	reports       bool // gateways report hosts found bad to one another
 	figures       AssignmentFigures
-	steadyBytes   int // of datagrams, while only the faults that are measured happen
+	steadyBytes   int // bytes of datagrams from steadyFrom until the hosts recover
 	used, allowed float64
 }
 
-// observe counts the bytes of datagrams, and takes reports out of them where there are to be none.
+// observe counts the bytes of datagrams, and removes the reports of bad hosts from them if the run is without
+// reports.
 func (m *assignmentMeasurement) observe(f *loop.Effect) {
 	if f.Op != loop.SendTo {
 		return
@@ -99,7 +100,7 @@
 	}
 }
 
-// schedule has the figures taken at their times.
+// schedule schedules the measurements.
 func (m *assignmentMeasurement) schedule() {
 	sim, start := m.run.sim, epoch+300*time.Millisecond
 	sim.At(start+badFrom, func() { m.countBadHostAttempts(-1) })
@@ -110,14 +111,14 @@
 	sim.At(start+badFrom+badFor+5*time.Second, m.sumSlowStart)
 }
 
-// countBadHostAttempts adds or subtracts what the bad hosts were asked so far.
+// countBadHostAttempts adds the number of requests that the bad hosts have received so far, multiplied by sign.
 func (m *assignmentMeasurement) countBadHostAttempts(sign int) {
 	for who := range badHosts {
 		m.figures.Asked += sign * m.run.hosts[who].record.Len()
 	}
 }
 
-// checkBadHosts notes which bad hosts are known by now.
+// checkBadHosts records the bad hosts that 95% of their gateways know by now.
 func (m *assignmentMeasurement) checkBadHosts(at time.Duration) {
 	for who := range badHosts {
 		if m.figures.Known[who] == 0 && m.run.knownShare(m.run.hosts[who]) >= 0.95 {
@@ -126,7 +127,7 @@
 	}
 }
 
-// sumSlowStart adds up what cold hosts were sent, and what they may get.
+// sumSlowStart sums the requests that hosts in slow start have received, and those that they may receive.
 func (m *assignmentMeasurement) sumSlowStart() {
 	for who := range badHosts {
 		h := m.run.hosts[m.hosts-1-who]
@@ -136,8 +137,8 @@
 	}
 }
 
-// knownShare is the share of the gateways that use a host which have ejected it themselves, or are told to
-// doubt it.
+// knownShare returns the share of a host's gateways that have ejected the host themselves or doubt it because of
+// other gateways' reports.
 func (s *simulator) knownShare(h *host) float64 {
 	id := discovery.Identity(h.name)
 	users, know := 0, 0
@@ -160,7 +161,7 @@
 	return float64(know) / float64(users)
 }
 
-// effectObserver sees each effect before it is carried out.
+// effectObserver observes each effect before it is carried out.
 type effectObserver struct {
 	loop.Reducer
 	observe func(*loop.Effect)
@@ -175,7 +176,7 @@
 	return list
 }
 
-// removeEjections is a datagram in which nobody names bad hosts.
+// removeEjections returns a datagram without the reports of bad hosts.
 func removeEjections(data []byte) []byte {
 	return rewriteClaims(data, func(c *gossipcodec.Claim) {
 		if s, err := loadreport.Parse(c.Payload); err == nil && len(s.Ejected) > 0 {
@@ -185,7 +186,7 @@
 	})
 }
 
-// rewriteClaims changes the claims of a datagram. One that no longer fits is left out.
+// rewriteClaims returns a datagram with changed claims. A claim that no longer fits is omitted.
 func rewriteClaims(data []byte, change func(*gossipcodec.Claim)) []byte {
 	m, err := gossipcodec.Parse(data)
 	if err != nil {
@@ -199,7 +200,8 @@
 	return out
 }
 
-// Median is the middle of the times, with those that never came last.
+// Median returns the median of the detection times; bad hosts that were never detected count as last. It returns
+// false if the median host was never detected.
 func (f AssignmentFigures) Median() (time.Duration, bool) {
 	list := slices.Clone(f.Known)
 	slices.SortFunc(list, func(a, b time.Duration) int {
--- a/internal/lab/simulation/net.go
+++ b/internal/lab/simulation/net.go
@@ -7,25 +7,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// sendBuffer is how many bytes may be under way or unread before a write takes no more.
+// sendBuffer is how many bytes may be in transit or unread before a write accepts no more.
 const sendBuffer = 200 << 10
 
-// Net is the network: listeners, and connections whose bytes take time and may be cut anywhere.
+// Net is the simulated network: listeners, and connections whose bytes take time and may be split at any byte.
 type Net struct {
 	sim            *Sim
 	listeners      map[netip.AddrPort]*Listener
-	paths          map[string]*Listener // Unix sockets, whose connections have no faults
+	paths          map[string]*Listener // Unix sockets; their connections have no faults
 	unix           *Net
 	Latency        time.Duration // one way
-	Jitter         time.Duration // more, at most
-	SplitChance    float64       // chance that a write arrives in pieces, cut at any byte
+	Jitter         time.Duration // maximum in addition to Latency
+	SplitChance    float64       // chance that a write arrives in pieces, split at any byte
 	ResetChance    float64       // chance that a write resets its connection at any of its bytes
-	LoseDialChance float64       // chance that a connection never comes up
+	LoseDialChance float64       // chance that a connection is never established
 
 	bound                   map[netip.AddrPort]*datagramSocket
 	LoseDatagramChance      float64
 	DuplicateDatagramChance float64
-	CutDatagrams            func(from, to netip.AddrPort) bool // one way; nil is no cut
+	CutDatagrams            func(from, to netip.AddrPort) bool // whether a direction is cut; nil: none is
 }
 
 // NewNet returns a network without faults.
@@ -35,13 +35,13 @@
 		paths: make(map[string]*Listener), unix: &Net{sim: sim, Latency: 20 * time.Microsecond}}
 }
 
-// descriptor is a socket passed by a Unix socket: a connection or a listener.
+// descriptor is a socket passed over a Unix socket: a connection or a listener.
 type descriptor struct {
 	end *End
 	ln  *Listener
 }
 
-// drop closes a socket that was passed and reached nobody.
+// drop closes a passed socket that reached no process.
 func (r descriptor) drop() {
 	if r.end != nil {
 		r.end.Close()
@@ -50,21 +50,22 @@
 	r.ln.endTransit()
 }
 
-// endTransit notes that a listener has arrived somewhere, or was dropped on the way.
+// endTransit records that a listener has arrived at a process or was dropped on the way.
 func (l *Listener) endTransit() {
 	if l.inTransit--; l.inTransit == 0 && len(l.holders) == 0 {
 		l.Close()
 	}
 }
 
-// ListenUnix takes the place at a path, whoever had it.
+// ListenUnix binds a path, even if another listener has it.
 func (n *Net) ListenUnix(path string, ready func()) *Listener {
 	l := &Listener{net: n, path: path, maxBacklog: backlog, ready: ready}
 	n.paths[path] = l
 	return l
 }
 
-// DialUnix connects at once, or not at all. The file of one who has left stays.
+// DialUnix connects at once or returns an error. The file of a closed listener remains, so that it refuses
+// connections.
 func (n *Net) DialUnix(path string) (*End, error) {
 	l := n.paths[path]
 	switch {
@@ -81,7 +82,7 @@
 	return a, nil
 }
 
-// Pass writes data with sockets beside its first byte.
+// Pass writes data accompanied by sockets, which arrive with its first byte.
 func (e *End) Pass(data []byte, rights []descriptor) (int, error) {
 	p := e.peer
 	p.deliver(func() {
@@ -96,17 +97,17 @@
 	return e.Write(data)
 }
 
-// Listener takes connections, as the kernel does, until its backlog is full.
+// Listener accepts connections until its backlog is full, as the kernel does.
 type Listener struct {
 	net        *Net
 	addr       netip.AddrPort
 	backlog    []*End
 	maxBacklog int
-	silent     *bool // the machine says nothing while it is set
+	silent     *bool // the machine neither sends nor receives while it is set
 	ready      func()
 	closed     bool
-	holders    []*listenSocket // the processes that have it; it closes with the last
-	inTransit  int             // how often it is being passed
+	holders    []*listenSocket // the processes that hold it; it closes with the last one
+	inTransit  int             // number of messages in transit that pass it
 	path       string          // of a Unix socket
 }
 
@@ -115,29 +116,29 @@
 	net          *Net
 	peer         *End
 	inbox        []byte
-	firstSentAt  time.Duration // when the first of these bytes was sent
-	fin          bool          // the peer's sending has ended
+	firstSentAt  time.Duration // when the first byte of inbox was sent
+	fin          bool          // the peer has shut down its sending side
 	reset        bool
-	cutByNetwork bool // the network has reset it, neither end did
+	cutByNetwork bool // the network caused the reset, neither end did
 	closed       bool
-	writeClosed  bool          // our sending has ended
-	endedAt      time.Duration // then; 0 while it has not
-	space        int           // bytes that the connection still takes from us
+	writeClosed  bool          // this end has shut down its sending side
+	endedAt      time.Duration // time of the shutdown or reset by this end; 0 before
+	space        int           // number of bytes that the connection still accepts from this end
 	lastDelivery time.Duration
-	silent       *bool        // this end's machine says nothing while it is set
-	undelivered  []func()     // what is on the way to a silent machine
-	ready        func()       // something came, or there is room again
-	passed       []descriptor // sockets passed beside what has come
+	silent       *bool        // this end's machine neither sends nor receives while it is set
+	undelivered  []func()     // deliveries held back from a silent machine
+	ready        func()       // called when something has arrived or there is room again
+	passed       []descriptor // sockets passed with the bytes of inbox
 }
 
-// Listen opens a listener. ready is called when a connection waits.
+// Listen opens a listener. ready is called when a connection waits to be accepted.
 func (n *Net) Listen(addr netip.AddrPort, backlog int, silent *bool, ready func()) *Listener {
 	l := &Listener{net: n, addr: addr, maxBacklog: backlog, silent: silent, ready: ready}
 	n.listeners[addr] = l
 	return l
 }
 
-// Close closes a listener; what waits in its backlog is reset.
+// Close closes a listener and resets the connections in its backlog.
 func (l *Listener) Close() {
 	if l.closed {
 		return
@@ -152,7 +153,7 @@
 	l.backlog = nil
 }
 
-// Accept takes a waiting connection, or nil.
+// Accept returns the connection that has waited longest, or nil.
 func (l *Listener) Accept() *End {
 	if len(l.backlog) == 0 {
 		return nil
@@ -164,8 +165,8 @@
 
 func (n *Net) delay() time.Duration { return n.Latency + n.sim.Between(0, n.Jitter) }
 
-// Dial connects. done is called once it is known how that ended; it never is where nobody answers. The end is
-// valid at once: closing it gives the attempt up.
+// Dial connects to an address. done is called once the connection is established or refused, and never if nothing
+// answers. The returned end is valid at once: closing it abandons the attempt.
 func (n *Net) Dial(addr netip.AddrPort, silent *bool, done func(err error)) *End {
 	a := &End{net: n, space: sendBuffer, silent: silent}
 	lost := n.sim.Chance(n.LoseDialChance)
@@ -197,7 +198,7 @@
 	return a
 }
 
-// deliver has something reach an end in the order in which it was sent.
+// deliver calls do at this end after the network's delay, in the order in which things were sent to it.
 func (e *End) deliver(do func()) {
 	at := max(e.lastDelivery, e.net.sim.Now()+e.net.delay())
 	e.lastDelivery = at
@@ -210,12 +211,12 @@
 	})
 }
 
-// isSilent reports that one of the two machines says and hears nothing.
+// isSilent reports whether one of the two machines neither sends nor receives.
 func (e *End) isSilent() bool {
 	return e.silent != nil && *e.silent || e.peer != nil && e.peer.silent != nil && *e.peer.silent
 }
 
-// DeliverHeld delivers what was on its way to a machine that was silent.
+// DeliverHeld delivers what was held back while a machine was silent.
 func (e *End) DeliverHeld() {
 	held := e.undelivered
 	e.undelivered = nil
@@ -230,7 +231,7 @@
 	}
 }
 
-// Write sends what the connection takes now.
+// Write sends as many bytes as the connection accepts now.
 func (e *End) Write(data []byte) (int, error) {
 	switch {
 	case e.reset:
@@ -274,7 +275,7 @@
 		}
 		switch {
 		case p.reset:
-		case p.closed: // nobody is there to read it
+		case p.closed: // no process is there to read it
 			e.deliver(func() { e.receiveReset() })
 		default:
 			p.inbox = append(p.inbox, data...)
@@ -290,7 +291,7 @@
 	}
 }
 
-// Read takes at most so many bytes of what has come, and makes room for as many at the peer.
+// Read removes at most limit bytes from the inbox, and makes room for as many at the peer.
 func (e *End) Read(limit int) []byte {
 	n := min(limit, len(e.inbox))
 	data := e.inbox[:n:n]
@@ -305,7 +306,7 @@
 	return data
 }
 
-// CloseWrite ends our sending.
+// CloseWrite shuts down this end's sending side.
 func (e *End) CloseWrite() {
 	if e.writeClosed || e.closed || e.peer == nil {
 		return
@@ -318,7 +319,7 @@
 	})
 }
 
-// Close ends the connection. Bytes that lie unread make it a reset, as the kernel does.
+// Close closes this end. Unread bytes turn the close into a reset, as in the kernel.
 func (e *End) Close() {
 	if e.closed {
 		return
@@ -335,7 +336,7 @@
 	e.closed = true
 }
 
-// Reset ends the connection at once.
+// Reset closes this end with a reset.
 func (e *End) Reset() {
 	if e.closed {
 		return
@@ -349,5 +350,5 @@
 	}
 }
 
-// ReadEnded reports that the connection has ended for this end's reader, with all bytes read.
+// ReadEnded reports whether the connection has ended for this end's reader and all bytes are read.
 func (e *End) ReadEnded() bool { return len(e.inbox) == 0 && (e.fin || e.reset) }
--- a/internal/lab/simulation/notificationdeadlines.go
+++ b/internal/lab/simulation/notificationdeadlines.go
@@ -6,47 +6,46 @@
 	"thymebend/internal/lab/registry"
 )
 
-// The rule on drains for a discovery that works through calls in turn: a change counts as notified to
-// every gateway at the latest 6 s after discovery had it and could be reached, whatever has become of
-// the gateway's calls. The settings' grace comes on top. A gateway that was told sooner has to keep to
-// it from then on.
+// The rule on drains for a discovery with a call queue: a change counts as notified to every gateway 6 s after
+// discovery has it and can be reached, at the latest, whatever happened to the gateway's calls. The grace period
+// of the settings is added. A gateway that is notified earlier has to act on the change from then on.
 //
-// Excluded is what no gateway could do: where discovery's capacity does not suffice to answer, within
-// that time, all the calls that it has caused itself. These are the calls of gateways whose watches it
-// ended, reset or let fall silent, and the first calls of all gateways. They need gateways x work of a
-// call / capacity, added up where one storm follows another before the work is done. The change then
-// counts as notified silenceNoticed + workStretch x that time after discovery had it, if that is later
-// than 6 s. Calls that gateways begin again by their own decision extend nothing.
+// An exception covers what no gateway can achieve: discovery's capacity may not suffice to answer, within that
+// time, the calls that discovery has caused itself. These are the calls of gateways whose watches it ended, reset
+// or let fall silent, and the first calls of all gateways. They need gateways x work of a call / capacity, added
+// up where one burst of calls follows another before the work is done. The change then counts as notified
+// silenceDetection + workStretch x that time after discovery has it, if that is later than 6 s. Calls that
+// gateways repeat by their own decision extend nothing.
 //
-// A discovery that is down or mute is not played with this rule: no fault of the profile is one.
+// The rule does not cover a discovery that is down or paused: the profile has no such fault.
 const (
 	notificationLimit = 6 * time.Second
-	silenceDetection  = 2800 * time.Millisecond // a missed beat, 2.4 s, and the spread of the calls after it, 0.4 s
-	workStretch       = 1.5                     // refused calls come again up to 1.5 s later, in no order
+	silenceDetection  = 2800 * time.Millisecond // a missed heartbeat, 2.4 s, and the jitter of the calls after it, 0.4 s
+	workStretch       = 1.5                     // refused calls are repeated up to 1.5 s later, in no order
 )
 
-// departure is a host that drains or is gone, and when that counts as notified at the latest.
+// departure is a host that drains or is removed, with the time at which this counts as notified at the latest.
 type departure struct {
 	host     string
 	state    string
 	deadline time.Duration
 }
 
-// notificationDeadlines keeps when changes count as notified at the latest.
+// notificationDeadlines holds when changes count as notified at the latest.
 type notificationDeadlines struct {
 	sim        *Sim
 	work       time.Duration // of one call
-	busyUntil  time.Duration // with the calls that discovery caused, if none is wasted
-	departures []departure   // in the order in which they came
+	busyUntil  time.Duration // end of the work on calls that discovery caused, if no call is wasted
+	departures []departure   // in order of their announcement
 }
 
-// allowance is the time that gateways have from now on.
+// allowance returns the time that gateways have from now on to receive a change.
 func (n *notificationDeadlines) allowance() time.Duration {
 	backlog := max(0, n.busyUntil-n.sim.Now())
 	return max(notificationLimit, silenceDetection+time.Duration(workStretch*float64(backlog)))
 }
 
-// recordChange notes a change of the list.
+// recordChange records a change of the list.
 func (n *notificationDeadlines) recordChange(e registry.Entry) {
 	if n == nil {
 		return
@@ -58,15 +57,15 @@
 		if e.State == registry.Up {
 			n.departures = append(n.departures[:i:i], n.departures[i+1:]...)
 		}
-		return // the first notice of its leaving counts
+		return // the first notice of the departure counts
 	}
 	if e.State != registry.Up {
 		n.departures = append(n.departures, departure{e.Host, e.State, n.sim.Now() + n.allowance()})
 	}
 }
 
-// addCalls notes calls that discovery has caused, which put off what does not yet count as notified where
-// there are too many.
+// addCalls records calls that discovery has caused. If there are too many to answer within the limit, they extend
+// the deadlines that have not passed.
 func (n *notificationDeadlines) addCalls(calls int) {
 	if n == nil || calls == 0 {
 		return
@@ -83,8 +82,8 @@
 	}
 }
 
-// overdue is when a host's leaving counts as notified at the latest; ok is false if it does not leave
-// or the time is not over.
+// overdue returns when a host's departure counted as notified at the latest; ok is false if the host does not
+// leave or the deadline has not passed.
 func (n *notificationDeadlines) overdue(host string) (at registry.Notification, ok bool) {
 	if n == nil {
 		return registry.Notification{}, false
--- a/internal/lab/simulation/plan.go
+++ b/internal/lab/simulation/plan.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// Fault is something that goes wrong at a time. Times are milliseconds after the run's begin.
+// Fault is a fault that starts at a given time. Times are in milliseconds after the start of the traffic.
 type Fault struct {
 	AtMS    int     `json:"at_ms"`
 	Kind    string  `json:"do"`
-	Target  int     `json:"who"`    // number of the host or gateway
+	Target  int     `json:"who"`    // index of the host or gateway
 	ForMS   int     `json:"for_ms"` // until it is undone
 	Share   float64 `json:"share,omitempty"`
 	Variant string  `json:"what,omitempty"`
 }
 
-// Request is what one client asks.
+// Request is one client's request.
 type Request struct {
 	AtMS      int    `json:"at_ms"`
 	Unsafe    bool   `json:"unsafe,omitempty"`
 	TimeoutMS int    `json:"patience_ms"`
 	Retries   int    `json:"retries,omitempty"`
-	Behaviour string `json:"act,omitempty"` // "" as it should; leave, trickle, half, garbage, silent, stop
-	// SentShare is the share of the request that a client sends that stops, in Pieces of PauseMS apart.
+	Behaviour string `json:"act,omitempty"` // "": well-behaved; else leave, trickle, half, garbage, silent or stop
+	// SentShare is the share of the request that a client sends before it stops, in Pieces that are PauseMS apart.
 	SentShare     float64 `json:"sends,omitempty"`
 	Pieces        int     `json:"pieces,omitempty"`
 	PauseMS       int     `json:"pause_ms,omitempty"`
-	Body          int     `json:"body,omitempty"`   // bytes of a bid's body, past the usual
-	Pad           int     `json:"pad,omitempty"`    // bytes that the host adds to its answer
-	Chunks        bool    `json:"chunks,omitempty"` // both in chunks
+	Body          int     `json:"body,omitempty"`   // bytes of a bid's body in addition to the usual ones
+	Pad           int     `json:"pad,omitempty"`    // bytes that the host adds to its response
+	Chunks        bool    `json:"chunks,omitempty"` // both the body and the response are chunked
 	NewConnection bool    `json:"fresh,omitempty"`
 }
 
-// Plan is a whole run: what it consists of, and every fault and request in it.
+// Plan is a whole run: its sizes and settings, and every fault and request.
 type Plan struct {
 	Seed     uint64 `json:"seed"`
 	Profile  string `json:"profile"`
@@ -45,41 +45,41 @@
 	NetworkPlan
 	CostUS       int  `json:"cost_us,omitempty"`
 	Cold         bool `json:"cold,omitempty"`
-	Zones        int  `json:"zones,omitempty"`  // of a fleet; 0 is one zone for all
-	HostlessZone bool `json:"barren,omitempty"` // the last zone has gateways and no hosts
-	Views        bool `json:"views,omitempty"`  // gateways know of each other
-	Shares       bool `json:"shares,omitempty"` // and divide hosts among them, with Views
-	Pushed       bool `json:"pushed,omitempty"` // lists come by an agent on each gateway's machine
-	// DeadlineMS is the longest deadline of every class; 0 is the usual ones.
+	Zones        int  `json:"zones,omitempty"`  // in a run with zones; 0: one zone for all
+	HostlessZone bool `json:"barren,omitempty"` // the last zone has gateways but no hosts
+	Views        bool `json:"views,omitempty"`  // gateways have a membership view of one another
+	Shares       bool `json:"shares,omitempty"` // with Views: gateways also divide the hosts among them
+	Pushed       bool `json:"pushed,omitempty"` // an agent on each gateway's machine receives the lists
+	// DeadlineMS is the longest deadline of every class; 0 keeps the usual ones.
 	DeadlineMS int `json:"deadline_ms,omitempty"`
-	// ClockErrors are how many seconds the machines' wall clocks are ahead at the begin, by gateway.
+	// ClockErrors holds, by gateway, how many seconds its machine's wall clock is ahead at the start.
 	ClockErrors []int `json:"clock_errors_s,omitempty"`
-	// Calls is how discovery works through calls; nil answers each at once.
+	// Calls describes discovery's call queue; nil answers each call at once.
 	Calls    *CallQueue `json:"calls,omitempty"`
 	Faults   []Fault    `json:"faults"`
 	Requests []Request  `json:"requests"`
 }
 
-// NetworkPlan is how the network behaves. Chances are 0 to 1.
+// NetworkPlan describes the network. Chances are from 0 to 1.
 type NetworkPlan struct {
 	LatencyUS          int     `json:"latency_us"`
 	JitterUS           int     `json:"jitter_us"`
 	Split              float64 `json:"split,omitempty"`      // chance that a write arrives in pieces
-	PartialReads       float64 `json:"partial,omitempty"`    // chance that a read brings less than has come
-	Resets             float64 `json:"resets,omitempty"`     // chance that a connection is reset
-	LoseDials          float64 `json:"lose_dials,omitempty"` // chance that a connection never comes up
+	PartialReads       float64 `json:"partial,omitempty"`    // chance that a read returns fewer bytes than have arrived
+	Resets             float64 `json:"resets,omitempty"`     // chance that a write resets its connection
+	LoseDials          float64 `json:"lose_dials,omitempty"` // chance that a connection is never established
 	LoseDatagrams      float64 `json:"lose_datagrams,omitempty"`
 	DuplicateDatagrams float64 `json:"double_datagrams,omitempty"`
 }
 
-// Bounds of a plan's size. The addresses of the virtual network have room for so many gateways.
+// Bounds of a plan's size. The simulated network has addresses for this many gateways.
 const (
 	maxGateways = 500
 	maxHosts    = 1000
 	maxRequests = 10_000_000
 )
 
-// ReadPlan reads a kept plan.
+// ReadPlan reads a saved plan.
 func ReadPlan(path string) (Plan, error) {
 	var p Plan
 	raw, err := os.ReadFile(path)
@@ -100,7 +100,7 @@
 	return p, nil
 }
 
-// Write keeps a plan.
+// Write saves a plan.
 func (p Plan) Write(path string) error {
 	raw, err := json.MarshalIndent(p, "", " ")
 	if err != nil {
--- a/internal/lab/simulation/profiles.go
+++ b/internal/lab/simulation/profiles.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// The faults of each profile. A run turns a random subset of them on.
+// profiles returns the fault kinds of each profile. A run enables a random subset of them.
 func profiles() map[string][]string {
 	hosts := []string{"host-down", "host-drain", "host-replace", "host-hang", "host-silent"}
 	spoils := []string{"host-spoil", "host-down", "host-hang", "host-errors"}
@@ -46,36 +46,35 @@
 	}
 }
 
-// coldReturnProfile is hosts that come back cold under a surge.
+// coldReturnProfile plays hosts that return in slow start during a surge of requests.
 const coldReturnProfile = "cold-return"
 
-// pushedProfile is lists that an agent on each gateway's machine brings.
+// pushedProfile plays lists that reach each gateway through an agent on its machine.
 const pushedProfile = "pushed"
 
-// fleetProfile is many gateways with thin traffic, in zones that differ in hosts, and troubles of many
-// at once. It is large, so that no seed takes it unasked.
+// fleetProfile plays many gateways with little traffic each, in zones with different numbers of hosts, and faults
+// that affect many at once. Because of its size, no seed selects it by default.
 const fleetProfile = "fleet"
 
-// discoveryLoadProfile is a discovery that works through calls in turn, while watches end, are reset or
-// fall silent, and hosts leave meanwhile. It is as large as the fleet profile for its traffic, so that
-// no seed takes it unasked either.
+// discoveryLoadProfile plays a discovery with a call queue, while watches end, are reset or fall silent and hosts
+// leave. Its traffic is as large as that of the fleet profile, so no seed selects it by default either.
 const discoveryLoadProfile = "discovery-load"
 
-// stoppedProfile is clients that stop in the middle of their requests and stay, with deadlines of all
-// lengths. It came last, so no seed takes it unasked: each goes on playing what it did.
+// stoppedProfile plays clients that stop in the middle of their requests and stay connected, with deadlines of all
+// lengths. It was added after seeds were in use; no seed selects it by default, so that each keeps its plan.
 const stoppedProfile = "stopped-clients"
 
-// clockProfile is machines whose wall clocks are wrong by seconds or an hour when processes begin,
-// while hosts start cold. Taken by no seed unasked, as above.
+// clockProfile plays machines whose wall clocks are wrong by 7 s or an hour when processes start, while hosts are
+// in slow start. No seed selects it by default, for the same reason.
 const clockProfile = "clock"
 
-// drawnByDefault reports whether a seed without a profile may take one.
+// drawnByDefault reports whether a seed without a stated profile may select this one.
 func drawnByDefault(profile string) bool {
 	return profile != fleetProfile && profile != discoveryLoadProfile && profile != stoppedProfile &&
 		profile != clockProfile
 }
 
-// Profiles lists the profiles by name.
+// Profiles returns the names of the profiles in order.
 func Profiles() []string {
 	var names []string
 	for n := range profiles() {
--- a/internal/lab/simulation/ready.go
+++ b/internal/lab/simulation/ready.go
@@ -28,7 +28,7 @@
 	return list
 }
 
-// markMaybeReady notes that a socket may be ready.
+// markMaybeReady adds a socket to those that may be ready.
 func (l *Loop) markMaybeReady(s *socket) {
 	if !s.maybeReady {
 		s.maybeReady = true
@@ -36,7 +36,7 @@
 	}
 }
 
-// isReady is what epoll would report: readable, writable with something to write, or broken.
+// isReady reports whether epoll would report the socket: readable, writable with data to write, or broken.
 func (s *socket) isReady() bool {
 	if s.connecting {
 		return s.dialDone
@@ -76,7 +76,7 @@
 	}
 }
 
-// deliverReady reports what is ready on the urgent sockets, or on all others.
+// deliverReady delivers the events of the ready sockets that are urgent, or of all others.
 func (l *Loop) deliverReady(waiting []*listenSocket, received []*datagramSocket, ready []*socket, urgent bool) {
 	for _, p := range waiting {
 		if p.urgent == urgent && p.isReady() {
@@ -98,7 +98,7 @@
 	}
 }
 
-// deliverSignals reports the signals that have come.
+// deliverSignals delivers the pending signals.
 func (l *Loop) deliverSignals() {
 	if len(l.signals) == 0 {
 		return
@@ -110,7 +110,7 @@
 	l.deliver()
 }
 
-// deliverDueTimers reports the timers that have fallen due.
+// deliverDueTimers delivers the timers that have expired.
 func (l *Loop) deliverDueTimers() {
 	for now := l.sim.Now(); len(l.timers) > 0 && l.timers[0].at <= now && l.Running(); {
 		t := heap.Pop(&l.timers).(*timer)
--- a/internal/lab/simulation/shrink.go
+++ b/internal/lab/simulation/shrink.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Shrink drops faults and requests as long as the run still breaks the rule, halves first. It plays at
-// most so many runs, and none once ctx is done: the plan is then the smallest so far.
+// Shrink removes faults and requests as long as the run still breaks the rule, the larger parts first. It plays at
+// most limit runs, and none once ctx is done. It returns the smallest plan found and the number of runs.
 func Shrink(ctx context.Context, p Plan, rule string, limit int) (Plan, int) {
 	runs := 0
 	breaks := func(q Plan) bool {
@@ -29,7 +29,7 @@
 	return p, runs
 }
 
-// reduce leaves out runs of a list, long ones first, where the rest is still enough.
+// reduce removes sublists from a list, long ones first, as long as the remaining list is still enough.
 func reduce[T any](list []T, enough func([]T) bool, less *bool) []T {
 	for size := max(1, len(list)/2); size >= 1; size /= 2 {
 		for from := 0; from < len(list); {
--- a/internal/lab/simulation/sim.go
+++ b/internal/lab/simulation/sim.go
@@ -1,7 +1,6 @@
-// Package simulation runs the real gateway's reducer on a virtual clock: a loop that carries out every
-// loop.Effect on simulated sockets, a network with faults, and peers made of the laboratory's models. A
-// run is one goroutine; everything random is drawn from one seed, so the same seed is the same run to
-// the letter.
+// Package simulation runs the real gateway's reducer on a virtual clock: a loop that carries out every loop.Effect
+// on simulated sockets, a network with faults, and simulated clients, hosts and discovery. A run is one goroutine
+// and draws all random numbers from one seed, so the same seed gives exactly the same run.
 package simulation
 
 import (
@@ -18,7 +17,7 @@
 	"thymebend/internal/loop"
 )
 
-// Sim is virtual time and what is to happen in it.
+// Sim is a virtual clock with a queue of functions to call at given times.
 type Sim struct {
 	Rand  *rand.Rand
 	now   time.Duration
@@ -52,33 +51,33 @@
 	return last
 }
 
-// epoch is the virtual clock's begin, in Unix time: hosts' births are told in it.
+// epoch is the start of the virtual clock, in Unix time; start times of hosts are given in Unix time.
 const epoch = 1_700_000_000 * time.Second
 
-// NewSim starts a run. trace gets a line for each thing noted; it may be nil.
+// NewSim returns a clock at epoch. trace receives a line for each note; it may be nil.
 func NewSim(seed uint64, trace io.Writer) *Sim {
 	return &Sim{Rand: rand.New(rand.NewPCG(seed, 0x7e57)), now: epoch, trace: trace, ctx: context.Background()}
 }
 
-// Now is the virtual time.
+// Now returns the virtual time.
 func (s *Sim) Now() time.Duration { return s.now }
 
-// Elapsed is the time since the run's begin.
+// Elapsed returns the time since the start of the run.
 func (s *Sim) Elapsed() time.Duration { return s.now - epoch }
 
-// At has something done at a time; what is past is done now, after what is due already.
+// At schedules a call of do. If the time is past, do is called now, after everything that is due already.
 func (s *Sim) At(at time.Duration, do func()) {
 	s.seq++
 	heap.Push(&s.queue, &event{max(at, s.now), s.seq, do})
 }
 
-// After has something done after a time.
+// After schedules a call of do after a delay.
 func (s *Sim) After(d time.Duration, do func()) { s.At(s.now+d, do) }
 
-// interruptCheckSteps is how many events pass between looks at whether the run was interrupted.
+// interruptCheckSteps is the number of events between two checks for an interruption of the run.
 const interruptCheckSteps = 256
 
-// Run lets time pass until nothing is left to happen before a time, or until the run is interrupted.
+// Run calls everything scheduled up to a time and sets the clock to that time, unless the run is interrupted.
 func (s *Sim) Run(until time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
 		if s.steps%interruptCheckSteps == 0 && s.interrupted() {
@@ -92,24 +91,24 @@
 	s.now = max(s.now, until)
 }
 
-// interrupted reports whether the run was told to end early.
+// interrupted reports whether the run has been interrupted.
 func (s *Sim) interrupted() bool { return s.ctx.Err() != nil }
 
-// Steps is how many things have happened.
+// Steps returns the number of scheduled functions called so far.
 func (s *Sim) Steps() uint64 { return s.steps }
 
-// Note enters something into the trace and its hash.
+// Note writes a line to the trace and adds it to the hash.
 func (s *Sim) Note(format string, args ...any) {
 	line := fmt.Appendf(nil, "%d ", s.Elapsed().Microseconds())
 	line = fmt.Appendf(line, format, args...)
 	line = append(line, '\n')
-	_, _ = s.hash.Write(line) // a hash never fails
+	_, _ = s.hash.Write(line) // writing to a hash never fails
 	if s.trace != nil {
 		_, _ = s.trace.Write(line)
 	}
 }
 
-// hashEffect enters an effect into the hash: the same events must have the same effects, in the same order.
+// hashEffect adds an effect to the hash: the same events must have the same effects, in the same order.
 func (s *Sim) hashEffect(f loop.Effect) {
 	var b [40]byte
 	b[0], b[1] = byte(f.Op), f.Timer.Kind
@@ -121,13 +120,13 @@
 	_, _ = s.hash.Write(f.Data)
 }
 
-// Hash is that of all that was noted so far.
+// Hash returns the hash of all notes and effects so far.
 func (s *Sim) Hash() uint64 { return s.hash.Sum64() }
 
-// Chance is true with a probability.
+// Chance returns true with probability p.
 func (s *Sim) Chance(p float64) bool { return p > 0 && s.Rand.Float64() < p }
 
-// Between draws a time.
+// Between draws a duration of at least low and less than high, or returns low if high is not greater.
 func (s *Sim) Between(low, high time.Duration) time.Duration {
 	if high <= low {
 		return low
--- a/internal/lab/simulation/simulator.go
+++ b/internal/lab/simulation/simulator.go
@@ -12,39 +12,39 @@
 	"thymebend/internal/loop"
 )
 
-// Rules beyond those of the records.
+// Rules in addition to those of requestrecord.
 const (
 	Panicked                = "panic"
-	Stuck                   = "stuck"      // a gateway did not end after SIGTERM though nothing was left to answer
-	WokeUpIdle              = "not asleep" // a gateway woke up though nothing happened
-	Leaked                  = "leaked"     // links or timers beyond those that rest at the end of the day
-	ValidRequestRefused     = "wronged"    // a good request was answered as a faulty one
-	DescriptorsExceeded     = "overspent"  // two processes of one gateway had more descriptors than it may
+	Stuck                   = "stuck"      // a gateway did not exit after SIGTERM though it had no request to answer
+	WokeUpIdle              = "not asleep" // an idle gateway woke up too often
+	Leaked                  = "leaked"     // more timers than idle connections need at the end of the run
+	ValidRequestRefused     = "wronged"    // a valid request was answered as an invalid one
+	DescriptorsExceeded     = "overspent"  // two processes of one gateway had more descriptors than its limit
 	BadExit                 = "bad exit"   // a process ended with an error
-	HostConnectionsExceeded = "crowded"    // more connections at one host than the parts of a fleet come to
-	IdleClosedDuringUpgrade = "shut door"  // an upgrade closed a link under its client
-	StoppedClientUnanswered = "not heard"  // a client that stopped in the middle of a request was not told in time
-	EffectSuppressed        = "held back"  // a gateway's invariant checker suppressed an effect that would have broken a rule
+	HostConnectionsExceeded = "crowded"    // more connections to one host than the assignments of a cluster allow
+	IdleClosedDuringUpgrade = "shut door"  // an upgrade closed an idle client connection
+	StoppedClientUnanswered = "not heard"  // a client that stopped in mid-request got no error or close in time
+	EffectSuppressed        = "held back"  // an invariant checker suppressed an effect that would have broken a rule
 )
 
-// The rules in figures; see the operators' pages.
+// Limits of the rules.
 const (
 	drainGrace       = 300 * time.Millisecond
 	withdrawDelay    = 300 * time.Millisecond
-	killNoticeMargin = 5 * time.Millisecond // what news of a kill may take
-	quietPeriod      = 8 * time.Second      // of nothing at the end of the day
-	maxIdleWakeups   = 40                   // of a gateway in the last half of that: heartbeats, and the balancer's own
-	shutdownLimit    = 12 * time.Second     // of SIGTERM
+	killNoticeMargin = 5 * time.Millisecond // uncertainty about the time of a kill
+	quietPeriod      = 8 * time.Second      // without requests and faults, at the end of the run
+	maxIdleWakeups   = 40                   // of a gateway in the second half of quietPeriod: heartbeats and balancer timers
+	shutdownLimit    = 12 * time.Second     // from SIGTERM to the end of the process
 )
 
-// Finding is a broken rule.
+// Finding is a broken rule: its name, the request, host or gateway concerned, and details.
 type Finding struct {
 	Rule   string `json:"rule"`
 	ID     string `json:"id"`
 	Detail string `json:"detail"`
 }
 
-// Outcome is what a run came to.
+// Outcome is the result of a run.
 type Outcome struct {
 	Hash     uint64
 	Findings []Finding
@@ -53,8 +53,8 @@
 	Refused  int
 	Failed   int
 	Steps    uint64
-	Lasted   time.Duration // of virtual time
-	Sums     string        // of a fleet: the most in a second
+	Lasted   time.Duration // virtual duration
+	Sums     string        // of a run with zones: the highest rates in one second, as text
 	Partial  bool          // the run was interrupted
 }
 
@@ -75,25 +75,25 @@
 	lastID      uint64
 	lastPicked  int
 	replaced    int
-	unsafeViews bool // views are unsafe now, as clients know it
+	unsafeViews bool // views are unsafe in the settings that clients currently use
 	views       *viewChecker
-	rates       *clusterRates // of a fleet; nil elsewhere
+	rates       *clusterRates // in a run with zones and without Shares; else nil
 	wrap        func(loop.Reducer) loop.Reducer
 	checkers    []checkedGateway
 }
 
-// Play runs a plan. trace gets a line for each thing that happens; it may be nil.
+// Play runs a plan. trace receives a line for each note; it may be nil.
 func Play(p Plan, trace io.Writer) Outcome { return PlayContext(context.Background(), p, trace) }
 
-// PlayContext runs a plan until it is over or ctx is done. In the second case the outcome is Partial:
-// it holds what was found until then, and nothing was compared at the end.
+// PlayContext runs a plan until it ends or ctx is done. In the second case the outcome is Partial: it holds the
+// findings until then, and the checks at the end of a run are omitted.
 func PlayContext(ctx context.Context, p Plan, trace io.Writer) Outcome {
 	s := newSimulator(p, trace, func(r loop.Reducer) loop.Reducer { return r })
 	s.sim.ctx = ctx
 	return s.run()
 }
 
-// play runs a plan with each gateway wrapped; tests plant defects so.
+// play runs a plan with each gateway's reducer wrapped, so that tests can plant defects.
 func play(p Plan, trace io.Writer, wrap func(loop.Reducer) loop.Reducer) Outcome {
 	return newSimulator(p, trace, wrap).run()
 }
@@ -116,10 +116,10 @@
 		}
 	}()
 	if p.Zones > 0 && !p.Shares {
-		s.rates = newClusterRates(s) // its bounds are those of parts by count and number
+		s.rates = newClusterRates(s) // its bounds assume a division by count and rank
 	}
 	s.build()
-	// Faults of the network begin once everything stands.
+	// The faults of the network begin once everything is started.
 	sim.Run(epoch + 300*time.Millisecond)
 	s.net.SplitChance, s.net.ResetChance, s.net.LoseDialChance = p.Split, p.Resets, p.LoseDials
 	start := sim.Now()
@@ -136,7 +136,7 @@
 	if s.views != nil {
 		sim.Run(sim.Now() + convergencePeriod)
 	}
-	found := len(s.findings) // what an interrupted run shows afterwards is no finding
+	found := len(s.findings) // findings after an interruption are discarded
 	s.checkIdle()
 	if s.views != nil {
 		s.checkAssignments()
@@ -151,7 +151,8 @@
 	return s.outcome()
 }
 
-// panicLocation is where a panic came from: the first line of this project's in a stack, below the panic itself.
+// panicLocation returns the file and line at which a panic occurred: the first frame of this project below the
+// panic call in a stack trace.
 func panicLocation(stack string) string {
 	lines := strings.Split(stack, "\n")
 	seen := false
--- a/internal/lab/simulation/viewchecker.go
+++ b/internal/lab/simulation/viewchecker.go
@@ -13,37 +13,37 @@
 	"thymebend/internal/membership"
 )
 
-// Gateways that know of each other: each has a fleet file, the network carries their datagrams, and
-// what they believe is held against what was done to them.
+// Gateways with a membership view: each has a gossip file, the network carries their datagrams, and the states
+// that their members have in each view are compared with the faults that were injected.
 
-// viewsProfile is gateways with a fleet file among ordinary troubles and those of datagrams.
+// viewsProfile plays gateways with a gossip file, with ordinary faults and those of datagrams.
 const viewsProfile = "views"
 
-// Times of what is believed.
+// Times and limits of the checks on views.
 const (
 	observeInterval   = 500 * time.Millisecond
-	convergencePeriod = 16 * time.Second // of nothing more at the end, before all must agree
-	membershipWakeups = 240              // wake-ups that a view may cost in half of quietFor
+	convergencePeriod = 16 * time.Second // without faults at the end of the run, before all views must agree
+	membershipWakeups = 240              // wake-ups allowed in half of quietPeriod for the membership
 	excuseAfter       = 500 * time.Millisecond
 )
 
-// viewChecker is what the world knows of its gateways' views; nil where they have none.
+// viewChecker records the processes, faults and views of a run's gateways. It is nil if they have no views.
 type viewChecker struct {
 	run     *simulator
 	history *membershipcheck.History
 	names   []string
 	index   map[string]int
-	cuts    []func(from, to int) bool // in force
+	cuts    []func(from, to int) bool // in force; nil after their end
 	pids    int
 	done    bool
 }
 
-// process is one process of a gateway, as far as its view goes.
+// process is one process of a gateway, with its view.
 type process struct {
 	pid int
 	gw  *gateway.Gateway
 
-	lastView *membership.Membership // at the last look
+	lastView *membership.Membership // at the last observation
 	joined   int
 }
 
@@ -74,7 +74,7 @@
 	return v
 }
 
-// gatewayByAddr is a gateway's number by its address.
+// gatewayByAddr returns the index of the gateway with the given address.
 func gatewayByAddr(a netip.AddrPort) int {
 	raw := a.Addr().As4()
 	return int(raw[3]-1)<<8 | int(raw[2])
@@ -89,7 +89,7 @@
 	return false
 }
 
-// gossipPath is where a gateway's fleet file lies; text is what it says.
+// gossipPath returns the path of a gateway's gossip file; gossipText returns its contents.
 func (v *viewChecker) gossipPath(n int) string { return v.names[n] + ".fleet.toml" }
 
 func (v *viewChecker) gossipText(n int) []byte {
@@ -109,12 +109,12 @@
 func (v *viewChecker) gossipConfig(n int) *gossipconfig.Config {
 	f, err := gossipconfig.Parse(v.gossipPath(n), v.gossipText(n), v.names[n])
 	if err != nil {
-		panic(err) // the text is ours
+		panic(err) // the text is generated above
 	}
 	return f
 }
 
-// started notes a process.
+// started records the start of a process.
 func (v *viewChecker) started(g *gatewayNode, gw *gateway.Gateway) {
 	v.pids++
 	g.process = process{pid: v.pids, gw: gw}
@@ -123,7 +123,7 @@
 
 func (v *viewChecker) ended(pid int) { v.history.Ended(pid, v.run.sim.Elapsed()) }
 
-// observe notes what each process believes that speaks. Nobody wakes up for it.
+// observe records the view of each process that sends datagrams. It wakes up no gateway.
 func (v *viewChecker) observe() {
 	if v.done {
 		return
@@ -158,7 +158,8 @@
 	v.run.sim.After(observeInterval, v.observe)
 }
 
-// inject is a cut of datagrams: a part from the rest, one that is heard by none, or a single pair.
+// inject cuts datagrams: between one part of the gateways and the rest, from one gateway to all others, or between
+// two gateways.
 func (v *viewChecker) inject(f Fault) {
 	n, who := len(v.names), f.Target
 	var c func(from, to int) bool
@@ -177,7 +178,7 @@
 	v.run.sim.After(msec(f.ForMS), func() { v.recordPathChanges(func() { v.cuts[at] = nil }) })
 }
 
-// recordPathChanges notes which paths a change of the cuts concerns.
+// recordPathChanges calls do and records which paths it has cut or restored.
 func (v *viewChecker) recordPathChanges(do func()) {
 	before := make(map[[2]int]bool)
 	for x := range v.names {
@@ -189,13 +190,14 @@
 	for x := range v.names {
 		for y := range v.names {
 			if cut := v.cut(x, y); x != y && cut != before[[2]int{x, y}] {
-				v.history.Path(x, y, membershipcheck.PathState{At: v.run.sim.Elapsed(), Cut: cut, Loss: v.run.plan.LoseDatagrams})
+				v.history.Path(x, y,
+					membershipcheck.PathState{At: v.run.sim.Elapsed(), Cut: cut, Loss: v.run.plan.LoseDatagrams})
 			}
 		}
 	}
 }
 
-// halt stops a gateway's process for a while, as SIGSTOP does.
+// halt stops a gateway's process for the given time, as SIGSTOP does.
 func (v *viewChecker) halt(g *gatewayNode, length time.Duration) {
 	now := v.run.sim.Now()
 	g.halts = append(g.halts, [2]time.Duration{now, now + length})
@@ -209,7 +211,7 @@
 	})
 }
 
-// check finds the rules on views that were broken.
+// check records a finding for each broken rule about views.
 func (v *viewChecker) check() {
 	v.done = true
 	for _, f := range membershipcheck.Check(v.history) {
@@ -217,8 +219,8 @@
 	}
 }
 
-// sendMalformed sends a gateway datagrams that nobody meant: of another fleet, spoilt, cut short, or from a
-// stranger.
+// sendMalformed sends a gateway datagrams that it must ignore: from another cluster, random bytes, truncated, or
+// from an unknown member.
 func (v *viewChecker) sendMalformed(n int) {
 	r := v.run.sim.Rand
 	from := &datagramSocket{addr: gossipAddr((n + 1) % len(v.names))}
