--- a/internal/lab/simulation/assignments_test.go
+++ b/internal/lab/simulation/assignments_test.go
@@ -10,7 +10,7 @@
 	"thymebend/internal/loop"
 )
 
-// alterPayload changes the payload that one gateway tells of itself, in every datagram of its own.
+// alterPayload wraps gateways so that one of them changes its own payload in every datagram that it sends.
 func alterPayload(gateway int, change func(payload []byte) []byte) func(loop.Reducer) loop.Reducer {
 	started := 0
 	name := gatewayName(gateway)
@@ -33,7 +33,8 @@
 	}
 }
 
-// steadyPlan is a day of gateways that divide hosts, with one host that fails half of its requests for a while.
+// steadyPlan is a plan of gateways that divide hosts; one host fails half of its requests for 4 s, another is
+// replaced.
 func steadyPlan(t *testing.T) Plan {
 	t.Helper()
 	p, err := DrawSized(3, sharesProfile, Size{Gateways: 6, Hosts: 12})
@@ -42,7 +43,7 @@
 	}
 	p.LoseDatagrams, p.DuplicateDatagrams, p.JitterUS, p.Cold, p.Zones = 0, 0, 0, false, 0
 	calm := p.Requests[:0]
-	for i, r := range p.Requests { // half of what the seed draws: what is lost then is lost by the lie
+	for i, r := range p.Requests { // at half load, losses are due to the false reports
 		if i%2 == 0 {
 			calm = append(calm, r)
 		}
@@ -53,8 +54,9 @@
 	return p
 }
 
-// One gateway that reports every host as bad, or as idle with no traffic of its own, or as having all
-// traffic, or nonsense, costs the others next to nothing and breaks no rule.
+// One gateway falsely reports that every host is bad, that it is idle without traffic, that it has all traffic,
+// that it has other settings, or sends random payloads. The others lose almost nothing (at most 5% of the served
+// requests) and break no rule.
 func TestOneFalseReporterHasLittleEffect(t *testing.T) {
 	p := steadyPlan(t)
 	var all []uint64
@@ -73,14 +75,14 @@
 	}
 	honest := Play(p, nil)
 	if len(honest.Findings) > 0 || honest.Served < honest.Tries*3/4 {
-		t.Fatalf("without a lie: %+v", honest)
+		t.Fatalf("without false reports: %+v", honest)
 	}
 	for name, lie := range map[string]func([]byte) []byte{
 		"every host is bad":  reporting(loadreport.Report{Demand: 50, Ejected: loadreport.EndpointHashes(all)}),
 		"every host is idle": reporting(loadreport.Report{FreeCapacity: 1}),
 		"all traffic":        reporting(loadreport.Report{Demand: 1e9, Rejected: 1}),
-		"another file":       reporting(loadreport.Report{Demand: 50, ConfigHash: 1}),
-		"nonsense": func([]byte) []byte {
+		"other settings":     reporting(loadreport.Report{Demand: 50, ConfigHash: 1}),
+		"random bytes": func([]byte) []byte {
 			b := make([]byte, rng.IntN(gossipcodec.MaxPayload))
 			for i := range b {
 				b[i] = byte(rng.Uint32())
@@ -90,12 +92,12 @@
 	} {
 		o := play(p, nil, alterPayload(1, lie))
 		for _, f := range o.Findings {
-			if f.Rule != SharesDisagree { // who lies of its traffic goes by another division than those who believe it
+			if f.Rule != SharesDisagree { // the reporter divides by other figures than the rest
 				t.Errorf("%s: %+v", name, f)
 			}
 		}
 		if o.Served < honest.Served*95/100 {
-			t.Errorf("%s: %d served of %d, %d of %d without", name, o.Served, o.Tries, honest.Served, honest.Tries)
+			t.Errorf("%s: %d of %d served, %d of %d without false reports", name, o.Served, o.Tries, honest.Served, honest.Tries)
 		}
 	}
 }
--- a/internal/lab/simulation/callqueue_test.go
+++ b/internal/lab/simulation/callqueue_test.go
@@ -17,13 +17,13 @@
 	"thymebend/internal/loop"
 )
 
-// Calls are worked off in turn. One that would wait for its turn longer than the time-out is refused,
-// costs nothing and is told so at once or when the time-out has come.
+// Calls are answered in order. A call that would wait longer than the timeout is refused; it costs no capacity,
+// and is refused immediately or after the timeout.
 func TestCallQueueAnswersInOrderAndShedsOnTimeout(t *testing.T) {
 	const second = time.Second
 	q := callQueue{CallQueue: CallQueue{LinesPerSecond: 30, CallLines: 25, HostLines: 1, TimeoutMS: 3000}}
 	if work := q.work(5); work != second {
-		t.Fatalf("a call of 25 lines with 5 hosts takes %v at 30 lines a second", work)
+		t.Fatalf("a call of 25 lines and 5 hosts takes %v at 30 lines a second, want 1s", work)
 	}
 	for i, want := range []struct {
 		now, at time.Duration
@@ -32,24 +32,23 @@
 		{0, second, true},
 		{0, 2 * second, true},
 		{0, 3 * second, true},
-		{0, 4 * second, true}, // its turn begins when the time-out is just over
+		{0, 4 * second, true}, // its turn starts exactly at the timeout
 		{0, 3 * second, false},
 		{second / 2, second/2 + 3*second, false},
-		{second, 5 * second, true}, // what was refused has cost nothing
+		{second, 5 * second, true}, // refused calls have cost nothing
 		{9 * second, 10 * second, true},
 	} {
 		if at, served := q.enqueue(want.now, second); at != want.at || served != want.served {
-			t.Errorf("call %d: at %v, served %v", i, at, served)
+			t.Errorf("call %d: answered at %v, served %v", i, at, served)
 		}
 	}
 	q.ShedAtOnce, q.busyUntil = true, 13*second
 	if at, served := q.enqueue(9*second, second); at != 9*second || served {
-		t.Errorf("a queue that is too long answers at %v, served %v", at, served)
+		t.Errorf("a queue that is too long: answered at %v, served %v, want a refusal at once", at, served)
 	}
 }
 
-// A change counts as notified after 6 s, or after the time that discovery needs for the calls that it
-// has caused.
+// A change counts as notified after 6 s, or after the time that discovery needs for the calls that it has caused.
 func TestNotificationDeadline(t *testing.T) {
 	sim := NewSim(1, nil)
 	deadlines := &notificationDeadlines{sim: sim, work: 100 * time.Millisecond}
@@ -61,7 +60,7 @@
 	deadlines.recordChange(registry.Entry{Host: "a", State: registry.Removed}) // the first notice counts
 	after(5999 * time.Millisecond)
 	if notice, ok := deadlines.overdue("a"); ok {
-		t.Errorf("told early: %v", notice)
+		t.Errorf("counts as notified before 6 s: %v", notice)
 	}
 	after(notificationLimit)
 	if notice, ok := deadlines.overdue("a"); !ok || notice.At != start+notificationLimit ||
@@ -76,15 +75,16 @@
 		t.Errorf("%v, %v", notice, ok)
 	}
 	if notice, ok := deadlines.overdue("a"); !ok || notice.At != start+notificationLimit {
-		t.Errorf("what was told is put off: %v, %v", notice, ok)
+		t.Errorf("a deadline that has passed was extended: %v, %v", notice, ok)
 	}
 	deadlines.recordChange(registry.Entry{Host: "a", State: registry.Up})
 	if _, ok := deadlines.overdue("a"); ok {
-		t.Error("a host that is up counts as leaving")
+		t.Error("a host that is up has a notification of its departure")
 	}
 }
 
-// startWithWatches starts a world of gateways with a discovery that works in turn, and lets each have its list.
+// startWithWatches starts a simulator whose discovery has a call queue, and runs it until every gateway has its
+// list.
 func startWithWatches(t *testing.T, calls CallQueue) *simulator {
 	t.Helper()
 	s := newSimulator(Plan{Seed: 1, Gateways: 4, Hosts: 3, Sockets: 300,
@@ -94,12 +94,12 @@
 	s.build()
 	s.sim.Run(epoch + 3*time.Second)
 	if n := len(s.discovery.gatewaysWithList()); n != 4 {
-		t.Fatalf("%d gateways have a list", n)
+		t.Fatalf("%d of 4 gateways have a list", n)
 	}
 	return s
 }
 
-// gatewaysWithList is the gateways that have a watch with a list.
+// gatewaysWithList returns the gateways that have a watch with a list.
 func (d *discoveryServer) gatewaysWithList() map[int]bool {
 	list := make(map[int]bool)
 	for _, c := range d.watches {
@@ -110,8 +110,8 @@
 	return list
 }
 
-// Watches end when the list changes, are all reset, or fall silent; the list that answers the next call
-// leaves out who drains.
+// Watches end when the list changes, are all reset, or fall silent. The list that answers the next call omits
+// draining hosts.
 func TestWatchFaultsAndListsWithoutDrainingHosts(t *testing.T) {
 	calls := CallQueue{LinesPerSecond: 1000, CallLines: 20, HostLines: 1, TimeoutMS: 3000, EndWatches: 1,
 		WholeFirst: true}
@@ -121,7 +121,7 @@
 	s.sim.Run(s.sim.Now() + time.Millisecond)
 	for _, c := range before {
 		if !c.end.closed {
-			t.Errorf("the watch of %s stands", gatewayName(c.gateway))
+			t.Errorf("the watch of %s is still open", gatewayName(c.gateway))
 		}
 	}
 	line := string(s.discovery.list.ServingLine("g0"))
@@ -131,11 +131,11 @@
 	}
 	changed, serving := s.discovery.list.ChangedCount(s.discovery.list.Seq()-1), s.discovery.list.ServingCount()
 	if changed != 1 || serving != 2 {
-		t.Errorf("%d changed, %d serve", changed, serving)
+		t.Errorf("%d hosts changed, %d serve, want 1 and 2", changed, serving)
 	}
 	for _, storm := range []struct {
 		do    func()
-		after time.Duration // until every gateway has another watch
+		after time.Duration // time within which every gateway has another watch
 	}{
 		{func() {}, time.Second},
 		{s.discovery.resetOpen, time.Second},
@@ -154,11 +154,11 @@
 	}
 }
 
-// The profile is drawn when it is asked for alone, and a plan comes back from its file as it was.
+// The profile is selected only when it is stated, and a plan is the same after it was saved and read.
 func TestDiscoveryLoadPlans(t *testing.T) {
 	for seed := range uint64(300) {
 		if p := draw(t, seed, ""); p.Calls != nil {
-			t.Fatalf("seed %d has drawn it", seed)
+			t.Fatalf("seed %d selects a profile with a call queue by default", seed)
 		}
 	}
 	p := draw(t, 3, discoveryLoadProfile)
@@ -168,7 +168,7 @@
 	}
 	q, err := ReadPlan(path)
 	if err != nil || q.Calls == nil || *q.Calls != *p.Calls || Play(q, nil).Hash != Play(p, nil).Hash {
-		t.Errorf("a kept plan is another run: %v", err)
+		t.Errorf("a saved plan gives a different run: %v", err)
 	}
 	for text, want := range map[string]string{
 		`{}`:                       "calls.lines_per_second must be positive",
@@ -185,14 +185,14 @@
 	}
 }
 
-// callAbandoner is a gateway with a planted defect: it gives a call up that waits in discovery's
-// queue, and calls again.
+// callAbandoner is a gateway with a planted defect: it abandons a call that waits in discovery's queue, and calls
+// again.
 type callAbandoner struct {
 	loop.Reducer
-	waiting map[loop.Conn]bool // calls that nothing has been heard of
+	waiting map[loop.Conn]bool // calls without an answer
 }
 
-// abandonAfter is shorter than discovery's time-out, so that such a call still costs its turn.
+// abandonAfter is shorter than discovery's timeout, so that an abandoned call still costs its turn.
 const abandonAfter = 2700 * time.Millisecond
 
 // abandonTimer is a kind of timer that the gateway does not have.
@@ -225,15 +225,14 @@
 	return &callAbandoner{Reducer: r, waiting: make(map[loop.Conn]bool)}
 }
 
-// The rule on when a change counts as notified can fail: gateways that give up calls in the queue break
-// it.
+// Verifies that the rule on late notifications can fail: gateways that abandon queued calls break it.
 func TestAbandoningQueuedCallsIsDetected(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		o := play(draw(t, seed, discoveryLoadProfile), nil, abandonQueuedCalls)
 		if slices.ContainsFunc(o.Findings, func(f Finding) bool { return f.Rule == requestrecord.LateToDrained }) {
-			t.Logf("caught at seed %d", seed)
+			t.Logf("detected at seed %d", seed)
 			return
 		}
 	}
-	t.Error("not caught in 40 seeds")
+	t.Error("not detected in 40 seeds")
 }
--- a/internal/lab/simulation/calls_test.go
+++ b/internal/lab/simulation/calls_test.go
@@ -8,15 +8,14 @@
 	"time"
 )
 
-// caller is a gateway that calls a scriptedDiscovery, and when it did.
+// caller is a scriptedDiscovery that records when a gateway called it and when it sent the list.
 type caller struct {
 	scriptedDiscovery
-	calledAt   []time.Duration // since the play's start
+	calledAt   []time.Duration // since the start of the run
 	notifiedAt []time.Duration
 }
 
-// newCaller prepares a scriptedDiscovery that treats calls one by one as listed, and those after the
-// list as served.
+// newCaller prepares a scriptedDiscovery whose calls have the listed outcomes, one by one. Later calls are served.
 func newCaller(seed uint64, calls ...callOutcome) *caller {
 	sim := NewSim(seed, nil)
 	c := &caller{scriptedDiscovery: scriptedDiscovery{sim: sim, net: NewNet(sim),
@@ -35,8 +34,8 @@
 	return c
 }
 
-// A call that waits in discovery's queue keeps its place though it is made good by another: its late
-// answer is used, and the younger call given up.
+// A call that waits in discovery's queue keeps its place even if further calls are made meanwhile: its late answer
+// is used, and the later calls are abandoned.
 func TestQueuedCallIsNotAbandonedForALaterOne(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newCaller(seed, queued, unanswered, unanswered, unanswered)
@@ -44,7 +43,7 @@
 		startGateway(t, c.sim, c.net, c.addr, "subscribe", nil)
 		c.sim.Run(epoch + 20*time.Second)
 		if len(c.notifiedAt) != 1 || c.notifiedAt[0]-c.calledAt[0] != c.queueDelay {
-			t.Fatalf("seed %d: told at %v, want once, with the answer to the first call", seed, c.notifiedAt)
+			t.Fatalf("seed %d: list received at %v, want once, with the answer to the first call", seed, c.notifiedAt)
 		}
 		if len(c.calledAt) != 3 || c.calledAt[1] > 3500*time.Millisecond {
 			t.Errorf("seed %d: called at %v, want a second call soon after 3.1 s and a third 3 s later", seed,
@@ -53,28 +52,28 @@
 	}
 }
 
-// Discovery says when it wants to be called again. It is heeded as long as a change is still heard of
-// in the 6 s after which it counts as notified; a longer time is cut to that.
+// Discovery states in Retry-After when it wants the next call. A gateway complies as long as it can still receive
+// a change within the 6 s after which the change counts as notified; a longer delay is cut to that.
 func TestCallsHonourRetryAfter(t *testing.T) {
 	for _, c := range []struct {
-		again       string
-		least, most time.Duration
+		retryAfter string
+		low, high  time.Duration
 	}{{"4.5", 4500 * time.Millisecond, 5 * time.Second}, {"7.5", 5 * time.Second, 5500 * time.Millisecond},
 		{"60", 5 * time.Second, 5500 * time.Millisecond}} {
 		for seed := range uint64(20) {
 			d := newCaller(seed, shedWithRetryAfter)
-			d.retryAfter = c.again
+			d.retryAfter = c.retryAfter
 			startGateway(t, d.sim, d.net, d.addr, "subscribe", nil)
 			d.sim.Run(epoch + 20*time.Second)
-			if len(d.calledAt) != 2 || d.calledAt[1]-d.calledAt[0] < c.least || d.calledAt[1]-d.calledAt[0] > c.most {
-				t.Errorf("asked for %s s, seed %d: called at %v, want %v to %v apart", c.again, seed,
-					d.calledAt, c.least, c.most)
+			if len(d.calledAt) != 2 || d.calledAt[1]-d.calledAt[0] < c.low || d.calledAt[1]-d.calledAt[0] > c.high {
+				t.Errorf("Retry-After %s, seed %d: called at %v, want %v to %v apart", c.retryAfter, seed,
+					d.calledAt, c.low, c.high)
 			}
 		}
 	}
 }
 
-// A call that begins late, as discovery asked, is not replaced while it waits its turn.
+// A call that starts late because of Retry-After is not replaced while it waits for its turn.
 func TestCallAfterRetryAfterIsNotReplacedWhileQueued(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newCaller(seed, shedWithRetryAfter, queued)
@@ -82,28 +81,29 @@
 		startGateway(t, c.sim, c.net, c.addr, "subscribe", nil)
 		c.sim.Run(epoch + 20*time.Second)
 		if len(c.calledAt) != 2 || len(c.notifiedAt) != 1 {
-			t.Errorf("seed %d: called at %v, told at %v, want one call after the refusal, and its answer", seed,
+			t.Errorf("seed %d: called at %v, list received at %v, want one call after the refusal, and its answer", seed,
 				c.calledAt, c.notifiedAt)
 		}
 	}
 }
 
-// From the time at which a change counts as notified after a watch has ended, nothing is sent while the
-// call after it waits: its answer may name the very host. A call that fails, or waits for too long,
-// lets requests go on by the list there is.
+// After a watch has ended, a gateway sends nothing from the time at which a change would count as notified while
+// its next call waits: the answer may name the very host that would be used. If the call fails or waits too long,
+// requests continue with the known list.
 func TestNoAttemptsWhileCallAfterWatchIsQueued(t *testing.T) {
 	const list = `{"seq":2,"whole":true,"hosts":[{"host":"h","dial":"10.3.0.1:80","site":"a","class":"c","block":0,"health":"up","share":1,"born_ms":0}]}`
 	for _, play := range []struct {
-		name    string
-		calls   []callOutcome
-		turn    time.Duration
-		quiet   bool // between 2.1 s and 2.7 s after the watch's end
-		early   bool // requests go on between 3.75 s and 3.95 s
-		resumes bool // at 5 s at the latest
+		name        string
+		calls       []callOutcome
+		turn        time.Duration
+		nothingSent bool // nothing is sent between 2.1 s and 2.7 s after the end of the watch
+		sentEarly   bool // requests are sent between 3.75 s and 3.95 s
+		resumes     bool // requests are sent again by 5 s
 	}{
 		{"the call waits and is served", []callOutcome{served, queued}, 2800 * time.Millisecond, true, true, true},
 		{"the call fails", []callOutcome{served, failed, unanswered}, 0, false, true, true},
-		{"the call is kept, and fails while a younger one waits", []callOutcome{served, queueTimeout, unanswered, unanswered},
+		{"the call is kept, and fails while a later one waits",
+			[]callOutcome{served, queueTimeout, unanswered, unanswered},
 			3400 * time.Millisecond, true, true, true},
 		{"the call is never answered", []callOutcome{served, unanswered, unanswered, unanswered}, 0, true, false, true},
 		{"the call is served", []callOutcome{served, served}, 0, false, true, true},
@@ -130,22 +130,22 @@
 				})
 			}
 			if !between(time.Second, 1900*time.Millisecond) {
-				t.Fatal("nothing is sent though the list is known")
+				t.Fatal("no request is sent though the list is known")
 			}
-			if between(2100*time.Millisecond, 2700*time.Millisecond) == play.quiet {
-				t.Errorf("sent while the call waits: %v", play.quiet)
+			if between(2100*time.Millisecond, 2700*time.Millisecond) == play.nothingSent {
+				t.Errorf("requests sent while the call waits: %v", play.nothingSent)
 			}
-			if between(3750*time.Millisecond, 3950*time.Millisecond) != play.early {
-				t.Errorf("sent at 3.75 to 3.95 s: %v", !play.early)
+			if between(3750*time.Millisecond, 3950*time.Millisecond) != play.sentEarly {
+				t.Errorf("requests sent at 3.75 to 3.95 s: %v", !play.sentEarly)
 			}
 			if between(4500*time.Millisecond, 5*time.Second) != play.resumes {
-				t.Errorf("sent once the call's fate is known, or it waited too long: %v", !play.resumes)
+				t.Errorf("requests sent from 4.5 to 5 s, after the outcome of the call or its longest wait: %v", !play.resumes)
 			}
 		})
 	}
 }
 
-// startHost is a host that serves each request at once. It returns when requests came.
+// startHost starts a host that serves each request at once. It returns the times at which requests arrived.
 func startHost(sim *Sim, net *Net, at netip.AddrPort) *[]time.Duration {
 	arrivals := new([]time.Duration)
 	var l *Listener
@@ -167,7 +167,7 @@
 	return arrivals
 }
 
-// sendRequests sends a request on a connection of its own again and again.
+// sendRequests sends requests at a fixed interval, each on a connection of its own.
 func sendRequests(sim *Sim, net *Net, to netip.AddrPort, every time.Duration) {
 	id := 0
 	var next func()
--- a/internal/lab/simulation/clusterrates_test.go
+++ b/internal/lab/simulation/clusterrates_test.go
@@ -6,8 +6,8 @@
 	"thymebend/internal/lab/registry"
 )
 
-// newTwoZoneSimulator is a world of twelve hosts that all run: eight in the first zone, four in the second. It
-// counts what is asked of them.
+// newTwoZoneSimulator returns a simulator with rate checks and twelve running hosts: eight in the first zone, four
+// in the second.
 func newTwoZoneSimulator(t *testing.T) *simulator {
 	t.Helper()
 	s := newSimulator(Plan{Seed: 1, Gateways: 2, Hosts: 12, Sockets: 200, Zones: 2,
@@ -20,7 +20,7 @@
 	return s
 }
 
-// stopHosts stops so many hosts of a zone and returns one that is left.
+// stopHosts stops the given number of hosts of a zone and returns one that still runs.
 func (s *simulator) stopHosts(zone, many int) *host {
 	var left *host
 	for _, h := range s.hosts {
@@ -36,44 +36,45 @@
 	return left
 }
 
-// The bounds of a host's sums hold while half of the hosts of its zone are left, whatever is left of
-// the others; with fewer they grow as the hosts get fewer.
+// The bounds for a host apply while half of the hosts of its own zone are serving, whatever the state of the other
+// zone. With fewer, they grow as the number of serving hosts falls.
 func TestHostRateBoundsScaleWithServingHostsOfZone(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		lost        [2]int // hosts, by zone
-		zone        int    // of the host that is counted at
-		most        int
-		mayBeDenied bool // a connection beyond what the host holds is no finding
+		stopped     [2]int // stopped hosts, by zone
+		zone        int    // zone of the host that is checked
+		limit       int
+		mayBeDenied bool // a connection beyond the host's limit is no finding
 	}{
-		{"all run", [2]int{0, 0}, 0, maxSendsPerSecond, false},
-		{"half of the zone", [2]int{4, 0}, 0, maxSendsPerSecond, false},
-		{"a quarter of the zone, though half of all", [2]int{0, 3}, 1, 2 * maxSendsPerSecond, true},
-		{"the zone is whole, though fewer than half of all are left", [2]int{7, 0}, 1, maxSendsPerSecond, false},
-		{"one of eight", [2]int{7, 0}, 0, 4 * maxSendsPerSecond, true},
+		{"all hosts serve", [2]int{0, 0}, 0, maxSendsPerSecond, false},
+		{"half of the zone serves", [2]int{4, 0}, 0, maxSendsPerSecond, false},
+		{"a quarter of the zone serves, and more than half of all hosts", [2]int{0, 3}, 1, 2 * maxSendsPerSecond, true},
+		{"the whole zone serves, but fewer than half of all hosts", [2]int{7, 0}, 1, maxSendsPerSecond, false},
+		{"one of eight hosts of the zone serves", [2]int{7, 0}, 0, 4 * maxSendsPerSecond, true},
 	} {
 		s := newTwoZoneSimulator(t)
-		s.stopHosts(0, c.lost[0])
-		s.stopHosts(1, c.lost[1])
+		s.stopHosts(0, c.stopped[0])
+		s.stopHosts(1, c.stopped[1])
 		h := s.stopHosts(c.zone, 0)
 		if few := s.loadFactor(c.zone) > 1; few != c.mayBeDenied {
-			t.Errorf("%s: few are left: %v", c.name, few)
+			t.Errorf("%s: load factor above 1: %v", c.name, few)
 		}
-		for range c.most {
+		for range c.limit {
 			s.rates.countSend(h)
 		}
 		if len(s.findings) > 0 {
-			t.Errorf("%s: %+v", c.name, s.findings)
+			t.Errorf("%s: findings at the bound: %+v", c.name, s.findings)
 		}
 		s.rates.countSend(h)
 		s.rates.countSend(h)
 		if len(s.findings) != 1 || s.findings[0].Rule != TooManySends || s.findings[0].ID != h.name {
-			t.Errorf("%s: one more: %+v", c.name, s.findings)
+			t.Errorf("%s: beyond the bound: %+v", c.name, s.findings)
 		}
 	}
 }
 
-// What came to a host while few were left does not break a bound once the others are back in the same second.
+// Requests that a host received while few hosts were serving break no bound after the others are back within the
+// same second.
 func TestHostRateBoundsUseMaxLoadFactorOfSecond(t *testing.T) {
 	s := newTwoZoneSimulator(t)
 	h := s.stopHosts(1, 3)
@@ -84,9 +85,9 @@
 		other.up = true
 	}
 	if s.rates.countConnect(h); len(s.findings) > 0 {
-		t.Errorf("%+v", s.findings)
+		t.Errorf("findings at the bound: %+v", s.findings)
 	}
 	if s.rates.countConnect(h); len(s.findings) != 1 {
-		t.Errorf("one more: %+v", s.findings)
+		t.Errorf("beyond the bound: %+v", s.findings)
 	}
 }
--- a/internal/lab/simulation/conform_test.go
+++ b/internal/lab/simulation/conform_test.go
@@ -20,10 +20,10 @@
 	"thymebend/internal/loop"
 )
 
-// The conformance suite: the same scripted cases on the real epoll loop and on the virtual one. A case is a
-// reducer and the steps of its peers; after each step the events told must be those stated, on both loops.
+// The conformance suite runs the same scripted cases on the real epoll loop and on the simulated one. A case is a
+// reducer and the steps of its peer. After each step, both loops must have delivered exactly the stated events.
 
-// script is a reducer that does what a case says and keeps what it was told.
+// script is a reducer that returns the effects of a case and logs the events that it receives.
 type script struct {
 	mu    sync.Mutex
 	log   []string
@@ -57,7 +57,7 @@
 		switch e.Kind {
 		case loop.TimerDue:
 			text = fmt.Sprintf("timer %d", e.Timer.ID)
-		case loop.Data: // where bytes are parted is the kernel's affair; how many came is not
+		case loop.Data: // how the kernel splits the bytes is not fixed, only their total
 			text = fmt.Sprintf("data %s", s.name(e.Conn))
 			if n := len(s.log); n > 0 && strings.HasPrefix(s.log[n-1], text+" ") {
 				var sum int
@@ -84,31 +84,31 @@
 
 func (s *script) events() []string { s.mu.Lock(); defer s.mu.Unlock(); return slices.Clone(s.log) }
 
-// peer is the other side of a case, on either network.
+// peer is the remote side of a case, on either network.
 type peer interface {
 	connect()           // to the loop's listener
-	send(n int)         // so many bytes on the last connection
-	shut()              // ends the sending
-	close()             // ends the connection, with nothing unread
+	send(n int)         // sends n bytes on the last connection
+	shut()              // shuts down the sending side
+	close()             // closes the connection, with nothing unread
 	reset()             // resets it
-	drain()             // reads all that comes, from now on
+	drain()             // reads everything that arrives from now on
 	end() string        // how the loop's side ended: "eof", "reset" or ""
 	addr() netip.Addr   // of the peer's own listener, see port
-	port() uint16       // that accepts
-	closedPort() uint16 // that refuses
-	signal(loop.Kind)   // has the process told Stop or Reload
+	port() uint16       // of a listener that accepts
+	closedPort() uint16 // of an address that refuses
+	signal(loop.Kind)   // sends Stop or Reload to the process
 }
 
 type step struct {
 	do   func(p peer)
-	want []string // told after it
+	want []string // events delivered by the end of the step
 }
 
 type testCase struct {
 	name  string
 	on    func(p peer) func(s *script, now time.Duration, e loop.Event) []loop.Effect
 	steps []step
-	end   string // how the peer sees the end, if it matters
+	end   string // how the connection's end appears to the peer; "" if it does not matter
 }
 
 func cases() []testCase {
@@ -129,9 +129,9 @@
 			}
 		}
 	}
-	// A listener and a client's connection go over a Unix socket of the loop's own, as from process to
-	// process: the listener is adopted as another, the client's first bytes came before and are read
-	// after.
+	// A listener and a client's connection are passed over a Unix socket of the same loop, as between two
+	// processes. The listener is adopted under another number. The client's first bytes arrive before the passing
+	// and are read after it.
 	path := filepath.Join(os.TempDir(), fmt.Sprintf("conform-%d", os.Getpid()))
 	passListener := func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
 		switch {
@@ -146,7 +146,8 @@
 			return []loop.Effect{{Op: loop.PassSockets, Conn: e.Conn, Data: []byte("go"),
 				PassConns: []loop.Conn{loop.Listener}}, {Op: loop.Close, Conn: loop.Listener}}
 		case e.Kind == loop.Data && len(e.PassedConns) == 1:
-			return []loop.Effect{{Op: loop.AdoptListener, Conn: e.PassedConns[0], AdoptAs: loop.Admin}, {Op: loop.SetMemoryLimit, Bytes: 1 << 30}}
+			return []loop.Effect{{Op: loop.AdoptListener, Conn: e.PassedConns[0], AdoptAs: loop.Admin},
+				{Op: loop.SetMemoryLimit, Bytes: 1 << 30}}
 		}
 		return nil
 	}
@@ -162,7 +163,8 @@
 		case e.Kind == loop.Accepted && e.AcceptedBy == loop.HotRestart:
 			predecessor = e.Conn
 		case e.Kind == loop.Accepted:
-			return []loop.Effect{{Op: loop.PassSockets, Conn: predecessor, Data: []byte("!"), PassConns: []loop.Conn{e.Conn}}}
+			return []loop.Effect{{Op: loop.PassSockets, Conn: predecessor, Data: []byte("!"),
+				PassConns: []loop.Conn{e.Conn}}}
 		case e.Kind == loop.Data && len(e.PassedConns) == 1:
 			return []loop.Effect{{Op: loop.ResumeReading, Conn: e.PassedConns[0]}}
 		}
@@ -189,14 +191,14 @@
 	nothing := func(loop.Event) []loop.Effect { return nil }
 	var paused loop.Conn
 	return []testCase{
-		{name: "data, then the peer's end", on: plain(closeAtEnd), steps: []step{connect,
+		{name: "data, then the peer's shutdown", on: plain(closeAtEnd), steps: []step{connect,
 			{func(p peer) { p.send(5) }, []string{"data c1 5"}},
 			{func(p peer) { p.shut() }, []string{"eof c1"}}}, end: "eof"},
-		{name: "more than a buffer", on: plain(closeAtEnd), steps: []step{connect,
+		{name: "more data than one read returns", on: plain(closeAtEnd), steps: []step{connect,
 			{func(p peer) { p.send(150 << 10); p.shut() }, []string{"data c1 153600", "eof c1"}}}, end: "eof"},
-		{name: "a reset", on: plain(closeAtEnd),
+		{name: "the peer resets", on: plain(closeAtEnd),
 			steps: []step{connect, {func(p peer) { p.reset() }, []string{"broken c1 false"}}}},
-		{name: "closed with bytes unread", on: func(peer) func(*script, time.Duration, loop.Event) []loop.Effect {
+		{name: "close with unread bytes", on: func(peer) func(*script, time.Duration, loop.Event) []loop.Effect {
 			return func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
 				if e.Kind == loop.Readable && e.Conn != loop.Listener {
 					return []loop.Effect{{Op: loop.Close, Conn: e.Conn}}
@@ -205,7 +207,7 @@
 			}
 		}, steps: []step{{func(p peer) { p.connect() }, []string{"accepted c1"}},
 			{func(p peer) { p.send(70 << 10) }, []string{}}}, end: "reset"},
-		{name: "our sending ends first", on: plain(func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
+		{name: "the loop shuts down first", on: plain(func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
 			switch e.Kind {
 			case loop.Data:
 				return []loop.Effect{{Op: loop.Write, Conn: e.Conn, Data: []byte("bye")},
@@ -223,7 +225,7 @@
 			return nil
 		}), steps: []step{connect, {func(p peer) { p.send(1) }, []string{"data c1 1"}},
 			{func(p peer) { p.drain() }, []string{"flushed c1"}}}},
-		{name: "muted, then not", on: plain(func(_ *script, now time.Duration, e loop.Event) []loop.Effect {
+		{name: "reading paused, then resumed", on: plain(func(_ *script, now time.Duration, e loop.Event) []loop.Effect {
 			switch e.Kind {
 			case loop.Accepted:
 				paused = e.Conn
@@ -234,7 +236,7 @@
 			}
 			return nil
 		}), steps: []step{{func(p peer) { p.connect(); p.send(4) }, []string{"accepted c1", "timer 1", "data c1 4"}}}},
-		{name: "muted, the peer's end behind unread bytes",
+		{name: "reading paused, the peer's shutdown behind unread bytes is reported",
 			on: plain(func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
 				switch e.Kind {
 				case loop.Accepted:
@@ -247,7 +249,7 @@
 				return nil
 			}), steps: []step{{func(p peer) { p.connect(); p.send(4) }, []string{"accepted c1"}},
 				{func(p peer) { p.shut() }, []string{"leaving c1", "data c1 4", "eof c1"}}}, end: "eof"},
-		{name: "muted, the peer's end not asked for",
+		{name: "reading paused, the peer's shutdown is not to be reported",
 			on: plain(func(_ *script, now time.Duration, e loop.Event) []loop.Effect {
 				switch e.Kind {
 				case loop.Accepted:
@@ -262,7 +264,7 @@
 				return nil
 			}), steps: []step{{func(p peer) { p.connect(); p.send(4); p.shut() }, []string{"accepted c1", "timer 1",
 				"data c1 4", "eof c1"}}}, end: "eof"},
-		{name: "an end behind data is told in the same round",
+		{name: "a shutdown behind data is delivered in the same round",
 			on: plain(func(s *script, now time.Duration, e loop.Event) []loop.Effect {
 				switch e.Kind {
 				case loop.Accepted:
@@ -281,7 +283,7 @@
 				return nil
 			}), steps: []step{{func(p peer) { p.connect(); p.send(4); p.shut() }, []string{"accepted c1", "timer 1",
 				"data c1 4", "eof c1"}}}, end: "eof"},
-		{name: "a quiet write to one who has left",
+		{name: "WriteIfIdle to a peer that has shut down",
 			on: plain(func(_ *script, now time.Duration, e loop.Event) []loop.Effect {
 				switch e.Kind {
 				case loop.Accepted:
@@ -296,7 +298,7 @@
 				"stale c1"}}}},
 		{name: "a refused connection", on: dialTo(peer.closedPort, nothing),
 			steps: []step{{func(peer) {}, []string{"broken c1 true"}}}},
-		{name: "a connection that comes up", on: dialTo(peer.port, func(e loop.Event) []loop.Effect {
+		{name: "an established connection", on: dialTo(peer.port, func(e loop.Event) []loop.Effect {
 			if e.Kind == loop.Connected {
 				return []loop.Effect{{Op: loop.Write, Conn: e.Conn, Data: []byte("ask")}}
 			}
@@ -315,7 +317,7 @@
 				return []loop.Effect{set(1, 60), set(2, 20), set(3, 40), set(4, 5), set(2, 80),
 					{Op: loop.StopTimer, Timer: loop.Timer{ID: 4}}}
 			}), steps: []step{{func(peer) {}, []string{"timer 3", "timer 1", "timer 2"}}}},
-		{name: "datagrams, one to nobody, one too long, and a second socket at an address",
+		{name: "datagrams: one without receiver, one too long, and two sockets",
 			on: func(p peer) func(*script, time.Duration, loop.Event) []loop.Effect {
 				at := func(n uint16) netip.AddrPort { return netip.AddrPortFrom(p.addr(), p.closedPort()+n) }
 				return func(s *script, now time.Duration, e loop.Event) []loop.Effect {
@@ -347,18 +349,18 @@
 		{name: "a listener passed and adopted", on: plain(passListener), steps: []step{
 			{func(peer) {}, []string{"broken c1 false", "connected c2", "accepted c3", "flushed c3", "data c2 2"}},
 			{func(p peer) { p.connect(); p.send(3) }, []string{"accepted c4", "data c4 3"}}}},
-		{name: "a connection passed and read on", on: plain(passConnection), steps: []step{
+		{name: "a connection passed and then read", on: plain(passConnection), steps: []step{
 			{func(peer) {}, []string{"connected c1", "accepted c2"}},
 			{func(p peer) { p.connect() }, []string{"accepted c3", "flushed c2", "data c1 1"}},
 			{func(p peer) { p.send(5) }, []string{"data c4 5"}}}},
-		{name: "aborted", on: plain(func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
+		{name: "abort", on: plain(func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
 			if e.Kind == loop.Data {
 				return []loop.Effect{{Op: loop.Write, Conn: e.Conn, Data: []byte("x")}, {Op: loop.Abort, Conn: e.Conn}}
 			}
 			return nil
 		}), steps: []step{connect, {func(p peer) { p.drain(); p.send(1) },
 			[]string{"data c1 1", "flushed c1"}}}, end: "reset"},
-		{name: "a file that is not there", on: plain(func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
+		{name: "a missing file", on: plain(func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
 			if e.Kind == loop.Start {
 				return []loop.Effect{{Op: loop.ReadFile, Path: "/no/such/file"}}
 			}
@@ -368,7 +370,7 @@
 			{func(p peer) { p.signal(loop.Reload) }, []string{"reload"}}, {func(p peer) { p.signal(loop.Stop) },
 				[]string{"stop"}},
 			{func(p peer) { p.connect(); p.send(2) }, []string{"accepted c1", "data c1 2"}}}},
-		{name: "news of a socket closed in the same round",
+		{name: "effects on a socket closed in the same round",
 			on: plain(func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
 				if e.Kind == loop.Data {
 					return []loop.Effect{{Op: loop.Write, Conn: e.Conn, Data: []byte("x")},
@@ -390,13 +392,13 @@
 func compare(t *testing.T, got, want []string) {
 	t.Helper()
 	if !slices.Equal(got, want) {
-		t.Errorf("told %v, want %v", got, want)
+		t.Errorf("events %v, want %v", got, want)
 	}
 }
 
-// reservePort is a port of this machine that a socket has for as long as the test lasts, which does not
-// listen: connections to it are refused. Nobody else gets it, unless it is shared, and then only who
-// asks for it by SO_REUSEPORT, as the loop does.
+// reservePort returns a local port that is bound by a socket for the duration of the test. The socket does not
+// listen, so connections to the port are refused. No other process gets the port, unless it is shared; then only
+// sockets with SO_REUSEPORT, such as the loop's, do.
 func reservePort(t *testing.T, shared bool) uint16 {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -419,7 +421,7 @@
 	return uint16(at.(*unix.SockaddrInet4).Port)
 }
 
-// realPeer works on loopback.
+// realPeer is a peer on the loopback interface.
 type realPeer struct {
 	t     *testing.T
 	at    string
@@ -449,7 +451,7 @@
 	p.waitForKernel(n)
 }
 
-// waitForKernel waits until the kernel has taken what is sent, or the other side has ended.
+// waitForKernel waits until the kernel has taken what was sent, or the other side has ended.
 func (p *realPeer) waitForKernel(int)  { time.Sleep(5 * time.Millisecond) }
 func (p *realPeer) shut()              { p.waitForKernel(0); _ = p.conn().(*net.TCPConn).CloseWrite() }
 func (p *realPeer) close()             { _ = p.conn().Close() }
@@ -515,7 +517,7 @@
 			list = append(list, loop.Effect{Op: loop.Exit})
 		default:
 		}
-		// A wake-up every few milliseconds lets the loop see that the test is over.
+		// A timer every 10 ms lets the loop notice that the test is over.
 		if e.Kind == loop.Start || e.Kind == loop.TimerDue && e.Timer.Kind == 9 {
 			list = append(list, loop.Effect{Op: loop.SetTimer, Timer: loop.Timer{Kind: 9, ID: 99},
 				At: now + 10*time.Millisecond})
@@ -528,13 +530,13 @@
 		t.Fatal(err)
 	}
 	var want []string
-	notice := func() []string {
+	events := func() []string {
 		return slices.DeleteFunc(s.events(), func(x string) bool { return x == "timer 99" })
 	}
 	for _, st := range c.steps {
 		st.do(p)
 		want = append(want, st.want...)
-		for end := time.Now().Add(5 * time.Second); !slices.Equal(notice(), want) && time.Now().Before(end); {
+		for end := time.Now().Add(5 * time.Second); !slices.Equal(events(), want) && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -549,14 +551,14 @@
 			t.Errorf("the peer saw %q, want %q", p.end(), c.end)
 		}
 	}
-	compare(t, notice(), want)
+	compare(t, events(), want)
 	close(quit)
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 }
 
-// virtualPeer works on the virtual network.
+// virtualPeer is a peer on the simulated network.
 type virtualPeer struct {
 	loop    *Loop
 	sim     *Sim
--- a/internal/lab/simulation/discovery_load_test.go
+++ b/internal/lab/simulation/discovery_load_test.go
@@ -9,23 +9,23 @@
 	"thymebend/internal/loop"
 )
 
-// A fleet's watches are all reset at once while discovery works through calls in turn. The least time
-// in which every gateway can have a list again is gateways / calls a second, if no call is wasted. What
-// is asked for is half as much again, and 6 s.
+// All watches of a large cluster are reset at once while discovery has a call queue. Every gateway can have its
+// list again after gateways / calls a second at the earliest, if no call is wasted. The test allows 1.5 times
+// that, plus 6 s.
 const (
 	recoveryStretch = 1.5
 	recoverySpare   = 6 * time.Second
 )
 
-// recovery is what became of a fleet after its watches were reset.
+// recovery is the outcome of a reset of all watches.
 type recovery struct {
 	took     time.Duration // until every gateway had a list
-	complete bool          // and whether that came to be before the look at it ended
-	calls    int           // that the gateways began meanwhile
-	withList int           // gateways with a list in the end
+	complete bool          // every gateway had a list before the time limit
+	calls    int           // calls that the gateways started meanwhile
+	withList int           // gateways with a list at the end
 }
 
-// callCounter counts the calls that a gateway begins.
+// callCounter counts the calls that a gateway starts.
 type callCounter struct {
 	loop.Reducer
 	calls *int
@@ -42,14 +42,14 @@
 	return list
 }
 
-// recoverFleet starts gateways, resets their watches and waits until all have a list, for at most so long.
+// recoverFleet starts gateways, resets their watches, and runs until all have a list or limit is over.
 func recoverFleet(seed uint64, gateways int, queue CallQueue, limit time.Duration) recovery {
 	var r recovery
 	s := newSimulator(Plan{Seed: seed, Gateways: gateways, Hosts: 2, Sockets: 300,
 		NetworkPlan: NetworkPlan{LatencyUS: 200}, CostUS: 10}, nil,
 		func(gw loop.Reducer) loop.Reducer { return callCounter{gw, &r.calls} })
 	s.build()
-	s.sim.Run(epoch + 5*time.Second + s.sim.Between(0, 2*time.Second)) // each call has been answered at once until now
+	s.sim.Run(epoch + 5*time.Second + s.sim.Between(0, 2*time.Second)) // until here each call was answered at once
 	s.discovery.queue = &callQueue{CallQueue: queue}
 	start := s.sim.Now()
 	r.calls = 0
@@ -64,20 +64,21 @@
 	return r
 }
 
-// discoveryOf answers so many calls a second, and refuses one that would wait over 3 s.
+// discoveryOf returns a discovery that answers perSecond calls a second, and refuses one that would wait over 3 s.
 func discoveryOf(perSecond float64, atOnce bool) CallQueue {
 	const lines = 30
 	return CallQueue{LinesPerSecond: lines * perSecond, CallLines: lines, TimeoutMS: 3000, ShedAtOnce: atOnce}
 }
 
-// Every gateway has its list again in little more than the time that discovery needs for a call of each.
+// Every gateway has its list again in at most 1.5 times the time that discovery needs for a call of each, plus 6
+// s.
 func TestGatewaysRecoverListsInTime(t *testing.T) {
 	for _, c := range []struct {
 		gateways  int
 		perSecond float64
 	}{{3, 1}, {30, 3}, {30, 10}, {120, 5}, {120, 20}, {350, 10}, {350, 20}, {350, 50}} {
 		for _, atOnce := range []bool{true, false} {
-			name := fmt.Sprintf("%d gateways, %v a second, refused at once %v", c.gateways, c.perSecond, atOnce)
+			name := fmt.Sprintf("%d gateways, %v calls a second, refused at once %v", c.gateways, c.perSecond, atOnce)
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				ideal := time.Duration(float64(c.gateways) / c.perSecond * float64(time.Second))
@@ -85,7 +86,7 @@
 				var worst recovery
 				seeds := uint64(3)
 				if c.gateways > 30 {
-					seeds = 1 // for its time
+					seeds = 1 // larger runs take long
 				}
 				for seed := range seeds {
 					r := recoverFleet(seed, c.gateways, discoveryOf(c.perSecond, atOnce), 2*within)
@@ -93,7 +94,7 @@
 						worst = r
 					}
 				}
-				t.Logf("ideal %v, allowed %v, at worst %v, with %d calls and %d lists",
+				t.Logf("ideal %v, allowed %v, slowest run %v, with %d calls and %d lists",
 					ideal, within, worst.took, worst.calls, worst.withList)
 				if !worst.complete || worst.took > within {
 					t.Errorf("after %v %d of %d gateways have a list", worst.took, worst.withList, c.gateways)
@@ -103,14 +104,14 @@
 	}
 }
 
-// A change is kept to 6 s after discovery had it, while discovery works through calls in turn and all
-// watches break.
+// Gateways act on a change within 6 s after discovery has it, while discovery has a call queue and all watches
+// break.
 func TestDiscoveryLoadHoldsTheRules(t *testing.T) {
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			if o := playAndVerify(t, draw(t, seed, discoveryLoadProfile)); o.Tries < 500 || o.Served < o.Tries/2 {
-				t.Errorf("a run of nothing: %+v", o)
+				t.Errorf("too few requests made or served: %+v", o)
 			}
 		})
 	}
--- a/internal/lab/simulation/hunt_test.go
+++ b/internal/lab/simulation/hunt_test.go
@@ -12,28 +12,30 @@
 	"testing"
 )
 
-// allowedMapLoops are the functions that walk a map and may, and why that has no order.
+// allowedMapLoops lists the functions that may range over a map, and why the order has no effect there.
 func allowedMapLoops() map[string]string {
 	return map[string]string{
-		"gateway.closeAfterAnswers":   "sets a flag on each",
-		"upstream.Oldest":             "keeps the first by number",
+		"gateway.closeAfterAnswers":   "sets a flag on each element",
+		"upstream.Oldest":             "keeps the connection with the lowest number",
 		"upstream.ConnectingTo":       "sorts what it found",
 		"upstream.Surplus":            "sorts what it found",
 		"discovery.removeUnlisted":    "sorts what it found",
 		"settings.flatten":            "fills a map by path",
 		"loadreport.SuspectedByPeers": "fills a set",
-		"tokenschedule.Forget":        "deletes from the map that it walks",
+		"tokenschedule.Forget":        "deletes from the map that it ranges over",
 	}
 }
 
-// The code under simulation has one clock, one random source and no order but that of its events.
+// The simulated code uses only the clock and the random source that it is given, and no result depends on the
+// order of a map.
 func TestSimulatedCodeIsDeterministic(t *testing.T) {
 	allowed := allowedMapLoops()
 	fset := token.NewFileSet()
 	imports := importer.ForCompiler(fset, "source", nil)
 	for _, dir := range []string{"internal/balancer", "internal/balancer/concurrency",
 		"internal/balancer/outlierdetection", "internal/balancer/quota", "internal/balancer/retrybudget",
-		"internal/balancer/slowstart", "internal/balancer/stats", "internal/backoff", "internal/gateway", "internal/downstream", "internal/upstream",
+		"internal/balancer/slowstart", "internal/balancer/stats", "internal/backoff", "internal/gateway",
+		"internal/downstream", "internal/upstream",
 		"internal/discovery", "internal/http1",
 		"internal/admin", "internal/hotrestart", "internal/assignment", "internal/loadreport",
 		"internal/tokenschedule", "internal/subset",
@@ -73,7 +75,7 @@
 					switch n := n.(type) {
 					case *ast.RangeStmt:
 						if _, isMap := info.Types[n.X].Type.Underlying().(*types.Map); isMap && allowed[name] == "" {
-							t.Errorf("%s: %s walks a map", fset.Position(n.Pos()), name)
+							t.Errorf("%s: %s ranges over a map", fset.Position(n.Pos()), name)
 						}
 					case *ast.Ident:
 						o := info.Uses[n]
@@ -85,7 +87,7 @@
 						case p == "time" && (fun.Name() == "Now" || fun.Name() == "Since" ||
 							fun.Name() == "After" || fun.Name() == "Sleep"),
 							strings.HasPrefix(p, "math/rand") && !strings.HasPrefix(fun.Name(), "New"),
-							p == "maps" && !strings.Contains(text(fset, n), "slices.Sorted"):
+							p == "maps" && !strings.Contains(sourceLine(fset, n), "slices.Sorted"):
 							t.Errorf("%s: %s uses %s.%s", fset.Position(n.Pos()), name, p, fun.Name())
 						}
 					}
@@ -96,8 +98,8 @@
 	}
 }
 
-// text is the line of the source on which a node stands.
-func text(fset *token.FileSet, n ast.Node) string {
+// sourceLine returns the source line of a node.
+func sourceLine(fset *token.FileSet, n ast.Node) string {
 	at := fset.Position(n.Pos())
 	raw, err := os.ReadFile(at.Filename)
 	if err != nil {
--- a/internal/lab/simulation/simulator_test.go
+++ b/internal/lab/simulation/simulator_test.go
@@ -17,7 +17,8 @@
 	"thymebend/internal/loop"
 )
 
-// hashEnv names a seed whose hash the test program prints instead of testing, for another process to compare.
+// hashEnv is set to a seed to make the test program print that run's hash instead of running tests, so that
+// another process can compare it.
 const hashEnv = "VIRTUAL_HASH_OF"
 
 func TestMain(m *testing.M) {
@@ -38,7 +39,7 @@
 	return p
 }
 
-// playAndVerify plays a plan and shows the first rules that it broke.
+// playAndVerify plays a plan and reports the first three findings as errors.
 func playAndVerify(t *testing.T, p Plan) Outcome {
 	t.Helper()
 	o := Play(p, nil)
@@ -54,13 +55,13 @@
 			t.Parallel()
 			o := playAndVerify(t, draw(t, seed, ""))
 			if o.Tries < 50 || o.Served+o.Refused+o.Failed == 0 {
-				t.Errorf("a run of nothing: %+v", o)
+				t.Errorf("too few requests made or served: %+v", o)
 			}
 		})
 	}
 }
 
-// Sixty gateways with thin traffic in zones that differ, and troubles of many at once.
+// Sixty gateways with little traffic each, in zones of different sizes, and faults that affect many at once.
 func TestLargeClusterHoldsTheRules(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -71,29 +72,29 @@
 			}
 			o := playAndVerify(t, p)
 			if o.Tries < 6000 || o.Served < o.Tries/3 {
-				t.Errorf("a run of nothing: %+v", o)
+				t.Errorf("too few requests made or served: %+v", o)
 			}
 		})
 	}
 }
 
-// Gateways with a fleet file through kills, stops, upgrades that come to nothing, cuts and noise: what
-// they believe is true.
+// Gateways with a gossip file go through kills, stops, failed upgrades, cuts and malformed datagrams: the states
+// in their views are correct.
 func TestViewsHoldTheRules(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			p := draw(t, seed, viewsProfile)
 			if o := playAndVerify(t, p); o.Tries < 50 || !p.Views || p.Gateways < 2 {
-				t.Errorf("a run of nothing: %+v", o)
+				t.Errorf("too few requests made or served: %+v", o)
 			}
 		})
 	}
 }
 
-// Gateways that divide hosts by their view, through the same and while hosts are replaced, all at once
-// too: what they send cold hosts together keeps to the turns, and their parts add up. Two hosts for
-// many gateways, and many for few.
+// Gateways that divide the hosts by their membership view go through the same faults, and hosts are replaced, also
+// many at once: together they stay within the allowance of hosts in slow start, and their shares of each host add
+// up to 1. One run has two hosts for many gateways, another many hosts for three.
 func TestSharesHoldTheRules(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -110,17 +111,17 @@
 				t.Fatal(err)
 			}
 			if o := playAndVerify(t, p); o.Tries < 50 || !p.Shares || o.Served < o.Tries/5 {
-				t.Errorf("a run of nothing: %+v", o)
+				t.Errorf("too few requests made or served: %+v", o)
 			}
 		})
 	}
 }
 
-// Plans that once broke a rule.
+// Saved plans that once broke a rule.
 func TestSavedPlansHoldTheRules(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.json")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("%d plans, %v", len(files), err)
+		t.Fatalf("%d saved plans found, %v", len(files), err)
 	}
 	for _, path := range files {
 		p, err := ReadPlan(path)
@@ -128,12 +129,12 @@
 			t.Fatal(err)
 		}
 		if o := Play(p, nil); len(o.Findings) > 0 || o.Tries == 0 {
-			t.Errorf("%s: %d tries, %+v", path, o.Tries, o.Findings)
+			t.Errorf("%s: %d attempts, findings %+v", path, o.Tries, o.Findings)
 		}
 	}
 }
 
-// The same seed is the same run, to the letter, in other processes and on other numbers of processors.
+// The same seed gives exactly the same run in other processes and with other numbers of processors.
 func TestSameSeedSameHash(t *testing.T) {
 	for seed := uint64(100); seed < 120; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -149,18 +150,18 @@
 				hashes = append(hashes, string(out))
 			}
 			if hashes[0] != hashes[1] {
-				t.Errorf("%v", hashes)
+				t.Errorf("hashes differ: %v", hashes)
 			}
 		})
 	}
 }
 
-// defect changes what a gateway asks for, or what it hears.
+// defect changes the effects that a gateway returns, or the events that it receives.
 type defect struct {
 	loop.Reducer
 	calls   int
 	now     time.Duration
-	onEvent func(d *defect, e *loop.Event) bool // false drops the event
+	onEvent func(d *defect, e *loop.Event) bool // returns false to drop the event
 	effects func(d *defect, e loop.Event, list []loop.Effect) []loop.Effect
 }
 
@@ -176,10 +177,10 @@
 	return d.effects(d, e, list)
 }
 
-// every counts and is true each so many times.
+// every counts its calls and returns true on each n-th.
 func (d *defect) every(n int) bool { d.calls++; return d.calls%n == 0 }
 
-// toClient and toHost tell writes apart by the socket and what is written.
+// toClient and toHost identify writes to a client or a host by the socket and the first bytes.
 func toClient(f loop.Effect, head string) bool {
 	return f.Op == loop.Write && f.Conn >= firstAccepted && bytes.HasPrefix(f.Data, []byte(head))
 }
@@ -189,7 +190,7 @@
 		[]byte(head))
 }
 
-// rewrite changes each effect into others.
+// rewrite returns a function that replaces each effect by the effects that change returns.
 func rewrite(change func(d *defect, f loop.Effect) []loop.Effect) func(*defect, loop.Event,
 	[]loop.Effect) []loop.Effect {
 	return func(d *defect, _ loop.Event, list []loop.Effect) (out []loop.Effect) {
@@ -200,7 +201,7 @@
 	}
 }
 
-// The checks can fail: each planted defect is caught, under its rule, within a few seeds.
+// Verifies that the checks can fail: each planted defect is found under its rule within 20 seeds.
 func TestPlantedDefectsAreCaught(t *testing.T) {
 	for _, c := range []struct {
 		name, profile, rule string
@@ -333,7 +334,7 @@
 				})
 				for _, f := range o.Findings {
 					if f.Rule == c.rule {
-						t.Logf("caught at seed %d", seed)
+						t.Logf("detected at seed %d", seed)
 						return
 					}
 					if !slices.Contains(seen, f.Rule) {
@@ -341,12 +342,12 @@
 					}
 				}
 			}
-			t.Errorf("not caught in 20 seeds; found %v", seen)
+			t.Errorf("not detected in 20 seeds; rules found broken: %v", seen)
 		})
 	}
 }
 
-// A failing plan is reduced to little that still fails, and comes back from its file as it was.
+// A failing plan is reduced to the few parts that still fail, and a plan is the same after it was saved and read.
 func TestShrinkKeepsFailureAndPlansRoundTrip(t *testing.T) {
 	list := make([]int, 100)
 	for i := range list {
@@ -363,14 +364,14 @@
 		t.Fatal(err)
 	}
 	if q, err := ReadPlan(path); err != nil || Play(q, nil).Hash != Play(p, nil).Hash {
-		t.Errorf("a kept plan is another run: %v", err)
+		t.Errorf("a saved plan gives a different run: %v", err)
 	}
 	if _, err := Draw(1, "nonsense"); err == nil || !strings.Contains(err.Error(), "drain-retry") {
-		t.Errorf("%v", err)
+		t.Errorf("an unknown profile: error %v, want one that lists the profiles", err)
 	}
 }
 
-// BenchmarkSeeds is one run after another; its requests a second say how far a thousand seeds go.
+// BenchmarkSeeds plays one run after another and reports the requests simulated a second.
 func BenchmarkSeeds(b *testing.B) {
 	tries := 0
 	for i := range b.N {
@@ -380,22 +381,22 @@
 	b.ReportMetric(float64(tries)/b.Elapsed().Seconds(), "requests/s")
 }
 
-// Lists that are pushed: agents that are late, silent, restart and come back with older lists.
+// Pushed lists: agents are delayed, fall silent, restart and return with earlier lists.
 func TestPushedListsHoldTheRules(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			o := playAndVerify(t, draw(t, seed, "pushed"))
 			if o.Tries < 50 || o.Served < o.Tries/10 {
-				t.Errorf("a run of nothing: %+v", o)
+				t.Errorf("too few requests made or served: %+v", o)
 			}
 		})
 	}
 }
 
-// Clients that stop in the middle of their requests and stay, beside stops, upgrades and hosts that
-// hang, with deadlines from 0.9 to 12 s. The last seeds once left large requests unanswered in their
-// clients' time.
+// Clients stop in the middle of their requests and stay connected, while gateways stop or are upgraded and hosts
+// hang, with deadlines from 0.9 to 12 s. With seeds 69, 95 and 118, large requests once got no response within
+// their clients' deadlines.
 func TestStoppedClientsHoldTheRules(t *testing.T) {
 	seeds := []uint64{69, 95, 118}
 	for seed := range uint64(40) {
@@ -406,14 +407,14 @@
 			t.Parallel()
 			o := playAndVerify(t, draw(t, seed, stoppedProfile))
 			if o.Tries < 50 || o.Served == 0 {
-				t.Errorf("a run of nothing: %+v", o)
+				t.Errorf("too few requests made or served: %+v", o)
 			}
 		})
 	}
 }
 
-// Machines whose clocks are an hour or some seconds wrong when processes begin, while hosts start cold.
-// Seed 164 once pushed one over.
+// Machines whose clocks are an hour or some seconds wrong when processes start, while hosts are in slow start.
+// With seed 164, a host in slow start was once overloaded.
 func TestWrongClocksHoldTheRules(t *testing.T) {
 	seeds := []uint64{164}
 	for seed := range uint64(25) {
@@ -427,7 +428,7 @@
 	}
 }
 
-// Seeds that once broke a rule, or a check that was wrong.
+// Seeds at which a rule was once broken, or a check was wrong.
 func TestRegressionSeedsHoldTheRules(t *testing.T) {
 	for _, c := range []struct {
 		seed    uint64
@@ -435,13 +436,13 @@
 	}{{770064, "upgrade"}, {623, "upgrade"}, {1317, "upgrade"}, {881660, "retune"}, {882393, "upgrade"},
 		{174, "pushed"}, {1092, "pushed"}, {2275, "pushed"}} {
 		if o := Play(draw(t, c.seed, c.profile), nil); len(o.Findings) > 0 {
-			t.Errorf("%d of %s: %+v", c.seed, c.profile, o.Findings[0])
+			t.Errorf("seed %d of %s: %+v", c.seed, c.profile, o.Findings[0])
 		}
 	}
 }
 
-// Seeds of sixty gateways at which a cold host was sent more than it survives by first requests that
-// many gateways had saved up before they came to use it.
+// Seeds of sixty gateways at which a host in slow start was sent more than it can serve: many gateways had each
+// accumulated the right to a first request before they started to use the host.
 func TestSeedsThatOverloadedAColdHostHoldTheRules(t *testing.T) {
 	for _, seed := range []uint64{27, 40, 73, 103, 129, 229, 284} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -455,8 +456,8 @@
 	}
 }
 
-// Half of the hosts are replaced while a zone is lost: of the hosts of that zone three are left, which
-// all its gateways use.
+// Half of the hosts are replaced while a zone is lost. Three hosts of that zone are left, and all its gateways use
+// them.
 func TestSeedWithThreeHostsLeftInAZoneHoldsTheRules(t *testing.T) {
 	p, err := DrawSized(258, fleetProfile, Size{Gateways: 60, Hosts: 40})
 	if err != nil {
@@ -465,8 +466,8 @@
 	playAndVerify(t, p)
 }
 
-// Three gateways over two hundred hosts, each with all its descriptors in use, are upgraded: the two
-// processes together keep to them.
+// Three gateways with two hundred hosts, each using all its descriptors, are upgraded. Predecessor and successor
+// together stay within the limit.
 func TestUpgradesWithManyHostsStayWithinDescriptorLimit(t *testing.T) {
 	for _, c := range []struct {
 		seed    uint64
@@ -476,8 +477,8 @@
 	}
 }
 
-// The new process of such an upgrade has few descriptors for the clients that wait, and may close no
-// link at rest.
+// The successor in such an upgrade has few descriptors for the clients that wait. It must close no idle connection
+// for them.
 func TestUpgradesWithManyHostsAnswerAll(t *testing.T) {
 	for _, seed := range []uint64{6, 8} {
 		verifyManyHosts(t, seed, "upgrade")
@@ -495,13 +496,14 @@
 	})
 }
 
-// Gateways hear that one is suspected which was just upgraded: by another that is cut off from it, and
-// so are those that it asks.
+// Datagrams are lost after an upgrade: gateways receive the suspicion of a gateway that was just upgraded, from
+// one that is cut off from it, and the gateways that this one asked for indirect probes are cut off too. The
+// upgrade must not count as the end of the gateway.
 func TestUpgradeIsNotTakenForAFailureWhenDatagramsAreLost(t *testing.T) {
 	playAndVerify(t, draw(t, 156, sharesProfile))
 }
 
-// pushedPlan is a day of pushed lists with stated faults and a request every 80 ms.
+// pushedPlan returns a plan with pushed lists, the given faults and a request every 80 ms.
 func pushedPlan(hosts, ms int, faults ...Fault) Plan {
 	p := Plan{Seed: 1, Profile: "pushed", Pushed: true, Gateways: 2, Hosts: hosts, Sockets: 400, LagMS: 300,
 		NetworkPlan: NetworkPlan{LatencyUS: 200}, CostUS: 10, Faults: faults}
@@ -511,8 +513,7 @@
 	return p
 }
 
-// A gateway comes back on its last list while all hosts of it but one are gone and others stand in
-// their places.
+// A gateway restarts with its last list after all hosts of that list but one were replaced by others.
 func TestRestartWithAListOfRemovedHosts(t *testing.T) {
 	faults := []Fault{{AtMS: 1000, Kind: "gateway-kill", Target: 0, ForMS: 9000}}
 	for n := range 5 {
@@ -520,17 +521,17 @@
 	}
 	o := playAndVerify(t, pushedPlan(6, 14000, faults...))
 	if o.Served < o.Tries*8/10 {
-		t.Errorf("%+v", o)
+		t.Errorf("too few requests served: %+v", o)
 	}
 }
 
-// Versions that begin anew are passed over for half a minute, then taken: what is told later holds, new
-// hosts are used.
+// List versions that start again are ignored for half a minute, then accepted. Changes after that take effect, and
+// new hosts are used.
 func TestListVersionsThatRestart(t *testing.T) {
 	o := playAndVerify(t, pushedPlan(4, 50000, Fault{AtMS: 3000, Kind: "discovery-anew"},
 		Fault{AtMS: 38000, Kind: "host-replace", Target: 0}, Fault{AtMS: 38100, Kind: "host-replace", Target: 1},
 		Fault{AtMS: 38200, Kind: "host-replace", Target: 2}))
 	if o.Served < o.Tries*9/10 {
-		t.Errorf("%+v", o)
+		t.Errorf("too few requests served: %+v", o)
 	}
 }
--- a/internal/lab/simulation/times_test.go
+++ b/internal/lab/simulation/times_test.go
@@ -16,29 +16,27 @@
 	"thymebend/internal/loop"
 )
 
-// How long a gateway takes to hear of a change that discovery has, from when discovery can be reached:
-// the worst case of each state that its watch may be in. What counts as notified then is in the
-// operators' page: 6 s.
+// notifyWithin is how long a gateway may take to receive a change that discovery has, from when discovery can be
+// reached, in the worst case of each state of its watch. The change then counts as notified: 6 s.
 const notifyWithin = 6 * time.Second
 
-// How the stand-in treats one call.
+// callOutcome is how scriptedDiscovery answers one call.
 type callOutcome uint8
 
 const (
 	served             callOutcome = iota // answered at once with the list, then a heartbeat every 2 s
-	refused                               // nobody listens
-	neverConnects                         // its connection never comes up
-	unanswered                            // it comes up and nothing is answered
+	refused                               // the connection is refused
+	neverConnects                         // the connection is never established
+	unanswered                            // the connection is established and nothing is answered
 	failed                                // 503
-	reset                                 // its connection is reset once the call has come
+	reset                                 // the connection is reset once the call has arrived
 	cutMidLine                            // half of a line, then nothing
-	queued                                // served once it has waited its turn
-	shedWithRetryAfter                    // 503 with a time to come back
-	queueTimeout                          // 503 once it has waited its turn
+	queued                                // served after its turn in the queue
+	shedWithRetryAfter                    // 503 with Retry-After
+	queueTimeout                          // 503 after its turn in the queue
 )
 
-// scriptedDiscovery is a discovery of few words. Each call is treated as its place says; those after
-// the last as the last.
+// scriptedDiscovery is a discovery with a scripted outcome for each call.
 type scriptedDiscovery struct {
 	sim        *Sim
 	net        *Net
@@ -46,12 +44,12 @@
 	silent     bool
 	calls      int
 	outcomeOf  func(call int) callOutcome
-	open       map[*End]bool // watches that stand
-	onListSent func()        // a list has been written to the gateway
+	open       map[*End]bool // established watches
+	onListSent func()        // called when a list has been written to the gateway
 	ln         *Listener
-	line       string        // the list; registryLine where it is empty
-	queueDelay time.Duration // that a queued call waits
-	retryAfter string        // the time to come back that a shed call is given, in seconds
+	line       string        // the list; registryLine if empty
+	queueDelay time.Duration // time that a queued call waits
+	retryAfter string        // Retry-After of a shed call, in seconds
 }
 
 const registryLine = `{"seq":5,"whole":true,"hosts":[]}`
@@ -65,7 +63,7 @@
 	})
 }
 
-// prepareNextCall has the network be to the next call as it is treated.
+// prepareNextCall sets the listener up for the outcome of the next call.
 func (d *scriptedDiscovery) prepareNextCall() {
 	outcome := d.outcomeOf(d.calls)
 	d.silent = outcome == neverConnects
@@ -109,7 +107,7 @@
 
 const chunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// serve answers a call with the list and then a heartbeat every 2 s.
+// serve answers a call with the list, then a heartbeat every 2 s.
 func (d *scriptedDiscovery) serve(e *End) {
 	if e.closed || e.reset || e.ReadEnded() {
 		return
@@ -129,14 +127,14 @@
 	d.sim.After(heartbeatInterval, beat)
 }
 
-// startGateway starts a gateway that asks, or is told by, a scriptedDiscovery.
+// startGateway starts a gateway that uses a scriptedDiscovery.
 func startGateway(t *testing.T, sim *Sim, net *Net, at netip.AddrPort, mode string,
 	wrap func(*Loop, loop.Reducer) loop.Reducer) *Loop {
 	t.Helper()
 	return startGatewayOf(t, sim, net, at, mode, 1, wrap)
 }
 
-// startGatewayOf starts one of so many gateways.
+// startGatewayOf starts one gateway of a cluster with the given number of gateways.
 func startGatewayOf(t *testing.T, sim *Sim, net *Net, at netip.AddrPort, mode string, gateways int,
 	wrap func(*Loop, loop.Reducer) loop.Reducer) *Loop {
 	t.Helper()
@@ -161,9 +159,10 @@
 	return l
 }
 
-// A large fleet, too, hears of a change in time after a long outage: a discovery that is down turns
-// calls away at once, which costs it nothing and says nothing of how many calls it bears. Neither does
-// the time that it asks for put off the next call for longer.
+// In a large cluster, too, a gateway receives a change in time after a long outage. A discovery that is down
+// rejects calls at once, which costs it nothing and does not show how many calls it can handle; therefore
+// rejections must not slow the calls down. A Retry-After of 45 s must not delay the next call beyond the limit
+// either.
 func TestChangeIsReceivedAfterALongOutage(t *testing.T) {
 	for _, outage := range []time.Duration{10 * time.Second, 40 * time.Second, 2 * time.Minute} {
 		for _, how := range []callOutcome{failed, reset, refused, shedWithRetryAfter} {
@@ -181,61 +180,66 @@
 				startGatewayOf(t, c.sim, c.net, c.addr, "subscribe", 300, nil)
 				c.sim.Run(epoch + outage + 2*time.Minute)
 				if len(c.notifiedAt) == 0 || c.notifiedAt[0]-outage > notifyWithin {
-					t.Fatalf("an outage of %v (kind %d), seed %d: told at %v", outage, how, seed, c.notifiedAt)
+					t.Fatalf("an outage of %v (outcome %d), seed %d: list received at %v", outage, how, seed, c.notifiedAt)
 				}
 			}
 		}
 	}
 }
 
-// A change is heard of within the time, whatever state the watch is in when discovery can be reached,
-// and though one call after that is lost.
+// A gateway receives a change within the limit, whatever the state of its watch when discovery can be reached, and
+// even if one or two calls after that fail.
 func TestChangeIsReceivedInTime(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		before callOutcome   // how calls are treated until discovery can be reached; served is a watch that stands and then
-		reset  bool          // is reset, or else falls silent, at the moment from which is counted
-		lost   []callOutcome // the calls after that which go wrong all the same
+		name string
+		// outcome of the calls until discovery can be reached; served: the watch is established, and at the moment
+		// from which the time counts
+		before  callOutcome
+		reset   bool          // it is reset, or else falls silent
+		failing []callOutcome // outcomes of the first calls after that
 	}{
 		{name: "calls are refused", before: refused},
 		{name: "calls fail", before: failed},
 		{name: "calls are reset", before: reset},
-		{name: "no connection comes up", before: neverConnects},
+		{name: "no connection is established", before: neverConnects},
 		{name: "no call is answered", before: unanswered},
 		{name: "calls end in the middle of a line", before: cutMidLine},
 		{name: "a watch falls silent"},
-		{name: "a watch falls silent, the next call is never answered", lost: []callOutcome{unanswered}},
-		{name: "a watch falls silent, the next connection never comes up", lost: []callOutcome{neverConnects}},
-		{name: "a watch falls silent, the next call fails", lost: []callOutcome{failed}},
-		{name: "a watch falls silent, the next call is torn", lost: []callOutcome{cutMidLine}},
+		{name: "a watch falls silent, the next call is never answered", failing: []callOutcome{unanswered}},
+		{name: "a watch falls silent, the next connection is never established", failing: []callOutcome{neverConnects}},
+		{name: "a watch falls silent, the next call fails", failing: []callOutcome{failed}},
+		{name: "a watch falls silent, the next call ends in the middle of a line", failing: []callOutcome{cutMidLine}},
 		{name: "a watch is reset", reset: true},
-		{name: "a watch is reset, the next call is never answered", reset: true, lost: []callOutcome{unanswered}},
-		{name: "a watch is reset, the next two calls fail", reset: true, lost: []callOutcome{failed, reset}},
+		{name: "a watch is reset, the next call is never answered", reset: true, failing: []callOutcome{unanswered}},
+		{name: "a watch is reset, the next two calls fail", reset: true, failing: []callOutcome{failed, reset}},
 	} {
 		for _, mode := range []string{"subscribe", "automatic"} {
 			t.Run(c.name+", "+mode, func(t *testing.T) {
 				t.Parallel()
 				worst := time.Duration(0)
 				for seed := range uint64(100) {
-					took := notificationDelay(t, seed, mode, c.before, c.reset, c.lost)
+					took := notificationDelay(t, seed, mode, c.before, c.reset, c.failing)
 					worst = max(worst, took)
 				}
-				t.Logf("at worst %v", worst)
+				t.Logf("longest time %v", worst)
 				if worst > notifyWithin {
-					t.Errorf("heard of after %v at worst", worst)
+					t.Errorf("change received after %v, want at most 6s", worst)
 				}
 			})
 		}
 	}
 }
 
-// notificationDelay is how long a gateway took to hear of what discovery had, from when it could be reached.
-func notificationDelay(t *testing.T, seed uint64, mode string, before callOutcome, resets bool, lost []callOutcome) time.Duration {
+// notificationDelay returns how long a gateway took to receive discovery's list from when discovery could be
+// reached.
+func notificationDelay(t *testing.T, seed uint64, mode string, before callOutcome, resets bool,
+	lost []callOutcome) time.Duration {
 	sim := NewSim(seed, nil)
 	net := NewNet(sim)
 	var from, notified time.Duration
-	first, reachable := 0, false // its first call that counts
-	r := &scriptedDiscovery{sim: sim, net: net, addr: netip.MustParseAddrPort("10.2.0.1:8500"), open: make(map[*End]bool)}
+	first, reachable := 0, false // number of the first call after discovery can be reached
+	r := &scriptedDiscovery{sim: sim, net: net, addr: netip.MustParseAddrPort("10.2.0.1:8500"),
+		open: make(map[*End]bool)}
 	r.onListSent = func() {
 		if reachable && notified == 0 {
 			notified = sim.Now() + net.Latency
@@ -262,8 +266,8 @@
 		clear(r.open)
 		r.prepareNextCall()
 	})
-	// A connection that never comes up is no call that the stand-in sees: one step after it was begun
-	// it counts as one.
+	// scriptedDiscovery does not see a connection that is never established: 10 ms after its start at the latest
+	// it counts as a call.
 	var countUnseen func()
 	seen := loop.Conn(0)
 	countUnseen = func() {
@@ -279,13 +283,14 @@
 	sim.After(0, countUnseen)
 	sim.Run(epoch + 40*time.Second)
 	if notified == 0 {
-		t.Fatalf("seed %d: never heard of", seed)
+		t.Fatalf("seed %d: change never received", seed)
 	}
 	return notified - from
 }
 
-// A request comes between the gateway's last look at a resting connection and its close: it is taken by
-// nobody, and a reset tells its client so. No kernel can be held there, so the look's answer is.
+// A request arrives between the gateway's last read of an idle connection and its close. Nothing processes it, and
+// a reset indicates this to its client. Since a kernel cannot be stopped at that point, the test adds the request
+// when the read returns nothing.
 func TestRequestBetweenTheLastReadAndTheClose(t *testing.T) {
 	const health, crossed = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n",
 		"GET /view HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: view\r\nX-Expires-In: 900m\r\n\r\n"
@@ -306,11 +311,11 @@
 	client = net.Dial(netip.MustParseAddrPort("10.1.0.1:8443"), nil,
 		func(error) { _, _ = client.Write([]byte(health)) })
 	sim.Run(epoch + 10*time.Second)
-	if client.ReadEnded() || !strings.Contains(string(client.Read(1<<10)), " 503 ") { // it has no host
+	if client.ReadEnded() || !strings.Contains(string(client.Read(1<<10)), " 503 ") { // 503: it has no host
 		t.Fatal("the gateway does not answer")
 	}
 	sim.Run(epoch + 5*time.Minute)
 	if !injected || !client.reset || len(client.inbox) > 0 {
-		t.Errorf("the look was answered: %v; the client was reset: %v, and told %q", injected, client.reset, client.inbox)
+		t.Errorf("request injected: %v; client reset: %v, and received %q", injected, client.reset, client.inbox)
 	}
 }
--- a/internal/lab/simulation/upgrade_test.go
+++ b/internal/lab/simulation/upgrade_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// planUpgradeAtLimit is a day on which clients hold all links that a gateway may have. It is upgraded,
-// hosts that hang keep the old process from its end, and clients come on new links while others go on
-// using theirs.
+// planUpgradeAtLimit is a plan in which clients hold all connections that a gateway may have. The gateway is
+// upgraded, hanging hosts keep the predecessor from exiting, and clients open new connections while others
+// continue to use theirs.
 func planUpgradeAtLimit() Plan {
 	const opened, upgraded, ended = 1000, 2000, 4000
 	p := Plan{Seed: 1, Profile: "upgrade", Gateways: 1, Hosts: 60, Sockets: 256,
@@ -17,13 +17,13 @@
 	}
 	p.Faults = append(p.Faults, Fault{AtMS: upgraded, Kind: "gateway-upgrade", Target: 0, ForMS: 500})
 	const held = 120
-	for n := range held { // each link carries two requests, so that it counts as one that goes on being used
+	for n := range held { // each connection carries two requests, so that it counts as one in regular use
 		p.Requests = append(p.Requests, Request{AtMS: opened + n/2, TimeoutMS: 2000, NewConnection: true})
 	}
 	for n := range held {
 		p.Requests = append(p.Requests, Request{AtMS: opened + 70 + n/2, TimeoutMS: 2000})
 	}
-	for n := range 30 { // unsafe ones that a hanging host has are not sent to another
+	for n := range 30 { // unsafe requests that a hanging host has received are not sent to another
 		p.Requests = append(p.Requests, Request{AtMS: upgraded - 40 + n, TimeoutMS: 2400, Unsafe: true})
 	}
 	for at := upgraded; at < ended; at += 10 {
@@ -35,7 +35,7 @@
 	return p
 }
 
-// Those that come on new links are answered in their time, and no link at rest is closed for them.
+// Clients on new connections are answered in time, and no idle connection is closed for them.
 func TestUpgradeAtTheConnectionLimitAnswersNewClients(t *testing.T) {
 	o := playAndVerify(t, planUpgradeAtLimit())
 	if o.Served < o.Tries*9/10 {
@@ -43,8 +43,8 @@
 	}
 }
 
-// planUpgradesAmongNewConnections is a day on which every client comes on a new link and keeps it, so that links
-// at rest are closed for being many, and the gateway is upgraded again and again in the midst of that.
+// planUpgradesAmongNewConnections is a plan in which every client opens a new connection and keeps it, so that
+// idle connections are closed because there are too many. The gateway is upgraded every 1.2 s meanwhile.
 func planUpgradesAmongNewConnections(seed uint64) Plan {
 	const begin, end = 1000, 9000
 	p := Plan{Seed: seed, Profile: "upgrade", Gateways: 1, Hosts: 60, Sockets: 256,
@@ -60,7 +60,7 @@
 	return p
 }
 
-// A time limit that a link at rest was given before an upgrade does not close it during one.
+// A timeout that was set for an idle connection before an upgrade does not close it during the upgrade.
 func TestUpgradeClosesNoConnectionWithAnOlderTimeout(t *testing.T) {
 	for _, seed := range []uint64{3, 5} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
