--- a/internal/lab/simulation/assignments.go
+++ b/internal/lab/simulation/assignments.go
@@ -37,7 +37,7 @@
 // slowStartArrivals holds the requests that a host received during one slow start.
 type slowStartArrivals struct {
 	startedAt time.Duration
-	window    []time.Duration
+	recent    []time.Duration
 	total     int
 	exceeded  bool
 }
@@ -49,26 +49,26 @@
 	if !s.plan.Shares || !ok || e.Born == 0 || s.views.done {
 		return
 	}
-	cold := h.spec.Cold
+	slowStart := h.spec.Cold
 	born := time.Duration(e.Born) * time.Millisecond
-	if h.budget.startedAt != born {
-		h.budget = slowStartArrivals{startedAt: born}
+	if h.slowStart.startedAt != born {
+		h.slowStart = slowStartArrivals{startedAt: born}
 	}
-	b := &h.budget
-	if now-born >= cold.For || b.exceeded {
+	arrivals := &h.slowStart
+	if now-born >= slowStart.For || arrivals.exceeded {
 		return
 	}
-	b.total++
-	b.window = append(b.window, now)
-	window := cold.FallFor - slowStartSlack - s.net.Jitter
-	for now-b.window[0] > window {
-		b.window = b.window[1:]
+	arrivals.total++
+	arrivals.recent = append(arrivals.recent, now)
+	window := slowStart.FallFor - slowStartSlack - s.net.Jitter
+	for now-arrivals.recent[0] > window {
+		arrivals.recent = arrivals.recent[1:]
 	}
-	capacity := cold.From + (1-cold.From)*min(1, float64(now-born)/float64(cold.For))
-	limit := cold.FallMultiple * warmRate * capacity * cold.FallFor.Seconds()
-	if float64(len(b.window)) > math.Ceil(limit) {
-		b.exceeded = true
-		s.addFinding(SlowStartExceeded, h.name, "%d in %v at %v after its start, it may get %.1f", len(b.window), window,
+	capacity := slowStart.From + (1-slowStart.From)*min(1, float64(now-born)/float64(slowStart.For))
+	limit := slowStart.FallMultiple * warmRate * capacity * slowStart.FallFor.Seconds()
+	if float64(len(arrivals.recent)) > math.Ceil(limit) {
+		arrivals.exceeded = true
+		s.addFinding(SlowStartExceeded, h.name, "%d in %v at %v after its start, it may get %.1f", len(arrivals.recent), window,
 			now-born, limit)
 	}
 }
@@ -79,7 +79,7 @@
 		return
 	}
 	sums := make(map[uint64]float64)
-	settled := 0
+	stable := 0
 	for _, g := range s.gateways {
 		if !g.up || g.process.gw == nil || g.process.gw.Membership() == nil {
 			continue
@@ -95,12 +95,12 @@
 		if tracker.Stage() != assignment.Settled {
 			continue // demand shifts while traffic fades: the old and the new assignment both apply for a second
 		}
-		settled++
+		stable++
 		for _, u := range tracker.Assigned() {
 			sums[u.Endpoint] += u.Share
 		}
 	}
-	if settled < len(s.gateways) || settled == 0 {
+	if stable < len(s.gateways) || stable == 0 {
 		return
 	}
 	for _, h := range s.hosts {
--- a/internal/lab/simulation/assignments_test.go
+++ b/internal/lab/simulation/assignments_test.go
@@ -66,8 +66,8 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	reporting := func(s loadreport.Report) func([]byte) []byte {
 		return func(was []byte) []byte {
-			if told, err := loadreport.Parse(was); err == nil {
-				s.ConfigHash = told.ConfigHash
+			if report, err := loadreport.Parse(was); err == nil {
+				s.ConfigHash = report.ConfigHash
 			}
 			s.Known = true
 			return loadreport.Append(nil, s)
--- a/internal/lab/simulation/calls_test.go
+++ b/internal/lab/simulation/calls_test.go
@@ -154,9 +154,9 @@
 			var inbox []byte
 			e.ready = func() {
 				inbox = append(inbox, e.Read(1<<16)...)
-				for _, _, rest, whole, err := parseRequest(inbox); whole && err == nil; _, _, rest, whole,
+				for _, _, remaining, whole, err := parseRequest(inbox); whole && err == nil; _, _, remaining, whole,
 					err = parseRequest(inbox) {
-					inbox = rest
+					inbox = remaining
 					*arrivals = append(*arrivals, sim.Now())
 					_, _ = e.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 				}
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -21,8 +21,8 @@
 type client struct {
 	run          *simulator
 	req          Request
-	number       int // index of the request in the plan
-	try          int
+	requestIndex int // index of the request in the plan
+	attempt      int
 	id           string
 	gateway      *gatewayNode
 	end          *End
@@ -38,7 +38,7 @@
 
 func (s *simulator) startRequest(n int, r Request, try int) {
 	s.lastID++
-	c := &client{run: s, req: r, number: n, try: try, id: fmt.Sprintf("%08x", s.lastID)}
+	c := &client{run: s, req: r, requestIndex: n, attempt: try, id: fmt.Sprintf("%08x", s.lastID)}
 	if c.gateway = s.pickGateway(); c.gateway == nil {
 		return
 	}
@@ -97,7 +97,7 @@
 
 func (c *client) encode() []byte {
 	mark := ""
-	if c.try > 0 {
+	if c.attempt > 0 {
 		mark = "X-Second-Try: 1\r\n"
 	}
 	query := ""
@@ -109,7 +109,7 @@
 	}
 	path, class, body := "/tender-view/7", "tender-view", []byte(nil)
 	if c.req.Unsafe {
-		path, class, body = "/bid-lodge", "bid-lodge", fmt.Appendf(nil, "%040d", c.number)
+		path, class, body = "/bid-lodge", "bid-lodge", fmt.Appendf(nil, "%040d", c.requestIndex)
 		body = append(body, bytes.Repeat([]byte{'b'}, c.req.Body)...)
 	}
 	if !c.req.Unsafe && !c.unsafeViews {
@@ -295,8 +295,8 @@
 }
 
 func (c *client) retry() {
-	if c.try < c.req.Retries {
-		r, n, try := c.req, c.number, c.try+1
+	if c.attempt < c.req.Retries {
+		r, n, try := c.req, c.requestIndex, c.attempt+1
 		c.run.sim.After(c.run.sim.Between(40*time.Millisecond, 300*time.Millisecond),
 			func() { c.run.startRequest(n, r, try) })
 	}
--- a/internal/lab/simulation/clusterrates.go
+++ b/internal/lab/simulation/clusterrates.go
@@ -89,14 +89,14 @@
 		return
 	}
 	c.advance()
-	sum := rateKey{rule, h.name}
-	c.counts[sum]++
-	c.peaks[rule] = max(c.peaks[rule], c.counts[sum])
-	if c.counts[sum] <= limit || c.reported[sum] {
+	key := rateKey{rule, h.name}
+	c.counts[key]++
+	c.peaks[rule] = max(c.peaks[rule], c.counts[key])
+	if c.counts[key] <= limit || c.reported[key] {
 		return
 	}
-	if bound := float64(limit) * c.maxLoadFactor(h.zone()); float64(c.counts[sum]) > bound {
-		c.reported[sum] = true
+	if bound := float64(limit) * c.maxLoadFactor(h.zone()); float64(c.counts[key]) > bound {
+		c.reported[key] = true
 		c.run.addFinding(rule, h.name, "over %.0f in the second from %v", bound, c.start)
 	}
 }
--- a/internal/lab/simulation/clusterrates_test.go
+++ b/internal/lab/simulation/clusterrates_test.go
@@ -22,7 +22,7 @@
 
 // stopHosts stops the given number of hosts of a zone and returns one that still runs.
 func (s *simulator) stopHosts(zone, many int) *host {
-	var left *host
+	var running *host
 	for _, h := range s.hosts {
 		switch {
 		case h.zone() != zone:
@@ -30,10 +30,10 @@
 			h.up = false
 			many--
 		default:
-			left = h
+			running = h
 		}
 	}
-	return left
+	return running
 }
 
 // The bounds for a host apply while half of the hosts of its own zone are serving, whatever the state of the other
@@ -56,8 +56,8 @@
 		s.stopHosts(0, c.stopped[0])
 		s.stopHosts(1, c.stopped[1])
 		h := s.stopHosts(c.zone, 0)
-		if few := s.loadFactor(c.zone) > 1; few != c.mayBeDenied {
-			t.Errorf("%s: load factor above 1: %v", c.name, few)
+		if fewServing := s.loadFactor(c.zone) > 1; fewServing != c.mayBeDenied {
+			t.Errorf("%s: load factor above 1: %v", c.name, fewServing)
 		}
 		for range c.limit {
 			s.rates.countSend(h)
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -61,14 +61,14 @@
 	})
 	if old := d.listeners[gateway]; old != nil {
 		old.Close()
-		var stay []*watch
+		var moved []*watch
 		for _, c := range d.watches {
 			if c.gateway == gateway {
-				stay = append(stay, c)
+				moved = append(moved, c)
 			}
 		}
 		d.run.sim.After(moveGrace, func() {
-			for _, c := range stay {
+			for _, c := range moved {
 				d.closeWatch(c)
 			}
 		})
@@ -92,7 +92,7 @@
 		d.closeWatch(c)
 		return
 	}
-	r, _, rest, whole, err := parseRequest(c.inbox)
+	r, _, remaining, whole, err := parseRequest(c.inbox)
 	if err != nil {
 		d.run.addFinding("garbled request", "discovery", "%v", err)
 		d.closeWatch(c)
@@ -101,7 +101,7 @@
 	if !whole || c.requested {
 		return
 	}
-	c.inbox, c.requested = rest, true
+	c.inbox, c.requested = remaining, true
 	c.after, _ = strconv.Atoi(r.URL.Query().Get("index"))
 	d.run.rates.countCall()
 	if d.queue == nil {
--- a/internal/lab/simulation/draw.go
+++ b/internal/lab/simulation/draw.go
@@ -111,10 +111,10 @@
 	if size.Requests > 0 {
 		d.length = max(2000, int(float64(size.Requests)/d.rate*1000))
 	}
-	// A slow processor is a fault that gateways have to handle; one that is overloaded for good could keep no
+	// A slow processor is a fault that gateways have to handle; one that is overloaded all the time could keep no
 	// rule.
-	const eventsOfRequest, surge, most = 20, 2.5, 0.6
-	p.CostUS = min(p.CostUS, int(most*1e6/(d.rate/float64(p.Gateways)*eventsOfRequest*surge)))
+	const eventsOfRequest, surge, maxLoad = 20, 2.5, 0.6
+	p.CostUS = min(p.CostUS, int(maxLoad*1e6/(d.rate/float64(p.Gateways)*eventsOfRequest*surge)))
 }
 
 // drawFaults draws the time, kind and duration of each fault.
@@ -302,10 +302,10 @@
 		}
 	}
 	if on["fleet-lost"] {
-		at, zone, gone := between(2000, 6000), between(0, p.Zones-1), between(1500, 4000)
+		at, zone, downMS := between(2000, 6000), between(0, p.Zones-1), between(1500, 4000)
 		for n := range p.Hosts {
 			if zoneOfHost(n, p.hostZones()) == zone {
-				list = append(list, Fault{AtMS: at, Kind: "host-down", Target: n, ForMS: gone + between(0, 300)})
+				list = append(list, Fault{AtMS: at, Kind: "host-down", Target: n, ForMS: downMS + between(0, 300)})
 			}
 		}
 	}
--- a/internal/lab/simulation/gatewayfaults.go
+++ b/internal/lab/simulation/gatewayfaults.go
@@ -184,7 +184,7 @@
 			})
 		case tries == 0:
 			// The platform kills the process now. Requests that it accepted in time and has not answered count as
-			// lost by its own fault.
+			// lost by the gateway's fault.
 			g.loop.Kill()
 			if s.views != nil {
 				s.views.ended(g.process.pid)
--- a/internal/lab/simulation/hosts.go
+++ b/internal/lab/simulation/hosts.go
@@ -56,7 +56,7 @@
 	removed         bool
 	draining        bool // it drains and will not come back
 	peakConnections int  // most connections at one time
-	budget          slowStartArrivals
+	slowStart       slowStartArrivals
 }
 
 // maxConnections is how many connections all gateways of a cluster may have to one host. It is three times the
@@ -99,8 +99,8 @@
 		c := &hostConn{end: e, gateway: gateway, model: h.model}
 		h.run.rates.countConnect(h)
 		if !h.model.Connected(h.run.sim.Now()) { // the host holds no more connections
-			few := h.run.loadFactor(h.zone()) > 1
-			if len(h.conns) >= maxConnections && !few { // else the host crashed, or few hosts of its zone are serving
+			fewServing := h.run.loadFactor(h.zone()) > 1
+			if len(h.conns) >= maxConnections && !fewServing { // else the host crashed, or few hosts of its zone are serving
 				by := make(map[int]int)
 				for _, x := range h.conns {
 					by[x.gateway]++
@@ -155,7 +155,7 @@
 		c.inbox = append(c.inbox, data...)
 	}
 	if !c.busy && !c.closing {
-		r, body, rest, whole, err := parseRequest(c.inbox)
+		r, body, remaining, whole, err := parseRequest(c.inbox)
 		switch {
 		// the body is still incomplete
 		case err == nil && !whole && len(c.inbox) > 20_000 && h.run.sim.Chance(h.faultShares["host-cut"]/20):
@@ -174,7 +174,7 @@
 			h.drop(c)
 			return
 		case whole:
-			c.inbox, c.busy = rest, true
+			c.inbox, c.busy = remaining, true
 			h.handleRequest(c, r)
 		}
 	}
--- a/internal/lab/simulation/invariants.go
+++ b/internal/lab/simulation/invariants.go
@@ -70,16 +70,16 @@
 		if n := g.loop.wakeups - before[i]; n > limit {
 			s.addFinding(WokeUpIdle, g.name, "woke up %d times in %v of nothing", n, quietPeriod/2)
 		}
-		resting := 0
+		idle := 0
 		for _, l := range s.idle {
 			if l.gateway == g {
-				resting++
+				idle++
 			}
 		}
 		sockets, timers := g.loop.OpenCounts()
 		// Each idle upstream and downstream connection has a timer; the watch and the balancer have a few.
-		if most := 2*resting + sockets + 60; timers > most {
-			s.addFinding(Leaked, g.name, "%d timers with %d sockets and %d client links at rest", timers, sockets, resting)
+		if limit := 2*idle + sockets + 60; timers > limit {
+			s.addFinding(Leaked, g.name, "%d timers with %d sockets and %d client links at rest", timers, sockets, idle)
 		}
 	}
 }
--- a/internal/lab/simulation/measure.go
+++ b/internal/lab/simulation/measure.go
@@ -131,9 +131,9 @@
 func (m *assignmentMeasurement) sumSlowStart() {
 	for who := range badHosts {
 		h := m.run.hosts[m.hosts-1-who]
-		cold := h.spec.Cold
-		m.used += float64(h.budget.total)
-		m.allowed += cold.FallMultiple * warmRate * (1 + cold.From) / 2 * cold.For.Seconds()
+		slowStart := h.spec.Cold
+		m.used += float64(h.slowStart.total)
+		m.allowed += slowStart.FallMultiple * warmRate * (1 + slowStart.From) / 2 * slowStart.For.Seconds()
 	}
 }
 
@@ -141,7 +141,7 @@
 // other gateways' reports.
 func (s *simulator) knownShare(h *host) float64 {
 	id := discovery.Identity(h.name)
-	users, know := 0, 0
+	users, knowing := 0, 0
 	for _, g := range s.gateways {
 		if !g.up || g.process.gw == nil || g.process.gw.AssignmentTracker() == nil {
 			continue
@@ -152,13 +152,13 @@
 		}
 		users++
 		if bad || doubted {
-			know++
+			knowing++
 		}
 	}
 	if users == 0 {
 		return 0
 	}
-	return float64(know) / float64(users)
+	return float64(knowing) / float64(users)
 }
 
 // effectObserver observes each effect before it is carried out.
--- a/internal/lab/simulation/shrink.go
+++ b/internal/lab/simulation/shrink.go
@@ -13,29 +13,29 @@
 		runs++
 		return slices.ContainsFunc(PlayContext(ctx, q, nil).Findings, func(f Finding) bool { return f.Rule == rule })
 	}
-	for again := true; again && runs < limit && ctx.Err() == nil; {
-		again = false
+	for reduced := true; reduced && runs < limit && ctx.Err() == nil; {
+		reduced = false
 		p.Faults = reduce(p.Faults, func(part []Fault) bool {
 			q := p
 			q.Faults = part
 			return runs < limit && ctx.Err() == nil && breaks(q)
-		}, &again)
+		}, &reduced)
 		p.Requests = reduce(p.Requests, func(part []Request) bool {
 			q := p
 			q.Requests = part
 			return runs < limit && ctx.Err() == nil && breaks(q)
-		}, &again)
+		}, &reduced)
 	}
 	return p, runs
 }
 
 // reduce removes sublists from a list, long ones first, as long as the remaining list is still enough.
-func reduce[T any](list []T, enough func([]T) bool, less *bool) []T {
+func reduce[T any](list []T, enough func([]T) bool, reduced *bool) []T {
 	for size := max(1, len(list)/2); size >= 1; size /= 2 {
 		for from := 0; from < len(list); {
 			part := slices.Concat(list[:from], list[min(len(list), from+size):])
 			if enough(part) {
-				list, *less = part, true
+				list, *reduced = part, true
 				continue
 			}
 			from += size
