--- a/internal/lab/simulation/agents.go
+++ b/internal/lab/simulation/agents.go
@@ -25,8 +25,8 @@
 	writtenAt      time.Duration // time of that write
 }
 
-// minQuietBeforeRestart is the least time between the last write to the gateway and a restart of its agent, and
-// between two restarts. A gateway that could not call in between could not have received the change either.
+// minQuietBeforeRestart is how long after its last write to the gateway an agent may restart, or restart again. A
+// gateway that had no time to call between two restarts could not have been notified.
 const minQuietBeforeRestart = 500 * time.Millisecond
 
 // maxHistory is the largest number of versions by which a restarted agent's list may be out of date.
--- a/internal/lab/simulation/answers.go
+++ b/internal/lab/simulation/answers.go
@@ -33,6 +33,7 @@
 	}
 }
 
+// handleResponse records a complete response and ends the attempt; a request that was not served may be retried.
 func (c *client) handleResponse(status int, body []byte, keep bool) {
 	if status == 200 {
 		body = trimPadding(body, c.req.Pad)
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -36,6 +36,7 @@
 	pending      []byte
 }
 
+// startRequest starts one attempt at request n of the plan, on an idle connection or on a new one.
 func (s *simulator) startRequest(n int, r Request, try int) {
 	s.lastID++
 	c := &client{run: s, req: r, requestIndex: n, attempt: try, id: fmt.Sprintf("%08x", s.lastID)}
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -31,6 +31,7 @@
 	agents    []*agent // by gateway, where lists are pushed; else empty
 }
 
+// watch is a gateway's call to discovery, whose response stays open and reports changes.
 type watch struct {
 	end         *End
 	gateway     int
--- a/internal/lab/simulation/hosts.go
+++ b/internal/lab/simulation/hosts.go
@@ -64,6 +64,7 @@
 // one gateway may need several connections.
 const maxConnections = 36
 
+// hostConn is a connection that a host has accepted from a gateway.
 type hostConn struct {
 	end         *End
 	gateway     int
@@ -184,6 +185,7 @@
 	}
 }
 
+// handleRequest passes a request to the host model, and checks it against the rules first.
 func (h *host) handleRequest(c *hostConn, r *http.Request) {
 	id, class := r.Header.Get("X-Trace-Id"), r.Header.Get("X-Qos")
 	now := h.run.sim.Now()
--- a/internal/lab/simulation/invariants.go
+++ b/internal/lab/simulation/invariants.go
@@ -13,6 +13,7 @@
 
 // This file compares what happened in a run with the rules.
 
+// addFinding records a broken rule and notes it in the trace.
 func (s *simulator) addFinding(rule, id, format string, args ...any) {
 	s.findings = append(s.findings, Finding{rule, id, fmt.Sprintf(format, args...)})
 	s.sim.Note("BROKEN %s: %s", rule, id)
@@ -84,6 +85,8 @@
 	}
 }
 
+// excused reports whether a missing response counts as caused by the client, the network, or a kill, stop or
+// halt of the gateway at that time.
 func (s *simulator) excused(t requestrecord.Attempt) bool {
 	if t.Cause == "cut by the network" || t.Cause == "left" || t.Cause == "half a large answer" {
 		return true
@@ -103,6 +106,7 @@
 	return false
 }
 
+// compareRecords compares the requests recorded by the clients with those recorded by the hosts.
 func (s *simulator) compareRecords() {
 	var hosts []*requestrecord.EndpointRecord
 	for _, h := range s.hosts {
--- a/internal/lab/simulation/loop.go
+++ b/internal/lab/simulation/loop.go
@@ -20,6 +20,7 @@
 	processDescriptors = 5 // descriptors of the process that are not sockets
 )
 
+// socket is a connection of a simulated process.
 type socket struct {
 	conn           loop.Conn
 	end            *End
--- a/internal/lab/simulation/simulator.go
+++ b/internal/lab/simulation/simulator.go
@@ -58,6 +58,7 @@
 	Partial  bool          // the run was interrupted
 }
 
+// simulator holds the state of one run.
 type simulator struct {
 	plan        Plan
 	file        *experiment.File
