--- a/internal/lab/simulation/assignments.go
+++ b/internal/lab/simulation/assignments.go
@@ -92,7 +92,7 @@
 			s.addFinding(NotDivided, g.name, "its view is settled, and its portion %v", stageOf(tracker))
 			continue
 		}
-		if tracker.Stage() != assignment.Settled {
+		if tracker.Stage() != assignment.Converged {
 			continue // demand shifts while traffic fades: the old and the new assignment both apply for a second
 		}
 		stable++
@@ -109,7 +109,7 @@
 			s.sim.Now() < time.Duration(e.Born)*time.Millisecond+h.spec.Cold.For+time.Second {
 			continue
 		}
-		if sum := sums[uint64(discovery.Identity(h.name))]; sum < 0.999 || sum > 1.001 {
+		if sum := sums[uint64(discovery.EndpointIDFromName(h.name))]; sum < 0.999 || sum > 1.001 {
 			s.addFinding(SharesDisagree, h.name, "the gateways' parts of it add up to %.4f", sum)
 		}
 	}
--- a/internal/lab/simulation/assignments_test.go
+++ b/internal/lab/simulation/assignments_test.go
@@ -61,7 +61,7 @@
 	p := steadyPlan(t)
 	var all []uint64
 	for n := range p.Hosts {
-		all = append(all, uint64(discovery.Identity(buildExperiment(p).Spec(buildExperiment(p).Hosts[0], n).Name)))
+		all = append(all, uint64(discovery.EndpointIDFromName(buildExperiment(p).Spec(buildExperiment(p).Hosts[0], n).Name)))
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	reporting := func(s loadreport.Report) func([]byte) []byte {
@@ -69,7 +69,7 @@
 			if report, err := loadreport.Parse(was); err == nil {
 				s.ConfigHash = report.ConfigHash
 			}
-			s.Known = true
+			s.HasFigures = true
 			return loadreport.Append(nil, s)
 		}
 	}
--- a/internal/lab/simulation/hunt_test.go
+++ b/internal/lab/simulation/hunt_test.go
@@ -16,7 +16,7 @@
 func allowedMapLoops() map[string]string {
 	return map[string]string{
 		"gateway.closeAfterAnswers":   "sets a flag on each element",
-		"upstream.Oldest":             "keeps the connection with the lowest number",
+		"upstream.OldestIdle":         "keeps the connection with the lowest number",
 		"upstream.ConnectingTo":       "sorts what it found",
 		"upstream.Surplus":            "sorts what it found",
 		"discovery.removeUnlisted":    "sorts what it found",
--- a/internal/lab/simulation/measure.go
+++ b/internal/lab/simulation/measure.go
@@ -140,7 +140,7 @@
 // knownShare returns the share of a host's gateways that have ejected the host themselves or doubt it because of
 // other gateways' reports.
 func (s *simulator) knownShare(h *host) float64 {
-	id := discovery.Identity(h.name)
+	id := discovery.EndpointIDFromName(h.name)
 	users, knowing := 0, 0
 	for _, g := range s.gateways {
 		if !g.up || g.process.gw == nil || g.process.gw.AssignmentTracker() == nil {
