--- a/internal/lab/simulation/callqueue_test.go
+++ b/internal/lab/simulation/callqueue_test.go
@@ -17,13 +17,13 @@
 	"thymebend/internal/loop"
 )
 
-// Calls are worked off in turn. One that would wait for its turn longer than the time-out is refused,
-// costs nothing and is told so at once or when the time-out has come.
-func TestCallsAreAnsweredInTurn(t *testing.T) {
+// Calls are answered in order. A call that would wait longer than the timeout is refused; it costs no capacity,
+// and is refused immediately or after the timeout.
+func TestCallQueueAnswersInOrderAndShedsOnTimeout(t *testing.T) {
 	const second = time.Second
 	q := callQueue{CallQueue: CallQueue{LinesPerSecond: 30, CallLines: 25, HostLines: 1, TimeoutMS: 3000}}
 	if work := q.work(5); work != second {
-		t.Fatalf("a call of 25 lines with 5 hosts takes %v at 30 lines a second", work)
+		t.Fatalf("a call of 25 lines and 5 hosts takes %v at 30 lines a second, want 1s", work)
 	}
 	for i, want := range []struct {
 		now, at time.Duration
@@ -32,133 +32,133 @@
 		{0, second, true},
 		{0, 2 * second, true},
 		{0, 3 * second, true},
-		{0, 4 * second, true}, // its turn begins when the time-out is just over
+		{0, 4 * second, true}, // its turn starts exactly at the timeout
 		{0, 3 * second, false},
 		{second / 2, second/2 + 3*second, false},
-		{second, 5 * second, true}, // what was refused has cost nothing
+		{second, 5 * second, true}, // refused calls have cost nothing
 		{9 * second, 10 * second, true},
 	} {
-		if at, served := q.enter(want.now, second); at != want.at || served != want.served {
-			t.Errorf("call %d: at %v, served %v", i, at, served)
+		if at, served := q.enqueue(want.now, second); at != want.at || served != want.served {
+			t.Errorf("call %d: answered at %v, served %v", i, at, served)
 		}
 	}
-	q.ShedAtOnce, q.busy = true, 13*second
-	if at, served := q.enter(9*second, second); at != 9*second || served {
-		t.Errorf("a queue that is too long answers at %v, served %v", at, served)
+	q.ShedAtOnce, q.busyUntil = true, 13*second
+	if at, served := q.enqueue(9*second, second); at != 9*second || served {
+		t.Errorf("a queue that is too long: answered at %v, served %v, want a refusal at once", at, served)
 	}
 }
 
-// A change counts as notified after 6 s, or after the time that discovery needs for the calls that it
-// has caused.
-func TestWhenAChangeCountsAsTold(t *testing.T) {
+// A change counts as notified after 6 s, or after the time that discovery needs for the calls that it has caused.
+func TestNotificationDeadline(t *testing.T) {
 	sim := NewSim(1, nil)
-	latest := &notificationDeadlines{sim: sim, work: 100 * time.Millisecond}
+	deadlines := &notificationDeadlines{sim: sim, work: 100 * time.Millisecond}
 	start := sim.Now()
 	after := func(d time.Duration) time.Duration { sim.Run(start + d); return d }
-	latest.changed(registry.Entry{Host: "a", State: registry.Draining})
-	latest.caused(20)
+	deadlines.recordChange(registry.Entry{Host: "a", State: registry.Draining})
+	deadlines.addCalls(20)
 	after(3 * time.Second)
-	latest.changed(registry.Entry{Host: "a", State: registry.Removed}) // the first notice counts
+	deadlines.recordChange(registry.Entry{Host: "a", State: registry.Removed}) // the first notice counts
 	after(5999 * time.Millisecond)
-	if told, ok := latest.notified("a"); ok {
-		t.Errorf("told early: %v", told)
+	if notice, ok := deadlines.overdue("a"); ok {
+		t.Errorf("counts as notified before 6 s: %v", notice)
 	}
-	after(notifiedAtTheLatest)
-	if told, ok := latest.notified("a"); !ok || told.At != start+notifiedAtTheLatest ||
-		told.State != registry.Draining {
-		t.Errorf("%v, %v", told, ok)
+	after(notificationLimit)
+	if notice, ok := deadlines.overdue("a"); !ok || notice.At != start+notificationLimit ||
+		notice.State != registry.Draining {
+		t.Errorf("%v, %v", notice, ok)
 	}
-	latest.changed(registry.Entry{Host: "b", State: registry.Draining})
+	deadlines.recordChange(registry.Entry{Host: "b", State: registry.Draining})
 	from := after(7 * time.Second)
-	latest.caused(100) // 10 s of work
+	deadlines.addCalls(100) // 10 s of work
 	after(25 * time.Second)
-	if told, ok := latest.notified("b"); !ok || told.At != start+from+silenceNoticed+15*time.Second {
-		t.Errorf("%v, %v", told, ok)
+	if notice, ok := deadlines.overdue("b"); !ok || notice.At != start+from+silenceDetection+15*time.Second {
+		t.Errorf("%v, %v", notice, ok)
 	}
-	if told, ok := latest.notified("a"); !ok || told.At != start+notifiedAtTheLatest {
-		t.Errorf("what was told is put off: %v, %v", told, ok)
+	if notice, ok := deadlines.overdue("a"); !ok || notice.At != start+notificationLimit {
+		t.Errorf("a deadline that has passed was extended: %v, %v", notice, ok)
 	}
-	latest.changed(registry.Entry{Host: "a", State: registry.Up})
-	if _, ok := latest.notified("a"); ok {
-		t.Error("a host that is up counts as leaving")
+	deadlines.recordChange(registry.Entry{Host: "a", State: registry.Up})
+	if _, ok := deadlines.overdue("a"); ok {
+		t.Error("a host that is up has a notification of its departure")
 	}
 }
 
-// watchers starts a world of gateways with a discovery that works in turn, and lets each have its list.
-func watchers(t *testing.T, calls CallQueue) *simulator {
+// startWithWatches starts a simulator whose discovery has a call queue, and runs it until every gateway has its
+// list.
+func startWithWatches(t *testing.T, calls CallQueue) *simulator {
 	t.Helper()
-	w := newSimulator(Plan{Seed: 1, Gateways: 4, Hosts: 3, Sockets: 300,
+	s := newSimulator(Plan{Seed: 1, Gateways: 4, Hosts: 3, Sockets: 300,
 		NetworkPlan: NetworkPlan{LatencyUS: 200}, CostUS: 10,
 		Calls: &calls}, nil,
 		func(r loop.Reducer) loop.Reducer { return r })
-	w.build()
-	w.sim.Run(epoch + 3*time.Second)
-	if n := len(w.disc.listed()); n != 4 {
-		t.Fatalf("%d gateways have a list", n)
+	s.build()
+	s.sim.Run(epoch + 3*time.Second)
+	if n := len(s.discovery.gatewaysWithList()); n != 4 {
+		t.Fatalf("%d of 4 gateways have a list", n)
 	}
-	return w
+	return s
 }
 
-// listed is the gateways that have a watch with a list.
-func (d *discoveryServer) listed() map[int]bool {
+// gatewaysWithList returns the gateways that have a watch with a list.
+func (d *discoveryServer) gatewaysWithList() map[int]bool {
 	list := make(map[int]bool)
 	for _, c := range d.watches {
 		if c.notified && !c.end.closed {
-			list[c.via] = true
+			list[c.gateway] = true
 		}
 	}
 	return list
 }
 
-// Watches end when the list changes, are all reset, or fall silent; the list that answers the next call
-// leaves out who drains.
-func TestWatchesThatEndAndListsWithoutDrainingHosts(t *testing.T) {
+// Watches end when the list changes, are all reset, or fall silent. The list that answers the next call omits
+// draining hosts.
+func TestWatchFaultsAndListsWithoutDrainingHosts(t *testing.T) {
 	calls := CallQueue{LinesPerSecond: 1000, CallLines: 20, HostLines: 1, TimeoutMS: 3000, EndWatches: 1,
 		WholeFirst: true}
-	w := watchers(t, calls)
-	before := slices.Clone(w.disc.watches)
-	w.list(w.hosts[0], registry.Draining, false)
-	w.sim.Run(w.sim.Now() + time.Millisecond)
+	s := startWithWatches(t, calls)
+	before := slices.Clone(s.discovery.watches)
+	s.announce(s.hosts[0], registry.Draining, false)
+	s.sim.Run(s.sim.Now() + time.Millisecond)
 	for _, c := range before {
 		if !c.end.closed {
-			t.Errorf("the watch of %s stands", gatewayName(c.via))
+			t.Errorf("the watch of %s is still open", gatewayName(c.gateway))
 		}
 	}
-	line := string(w.disc.list.ServingLine("g0"))
+	line := string(s.discovery.list.ServingLine("g0"))
 	whole := strings.Contains(line, `"whole":true`)
-	if strings.Contains(line, w.hosts[0].name+`"`) || !strings.Contains(line, w.hosts[1].name) || !whole {
+	if strings.Contains(line, s.hosts[0].name+`"`) || !strings.Contains(line, s.hosts[1].name) || !whole {
 		t.Errorf("%s", line)
 	}
-	changed, serving := w.disc.list.ChangedCount(w.disc.list.Seq()-1), w.disc.list.ServingCount()
+	changed, serving := s.discovery.list.ChangedCount(s.discovery.list.Seq()-1), s.discovery.list.ServingCount()
 	if changed != 1 || serving != 2 {
-		t.Errorf("%d changed, %d serve", changed, serving)
+		t.Errorf("%d hosts changed, %d serve, want 1 and 2", changed, serving)
 	}
 	for _, storm := range []struct {
 		do    func()
-		after time.Duration // until every gateway has another watch
+		after time.Duration // time within which every gateway has another watch
 	}{
 		{func() {}, time.Second},
-		{w.disc.resetOpen, time.Second},
-		{func() { w.disc.silence(10 * time.Second) }, 4 * time.Second},
+		{s.discovery.resetOpen, time.Second},
+		{func() { s.discovery.silenceWatches(10 * time.Second) }, 4 * time.Second},
 	} {
-		old := w.disc.watches
+		old := s.discovery.watches
 		storm.do()
-		w.sim.Run(w.sim.Now() + storm.after)
-		silent := slices.ContainsFunc(w.disc.watches, func(c *watch) bool {
+		s.sim.Run(s.sim.Now() + storm.after)
+		silent := slices.ContainsFunc(s.discovery.watches, func(c *watch) bool {
 			return slices.Contains(old, c) &&
-				c.silent > 0
+				c.silentUntil > 0
 		})
-		if len(w.disc.listed()) != 4 || silent {
-			t.Errorf("%d of 4 gateways have a list", len(w.disc.listed()))
+		if len(s.discovery.gatewaysWithList()) != 4 || silent {
+			t.Errorf("%d of 4 gateways have a list", len(s.discovery.gatewaysWithList()))
 		}
 	}
 }
 
-// The profile is drawn when it is asked for alone, and a plan comes back from its file as it was.
-func TestPlansOfDiscoveryUnderLoad(t *testing.T) {
+// The profile is selected only when it is stated, and a plan is the same after it was saved and read.
+func TestDiscoveryLoadPlans(t *testing.T) {
 	for seed := range uint64(300) {
 		if p := draw(t, seed, ""); p.Calls != nil {
-			t.Fatalf("seed %d has drawn it", seed)
+			t.Fatalf("seed %d selects a profile with a call queue by default", seed)
 		}
 	}
 	p := draw(t, 3, discoveryLoadProfile)
@@ -168,7 +168,7 @@
 	}
 	q, err := ReadPlan(path)
 	if err != nil || q.Calls == nil || *q.Calls != *p.Calls || Play(q, nil).Hash != Play(p, nil).Hash {
-		t.Errorf("a kept plan is another run: %v", err)
+		t.Errorf("a saved plan gives a different run: %v", err)
 	}
 	for text, want := range map[string]string{
 		`{}`:                       "calls.lines_per_second must be positive",
@@ -185,22 +185,22 @@
 	}
 }
 
-// impatientClient is a gateway with a planted defect: it gives a call up that waits in discovery's
-// queue, and calls again.
-type impatientClient struct {
+// callAbandoner is a gateway with a planted defect: it abandons a call that waits in discovery's queue, and calls
+// again.
+type callAbandoner struct {
 	loop.Reducer
-	waiting map[loop.Conn]bool // calls that nothing has been heard of
+	waiting map[loop.Conn]bool // calls without an answer
 }
 
-// giveUpAfter is shorter than discovery's time-out, so that such a call still costs its turn.
-const giveUpAfter = 2700 * time.Millisecond
+// abandonAfter is shorter than discovery's timeout, so that an abandoned call still costs its turn.
+const abandonAfter = 2700 * time.Millisecond
 
-// giveUpTimer is a kind of timer that the gateway does not have.
-const giveUpTimer = 201
+// abandonTimer is a kind of timer that the gateway does not have.
+const abandonTimer = 201
 
 // Step implements loop.Reducer.
-func (g *impatientClient) Step(now time.Duration, e loop.Event) []loop.Effect {
-	if e.Kind == loop.TimerDue && e.Timer.Kind == giveUpTimer {
+func (g *callAbandoner) Step(now time.Duration, e loop.Event) []loop.Effect {
+	if e.Kind == loop.TimerDue && e.Timer.Kind == abandonTimer {
 		conn := loop.Conn(e.Timer.ID)
 		if !g.waiting[conn] {
 			return nil
@@ -214,26 +214,25 @@
 	for _, f := range list {
 		if f.Op == loop.Write && bytes.HasPrefix(f.Data, []byte("GET /v1/servers")) {
 			g.waiting[f.Conn] = true
-			timer := loop.Timer{Kind: giveUpTimer, ID: uint64(f.Conn)}
-			list = append(list, loop.Effect{Op: loop.SetTimer, Timer: timer, At: now + giveUpAfter})
+			timer := loop.Timer{Kind: abandonTimer, ID: uint64(f.Conn)}
+			list = append(list, loop.Effect{Op: loop.SetTimer, Timer: timer, At: now + abandonAfter})
 		}
 	}
 	return list
 }
 
-func makeImpatient(r loop.Reducer) loop.Reducer {
-	return &impatientClient{Reducer: r, waiting: make(map[loop.Conn]bool)}
+func abandonQueuedCalls(r loop.Reducer) loop.Reducer {
+	return &callAbandoner{Reducer: r, waiting: make(map[loop.Conn]bool)}
 }
 
-// The rule on when a change counts as notified can fail: gateways that give up calls in the queue break
-// it.
-func TestCallsGivenUpInTheQueueAreCaught(t *testing.T) {
+// Verifies that the rule on late notifications can fail: gateways that abandon queued calls break it.
+func TestAbandoningQueuedCallsIsDetected(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
-		o := play(draw(t, seed, discoveryLoadProfile), nil, makeImpatient)
+		o := play(draw(t, seed, discoveryLoadProfile), nil, abandonQueuedCalls)
 		if slices.ContainsFunc(o.Findings, func(f Finding) bool { return f.Rule == requestrecord.LateToDrained }) {
-			t.Logf("caught at seed %d", seed)
+			t.Logf("detected at seed %d", seed)
 			return
 		}
 	}
-	t.Error("not caught in 40 seeds")
+	t.Error("not detected in 40 seeds")
 }
--- a/internal/lab/simulation/clusterrates.go
+++ b/internal/lab/simulation/clusterrates.go
@@ -7,122 +7,124 @@
 	"thymebend/internal/lab/registry"
 )
 
-// Standing checks of a fleet: what all gateways together ask of one host or of discovery within one
-// second. A gateway alone keeps each of these easily; what is held here is the sum. Gateways choose
-// their hosts by zones, so hosts are counted by zones.
+// Rate checks of a large cluster: what all gateways together send to one host or to discovery within one second. A
+// single gateway stays far below these bounds; the checks apply to the sum. Gateways choose hosts by zone, so the
+// bounds for a host depend on its zone.
 
-// Rules of the sums.
+// Rules about rates.
 const (
-	OverSent   = "too many sends"       // at one host in a second, by all gateways together
-	OverOpened = "too many connections" // opened at one host in a second
-	OverAsked  = "too many calls"       // at discovery in a second
+	TooManySends       = "too many sends"       // sent to one host in a second by all gateways together
+	TooManyConnections = "too many connections" // opened to one host in a second by all gateways together
+	TooManyCalls       = "too many calls"       // made to discovery in a second by all gateways together
 )
 
-// The sums in figures. Those at a host hold while half of the hosts of its zone are left. With half,
-// each has twice its part of the gateways, and the bounds leave half as much again; with fewer the
-// gateways have to use the same few, and sends and connections opened may grow as the hosts get fewer.
+// The bounds for a host apply while at least half of the hosts of its zone are serving. With half of them, each
+// host has twice its share of the gateways, and the bounds leave half as much again. With fewer, all gateways have
+// to use the same few hosts, and the bounds grow as the number of serving hosts falls.
 const (
-	// maxAttempts a second: a host of the plans does 25 of mean work and queues 14, and what it turns
-	// away has to be asked for before it is known to be full.
-	maxAttempts = 120
-	// maxOpened is one for each connection that it may hold, twice over: a second may see a host
-	// restart and all come back.
-	maxOpened = 2 * maxConnections
+	// maxSendsPerSecond is the bound on requests sent to one host. A host of the plans completes 25 requests a
+	// second of mean work and queues 14; those that it rejects must have been sent before the gateways know that
+	// it is full.
+	maxSendsPerSecond = 120
+	// maxConnectsPerSecond is twice the number of connections that a host may hold: within one second a host may
+	// restart and all its gateways reconnect.
+	maxConnectsPerSecond = 2 * maxConnections
 )
 
-// sumOf names a sum: a rule, and the host at which it holds.
-type sumOf struct{ rule, host string }
+// rateKey identifies a counter: a rule, and the host to which it applies.
+type rateKey struct{ rule, host string }
 
-// clusterRates counts over the second under way.
+// clusterRates counts sends, connections and calls within the current second.
 type clusterRates struct {
-	w         *simulator
-	second    time.Duration
-	sums      map[sumOf]int
-	broken    map[sumOf]bool
-	strain    map[int]float64 // of each zone
-	most      map[string]int  // of each rule, over the run
-	calls     int
-	mostCalls int // over the run
+	run         *simulator
+	start       time.Duration
+	counts      map[rateKey]int
+	reported    map[rateKey]bool
+	loadFactors map[int]float64 // by zone, the highest of the current second
+	peaks       map[string]int  // by rule, over the run
+	calls       int
+	peakCalls   int // over the run
 }
 
-func newClusterRates(w *simulator) *clusterRates {
-	return &clusterRates{w: w, sums: make(map[sumOf]int), broken: make(map[sumOf]bool),
-		strain: make(map[int]float64), most: make(map[string]int)}
+func newClusterRates(s *simulator) *clusterRates {
+	return &clusterRates{run: s, counts: make(map[rateKey]int), reported: make(map[rateKey]bool),
+		loadFactors: make(map[int]float64), peaks: make(map[string]int)}
 }
 
-// strained is how many times more gateways use a host of this zone than where half of the zone's hosts
-// run and are listed as up: 1 while so many are left.
-func (w *simulator) strained(zone int) float64 {
-	all, left := 0, 0
-	for _, h := range w.hosts {
+// loadFactor returns by what factor a host of the zone has more gateways than it would with half of the zone's
+// hosts running and listed as up. It is 1 while at least half of them are.
+func (s *simulator) loadFactor(zone int) float64 {
+	total, serving := 0, 0
+	for _, h := range s.hosts {
 		if h.zone() != zone {
 			continue
 		}
-		all++
-		if e, ok := w.disc.list.Find(h.name); ok && h.up && e.State == registry.Up {
-			left++
+		total++
+		if e, ok := s.discovery.list.Find(h.name); ok && h.up && e.State == registry.Up {
+			serving++
 		}
 	}
-	return max(1, float64(all)/float64(2*left))
+	return max(1, float64(total)/float64(2*serving))
 }
 
-// begin begins a new second if one is over.
-func (r *clusterRates) begin() {
-	if now := r.w.sim.Since(); now-r.second >= time.Second {
-		r.second = now - now%time.Second
-		clear(r.sums)
-		clear(r.broken)
-		clear(r.strain)
-		r.calls = 0
+// advance starts a new second if the current one is over.
+func (c *clusterRates) advance() {
+	if now := c.run.sim.Elapsed(); now-c.start >= time.Second {
+		c.start = now - now%time.Second
+		clear(c.counts)
+		clear(c.reported)
+		clear(c.loadFactors)
+		c.calls = 0
 	}
 }
 
-func (r *clusterRates) send(h *host) { r.count(OverSent, h, maxAttempts) }
+func (c *clusterRates) countSend(h *host) { c.count(TooManySends, h, maxSendsPerSecond) }
 
-func (r *clusterRates) open(h *host) { r.count(OverOpened, h, maxOpened) }
+func (c *clusterRates) countConnect(h *host) { c.count(TooManyConnections, h, maxConnectsPerSecond) }
 
-// count adds one to a host's sum under a rule, and finds it over its bound once in a second.
-func (r *clusterRates) count(rule string, h *host, most int) {
-	if r == nil {
+// count adds one to a host's counter under a rule, and records a finding the first time in a second that it
+// exceeds its bound.
+func (c *clusterRates) count(rule string, h *host, limit int) {
+	if c == nil {
 		return
 	}
-	r.begin()
-	sum := sumOf{rule, h.name}
-	r.sums[sum]++
-	r.most[rule] = max(r.most[rule], r.sums[sum])
-	if r.sums[sum] <= most || r.broken[sum] {
+	c.advance()
+	key := rateKey{rule, h.name}
+	c.counts[key]++
+	c.peaks[rule] = max(c.peaks[rule], c.counts[key])
+	if c.counts[key] <= limit || c.reported[key] {
 		return
 	}
-	if bound := float64(most) * r.strainOf(h.zone()); float64(r.sums[sum]) > bound {
-		r.broken[sum] = true
-		r.w.find(rule, h.name, "over %.0f in the second from %v", bound, r.second)
+	if bound := float64(limit) * c.maxLoadFactor(h.zone()); float64(c.counts[key]) > bound {
+		c.reported[key] = true
+		c.run.addFinding(rule, h.name, "over %.0f in the second from %v", bound, c.start)
 	}
 }
 
-// strainOf is how strained a zone was at most in this second, as far as it was asked for: a zone that
-// had few hosts left may have more at each of them in all of it.
-func (r *clusterRates) strainOf(zone int) float64 {
-	r.strain[zone] = max(r.strain[zone], r.w.strained(zone))
-	return r.strain[zone]
+// maxLoadFactor returns the zone's highest load factor of the current second, over the times at which it was
+// requested: if few hosts were serving, each of them may receive more for the whole second.
+func (c *clusterRates) maxLoadFactor(zone int) float64 {
+	c.loadFactors[zone] = max(c.loadFactors[zone], c.run.loadFactor(zone))
+	return c.loadFactors[zone]
 }
 
-// call counts a call at discovery. Each gateway may call twice in a second: once more after one that failed.
-func (r *clusterRates) call() {
-	if r == nil {
+// countCall counts a call to discovery. Each gateway may make two in a second: one more after a failed call.
+func (c *clusterRates) countCall() {
+	if c == nil {
 		return
 	}
-	r.begin()
-	r.calls++
-	r.mostCalls = max(r.mostCalls, r.calls)
-	if r.calls == 2*r.w.plan.Gateways+1 {
-		r.w.find(OverAsked, "discovery", "over %d in the second from %v", 2*r.w.plan.Gateways, r.second)
+	c.advance()
+	c.calls++
+	c.peakCalls = max(c.peakCalls, c.calls)
+	if c.calls == 2*c.run.plan.Gateways+1 {
+		c.run.addFinding(TooManyCalls, "discovery", "over %d in the second from %v", 2*c.run.plan.Gateways, c.start)
 	}
 }
 
-func (r *clusterRates) String() string {
-	if r == nil {
+func (c *clusterRates) String() string {
+	if c == nil {
 		return ""
 	}
 	return fmt.Sprintf("most in a second: %d sends and %d connections at one host, %d calls at discovery",
-		r.most[OverSent], r.most[OverOpened], r.mostCalls)
+		c.peaks[TooManySends], c.peaks[TooManyConnections], c.peakCalls)
 }
--- a/internal/lab/simulation/clusterrates_test.go
+++ b/internal/lab/simulation/clusterrates_test.go
@@ -6,87 +6,88 @@
 	"thymebend/internal/lab/registry"
 )
 
-// twoZones is a world of twelve hosts that all run: eight in the first zone, four in the second. It
-// counts what is asked of them.
-func twoZones(t *testing.T) *simulator {
+// newTwoZoneSimulator returns a simulator with rate checks and twelve running hosts: eight in the first zone, four
+// in the second.
+func newTwoZoneSimulator(t *testing.T) *simulator {
 	t.Helper()
-	w := newSimulator(Plan{Seed: 1, Gateways: 2, Hosts: 12, Sockets: 200, Zones: 2,
+	s := newSimulator(Plan{Seed: 1, Gateways: 2, Hosts: 12, Sockets: 200, Zones: 2,
 		NetworkPlan: NetworkPlan{LatencyUS: 200}}, nil, nil)
-	w.rates = newClusterRates(w)
-	w.disc = &discoveryServer{w: w, list: registry.New()}
-	for n := range w.plan.Hosts {
-		w.addHost(n, nil, false)
+	s.rates = newClusterRates(s)
+	s.discovery = &discoveryServer{run: s, list: registry.New()}
+	for n := range s.plan.Hosts {
+		s.addHost(n, nil, false)
 	}
-	return w
+	return s
 }
 
-// lose stops so many hosts of a zone and returns one that is left.
-func (w *simulator) lose(zone, many int) *host {
-	var left *host
-	for _, h := range w.hosts {
+// stopHosts stops the given number of hosts of a zone and returns one that still runs.
+func (s *simulator) stopHosts(zone, many int) *host {
+	var running *host
+	for _, h := range s.hosts {
 		switch {
 		case h.zone() != zone:
 		case many > 0:
 			h.up = false
 			many--
 		default:
-			left = h
+			running = h
 		}
 	}
-	return left
+	return running
 }
 
-// The bounds of a host's sums hold while half of the hosts of its zone are left, whatever is left of
-// the others; with fewer they grow as the hosts get fewer.
-func TestBoundsOfAHostFollowItsZone(t *testing.T) {
+// The bounds for a host apply while half of the hosts of its own zone are serving, whatever the state of the other
+// zone. With fewer, they grow as the number of serving hosts falls.
+func TestHostRateBoundsScaleWithServingHostsOfZone(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		lost        [2]int // hosts, by zone
-		zone        int    // of the host that is counted at
-		most        int
-		mayBeDenied bool // a connection beyond what the host holds is no finding
+		stopped     [2]int // stopped hosts, by zone
+		zone        int    // zone of the host that is checked
+		limit       int
+		mayBeDenied bool // a connection beyond the host's limit is no finding
 	}{
-		{"all run", [2]int{0, 0}, 0, maxAttempts, false},
-		{"half of the zone", [2]int{4, 0}, 0, maxAttempts, false},
-		{"a quarter of the zone, though half of all", [2]int{0, 3}, 1, 2 * maxAttempts, true},
-		{"the zone is whole, though fewer than half of all are left", [2]int{7, 0}, 1, maxAttempts, false},
-		{"one of eight", [2]int{7, 0}, 0, 4 * maxAttempts, true},
+		{"all hosts serve", [2]int{0, 0}, 0, maxSendsPerSecond, false},
+		{"half of the zone serves", [2]int{4, 0}, 0, maxSendsPerSecond, false},
+		{"a quarter of the zone serves, and more than half of all hosts", [2]int{0, 3}, 1, 2 * maxSendsPerSecond, true},
+		{"the whole zone serves, but fewer than half of all hosts", [2]int{7, 0}, 1, maxSendsPerSecond, false},
+		{"one of eight hosts of the zone serves", [2]int{7, 0}, 0, 4 * maxSendsPerSecond, true},
 	} {
-		w := twoZones(t)
-		w.lose(0, c.lost[0])
-		w.lose(1, c.lost[1])
-		h := w.lose(c.zone, 0)
-		if few := w.strained(c.zone) > 1; few != c.mayBeDenied {
-			t.Errorf("%s: few are left: %v", c.name, few)
+		s := newTwoZoneSimulator(t)
+		s.stopHosts(0, c.stopped[0])
+		s.stopHosts(1, c.stopped[1])
+		h := s.stopHosts(c.zone, 0)
+		if fewServing := s.loadFactor(c.zone) > 1; fewServing != c.mayBeDenied {
+			t.Errorf("%s: load factor above 1: %v", c.name, fewServing)
 		}
-		for range c.most {
-			w.rates.send(h)
+		for range c.limit {
+			s.rates.countSend(h)
 		}
-		if len(w.found) > 0 {
-			t.Errorf("%s: %+v", c.name, w.found)
+		if len(s.findings) > 0 {
+			t.Errorf("%s: findings at the bound: %+v", c.name, s.findings)
 		}
-		w.rates.send(h)
-		w.rates.send(h)
-		if len(w.found) != 1 || w.found[0].Rule != OverSent || w.found[0].ID != h.name {
-			t.Errorf("%s: one more: %+v", c.name, w.found)
+		s.rates.countSend(h)
+		s.rates.countSend(h)
+		if len(s.findings) != 1 || s.findings[0].Rule != TooManySends || s.findings[0].ID != h.name {
+			t.Errorf("%s: beyond the bound: %+v", c.name, s.findings)
 		}
 	}
 }
 
-// What came to a host while few were left does not break a bound once the others are back in the same second.
-func TestBoundsOfAHostLastASecond(t *testing.T) {
-	w := twoZones(t)
-	h := w.lose(1, 3)
-	for range 2*maxOpened - 1 {
-		w.rates.open(h)
+// Requests that a host received while few hosts were serving break no bound after the others are back within the
+// same second.
+func TestHostRateBoundsUseMaxLoadFactorOfSecond(t *testing.T) {
+	s := newTwoZoneSimulator(t)
+	h := s.stopHosts(1, 3)
+	for range 2*maxConnectsPerSecond - 1 {
+		s.rates.countConnect(h)
 	}
-	for _, other := range w.hosts {
+	for _, other := range s.hosts {
 		other.up = true
 	}
-	if w.rates.open(h); len(w.found) > 0 {
-		t.Errorf("%+v", w.found)
+	if s.rates.countConnect(h); len(s.findings) > 0 {
+		t.Errorf("findings at the bound: %+v", s.findings)
 	}
-	if w.rates.open(h); len(w.found) != 1 {
-		t.Errorf("one more: %+v", w.found)
+	if s.rates.countConnect(h); len(s.findings) != 1 {
+		t.Errorf("beyond the bound: %+v", s.findings)
 	}
 }
--- a/internal/lab/simulation/measure.go
+++ b/internal/lab/simulation/measure.go
@@ -12,31 +12,31 @@
 	"thymebend/internal/loop"
 )
 
-// AssignmentFigures are what a division of hosts by the fleet's view comes to in a run without other
-// troubles.
+// AssignmentFigures are the results of a run in which gateways divide the hosts by their membership view, without
+// faults other than those that are measured.
 type AssignmentFigures struct {
-	// from a host's going bad until 95% of the gateways that use it have ejected it or doubt it, by
-	// host; 0: never
+	// by host: time from when the host starts to fail until 95% of the gateways that use it have ejected it or
+	// doubt it; 0: never
 	Known  []time.Duration
-	Asked  int     // requests asked of hosts while they were bad
-	Bytes  float64 // a gateway sends in datagrams, a second, from the eighth second on
-	Cold   float64 // what cold hosts were sent, over what they may get
-	Refuse float64 // share of the tries
+	Asked  int     // requests sent to hosts while these failed
+	Bytes  float64 // bytes that a gateway sends in datagrams a second, from the eighth second on
+	Cold   float64 // requests sent to hosts in slow start, divided by what these may receive
+	Refuse float64 // rejected share of the attempts
 	Broken []Finding
 }
 
-// Times of the run that is measured.
+// Times of the measured run.
 const (
-	badFrom  = 9 * time.Second
-	badFor   = 8 * time.Second
-	lookBad  = 50 * time.Millisecond
-	restFrom = 8 * time.Second
-	badHosts = 5
+	badFrom         = 9 * time.Second
+	badFor          = 8 * time.Second
+	badHostInterval = 50 * time.Millisecond
+	steadyFrom      = 8 * time.Second
+	badHosts        = 5
 )
 
-// MeasureAssignment plays gateways that divide hosts. Some hosts fail all requests from the ninth
-// second on, and as many are replaced with cold ones; without peer reports nobody names hosts found
-// bad. Once ctx is done it ends with ctx's error.
+// MeasureAssignment plays gateways that divide the hosts. Some hosts fail all requests from the ninth second on,
+// and as many are replaced with hosts in slow start. Without reports, no gateway reports the hosts that it has
+// found bad to the others. Once ctx is done, the run ends with ctx's error.
 func MeasureAssignment(ctx context.Context, seed uint64, gateways, hosts int, reports bool) (AssignmentFigures, error) {
 	p, err := assignmentPlan(seed, gateways, hosts)
 	if err != nil {
@@ -44,20 +44,20 @@
 	}
 	m := assignmentMeasurement{hosts: hosts, reports: reports}
 	m.figures.Known = make([]time.Duration, badHosts)
-	m.w = newSimulator(p, nil, func(r loop.Reducer) loop.Reducer { return effectObserver{r, m.observe} })
+	m.run = newSimulator(p, nil, func(r loop.Reducer) loop.Reducer { return effectObserver{r, m.observe} })
 	m.schedule()
-	m.w.sim.ctx = ctx
-	o := m.w.run()
+	m.run.sim.ctx = ctx
+	o := m.run.run()
 	if o.Partial {
 		return m.figures, ctx.Err()
 	}
 	out := m.figures
 	out.Cold, out.Refuse, out.Broken = m.used/m.allowed, float64(o.Refused)/float64(max(1, o.Tries)), o.Findings
-	out.Bytes = float64(m.restingBytes) / (badFrom + badFor - restFrom).Seconds() / float64(gateways)
+	out.Bytes = float64(m.steadyBytes) / (badFrom + badFor - steadyFrom).Seconds() / float64(gateways)
 	return out, nil
 }
 
-// assignmentPlan is a run without other faults than those that are measured.
+// assignmentPlan returns the plan of a run with only the faults that are measured.
 func assignmentPlan(seed uint64, gateways, hosts int) (Plan, error) {
 	p, err := DrawSized(seed, sharesProfile, Size{Gateways: gateways, Hosts: hosts})
 	if err != nil {
@@ -66,118 +66,119 @@
 	if hosts < 4*badHosts {
 		return Plan{}, fmt.Errorf("%d hosts, %d at least", hosts, 4*badHosts)
 	}
-	p.LoseData, p.DoubleData, p.JitterUS, p.Cold, p.Faults = 0, 0, 0, false, nil
+	p.LoseDatagrams, p.DuplicateDatagrams, p.JitterUS, p.Cold, p.Faults = 0, 0, 0, false, nil
 	at := int(badFrom.Milliseconds())
 	for who := range badHosts {
 		p.Faults = append(p.Faults,
-			Fault{AtMS: at, Do: "host-errors", Who: who, ForMS: int(badFor.Milliseconds()), Share: 1},
-			Fault{AtMS: at, Do: "host-cold", Who: hosts - 1 - who})
+			Fault{AtMS: at, Kind: "host-errors", Target: who, ForMS: int(badFor.Milliseconds()), Share: 1},
+			Fault{AtMS: at, Kind: "host-cold", Target: hosts - 1 - who})
 	}
 	return p, nil
 }
 
 // assignmentMeasurement is a run that is measured.
 type assignmentMeasurement struct {
-	w             *simulator
+	run           *simulator
 	hosts         int
-	reports       bool // gateways tell each other of hosts found bad
+	reports       bool // gateways report hosts found bad to one another
 	figures       AssignmentFigures
-	restingBytes  int // of datagrams, while only the faults that are measured happen
+	steadyBytes   int // bytes of datagrams from steadyFrom until the hosts recover
 	used, allowed float64
 }
 
-// observe counts the bytes of datagrams, and takes reports out of them where there are to be none.
+// observe counts the bytes of datagrams, and removes the reports of bad hosts from them if the run is without
+// reports.
 func (m *assignmentMeasurement) observe(f *loop.Effect) {
 	if f.Op != loop.SendTo {
 		return
 	}
 	if !m.reports {
-		f.Data = withoutBad(f.Data)
+		f.Data = removeEjections(f.Data)
 	}
-	if now := m.w.sim.Since(); now >= restFrom && now < badFrom+badFor {
-		m.restingBytes += len(f.Data)
+	if now := m.run.sim.Elapsed(); now >= steadyFrom && now < badFrom+badFor {
+		m.steadyBytes += len(f.Data)
 	}
 }
 
-// schedule has the figures taken at their times.
+// schedule schedules the measurements.
 func (m *assignmentMeasurement) schedule() {
-	sim, start := m.w.sim, epoch+300*time.Millisecond
-	sim.At(start+badFrom, func() { m.countAsked(-1) })
-	sim.At(start+badFrom+badFor, func() { m.countAsked(1) })
-	for at := lookBad; at < badFor; at += lookBad {
-		sim.At(start+badFrom+at, func() { m.lookAtBadHosts(at) })
+	sim, start := m.run.sim, epoch+300*time.Millisecond
+	sim.At(start+badFrom, func() { m.countBadHostAttempts(-1) })
+	sim.At(start+badFrom+badFor, func() { m.countBadHostAttempts(1) })
+	for at := badHostInterval; at < badFor; at += badHostInterval {
+		sim.At(start+badFrom+at, func() { m.checkBadHosts(at) })
 	}
 	sim.At(start+badFrom+badFor+5*time.Second, m.sumSlowStart)
 }
 
-// countAsked adds or subtracts what the bad hosts were asked so far.
-func (m *assignmentMeasurement) countAsked(sign int) {
+// countBadHostAttempts adds the number of requests that the bad hosts have received so far, multiplied by sign.
+func (m *assignmentMeasurement) countBadHostAttempts(sign int) {
 	for who := range badHosts {
-		m.figures.Asked += sign * m.w.hosts[who].record.Len()
+		m.figures.Asked += sign * m.run.hosts[who].record.Len()
 	}
 }
 
-// lookAtBadHosts notes which bad hosts are known by now.
-func (m *assignmentMeasurement) lookAtBadHosts(at time.Duration) {
+// checkBadHosts records the bad hosts that 95% of their gateways know by now.
+func (m *assignmentMeasurement) checkBadHosts(at time.Duration) {
 	for who := range badHosts {
-		if m.figures.Known[who] == 0 && m.w.known(m.w.hosts[who]) >= 0.95 {
+		if m.figures.Known[who] == 0 && m.run.knownShare(m.run.hosts[who]) >= 0.95 {
 			m.figures.Known[who] = at
 		}
 	}
 }
 
-// sumSlowStart adds up what cold hosts were sent, and what they may get.
+// sumSlowStart sums the requests that hosts in slow start have received, and those that they may receive.
 func (m *assignmentMeasurement) sumSlowStart() {
 	for who := range badHosts {
-		h := m.w.hosts[m.hosts-1-who]
-		cold := h.spec.Cold
-		m.used += float64(h.budget.all)
-		m.allowed += cold.FallMultiple * warmRate * (1 + cold.From) / 2 * cold.For.Seconds()
+		h := m.run.hosts[m.hosts-1-who]
+		slowStart := h.spec.Cold
+		m.used += float64(h.slowStart.total)
+		m.allowed += slowStart.FallMultiple * warmRate * (1 + slowStart.From) / 2 * slowStart.For.Seconds()
 	}
 }
 
-// known is the share of the gateways that use a host which have ejected it themselves, or are told to
-// doubt it.
-func (w *simulator) known(h *host) float64 {
+// knownShare returns the share of a host's gateways that have ejected the host themselves or doubt it because of
+// other gateways' reports.
+func (s *simulator) knownShare(h *host) float64 {
 	id := discovery.EndpointIDFromName(h.name)
-	users, know := 0, 0
-	for _, m := range w.gateways {
-		if !m.up || m.process.gw == nil || m.process.gw.AssignmentTracker() == nil {
+	users, knowing := 0, 0
+	for _, g := range s.gateways {
+		if !g.up || g.process.gw == nil || g.process.gw.AssignmentTracker() == nil {
 			continue
 		}
-		bad, doubted, uses := m.process.gw.EndpointKnowledge(id)
+		bad, doubted, uses := g.process.gw.EndpointKnowledge(id)
 		if !uses {
 			continue
 		}
 		users++
 		if bad || doubted {
-			know++
+			knowing++
 		}
 	}
 	if users == 0 {
 		return 0
 	}
-	return float64(know) / float64(users)
+	return float64(knowing) / float64(users)
 }
 
-// effectObserver sees each effect before it is carried out.
+// effectObserver observes each effect before it is carried out.
 type effectObserver struct {
 	loop.Reducer
-	see func(*loop.Effect)
+	observe func(*loop.Effect)
 }
 
 // Step implements loop.Reducer.
-func (d effectObserver) Step(now time.Duration, e loop.Event) []loop.Effect {
-	list := d.Reducer.Step(now, e)
+func (o effectObserver) Step(now time.Duration, e loop.Event) []loop.Effect {
+	list := o.Reducer.Step(now, e)
 	for i := range list {
-		d.see(&list[i])
+		o.observe(&list[i])
 	}
 	return list
 }
 
-// withoutBad is a datagram in which nobody names bad hosts.
-func withoutBad(data []byte) []byte {
-	return reword(data, func(c *gossipcodec.Claim) {
+// removeEjections returns a datagram without the reports of bad hosts.
+func removeEjections(data []byte) []byte {
+	return rewriteClaims(data, func(c *gossipcodec.Claim) {
 		if s, err := loadreport.Parse(c.Payload); err == nil && len(s.Ejected) > 0 {
 			s.Ejected = nil
 			c.Payload = loadreport.Append(nil, s)
@@ -185,8 +186,8 @@
 	})
 }
 
-// reword changes the claims of a datagram. One that no longer fits is left out.
-func reword(data []byte, change func(*gossipcodec.Claim)) []byte {
+// rewriteClaims returns a datagram with changed claims. A claim that no longer fits is omitted.
+func rewriteClaims(data []byte, change func(*gossipcodec.Claim)) []byte {
 	m, err := gossipcodec.Parse(data)
 	if err != nil {
 		return data
@@ -199,7 +200,8 @@
 	return out
 }
 
-// Median is the middle of the times, with those that never came last.
+// Median returns the median of the detection times; bad hosts that were never detected count as last. It returns
+// false if the median host was never detected.
 func (f AssignmentFigures) Median() (time.Duration, bool) {
 	list := slices.Clone(f.Known)
 	slices.SortFunc(list, func(a, b time.Duration) int {
--- a/internal/lab/simulation/notificationdeadlines.go
+++ b/internal/lab/simulation/notificationdeadlines.go
@@ -6,92 +6,91 @@
 	"thymebend/internal/lab/registry"
 )
 
-// The rule on drains for a discovery that works through calls in turn: a change counts as notified to
-// every gateway at the latest 6 s after discovery had it and could be reached, whatever has become of
-// the gateway's calls. The settings' grace comes on top. A gateway that was told sooner has to keep to
-// it from then on.
+// The rule on drains for a discovery with a call queue: a change counts as notified to every gateway 6 s after
+// discovery has it and can be reached, at the latest, whatever happened to the gateway's calls. The grace period
+// of the settings is added. A gateway that is notified earlier has to act on the change from then on.
 //
-// Excluded is what no gateway could do: where discovery's capacity does not suffice to answer, within
-// that time, all the calls that it has caused itself. These are the calls of gateways whose watches it
-// ended, reset or let fall silent, and the first calls of all gateways. They need gateways x work of a
-// call / capacity, added up where one storm follows another before the work is done. The change then
-// counts as notified silenceNoticed + workStretch x that time after discovery had it, if that is later
-// than 6 s. Calls that gateways begin again by their own decision extend nothing.
+// An exception covers what no gateway can achieve: discovery's capacity may not suffice to answer, within that
+// time, the calls that discovery has caused itself. These are the calls of gateways whose watches it ended, reset
+// or let fall silent, and the first calls of all gateways. They need gateways x work of a call / capacity, added
+// up where one burst of calls follows another before the work is done. The change then counts as notified
+// silenceDetection + workStretch x that time after discovery has it, if that is later than 6 s. Calls that
+// gateways repeat by their own decision extend nothing.
 //
-// A discovery that is down or mute is not played with this rule: no fault of the profile is one.
+// The rule does not cover a discovery that is down or paused: the profile has no such fault.
 const (
-	notifiedAtTheLatest = 6 * time.Second
-	silenceNoticed      = 2800 * time.Millisecond // a missed beat, 2.4 s, and the spread of the calls after it, 0.4 s
-	workStretch         = 1.5                     // refused calls come again up to 1.5 s later, in no order
+	notificationLimit = 6 * time.Second
+	silenceDetection  = 2800 * time.Millisecond // a missed heartbeat, 2.4 s, and the jitter of the calls after it, 0.4 s
+	workStretch       = 1.5                     // refused calls are repeated up to 1.5 s later, in no order
 )
 
-// departure is a host that drains or is gone, and when that counts as notified at the latest.
+// departure is a host that drains or is removed, with the time at which this counts as notified at the latest.
 type departure struct {
-	host  string
-	state string
-	by    time.Duration
+	host     string
+	state    string
+	deadline time.Duration
 }
 
-// notificationDeadlines keeps when changes count as notified at the latest.
+// notificationDeadlines holds when changes count as notified at the latest.
 type notificationDeadlines struct {
 	sim        *Sim
 	work       time.Duration // of one call
-	busyUntil  time.Duration // with the calls that discovery caused, if none is wasted
-	departures []departure   // in the order in which they came
+	busyUntil  time.Duration // end of the work on calls that discovery caused, if no call is wasted
+	departures []departure   // in order of their announcement
 }
 
-// within is the time that gateways have from now on.
-func (t *notificationDeadlines) within() time.Duration {
-	backlog := max(0, t.busyUntil-t.sim.Now())
-	return max(notifiedAtTheLatest, silenceNoticed+time.Duration(workStretch*float64(backlog)))
+// allowance returns the time that gateways have from now on to receive a change.
+func (n *notificationDeadlines) allowance() time.Duration {
+	backlog := max(0, n.busyUntil-n.sim.Now())
+	return max(notificationLimit, silenceDetection+time.Duration(workStretch*float64(backlog)))
 }
 
-// changed notes a change of the list.
-func (t *notificationDeadlines) changed(e registry.Entry) {
-	if t == nil {
+// recordChange records a change of the list.
+func (n *notificationDeadlines) recordChange(e registry.Entry) {
+	if n == nil {
 		return
 	}
-	for i, d := range t.departures {
+	for i, d := range n.departures {
 		if d.host != e.Host {
 			continue
 		}
 		if e.State == registry.Up {
-			t.departures = append(t.departures[:i:i], t.departures[i+1:]...)
+			n.departures = append(n.departures[:i:i], n.departures[i+1:]...)
 		}
-		return // the first notice of its leaving counts
+		return // the first notice of the departure counts
 	}
 	if e.State != registry.Up {
-		t.departures = append(t.departures, departure{e.Host, e.State, t.sim.Now() + t.within()})
+		n.departures = append(n.departures, departure{e.Host, e.State, n.sim.Now() + n.allowance()})
 	}
 }
 
-// caused notes calls that discovery has caused, which put off what does not yet count as notified where
-// there are too many.
-func (t *notificationDeadlines) caused(calls int) {
-	if t == nil || calls == 0 {
+// addCalls records calls that discovery has caused. If there are too many to answer within the limit, they extend
+// the deadlines that have not passed.
+func (n *notificationDeadlines) addCalls(calls int) {
+	if n == nil || calls == 0 {
 		return
 	}
-	now := t.sim.Now()
-	t.busyUntil = max(t.busyUntil, now) + time.Duration(calls)*t.work
-	if t.within() <= notifiedAtTheLatest {
+	now := n.sim.Now()
+	n.busyUntil = max(n.busyUntil, now) + time.Duration(calls)*n.work
+	if n.allowance() <= notificationLimit {
 		return
 	}
-	for i := range t.departures {
-		if d := &t.departures[i]; d.by > now {
-			d.by = max(d.by, now+t.within())
+	for i := range n.departures {
+		if d := &n.departures[i]; d.deadline > now {
+			d.deadline = max(d.deadline, now+n.allowance())
 		}
 	}
 }
 
-// notified is when a host's leaving counts as notified at the latest; ok is false if it does not leave
-// or the time is not over.
-func (t *notificationDeadlines) notified(host string) (at registry.Notification, ok bool) {
-	if t == nil {
+// overdue returns when a host's departure counted as notified at the latest; ok is false if the host does not
+// leave or the deadline has not passed.
+func (n *notificationDeadlines) overdue(host string) (at registry.Notification, ok bool) {
+	if n == nil {
 		return registry.Notification{}, false
 	}
-	for _, d := range t.departures {
-		if d.host == host && d.by <= t.sim.Now() {
-			return registry.Notification{At: d.by, State: d.state}, true
+	for _, d := range n.departures {
+		if d.host == host && d.deadline <= n.sim.Now() {
+			return registry.Notification{At: d.deadline, State: d.state}, true
 		}
 	}
 	return registry.Notification{}, false
--- a/internal/lab/simulation/ready.go
+++ b/internal/lab/simulation/ready.go
@@ -8,27 +8,27 @@
 	"thymebend/internal/loop"
 )
 
-func (l *Loop) ready() (list []*socket) {
+func (l *Loop) readySockets() (list []*socket) {
 	kept := l.maybeReady[:0]
 	for _, s := range l.maybeReady {
 		if l.socks[s.conn] != s || !s.isReady() {
-			s.maybeReady, s.since = false, 0
+			s.maybeReady, s.readySeq = false, 0
 			continue
 		}
-		if s.since == 0 {
+		if s.readySeq == 0 {
 			l.seq++
-			s.since = l.seq
+			s.readySeq = l.seq
 		}
 		kept = append(kept, s)
 	}
 	clear(l.maybeReady[len(kept):])
 	l.maybeReady = kept
 	list = slices.Clone(kept)
-	slices.SortFunc(list, func(a, b *socket) int { return cmp.Compare(a.since, b.since) })
+	slices.SortFunc(list, func(a, b *socket) int { return cmp.Compare(a.readySeq, b.readySeq) })
 	return list
 }
 
-// markMaybeReady notes that a socket may be ready.
+// markMaybeReady adds a socket to those that may be ready.
 func (l *Loop) markMaybeReady(s *socket) {
 	if !s.maybeReady {
 		s.maybeReady = true
@@ -36,26 +36,26 @@
 	}
 }
 
-// isReady is what epoll would report: readable, writable with something to write, or broken.
+// isReady reports whether epoll would report the socket: readable, writable with data to write, or broken.
 func (s *socket) isReady() bool {
 	if s.connecting {
-		return s.up
+		return s.dialDone
 	}
 	e := s.end
-	return !s.muted && (len(e.inbox) > 0 || e.fin) || s.leaving && e.fin || e.reset || e.fin && e.shut ||
-		len(s.out) > 0 && e.room > 0
+	return !s.paused && (len(e.inbox) > 0 || e.fin) || s.reportShutdown && e.fin || e.reset || e.fin && e.writeClosed ||
+		len(s.pending) > 0 && e.space > 0
 }
 
 func (l *Loop) listenerReady() bool {
-	return slices.ContainsFunc(l.listening(), (*port).isReady)
+	return slices.ContainsFunc(l.orderedListenSockets(), (*listenSocket).isReady)
 }
 
-func (p *port) isReady() bool { return !p.closed && !p.muted && len(p.backlog) > 0 }
+func (p *listenSocket) isReady() bool { return !p.closed && !p.paused && len(p.backlog) > 0 }
 
 func (l *Loop) socketReady(s *socket) {
 	if s.connecting {
-		if s.dialed != nil {
-			l.breakSocket(s, s.dialed)
+		if s.dialErr != nil {
+			l.breakSocket(s, s.dialErr)
 			return
 		}
 		s.connecting = false
@@ -63,21 +63,21 @@
 		return
 	}
 	e := s.end
-	if len(s.out) > 0 && (e.room > 0 || e.reset) {
+	if len(s.pending) > 0 && (e.space > 0 || e.reset) {
 		l.flush(s)
 	}
-	if l.socks[s.conn] == s && s.leaving && e.fin && !e.reset && !e.shut {
-		s.leaving = false
+	if l.socks[s.conn] == s && s.reportShutdown && e.fin && !e.reset && !e.writeClosed {
+		s.reportShutdown = false
 		l.queueEvent(loop.Event{Kind: loop.PeerShutdown, Conn: s.conn})
 		return
 	}
-	if l.socks[s.conn] == s && (!s.muted && (len(e.inbox) > 0 || e.fin) || e.reset || e.fin && e.shut) {
+	if l.socks[s.conn] == s && (!s.paused && (len(e.inbox) > 0 || e.fin) || e.reset || e.fin && e.writeClosed) {
 		l.queueEvent(loop.Event{Kind: loop.Readable, Conn: s.conn})
 	}
 }
 
-// deliverReady reports what is ready on the urgent sockets, or on all others.
-func (l *Loop) deliverReady(waiting []*port, received []*datagramSocket, ready []*socket, urgent bool) {
+// deliverReady delivers the events of the ready sockets that are urgent, or of all others.
+func (l *Loop) deliverReady(waiting []*listenSocket, received []*datagramSocket, ready []*socket, urgent bool) {
 	for _, p := range waiting {
 		if p.urgent == urgent && p.isReady() {
 			l.queueEvent(loop.Event{Kind: loop.Readable, Conn: p.conn})
@@ -98,7 +98,7 @@
 	}
 }
 
-// deliverSignals reports the signals that have come.
+// deliverSignals delivers the pending signals.
 func (l *Loop) deliverSignals() {
 	if len(l.signals) == 0 {
 		return
@@ -110,7 +110,7 @@
 	l.deliver()
 }
 
-// deliverDueTimers reports the timers that have fallen due.
+// deliverDueTimers delivers the timers that have expired.
 func (l *Loop) deliverDueTimers() {
 	for now := l.sim.Now(); len(l.timers) > 0 && l.timers[0].at <= now && l.Running(); {
 		t := heap.Pop(&l.timers).(*timer)
--- a/internal/lab/simulation/shrink.go
+++ b/internal/lab/simulation/shrink.go
@@ -5,37 +5,37 @@
 	"slices"
 )
 
-// Shrink drops faults and requests as long as the run still breaks the rule, halves first. It plays at
-// most so many runs, and none once ctx is done: the plan is then the smallest so far.
-func Shrink(ctx context.Context, p Plan, rule string, most int) (Plan, int) {
+// Shrink removes faults and requests as long as the run still breaks the rule, the larger parts first. It plays at
+// most limit runs, and none once ctx is done. It returns the smallest plan found and the number of runs.
+func Shrink(ctx context.Context, p Plan, rule string, limit int) (Plan, int) {
 	runs := 0
 	breaks := func(q Plan) bool {
 		runs++
 		return slices.ContainsFunc(PlayContext(ctx, q, nil).Findings, func(f Finding) bool { return f.Rule == rule })
 	}
-	for again := true; again && runs < most && ctx.Err() == nil; {
-		again = false
+	for reduced := true; reduced && runs < limit && ctx.Err() == nil; {
+		reduced = false
 		p.Faults = reduce(p.Faults, func(part []Fault) bool {
 			q := p
 			q.Faults = part
-			return runs < most && ctx.Err() == nil && breaks(q)
-		}, &again)
+			return runs < limit && ctx.Err() == nil && breaks(q)
+		}, &reduced)
 		p.Requests = reduce(p.Requests, func(part []Request) bool {
 			q := p
 			q.Requests = part
-			return runs < most && ctx.Err() == nil && breaks(q)
-		}, &again)
+			return runs < limit && ctx.Err() == nil && breaks(q)
+		}, &reduced)
 	}
 	return p, runs
 }
 
-// reduce leaves out runs of a list, long ones first, where the rest is still enough.
-func reduce[T any](list []T, enough func([]T) bool, less *bool) []T {
+// reduce removes sublists from a list, long ones first, as long as the remaining list is still enough.
+func reduce[T any](list []T, enough func([]T) bool, reduced *bool) []T {
 	for size := max(1, len(list)/2); size >= 1; size /= 2 {
 		for from := 0; from < len(list); {
 			part := slices.Concat(list[:from], list[min(len(list), from+size):])
 			if enough(part) {
-				list, *less = part, true
+				list, *reduced = part, true
 				continue
 			}
 			from += size
--- a/internal/lab/simulation/simulator.go
+++ b/internal/lab/simulation/simulator.go
@@ -12,39 +12,39 @@
 	"thymebend/internal/loop"
 )
 
-// Rules beyond those of the records.
+// Rules in addition to those of requestrecord.
 const (
-	Panicked  = "panic"
-	Stuck     = "stuck"      // a gateway did not end after SIGTERM though nothing was left to answer
-	NotAsleep = "not asleep" // a gateway woke up though nothing happened
-	Leaked    = "leaked"     // links or timers beyond those that rest at the end of the day
-	Wronged   = "wronged"    // a good request was answered as a faulty one
-	Overspent = "overspent"  // two processes of one gateway had more descriptors than it may
-	BadExit   = "bad exit"   // a process ended with an error
-	Crowded   = "crowded"    // more connections at one host than the parts of a fleet come to
-	ShutDoor  = "shut door"  // an upgrade closed a link under its client
-	NotHeard  = "not heard"  // a client that stopped in the middle of a request was not told in time
-	HeldBack  = "held back"  // a gateway's invariant checker suppressed an effect that would have broken a rule
+	Panicked                = "panic"
+	Stuck                   = "stuck"      // a gateway did not exit after SIGTERM though it had no request to answer
+	WokeUpIdle              = "not asleep" // an idle gateway woke up too often
+	Leaked                  = "leaked"     // more timers than idle connections need at the end of the run
+	ValidRequestRefused     = "wronged"    // a valid request was answered as an invalid one
+	DescriptorsExceeded     = "overspent"  // two processes of one gateway had more descriptors than its limit
+	BadExit                 = "bad exit"   // a process ended with an error
+	HostConnectionsExceeded = "crowded"    // more connections to one host than the assignments of a cluster allow
+	IdleClosedDuringUpgrade = "shut door"  // an upgrade closed an idle client connection
+	StoppedClientUnanswered = "not heard"  // a client that stopped in mid-request got no error or close in time
+	EffectSuppressed        = "held back"  // an invariant checker suppressed an effect that would have broken a rule
 )
 
-// The rules in figures; see the operators' pages.
+// Limits of the rules.
 const (
-	drainGrace = 300 * time.Millisecond
-	leaveFront = 300 * time.Millisecond
-	killSpread = 5 * time.Millisecond // what news of a kill may take
-	quietFor   = 8 * time.Second      // of nothing at the end of the day
-	maxRounds  = 40                   // of a gateway in the last half of that: heartbeats, and the balancer's own
-	endWithin  = 12 * time.Second     // of SIGTERM
+	drainGrace       = 300 * time.Millisecond
+	withdrawDelay    = 300 * time.Millisecond
+	killNoticeMargin = 5 * time.Millisecond // uncertainty about the time of a kill
+	quietPeriod      = 8 * time.Second      // without requests and faults, at the end of the run
+	maxIdleWakeups   = 40                   // of a gateway in the second half of quietPeriod: heartbeats and balancer timers
+	shutdownLimit    = 12 * time.Second     // from SIGTERM to the end of the process
 )
 
-// Finding is a broken rule.
+// Finding is a broken rule: its name, the request, host or gateway concerned, and details.
 type Finding struct {
 	Rule   string `json:"rule"`
 	ID     string `json:"id"`
 	Detail string `json:"detail"`
 }
 
-// Outcome is what a run came to.
+// Outcome is the result of a run.
 type Outcome struct {
 	Hash     uint64
 	Findings []Finding
@@ -53,106 +53,108 @@
 	Refused  int
 	Failed   int
 	Steps    uint64
-	Lasted   time.Duration // of virtual time
-	Sums     string        // of a fleet: the most in a second
+	Lasted   time.Duration // virtual duration
+	Sums     string        // of a run with zones: the highest rates in one second, as text
 	Partial  bool          // the run was interrupted
 }
 
+// simulator holds the state of one run.
 type simulator struct {
 	plan        Plan
 	file        *experiment.File
 	sim         *Sim
 	net         *Net
-	disc        *discoveryServer
+	discovery   *discoveryServer
 	hosts       []*host
 	formerHosts []*requestrecord.EndpointRecord
 	gateways    []*gatewayNode
 	clients     *requestrecord.ClientRecord
-	idle        []*link
-	found       []Finding
+	idle        []*idleLink
+	findings    []Finding
 	statuses    map[int]int
-	asked       int
+	attempts    int
 	lastID      uint64
-	turn        int
+	lastPicked  int
 	replaced    int
-	strict      bool // views are unsafe now, as clients know it
+	unsafeViews bool // views are unsafe in the settings that clients currently use
 	views       *viewChecker
-	rates       *clusterRates // of a fleet; nil elsewhere
+	rates       *clusterRates // in a run with zones and without Shares; else nil
 	wrap        func(loop.Reducer) loop.Reducer
 	checkers    []checkedGateway
 }
 
-// Play runs a plan. trace gets a line for each thing that happens; it may be nil.
+// Play runs a plan. trace receives a line for each note; it may be nil.
 func Play(p Plan, trace io.Writer) Outcome { return PlayContext(context.Background(), p, trace) }
 
-// PlayContext runs a plan until it is over or ctx is done. In the second case the outcome is Partial:
-// it holds what was found until then, and nothing was compared at the end.
+// PlayContext runs a plan until it ends or ctx is done. In the second case the outcome is Partial: it holds the
+// findings until then, and the checks at the end of a run are omitted.
 func PlayContext(ctx context.Context, p Plan, trace io.Writer) Outcome {
-	w := newSimulator(p, trace, func(r loop.Reducer) loop.Reducer { return r })
-	w.sim.ctx = ctx
-	return w.run()
+	s := newSimulator(p, trace, func(r loop.Reducer) loop.Reducer { return r })
+	s.sim.ctx = ctx
+	return s.run()
 }
 
-// play runs a plan with each gateway wrapped; tests plant defects so.
+// play runs a plan with each gateway's reducer wrapped, so that tests can plant defects.
 func play(p Plan, trace io.Writer, wrap func(loop.Reducer) loop.Reducer) Outcome {
 	return newSimulator(p, trace, wrap).run()
 }
 
 func newSimulator(p Plan, trace io.Writer, wrap func(loop.Reducer) loop.Reducer) *simulator {
 	sim := NewSim(p.Seed, trace)
-	w := &simulator{plan: p, sim: sim, net: NewNet(sim), clients: requestrecord.NewClients(),
-		statuses: make(map[int]int), file: day(p), wrap: wrap}
-	w.net.Latency, w.net.Jitter = time.Duration(p.LatencyUS)*time.Microsecond,
+	s := &simulator{plan: p, sim: sim, net: NewNet(sim), clients: requestrecord.NewClients(),
+		statuses: make(map[int]int), file: buildExperiment(p), wrap: wrap}
+	s.net.Latency, s.net.Jitter = time.Duration(p.LatencyUS)*time.Microsecond,
 		time.Duration(p.JitterUS)*time.Microsecond
-	return w
+	return s
 }
 
-func (w *simulator) run() (out Outcome) {
-	p, sim := w.plan, w.sim
+func (s *simulator) run() (out Outcome) {
+	p, sim := s.plan, s.sim
 	defer func() {
 		if r := recover(); r != nil {
-			w.find(Panicked, "gateway", "%v at %s", r, place(string(debug.Stack())))
-			out = w.outcome()
+			s.addFinding(Panicked, "gateway", "%v at %s", r, panicLocation(string(debug.Stack())))
+			out = s.outcome()
 		}
 	}()
 	if p.Zones > 0 && !p.Shares {
-		w.rates = newClusterRates(w) // its bounds are those of parts by count and number
+		s.rates = newClusterRates(s) // its bounds assume a division by count and rank
 	}
-	w.build()
-	// Faults of the network begin once everything stands.
+	s.build()
+	// The faults of the network begin once everything is started.
 	sim.Run(epoch + 300*time.Millisecond)
-	w.net.Split, w.net.ResetAt, w.net.LoseDial = p.Split, p.Resets, p.LoseDials
+	s.net.SplitChance, s.net.ResetChance, s.net.LoseDialChance = p.Split, p.Resets, p.LoseDials
 	start := sim.Now()
 	end := 0
 	for i, r := range p.Requests {
-		sim.At(start+msec(r.AtMS), func() { w.arrive(i, r, 0) })
-		end = max(end, r.AtMS+2*(r.Patient+400))
+		sim.At(start+msec(r.AtMS), func() { s.startRequest(i, r, 0) })
+		end = max(end, r.AtMS+2*(r.TimeoutMS+400))
 	}
 	for _, f := range p.Faults {
-		sim.At(start+msec(f.AtMS), func() { w.inject(f) })
+		sim.At(start+msec(f.AtMS), func() { s.inject(f) })
 		end = max(end, f.AtMS+f.ForMS+1000)
 	}
 	sim.Run(start + msec(end) + 3*time.Second)
-	if w.views != nil {
-		sim.Run(sim.Now() + agreeFor)
+	if s.views != nil {
+		sim.Run(sim.Now() + convergencePeriod)
 	}
-	found := len(w.found) // what an interrupted run shows afterwards is no finding
-	w.quiet()
-	if w.views != nil {
-		w.checkAssignments()
-		w.views.check()
+	found := len(s.findings) // findings after an interruption are discarded
+	s.checkIdle()
+	if s.views != nil {
+		s.checkAssignments()
+		s.views.check()
 	}
-	w.stopAll()
-	w.compare()
-	w.checkSuppressed()
+	s.stopAll()
+	s.compareRecords()
+	s.checkSuppressed()
 	if sim.interrupted() {
-		w.found = w.found[:found]
+		s.findings = s.findings[:found]
 	}
-	return w.outcome()
+	return s.outcome()
 }
 
-// place is where a panic came from: the first line of this project's in a stack, below the panic itself.
-func place(stack string) string {
+// panicLocation returns the file and line at which a panic occurred: the first frame of this project below the
+// panic call in a stack trace.
+func panicLocation(stack string) string {
 	lines := strings.Split(stack, "\n")
 	seen := false
 	for _, l := range lines {
