--- a/internal/lab/emulation/discovery.go
+++ b/internal/lab/emulation/discovery.go
@@ -26,11 +26,11 @@
 	StateRemoved  = registry.Removed
 )
 
-// beatEvery is how often an empty line comes while nothing changes.
-const beatEvery = 2 * time.Second
+// heartbeatInterval is how often an empty line comes while nothing changes.
+const heartbeatInterval = 2 * time.Second
 
-// moveGrace is how long the old address of discovery keeps its open connections after a move.
-const moveGrace = 1500 * time.Millisecond
+// moveGracePeriod is how long the old address of discovery keeps its open connections after a move.
+const moveGracePeriod = 1500 * time.Millisecond
 
 // Discovery plays discovery: the list, watches with heartbeats, and its failures. Each gateway has a
 // door of its own, so that what each was told is known.
@@ -41,19 +41,19 @@
 	changed *sync.Cond
 	list    *registry.Registry
 	down    bool
-	mute    bool // heartbeats and changes stay inside
+	paused  bool // heartbeats and changes stay inside
 	// each door is an agent's: it answers from what it has been sent, and is silent while discovery is
 	// down
-	pushed bool
-	lag    time.Duration
-	unsent []Entry // where lists are pushed: what discovery knows and no agent does
-	doors  map[string]*entrance
-	calls  int
-	closed bool
-	served sync.WaitGroup
+	pushed    bool
+	lag       time.Duration
+	unpushed  []Entry // where lists are pushed: what discovery knows and no agent does
+	listeners map[string]*gatewayListener
+	calls     int
+	closed    bool
+	running   sync.WaitGroup
 }
 
-type entrance struct {
+type gatewayListener struct {
 	addr  string
 	ln    net.Listener
 	conns map[net.Conn]bool
@@ -61,7 +61,7 @@
 
 // NewDiscovery returns a discovery that lists nothing. A change shows after the lag.
 func NewDiscovery(clock Clock, lag time.Duration) *Discovery {
-	d := &Discovery{clock: clock, lag: lag, list: registry.New(), doors: make(map[string]*entrance)}
+	d := &Discovery{clock: clock, lag: lag, list: registry.New(), listeners: make(map[string]*gatewayListener)}
 	d.changed = sync.NewCond(&d.mu)
 	return d
 }
@@ -75,9 +75,9 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if old := d.doors[gateway]; old != nil {
+	if old := d.listeners[gateway]; old != nil {
 		_ = old.ln.Close()
-		time.AfterFunc(moveGrace, func() {
+		time.AfterFunc(moveGracePeriod, func() {
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			for c := range old.conns {
@@ -85,30 +85,30 @@
 			}
 		})
 	}
-	e := &entrance{addr: ln.Addr().String(), ln: ln, conns: make(map[net.Conn]bool)}
-	d.doors[gateway] = e
-	d.served.Go(func() { d.accept(gateway, e) })
-	return e.addr, nil
+	l := &gatewayListener{addr: ln.Addr().String(), ln: ln, conns: make(map[net.Conn]bool)}
+	d.listeners[gateway] = l
+	d.running.Go(func() { d.accept(gateway, l) })
+	return l.addr, nil
 }
 
-func (d *Discovery) accept(gateway string, e *entrance) {
+func (d *Discovery) accept(gateway string, l *gatewayListener) {
 	for {
-		c, err := e.ln.Accept()
+		c, err := l.ln.Accept()
 		if err != nil {
 			return
 		}
 		d.mu.Lock()
 		if d.closed {
 			d.mu.Unlock()
-			reset(c)
+			resetConn(c)
 			continue
 		}
-		e.conns[c] = true
-		d.served.Go(func() {
+		l.conns[c] = true
+		d.running.Go(func() {
 			d.serve(gateway, c)
 			_ = c.Close()
 			d.mu.Lock()
-			delete(e.conns, c)
+			delete(l.conns, c)
 			d.mu.Unlock()
 		})
 		d.mu.Unlock()
@@ -129,23 +129,23 @@
 		q := r.URL.Query()
 		switch {
 		case down && !d.pushed:
-			_ = write(c, 503, "", nil)
+			_ = writeResponse(c, 503, "", nil)
 			return
 		case r.Method != "GET" || r.URL.Path != "/v1/servers":
-			if !write(c, 404, "", nil) {
+			if !writeResponse(c, 404, "", nil) {
 				return
 			}
 		case q.Get("stream") == "1":
 			after, _ := strconv.Atoi(q.Get("index"))
-			gone := make(chan bool)
-			go func() { _, _ = io.Copy(io.Discard, c); close(gone); d.changed.Broadcast() }()
-			d.watch(gateway, c, after, gone)
+			disconnected := make(chan bool)
+			go func() { _, _ = io.Copy(io.Discard, c); close(disconnected); d.changed.Broadcast() }()
+			d.watch(gateway, c, after, disconnected)
 			return
 		default:
 			d.mu.Lock()
 			line := d.list.Line(gateway, 0)
 			d.mu.Unlock()
-			if !write(c, 200, "Content-Type: application/json\r\n", line) {
+			if !writeResponse(c, 200, "Content-Type: application/json\r\n", line) {
 				return
 			}
 		}
@@ -154,39 +154,39 @@
 
 // watch writes what changed after a version, then each change as it comes, and a heartbeat while
 // nothing does.
-func (d *Discovery) watch(gateway string, c net.Conn, after int, gone chan bool) {
+func (d *Discovery) watch(gateway string, c net.Conn, after int, disconnected chan bool) {
 	if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 		return
 	}
-	beat := time.AfterFunc(beatEvery, d.changed.Broadcast)
-	defer beat.Stop()
-	last, first := d.clock(), true
+	heartbeat := time.AfterFunc(heartbeatInterval, d.changed.Broadcast)
+	defer heartbeat.Stop()
+	lastWrite, first := d.clock(), true
 	for {
 		d.mu.Lock()
 		var line []byte
 		for {
 			select {
-			case <-gone:
+			case <-disconnected:
 				d.mu.Unlock()
 				return
 			default:
 			}
 			if d.closed || d.down && !d.pushed {
 				d.mu.Unlock()
-				reset(c)
+				resetConn(c)
 				return
 			}
-			if (!d.silent() || first && d.pushed) && (first || d.list.Seq() > after) {
+			if (!d.watchesPaused() || first && d.pushed) && (first || d.list.Seq() > after) {
 				line = d.list.Line(gateway, after)
 				break
 			}
-			if !d.silent() && d.clock()-last >= beatEvery {
+			if !d.watchesPaused() && d.clock()-lastWrite >= heartbeatInterval {
 				break
 			}
 			d.changed.Wait()
 		}
-		after, first, last = d.list.Seq(), false, d.clock()
-		beat.Reset(beatEvery + time.Millisecond)
+		after, first, lastWrite = d.list.Seq(), false, d.clock()
+		heartbeat.Reset(heartbeatInterval + time.Millisecond)
 		// Written under the lock: what is told is told in order, and the time of it is known.
 		_ = c.SetWriteDeadline(time.Now().Add(time.Second))
 		_, err := fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(line)+1, line)
@@ -208,22 +208,22 @@
 }
 
 // Put enters or changes hosts after the lag, all in one version.
-func (d *Discovery) Put(entries ...Entry) { d.after(d.lagNow(), entries) }
+func (d *Discovery) Put(entries ...Entry) { d.putAfter(d.currentLag(), entries) }
 
 // PutNow does so at once.
-func (d *Discovery) PutNow(entries ...Entry) { d.after(0, entries) }
+func (d *Discovery) PutNow(entries ...Entry) { d.putAfter(0, entries) }
 
-func (d *Discovery) lagNow() time.Duration { d.mu.Lock(); defer d.mu.Unlock(); return d.lag }
+func (d *Discovery) currentLag() time.Duration { d.mu.Lock(); defer d.mu.Unlock(); return d.lag }
 
-func (d *Discovery) after(lag time.Duration, entries []Entry) {
+func (d *Discovery) putAfter(lag time.Duration, entries []Entry) {
 	if lag > 0 {
-		time.AfterFunc(lag, func() { d.after(0, entries) })
+		time.AfterFunc(lag, func() { d.putAfter(0, entries) })
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.pushed && d.silent() {
-		d.unsent = append(d.unsent, entries...) // the agents have not heard of it
+	if d.pushed && d.watchesPaused() {
+		d.unpushed = append(d.unpushed, entries...) // the agents have not heard of it
 		return
 	}
 	d.put(entries)
@@ -234,7 +234,7 @@
 func (d *Discovery) put(entries []Entry) {
 	d.list.Put(entries...)
 	if d.pushed {
-		for gateway := range d.doors {
+		for gateway := range d.listeners {
 			d.list.Note(gateway, d.clock())
 		}
 	}
@@ -250,27 +250,27 @@
 }
 
 // SetPushed has lists pushed, from the start on.
-func (d *Discovery) SetPushed(on bool) { d.set(func() { d.pushed = on }) }
+func (d *Discovery) SetPushed(on bool) { d.update(func() { d.pushed = on }) }
 
-// silent reports whether watches hear nothing.
-func (d *Discovery) silent() bool { return d.mute || d.pushed && d.down }
+// watchesPaused reports whether watches hear nothing.
+func (d *Discovery) watchesPaused() bool { return d.paused || d.pushed && d.down }
 
 // SetDown takes discovery down or brings it back: calls get 503, watches end.
-func (d *Discovery) SetDown(on bool) { d.set(func() { d.down = on }) }
+func (d *Discovery) SetDown(on bool) { d.update(func() { d.down = on }) }
 
 // SetMute makes discovery say nothing more on its open watches, heartbeats included, or speak again.
-func (d *Discovery) SetMute(on bool) { d.set(func() { d.mute = on }) }
+func (d *Discovery) SetMute(on bool) { d.update(func() { d.paused = on }) }
 
 // SetLag changes how late changes show.
-func (d *Discovery) SetLag(lag time.Duration) { d.set(func() { d.lag = lag }) }
+func (d *Discovery) SetLag(lag time.Duration) { d.update(func() { d.lag = lag }) }
 
-func (d *Discovery) set(change func()) {
+func (d *Discovery) update(change func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	change()
-	if len(d.unsent) > 0 && !d.silent() {
-		d.put(d.unsent)
-		d.unsent = nil
+	if len(d.unpushed) > 0 && !d.watchesPaused() {
+		d.put(d.unpushed)
+		d.unpushed = nil
 	}
 	d.changed.Broadcast()
 }
@@ -293,8 +293,8 @@
 func (d *Discovery) Addr(gateway string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if e := d.doors[gateway]; e != nil {
-		return e.addr
+	if l := d.listeners[gateway]; l != nil {
+		return l.addr
 	}
 	return ""
 }
@@ -306,13 +306,13 @@
 func (d *Discovery) Close() {
 	d.mu.Lock()
 	d.closed = true
-	for _, e := range d.doors {
-		_ = e.ln.Close()
-		for c := range e.conns {
+	for _, l := range d.listeners {
+		_ = l.ln.Close()
+		for c := range l.conns {
 			_ = c.Close()
 		}
 	}
 	d.changed.Broadcast()
 	d.mu.Unlock()
-	d.served.Wait()
+	d.running.Wait()
 }
--- a/internal/lab/emulation/emulation_test.go
+++ b/internal/lab/emulation/emulation_test.go
@@ -101,9 +101,9 @@
 		t.Errorf("draining: %v", r)
 	}
 	l := h.Close()
-	if len(heard) != 3 || heard[0] != "h1ga" || l.Of("a").Ended != 1 || l.Of("c").TurnedAway != 1 ||
-		l.Of("c").Begun != 0 {
-		t.Errorf("heard %v; ledger %+v %+v", heard, *l.Of("a"), *l.Of("c"))
+	if len(heard) != 3 || heard[0] != "h1ga" || l.EntryOf("a").Ended != 1 || l.EntryOf("c").TurnedAway != 1 ||
+		l.EntryOf("c").Begun != 0 {
+		t.Errorf("heard %v; ledger %+v %+v", heard, *l.EntryOf("a"), *l.EntryOf("c"))
 	}
 }
 
@@ -174,7 +174,7 @@
 				t.Error("does not show as it is named")
 			}
 			c.Close()
-			if e := h.Close().Of("x"); e.Ended != 1 || len(e.Returned) != 1 {
+			if e := h.Close().EntryOf("x"); e.Ended != 1 || len(e.Returned) != 1 {
 				t.Errorf("ledger: %+v", *e)
 			}
 		})
--- a/internal/lab/emulation/faults.go
+++ b/internal/lab/emulation/faults.go
@@ -17,40 +17,40 @@
 		CloseIdle, HalfClose, NoLength}
 }
 
-type spoilt struct {
+type faultShare struct {
 	share float64
 	class string
 }
 
-// spoiled writes a spoilt answer, and reports whether the connection goes on.
-func (h *Host) spoiled(c *conn, f Fault, load string, body []byte) bool {
-	whole := message(200, load, len(body), body)
+// writeFaulty writes a spoilt answer, and reports whether the connection goes on.
+func (h *Host) writeFaulty(c *conn, f Fault, load string, body []byte) bool {
+	whole := buildResponse(200, load, len(body), body)
 	switch f {
 	case ResetBefore:
-		reset(c.Conn)
+		resetConn(c.Conn)
 		return false
 	case ResetMiddle:
 		_, _ = c.Write(whole[:len(whole)-len(body)/2-1])
-		reset(c.Conn)
+		resetConn(c.Conn)
 		return false
 	case Trickle:
 		return trickle(c, whole)
 	case ShortLength:
-		return writeWhole(c, message(200, load, len(body)/2, body))
+		return writeAll(c, buildResponse(200, load, len(body)/2, body))
 	case LongLength:
-		_, _ = c.Write(message(200, load, len(body)+100, body))
+		_, _ = c.Write(buildResponse(200, load, len(body)+100, body))
 		return false
 	case ExtraBytes:
-		return writeWhole(c, slices.Concat(whole, whole))
+		return writeAll(c, slices.Concat(whole, whole))
 	case Interim:
-		return writeWhole(c, slices.Concat([]byte("HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"), whole))
+		return writeAll(c, slices.Concat([]byte("HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"), whole))
 	case Garbage:
-		return writeWhole(c, h.noise(300))
+		return writeAll(c, h.randomBytes(300))
 	case Endless:
-		return endless(c, message(200, load, 3<<30, body))
+		return endless(c, buildResponse(200, load, 3<<30, body))
 	case CloseIdle:
 		_, _ = c.Write(whole)
-		time.Sleep(closeSoon)
+		time.Sleep(closeIdleDelay)
 		return false
 	case HalfClose:
 		halfClose(c, whole)
@@ -62,8 +62,8 @@
 	return true
 }
 
-// writeWhole writes an answer and reports whether all of it could be.
-func writeWhole(c net.Conn, data []byte) bool {
+// writeAll writes an answer and reports whether all of it could be.
+func writeAll(c net.Conn, data []byte) bool {
 	_, err := c.Write(data)
 	return err == nil
 }
@@ -71,21 +71,21 @@
 // trickle writes an answer byte by byte.
 func trickle(c net.Conn, data []byte) bool {
 	for i := range data {
-		if !writeWhole(c, data[i:i+1]) {
+		if !writeAll(c, data[i:i+1]) {
 			return false
 		}
-		time.Sleep(trickleEvery)
+		time.Sleep(trickleInterval)
 	}
 	return true
 }
 
 // endless writes the begin of an answer and goes on until the other side ends the connection.
 func endless(c net.Conn, begin []byte) bool {
-	if !writeWhole(c, begin) {
+	if !writeAll(c, begin) {
 		return false
 	}
-	for piece := make([]byte, 4096); writeWhole(c, piece); {
-		time.Sleep(endlessEvery)
+	for piece := make([]byte, 4096); writeAll(c, piece); {
+		time.Sleep(endlessInterval)
 	}
 	return false
 }
@@ -99,15 +99,15 @@
 	_, _ = io.Copy(io.Discard, c)
 }
 
-// noise draws bytes that are no answer.
-func (h *Host) noise(size int) []byte {
+// randomBytes draws bytes that are no answer.
+func (h *Host) randomBytes(size int) []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	noise := make([]byte, size)
-	for i := range noise {
-		noise[i] = byte(h.rand.Uint32())
+	data := make([]byte, size)
+	for i := range data {
+		data[i] = byte(h.rand.Uint32())
 	}
-	return noise
+	return data
 }
 
 // Spoil makes a share of the answers faulty, of one class or, with an empty class, of all. A zero share
@@ -115,23 +115,23 @@
 func (h *Host) Spoil(f Fault, share float64, class string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.spoil[f] = (spoilt{share, class}); share <= 0 {
-		delete(h.spoil, f)
+	if h.faults[f] = (faultShare{share, class}); share <= 0 {
+		delete(h.faults, f)
 	}
 }
 
-// draw picks the fault of an answer, if it has one.
-func (h *Host) draw(class string) Fault {
+// drawFault picks the fault of an answer, if it has one.
+func (h *Host) drawFault(class string) Fault {
 	for _, f := range Faults() { // in a stated order, so that a seed gives the same faults
-		if s, ok := h.spoil[f]; ok && (s.class == "" || s.class == class) && h.rand.Float64() < s.share {
+		if s, ok := h.faults[f]; ok && (s.class == "" || s.class == class) && h.rand.Float64() < s.share {
 			return f
 		}
 	}
 	return ""
 }
 
-// reset closes a connection so that the other side sees a reset.
-func reset(c net.Conn) {
+// resetConn closes a connection so that the other side sees a reset.
+func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
--- a/internal/lab/emulation/host.go
+++ b/internal/lab/emulation/host.go
@@ -61,10 +61,10 @@
 
 // Limits of what a host reads and of how long it plays dead.
 const (
-	mostBody     = 64 << 10
-	trickleEvery = 20 * time.Millisecond
-	closeSoon    = 15 * time.Millisecond
-	endlessEvery = 10 * time.Millisecond
+	maxBody         = 64 << 10
+	trickleInterval = 20 * time.Millisecond
+	closeIdleDelay  = 15 * time.Millisecond
+	endlessInterval = 10 * time.Millisecond
 )
 
 // Arrived is told of every request as its first byte came, before the host runs it.
@@ -73,38 +73,38 @@
 // Host is a host on sockets. Each gateway reaches it through a door of its own, so that what came from whom
 // is known.
 type Host struct {
-	Name    string
-	fields  Fields
-	idle    time.Duration
-	clock   Clock
-	arrived Arrived
-
-	mu     sync.Mutex
-	model  *hostmodel.Host
-	ledger *requestrecord.EndpointRecord
-	rand   *rand.Rand
-	mode   Mode
-	doors  []*door
-	conns  map[*conn]bool
-	waits  map[uint64]chan hostmodel.Reply
-	timer  *time.Timer
-	spoil  map[Fault]spoilt
-	probes int
-	wake   *sync.Cond // a change of mode
-	closed bool
-	served sync.WaitGroup
+	Name        string
+	fields      Fields
+	idleTimeout time.Duration
+	clock       Clock
+	onArrival   Arrived
+
+	mu           sync.Mutex
+	model        *hostmodel.Host
+	record       *requestrecord.EndpointRecord
+	rand         *rand.Rand
+	mode         Mode
+	listeners    []*hostListener
+	conns        map[*conn]bool
+	replyWaiters map[uint64]chan hostmodel.Reply
+	timer        *time.Timer
+	faults       map[Fault]faultShare
+	probes       int
+	modeChanged  *sync.Cond // a change of mode
+	closed       bool
+	running      sync.WaitGroup
 }
 
-type door struct {
-	via  string
-	addr string
-	ln   net.Listener
+type hostListener struct {
+	gateway string
+	addr    string
+	ln      net.Listener
 }
 
 type conn struct {
 	net.Conn
-	via   string
-	model *hostmodel.Host // that took it: a host that restarts has a new one
+	gateway string
+	model   *hostmodel.Host // that took it: a host that restarts has a new one
 }
 
 // Options of a host.
@@ -128,29 +128,29 @@
 	if o.Fields == (Fields{}) {
 		o.Fields = DefaultFields()
 	}
-	h := &Host{Name: spec.Name, fields: o.Fields, idle: o.Idle, clock: clock, arrived: o.Arrived, model: model,
-		ledger: l, rand: rand.New(rand.NewPCG(o.Seed, 1)), mode: Up, conns: make(map[*conn]bool),
-		waits: make(map[uint64]chan hostmodel.Reply), spoil: make(map[Fault]spoilt)}
-	h.wake = sync.NewCond(&h.mu)
-	h.timer = time.AfterFunc(time.Hour, h.tick)
+	h := &Host{Name: spec.Name, fields: o.Fields, idleTimeout: o.Idle, clock: clock, onArrival: o.Arrived, model: model,
+		record: l, rand: rand.New(rand.NewPCG(o.Seed, 1)), mode: Up, conns: make(map[*conn]bool),
+		replyWaiters: make(map[uint64]chan hostmodel.Reply), faults: make(map[Fault]faultShare)}
+	h.modeChanged = sync.NewCond(&h.mu)
+	h.timer = time.AfterFunc(time.Hour, h.onTimer)
 	return h, nil
 }
 
 // Open opens a door for a gateway at an address; port 0 takes a free one. It returns the address.
-func (h *Host) Open(via, addr string) (string, error) {
+func (h *Host) Open(gateway, addr string) (string, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return "", fmt.Errorf("host %s: %w", h.Name, err)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	d := &door{via: via, addr: ln.Addr().String(), ln: ln}
-	h.doors = append(h.doors, d)
-	h.served.Go(func() { h.accept(d, ln) })
-	return d.addr, nil
+	l := &hostListener{gateway: gateway, addr: ln.Addr().String(), ln: ln}
+	h.listeners = append(h.listeners, l)
+	h.running.Go(func() { h.accept(l, ln) })
+	return l.addr, nil
 }
 
-func (h *Host) accept(d *door, ln net.Listener) {
+func (h *Host) accept(l *hostListener, ln net.Listener) {
 	for {
 		raw, err := ln.Accept()
 		if err != nil {
@@ -161,23 +161,23 @@
 			continue
 		}
 		h.mu.Lock()
-		h.untilHeard()
-		c := &conn{Conn: raw, via: d.via, model: h.model}
+		h.waitWhileSilent()
+		c := &conn{Conn: raw, gateway: l.gateway, model: h.model}
 		if h.closed || h.mode == Refuse || !h.model.Connected(h.clock()) {
 			h.mu.Unlock()
-			reset(raw)
+			resetConn(raw)
 			continue
 		}
 		h.conns[c] = true
-		h.served.Go(func() { h.serve(c) })
+		h.running.Go(func() { h.serve(c) })
 		h.mu.Unlock()
 	}
 }
 
-// untilHeard waits while the machine is cut off. It is called with the lock held.
-func (h *Host) untilHeard() {
+// waitWhileSilent waits while the machine is cut off. It is called with the lock held.
+func (h *Host) waitWhileSilent() {
 	for h.mode == Silent && !h.closed {
-		h.wake.Wait()
+		h.modeChanged.Wait()
 	}
 }
 
@@ -192,8 +192,8 @@
 	}()
 	in := bufio.NewReader(c)
 	for {
-		if h.idle > 0 {
-			_ = c.SetReadDeadline(time.Now().Add(h.idle))
+		if h.idleTimeout > 0 {
+			_ = c.SetReadDeadline(time.Now().Add(h.idleTimeout))
 		}
 		if _, err := in.Peek(1); err != nil {
 			return
@@ -205,70 +205,70 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 			return
 		}
-		body, err := io.ReadAll(io.LimitReader(r.Body, mostBody+1))
+		body, err := io.ReadAll(io.LimitReader(r.Body, maxBody+1))
 		if err != nil {
 			return
 		}
-		if len(body) > mostBody || !h.answer(c, r, first) {
+		if len(body) > maxBody || !h.handleRequest(c, r, first) {
 			return
 		}
 	}
 }
 
-// answer answers a whole request and reports whether the connection goes on.
-func (h *Host) answer(c *conn, r *http.Request, first time.Duration) bool {
+// handleRequest answers a whole request and reports whether the connection goes on.
+func (h *Host) handleRequest(c *conn, r *http.Request, first time.Duration) bool {
 	h.mu.Lock()
-	h.untilHeard()
+	h.waitWhileSilent()
 	if h.closed {
 		h.mu.Unlock()
 		return false
 	}
 	now := h.clock()
-	load := h.report(now)
+	load := h.loadHeader(now)
 	if r.URL.Path == "/healthz" || r.URL.Path == "/load" {
 		h.probes++
 		h.mu.Unlock()
-		return write(c, 200, load, []byte(load+"\n"))
+		return writeResponse(c, 200, load, []byte(load+"\n"))
 	}
 	id, class := r.Header.Get("X-Trace-Id"), r.Header.Get("X-Qos")
 	if id == "" {
 		h.mu.Unlock()
-		return write(c, 404, load, nil)
+		return writeResponse(c, 404, load, nil)
 	}
-	if h.arrived != nil {
-		h.arrived(h.Name, c.via, id, first)
+	if h.onArrival != nil {
+		h.onArrival(h.Name, c.gateway, id, first)
 	}
 	token := h.model.Arrive(now, hostmodel.Request{ID: id, Class: class})
 	wait := make(chan hostmodel.Reply, 1)
-	h.waits[token] = wait
-	h.settle(now)
+	h.replyWaiters[token] = wait
+	h.deliverReplies(now)
 	h.mu.Unlock()
 
 	reply := <-wait
 	h.mu.Lock()
 	for (h.mode == Silent || h.mode == NoReply) && !h.closed {
-		h.wake.Wait()
+		h.modeChanged.Wait()
 	}
-	load = h.report(h.clock())
-	fault := h.draw(class)
-	gone := h.closed || h.mode == Refuse
+	load = h.loadHeader(h.clock())
+	fault := h.drawFault(class)
+	unreachable := h.closed || h.mode == Refuse
 	h.mu.Unlock()
 	switch {
-	case gone || reply.Kind == hostmodel.Lost:
-		reset(c.Conn)
+	case unreachable || reply.Kind == hostmodel.Lost:
+		resetConn(c.Conn)
 		return false
 	case reply.Kind == hostmodel.TurnedAway:
-		return write(c, 503, load+"X-Never-Ran: 1\r\n", []byte("turned away\n"))
+		return writeResponse(c, 503, load+"X-Never-Ran: 1\r\n", []byte("turned away\n"))
 	case reply.Kind == hostmodel.Errored:
-		return write(c, 500, load, []byte("error\n"))
+		return writeResponse(c, 500, load, []byte("error\n"))
 	case fault != "":
-		return h.spoiled(c, fault, load, reply.Body)
+		return h.writeFaulty(c, fault, load, reply.Body)
 	}
-	return write(c, 200, load, reply.Body)
+	return writeResponse(c, 200, load, reply.Body)
 }
 
-// report words the load report as a header line; empty if there is none.
-func (h *Host) report(now time.Duration) string {
+// loadHeader words the load report as a header line; empty if there is none.
+func (h *Host) loadHeader(now time.Duration) string {
 	l, ok := h.model.Report(now)
 	if !ok {
 		return ""
@@ -277,22 +277,22 @@
 		h.fields.Queue, l.Queue, h.fields.Errors, l.Errors)
 }
 
-func write(c net.Conn, status int, fields string, body []byte) bool {
-	_, err := c.Write(message(status, fields, len(body), body))
+func writeResponse(c net.Conn, status int, fields string, body []byte) bool {
+	_, err := c.Write(buildResponse(status, fields, len(body), body))
 	return err == nil
 }
 
-func message(status int, fields string, length int, body []byte) []byte {
+func buildResponse(status int, fields string, length int, body []byte) []byte {
 	head := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n", status, http.StatusText(status),
 		fields, length)
 	return append(head, body...)
 }
 
-// settle hands out the replies that are due and sets the timer for the next. It is called with the lock held.
-func (h *Host) settle(now time.Duration) {
+// deliverReplies hands out the replies that are due and sets the timer for the next. It is called with the lock held.
+func (h *Host) deliverReplies(now time.Duration) {
 	for _, r := range h.model.Advance(now) {
-		if w := h.waits[r.Token]; w != nil {
-			delete(h.waits, r.Token)
+		if w := h.replyWaiters[r.Token]; w != nil {
+			delete(h.replyWaiters, r.Token)
 			w <- r
 		}
 	}
@@ -303,11 +303,11 @@
 	}
 }
 
-func (h *Host) tick() {
+func (h *Host) onTimer() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.closed {
-		h.settle(h.clock())
+		h.deliverReplies(h.clock())
 	}
 }
 
@@ -317,16 +317,16 @@
 	defer h.mu.Unlock()
 	now := h.clock()
 	f(now, h.model)
-	h.settle(now)
+	h.deliverReplies(now)
 }
 
 // Addr is the address of a gateway's door.
-func (h *Host) Addr(via string) string {
+func (h *Host) Addr(gateway string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, d := range h.doors {
-		if d.via == via {
-			return d.addr
+	for _, l := range h.listeners {
+		if l.gateway == gateway {
+			return l.addr
 		}
 	}
 	return ""
@@ -343,18 +343,18 @@
 	h.mu.Lock()
 	h.closed = true
 	h.timer.Stop()
-	for _, d := range h.doors {
-		_ = d.ln.Close()
+	for _, l := range h.listeners {
+		_ = l.ln.Close()
 	}
 	for c := range h.conns {
-		reset(c.Conn)
+		resetConn(c.Conn)
 	}
-	for token, w := range h.waits {
-		delete(h.waits, token)
+	for token, w := range h.replyWaiters {
+		delete(h.replyWaiters, token)
 		w <- hostmodel.Reply{Kind: hostmodel.Lost}
 	}
-	h.wake.Broadcast()
+	h.modeChanged.Broadcast()
 	h.mu.Unlock()
-	h.served.Wait()
-	return h.ledger
+	h.running.Wait()
+	return h.record
 }
--- a/internal/lab/emulation/mode.go
+++ b/internal/lab/emulation/mode.go
@@ -18,43 +18,43 @@
 func (h *Host) SetMode(m Mode) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	was := h.mode
+	previous := h.mode
 	h.mode = m
 	now := h.clock()
 	h.model.Hold(now, m == Hung)
 	switch {
-	case m == Refuse && was != Refuse:
+	case m == Refuse && previous != Refuse:
 		h.model.Fall(now)
-		for _, d := range h.doors {
-			_ = d.ln.Close()
+		for _, l := range h.listeners {
+			_ = l.ln.Close()
 		}
 		for c := range h.conns {
-			reset(c.Conn)
+			resetConn(c.Conn)
 		}
-	case was == Refuse && m != Refuse:
+	case previous == Refuse && m != Refuse:
 		if err := h.restart(now, h.model.Spec().Cold.For > 0); err != nil {
 			return err
 		}
 	}
-	h.settle(now)
-	h.wake.Broadcast()
+	h.deliverReplies(now)
+	h.modeChanged.Broadcast()
 	return nil
 }
 
 // restart begins anew, at the same addresses and with the same record. Called with the lock held.
 func (h *Host) restart(now time.Duration, cold bool) error {
-	model, err := hostmodel.New(h.model.Spec(), h.rand.Uint64(), now, cold, h.ledger)
+	model, err := hostmodel.New(h.model.Spec(), h.rand.Uint64(), now, cold, h.record)
 	if err != nil {
 		return err
 	}
 	h.model = model
-	for _, d := range h.doors {
-		ln, err := net.Listen("tcp", d.addr)
+	for _, l := range h.listeners {
+		ln, err := net.Listen("tcp", l.addr)
 		if err != nil {
 			return fmt.Errorf("host %s: %w", h.Name, err) // the door keeps its old listener, which is closed
 		}
-		d.ln = ln
-		h.served.Go(func() { h.accept(d, ln) })
+		l.ln = ln
+		h.running.Go(func() { h.accept(l, ln) })
 	}
 	return nil
 }
--- a/internal/lab/hostmodel/host.go
+++ b/internal/lab/hostmodel/host.go
@@ -28,87 +28,87 @@
 
 type execution struct {
 	Request
-	token uint64
-	left  float64 // seconds of work on a core of speed 1
+	token         uint64
+	remainingWork float64 // seconds of work on a core of speed 1
 }
 
-type sent struct {
+type sentWork struct {
 	at   time.Duration
 	work float64
 }
 
-type heavy struct {
+type workFactor struct {
 	class         string
 	share, factor float64
 	until         time.Duration
 }
 
-type shown struct {
-	at   time.Duration
-	load Load
+type delayedReport struct {
+	visibleAt time.Duration
+	load      Load
 }
 
 // Host is a running host.
 type Host struct {
-	spec    Spec
-	rand    *rand.Rand
-	ledger  *requestrecord.EndpointRecord
-	at      time.Duration // the model stands at this time
-	down    bool
-	drain   bool
-	running []*execution
-	waiting []*execution
-	replies []Reply
-	tokens  uint64
-	conns   int
-	heavy   []heavy
-
-	warming
-	pausing
-	neighbouring
-	reporting
+	spec        Spec
+	rand        *rand.Rand
+	ledger      *requestrecord.EndpointRecord
+	now         time.Duration // the model stands at this time
+	down        bool
+	draining    bool
+	running     []*execution
+	waiting     []*execution
+	replies     []Reply
+	lastToken   uint64
+	conns       int
+	workFactors []workFactor
+
+	slowStartState
+	pauseState
+	neighbourState
+	reportState
 }
 
-// warming is how a host warms up, and what it was sent meanwhile.
-type warming struct {
-	born       time.Duration
-	cold       bool    // born cold
-	done       float64 // work done since birth
-	warm       float64 // share of the capacity reached, as of the last step of warming
-	warmAt     time.Duration
-	window     []sent
-	windowWork float64
-	peak       float64 // largest share of the slow-start budget used
+// slowStartState is how a host warms up, and what it was sent meanwhile.
+type slowStartState struct {
+	startedAt       time.Duration
+	inSlowStart     bool    // born cold
+	workDone        float64 // work done since birth
+	capacityShare   float64 // share of the capacity reached, as of the last step of warming
+	nextWarmStep    time.Duration
+	sentWindow      []sentWork
+	sentWindowWork  float64
+	peakBudgetShare float64 // largest share of the slow-start budget used
 }
 
-// pausing is when a host stands still.
-type pausing struct {
-	pauseAt, pauseEnd time.Duration
-	held              bool // stopped until it is resumed
+// pauseState is when a host stands still.
+type pauseState struct {
+	nextPause, pauseEnd time.Duration
+	suspended           bool // stopped until it is resumed
 }
 
-// neighbouring is what another program takes of the machine.
-type neighbouring struct {
-	neighbour   float64
-	flipAt      time.Duration
-	neighbourOn bool
+// neighbourState is what another program takes of the machine.
+type neighbourState struct {
+	neighbourShare    float64
+	neighbourToggleAt time.Duration
+	neighbourOn       bool
 }
 
-// reporting is what a host says of its load.
-type reporting struct {
+// reportState is what a host says of its load.
+type reportState struct {
 	nextReport time.Duration
-	reports    []shown // the first is the one that shows
+	reports    []delayedReport // the first is the one that shows
 	errors     []time.Duration
 }
 
-// warmStep is how finely the warming of a host is followed.
-const warmStep = 50 * time.Millisecond
+// slowStartStep is how finely the warming of a host is followed.
+const slowStartStep = 50 * time.Millisecond
 
 const never = time.Duration(math.MaxInt64)
 
 // New starts a host. A cold one begins at its cold share, others are warm. What it is sent and makes
 // goes into the record.
-func New(spec Spec, seed uint64, born time.Duration, cold bool, into *requestrecord.EndpointRecord) (*Host, error) {
+func New(spec Spec, seed uint64, startedAt time.Duration, slowStart bool, record *requestrecord.EndpointRecord) (*Host, error) {
 	switch {
 	case spec.Cores < 1 || spec.Slots < 1 || spec.Queue < 0:
 		return nil, fmt.Errorf("host %s: cores and slots must be at least 1, queue at least 0", spec.Name)
@@ -120,22 +120,22 @@
 			return nil, fmt.Errorf("host %s: work of %s: %w", spec.Name, class, err)
 		}
 	}
-	h := &Host{spec: spec, ledger: into, at: born,
+	h := &Host{spec: spec, ledger: record, now: startedAt,
 		rand: rand.New(rand.NewPCG(seed, xxh3.HashString(spec.Name)))}
-	h.born = born
-	h.cold = cold && spec.Cold.From > 0 && spec.Cold.From < 1 && spec.Cold.For > 0
-	h.pauseAt, h.flipAt, h.nextReport, h.warmAt = never, never, never, never
+	h.startedAt = startedAt
+	h.inSlowStart = slowStart && spec.Cold.From > 0 && spec.Cold.From < 1 && spec.Cold.For > 0
+	h.nextPause, h.neighbourToggleAt, h.nextReport, h.nextWarmStep = never, never, never, never
 	if spec.Pause.Every > 0 && spec.Pause.For > 0 {
-		h.pauseAt = born + h.exp(spec.Pause.Every)
+		h.nextPause = startedAt + h.exp(spec.Pause.Every)
 	}
 	if n := spec.Neighbour; n.Share > 0 {
-		h.SetNeighbour(born, n)
+		h.SetNeighbour(startedAt, n)
 	}
 	if spec.Report.Most > 0 {
-		h.nextReport = born
+		h.nextReport = startedAt
 	}
-	if h.warm = h.warmth(); h.cold {
-		h.warmAt = born + warmStep
+	if h.capacityShare = h.slowStartShare(); h.inSlowStart {
+		h.nextWarmStep = startedAt + slowStartStep
 	}
 	return h, nil
 }
@@ -147,44 +147,44 @@
 // Arrive takes a whole request. Its end comes from Advance, under the token; a host that is full,
 // drains or is down turns it away at once.
 func (h *Host) Arrive(now time.Duration, r Request) (token uint64) {
-	h.run(now)
-	h.tokens++
-	token = h.tokens
-	e := h.ledger.Of(r.ID)
+	h.advanceTo(now)
+	h.lastToken++
+	token = h.lastToken
+	e := h.ledger.EntryOf(r.ID)
 	e.Arrivals++
 	work := 0.0
 	w, known := h.spec.Work[r.Class]
 	if known {
-		work = w.Draw(h.rand) * h.heaviness(r.Class)
+		work = w.Draw(h.rand) * h.drawWorkFactor(r.Class)
 	}
-	h.budget(w.Mean.Seconds())
+	h.chargeSlowStartBudget(w.Mean.Seconds())
 	if h.down {
-		h.end(&execution{Request: r, token: token}, Lost)
+		h.addReply(&execution{Request: r, token: token}, Lost)
 		return token
 	}
-	if h.drain || !known || len(h.running) >= h.spec.Slots && len(h.waiting) >= h.spec.Queue {
-		h.end(&execution{Request: r, token: token}, TurnedAway)
+	if h.draining || !known || len(h.running) >= h.spec.Slots && len(h.waiting) >= h.spec.Queue {
+		h.addReply(&execution{Request: r, token: token}, TurnedAway)
 		return token
 	}
-	h.waiting = append(h.waiting, &execution{Request: r, token: token, left: work})
-	h.fill()
+	h.waiting = append(h.waiting, &execution{Request: r, token: token, remainingWork: work})
+	h.startWaiting()
 	return token
 }
 
-// fill begins what waits, as far as slots are free.
-func (h *Host) fill() {
+// startWaiting begins what waits, as far as slots are free.
+func (h *Host) startWaiting() {
 	for len(h.running) < h.spec.Slots && len(h.waiting) > 0 {
 		x := h.waiting[0]
 		h.waiting = h.waiting[1:]
 		h.running = append(h.running, x)
-		h.ledger.Of(x.ID).Begun++
+		h.ledger.EntryOf(x.ID).Begun++
 	}
 }
 
-// end replies to an arrival.
-func (h *Host) end(x *execution, k Kind) {
+// addReply replies to an arrival.
+func (h *Host) addReply(x *execution, k Kind) {
 	r := Reply{Token: x.token, ID: x.ID, Kind: k}
-	e := h.ledger.Of(x.ID)
+	e := h.ledger.EntryOf(x.ID)
 	switch k {
 	case TurnedAway:
 		e.TurnedAway++
@@ -194,7 +194,7 @@
 		e.Returned = append(e.Returned, requestrecord.Hash(r.Body))
 	case Errored:
 		e.Ended++
-		h.errors = append(h.errors, h.at)
+		h.errors = append(h.errors, h.now)
 	}
 	h.replies = append(h.replies, r)
 }
@@ -210,7 +210,7 @@
 
 // Advance runs the host up to now and returns the replies since the last call.
 func (h *Host) Advance(now time.Duration) []Reply {
-	h.run(now)
+	h.advanceTo(now)
 	out := h.replies
 	h.replies = nil
 	return out
@@ -219,155 +219,155 @@
 // Next is when Advance is due at the latest; ok is false while nothing will happen by itself.
 func (h *Host) Next() (at time.Duration, ok bool) {
 	if len(h.replies) > 0 {
-		return h.at, true
+		return h.now, true
 	}
 	at = never
-	if x, _ := h.soonest(); x < at {
+	if x, _ := h.nextCompletion(); x < at {
 		at = x
 	}
 	if len(h.running) > 0 { // the rate may change before that
-		at = min(at, h.change())
+		at = min(at, h.nextChange())
 	}
 	return at, at != never
 }
 
-// change is the time of the next change that comes by itself.
-func (h *Host) change() time.Duration {
+// nextChange is the time of the next change that comes by itself.
+func (h *Host) nextChange() time.Duration {
 	if h.down {
 		return never
 	}
-	at := min(h.pauseAt, h.flipAt, h.nextReport, h.warmAt)
-	if h.pauseEnd > h.at {
+	at := min(h.nextPause, h.neighbourToggleAt, h.nextReport, h.nextWarmStep)
+	if h.pauseEnd > h.now {
 		at = min(at, h.pauseEnd)
 	}
 	return at
 }
 
-// soonest is when the next execution ends if nothing changes, at which rate.
-func (h *Host) soonest() (time.Duration, float64) {
+// nextCompletion is when the next execution ends if nothing changes, at which rate.
+func (h *Host) nextCompletion() (time.Duration, float64) {
 	rate := h.rate()
 	if rate <= 0 {
 		return never, 0
 	}
-	least := math.Inf(1)
+	shortest := math.Inf(1)
 	for _, x := range h.running {
-		least = min(least, x.left)
+		shortest = min(shortest, x.remainingWork)
 	}
 	// Rounded up, so that the execution is over at that time and the loop in run makes progress.
-	return h.at + time.Duration(math.Ceil(max(0, least)/rate*1e9)), rate
+	return h.now + time.Duration(math.Ceil(max(0, shortest)/rate*1e9)), rate
 }
 
-// run carries the model to now, one change of rate after another.
-func (h *Host) run(now time.Duration) {
-	for h.at < now {
-		ends, rate := h.soonest()
-		step := min(now, ends, h.change())
-		step = max(step, h.at)
-		did := rate * (step - h.at).Seconds()
+// advanceTo carries the model to now, one change of rate after another.
+func (h *Host) advanceTo(now time.Duration) {
+	for h.now < now {
+		ends, rate := h.nextCompletion()
+		step := min(now, ends, h.nextChange())
+		step = max(step, h.now)
+		done := rate * (step - h.now).Seconds()
 		for _, x := range h.running {
-			x.left -= did
+			x.remainingWork -= done
 		}
-		h.done += did * float64(len(h.running))
-		h.at = step
-		h.finish()
-		h.changes()
+		h.workDone += done * float64(len(h.running))
+		h.now = step
+		h.finishCompleted()
+		h.applyChanges()
 	}
 }
 
-// finish ends the attempts whose work is done.
-func (h *Host) finish() {
-	kept := h.running[:0]
-	var over []*execution
+// finishCompleted ends the attempts whose work is done.
+func (h *Host) finishCompleted() {
+	unfinished := h.running[:0]
+	var completed []*execution
 	for _, x := range h.running {
-		if x.left <= 1e-10 {
-			over = append(over, x)
+		if x.remainingWork <= 1e-10 {
+			completed = append(completed, x)
 		} else {
-			kept = append(kept, x)
+			unfinished = append(unfinished, x)
 		}
 	}
-	h.running = kept
-	for _, x := range over {
+	h.running = unfinished
+	for _, x := range completed {
 		k := Served
 		if h.rand.Float64() < h.spec.ErrorRate {
 			k = Errored
 		}
-		h.end(x, k)
+		h.addReply(x, k)
 	}
-	if len(over) > 0 {
-		h.fill()
+	if len(completed) > 0 {
+		h.startWaiting()
 	}
 }
 
-// changes carries out what is due by itself.
-func (h *Host) changes() {
-	if h.at >= h.pauseAt {
+// applyChanges carries out what is due by itself.
+func (h *Host) applyChanges() {
+	if h.now >= h.nextPause {
 		p := h.spec.Pause
-		length := h.exp(p.For).Seconds() * (1 + p.Grow*h.perCore())
-		h.pauseEnd = h.at + time.Duration(length*1e9)
-		h.pauseAt = h.pauseEnd + h.exp(p.Every)
+		length := h.exp(p.For).Seconds() * (1 + p.Grow*h.requestsPerCore())
+		h.pauseEnd = h.now + time.Duration(length*1e9)
+		h.nextPause = h.pauseEnd + h.exp(p.Every)
 	}
-	if h.at >= h.flipAt {
+	if h.now >= h.neighbourToggleAt {
 		h.neighbourOn = !h.neighbourOn
 		n := h.spec.Neighbour
 		mean := n.Off
-		if h.neighbour = 0; h.neighbourOn {
-			h.neighbour, mean = n.Share, n.On
+		if h.neighbourShare = 0; h.neighbourOn {
+			h.neighbourShare, mean = n.Share, n.On
 		}
-		if h.flipAt = never; n.On > 0 && n.Off > 0 {
-			h.flipAt = h.at + h.exp(mean)
+		if h.neighbourToggleAt = never; n.On > 0 && n.Off > 0 {
+			h.neighbourToggleAt = h.now + h.exp(mean)
 		}
 	}
-	if h.at >= h.warmAt {
-		h.warm = h.warmth()
-		if h.warmAt = h.at + warmStep; h.warm >= 1 {
-			h.warmAt = never
+	if h.now >= h.nextWarmStep {
+		h.capacityShare = h.slowStartShare()
+		if h.nextWarmStep = h.now + slowStartStep; h.capacityShare >= 1 {
+			h.nextWarmStep = never
 		}
 	}
-	if h.at >= h.nextReport {
+	if h.now >= h.nextReport {
 		r := h.spec.Report
 		wait := r.Least + time.Duration(h.rand.Float64()*float64(max(0, r.Most-r.Least)))
-		h.nextReport = h.at + max(time.Millisecond, wait)
-		for len(h.errors) > 0 && h.errors[0] < h.at-time.Second {
+		h.nextReport = h.now + max(time.Millisecond, wait)
+		for len(h.errors) > 0 && h.errors[0] < h.now-time.Second {
 			h.errors = h.errors[1:]
 		}
-		h.reports = append(h.reports, shown{h.at + r.Delay, Load{InFlight: h.noisy(h.InFlight()),
-			Queue: h.noisy(len(h.waiting)), Errors: float64(len(h.errors))}})
-		h.shift(h.at)
+		h.reports = append(h.reports, delayedReport{h.now + r.Delay, Load{InFlight: h.addNoise(h.InFlight()),
+			Queue: h.addNoise(len(h.waiting)), Errors: float64(len(h.errors))}})
+		h.dropReplacedReports(h.now)
 	}
 }
 
-// shift drops the reports that newer ones have replaced.
-func (h *Host) shift(now time.Duration) {
-	for len(h.reports) > 1 && h.reports[1].at <= now {
+// dropReplacedReports drops the reports that newer ones have replaced.
+func (h *Host) dropReplacedReports(now time.Duration) {
+	for len(h.reports) > 1 && h.reports[1].visibleAt <= now {
 		h.reports = h.reports[1:]
 	}
 }
 
-func (h *Host) noisy(n int) float64 {
+func (h *Host) addNoise(n int) float64 {
 	return max(0, float64(n)*(1+h.spec.Report.Noise*h.rand.NormFloat64()))
 }
 
 // Connected counts a new connection, whose work slows the host; ok is false when the table is full.
 func (h *Host) Connected(now time.Duration) (ok bool) {
-	h.run(now)
+	h.advanceTo(now)
 	if h.down || h.spec.Conns > 0 && h.conns >= h.spec.Conns {
 		return false
 	}
 	h.conns++
 	for _, x := range h.running {
-		x.left += h.spec.HandshakeWork.Seconds() / float64(len(h.running))
+		x.remainingWork += h.spec.HandshakeWork.Seconds() / float64(len(h.running))
 	}
 	return true
 }
 
 // Disconnected counts the end of a connection.
-func (h *Host) Disconnected(now time.Duration) { h.run(now); h.conns-- }
+func (h *Host) Disconnected(now time.Duration) { h.advanceTo(now); h.conns-- }
 
 // Report returns the load report that shows now, if there is one.
 func (h *Host) Report(now time.Duration) (Load, bool) {
-	h.run(now)
-	h.shift(now)
-	if len(h.reports) == 0 || h.reports[0].at > now {
+	h.advanceTo(now)
+	h.dropReplacedReports(now)
+	if len(h.reports) == 0 || h.reports[0].visibleAt > now {
 		return Load{}, false
 	}
 	return h.reports[0].load, true
@@ -383,7 +383,7 @@
 func (h *Host) Down() bool { return h.down }
 
 // ColdPeak is the largest share of its cold budget that the host was sent; over 1 it has fallen over.
-func (h *Host) ColdPeak() float64 { return h.peak }
+func (h *Host) ColdPeak() float64 { return h.peakBudgetShare }
 
 // Spec is how the host was built.
 func (h *Host) Spec() Spec { return h.spec }
--- a/internal/lab/hostmodel/host_test.go
+++ b/internal/lab/hostmodel/host_test.go
@@ -59,11 +59,11 @@
 	near(t, "first", at["0"], 10*ms)
 	near(t, "third", at["2"], 30*ms)
 	for _, id := range []string{"3", "4"} {
-		if kinds[id] != TurnedAway || l.Of(id).TurnedAway != 1 || l.Of(id).Begun != 0 {
-			t.Errorf("%s: %v, %+v", id, kinds[id], *l.Of(id))
+		if kinds[id] != TurnedAway || l.EntryOf(id).TurnedAway != 1 || l.EntryOf(id).Begun != 0 {
+			t.Errorf("%s: %v, %+v", id, kinds[id], *l.EntryOf(id))
 		}
 	}
-	if e := l.Of("2"); e.Arrivals != 1 || e.Begun != 1 || e.Ended != 1 || len(e.Returned) != 1 ||
+	if e := l.EntryOf("2"); e.Arrivals != 1 || e.Begun != 1 || e.Ended != 1 || len(e.Returned) != 1 ||
 		e.Returned[0] != requestrecord.Hash(Body("2", "h", 3, 40)) {
 		t.Errorf("ledger of a served one: %+v", *e)
 	}
--- a/internal/lab/hostmodel/rate.go
+++ b/internal/lab/hostmodel/rate.go
@@ -3,59 +3,59 @@
 // rate is how fast each running execution now runs, in seconds of work a second.
 func (h *Host) rate() float64 {
 	if n := len(h.running); n > 0 && !h.stopped() {
-		return h.power(min(h.spec.Cores, n)) / float64(n)
+		return h.capacityOf(min(h.spec.Cores, n)) / float64(n)
 	}
 	return 0
 }
 
-func (h *Host) stopped() bool { return h.down || h.held || h.pauseEnd > h.at }
+func (h *Host) stopped() bool { return h.down || h.suspended || h.pauseEnd > h.now }
 
-// power is what so many busy cores now do.
-func (h *Host) power(cores int) float64 {
-	p := float64(cores) * h.spec.Speed * h.warm * (1 - h.neighbour)
-	if excess := h.perCore() - h.spec.ThrashAt; h.spec.Thrash > 0 && excess > 0 {
-		p /= 1 + h.spec.Thrash*excess
+// capacityOf is what so many busy cores now do.
+func (h *Host) capacityOf(cores int) float64 {
+	capacity := float64(cores) * h.spec.Speed * h.capacityShare * (1 - h.neighbourShare)
+	if excess := h.requestsPerCore() - h.spec.ThrashAt; h.spec.Thrash > 0 && excess > 0 {
+		capacity /= 1 + h.spec.Thrash*excess
 	}
 	if h.spec.Conns > 0 {
-		p *= 1 - h.spec.FullTax*min(1, float64(h.conns)/float64(h.spec.Conns))
+		capacity *= 1 - h.spec.FullTax*min(1, float64(h.conns)/float64(h.spec.Conns))
 	}
-	return p
+	return capacity
 }
 
-// warmth is the share of its capacity that the host has reached. It is looked at in steps of its own, so that
+// slowStartShare is the share of its capacity that the host has reached. It is looked at in steps of its own, so that
 // the model does not depend on how often it is asked.
-func (h *Host) warmth() float64 {
-	if !h.cold {
+func (h *Host) slowStartShare() float64 {
+	if !h.inSlowStart {
 		return 1
 	}
 	c := h.spec.Cold
-	progress := (h.at - h.born).Seconds() / c.For.Seconds()
+	progress := (h.now - h.startedAt).Seconds() / c.For.Seconds()
 	if c.ByWork {
-		progress = max(progress, h.done/(float64(h.spec.Cores)*h.spec.Speed*c.For.Seconds()/2))
+		progress = max(progress, h.workDone/(float64(h.spec.Cores)*h.spec.Speed*c.For.Seconds()/2))
 	}
 	return min(1, c.From+(1-c.From)*progress)
 }
 
-func (h *Host) perCore() float64 { return float64(h.InFlight()) / float64(h.spec.Cores) }
+func (h *Host) requestsPerCore() float64 { return float64(h.InFlight()) / float64(h.spec.Cores) }
 
-// budget counts the work sent to a cold host, and lets it fall over when that is too much. It counts
+// chargeSlowStartBudget counts the work sent to a cold host, and lets it fall over when that is too much. It counts
 // the class's mean, not the draw: nobody who sends can know the draw.
-func (h *Host) budget(work float64) {
+func (h *Host) chargeSlowStartBudget(work float64) {
 	c := h.spec.Cold
-	if !h.cold || h.down || c.FallMultiple <= 0 || c.FallFor <= 0 || h.warm >= 1 {
+	if !h.inSlowStart || h.down || c.FallMultiple <= 0 || c.FallFor <= 0 || h.capacityShare >= 1 {
 		return
 	}
-	for len(h.window) > 0 && h.window[0].at <= h.at-c.FallFor {
-		h.windowWork -= h.window[0].work
-		h.window = h.window[1:]
+	for len(h.sentWindow) > 0 && h.sentWindow[0].at <= h.now-c.FallFor {
+		h.sentWindowWork -= h.sentWindow[0].work
+		h.sentWindow = h.sentWindow[1:]
 	}
-	h.window = append(h.window, sent{h.at, work})
-	h.windowWork += work
-	most := h.Capacity() * c.FallFor.Seconds() * c.FallMultiple
-	h.peak = max(h.peak, (h.windowWork-work)/most)
+	h.sentWindow = append(h.sentWindow, sentWork{h.now, work})
+	h.sentWindowWork += work
+	budget := h.Capacity() * c.FallFor.Seconds() * c.FallMultiple
+	h.peakBudgetShare = max(h.peakBudgetShare, (h.sentWindowWork-work)/budget)
 	// The request that crosses the line is still borne, as slack for chance.
-	if h.windowWork-work > most*(1+1e-9) { // sums of many small numbers are a little off
-		h.fall()
+	if h.sentWindowWork-work > budget*(1+1e-9) { // sums of many small numbers are a little off
+		h.crash()
 	}
 }
 
@@ -64,5 +64,5 @@
 	if h.down {
 		return 0
 	}
-	return h.power(h.spec.Cores)
+	return h.capacityOf(h.spec.Cores)
 }
--- a/internal/lab/load/attempt.go
+++ b/internal/lab/load/attempt.go
@@ -13,129 +13,136 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// tried is a try's end.
-type tried struct {
-	fate     Fate
-	after    time.Duration // Retry-After
-	ended    time.Duration
-	answered bool
-	cause    string
+// attemptResult is how an attempt ended.
+type attemptResult struct {
+	outcome    Outcome
+	retryAfter time.Duration // from the response's Retry-After field; 0 if there was none
+	endedAt    time.Duration // time of the run; 0 if the attempt ended before a request was written
+	answered   bool          // a whole response was read before the client timeout
+	cause      string        // why there was no good response; empty for Outcome OK
 }
 
-// attempt is one sending of a request, perhaps on a second link.
+// attempt is one attempt of a request: the first one or a client's retry. It may be sent again on a second
+// connection if the first connection was closed before its peer read the request.
 type attempt struct {
-	id       string
-	request  *request
-	class    *Class
-	number   int
-	patience time.Duration
-	target   *target
-	whole    bool // it was written whole
+	id            string
+	request       *request
+	class         *Class
+	number        int // 0 for the first attempt, 1 for the first retry
+	clientTimeout time.Duration
+	target        *target
+	fullyWritten  bool // the last byte of the request was written
 }
 
-// try sends a request once. If the link closes without having read it, it is sent once more on a new one.
-func (g *generator) try(ctx context.Context, r *request, number int, patience time.Duration) (out tried) {
+// try makes one attempt of a request and records it. If an idle connection is closed before its
+// peer has read the request, try sends the request once more on a new connection.
+func (g *generator) try(ctx context.Context, r *request, number int, clientTimeout time.Duration) (out attemptResult) {
 	class := &g.Classes[r.Class]
-	a := attempt{id: fmt.Sprintf("%s%08x", g.Prefix, g.ids.Add(1)), request: r, class: class, number: number,
-		patience: patience, target: g.Front.pick()}
+	a := attempt{id: fmt.Sprintf("%s%08x", g.Prefix, g.lastID.Add(1)), request: r, class: class, number: number,
+		clientTimeout: clientTimeout, target: g.Front.pick()}
 	err := g.Ledger.Add(requestrecord.Attempt{ID: a.id, Request: r.number, Number: number, Class: class.Name,
-		Unsafe: class.Unsafe, Keyed: class.Keyed, Target: a.target.addr, Body: r.Body, Due: g.began + r.At,
-		Patience: patience})
+		Unsafe: class.Unsafe, Keyed: class.Keyed, Target: a.target.addr, Body: r.Body, Due: g.startedAt + r.At,
+		Patience: clientTimeout})
 	if err != nil {
-		return tried{fate: Unsent, cause: err.Error()}
+		return attemptResult{outcome: Unsent, cause: err.Error()}
 	}
 	defer func() {
 		g.Ledger.Update(a.id, func(t *requestrecord.Attempt) {
-			t.Ended, t.Whole, t.Cause = g.now(), a.whole,
+			t.Ended, t.Whole, t.Cause = g.now(), a.fullyWritten,
 				out.cause
 		})
 	}()
-	for again := 0; ; again++ {
-		if result, ended := g.sendOn(ctx, &a, again); ended {
+	for resends := 0; ; resends++ {
+		if result, ended := g.sendOn(ctx, &a, resends); ended {
 			return result
 		}
 	}
 }
 
-// sendOn sends an attempt on a link to its target. ended is false where the link closed without having
-// read it.
-func (g *generator) sendOn(ctx context.Context, a *attempt, again int) (result tried, ended bool) {
-	l, used, err := g.linkTo(ctx, a.target, a.patience, again > 0)
-	if errors.Is(err, errNoRoom) {
-		return tried{fate: Unsent, cause: "no descriptor left for a connection"}, true
+// sendOn sends an attempt on a connection to its target and waits for the response, until responseGrace after the
+// client timeout. ended is false if the connection was closed before its peer read the request, so that the
+// caller may send it again. resends is the number of earlier sendings of this attempt.
+func (g *generator) sendOn(ctx context.Context, a *attempt, resends int) (result attemptResult, ended bool) {
+	conn, reused, err := g.connTo(ctx, a.target, a.clientTimeout, resends > 0)
+	if errors.Is(err, errNoDescriptor) {
+		return attemptResult{outcome: Unsent, cause: "no descriptor left for a connection"}, true
 	}
 	if err != nil {
-		return tried{fate: Failed, cause: "connect: " + cause(err)}, true
-	}
-	wait := l.ask(a.id)
-	if wait == nil {
-		_ = l.Close()
-		return tried{}, false // it ended just now, before anything was written on it
-	}
-	if err := g.write(l, a.id, a.class, a.request, a.number, a.patience); err != nil {
-		_ = l.Close()
-		reply := <-wait
-		if used && again == 0 {
-			return tried{}, false
+		return attemptResult{outcome: Failed, cause: "connect: " + cause(err)}, true
+	}
+	responses := conn.expectResponse(a.id)
+	if responses == nil {
+		_ = conn.Close()
+		return attemptResult{}, false // the connection ended before anything was written to it
+	}
+	if err := g.write(conn, a.id, a.class, a.request, a.number, a.clientTimeout); err != nil {
+		_ = conn.Close()
+		resp := <-responses
+		if reused && resends == 0 {
+			return attemptResult{}, false
 		}
-		return tried{fate: Failed, ended: reply.at, cause: "write: " + cause(err)}, true
+		return attemptResult{outcome: Failed, endedAt: resp.receivedAt, cause: "write: " + cause(err)}, true
 	}
 	sent := g.now()
-	a.whole = true
+	a.fullyWritten = true
 	g.Ledger.Update(a.id, func(t *requestrecord.Attempt) { t.Sent, t.Whole = sent, true })
-	if a.number == 0 && again == 0 {
-		g.rec.count(a.request.Class, a.request.At, func(s *Second) { s.Sent++ })
+	if a.number == 0 && resends == 0 {
+		g.recorder.count(a.request.Class, a.request.At, func(s *Second) { s.Sent++ })
 	}
-	timer := time.NewTimer(a.patience + grace)
+	timer := time.NewTimer(a.clientTimeout + responseGrace)
 	select {
-	case reply := <-wait:
+	case resp := <-responses:
 		timer.Stop()
-		if reply.err != nil && reply.crossed && used && again == 0 {
-			a.whole = false
-			return tried{}, false
+		if resp.err != nil && resp.unread && reused && resends == 0 {
+			a.fullyWritten = false
+			return attemptResult{}, false
 		}
-		return g.judge(l, a.target, a.id, reply, sent+a.patience), true
+		return g.handleResponse(conn, a.target, a.id, resp, sent+a.clientTimeout), true
 	case <-timer.C:
-		_ = l.Close()
-		g.Ledger.Update(a.id, func(t *requestrecord.Attempt) { t.Left = true })
-		return tried{fate: Unanswered, ended: g.now(), cause: "silence"}, true
+		_ = conn.Close()
+		g.Ledger.Update(a.id, func(t *requestrecord.Attempt) { t.TimedOut = true })
+		return attemptResult{outcome: Unanswered, endedAt: g.now(), cause: "silence"}, true
 	}
 }
 
-// judge takes the answer, or the link's end, and gives the link back.
-func (g *generator) judge(l *link, t *target, id string, a answer, deadline time.Duration) tried {
-	if a.err != nil {
-		_ = l.Close()
-		return tried{fate: Failed, ended: a.at, cause: "link: " + cause(a.err)}
+// handleResponse records a response, or the connection's end in place of a response, and returns the attempt's
+// result. It returns the connection to the target's pool, or closes it after an error, on the server's request or
+// after the permitted number of requests.
+func (g *generator) handleResponse(conn *clientConn, t *target, id string, resp response,
+	deadline time.Duration) attemptResult {
+	if resp.err != nil {
+		_ = conn.Close()
+		return attemptResult{outcome: Failed, endedAt: resp.receivedAt, cause: "link: " + cause(resp.err)}
 	}
 	g.Ledger.Update(id, func(t *requestrecord.Attempt) {
 		t.Answers++
-		t.Status, t.Hash = a.status, requestrecord.Hash(a.body)
+		t.Status, t.Hash = resp.status, requestrecord.Hash(resp.body)
 	})
-	l.served++
+	conn.served++
 	switch {
-	case a.close:
-		_ = l.Close()
-	case g.Clients.KeepFor > 0 && l.served >= g.Clients.KeepFor:
-		_ = l.Close()
+	case resp.close:
+		_ = conn.Close()
+	case g.Clients.KeepFor > 0 && conn.served >= g.Clients.KeepFor:
+		_ = conn.Close()
 	default:
-		t.pool.give(l)
+		t.pool.put(conn)
 	}
-	out := tried{ended: a.at, after: a.after, answered: a.at <= deadline}
+	out := attemptResult{endedAt: resp.receivedAt, retryAfter: resp.retryAfter, answered: resp.receivedAt <= deadline}
 	switch {
-	case a.at > deadline:
-		out.fate, out.cause = Failed, "answered late"
-	case a.status == 200:
-		out.fate = OK
-	case a.status == 429 || a.status == 503:
-		out.fate, out.cause = Refused, fmt.Sprint(a.status)
+	case resp.receivedAt > deadline:
+		out.outcome, out.cause = Failed, "answered late"
+	case resp.status == 200:
+		out.outcome = OK
+	case resp.status == 429 || resp.status == 503:
+		out.outcome, out.cause = Refused, fmt.Sprint(resp.status)
 	default:
-		out.fate, out.cause = Failed, fmt.Sprint(a.status)
+		out.outcome, out.cause = Failed, fmt.Sprint(resp.status)
 	}
 	return out
 }
 
-// cause words an error without what differs from one connection to the next.
+// cause returns the text of an error without parts that differ between connections, such as addresses, so that
+// equal errors are counted together in Result.Causes.
 func cause(err error) string {
 	for _, known := range []error{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EPIPE,
 		os.ErrDeadlineExceeded, net.ErrClosed} {
@@ -149,33 +156,37 @@
 	return "connection failed"
 }
 
-// linkTo returns a link to a target, an idle one unless fresh.
-func (g *generator) linkTo(ctx context.Context, t *target, within time.Duration, fresh bool) (l *link,
-	used bool, err error) {
+// connTo returns a connection to a target: an idle one from the pool, or a new one if there is none or fresh is
+// set. reused reports whether it is from the pool. The error is errNoDescriptor if this process has no descriptor
+// or port left; a failed dial is reported to the Front.
+func (g *generator) connTo(ctx context.Context, t *target, timeout time.Duration, fresh bool) (conn *clientConn,
+	reused bool, err error) {
 	if !fresh {
-		if l := t.pool.take(); l != nil {
-			return l, true, nil
+		if idle := t.pool.get(); idle != nil {
+			return idle, true, nil
 		}
 	}
-	if g.open.Add(1) > int64(g.MostOpen) {
-		g.open.Add(-1)
-		return nil, false, errNoRoom
+	if g.openConns.Add(1) > int64(g.MaxOpenConns) {
+		g.openConns.Add(-1)
+		return nil, false, errNoDescriptor
 	}
-	c, err := dial(ctx, t.addr, within)
+	c, err := dial(ctx, t.addr, timeout)
 	if err != nil {
-		g.open.Add(-1)
+		g.openConns.Add(-1)
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL) {
-			return nil, false, errNoRoom // ours, not the target's
+			return nil, false, errNoDescriptor // a limit of this process, no failure of the target
 		}
-		g.Front.connected(t, false)
+		g.Front.recordDial(t, false)
 		return nil, false, err
 	}
-	g.Front.connected(t, true)
-	return g.link(c), false, nil
+	g.Front.recordDial(t, true)
+	return g.trackConn(c), false, nil
 }
 
-// write writes a request whole.
-func (g *generator) write(l *link, id string, c *Class, r *request, number int, patience time.Duration) error {
+// write writes a whole request to a connection. The body of a request with slowBody set is written in five pieces
+// over the time that Clients gives for it.
+func (g *generator) write(conn *clientConn, id string, c *Class, r *request, number int,
+	clientTimeout time.Duration) error {
 	method, path := "GET", "/"+c.Name+"/item"
 	if c.Unsafe || c.Keyed {
 		method, path = "POST", "/"+c.Name
@@ -183,35 +194,35 @@
 	b := make([]byte, 0, 256+r.Body)
 	b = fmt.Appendf(b, "%s %s HTTP/1.1\r\nHost: lab\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %dm\r\n",
 		method, path, id,
-		c.Name, patience.Milliseconds())
+		c.Name, clientTimeout.Milliseconds())
 	if number > 0 && g.Clients.Marks {
 		b = append(b, "X-Second-Try: 1\r\n"...)
 	}
 	if c.Keyed {
-		b = fmt.Appendf(b, "Idempotency-Key: %032x\r\n", r.number) // the same for a client's retry
+		b = fmt.Appendf(b, "Idempotency-Key: %032x\r\n", r.number) // a client's retry sends the same key
 	}
 	if !c.Unsafe && !c.Keyed {
 		b = append(b, "\r\n"...)
-		_, err := l.Write(b)
+		_, err := conn.Write(b)
 		return err
 	}
 	b = fmt.Appendf(b, "Content-Length: %d\r\n\r\n", r.Body)
-	head := len(b)
-	for len(b) < head+r.Body {
+	headLen := len(b)
+	for len(b) < headLen+r.Body {
 		b = append(b, 'a'+byte(len(b)%26))
 	}
-	if !r.slow || r.Body < 2 {
-		_, err := l.Write(b)
+	if !r.slowBody || r.Body < 2 {
+		_, err := conn.Write(b)
 		return err
 	}
 	const pieces = 5
-	if _, err := l.Write(b[:head]); err != nil {
+	if _, err := conn.Write(b[:headLen]); err != nil {
 		return err
 	}
-	rest := b[head:]
+	body := b[headLen:]
 	for i := range pieces {
 		time.Sleep(g.Clients.SlowFor / pieces)
-		if _, err := l.Write(rest[len(rest)*i/pieces : len(rest)*(i+1)/pieces]); err != nil {
+		if _, err := conn.Write(body[len(body)*i/pieces : len(body)*(i+1)/pieces]); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/load/front.go
+++ b/internal/lab/load/front.go
@@ -11,101 +11,107 @@
 	"time"
 )
 
-// Front deals requests out among the targets, as the plain layer before the gateways does. It takes a
-// target in once its health has answered 200, and notices only after a time that one has died.
+// Front distributes requests over the targets in round-robin order, as the simple load balancer in front of the
+// gateways does. It removes a target whose connects have failed for the detection delay, and adds it again when
+// its health check returns 200. Its methods may be called from several goroutines.
 type Front struct {
-	mu      sync.Mutex
-	targets []*target
-	turn    int
-	notice  time.Duration
-	now     func() time.Duration
-	heavy   []*target // get this share of all; empty: all alike
-	share   float64
-	owed    float64 // to the heavy ones
-	dealt   int     // among them
+	mu              sync.Mutex
+	targets         []*target
+	lastIndex       int // counts round-robin steps; modulo the number of targets
+	detectionDelay  time.Duration
+	now             func() time.Duration
+	preferred       []*target // targets that receive preferredShare of all requests; empty: all are equal
+	preferredShare  float64
+	preferredCredit float64 // requests due to the preferred targets, with fractions; at 1 the next request is theirs
+	preferredCount  int     // requests sent to the preferred targets; selects the next of them
 }
 
+// target is a gateway's address with the state of its health and its idle connections.
 type target struct {
-	addr string
-	out  bool
-	fail time.Duration // since when connects have failed; 0 while they come up
-	pool pool
+	addr         string
+	removed      bool          // receives no requests until its health check succeeds
+	failingSince time.Duration // time of the first failed connect since the last success; 0 while connects succeed
+	pool         pool
 }
 
-// healthEvery is how often a target that is out is asked whether it is back.
-const healthEvery = 100 * time.Millisecond
+// healthProbeInterval is the interval between health checks of a removed target.
+const healthProbeInterval = 100 * time.Millisecond
 
-// NewFront returns a front over targets. now tells the time of the run.
-func NewFront(addrs []string, notice time.Duration, now func() time.Duration) *Front {
-	f := &Front{notice: notice, now: now}
+// NewFront returns a Front for the targets at addrs. It removes a target whose connects have failed for
+// detectionDelay. now returns the time of the run.
+func NewFront(addrs []string, detectionDelay time.Duration, now func() time.Duration) *Front {
+	f := &Front{detectionDelay: detectionDelay, now: now}
 	for _, a := range addrs {
 		f.targets = append(f.targets, &target{addr: a})
 	}
 	return f
 }
 
-// pick returns the next target in turn. Where all are out it deals on as if none were.
+// pick returns the next target in round-robin order that is not removed, after the share of the preferred
+// targets. If all targets are removed, pick continues as if none were.
 func (f *Front) pick() *target {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.owed += f.share; len(f.heavy) > 0 && f.owed >= 1 {
-		f.owed--
-		f.dealt++
-		if t := f.heavy[f.dealt%len(f.heavy)]; !t.out {
+	if f.preferredCredit += f.preferredShare; len(f.preferred) > 0 && f.preferredCredit >= 1 {
+		f.preferredCredit--
+		f.preferredCount++
+		if t := f.preferred[f.preferredCount%len(f.preferred)]; !t.removed {
 			return t
 		}
 	}
 	for range f.targets {
-		f.turn++
-		if t := f.targets[f.turn%len(f.targets)]; !t.out {
+		f.lastIndex++
+		if t := f.targets[f.lastIndex%len(f.targets)]; !t.removed {
 			return t
 		}
 	}
-	return f.targets[f.turn%len(f.targets)]
+	return f.targets[f.lastIndex%len(f.targets)]
 }
 
-// Heavy has some targets get a share of all requests beside their turns, as where a site has most of
-// the clients. None, or a share of 0, deals alike again.
+// Heavy gives the targets at addrs the given share of all requests, in addition to their round-robin turns, as
+// when one site has most of the clients. Without addresses, or with a share of 0, all targets are equal again.
 func (f *Front) Heavy(addrs []string, share float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.heavy, f.share, f.owed = nil, share, 0
+	f.preferred, f.preferredShare, f.preferredCredit = nil, share, 0
 	for _, t := range f.targets {
 		if slices.Contains(addrs, t.addr) {
-			f.heavy = append(f.heavy, t)
+			f.preferred = append(f.preferred, t)
 		}
 	}
 }
 
-// connected tells whether a connect came up. A target whose connects have failed for the notice time is out.
-func (f *Front) connected(t *target, up bool) {
+// recordDial records whether a connect to t succeeded. It removes a target whose connects have failed for the
+// detection delay.
+func (f *Front) recordDial(t *target, succeeded bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
 	switch {
-	case up:
-		t.fail = 0
-	case t.fail == 0:
-		t.fail = max(1, now)
-	case now-t.fail >= f.notice:
-		t.out = true
+	case succeeded:
+		t.failingSince = 0
+	case t.failingSince == 0:
+		t.failingSince = max(1, now)
+	case now-t.failingSince >= f.detectionDelay:
+		t.removed = true
 	}
 }
 
-// Leave takes a target out, as before a planned restart. It comes back once its health is good again.
+// Leave removes the target at addr, as before a planned restart, until its health check succeeds.
 func (f *Front) Leave(addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, t := range f.targets {
 		if t.addr == addr {
-			t.out = true
+			t.removed = true
 		}
 	}
 }
 
-// watch asks those that are out whether they are back, until the end.
-func (f *Front) watch(ctx context.Context) {
-	tick := time.NewTicker(healthEvery)
+// probeRemoved checks the health of removed targets every healthProbeInterval until ctx is done, and adds those
+// that are healthy again.
+func (f *Front) probeRemoved(ctx context.Context) {
+	tick := time.NewTicker(healthProbeInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -114,24 +120,24 @@
 		case <-tick.C:
 		}
 		f.mu.Lock()
-		var out []*target
+		var removed []*target
 		for _, t := range f.targets {
-			if t.out {
-				out = append(out, t)
+			if t.removed {
+				removed = append(removed, t)
 			}
 		}
 		f.mu.Unlock()
-		for _, t := range out {
+		for _, t := range removed {
 			if Healthy(ctx, t.addr) {
 				f.mu.Lock()
-				t.out, t.fail = false, 0
+				t.removed, t.failingSince = false, 0
 				f.mu.Unlock()
 			}
 		}
 	}
 }
 
-// Healthy asks a gateway once whether it is ready.
+// Healthy sends one GET /healthz to the gateway at addr and reports whether it answers 200 within a second.
 func Healthy(ctx context.Context, addr string) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
--- a/internal/lab/load/generator.go
+++ b/internal/lab/load/generator.go
@@ -13,123 +13,130 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// grace is how much longer than its client timeout a client looks for an answer, to tell a late one
-// from none. The rules on sockets give every time limit as much.
-const grace = 50 * time.Millisecond
+// responseGrace is how long a client keeps waiting after its client timeout, to distinguish a late response from
+// none. The rules on sockets allow the same tolerance for every time limit.
+const responseGrace = 50 * time.Millisecond
 
-// reserve of descriptors is left for all but client connections.
-const reserve = 256
+// reservedDescriptors is the number of file descriptors kept free for everything but client connections.
+const reservedDescriptors = 256
 
+// generator is the state of one run.
 type generator struct {
 	Options
-	now    func() time.Duration
-	began  time.Duration
-	rec    *recorder
-	rand   *rand.Rand // of the scheduling goroutine alone
-	ids    atomic.Uint64
-	open   atomic.Int64
-	most   atomic.Int64
-	flight atomic.Int64
-	dials  atomic.Int64
-	strays struct {
+	now           func() time.Duration
+	startedAt     time.Duration
+	recorder      *recorder
+	rand          *rand.Rand // used by the scheduling goroutine only
+	lastID        atomic.Uint64
+	openConns     atomic.Int64
+	peakOpenConns atomic.Int64
+	inFlight      atomic.Int64
+	connects      atomic.Int64
+	// unsolicited has the id of the last request of each connection on which bytes arrived that no request
+	// expected.
+	unsolicited struct {
 		sync.Mutex
 		ids []string
 	}
 }
 
-// Run sends what the schedule gives until it is over, or until ctx is done, and waits for the last answers.
+// Run sends the requests of the schedule until its end, or until ctx is done, waits for the outstanding responses
+// and returns what it measured. A target that is down is part of the result, no error.
 func Run(ctx context.Context, o Options) (Result, error) {
 	if len(o.Targets) == 0 {
 		return Result{}, fmt.Errorf("load: no target")
 	}
 	o.defaults()
-	g := &generator{Options: o, now: o.Clock, rec: newRecorder(o.Classes), rand: rand.New(rand.NewPCG(o.Seed, 3))}
+	g := &generator{Options: o, now: o.Clock, recorder: newRecorder(o.Classes), rand: rand.New(rand.NewPCG(o.Seed, 3))}
 	if g.Front == nil {
 		g.Front = NewFront(o.Targets, max(o.Notice, 100*time.Millisecond), g.now)
 	}
-	watching, stop := context.WithCancel(context.Background())
+	background, stop := context.WithCancel(context.Background())
 	defer stop()
-	go g.Front.watch(watching)
-	silent := g.connect(ctx)
+	go g.Front.probeRemoved(background)
+	silentConns := g.openConnections(ctx)
 	defer func() {
-		for _, c := range silent {
+		for _, c := range silentConns {
 			_ = c.Close()
 		}
 	}()
-	g.began = g.now()
-	used := processorTime()
+	g.startedAt = g.now()
+	cpuBefore := cpuTime()
 	if o.Progress != nil {
-		go g.progress(watching)
+		go g.progress(background)
 	}
-	early := g.send(ctx)
-	res := g.rec.result()
-	res.PartialInput = early
+	stoppedEarly := g.sendScheduled(ctx)
+	res := g.recorder.result()
+	res.PartialInput = stoppedEarly
 	for _, t := range g.Front.targets {
-		for _, l := range t.pool.drain() {
-			_ = l.Close()
+		for _, conn := range t.pool.drain() {
+			_ = conn.Close()
 		}
 	}
-	g.strays.Lock()
-	res.Stray = append(res.Stray, g.strays.ids...)
-	g.strays.Unlock()
-	res.MostOpen, res.Connects = int(g.most.Load()), int(g.dials.Load())
-	res.Lasted = (g.now() - g.began).Seconds()
-	res.CPU = (processorTime() - used).Seconds() / max(0.001, res.Lasted)
+	g.unsolicited.Lock()
+	res.UnsolicitedIDs = append(res.UnsolicitedIDs, g.unsolicited.ids...)
+	g.unsolicited.Unlock()
+	res.PeakOpenConns, res.Connects = int(g.peakOpenConns.Load()), int(g.connects.Load())
+	res.Lasted = (g.now() - g.startedAt).Seconds()
+	res.CPU = (cpuTime() - cpuBefore).Seconds() / max(0.001, res.Lasted)
 	return res, nil
 }
 
-// connect opens the connections that stand from the start, and those that say nothing.
-func (g *generator) connect(ctx context.Context) (silent []net.Conn) {
+// openConnections opens the connections that exist before the first request and puts them into the pools. It also
+// opens the silent connections, on which nothing is sent, and returns these.
+func (g *generator) openConnections(ctx context.Context) (silentConns []net.Conn) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	turn := make(chan bool, 64) // at once, so that no accept queue overflows
+	slots := make(chan bool, 64) // limits concurrent dials, so that no accept queue overflows
 	for i := range g.Clients.Connections + g.Clients.Silent {
-		turn <- true
+		slots <- true
 		all.Go(func() {
-			defer func() { <-turn }()
+			defer func() { <-slots }()
 			t := g.Front.targets[i%len(g.Front.targets)]
-			if g.open.Add(1) > int64(g.MostOpen) {
-				g.open.Add(-1)
+			if g.openConns.Add(1) > int64(g.MaxOpenConns) {
+				g.openConns.Add(-1)
 				return
 			}
 			c, err := dial(ctx, t.addr, 2*time.Second)
 			if err != nil {
-				g.open.Add(-1)
+				g.openConns.Add(-1)
 				return
 			}
 			if i >= g.Clients.Connections {
 				mu.Lock()
-				silent = append(silent, c)
+				silentConns = append(silentConns, c)
 				mu.Unlock()
 				return
 			}
-			t.pool.give(g.link(c))
+			t.pool.put(g.trackConn(c))
 		})
 	}
 	all.Wait()
-	return silent
+	return silentConns
 }
 
-// link takes a connection that is counted in open already.
-func (g *generator) link(c net.Conn) *link {
-	g.dials.Add(1)
-	for n := g.open.Load(); ; {
-		m := g.most.Load()
-		if n <= m || g.most.CompareAndSwap(m, n) {
+// trackConn starts the reader of a connection that openConns already counts, and updates the counters of connects
+// and of the peak of open connections.
+func (g *generator) trackConn(c net.Conn) *clientConn {
+	g.connects.Add(1)
+	for n := g.openConns.Load(); ; {
+		m := g.peakOpenConns.Load()
+		if n <= m || g.peakOpenConns.CompareAndSwap(m, n) {
 			break
 		}
 	}
-	return newLink(c, func() { g.open.Add(-1) }, g.now, func(id, text string) {
-		g.strays.Lock()
-		g.strays.ids = append(g.strays.ids, id)
-		g.strays.Unlock()
-		// An answer that nobody waits for is a second one to the link's last request.
+	return newClientConn(c, func() { g.openConns.Add(-1) }, g.now, func(id, text string) {
+		g.unsolicited.Lock()
+		g.unsolicited.ids = append(g.unsolicited.ids, id)
+		g.unsolicited.Unlock()
+		// A response that no request waits for counts as a second response to the connection's last request.
 		g.Ledger.Update(id, func(t *requestrecord.Attempt) { t.Answers++ })
 	})
 }
 
-// send starts each request when it falls due and reports whether it was stopped early.
-func (g *generator) send(ctx context.Context) bool {
+// sendScheduled starts a goroutine for each request when it is due and waits for all of them. It reports whether
+// ctx ended it before the end of the schedule.
+func (g *generator) sendScheduled(ctx context.Context) bool {
 	var all sync.WaitGroup
 	defer all.Wait()
 	for n := 0; ; n++ {
@@ -137,7 +144,7 @@
 		if !ok {
 			return false
 		}
-		if wait := g.began + a.At - g.now(); wait > 0 {
+		if wait := g.startedAt + a.At - g.now(); wait > 0 {
 			timer := time.NewTimer(wait)
 			select {
 			case <-ctx.Done():
@@ -149,47 +156,49 @@
 			return true
 		}
 		r := request{Arrival: a, number: n, rand: rand.New(rand.NewPCG(g.rand.Uint64(), uint64(n)))}
-		g.flight.Add(1)
+		g.inFlight.Add(1)
 		all.Go(func() {
-			defer g.flight.Add(-1)
-			g.request(ctx, &r)
+			defer g.inFlight.Add(-1)
+			g.sendRequest(ctx, &r)
 		})
 	}
 }
 
+// request is an arrival of the schedule with its number in the run and its own source of random numbers.
 type request struct {
 	Arrival
-	number int
-	rand   *rand.Rand
-	slow   bool // its body comes in pieces
+	number   int
+	rand     *rand.Rand
+	slowBody bool // its body is written in pieces
 }
 
-// request sends a request and, as its client would, its retries. It is one end for all of them.
-func (g *generator) request(ctx context.Context, r *request) {
-	due := g.began + r.At
+// sendRequest makes the attempts of a request as its client would, first attempt and retries, and records a
+// single outcome for all of them, that of the last attempt.
+func (g *generator) sendRequest(ctx context.Context, r *request) {
+	due := g.startedAt + r.At
 	class := &g.Classes[r.Class]
-	r.slow = class.Unsafe && r.rand.Float64() < g.Clients.SlowShare
-	obeys := r.rand.Float64() < g.Clients.Honour
-	tries := 1 + int(g.Clients.Retries)
+	r.slowBody = class.Unsafe && r.rand.Float64() < g.Clients.SlowShare
+	honoursRetryAfter := r.rand.Float64() < g.Clients.Honour
+	maxAttempts := 1 + int(g.Clients.Retries)
 	if r.rand.Float64() < g.Clients.Retries-float64(int(g.Clients.Retries)) {
-		tries++
+		maxAttempts++
 	}
-	patience := time.Duration(float64(r.Patience) * (g.Clients.TryShare + (1-g.Clients.TryShare)*r.rand.Float64()))
-	g.rec.count(r.Class, r.At, func(s *Second) { s.Scheduled++ })
-	g.rec.lateness(g.now() - due)
-	wait := g.Clients.Wait
-	var t tried
-	for n := 0; n < tries; n++ {
+	clientTimeout := time.Duration(float64(r.Patience) * (g.Clients.TryShare + (1-g.Clients.TryShare)*r.rand.Float64()))
+	g.recorder.count(r.Class, r.At, func(s *Second) { s.Scheduled++ })
+	g.recorder.recordLateness(g.now() - due)
+	delay := g.Clients.Wait
+	var result attemptResult
+	for n := 0; n < maxAttempts; n++ {
 		if n > 0 {
-			pause := wait
-			if t.after > 0 && obeys {
-				if g.Clients.MostAfter > 0 && t.after > g.Clients.MostAfter {
+			pause := delay
+			if result.retryAfter > 0 && honoursRetryAfter {
+				if g.Clients.MostAfter > 0 && result.retryAfter > g.Clients.MostAfter {
 					break
 				}
-				pause = max(pause, t.after)
+				pause = max(pause, result.retryAfter)
 			}
 			if g.Clients.Backoff == "exp" {
-				wait *= 2
+				delay *= 2
 			}
 			timer := time.NewTimer(pause)
 			select {
@@ -200,23 +209,25 @@
 			if ctx.Err() != nil {
 				break
 			}
-			g.rec.count(r.Class, g.now()-g.began, func(s *Second) { s.Retries++ })
+			g.recorder.count(r.Class, g.now()-g.startedAt, func(s *Second) { s.Retries++ })
 		}
-		g.rec.count(r.Class, g.now()-g.began, func(s *Second) { s.Tries++ })
-		t = g.try(ctx, r, n, patience)
-		if t.fate == OK || t.fate == Unsent {
+		g.recorder.count(r.Class, g.now()-g.startedAt, func(s *Second) { s.Tries++ })
+		result = g.try(ctx, r, n, clientTimeout)
+		if result.outcome == OK || result.outcome == Unsent {
 			break
 		}
 	}
 	took := g.now() - due
-	if t.ended > 0 {
-		took = t.ended - due
+	if result.endedAt > 0 {
+		took = result.endedAt - due
 	}
-	g.rec.end(r.Class, r.At, t.fate, took, t.answered, t.cause)
+	g.recorder.recordOutcome(r.Class, r.At, result.outcome, took, result.answered, result.cause)
 }
 
-var errNoRoom = errors.New("no descriptor left")
+// errNoDescriptor is returned by connTo when this process may open no further connection.
+var errNoDescriptor = errors.New("no descriptor left")
 
+// progress calls Options.Progress every 250 ms until ctx is done.
 func (g *generator) progress(ctx context.Context) {
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
@@ -226,9 +237,9 @@
 			return
 		case <-tick.C:
 		}
-		p := Progress{At: g.now() - g.began, Open: int(g.open.Load()), Flight: int(g.flight.Load())}
-		g.rec.mu.Lock()
-		for _, class := range g.rec.seconds {
+		p := Progress{At: g.now() - g.startedAt, Open: int(g.openConns.Load()), Flight: int(g.inFlight.Load())}
+		g.recorder.mu.Lock()
+		for _, class := range g.recorder.seconds {
 			for i := range class {
 				p.Scheduled += class[i].Scheduled
 				p.OK += class[i].OK
@@ -236,7 +247,7 @@
 				p.Failed += class[i].Failed + class[i].Unanswered
 			}
 		}
-		g.rec.mu.Unlock()
+		g.recorder.mu.Unlock()
 		g.Progress(p)
 	}
 }
--- a/internal/lab/load/link.go
+++ b/internal/lab/load/link.go
@@ -15,147 +15,159 @@
 	"time"
 )
 
-// pool holds a target's idle links. The longest idle one goes first, so that all stay in use.
+// pool holds a target's idle connections. It returns the one that has been idle longest, so that all stay in use.
 type pool struct {
 	mu   sync.Mutex
-	idle []*link
+	idle []*clientConn
 }
 
-func (p *pool) take() *link {
+// get removes and returns the connection that has been idle longest, or returns nil. It drops closed connections.
+func (p *pool) get() *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.idle) > 0 {
-		l := p.idle[0]
+		conn := p.idle[0]
 		p.idle = p.idle[1:]
-		if !l.ended() {
-			return l
+		if !conn.isClosed() {
+			return conn
 		}
 	}
 	return nil
 }
 
-func (p *pool) give(l *link) {
+// put adds an idle connection.
+func (p *pool) put(conn *clientConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.idle = append(p.idle, l)
+	p.idle = append(p.idle, conn)
 }
 
-func (p *pool) drain() (all []*link) {
+// drain removes and returns all idle connections.
+func (p *pool) drain() (all []*clientConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	all, p.idle = p.idle, nil
 	return all
 }
 
-// answer is what came for a request, or why nothing did.
-type answer struct {
-	status  int
-	body    []byte
-	after   time.Duration // Retry-After
-	close   bool
-	err     error
-	crossed bool // the link closed without having read the request, see crossing
-	at      time.Duration
+// response is the response to a request, or the error in place of one.
+type response struct {
+	status     int
+	body       []byte
+	retryAfter time.Duration // from the Retry-After field; 0 if there was none
+	close      bool          // the connection ends after this response
+	err        error
+	unread     bool          // the peer closed the connection before it read the request, see closedUnread
+	receivedAt time.Duration // time of the run
 }
 
-// link is a client's connection. A goroutine reads from it all the time, so that the end of an idle one and
-// what comes unasked are seen at once.
-type link struct {
+// clientConn is a client's connection. A goroutine reads from it all the time, so that the end of an idle
+// connection and bytes that no request expects are noticed at once.
+type clientConn struct {
 	net.Conn
-	raw    net.Conn // the socket itself
-	now    func() time.Duration
-	stray  func(id, text string)
-	mu     sync.Mutex
-	want   chan answer // whoever waits for an answer
-	last   string      // the id last asked
-	over   bool
-	served int // requests answered on it
+	raw           net.Conn // the socket, without countedConn
+	now           func() time.Duration
+	onUnsolicited func(id, text string) // called with lastID and the first bytes that no request expects
+	mu            sync.Mutex            // guards waiter, lastID and closed
+	waiter        chan response         // receives the expected response; nil if none is expected
+	lastID        string                // the id of the last request
+	closed        bool
+	served        int // requests that got a response on it
 }
 
-func dial(ctx context.Context, addr string, within time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: within, KeepAlive: -1}
+// dial opens a TCP connection without keep-alive probes.
+func dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
+	d := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// newLink reads from a connection; its end is told by close.
-func newLink(c net.Conn, end func(), now func() time.Duration, stray func(id, text string)) *link {
-	l := &link{Conn: &closing{Conn: c, done: end}, raw: c, now: now, stray: stray}
-	go l.read()
-	return l
+// newClientConn starts reading from conn. onClose is called once, when the connection is closed; onUnsolicited is
+// called when bytes arrive that no request expects.
+func newClientConn(conn net.Conn, onClose func(), now func() time.Duration,
+	onUnsolicited func(id, text string)) *clientConn {
+	c := &clientConn{Conn: &countedConn{Conn: conn, onClose: onClose}, raw: conn, now: now,
+		onUnsolicited: onUnsolicited}
+	go c.read()
+	return c
 }
 
-// closing counts a connection's end once.
-type closing struct {
+// countedConn calls onClose on the first Close only, so that a connection's end is counted once.
+type countedConn struct {
 	net.Conn
-	once sync.Once
-	done func()
+	once    sync.Once
+	onClose func()
 }
 
-func (c *closing) Close() error { c.once.Do(c.done); return c.Conn.Close() }
+func (c *countedConn) Close() error { c.once.Do(c.onClose); return c.Conn.Close() }
 
-func (l *link) ended() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.over
+// isClosed reports whether the connection has ended or carries no further request.
+func (c *clientConn) isClosed() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.closed
 }
 
-// ask prepares for the answer to an id; nil if the link has ended already.
-func (l *link) ask(id string) chan answer {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.over {
+// expectResponse returns the channel that receives the response to the request id, or the connection's error. It
+// returns nil if the connection has already ended.
+func (c *clientConn) expectResponse(id string) chan response {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
 		return nil
 	}
-	l.want, l.last = make(chan answer, 1), id
-	return l.want
+	c.waiter, c.lastID = make(chan response, 1), id
+	return c.waiter
 }
 
-// mostAnswer bounds an answer's body.
-const mostAnswer = 1 << 20
+// maxResponseBody is the number of bytes read of a response's body.
+const maxResponseBody = 1 << 20
 
-func (l *link) read() {
-	in := bufio.NewReader(l.Conn)
+// read reads responses until the connection ends, passes each to its waiter, and closes the connection on bytes
+// that no request expects.
+func (c *clientConn) read() {
+	in := bufio.NewReader(c.Conn)
 	for {
 		_, err := in.Peek(1)
-		var a answer
+		var resp response
 		if err == nil {
-			l.mu.Lock()
-			asked, id := l.want != nil, l.last
-			l.mu.Unlock()
-			if !asked {
+			c.mu.Lock()
+			expected, id := c.waiter != nil, c.lastID
+			c.mu.Unlock()
+			if !expected {
 				head, _ := in.Peek(min(in.Buffered(), 40))
-				l.stray(id, string(head))
+				c.onUnsolicited(id, string(head))
 				err = errors.New("bytes that nobody asked for")
 			} else {
-				a, err = l.one(in)
+				resp, err = c.readResponse(in)
 			}
 		} else {
-			a.crossed = l.crossing(err)
+			resp.unread = c.closedUnread(err)
 		}
-		a.err, a.at = err, l.now()
-		l.mu.Lock()
-		want := l.want
-		l.want = nil
-		l.over = l.over || err != nil || a.close
-		l.mu.Unlock()
-		if want != nil {
-			want <- a
+		resp.err, resp.receivedAt = err, c.now()
+		c.mu.Lock()
+		waiter := c.waiter
+		c.waiter = nil
+		c.closed = c.closed || err != nil || resp.close
+		c.mu.Unlock()
+		if waiter != nil {
+			waiter <- resp
 		}
-		if err != nil || a.close {
-			_ = l.Close()
+		if err != nil || resp.close {
+			_ = c.Close()
 			return
 		}
 	}
 }
 
-// crossing reports whether a link that ended before any byte of an answer had closed without reading the
-// request. On loopback a reset says so: the system sends it when bytes lie unread at the close, or come after
-// it. A clean end alone may be that of a process that had read the request and died.
-func (l *link) crossing(err error) bool {
+// closedUnread reports whether a connection that ended before any byte of a response was closed before its peer
+// read the request. On loopback a reset indicates this: the kernel sends one when the socket is closed with
+// unread bytes, or when bytes arrive after the close. A clean end without a reset may come from a process that
+// read the request and died.
+func (c *clientConn) closedUnread(err error) bool {
 	if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
 		return true
 	}
-	sock, ok := l.raw.(*net.TCPConn)
+	sock, ok := c.raw.(*net.TCPConn)
 	if !ok || !errors.Is(err, io.EOF) {
 		return false
 	}
@@ -170,26 +182,27 @@
 	return pending != 0
 }
 
-// one reads one whole answer, past any 1xx.
-func (l *link) one(in *bufio.Reader) (answer, error) {
+// readResponse reads one whole response and skips interim (1xx) responses.
+func (c *clientConn) readResponse(in *bufio.Reader) (response, error) {
 	for {
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
-			return answer{}, fmt.Errorf("unreadable answer: %w", err)
+			return response{}, fmt.Errorf("unreadable answer: %w", err)
 		}
 		if resp.StatusCode < 200 {
 			continue
 		}
-		body, err := io.ReadAll(io.LimitReader(resp.Body, mostAnswer))
+		body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBody))
 		if err != nil {
-			return answer{}, fmt.Errorf("answer cut: %w", err)
+			return response{}, fmt.Errorf("answer cut: %w", err)
 		}
-		return answer{status: resp.StatusCode, body: body, after: retryAfter(resp.Header.Get("Retry-After")),
+		return response{status: resp.StatusCode, body: body, retryAfter: retryAfter(resp.Header.Get("Retry-After")),
 			close: resp.Close}, nil
 	}
 }
 
-// retryAfter reads seconds, whole or decimal.
+// retryAfter parses a Retry-After value in whole or decimal seconds. It returns 0 if the value is missing,
+// malformed or not between 0 and 3600.
 func retryAfter(text string) time.Duration {
 	s, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || !(s > 0 && s < 3600) {
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -26,8 +26,8 @@
 			Patience: 5 * time.Second, Body: 300}}
 }
 
-// quickHost answers at once, a thousand at a time.
-func quickHost(t *testing.T, clock emulation.Clock) (*emulation.Host, string) {
+// startFastHost starts a host that serves each request in 200 µs, 64 at a time, and returns it with its address.
+func startFastHost(t *testing.T, clock emulation.Clock) (*emulation.Host, string) {
 	t.Helper()
 	work := hostmodel.Work{Dist: "fixed", Mean: 200 * time.Microsecond}
 	h, err := emulation.NewHost(hostmodel.Spec{Name: "h", Cores: 64, Speed: 1, Slots: 64, Queue: 100000, Body: 100,
@@ -43,7 +43,7 @@
 	return h, addr
 }
 
-func phasesOf(t *testing.T, list ...Phase) Schedule {
+func scheduleOf(t *testing.T, list ...Phase) Schedule {
 	t.Helper()
 	s, err := Phases(classes(), list, 5)
 	if err != nil {
@@ -62,19 +62,19 @@
 		t.Fatal(err)
 	}
 	if sum := r.OK + r.Refused + r.Failed + r.Unanswered + r.Unsent; sum != r.Scheduled {
-		t.Errorf("%d requests have an end, %d were scheduled: %+v", sum, r.Scheduled, r.Counts)
+		t.Errorf("%d requests have an outcome, want the %d scheduled: %+v", sum, r.Scheduled, r.Counts)
 	}
 	return r
 }
 
-func all(s Schedule) (out []Arrival) {
+func collect(s Schedule) (out []Arrival) {
 	for a, ok := s.Next(); ok; a, ok = s.Next() {
 		out = append(out, a)
 	}
 	return out
 }
 
-func between(list []Arrival, from, to time.Duration) (n int) {
+func countDue(list []Arrival, from, to time.Duration) (n int) {
 	for _, a := range list {
 		if a.At >= from && a.At < to {
 			n++
@@ -83,7 +83,7 @@
 	return n
 }
 
-func TestScheduleFollowsItsPhases(t *testing.T) {
+func TestScheduleMatchesRatesOfPhases(t *testing.T) {
 	const s = time.Second
 	for _, c := range []struct {
 		name     string
@@ -91,28 +91,28 @@
 		from, to time.Duration
 		want     int
 	}{
-		{"even", Phase{For: 4 * s, Rate: 250}, 0, 4 * s, 1000},
-		{"ramp's first half", Phase{For: 10 * s, Rate: 100, To: 300}, 0, 5 * s, 750},
-		{"ramp's second half", Phase{For: 10 * s, Rate: 100, To: 300}, 5 * s, 10 * s, 1250},
+		{"constant rate", Phase{For: 4 * s, Rate: 250}, 0, 4 * s, 1000},
+		{"first half of a ramp", Phase{For: 10 * s, Rate: 100, To: 300}, 0, 5 * s, 750},
+		{"second half of a ramp", Phase{For: 10 * s, Rate: 100, To: 300}, 5 * s, 10 * s, 1250},
 		{"second of three steps", Phase{For: 3 * s, Rate: 100, To: 300, Steps: 3}, s, 2 * s, 200},
 		{"last of three steps", Phase{For: 3 * s, Rate: 100, To: 300, Steps: 3}, 2 * s, 3 * s, 300},
 		{"within a jump", Phase{For: 6 * s, Rate: 200, Jump: 2.5, JumpAt: 2 * s, JumpFor: 2 * s}, 2 * s, 4 * s, 1000},
 		{"after a jump", Phase{For: 6 * s, Rate: 200, Jump: 2.5, JumpAt: 2 * s, JumpFor: 2 * s}, 4 * s, 6 * s, 400},
-		{"random", Phase{For: 40 * s, Rate: 250, Poisson: true}, 0, 40 * s, 10000},
+		{"random intervals", Phase{For: 40 * s, Rate: 250, Poisson: true}, 0, 40 * s, 10000},
 	} {
-		got := between(all(phasesOf(t, c.phase)), c.from, c.to)
+		got := countDue(collect(scheduleOf(t, c.phase)), c.from, c.to)
 		slack := 2.0
 		if c.phase.Poisson {
 			slack = 4 * math.Sqrt(float64(c.want))
 		}
 		if math.Abs(float64(got-c.want)) > slack {
-			t.Errorf("%s: %d due, want %d", c.name, got, c.want)
+			t.Errorf("%s: %d arrivals due, want %d", c.name, got, c.want)
 		}
 	}
-	// A rush raises one class only, and ends at the wall.
-	list := all(phasesOf(t, Phase{For: 10 * s, Rate: 300, Rush: "lodge", RushTo: 8}, Phase{For: 5 * s, Rate: 300}))
+	// A rush raises the rate of one class only, and ends with its phase.
+	arrivals := collect(scheduleOf(t, Phase{For: 10 * s, Rate: 300, Rush: "lodge", RushTo: 8}, Phase{For: 5 * s, Rate: 300}))
 	count := func(class int, from, to time.Duration) (n int) {
-		for _, a := range list {
+		for _, a := range arrivals {
 			if a.Class == class && a.At >= from && a.At < to {
 				n++
 			}
@@ -121,15 +121,15 @@
 	}
 	if first, last, after := count(1, 0, s), count(1, 9*s, 10*s), count(1, 10*s, 11*s); last < 6*first ||
 		after > first+30 {
-		t.Errorf("bids in the first, the last and the next second: %d, %d, %d", first, last, after)
+		t.Errorf("arrivals of the rush class in the first and last second of its phase and in the next: %d, %d, %d", first, last, after)
 	}
 	if first, last := count(0, 0, 2*s), count(0, 8*s, 10*s); last > first*5/4 {
-		t.Errorf("views rose with the rush: %d, %d", first, last)
+		t.Errorf("arrivals of the other class rose during the rush, from %d to %d in 2 s", first, last)
 	}
 }
 
-func TestTraceComesBackAsItWas(t *testing.T) {
-	want := all(phasesOf(t, Phase{For: 2 * time.Second, Rate: 100, Poisson: true}))
+func TestTraceRoundTrip(t *testing.T) {
+	want := collect(scheduleOf(t, Phase{For: 2 * time.Second, Rate: 100, Poisson: true}))
 	var text bytes.Buffer
 	if err := WriteTrace(&text, classes(), Record(want)); err != nil {
 		t.Fatal(err)
@@ -138,13 +138,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := all(s)
+	got := collect(s)
 	if len(got) != len(want) {
-		t.Fatalf("%d of %d came back", len(got), len(want))
+		t.Fatalf("read %d arrivals, wrote %d", len(got), len(want))
 	}
 	for i := range got {
 		if want[i].At = want[i].At.Truncate(time.Microsecond); got[i] != want[i] {
-			t.Fatalf("%d: %+v, was %+v", i, got[i], want[i])
+			t.Fatalf("arrival %d: read %+v, wrote %+v", i, got[i], want[i])
 		}
 	}
 	for bad, want := range map[string]string{"# head\n5 view 100\n": "t:2: 3 words",
@@ -153,102 +153,104 @@
 		"1 lodge 9 99999\n": "t:1: body_bytes"} {
 		if _, err := ReadTrace("t", strings.NewReader(bad), classes()); err == nil ||
 			!strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", bad, err)
+			t.Errorf("trace %q: error %v, want one with %q", bad, err, want)
 		}
 	}
 }
 
-// A target that stands still for two seconds must not be sent less, and the whole pause must show in the
-// latencies: not one late request for each connection.
-func TestPauseShowsAsLateRequestsNotAsFewer(t *testing.T) {
+// A target that stalls for two seconds must receive as many requests as without the stall, and the latencies must show
+// the whole stall. A closed-loop generator would record only one late request per connection.
+func TestStalledTargetGetsLateRequestsNotFewer(t *testing.T) {
 	const length, pause = 4 * time.Second, 2 * time.Second
 	measure := func(stop bool) Result {
 		clock := emulation.NewClock()
-		h, addr := quickHost(t, clock)
+		h, addr := startFastHost(t, clock)
 		if stop {
 			timer := time.AfterFunc(time.Second, func() {
 				h.Do(func(now time.Duration, m *hostmodel.Host) { m.PauseFor(now, pause) })
 			})
 			defer timer.Stop()
 		}
-		return run(t, Options{Targets: []string{addr}, Schedule: phasesOf(t, Phase{For: length, Rate: 150})})
+		return run(t, Options{Targets: []string{addr}, Schedule: scheduleOf(t, Phase{For: length, Rate: 150})})
 	}
-	calm, stalled := measure(false), measure(true)
-	if calm.Sent != 600 || stalled.Sent != calm.Sent || stalled.OK != 600 {
-		t.Errorf("sent %d without the pause and %d with it, %d served", calm.Sent, stalled.Sent, stalled.OK)
+	baseline, stalled := measure(false), measure(true)
+	if baseline.Sent != 600 || stalled.Sent != baseline.Sent || stalled.OK != 600 {
+		t.Errorf("sent %d without the pause and %d with it, %d of these served; want 600 each", baseline.Sent, stalled.Sent, stalled.OK)
 	}
-	// Half of the requests fell due during the pause, evenly: the k-th percentile of all lies at 2 s times
-	// (k - 50)/50.
+	// Half of the requests were due during the pause, at equal intervals: the k-th percentile of all latencies is at
+	// 2 s times (k - 50)/50.
 	l := stalled.Latency
 	if l.Max < 1900 || l.P99 < 1850 || l.P90 < 1500 || l.P90 > 1900 || l.P50 > 400 {
-		t.Errorf("latencies do not show the pause: %+v", l)
+		t.Errorf("latencies do not show the pause of 2 s: %+v", l)
 	}
-	if calm.Latency.P50 > 200 {
-		t.Errorf("without a pause: %+v", calm.Latency)
+	if baseline.Latency.P50 > 200 {
+		t.Errorf("latencies without a pause: %+v", baseline.Latency)
 	}
 }
 
-// stuck is a schedule that holds the generator itself up, as a starved machine would.
-type stuck struct {
+// stallingSchedule is a schedule that blocks the generator for 700 ms at its 50th arrival, as a machine without free
+// processor time would.
+type stallingSchedule struct {
 	Schedule
 	n int
 }
 
-func (s *stuck) Next() (Arrival, bool) {
+func (s *stallingSchedule) Next() (Arrival, bool) {
 	if s.n++; s.n == 50 {
 		time.Sleep(700 * time.Millisecond)
 	}
 	return s.Schedule.Next()
 }
 
-func TestGeneratorOwnsUpToItsOwnLateness(t *testing.T) {
-	_, addr := quickHost(t, emulation.NewClock())
+func TestGeneratorReportsThatItFellBehind(t *testing.T) {
+	_, addr := startFastHost(t, emulation.NewClock())
 	r := run(t, Options{Targets: []string{addr},
-		Schedule: &stuck{Schedule: phasesOf(t, Phase{For: time.Second, Rate: 200})}})
+		Schedule: &stallingSchedule{Schedule: scheduleOf(t, Phase{For: time.Second, Rate: 200})}})
 	if !r.FellBehind || r.Behind == "" || r.SelfLate.Max < 600 || r.Latency.Max < 600 {
-		t.Errorf("behind %v (%s), own lateness %+v, latencies %+v", r.FellBehind, r.Behind, r.SelfLate, r.Latency)
+		t.Errorf("fell behind %v (%s), lateness %+v, latencies %+v", r.FellBehind, r.Behind, r.SelfLate, r.Latency)
 	}
-	r = run(t, Options{Targets: []string{addr}, MostOpen: 1, Clients: Clients{Silent: 1},
-		Schedule: phasesOf(t, Phase{For: 100 * time.Millisecond, Rate: 50})})
+	r = run(t, Options{Targets: []string{addr}, MaxOpenConns: 1, Clients: Clients{Silent: 1},
+		Schedule: scheduleOf(t, Phase{For: 100 * time.Millisecond, Rate: 50})})
 	if !r.FellBehind || r.Unsent != r.Scheduled {
-		t.Errorf("out of descriptors: %+v", r.Counts)
+		t.Errorf("without descriptors: %+v, want all unsent", r.Counts)
 	}
 }
 
-func TestTargetThatIsDownIsData(t *testing.T) {
+func TestRequestsToDownTargetFail(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	r := run(t, Options{Targets: []string{addr}, Schedule: phasesOf(t, Phase{For: 300 * time.Millisecond, Rate: 100})})
+	r := run(t, Options{Targets: []string{addr}, Schedule: scheduleOf(t, Phase{For: 300 * time.Millisecond, Rate: 100})})
 	if r.Failed != 30 || r.Sent != 0 || r.FellBehind {
-		t.Errorf("%+v", r.Counts)
+		t.Errorf("%+v, fell behind %v; want 30 failed, none sent", r.Counts, r.FellBehind)
 	}
 }
 
-// The front leaves a dead target out after its notice time, and takes it in again.
-func TestFrontLeavesOutTheDead(t *testing.T) {
+// The Front removes a dead target after the detection delay, and adds it again when it is healthy.
+func TestFrontRemovesDeadTarget(t *testing.T) {
 	clock := emulation.NewClock()
-	_, addr := quickHost(t, clock)
-	dead, dying := quickHost(t, clock)
-	if err := dead.SetMode(emulation.Refuse); err != nil {
+	_, addr := startFastHost(t, clock)
+	recovering, recoveringAddr := startFastHost(t, clock)
+	if err := recovering.SetMode(emulation.Refuse); err != nil {
 		t.Fatal(err)
 	}
-	back := time.AfterFunc(700*time.Millisecond, func() { _ = dead.SetMode(emulation.Up) })
-	defer back.Stop()
-	r := run(t, Options{Targets: []string{addr, dying}, Notice: 200 * time.Millisecond,
-		Schedule: phasesOf(t, Phase{For: 1500 * time.Millisecond, Rate: 100})})
+	restart := time.AfterFunc(700*time.Millisecond, func() { _ = recovering.SetMode(emulation.Up) })
+	defer restart.Stop()
+	r := run(t, Options{Targets: []string{addr, recoveringAddr}, Notice: 200 * time.Millisecond,
+		Schedule: scheduleOf(t, Phase{For: 1500 * time.Millisecond, Rate: 100})})
 	if r.Failed < 8 || r.Failed > 40 {
-		t.Errorf("%d failed, about a tenth of a second's worth were to", r.Failed)
+		t.Errorf("%d requests failed, want 8 to 40: half of those due within the detection delay of 0.2 s", r.Failed)
 	}
-	if l := dead.Close(); l.Len() < 10 {
-		t.Errorf("the target that came back got %d requests", l.Len())
+	if l := recovering.Close(); l.Len() < 10 {
+		t.Errorf("the target that recovered got %d requests, want at least 10", l.Len())
 	}
 }
 
-// proxy is a gateway in miniature with a planted defect.
+// proxy starts a minimal gateway to backend and returns its address. defect gets the id of each request, a function
+// that forwards it a number of times and returns the last response, and the client's connection.
 func proxy(t *testing.T, backend string, defect func(id string, forward func(times int) string, c net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -295,7 +297,7 @@
 	return ln.Addr().String()
 }
 
-// The records name the very ids on which a gateway went wrong, and no others.
+// The comparison of the records must find exactly the ids of the requests that a gateway handled wrongly, and no others.
 func TestLedgersCatchPlantedDefects(t *testing.T) {
 	for _, c := range []struct {
 		rule   string
@@ -317,7 +319,7 @@
 		}},
 	} {
 		t.Run(c.rule, func(t *testing.T) {
-			h, backend := quickHost(t, emulation.NewClock())
+			h, backend := startFastHost(t, emulation.NewClock())
 			var mu sync.Mutex
 			planted, n := make(map[string]bool), 0
 			target := proxy(t, backend, func(id string, forward func(int) string, conn net.Conn) {
@@ -334,37 +336,38 @@
 				}
 				_, _ = io.WriteString(conn, forward(1))
 			})
-			bids := classes()[1:]
-			bids[0].Patience = time.Second
-			s, err := Phases(bids, []Phase{{For: 2 * time.Second, Rate: 1000}}, 1)
+			unsafe := classes()[1:]
+			unsafe[0].Patience = time.Second
+			s, err := Phases(unsafe, []Phase{{For: 2 * time.Second, Rate: 1000}}, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
-			tries := requestrecord.NewClients()
-			run(t, Options{Targets: []string{target}, Classes: bids, Schedule: s, Ledger: tries})
-			found, _ := requestrecord.Compare(tries.Tries(), []*requestrecord.EndpointRecord{h.Close()}, nil)
+			attempts := requestrecord.NewClients()
+			run(t, Options{Targets: []string{target}, Classes: unsafe, Schedule: s, Ledger: attempts})
+			found, _ := requestrecord.Compare(attempts.Tries(), []*requestrecord.EndpointRecord{h.Close()}, nil)
 			if len(planted) < 2 {
-				t.Fatalf("%d defects planted", len(planted))
+				t.Fatalf("%d defects planted, want at least 2", len(planted))
 			}
 			for _, f := range found {
 				if f.Rule != c.rule || !planted[f.ID] {
-					t.Errorf("found %s: %s (%s)", f.ID, f.Rule, f.Detail)
+					t.Errorf("finding without a planted defect of its rule, id %s: %s (%s)", f.ID, f.Rule, f.Detail)
 				}
 				delete(planted, f.ID)
 			}
 			if len(planted) > 0 {
-				t.Errorf("not found: %v", planted)
+				t.Errorf("planted defects not found: %v", planted)
 			}
 		})
 	}
 }
 
-// A close that crosses a request is told from the death of a process that had read it.
+// A request is sent again if its connection was closed before the peer read it, and not if the peer read it and then
+// closed.
 func TestOnlyUnreadRequestsAreSentAgain(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		read bool
-		want Fate
+		want Outcome
 	}{{"closed unread", false, OK}, {"read, then closed", true, Failed}} {
 		t.Run(c.name, func(t *testing.T) {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -388,7 +391,7 @@
 						in := bufio.NewReader(conn)
 						for n := 0; ; n++ {
 							if first && n == 1 && !c.read {
-								// The second request lies unread when the connection closes.
+								// Close the connection while the second request is in its receive buffer, unread.
 								raw, _ := conn.(*net.TCPConn).SyscallConn()
 								_ = raw.Read(func(fd uintptr) bool {
 									got, _, _ := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK)
@@ -411,40 +414,41 @@
 					}()
 				}
 			}()
-			bids := classes()[1:]
-			two := Record([]Arrival{{At: 0, Patience: 2 * time.Second, Body: 10},
+			unsafe := classes()[1:]
+			schedule := Record([]Arrival{{At: 0, Patience: 2 * time.Second, Body: 10},
 				{At: 100 * time.Millisecond, Patience: 2 * time.Second, Body: 10}})
-			r := run(t, Options{Targets: []string{ln.Addr().String()}, Classes: bids, Schedule: two})
-			if got := map[bool]Fate{true: OK, false: Failed}[r.OK == 2]; got != c.want {
-				t.Errorf("%+v %v", r.Counts, r.Causes)
+			r := run(t, Options{Targets: []string{ln.Addr().String()}, Classes: unsafe, Schedule: schedule})
+			if got := map[bool]Outcome{true: OK, false: Failed}[r.OK == 2]; got != c.want {
+				t.Errorf("got outcome %v, want %v: %+v, causes %v", got, c.want, r.Counts, r.Causes)
 			}
 		})
 	}
 }
 
-// Retries wait as their clients do: backed off, or as long as Retry-After tells those that heed it.
-func TestClientsRetryAndHeedRetryAfter(t *testing.T) {
+// Clients wait between attempts for their backoff delay, or for Retry-After if they honour it, and make no retry if
+// Retry-After is over their limit.
+func TestRetriesWaitForBackoffAndRetryAfter(t *testing.T) {
 	target := proxy(t, "", func(id string, _ func(int) string, c net.Conn) {
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nRetry-After: 0.4\r\nContent-Length: 0\r\n\r\n")
 	})
-	views := classes()[:1]
+	safe := classes()[:1]
 	for _, c := range []struct {
 		clients Clients
-		least   float64
-		most    float64
+		min     float64
+		max     float64
 	}{
 		{Clients{Retries: 2, Wait: 50 * time.Millisecond, Backoff: "exp"}, 0.14, 0.6},
 		{Clients{Retries: 2, Wait: 50 * time.Millisecond, Honour: 1}, 0.79, 1.6},
 		{Clients{Retries: 2, Wait: 50 * time.Millisecond, Honour: 1, MostAfter: 300 * time.Millisecond}, 0, 0.3},
 	} {
-		tries := requestrecord.NewClients()
-		r := run(t, Options{Targets: []string{target}, Classes: views, Clients: c.clients, Ledger: tries,
+		attempts := requestrecord.NewClients()
+		r := run(t, Options{Targets: []string{target}, Classes: safe, Clients: c.clients, Ledger: attempts,
 			Schedule: Record([]Arrival{{Patience: time.Second}})})
-		if r.Refused != 1 || r.Lasted < c.least || r.Lasted > c.most {
-			t.Errorf("%+v: %+v, lasted %.3f s", c.clients, r.Counts, r.Lasted)
+		if r.Refused != 1 || r.Lasted < c.min || r.Lasted > c.max {
+			t.Errorf("%+v: %+v, lasted %.3f s, want %.2f to %.2f", c.clients, r.Counts, r.Lasted, c.min, c.max)
 		}
-		if all := tries.Tries(); len(all) == 3 && (all[1].ID == all[0].ID || all[2].Number != 2) {
-			t.Errorf("retries: %+v", all)
+		if all := attempts.Tries(); len(all) == 3 && (all[1].ID == all[0].ID || all[2].Number != 2) {
+			t.Errorf("attempts with wrong ids or numbers: %+v", all)
 		}
 	}
 }
--- a/internal/lab/load/options.go
+++ b/internal/lab/load/options.go
@@ -8,39 +8,39 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// Clients is how clients act.
+// Clients describes the behaviour of the clients.
 type Clients struct {
-	Retries     float64       // further tries at the most; 1.5 means one for half of them, two for the others
-	Backoff     string        // "fixed" or "exp", doubling
-	Wait        time.Duration // before the first retry
-	Honour      float64       // share that waits as long as Retry-After tells
-	MostAfter   time.Duration // the longest Retry-After that is followed; beyond it the client gives up. 0: no limit
-	TryShare    float64       // a client leaves after a share between this and 1 of its client timeout; 0 means 1
-	Marks       bool          // retries are marked as such
-	Connections int           // open from the start, dealt out among the targets
-	KeepFor     int           // requests on one connection; 0 means no limit
-	SlowShare   float64       // share of the unsafe requests whose body comes in pieces
-	SlowFor     time.Duration // over this time
-	Silent      int           // connections more that are opened and say nothing
+	Retries     float64       // maximum per request; 1.5 means one for half of the requests, two for the others
+	Backoff     string        // of the delay between retries: "fixed", or "exp" to double it after each retry
+	Wait        time.Duration // delay before the first retry
+	Honour      float64       // share of the clients that wait for as long as Retry-After requests
+	MostAfter   time.Duration // a client ends its retries on a Retry-After above this; 0 means no limit
+	TryShare    float64       // each client uses a random share of the client timeout, from this to 1; 0 means 1
+	Marks       bool          // retries are marked with X-Second-Try
+	Connections int           // opened before the first request, distributed over the targets
+	KeepFor     int           // requests on one connection before it is closed; 0 means no limit
+	SlowShare   float64       // share of the unsafe requests whose body is written in pieces
+	SlowFor     time.Duration // time over which the pieces of such a body are written
+	Silent      int           // further connections that are opened and send nothing
 }
 
-// Options of a run.
+// Options are the settings of a run.
 type Options struct {
-	Targets  []string
-	Front    *Front // over the targets; a new one if nil
-	Classes  []Class
-	Schedule Schedule
-	Clients  Clients
-	Notice   time.Duration // the front leaves out a target whose connects fail after this long
-	Seed     uint64
-	Prefix   string                      // of the ids
-	Ledger   *requestrecord.ClientRecord // a new one if nil
-	Clock    func() time.Duration        // of the run; a new one if nil. The schedule begins when Run is called
-	Progress func(Progress)              // called about four times a second; may be nil
-	MostOpen int                         // connections; 0: as many descriptors as the process may have, less a reserve
+	Targets      []string
+	Front        *Front // distributes requests over the targets; nil: Run makes one
+	Classes      []Class
+	Schedule     Schedule
+	Clients      Clients
+	Notice       time.Duration // the Front removes a target whose connects have failed for this long; at least 100 ms
+	Seed         uint64
+	Prefix       string                      // of the request ids; empty: made from Seed
+	Ledger       *requestrecord.ClientRecord // records each attempt; nil: Run makes one
+	Clock        func() time.Duration        // time of the run; nil: 0 at Run. The schedule starts when Run is called
+	Progress     func(Progress)              // called about four times a second; may be nil
+	MaxOpenConns int                         // 0, or over the descriptor limit: the limit less reservedDescriptors
 }
 
-// defaults fills in what is not stated.
+// defaults replaces unset options by their default values.
 func (o *Options) defaults() {
 	if o.Ledger == nil {
 		o.Ledger = requestrecord.NewClients()
@@ -55,20 +55,22 @@
 	if o.Clients.TryShare <= 0 || o.Clients.TryShare > 1 {
 		o.Clients.TryShare = 1
 	}
-	limit := descriptors()
-	if o.MostOpen <= 0 || o.MostOpen > limit-reserve {
-		o.MostOpen = limit - reserve
+	limit := raiseDescriptorLimit()
+	if o.MaxOpenConns <= 0 || o.MaxOpenConns > limit-reservedDescriptors {
+		o.MaxOpenConns = limit - reservedDescriptors
 	}
 }
 
-// Progress is how far a run is.
+// Progress is the state of a run in progress: its time, the counts of requests by outcome, open connections and
+// requests in flight.
 type Progress struct {
 	At                                           time.Duration
 	Scheduled, OK, Refused, Failed, Open, Flight int
 }
 
-// descriptors is how many this process may have; the soft limit is raised to the hard one.
-func descriptors() int {
+// raiseDescriptorLimit raises the soft limit of file descriptors to the hard one and returns it, at most 1<<20.
+// It returns 1024 if the limit cannot be read.
+func raiseDescriptorLimit() int {
 	var l syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l); err != nil {
 		return 1024
@@ -83,8 +85,8 @@
 	return int(min(l.Cur, 1<<20))
 }
 
-// processorTime is what this process has used, in user and system mode.
-func processorTime() time.Duration {
+// cpuTime returns the processor time that this process has used, in user and system mode.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
--- a/internal/lab/load/record.go
+++ b/internal/lab/load/record.go
@@ -8,42 +8,45 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Histograms hold microseconds, up to two minutes.
-const mostLatency = int64(2 * time.Minute / time.Microsecond)
+// maxLatency is the largest value of a histogram, two minutes in microseconds.
+const maxLatency = int64(2 * time.Minute / time.Microsecond)
 
-func histogram(digits int) *hdrhistogram.Histogram { return hdrhistogram.New(1, mostLatency, digits) }
+// histogram returns an empty histogram of microseconds with a number of significant decimal digits.
+func histogram(digits int) *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatency, digits) }
 
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(mostLatency, max(1, d.Microseconds()))) // clamped, so it cannot fail
+// recordValue adds d to a histogram, limited to 1 µs and maxLatency.
+func recordValue(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(min(maxLatency, max(1, d.Microseconds()))) // within the range, so it cannot fail
 }
 
-// Fate is how a request ended for its client, its retries included.
-type Fate uint8
+// Outcome is how a request ended for its client, after its retries.
+type Outcome uint8
 
-// The fates.
+// The outcomes of a request.
 const (
-	OK         Fate = iota // 200 in the client's time
-	Refused                // 429 or 503
-	Failed                 // another answer, an answer past the client's time, or none because the connection failed
-	Unanswered             // nothing came until the client's time was over
-	Unsent                 // the generator could not send it
+	OK         Outcome = iota // 200 within the client timeout
+	Refused                   // 429 or 503
+	Failed                    // another status, a response after the client timeout, or a failed connection
+	Unanswered                // no response until the client timeout
+	Unsent                    // the generator had no descriptor to send it
 )
 
-// Counts are requests by fate, and tries.
+// Counts are numbers of requests by outcome, of retries and of connections.
 type Counts struct {
-	Scheduled  int `json:"scheduled"`  // first tries that fell due
-	Sent       int `json:"sent"`       // of those, written whole to a connection
-	Answered   int `json:"answered"`   // requests whose last try got a whole answer in its time
-	OK         int `json:"ok"`         // 200 in the client's time
-	InAim      int `json:"in_aim"`     // of those, within the class's aim, counted from the due time
+	Scheduled  int `json:"scheduled"`  // requests that were due
+	Sent       int `json:"sent"`       // requests whose first attempt was written whole to a connection
+	Answered   int `json:"answered"`   // requests whose last attempt got a whole response within the client timeout
+	OK         int `json:"ok"`         // 200 within the client timeout
+	InAim      int `json:"in_aim"`     // of OK, within the class's latency objective, measured from the due time
 	Refused    int `json:"refused"`    // 429 or 503
-	Failed     int `json:"failed"`     // any other answer, a late one, or a failed connection
-	Unanswered int `json:"unanswered"` // sent, and silence until the client's time was over
-	Unsent     int `json:"unsent"`     // the generator's own fault: it had no descriptor or no time
-	Retries    int `json:"retries"`    // further tries
+	Failed     int `json:"failed"`     // any other status, a late response, or a failed connection
+	Unanswered int `json:"unanswered"` // sent, and no response until the client timeout
+	Unsent     int `json:"unsent"`     // a fault of the generator: it had no descriptor left, or no time
+	Retries    int `json:"retries"`    // attempts after the first
 	Connects   int `json:"connects"`   // connections opened
 }
 
+// add adds the counts of o.
 func (c *Counts) add(o Counts) {
 	c.Scheduled += o.Scheduled
 	c.Sent += o.Sent
@@ -58,14 +61,15 @@
 	c.Connects += o.Connects
 }
 
-// Second is what fell due within one second of the run, of one class.
+// Second has the counts of one class's requests that were due within one second of the run.
 type Second struct {
 	Counts
-	Tries int // first tries and retries, by the time they were sent
-	hist  *hdrhistogram.Histogram
+	Tries     int // first attempts and retries, counted in the second in which they were sent
+	latencies *hdrhistogram.Histogram
 }
 
-// Latency are percentiles in milliseconds. All are zero where nothing was counted.
+// Latency has the number of measured latencies and their percentiles in milliseconds. All are 0 if there were
+// none.
 type Latency struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -75,6 +79,7 @@
 	Max   float64 `json:"max"`
 }
 
+// latency returns the percentiles of a histogram.
 func latency(h *hdrhistogram.Histogram) Latency {
 	if h == nil || h.TotalCount() == 0 {
 		return Latency{}
@@ -85,34 +90,36 @@
 		Max: ms(h.Max())}
 }
 
-// Percentile of a latency curve.
+// Percentile is a point of a latency curve.
 type Percentile struct {
 	Percentile float64 `json:"percentile"`
 	MS         float64 `json:"ms"`
-	Count      int64   `json:"count"` // of values up to there
+	Count      int64   `json:"count"` // of values up to this percentile
 }
 
-// recorder takes what happens to requests, from many goroutines.
+// recorder counts the outcomes and latencies of requests. Its methods may be called from several goroutines.
 type recorder struct {
-	mu      sync.Mutex
-	classes []Class
-	all     []*hdrhistogram.Histogram // by class
-	whole   *hdrhistogram.Histogram
-	late    *hdrhistogram.Histogram // the generator's own lateness
-	seconds [][]Second              // by class, by second
-	causes  map[string]int
+	mu       sync.Mutex
+	classes  []Class
+	byClass  []*hdrhistogram.Histogram // latencies by class
+	overall  *hdrhistogram.Histogram   // latencies of all classes
+	lateness *hdrhistogram.Histogram   // how late the generator started requests
+	seconds  [][]Second                // by class and second of the run
+	causes   map[string]int            // number of requests by cause
 }
 
 func newRecorder(classes []Class) *recorder {
-	r := &recorder{classes: classes, whole: histogram(3), late: histogram(3), seconds: make([][]Second, len(classes)),
-		causes: make(map[string]int)}
+	r := &recorder{classes: classes, overall: histogram(3), lateness: histogram(3),
+		seconds: make([][]Second, len(classes)),
+		causes:  make(map[string]int)}
 	for range classes {
-		r.all = append(r.all, histogram(3))
+		r.byClass = append(r.byClass, histogram(3))
 	}
 	return r
 }
 
-func (r *recorder) at(class int, due time.Duration) *Second {
+// secondAt returns the counts of the second in which due lies. r.mu must be held.
+func (r *recorder) secondAt(class int, due time.Duration) *Second {
 	s := max(0, int(due/time.Second))
 	for len(r.seconds[class]) <= s {
 		r.seconds[class] = append(r.seconds[class], Second{})
@@ -120,31 +127,34 @@
 	return &r.seconds[class][s]
 }
 
+// count applies change to the counts of the second in which due lies.
 func (r *recorder) count(class int, due time.Duration, change func(*Second)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	change(r.at(class, due))
+	change(r.secondAt(class, due))
 }
 
-func (r *recorder) lateness(d time.Duration) {
+// recordLateness records how late the generator started a request.
+func (r *recorder) recordLateness(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	record(r.late, d)
+	recordValue(r.lateness, d)
 }
 
-// end enters a request's end. What was served and what stayed unanswered is counted in the latencies: leaving
-// out the latter would flatter the target.
-func (r *recorder) end(class int, due time.Duration, f Fate, took time.Duration, answered bool, cause string) {
+// recordOutcome records how a request ended. The latencies include unanswered requests as well as served ones:
+// without them, a target that does not answer would look better than it is.
+func (r *recorder) recordOutcome(class int, due time.Duration, outcome Outcome, took time.Duration, answered bool,
+	cause string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.at(class, due)
+	s := r.secondAt(class, due)
 	if answered {
 		s.Answered++
 	}
 	if cause != "" {
 		r.causes[cause]++
 	}
-	switch f {
+	switch outcome {
 	case OK:
 		s.OK++
 		if took <= r.classes[class].Aim {
@@ -159,33 +169,33 @@
 	case Unsent:
 		s.Unsent++
 	}
-	if f == OK || f == Unanswered {
-		if s.hist == nil {
-			s.hist = histogram(2)
+	if outcome == OK || outcome == Unanswered {
+		if s.latencies == nil {
+			s.latencies = histogram(2)
 		}
-		record(s.hist, took)
-		record(r.all[class], took)
-		record(r.whole, took)
+		recordValue(s.latencies, took)
+		recordValue(r.byClass[class], took)
+		recordValue(r.overall, took)
 	}
 }
 
-// SecondResult is one second of the run, by when requests were due.
+// SecondResult is the result of one second of the run. Requests count in the second in which they were due.
 type SecondResult struct {
 	Second int `json:"second"`
 	Counts
-	Tries   int     `json:"tries"` // by the time they were sent
+	Tries   int     `json:"tries"` // counted in the second in which they were sent
 	Goodput float64 `json:"goodput"`
 	Latency Latency `json:"latency_ms"`
 }
 
-// ClassResult is one class over the whole run.
+// ClassResult is the result of one class over the whole run.
 type ClassResult struct {
-	Name   string  `json:"name"`
-	Unsafe bool    `json:"unsafe"`
-	Worth  float64 `json:"worth"`
-	AimMS  float64 `json:"aim_ms"`
+	Name               string  `json:"name"`
+	Unsafe             bool    `json:"unsafe"`
+	Worth              float64 `json:"worth"`
+	LatencyObjectiveMS float64 `json:"aim_ms"`
 	Counts
-	Goodput float64        `json:"goodput"` // in_aim over scheduled
+	Goodput float64        `json:"goodput"` // in_aim divided by scheduled
 	Latency Latency        `json:"latency_ms"`
 	Curve   []Percentile   `json:"curve"`
 	Seconds []SecondResult `json:"seconds"`
@@ -194,75 +204,79 @@
 // Result is what a run measured.
 type Result struct {
 	Counts
-	SelfLate     Latency        `json:"self_late_ms"` // how late the generator itself was
-	Latency      Latency        `json:"latency_ms"`   // from the due time to the end, of ok and unanswered requests
-	FellBehind   bool           `json:"fell_behind"`
-	Behind       string         `json:"behind,omitempty"` // why
-	Goodput      float64        `json:"goodput"`          // worth served within the aim over worth asked for
-	WorstWindow  float64        `json:"goodput_worst_10s"`
-	Tries        int            `json:"tries"`
-	MostOpen     int            `json:"most_open"` // connections
-	Lasted       float64        `json:"lasted_s"`
-	CPU          float64        `json:"cpu_cores"` // this process's processor time over the run's length
-	Classes      []ClassResult  `json:"classes"`
-	Causes       map[string]int `json:"causes"` // why requests had no good answer
-	Stray        []string       `json:"stray"`  // ids of links on which bytes came unasked
-	PartialInput bool           `json:"stopped_early"`
+	SelfLate       Latency        `json:"self_late_ms"` // how late the generator started requests
+	Latency        Latency        `json:"latency_ms"`   // of OK and unanswered requests, from the due time to the end
+	FellBehind     bool           `json:"fell_behind"`
+	Behind         string         `json:"behind,omitempty"` // the reason for FellBehind; empty without it
+	Goodput        float64        `json:"goodput"`          // weight of in_aim requests / weight of scheduled ones
+	WorstWindow    float64        `json:"goodput_worst_10s"`
+	Tries          int            `json:"tries"`
+	PeakOpenConns  int            `json:"most_open"` // most connections open at the same time
+	Lasted         float64        `json:"lasted_s"`
+	CPU            float64        `json:"cpu_cores"` // this process's processor time divided by the length of the run
+	Classes        []ClassResult  `json:"classes"`
+	Causes         map[string]int `json:"causes"` // number of requests by the reason why they had no good response
+	UnsolicitedIDs []string       `json:"stray"`  // last request ids of connections with unexpected bytes
+	PartialInput   bool           `json:"stopped_early"`
 }
 
-// The generator has fallen behind when a tenth of a percent of its requests left later than behindMost,
-// or the 99th percentile is over behindP99. What it then measures is its own delay as much as the
-// target's.
+// The generator has fallen behind if the 99.9th percentile of its lateness is over maxLatenessP999 or the 99th
+// percentile is over maxLatenessP99. The latencies then include its own delay as well as the target's.
 const (
-	behindP99  = 25 * time.Millisecond
-	behindMost = 250 * time.Millisecond
+	maxLatenessP99  = 25 * time.Millisecond
+	maxLatenessP999 = 250 * time.Millisecond
 )
 
+// result returns the counts and latencies of the run. The caller adds what the recorder does not know:
+// connections, unsolicited responses, duration and processor time.
 func (r *recorder) result() Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := Result{SelfLate: latency(r.late), Latency: latency(r.whole), Causes: r.causes, Stray: []string{}}
-	var asked, good float64
+	out := Result{SelfLate: latency(r.lateness), Latency: latency(r.overall), Causes: r.causes,
+		UnsolicitedIDs: []string{}}
+	var offered, good float64
 	longest := 0
 	for i, c := range r.classes {
-		cr := ClassResult{Name: c.Name, Unsafe: c.Unsafe, Worth: c.Worth, AimMS: float64(c.Aim.Microseconds()) / 1000,
-			Latency: latency(r.all[i]), Curve: []Percentile{}, Seconds: []SecondResult{}}
+		cr := ClassResult{Name: c.Name, Unsafe: c.Unsafe, Worth: c.Worth,
+			LatencyObjectiveMS: float64(c.Aim.Microseconds()) / 1000, Latency: latency(r.byClass[i]),
+			Curve: []Percentile{}, Seconds: []SecondResult{}}
 		for n := range r.seconds[i] {
 			s := &r.seconds[i][n]
 			cr.add(s.Counts)
 			cr.Seconds = append(cr.Seconds, SecondResult{Second: n, Counts: s.Counts, Tries: s.Tries,
-				Latency: latency(s.hist),
+				Latency: latency(s.latencies),
 				Goodput: share(s.InAim, s.Scheduled)})
 			out.Tries += s.Tries
 		}
-		if r.all[i].TotalCount() > 0 {
-			for _, b := range r.all[i].CumulativeDistribution() {
+		if r.byClass[i].TotalCount() > 0 {
+			for _, b := range r.byClass[i].CumulativeDistribution() {
 				cr.Curve = append(cr.Curve, Percentile{b.Quantile, float64(b.ValueAt) / 1000, b.Count})
 			}
 		}
 		longest = max(longest, len(cr.Seconds))
 		cr.Goodput = share(cr.InAim, cr.Scheduled)
-		asked += c.Worth * float64(cr.Scheduled)
+		offered += c.Worth * float64(cr.Scheduled)
 		good += c.Worth * float64(cr.InAim)
 		out.add(cr.Counts)
 		out.Classes = append(out.Classes, cr)
 	}
-	if asked > 0 {
-		out.Goodput = good / asked
+	if offered > 0 {
+		out.Goodput = good / offered
 	}
-	out.WorstWindow = out.worst(longest)
-	switch tail := r.late.ValueAtPercentile(99.9); {
+	out.WorstWindow = out.worstWindowGoodput(longest)
+	switch tail := r.lateness.ValueAtPercentile(99.9); {
 	case out.Unsent > 0:
 		out.Behind = fmt.Sprintf("%d requests could not be sent", out.Unsent)
-	case out.SelfLate.P99 > float64(behindP99.Milliseconds()):
-		out.Behind = fmt.Sprintf("a hundredth of the requests left over %.1f ms late", out.SelfLate.P99)
-	case tail > behindMost.Microseconds():
-		out.Behind = fmt.Sprintf("a thousandth of the requests left over %.1f ms late", float64(tail)/1000)
+	case out.SelfLate.P99 > float64(maxLatenessP99.Milliseconds()):
+		out.Behind = fmt.Sprintf("1%% of the requests were sent more than %.1f ms late", out.SelfLate.P99)
+	case tail > maxLatenessP999.Microseconds():
+		out.Behind = fmt.Sprintf("0.1%% of the requests were sent more than %.1f ms late", float64(tail)/1000)
 	}
 	out.FellBehind = out.Behind != ""
 	return out
 }
 
+// share returns part/whole, or 0 if whole is 0.
 func share(part, whole int) float64 {
 	if whole == 0 {
 		return 0
@@ -270,21 +284,22 @@
 	return float64(part) / float64(whole)
 }
 
-// worst is the goodput by worth of the worst ten seconds in a row, or of the whole run if it is shorter.
-func (r *Result) worst(seconds int) float64 {
+// worstWindowGoodput returns the lowest weighted goodput of any ten consecutive seconds, or that of the whole run
+// if it is shorter. seconds is the length of the run.
+func (r *Result) worstWindowGoodput(seconds int) float64 {
 	const window = 10
-	least := 1.0
+	lowest := 1.0
 	for from := 0; from == 0 || from+window <= seconds; from++ {
-		var asked, good float64
+		var offered, good float64
 		for _, c := range r.Classes {
 			for n := from; n < min(from+window, len(c.Seconds)); n++ {
-				asked += c.Worth * float64(c.Seconds[n].Scheduled)
+				offered += c.Worth * float64(c.Seconds[n].Scheduled)
 				good += c.Worth * float64(c.Seconds[n].InAim)
 			}
 		}
-		if asked > 0 {
-			least = min(least, good/asked)
+		if offered > 0 {
+			lowest = min(lowest, good/offered)
 		}
 	}
-	return least
+	return lowest
 }
--- a/internal/lab/load/schedule.go
+++ b/internal/lab/load/schedule.go
@@ -1,6 +1,7 @@
-// Package load sends requests on schedule, whatever becomes of them: an open-loop generator with classes,
-// phases, recorded traces and clients that wait, retry and leave. Latency counts from the time at which a
-// request was due, so that what a stalled target delays shows as late requests, not as fewer.
+// Package load is an open-loop load generator: it sends requests on schedule, independent of the responses to
+// earlier ones. It supports request classes, load phases, recorded traces, and clients that wait, retry and time
+// out. Latency is measured from the time at which a request was due, so that a stalled target results in late
+// requests and not in fewer requests.
 package load
 
 import (
@@ -14,37 +15,37 @@
 	"time"
 )
 
-// Class is one kind of request.
+// Class is a class of requests.
 type Class struct {
 	Name     string
-	Share    float64       // of the requests; shares are relative
-	Unsafe   bool          // sent by POST; must not run twice
-	Keyed    bool          // sent by POST with a key; repeats stay in a cell
-	Worth    float64       // of one served in time
-	Aim      time.Duration // an answer is wanted within this
-	Patience time.Duration // the client leaves after this
+	Share    float64       // of the requests, relative to the sum of all classes' shares
+	Unsafe   bool          // sent by POST; must not be executed twice
+	Keyed    bool          // sent by POST with an idempotency key; may be executed again within one cell only
+	Worth    float64       // weight of a request that is served within Aim, for the goodput
+	Aim      time.Duration // latency objective, measured from the due time
+	Patience time.Duration // client timeout
 	Body     int           // bytes of a POST's body
 }
 
-// Phase is a stretch of time with a rate. The zero value of each field but For and Rate means that it
-// does not apply.
+// Phase is a period of time with a request rate. For each field except For and Rate, the zero value means that
+// the field does not apply.
 type Phase struct {
-	For   time.Duration
-	Rate  float64 // requests a second at its begin
-	To    float64 // the rate rises or falls evenly to this one
-	Steps int     // with To: in so many steps instead
+	For   time.Duration // length of the phase
+	Rate  float64       // requests per second at its start
+	To    float64       // the rate changes linearly to this value until its end
+	Steps int           // with To: the rate changes in this number of equal steps instead
 
-	Jump    float64       // times the rate, during the jump
-	JumpAt  time.Duration // after the phase's begin
-	JumpFor time.Duration
+	Jump    float64       // the rate is multiplied by this during the jump
+	JumpAt  time.Duration // start of the jump, after the start of the phase
+	JumpFor time.Duration // length of the jump
 
-	Rush   string  // a class whose requests rise towards the phase's end and stop there, as before a closing time
-	RushTo float64 // times as many at the end as at the begin; 10 if unset
+	Rush   string  // a class whose rate grows exponentially until the end of the phase, as before a closing time
+	RushTo float64 // ratio of that class's rate at the end to the rate at the start; 10 if unset
 
-	Poisson bool // at random times; otherwise evenly spaced
+	Poisson bool // random exponential intervals between requests; otherwise equal intervals
 }
 
-// Check names the first thing wrong with a phase.
+// Check returns an error for the first invalid field of a phase.
 func (p Phase) Check() error {
 	switch {
 	case p.For <= 0:
@@ -61,15 +62,16 @@
 	return nil
 }
 
-// rate is that of all classes together, without a rush.
+// rate returns the rate of all classes together, in requests per second, without the rush. at is the time since
+// the start of the phase.
 func (p Phase) rate(at time.Duration) float64 {
 	r := p.Rate
-	if part := at.Seconds() / p.For.Seconds(); p.To > 0 {
+	if progress := at.Seconds() / p.For.Seconds(); p.To > 0 {
 		if p.Steps > 0 {
-			part = math.Floor(part*float64(p.Steps)) / float64(max(1, p.Steps-1))
-			part = min(1, part)
+			progress = math.Floor(progress*float64(p.Steps)) / float64(max(1, p.Steps-1))
+			progress = min(1, progress)
 		}
-		r += (p.To - p.Rate) * part
+		r += (p.To - p.Rate) * progress
 	}
 	if p.Jump > 0 && at >= p.JumpAt && at < p.JumpAt+p.JumpFor {
 		r *= p.Jump
@@ -77,120 +79,127 @@
 	return r
 }
 
-// weight is that of a class beside the others.
+// weight returns the share of a class relative to the other classes, with the rush. at is the time since the
+// start of the phase.
 func (p Phase) weight(c Class, at time.Duration) float64 {
 	if p.Rush != c.Name {
 		return c.Share
 	}
-	to := p.RushTo
-	if to == 0 {
-		to = 10
+	factor := p.RushTo
+	if factor == 0 {
+		factor = 10
 	}
-	return c.Share * math.Pow(to, at.Seconds()/p.For.Seconds())
+	return c.Share * math.Pow(factor, at.Seconds()/p.For.Seconds())
 }
 
-// Arrival is one request that falls due.
+// Arrival is one request of a schedule.
 type Arrival struct {
-	At       time.Duration // after the run's begin
-	Class    int
-	Patience time.Duration
-	Body     int
+	At       time.Duration // due time, after the start of the run
+	Class    int           // index into the classes
+	Patience time.Duration // client timeout
+	Body     int           // bytes
 }
 
-// Schedule gives arrivals in the order in which they fall due.
+// Schedule produces arrivals in the order of their due times.
 type Schedule interface {
+	// Next returns the next arrival, or false at the end.
 	Next() (Arrival, bool)
 }
 
-// scheduleStep is how finely a changing rate is followed.
+// scheduleStep is the time step in which a changing rate is integrated.
 const scheduleStep = time.Millisecond
 
+// phases is the Schedule that Phases returns.
 type phases struct {
-	classes []Class
-	phases  []Phase
-	rand    *rand.Rand
-	from    time.Duration // where the present phase began
-	at      time.Duration // within it
-	gone    float64       // arrivals that were due up to at
-	next    float64       // the count at which the next arrival is due
-	total   float64       // the sum of shares
+	classes     []Class
+	phases      []Phase // from the current one on
+	rand        *rand.Rand
+	phaseStart  time.Duration // start of the current phase, after the start of the run
+	elapsed     time.Duration // time since phaseStart
+	arrivalsDue float64       // expected number of arrivals up to now, with fractions
+	nextArrival float64       // the value of arrivalsDue at which the next arrival is due; 0 before the first
+	totalShare  float64       // the sum of the classes' shares
 }
 
-// Phases schedules one phase after another. The same seed gives the same arrivals.
+// Phases returns a schedule of the phases in list, one after another. The same seed gives the same arrivals. It
+// returns an error if a class or a phase is invalid.
 func Phases(classes []Class, list []Phase, seed uint64) (Schedule, error) {
 	p := &phases{classes: classes, phases: list, rand: rand.New(rand.NewPCG(seed, 2))}
 	for i, c := range classes {
 		if c.Name == "" || !(c.Share >= 0) || c.Patience <= 0 {
-			return nil, fmt.Errorf("class %d: needs a name, a share of 0 or more and patience", i+1)
+			return nil, fmt.Errorf("class %d: needs a name, a share of 0 or more and a positive patience", i+1)
 		}
-		p.total += c.Share
+		p.totalShare += c.Share
 	}
-	if p.total <= 0 {
+	if p.totalShare <= 0 {
 		return nil, fmt.Errorf("no class has a share")
 	}
 	for i, f := range list {
 		if err := f.Check(); err != nil {
 			return nil, fmt.Errorf("phase %d: %w", i+1, err)
 		}
-		known := f.Rush == ""
+		defined := f.Rush == ""
 		for _, c := range classes {
-			known = known || c.Name == f.Rush
+			defined = defined || c.Name == f.Rush
 		}
-		if !known {
-			return nil, fmt.Errorf("phase %d: rush names class %q, which is not there", i+1, f.Rush)
+		if !defined {
+			return nil, fmt.Errorf("phase %d: rush names class %q, which is not defined", i+1, f.Rush)
 		}
 	}
 	return p, nil
 }
 
+// Next implements Schedule.
 func (p *phases) Next() (Arrival, bool) {
-	if p.next == 0 {
-		p.next = p.gap() * 0.5
+	if p.nextArrival == 0 {
+		p.nextArrival = p.drawInterval() * 0.5
 	}
 	for len(p.phases) > 0 {
 		f := p.phases[0]
-		step := min(scheduleStep, f.For-p.at)
+		step := min(scheduleStep, f.For-p.elapsed)
 		if step <= 0 {
-			p.from, p.at, p.phases = p.from+f.For, 0, p.phases[1:]
+			p.phaseStart, p.elapsed, p.phases = p.phaseStart+f.For, 0, p.phases[1:]
 			continue
 		}
 		var weight float64
 		for _, c := range p.classes {
-			weight += f.weight(c, p.at)
+			weight += f.weight(c, p.elapsed)
 		}
-		due := f.rate(p.at) * weight / p.total * step.Seconds()
-		if due <= 0 || p.gone+due < p.next {
-			p.gone += due
-			p.at += step
+		due := f.rate(p.elapsed) * weight / p.totalShare * step.Seconds()
+		if due <= 0 || p.arrivalsDue+due < p.nextArrival {
+			p.arrivalsDue += due
+			p.elapsed += step
 			continue
 		}
-		part := time.Duration((p.next - p.gone) / due * float64(step))
-		a := Arrival{At: p.from + p.at + part, Class: p.class(f, weight)}
+		offset := time.Duration((p.nextArrival - p.arrivalsDue) / due * float64(step))
+		a := Arrival{At: p.phaseStart + p.elapsed + offset, Class: p.drawClass(f, weight)}
 		a.Patience, a.Body = p.classes[a.Class].Patience, p.classes[a.Class].Body
-		p.next += p.gap()
+		p.nextArrival += p.drawInterval()
 		return a, true
 	}
 	return Arrival{}, false
 }
 
-func (p *phases) gap() float64 {
+// drawInterval returns the distance to the next arrival, in units of the mean interval.
+func (p *phases) drawInterval() float64 {
 	if len(p.phases) > 0 && p.phases[0].Poisson {
 		return p.rand.ExpFloat64()
 	}
 	return 1
 }
 
-func (p *phases) class(f Phase, weight float64) int {
-	at := p.rand.Float64() * weight
+// drawClass draws the class of an arrival by the classes' present weights, whose sum is weight.
+func (p *phases) drawClass(f Phase, weight float64) int {
+	point := p.rand.Float64() * weight
 	for i, c := range p.classes {
-		if at -= f.weight(c, p.at); at < 0 {
+		if point -= f.weight(c, p.elapsed); point < 0 {
 			return i
 		}
 	}
 	return len(p.classes) - 1
 }
 
-// Length is how long phases last together.
+// Length returns the total length of the phases in list.
 func Length(list []Phase) time.Duration {
 	var sum time.Duration
 	for _, p := range list {
@@ -199,23 +208,25 @@
 	return sum
 }
 
-// traceHead is a trace's first line.
-const traceHead = "# thymelab trace 1: due_us class patience_ms body_bytes"
+// traceHeader is the first line of a trace.
+const traceHeader = "# thymelab trace 1: due_us class patience_ms body_bytes"
 
-// WriteTrace records arrivals, one a line: when it was due in microseconds after the begin, the class,
-// the client's client timeout in milliseconds, the bytes of its body.
+// WriteTrace writes the arrivals of s to w, one per line: the due time in microseconds after the start, the
+// class, the client timeout in milliseconds and the bytes of the body.
 func WriteTrace(w io.Writer, classes []Class, s Schedule) error {
 	out := bufio.NewWriter(w)
-	fmt.Fprintln(out, traceHead)
+	fmt.Fprintln(out, traceHeader)
 	for a, ok := s.Next(); ok; a, ok = s.Next() {
 		fmt.Fprintf(out, "%d %s %d %d\n", a.At.Microseconds(), classes[a.Class].Name, a.Patience.Milliseconds(), a.Body)
 	}
 	return out.Flush()
 }
 
-type recorded struct{ arrivals []Arrival }
+// arrivalList is a Schedule of given arrivals.
+type arrivalList struct{ arrivals []Arrival }
 
-func (r *recorded) Next() (Arrival, bool) {
+// Next implements Schedule.
+func (r *arrivalList) Next() (Arrival, bool) {
 	if len(r.arrivals) == 0 {
 		return Arrival{}, false
 	}
@@ -224,11 +235,11 @@
 	return a, true
 }
 
-// Record schedules arrivals that are at hand, in order.
-func Record(arrivals []Arrival) Schedule { return &recorded{arrivals} }
+// Record returns a Schedule of the given arrivals, in their order.
+func Record(arrivals []Arrival) Schedule { return &arrivalList{arrivals} }
 
-// ReadTrace reads what WriteTrace wrote. Lines that begin with # and empty ones say nothing. Errors name the
-// line.
+// ReadTrace reads a trace that WriteTrace wrote. It skips empty lines and lines that start with #. Errors contain
+// name and the number of the line.
 func ReadTrace(name string, r io.Reader, classes []Class) (Schedule, error) {
 	var out []Arrival
 	lines := bufio.NewScanner(r)
@@ -239,31 +250,31 @@
 		if text == "" || strings.HasPrefix(text, "#") {
 			continue
 		}
-		words := strings.Fields(text)
-		if len(words) != 4 {
+		fields := strings.Fields(text)
+		if len(fields) != 4 {
 			return nil, fmt.Errorf("%s:%d: %d words, wanted 4: due_us class patience_ms body_bytes", name, n,
-				len(words))
+				len(fields))
 		}
 		a := Arrival{Class: -1}
 		for i, c := range classes {
-			if c.Name == words[1] {
+			if c.Name == fields[1] {
 				a.Class = i
 			}
 		}
-		due, err1 := strconv.ParseInt(words[0], 10, 64)
-		patience, err2 := strconv.ParseInt(words[2], 10, 64)
-		body, err3 := strconv.Atoi(words[3])
+		due, err1 := strconv.ParseInt(fields[0], 10, 64)
+		patience, err2 := strconv.ParseInt(fields[2], 10, 64)
+		body, err3 := strconv.Atoi(fields[3])
 		a.At, a.Patience, a.Body = time.Duration(due)*time.Microsecond, time.Duration(patience)*time.Millisecond, body
 		switch {
 		case a.Class < 0:
-			return nil, fmt.Errorf("%s:%d: class %q is not there", name, n, words[1])
+			return nil, fmt.Errorf("%s:%d: class %q is not defined", name, n, fields[1])
 		case err1 != nil || due < 0 || due > 1e12 || len(out) > 0 && a.At < out[len(out)-1].At:
 			return nil, fmt.Errorf("%s:%d: due_us %q must be a whole number, not before the line above's", name,
-				n, words[0])
+				n, fields[0])
 		case err2 != nil || patience <= 0 || patience > 3600e3:
-			return nil, fmt.Errorf("%s:%d: patience_ms %q must be 1 to 3600000", name, n, words[2])
+			return nil, fmt.Errorf("%s:%d: patience_ms %q must be 1 to 3600000", name, n, fields[2])
 		case err3 != nil || body < 0 || body > 64<<10:
-			return nil, fmt.Errorf("%s:%d: body_bytes %q must be 0 to 65536", name, n, words[3])
+			return nil, fmt.Errorf("%s:%d: body_bytes %q must be 0 to 65536", name, n, fields[3])
 		}
 		out = append(out, a)
 	}
--- a/internal/lab/registry/registry.go
+++ b/internal/lab/registry/registry.go
@@ -34,47 +34,47 @@
 
 // Registry is the list and its history.
 type Registry struct {
-	seq     int
-	forgot  int // changes up to this version are known no more
-	entries map[string]Entry
-	order   []string
-	changed map[string]int                     // the version in which a host last changed
-	told    map[string]map[string]Notification // by gateway, by host
+	version      int
+	historyStart int // changes up to this version are known no more
+	entries      map[string]Entry
+	order        []string
+	changedIn    map[string]int                     // the version in which a host last changed
+	notified     map[string]map[string]Notification // by gateway, by host
 }
 
 // New returns a roster that lists nothing.
 func New() *Registry {
-	return &Registry{entries: make(map[string]Entry), changed: make(map[string]int),
-		told: make(map[string]map[string]Notification)}
+	return &Registry{entries: make(map[string]Entry), changedIn: make(map[string]int),
+		notified: make(map[string]map[string]Notification)}
 }
 
 // Seq is the present version.
-func (r *Registry) Seq() int { return r.seq }
+func (r *Registry) Seq() int { return r.version }
 
 // Put enters or changes hosts, all in one version.
 func (r *Registry) Put(entries ...Entry) {
-	r.seq++
+	r.version++
 	for _, e := range entries {
 		if _, known := r.entries[e.Host]; !known {
 			r.order = append(r.order, e.Host)
 		}
-		r.entries[e.Host], r.changed[e.Host] = e, r.seq
+		r.entries[e.Host], r.changedIn[e.Host] = e, r.version
 	}
 }
 
 // Flap goes on in a version far ahead without the history, as a discovery does that restarts without
 // its memory: whoever has an older version gets the whole list.
 func (r *Registry) Flap() {
-	r.seq += 1000
-	r.forgot = r.seq
+	r.version += 1000
+	r.historyStart = r.version
 }
 
 // Anew begins the versions anew, as a discovery does that was restored from nothing: the list as it
 // stands is version 1.
 func (r *Registry) Anew() {
-	r.seq, r.forgot = 1, 0
-	for name := range r.changed {
-		r.changed[name] = 1
+	r.version, r.historyStart = 1, 0
+	for name := range r.changedIn {
+		r.changedIn[name] = 1
 	}
 }
 
@@ -87,8 +87,8 @@
 
 // Follow takes over another's list with its history; what gateways were told stays.
 func (r *Registry) Follow(other *Registry) {
-	r.seq, r.forgot, r.order = other.seq, other.forgot, slices.Clone(other.order)
-	r.entries, r.changed = maps.Clone(other.entries), maps.Clone(other.changed)
+	r.version, r.historyStart, r.order = other.version, other.historyStart, slices.Clone(other.order)
+	r.entries, r.changedIn = maps.Clone(other.entries), maps.Clone(other.changedIn)
 }
 
 // Find returns a host's entry.
@@ -122,14 +122,16 @@
 func (r *Registry) ServingCount() int { return len(r.serving()) }
 
 // wholeFor tells whether who has a version is sent the whole list.
-func (r *Registry) wholeFor(after int) bool { return after <= 0 || after > r.seq || after < r.forgot }
+func (r *Registry) wholeFor(after int) bool {
+	return after <= 0 || after > r.version || after < r.historyStart
+}
 
 // changedAfter is the hosts that who has a version is sent.
 func (r *Registry) changedAfter(after int) []Entry {
-	whole := r.wholeFor(after)
+	wholeList := r.wholeFor(after)
 	return r.entriesWhere(func(e Entry) bool {
-		return whole && e.State != Removed || !whole &&
-			r.changed[e.Host] > after
+		return wholeList && e.State != Removed || !wholeList &&
+			r.changedIn[e.Host] > after
 	})
 }
 
@@ -152,7 +154,7 @@
 		Seq   int         `json:"seq"`
 		Whole bool        `json:"whole"`
 		Hosts []wireEntry `json:"hosts"`
-	}{r.seq, whole, []wireEntry{}}
+	}{r.version, whole, []wireEntry{}}
 	for _, e := range entries {
 		doc.Hosts = append(doc.Hosts, wireEntry{Host: e.Host, Dial: e.Dial[gateway], Site: e.Site, Class: e.Kind,
 			Block: e.Cell, Health: e.State, Share: 1, Born: e.Born})
@@ -166,28 +168,28 @@
 
 // Note keeps that a gateway has been told the list as it stands. The first notice of a host's leaving counts.
 func (r *Registry) Note(gateway string, now time.Duration) {
-	told := r.told[gateway]
-	if told == nil {
-		told = make(map[string]Notification)
-		r.told[gateway] = told
+	notified := r.notified[gateway]
+	if notified == nil {
+		notified = make(map[string]Notification)
+		r.notified[gateway] = notified
 	}
 	for name, e := range r.entries {
-		if _, known := told[name]; e.State == Up {
-			delete(told, name)
+		if _, known := notified[name]; e.State == Up {
+			delete(notified, name)
 		} else if !known {
-			told[name] = Notification{now, e.State}
+			notified[name] = Notification{now, e.State}
 		}
 	}
 }
 
 // Told returns when a gateway was told that a host drains or is gone; ok is false if it was not.
 func (r *Registry) Told(gateway, host string) (t Notification, ok bool) {
-	t, ok = r.told[gateway][host]
+	t, ok = r.notified[gateway][host]
 	return t, ok
 }
 
 // Forget drops what a gateway was told, as one that has restarted knows it no more.
-func (r *Registry) Forget(gateway string) { delete(r.told, gateway) }
+func (r *Registry) Forget(gateway string) { delete(r.notified, gateway) }
 
 // Names lists the hosts that are not removed, in the order in which they came.
 func (r *Registry) Names() []string {
--- a/internal/lab/requestrecord/record.go
+++ b/internal/lab/requestrecord/record.go
@@ -32,29 +32,29 @@
 	Answers  int           // whole answers that came for it
 	Status   int           // of the first answer; 0 if none came
 	Hash     uint64        // of the first answer's body, see Hash
-	Left     bool          // the client's time ran out before an answer
+	TimedOut bool          // the client's time ran out before an answer
 	Cause    string        // how it ended without an answer, in words
 }
 
 // ClientRecord is the clients' side. Its methods may be called from several goroutines.
 type ClientRecord struct {
 	mu    sync.Mutex
-	tries map[string]*Attempt
+	byID  map[string]*Attempt
 	order []*Attempt
 }
 
 // NewClients returns an empty record.
-func NewClients() *ClientRecord { return &ClientRecord{tries: make(map[string]*Attempt)} }
+func NewClients() *ClientRecord { return &ClientRecord{byID: make(map[string]*Attempt)} }
 
 // Add enters a try before it is sent. An id in use already is refused: the generator must not reuse ids.
-func (c *ClientRecord) Add(t Attempt) error {
+func (c *ClientRecord) Add(a Attempt) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.tries[t.ID] != nil {
-		return fmt.Errorf("ledger: id %s sent twice", t.ID)
+	if c.byID[a.ID] != nil {
+		return fmt.Errorf("ledger: id %s sent twice", a.ID)
 	}
-	c.tries[t.ID] = &t
-	c.order = append(c.order, &t)
+	c.byID[a.ID] = &a
+	c.order = append(c.order, &a)
 	return nil
 }
 
@@ -62,8 +62,8 @@
 func (c *ClientRecord) Update(id string, change func(*Attempt)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t := c.tries[id]; t != nil {
-		change(t)
+	if a := c.byID[id]; a != nil {
+		change(a)
 	}
 }
 
@@ -100,21 +100,21 @@
 	return &EndpointRecord{Name: name, entries: make(map[string]*Entry)}
 }
 
-// Of returns the entry of an id, made if need be.
-func (h *EndpointRecord) Of(id string) *Entry {
-	e := h.entries[id]
+// EntryOf returns the entry of an id, made if need be.
+func (r *EndpointRecord) EntryOf(id string) *Entry {
+	e := r.entries[id]
 	if e == nil {
 		e = &Entry{}
-		h.entries[id] = e
+		r.entries[id] = e
 	}
 	return e
 }
 
 // Find returns the entry of an id, or nil.
-func (h *EndpointRecord) Find(id string) *Entry { return h.entries[id] }
+func (r *EndpointRecord) Find(id string) *Entry { return r.entries[id] }
 
 // Len is the number of ids known.
-func (h *EndpointRecord) Len() int { return len(h.entries) }
+func (r *EndpointRecord) Len() int { return len(r.entries) }
 
 // Hash is that of a body.
 func Hash(body []byte) uint64 { return xxh3.Hash(body) }
--- a/internal/lab/requestrecord/record_test.go
+++ b/internal/lab/requestrecord/record_test.go
@@ -11,7 +11,7 @@
 	good := Hash([]byte("made"))
 	a, b := NewEndpointRecord("a"), NewEndpointRecord("b")
 	made := func(h *EndpointRecord, id string, begun int, bodies ...uint64) {
-		*h.Of(id) = Entry{Arrivals: begun, Begun: begun, Ended: begun, Returned: bodies}
+		*h.EntryOf(id) = Entry{Arrivals: begun, Begun: begun, Ended: begun, Returned: bodies}
 	}
 	served := Attempt{Whole: true, Answers: 1, Status: 200, Hash: good}
 	var tries []Attempt
@@ -87,7 +87,7 @@
 		}
 		tries = append(tries, Attempt{ID: id, Keyed: true, Whole: true, Answers: 1, Status: status, Hash: 1})
 		for _, h := range hosts {
-			*h.Of(id) = Entry{Arrivals: 1, Begun: 1, Ended: 1, Returned: []uint64{1}}
+			*h.EntryOf(id) = Entry{Arrivals: 1, Begun: 1, Ended: 1, Returned: []uint64{1}}
 		}
 	}
 	found, _ := Compare(tries, []*EndpointRecord{a, b, other}, nil)
