--- a/internal/lab/emulation/discovery.go
+++ b/internal/lab/emulation/discovery.go
@@ -16,7 +16,7 @@
 // Entry is a host as discovery lists it.
 type Entry = registry.Entry
 
-// Told is when a gateway was told that a host drains or is gone.
+// Told records when a gateway was notified that a host drains or is removed.
 type Told = registry.Notification
 
 // The states of a host in discovery's list.
@@ -26,48 +26,50 @@
 	StateRemoved  = registry.Removed
 )
 
-// heartbeatInterval is how often an empty line comes while nothing changes.
+// heartbeatInterval is the interval of empty lines on a watch while nothing changes.
 const heartbeatInterval = 2 * time.Second
 
-// moveGracePeriod is how long the old address of discovery keeps its open connections after a move.
+// moveGracePeriod is how long connections to discovery's old address stay open after a move.
 const moveGracePeriod = 1500 * time.Millisecond
 
-// Discovery plays discovery: the list, watches with heartbeats, and its failures. Each gateway has a
-// door of its own, so that what each was told is known.
+// Discovery emulates the discovery service: the list of hosts, watches with heartbeats, and its failures. Each
+// gateway connects to a separate listener, so that Discovery knows which gateway was notified of what. Its
+// methods may be called from several goroutines.
 type Discovery struct {
 	clock Clock
 
-	mu      sync.Mutex
-	changed *sync.Cond
-	list    *registry.Registry
-	down    bool
-	paused  bool // heartbeats and changes stay inside
-	// each door is an agent's: it answers from what it has been sent, and is silent while discovery is
-	// down
+	mu           sync.Mutex
+	stateChanged *sync.Cond
+	list         *registry.Registry
+	down         bool
+	paused       bool // neither heartbeats nor changes are written to watches
+	// pushed means that each listener is that of an agent, to which discovery pushes the list. The agent answers
+	// with the last list that it received, and writes nothing to watches while discovery is down.
 	pushed    bool
 	lag       time.Duration
-	unpushed  []Entry // where lists are pushed: what discovery knows and no agent does
+	unpushed  []Entry // with pushed: changes that no agent has received
 	listeners map[string]*gatewayListener
 	calls     int
 	closed    bool
 	running   sync.WaitGroup
 }
 
+// gatewayListener is the listener for one gateway, with its open connections.
 type gatewayListener struct {
 	addr  string
 	ln    net.Listener
 	conns map[net.Conn]bool
 }
 
-// NewDiscovery returns a discovery that lists nothing. A change shows after the lag.
+// NewDiscovery returns a Discovery with an empty list. A change becomes visible after the lag.
 func NewDiscovery(clock Clock, lag time.Duration) *Discovery {
 	d := &Discovery{clock: clock, lag: lag, list: registry.New(), listeners: make(map[string]*gatewayListener)}
-	d.changed = sync.NewCond(&d.mu)
+	d.stateChanged = sync.NewCond(&d.mu)
 	return d
 }
 
-// Open opens a gateway's door, or moves it: the old one then accepts nothing more, and closes its connections
-// after a while.
+// Open starts to listen for a gateway at addr and returns the address, in which port 0 is replaced. If there is
+// already a listener for the gateway, Open closes it, and closes its connections after moveGracePeriod.
 func (d *Discovery) Open(gateway, addr string) (string, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -91,6 +93,7 @@
 	return l.addr, nil
 }
 
+// accept serves each connection of a listener until the listener is closed.
 func (d *Discovery) accept(gateway string, l *gatewayListener) {
 	for {
 		c, err := l.ln.Accept()
@@ -115,6 +118,7 @@
 	}
 }
 
+// serve answers the requests of one connection: a call with the whole list, a watch with a stream of changes.
 func (d *Discovery) serve(gateway string, c net.Conn) {
 	in := bufio.NewReader(c)
 	for {
@@ -138,7 +142,7 @@
 		case q.Get("stream") == "1":
 			after, _ := strconv.Atoi(q.Get("index"))
 			disconnected := make(chan bool)
-			go func() { _, _ = io.Copy(io.Discard, c); close(disconnected); d.changed.Broadcast() }()
+			go func() { _, _ = io.Copy(io.Discard, c); close(disconnected); d.stateChanged.Broadcast() }()
 			d.watch(gateway, c, after, disconnected)
 			return
 		default:
@@ -152,13 +156,13 @@
 	}
 }
 
-// watch writes what changed after a version, then each change as it comes, and a heartbeat while
-// nothing does.
+// watch writes the changes after a version, then each further change when it occurs, and heartbeats while nothing
+// changes. It returns when the client disconnects, a write fails, or discovery is closed or goes down.
 func (d *Discovery) watch(gateway string, c net.Conn, after int, disconnected chan bool) {
 	if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 		return
 	}
-	heartbeat := time.AfterFunc(heartbeatInterval, d.changed.Broadcast)
+	heartbeat := time.AfterFunc(heartbeatInterval, d.stateChanged.Broadcast)
 	defer heartbeat.Stop()
 	lastWrite, first := d.clock(), true
 	for {
@@ -183,11 +187,11 @@
 			if !d.watchesPaused() && d.clock()-lastWrite >= heartbeatInterval {
 				break
 			}
-			d.changed.Wait()
+			d.stateChanged.Wait()
 		}
 		after, first, lastWrite = d.list.Seq(), false, d.clock()
 		heartbeat.Reset(heartbeatInterval + time.Millisecond)
-		// Written under the lock: what is told is told in order, and the time of it is known.
+		// Written under the lock, so that changes are written in order and the time of notification is exact.
 		_ = c.SetWriteDeadline(time.Now().Add(time.Second))
 		_, err := fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(line)+1, line)
 		if err == nil && line != nil {
@@ -200,21 +204,23 @@
 	}
 }
 
-// Known is the list as it stands, as a gateway that restarts would have it.
+// Known returns the current list in discovery's format, as a restarted gateway would receive it.
 func (d *Discovery) Known(gateway string) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.list.Line(gateway, 0)
 }
 
-// Put enters or changes hosts after the lag, all in one version.
+// Put adds or changes hosts after the lag, all in one version.
 func (d *Discovery) Put(entries ...Entry) { d.putAfter(d.currentLag(), entries) }
 
-// PutNow does so at once.
+// PutNow adds or changes hosts at once, all in one version.
 func (d *Discovery) PutNow(entries ...Entry) { d.putAfter(0, entries) }
 
+// currentLag returns the lag of changes.
 func (d *Discovery) currentLag() time.Duration { d.mu.Lock(); defer d.mu.Unlock(); return d.lag }
 
+// putAfter applies a change after lag, or keeps it in unpushed while it cannot be pushed to the agents.
 func (d *Discovery) putAfter(lag time.Duration, entries []Entry) {
 	if lag > 0 {
 		time.AfterFunc(lag, func() { d.putAfter(0, entries) })
@@ -223,14 +229,14 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.pushed && d.watchesPaused() {
-		d.unpushed = append(d.unpushed, entries...) // the agents have not heard of it
+		d.unpushed = append(d.unpushed, entries...) // the agents have not received it
 		return
 	}
 	d.put(entries)
 }
 
-// put changes the list. Where it is pushed it counts as notified then, whether the gateway reads it or
-// not.
+// put changes the list. With pushed, each gateway counts as notified from then on, whether or not it reads the
+// change. d.mu must be held.
 func (d *Discovery) put(entries []Entry) {
 	d.list.Put(entries...)
 	if d.pushed {
@@ -238,32 +244,34 @@
 			d.list.Note(gateway, d.clock())
 		}
 	}
-	d.changed.Broadcast()
+	d.stateChanged.Broadcast()
 }
 
-// Flap tells every gateway the same list anew, as a discovery does that restarts without its memory.
+// Flap sends every gateway the whole list again, as a discovery service that restarted without its history does.
 func (d *Discovery) Flap() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.list.Flap()
-	d.changed.Broadcast()
+	d.stateChanged.Broadcast()
 }
 
-// SetPushed has lists pushed, from the start on.
+// SetPushed sets whether lists are pushed to an agent of each gateway. Call it at the start of a run.
 func (d *Discovery) SetPushed(on bool) { d.update(func() { d.pushed = on }) }
 
-// watchesPaused reports whether watches hear nothing.
+// watchesPaused reports whether nothing is written to watches. d.mu must be held.
 func (d *Discovery) watchesPaused() bool { return d.paused || d.pushed && d.down }
 
-// SetDown takes discovery down or brings it back: calls get 503, watches end.
+// SetDown sets whether discovery is down: without pushed lists, calls then get 503 and watches end; with
+// pushed lists, the agents receive no changes.
 func (d *Discovery) SetDown(on bool) { d.update(func() { d.down = on }) }
 
-// SetMute makes discovery say nothing more on its open watches, heartbeats included, or speak again.
+// SetMute pauses all output on watches, including heartbeats, or resumes it.
 func (d *Discovery) SetMute(on bool) { d.update(func() { d.paused = on }) }
 
-// SetLag changes how late changes show.
+// SetLag changes the time after which changes become visible.
 func (d *Discovery) SetLag(lag time.Duration) { d.update(func() { d.lag = lag }) }
 
+// update changes the state under the lock, then applies the changes that can now be pushed and wakes the watches.
 func (d *Discovery) update(change func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -272,24 +280,24 @@
 		d.put(d.unpushed)
 		d.unpushed = nil
 	}
-	d.changed.Broadcast()
+	d.stateChanged.Broadcast()
 }
 
-// Told returns when a gateway was told that a host drains or is gone; ok is false if it was not.
+// Told returns when a gateway was notified that a host drains or is removed; ok is false if it was not.
 func (d *Discovery) Told(gateway, host string) (t Told, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.list.Told(gateway, host)
 }
 
-// Forget drops what a gateway was told, as one that has restarted knows it no more.
+// Forget drops the record of a gateway's notifications, as after the gateway's restart.
 func (d *Discovery) Forget(gateway string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.list.Forget(gateway)
 }
 
-// Addr is the address of a gateway's door.
+// Addr returns the address of the listener for a gateway, or an empty string if there is none.
 func (d *Discovery) Addr(gateway string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -299,10 +307,10 @@
 	return ""
 }
 
-// Calls is how often discovery was called.
+// Calls returns the number of requests that discovery received.
 func (d *Discovery) Calls() int { d.mu.Lock(); defer d.mu.Unlock(); return d.calls }
 
-// Close ends discovery.
+// Close closes all listeners and connections and waits for their goroutines.
 func (d *Discovery) Close() {
 	d.mu.Lock()
 	d.closed = true
@@ -312,7 +320,7 @@
 			_ = c.Close()
 		}
 	}
-	d.changed.Broadcast()
+	d.stateChanged.Broadcast()
 	d.mu.Unlock()
 	d.running.Wait()
 }
--- a/internal/lab/emulation/emulation_test.go
+++ b/internal/lab/emulation/emulation_test.go
@@ -16,18 +16,18 @@
 	"thymebend/internal/lab/hostmodel"
 )
 
-const patience = 5 * time.Second
+const testTimeout = 5 * time.Second
 
-func until(t *testing.T, what string, holds func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("no %s within %v", what, testTimeout)
 		}
 	}
 }
 
-func start(t *testing.T, o Options) (*Host, string) {
+func startHost(t *testing.T, o Options) (*Host, string) {
 	t.Helper()
 	h, err := NewHost(hostmodel.Spec{Name: "h1", Cores: 8, Speed: 1, Slots: 8, Queue: 8, Body: 200,
 		Report: hostmodel.Report{Least: time.Millisecond, Most: 5 * time.Millisecond},
@@ -50,15 +50,15 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
-func ask(c net.Conn, id string) {
+func sendRequest(c net.Conn, id string) {
 	fmt.Fprintf(c, "GET /view HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %s\r\nX-Qos: view\r\n\r\n", id)
 }
 
-func read(in *bufio.Reader) (*http.Response, string, error) {
+func readResponse(in *bufio.Reader) (*http.Response, string, error) {
 	r, err := http.ReadResponse(in, nil)
 	if err != nil {
 		return nil, "", err
@@ -67,68 +67,69 @@
 	return r, string(body), err
 }
 
-func TestHostServesAndReports(t *testing.T) {
+func TestHostServesRequestsAndReportsLoad(t *testing.T) {
 	var mu sync.Mutex
-	var heard []string
-	h, addr := start(t, Options{Arrived: func(host, via, id string, _ time.Duration) {
+	var arrivals []string
+	h, addr := startHost(t, Options{Arrived: func(host, via, id string, _ time.Duration) {
 		mu.Lock()
 		defer mu.Unlock()
-		heard = append(heard, host+via+id)
+		arrivals = append(arrivals, host+via+id)
 	}})
 	c := dial(t, addr)
 	in := bufio.NewReader(c)
 	for _, id := range []string{"a", "b"} {
-		ask(c, id)
-		r, body, err := read(in)
+		sendRequest(c, id)
+		r, body, err := readResponse(in)
 		if err != nil || r.StatusCode != 200 || !strings.HasPrefix(body, "id="+id+" host=h1") || len(body) != 200 {
 			t.Fatalf("%v %v %q", r, err, body)
 		}
 		if load := r.Header.Get("Endpoint-Load-Metrics"); !strings.HasPrefix(load, "TEXT busy_reqs=") ||
 			!strings.Contains(load, "pending=") {
-			t.Errorf("load report %q", load)
+			t.Errorf("load report %q, want busy_reqs and pending", load)
 		}
 	}
 	fmt.Fprint(c, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\nGET /view HTTP/1.1\r\nHost: x\r\n\r\n")
-	if r, _, _ := read(in); r.StatusCode != 200 || h.Probes() != 1 {
-		t.Errorf("health: %v, %d probes", r, h.Probes())
+	if r, _, _ := readResponse(in); r.StatusCode != 200 || h.Probes() != 1 {
+		t.Errorf("health check: %v, %d probes counted, want 200 and 1", r, h.Probes())
 	}
-	if r, _, _ := read(in); r.StatusCode != 404 {
-		t.Errorf("without an id: %v", r)
+	if r, _, _ := readResponse(in); r.StatusCode != 404 {
+		t.Errorf("request without an id: %v, want 404", r)
 	}
 	h.Do(func(now time.Duration, m *hostmodel.Host) { m.Drain(now, true) })
-	ask(c, "c")
-	if r, _, _ := read(in); r.StatusCode != 503 || r.Header.Get("X-Never-Ran") != "1" {
-		t.Errorf("draining: %v", r)
+	sendRequest(c, "c")
+	if r, _, _ := readResponse(in); r.StatusCode != 503 || r.Header.Get("X-Never-Ran") != "1" {
+		t.Errorf("request to a draining host: %v, want 503 with X-Never-Ran", r)
 	}
 	l := h.Close()
-	if len(heard) != 3 || heard[0] != "h1ga" || l.EntryOf("a").Ended != 1 || l.EntryOf("c").TurnedAway != 1 ||
+	if len(arrivals) != 3 || arrivals[0] != "h1ga" || l.EntryOf("a").Ended != 1 || l.EntryOf("c").TurnedAway != 1 ||
 		l.EntryOf("c").Begun != 0 {
-		t.Errorf("heard %v; ledger %+v %+v", heard, *l.EntryOf("a"), *l.EntryOf("c"))
+		t.Errorf("arrivals %v; records of the served request %+v, of the rejected one %+v", arrivals,
+			*l.EntryOf("a"), *l.EntryOf("c"))
 	}
 }
 
-// Each fault shows on the wire as it is named, and the request has run all the same.
+// Each fault has its effect on the wire, and the host executes the request nevertheless.
 func TestFaultsOnTheWire(t *testing.T) {
 	isReset := func(err error) bool { return errors.Is(err, syscall.ECONNRESET) }
-	for fault, right := range map[Fault]func(c net.Conn, in *bufio.Reader) bool{
+	for fault, hasFault := range map[Fault]func(c net.Conn, in *bufio.Reader) bool{
 		ResetBefore: func(c net.Conn, in *bufio.Reader) bool { _, err := in.Peek(1); return isReset(err) },
-		ResetMiddle: func(c net.Conn, in *bufio.Reader) bool { _, _, err := read(in); return isReset(err) },
+		ResetMiddle: func(c net.Conn, in *bufio.Reader) bool { _, _, err := readResponse(in); return isReset(err) },
 		Trickle: func(c net.Conn, in *bufio.Reader) bool {
 			_, err := in.Peek(3)
 			return err == nil && in.Buffered() < 10
 		},
 		ShortLength: func(c net.Conn, in *bufio.Reader) bool {
-			_, body, err := read(in)
+			_, body, err := readResponse(in)
 			_, more := in.Peek(100)
 			return err == nil && len(body) == 100 && more == nil
 		},
 		LongLength: func(c net.Conn, in *bufio.Reader) bool {
-			_, body, err := read(in)
+			_, body, err := readResponse(in)
 			return errors.Is(err, io.ErrUnexpectedEOF) && len(body) == 200
 		},
 		ExtraBytes: func(c net.Conn, in *bufio.Reader) bool {
-			_, one, err1 := read(in)
-			_, two, err2 := read(in)
+			_, one, err1 := readResponse(in)
+			_, two, err2 := readResponse(in)
 			return err1 == nil && err2 == nil && one == two
 		},
 		Interim: func(c net.Conn, in *bufio.Reader) bool {
@@ -136,10 +137,10 @@
 			if err != nil || first.StatusCode != 103 {
 				return false
 			}
-			_, body, err := read(in)
+			_, body, err := readResponse(in)
 			return err == nil && len(body) == 200
 		},
-		Garbage: func(c net.Conn, in *bufio.Reader) bool { _, _, err := read(in); return err != nil },
+		Garbage: func(c net.Conn, in *bufio.Reader) bool { _, _, err := readResponse(in); return err != nil },
 		Endless: func(c net.Conn, in *bufio.Reader) bool {
 			r, err := http.ReadResponse(in, nil)
 			if err != nil || r.ContentLength != 3<<30 {
@@ -149,43 +150,43 @@
 			return n == 10000
 		},
 		CloseIdle: func(c net.Conn, in *bufio.Reader) bool {
-			_, _, err := read(in)
+			_, _, err := readResponse(in)
 			_, end := in.Peek(1)
 			return err == nil && end == io.EOF
 		},
 		HalfClose: func(c net.Conn, in *bufio.Reader) bool {
-			_, _, err := read(in)
+			_, _, err := readResponse(in)
 			_, end := in.Peek(1)
-			ask(c, "more") // is read and not answered
+			sendRequest(c, "more") // the host reads it and does not answer
 			_, write := c.Write([]byte("x"))
 			return err == nil && end == io.EOF && write == nil
 		},
 		NoLength: func(c net.Conn, in *bufio.Reader) bool {
-			r, body, err := read(in)
+			r, body, err := readResponse(in)
 			return err == nil && r.ContentLength == -1 && len(body) == 200
 		},
 	} {
 		t.Run(string(fault), func(t *testing.T) {
-			h, addr := start(t, Options{})
+			h, addr := startHost(t, Options{})
 			h.Spoil(fault, 1, "view")
 			c := dial(t, addr)
-			ask(c, "x")
-			if !right(c, bufio.NewReader(c)) {
-				t.Error("does not show as it is named")
+			sendRequest(c, "x")
+			if !hasFault(c, bufio.NewReader(c)) {
+				t.Error("the response on the wire does not have the fault")
 			}
 			c.Close()
 			if e := h.Close().EntryOf("x"); e.Ended != 1 || len(e.Returned) != 1 {
-				t.Errorf("ledger: %+v", *e)
+				t.Errorf("record %+v, want one execution and one response", *e)
 			}
 		})
 	}
 	if len(Faults()) != 12 {
-		t.Errorf("%d faults are known, 12 are tested", len(Faults()))
+		t.Errorf("there are %d faults, 12 are tested", len(Faults()))
 	}
 }
 
-func TestModesOfAMachine(t *testing.T) {
-	h, addr := start(t, Options{Idle: time.Minute})
+func TestHostModes(t *testing.T) {
+	h, addr := startHost(t, Options{Idle: time.Minute})
 	c := dial(t, addr)
 	in := bufio.NewReader(c)
 	set := func(m Mode) {
@@ -194,50 +195,50 @@
 			t.Fatal(err)
 		}
 	}
-	quiet := func(c net.Conn, in *bufio.Reader) bool {
+	noBytes := func(c net.Conn, in *bufio.Reader) bool {
 		_ = c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		_, err := in.Peek(1)
-		_ = c.SetReadDeadline(time.Now().Add(patience))
+		_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 		var timeout net.Error
 		return errors.As(err, &timeout) && timeout.Timeout()
 	}
 	for _, m := range []Mode{Silent, Hung, NoReply} {
 		set(m)
-		ask(c, string(m))
-		if !quiet(c, in) {
-			t.Errorf("%s: something came", m)
+		sendRequest(c, string(m))
+		if !noBytes(c, in) {
+			t.Errorf("mode %s: bytes arrived, want none", m)
 		}
 		set(Up)
-		if _, body, err := read(in); err != nil || !strings.Contains(body, "id="+string(m)) {
-			t.Errorf("after %s: %v %q", m, err, body)
+		if _, body, err := readResponse(in); err != nil || !strings.Contains(body, "id="+string(m)) {
+			t.Errorf("after mode %s: error %v, body %q", m, err, body)
 		}
 	}
 	set(Refuse)
 	if _, err := in.Peek(1); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the death of a process: %v", err)
+		t.Errorf("open connection after mode refuse: %v, want a reset", err)
 	}
 	if _, err := net.Dial("tcp", addr); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("dialing a dead process: %v", err)
+		t.Errorf("dial in mode refuse: %v, want connection refused", err)
 	}
 	set(Up)
 	c = dial(t, addr)
-	ask(c, "again")
-	if _, body, err := read(bufio.NewReader(c)); err != nil || !strings.Contains(body, "id=again") {
-		t.Errorf("after a restart: %v %q", err, body)
+	sendRequest(c, "again")
+	if _, body, err := readResponse(bufio.NewReader(c)); err != nil || !strings.Contains(body, "id=again") {
+		t.Errorf("after the restart: error %v, body %q", err, body)
 	}
 }
 
 func TestIdleConnectionsAreClosed(t *testing.T) {
-	h, addr := start(t, Options{Idle: 30 * time.Millisecond})
+	h, addr := startHost(t, Options{Idle: 30 * time.Millisecond})
 	c := dial(t, addr)
 	if _, err := bufio.NewReader(c).Peek(1); err != io.EOF {
-		t.Errorf("an idle connection: %v", err)
+		t.Errorf("idle connection: %v, want EOF", err)
 	}
-	until(t, "the table to be empty", func() bool { return h.Conns() == 0 })
+	waitFor(t, "empty table of connections", func() bool { return h.Conns() == 0 })
 }
 
-// lines reads a watch line by line.
-func lines(t *testing.T, addr, target string) (next func() string, c net.Conn) {
+// openWatch opens a watch at addr and returns a function that reads its next line, or the text of the read error.
+func openWatch(t *testing.T, addr, target string) (next func() string, c net.Conn) {
 	t.Helper()
 	c = dial(t, addr)
 	fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", target)
@@ -255,7 +256,7 @@
 	}, c
 }
 
-func TestDiscoveryTellsListChangesAndBeats(t *testing.T) {
+func TestDiscoverySendsListChangesAndHeartbeats(t *testing.T) {
 	clock := NewClock()
 	d := NewDiscovery(clock, 0)
 	defer d.Close()
@@ -266,42 +267,44 @@
 	one := Entry{Host: "one", Site: "suva", Kind: "k", State: StateUp, Dial: map[string]string{"g": "127.0.0.1:1"}}
 	two := Entry{Host: "two", Site: "suva", Kind: "k", State: StateUp, Dial: map[string]string{"g": "127.0.0.1:2"}}
 	d.Put(one, two)
-	next, _ := lines(t, addr, "/v1/servers?stream=1&index=0")
+	next, _ := openWatch(t, addr, "/v1/servers?stream=1&index=0")
 	if l := next(); !strings.Contains(l, `"seq":1,"whole":true`) || !strings.Contains(l, `"dial":"127.0.0.1:2"`) {
-		t.Errorf("first line %s", l)
+		t.Errorf("first line %s, want the whole list in version 1", l)
 	}
 	two.State = StateDraining
 	d.Put(two)
-	if l := next(); !strings.Contains(l, `"seq":2,"whole":false`) || strings.Contains(l, `"one"`) || !strings.Contains(l, `"draining"`) {
-		t.Errorf("change %s", l)
+	if l := next(); !strings.Contains(l, `"seq":2,"whole":false`) || strings.Contains(l, `"one"`) ||
+		!strings.Contains(l, `"draining"`) {
+		t.Errorf("change %s, want only the draining host in version 2", l)
 	}
-	told, ok := d.Told("g", "two")
-	if _, other := d.Told("g", "one"); !ok || other || told.State != StateDraining || told.At > clock() {
-		t.Errorf("told %+v %v", told, ok)
+	notification, ok := d.Told("g", "two")
+	if _, other := d.Told("g", "one"); !ok || other || notification.State != StateDraining ||
+		notification.At > clock() {
+		t.Errorf("notification %+v, %v; want one of the draining host only", notification, ok)
 	}
 	if l := next(); l != "" {
-		t.Errorf("a beat: %q", l)
+		t.Errorf("heartbeat %q, want an empty line", l)
 	}
-	// A later watch begins where it left off; what is gone is not in a whole list.
+	// A later watch starts at the version in its request; a whole list has no removed hosts.
 	two.State = StateRemoved
 	d.Put(two)
-	if after, ok := d.Told("g", "two"); !ok || after.At != told.At {
-		t.Errorf("the first notice counts: %+v, was %+v", after, told)
+	if after, ok := d.Told("g", "two"); !ok || after.At != notification.At {
+		t.Errorf("notification after a second change %+v, want the first one, %+v", after, notification)
 	}
-	again, _ := lines(t, addr, "/v1/servers?stream=1&index=2")
+	again, _ := openWatch(t, addr, "/v1/servers?stream=1&index=2")
 	if l := again(); !strings.Contains(l, `"removed"`) || strings.Contains(l, `"one"`) {
-		t.Errorf("since version 2: %s", l)
+		t.Errorf("watch since version 2: %s, want only the removed host", l)
 	}
 	if l := string(d.Known("g")); strings.Contains(l, `"two"`) || !strings.Contains(l, `"one"`) {
-		t.Errorf("known %s", l)
+		t.Errorf("whole list %s, want it without the removed host", l)
 	}
 	d.Forget("g")
 	if _, ok := d.Told("g", "two"); ok {
-		t.Error("a restarted gateway still knows")
+		t.Error("there is still a notification of the gateway after Forget")
 	}
 }
 
-func TestDiscoveryFails(t *testing.T) {
+func TestDiscoveryFailures(t *testing.T) {
 	d := NewDiscovery(NewClock(), 0)
 	defer d.Close()
 	addr, err := d.Open("g", "127.0.0.1:0")
@@ -309,48 +312,48 @@
 		t.Fatal(err)
 	}
 	d.Put(Entry{Host: "one", State: StateUp})
-	next, _ := lines(t, addr, "/v1/servers?stream=1&index=0")
+	next, _ := openWatch(t, addr, "/v1/servers?stream=1&index=0")
 	next()
 	d.SetDown(true)
 	if l := next(); !strings.Contains(l, "reset") && !strings.Contains(l, "EOF") {
-		t.Errorf("a watch of a discovery that is down: %q", l)
+		t.Errorf("watch after discovery went down: %q, want a reset or EOF", l)
 	}
 	c := dial(t, addr)
 	fmt.Fprint(c, "GET /v1/servers HTTP/1.1\r\nHost: x\r\n\r\n")
-	if r, _, err := read(bufio.NewReader(c)); err != nil || r.StatusCode != 503 {
-		t.Errorf("down: %v %v", r, err)
+	if r, _, err := readResponse(bufio.NewReader(c)); err != nil || r.StatusCode != 503 {
+		t.Errorf("call while discovery is down: %v %v, want 503", r, err)
 	}
 	d.SetDown(false)
-	next, _ = lines(t, addr, "/v1/servers?stream=1&index=1")
+	next, _ = openWatch(t, addr, "/v1/servers?stream=1&index=1")
 	next()
 	d.SetMute(true)
 	d.Put(Entry{Host: "two", State: StateUp})
 	d.SetMute(false)
 	if l := next(); !strings.Contains(l, `"two"`) {
-		t.Errorf("after silence: %q", l)
+		t.Errorf("after the watches were resumed: %q, want the change", l)
 	}
 	d.Flap()
 	if l := next(); !strings.Contains(l, `"seq":1002`) || !strings.Contains(l, `"one"`) {
-		t.Errorf("after a flap: %q", l)
+		t.Errorf("after the loss of history: %q, want the whole list in version 1002", l)
 	}
 	moved, err := d.Open("g", "127.0.0.1:0")
 	if err != nil || moved == addr || d.Addr("g") != moved {
-		t.Fatalf("moved to %s: %v", moved, err)
+		t.Fatalf("discovery moved to %s: %v", moved, err)
 	}
 	if _, err := net.Dial("tcp", addr); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("the old address: %v", err)
+		t.Errorf("dial of the old address: %v, want connection refused", err)
 	}
 	d.Put(Entry{Host: "three", State: StateUp})
 	if l := next(); !strings.Contains(l, `"three"`) {
-		t.Errorf("the old watch, still open: %q", l)
+		t.Errorf("old watch within its grace period: %q, want the change", l)
 	}
 	if l := next(); !strings.Contains(l, "EOF") {
-		t.Errorf("the old watch, after its time: %q", l)
+		t.Errorf("old watch after its grace period: %q, want EOF", l)
 	}
 }
 
-// Where lists are pushed the door is an agent's: silent while discovery is down, it answers with what
-// it has, and what it is sent counts as notified without a watch.
+// With pushed lists, gateways talk to an agent. While discovery is down, the agent answers with the last list and
+// sends no changes. A gateway counts as notified when the agent receives a change, even without a watch.
 func TestPushedDiscovery(t *testing.T) {
 	d := NewDiscovery(NewClock(), 0)
 	defer d.Close()
@@ -364,42 +367,42 @@
 	d.SetDown(true)
 	one.State = StateDraining
 	d.Put(one)
-	next, _ := lines(t, addr, "/v1/servers?stream=1&index=0")
+	next, _ := openWatch(t, addr, "/v1/servers?stream=1&index=0")
 	if l := next(); !strings.Contains(l, `"seq":1,"whole":true`) || !strings.Contains(l, `"up"`) {
-		t.Errorf("while discovery is down: %s", l)
+		t.Errorf("first line while discovery is down: %s, want the list of version 1", l)
 	}
 	if _, ok := d.Told("g", "one"); ok {
-		t.Error("told what no agent has heard")
+		t.Error("the gateway counts as notified of a change that no agent has received")
 	}
 	d.SetDown(false)
 	if l := next(); !strings.Contains(l, `"seq":2`) || !strings.Contains(l, `"draining"`) {
-		t.Errorf("afterwards: %s", l)
+		t.Errorf("change after discovery is up again: %s, want version 2", l)
 	}
 	if _, ok := d.Told("g", "one"); !ok {
-		t.Error("what the agent has does not count as told")
+		t.Error("the gateway does not count as notified of a change that its agent has received")
 	}
 }
 
-// A host whose port was taken while it was down says so, and can be ended all the same.
-func TestRestartOnATakenPort(t *testing.T) {
+// A restart of a host whose port is in use returns an error, and the host can still be closed.
+func TestRestartOnPortInUse(t *testing.T) {
 	h, err := NewHost(hostmodel.Spec{Name: "h", Cores: 1, Speed: 1, Slots: 1, Queue: 1}, NewClock(), Options{Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	at, err := h.Open("g", "127.0.0.1:0")
+	addr, err := h.Open("g", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := h.SetMode(Refuse); err != nil {
 		t.Fatal(err)
 	}
-	taken, err := net.Listen("tcp", at)
+	blocker, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
+	defer blocker.Close()
 	if err := h.SetMode(Up); err == nil {
-		t.Error("it is said to be up, without its port")
+		t.Error("SetMode returned no error although the port is in use")
 	}
 	h.Close()
 }
--- a/internal/lab/emulation/faults.go
+++ b/internal/lab/emulation/faults.go
@@ -8,21 +8,22 @@
 	"time"
 )
 
-// Fault spoils a share of a host's answers. The request has run, apart from ResetBefore.
+// Fault is a way in which a host's response is faulty on the wire. The host has executed the request.
 type Fault string
 
-// Faults lists them.
+// Faults returns all faults.
 func Faults() []Fault {
 	return []Fault{ResetBefore, ResetMiddle, Trickle, ShortLength, LongLength, ExtraBytes, Interim, Garbage, Endless,
 		CloseIdle, HalfClose, NoLength}
 }
 
+// faultShare is the share of the responses, of one class or of all, that get a fault.
 type faultShare struct {
 	share float64
 	class string
 }
 
-// writeFaulty writes a spoilt answer, and reports whether the connection goes on.
+// writeFaulty writes a response with a fault and reports whether the connection stays open.
 func (h *Host) writeFaulty(c *conn, f Fault, load string, body []byte) bool {
 	whole := buildResponse(200, load, len(body), body)
 	switch f {
@@ -62,13 +63,13 @@
 	return true
 }
 
-// writeAll writes an answer and reports whether all of it could be.
+// writeAll writes data and reports whether all of it was written.
 func writeAll(c net.Conn, data []byte) bool {
 	_, err := c.Write(data)
 	return err == nil
 }
 
-// trickle writes an answer byte by byte.
+// trickle writes a response byte by byte, one every trickleInterval, and reports whether all of it was written.
 func trickle(c net.Conn, data []byte) bool {
 	for i := range data {
 		if !writeAll(c, data[i:i+1]) {
@@ -79,7 +80,7 @@
 	return true
 }
 
-// endless writes the begin of an answer and goes on until the other side ends the connection.
+// endless writes the start of a response, then pieces of its body until the peer closes the connection.
 func endless(c net.Conn, begin []byte) bool {
 	if !writeAll(c, begin) {
 		return false
@@ -90,7 +91,7 @@
 	return false
 }
 
-// halfClose writes an answer, ends its sending and goes on reading.
+// halfClose writes a response, closes the sending side of the connection and reads until the peer closes.
 func halfClose(c *conn, data []byte) {
 	_, _ = c.Write(data)
 	if t, ok := c.Conn.(*net.TCPConn); ok {
@@ -99,7 +100,7 @@
 	_, _ = io.Copy(io.Discard, c)
 }
 
-// randomBytes draws bytes that are no answer.
+// randomBytes returns random bytes, which are not an HTTP response.
 func (h *Host) randomBytes(size int) []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -110,8 +111,8 @@
 	return data
 }
 
-// Spoil makes a share of the answers faulty, of one class or, with an empty class, of all. A zero share
-// ends it.
+// Spoil gives a share of the responses the fault f: of one class or, with an empty class, of all. A share of 0
+// ends the fault.
 func (h *Host) Spoil(f Fault, share float64, class string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -120,9 +121,9 @@
 	}
 }
 
-// drawFault picks the fault of an answer, if it has one.
+// drawFault draws the fault of a response of class, or an empty string for none. h.mu must be held.
 func (h *Host) drawFault(class string) Fault {
-	for _, f := range Faults() { // in a stated order, so that a seed gives the same faults
+	for _, f := range Faults() { // in a fixed order, so that a seed always gives the same faults
 		if s, ok := h.faults[f]; ok && (s.class == "" || s.class == class) && h.rand.Float64() < s.share {
 			return f
 		}
@@ -130,7 +131,7 @@
 	return ""
 }
 
-// resetConn closes a connection so that the other side sees a reset.
+// resetConn closes a connection with a TCP reset.
 func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
--- a/internal/lab/emulation/host.go
+++ b/internal/lab/emulation/host.go
@@ -1,5 +1,6 @@
-// Package emulation plays the gateway's peers on real loopback sockets: hosts that run the fleet's
-// model, with every failure that sockets have, and discovery. Everything can be changed while it runs.
+// Package emulation emulates the gateway's peers on real loopback sockets: hosts that run the model of package
+// hostmodel, with failures of the host and faults of its connections, and the discovery service. All failures and
+// settings can be changed during a run.
 package emulation
 
 import (
@@ -17,49 +18,49 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// Clock tells the time of the run.
+// Clock returns the time since the start of the run.
 type Clock func() time.Duration
 
-// NewClock starts a clock at zero.
+// NewClock returns a clock that starts at zero now.
 func NewClock() Clock {
 	began := time.Now()
 	return func() time.Duration { return time.Since(began) }
 }
 
-// The modes.
+// The modes of a host.
 const (
 	Up      Mode = "up"
-	Refuse  Mode = "refuse"  // the process has ended: its connections are reset, new ones refused
-	Silent  Mode = "silent"  // the machine is cut off: connections come up or stand, nothing is read or answered
-	Hung    Mode = "hung"    // the process is stopped: it holds what it has and begins nothing
-	NoReply Mode = "noreply" // requests run, answers stay inside
+	Refuse  Mode = "refuse"  // the process has ended: its connections are reset, new ones are refused
+	Silent  Mode = "silent"  // the machine is unreachable: connections open and stay open, nothing is read or answered
+	Hung    Mode = "hung"    // the process is suspended: it executes nothing and keeps the requests that it holds
+	NoReply Mode = "noreply" // requests are executed, no response is sent
 )
 
-// The faults.
+// The faults of a response.
 const (
-	ResetBefore Fault = "reset-before" // reset instead of the answer
-	ResetMiddle Fault = "reset-middle" // reset in the middle of the answer
-	Trickle     Fault = "trickle"      // the answer comes byte by byte
-	ShortLength Fault = "short-length" // Content-Length below the body: the rest lies on the connection
-	LongLength  Fault = "long-length"  // Content-Length above the body, then the end
-	ExtraBytes  Fault = "extra-bytes"  // a second copy of the answer follows the first
-	Interim     Fault = "interim"      // 1xx answers in front
-	Garbage     Fault = "garbage"      // no HTTP at all
-	Endless     Fault = "endless"      // an answer that does not end
-	CloseIdle   Fault = "close-idle"   // the connection closes soon after the answer
-	HalfClose   Fault = "half-close"   // the host ends its sending after the answer and goes on reading
-	NoLength    Fault = "no-length"    // the answer's end is the connection's
+	ResetBefore Fault = "reset-before" // reset instead of the response
+	ResetMiddle Fault = "reset-middle" // reset in the middle of the response
+	Trickle     Fault = "trickle"      // the response is written byte by byte
+	ShortLength Fault = "short-length" // Content-Length below the body's length: the other bytes follow the response
+	LongLength  Fault = "long-length"  // Content-Length above the body's length, then the connection closes
+	ExtraBytes  Fault = "extra-bytes"  // a second copy of the response follows the first
+	Interim     Fault = "interim"      // an interim (1xx) response before the response
+	Garbage     Fault = "garbage"      // random bytes instead of HTTP
+	Endless     Fault = "endless"      // a response that does not end
+	CloseIdle   Fault = "close-idle"   // the connection closes closeIdleDelay after the response
+	HalfClose   Fault = "half-close"   // the host closes its sending side after the response and continues to read
+	NoLength    Fault = "no-length"    // no Content-Length: the end of the connection ends the response
 )
 
-// Fields names what a host reports: requests waiting, requests held, errors a second.
+// Fields has the names of the values in a host's load report: requests waiting, requests held, errors per second.
 type Fields struct{ Queue, InFlight, Errors string }
 
-// DefaultFields are the names that our gateway's settings use.
+// DefaultFields returns the names that the gateway's settings use.
 func DefaultFields() Fields {
 	return Fields{Queue: "pending", InFlight: "busy_reqs", Errors: "failed_ps"}
 }
 
-// Limits of what a host reads and of how long it plays dead.
+// The limit of a request's body, and the times of the faults that delay a response.
 const (
 	maxBody         = 64 << 10
 	trickleInterval = 20 * time.Millisecond
@@ -67,11 +68,12 @@
 	endlessInterval = 10 * time.Millisecond
 )
 
-// Arrived is told of every request as its first byte came, before the host runs it.
+// Arrived is called with every request before the host's model gets it. via is the gateway, first is the time of
+// the request's first byte.
 type Arrived func(host, via, id string, first time.Duration)
 
-// Host is a host on sockets. Each gateway reaches it through a door of its own, so that what came from whom
-// is known.
+// Host is an emulated host on sockets. Each gateway connects to a separate listener, so that the host knows which
+// gateway sent a request. Its methods may be called from several goroutines.
 type Host struct {
 	Name        string
 	fields      Fields
@@ -90,34 +92,36 @@
 	timer        *time.Timer
 	faults       map[Fault]faultShare
 	probes       int
-	modeChanged  *sync.Cond // a change of mode
+	modeChanged  *sync.Cond // signals a change of mode, or Close
 	closed       bool
 	running      sync.WaitGroup
 }
 
+// hostListener is the listener for one gateway.
 type hostListener struct {
 	gateway string
 	addr    string
 	ln      net.Listener
 }
 
+// conn is a connection from a gateway.
 type conn struct {
 	net.Conn
 	gateway string
-	model   *hostmodel.Host // that took it: a host that restarts has a new one
+	model   *hostmodel.Host // the model that counts the connection; a restart of the host makes a new model
 }
 
-// Options of a host.
+// Options are the settings of a Host.
 type Options struct {
 	Fields  Fields
-	Idle    time.Duration // a connection idle for this long is closed; 0 means never
+	Idle    time.Duration // idle timeout of connections; 0 means none
 	Arrived Arrived       // may be nil
 	Seed    uint64
 	Cold    bool
-	Cell    int // of the hosts that drop one another's repeats
+	Cell    int // hosts of the same cell drop repeats of each other's keyed requests
 }
 
-// NewHost starts a host's model; doors are opened one by one.
+// NewHost starts a host's model. The host listens only after Open.
 func NewHost(spec hostmodel.Spec, clock Clock, o Options) (*Host, error) {
 	l := requestrecord.NewEndpointRecord(spec.Name)
 	l.Cell = o.Cell
@@ -136,7 +140,7 @@
 	return h, nil
 }
 
-// Open opens a door for a gateway at an address; port 0 takes a free one. It returns the address.
+// Open starts to listen for a gateway at an address and returns the address. Port 0 selects a free port.
 func (h *Host) Open(gateway, addr string) (string, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -150,6 +154,7 @@
 	return l.addr, nil
 }
 
+// accept serves each connection of a listener until the listener is closed.
 func (h *Host) accept(l *hostListener, ln net.Listener) {
 	for {
 		raw, err := ln.Accept()
@@ -157,7 +162,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(time.Millisecond) // out of descriptors
+			time.Sleep(time.Millisecond) // no descriptor is free
 			continue
 		}
 		h.mu.Lock()
@@ -174,14 +179,14 @@
 	}
 }
 
-// waitWhileSilent waits while the machine is cut off. It is called with the lock held.
+// waitWhileSilent waits until the machine is reachable or the host is closed. h.mu must be held.
 func (h *Host) waitWhileSilent() {
 	for h.mode == Silent && !h.closed {
 		h.modeChanged.Wait()
 	}
 }
 
-// serve takes one request after another from a connection.
+// serve reads and answers the requests of a connection, one after another, until the connection ends.
 func (h *Host) serve(c *conn) {
 	defer func() {
 		_ = c.Close()
@@ -215,7 +220,8 @@
 	}
 }
 
-// handleRequest answers a whole request and reports whether the connection goes on.
+// handleRequest answers a request that was read whole, and reports whether the connection stays open. first is
+// the time of the request's first byte.
 func (h *Host) handleRequest(c *conn, r *http.Request, first time.Duration) bool {
 	h.mu.Lock()
 	h.waitWhileSilent()
@@ -267,7 +273,7 @@
 	return writeResponse(c, 200, load, reply.Body)
 }
 
-// loadHeader words the load report as a header line; empty if there is none.
+// loadHeader returns the load report as a header line, or an empty string if there is none. h.mu must be held.
 func (h *Host) loadHeader(now time.Duration) string {
 	l, ok := h.model.Report(now)
 	if !ok {
@@ -277,18 +283,21 @@
 		h.fields.Queue, l.Queue, h.fields.Errors, l.Errors)
 }
 
+// writeResponse writes a response and reports whether all of it was written. fields has further header lines.
 func writeResponse(c net.Conn, status int, fields string, body []byte) bool {
 	_, err := c.Write(buildResponse(status, fields, len(body), body))
 	return err == nil
 }
 
+// buildResponse returns a response whose Content-Length is length, which may differ from the length of body.
 func buildResponse(status int, fields string, length int, body []byte) []byte {
 	head := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n", status, http.StatusText(status),
 		fields, length)
 	return append(head, body...)
 }
 
-// deliverReplies hands out the replies that are due and sets the timer for the next. It is called with the lock held.
+// deliverReplies passes the replies that are due to the waiting connections and sets the timer for the next. h.mu
+// must be held.
 func (h *Host) deliverReplies(now time.Duration) {
 	for _, r := range h.model.Advance(now) {
 		if w := h.replyWaiters[r.Token]; w != nil {
@@ -303,6 +312,7 @@
 	}
 }
 
+// onTimer delivers replies when the model's next change is due.
 func (h *Host) onTimer() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -311,7 +321,7 @@
 	}
 }
 
-// Do changes or reads the model under the host's lock.
+// Do calls f with the present time and the model under the host's lock, then delivers the replies that are due.
 func (h *Host) Do(f func(now time.Duration, m *hostmodel.Host)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -320,7 +330,7 @@
 	h.deliverReplies(now)
 }
 
-// Addr is the address of a gateway's door.
+// Addr returns the address of the listener for a gateway, or an empty string if there is none.
 func (h *Host) Addr(gateway string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -332,13 +342,14 @@
 	return ""
 }
 
-// Probes is how many times the host was asked for its health or load.
+// Probes returns the number of requests for the host's health or load.
 func (h *Host) Probes() int { h.mu.Lock(); defer h.mu.Unlock(); return h.probes }
 
-// Conns is the number of open connections.
+// Conns returns the number of open connections.
 func (h *Host) Conns() int { h.mu.Lock(); defer h.mu.Unlock(); return len(h.conns) }
 
-// Close ends the host and returns its record, at rest.
+// Close closes all listeners and connections, waits for their goroutines and returns the host's record, which
+// does not change any more.
 func (h *Host) Close() *requestrecord.EndpointRecord {
 	h.mu.Lock()
 	h.closed = true
--- a/internal/lab/emulation/mode.go
+++ b/internal/lab/emulation/mode.go
@@ -8,13 +8,15 @@
 	"thymebend/internal/lab/hostmodel"
 )
 
-// Mode is how a host's machine behaves as a whole.
+// Mode is how a host behaves as a whole.
 type Mode string
 
-// Modes lists them.
+// Modes returns all modes.
 func Modes() []Mode { return []Mode{Up, Refuse, Silent, Hung, NoReply} }
 
-// SetMode changes how the machine behaves.
+// SetMode changes the mode. A change to Refuse crashes the model and resets all connections; a change from Refuse
+// to another mode restarts the host. SetMode returns an error if the restarted host cannot listen at its old
+// addresses.
 func (h *Host) SetMode(m Mode) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -41,7 +43,7 @@
 	return nil
 }
 
-// restart begins anew, at the same addresses and with the same record. Called with the lock held.
+// restart replaces the model and listens again at the same addresses. The record stays. h.mu must be held.
 func (h *Host) restart(now time.Duration, cold bool) error {
 	model, err := hostmodel.New(h.model.Spec(), h.rand.Uint64(), now, cold, h.record)
 	if err != nil {
@@ -51,7 +53,7 @@
 	for _, l := range h.listeners {
 		ln, err := net.Listen("tcp", l.addr)
 		if err != nil {
-			return fmt.Errorf("host %s: %w", h.Name, err) // the door keeps its old listener, which is closed
+			return fmt.Errorf("host %s: %w", h.Name, err) // l keeps its old listener, which is closed
 		}
 		l.ln = ln
 		h.running.Go(func() { h.accept(l, ln) })
--- a/internal/lab/hostmodel/faults.go
+++ b/internal/lab/hostmodel/faults.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Fall ends the host for good, and with it all that it holds.
+// Fall crashes the host permanently. All requests that it holds end as Lost.
 func (h *Host) Fall(now time.Duration) { h.advanceTo(now); h.crash() }
 
-// crash ends all that the host holds.
+// crash marks the host as down and ends all requests that it holds as Lost.
 func (h *Host) crash() {
 	h.down = true
 	for _, x := range append(h.running, h.waiting...) {
@@ -14,20 +14,20 @@
 	h.running, h.waiting = nil, nil
 }
 
-// Drain makes the host finish what it has and turn away the rest, or takes that back.
+// Drain starts or ends draining: a draining host finishes the requests that it holds and rejects new ones.
 func (h *Host) Drain(now time.Duration, on bool) { h.advanceTo(now); h.draining = on }
 
-// Hold stops the host, as a stopped process, until it is let go.
+// Hold suspends the host like a stopped process, or resumes it.
 func (h *Host) Hold(now time.Duration, on bool) { h.advanceTo(now); h.suspended = on }
 
-// PauseFor stops the host for a time.
+// PauseFor suspends the host for a time, at least until the end of a pause in progress.
 func (h *Host) PauseFor(now, length time.Duration) {
 	h.advanceTo(now)
 	h.pauseEnd = max(h.pauseEnd, now+length)
 }
 
-// SetNeighbour lets another program in, at work from now on; a zero share takes it away. With no times on and
-// off it stays.
+// SetNeighbour starts another program on the machine, which is active from now on; a zero share removes it.
+// Without both an On and an Off time it is active all the time.
 func (h *Host) SetNeighbour(now time.Duration, n Neighbour) {
 	h.advanceTo(now)
 	h.spec.Neighbour, h.neighbourShare, h.neighbourToggleAt, h.neighbourOn = n, n.Share, never, true
@@ -39,15 +39,16 @@
 // SetSpeed changes the speed of the cores.
 func (h *Host) SetSpeed(now time.Duration, speed float64) { h.advanceTo(now); h.spec.Speed = speed }
 
-// SetErrors changes the share of attempts that fail.
+// SetErrors changes the share of requests that end as Errored.
 func (h *Host) SetErrors(now time.Duration, rate float64) { h.advanceTo(now); h.spec.ErrorRate = rate }
 
-// Heavy makes a share of a class's requests cost a multiple of their work, until a time.
+// Heavy multiplies the work of a share of a class's requests by factor, until the given time.
 func (h *Host) Heavy(now time.Duration, class string, share, factor float64, until time.Duration) {
 	h.advanceTo(now)
 	h.workFactors = append(h.workFactors, workFactor{class, share, factor, until})
 }
 
+// drawWorkFactor returns the factor for the work of a request of class, drawn from the factors in force.
 func (h *Host) drawWorkFactor(class string) float64 {
 	factor := 1.0
 	for _, f := range h.workFactors {
--- a/internal/lab/hostmodel/host.go
+++ b/internal/lab/hostmodel/host.go
@@ -1,7 +1,8 @@
-// Package hostmodel is a pure model of one host: cores, slots and a bounded waiting room, work drawn by
-// class, and what troubles hosts in service. It does no I/O and has no clock: time is passed in,
-// counted from the run's start, and never runs backward. The same seed and the same calls give the same
-// replies. The stand-in hosts run it on sockets; simulations run it on a virtual clock.
+// Package hostmodel is a pure model of one host: its cores, execution slots and bounded queue, the work of
+// requests drawn at random by class, and faults of hosts in service such as pauses, overload and slow start. It
+// does no I/O and has no clock: the caller passes in the time since the start of the run, which must not
+// decrease. The same seed and the same calls give the same replies. Emulated hosts run the model on sockets;
+// simulations run it on a virtual clock.
 package hostmodel
 
 import (
@@ -17,43 +18,47 @@
 
 // The kinds of replies.
 const (
-	Served     Kind = iota // it ran
-	Errored                // it ran and failed
-	TurnedAway             // it never ran
-	Lost                   // the host fell over with it
+	Served     Kind = iota // it was executed
+	Errored                // it was executed and failed
+	TurnedAway             // it was rejected and never executed
+	Lost                   // the host was down, or crashed while it held the request
 )
 
-// String is for reports.
+// String returns the name that reports use.
 func (k Kind) String() string { return [...]string{"served", "errored", "turned away", "lost"}[k] }
 
+// execution is a request that waits or runs.
 type execution struct {
 	Request
 	token         uint64
 	remainingWork float64 // seconds of work on a core of speed 1
 }
 
+// sentWork is the mean work of a request that was sent during slow start.
 type sentWork struct {
 	at   time.Duration
 	work float64
 }
 
+// workFactor multiplies the work of a share of a class's requests until a time.
 type workFactor struct {
 	class         string
 	share, factor float64
 	until         time.Duration
 }
 
+// delayedReport is a load report that replaces the previous one at visibleAt.
 type delayedReport struct {
 	visibleAt time.Duration
 	load      Load
 }
 
-// Host is a running host.
+// Host is the model of a running host. Its methods must be called by one goroutine at a time.
 type Host struct {
 	spec        Spec
 	rand        *rand.Rand
-	ledger      *requestrecord.EndpointRecord
-	now         time.Duration // the model stands at this time
+	record      *requestrecord.EndpointRecord
+	now         time.Duration // the time up to which the model has run
 	down        bool
 	draining    bool
 	running     []*execution
@@ -69,46 +74,49 @@
 	reportState
 }
 
-// slowStartState is how a host warms up, and what it was sent meanwhile.
+// slowStartState is the progress of a host's slow start, and the work that was sent to the host during it.
 type slowStartState struct {
 	startedAt       time.Duration
-	inSlowStart     bool    // born cold
-	workDone        float64 // work done since birth
-	capacityShare   float64 // share of the capacity reached, as of the last step of warming
+	inSlowStart     bool    // the host started with reduced capacity
+	workDone        float64 // work done since the start, in seconds on a core of speed 1
+	capacityShare   float64 // share of the full capacity, as of the last slow-start step
 	nextWarmStep    time.Duration
-	sentWindow      []sentWork
-	sentWindowWork  float64
-	peakBudgetShare float64 // largest share of the slow-start budget used
+	sentWindow      []sentWork // sent within the window of the crash budget
+	sentWindowWork  float64    // sum of sentWindow
+	peakBudgetShare float64    // largest share of the slow-start budget used
 }
 
-// pauseState is when a host stands still.
+// pauseState is when a host executes nothing.
 type pauseState struct {
 	nextPause, pauseEnd time.Duration
-	suspended           bool // stopped until it is resumed
+	suspended           bool // executes nothing until it is resumed
 }
 
-// neighbourState is what another program takes of the machine.
+// neighbourState is the share of the machine that another program now uses.
 type neighbourState struct {
 	neighbourShare    float64
 	neighbourToggleAt time.Duration
 	neighbourOn       bool
 }
 
-// reportState is what a host says of its load.
+// reportState has a host's load reports.
 type reportState struct {
 	nextReport time.Duration
-	reports    []delayedReport // the first is the one that shows
-	errors     []time.Duration
+	reports    []delayedReport // the first is the visible one
+	errors     []time.Duration // times of errors, for the rate in the next report
 }
 
-// slowStartStep is how finely the warming of a host is followed.
+// slowStartStep is the interval at which a host's capacity is recomputed during slow start.
 const slowStartStep = 50 * time.Millisecond
 
+// never is the time of a change that is not scheduled.
 const never = time.Duration(math.MaxInt64)
 
-// New starts a host. A cold one begins at its cold share, others are warm. What it is sent and makes
-// goes into the record.
-func New(spec Spec, seed uint64, startedAt time.Duration, slowStart bool, record *requestrecord.EndpointRecord) (*Host, error) {
+// New starts a host at the time startedAt, in slow start if slowStart is set and the Spec has one, otherwise with
+// its full capacity. The host writes its requests and responses into record. New returns an error if the Spec is
+// invalid.
+func New(spec Spec, seed uint64, startedAt time.Duration, slowStart bool,
+	record *requestrecord.EndpointRecord) (*Host, error) {
 	switch {
 	case spec.Cores < 1 || spec.Slots < 1 || spec.Queue < 0:
 		return nil, fmt.Errorf("host %s: cores and slots must be at least 1, queue at least 0", spec.Name)
@@ -120,7 +128,7 @@
 			return nil, fmt.Errorf("host %s: work of %s: %w", spec.Name, class, err)
 		}
 	}
-	h := &Host{spec: spec, ledger: record, now: startedAt,
+	h := &Host{spec: spec, record: record, now: startedAt,
 		rand: rand.New(rand.NewPCG(seed, xxh3.HashString(spec.Name)))}
 	h.startedAt = startedAt
 	h.inSlowStart = slowStart && spec.Cold.From > 0 && spec.Cold.From < 1 && spec.Cold.For > 0
@@ -140,17 +148,18 @@
 	return h, nil
 }
 
+// exp draws an exponentially distributed duration, at least 1 ms.
 func (h *Host) exp(mean time.Duration) time.Duration {
 	return max(time.Millisecond, time.Duration(h.rand.ExpFloat64()*float64(mean)))
 }
 
-// Arrive takes a whole request. Its end comes from Advance, under the token; a host that is full,
-// drains or is down turns it away at once.
+// Arrive passes a complete request to the host. Advance returns the reply under the returned token. A host that
+// is full, draining or without work for the class rejects the request at once; on a host that is down it is Lost.
 func (h *Host) Arrive(now time.Duration, r Request) (token uint64) {
 	h.advanceTo(now)
 	h.lastToken++
 	token = h.lastToken
-	e := h.ledger.EntryOf(r.ID)
+	e := h.record.EntryOf(r.ID)
 	e.Arrivals++
 	work := 0.0
 	w, known := h.spec.Work[r.Class]
@@ -171,20 +180,20 @@
 	return token
 }
 
-// startWaiting begins what waits, as far as slots are free.
+// startWaiting starts waiting requests while slots are free.
 func (h *Host) startWaiting() {
 	for len(h.running) < h.spec.Slots && len(h.waiting) > 0 {
 		x := h.waiting[0]
 		h.waiting = h.waiting[1:]
 		h.running = append(h.running, x)
-		h.ledger.EntryOf(x.ID).Begun++
+		h.record.EntryOf(x.ID).Begun++
 	}
 }
 
-// addReply replies to an arrival.
+// addReply adds the reply to an arrival and updates the record.
 func (h *Host) addReply(x *execution, k Kind) {
 	r := Reply{Token: x.token, ID: x.ID, Kind: k}
-	e := h.ledger.EntryOf(x.ID)
+	e := h.record.EntryOf(x.ID)
 	switch k {
 	case TurnedAway:
 		e.TurnedAway++
@@ -199,7 +208,8 @@
 	h.replies = append(h.replies, r)
 }
 
-// Body is what a host answers: who served whom, padded to a size.
+// Body returns the body of a host's response: the request's id, the host and the execution's token, padded to
+// size.
 func Body(id, host string, token uint64, size int) []byte {
 	b := fmt.Appendf(nil, "id=%s host=%s execution=%d\n", id, host, token)
 	for len(b) < size {
@@ -216,7 +226,7 @@
 	return out
 }
 
-// Next is when Advance is due at the latest; ok is false while nothing will happen by itself.
+// Next returns the latest time at which Advance must be called; ok is false if nothing changes without a call.
 func (h *Host) Next() (at time.Duration, ok bool) {
 	if len(h.replies) > 0 {
 		return h.now, true
@@ -225,13 +235,14 @@
 	if x, _ := h.nextCompletion(); x < at {
 		at = x
 	}
-	if len(h.running) > 0 { // the rate may change before that
+	if len(h.running) > 0 { // the rate may change before the completion
 		at = min(at, h.nextChange())
 	}
 	return at, at != never
 }
 
-// nextChange is the time of the next change that comes by itself.
+// nextChange returns the time of the next scheduled change: of a pause, the neighbour, a load report or the
+// capacity.
 func (h *Host) nextChange() time.Duration {
 	if h.down {
 		return never
@@ -243,7 +254,7 @@
 	return at
 }
 
-// nextCompletion is when the next execution ends if nothing changes, at which rate.
+// nextCompletion returns when the next execution ends if nothing changes, and the present rate of each execution.
 func (h *Host) nextCompletion() (time.Duration, float64) {
 	rate := h.rate()
 	if rate <= 0 {
@@ -253,11 +264,11 @@
 	for _, x := range h.running {
 		shortest = min(shortest, x.remainingWork)
 	}
-	// Rounded up, so that the execution is over at that time and the loop in run makes progress.
+	// Rounded up, so that the execution is complete at that time and the loop in advanceTo makes progress.
 	return h.now + time.Duration(math.Ceil(max(0, shortest)/rate*1e9)), rate
 }
 
-// advanceTo carries the model to now, one change of rate after another.
+// advanceTo runs the model up to now, from one change of rate to the next.
 func (h *Host) advanceTo(now time.Duration) {
 	for h.now < now {
 		ends, rate := h.nextCompletion()
@@ -274,7 +285,7 @@
 	}
 }
 
-// finishCompleted ends the attempts whose work is done.
+// finishCompleted ends the executions whose work is done, and starts waiting requests in their place.
 func (h *Host) finishCompleted() {
 	unfinished := h.running[:0]
 	var completed []*execution
@@ -298,7 +309,7 @@
 	}
 }
 
-// applyChanges carries out what is due by itself.
+// applyChanges applies the scheduled changes that are due.
 func (h *Host) applyChanges() {
 	if h.now >= h.nextPause {
 		p := h.spec.Pause
@@ -336,18 +347,20 @@
 	}
 }
 
-// dropReplacedReports drops the reports that newer ones have replaced.
+// dropReplacedReports drops the reports that are replaced by a newer one at now.
 func (h *Host) dropReplacedReports(now time.Duration) {
 	for len(h.reports) > 1 && h.reports[1].visibleAt <= now {
 		h.reports = h.reports[1:]
 	}
 }
 
+// addNoise returns n with the relative noise of load reports, at least 0.
 func (h *Host) addNoise(n int) float64 {
 	return max(0, float64(n)*(1+h.spec.Report.Noise*h.rand.NormFloat64()))
 }
 
-// Connected counts a new connection, whose work slows the host; ok is false when the table is full.
+// Connected counts a new connection, whose handshake work is added to the running requests; ok is false if the
+// table of connections is full or the host is down.
 func (h *Host) Connected(now time.Duration) (ok bool) {
 	h.advanceTo(now)
 	if h.down || h.spec.Conns > 0 && h.conns >= h.spec.Conns {
@@ -363,7 +376,7 @@
 // Disconnected counts the end of a connection.
 func (h *Host) Disconnected(now time.Duration) { h.advanceTo(now); h.conns-- }
 
-// Report returns the load report that shows now, if there is one.
+// Report returns the load report that is visible at now, if there is one.
 func (h *Host) Report(now time.Duration) (Load, bool) {
 	h.advanceTo(now)
 	h.dropReplacedReports(now)
@@ -373,17 +386,17 @@
 	return h.reports[0].load, true
 }
 
-// InFlight is the number of requests held; Waiting is how many of them wait.
+// InFlight returns the number of requests held, running and waiting.
 func (h *Host) InFlight() int { return len(h.running) + len(h.waiting) }
 
-// Waiting is the number of requests that wait for a slot.
+// Waiting returns the number of requests that wait for a slot.
 func (h *Host) Waiting() int { return len(h.waiting) }
 
-// Down reports whether the host has fallen over.
+// Down reports whether the host has crashed.
 func (h *Host) Down() bool { return h.down }
 
-// ColdPeak is the largest share of its cold budget that the host was sent; over 1 it has fallen over.
+// ColdPeak returns the largest share of its slow-start budget that the host was sent; over 1 it has crashed.
 func (h *Host) ColdPeak() float64 { return h.peakBudgetShare }
 
-// Spec is how the host was built.
+// Spec returns the host's description, with the changes made to it since the start.
 func (h *Host) Spec() Spec { return h.spec }
--- a/internal/lab/hostmodel/host_test.go
+++ b/internal/lab/hostmodel/host_test.go
@@ -13,7 +13,7 @@
 
 const ms = time.Millisecond
 
-func spec(edit func(*Spec)) Spec {
+func testSpec(edit func(*Spec)) Spec {
 	s := Spec{Name: "h", Cores: 1, Speed: 1, Slots: 1, Queue: 2, Body: 40,
 		Work: map[string]Work{"view": {Dist: "fixed", Mean: 10 * ms}}}
 	if edit != nil {
@@ -22,18 +22,19 @@
 	return s
 }
 
-func host(t *testing.T, cold bool, edit func(*Spec)) (*Host, *requestrecord.EndpointRecord) {
+func newTestHost(t *testing.T, slowStart bool, edit func(*Spec)) (*Host, *requestrecord.EndpointRecord) {
 	t.Helper()
 	l := requestrecord.NewEndpointRecord("h")
-	h, err := New(spec(edit), 7, 0, cold, l)
+	h, err := New(testSpec(edit), 7, 0, slowStart, l)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return h, l
 }
 
-// ends runs a host until it rests and returns when each reply came, by id.
-func ends(h *Host) (at map[string]time.Duration, kinds map[string]Kind) {
+// runUntilIdle runs a host until nothing is left to do, and returns the time and kind of each reply by request
+// id.
+func runUntilIdle(h *Host) (at map[string]time.Duration, kinds map[string]Kind) {
 	at, kinds = make(map[string]time.Duration), make(map[string]Kind)
 	for next, ok := h.Next(); ok; next, ok = h.Next() {
 		for _, r := range h.Advance(next) {
@@ -43,21 +44,21 @@
 	return at, kinds
 }
 
-func near(t *testing.T, what string, got, want time.Duration) {
+func checkNear(t *testing.T, what string, got, want time.Duration) {
 	t.Helper()
 	if d := (got - want).Abs(); d > 50*time.Microsecond {
 		t.Errorf("%s: %v, want %v", what, got, want)
 	}
 }
 
-func TestWaitsInTurnAndTurnsAwayBeyondTheQueue(t *testing.T) {
-	h, l := host(t, false, nil)
+func TestServesInOrderAndRejectsBeyondQueue(t *testing.T) {
+	h, l := newTestHost(t, false, nil)
 	for i := range 5 {
 		h.Arrive(0, Request{ID: fmt.Sprint(i), Class: "view"})
 	}
-	at, kinds := ends(h)
-	near(t, "first", at["0"], 10*ms)
-	near(t, "third", at["2"], 30*ms)
+	at, kinds := runUntilIdle(h)
+	checkNear(t, "first", at["0"], 10*ms)
+	checkNear(t, "third", at["2"], 30*ms)
 	for _, id := range []string{"3", "4"} {
 		if kinds[id] != TurnedAway || l.EntryOf(id).TurnedAway != 1 || l.EntryOf(id).Begun != 0 {
 			t.Errorf("%s: %v, %+v", id, kinds[id], *l.EntryOf(id))
@@ -65,138 +66,139 @@
 	}
 	if e := l.EntryOf("2"); e.Arrivals != 1 || e.Begun != 1 || e.Ended != 1 || len(e.Returned) != 1 ||
 		e.Returned[0] != requestrecord.Hash(Body("2", "h", 3, 40)) {
-		t.Errorf("ledger of a served one: %+v", *e)
+		t.Errorf("record of a served request: %+v", *e)
 	}
 }
 
-// Slots beyond the cores share them; a crowd makes all of it slower.
+// More running requests than cores share the cores, and requests above ThrashAt slow all of them down.
 func TestSharesCoresAndThrashes(t *testing.T) {
-	h, _ := host(t, false, func(s *Spec) { s.Cores, s.Slots = 2, 4 })
+	h, _ := newTestHost(t, false, func(s *Spec) { s.Cores, s.Slots = 2, 4 })
 	for i := range 4 {
 		h.Arrive(0, Request{ID: fmt.Sprint(i), Class: "view"})
 	}
-	at, _ := ends(h)
-	near(t, "four on two cores", at["3"], 20*ms)
-	h, _ = host(t, false, func(s *Spec) { s.Slots, s.ThrashAt, s.Thrash = 4, 2, 0.5 })
+	at, _ := runUntilIdle(h)
+	checkNear(t, "four requests on two cores", at["3"], 20*ms)
+	h, _ = newTestHost(t, false, func(s *Spec) { s.Slots, s.ThrashAt, s.Thrash = 4, 2, 0.5 })
 	for i := range 4 {
 		h.Arrive(0, Request{ID: fmt.Sprint(i), Class: "view"})
 	}
-	at, _ = ends(h)
-	near(t, "four on one core, two too many", at["3"], 80*ms) // 40 ms of work at half the rate
+	at, _ = runUntilIdle(h)
+	checkNear(t, "four requests on one core, two above ThrashAt", at["3"], 80*ms) // 40 ms of work at half the rate
 }
 
-func TestPausesNeighboursAndHolds(t *testing.T) {
-	h, _ := host(t, false, nil)
+func TestPauseNeighbourAndSuspensionDelayRequests(t *testing.T) {
+	h, _ := newTestHost(t, false, nil)
 	h.Arrive(0, Request{ID: "a", Class: "view"})
 	h.PauseFor(5*ms, 100*ms)
-	at, _ := ends(h)
-	near(t, "over a pause", at["a"], 110*ms)
+	at, _ := runUntilIdle(h)
+	checkNear(t, "request during a pause", at["a"], 110*ms)
 
-	h, _ = host(t, false, nil)
+	h, _ = newTestHost(t, false, nil)
 	h.SetNeighbour(0, Neighbour{Share: 0.5})
 	h.Arrive(0, Request{ID: "a", Class: "view"})
-	at, _ = ends(h)
-	near(t, "beside a neighbour", at["a"], 20*ms)
+	at, _ = runUntilIdle(h)
+	checkNear(t, "request beside a neighbour with half of the machine", at["a"], 20*ms)
 
-	h, _ = host(t, false, nil)
+	h, _ = newTestHost(t, false, nil)
 	h.Arrive(0, Request{ID: "a", Class: "view"})
 	h.Hold(4*ms, true)
 	if _, ok := h.Next(); ok {
-		t.Error("a stopped host has something to do")
+		t.Error("a suspended host has a next change, want none")
 	}
 	h.Hold(time.Second, false)
-	at, _ = ends(h)
-	near(t, "stopped and let go", at["a"], time.Second+6*ms)
+	at, _ = runUntilIdle(h)
+	checkNear(t, "request on a host that was suspended and resumed", at["a"], time.Second+6*ms)
 }
 
-// A cold host does what its share allows, warms, and falls over for good when it is sent too much.
-func TestColdHostWarmsOrFalls(t *testing.T) {
-	cold := func(s *Spec) {
+// A host in slow start has the share of its capacity that its age allows, reaches the full capacity, and crashes
+// permanently if it is sent too much.
+func TestSlowStartEndsOrHostCrashes(t *testing.T) {
+	slowStart := func(s *Spec) {
 		s.Cold = Cold{From: 0.2, For: 10 * time.Second, FallMultiple: 3, FallFor: time.Second}
 		s.Queue = 1000
 	}
-	h, _ := host(t, true, cold)
+	h, _ := newTestHost(t, true, slowStart)
 	h.Arrive(0, Request{ID: "a", Class: "view"})
-	at, _ := ends(h)
+	at, _ := runUntilIdle(h)
 	if at["a"] < 45*ms || at["a"] > 51*ms {
-		t.Errorf("a fifth of the capacity took %v for 10 ms of work", at["a"])
+		t.Errorf("10 ms of work took %v at a fifth of the capacity, want 45 to 51 ms", at["a"])
 	}
 	h.Advance(5 * time.Second)
 	if c := h.Capacity(); math.Abs(c-0.6) > 0.01 {
-		t.Errorf("half way it can do %.3f", c)
+		t.Errorf("capacity %.3f half-way through slow start, want 0.6", c)
 	}
 	h.Advance(20 * time.Second)
 	if c := h.Capacity(); c != 1 {
-		t.Errorf("warm, it can do %.3f", c)
+		t.Errorf("capacity %.3f after slow start, want 1", c)
 	}
 
-	// Three times a fifth, for a second, is 600 ms of work: 60 requests are borne and the
-	// one that crosses the line; the 62nd is not.
-	h, _ = host(t, true, cold)
+	// Three times a fifth of the capacity for a second is 600 ms of work: the host survives 60 requests and the
+	// one that exceeds the budget; the 62nd crashes it.
+	h, _ = newTestHost(t, true, slowStart)
 	for i := range 61 {
 		h.Arrive(ms, Request{ID: fmt.Sprint(i), Class: "view"})
 	}
 	if h.Down() || h.ColdPeak() > 1.001 {
-		t.Fatalf("fell over at %.3f of the budget", h.ColdPeak())
+		t.Fatalf("down or over budget after 61 requests, peak %.3f of the budget", h.ColdPeak())
 	}
 	h.Arrive(2*ms, Request{ID: "last", Class: "view"})
 	if !h.Down() || h.Capacity() != 0 {
-		t.Fatal("bore more than three times what it can do")
+		t.Fatal("survived more than three times its capacity")
 	}
-	_, kinds := ends(h)
+	_, kinds := runUntilIdle(h)
 	if kinds["5"] != Lost || kinds["last"] != Lost {
-		t.Errorf("what a fallen host held: %v, %v", kinds["5"], kinds["last"])
+		t.Errorf("requests held by a crashed host ended as %v and %v, want lost", kinds["5"], kinds["last"])
 	}
 
-	// The same work spread over time is borne.
-	h, _ = host(t, true, cold)
+	// The host survives the same work if it is distributed over time.
+	h, _ = newTestHost(t, true, slowStart)
 	for i := range 100 {
 		h.Arrive(time.Duration(i)*20*ms, Request{ID: fmt.Sprint(i), Class: "view"})
 	}
 	if h.Down() {
-		t.Errorf("fell over at two and a half times what it can do, peak %.2f", h.ColdPeak())
+		t.Errorf("crashed at two and a half times its capacity, peak %.2f of the budget", h.ColdPeak())
 	}
 }
 
 func TestDrainsAndRejectsUnknownClasses(t *testing.T) {
-	h, _ := host(t, false, nil)
+	h, _ := newTestHost(t, false, nil)
 	h.Arrive(0, Request{ID: "a", Class: "view"})
 	h.Drain(ms, true)
 	h.Arrive(2*ms, Request{ID: "b", Class: "view"})
-	at, kinds := ends(h)
+	at, kinds := runUntilIdle(h)
 	if kinds["a"] != Served || kinds["b"] != TurnedAway {
-		t.Errorf("draining: %v %v", kinds["a"], kinds["b"])
+		t.Errorf("a draining host: the held request ended as %v, the new one as %v", kinds["a"], kinds["b"])
 	}
-	near(t, "what a draining host holds", at["a"], 10*ms)
+	checkNear(t, "request held by a draining host", at["a"], 10*ms)
 	h.Drain(20*ms, false)
 	h.Arrive(20*ms, Request{ID: "c", Class: "nonsense"})
-	if _, kinds = ends(h); kinds["c"] != TurnedAway {
-		t.Errorf("an unknown class: %v", kinds["c"])
+	if _, kinds = runUntilIdle(h); kinds["c"] != TurnedAway {
+		t.Errorf("a request of an unknown class ended as %v, want turned away", kinds["c"])
 	}
 }
 
-// Reports show late, as of the time at which they were taken.
-func TestReportsAreLate(t *testing.T) {
-	h, _ := host(t, false, func(s *Spec) {
+// A report becomes visible after its delay, with the values of the time at which it was made.
+func TestReportsAreDelayed(t *testing.T) {
+	h, _ := newTestHost(t, false, func(s *Spec) {
 		s.Report = Report{Least: 100 * ms, Most: 100 * ms,
 			Delay: 30 * ms}
 		s.Queue = 5
 	})
 	if _, ok := h.Report(10 * ms); ok {
-		t.Error("a report before its delay")
+		t.Error("a report is visible before its delay")
 	}
 	for i := range 4 {
 		h.Arrive(90*ms, Request{ID: fmt.Sprint(i), Class: "view"})
 	}
 	if r, _ := h.Report(120 * ms); r.Queue != 0 {
-		t.Errorf("at 120 ms the report of 0 ms shows, with nothing waiting; got %+v", r)
+		t.Errorf("at 120 ms: %+v, want the report of 0 ms with an empty queue", r)
 	}
 	if r, _ := h.Report(135 * ms); r.Queue != 2 || r.InFlight != 3 {
-		t.Errorf("at 135 ms the report of 100 ms shows, when one had ended; got %+v", r)
+		t.Errorf("at 135 ms: %+v, want the report of 100 ms, after one request had ended", r)
 	}
 }
 
-func TestWorkHasItsMeanAndSpread(t *testing.T) {
+func TestWorkHasMeanAndVariation(t *testing.T) {
 	for _, w := range []Work{{"fixed", 35 * ms, 0}, {"lognormal", 70 * ms, 0.8}, {"pareto", 35 * ms, 0.4}} {
 		r := rand.New(rand.NewPCG(1, 2))
 		const n = 400000
@@ -209,18 +211,18 @@
 		mean := sum / n
 		cv := math.Sqrt(max(0, squares/n-mean*mean)) / mean
 		if math.Abs(mean/w.Mean.Seconds()-1) > 0.02 || math.Abs(cv-w.CV) > 0.06 {
-			t.Errorf("%+v: mean %.4f s, cv %.3f", w, mean, cv)
+			t.Errorf("%+v: measured mean %.4f s, cv %.3f", w, mean, cv)
 		}
 	}
 	if (Work{Dist: "normal", Mean: ms}).Check() == nil || (Work{Dist: "pareto", Mean: ms}).Check() == nil {
-		t.Error("impossible work passes")
+		t.Error("Check accepts an unknown distribution or a missing cv")
 	}
 }
 
-// The same seed and calls give the same replies, whatever the steps in which time is passed in.
+// The same seed and arrivals give the same replies, independent of the time steps at which Advance is called.
 func TestSameSeedSameReplies(t *testing.T) {
-	play := func(step time.Duration) (out []string) {
-		h, _ := host(t, true, func(s *Spec) {
+	simulate := func(step time.Duration) (out []string) {
+		h, _ := newTestHost(t, true, func(s *Spec) {
 			s.Cores, s.Slots, s.Queue, s.ErrorRate = 2, 3, 8, 0.1
 			s.Work["view"] = Work{Dist: "pareto", Mean: 8 * ms, CV: 1.5}
 			s.Cold = Cold{From: 0.5, For: time.Second, ByWork: true}
@@ -243,17 +245,18 @@
 		}
 		return out
 	}
-	a, b, c := play(6*ms), play(6*ms), play(ms)
+	a, b, c := simulate(6*ms), simulate(6*ms), simulate(ms)
 	if len(a) < 400 || !reflect.DeepEqual(a, b) || !reflect.DeepEqual(a, c) {
-		t.Errorf("%d replies; alike in one step size: %v, in another: %v", len(a), reflect.DeepEqual(a, b),
+		t.Errorf("%d replies, want at least 400; equal with the same steps: %v, with other steps: %v",
+			len(a), reflect.DeepEqual(a, b),
 			reflect.DeepEqual(a, c))
 	}
 }
 
-// BenchmarkHost is a host's share of a simulation: one request, arrival to reply.
+// BenchmarkHost measures the cost of one request in a simulation, from arrival to reply.
 func BenchmarkHost(b *testing.B) {
 	l := requestrecord.NewEndpointRecord("h")
-	h, err := New(spec(func(s *Spec) { s.Cores, s.Slots, s.Queue = 4, 8, 50 }), 1, 0, false, l)
+	h, err := New(testSpec(func(s *Spec) { s.Cores, s.Slots, s.Queue = 4, 8, 50 }), 1, 0, false, l)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/lab/hostmodel/rate.go
+++ b/internal/lab/hostmodel/rate.go
@@ -1,6 +1,6 @@
 package hostmodel
 
-// rate is how fast each running execution now runs, in seconds of work a second.
+// rate returns the present speed of each running execution, in seconds of work per second.
 func (h *Host) rate() float64 {
 	if n := len(h.running); n > 0 && !h.stopped() {
 		return h.capacityOf(min(h.spec.Cores, n)) / float64(n)
@@ -8,9 +8,11 @@
 	return 0
 }
 
+// stopped reports whether the host executes nothing now.
 func (h *Host) stopped() bool { return h.down || h.suspended || h.pauseEnd > h.now }
 
-// capacityOf is what so many busy cores now do.
+// capacityOf returns the present speed of a number of busy cores together, in seconds of work per second: after
+// the effects of slow start, the neighbour, thrashing and a full table of connections.
 func (h *Host) capacityOf(cores int) float64 {
 	capacity := float64(cores) * h.spec.Speed * h.capacityShare * (1 - h.neighbourShare)
 	if excess := h.requestsPerCore() - h.spec.ThrashAt; h.spec.Thrash > 0 && excess > 0 {
@@ -22,8 +24,8 @@
 	return capacity
 }
 
-// slowStartShare is the share of its capacity that the host has reached. It is looked at in steps of its own, so that
-// the model does not depend on how often it is asked.
+// slowStartShare returns the share of its full capacity that the host has reached. It is computed only every
+// slowStartStep, so that the results do not depend on how often the model is called.
 func (h *Host) slowStartShare() float64 {
 	if !h.inSlowStart {
 		return 1
@@ -36,10 +38,11 @@
 	return min(1, c.From+(1-c.From)*progress)
 }
 
+// requestsPerCore returns the number of requests held per core.
 func (h *Host) requestsPerCore() float64 { return float64(h.InFlight()) / float64(h.spec.Cores) }
 
-// chargeSlowStartBudget counts the work sent to a cold host, and lets it fall over when that is too much. It counts
-// the class's mean, not the draw: nobody who sends can know the draw.
+// chargeSlowStartBudget counts the work sent to a host in slow start, and crashes the host if the work within the
+// window exceeds its budget. It counts the class's mean work and not the drawn work, which no sender can know.
 func (h *Host) chargeSlowStartBudget(work float64) {
 	c := h.spec.Cold
 	if !h.inSlowStart || h.down || c.FallMultiple <= 0 || c.FallFor <= 0 || h.capacityShare >= 1 {
@@ -53,13 +56,13 @@
 	h.sentWindowWork += work
 	budget := h.Capacity() * c.FallFor.Seconds() * c.FallMultiple
 	h.peakBudgetShare = max(h.peakBudgetShare, (h.sentWindowWork-work)/budget)
-	// The request that crosses the line is still borne, as slack for chance.
-	if h.sentWindowWork-work > budget*(1+1e-9) { // sums of many small numbers are a little off
+	// The request that exceeds the budget does not yet crash the host, as tolerance for chance.
+	if h.sentWindowWork-work > budget*(1+1e-9) { // tolerance for rounding in sums of many small numbers
 		h.crash()
 	}
 }
 
-// Capacity is what the host can do now, in seconds of work a second.
+// Capacity returns the present capacity of the host in seconds of work per second, 0 if it is down.
 func (h *Host) Capacity() float64 {
 	if h.down {
 		return 0
--- a/internal/lab/hostmodel/spec.go
+++ b/internal/lab/hostmodel/spec.go
@@ -2,81 +2,83 @@
 
 import "time"
 
-// Spec is one host as it is built.
+// Spec describes a host.
 type Spec struct {
 	Name  string
 	Site  string
 	Kind  string
-	Cores int     // requests that run at full speed side by side
-	Speed float64 // of a core; 1 does a second of work in a second
-	Slots int     // requests in work at once, over all cores
-	Queue int     // requests that wait beyond them; further ones are turned away
+	Cores int     // requests that run at full speed at the same time
+	Speed float64 // of a core, in seconds of work per second
+	Slots int     // requests executed at the same time, on all cores together
+	Queue int     // requests that wait for a slot; further ones are rejected
 
-	ThrashAt float64 // requests held per core from which on efficiency falls
-	Thrash   float64 // loss for each further one per core: the rate is divided by 1 + Thrash·excess
+	ThrashAt float64 // requests held per core above which efficiency falls
+	Thrash   float64 // loss per further request and core: the rate is divided by 1 + Thrash·excess
 
 	Cold      Cold
 	Pause     Pause
 	Neighbour Neighbour
-	ErrorRate float64 // share of attempts that end with an error
+	ErrorRate float64 // share of requests that end as Errored
 
-	Conns         int           // connections held at most; 0 means no limit
-	FullTax       float64       // share of the capacity that a full table of connections takes
-	HandshakeWork time.Duration // work of one new connection
+	Conns         int           // most open connections; 0 means no limit
+	FullTax       float64       // share of the capacity that a full table of connections costs
+	HandshakeWork time.Duration // work that one new connection costs
 
 	Report Report
-	Body   int             // bytes of an answer's body, at least
-	Work   map[string]Work // by class
+	Body   int             // least number of bytes of a response's body
+	Work   map[string]Work // by class; requests of other classes are rejected
 }
 
-// Cold is the weakness of a host that has just started.
+// Cold is the slow start of a host: its reduced capacity after its start, and the load at which it crashes
+// meanwhile.
 type Cold struct {
-	From   float64       // share of the capacity at birth; 0 or 1 mean that it is born warm
-	For    time.Duration // it is warm after this long at the latest
-	ByWork bool          // it warms with the work done as well: half of what it could do in For is enough
-	// sent over this multiple of what it can do, for FallFor, it falls over for good; 0 never
+	From   float64       // share of the capacity at the start; 0 or 1 mean no slow start
+	For    time.Duration // the host reaches its full capacity after this time at the latest
+	ByWork bool          // progress by work done counts as well: half of the work possible in that time is enough
+	// FallMultiple is the multiple of its present capacity that the host can be sent within the window; beyond it
+	// the host crashes permanently. 0 means that it never crashes.
 	FallMultiple float64
-	FallFor      time.Duration
+	FallFor      time.Duration // window in which the work sent is summed
 }
 
-// Pause is a stop of the whole process, as for collecting memory.
+// Pause describes random pauses of the whole process, such as garbage collections.
 type Pause struct {
-	Every time.Duration // in the mean, exponentially spread; 0 never
-	For   time.Duration // in the mean
-	Grow  float64       // longer by this share for each request held per core
+	Every time.Duration // mean interval, exponentially distributed; 0 means no pauses
+	For   time.Duration // mean length, exponentially distributed
+	Grow  float64       // relative growth of the length per request held and core
 }
 
-// Neighbour is another program that takes a share of the machine, on and off.
+// Neighbour is another program that uses a share of the machine from time to time.
 type Neighbour struct {
 	Share   float64
-	On, Off time.Duration // in the mean
+	On, Off time.Duration // mean lengths of its active and idle periods, exponentially distributed
 }
 
-// Report is how the host tells its load.
+// Report describes how the host reports its load.
 type Report struct {
-	Least, Most time.Duration // between refreshes; Most 0 means that there are no reports
-	Delay       time.Duration // a refresh shows after this long
-	Noise       float64       // relative, standard deviation
+	Least, Most time.Duration // bounds of the random interval between refreshes; an upper bound of 0 means no reports
+	Delay       time.Duration // a refreshed report becomes visible after this time
+	Noise       float64       // relative standard deviation of the reported values
 }
 
 // Load is a load report.
 type Load struct {
-	InFlight, Queue, Errors float64 // requests held, requests waiting, errors a second
+	InFlight, Queue, Errors float64 // requests held, requests waiting, errors per second
 }
 
-// Request is one request as it arrives, whole.
+// Request is a complete request.
 type Request struct {
 	ID    string
 	Class string
 }
 
-// Kind says how a reply came to be.
+// Kind is the kind of a reply.
 type Kind uint8
 
-// Reply is the end of an arrival.
+// Reply is the end of a request that was passed to the host.
 type Reply struct {
-	Token uint64 // as Arrive returned it
+	Token uint64 // the token that Arrive returned
 	ID    string
 	Kind  Kind
-	Body  []byte // with Served
+	Body  []byte // for Served only
 }
--- a/internal/lab/hostmodel/work.go
+++ b/internal/lab/hostmodel/work.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Work is how much work a class's requests bring, in time on a core of speed 1.
+// Work is the distribution of the work of a class's requests, in time on a core of speed 1.
 type Work struct {
 	Dist string        // "fixed", "lognormal" or "pareto"
-	Mean time.Duration // of a request
-	CV   float64       // standard deviation over mean; not for "fixed"
+	Mean time.Duration // per request
+	CV   float64       // standard deviation divided by mean; unused for "fixed"
 }
 
-// Check names the first thing wrong.
+// Check returns an error for the first invalid field.
 func (w Work) Check() error {
 	switch {
 	case w.Dist != "fixed" && w.Dist != "lognormal" && w.Dist != "pareto":
@@ -27,16 +27,16 @@
 	return nil
 }
 
-// Draw returns one request's work in seconds.
+// Draw returns the work of one request in seconds, drawn with r.
 func (w Work) Draw(r *rand.Rand) float64 {
 	mean := w.Mean.Seconds()
 	switch w.Dist {
 	case "lognormal":
-		// Of a lognormal, cv² = exp(sigma²) - 1 and mean = exp(mu + sigma²/2).
+		// A lognormal distribution has cv² = exp(sigma²) - 1 and mean = exp(mu + sigma²/2).
 		variance := math.Log1p(w.CV * w.CV)
 		return math.Exp(math.Log(mean) - variance/2 + math.Sqrt(variance)*r.NormFloat64())
 	case "pareto":
-		// Of a Pareto of shape a and scale x, mean = x·a/(a-1) and cv² = 1/(a·(a-2)).
+		// A Pareto distribution with shape a and scale x has mean = x·a/(a-1) and cv² = 1/(a·(a-2)).
 		a := 1 + math.Sqrt(1+1/(w.CV*w.CV))
 		return mean * (a - 1) / a / math.Pow(1-r.Float64(), 1/a)
 	}
--- a/internal/lab/registry/registry.go
+++ b/internal/lab/registry/registry.go
@@ -1,5 +1,5 @@
-// Package registry is discovery's state without its sockets: the list in its versions, and what each
-// gateway has been told. It does no I/O and has no clock.
+// Package registry is the state of the discovery service without its sockets: the list of hosts with the versions
+// of its changes, and the notifications that each gateway has received. It does no I/O and has no clock.
 package registry
 
 import (
@@ -16,42 +16,41 @@
 	Removed  = "removed"
 )
 
-// Entry is a host as discovery lists it. Dial gives the address for a gateway, which may differ from one to
-// the next.
+// Entry is a host in discovery's list.
 type Entry struct {
 	Host, Site, Kind string
-	Cell             int // whose hosts share what keys they have seen
+	Cell             int // the hosts of a cell share the keys of the requests that they have executed
 	State            string
-	Born             int64 // Unix time in milliseconds; 0 means long ago
-	Dial             map[string]string
+	Born             int64             // start time, Unix time in milliseconds; 0 means long ago
+	Dial             map[string]string // the address by gateway; it may differ between gateways
 }
 
-// Notification is when a gateway was told that a host drains or is gone.
+// Notification records when a gateway was notified that a host drains or is removed.
 type Notification struct {
-	At    time.Duration
-	State string
+	At    time.Duration // time of the run
+	State string        // Draining or Removed
 }
 
-// Registry is the list and its history.
+// Registry is the list of hosts with the versions of its changes. It is not safe for concurrent use.
 type Registry struct {
 	version      int
-	historyStart int // changes up to this version are known no more
+	historyStart int // changes up to this version are unknown
 	entries      map[string]Entry
-	order        []string
+	order        []string                           // names of the hosts in the order in which they were added
 	changedIn    map[string]int                     // the version in which a host last changed
-	notified     map[string]map[string]Notification // by gateway, by host
+	notified     map[string]map[string]Notification // by gateway and host
 }
 
-// New returns a roster that lists nothing.
+// New returns a Registry with an empty list.
 func New() *Registry {
 	return &Registry{entries: make(map[string]Entry), changedIn: make(map[string]int),
 		notified: make(map[string]map[string]Notification)}
 }
 
-// Seq is the present version.
+// Seq returns the current version.
 func (r *Registry) Seq() int { return r.version }
 
-// Put enters or changes hosts, all in one version.
+// Put adds or changes hosts, all in one version.
 func (r *Registry) Put(entries ...Entry) {
 	r.version++
 	for _, e := range entries {
@@ -62,15 +61,15 @@
 	}
 }
 
-// Flap goes on in a version far ahead without the history, as a discovery does that restarts without
-// its memory: whoever has an older version gets the whole list.
+// Flap increases the version by 1000 and drops the history, as a discovery service that restarts without its
+// history does: a client with an older version then gets the whole list.
 func (r *Registry) Flap() {
 	r.version += 1000
 	r.historyStart = r.version
 }
 
-// Anew begins the versions anew, as a discovery does that was restored from nothing: the list as it
-// stands is version 1.
+// Anew restarts the versions, as a discovery service that was rebuilt from nothing does: the current list becomes
+// version 1.
 func (r *Registry) Anew() {
 	r.version, r.historyStart = 1, 0
 	for name := range r.changedIn {
@@ -78,14 +77,14 @@
 	}
 }
 
-// Copy returns the list with its history, without what gateways were told.
+// Copy returns a copy of the list with its history, without the notifications.
 func (r *Registry) Copy() *Registry {
 	c := New()
 	c.Follow(r)
 	return c
 }
 
-// Follow takes over another's list with its history; what gateways were told stays.
+// Follow replaces the list and its history by those of other. The notifications stay.
 func (r *Registry) Follow(other *Registry) {
 	r.version, r.historyStart, r.order = other.version, other.historyStart, slices.Clone(other.order)
 	r.entries, r.changedIn = maps.Clone(other.entries), maps.Clone(other.changedIn)
@@ -94,7 +93,7 @@
 // Find returns a host's entry.
 func (r *Registry) Find(host string) (Entry, bool) { e, ok := r.entries[host]; return e, ok }
 
-// wireEntry is a host on the wire.
+// wireEntry is a host in discovery's format.
 type wireEntry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -106,27 +105,27 @@
 	Born   int64   `json:"born_ms"`
 }
 
-// Line is the list for a gateway in discovery's form: what changed after a version, or all of it for
-// version 0 and for versions that never were or whose changes are forgotten.
+// Line returns the list for a gateway in discovery's format: the hosts that changed after a version, or the whole
+// list for version 0, for a version that does not exist and for one whose changes are unknown.
 func (r *Registry) Line(gateway string, after int) []byte {
 	return r.line(gateway, r.changedAfter(after), r.wholeFor(after))
 }
 
-// ServingLine is the whole list without the hosts that drain, as some registries answer a call.
+// ServingLine returns the whole list without draining hosts, as some registries answer a call.
 func (r *Registry) ServingLine(gateway string) []byte { return r.line(gateway, r.serving(), true) }
 
-// ChangedCount is how many hosts Line names.
+// ChangedCount returns the number of hosts in the result of Line.
 func (r *Registry) ChangedCount(after int) int { return len(r.changedAfter(after)) }
 
-// ServingCount is how many hosts ServingLine names.
+// ServingCount returns the number of hosts in the result of ServingLine.
 func (r *Registry) ServingCount() int { return len(r.serving()) }
 
-// wholeFor tells whether who has a version is sent the whole list.
+// wholeFor reports whether a client with the version after gets the whole list.
 func (r *Registry) wholeFor(after int) bool {
 	return after <= 0 || after > r.version || after < r.historyStart
 }
 
-// changedAfter is the hosts that who has a version is sent.
+// changedAfter returns the hosts that a client with the version after gets.
 func (r *Registry) changedAfter(after int) []Entry {
 	wholeList := r.wholeFor(after)
 	return r.entriesWhere(func(e Entry) bool {
@@ -135,10 +134,12 @@
 	})
 }
 
+// serving returns the hosts that are up.
 func (r *Registry) serving() []Entry {
 	return r.entriesWhere(func(e Entry) bool { return e.State == Up })
 }
 
+// entriesWhere returns the hosts that wanted accepts, in the order in which they were added.
 func (r *Registry) entriesWhere(wanted func(Entry) bool) []Entry {
 	var list []Entry
 	for _, name := range r.order {
@@ -149,6 +150,7 @@
 	return list
 }
 
+// line returns entries in discovery's format, with the addresses for a gateway.
 func (r *Registry) line(gateway string, entries []Entry, whole bool) []byte {
 	doc := struct {
 		Seq   int         `json:"seq"`
@@ -161,12 +163,13 @@
 	}
 	line, err := json.Marshal(doc)
 	if err != nil {
-		panic(err) // plain values cannot fail
+		panic(err) // a struct of plain values always marshals
 	}
 	return line
 }
 
-// Note keeps that a gateway has been told the list as it stands. The first notice of a host's leaving counts.
+// Note records that a gateway was notified of the current list. For a host that drains or is removed, the first
+// notification counts.
 func (r *Registry) Note(gateway string, now time.Duration) {
 	notified := r.notified[gateway]
 	if notified == nil {
@@ -182,16 +185,16 @@
 	}
 }
 
-// Told returns when a gateway was told that a host drains or is gone; ok is false if it was not.
+// Told returns when a gateway was notified that a host drains or is removed; ok is false if it was not.
 func (r *Registry) Told(gateway, host string) (t Notification, ok bool) {
 	t, ok = r.notified[gateway][host]
 	return t, ok
 }
 
-// Forget drops what a gateway was told, as one that has restarted knows it no more.
+// Forget drops the notifications of a gateway, as after the gateway's restart.
 func (r *Registry) Forget(gateway string) { delete(r.notified, gateway) }
 
-// Names lists the hosts that are not removed, in the order in which they came.
+// Names returns the names of the hosts that are not removed, in the order in which they were added.
 func (r *Registry) Names() []string {
 	return slices.DeleteFunc(slices.Clone(r.order), func(n string) bool { return r.entries[n].State == Removed })
 }
--- a/internal/lab/requestrecord/compare.go
+++ b/internal/lab/requestrecord/compare.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// Compare sets the clients' record against the hosts'. excused tells which unanswered attempts were
-// lost for a reason that no rule forbids, as with a gateway that was killed; the number of those is
-// returned. The hosts' records must be at rest.
+// Compare compares the clients' record with the hosts' records and returns a Finding for each broken rule, sorted
+// by time, rule and id. excused reports whether an unanswered attempt was lost for a reason that no rule forbids,
+// such as the kill of its gateway; it may be nil. crashed is the number of these attempts. The hosts' records
+// must not change during the call.
 func Compare(attempts []Attempt, hosts []*EndpointRecord, excused func(Attempt) bool) (found []Finding, crashed int) {
 	known := make(map[string]bool, len(attempts))
 	for _, a := range attempts {
@@ -35,15 +36,15 @@
 	return found, crashed
 }
 
-// executions is what the hosts have of one attempt.
+// executions summarizes the hosts' records of one attempt.
 type executions struct {
-	begun  int
-	cells  map[int]bool // where it began
-	bodies []uint64     // hashes of the answers made
-	hosts  []string     // hosts, with how often it began there
+	begun  int          // number of executions started
+	cells  map[int]bool // cells in which an execution started
+	bodies []uint64     // hashes of the bodies that hosts returned
+	hosts  []string     // name of each host, with the number of executions started there
 }
 
-// executionsOf collects what the hosts have of an attempt.
+// executionsOf collects the hosts' records of an attempt.
 func executionsOf(id string, hosts []*EndpointRecord) executions {
 	r := executions{cells: make(map[int]bool)}
 	for _, h := range hosts {
@@ -61,7 +62,7 @@
 	return r
 }
 
-// comparison holds one attempt against what the hosts have of it.
+// comparison checks one attempt against the hosts' records of it.
 type comparison struct {
 	attempt    Attempt
 	executions executions
@@ -69,12 +70,13 @@
 	found      []Finding
 }
 
+// addFinding adds a finding for the attempt.
 func (c *comparison) addFinding(rule, format string, args ...any) {
 	c.found = append(c.found, Finding{Rule: rule, ID: c.attempt.ID, At: c.attempt.Ended,
 		Detail: fmt.Sprintf(format, args...)})
 }
 
-// checkRules notes the rules that were broken.
+// checkRules adds a finding for each rule that the attempt broke.
 func (c *comparison) checkRules() {
 	t, r := c.attempt, c.executions
 	refused := t.Status == 429 || t.Status == 503
@@ -101,16 +103,18 @@
 	}
 }
 
-// Finding is a broken rule, by the id it concerns.
+// Finding is a broken rule with the id that it concerns.
 type Finding struct {
 	Rule   string        `json:"rule"`
-	ID     string        `json:"id"` // the request's, or the host's or gateway's name
-	At     time.Duration `json:"at_ns"`
+	ID     string        `json:"id"`    // the attempt's id, or the name of the host or gateway
+	At     time.Duration `json:"at_ns"` // time of the run
 	Detail string        `json:"detail"`
 }
 
-// Excuses tells whether a try was lost for a reason that no rule forbids: its gateway was killed while
-// it held the try, or the try came long after SIGTERM. News of a kill may take the spread to be seen.
+// Excuses reports whether the attempt was lost for a reason that no rule forbids: its gateway was killed while it
+// held the attempt, or the attempt was sent between stopGrace and 10 s after the gateway's SIGTERM. kills and
+// stops are the times of its gateway's kills and SIGTERMs. tolerance is the time by which a kill may be noticed
+// late or early.
 func (a Attempt) Excuses(kills, stops []time.Duration, tolerance time.Duration) bool {
 	return slices.ContainsFunc(kills, func(k time.Duration) bool {
 		return a.Sent <= k+tolerance &&
@@ -122,5 +126,5 @@
 		})
 }
 
-// stopGrace is how long after SIGTERM a gateway still has to answer what comes.
+// stopGrace is the time after SIGTERM during which a gateway must still answer new requests.
 const stopGrace = 700 * time.Millisecond
--- a/internal/lab/requestrecord/record.go
+++ b/internal/lab/requestrecord/record.go
@@ -1,6 +1,6 @@
-// Package requestrecord keeps what clients sent and got, and what hosts were sent and made, each by the
-// request's id, and compares the two. The comparison is the laboratory's judge: neither side's own
-// figures are believed.
+// Package requestrecord records, by request id, what clients sent and received and what hosts received and
+// returned, and compares the two. The laboratory's verdict on a run is this comparison; neither side's own
+// figures are trusted.
 //
 // The package does no I/O and has no clock; times are those of the run, counted from its start.
 package requestrecord
@@ -13,40 +13,42 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Attempt is one request as a client sent it. A client's retry is a try of its own, with an id of its own.
+// Attempt is one attempt of a request, as its client recorded it. A client's retry is a separate Attempt with a
+// different id.
 type Attempt struct {
 	ID      string
-	Request int    // the number of the request that it belongs to; retries share it
-	Number  int    // 0 for the first try
-	Class   string // the class's name
-	Unsafe  bool   // the class must not run twice
-	Keyed   bool   // repeats may run in one cell only
-	Target  string // the gateway's address
-	Body    int    // bytes
-	Due     time.Duration
-	// Patience is how long its client waits from the last byte on.
+	Request int           // number of the request; its retries have the same number
+	Number  int           // 0 for the first attempt
+	Class   string        // the class's name
+	Unsafe  bool          // must not be executed twice
+	Keyed   bool          // may be executed again, in one cell only
+	Target  string        // the gateway's address
+	Body    int           // bytes
+	Due     time.Duration // when the request was due
+	// Patience is the client timeout, from the last byte of the request on.
 	Patience time.Duration
-	Sent     time.Duration // its last byte was written; with Whole
-	Ended    time.Duration // the client's last word on it
+	Sent     time.Duration // when its last byte was written; valid with Whole
+	Ended    time.Duration // when the client's record of it ended
 	Whole    bool          // its last byte was written to an accepted connection
-	Answers  int           // whole answers that came for it
-	Status   int           // of the first answer; 0 if none came
-	Hash     uint64        // of the first answer's body, see Hash
-	TimedOut bool          // the client's time ran out before an answer
-	Cause    string        // how it ended without an answer, in words
+	Answers  int           // number of whole responses
+	Status   int           // of the first response; 0 if there was none
+	Hash     uint64        // of the first response's body, see the function Hash
+	TimedOut bool          // the client timeout passed without a response
+	Cause    string        // why it had no good response, in words
 }
 
-// ClientRecord is the clients' side. Its methods may be called from several goroutines.
+// ClientRecord is the record of the clients. Its methods may be called from several goroutines.
 type ClientRecord struct {
 	mu    sync.Mutex
 	byID  map[string]*Attempt
 	order []*Attempt
 }
 
-// NewClients returns an empty record.
+// NewClients returns an empty ClientRecord.
 func NewClients() *ClientRecord { return &ClientRecord{byID: make(map[string]*Attempt)} }
 
-// Add enters a try before it is sent. An id in use already is refused: the generator must not reuse ids.
+// Add adds an attempt before it is sent. It returns an error if the id is already in use: the generator must not
+// reuse ids.
 func (c *ClientRecord) Add(a Attempt) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,7 +60,7 @@
 	return nil
 }
 
-// Update changes a try under the record's lock. Unknown ids are ignored.
+// Update calls change with an attempt under the record's lock. It ignores unknown ids.
 func (c *ClientRecord) Update(id string, change func(*Attempt)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +69,7 @@
 	}
 }
 
-// Tries returns copies of all tries in the order in which they were entered.
+// Tries returns copies of all attempts in the order in which they were added.
 func (c *ClientRecord) Tries() []Attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,29 +80,28 @@
 	return all
 }
 
-// Entry is what one host knows of one id.
+// Entry is one host's record of one id.
 type Entry struct {
-	Arrivals   int      // whole requests with this id
-	Begun      int      // attempts begun
-	Ended      int      // attempts ended
-	TurnedAway int      // arrivals answered that they never ran
-	Returned   []uint64 // hashes of the bodies made for it
+	Arrivals   int      // whole requests received with this id
+	Begun      int      // executions started
+	Ended      int      // executions completed
+	TurnedAway int      // arrivals rejected as never executed
+	Returned   []uint64 // hashes of the bodies returned for it
 }
 
-// EndpointRecord is the side of one host. It has no lock: the host's model is used by one goroutine at
-// a time.
+// EndpointRecord is the record of one host. It has no lock: the host's model is used by one goroutine at a time.
 type EndpointRecord struct {
 	Name    string
-	Cell    int // of those that drop one another's repeats
+	Cell    int // hosts of the same cell drop repeats of each other's keyed requests
 	entries map[string]*Entry
 }
 
-// NewEndpointRecord returns an empty record.
+// NewEndpointRecord returns an empty EndpointRecord.
 func NewEndpointRecord(name string) *EndpointRecord {
 	return &EndpointRecord{Name: name, entries: make(map[string]*Entry)}
 }
 
-// EntryOf returns the entry of an id, made if need be.
+// EntryOf returns the entry of an id, and creates it if it does not exist.
 func (r *EndpointRecord) EntryOf(id string) *Entry {
 	e := r.entries[id]
 	if e == nil {
@@ -110,28 +111,28 @@
 	return e
 }
 
-// Find returns the entry of an id, or nil.
+// Find returns the entry of an id, or nil if it does not exist.
 func (r *EndpointRecord) Find(id string) *Entry { return r.entries[id] }
 
-// Len is the number of ids known.
+// Len returns the number of ids in the record.
 func (r *EndpointRecord) Len() int { return len(r.entries) }
 
-// Hash is that of a body.
+// Hash returns the hash of a body.
 func Hash(body []byte) uint64 { return xxh3.Hash(body) }
 
-// The rules that a comparison can find broken, as reports name them.
+// The rules that a run can break, with their names in reports.
 const (
-	Unanswered    = "unanswered"         // taken whole by a running gateway and never answered in the client's time
-	AnsweredTwice = "answered twice"     // more than one answer for an id
-	RanTwice      = "executed twice"     // an unsafe request begun more than once, at whichever hosts
-	ForeignBody   = "foreign body"       // served with a body that no host made for it
-	RefusedRan    = "refused after run"  // 429 or 503 to an unsafe request that a host began
-	InventedID    = "invented id"        // an id at a host that no client sent
-	LateToDrained = "sent after drain"   // a request to a host too long after its gateway was told
-	PushedOver    = "cold host pushed"   // a cold host was sent more than it survives
-	GatewayDied   = "gateway crashed"    // a gateway ended without being told to
-	OverMemory    = "memory over limit"  // a gateway's resident memory went over what it was given
-	OverSockets   = "sockets over limit" // a gateway held more descriptors than it was given
+	Unanswered    = "unanswered"         // received whole by a running gateway, not answered within the client timeout
+	AnsweredTwice = "answered twice"     // more than one response for an id
+	RanTwice      = "executed twice"     // an unsafe request was started more than once, on any hosts
+	ForeignBody   = "foreign body"       // served with a body that no host returned for it
+	RefusedRan    = "refused after run"  // 429 or 503 for an unsafe request that a host started
+	InventedID    = "invented id"        // a host received an id that no client sent
+	LateToDrained = "sent after drain"   // a host received a request too long after its gateway was notified
+	PushedOver    = "cold host pushed"   // a host in slow start was sent more than it survives
+	GatewayDied   = "gateway crashed"    // a gateway ended without a signal to stop
+	OverMemory    = "memory over limit"  // a gateway's resident memory exceeded its limit
+	OverSockets   = "sockets over limit" // a gateway held more descriptors than its limit
 )
 
 // Rules lists every rule in the order in which reports show them.
