--- a/internal/lab/hostmodel/host_test.go
+++ b/internal/lab/hostmodel/host_test.go
@@ -70,7 +70,8 @@
 	}
 }
 
-// More running requests than cores share the cores, and requests above ThrashAt slow all of them down.
+// More running requests than cores share the cores, and requests above the thrashing threshold slow all of them
+// down.
 func TestSharesCoresAndThrashes(t *testing.T) {
 	h, _ := newTestHost(t, false, func(s *Spec) { s.Cores, s.Slots = 2, 4 })
 	for i := range 4 {
@@ -83,7 +84,8 @@
 		h.Arrive(0, Request{ID: fmt.Sprint(i), Class: "view"})
 	}
 	at, _ = runUntilIdle(h)
-	checkNear(t, "four requests on one core, two above ThrashAt", at["3"], 80*ms) // 40 ms of work at half the rate
+	// 40 ms of work at half the rate.
+	checkNear(t, "four requests on one core, two above the thrashing threshold", at["3"], 80*ms)
 }
 
 func TestPauseNeighbourAndSuspensionDelayRequests(t *testing.T) {
--- a/internal/lab/hostmodel/spec.go
+++ b/internal/lab/hostmodel/spec.go
@@ -13,7 +13,7 @@
 	Queue int     // requests that wait for a slot; further ones are rejected
 
 	ThrashAt float64 // requests held per core above which efficiency falls
-	Thrash   float64 // loss per further request and core: the rate is divided by 1 + Thrash·excess
+	Thrash   float64 // loss per further request and core: the rate is divided by 1 + this value·excess
 
 	Cold      Cold
 	Pause     Pause
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -110,7 +110,8 @@
 		}
 	}
 	// A rush raises the rate of one class only, and ends with its phase.
-	arrivals := collect(scheduleOf(t, Phase{For: 10 * s, Rate: 300, Rush: "lodge", RushTo: 8}, Phase{For: 5 * s, Rate: 300}))
+	arrivals := collect(scheduleOf(t, Phase{For: 10 * s, Rate: 300, Rush: "lodge", RushTo: 8},
+		Phase{For: 5 * s, Rate: 300}))
 	count := func(class int, from, to time.Duration) (n int) {
 		for _, a := range arrivals {
 			if a.Class == class && a.At >= from && a.At < to {
@@ -121,7 +122,8 @@
 	}
 	if first, last, after := count(1, 0, s), count(1, 9*s, 10*s), count(1, 10*s, 11*s); last < 6*first ||
 		after > first+30 {
-		t.Errorf("arrivals of the rush class in the first and last second of its phase and in the next: %d, %d, %d", first, last, after)
+		t.Errorf("arrivals of the rush class in the first and last second of its phase and in the next: %d, %d, %d",
+			first, last, after)
 	}
 	if first, last := count(0, 0, 2*s), count(0, 8*s, 10*s); last > first*5/4 {
 		t.Errorf("arrivals of the other class rose during the rush, from %d to %d in 2 s", first, last)
@@ -158,8 +160,8 @@
 	}
 }
 
-// A target that stalls for two seconds must receive as many requests as without the stall, and the latencies must show
-// the whole stall. A closed-loop generator would record only one late request per connection.
+// A target that stalls for two seconds must receive as many requests as without the stall, and the latencies must
+// show the whole stall. A closed-loop generator would record only one late request per connection.
 func TestStalledTargetGetsLateRequestsNotFewer(t *testing.T) {
 	const length, pause = 4 * time.Second, 2 * time.Second
 	measure := func(stop bool) Result {
@@ -175,21 +177,22 @@
 	}
 	baseline, stalled := measure(false), measure(true)
 	if baseline.Sent != 600 || stalled.Sent != baseline.Sent || stalled.OK != 600 {
-		t.Errorf("sent %d without the pause and %d with it, %d of these served; want 600 each", baseline.Sent, stalled.Sent, stalled.OK)
+		t.Errorf("sent %d without the pause and %d with it, %d of these served; want 600 each", baseline.Sent,
+			stalled.Sent, stalled.OK)
 	}
-	// Half of the requests were due during the pause, at equal intervals: the k-th percentile of all latencies is at
-	// 2 s times (k - 50)/50.
+	// Half of the requests were due during the pause, at equal intervals: the k-th percentile of all latencies is
+	// at 2 s times (k - 50)/50.
 	l := stalled.Latency
 	if l.Max < 1900 || l.P99 < 1850 || l.P90 < 1500 || l.P90 > 1900 || l.P50 > 400 {
 		t.Errorf("latencies do not show the pause of 2 s: %+v", l)
 	}
 	if baseline.Latency.P50 > 200 {
-		t.Errorf("latencies without a pause: %+v", baseline.Latency)
+		t.Errorf("latencies without a pause %+v, want p50 of 200 ms at most", baseline.Latency)
 	}
 }
 
-// stallingSchedule is a schedule that blocks the generator for 700 ms at its 50th arrival, as a machine without free
-// processor time would.
+// stallingSchedule is a schedule that blocks the generator for 700 ms at its 50th arrival, as a machine without
+// free processor time would.
 type stallingSchedule struct {
 	Schedule
 	n int
@@ -223,7 +226,8 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	r := run(t, Options{Targets: []string{addr}, Schedule: scheduleOf(t, Phase{For: 300 * time.Millisecond, Rate: 100})})
+	r := run(t, Options{Targets: []string{addr},
+		Schedule: scheduleOf(t, Phase{For: 300 * time.Millisecond, Rate: 100})})
 	if r.Failed != 30 || r.Sent != 0 || r.FellBehind {
 		t.Errorf("%+v, fell behind %v; want 30 failed, none sent", r.Counts, r.FellBehind)
 	}
@@ -249,8 +253,8 @@
 	}
 }
 
-// proxy starts a minimal gateway to backend and returns its address. defect gets the id of each request, a function
-// that forwards it a number of times and returns the last response, and the client's connection.
+// proxy starts a minimal gateway to backend and returns its address. defect gets the id of each request, a
+// function that forwards it a number of times and returns the last response, and the client's connection.
 func proxy(t *testing.T, backend string, defect func(id string, forward func(times int) string, c net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -297,7 +301,8 @@
 	return ln.Addr().String()
 }
 
-// The comparison of the records must find exactly the ids of the requests that a gateway handled wrongly, and no others.
+// The comparison of the records must find exactly the ids of the requests that a gateway handled wrongly, and no
+// others.
 func TestLedgersCatchPlantedDefects(t *testing.T) {
 	for _, c := range []struct {
 		rule   string
@@ -361,8 +366,8 @@
 	}
 }
 
-// A request is sent again if its connection was closed before the peer read it, and not if the peer read it and then
-// closed.
+// A request is sent again if its connection was closed before the peer read it, and not if the peer read it and
+// then closed.
 func TestOnlyUnreadRequestsAreSentAgain(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -425,8 +430,8 @@
 	}
 }
 
-// Clients wait between attempts for their backoff delay, or for Retry-After if they honour it, and make no retry if
-// Retry-After is over their limit.
+// Clients wait between attempts for their backoff delay, or for Retry-After if they honour it, and make no retry
+// if Retry-After is over their limit.
 func TestRetriesWaitForBackoffAndRetryAfter(t *testing.T) {
 	target := proxy(t, "", func(id string, _ func(int) string, c net.Conn) {
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nRetry-After: 0.4\r\nContent-Length: 0\r\n\r\n")
--- a/internal/lab/requestrecord/record.go
+++ b/internal/lab/requestrecord/record.go
@@ -27,7 +27,7 @@
 	Due     time.Duration // when the request was due
 	// Patience is the client timeout, from the last byte of the request on.
 	Patience time.Duration
-	Sent     time.Duration // when its last byte was written; valid with Whole
+	Sent     time.Duration // when its last byte was written, if it was written whole
 	Ended    time.Duration // when the client's record of it ended
 	Whole    bool          // its last byte was written to an accepted connection
 	Answers  int           // number of whole responses
