--- a/internal/lab/emulation/faults.go
+++ b/internal/lab/emulation/faults.go
@@ -8,49 +8,50 @@
 	"time"
 )
 
-// Fault spoils a share of a host's answers. The request has run, apart from ResetBefore.
+// Fault is a way in which a host's response is faulty on the wire. The host has executed the request.
 type Fault string
 
-// Faults lists them.
+// Faults returns all faults.
 func Faults() []Fault {
 	return []Fault{ResetBefore, ResetMiddle, Trickle, ShortLength, LongLength, ExtraBytes, Interim, Garbage, Endless,
 		CloseIdle, HalfClose, NoLength}
 }
 
-type spoilt struct {
+// faultShare is the share of the responses, of one class or of all, that get a fault.
+type faultShare struct {
 	share float64
 	class string
 }
 
-// spoiled writes a spoilt answer, and reports whether the connection goes on.
-func (h *Host) spoiled(c *conn, f Fault, load string, body []byte) bool {
-	whole := message(200, load, len(body), body)
+// writeFaulty writes a response with a fault and reports whether the connection stays open.
+func (h *Host) writeFaulty(c *conn, f Fault, load string, body []byte) bool {
+	whole := buildResponse(200, load, len(body), body)
 	switch f {
 	case ResetBefore:
-		reset(c.Conn)
+		resetConn(c.Conn)
 		return false
 	case ResetMiddle:
 		_, _ = c.Write(whole[:len(whole)-len(body)/2-1])
-		reset(c.Conn)
+		resetConn(c.Conn)
 		return false
 	case Trickle:
 		return trickle(c, whole)
 	case ShortLength:
-		return writeWhole(c, message(200, load, len(body)/2, body))
+		return writeAll(c, buildResponse(200, load, len(body)/2, body))
 	case LongLength:
-		_, _ = c.Write(message(200, load, len(body)+100, body))
+		_, _ = c.Write(buildResponse(200, load, len(body)+100, body))
 		return false
 	case ExtraBytes:
-		return writeWhole(c, slices.Concat(whole, whole))
+		return writeAll(c, slices.Concat(whole, whole))
 	case Interim:
-		return writeWhole(c, slices.Concat([]byte("HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"), whole))
+		return writeAll(c, slices.Concat([]byte("HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"), whole))
 	case Garbage:
-		return writeWhole(c, h.noise(300))
+		return writeAll(c, h.randomBytes(300))
 	case Endless:
-		return endless(c, message(200, load, 3<<30, body))
+		return endless(c, buildResponse(200, load, 3<<30, body))
 	case CloseIdle:
 		_, _ = c.Write(whole)
-		time.Sleep(closeSoon)
+		time.Sleep(closeIdleDelay)
 		return false
 	case HalfClose:
 		halfClose(c, whole)
@@ -62,35 +63,35 @@
 	return true
 }
 
-// writeWhole writes an answer and reports whether all of it could be.
-func writeWhole(c net.Conn, data []byte) bool {
+// writeAll writes data and reports whether all of it was written.
+func writeAll(c net.Conn, data []byte) bool {
 	_, err := c.Write(data)
 	return err == nil
 }
 
-// trickle writes an answer byte by byte.
+// trickle writes a response byte by byte, one every trickleInterval, and reports whether all of it was written.
 func trickle(c net.Conn, data []byte) bool {
 	for i := range data {
-		if !writeWhole(c, data[i:i+1]) {
+		if !writeAll(c, data[i:i+1]) {
 			return false
 		}
-		time.Sleep(trickleEvery)
+		time.Sleep(trickleInterval)
 	}
 	return true
 }
 
-// endless writes the begin of an answer and goes on until the other side ends the connection.
+// endless writes the start of a response, then pieces of its body until the peer closes the connection.
 func endless(c net.Conn, begin []byte) bool {
-	if !writeWhole(c, begin) {
+	if !writeAll(c, begin) {
 		return false
 	}
-	for piece := make([]byte, 4096); writeWhole(c, piece); {
-		time.Sleep(endlessEvery)
+	for piece := make([]byte, 4096); writeAll(c, piece); {
+		time.Sleep(endlessInterval)
 	}
 	return false
 }
 
-// halfClose writes an answer, ends its sending and goes on reading.
+// halfClose writes a response, closes the sending side of the connection and reads until the peer closes.
 func halfClose(c *conn, data []byte) {
 	_, _ = c.Write(data)
 	if t, ok := c.Conn.(*net.TCPConn); ok {
@@ -99,39 +100,39 @@
 	_, _ = io.Copy(io.Discard, c)
 }
 
-// noise draws bytes that are no answer.
-func (h *Host) noise(size int) []byte {
+// randomBytes returns random bytes, which are not an HTTP response.
+func (h *Host) randomBytes(size int) []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	noise := make([]byte, size)
-	for i := range noise {
-		noise[i] = byte(h.rand.Uint32())
+	data := make([]byte, size)
+	for i := range data {
+		data[i] = byte(h.rand.Uint32())
 	}
-	return noise
+	return data
 }
 
-// Spoil makes a share of the answers faulty, of one class or, with an empty class, of all. A zero share
-// ends it.
+// Spoil gives a share of the responses the fault f: of one class or, with an empty class, of all. A share of 0
+// ends the fault.
 func (h *Host) Spoil(f Fault, share float64, class string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.spoil[f] = (spoilt{share, class}); share <= 0 {
-		delete(h.spoil, f)
+	if h.faults[f] = (faultShare{share, class}); share <= 0 {
+		delete(h.faults, f)
 	}
 }
 
-// draw picks the fault of an answer, if it has one.
-func (h *Host) draw(class string) Fault {
-	for _, f := range Faults() { // in a stated order, so that a seed gives the same faults
-		if s, ok := h.spoil[f]; ok && (s.class == "" || s.class == class) && h.rand.Float64() < s.share {
+// drawFault draws the fault of a response of class, or an empty string for none. h.mu must be held.
+func (h *Host) drawFault(class string) Fault {
+	for _, f := range Faults() { // in a fixed order, so that a seed always gives the same faults
+		if s, ok := h.faults[f]; ok && (s.class == "" || s.class == class) && h.rand.Float64() < s.share {
 			return f
 		}
 	}
 	return ""
 }
 
-// reset closes a connection so that the other side sees a reset.
-func reset(c net.Conn) {
+// resetConn closes a connection with a TCP reset.
+func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
--- a/internal/lab/emulation/host.go
+++ b/internal/lab/emulation/host.go
@@ -1,5 +1,6 @@
-// Package emulation plays the gateway's peers on real loopback sockets: hosts that run the fleet's
-// model, with every failure that sockets have, and discovery. Everything can be changed while it runs.
+// Package emulation emulates the gateway's peers on real loopback sockets: hosts that run the model of package
+// hostmodel, with failures of the host and faults of its connections, and the discovery service. All failures and
+// settings can be changed during a run.
 package emulation
 
 import (
@@ -17,107 +18,110 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// Clock tells the time of the run.
+// Clock returns the time since the start of the run.
 type Clock func() time.Duration
 
-// NewClock starts a clock at zero.
+// NewClock returns a clock that starts at zero now.
 func NewClock() Clock {
 	began := time.Now()
 	return func() time.Duration { return time.Since(began) }
 }
 
-// The modes.
+// The modes of a host.
 const (
 	Up      Mode = "up"
-	Refuse  Mode = "refuse"  // the process has ended: its connections are reset, new ones refused
-	Silent  Mode = "silent"  // the machine is cut off: connections come up or stand, nothing is read or answered
-	Hung    Mode = "hung"    // the process is stopped: it holds what it has and begins nothing
-	NoReply Mode = "noreply" // requests run, answers stay inside
+	Refuse  Mode = "refuse"  // the process has ended: its connections are reset, new ones are refused
+	Silent  Mode = "silent"  // the machine is unreachable: connections open and stay open, nothing is read or answered
+	Hung    Mode = "hung"    // the process is suspended: it executes nothing and keeps the requests that it holds
+	NoReply Mode = "noreply" // requests are executed, no response is sent
 )
 
-// The faults.
+// The faults of a response.
 const (
-	ResetBefore Fault = "reset-before" // reset instead of the answer
-	ResetMiddle Fault = "reset-middle" // reset in the middle of the answer
-	Trickle     Fault = "trickle"      // the answer comes byte by byte
-	ShortLength Fault = "short-length" // Content-Length below the body: the rest lies on the connection
-	LongLength  Fault = "long-length"  // Content-Length above the body, then the end
-	ExtraBytes  Fault = "extra-bytes"  // a second copy of the answer follows the first
-	Interim     Fault = "interim"      // 1xx answers in front
-	Garbage     Fault = "garbage"      // no HTTP at all
-	Endless     Fault = "endless"      // an answer that does not end
-	CloseIdle   Fault = "close-idle"   // the connection closes soon after the answer
-	HalfClose   Fault = "half-close"   // the host ends its sending after the answer and goes on reading
-	NoLength    Fault = "no-length"    // the answer's end is the connection's
+	ResetBefore Fault = "reset-before" // reset instead of the response
+	ResetMiddle Fault = "reset-middle" // reset in the middle of the response
+	Trickle     Fault = "trickle"      // the response is written byte by byte
+	ShortLength Fault = "short-length" // Content-Length below the body's length: the other bytes follow the response
+	LongLength  Fault = "long-length"  // Content-Length above the body's length, then the connection closes
+	ExtraBytes  Fault = "extra-bytes"  // a second copy of the response follows the first
+	Interim     Fault = "interim"      // an interim (1xx) response before the response
+	Garbage     Fault = "garbage"      // random bytes instead of HTTP
+	Endless     Fault = "endless"      // a response that does not end
+	CloseIdle   Fault = "close-idle"   // the connection closes closeIdleDelay after the response
+	HalfClose   Fault = "half-close"   // the host closes its sending side after the response and continues to read
+	NoLength    Fault = "no-length"    // no Content-Length: the end of the connection ends the response
 )
 
-// Fields names what a host reports: requests waiting, requests held, errors a second.
+// Fields has the names of the values in a host's load report: requests waiting, requests held, errors per second.
 type Fields struct{ Queue, InFlight, Errors string }
 
-// DefaultFields are the names that our gateway's settings use.
+// DefaultFields returns the names that the gateway's settings use.
 func DefaultFields() Fields {
 	return Fields{Queue: "pending", InFlight: "busy_reqs", Errors: "failed_ps"}
 }
 
-// Limits of what a host reads and of how long it plays dead.
+// The limit of a request's body, and the times of the faults that delay a response.
 const (
-	mostBody     = 64 << 10
-	trickleEvery = 20 * time.Millisecond
-	closeSoon    = 15 * time.Millisecond
-	endlessEvery = 10 * time.Millisecond
+	maxBody         = 64 << 10
+	trickleInterval = 20 * time.Millisecond
+	closeIdleDelay  = 15 * time.Millisecond
+	endlessInterval = 10 * time.Millisecond
 )
 
-// Arrived is told of every request as its first byte came, before the host runs it.
+// Arrived is called with every request before the host's model gets it. via is the gateway, first is the time of
+// the request's first byte.
 type Arrived func(host, via, id string, first time.Duration)
 
-// Host is a host on sockets. Each gateway reaches it through a door of its own, so that what came from whom
-// is known.
+// Host is an emulated host on sockets. Each gateway connects to a separate listener, so that the host knows which
+// gateway sent a request. Its methods may be called from several goroutines.
 type Host struct {
-	Name    string
-	fields  Fields
-	idle    time.Duration
-	clock   Clock
-	arrived Arrived
-
-	mu     sync.Mutex
-	model  *hostmodel.Host
-	ledger *requestrecord.EndpointRecord
-	rand   *rand.Rand
-	mode   Mode
-	doors  []*door
-	conns  map[*conn]bool
-	waits  map[uint64]chan hostmodel.Reply
-	timer  *time.Timer
-	spoil  map[Fault]spoilt
-	probes int
-	wake   *sync.Cond // a change of mode
-	closed bool
-	served sync.WaitGroup
+	Name        string
+	fields      Fields
+	idleTimeout time.Duration
+	clock       Clock
+	onArrival   Arrived
+
+	mu           sync.Mutex
+	model        *hostmodel.Host
+	record       *requestrecord.EndpointRecord
+	rand         *rand.Rand
+	mode         Mode
+	listeners    []*hostListener
+	conns        map[*conn]bool
+	replyWaiters map[uint64]chan hostmodel.Reply
+	timer        *time.Timer
+	faults       map[Fault]faultShare
+	probes       int
+	modeChanged  *sync.Cond // signals a change of mode, or Close
+	closed       bool
+	running      sync.WaitGroup
 }
 
-type door struct {
-	via  string
-	addr string
-	ln   net.Listener
+// hostListener is the listener for one gateway.
+type hostListener struct {
+	gateway string
+	addr    string
+	ln      net.Listener
 }
 
+// conn is a connection from a gateway.
 type conn struct {
 	net.Conn
-	via   string
-	model *hostmodel.Host // that took it: a host that restarts has a new one
+	gateway string
+	model   *hostmodel.Host // the model that counts the connection; a restart of the host makes a new model
 }
 
-// Options of a host.
+// Options are the settings of a Host.
 type Options struct {
 	Fields  Fields
-	Idle    time.Duration // a connection idle for this long is closed; 0 means never
+	Idle    time.Duration // idle timeout of connections; 0 means none
 	Arrived Arrived       // may be nil
 	Seed    uint64
 	Cold    bool
-	Cell    int // of the hosts that drop one another's repeats
+	Cell    int // hosts of the same cell drop repeats of each other's keyed requests
 }
 
-// NewHost starts a host's model; doors are opened one by one.
+// NewHost starts a host's model. The host listens only after Open.
 func NewHost(spec hostmodel.Spec, clock Clock, o Options) (*Host, error) {
 	l := requestrecord.NewEndpointRecord(spec.Name)
 	l.Cell = o.Cell
@@ -128,60 +132,61 @@
 	if o.Fields == (Fields{}) {
 		o.Fields = DefaultFields()
 	}
-	h := &Host{Name: spec.Name, fields: o.Fields, idle: o.Idle, clock: clock, arrived: o.Arrived, model: model,
-		ledger: l, rand: rand.New(rand.NewPCG(o.Seed, 1)), mode: Up, conns: make(map[*conn]bool),
-		waits: make(map[uint64]chan hostmodel.Reply), spoil: make(map[Fault]spoilt)}
-	h.wake = sync.NewCond(&h.mu)
-	h.timer = time.AfterFunc(time.Hour, h.tick)
+	h := &Host{Name: spec.Name, fields: o.Fields, idleTimeout: o.Idle, clock: clock, onArrival: o.Arrived, model: model,
+		record: l, rand: rand.New(rand.NewPCG(o.Seed, 1)), mode: Up, conns: make(map[*conn]bool),
+		replyWaiters: make(map[uint64]chan hostmodel.Reply), faults: make(map[Fault]faultShare)}
+	h.modeChanged = sync.NewCond(&h.mu)
+	h.timer = time.AfterFunc(time.Hour, h.onTimer)
 	return h, nil
 }
 
-// Open opens a door for a gateway at an address; port 0 takes a free one. It returns the address.
-func (h *Host) Open(via, addr string) (string, error) {
+// Open starts to listen for a gateway at an address and returns the address. Port 0 selects a free port.
+func (h *Host) Open(gateway, addr string) (string, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return "", fmt.Errorf("host %s: %w", h.Name, err)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	d := &door{via: via, addr: ln.Addr().String(), ln: ln}
-	h.doors = append(h.doors, d)
-	h.served.Go(func() { h.accept(d, ln) })
-	return d.addr, nil
+	l := &hostListener{gateway: gateway, addr: ln.Addr().String(), ln: ln}
+	h.listeners = append(h.listeners, l)
+	h.running.Go(func() { h.accept(l, ln) })
+	return l.addr, nil
 }
 
-func (h *Host) accept(d *door, ln net.Listener) {
+// accept serves each connection of a listener until the listener is closed.
+func (h *Host) accept(l *hostListener, ln net.Listener) {
 	for {
 		raw, err := ln.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(time.Millisecond) // out of descriptors
+			time.Sleep(time.Millisecond) // no descriptor is free
 			continue
 		}
 		h.mu.Lock()
-		h.untilHeard()
-		c := &conn{Conn: raw, via: d.via, model: h.model}
+		h.waitWhileSilent()
+		c := &conn{Conn: raw, gateway: l.gateway, model: h.model}
 		if h.closed || h.mode == Refuse || !h.model.Connected(h.clock()) {
 			h.mu.Unlock()
-			reset(raw)
+			resetConn(raw)
 			continue
 		}
 		h.conns[c] = true
-		h.served.Go(func() { h.serve(c) })
+		h.running.Go(func() { h.serve(c) })
 		h.mu.Unlock()
 	}
 }
 
-// untilHeard waits while the machine is cut off. It is called with the lock held.
-func (h *Host) untilHeard() {
+// waitWhileSilent waits until the machine is reachable or the host is closed. h.mu must be held.
+func (h *Host) waitWhileSilent() {
 	for h.mode == Silent && !h.closed {
-		h.wake.Wait()
+		h.modeChanged.Wait()
 	}
 }
 
-// serve takes one request after another from a connection.
+// serve reads and answers the requests of a connection, one after another, until the connection ends.
 func (h *Host) serve(c *conn) {
 	defer func() {
 		_ = c.Close()
@@ -192,8 +197,8 @@
 	}()
 	in := bufio.NewReader(c)
 	for {
-		if h.idle > 0 {
-			_ = c.SetReadDeadline(time.Now().Add(h.idle))
+		if h.idleTimeout > 0 {
+			_ = c.SetReadDeadline(time.Now().Add(h.idleTimeout))
 		}
 		if _, err := in.Peek(1); err != nil {
 			return
@@ -205,70 +210,71 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 			return
 		}
-		body, err := io.ReadAll(io.LimitReader(r.Body, mostBody+1))
+		body, err := io.ReadAll(io.LimitReader(r.Body, maxBody+1))
 		if err != nil {
 			return
 		}
-		if len(body) > mostBody || !h.answer(c, r, first) {
+		if len(body) > maxBody || !h.handleRequest(c, r, first) {
 			return
 		}
 	}
 }
 
-// answer answers a whole request and reports whether the connection goes on.
-func (h *Host) answer(c *conn, r *http.Request, first time.Duration) bool {
+// handleRequest answers a request that was read whole, and reports whether the connection stays open. first is
+// the time of the request's first byte.
+func (h *Host) handleRequest(c *conn, r *http.Request, first time.Duration) bool {
 	h.mu.Lock()
-	h.untilHeard()
+	h.waitWhileSilent()
 	if h.closed {
 		h.mu.Unlock()
 		return false
 	}
 	now := h.clock()
-	load := h.report(now)
+	load := h.loadHeader(now)
 	if r.URL.Path == "/healthz" || r.URL.Path == "/load" {
 		h.probes++
 		h.mu.Unlock()
-		return write(c, 200, load, []byte(load+"\n"))
+		return writeResponse(c, 200, load, []byte(load+"\n"))
 	}
 	id, class := r.Header.Get("X-Trace-Id"), r.Header.Get("X-Qos")
 	if id == "" {
 		h.mu.Unlock()
-		return write(c, 404, load, nil)
+		return writeResponse(c, 404, load, nil)
 	}
-	if h.arrived != nil {
-		h.arrived(h.Name, c.via, id, first)
+	if h.onArrival != nil {
+		h.onArrival(h.Name, c.gateway, id, first)
 	}
 	token := h.model.Arrive(now, hostmodel.Request{ID: id, Class: class})
 	wait := make(chan hostmodel.Reply, 1)
-	h.waits[token] = wait
-	h.settle(now)
+	h.replyWaiters[token] = wait
+	h.deliverReplies(now)
 	h.mu.Unlock()
 
 	reply := <-wait
 	h.mu.Lock()
 	for (h.mode == Silent || h.mode == NoReply) && !h.closed {
-		h.wake.Wait()
+		h.modeChanged.Wait()
 	}
-	load = h.report(h.clock())
-	fault := h.draw(class)
-	gone := h.closed || h.mode == Refuse
+	load = h.loadHeader(h.clock())
+	fault := h.drawFault(class)
+	unreachable := h.closed || h.mode == Refuse
 	h.mu.Unlock()
 	switch {
-	case gone || reply.Kind == hostmodel.Lost:
-		reset(c.Conn)
+	case unreachable || reply.Kind == hostmodel.Lost:
+		resetConn(c.Conn)
 		return false
 	case reply.Kind == hostmodel.TurnedAway:
-		return write(c, 503, load+"X-Never-Ran: 1\r\n", []byte("turned away\n"))
+		return writeResponse(c, 503, load+"X-Never-Ran: 1\r\n", []byte("turned away\n"))
 	case reply.Kind == hostmodel.Errored:
-		return write(c, 500, load, []byte("error\n"))
+		return writeResponse(c, 500, load, []byte("error\n"))
 	case fault != "":
-		return h.spoiled(c, fault, load, reply.Body)
+		return h.writeFaulty(c, fault, load, reply.Body)
 	}
-	return write(c, 200, load, reply.Body)
+	return writeResponse(c, 200, load, reply.Body)
 }
 
-// report words the load report as a header line; empty if there is none.
-func (h *Host) report(now time.Duration) string {
+// loadHeader returns the load report as a header line, or an empty string if there is none. h.mu must be held.
+func (h *Host) loadHeader(now time.Duration) string {
 	l, ok := h.model.Report(now)
 	if !ok {
 		return ""
@@ -277,22 +283,25 @@
 		h.fields.Queue, l.Queue, h.fields.Errors, l.Errors)
 }
 
-func write(c net.Conn, status int, fields string, body []byte) bool {
-	_, err := c.Write(message(status, fields, len(body), body))
+// writeResponse writes a response and reports whether all of it was written. fields has further header lines.
+func writeResponse(c net.Conn, status int, fields string, body []byte) bool {
+	_, err := c.Write(buildResponse(status, fields, len(body), body))
 	return err == nil
 }
 
-func message(status int, fields string, length int, body []byte) []byte {
+// buildResponse returns a response whose Content-Length is length, which may differ from the length of body.
+func buildResponse(status int, fields string, length int, body []byte) []byte {
 	head := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n", status, http.StatusText(status),
 		fields, length)
 	return append(head, body...)
 }
 
-// settle hands out the replies that are due and sets the timer for the next. It is called with the lock held.
-func (h *Host) settle(now time.Duration) {
+// deliverReplies passes the replies that are due to the waiting connections and sets the timer for the next. h.mu
+// must be held.
+func (h *Host) deliverReplies(now time.Duration) {
 	for _, r := range h.model.Advance(now) {
-		if w := h.waits[r.Token]; w != nil {
-			delete(h.waits, r.Token)
+		if w := h.replyWaiters[r.Token]; w != nil {
+			delete(h.replyWaiters, r.Token)
 			w <- r
 		}
 	}
@@ -303,58 +312,60 @@
 	}
 }
 
-func (h *Host) tick() {
+// onTimer delivers replies when the model's next change is due.
+func (h *Host) onTimer() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.closed {
-		h.settle(h.clock())
+		h.deliverReplies(h.clock())
 	}
 }
 
-// Do changes or reads the model under the host's lock.
+// Do calls f with the present time and the model under the host's lock, then delivers the replies that are due.
 func (h *Host) Do(f func(now time.Duration, m *hostmodel.Host)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock()
 	f(now, h.model)
-	h.settle(now)
+	h.deliverReplies(now)
 }
 
-// Addr is the address of a gateway's door.
-func (h *Host) Addr(via string) string {
+// Addr returns the address of the listener for a gateway, or an empty string if there is none.
+func (h *Host) Addr(gateway string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, d := range h.doors {
-		if d.via == via {
-			return d.addr
+	for _, l := range h.listeners {
+		if l.gateway == gateway {
+			return l.addr
 		}
 	}
 	return ""
 }
 
-// Probes is how many times the host was asked for its health or load.
+// Probes returns the number of requests for the host's health or load.
 func (h *Host) Probes() int { h.mu.Lock(); defer h.mu.Unlock(); return h.probes }
 
-// Conns is the number of open connections.
+// Conns returns the number of open connections.
 func (h *Host) Conns() int { h.mu.Lock(); defer h.mu.Unlock(); return len(h.conns) }
 
-// Close ends the host and returns its record, at rest.
+// Close closes all listeners and connections, waits for their goroutines and returns the host's record, which
+// does not change any more.
 func (h *Host) Close() *requestrecord.EndpointRecord {
 	h.mu.Lock()
 	h.closed = true
 	h.timer.Stop()
-	for _, d := range h.doors {
-		_ = d.ln.Close()
+	for _, l := range h.listeners {
+		_ = l.ln.Close()
 	}
 	for c := range h.conns {
-		reset(c.Conn)
+		resetConn(c.Conn)
 	}
-	for token, w := range h.waits {
-		delete(h.waits, token)
+	for token, w := range h.replyWaiters {
+		delete(h.replyWaiters, token)
 		w <- hostmodel.Reply{Kind: hostmodel.Lost}
 	}
-	h.wake.Broadcast()
+	h.modeChanged.Broadcast()
 	h.mu.Unlock()
-	h.served.Wait()
-	return h.ledger
+	h.running.Wait()
+	return h.record
 }
