--- a/internal/admin/conn.go
+++ b/internal/admin/conn.go
@@ -23,10 +23,10 @@
 
 // Conn is one admin connection. It carries one request.
 type Conn struct {
-	ID       loop.Conn
-	Answered bool // the response has been passed to the loop for writing
-	Ended    bool // the gateway has ended its sending
-	reader   http1.Reader
+	ID          loop.Conn
+	Answered    bool // the response has been passed to the loop for writing
+	WriteClosed bool // the gateway has ended its sending
+	reader      http1.Reader
 }
 
 // requestPaths maps the path of a request to its type.
--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -99,8 +99,8 @@
 		return queue.head != nil && now-queue.head.lastReceived >= grace
 	}
 	switch {
-	case s.FullyClosed(now) != nil:
-		return s.FullyClosed(now)
+	case s.WriteClosed(now) != nil:
+		return s.WriteClosed(now)
 	case headSilentFor(&s.unused, FirstRequestGrace):
 		return s.unused.head
 	case headSilentFor(&s.healthChecked, HealthCheckGrace):
@@ -121,9 +121,9 @@
 	return nil
 }
 
-// FullyClosed returns a connection on which the gateway has ended its sending after the last response, FirstByteGrace
+// WriteClosed returns a connection on which the gateway has ended its sending after the last response, FirstByteGrace
 // ago or earlier, so that the client has had time to read the response. It returns nil if there is none.
-func (s *Conns) FullyClosed(now time.Duration) *Conn {
+func (s *Conns) WriteClosed(now time.Duration) *Conn {
 	if c := s.writeClosed.head; c != nil && now-c.IdleSince >= FirstByteGrace {
 		return c
 	}
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -107,8 +107,8 @@
 	case loop.Flushed:
 		// Only the sending side is closed: closing with unread bytes would reset the connection, and the client
 		// could lose the answer.
-		if conn.Answered && !conn.Ended {
-			conn.Ended = true
+		if conn.Answered && !conn.WriteClosed {
+			conn.WriteClosed = true
 			a.emit(loop.Effect{Op: loop.Shutdown, Conn: conn.ID})
 			a.setTimer(timerAdmin, uint64(conn.ID), a.now+admin.LingerTimeout)
 		}
--- a/internal/gateway/eviction.go
+++ b/internal/gateway/eviction.go
@@ -37,7 +37,7 @@
 	if d.restart.isOnlyProcess() {
 		return d.conns.Evictable(d.now)
 	}
-	return d.conns.FullyClosed(d.now)
+	return d.conns.WriteClosed(d.now)
 }
 
 // clientsWaiting reports whether clients wait at the listener while no idle connection may be closed for them
--- a/internal/gateway/hotrestart_predecessor.go
+++ b/internal/gateway/hotrestart_predecessor.go
@@ -78,7 +78,7 @@
 		DescriptorsHeld: h.descriptors(),
 	}
 	if h.cluster.membership != nil {
-		state.ClusterStartID, state.ClusterIncarnation = h.cluster.membership.Identity()
+		state.ClusterStart, state.ClusterIncarnation = h.cluster.membership.Identity()
 	}
 	h.send(h.successor, state, []loop.Conn{loop.Listener})
 }
--- a/internal/gateway/hotrestart_successor.go
+++ b/internal/gateway/hotrestart_successor.go
@@ -56,7 +56,7 @@
 		h.balancer.Restore(h.now, *m.Balancer)
 	}
 	h.dispatchNeeded = true
-	h.cluster.inherit(m.ClusterStartID, m.ClusterIncarnation)
+	h.cluster.inherit(m.ClusterStart, m.ClusterIncarnation)
 	h.predecessorDescriptors = m.DescriptorsHeld
 	h.resize()
 }
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -45,7 +45,7 @@
 	Idle            []IdleConn `json:"links,omitempty"` // for PassConns: the connections passed
 	// For State: the process start, in ms of Unix time, and the incarnation with which the successor continues in the
 	// cluster; both are 0 if the predecessor is in no cluster.
-	ClusterStartID     uint64      `json:"fleet_start,omitempty"`
+	ClusterStart       uint64      `json:"fleet_start,omitempty"`
 	ClusterIncarnation uint64      `json:"fleet_incarnation,omitempty"`
 	DescriptorsPassed  int         `json:"passed,omitempty"` // the number of descriptors passed with this message
 	Conns              []loop.Conn `json:"-"`                // the sockets received with this message
--- a/internal/lab/cli/seeds.go
+++ b/internal/lab/cli/seeds.go
@@ -74,7 +74,7 @@
 		o := simulation.PlayContext(e.ctx, p, nil)
 		mu.Lock()
 		defer mu.Unlock()
-		tries, lasted, steps = tries+o.Tries, lasted+o.Lasted, steps+o.Steps
+		tries, lasted, steps = tries+o.Attempts, lasted+o.Duration, steps+o.Steps
 		if len(o.Findings) > 0 {
 			f := failure{seed, p.Profile, o.Findings[0], len(o.Findings) - 1}
 			failures = append(failures, f)
@@ -284,12 +284,12 @@
 // say prints what a run came to.
 func (e *env) say(p simulation.Plan, o simulation.Outcome) {
 	fmt.Fprintf(e.out, "seed %d, %s, %d gateways, %d hosts, %d faults, %d tries: %d served, %d refused, %d failed, %.1f s\n", p.Seed, p.Profile,
-		p.Gateways, p.Hosts, len(p.Faults), o.Tries, o.Served, o.Refused, o.Failed, o.Lasted.Seconds())
+		p.Gateways, p.Hosts, len(p.Faults), o.Attempts, o.Served, o.Rejected, o.Failed, o.Duration.Seconds())
 	if o.Partial {
 		fmt.Fprintln(e.out, "partial: told to end")
 	}
-	if o.Sums != "" {
-		fmt.Fprintln(e.out, o.Sums)
+	if o.PeakRates != "" {
+		fmt.Fprintln(e.out, o.PeakRates)
 	}
 	for i, f := range o.Findings {
 		if i == 20 {
--- a/internal/lab/cli/shares.go
+++ b/internal/lab/cli/shares.go
@@ -83,12 +83,12 @@
 			return input(err)
 		}
 		known := "never"
-		if at, ok := f.Median(); ok {
+		if at, ok := f.MedianDetectionTime(); ok {
 			known = at.String()
 		}
 		fmt.Fprintf(e.out, "| %d | %d | %v | %s | %d | %.0f | %.2f | %.1f%% | %d |\n", c.Gateways, c.Hosts,
-			hearsay, known, f.Asked, f.Bytes, f.Cold, 100*f.Refuse, len(f.Broken))
-		for _, x := range f.Broken[:min(3, len(f.Broken))] {
+			hearsay, known, f.BadHostRequests, f.BytesPerSecond, f.SlowStartLoad, 100*f.RejectedShare, len(f.Findings))
+		for _, x := range f.Findings[:min(3, len(f.Findings))] {
 			fmt.Fprintln(e.err, x.Rule, x.ID, x.Detail)
 		}
 	}
--- a/internal/lab/load/record.go
+++ b/internal/lab/load/record.go
@@ -268,9 +268,9 @@
 	case out.Unsent > 0:
 		out.Behind = fmt.Sprintf("%d requests could not be sent", out.Unsent)
 	case out.SelfLate.P99 > float64(maxLatenessP99.Milliseconds()):
-		out.Behind = fmt.Sprintf("1%% of the requests were sent more than %.1f ms late", out.SelfLate.P99)
+		out.Behind = fmt.Sprintf("a hundredth of the requests left over %.1f ms late", out.SelfLate.P99)
 	case tail > maxLatenessP999.Microseconds():
-		out.Behind = fmt.Sprintf("0.1%% of the requests were sent more than %.1f ms late", float64(tail)/1000)
+		out.Behind = fmt.Sprintf("a thousandth of the requests left over %.1f ms late", float64(tail)/1000)
 	}
 	out.FellBehind = out.Behind != ""
 	return out
--- a/internal/lab/simulation/assignments_test.go
+++ b/internal/lab/simulation/assignments_test.go
@@ -74,7 +74,7 @@
 		}
 	}
 	honest := Play(p, nil)
-	if len(honest.Findings) > 0 || honest.Served < honest.Tries*3/4 {
+	if len(honest.Findings) > 0 || honest.Served < honest.Attempts*3/4 {
 		t.Fatalf("without false reports: %+v", honest)
 	}
 	for name, lie := range map[string]func([]byte) []byte{
@@ -97,7 +97,7 @@
 			}
 		}
 		if o.Served < honest.Served*95/100 {
-			t.Errorf("%s: %d of %d served, %d of %d without false reports", name, o.Served, o.Tries, honest.Served, honest.Tries)
+			t.Errorf("%s: %d of %d served, %d of %d without false reports", name, o.Served, o.Attempts, honest.Served, honest.Attempts)
 		}
 	}
 }
--- a/internal/lab/simulation/discovery_load_test.go
+++ b/internal/lab/simulation/discovery_load_test.go
@@ -110,7 +110,7 @@
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			if o := playAndVerify(t, draw(t, seed, discoveryLoadProfile)); o.Tries < 500 || o.Served < o.Tries/2 {
+			if o := playAndVerify(t, draw(t, seed, discoveryLoadProfile)); o.Attempts < 500 || o.Served < o.Attempts/2 {
 				t.Errorf("too few requests made or served: %+v", o)
 			}
 		})
--- a/internal/lab/simulation/invariants.go
+++ b/internal/lab/simulation/invariants.go
@@ -134,15 +134,15 @@
 }
 
 func (s *simulator) outcome() Outcome {
-	o := Outcome{Hash: s.sim.Hash(), Findings: s.findings, Tries: s.attempts, Steps: s.sim.Steps(),
-		Lasted: s.sim.Elapsed(), Sums: s.rates.String(),
+	o := Outcome{Hash: s.sim.Hash(), Findings: s.findings, Attempts: s.attempts, Steps: s.sim.Steps(),
+		Duration: s.sim.Elapsed(), PeakRates: s.rates.String(),
 		Partial: s.sim.interrupted()}
 	for status, n := range s.statuses {
 		switch {
 		case status == 200:
 			o.Served += n
 		case status == 429 || status == 503:
-			o.Refused += n
+			o.Rejected += n
 		default:
 			o.Failed += n
 		}
--- a/internal/lab/simulation/measure.go
+++ b/internal/lab/simulation/measure.go
@@ -17,12 +17,12 @@
 type AssignmentFigures struct {
 	// by host: time from when the host starts to fail until 95% of the gateways that use it have ejected it or
 	// doubt it; 0: never
-	Known  []time.Duration
-	Asked  int     // requests sent to hosts while these failed
-	Bytes  float64 // bytes that a gateway sends in datagrams a second, from the eighth second on
-	Cold   float64 // requests sent to hosts in slow start, divided by what these may receive
-	Refuse float64 // rejected share of the attempts
-	Broken []Finding
+	DetectionTimes  []time.Duration
+	BadHostRequests int     // requests sent to hosts while these failed
+	BytesPerSecond  float64 // bytes that a gateway sends in datagrams a second, from the eighth second on
+	SlowStartLoad   float64 // requests sent to hosts in slow start, divided by what these may receive
+	RejectedShare   float64 // rejected share of the attempts
+	Findings        []Finding
 }
 
 // Times of the measured run.
@@ -43,7 +43,7 @@
 		return AssignmentFigures{}, err
 	}
 	m := assignmentMeasurement{hosts: hosts, reports: reports}
-	m.figures.Known = make([]time.Duration, badHosts)
+	m.figures.DetectionTimes = make([]time.Duration, badHosts)
 	m.run = newSimulator(p, nil, func(r loop.Reducer) loop.Reducer { return effectObserver{r, m.observe} })
 	m.schedule()
 	m.run.sim.ctx = ctx
@@ -52,8 +52,8 @@
 		return m.figures, ctx.Err()
 	}
 	out := m.figures
-	out.Cold, out.Refuse, out.Broken = m.used/m.allowed, float64(o.Refused)/float64(max(1, o.Tries)), o.Findings
-	out.Bytes = float64(m.steadyBytes) / (badFrom + badFor - steadyFrom).Seconds() / float64(gateways)
+	out.SlowStartLoad, out.RejectedShare, out.Findings = m.used/m.allowed, float64(o.Rejected)/float64(max(1, o.Attempts)), o.Findings
+	out.BytesPerSecond = float64(m.steadyBytes) / (badFrom + badFor - steadyFrom).Seconds() / float64(gateways)
 	return out, nil
 }
 
@@ -114,15 +114,15 @@
 // countBadHostAttempts adds the number of requests that the bad hosts have received so far, multiplied by sign.
 func (m *assignmentMeasurement) countBadHostAttempts(sign int) {
 	for who := range badHosts {
-		m.figures.Asked += sign * m.run.hosts[who].record.Len()
+		m.figures.BadHostRequests += sign * m.run.hosts[who].record.Len()
 	}
 }
 
 // checkBadHosts records the bad hosts that 95% of their gateways know by now.
 func (m *assignmentMeasurement) checkBadHosts(at time.Duration) {
 	for who := range badHosts {
-		if m.figures.Known[who] == 0 && m.run.knownShare(m.run.hosts[who]) >= 0.95 {
-			m.figures.Known[who] = at
+		if m.figures.DetectionTimes[who] == 0 && m.run.knownShare(m.run.hosts[who]) >= 0.95 {
+			m.figures.DetectionTimes[who] = at
 		}
 	}
 }
@@ -200,10 +200,10 @@
 	return out
 }
 
-// Median returns the median of the detection times; bad hosts that were never detected count as last. It returns
+// MedianDetectionTime returns the median of the detection times; bad hosts that were never detected count as last. It returns
 // false if the median host was never detected.
-func (f AssignmentFigures) Median() (time.Duration, bool) {
-	list := slices.Clone(f.Known)
+func (f AssignmentFigures) MedianDetectionTime() (time.Duration, bool) {
+	list := slices.Clone(f.DetectionTimes)
 	slices.SortFunc(list, func(a, b time.Duration) int {
 		switch {
 		case a == b:
--- a/internal/lab/simulation/simulator.go
+++ b/internal/lab/simulation/simulator.go
@@ -46,16 +46,16 @@
 
 // Outcome is the result of a run.
 type Outcome struct {
-	Hash     uint64
-	Findings []Finding
-	Tries    int
-	Served   int
-	Refused  int
-	Failed   int
-	Steps    uint64
-	Lasted   time.Duration // virtual duration
-	Sums     string        // of a run with zones: the highest rates in one second, as text
-	Partial  bool          // the run was interrupted
+	Hash      uint64
+	Findings  []Finding
+	Attempts  int
+	Served    int
+	Rejected  int
+	Failed    int
+	Steps     uint64
+	Duration  time.Duration // virtual duration
+	PeakRates string        // of a run with zones: the highest rates in one second, as text
+	Partial   bool          // the run was interrupted
 }
 
 // simulator holds the state of one run.
--- a/internal/lab/simulation/simulator_test.go
+++ b/internal/lab/simulation/simulator_test.go
@@ -54,7 +54,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			o := playAndVerify(t, draw(t, seed, ""))
-			if o.Tries < 50 || o.Served+o.Refused+o.Failed == 0 {
+			if o.Attempts < 50 || o.Served+o.Rejected+o.Failed == 0 {
 				t.Errorf("too few requests made or served: %+v", o)
 			}
 		})
@@ -71,7 +71,7 @@
 				t.Fatal(err)
 			}
 			o := playAndVerify(t, p)
-			if o.Tries < 6000 || o.Served < o.Tries/3 {
+			if o.Attempts < 6000 || o.Served < o.Attempts/3 {
 				t.Errorf("too few requests made or served: %+v", o)
 			}
 		})
@@ -85,7 +85,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			p := draw(t, seed, viewsProfile)
-			if o := playAndVerify(t, p); o.Tries < 50 || !p.Views || p.Gateways < 2 {
+			if o := playAndVerify(t, p); o.Attempts < 50 || !p.Views || p.Gateways < 2 {
 				t.Errorf("too few requests made or served: %+v", o)
 			}
 		})
@@ -110,7 +110,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if o := playAndVerify(t, p); o.Tries < 50 || !p.Shares || o.Served < o.Tries/5 {
+			if o := playAndVerify(t, p); o.Attempts < 50 || !p.Shares || o.Served < o.Attempts/5 {
 				t.Errorf("too few requests made or served: %+v", o)
 			}
 		})
@@ -128,8 +128,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if o := Play(p, nil); len(o.Findings) > 0 || o.Tries == 0 {
-			t.Errorf("%s: %d attempts, findings %+v", path, o.Tries, o.Findings)
+		if o := Play(p, nil); len(o.Findings) > 0 || o.Attempts == 0 {
+			t.Errorf("%s: %d attempts, findings %+v", path, o.Attempts, o.Findings)
 		}
 	}
 }
@@ -376,7 +376,7 @@
 	tries := 0
 	for i := range b.N {
 		p, _ := Draw(uint64(i), "")
-		tries += Play(p, nil).Tries
+		tries += Play(p, nil).Attempts
 	}
 	b.ReportMetric(float64(tries)/b.Elapsed().Seconds(), "requests/s")
 }
@@ -387,7 +387,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			o := playAndVerify(t, draw(t, seed, "pushed"))
-			if o.Tries < 50 || o.Served < o.Tries/10 {
+			if o.Attempts < 50 || o.Served < o.Attempts/10 {
 				t.Errorf("too few requests made or served: %+v", o)
 			}
 		})
@@ -406,7 +406,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			o := playAndVerify(t, draw(t, seed, stoppedProfile))
-			if o.Tries < 50 || o.Served == 0 {
+			if o.Attempts < 50 || o.Served == 0 {
 				t.Errorf("too few requests made or served: %+v", o)
 			}
 		})
@@ -520,7 +520,7 @@
 		faults = append(faults, Fault{AtMS: 1100 + 10*n, Kind: "host-replace", Target: n})
 	}
 	o := playAndVerify(t, pushedPlan(6, 14000, faults...))
-	if o.Served < o.Tries*8/10 {
+	if o.Served < o.Attempts*8/10 {
 		t.Errorf("too few requests served: %+v", o)
 	}
 }
@@ -531,7 +531,7 @@
 	o := playAndVerify(t, pushedPlan(4, 50000, Fault{AtMS: 3000, Kind: "discovery-anew"},
 		Fault{AtMS: 38000, Kind: "host-replace", Target: 0}, Fault{AtMS: 38100, Kind: "host-replace", Target: 1},
 		Fault{AtMS: 38200, Kind: "host-replace", Target: 2}))
-	if o.Served < o.Tries*9/10 {
+	if o.Served < o.Attempts*9/10 {
 		t.Errorf("too few requests served: %+v", o)
 	}
 }
--- a/internal/lab/simulation/upgrade_test.go
+++ b/internal/lab/simulation/upgrade_test.go
@@ -38,8 +38,8 @@
 // Clients on new connections are answered in time, and no idle connection is closed for them.
 func TestUpgradeAtTheConnectionLimitAnswersNewClients(t *testing.T) {
 	o := playAndVerify(t, planUpgradeAtLimit())
-	if o.Served < o.Tries*9/10 {
-		t.Errorf("%d of %d served", o.Served, o.Tries)
+	if o.Served < o.Attempts*9/10 {
+		t.Errorf("%d of %d served", o.Served, o.Attempts)
 	}
 }
 
@@ -65,8 +65,8 @@
 	for _, seed := range []uint64{3, 5} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			o := playAndVerify(t, planUpgradesAmongNewConnections(seed))
-			if o.Served < o.Tries*8/10 {
-				t.Errorf("%d of %d served", o.Served, o.Tries)
+			if o.Served < o.Attempts*8/10 {
+				t.Errorf("%d of %d served", o.Served, o.Attempts)
 			}
 		})
 	}
