--- a/internal/lab/experiment/defaults.go
+++ b/internal/lab/experiment/defaults.go
@@ -6,74 +6,74 @@
 	"thymebend/internal/tomlfile"
 )
 
-func either[T comparable](v *T, unset T) {
+func setDefault[T comparable](field *T, value T) {
 	var zero T
-	if *v == zero {
-		*v = unset
+	if *field == zero {
+		*field = value
 	}
 }
 
-func (f *File) defaults(in *tomlfile.File) {
-	f.gatewayDefaults(in)
-	f.clientDefaults(in)
+func (f *File) applyDefaults(in *tomlfile.File) {
+	f.applyGatewayDefaults(in)
+	f.applyClientDefaults(in)
 	for i := range f.Classes {
-		f.Classes[i].defaults(in, fmt.Sprintf("class.%d", i))
+		f.Classes[i].applyDefaults(in, fmt.Sprintf("class.%d", i))
 	}
 	for i := range f.Hosts {
-		f.Hosts[i].defaults(in, fmt.Sprintf("hosts.%d", i))
+		f.Hosts[i].applyDefaults(in, fmt.Sprintf("hosts.%d", i))
 	}
 }
 
-func (f *File) gatewayDefaults(in *tomlfile.File) {
+func (f *File) applyGatewayDefaults(in *tomlfile.File) {
 	g := &f.Gateways
 	if !in.Has("gateways.count") {
 		g.Count = 1
 	}
-	either(&g.Cores, 1)
-	either(&g.MemoryMB, 64)
-	either(&g.Sockets, 1024)
-	either(&g.Log, "info")
-	either(&f.Seed, 1)
-	either(&f.Front.Notice, ms(1000))
+	setDefault(&g.Cores, 1)
+	setDefault(&g.MemoryMB, 64)
+	setDefault(&g.Sockets, 1024)
+	setDefault(&g.Log, "info")
+	setDefault(&f.Seed, 1)
+	setDefault(&f.Front.Notice, ms(1000))
 }
 
-func (f *File) clientDefaults(in *tomlfile.File) {
-	either(&f.Clients.Backoff, "fixed")
-	either(&f.Clients.Wait, ms(100))
-	either(&f.Clients.MostAfter, ms(2000))
+func (f *File) applyClientDefaults(in *tomlfile.File) {
+	setDefault(&f.Clients.Backoff, "fixed")
+	setDefault(&f.Clients.Wait, ms(100))
+	setDefault(&f.Clients.MostAfter, ms(2000))
 	if !in.Has("clients.honour") {
 		f.Clients.Honour = 1
 	}
 }
 
-func (c *Class) defaults(in *tomlfile.File, path string) {
+func (c *Class) applyDefaults(in *tomlfile.File, path string) {
 	if !in.Has(path + ".worth") {
 		c.Worth = 1
 	}
-	either(&c.Aim, ms(800))
-	either(&c.Patience, ms(2000))
-	either(&c.Work.Dist, "fixed")
+	setDefault(&c.Aim, ms(800))
+	setDefault(&c.Patience, ms(2000))
+	setDefault(&c.Work.Dist, "fixed")
 	if c.Keyed {
-		either(&c.Window, ms(1500))
+		setDefault(&c.Window, ms(1500))
 	}
 	if (c.Unsafe || c.Keyed) && !in.Has(path+".body") {
 		c.Body = 200
 	}
 }
 
-func (h *Hosts) defaults(in *tomlfile.File, path string) {
-	either(&h.Count, 1)
-	either(&h.Site, "suva")
-	either(&h.Cores, 1)
-	either(&h.Speed, 1)
-	either(&h.Slots, h.Cores)
+func (h *Hosts) applyDefaults(in *tomlfile.File, path string) {
+	setDefault(&h.Count, 1)
+	setDefault(&h.Site, "suva")
+	setDefault(&h.Cores, 1)
+	setDefault(&h.Speed, 1)
+	setDefault(&h.Slots, h.Cores)
 	if !in.Has(path + ".queue") {
 		h.Queue = 12 * h.Cores
 	}
-	either(&h.WarmBy, "time")
-	either(&h.FallFor, ms(1000))
-	either(&h.Body, 200)
-	either(&h.Idle, ms(30000))
+	setDefault(&h.WarmBy, "time")
+	setDefault(&h.FallFor, ms(1000))
+	setDefault(&h.Body, 200)
+	setDefault(&h.Idle, ms(30000))
 	if !in.Has(path + ".report_most") {
 		h.ReportMin, h.ReportMax, h.ReportLate = ms(50), ms(250), ms(20)
 	}
--- a/internal/lab/experiment/events.go
+++ b/internal/lab/experiment/events.go
@@ -16,24 +16,24 @@
 	"thymebend/internal/lab/hostmodel"
 )
 
-// play carries out the timeline, from began on, until ctx is done or everything has happened. Events
+// playEvents carries out the timeline, from began on, until ctx is done or everything has happened. Events
 // that need gateways are left out where there are none.
-func (w *World) play(ctx context.Context, began time.Duration) {
+func (w *World) playEvents(ctx context.Context, loadStart time.Duration) {
 	events := slices.Clone(w.File.Events)
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At.Duration, b.At.Duration) })
 	rng := rand.New(rand.NewPCG(w.seed, 4))
 	for _, e := range events {
-		if !Sleep(ctx, began+e.At.Duration-w.Clock()) {
+		if !Sleep(ctx, loadStart+e.At.Duration-w.Clock()) {
 			return
 		}
-		chosen := w.choose(e, rng)
-		w.pending.Go(func() {
-			if err := w.happen(ctx, e, chosen); err != nil {
-				w.mark("%s failed: %v", e.Do, err)
+		chosen := w.selectHosts(e, rng)
+		w.eventsInProgress.Go(func() {
+			if err := w.apply(ctx, e, chosen); err != nil {
+				w.addMark("%s failed: %v", e.Do, err)
 			}
 		})
 	}
-	w.pending.Wait()
+	w.eventsInProgress.Wait()
 }
 
 // Sleep waits, and reports whether it was not for ctx that it ended.
@@ -51,127 +51,127 @@
 	}
 }
 
-// choose draws the hosts that an event is about.
-func (w *World) choose(e Event, rng *rand.Rand) []*member {
-	var fit []*member
-	for _, m := range w.members() {
+// selectHosts draws the hosts that an event is about.
+func (w *World) selectHosts(e Event, rng *rand.Rand) []*managedHost {
+	var candidates []*managedHost
+	for _, m := range w.managedHosts() {
 		if !m.gone.Load() && (e.Host == "" || m.Name == e.Host) && (e.Kind == "" || m.spec.Kind == e.Kind) {
-			fit = append(fit, m)
+			candidates = append(candidates, m)
 		}
 	}
-	rng.Shuffle(len(fit), func(i, j int) { fit[i], fit[j] = fit[j], fit[i] })
+	rng.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 	switch {
 	case e.Count > 0:
-		fit = fit[:min(e.Count, len(fit))]
-	case e.Part > 0:
-		fit = fit[:int(math.Round(e.Part*float64(len(fit))))]
+		candidates = candidates[:min(e.Count, len(candidates))]
+	case e.Fraction > 0:
+		candidates = candidates[:int(math.Round(e.Fraction*float64(len(candidates))))]
 	}
-	return fit
+	return candidates
 }
 
-// happen is one event, to its end.
-func (w *World) happen(ctx context.Context, e Event, hosts []*member) error {
+// apply is one event, to its end.
+func (w *World) apply(ctx context.Context, e Event, hosts []*managedHost) error {
 	switch e.Do {
 	case "gateway-kill", "gateway-restart", "gateway-reload", "discovery-move":
-		return w.toGateways(ctx, e)
+		return w.applyToGateways(ctx, e)
 	case "discovery-down":
-		return w.forA(ctx, e, "discovery down", func() { w.disc.SetDown(true) }, func() { w.disc.SetDown(false) })
+		return w.applyFor(ctx, e, "discovery down", func() { w.discovery.SetDown(true) }, func() { w.discovery.SetDown(false) })
 	case "discovery-mute":
-		return w.forA(ctx, e, "discovery silent", func() { w.disc.SetMute(true) }, func() { w.disc.SetMute(false) })
+		return w.applyFor(ctx, e, "discovery silent", func() { w.discovery.SetMute(true) }, func() { w.discovery.SetMute(false) })
 	case "discovery-flap":
-		w.mark("discovery starts anew")
-		w.disc.Flap()
+		w.addMark("discovery starts anew")
+		w.discovery.Flap()
 		return nil
 	case "discovery-lag":
-		w.mark("discovery's lag is %v", e.Lag)
-		w.disc.SetLag(e.Lag.Duration)
+		w.addMark("discovery's lag is %v", e.Lag)
+		w.discovery.SetLag(e.Lag.Duration)
 		return nil
 	}
 	for i, m := range hosts {
 		if i > 0 && !Sleep(ctx, e.Every.Duration) {
 			return nil
 		}
-		w.pending.Go(func() {
-			if err := w.toHost(ctx, e, m); err != nil {
-				w.mark("%s of %s failed: %v", e.Do, m.Name, err)
+		w.eventsInProgress.Go(func() {
+			if err := w.applyToHost(ctx, e, m); err != nil {
+				w.addMark("%s of %s failed: %v", e.Do, m.Name, err)
 			}
 		})
 	}
 	return nil
 }
 
-// forA does something, and undoes it after the event's time if one is stated.
-func (w *World) forA(ctx context.Context, e Event, what string, do, undo func()) error {
-	w.mark("%s", what)
+// applyFor does something, and undoes it after the event's time if one is stated.
+func (w *World) applyFor(ctx context.Context, e Event, description string, do, undo func()) error {
+	w.addMark("%s", description)
 	do()
 	if e.For.Duration > 0 && Sleep(ctx, e.For.Duration) {
 		undo()
-		w.mark("%s: over", what)
+		w.addMark("%s: over", description)
 	}
 	return nil
 }
 
-// list has discovery tell a host's state.
-func (w *World) list(m *member, state string, born int64) {
+// publish has discovery tell a host's state.
+func (w *World) publish(m *managedHost, state string, bornMS int64) {
 	w.mu.Lock()
-	m.entry.State, m.entry.Born = state, born
+	m.entry.State, m.entry.Born = state, bornMS
 	entry := m.entry
 	w.mu.Unlock()
-	w.disc.Put(entry)
+	w.discovery.Put(entry)
 }
 
-// again brings a host back at its address, cold if its kind starts cold.
-func (w *World) again(m *member) error {
+// restore brings a host back at its address, cold if its kind starts cold.
+func (w *World) restore(m *managedHost) error {
 	if err := m.SetMode(emulation.Up); err != nil {
 		return err
 	}
-	w.mark("%s back, cold", m.Name)
-	w.list(m, emulation.StateUp, time.Now().UnixMilli())
+	w.addMark("%s back, cold", m.Name)
+	w.publish(m, emulation.StateUp, time.Now().UnixMilli())
 	return nil
 }
 
 // drain has a host leave: discovery tells so, the host finishes what it has, and ends.
-func (w *World) drain(ctx context.Context, e Event, m *member) {
-	w.mark("%s drains", m.Name)
-	w.list(m, emulation.StateDraining, m.entry.Born)
+func (w *World) drain(ctx context.Context, e Event, m *managedHost) {
+	w.addMark("%s drains", m.Name)
+	w.publish(m, emulation.StateDraining, m.entry.Born)
 	lag := w.File.Discovery.Lag.Duration
 	// A host that drains turns work away only once everybody may know it.
 	Sleep(ctx, lag+drainGrace)
 	m.Do(func(now time.Duration, h *hostmodel.Host) { h.Drain(now, true) })
 	Sleep(ctx, max(e.For.Duration, 500*time.Millisecond))
-	w.list(m, emulation.StateRemoved, m.entry.Born)
-	l := m.Host.Close()
+	w.publish(m, emulation.StateRemoved, m.entry.Born)
+	record := m.Host.Close()
 	w.mu.Lock()
 	m.gone.Store(true)
-	w.ledgers = append(w.ledgers, l)
+	w.closedRecords = append(w.closedRecords, record)
 	w.mu.Unlock()
-	w.mark("%s gone", m.Name)
+	w.addMark("%s gone", m.Name)
 }
 
-func (w *World) toGateways(ctx context.Context, e Event) error {
-	list := w.gateways
-	if e.Gateway >= 0 && e.Gateway < len(list) {
-		list = list[e.Gateway : e.Gateway+1]
+func (w *World) applyToGateways(ctx context.Context, e Event) error {
+	gateways := w.gateways
+	if e.Gateway >= 0 && e.Gateway < len(gateways) {
+		gateways = gateways[e.Gateway : e.Gateway+1]
 	}
-	for i, g := range list {
+	for i, g := range gateways {
 		if i > 0 && !Sleep(ctx, e.Every.Duration) {
 			return nil
 		}
-		if err := w.toGateway(ctx, e, g); err != nil {
+		if err := w.applyToGateway(ctx, e, g); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *World) toGateway(ctx context.Context, e Event, g *gateway) error {
+func (w *World) applyToGateway(ctx context.Context, e Event, g *gateway) error {
 	switch e.Do {
 	case "gateway-kill", "gateway-restart":
 		if e.Do == "gateway-kill" {
-			w.mark("%s killed", g.name)
+			w.addMark("%s killed", g.name)
 			w.kill(g)
 		} else {
-			w.mark("%s restarts", g.name)
+			w.addMark("%s restarts", g.name)
 			w.stop(g, w.Front)
 		}
 		if !Sleep(ctx, e.For.Duration) {
@@ -180,10 +180,10 @@
 		if err := w.startGateway(g); err != nil {
 			return err
 		}
-		if err := w.ready(ctx, g); err != nil {
+		if err := w.waitReady(ctx, g); err != nil {
 			return err
 		}
-		w.mark("%s back", g.name)
+		w.addMark("%s back", g.name)
 	case "gateway-reload", "discovery-move":
 		return w.reload(e, g)
 	}
@@ -193,62 +193,62 @@
 // reload replaces a gateway's file, in which discovery has moved, and sends SIGHUP. A faulty file must change
 // nothing: discovery then stays.
 func (w *World) reload(e Event, g *gateway) error {
-	raw, err := os.ReadFile(g.config)
+	config, err := os.ReadFile(g.config)
 	if err != nil {
 		return err
 	}
 	if e.Faulty {
-		w.mark("%s: SIGHUP with a faulty file", g.name)
-		raw = raw[:len(raw)/2]
+		w.addMark("%s: SIGHUP with a faulty file", g.name)
+		config = config[:len(config)/2]
 	} else {
-		at, err := w.disc.Open(g.name, "127.0.0.1:0")
+		address, err := w.discovery.Open(g.name, "127.0.0.1:0")
 		if err == nil {
-			at, err = w.path(g.name, NodeDiscovery, at)
+			address, err = w.path(g.name, NodeDiscovery, address)
 		}
 		if err != nil {
 			return err
 		}
 		var fields map[string]any
-		if err := json.Unmarshal(raw, &fields); err != nil {
+		if err := json.Unmarshal(config, &fields); err != nil {
 			return err
 		}
-		fields["discovery"] = at
-		if raw, err = json.Marshal(fields); err != nil {
+		fields["discovery"] = address
+		if config, err = json.Marshal(fields); err != nil {
 			return err
 		}
-		w.mark("%s: SIGHUP, discovery moves", g.name)
+		w.addMark("%s: SIGHUP, discovery moves", g.name)
 	}
-	fresh := g.config + ".new"
-	if err := os.WriteFile(fresh, raw, 0o600); err != nil {
+	newPath := g.config + ".new"
+	if err := os.WriteFile(newPath, config, 0o600); err != nil {
 		return err
 	}
 	if !e.Faulty {
-		if err := os.Rename(fresh, g.config); err != nil {
+		if err := os.Rename(newPath, g.config); err != nil {
 			return err
 		}
 		return g.signal(syscall.SIGHUP)
 	}
-	good, err := os.ReadFile(g.config)
+	original, err := os.ReadFile(g.config)
 	if err != nil {
 		return err
 	}
-	if err := os.Rename(fresh, g.config); err != nil {
+	if err := os.Rename(newPath, g.config); err != nil {
 		return err
 	}
 	if err := g.signal(syscall.SIGHUP); err != nil {
 		return err
 	}
 	time.Sleep(500 * time.Millisecond) // it reads the file in this time; then the good one lies there again
-	return os.WriteFile(g.config, good, 0o600)
+	return os.WriteFile(g.config, original, 0o600)
 }
 
-func (g *gateway) signal(s syscall.Signal) error {
-	p := g.present()
-	if p == nil {
+func (g *gateway) signal(sig syscall.Signal) error {
+	process := g.current()
+	if process == nil {
 		return fmt.Errorf("%s does not run", g.name)
 	}
-	return p.cmd.Process.Signal(s)
+	return process.cmd.Process.Signal(sig)
 }
 
 // Play plays the events that concern hosts and discovery, for a fleet without gateways.
-func (w *World) Play(ctx context.Context) { w.play(ctx, w.Clock()) }
+func (w *World) Play(ctx context.Context) { w.playEvents(ctx, w.Clock()) }
--- a/internal/lab/experiment/format.go
+++ b/internal/lab/experiment/format.go
@@ -53,33 +53,33 @@
 
 // Clients is how clients act, see load.Clients.
 type Clients struct {
-	Retries     float64  `toml:"retries"`
-	Backoff     string   `toml:"backoff"`
-	Wait        Duration `toml:"wait"`
-	Honour      float64  `toml:"honour"`
-	MostAfter   Duration `toml:"most_retry_after"`
-	TryShare    float64  `toml:"try_share"`
-	Marks       bool     `toml:"marks_retry"`
-	Connections int      `toml:"connections"`
-	KeepFor     int      `toml:"requests_per_connection"`
-	SlowShare   float64  `toml:"slow_share"`
-	SlowFor     Duration `toml:"slow_for"`
-	Silent      int      `toml:"silent"`
+	Retries               float64  `toml:"retries"`
+	Backoff               string   `toml:"backoff"`
+	Wait                  Duration `toml:"wait"`
+	Honour                float64  `toml:"honour"`
+	MostAfter             Duration `toml:"most_retry_after"`
+	TryShare              float64  `toml:"try_share"`
+	Marks                 bool     `toml:"marks_retry"`
+	Connections           int      `toml:"connections"`
+	RequestsPerConnection int      `toml:"requests_per_connection"`
+	SlowShare             float64  `toml:"slow_share"`
+	SlowFor               Duration `toml:"slow_for"`
+	Silent                int      `toml:"silent"`
 }
 
 // Class is a kind of request.
 type Class struct {
-	Name     string   `toml:"name"`
-	Share    float64  `toml:"share"`
-	Unsafe   bool     `toml:"unsafe"`
-	Keyed    bool     `toml:"keyed"`      // sent with a key; the hosts of one cell drop a repeat
-	Window   Duration `toml:"window"`     // for so long
-	Late     float64  `toml:"late_worth"` // share of the worth that an answer after the aim earns, as gateways are told
-	Worth    float64  `toml:"worth"`
-	Aim      Duration `toml:"aim"`
-	Patience Duration `toml:"patience"`
-	Body     int      `toml:"body"`
-	Work     Work     `toml:"work"`
+	Name       string   `toml:"name"`
+	Share      float64  `toml:"share"`
+	Unsafe     bool     `toml:"unsafe"`
+	Keyed      bool     `toml:"keyed"`      // sent with a key; the hosts of one cell drop a repeat
+	Window     Duration `toml:"window"`     // for so long
+	LateWeight float64  `toml:"late_worth"` // share of the worth that an answer after the aim earns, as gateways are told
+	Worth      float64  `toml:"worth"`
+	Aim        Duration `toml:"aim"`
+	Patience   Duration `toml:"patience"`
+	Body       int      `toml:"body"`
+	Work       Work     `toml:"work"`
 }
 
 // Work is drawn anew for each request.
@@ -91,50 +91,50 @@
 
 // Hosts are so many hosts of one kind.
 type Hosts struct {
-	Kind     string   `toml:"kind"`
-	Count    int      `toml:"count"`
-	Site     string   `toml:"site"`
-	Cell     int      `toml:"cell"` // hosts that share what keys they have seen; 0 is all of the kind
-	Cores    int      `toml:"cores"`
-	Speed    float64  `toml:"speed"`
-	Slots    int      `toml:"slots"`
-	Queue    int      `toml:"queue"`
-	ThrashAt float64  `toml:"thrash_at"`
-	Thrash   float64  `toml:"thrash"`
-	ColdFrom float64  `toml:"cold_from"`
-	ColdFor  Duration `toml:"cold_for"`
-	WarmBy   string   `toml:"warm_by"`
-	Fall     float64  `toml:"fall_multiple"`
-	FallFor  Duration `toml:"fall_for"`
-	Cold     bool     `toml:"cold"` // at the begin of the run
-
-	PauseEvery Duration `toml:"pause_every"`
-	PauseFor   Duration `toml:"pause_for"`
-	PauseGrow  float64  `toml:"pause_grow"`
-	ErrorRate  float64  `toml:"error_rate"`
-	Conns      int      `toml:"connections"`
-	FullTax    float64  `toml:"full_tax"`
-	Handshake  Duration `toml:"handshake_work"`
-	Idle       Duration `toml:"idle"`
-	ReportMin  Duration `toml:"report_least"`
-	ReportMax  Duration `toml:"report_most"`
-	ReportLate Duration `toml:"report_delay"`
-	Noise      float64  `toml:"report_noise"`
-	Body       int      `toml:"body"`
+	Kind       string   `toml:"kind"`
+	Count      int      `toml:"count"`
+	Site       string   `toml:"site"`
+	Cell       int      `toml:"cell"` // hosts that share what keys they have seen; 0 is all of the kind
+	Cores      int      `toml:"cores"`
+	Speed      float64  `toml:"speed"`
+	Slots      int      `toml:"slots"`
+	Queue      int      `toml:"queue"`
+	ThrashAt   float64  `toml:"thrash_at"`
+	Thrash     float64  `toml:"thrash"`
+	ColdFrom   float64  `toml:"cold_from"`
+	ColdFor    Duration `toml:"cold_for"`
+	WarmBy     string   `toml:"warm_by"`
+	Fall       float64  `toml:"fall_multiple"`
+	FallFor    Duration `toml:"fall_for"`
+	StartsCold bool     `toml:"cold"` // at the begin of the run
+
+	PauseEvery  Duration `toml:"pause_every"`
+	PauseFor    Duration `toml:"pause_for"`
+	PauseGrowth float64  `toml:"pause_grow"`
+	ErrorRate   float64  `toml:"error_rate"`
+	Conns       int      `toml:"connections"`
+	FullTax     float64  `toml:"full_tax"`
+	Handshake   Duration `toml:"handshake_work"`
+	Idle        Duration `toml:"idle"`
+	ReportMin   Duration `toml:"report_least"`
+	ReportMax   Duration `toml:"report_most"`
+	ReportLate  Duration `toml:"report_delay"`
+	Noise       float64  `toml:"report_noise"`
+	Body        int      `toml:"body"`
 }
 
 // Phase is a stretch of load, see load.Phase.
 type Phase struct {
-	For     Duration `toml:"for"`
-	Rate    float64  `toml:"rate"`
-	To      float64  `toml:"to"`
-	Steps   int      `toml:"steps"`
-	Jump    float64  `toml:"jump"`
-	JumpAt  Duration `toml:"jump_at"`
-	JumpFor Duration `toml:"jump_for"`
-	Rush    string   `toml:"rush"`
-	RushTo  float64  `toml:"rush_to"`
-	Arrive  string   `toml:"arrivals"` // "poisson" or "even"
+	For      Duration `toml:"for"`
+	Rate     float64  `toml:"rate"`
+	To       float64  `toml:"to"`
+	Steps    int      `toml:"steps"`
+	Jump     float64  `toml:"jump"`
+	JumpAt   Duration `toml:"jump_at"`
+	JumpFor  Duration `toml:"jump_for"`
+	Rush     string   `toml:"rush"`
+	RushTo   float64  `toml:"rush_to"`
+	Arrivals string   `toml:"arrivals"` // "poisson" or "even"
 }
 
 // Event is something that happens at a time of the run.
@@ -142,11 +142,11 @@
 	At Duration `toml:"at"`
 	Do string   `toml:"do"`
 
-	Host  string   `toml:"host"`  // one host by name, or
-	Kind  string   `toml:"kind"`  // those of a kind, or all,
-	Part  float64  `toml:"part"`  // of which this share is drawn, or
-	Count int      `toml:"count"` // so many
-	Every Duration `toml:"every"` // one after another, this long apart
+	Host     string   `toml:"host"`  // one host by name, or
+	Kind     string   `toml:"kind"`  // those of a kind, or all,
+	Fraction float64  `toml:"part"`  // of which this share is drawn, or
+	Count    int      `toml:"count"` // so many
+	Every    Duration `toml:"every"` // one after another, this long apart
 
 	Gateway int `toml:"gateway"` // by number from 0; -1 means all, one after another
 
@@ -165,7 +165,7 @@
 func hostFields() []string { return []string{"host", "kind", "part", "count", "every"} }
 
 func eventFields() map[string][]string {
-	hosts := func(more ...string) []string { return append(hostFields(), more...) }
+	hosts := func(extra ...string) []string { return append(hostFields(), extra...) }
 	return map[string][]string{
 		"gateway-kill":    {"gateway", "for", "every"},
 		"gateway-restart": {"gateway", "for", "every"},
@@ -203,24 +203,24 @@
 // Parse does so with a text at hand.
 func Parse(name string, text []byte) (*File, error) {
 	f := &File{}
-	in := tomlfile.Read(name, text, f)
-	if err := in.Err(); err != nil {
+	input := tomlfile.Read(name, text, f)
+	if err := input.Err(); err != nil {
 		return nil, err
 	}
-	f.Complete(in)
-	if err := in.Err(); err != nil {
+	f.Complete(input)
+	if err := input.Err(); err != nil {
 		return nil, err
 	}
 	return f, nil
 }
 
 // Complete fills in what a file leaves out, and notes everything in it that cannot be played.
-func (f *File) Complete(in *tomlfile.File) {
-	f.defaults(in)
-	f.check(in)
+func (f *File) Complete(input *tomlfile.File) {
+	f.applyDefaults(input)
+	f.check(input)
 }
 
 func ms(n int) Duration { return Duration{Duration: time.Duration(n) * time.Millisecond} }
 
 // Length is how long the load lasts.
-func (f *File) Length() time.Duration { return load.Length(f.phases()) }
+func (f *File) Length() time.Duration { return load.Length(f.loadPhases()) }
--- a/internal/lab/experiment/format_test.go
+++ b/internal/lab/experiment/format_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-const small = `name = "small"
+const smallExperiment = `name = "small"
 [[class]]
 name = "view"
 share = 1
@@ -22,27 +22,27 @@
 `
 
 // Every fault names file, line and column; several come in one go.
-func TestFaultyExperimentsAreNamed(t *testing.T) {
+func TestParseReportsFaultPositions(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
-		{strings.Replace(small, "count = 2", "cuont = 2", 1),
+		{strings.Replace(smallExperiment, "count = 2", "cuont = 2", 1),
 			"x.toml:8:1: hosts.cuont: unknown field, did you mean count?"},
-		{strings.Replace(small, `for = "1s"`, `for = "1"`, 1), "x.toml:10:7"},
-		{strings.Replace(small, `for = "1s"`, `for = 1`, 1), "x.toml:10:1: phase.0.for: a time such as"},
-		{strings.Replace(small, `"fixed"`, `"normal"`, 1), `x.toml:5:1: class.0.work: dist "normal" is none of`},
-		{strings.Replace(small, "share = 1", "share = -1\nunsafe = true\nbody = 70000", 1),
+		{strings.Replace(smallExperiment, `for = "1s"`, `for = "1"`, 1), "x.toml:10:7"},
+		{strings.Replace(smallExperiment, `for = "1s"`, `for = 1`, 1), "x.toml:10:1: phase.0.for: a time such as"},
+		{strings.Replace(smallExperiment, `"fixed"`, `"normal"`, 1), `x.toml:5:1: class.0.work: dist "normal" is none of`},
+		{strings.Replace(smallExperiment, "share = 1", "share = -1\nunsafe = true\nbody = 70000", 1),
 			"x.toml:4:1: class.0.share: must be positive\nx.toml:6:1: class.0.body: must be 0 to 65536"},
-		{small + "[[event]]\nat = \"1s\"\ndo = \"host-dwon\"\n", `x.toml:14:1: event.0.do: "host-dwon" is no event, did you mean host-down?`},
-		{small + "[[event]]\nat = \"9s\"\ndo = \"host-down\"\nhost = \"box-2\"\nlag = \"1s\"\n",
+		{smallExperiment + "[[event]]\nat = \"1s\"\ndo = \"host-dwon\"\n", `x.toml:14:1: event.0.do: "host-dwon" is no event, did you mean host-down?`},
+		{smallExperiment + "[[event]]\nat = \"9s\"\ndo = \"host-down\"\nhost = \"box-2\"\nlag = \"1s\"\n",
 			"x.toml:13:1: event.0.at: must be within the phases, 0s to 1s\nx.toml:15:1: event.0.host: \"box-2\" is no host, known are " +
 				"box-0, box-1\nx.toml:16:1: event.0.lag: does not go with host-down"},
-		{small + "[[event]]\nat = \"1s\"\ndo = \"host-spoil\"\nfault = \"nonsense\"\n",
+		{smallExperiment + "[[event]]\nat = \"1s\"\ndo = \"host-spoil\"\nfault = \"nonsense\"\n",
 			"event.0.fault: \"nonsense\" is none of reset-before"},
-		{small + "[[event]]\nat = \"0s\"\ndo = \"gateway-kill\"\ngateway = 1\n",
+		{smallExperiment + "[[event]]\nat = \"0s\"\ndo = \"gateway-kill\"\ngateway = 1\n",
 			"x.toml:15:1: event.0.gateway: must be -1 to 0"},
-		{small + "rush = \"bids\"\n", "x.toml:12:1: phase.0.rush: \"bids\" is no class, known are view"},
+		{smallExperiment + "rush = \"bids\"\n", "x.toml:12:1: phase.0.rush: \"bids\" is no class, known are view"},
 		{"name = \"a b\"\n", "x.toml:1:1: name: must be one word"},
 		{"[[class]\n", "x.toml:1:"},
-		{strings.Replace(small, "kind = \"box\"", "kind = \"box\"\ncold = true", 1),
+		{strings.Replace(smallExperiment, "kind = \"box\"", "kind = \"box\"\ncold = true", 1),
 			"x.toml:8:1: hosts.0.cold: goes with cold_from"},
 	} {
 		_, err := Parse("x.toml", []byte(c.text))
@@ -52,8 +52,8 @@
 	}
 }
 
-func TestDefaults(t *testing.T) {
-	f, err := Parse("x.toml", []byte(small))
+func TestParseAppliesDefaults(t *testing.T) {
+	f, err := Parse("x.toml", []byte(smallExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 
 // Every experiment of the repository can be read, and each event that the format knows is played by one
 // of them or named here.
-func TestExperimentsOfTheRepository(t *testing.T) {
+func TestRepositoryExperimentsLoad(t *testing.T) {
 	files, err := filepath.Glob("../../../experiments/*.toml")
 	if err != nil || len(files) < 8 {
 		t.Fatalf("%d experiments, %v", len(files), err)
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestShapes(t *testing.T) {
+func TestLoadShape(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.toml")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/internal/lab/experiment/gateways.go
+++ b/internal/lab/experiment/gateways.go
@@ -18,28 +18,28 @@
 
 // gateway is one gateway process, restarted under its name and address.
 type gateway struct {
-	name   string
-	addr   string
-	front  string // where clients find it
-	rank   int
-	config string
-	log    string
+	name       string
+	addr       string
+	clientAddr string // where clients find it
+	rank       int
+	config     string
+	log        string
 
-	mu     sync.Mutex
-	proc   *process // nil before the first
-	kills  []time.Duration
-	stops  []time.Duration // SIGTERMs
-	starts int
-	known  []byte // to start with, in place of the list as it stands
-	series gatewaySeries
+	mu           sync.Mutex
+	process      *process // nil before the first
+	kills        []time.Duration
+	stops        []time.Duration // SIGTERMs
+	starts       int
+	initialHosts []byte // to start with, in place of the list as it stands
+	series       gatewaySeries
 }
 
 // process is one run of a gateway's program.
 type process struct {
-	cmd     *exec.Cmd
-	planned atomic.Bool // its end is no crash
-	ended   chan bool   // closed once it has ended
-	err     error       // how, to be read after that
+	cmd         *exec.Cmd
+	endExpected atomic.Bool // its end is no crash
+	ended       chan bool   // closed once it has ended
+	err         error       // how, to be read after that
 }
 
 // kill ends the process, and what it may have started, at once.
@@ -67,7 +67,7 @@
 			g.addr, err = freeAddress()
 		}
 		if err == nil {
-			g.front, err = w.path(NodeClients, g.name, g.addr)
+			g.clientAddr, err = w.path(NodeClients, g.name, g.addr)
 		}
 		if err != nil {
 			return err
@@ -84,10 +84,10 @@
 		}
 	}
 	for _, g := range w.gateways {
-		if g.present() == nil {
+		if g.current() == nil {
 			continue
 		}
-		if err := w.ready(ctx, g); err != nil {
+		if err := w.waitReady(ctx, g); err != nil {
 			return err
 		}
 	}
@@ -116,9 +116,9 @@
 	return ln.Addr().String(), nil
 }
 
-func (w *World) ready(ctx context.Context, g *gateway) error {
-	for end := time.Now().Add(readyWait); !load.Healthy(ctx, g.addr); {
-		p := g.present()
+func (w *World) waitReady(ctx context.Context, g *gateway) error {
+	for deadline := time.Now().Add(readyTimeout); !load.Healthy(ctx, g.addr); {
+		p := g.current()
 		select {
 		case <-p.ended:
 			return fmt.Errorf("%s ended before it was ready (%v), see %s", g.name, p.err, g.log)
@@ -126,8 +126,8 @@
 			return ctx.Err()
 		case <-time.After(20 * time.Millisecond):
 		}
-		if time.Now().After(end) {
-			return fmt.Errorf("%s was not ready within %v, see %s", g.name, readyWait, g.log)
+		if time.Now().After(deadline) {
+			return fmt.Errorf("%s was not ready within %v, see %s", g.name, readyTimeout, g.log)
 		}
 	}
 	return nil
@@ -135,7 +135,7 @@
 
 // startGateway starts a process that knows nothing but the list as it stands.
 func (w *World) startGateway(g *gateway) error {
-	discovery, err := w.path(g.name, NodeDiscovery, w.disc.Addr(g.name))
+	discovery, err := w.path(g.name, NodeDiscovery, w.discovery.Addr(g.name))
 	if err != nil {
 		return err
 	}
@@ -151,19 +151,19 @@
 		return err
 	}
 	g.mu.Lock()
-	g.proc = p
+	g.process = p
 	g.starts++
 	g.mu.Unlock()
 	return nil
 }
 
 // startProcess starts the program with a gateway's configuration as it lies there.
-func (w *World) startProcess(g *gateway, discovery string, more []string) (*process, error) {
-	out, err := os.OpenFile(g.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+func (w *World) startProcess(g *gateway, discovery string, extraEnv []string) (*process, error) {
+	logFile, err := os.OpenFile(g.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	defer out.Close()
+	defer logFile.Close()
 	// The shell sets the limit on descriptors and gives way to the program, so that its pid is the program's.
 	cmd := exec.Command("/bin/sh", "-c", `ulimit -n "$1" && exec "$2"`, "sh", fmt.Sprint(w.File.Gateways.Sockets), w.program)
 	cmd.Env = append(os.Environ(), "LB_CONFIG="+g.config, "LB_NAME="+g.name, "LB_LISTEN="+g.addr,
@@ -175,8 +175,8 @@
 		}
 		cmd.Env = append(cmd.Env, env...)
 	}
-	cmd.Env = append(cmd.Env, more...)
-	cmd.Stdout, cmd.Stderr = out, out
+	cmd.Env = append(cmd.Env, extraEnv...)
+	cmd.Stdout, cmd.Stderr = logFile, logFile
 	// It must not outlive a laboratory that dies.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	if err := cmd.Start(); err != nil {
@@ -191,7 +191,7 @@
 		if w.rig != nil {
 			w.rig.Ended(g.name, cmd.Process.Pid)
 		}
-		if !p.planned.Load() {
+		if !p.endExpected.Load() {
 			w.mu.Lock()
 			w.findings = append(w.findings, requestrecord.Finding{Rule: requestrecord.GatewayDied, ID: g.name,
 				At:     w.Clock(),
@@ -203,40 +203,40 @@
 	return p, nil
 }
 
-func (g *gateway) present() *process { g.mu.Lock(); defer g.mu.Unlock(); return g.proc }
+func (g *gateway) current() *process { g.mu.Lock(); defer g.mu.Unlock(); return g.process }
 
 // kill ends a gateway as kill -9 does.
 func (w *World) kill(g *gateway) {
-	p := g.present()
+	p := g.current()
 	if p == nil {
 		return
 	}
-	p.planned.Store(true)
+	p.endExpected.Store(true)
 	g.mu.Lock()
 	g.kills = append(g.kills, w.Clock())
 	g.mu.Unlock()
 	p.kill()
-	w.disc.Forget(g.name)
+	w.discovery.Forget(g.name)
 }
 
 // stop ends a gateway as a planned restart does.
 func (w *World) stop(g *gateway, front *load.Front) {
-	p := g.present()
+	p := g.current()
 	if p == nil {
 		return
 	}
 	select {
 	case <-p.ended:
-		w.disc.Forget(g.name)
+		w.discovery.Forget(g.name)
 		return
 	default:
 	}
-	killed := w.term(p, func() {
+	killed := w.terminate(p, func() {
 		g.mu.Lock()
 		g.stops = append(g.stops, w.Clock())
 		g.mu.Unlock()
 		if front != nil {
-			time.AfterFunc(leaveFront, func() { front.Leave(g.front) })
+			time.AfterFunc(frontLeaveDelay, func() { front.Leave(g.clientAddr) })
 		}
 	})
 	if !killed && p.err != nil {
@@ -246,18 +246,18 @@
 			Detail: fmt.Sprintf("after SIGTERM: %v, see %s", p.err, g.log)})
 		w.mu.Unlock()
 	}
-	w.disc.Forget(g.name)
+	w.discovery.Forget(g.name)
 }
 
-// term sends SIGTERM and waits; it reports whether the process had to be killed once it should have ended.
-func (w *World) term(p *process, sent func()) (killed bool) {
-	p.planned.Store(true)
+// terminate sends SIGTERM and waits; it reports whether the process had to be killed once it should have ended.
+func (w *World) terminate(p *process, onSignal func()) (killed bool) {
+	p.endExpected.Store(true)
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
-	sent()
+	onSignal()
 	select {
 	case <-p.ended:
 		return false
-	case <-time.After(w.longest() + killAfter):
+	case <-time.After(w.longestTimeout() + killDelay):
 		p.kill()
 		return true
 	}
--- a/internal/lab/experiment/hostevents.go
+++ b/internal/lab/experiment/hostevents.go
@@ -11,39 +11,39 @@
 
 // hostEvent carries an event out at one host.
 type hostEvent struct {
-	w     *World
+	world *World
 	ctx   context.Context
 	event Event
-	host  *member
+	host  *managedHost
 }
 
-// mode changes how the host's machine behaves, for the event's time.
-func (h hostEvent) mode(to emulation.Mode, what string) error {
+// setMode changes how the host's machine behaves, for the event's time.
+func (h hostEvent) setMode(to emulation.Mode, description string) error {
 	var err error
 	begin := func() { err = h.host.SetMode(to) }
 	undo := func() {
-		if back := h.host.SetMode(emulation.Up); back != nil {
-			err = back
+		if restoreErr := h.host.SetMode(emulation.Up); restoreErr != nil {
+			err = restoreErr
 		}
 	}
-	_ = h.w.forA(h.ctx, h.event, h.host.Name+" "+what, begin, undo)
+	_ = h.world.applyFor(h.ctx, h.event, h.host.Name+" "+description, begin, undo)
 	return err
 }
 
-// model changes the host's model, for the event's time.
-func (h hostEvent) model(what string, do, undo func(now time.Duration, h *hostmodel.Host)) error {
-	return h.w.forA(h.ctx, h.event, h.host.Name+" "+what, func() { h.host.Do(do) }, func() { h.host.Do(undo) })
+// changeFor changes the host's model, for the event's time.
+func (h hostEvent) changeFor(description string, change, undo func(now time.Duration, h *hostmodel.Host)) error {
+	return h.world.applyFor(h.ctx, h.event, h.host.Name+" "+description, func() { h.host.Do(change) }, func() { h.host.Do(undo) })
 }
 
 func (h hostEvent) down() error {
-	w, m, e := h.w, h.host, h.event
-	w.mark("%s down", m.Name)
+	w, m, e := h.world, h.host, h.event
+	w.addMark("%s down", m.Name)
 	if err := m.SetMode(emulation.Refuse); err != nil {
 		return err
 	}
-	w.list(m, emulation.StateRemoved, m.entry.Born)
+	w.publish(m, emulation.StateRemoved, m.entry.Born)
 	if e.For.Duration > 0 && Sleep(h.ctx, e.For.Duration) {
-		return w.again(m)
+		return w.restore(m)
 	}
 	return nil
 }
@@ -52,55 +52,55 @@
 	if err := h.host.SetMode(emulation.Refuse); err != nil {
 		return err
 	}
-	return h.w.again(h.host)
+	return h.world.restore(h.host)
 }
 
 func (h hostEvent) replace() error {
-	w, m := h.w, h.host
+	w, m := h.world, h.host
 	w.drain(h.ctx, h.event, m)
 	w.mu.Lock()
-	n := m.spec.Count + w.replaced
-	w.replaced++
+	number := m.spec.Count + w.replacements
+	w.replacements++
 	w.mu.Unlock()
-	fresh, err := w.start(m.spec, n, GatewayNames(len(m.entry.Dial)), m.entry.Dial, m.spec.ColdFrom > 0)
+	replacement, err := w.startHost(m.spec, number, GatewayNames(len(m.entry.Dial)), m.entry.Dial, m.spec.ColdFrom > 0)
 	if err == nil {
-		w.mark("%s in place of %s", fresh.Name, m.Name)
+		w.addMark("%s in place of %s", replacement.Name, m.Name)
 	}
 	return err
 }
 
 func (h hostEvent) spoil() error {
 	e, fault := h.event, emulation.Fault(h.event.Fault)
-	what := fmt.Sprintf("%s: %.0f%% %s", h.host.Name, e.Share*100, fault)
+	description := fmt.Sprintf("%s: %.0f%% %s", h.host.Name, e.Share*100, fault)
 	begin := func() { h.host.Spoil(fault, e.Share, e.Class) }
 	undo := func() { h.host.Spoil(fault, 0, "") }
-	return h.w.forA(h.ctx, e, what, begin, undo)
+	return h.world.applyFor(h.ctx, e, description, begin, undo)
 }
 
-// changeModel carries out the events that change the host's model.
-func (h hostEvent) changeModel() error {
-	w, m, e := h.w, h.host, h.event
+// applyToModel carries out the events that change the host's model.
+func (h hostEvent) applyToModel() error {
+	w, m, e := h.world, h.host, h.event
 	switch e.Do {
 	case "host-pause":
-		w.mark("%s pauses for %v", m.Name, e.For)
+		w.addMark("%s pauses for %v", m.Name, e.For)
 		m.Do(func(now time.Duration, h *hostmodel.Host) { h.PauseFor(now, e.For.Duration) })
 		return nil
 	case "host-slow":
 		speed := m.spec.Speed
-		return h.model(fmt.Sprintf("at %.2f of its speed", e.Factor),
+		return h.changeFor(fmt.Sprintf("at %.2f of its speed", e.Factor),
 			func(now time.Duration, h *hostmodel.Host) { h.SetSpeed(now, speed*e.Factor) },
 			func(now time.Duration, h *hostmodel.Host) { h.SetSpeed(now, speed) })
 	case "host-errors":
-		return h.model(fmt.Sprintf("errs in %.0f%%", e.Share*100),
+		return h.changeFor(fmt.Sprintf("errs in %.0f%%", e.Share*100),
 			func(now time.Duration, h *hostmodel.Host) { h.SetErrors(now, e.Share) },
 			func(now time.Duration, h *hostmodel.Host) { h.SetErrors(now, m.spec.ErrorRate) })
 	case "neighbour":
 		n := hostmodel.Neighbour{Share: e.Share, On: e.On.Duration, Off: e.Off.Duration}
-		return h.model(fmt.Sprintf("has a neighbour of %.0f%%", e.Share*100),
+		return h.changeFor(fmt.Sprintf("has a neighbour of %.0f%%", e.Share*100),
 			func(now time.Duration, h *hostmodel.Host) { h.SetNeighbour(now, n) },
 			func(now time.Duration, h *hostmodel.Host) { h.SetNeighbour(now, hostmodel.Neighbour{}) })
 	case "heavy":
-		w.mark("%s: %.1f%% of %s cost %.0f times", m.Name, e.Share*100, e.Class, e.Factor)
+		w.addMark("%s: %.1f%% of %s cost %.0f times", m.Name, e.Share*100, e.Class, e.Factor)
 		m.Do(func(now time.Duration, h *hostmodel.Host) {
 			h.Heavy(now, e.Class, e.Share, e.Factor, now+e.For.Duration)
 		})
@@ -109,8 +109,8 @@
 	return fmt.Errorf("unknown event %s", e.Do)
 }
 
-// toHost carries an event out at one host.
-func (w *World) toHost(ctx context.Context, e Event, m *member) error {
+// applyToHost carries an event out at one host.
+func (w *World) applyToHost(ctx context.Context, e Event, m *managedHost) error {
 	h := hostEvent{w, ctx, e, m}
 	switch e.Do {
 	case "host-down":
@@ -123,14 +123,14 @@
 	case "host-replace":
 		return h.replace()
 	case "host-cut":
-		return h.mode(emulation.Silent, "cut off")
+		return h.setMode(emulation.Silent, "cut off")
 	case "host-hang":
-		return h.mode(emulation.Hung, "hangs")
+		return h.setMode(emulation.Hung, "hangs")
 	case "host-noreply":
-		return h.mode(emulation.NoReply, "answers nothing")
+		return h.setMode(emulation.NoReply, "answers nothing")
 	case "host-spoil":
 		return h.spoil()
 	default:
-		return h.changeModel()
+		return h.applyToModel()
 	}
 }
--- a/internal/lab/experiment/models.go
+++ b/internal/lab/experiment/models.go
@@ -10,15 +10,15 @@
 	"thymebend/internal/tomlfile"
 )
 
-func (f *File) phases() []load.Phase {
+func (f *File) loadPhases() []load.Phase {
 	var out []load.Phase
 	for _, p := range f.Phases {
-		out = append(out, p.model())
+		out = append(out, p.loadPhase())
 	}
 	return out
 }
 
-func (f *File) classes() []load.Class {
+func (f *File) loadClasses() []load.Class {
 	var out []load.Class
 	for _, c := range f.Classes {
 		out = append(out, load.Class{Name: c.Name, Share: c.Share, Unsafe: c.Unsafe, Keyed: c.Keyed, Worth: c.Worth,
@@ -27,44 +27,44 @@
 	return out
 }
 
-func (p Phase) model() load.Phase {
+func (p Phase) loadPhase() load.Phase {
 	return load.Phase{For: p.For.Duration, Rate: p.Rate, To: p.To, Steps: p.Steps, Jump: p.Jump,
 		JumpAt:  p.JumpAt.Duration,
-		JumpFor: p.JumpFor.Duration, Rush: p.Rush, RushTo: p.RushTo, Poisson: p.Arrive != "even"}
+		JumpFor: p.JumpFor.Duration, Rush: p.Rush, RushTo: p.RushTo, Poisson: p.Arrivals != "even"}
 }
 
-func (w Work) model() hostmodel.Work {
+func (w Work) workModel() hostmodel.Work {
 	return hostmodel.Work{Dist: w.Dist, Mean: w.Mean.Duration, CV: w.CV}
 }
 
-func (c Clients) model() load.Clients {
+func (c Clients) loadClients() load.Clients {
 	return load.Clients{Retries: c.Retries, Backoff: c.Backoff, Wait: c.Wait.Duration, Honour: c.Honour,
 		MostAfter: c.MostAfter.Duration, TryShare: c.TryShare, Marks: c.Marks, Connections: c.Connections,
-		KeepFor: c.KeepFor, SlowShare: c.SlowShare, SlowFor: c.SlowFor.Duration, Silent: c.Silent}
+		KeepFor: c.RequestsPerConnection, SlowShare: c.SlowShare, SlowFor: c.SlowFor.Duration, Silent: c.Silent}
 }
 
-// cell is the number of a host's cell over the whole fleet. A host that replaces another gets the cell
+// cellNumber is the number of a host's cell over the whole fleet. A host that replaces another gets the cell
 // that its number falls into.
-func (f *File) cell(h Hosts, n int) int {
-	before := 0
+func (f *File) cellNumber(h Hosts, n int) int {
+	cellsBefore := 0
 	for _, other := range f.Hosts {
 		size := other.Cell
 		if size == 0 {
 			size = max(1, other.Count)
 		}
 		if other.Kind == h.Kind {
-			return before + n%max(1, other.Count)/size
+			return cellsBefore + n%max(1, other.Count)/size
 		}
-		before += (other.Count + size - 1) / size
+		cellsBefore += (other.Count + size - 1) / size
 	}
-	return before
+	return cellsBefore
 }
 
 // Spec is the model of one host.
 func (f *File) Spec(h Hosts, n int) hostmodel.Spec {
 	work := make(map[string]hostmodel.Work)
 	for _, c := range f.Classes {
-		work[c.Name] = c.Work.model()
+		work[c.Name] = c.Work.workModel()
 	}
 	return hostmodel.Spec{Name: HostName(h.Kind, n), Site: h.Site, Kind: h.Kind, Cores: h.Cores, Speed: h.Speed,
 		Slots: h.Slots,
@@ -72,7 +72,7 @@
 		Cold: hostmodel.Cold{From: h.ColdFrom, For: h.ColdFor.Duration, ByWork: h.WarmBy == "work",
 			FallMultiple: h.Fall,
 			FallFor:      h.FallFor.Duration},
-		Pause:     hostmodel.Pause{Every: h.PauseEvery.Duration, For: h.PauseFor.Duration, Grow: h.PauseGrow},
+		Pause:     hostmodel.Pause{Every: h.PauseEvery.Duration, For: h.PauseFor.Duration, Grow: h.PauseGrowth},
 		ErrorRate: h.ErrorRate, Conns: h.Conns, FullTax: h.FullTax, HandshakeWork: h.Handshake.Duration,
 		Report: hostmodel.Report{Least: h.ReportMin.Duration, Most: h.ReportMax.Duration,
 			Delay: h.ReportLate.Duration, Noise: h.Noise},
@@ -95,31 +95,31 @@
 		return nil, nil, err
 	}
 	var s Shape
-	in := tomlfile.Read(path, text, &s)
-	if err := in.Err(); err != nil {
+	input := tomlfile.Read(path, text, &s)
+	if err := input.Err(); err != nil {
 		return nil, nil, err
 	}
 	if len(s.Phases) == 0 {
-		in.AddFault("phase", "at least one is needed")
+		input.AddFault("phase", "at least one is needed")
 	}
 	var out []load.Phase
 	for i, p := range s.Phases {
-		at := fmt.Sprintf("phase.%d", i)
-		if err := p.model().Check(); err != nil {
-			in.AddFault(at, "%v", err)
+		fieldPath := fmt.Sprintf("phase.%d", i)
+		if err := p.loadPhase().Check(); err != nil {
+			input.AddFault(fieldPath, "%v", err)
 		}
 		if p.Rush != "" && !slices.ContainsFunc(classes, func(c load.Class) bool { return c.Name == p.Rush }) {
-			in.AddFault(at+".rush", "%q is no class of this run", p.Rush)
+			input.AddFault(fieldPath+".rush", "%q is no class of this run", p.Rush)
 		}
-		if p.Arrive != "" && p.Arrive != "poisson" && p.Arrive != "even" {
-			in.AddFault(at+".arrivals", "%q is none of poisson, even", p.Arrive)
+		if p.Arrivals != "" && p.Arrivals != "poisson" && p.Arrivals != "even" {
+			input.AddFault(fieldPath+".arrivals", "%q is none of poisson, even", p.Arrivals)
 		}
-		out = append(out, p.model())
+		out = append(out, p.loadPhase())
 	}
 	var clients *load.Clients
-	if in.Has("clients") {
-		c := s.Clients.model()
+	if input.Has("clients") {
+		c := s.Clients.loadClients()
 		clients = &c
 	}
-	return out, clients, in.Err()
+	return out, clients, input.Err()
 }
--- a/internal/lab/experiment/rig.go
+++ b/internal/lab/experiment/rig.go
@@ -47,115 +47,115 @@
 
 // Handles are what plays beside the load may do to gateways, by their numbers. Each waits for its end.
 type Handles struct {
-	w     *World
+	world *World
 	Began time.Duration // on the run's clock
 }
 
 // Mark notes something for the report.
-func (h *Handles) Mark(format string, args ...any) { h.w.mark(format, args...) }
+func (r *Handles) Mark(format string, args ...any) { r.world.addMark(format, args...) }
 
 // Front is where clients find a gateway.
-func (h *Handles) Front(n int) string { return h.w.gateways[n].front }
+func (r *Handles) Front(n int) string { return r.world.gateways[n].clientAddr }
 
 // Kill ends a gateway's process as kill -9 does.
-func (h *Handles) Kill(n int) { h.w.kill(h.w.gateways[n]) }
+func (r *Handles) Kill(n int) { r.world.kill(r.world.gateways[n]) }
 
 // Stop ends it as a planned restart does.
-func (h *Handles) Stop(n int) { h.w.stop(h.w.gateways[n], h.w.Front) }
+func (r *Handles) Stop(n int) { r.world.stop(r.world.gateways[n], r.world.Front) }
 
 // Start starts a gateway that does not run, and waits until it is ready.
-func (h *Handles) Start(ctx context.Context, n int) error {
-	g := h.w.gateways[n]
-	if err := h.w.startGateway(g); err != nil {
+func (r *Handles) Start(ctx context.Context, n int) error {
+	g := r.world.gateways[n]
+	if err := r.world.startGateway(g); err != nil {
 		return err
 	}
-	return h.w.ready(ctx, g)
+	return r.world.waitReady(ctx, g)
 }
 
 // Heavy has the front deal a share of all traffic to some gateways, beside their turns.
-func (h *Handles) Heavy(gateways []int, share float64) {
+func (r *Handles) Heavy(gateways []int, share float64) {
 	var addrs []string
 	for _, n := range gateways {
-		addrs = append(addrs, h.w.gateways[n].front)
+		addrs = append(addrs, r.world.gateways[n].clientAddr)
 	}
-	h.w.Front.Heavy(addrs, share)
+	r.world.Front.Heavy(addrs, share)
 }
 
 // Signal sends a signal to a gateway's process.
-func (h *Handles) Signal(n int, s syscall.Signal) error { return h.w.gateways[n].signal(s) }
+func (r *Handles) Signal(n int, s syscall.Signal) error { return r.world.gateways[n].signal(s) }
 
 // Known keeps the list that a gateway would start with now; StartWith starts it with that.
-func (h *Handles) Known(n int) []byte { return h.w.disc.Known(h.w.gateways[n].name) }
+func (r *Handles) Known(n int) []byte { return r.world.discovery.Known(r.world.gateways[n].name) }
 
 // StartWith starts a gateway with a host list that it had.
-func (h *Handles) StartWith(ctx context.Context, n int, known []byte) error {
-	g := h.w.gateways[n]
+func (r *Handles) StartWith(ctx context.Context, n int, known []byte) error {
+	g := r.world.gateways[n]
 	g.mu.Lock()
-	g.known = known
+	g.initialHosts = known
 	g.mu.Unlock()
 	defer func() {
 		g.mu.Lock()
-		g.known = nil
+		g.initialHosts = nil
 		g.mu.Unlock()
 	}()
-	return h.Start(ctx, n)
+	return r.Start(ctx, n)
 }
 
 // Upgrade starts a second process of a gateway, waits until ready tells that it takes clients, ends the
 // first one and waits for that.
-func (h *Handles) Upgrade(ctx context.Context, n int, ready func(pid int) bool) error {
-	w, g := h.w, h.w.gateways[n]
-	elder := g.present()
-	if elder == nil {
+func (r *Handles) Upgrade(ctx context.Context, n int, ready func(pid int) bool) error {
+	w, g := r.world, r.world.gateways[n]
+	predecessor := g.current()
+	if predecessor == nil {
 		return fmt.Errorf("%s does not run", g.name)
 	}
-	next, err := h.beside(ctx, g, ready)
+	successor, err := r.startSecondProcess(ctx, g, ready)
 	if err != nil {
 		return err
 	}
 	g.mu.Lock()
-	g.proc = next
+	g.process = successor
 	g.starts++
 	g.mu.Unlock()
 	// It is no stop that clients' tries are excused by: the next process takes what comes.
-	killed := w.term(elder, func() {})
+	killed := w.terminate(predecessor, func() {})
 	switch {
 	case killed:
 		return fmt.Errorf("the elder process of %s had to be killed", g.name)
-	case elder.err != nil:
-		return fmt.Errorf("the elder process of %s: %w", g.name, elder.err)
+	case predecessor.err != nil:
+		return fmt.Errorf("the elder process of %s: %w", g.name, predecessor.err)
 	}
 	return nil
 }
 
 // Twin starts a second process under a gateway's name that knows nothing of the first one and has an
 // address of its own for clients, who do not know it. The returned function kills it.
-func (h *Handles) Twin(ctx context.Context, n int, ready func(pid int) bool) (end func(), err error) {
-	addr, err := h.w.rig.Listen(h.w.gateways[n].name)
+func (r *Handles) Twin(ctx context.Context, n int, ready func(pid int) bool) (end func(), err error) {
+	addr, err := r.world.rig.Listen(r.world.gateways[n].name)
 	if err != nil {
 		return nil, err
 	}
-	p, err := h.beside(ctx, h.w.gateways[n], ready, "LB_LISTEN="+addr)
+	p, err := r.startSecondProcess(ctx, r.world.gateways[n], ready, "LB_LISTEN="+addr)
 	if err != nil {
 		return nil, err
 	}
-	return func() { p.planned.Store(true); p.kill() }, nil
+	return func() { p.endExpected.Store(true); p.kill() }, nil
 }
 
-// beside starts a process of a gateway beside the one that there is.
-func (h *Handles) beside(ctx context.Context, g *gateway, ready func(pid int) bool, more ...string) (*process, error) {
-	discovery, err := h.w.path(g.name, NodeDiscovery, h.w.disc.Addr(g.name))
+// startSecondProcess starts a process of a gateway beside the one that there is.
+func (r *Handles) startSecondProcess(ctx context.Context, g *gateway, ready func(pid int) bool, extraEnv ...string) (*process, error) {
+	discovery, err := r.world.path(g.name, NodeDiscovery, r.world.discovery.Addr(g.name))
 	if err != nil {
 		return nil, err
 	}
-	p, err := h.w.startProcess(g, discovery, more)
+	p, err := r.world.startProcess(g, discovery, extraEnv)
 	if err != nil {
 		return nil, err
 	}
-	h.w.mu.Lock()
-	h.w.extra = append(h.w.extra, p)
-	h.w.mu.Unlock()
-	for end := time.Now().Add(readyWait); !ready(p.cmd.Process.Pid); {
+	r.world.mu.Lock()
+	r.world.secondProcesses = append(r.world.secondProcesses, p)
+	r.world.mu.Unlock()
+	for deadline := time.Now().Add(readyTimeout); !ready(p.cmd.Process.Pid); {
 		select {
 		case <-p.ended:
 			return nil, fmt.Errorf("the second process of %s ended: %v", g.name, p.err)
@@ -163,8 +163,8 @@
 			return nil, ctx.Err()
 		case <-time.After(20 * time.Millisecond):
 		}
-		if time.Now().After(end) {
-			return nil, fmt.Errorf("the second process of %s was not ready within %v", g.name, readyWait)
+		if time.Now().After(deadline) {
+			return nil, fmt.Errorf("the second process of %s was not ready within %v", g.name, readyTimeout)
 		}
 	}
 	return p, nil
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -39,10 +39,10 @@
 
 // HostWork sums the hosts' records up.
 type HostWork struct {
-	Arrivals   int     `json:"arrivals"`
-	Begun      int     `json:"begun"`
-	TurnedAway int     `json:"turned_away"`
-	PerRequest float64 `json:"arrivals_per_request"`
+	Arrivals           int     `json:"arrivals"`
+	Begun              int     `json:"begun"`
+	TurnedAway         int     `json:"turned_away"`
+	ArrivalsPerRequest float64 `json:"arrivals_per_request"`
 }
 
 // RuleCount is how often a rule was broken.
@@ -51,8 +51,8 @@
 	Broken int    `json:"broken"`
 }
 
-// mostFindings are kept in the result; the counts hold all.
-const mostFindings = 200
+// maxFindings are kept in the result; the counts hold all.
+const maxFindings = 200
 
 // Options of a run.
 type Options struct {
@@ -85,22 +85,22 @@
 	}
 	res := &Result{Version: ResultVersion, Name: f.Name, Title: f.Title, About: f.About, Seed: seed,
 		Started: time.Now().UTC(), Limits: f.Gateways}
-	targets := w.openFront(f)
+	targets := w.newFront(f)
 	clients := requestrecord.NewClients()
-	began := w.Clock()
-	res.Load, err = w.runLoad(ctx, o, began, load.Options{Targets: targets, Front: w.Front, Classes: f.classes(),
-		Schedule: load.Record(arrivals), Clients: f.Clients.model(), Seed: seed, Ledger: clients, Clock: w.Clock,
+	loadStart := w.Clock()
+	res.Load, err = w.runLoad(ctx, o, loadStart, load.Options{Targets: targets, Front: w.Front, Classes: f.loadClasses(),
+		Schedule: load.Record(arrivals), Clients: f.Clients.loadClients(), Seed: seed, Ledger: clients, Clock: w.Clock,
 		Progress: o.Progress})
 	if err != nil {
 		return nil, err
 	}
-	if err := writeTries(filepath.Join(o.Dir, triesFile), clients.Tries(), began); err != nil {
+	if err := writeAttempts(filepath.Join(o.Dir, attemptsFile), clients.Tries(), loadStart); err != nil {
 		return nil, err
 	}
 	for _, g := range w.gateways {
 		w.stop(g, nil)
 	}
-	return res, w.conclude(res, clients, began)
+	return res, w.complete(res, clients, loadStart)
 }
 
 // prepare makes the folder of a run, checks for the program, and starts a clock where none is given.
@@ -119,7 +119,7 @@
 
 // drawArrivals draws when requests come.
 func drawArrivals(f *File, seed uint64) (arrivals []load.Arrival, err error) {
-	schedule, err := load.Phases(f.classes(), f.phases(), seed)
+	schedule, err := load.Phases(f.loadClasses(), f.loadPhases(), seed)
 	if err != nil {
 		return nil, err
 	}
@@ -129,76 +129,76 @@
 	return arrivals, nil
 }
 
-// openFront puts the plain front before the gateways that serve, and returns their addresses.
-func (w *World) openFront(f *File) (targets []string) {
+// newFront puts the plain front before the gateways that serve, and returns their addresses.
+func (w *World) newFront(f *File) (targets []string) {
 	for _, g := range w.gateways {
-		targets = append(targets, g.front)
+		targets = append(targets, g.clientAddr)
 	}
 	w.Front = load.NewFront(targets, f.Front.Notice.Duration, w.Clock)
 	for _, g := range w.gateways {
-		if g.present() == nil {
-			w.Front.Leave(g.front)
+		if g.current() == nil {
+			w.Front.Leave(g.clientAddr)
 		}
 	}
 	return targets
 }
 
 // runLoad plays the load, with the events of the file, the samples and what is to be played beside it.
-func (w *World) runLoad(ctx context.Context, o Options, began time.Duration, options load.Options) (load.Result,
+func (w *World) runLoad(ctx context.Context, o Options, loadStart time.Duration, options load.Options) (load.Result,
 	error) {
 	running, stop := context.WithCancel(ctx)
 	defer stop()
-	go w.sample(running, began)
-	played := make(chan bool)
-	go func() { w.play(running, began); close(played) }()
-	beside := make(chan error, 1)
+	go w.sample(running, loadStart)
+	eventsDone := make(chan bool)
+	go func() { w.playEvents(running, loadStart); close(eventsDone) }()
+	concurrent := make(chan error, 1)
 	go func() {
 		if o.Beside == nil {
-			beside <- nil
+			concurrent <- nil
 			return
 		}
-		beside <- o.Beside(running, &Handles{w, began})
+		concurrent <- o.Beside(running, &Handles{w, loadStart})
 	}()
 	result, err := load.Run(ctx, options)
 	if err != nil {
 		return load.Result{}, err
 	}
 	if o.Beside != nil {
-		if err := <-beside; err != nil {
+		if err := <-concurrent; err != nil {
 			return load.Result{}, err
 		}
 	}
 	stop()
-	<-played
+	<-eventsDone
 	return result, nil
 }
 
-// conclude compares the records and fills in the result.
-func (w *World) conclude(res *Result, clients *requestrecord.ClientRecord, began time.Duration) error {
-	var found []requestrecord.Finding
-	res.Hosts, res.Gateways, found = w.results()
+// complete compares the records and fills in the result.
+func (w *World) complete(res *Result, clients *requestrecord.ClientRecord, loadStart time.Duration) error {
+	var findings []requestrecord.Finding
+	res.Hosts, res.Gateways, findings = w.collectResults()
 	hosts := w.Close()
-	tries := clients.Tries()
-	compared, crashed := requestrecord.Compare(tries, hosts, w.excused)
+	attempts := clients.Tries()
+	compared, crashed := requestrecord.Compare(attempts, hosts, w.excused)
 	res.LostByCrash = crashed
 	w.mu.Lock()
-	found = append(append(found, w.findings...), compared...)
+	findings = append(append(findings, w.findings...), compared...)
 	for _, m := range w.marks {
-		m.At -= began.Seconds()
+		m.At -= loadStart.Seconds()
 		res.Events = append(res.Events, m)
 	}
 	w.mu.Unlock()
 	res.Events = append([]Mark{}, res.Events...)
 	counts := make(map[string]int)
-	for _, f := range found {
+	for _, f := range findings {
 		counts[f.Rule]++
 	}
 	for _, rule := range requestrecord.Rules() {
 		res.Rules = append(res.Rules, RuleCount{rule, counts[rule]})
 	}
-	res.Held = len(found) == 0
-	res.Findings = append([]requestrecord.Finding{}, found[:min(len(found), mostFindings)]...)
-	for _, t := range tries {
+	res.Held = len(findings) == 0
+	res.Findings = append([]requestrecord.Finding{}, findings[:min(len(findings), maxFindings)]...)
+	for _, t := range attempts {
 		for _, h := range hosts {
 			if e := h.Find(t.ID); e != nil {
 				res.Work.Arrivals += e.Arrivals
@@ -208,7 +208,7 @@
 		}
 	}
 	if res.Load.Scheduled > 0 {
-		res.Work.PerRequest = float64(res.Work.Arrivals) / float64(res.Load.Scheduled)
+		res.Work.ArrivalsPerRequest = float64(res.Work.Arrivals) / float64(res.Load.Scheduled)
 	}
 	return nil
 }
--- a/internal/lab/experiment/run_test.go
+++ b/internal/lab/experiment/run_test.go
@@ -31,7 +31,7 @@
 	os.Exit(code)
 }
 
-func play(t *testing.T, f *File, gateway string) *Result {
+func runExperiment(t *testing.T, f *File, gateway string) *Result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -56,12 +56,12 @@
 
 // A gateway that is killed under load loses what it held, which is no broken rule, and no bid runs twice; one
 // that restarts as planned loses nothing. Hosts come, go and drain meanwhile.
-func TestTroubleBreaksNoRule(t *testing.T) {
+func TestGatewayAndHostFailuresBreakNoRule(t *testing.T) {
 	f, err := Load("../../../experiments/small/trouble.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := play(t, f, program)
+	r := runExperiment(t, f, program)
 	if !r.Held {
 		t.Errorf("findings: %+v", r.Findings)
 	}
@@ -79,18 +79,18 @@
 }
 
 // A gateway that ends by itself is found.
-func TestCrashIsFound(t *testing.T) {
-	f, err := Parse("x.toml", []byte(small))
+func TestUnexpectedGatewayExitIsFound(t *testing.T) {
+	f, err := Parse("x.toml", []byte(smallExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
 	// It ends a second after its start, as a gateway that panics would, with its peers' connections.
-	mortal := filepath.Join(t.TempDir(), "mortal")
+	crashingGateway := filepath.Join(t.TempDir(), "mortal")
 	script := fmt.Sprintf("#!/bin/sh\n%s & pid=$!\nsleep 0.7\nkill -9 $pid\nexit 2\n", program)
-	if err := os.WriteFile(mortal, []byte(script), 0o700); err != nil {
+	if err := os.WriteFile(crashingGateway, []byte(script), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	r := play(t, f, mortal)
+	r := runExperiment(t, f, crashingGateway)
 	died := 0
 	for _, x := range r.Findings {
 		if x.Rule == requestrecord.GatewayDied {
@@ -102,8 +102,8 @@
 	}
 }
 
-func TestGatewayThatDoesNotStartIsAnError(t *testing.T) {
-	f, err := Parse("x.toml", []byte(small))
+func TestRunFailsWhenGatewayDoesNotStart(t *testing.T) {
+	f, err := Parse("x.toml", []byte(smallExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,8 +119,8 @@
 
 // What was told counts for the gateway that was told, until it restarts; what reaches a drained host later
 // than the grace is found by its id.
-func TestLateSendToDrainedHostIsFound(t *testing.T) {
-	f, err := Parse("x.toml", []byte(small))
+func TestRequestToDrainingHostAfterGraceIsFound(t *testing.T) {
+	f, err := Parse("x.toml", []byte(smallExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,42 +129,42 @@
 		t.Fatal(err)
 	}
 	defer w.Close()
-	m := w.members()[0]
-	watch := exec.Command(program)
-	conf, err := w.Config("gateway-0", 0, "127.0.0.1:0", w.disc.Addr("gateway-0"))
+	m := w.managedHosts()[0]
+	gateway := exec.Command(program)
+	conf, err := w.Config("gateway-0", 0, "127.0.0.1:0", w.discovery.Addr("gateway-0"))
 	path := filepath.Join(t.TempDir(), "c.json")
 	if err == nil {
 		err = os.WriteFile(path, conf, 0o600)
 	}
-	watch.Env = append(os.Environ(), "LB_CONFIG="+path)
+	gateway.Env = append(os.Environ(), "LB_CONFIG="+path)
 	if err == nil {
-		err = watch.Start()
+		err = gateway.Start()
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = watch.Process.Kill(); _ = watch.Wait() }()
-	w.list(m, "draining", 0)
-	for end := time.Now().Add(5 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		if _, ok := w.disc.Told("gateway-0", m.Name); ok {
+	defer func() { _ = gateway.Process.Kill(); _ = gateway.Wait() }()
+	w.publish(m, "draining", 0)
+	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(5 * time.Millisecond) {
+		if _, ok := w.discovery.Told("gateway-0", m.Name); ok {
 			break
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			t.Fatal("the gateway was never told")
 		}
 	}
-	told, _ := w.disc.Told("gateway-0", m.Name)
-	w.arrived(m.Name, "gateway-0", "in-time", told.At+drainGrace)
-	w.arrived(m.Name, "gateway-0", "late", told.At+drainGrace+time.Millisecond)
-	w.arrived(m.Name, "gateway-1", "never-told", told.At+time.Hour)
+	notification, _ := w.discovery.Told("gateway-0", m.Name)
+	w.checkArrival(m.Name, "gateway-0", "in-time", notification.At+drainGrace)
+	w.checkArrival(m.Name, "gateway-0", "late", notification.At+drainGrace+time.Millisecond)
+	w.checkArrival(m.Name, "gateway-1", "never-told", notification.At+time.Hour)
 	if len(w.findings) != 1 || w.findings[0].ID != "late" || w.findings[0].Rule != requestrecord.LateToDrained {
 		t.Errorf("%+v", w.findings)
 	}
 }
 
 // Lost tries are excused by a kill that fell into their time, and by nothing else.
-func TestOnlyCrashesExcuse(t *testing.T) {
-	w := &World{gateways: []*gateway{{front: "a", kills: []time.Duration{10 * time.Second},
+func TestOnlyKillsAndLateArrivalsAreExcused(t *testing.T) {
+	w := &World{gateways: []*gateway{{clientAddr: "a", kills: []time.Duration{10 * time.Second},
 		stops: []time.Duration{30 * time.Second}}}}
 	for _, c := range []struct {
 		target      string
--- a/internal/lab/experiment/sample.go
+++ b/internal/lab/experiment/sample.go
@@ -13,16 +13,16 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// sampleEvery is how often hosts and gateways are looked at.
-const sampleEvery = 500 * time.Millisecond
+// sampleInterval is how often hosts and gateways are looked at.
+const sampleInterval = 500 * time.Millisecond
 
 // HostSample is one look at a host.
 type HostSample struct {
-	At       float64 `json:"at_s"`
-	InFlight int     `json:"in_flight"`
-	Waiting  int     `json:"waiting"`
-	Capacity float64 `json:"capacity"` // seconds of work a second
-	Conns    int     `json:"connections"`
+	At          float64 `json:"at_s"`
+	InFlight    int     `json:"in_flight"`
+	Waiting     int     `json:"waiting"`
+	Capacity    float64 `json:"capacity"` // seconds of work a second
+	Connections int     `json:"connections"`
 }
 
 // HostResult is one host over the run.
@@ -32,12 +32,12 @@
 	Slots    int          `json:"slots"`
 	Queue    int          `json:"queue"`
 	ColdPeak float64      `json:"cold_peak"` // largest share of its cold budget that it was sent; over 1 it fell over
-	Fell     bool         `json:"fell_over"`
+	FellOver bool         `json:"fell_over"`
 	Probes   int          `json:"probes"`
 	Samples  []HostSample `json:"samples"`
 }
 
-type series struct{ samples []HostSample }
+type hostSeries struct{ samples []HostSample }
 
 // GatewaySample is one look at a gateway's process. All are zero while it is down.
 type GatewaySample struct {
@@ -58,28 +58,28 @@
 }
 
 type gatewaySeries struct {
-	samples []GatewaySample
-	pid     int
-	used    time.Duration // at the last look
-	total   time.Duration
-	looks   []usage // the last ones, of this process
+	samples  []GatewaySample
+	pid      int
+	lastUsed time.Duration // at the last look
+	total    time.Duration
+	recent   []usage // the last ones, of this process
 }
 
-type usage struct{ at, used time.Duration }
+type usage struct{ clock, used time.Duration }
 
-// cpuOver is how many looks back the use of the processor is counted: the system counts in steps of 10
+// cpuWindow is how many looks back the use of the processor is counted: the system counts in steps of 10
 // ms, and a single interval would show little but these.
-const cpuOver = 4
+const cpuWindow = 4
 
 // sample looks at hosts and gateways until ctx is done.
-func (w *World) sample(ctx context.Context, began time.Duration) {
-	for next := began; Sleep(ctx, next-w.Clock()); next += sampleEvery {
-		now := (w.Clock() - began).Seconds()
-		for _, m := range w.members() {
+func (w *World) sample(ctx context.Context, loadStart time.Duration) {
+	for next := loadStart; Sleep(ctx, next-w.Clock()); next += sampleInterval {
+		at := (w.Clock() - loadStart).Seconds()
+		for _, m := range w.managedHosts() {
 			if m.gone.Load() {
 				continue
 			}
-			s := HostSample{At: now, Conns: m.Conns()}
+			s := HostSample{At: at, Connections: m.Conns()}
 			m.Do(func(_ time.Duration, h *hostmodel.Host) {
 				s.InFlight, s.Waiting, s.Capacity = h.InFlight(), h.Waiting(), h.Capacity()
 			})
@@ -88,36 +88,36 @@
 			w.mu.Unlock()
 		}
 		for _, g := range w.gateways {
-			g.look(w.Clock(), now)
+			g.sample(w.Clock(), at)
 		}
 	}
 }
 
-// look reads a gateway's figures as the system has them.
-func (g *gateway) look(clock time.Duration, now float64) {
+// sample reads a gateway's figures as the system has them.
+func (g *gateway) sample(clock time.Duration, at float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := &g.series
-	sample := GatewaySample{At: now}
-	if g.proc == nil {
+	sample := GatewaySample{At: at}
+	if g.process == nil {
 		s.samples = append(s.samples, sample)
 		return
 	}
-	pid := g.proc.cmd.Process.Pid
+	pid := g.process.cmd.Process.Pid
 	if used, ok := processorTime(pid); ok {
 		if pid != s.pid {
-			s.pid, s.used, s.looks = pid, 0, nil
+			s.pid, s.lastUsed, s.recent = pid, 0, nil
 		}
-		s.total += used - s.used
-		s.used = used
-		s.looks = append(s.looks, usage{clock, used})
-		if len(s.looks) > cpuOver+1 {
-			s.looks = s.looks[1:]
+		s.total += used - s.lastUsed
+		s.lastUsed = used
+		s.recent = append(s.recent, usage{clock, used})
+		if len(s.recent) > cpuWindow+1 {
+			s.recent = s.recent[1:]
 		}
-		if first := s.looks[0]; clock > first.at {
-			sample.CPU = (used - first.used).Seconds() / (clock - first.at).Seconds()
+		if first := s.recent[0]; clock > first.clock {
+			sample.CPU = (used - first.used).Seconds() / (clock - first.clock).Seconds()
 		}
-		sample.MemoryMB = resident(pid)
+		sample.MemoryMB = residentMemory(pid)
 		if names, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid)); err == nil {
 			sample.Descriptors = len(names)
 		}
@@ -141,8 +141,8 @@
 	return time.Duration(user+system) * tick, true
 }
 
-// resident is a process's memory in MB.
-func resident(pid int) float64 {
+// residentMemory is a process's memory in MB.
+func residentMemory(pid int) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
@@ -152,14 +152,14 @@
 	return float64(pages*int64(os.Getpagesize())) / (1 << 20)
 }
 
-// results sums the looks up, and finds limits that were crossed.
-func (w *World) results() (hosts []HostResult, gateways []GatewayResult, found []requestrecord.Finding) {
-	for _, m := range w.members() {
+// collectResults sums the looks up, and finds limits that were crossed.
+func (w *World) collectResults() (hosts []HostResult, gateways []GatewayResult, findings []requestrecord.Finding) {
+	for _, m := range w.managedHosts() {
 		h := HostResult{Name: m.Name, Kind: m.spec.Kind, Slots: m.spec.Slots, Queue: m.spec.Queue, Probes: m.Probes(),
 			Samples: m.samples}
 		m.Do(func(_ time.Duration, model *hostmodel.Host) { h.ColdPeak = model.ColdPeak() })
-		if h.Fell = h.ColdPeak > 1; h.Fell {
-			found = append(found, requestrecord.Finding{Rule: requestrecord.PushedOver, ID: m.Name,
+		if h.FellOver = h.ColdPeak > 1; h.FellOver {
+			findings = append(findings, requestrecord.Finding{Rule: requestrecord.PushedOver, ID: m.Name,
 				Detail: fmt.Sprintf("was sent %.2f times the most that it survives while cold", h.ColdPeak)})
 		}
 		hosts = append(hosts, h)
@@ -173,14 +173,14 @@
 			r.PeakDescriptors = max(r.PeakDescriptors, s.Descriptors)
 		}
 		if r.PeakMemoryMB > limit.MemoryMB {
-			found = append(found, requestrecord.Finding{Rule: requestrecord.OverMemory, ID: g.name,
+			findings = append(findings, requestrecord.Finding{Rule: requestrecord.OverMemory, ID: g.name,
 				Detail: fmt.Sprintf("%.1f MB of %.0f", r.PeakMemoryMB, limit.MemoryMB)})
 		}
 		if r.PeakDescriptors > limit.Sockets {
-			found = append(found, requestrecord.Finding{Rule: requestrecord.OverSockets, ID: g.name,
+			findings = append(findings, requestrecord.Finding{Rule: requestrecord.OverSockets, ID: g.name,
 				Detail: fmt.Sprintf("%d of %d", r.PeakDescriptors, limit.Sockets)})
 		}
 		gateways = append(gateways, r)
 	}
-	return hosts, gateways, found
+	return hosts, gateways, findings
 }
--- a/internal/lab/experiment/settings.go
+++ b/internal/lab/experiment/settings.go
@@ -40,17 +40,17 @@
 
 func (f *File) classSettings() (classes []map[string]any) {
 	for _, c := range f.Classes {
-		repeat, group := "repeatable", "all"
+		repeatMode, group := "repeatable", "all"
 		switch {
 		case c.Unsafe:
-			repeat = "once"
+			repeatMode = "once"
 		case c.Keyed:
-			repeat, group = "by_key", "cell"
+			repeatMode, group = "by_key", "cell"
 		}
 		classes = append(classes, map[string]any{
 			"name": c.Name, "aim_ms": c.Aim.Milliseconds(), "give_up_ms": c.Patience.Milliseconds(),
-			"repeat": repeat, "worth": c.Worth, "group": group,
-			"window_ms": c.Window.Milliseconds(), "late_worth": c.Late,
+			"repeat": repeatMode, "worth": c.Worth, "group": group,
+			"window_ms": c.Window.Milliseconds(), "late_worth": c.LateWeight,
 		})
 	}
 	return classes
@@ -59,25 +59,25 @@
 // guaranteeSettings hold for all hosts: the coldest start, the longest warm-up, the least overload that
 // fells one.
 func (f *File) guaranteeSettings() map[string]any {
-	from, warm, multiple, overload := 1.0, time.Duration(0), 1.0, time.Second
+	coldFraction, warmUp, crashMultiple, crashAfter := 1.0, time.Duration(0), 1.0, time.Second
 	for _, h := range f.Hosts {
 		if h.ColdFrom > 0 {
-			from = min(from, h.ColdFrom)
-			warm = max(warm, h.ColdFor.Duration)
+			coldFraction = min(coldFraction, h.ColdFrom)
+			warmUp = max(warmUp, h.ColdFor.Duration)
 		}
 		if h.Fall > 0 {
-			if multiple == 1 || h.Fall < multiple {
-				multiple = h.Fall
+			if crashMultiple == 1 || h.Fall < crashMultiple {
+				crashMultiple = h.Fall
 			}
-			overload = h.FallFor.Duration
+			crashAfter = h.FallFor.Duration
 		}
 	}
-	if multiple == 1 {
-		multiple = 3
+	if crashMultiple == 1 {
+		crashMultiple = 3
 	}
 	return map[string]any{
-		"ask_within_ms": 10000, "cold_from": from, "warm_after_ms": warm.Milliseconds(), "fall_multiple": multiple,
-		"overload_for_ms": overload.Milliseconds(), "drain_grace_ms": 250,
+		"ask_within_ms": 10000, "cold_from": coldFraction, "warm_after_ms": warmUp.Milliseconds(), "fall_multiple": crashMultiple,
+		"overload_for_ms": crashAfter.Milliseconds(), "drain_grace_ms": 250,
 	}
 }
 
@@ -95,9 +95,9 @@
 // reportSettings tell how hosts report their load: beside answers, where any does.
 func (f *File) reportSettings() map[string]any {
 	names := emulation.DefaultFields()
-	how, columns := "silent", []string{}
+	reportMode, columns := "silent", []string{}
 	if slices.ContainsFunc(f.Hosts, func(h Hosts) bool { return h.ReportMax.Duration > 0 }) {
-		how, columns = "piggyback", []string{names.Queue, names.InFlight, names.Errors}
+		reportMode, columns = "piggyback", []string{names.Queue, names.InFlight, names.Errors}
 	}
-	return map[string]any{"how": how, "columns": columns}
+	return map[string]any{"how": reportMode, "columns": columns}
 }
--- a/internal/lab/experiment/tries.go
+++ b/internal/lab/experiment/tries.go
@@ -16,18 +16,18 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// triesFile holds every try of a run, one a line.
-const triesFile = "tries.tsv"
+// attemptsFile holds every try of a run, one a line.
+const attemptsFile = "tries.tsv"
 
-func triesHead() []string {
+func attemptColumns() []string {
 	return []string{"id", "request", "try", "class", "target", "due_us", "sent_us", "ended_us", "status",
 		"answers", "patience_ms",
 		"body_bytes", "cause"}
 }
 
-// writeTries writes the clients' record as tab-separated text. Times count from the load's begin; a try
+// writeAttempts writes the clients' record as tab-separated text. Times count from the load's begin; a try
 // that was never written whole has sent_us -1.
-func writeTries(path string, tries []requestrecord.Attempt, began time.Duration) error {
+func writeAttempts(path string, attempts []requestrecord.Attempt, loadStart time.Duration) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return err
@@ -35,14 +35,14 @@
 	defer file.Close()
 	out := csv.NewWriter(file)
 	out.Comma = '\t'
-	_ = out.Write(triesHead())
-	for _, t := range tries {
+	_ = out.Write(attemptColumns())
+	for _, t := range attempts {
 		sent := int64(-1)
 		if t.Whole {
-			sent = (t.Sent - began).Microseconds()
+			sent = (t.Sent - loadStart).Microseconds()
 		}
 		_ = out.Write([]string{t.ID, strconv.Itoa(t.Request), strconv.Itoa(t.Number), t.Class, t.Target,
-			fmt.Sprint((t.Due - began).Microseconds()), fmt.Sprint(sent), fmt.Sprint((t.Ended - began).Microseconds()),
+			fmt.Sprint((t.Due - loadStart).Microseconds()), fmt.Sprint(sent), fmt.Sprint((t.Ended - loadStart).Microseconds()),
 			strconv.Itoa(t.Status), strconv.Itoa(t.Answers), fmt.Sprint(t.Patience.Milliseconds()),
 			strconv.Itoa(t.Body), t.Cause})
 	}
@@ -55,14 +55,14 @@
 
 // Trace turns a run into a trace: its first tries, when they were due.
 func Trace(dir string, to io.Writer) (requests int, err error) {
-	path := filepath.Join(dir, triesFile)
+	path := filepath.Join(dir, attemptsFile)
 	file, err := os.Open(path)
 	if err != nil {
 		return 0, err
 	}
 	defer file.Close()
 	in := csv.NewReader(bufio.NewReader(file))
-	in.Comma, in.FieldsPerRecord = '\t', len(triesHead())
+	in.Comma, in.FieldsPerRecord = '\t', len(attemptColumns())
 	var classes []load.Class
 	var arrivals []load.Arrival
 	for n := 1; ; n++ {
@@ -77,7 +77,7 @@
 			continue
 		}
 		due, err1 := strconv.ParseInt(row[5], 10, 64)
-		patience, err2 := strconv.ParseInt(row[10], 10, 64)
+		timeout, err2 := strconv.ParseInt(row[10], 10, 64)
 		body, err3 := strconv.Atoi(row[11])
 		if err1 != nil || err2 != nil || err3 != nil {
 			return 0, fmt.Errorf("%s:%d: not numbers", path, n)
@@ -93,7 +93,7 @@
 			classes = append(classes, load.Class{Name: row[3]})
 		}
 		arrivals = append(arrivals, load.Arrival{At: time.Duration(due) * time.Microsecond, Class: class,
-			Patience: time.Duration(patience) * time.Millisecond, Body: body})
+			Patience: time.Duration(timeout) * time.Millisecond, Body: body})
 	}
 	// Tries stand in the order in which they were sent, which may differ by microseconds.
 	slices.SortStableFunc(arrivals, func(a, b load.Arrival) int { return cmp.Compare(a.At, b.At) })
--- a/internal/lab/experiment/world.go
+++ b/internal/lab/experiment/world.go
@@ -16,10 +16,10 @@
 
 // The rules in figures.
 const (
-	drainGrace = 300 * time.Millisecond // 250 ms, and 50 ms as for every time limit on sockets
-	killAfter  = 700 * time.Millisecond // after SIGTERM and the longest client timeout
-	leaveFront = 300 * time.Millisecond // the front sends on for so long after SIGTERM
-	readyWait  = 15 * time.Second
+	drainGrace      = 300 * time.Millisecond // 250 ms, and 50 ms as for every time limit on sockets
+	killDelay       = 700 * time.Millisecond // after SIGTERM and the longest client timeout
+	frontLeaveDelay = 300 * time.Millisecond // the front sends on for so long after SIGTERM
+	readyTimeout    = 15 * time.Second
 )
 
 // World is the running laboratory: hosts, discovery and, if asked for, gateways.
@@ -28,30 +28,30 @@
 	Clock emulation.Clock
 	Front *load.Front
 
-	mu       sync.Mutex
-	disc     *emulation.Discovery
-	hosts    []*member
-	gateways []*gateway
-	findings []requestrecord.Finding
-	ledgers  []*requestrecord.EndpointRecord // of hosts that have gone
-	marks    []Mark
-	replaced int
-	dir      string
-	seed     uint64
-	extra    []*process // of gateways, beside those that serve
-	program  string
-	rig      Rig            // nil in an experiment
-	pending  sync.WaitGroup // events under way
+	mu               sync.Mutex
+	discovery        *emulation.Discovery
+	hosts            []*managedHost
+	gateways         []*gateway
+	findings         []requestrecord.Finding
+	closedRecords    []*requestrecord.EndpointRecord // of hosts that have gone
+	marks            []Mark
+	replacements     int
+	dir              string
+	seed             uint64
+	secondProcesses  []*process // of gateways, beside those that serve
+	program          string
+	rig              Rig            // nil in an experiment
+	eventsInProgress sync.WaitGroup // events under way
 }
 
-// member is a host as discovery and the laboratory know it.
-type member struct {
+// managedHost is a host as discovery and the laboratory know it.
+type managedHost struct {
 	*emulation.Host
-	entry emulation.Entry
-	spec  Hosts
-	n     int
-	gone  atomic.Bool
-	series
+	entry  emulation.Entry
+	spec   Hosts
+	number int
+	gone   atomic.Bool
+	hostSeries
 }
 
 // Mark is an event as it happened.
@@ -61,25 +61,25 @@
 }
 
 // NewWorld starts the hosts and discovery. vias are the names of those that reach them: the gateways.
-func NewWorld(f *File, seed uint64, vias []string, discoveryAt string) (*World, error) {
-	return newWorld(f, seed, vias, discoveryAt, nil, emulation.NewClock())
+func NewWorld(f *File, seed uint64, gatewayNames []string, discoveryAddr string) (*World, error) {
+	return newWorld(f, seed, gatewayNames, discoveryAddr, nil, emulation.NewClock())
 }
 
-func newWorld(f *File, seed uint64, vias []string, discoveryAt string, rig Rig, clock emulation.Clock) (*World, error) {
+func newWorld(f *File, seed uint64, gatewayNames []string, discoveryAddr string, rig Rig, clock emulation.Clock) (*World, error) {
 	w := &World{File: f, Clock: clock, seed: seed, rig: rig}
-	w.disc = emulation.NewDiscovery(w.Clock, 0)
-	w.disc.SetPushed(f.Discovery.Pushed)
+	w.discovery = emulation.NewDiscovery(w.Clock, 0)
+	w.discovery.SetPushed(f.Discovery.Pushed)
 	for _, h := range f.Hosts {
 		for n := range h.Count {
-			if _, err := w.start(h, n, vias, nil, h.Cold); err != nil {
+			if _, err := w.startHost(h, n, gatewayNames, nil, h.StartsCold); err != nil {
 				w.Close()
 				return nil, err
 			}
 		}
 	}
-	w.disc.SetLag(f.Discovery.Lag.Duration)
-	for _, via := range vias {
-		if _, err := w.disc.Open(via, discoveryAt); err != nil {
+	w.discovery.SetLag(f.Discovery.Lag.Duration)
+	for _, via := range gatewayNames {
+		if _, err := w.discovery.Open(via, discoveryAddr); err != nil {
 			w.Close()
 			return nil, err
 		}
@@ -87,27 +87,27 @@
 	return w, nil
 }
 
-// start starts a host and lists it. addrs gives the addresses of its doors; nil takes free ones.
-func (w *World) start(h Hosts, n int, vias []string, addrs map[string]string, cold bool) (*member, error) {
-	spec := w.File.Spec(h, n)
+// startHost starts a host and lists it. addrs gives the addresses of its doors; nil takes free ones.
+func (w *World) startHost(h Hosts, number int, gatewayNames []string, addresses map[string]string, cold bool) (*managedHost, error) {
+	spec := w.File.Spec(h, number)
 	w.mu.Lock()
 	w.seed++
 	seed := w.seed
 	w.mu.Unlock()
 	host, err := emulation.NewHost(spec, w.Clock, emulation.Options{Seed: seed, Cold: cold, Idle: h.Idle.Duration,
-		Arrived: w.arrived, Cell: w.File.cell(h, n)})
+		Arrived: w.checkArrival, Cell: w.File.cellNumber(h, number)})
 	if err != nil {
 		return nil, err
 	}
-	m := &member{Host: host, spec: h, n: n}
+	m := &managedHost{Host: host, spec: h, number: number}
 	m.entry = emulation.Entry{Host: spec.Name, Site: spec.Site, Kind: spec.Kind, State: emulation.StateUp,
 		Dial: make(map[string]string),
-		Cell: w.File.cell(h, n)}
+		Cell: w.File.cellNumber(h, number)}
 	if cold {
 		m.entry.Born = time.Now().UnixMilli()
 	}
-	for _, via := range vias {
-		at := addrs[via]
+	for _, via := range gatewayNames {
+		at := addresses[via]
 		switch {
 		case w.rig != nil: // a rig's paths have addresses of their own
 			at = net.JoinHostPort(w.rig.HostAddress(), "0")
@@ -124,18 +124,18 @@
 	w.mu.Lock()
 	w.hosts = append(w.hosts, m)
 	w.mu.Unlock()
-	w.disc.Put(m.entry)
+	w.discovery.Put(m.entry)
 	return m, nil
 }
 
-// arrived holds every request against what its gateway had been told about the host.
-func (w *World) arrived(host, via, id string, first time.Duration) {
-	told, ok := w.disc.Told(via, host)
-	if late := first - told.At; ok && late > drainGrace {
+// checkArrival holds every request against what its gateway had been told about the host.
+func (w *World) checkArrival(host, via, id string, first time.Duration) {
+	notification, ok := w.discovery.Told(via, host)
+	if elapsed := first - notification.At; ok && elapsed > drainGrace {
 		w.mu.Lock()
 		w.findings = append(w.findings, requestrecord.Finding{Rule: requestrecord.LateToDrained, ID: id, At: first,
 			Detail: fmt.Sprintf("%s sent to %s %v after it was told %s", via, host,
-				late.Round(time.Millisecond), told.State)})
+				elapsed.Round(time.Millisecond), notification.State)})
 		w.mu.Unlock()
 	}
 }
@@ -143,36 +143,36 @@
 // Addresses lists hosts and discovery as one of the vias reaches them.
 func (w *World) Addresses(via string) (discovery string, hosts map[string]string) {
 	hosts = make(map[string]string)
-	for _, m := range w.members() {
+	for _, m := range w.managedHosts() {
 		hosts[m.Name] = m.Addr(via)
 	}
-	return w.disc.Addr(via), hosts
+	return w.discovery.Addr(via), hosts
 }
 
-func (w *World) members() []*member {
+func (w *World) managedHosts() []*managedHost {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.hosts)
 }
 
-func (w *World) mark(format string, args ...any) {
+func (w *World) addMark(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.marks = append(w.marks, Mark{At: w.Clock().Seconds(), Text: fmt.Sprintf(format, args...)})
 }
 
-// known is the list that a gateway starts with.
-func (w *World) known(name string) []byte {
+// initialHosts is the list that a gateway starts with.
+func (w *World) initialHosts(name string) []byte {
 	for _, g := range w.gateways {
 		if g.name == name {
 			g.mu.Lock()
 			defer g.mu.Unlock()
-			if g.known != nil {
-				return g.known
+			if g.initialHosts != nil {
+				return g.initialHosts
 			}
 		}
 	}
-	return w.disc.Known(name)
+	return w.discovery.Known(name)
 }
 
 // Config is the configuration file of a gateway, in the platform's form.
@@ -182,24 +182,24 @@
 		"name": name, "listen": listen, "discovery": discovery,
 		"seed":     fmt.Sprintf("%016x", w.seed*2654435761+uint64(rank)),
 		"limits":   map[string]any{"cores": g.Cores, "memory_mb": g.MemoryMB, "sockets": g.Sockets},
-		"known":    json.RawMessage(w.known(name)),
+		"known":    json.RawMessage(w.initialHosts(name)),
 		"settings": w.File.Settings(rank),
 	}, "", " ")
 }
 
-// longest is the longest client timeout of a client.
-func (w *World) longest() (out time.Duration) {
+// longestTimeout is the longest client timeout of a client.
+func (w *World) longestTimeout() (longest time.Duration) {
 	for _, c := range w.File.Classes {
-		out = max(out, c.Patience.Duration)
+		longest = max(longest, c.Patience.Duration)
 	}
-	return out
+	return longest
 }
 
 // excused tells whether a try was lost for a reason that no rule forbids: its gateway was killed while
 // it held the try, or the try came to it long after SIGTERM.
 func (w *World) excused(t requestrecord.Attempt) bool {
 	for _, g := range w.gateways {
-		if g.front != t.Target {
+		if g.clientAddr != t.Target {
 			continue
 		}
 		if w.rig != nil && w.rig.Excuses(g.name, t) {
@@ -207,35 +207,35 @@
 		}
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		return t.Excuses(g.kills, g.stops, killSpread)
+		return t.Excuses(g.kills, g.stops, killTimeTolerance)
 	}
 	return false
 }
 
-// killSpread is how far apart the clock was read from the kill itself.
-const killSpread = 20 * time.Millisecond
+// killTimeTolerance is how far apart the clock was read from the kill itself.
+const killTimeTolerance = 20 * time.Millisecond
 
 // Close ends everything and returns the hosts' records, at rest.
 func (w *World) Close() []*requestrecord.EndpointRecord {
 	for _, g := range w.gateways {
-		if p := g.present(); p != nil {
-			p.planned.Store(true)
+		if p := g.current(); p != nil {
+			p.endExpected.Store(true)
 			p.kill()
 		}
 	}
 	w.mu.Lock()
-	extra := w.extra
+	secondProcesses := w.secondProcesses
 	w.mu.Unlock()
-	for _, p := range extra {
-		p.planned.Store(true)
+	for _, p := range secondProcesses {
+		p.endExpected.Store(true)
 		p.kill()
 	}
-	for _, m := range w.members() {
+	for _, m := range w.managedHosts() {
 		if !m.gone.Load() {
-			w.ledgers = append(w.ledgers, m.Host.Close())
+			w.closedRecords = append(w.closedRecords, m.Host.Close())
 			m.gone.Store(true)
 		}
 	}
-	w.disc.Close()
-	return w.ledgers
+	w.discovery.Close()
+	return w.closedRecords
 }
--- a/internal/lab/report/drill.go
+++ b/internal/lab/report/drill.go
@@ -20,30 +20,30 @@
 
 // WriteDrill writes the page of a drill: a picture of each gateway's view, and what a run's page holds.
 func WriteDrill(out io.Writer, r *drill.Result) error {
-	p, err := compose(r.Result)
+	p, err := buildPage(r.Result)
 	if err != nil {
 		return err
 	}
 	views := section{Title: "What each gateway believed",
 		Text: "A picture for each gateway, a row for each of the others: what it held of that one at each moment. Its own row shows whether it called its view settled. Nothing is drawn while it did not answer. Dashed lines are the events of the list above."}
 	for g := range r.Names {
-		picture, err := strips(r, g)
+		figure, err := viewFigure(r, g)
 		if err != nil {
 			return fmt.Errorf("view of %s: %w", r.Names[g], err)
 		}
-		views.Plots = append(views.Plots, picture)
+		views.Plots = append(views.Plots, figure)
 	}
 	p.Sections = slices.Insert(p.Sections, 0, views)
-	return layout().Execute(out, p)
+	return pageTemplate().Execute(out, p)
 }
 
-// shades are the colours of what a gateway is held for.
-func shades() []struct {
-	state, words string
+// stateColors are the colours of what a gateway is held for.
+func stateColors() []struct {
+	state, label string
 	color        color.RGBA
 } {
 	return []struct {
-		state, words string
+		state, label string
 		color        color.RGBA
 	}{
 		{"alive", "alive", color.RGBA{0, 158, 115, 255}}, {"suspect", "suspect", color.RGBA{230, 159, 0, 255}},
@@ -53,50 +53,50 @@
 		{"twin", "itself, its name is used twice", color.RGBA{204, 121, 167, 255}}}
 }
 
-// strip draws stretches of states as rows of a plot.
-type strip struct {
-	cells []drill.Cell
-	rows  int
-	marks []experiment.Mark
-	names []string
+// viewPlot draws stretches of states as rows of a plot.
+type viewPlot struct {
+	intervals []drill.Cell
+	rowCount  int
+	marks     []experiment.Mark
+	names     []string
 }
 
 // Plot implements plot.Plotter.
-func (s strip) Plot(c draw.Canvas, p *plot.Plot) {
+func (v viewPlot) Plot(c draw.Canvas, p *plot.Plot) {
 	x, y := p.Transforms(&c)
-	for _, cell := range s.cells {
-		for _, k := range shades() {
+	for _, cell := range v.intervals {
+		for _, k := range stateColors() {
 			if k.state != cell.State {
 				continue
 			}
-			row := float64(s.rows - 1 - cell.Of)
+			row := float64(v.rowCount - 1 - cell.Of)
 			left, right := x(cell.From), max(x(cell.To), x(cell.From)+0.5)
 			c.FillPolygon(k.color, []vg.Point{{X: left, Y: y(row + 0.1)}, {X: right, Y: y(row + 0.1)},
 				{X: right, Y: y(row + 0.9)}, {X: left, Y: y(row + 0.9)}})
 		}
 	}
-	for _, m := range s.marks {
+	for _, m := range v.marks {
 		c.StrokeLine2(draw.LineStyle{Color: grey(), Width: 0.6, Dashes: []vg.Length{2, 3}}, x(m.At), y(0),
-			x(m.At), y(float64(s.rows)))
+			x(m.At), y(float64(v.rowCount)))
 	}
 }
 
 // Ticks implements plot.Ticker: the rows' names.
-func (s strip) Ticks(_, _ float64) (out []plot.Tick) {
-	for i, name := range s.names {
-		out = append(out, plot.Tick{Value: float64(s.rows-1-i) + 0.5, Label: name})
+func (v viewPlot) Ticks(_, _ float64) (out []plot.Tick) {
+	for i, name := range v.names {
+		out = append(out, plot.Tick{Value: float64(v.rowCount-1-i) + 0.5, Label: name})
 	}
 	return out
 }
 
-func strips(r *drill.Result, gateway int) (template.HTML, error) {
+func viewFigure(r *drill.Result, gateway int) (template.HTML, error) {
 	p := plot.New()
-	s := strip{cells: r.Cells(gateway), rows: len(r.Names), marks: r.Events, names: r.Names}
-	p.Add(s)
+	view := viewPlot{intervals: r.Cells(gateway), rowCount: len(r.Names), marks: r.Events, names: r.Names}
+	p.Add(view)
 	p.X.Label.Text = "time of the run (s)"
-	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = 0, max(1, length(r.Result)), 0, float64(s.rows)
-	p.Y.Tick.Marker = s
-	canvas := vgsvg.New(24*vg.Centimeter, vg.Length(1.6+0.45*float64(s.rows))*vg.Centimeter)
+	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = 0, max(1, loadDuration(r.Result)), 0, float64(view.rowCount)
+	p.Y.Tick.Marker = view
+	canvas := vgsvg.New(24*vg.Centimeter, vg.Length(1.6+0.45*float64(view.rowCount))*vg.Centimeter)
 	p.Draw(draw.New(canvas))
 	var out bytes.Buffer
 	if _, err := canvas.WriteTo(&out); err != nil {
@@ -106,8 +106,8 @@
 	text = text[max(0, strings.Index(text, "<svg")):] // without the prologue of a file of its own
 	var head strings.Builder
 	fmt.Fprintf(&head, "<b>%s</b>", template.HTMLEscapeString(r.Names[gateway]))
-	for _, k := range shades() {
-		fmt.Fprintf(&head, ` <span class="key"><span style="color:rgb(%d,%d,%d)">■</span> %s</span>`, k.color.R, k.color.G, k.color.B, k.words)
+	for _, k := range stateColors() {
+		fmt.Fprintf(&head, ` <span class="key"><span style="color:rgb(%d,%d,%d)">■</span> %s</span>`, k.color.R, k.color.G, k.color.B, k.label)
 	}
 	return template.HTML("<figure><figcaption>" + head.String() + "</figcaption>" + text + "</figure>"), nil
 }
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -2,8 +2,8 @@
 
 import "html/template"
 
-// layout is the page. It is made anew for each report: there is no state in the package.
-func layout() *template.Template { return template.Must(template.New("page").Parse(pageText)) }
+// pageTemplate is the page. It is made anew for each report: there is no state in the package.
+func pageTemplate() *template.Template { return template.Must(template.New("page").Parse(pageText)) }
 
 const pageText = `<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -22,24 +22,24 @@
 
 // line is one line of a plot.
 type line struct {
-	name   string
-	xs, ys []float64
-	dashed bool
-	steps  bool
+	name    string
+	xs, ys  []float64
+	dashed  bool
+	stepped bool
 }
 
 // chart is one plot.
 type chart struct {
-	title  string
-	x, y   string
-	lines  []line
-	marks  []experiment.Mark
-	width  vg.Length // 0 takes the usual
-	height vg.Length
-	from   float64 // the y axis covers at least from to to
-	to     float64
-	hdr    bool // the x axis is that of an HDR plot
-	length float64
+	title       string
+	x, y        string
+	lines       []line
+	marks       []experiment.Mark
+	width       vg.Length // 0 takes the usual
+	height      vg.Length
+	yMin        float64 // the y axis covers at least from to to
+	yMax        float64
+	percentiles bool // the x axis is that of an HDR plot
+	duration    float64
 }
 
 // palette is distinguishable for the colour-blind (Okabe and Ito).
@@ -59,18 +59,18 @@
 	grid := plotter.NewGrid()
 	grid.Vertical.Color, grid.Horizontal.Color = color.RGBA{225, 225, 225, 255}, color.RGBA{225, 225, 225, 255}
 	p.Add(grid)
-	low, high, right := c.extent()
+	low, high, right := c.dataRange()
 	top := high
-	if len(c.marks) > 0 || c.to == 0 {
+	if len(c.marks) > 0 || c.yMax == 0 {
 		top += (high - low) * 0.07 // room for the numbers of the events
 	}
-	for _, add := range []func(*plot.Plot, float64, float64) error{c.addMarks, c.addLines, c.addNumbers} {
+	for _, add := range []func(*plot.Plot, float64, float64) error{c.addEventLines, c.addLines, c.addEventNumbers} {
 		if err := add(p, low, top); err != nil {
 			return "", err
 		}
 	}
 	p.Y.Min, p.Y.Max = low, top
-	if c.hdr {
+	if c.percentiles {
 		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, percentileTicks{}
 		p.X.Min, p.X.Max = 1, max(1000, right)
 	} else {
@@ -83,9 +83,9 @@
 	return template.HTML("<figure><figcaption>" + c.legend() + "</figcaption>" + text + "</figure>"), nil
 }
 
-// extent is the range of the values, and the largest x.
-func (c chart) extent() (low, high, right float64) {
-	low, high, right = c.from, c.to, c.length
+// dataRange is the range of the values, and the largest x.
+func (c chart) dataRange() (low, high, right float64) {
+	low, high, right = c.yMin, c.yMax, c.duration
 	for _, l := range c.lines {
 		for i, y := range l.ys {
 			if !math.IsNaN(y) {
@@ -100,8 +100,8 @@
 	return low, high, right
 }
 
-// addMarks draws an upright line at each event.
-func (c chart) addMarks(p *plot.Plot, low, top float64) error {
+// addEventLines draws an upright line at each event.
+func (c chart) addEventLines(p *plot.Plot, low, top float64) error {
 	for _, m := range c.marks {
 		v, err := plotter.NewLine(plotter.XYs{{X: m.At, Y: low}, {X: m.At, Y: top}})
 		if err != nil {
@@ -117,13 +117,13 @@
 func (c chart) addLines(p *plot.Plot, _, _ float64) error {
 	colors := palette()
 	for i, l := range c.lines {
-		for _, run := range pieces(l) {
-			drawn, err := plotter.NewLine(run)
+		for _, segment := range splitAtGaps(l) {
+			drawn, err := plotter.NewLine(segment)
 			if err != nil {
 				return err
 			}
 			drawn.Color, drawn.Width = colors[i%len(colors)], 1.4
-			if l.steps {
+			if l.stepped {
 				drawn.StepStyle = plotter.PostStep
 			}
 			if l.dashed {
@@ -135,9 +135,9 @@
 	return nil
 }
 
-// addNumbers puts the events' numbers at the top.
-func (c chart) addNumbers(p *plot.Plot, _, top float64) error {
-	labels := c.numbers(top)
+// addEventNumbers puts the events' numbers at the top.
+func (c chart) addEventNumbers(p *plot.Plot, _, top float64) error {
+	labels := c.eventLabels(top)
 	if labels == nil {
 		return nil
 	}
@@ -185,45 +185,45 @@
 	}
 	for i, l := range c.lines {
 		r, g, b, _ := colors[i%len(colors)].RGBA()
-		sign := "━"
+		symbol := "━"
 		if l.dashed {
-			sign = "╌"
+			symbol = "╌"
 		}
 		fmt.Fprintf(&head, ` <span class="key"><span style="color:rgb(%d,%d,%d)">%s</span> %s</span>`,
-			r>>8, g>>8, b>>8, sign, template.HTMLEscapeString(l.name))
+			r>>8, g>>8, b>>8, symbol, template.HTMLEscapeString(l.name))
 	}
 	return head.String()
 }
 
-// pieces splits a line where it has no value.
-func pieces(l line) (out []plotter.XYs) {
-	var run plotter.XYs
+// splitAtGaps splits a line where it has no value.
+func splitAtGaps(l line) (out []plotter.XYs) {
+	var segment plotter.XYs
 	for i := range l.xs {
 		if math.IsNaN(l.ys[i]) {
-			if len(run) > 0 {
-				out = append(out, run)
+			if len(segment) > 0 {
+				out = append(out, segment)
 			}
-			run = nil
+			segment = nil
 			continue
 		}
-		run = append(run, plotter.XY{X: l.xs[i], Y: l.ys[i]})
+		segment = append(segment, plotter.XY{X: l.xs[i], Y: l.ys[i]})
 	}
-	if len(run) > 0 {
-		out = append(out, run)
+	if len(segment) > 0 {
+		out = append(out, segment)
 	}
 	return out
 }
 
-// numbers label the events, as the list below the plots has them. Where they would lie on one another
+// eventLabels label the events, as the list below the plots has them. Where they would lie on one another
 // only the first is shown.
-func (c chart) numbers(top float64) *plotter.XYLabels {
+func (c chart) eventLabels(top float64) *plotter.XYLabels {
 	if len(c.marks) == 0 {
 		return nil
 	}
 	out := &plotter.XYLabels{}
 	last := math.Inf(-1)
 	for i, m := range c.marks {
-		if m.At-last < c.length*0.018 {
+		if m.At-last < c.duration*0.018 {
 			continue
 		}
 		last = m.At
@@ -237,12 +237,12 @@
 type percentileTicks struct{}
 
 // Ticks implements plot.Ticker.
-func (percentileTicks) Ticks(_, most float64) (out []plot.Tick) {
+func (percentileTicks) Ticks(_, maxValue float64) (out []plot.Tick) {
 	for _, t := range []struct {
 		at    float64
 		label string
 	}{{1, "0%"}, {2, "50%"}, {10, "90%"}, {100, "99%"}, {1000, "99.9%"}, {1e4, "99.99%"}, {1e5, "99.999%"}} {
-		if t.at <= most*1.001 {
+		if t.at <= maxValue*1.001 {
 			out = append(out, plot.Tick{Value: t.at, Label: t.label})
 		}
 	}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -14,8 +14,8 @@
 	"thymebend/internal/lab/load"
 )
 
-// mostHosts are plotted one by one; further ones are left to result.json, and the page says so.
-const mostHosts = 32
+// maxHostPlots are plotted one by one; further ones are left to result.json, and the page says so.
+const maxHostPlots = 32
 
 type section struct {
 	Title, Text string
@@ -39,16 +39,16 @@
 
 // Write writes the page of one run.
 func Write(out io.Writer, r *experiment.Result) error {
-	p, err := compose(r)
+	p, err := buildPage(r)
 	if err != nil {
 		return err
 	}
-	return layout().Execute(out, p)
+	return pageTemplate().Execute(out, p)
 }
 
-// compose is the page of one run.
-func compose(r *experiment.Result) (page, error) {
-	p := page{Title: r.Title, About: r.About, Facts: facts(r), Verdict: verdict(r), Bad: !r.Held || r.Load.FellBehind}
+// buildPage is the page of one run.
+func buildPage(r *experiment.Result) (page, error) {
+	p := page{Title: r.Title, About: r.About, Facts: runSummary(r), Verdict: verdict(r), Bad: !r.Held || r.Load.FellBehind}
 	if p.Title == "" {
 		p.Title = r.Name
 	}
@@ -56,7 +56,7 @@
 	for _, c := range r.Load.Classes {
 		p.Head = append(p.Head, c.Name)
 	}
-	p.Figures = figures(r)
+	p.Figures = figureRows(r)
 	for _, c := range r.Rules {
 		p.Rules = append(p.Rules, row{Name: c.Rule, Cells: []string{fmt.Sprint(c.Broken)}, Broken: c.Broken > 0})
 	}
@@ -66,21 +66,21 @@
 	for i, m := range r.Events {
 		p.Events = append(p.Events, row{Name: fmt.Sprint(i + 1), Cells: []string{fmt.Sprintf("%.2f s", m.At), m.Text}})
 	}
-	draw := drawing{length: length(r)}
-	p.Sections = append(p.Sections, draw.load(r, "")...)
-	p.Sections = append(p.Sections, draw.hosts(r), draw.gateways(r))
-	return p, draw.err
+	charts := drawContext{duration: loadDuration(r)}
+	p.Sections = append(p.Sections, charts.serviceSections(r, "")...)
+	p.Sections = append(p.Sections, charts.hostSection(r), charts.gatewaySection(r))
+	return p, charts.err
 }
 
 // Compare writes the page of two runs side by side.
 func Compare(out io.Writer, a, b *experiment.Result) error {
-	p := page{Title: fmt.Sprintf("%s: A against B", a.Name), About: "A: " + facts(a) + " · B: " + facts(b),
+	p := page{Title: fmt.Sprintf("%s: A against B", a.Name), About: "A: " + runSummary(a) + " · B: " + runSummary(b),
 		Verdict: "A: " + verdict(a) + " · B: " + verdict(b), Bad: !a.Held || !b.Held,
 		Head: []string{"", "A", "B", "B - A"}}
 	if a.Name != b.Name {
 		p.Title = fmt.Sprintf("%s (A) against %s (B)", a.Name, b.Name)
 	}
-	p.Figures = differences(a, b)
+	p.Figures = differenceRows(a, b)
 	for i, c := range a.Rules {
 		other := 0
 		if i < len(b.Rules) {
@@ -95,46 +95,46 @@
 				Cells: []string{fmt.Sprintf("%.2f s", m.At), m.Text}})
 		}
 	}
-	draw := drawing{length: max(length(a), length(b))}
-	p.Sections = append(p.Sections, draw.sideBySide(a, b))
-	p.Sections = append(p.Sections, draw.load(a, "A: ")...)
-	p.Sections = append(p.Sections, draw.load(b, "B: ")...)
-	if draw.err != nil {
-		return draw.err
+	charts := drawContext{duration: max(loadDuration(a), loadDuration(b))}
+	p.Sections = append(p.Sections, charts.comparisonSection(a, b))
+	p.Sections = append(p.Sections, charts.serviceSections(a, "A: ")...)
+	p.Sections = append(p.Sections, charts.serviceSections(b, "B: ")...)
+	if charts.err != nil {
+		return charts.err
 	}
-	return layout().Execute(out, p)
+	return pageTemplate().Execute(out, p)
 }
 
-// sideBySide draws each class of two runs in one chart.
-func (d *drawing) sideBySide(a, b *experiment.Result) section {
-	both := section{Title: "Side by side"}
+// comparisonSection draws each class of two runs in one chart.
+func (d *drawContext) comparisonSection(a, b *experiment.Result) section {
+	comparison := section{Title: "Side by side"}
 	for _, c := range a.Load.Classes {
-		var good, tail, curve []line
+		var goodput, p99, curve []line
 		for n, r := range []*experiment.Result{a, b} {
 			for _, k := range r.Load.Classes {
 				if k.Name != c.Name {
 					continue
 				}
 				name := string(rune('A' + n))
-				good = append(good, seconds(name, k,
-					func(s load.SecondResult) float64 { return orNone(s.Goodput*100, s.Scheduled) }))
-				tail = append(tail, seconds(name, k,
-					func(s load.SecondResult) float64 { return orNone(s.Latency.P99, int(s.Latency.Count)) }))
-				curve = append(curve, hdr(name, k))
+				goodput = append(goodput, lineBySecond(name, k,
+					func(s load.SecondResult) float64 { return valueOrNaN(s.Goodput*100, s.Scheduled) }))
+				p99 = append(p99, lineBySecond(name, k,
+					func(s load.SecondResult) float64 { return valueOrNaN(s.Latency.P99, int(s.Latency.Count)) }))
+				curve = append(curve, latencyCurve(name, k))
 			}
 		}
-		both.Plots = append(both.Plots,
+		comparison.Plots = append(comparison.Plots,
 			d.plot(chart{title: c.Name + ": goodput", x: "time of the run (s)", y: "served in time (%)",
-				lines: good, to: 100}),
+				lines: goodput, yMax: 100}),
 			d.plot(chart{title: c.Name + ": 99th percentile of latency", x: "time of the run (s)",
-				y: "latency (ms)", lines: tail}),
+				y: "latency (ms)", lines: p99}),
 			d.plot(chart{title: c.Name + ": latency by percentile", x: "percentile", y: "latency (ms)",
-				lines: curve, hdr: true}))
+				lines: curve, percentiles: true}))
 	}
-	return both
+	return comparison
 }
 
-func length(r *experiment.Result) float64 {
+func loadDuration(r *experiment.Result) float64 {
 	longest := 0
 	for _, c := range r.Load.Classes {
 		for n, s := range c.Seconds {
@@ -146,7 +146,7 @@
 	return float64(longest)
 }
 
-func facts(r *experiment.Result) string {
+func runSummary(r *experiment.Result) string {
 	return fmt.Sprintf("%s, seed %d, %s, %d gateways of %.2g cores, %.0f MB and %d descriptors, %d hosts",
 		r.Name, r.Seed,
 		r.Started.Format(time.DateTime), r.Limits.Count, r.Limits.Cores, r.Limits.MemoryMB, r.Limits.Sockets,
@@ -173,18 +173,18 @@
 	return text
 }
 
-// drawing draws and remembers the first error.
-type drawing struct {
-	length float64
-	err    error
+// drawContext draws and remembers the first error.
+type drawContext struct {
+	duration float64
+	err      error
 }
 
-func (d *drawing) plot(c chart) template.HTML {
+func (d *drawContext) plot(c chart) template.HTML {
 	if d.err != nil {
 		return ""
 	}
-	if c.length == 0 && !c.hdr {
-		c.length = d.length
+	if c.duration == 0 && !c.percentiles {
+		c.duration = d.duration
 	}
 	svg, err := c.svg()
 	if err != nil {
@@ -193,15 +193,15 @@
 	return svg
 }
 
-func orNone(v float64, count int) float64 {
+func valueOrNaN(v float64, count int) float64 {
 	if count == 0 {
 		return math.NaN()
 	}
 	return v
 }
 
-// seconds is a line by seconds of the run, each value at its second's middle.
-func seconds(name string, c load.ClassResult, of func(load.SecondResult) float64) line {
+// lineBySecond is a line by seconds of the run, each value at its second's middle.
+func lineBySecond(name string, c load.ClassResult, of func(load.SecondResult) float64) line {
 	l := line{name: name}
 	last := len(c.Seconds) // without the seconds after the last request was due
 	for last > 0 && c.Seconds[last-1].Scheduled == 0 {
@@ -214,8 +214,8 @@
 	return l
 }
 
-// hdr is a latency curve, x being 1/(1-p).
-func hdr(name string, c load.ClassResult) line {
+// latencyCurve is a latency curve, x being 1/(1-p).
+func latencyCurve(name string, c load.ClassResult) line {
 	l := line{name: name}
 	for _, b := range c.Curve {
 		if b.Percentile >= 100 {
@@ -231,76 +231,76 @@
 	return l
 }
 
-func (d *drawing) load(r *experiment.Result, prefix string) []section {
+func (d *drawContext) serviceSections(r *experiment.Result, prefix string) []section {
 	const time = "time of the run (s)"
-	good := section{Title: prefix + "Service",
+	service := section{Title: prefix + "Service",
 		Text: "A request counts in the second in which it was due. Served in time means a 200 within the class's aim, counted from the due time. Dashed lines are events, numbered as in the list."}
 	var lines, curves []line
 	for _, c := range r.Load.Classes {
 		lines = append(lines,
-			seconds(c.Name, c, func(s load.SecondResult) float64 { return orNone(s.Goodput*100, s.Scheduled) }))
-		curves = append(curves, hdr(c.Name, c))
+			lineBySecond(c.Name, c, func(s load.SecondResult) float64 { return valueOrNaN(s.Goodput*100, s.Scheduled) }))
+		curves = append(curves, latencyCurve(c.Name, c))
 	}
-	good.Plots = append(good.Plots, d.plot(chart{title: "Goodput by class", x: time, y: "served in time (%)",
-		lines: lines, marks: r.Events, to: 100}))
+	service.Plots = append(service.Plots, d.plot(chart{title: "Goodput by class", x: time, y: "served in time (%)",
+		lines: lines, marks: r.Events, yMax: 100}))
 	for _, c := range r.Load.Classes {
-		good.Plots = append(good.Plots, d.plot(chart{title: c.Name + ": what was due, and how it ended",
+		service.Plots = append(service.Plots, d.plot(chart{title: c.Name + ": what was due, and how it ended",
 			x: time, y: "requests a second", marks: r.Events,
 			lines: []line{
-				seconds("first tries due", c, func(s load.SecondResult) float64 { return float64(s.Scheduled) }),
-				seconds("tries sent, retries included", c,
+				lineBySecond("first tries due", c, func(s load.SecondResult) float64 { return float64(s.Scheduled) }),
+				lineBySecond("tries sent, retries included", c,
 					func(s load.SecondResult) float64 { return float64(s.Tries) }),
-				seconds("ok", c, func(s load.SecondResult) float64 { return float64(s.OK) }),
-				seconds("refused", c, func(s load.SecondResult) float64 { return float64(s.Refused) }),
-				seconds("failed or unanswered", c,
+				lineBySecond("ok", c, func(s load.SecondResult) float64 { return float64(s.OK) }),
+				lineBySecond("refused", c, func(s load.SecondResult) float64 { return float64(s.Refused) }),
+				lineBySecond("failed or unanswered", c,
 					func(s load.SecondResult) float64 { return float64(s.Failed + s.Unanswered) }),
 			}}))
 	}
-	late := section{Title: prefix + "Latency",
+	latency := section{Title: prefix + "Latency",
 		Text: "Counted from the due time to the last byte. What stayed unanswered counts with the time that its client waited; refusals and failures are left out."}
 	for _, c := range r.Load.Classes {
-		pick := func(name string, of func(load.Latency) float64) line {
-			return seconds(name, c, func(s load.SecondResult) float64 {
-				return orNone(of(s.Latency),
+		percentile := func(name string, of func(load.Latency) float64) line {
+			return lineBySecond(name, c, func(s load.SecondResult) float64 {
+				return valueOrNaN(of(s.Latency),
 					int(s.Latency.Count))
 			})
 		}
-		late.Plots = append(late.Plots, d.plot(chart{title: c.Name + ": latency over time", x: time,
+		latency.Plots = append(latency.Plots, d.plot(chart{title: c.Name + ": latency over time", x: time,
 			y: "latency (ms)", marks: r.Events, lines: []line{
-				pick("p50", func(l load.Latency) float64 { return l.P50 }),
-				pick("p90", func(l load.Latency) float64 { return l.P90 }),
-				pick("p99", func(l load.Latency) float64 { return l.P99 }),
-				pick("max", func(l load.Latency) float64 { return l.Max })}}))
-	}
-	late.Plots = append(late.Plots, d.plot(chart{title: "Latency by percentile", x: "percentile",
-		y: "latency (ms)", lines: curves, hdr: true}))
-	return []section{good, late}
+				percentile("p50", func(l load.Latency) float64 { return l.P50 }),
+				percentile("p90", func(l load.Latency) float64 { return l.P90 }),
+				percentile("p99", func(l load.Latency) float64 { return l.P99 }),
+				percentile("max", func(l load.Latency) float64 { return l.Max })}}))
+	}
+	latency.Plots = append(latency.Plots, d.plot(chart{title: "Latency by percentile", x: "percentile",
+		y: "latency (ms)", lines: curves, percentiles: true}))
+	return []section{service, latency}
 }
 
-func (d *drawing) hosts(r *experiment.Result) section {
+func (d *drawContext) hostSection(r *experiment.Result) section {
 	s := section{Title: "Hosts", Small: true,
 		Text: "Requests held by each host, by all gateways together, against the requests that it can work on at full speed at that moment: its cores times their speed, less what cold, crowding, neighbours and connections take."}
 	for i, h := range r.Hosts {
-		if i == mostHosts {
-			s.Text += fmt.Sprintf(" %d further hosts are in result.json only.", len(r.Hosts)-mostHosts)
+		if i == maxHostPlots {
+			s.Text += fmt.Sprintf(" %d further hosts are in result.json only.", len(r.Hosts)-maxHostPlots)
 			break
 		}
-		held, can := line{name: "held"}, line{name: "can do", dashed: true, steps: true}
+		inFlight, capacity := line{name: "held"}, line{name: "can do", dashed: true, stepped: true}
 		for _, at := range h.Samples {
-			held.xs, held.ys = append(held.xs, at.At), append(held.ys, float64(at.InFlight))
-			can.xs, can.ys = append(can.xs, at.At), append(can.ys, at.Capacity)
+			inFlight.xs, inFlight.ys = append(inFlight.xs, at.At), append(inFlight.ys, float64(at.InFlight))
+			capacity.xs, capacity.ys = append(capacity.xs, at.At), append(capacity.ys, at.Capacity)
 		}
-		if len(held.xs) == 0 {
+		if len(inFlight.xs) == 0 {
 			continue
 		}
 		s.Plots = append(s.Plots, d.plot(chart{title: h.Name, x: "time of the run (s)", y: "requests",
-			lines: []line{held, can},
+			lines: []line{inFlight, capacity},
 			marks: r.Events, width: 11.6 * vg.Centimeter, height: 4.6 * vg.Centimeter}))
 	}
 	return s
 }
 
-func (d *drawing) gateways(r *experiment.Result) section {
+func (d *drawContext) gatewaySection(r *experiment.Result) section {
 	s := section{Title: "Gateways", Text: fmt.Sprintf("Each was given %.2g cores, %.0f MB and %d descriptors.",
 		r.Limits.Cores, r.Limits.MemoryMB, r.Limits.Sockets)}
 	for _, k := range []struct {
@@ -330,7 +330,7 @@
 // Text is a run in words, for the terminal.
 func Text(r *experiment.Result) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s (%s)\n", r.Title, facts(r))
+	fmt.Fprintf(&b, "%s (%s)\n", r.Title, runSummary(r))
 	if r.Load.PartialInput {
 		fmt.Fprintf(&b, "  partial: told to end after %.1f s\n", r.Load.Lasted)
 	}
@@ -345,7 +345,7 @@
 	}
 	fmt.Fprintf(&b, "  goodput by worth %.4f, worst 10 s %.4f; %.3f arrivals at hosts for a request\n",
 		r.Load.Goodput, r.Load.WorstWindow,
-		r.Work.PerRequest)
+		r.Work.ArrivalsPerRequest)
 	for _, g := range r.Gateways {
 		fmt.Fprintf(&b, "  %-14s %.1f s of processor time, at most %.1f MB and %d descriptors, %d starts\n",
 			g.Name, g.CPUSeconds,
--- a/internal/lab/timeline/timeline.go
+++ b/internal/lab/timeline/timeline.go
@@ -10,26 +10,26 @@
 
 // Timeline is a virtual clock and what is to happen by it.
 type Timeline struct {
-	now   time.Duration
-	queue events
-	order uint64
+	now          time.Duration
+	queue        eventHeap
+	nextSequence uint64
 }
 
 type event struct {
-	at    time.Duration
-	order uint64
-	do    func()
+	at       time.Duration
+	sequence uint64
+	do       func()
 }
 
-type events []event
+type eventHeap []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(e[i].at, e[j].at), cmp.Compare(e[i].order, e[j].order)) < 0
+func (e eventHeap) Len() int { return len(e) }
+func (e eventHeap) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(e[i].at, e[j].at), cmp.Compare(e[i].sequence, e[j].sequence)) < 0
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventHeap) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventHeap) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	old[len(old)-1] = event{}
@@ -42,8 +42,8 @@
 
 // At has something done at a time; at once if that is past.
 func (t *Timeline) At(at time.Duration, do func()) {
-	t.order++
-	heap.Push(&t.queue, event{max(at, t.now), t.order, do})
+	t.nextSequence++
+	heap.Push(&t.queue, event{max(at, t.now), t.nextSequence, do})
 }
 
 // After has something done after a while.
