--- a/internal/lab/experiment/check.go
+++ b/internal/lab/experiment/check.go
@@ -10,20 +10,20 @@
 	"thymebend/internal/tomlfile"
 )
 
-// optionalEventFields are the fields of which each event has some.
+// optionalEventFields returns the names of the fields that only some kinds of events may have.
 func optionalEventFields() []string {
 	return []string{"host", "kind", "part", "count", "every", "gateway", "for", "share", "factor", "class", "fault",
 		"on", "off", "lag", "faulty"}
 }
 
-// checker notes everything in a file that cannot be played, at its line and column.
+// checker collects every fault of an experiment file that prevents its run, with line and column.
 type checker struct {
 	file                          *File
 	input                         *tomlfile.File
-	classes, kinds, hosts, faults []string // names known so far
+	classes, kinds, hosts, faults []string // names defined so far: classes and hosts grow while the file is checked
 }
 
-// require notes a fault at a field unless it is as it must be.
+// require adds a fault at the field path with the formatted text unless ok is true.
 func (c *checker) require(ok bool, path, format string, args ...any) {
 	if !ok {
 		c.input.AddFault(path, format, args...)
@@ -54,17 +54,19 @@
 
 func (c *checker) checkClass(i int, class Class) {
 	fieldPath := func(field string) string { return fmt.Sprintf("class.%d.%s", i, field) }
-	c.require(class.Name != "" && !strings.ContainsAny(class.Name, " /,?"), fieldPath("name"), "must be one word that fits in a path")
+	c.require(class.Name != "" && !strings.ContainsAny(class.Name, " /,?"), fieldPath("name"),
+		"must be one word that fits in a path")
 	c.require(!slices.Contains(c.classes, class.Name), fieldPath("name"), "%q is there already", class.Name)
 	c.require(class.Share > 0, fieldPath("share"), "must be positive")
 	c.require(class.Worth >= 0, fieldPath("worth"), "must not be negative")
 	c.require(class.Patience.Duration > 0, fieldPath("patience"), "must be positive")
 	c.require(class.Aim.Duration > 0 && class.Aim.Duration <= class.Patience.Duration, fieldPath("aim"),
 		"must be over 0 and at most patience")
-	c.require(class.Body >= 0 && class.Body <= 64<<10 && (class.Unsafe || class.Keyed || class.Body == 0), fieldPath("body"),
-		"must be 0 to 65536, for unsafe and keyed classes only")
+	c.require(class.Body >= 0 && class.Body <= 64<<10 && (class.Unsafe || class.Keyed || class.Body == 0),
+		fieldPath("body"), "must be 0 to 65536, for unsafe and keyed classes only")
 	c.require(!class.Unsafe || !class.Keyed, fieldPath("keyed"), "does not go with unsafe")
-	c.require(class.Window.Duration >= 0 && (class.Keyed || class.Window.Duration == 0), fieldPath("window"), "goes with keyed")
+	c.require(class.Window.Duration >= 0 && (class.Keyed || class.Window.Duration == 0), fieldPath("window"),
+		"goes with keyed")
 	c.require(class.LateWeight >= 0 && class.LateWeight <= 1, fieldPath("late_worth"), "must be 0 to 1")
 	if err := class.Work.workModel().Check(); err != nil {
 		c.input.AddFault(fieldPath("work"), "%v", err)
@@ -86,7 +88,8 @@
 	c.require(!h.StartsCold || h.ColdFrom > 0, fieldPath("cold"), "goes with cold_from")
 	c.require(h.WarmBy == "time" || h.WarmBy == "work", fieldPath("warm_by"), "%q is none of time, work", h.WarmBy)
 	c.require(h.ErrorRate >= 0 && h.ErrorRate <= 1, fieldPath("error_rate"), "must be 0 to 1")
-	c.require(h.Thrash >= 0 && h.FullTax >= 0 && h.FullTax < 1, fieldPath("thrash"), "thrash must be 0 or more, full_tax 0 to 1")
+	c.require(h.Thrash >= 0 && h.FullTax >= 0 && h.FullTax < 1, fieldPath("thrash"),
+		"thrash must be 0 or more, full_tax 0 to 1")
 	c.require(h.ReportMin.Duration <= h.ReportMax.Duration, fieldPath("report_least"), "must be at most report_most")
 	c.require(h.Body >= 0 && h.Body <= 64<<10, fieldPath("body"), "must be 0 to 65536")
 	c.kinds = append(c.kinds, h.Kind)
@@ -106,7 +109,8 @@
 	}
 }
 
-// checkEvent notes what is wrong with an event. length is that of the run, known the fields of each event.
+// checkEvent adds the faults of the i-th event. length is the duration of the load; fieldsByEvent gives the optional
+// fields that each kind of event allows.
 func (c *checker) checkEvent(i int, e Event, length time.Duration, fieldsByEvent map[string][]string) {
 	path := fmt.Sprintf("event.%d", i)
 	c.require(e.At.Duration >= 0 && e.At.Duration <= length, path+".at", "must be within the phases, 0s to %v", length)
@@ -133,7 +137,7 @@
 	c.checkRequiredFields(path, e)
 }
 
-// checkRequiredFields notes what an event lacks.
+// checkRequiredFields adds a fault for each field that this kind of event requires and that is missing or invalid.
 func (c *checker) checkRequiredFields(path string, e Event) {
 	c.require(e.Do != "host-spoil" || slices.Contains(c.faults, e.Fault), path+".fault", "%q is none of %s",
 		e.Fault, strings.Join(c.faults, ", "))
@@ -142,7 +146,7 @@
 	c.require(e.Do != "host-pause" && e.Do != "heavy" || e.For.Duration > 0, path+".for", "%s needs a time", e.Do)
 }
 
-// addUnknownEvent notes an event that does not exist, and what may have been meant.
+// addUnknownEvent adds a fault for an unknown kind of event and suggests the known name that is closest to it.
 func (c *checker) addUnknownEvent(path, name string, fieldsByEvent map[string][]string) {
 	text := fmt.Sprintf("%q is no event", name)
 	names := slices.Sorted(keys(fieldsByEvent))
@@ -152,7 +156,7 @@
 	c.input.AddFault(path+".do", "%s; known are %s", text, strings.Join(names, ", "))
 }
 
-// check notes everything that cannot be played.
+// check adds all faults of the experiment that prevent its run to in.
 func (f *File) check(in *tomlfile.File) {
 	c := &checker{file: f, input: in}
 	for _, fault := range emulation.Faults() {
--- a/internal/lab/experiment/defaults.go
+++ b/internal/lab/experiment/defaults.go
@@ -6,6 +6,7 @@
 	"thymebend/internal/tomlfile"
 )
 
+// setDefault sets a field that has the zero value, which means that the file omits it, to value.
 func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
@@ -13,6 +14,8 @@
 	}
 }
 
+// applyDefaults fills in every field that the file omits. Where zero is a valid value it checks in whether the field
+// is present.
 func (f *File) applyDefaults(in *tomlfile.File) {
 	f.applyGatewayDefaults(in)
 	f.applyClientDefaults(in)
--- a/internal/lab/experiment/events.go
+++ b/internal/lab/experiment/events.go
@@ -16,8 +16,8 @@
 	"thymebend/internal/lab/hostmodel"
 )
 
-// playEvents carries out the timeline, from began on, until ctx is done or everything has happened. Events
-// that need gateways are left out where there are none.
+// playEvents applies the events of the file at their times, counted from loadStart, and returns when all have ended
+// or ctx is done. Without gateways, events that concern gateways have no effect.
 func (w *World) playEvents(ctx context.Context, loadStart time.Duration) {
 	events := slices.Clone(w.File.Events)
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At.Duration, b.At.Duration) })
@@ -36,7 +36,7 @@
 	w.eventsInProgress.Wait()
 }
 
-// Sleep waits, and reports whether it was not for ctx that it ended.
+// Sleep waits for d. It returns true if the time has elapsed and false if ctx was done first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -51,7 +51,8 @@
 	}
 }
 
-// selectHosts draws the hosts that an event is about.
+// selectHosts returns the hosts that an event affects: those that match its host or kind, of which Count or the share
+// Fraction is drawn at random if either is set. Removed hosts are never selected.
 func (w *World) selectHosts(e Event, rng *rand.Rand) []*managedHost {
 	var candidates []*managedHost
 	for _, m := range w.managedHosts() {
@@ -69,15 +70,18 @@
 	return candidates
 }
 
-// apply is one event, to its end.
+// apply applies one event and returns when it has ended. Events of several hosts continue in goroutines of
+// w.eventsInProgress.
 func (w *World) apply(ctx context.Context, e Event, hosts []*managedHost) error {
 	switch e.Do {
 	case "gateway-kill", "gateway-restart", "gateway-reload", "discovery-move":
 		return w.applyToGateways(ctx, e)
 	case "discovery-down":
-		return w.applyFor(ctx, e, "discovery down", func() { w.discovery.SetDown(true) }, func() { w.discovery.SetDown(false) })
+		return w.applyFor(ctx, e, "discovery down", func() { w.discovery.SetDown(true) },
+			func() { w.discovery.SetDown(false) })
 	case "discovery-mute":
-		return w.applyFor(ctx, e, "discovery silent", func() { w.discovery.SetMute(true) }, func() { w.discovery.SetMute(false) })
+		return w.applyFor(ctx, e, "discovery silent", func() { w.discovery.SetMute(true) },
+			func() { w.discovery.SetMute(false) })
 	case "discovery-flap":
 		w.addMark("discovery starts anew")
 		w.discovery.Flap()
@@ -100,7 +104,8 @@
 	return nil
 }
 
-// applyFor does something, and undoes it after the event's time if one is stated.
+// applyFor calls do and, if the event has a duration, calls undo after it. Both are added to the run's marks with the
+// description. If ctx is done first, undo is not called.
 func (w *World) applyFor(ctx context.Context, e Event, description string, do, undo func()) error {
 	w.addMark("%s", description)
 	do()
@@ -111,7 +116,7 @@
 	return nil
 }
 
-// publish has discovery tell a host's state.
+// publish sets the state of a host and its start time in Unix milliseconds in the list that discovery serves.
 func (w *World) publish(m *managedHost, state string, bornMS int64) {
 	w.mu.Lock()
 	m.entry.State, m.entry.Born = state, bornMS
@@ -120,7 +125,8 @@
 	w.discovery.Put(entry)
 }
 
-// restore brings a host back at its address, cold if its kind starts cold.
+// restore brings a host back at its address and lists it as newly started. It begins with slow start if its kind has
+// one.
 func (w *World) restore(m *managedHost) error {
 	if err := m.SetMode(emulation.Up); err != nil {
 		return err
@@ -130,12 +136,13 @@
 	return nil
 }
 
-// drain has a host leave: discovery tells so, the host finishes what it has, and ends.
+// drain removes a host in an orderly way: discovery lists it as draining, the host finishes the requests it has, then
+// discovery lists it as removed and the host is closed.
 func (w *World) drain(ctx context.Context, e Event, m *managedHost) {
 	w.addMark("%s drains", m.Name)
 	w.publish(m, emulation.StateDraining, m.entry.Born)
 	lag := w.File.Discovery.Lag.Duration
-	// A host that drains turns work away only once everybody may know it.
+	// A draining host rejects new requests only after every gateway has had time to learn of the draining state.
 	Sleep(ctx, lag+drainGrace)
 	m.Do(func(now time.Duration, h *hostmodel.Host) { h.Drain(now, true) })
 	Sleep(ctx, max(e.For.Duration, 500*time.Millisecond))
@@ -148,6 +155,8 @@
 	w.addMark("%s gone", m.Name)
 }
 
+// applyToGateways applies an event to the gateway with its number or, if that is -1, to all gateways one after
+// another.
 func (w *World) applyToGateways(ctx context.Context, e Event) error {
 	gateways := w.gateways
 	if e.Gateway >= 0 && e.Gateway < len(gateways) {
@@ -190,8 +199,8 @@
 	return nil
 }
 
-// reload replaces a gateway's file, in which discovery has moved, and sends SIGHUP. A faulty file must change
-// nothing: discovery then stays.
+// reload replaces a gateway's configuration file by one with a new discovery address and sends SIGHUP. For a faulty
+// event it writes half a file, which the gateway must reject; discovery's address then stays as it was.
 func (w *World) reload(e Event, g *gateway) error {
 	config, err := os.ReadFile(g.config)
 	if err != nil {
@@ -238,17 +247,18 @@
 	if err := g.signal(syscall.SIGHUP); err != nil {
 		return err
 	}
-	time.Sleep(500 * time.Millisecond) // it reads the file in this time; then the good one lies there again
+	time.Sleep(500 * time.Millisecond) // the gateway reads the faulty file in this time; then the original is restored
 	return os.WriteFile(g.config, original, 0o600)
 }
 
 func (g *gateway) signal(sig syscall.Signal) error {
 	process := g.current()
 	if process == nil {
-		return fmt.Errorf("%s does not run", g.name)
+		return fmt.Errorf("%s is not running", g.name)
 	}
 	return process.cmd.Process.Signal(sig)
 }
 
-// Play plays the events that concern hosts and discovery, for a fleet without gateways.
+// Play applies the events that concern hosts and discovery, counted from now. It is used for hosts and discovery
+// without gateways, and returns when all events have ended or ctx is done.
 func (w *World) Play(ctx context.Context) { w.playEvents(ctx, w.Clock()) }
--- a/internal/lab/experiment/format.go
+++ b/internal/lab/experiment/format.go
@@ -1,5 +1,5 @@
-// Package experiment plays a day that a TOML file describes: a fleet, discovery, gateways as real processes,
-// load in phases and a timeline of events. Whatever happens is measured from outside the gateways.
+// Package experiment runs an experiment that a TOML file describes: emulated hosts, discovery, gateways as real
+// processes, load in phases and a timeline of events. Everything is measured from outside the gateways.
 package experiment
 
 import (
@@ -10,10 +10,10 @@
 	"thymebend/internal/tomlfile"
 )
 
-// Duration is a time in the file.
+// Duration is a duration in the file, written as text such as "800ms".
 type Duration = tomlfile.Duration
 
-// File is an experiment as it is written.
+// File is the content of an experiment file, with defaults filled in once Complete has run.
 type File struct {
 	Name  string `toml:"name"`
 	Title string `toml:"title"`
@@ -30,28 +30,31 @@
 	Events    []Event   `toml:"event"`
 }
 
-// Gateways are the gateway processes and what each is given.
+// Gateways is the number of gateway processes and the resources and options of each. With Spread, gateways are placed
+// at the sites of the hosts in turn, otherwise all at the first site. result.json contains this type under the Go
+// names of its fields.
 type Gateways struct {
 	Count    int     `toml:"count"`
 	Cores    float64 `toml:"cores"`
 	MemoryMB float64 `toml:"memory_mb"`
 	Sockets  int     `toml:"sockets"`
-	Log      string  `toml:"log"`    // level
-	Spread   bool    `toml:"spread"` // over the hosts' sites, one after another; else all stand at the first
+	Log      string  `toml:"log"` // log level
+	Spread   bool    `toml:"spread"`
 }
 
-// Discovery is how late changes show.
+// Discovery configures how and when changes of the host list reach the gateways. With Pushed, lists come from an
+// agent next to each gateway, which sends nothing while discovery is down.
 type Discovery struct {
-	Lag    Duration `toml:"lag"`
-	Pushed bool     `toml:"pushed"` // by an agent beside each gateway, which is silent while discovery is down
+	Lag    Duration `toml:"lag"` // delay of each change
+	Pushed bool     `toml:"pushed"`
 }
 
-// Front is the layer that deals clients out.
+// Front configures the layer in front of the gateways that distributes clients over them.
 type Front struct {
-	Notice Duration `toml:"notice"`
+	Notice Duration `toml:"notice"` // a gateway to which connects have failed for this long is taken out
 }
 
-// Clients is how clients act, see load.Clients.
+// Clients configures the behaviour of clients; load.Clients describes the fields.
 type Clients struct {
 	Retries               float64  `toml:"retries"`
 	Backoff               string   `toml:"backoff"`
@@ -67,14 +70,14 @@
 	Silent                int      `toml:"silent"`
 }
 
-// Class is a kind of request.
+// Class is a class of requests.
 type Class struct {
 	Name       string   `toml:"name"`
 	Share      float64  `toml:"share"`
 	Unsafe     bool     `toml:"unsafe"`
-	Keyed      bool     `toml:"keyed"`      // sent with a key; the hosts of one cell drop a repeat
-	Window     Duration `toml:"window"`     // for so long
-	LateWeight float64  `toml:"late_worth"` // share of the worth that an answer after the aim earns, as gateways are told
+	Keyed      bool     `toml:"keyed"`      // sent with an idempotency key; hosts of a cell drop a repeated key
+	Window     Duration `toml:"window"`     // with Keyed: the time for which hosts remember a key
+	LateWeight float64  `toml:"late_worth"` // share of the value earned after the latency objective, for the gateways
 	Worth      float64  `toml:"worth"`
 	Aim        Duration `toml:"aim"`
 	Patience   Duration `toml:"patience"`
@@ -82,19 +85,19 @@
 	Work       Work     `toml:"work"`
 }
 
-// Work is drawn anew for each request.
+// Work is the distribution from which the work of each request is drawn.
 type Work struct {
 	Dist string   `toml:"dist"`
 	Mean Duration `toml:"mean"`
 	CV   float64  `toml:"cv"`
 }
 
-// Hosts are so many hosts of one kind.
+// Hosts are Count hosts of one kind; hostmodel.Spec describes most fields.
 type Hosts struct {
 	Kind       string   `toml:"kind"`
 	Count      int      `toml:"count"`
 	Site       string   `toml:"site"`
-	Cell       int      `toml:"cell"` // hosts that share what keys they have seen; 0 is all of the kind
+	Cell       int      `toml:"cell"` // number of hosts that share a record of keys; 0 means all of the kind
 	Cores      int      `toml:"cores"`
 	Speed      float64  `toml:"speed"`
 	Slots      int      `toml:"slots"`
@@ -106,7 +109,7 @@
 	WarmBy     string   `toml:"warm_by"`
 	Fall       float64  `toml:"fall_multiple"`
 	FallFor    Duration `toml:"fall_for"`
-	StartsCold bool     `toml:"cold"` // at the begin of the run
+	StartsCold bool     `toml:"cold"` // hosts are in slow start when the run begins
 
 	PauseEvery  Duration `toml:"pause_every"`
 	PauseFor    Duration `toml:"pause_for"`
@@ -123,7 +126,7 @@
 	Body        int      `toml:"body"`
 }
 
-// Phase is a stretch of load, see load.Phase.
+// Phase is a part of the load; load.Phase describes the fields.
 type Phase struct {
 	For      Duration `toml:"for"`
 	Rate     float64  `toml:"rate"`
@@ -137,18 +140,18 @@
 	Arrivals string   `toml:"arrivals"` // "poisson" or "even"
 }
 
-// Event is something that happens at a time of the run.
+// Event is a fault or a change that is applied at time At, counted from the start of the load.
 type Event struct {
 	At Duration `toml:"at"`
 	Do string   `toml:"do"`
 
-	Host     string   `toml:"host"`  // one host by name, or
-	Kind     string   `toml:"kind"`  // those of a kind, or all,
-	Fraction float64  `toml:"part"`  // of which this share is drawn, or
-	Count    int      `toml:"count"` // so many
-	Every    Duration `toml:"every"` // one after another, this long apart
+	Host     string   `toml:"host"`  // selects one host by its name
+	Kind     string   `toml:"kind"`  // selects the hosts of a kind; all hosts if Host and Kind are empty
+	Fraction float64  `toml:"part"`  // draws this share of the selected hosts; used if Count is 0
+	Count    int      `toml:"count"` // draws this number of the selected hosts
+	Every    Duration `toml:"every"` // pause between one host or gateway and the next
 
-	Gateway int `toml:"gateway"` // by number from 0; -1 means all, one after another
+	Gateway int `toml:"gateway"` // number of the gateway, from 0; -1 means all, one after another
 
 	For    Duration `toml:"for"`
 	Share  float64  `toml:"share"`
@@ -161,9 +164,10 @@
 	Faulty bool     `toml:"faulty"`
 }
 
-// What events there are, and which of their fields each may have beside at and do.
+// hostFields returns the fields that every event of hosts allows.
 func hostFields() []string { return []string{"host", "kind", "part", "count", "every"} }
 
+// eventFields returns every kind of event and the fields that it allows besides at and do.
 func eventFields() map[string][]string {
 	hosts := func(extra ...string) []string { return append(hostFields(), extra...) }
 	return map[string][]string{
@@ -191,7 +195,7 @@
 	}
 }
 
-// Load reads and checks an experiment. The error holds everything that is wrong, with file, line and column.
+// Load reads and checks an experiment file. The error lists every fault with file, line and column.
 func Load(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -200,7 +204,7 @@
 	return Parse(path, text)
 }
 
-// Parse does so with a text at hand.
+// Parse does the same as Load with a given text; name is the file name in the error.
 func Parse(name string, text []byte) (*File, error) {
 	f := &File{}
 	input := tomlfile.Read(name, text, f)
@@ -214,13 +218,14 @@
 	return f, nil
 }
 
-// Complete fills in what a file leaves out, and notes everything in it that cannot be played.
+// Complete sets the defaults of all omitted fields, and adds every fault that prevents a run to input.
 func (f *File) Complete(input *tomlfile.File) {
 	f.applyDefaults(input)
 	f.check(input)
 }
 
+// ms returns n milliseconds.
 func ms(n int) Duration { return Duration{Duration: time.Duration(n) * time.Millisecond} }
 
-// Length is how long the load lasts.
+// Length returns the duration of the load, which is that of all phases.
 func (f *File) Length() time.Duration { return load.Length(f.loadPhases()) }
--- a/internal/lab/experiment/format_test.go
+++ b/internal/lab/experiment/format_test.go
@@ -21,7 +21,7 @@
 rate = 20
 `
 
-// Every fault names file, line and column; several come in one go.
+// Every fault of a file is reported with file, line and column, and several are reported together.
 func TestParseReportsFaultPositions(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{strings.Replace(smallExperiment, "count = 2", "cuont = 2", 1),
@@ -47,7 +47,7 @@
 	} {
 		_, err := Parse("x.toml", []byte(c.text))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("got\n%v\nwant\n%s", err, c.want)
+			t.Errorf("got\n%v\nwant an error that contains\n%s", err, c.want)
 		}
 	}
 }
@@ -59,16 +59,15 @@
 	}
 	if f.Gateways.Count != 1 || f.Classes[0].Aim.Duration != 800*time.Millisecond || f.Hosts[0].Queue != 12 ||
 		f.Clients.Honour != 1 {
-		t.Errorf("%+v", f)
+		t.Errorf("defaults of an experiment without gateways and clients: %+v", f)
 	}
 }
 
-// Every experiment of the repository can be read, and each event that the format knows is played by one
-// of them or named here.
+// Every experiment of the repository is valid, has the name of its file, and has a title and a description.
 func TestRepositoryExperimentsLoad(t *testing.T) {
 	files, err := filepath.Glob("../../../experiments/*.toml")
 	if err != nil || len(files) < 8 {
-		t.Fatalf("%d experiments, %v", len(files), err)
+		t.Fatalf("found %d experiments, want at least 8: %v", len(files), err)
 	}
 	for _, path := range files {
 		f, err := Load(path)
@@ -77,11 +76,12 @@
 			continue
 		}
 		if want := strings.TrimSuffix(filepath.Base(path), ".toml"); f.Name != want || f.Title == "" || f.About == "" {
-			t.Errorf("%s: name %q, title %q", path, f.Name, f.Title)
+			t.Errorf("%s: name %q, want %q; title %q and about %q must not be empty", path, f.Name, want, f.Title, f.About)
 		}
 	}
 }
 
+// A load shape gives phases and clients, and a fault in it is reported with file, line and column.
 func TestLoadShape(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.toml")
 	write := func(text string) {
@@ -92,10 +92,10 @@
 	write("[clients]\nretries = 2.0\n[[phase]]\nfor = \"2s\"\nrate = 5\nto = 10\n")
 	phases, clients, err := LoadShape(path, nil)
 	if err != nil || len(phases) != 1 || phases[0].To != 10 || clients == nil || clients.Retries != 2 {
-		t.Errorf("%+v %+v %v", phases, clients, err)
+		t.Errorf("valid shape: phases %+v, clients %+v, error %v", phases, clients, err)
 	}
 	write("[[phase]]\nfor = \"2s\"\nrate = 5\nrush = \"x\"\n")
 	if _, _, err := LoadShape(path, nil); err == nil || !strings.Contains(err.Error(), path+":4:1: phase.0.rush") {
-		t.Errorf("%v", err)
+		t.Errorf("rush with an unknown class: error %v", err)
 	}
 }
--- a/internal/lab/experiment/gateways.go
+++ b/internal/lab/experiment/gateways.go
@@ -16,43 +16,44 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// gateway is one gateway process, restarted under its name and address.
+// gateway is one gateway of the run. Its process may be restarted, under the same name and address.
 type gateway struct {
 	name       string
 	addr       string
-	clientAddr string // where clients find it
+	clientAddr string // address that clients use; a rig may route it to addr
 	rank       int
 	config     string
 	log        string
 
 	mu           sync.Mutex
-	process      *process // nil before the first
+	process      *process // the serving process, which may have ended; nil before the first start
 	kills        []time.Duration
-	stops        []time.Duration // SIGTERMs
+	stops        []time.Duration // times of SIGTERM for a stop or restart, on the clock of the run, as kills are
 	starts       int
-	initialHosts []byte // to start with, in place of the list as it stands
+	initialHosts []byte // host list for the next start; nil means the list of discovery at that time
 	series       gatewaySeries
 }
 
-// process is one run of a gateway's program.
+// process is one process of a gateway.
 type process struct {
 	cmd         *exec.Cmd
-	endExpected atomic.Bool // its end is no crash
-	ended       chan bool   // closed once it has ended
-	err         error       // how, to be read after that
+	endExpected atomic.Bool // its end is not reported as a crash
+	ended       chan bool   // closed after the process has ended
+	err         error       // result of Wait; valid after ended is closed
 }
 
-// kill ends the process, and what it may have started, at once.
+// kill ends the process and every process of its process group with SIGKILL, and waits for the end.
 func (p *process) kill() {
 	select {
-	case <-p.ended: // its number may be another's by now
+	case <-p.ended: // the pid may belong to another process now
 	default:
 		_ = syscall.Kill(-p.cmd.Process.Pid, syscall.SIGKILL)
 		<-p.ended
 	}
 }
 
-// startGateways starts the processes and waits until all are ready.
+// startGateways starts the gateways from the given program and waits until all are ready. dir receives their
+// configuration files and logs. A gateway that the rig starts later is only prepared.
 func (w *World) startGateways(ctx context.Context, program, dir string) error {
 	w.dir = dir
 	var err error
@@ -94,10 +95,10 @@
 	return nil
 }
 
-// GatewayName names a gateway by its number.
+// GatewayName returns the name of a gateway by its number, counted from 0.
 func GatewayName(i int) string { return fmt.Sprintf("gateway-%d", i) }
 
-// GatewayNames names the first n.
+// GatewayNames returns the names of the first n gateways.
 func GatewayNames(n int) []string {
 	names := make([]string, n)
 	for i := range names {
@@ -106,7 +107,8 @@
 	return names
 }
 
-// freeAddress is a port that was free a moment ago; the gateway must listen on one that it is told.
+// freeAddress returns a loopback address with a port that was free a moment ago. The gateway needs a fixed address in
+// its configuration, so it cannot choose a free port by itself.
 func freeAddress() (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -116,6 +118,7 @@
 	return ln.Addr().String(), nil
 }
 
+// waitReady waits until the gateway's health check succeeds, at most readyTimeout.
 func (w *World) waitReady(ctx context.Context, g *gateway) error {
 	for deadline := time.Now().Add(readyTimeout); !load.Healthy(ctx, g.addr); {
 		p := g.current()
@@ -133,7 +136,8 @@
 	return nil
 }
 
-// startGateway starts a process that knows nothing but the list as it stands.
+// startGateway writes the configuration of a gateway and starts its process. The process gets no state of an earlier
+// one except the host list in its configuration.
 func (w *World) startGateway(g *gateway) error {
 	discovery, err := w.path(g.name, NodeDiscovery, w.discovery.Addr(g.name))
 	if err != nil {
@@ -157,14 +161,15 @@
 	return nil
 }
 
-// startProcess starts the program with a gateway's configuration as it lies there.
+// startProcess starts the gateway program with the existing configuration file of g, and reports an unexpected end as
+// a finding. extraEnv is appended to the environment.
 func (w *World) startProcess(g *gateway, discovery string, extraEnv []string) (*process, error) {
 	logFile, err := os.OpenFile(g.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	defer logFile.Close()
-	// The shell sets the limit on descriptors and gives way to the program, so that its pid is the program's.
+	// The shell sets the limit on open descriptors and then replaces itself with the program, which keeps the pid.
 	cmd := exec.Command("/bin/sh", "-c", `ulimit -n "$1" && exec "$2"`, "sh", fmt.Sprint(w.File.Gateways.Sockets), w.program)
 	cmd.Env = append(os.Environ(), "LB_CONFIG="+g.config, "LB_NAME="+g.name, "LB_LISTEN="+g.addr,
 		"LB_DISCOVERY="+discovery, "LB_LOG="+w.File.Gateways.Log)
@@ -177,7 +182,7 @@
 	}
 	cmd.Env = append(cmd.Env, extraEnv...)
 	cmd.Stdout, cmd.Stderr = logFile, logFile
-	// It must not outlive a laboratory that dies.
+	// The gateway must not outlive the laboratory if that dies.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("%s: %w", g.name, err)
@@ -203,9 +208,10 @@
 	return p, nil
 }
 
+// current returns the serving process, which may have ended, or nil before the first start.
 func (g *gateway) current() *process { g.mu.Lock(); defer g.mu.Unlock(); return g.process }
 
-// kill ends a gateway as kill -9 does.
+// kill ends a gateway with SIGKILL and records the time, which excuses the attempts that it was serving.
 func (w *World) kill(g *gateway) {
 	p := g.current()
 	if p == nil {
@@ -219,7 +225,8 @@
 	w.discovery.Forget(g.name)
 }
 
-// stop ends a gateway as a planned restart does.
+// stop ends a gateway with SIGTERM, as a planned restart does, and records the time. If front is not nil, it stops
+// sending to the gateway frontLeaveDelay after the signal. An exit with an error is reported as a finding.
 func (w *World) stop(g *gateway, front *load.Front) {
 	p := g.current()
 	if p == nil {
@@ -249,7 +256,8 @@
 	w.discovery.Forget(g.name)
 }
 
-// terminate sends SIGTERM and waits; it reports whether the process had to be killed once it should have ended.
+// terminate sends SIGTERM, calls onSignal and waits for the end of the process. It kills a process that has not ended
+// killDelay after the longest client timeout, and then returns true.
 func (w *World) terminate(p *process, onSignal func()) (killed bool) {
 	p.endExpected.Store(true)
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
--- a/internal/lab/experiment/hostevents.go
+++ b/internal/lab/experiment/hostevents.go
@@ -9,7 +9,7 @@
 	"thymebend/internal/lab/hostmodel"
 )
 
-// hostEvent carries an event out at one host.
+// hostEvent is an event that is applied to one host.
 type hostEvent struct {
 	world *World
 	ctx   context.Context
@@ -17,7 +17,8 @@
 	host  *managedHost
 }
 
-// setMode changes how the host's machine behaves, for the event's time.
+// setMode sets how the host's machine reacts to connections and requests, for the duration of the event if it has
+// one.
 func (h hostEvent) setMode(to emulation.Mode, description string) error {
 	var err error
 	begin := func() { err = h.host.SetMode(to) }
@@ -30,11 +31,13 @@
 	return err
 }
 
-// changeFor changes the host's model, for the event's time.
+// changeFor applies change to the host's model and, if the event has a duration, undo after it.
 func (h hostEvent) changeFor(description string, change, undo func(now time.Duration, h *hostmodel.Host)) error {
-	return h.world.applyFor(h.ctx, h.event, h.host.Name+" "+description, func() { h.host.Do(change) }, func() { h.host.Do(undo) })
+	return h.world.applyFor(h.ctx, h.event, h.host.Name+" "+description, func() { h.host.Do(change) },
+		func() { h.host.Do(undo) })
 }
 
+// down stops the host, removes it from the list and, if the event has a duration, restores it after that.
 func (h hostEvent) down() error {
 	w, m, e := h.world, h.host, h.event
 	w.addMark("%s down", m.Name)
@@ -48,6 +51,7 @@
 	return nil
 }
 
+// restart stops the host and restores it at once, in slow start if its kind has one.
 func (h hostEvent) restart() error {
 	if err := h.host.SetMode(emulation.Refuse); err != nil {
 		return err
@@ -55,6 +59,7 @@
 	return h.world.restore(h.host)
 }
 
+// replace drains the host and starts a new one of the same kind at the same addresses.
 func (h hostEvent) replace() error {
 	w, m := h.world, h.host
 	w.drain(h.ctx, h.event, m)
@@ -69,6 +74,7 @@
 	return err
 }
 
+// spoil makes a share of the host's responses faulty, for the duration of the event if it has one.
 func (h hostEvent) spoil() error {
 	e, fault := h.event, emulation.Fault(h.event.Fault)
 	description := fmt.Sprintf("%s: %.0f%% %s", h.host.Name, e.Share*100, fault)
@@ -77,7 +83,7 @@
 	return h.world.applyFor(h.ctx, e, description, begin, undo)
 }
 
-// applyToModel carries out the events that change the host's model.
+// applyToModel applies the kinds of events that change the host's model.
 func (h hostEvent) applyToModel() error {
 	w, m, e := h.world, h.host, h.event
 	switch e.Do {
@@ -109,7 +115,7 @@
 	return fmt.Errorf("unknown event %s", e.Do)
 }
 
-// applyToHost carries an event out at one host.
+// applyToHost applies an event to one host and returns when the event has ended.
 func (w *World) applyToHost(ctx context.Context, e Event, m *managedHost) error {
 	h := hostEvent{w, ctx, e, m}
 	switch e.Do {
--- a/internal/lab/experiment/models.go
+++ b/internal/lab/experiment/models.go
@@ -10,6 +10,7 @@
 	"thymebend/internal/tomlfile"
 )
 
+// loadPhases returns the phases in the form of the load generator.
 func (f *File) loadPhases() []load.Phase {
 	var out []load.Phase
 	for _, p := range f.Phases {
@@ -18,6 +19,7 @@
 	return out
 }
 
+// loadClasses returns the classes in the form of the load generator.
 func (f *File) loadClasses() []load.Class {
 	var out []load.Class
 	for _, c := range f.Classes {
@@ -43,8 +45,8 @@
 		KeepFor: c.RequestsPerConnection, SlowShare: c.SlowShare, SlowFor: c.SlowFor.Duration, Silent: c.Silent}
 }
 
-// cellNumber is the number of a host's cell over the whole fleet. A host that replaces another gets the cell
-// that its number falls into.
+// cellNumber returns the cell of the n-th host of a kind. Cells are numbered over all kinds in the order of the file.
+// A host that replaces another has a number of Count or more, which is taken modulo Count to find its cell.
 func (f *File) cellNumber(h Hosts, n int) int {
 	cellsBefore := 0
 	for _, other := range f.Hosts {
@@ -60,7 +62,7 @@
 	return cellsBefore
 }
 
-// Spec is the model of one host.
+// Spec returns the parameters of the host model for the n-th host of h.
 func (f *File) Spec(h Hosts, n int) hostmodel.Spec {
 	work := make(map[string]hostmodel.Work)
 	for _, c := range f.Classes {
@@ -79,16 +81,17 @@
 		Body: h.Body, Work: work}
 }
 
-// HostName names a host of a kind by its number.
+// HostName returns the name of a host of a kind by its number, counted from 0.
 func HostName(kind string, n int) string { return fmt.Sprintf("%s-%d", kind, n) }
 
-// Shape is a load's course in a file of its own: phases and, if stated, how clients act.
+// Shape is the content of a file that describes load only: its phases and, optionally, the behaviour of clients.
 type Shape struct {
 	Clients Clients `toml:"clients"`
 	Phases  []Phase `toml:"phase"`
 }
 
-// LoadShape reads a shape for the given classes. The error holds everything that is wrong.
+// LoadShape reads and checks a load shape for the given classes. The clients are nil if the file does not describe
+// them. The error lists every fault of the file.
 func LoadShape(path string, classes []load.Class) ([]load.Phase, *load.Clients, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/experiment/rig.go
+++ b/internal/lab/experiment/rig.go
@@ -9,29 +9,29 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// Rig adds to a run what stands between the processes, and sees what becomes of them. All may be called
+// Rig controls the network between the processes of a run and observes their starts and ends. A run calls its methods
 // from several goroutines.
 type Rig interface {
 	// Path returns the address by which a node reaches another one that listens at addr. Nodes are
 	// gateways, hosts, "discovery" and "clients".
 	Path(from, to, addr string) (string, error)
-	// Listen returns where a gateway is to listen.
+	// Listen returns the address at which a gateway listens.
 	Listen(gateway string) (string, error)
-	// HostAddress is the address, without a port, at which hosts listen. Nobody else may listen there
-	// or call from there: a host that restarts needs its ports again.
+	// HostAddress is the address, without a port, at which hosts listen. No other program may listen or open
+	// connections there, as a host that restarts needs its former ports.
 	HostAddress() string
-	// Environment is what a process of a gateway gets beside the usual, each process anew.
+	// Environment returns additional environment variables for a gateway. It is called once for each process.
 	Environment(gateway string) ([]string, error)
-	// Late tells whether a gateway is not there from the start.
+	// Late reports whether a gateway does not run from the start of the run but is started later.
 	Late(gateway string) bool
-	// Started and Ended tell of each process of a gateway.
+	// Started and Ended are called when a process of a gateway has started and when it has ended.
 	Started(gateway string, pid int)
 	Ended(gateway string, pid int)
-	// Excuses tells whether a try that nobody answered was lost by what the rig did.
+	// Excuses reports whether an unanswered attempt was lost because of a fault that the rig caused.
 	Excuses(gateway string, t requestrecord.Attempt) bool
 }
 
-// path is the address by which a node reaches another.
+// path returns the address by which the node from reaches the node to, which listens at addr.
 func (w *World) path(from, to, addr string) (string, error) {
 	if w.rig == nil {
 		return addr, nil
@@ -39,31 +39,33 @@
 	return w.rig.Path(from, to, addr)
 }
 
-// Nodes that are neither gateways nor hosts.
+// Names of the nodes that are neither gateways nor hosts.
 const (
 	NodeDiscovery = "discovery"
 	NodeClients   = "clients"
 )
 
-// Handles are what plays beside the load may do to gateways, by their numbers. Each waits for its end.
+// Handles controls the gateways of a run, by their numbers, for the function of Options that runs concurrently with
+// the load. Each method returns when its operation is complete.
 type Handles struct {
 	world *World
-	Began time.Duration // on the run's clock
+	Began time.Duration // start of the load, on the clock of the run
 }
 
-// Mark notes something for the report.
+// Mark adds a text to the events of the result, with the current time.
 func (r *Handles) Mark(format string, args ...any) { r.world.addMark(format, args...) }
 
-// Front is where clients find a gateway.
+// Front returns the address at which clients reach a gateway.
 func (r *Handles) Front(n int) string { return r.world.gateways[n].clientAddr }
 
-// Kill ends a gateway's process as kill -9 does.
+// Kill ends a gateway's process with SIGKILL.
 func (r *Handles) Kill(n int) { r.world.kill(r.world.gateways[n]) }
 
-// Stop ends it as a planned restart does.
+// Stop ends a gateway's process with SIGTERM, as a planned restart does. Clients stop using it shortly after the
+// signal.
 func (r *Handles) Stop(n int) { r.world.stop(r.world.gateways[n], r.world.Front) }
 
-// Start starts a gateway that does not run, and waits until it is ready.
+// Start starts a gateway that is not running, and waits until it is ready.
 func (r *Handles) Start(ctx context.Context, n int) error {
 	g := r.world.gateways[n]
 	if err := r.world.startGateway(g); err != nil {
@@ -72,7 +74,7 @@
 	return r.world.waitReady(ctx, g)
 }
 
-// Heavy has the front deal a share of all traffic to some gateways, beside their turns.
+// Heavy makes clients send the given share of all requests to the given gateways, in addition to their usual turns.
 func (r *Handles) Heavy(gateways []int, share float64) {
 	var addrs []string
 	for _, n := range gateways {
@@ -84,10 +86,11 @@
 // Signal sends a signal to a gateway's process.
 func (r *Handles) Signal(n int, s syscall.Signal) error { return r.world.gateways[n].signal(s) }
 
-// Known keeps the list that a gateway would start with now; StartWith starts it with that.
+// Known returns the host list with which a gateway would start now. It may be passed to StartWith later.
 func (r *Handles) Known(n int) []byte { return r.world.discovery.Known(r.world.gateways[n].name) }
 
-// StartWith starts a gateway with a host list that it had.
+// StartWith starts a gateway with the given host list, such as an earlier one from Known, and waits until it is
+// ready.
 func (r *Handles) StartWith(ctx context.Context, n int, known []byte) error {
 	g := r.world.gateways[n]
 	g.mu.Lock()
@@ -101,13 +104,13 @@
 	return r.Start(ctx, n)
 }
 
-// Upgrade starts a second process of a gateway, waits until ready tells that it takes clients, ends the
-// first one and waits for that.
+// Upgrade does a hot restart: it starts a second process of a gateway, waits until ready returns true for its pid,
+// which means that it serves clients, then ends the first process and waits for its end.
 func (r *Handles) Upgrade(ctx context.Context, n int, ready func(pid int) bool) error {
 	w, g := r.world, r.world.gateways[n]
 	predecessor := g.current()
 	if predecessor == nil {
-		return fmt.Errorf("%s does not run", g.name)
+		return fmt.Errorf("%s is not running", g.name)
 	}
 	successor, err := r.startSecondProcess(ctx, g, ready)
 	if err != nil {
@@ -117,19 +120,20 @@
 	g.process = successor
 	g.starts++
 	g.mu.Unlock()
-	// It is no stop that clients' tries are excused by: the next process takes what comes.
+	// This stop is not recorded, so it excuses no lost attempts: the successor serves all clients.
 	killed := w.terminate(predecessor, func() {})
 	switch {
 	case killed:
-		return fmt.Errorf("the elder process of %s had to be killed", g.name)
+		return fmt.Errorf("the predecessor of %s did not end after SIGTERM and was killed", g.name)
 	case predecessor.err != nil:
-		return fmt.Errorf("the elder process of %s: %w", g.name, predecessor.err)
+		return fmt.Errorf("the predecessor of %s failed: %w", g.name, predecessor.err)
 	}
 	return nil
 }
 
-// Twin starts a second process under a gateway's name that knows nothing of the first one and has an
-// address of its own for clients, who do not know it. The returned function kills it.
+// Twin starts a second process under a gateway's name that is independent of the first. It listens at another
+// address, which no client uses. Twin waits until ready returns true for its pid; the returned function kills the
+// process.
 func (r *Handles) Twin(ctx context.Context, n int, ready func(pid int) bool) (end func(), err error) {
 	addr, err := r.world.rig.Listen(r.world.gateways[n].name)
 	if err != nil {
@@ -142,8 +146,10 @@
 	return func() { p.endExpected.Store(true); p.kill() }, nil
 }
 
-// startSecondProcess starts a process of a gateway beside the one that there is.
-func (r *Handles) startSecondProcess(ctx context.Context, g *gateway, ready func(pid int) bool, extraEnv ...string) (*process, error) {
+// startSecondProcess starts a further process of a gateway while its first one runs, and waits until ready returns
+// true.
+func (r *Handles) startSecondProcess(ctx context.Context, g *gateway, ready func(pid int) bool, extraEnv ...string) (
+	*process, error) {
 	discovery, err := r.world.path(g.name, NodeDiscovery, r.world.discovery.Addr(g.name))
 	if err != nil {
 		return nil, err
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -14,10 +14,11 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// ResultVersion is that of result.json. It rises when a field changes its meaning or goes.
+// ResultVersion is the version of the format of result.json. It increases when the meaning of a field changes or a
+// field is removed.
 const ResultVersion = 1
 
-// Result is a run, as result.json holds it. docs/lab/result.md describes every field.
+// Result is the outcome of a run, in the form of result.json. docs/lab/result.md describes every field.
 type Result struct {
 	Version     int                     `json:"version"`
 	Name        string                  `json:"name"`
@@ -27,7 +28,7 @@
 	Started     time.Time               `json:"started"`
 	Held        bool                    `json:"rules_held"`
 	Rules       []RuleCount             `json:"rules"`
-	Findings    []requestrecord.Finding `json:"findings"` // the first of them
+	Findings    []requestrecord.Finding `json:"findings"` // the first maxFindings
 	LostByCrash int                     `json:"lost_by_crash"`
 	Load        load.Result             `json:"load"`
 	Limits      Gateways                `json:"limits"`
@@ -37,7 +38,7 @@
 	Work        HostWork                `json:"work"`
 }
 
-// HostWork sums the hosts' records up.
+// HostWork is the sum of all hosts' records of attempts.
 type HostWork struct {
 	Arrivals           int     `json:"arrivals"`
 	Begun              int     `json:"begun"`
@@ -45,27 +46,28 @@
 	ArrivalsPerRequest float64 `json:"arrivals_per_request"`
 }
 
-// RuleCount is how often a rule was broken.
+// RuleCount is the number of times that a rule was broken.
 type RuleCount struct {
 	Rule   string `json:"rule"`
 	Broken int    `json:"broken"`
 }
 
-// maxFindings are kept in the result; the counts hold all.
+// maxFindings limits the findings in the result; the counts of the rules include all.
 const maxFindings = 200
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	Gateway  string // the program
-	Dir      string // for configurations, logs and results
-	Seed     uint64 // goes before the file's if not 0
+	Gateway  string // path of the gateway program
+	Dir      string // directory of configurations, logs and results; created if missing
+	Seed     uint64 // replaces the seed of the file if not 0
 	Progress func(load.Progress)
-	Rig      Rig                                           // nil in an experiment
-	Beside   func(ctx context.Context, run *Handles) error // played beside the load where there is a rig, to its end
-	Clock    emulation.Clock                               // a new one if nil
+	Rig      Rig                                           // nil except in a drill
+	Beside   func(ctx context.Context, run *Handles) error // runs concurrently with the load; its error ends the run
+	Clock    emulation.Clock                               // clock of the run; a new one if nil
 }
 
-// Run plays an experiment.
+// Run runs an experiment: it starts hosts, discovery and gateways, applies load and events, stops the gateways and
+// checks the records of clients and hosts against the rules. Broken rules are findings in the result, not errors.
 func Run(ctx context.Context, f *File, o Options) (*Result, error) {
 	seed := cmp.Or(o.Seed, f.Seed)
 	if err := o.prepare(); err != nil {
@@ -103,13 +105,14 @@
 	return res, w.complete(res, clients, loadStart)
 }
 
-// prepare makes the folder of a run, checks for the program, and starts a clock where none is given.
+// prepare creates the directory of a run, checks that the gateway program exists, and creates a clock if none is
+// given.
 func (o *Options) prepare() error {
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return err
 	}
 	if _, err := os.Stat(o.Gateway); err != nil {
-		return fmt.Errorf("the gateway's program: %w (make build builds it)", err)
+		return fmt.Errorf("gateway program not found: %w (make build builds it)", err)
 	}
 	if o.Clock == nil {
 		o.Clock = emulation.NewClock()
@@ -117,7 +120,7 @@
 	return nil
 }
 
-// drawArrivals draws when requests come.
+// drawArrivals draws the times and classes of all requests of the run in advance.
 func drawArrivals(f *File, seed uint64) (arrivals []load.Arrival, err error) {
 	schedule, err := load.Phases(f.loadClasses(), f.loadPhases(), seed)
 	if err != nil {
@@ -129,7 +132,8 @@
 	return arrivals, nil
 }
 
-// newFront puts the plain front before the gateways that serve, and returns their addresses.
+// newFront creates w.Front, which distributes clients over the gateways, and returns the addresses of all gateways.
+// Gateways that are started later are taken out at first.
 func (w *World) newFront(f *File) (targets []string) {
 	for _, g := range w.gateways {
 		targets = append(targets, g.clientAddr)
@@ -143,7 +147,8 @@
 	return targets
 }
 
-// runLoad plays the load, with the events of the file, the samples and what is to be played beside it.
+// runLoad runs the load, and concurrently with it the events of the file, the sampling and the function of the
+// options. It returns when the load and that function have ended.
 func (w *World) runLoad(ctx context.Context, o Options, loadStart time.Duration, options load.Options) (load.Result,
 	error) {
 	running, stop := context.WithCancel(ctx)
@@ -173,7 +178,7 @@
 	return result, nil
 }
 
-// complete compares the records and fills in the result.
+// complete closes the world, compares the records of clients and hosts, and fills in the rest of the result.
 func (w *World) complete(res *Result, clients *requestrecord.ClientRecord, loadStart time.Duration) error {
 	var findings []requestrecord.Finding
 	res.Hosts, res.Gateways, findings = w.collectResults()
@@ -213,7 +218,7 @@
 	return nil
 }
 
-// WriteJSON writes result.json into a directory.
+// WriteJSON writes the result to result.json in a directory.
 func (r *Result) WriteJSON(dir string) error {
 	raw, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -222,7 +227,7 @@
 	return os.WriteFile(filepath.Join(dir, "result.json"), append(raw, '\n'), 0o644)
 }
 
-// ReadJSON reads the result of a directory.
+// ReadJSON reads result.json in a directory. It returns an error for another version of the format.
 func ReadJSON(dir string) (*Result, error) {
 	path := filepath.Join(dir, "result.json")
 	raw, err := os.ReadFile(path)
@@ -234,7 +239,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if r.Version != ResultVersion {
-		return nil, fmt.Errorf("%s: version %d, this program reads %d", path, r.Version, ResultVersion)
+		return nil, fmt.Errorf("%s: format version %d, this program reads only version %d", path, r.Version, ResultVersion)
 	}
 	return &r, nil
 }
--- a/internal/lab/experiment/run_test.go
+++ b/internal/lab/experiment/run_test.go
@@ -14,7 +14,7 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-var program string // the gateway, built once
+var program string // path of the gateway program, built once for all tests
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "lab")
@@ -31,6 +31,8 @@
 	os.Exit(code)
 }
 
+// runExperiment runs f with the given gateway program, and checks that result.json and the trace of the run are
+// complete.
 func runExperiment(t *testing.T, f *File, gateway string) *Result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -45,7 +47,7 @@
 	}
 	if again, err := ReadJSON(dir); err != nil || again.Load.Scheduled != r.Load.Scheduled ||
 		len(again.Rules) != len(requestrecord.Rules()) {
-		t.Errorf("result.json: %v", err)
+		t.Errorf("result.json differs from the result: %v", err)
 	}
 	var trace bytes.Buffer
 	if n, err := Trace(dir, &trace); err != nil || n != r.Load.Scheduled || strings.Count(trace.String(), "\n") != n+1 {
@@ -54,8 +56,8 @@
 	return r
 }
 
-// A gateway that is killed under load loses what it held, which is no broken rule, and no bid runs twice; one
-// that restarts as planned loses nothing. Hosts come, go and drain meanwhile.
+// Gateways are killed and restarted under load while hosts start, stop and drain. Requests that a killed gateway was
+// serving may be lost, a planned restart loses none, and no bid runs twice.
 func TestGatewayAndHostFailuresBreakNoRule(t *testing.T) {
 	f, err := Load("../../../experiments/small/trouble.toml")
 	if err != nil {
@@ -66,25 +68,25 @@
 		t.Errorf("findings: %+v", r.Findings)
 	}
 	if r.Load.OK < r.Load.Scheduled*3/4 || len(r.Events) < 9 {
-		t.Errorf("%d of %d served, %d events", r.Load.OK, r.Load.Scheduled, len(r.Events))
+		t.Errorf("%d of %d requests served, %d events", r.Load.OK, r.Load.Scheduled, len(r.Events))
 	}
 	for i, g := range r.Gateways {
 		if g.Starts != 2 || len(g.Samples) < 8 || g.PeakMemoryMB <= 0 || g.PeakDescriptors <= 0 {
-			t.Errorf("gateway %d: %+v", i, g)
+			t.Errorf("gateway %d was not started twice, or lacks samples: %+v", i, g)
 		}
 	}
 	if len(r.Hosts) != 4 || len(r.Hosts[0].Samples) < 8 {
-		t.Errorf("hosts: %+v", r.Hosts)
+		t.Errorf("want 4 hosts with at least 8 samples: %+v", r.Hosts)
 	}
 }
 
-// A gateway that ends by itself is found.
+// A gateway that ends without being stopped by the run is reported as a finding.
 func TestUnexpectedGatewayExitIsFound(t *testing.T) {
 	f, err := Parse("x.toml", []byte(smallExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
-	// It ends a second after its start, as a gateway that panics would, with its peers' connections.
+	// The gateway ends 0.7 s after its start, with all its connections, as one that panics does.
 	crashingGateway := filepath.Join(t.TempDir(), "mortal")
 	script := fmt.Sprintf("#!/bin/sh\n%s & pid=$!\nsleep 0.7\nkill -9 $pid\nexit 2\n", program)
 	if err := os.WriteFile(crashingGateway, []byte(script), 0o700); err != nil {
@@ -98,10 +100,11 @@
 		}
 	}
 	if r.Held || died == 0 {
-		t.Errorf("held %v, findings %+v", r.Held, r.Findings)
+		t.Errorf("rules held %v, want false and a finding of the exit; findings %+v", r.Held, r.Findings)
 	}
 }
 
+// Run returns an error if the gateway ends before it is ready, or if its program does not exist.
 func TestRunFailsWhenGatewayDoesNotStart(t *testing.T) {
 	f, err := Parse("x.toml", []byte(smallExperiment))
 	if err != nil {
@@ -109,16 +112,16 @@
 	}
 	_, err = Run(context.Background(), f, Options{Gateway: "/bin/false", Dir: t.TempDir()})
 	if err == nil || !strings.Contains(err.Error(), "gateway-0 ended before it was ready") {
-		t.Errorf("%v", err)
+		t.Errorf("gateway that ends at once: error %v", err)
 	}
 	if _, err = Run(context.Background(), f, Options{Gateway: "/no/such", Dir: t.TempDir()}); err == nil ||
 		!strings.Contains(err.Error(), "make build") {
-		t.Errorf("%v", err)
+		t.Errorf("missing gateway program: error %v", err)
 	}
 }
 
-// What was told counts for the gateway that was told, until it restarts; what reaches a drained host later
-// than the grace is found by its id.
+// A request that reaches a draining host more than drainGrace after the notification of its gateway is reported by
+// its id. A notification counts only for the gateway that received it.
 func TestRequestToDrainingHostAfterGraceIsFound(t *testing.T) {
 	f, err := Parse("x.toml", []byte(smallExperiment))
 	if err != nil {
@@ -150,7 +153,7 @@
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("the gateway was never told")
+			t.Fatal("the gateway was not notified of the draining host within 5 s")
 		}
 	}
 	notification, _ := w.discovery.Told("gateway-0", m.Name)
@@ -158,11 +161,12 @@
 	w.checkArrival(m.Name, "gateway-0", "late", notification.At+drainGrace+time.Millisecond)
 	w.checkArrival(m.Name, "gateway-1", "never-told", notification.At+time.Hour)
 	if len(w.findings) != 1 || w.findings[0].ID != "late" || w.findings[0].Rule != requestrecord.LateToDrained {
-		t.Errorf("%+v", w.findings)
+		t.Errorf("want one finding, for the request \"late\": %+v", w.findings)
 	}
 }
 
-// Lost tries are excused by a kill that fell into their time, and by nothing else.
+// A lost attempt is excused if its own gateway was killed while it ran, or if it was sent long after SIGTERM, and not
+// otherwise.
 func TestOnlyKillsAndLateArrivalsAreExcused(t *testing.T) {
 	w := &World{gateways: []*gateway{{clientAddr: "a", kills: []time.Duration{10 * time.Second},
 		stops: []time.Duration{30 * time.Second}}}}
@@ -175,7 +179,7 @@
 		{"a", 30*time.Second + 100*time.Millisecond, 31 * time.Second, false},
 		{"a", 30*time.Second + 900*time.Millisecond, 31 * time.Second, true}} {
 		if got := w.excused(requestrecord.Attempt{Target: c.target, Sent: c.sent, Ended: c.ended}); got != c.want {
-			t.Errorf("%+v: excused %v", c, got)
+			t.Errorf("%+v: excused is %v", c, got)
 		}
 	}
 }
--- a/internal/lab/experiment/sample.go
+++ b/internal/lab/experiment/sample.go
@@ -13,25 +13,25 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// sampleInterval is how often hosts and gateways are looked at.
+// sampleInterval is the time between two samples of hosts and gateways.
 const sampleInterval = 500 * time.Millisecond
 
-// HostSample is one look at a host.
+// HostSample is the state of a host at one time, in seconds after the start of the load.
 type HostSample struct {
 	At          float64 `json:"at_s"`
 	InFlight    int     `json:"in_flight"`
 	Waiting     int     `json:"waiting"`
-	Capacity    float64 `json:"capacity"` // seconds of work a second
+	Capacity    float64 `json:"capacity"` // seconds of work per second
 	Connections int     `json:"connections"`
 }
 
-// HostResult is one host over the run.
+// HostResult is the result of one host over the run.
 type HostResult struct {
 	Name     string       `json:"name"`
 	Kind     string       `json:"kind"`
 	Slots    int          `json:"slots"`
 	Queue    int          `json:"queue"`
-	ColdPeak float64      `json:"cold_peak"` // largest share of its cold budget that it was sent; over 1 it fell over
+	ColdPeak float64      `json:"cold_peak"` // largest share sent of its slow-start budget; over 1 it crashed
 	FellOver bool         `json:"fell_over"`
 	Probes   int          `json:"probes"`
 	Samples  []HostSample `json:"samples"`
@@ -39,7 +39,7 @@
 
 type hostSeries struct{ samples []HostSample }
 
-// GatewaySample is one look at a gateway's process. All are zero while it is down.
+// GatewaySample is the resource use of a gateway's process at one time. All values but At are zero while it is down.
 type GatewaySample struct {
 	At          float64 `json:"at_s"`
 	CPU         float64 `json:"cpu_cores"`
@@ -47,7 +47,7 @@
 	Descriptors int     `json:"descriptors"`
 }
 
-// GatewayResult is one gateway over the run.
+// GatewayResult is the result of one gateway over the run.
 type GatewayResult struct {
 	Name            string          `json:"name"`
 	Starts          int             `json:"starts"`
@@ -57,21 +57,23 @@
 	Samples         []GatewaySample `json:"samples"`
 }
 
+// gatewaySeries collects the samples and the processor time of a gateway over all its processes.
 type gatewaySeries struct {
 	samples  []GatewaySample
 	pid      int
-	lastUsed time.Duration // at the last look
+	lastUsed time.Duration // processor time of the process at the last sample
 	total    time.Duration
-	recent   []usage // the last ones, of this process
+	recent   []usage // the last cpuWindow + 1 samples of this process
 }
 
+// usage is the processor time used by a process up to a time of the clock.
 type usage struct{ clock, used time.Duration }
 
-// cpuWindow is how many looks back the use of the processor is counted: the system counts in steps of 10
-// ms, and a single interval would show little but these.
+// cpuWindow is the number of sample intervals over which the processor use is averaged. The system counts processor
+// time in steps of 10 ms, which would dominate the result of a single interval.
 const cpuWindow = 4
 
-// sample looks at hosts and gateways until ctx is done.
+// sample takes samples of all hosts and gateways every sampleInterval from loadStart until ctx is done.
 func (w *World) sample(ctx context.Context, loadStart time.Duration) {
 	for next := loadStart; Sleep(ctx, next-w.Clock()); next += sampleInterval {
 		at := (w.Clock() - loadStart).Seconds()
@@ -93,7 +95,8 @@
 	}
 }
 
-// sample reads a gateway's figures as the system has them.
+// sample reads the processor time, memory and open descriptors of the gateway's process from /proc. clock is the
+// present time of the run's clock, at the same time in seconds after the start of the load.
 func (g *gateway) sample(clock time.Duration, at float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -125,7 +128,8 @@
 	s.samples = append(s.samples, sample)
 }
 
-// processorTime is what a process has used; ok is false if it is not there.
+// processorTime returns the processor time that a process has used. ok is false if the process does not exist or is a
+// zombie.
 func processorTime(pid int) (used time.Duration, ok bool) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -137,11 +141,11 @@
 	}
 	user, _ := strconv.ParseInt(fields[11], 10, 64)
 	system, _ := strconv.ParseInt(fields[12], 10, 64)
-	const tick = 10 * time.Millisecond // of the kernel's accounting, 100 a second
+	const tick = 10 * time.Millisecond // unit of the kernel's accounting, 100 per second
 	return time.Duration(user+system) * tick, true
 }
 
-// residentMemory is a process's memory in MB.
+// residentMemory returns the resident memory of a process in MB, or 0 if it does not exist.
 func residentMemory(pid int) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -152,7 +156,7 @@
 	return float64(pages*int64(os.Getpagesize())) / (1 << 20)
 }
 
-// collectResults sums the looks up, and finds limits that were crossed.
+// collectResults summarizes the samples and returns a finding for each limit that a host or a gateway exceeded.
 func (w *World) collectResults() (hosts []HostResult, gateways []GatewayResult, findings []requestrecord.Finding) {
 	for _, m := range w.managedHosts() {
 		h := HostResult{Name: m.Name, Kind: m.spec.Kind, Slots: m.spec.Slots, Queue: m.spec.Queue, Probes: m.Probes(),
--- a/internal/lab/experiment/settings.go
+++ b/internal/lab/experiment/settings.go
@@ -7,7 +7,7 @@
 	"thymebend/internal/lab/emulation"
 )
 
-// Settings are what a gateway of this experiment is told, in the platform's form.
+// Settings returns the settings of the gateway with the given rank, in the format of the configuration file.
 func (f *File) Settings(rank int) map[string]any {
 	zones := f.zones()
 	mode, zone := "subscribe", 0
@@ -28,7 +28,7 @@
 	}
 }
 
-// zones are the sites of the hosts, in their order in the file.
+// zones returns the distinct sites of the hosts in their order in the file.
 func (f *File) zones() (zones []string) {
 	for _, h := range f.Hosts {
 		if !slices.Contains(zones, h.Site) {
@@ -38,6 +38,7 @@
 	return zones
 }
 
+// classSettings returns the settings of the classes. Keyed classes may be retried only within a cell.
 func (f *File) classSettings() (classes []map[string]any) {
 	for _, c := range f.Classes {
 		repeatMode, group := "repeatable", "all"
@@ -56,8 +57,9 @@
 	return classes
 }
 
-// guaranteeSettings hold for all hosts: the coldest start, the longest warm-up, the least overload that
-// fells one.
+// guaranteeSettings returns guarantees that are true for all hosts: the smallest capacity at the begin of slow start,
+// the longest slow start, and the smallest overload that makes a host crash. If no host can crash that overload is a
+// multiple of 3.
 func (f *File) guaranteeSettings() map[string]any {
 	coldFraction, warmUp, crashMultiple, crashAfter := 1.0, time.Duration(0), 1.0, time.Second
 	for _, h := range f.Hosts {
@@ -76,11 +78,13 @@
 		crashMultiple = 3
 	}
 	return map[string]any{
-		"ask_within_ms": 10000, "cold_from": coldFraction, "warm_after_ms": warmUp.Milliseconds(), "fall_multiple": crashMultiple,
-		"overload_for_ms": crashAfter.Milliseconds(), "drain_grace_ms": 250,
+		"ask_within_ms": 10000, "cold_from": coldFraction, "warm_after_ms": warmUp.Milliseconds(),
+		"fall_multiple": crashMultiple, "overload_for_ms": crashAfter.Milliseconds(), "drain_grace_ms": 250,
 	}
 }
 
+// boundSettings returns the limits on connections, attempts and waiting times. Idle connections are closed after the
+// shortest idle timeout of all hosts, at most 30 s.
 func (f *File) boundSettings() map[string]any {
 	idle := 30 * time.Second
 	for _, h := range f.Hosts {
@@ -92,7 +96,7 @@
 	}
 }
 
-// reportSettings tell how hosts report their load: beside answers, where any does.
+// reportSettings returns how hosts report their load: with their responses if any host reports, otherwise not at all.
 func (f *File) reportSettings() map[string]any {
 	names := emulation.DefaultFields()
 	reportMode, columns := "silent", []string{}
--- a/internal/lab/experiment/tries.go
+++ b/internal/lab/experiment/tries.go
@@ -16,17 +16,18 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// attemptsFile holds every try of a run, one a line.
+// attemptsFile is the name of the file with every attempt of a run, one per line.
 const attemptsFile = "tries.tsv"
 
+// attemptColumns returns the header of attemptsFile.
 func attemptColumns() []string {
 	return []string{"id", "request", "try", "class", "target", "due_us", "sent_us", "ended_us", "status",
 		"answers", "patience_ms",
 		"body_bytes", "cause"}
 }
 
-// writeAttempts writes the clients' record as tab-separated text. Times count from the load's begin; a try
-// that was never written whole has sent_us -1.
+// writeAttempts writes the clients' record of attempts as tab-separated text. Times count from the start of the load.
+// An attempt that was never sent completely has sent_us -1.
 func writeAttempts(path string, attempts []requestrecord.Attempt, loadStart time.Duration) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -53,7 +54,8 @@
 	return file.Close()
 }
 
-// Trace turns a run into a trace: its first tries, when they were due.
+// Trace converts the attempts of the run in dir to a trace of requests, each at the due time of its first attempt,
+// and writes it to to. It returns the number of requests.
 func Trace(dir string, to io.Writer) (requests int, err error) {
 	path := filepath.Join(dir, attemptsFile)
 	file, err := os.Open(path)
@@ -80,7 +82,7 @@
 		timeout, err2 := strconv.ParseInt(row[10], 10, 64)
 		body, err3 := strconv.Atoi(row[11])
 		if err1 != nil || err2 != nil || err3 != nil {
-			return 0, fmt.Errorf("%s:%d: not numbers", path, n)
+			return 0, fmt.Errorf("%s:%d: due_us, patience_ms or body_bytes is not an integer", path, n)
 		}
 		class := -1
 		for i, c := range classes {
@@ -95,7 +97,7 @@
 		arrivals = append(arrivals, load.Arrival{At: time.Duration(due) * time.Microsecond, Class: class,
 			Patience: time.Duration(timeout) * time.Millisecond, Body: body})
 	}
-	// Tries stand in the order in which they were sent, which may differ by microseconds.
+	// The file is in the order of sending, which may differ from the order of due times by microseconds.
 	slices.SortStableFunc(arrivals, func(a, b load.Arrival) int { return cmp.Compare(a.At, b.At) })
 	return len(arrivals), load.WriteTrace(to, classes, load.Record(arrivals))
 }
--- a/internal/lab/experiment/world.go
+++ b/internal/lab/experiment/world.go
@@ -14,15 +14,15 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// The rules in figures.
+// Time limits of the rules and of the run.
 const (
-	drainGrace      = 300 * time.Millisecond // 250 ms, and 50 ms as for every time limit on sockets
-	killDelay       = 700 * time.Millisecond // after SIGTERM and the longest client timeout
-	frontLeaveDelay = 300 * time.Millisecond // the front sends on for so long after SIGTERM
-	readyTimeout    = 15 * time.Second
+	drainGrace      = 300 * time.Millisecond // the rule's 250 ms, and 50 ms as for every time limit on sockets
+	killDelay       = 700 * time.Millisecond // a process is killed this long after SIGTERM plus the longest client timeout
+	frontLeaveDelay = 300 * time.Millisecond // the front keeps sending to a gateway for this time after SIGTERM
+	readyTimeout    = 15 * time.Second       // for a gateway to become ready after its start
 )
 
-// World is the running laboratory: hosts, discovery and, if asked for, gateways.
+// World is a running test environment: emulated hosts, discovery and, in a run of Run, gateways.
 type World struct {
 	File  *File
 	Clock emulation.Clock
@@ -33,18 +33,18 @@
 	hosts            []*managedHost
 	gateways         []*gateway
 	findings         []requestrecord.Finding
-	closedRecords    []*requestrecord.EndpointRecord // of hosts that have gone
+	closedRecords    []*requestrecord.EndpointRecord // of hosts that are closed
 	marks            []Mark
 	replacements     int
 	dir              string
 	seed             uint64
-	secondProcesses  []*process // of gateways, beside those that serve
+	secondProcesses  []*process // processes of gateways that were started while another one served
 	program          string
-	rig              Rig            // nil in an experiment
-	eventsInProgress sync.WaitGroup // events under way
+	rig              Rig            // nil except in a drill
+	eventsInProgress sync.WaitGroup // events in progress
 }
 
-// managedHost is a host as discovery and the laboratory know it.
+// managedHost is an emulated host with its entry in discovery and its samples.
 type managedHost struct {
 	*emulation.Host
 	entry  emulation.Entry
@@ -54,13 +54,14 @@
 	hostSeries
 }
 
-// Mark is an event as it happened.
+// Mark is an event of the run, At in seconds after the start of the load once it is in the result.
 type Mark struct {
 	At   float64 `json:"at_s"`
 	Text string  `json:"text"`
 }
 
-// NewWorld starts the hosts and discovery. vias are the names of those that reach them: the gateways.
+// NewWorld starts the hosts and discovery, with an address of each for every gateway in gatewayNames. discoveryAddr
+// is the address at which discovery listens for each gateway; port 0 selects a free port.
 func NewWorld(f *File, seed uint64, gatewayNames []string, discoveryAddr string) (*World, error) {
 	return newWorld(f, seed, gatewayNames, discoveryAddr, nil, emulation.NewClock())
 }
@@ -87,8 +88,10 @@
 	return w, nil
 }
 
-// startHost starts a host and lists it. addrs gives the addresses of its doors; nil takes free ones.
-func (w *World) startHost(h Hosts, number int, gatewayNames []string, addresses map[string]string, cold bool) (*managedHost, error) {
+// startHost starts a host and adds it to the list of discovery. addresses gives the listen address for each gateway;
+// free ports are used for those that are missing, and always with a rig.
+func (w *World) startHost(h Hosts, number int, gatewayNames []string, addresses map[string]string, cold bool) (
+	*managedHost, error) {
 	spec := w.File.Spec(h, number)
 	w.mu.Lock()
 	w.seed++
@@ -109,7 +112,7 @@
 	for _, via := range gatewayNames {
 		at := addresses[via]
 		switch {
-		case w.rig != nil: // a rig's paths have addresses of their own
+		case w.rig != nil: // a rig's paths have their own addresses
 			at = net.JoinHostPort(w.rig.HostAddress(), "0")
 		case at == "":
 			at = "127.0.0.1:0"
@@ -128,7 +131,8 @@
 	return m, nil
 }
 
-// checkArrival holds every request against what its gateway had been told about the host.
+// checkArrival adds a finding for a request that reaches a host more than drainGrace after its gateway was notified
+// that the host is draining or removed. first is the arrival time of the request.
 func (w *World) checkArrival(host, via, id string, first time.Duration) {
 	notification, ok := w.discovery.Told(via, host)
 	if elapsed := first - notification.At; ok && elapsed > drainGrace {
@@ -140,7 +144,7 @@
 	}
 }
 
-// Addresses lists hosts and discovery as one of the vias reaches them.
+// Addresses returns the addresses at which the gateway named via reaches discovery and the hosts.
 func (w *World) Addresses(via string) (discovery string, hosts map[string]string) {
 	hosts = make(map[string]string)
 	for _, m := range w.managedHosts() {
@@ -155,13 +159,14 @@
 	return slices.Clone(w.hosts)
 }
 
+// addMark adds an event with the present time of the run's clock.
 func (w *World) addMark(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.marks = append(w.marks, Mark{At: w.Clock().Seconds(), Text: fmt.Sprintf(format, args...)})
 }
 
-// initialHosts is the list that a gateway starts with.
+// initialHosts returns the host list with which a gateway starts, in JSON.
 func (w *World) initialHosts(name string) []byte {
 	for _, g := range w.gateways {
 		if g.name == name {
@@ -175,7 +180,7 @@
 	return w.discovery.Known(name)
 }
 
-// Config is the configuration file of a gateway, in the platform's form.
+// Config returns the content of the configuration file of a gateway.
 func (w *World) Config(name string, rank int, listen, discovery string) ([]byte, error) {
 	g := w.File.Gateways
 	return json.MarshalIndent(map[string]any{
@@ -187,7 +192,7 @@
 	}, "", " ")
 }
 
-// longestTimeout is the longest client timeout of a client.
+// longestTimeout returns the longest client timeout of all classes.
 func (w *World) longestTimeout() (longest time.Duration) {
 	for _, c := range w.File.Classes {
 		longest = max(longest, c.Patience.Duration)
@@ -195,8 +200,8 @@
 	return longest
 }
 
-// excused tells whether a try was lost for a reason that no rule forbids: its gateway was killed while
-// it held the try, or the try came to it long after SIGTERM.
+// excused reports whether an attempt was lost for a reason that no rule forbids: its gateway was killed while it
+// served the attempt, the attempt reached it long after SIGTERM, or the rig caused the loss.
 func (w *World) excused(t requestrecord.Attempt) bool {
 	for _, g := range w.gateways {
 		if g.clientAddr != t.Target {
@@ -212,10 +217,11 @@
 	return false
 }
 
-// killTimeTolerance is how far apart the clock was read from the kill itself.
+// killTimeTolerance is the longest time between the recorded time of a kill and the kill itself.
 const killTimeTolerance = 20 * time.Millisecond
 
-// Close ends everything and returns the hosts' records, at rest.
+// Close kills all gateways, closes all hosts and discovery, and returns the records of the hosts, which change no
+// more.
 func (w *World) Close() []*requestrecord.EndpointRecord {
 	for _, g := range w.gateways {
 		if p := g.current(); p != nil {
