--- a/internal/lab/cputime/cputime.go
+++ b/internal/lab/cputime/cputime.go
@@ -1,5 +1,5 @@
-// Package cputime reads the processor time of the calling thread, so that a measurement on a busy
-// machine does not count the time of other programs.
+// Package cputime measures the processor time of the calling thread, so that a measurement on a busy machine does not
+// include the time of other programs.
 package cputime
 
 import (
@@ -9,17 +9,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// Hold keeps the calling goroutine on its thread until release is called; Thread means nothing else.
+// Hold locks the calling goroutine to its operating system thread until release is called. Results of Thread are
+// comparable only within this time.
 func Hold() (release func()) {
 	runtime.LockOSThread()
 	return runtime.UnlockOSThread
 }
 
-// Thread is how much processor time the calling thread has taken.
+// Thread returns the processor time that the calling thread has used.
 func Thread() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
-		return 0 // Linux has this clock always; without it no processor time is told
+		return 0 // does not happen on Linux, which always has this clock
 	}
 	return time.Duration(t.Nano())
 }
--- a/internal/lab/random/random.go
+++ b/internal/lab/random/random.go
@@ -1,4 +1,4 @@
-// Package random has rapid's tests draw the same cases every time, unless a seed is asked for.
+// Package random makes property tests with rapid draw the same cases in every run, unless a seed is set by a flag.
 package random
 
 import (
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Main runs a package's tests, from its TestMain, and returns the exit code.
+// Main sets a fixed seed and turns off fail files, except where the flag is already set, runs the tests of a package
+// and returns the exit code. TestMain calls it.
 func Main(m *testing.M) int {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.nofailfile": "true"} {
@@ -16,7 +17,8 @@
 			continue
 		}
 		if err := f.Value.Set(value); err != nil {
-			panic(fmt.Sprintf("draws: -%s=%s: %v", name, value, err)) // rapid has changed its flags
+			// The flag exists but does not accept the value: rapid has changed its flags.
+			panic(fmt.Sprintf("random: cannot set the flag -%s=%s of rapid: %v", name, value, err))
 		}
 	}
 	return m.Run()
--- a/internal/lab/report/drill.go
+++ b/internal/lab/report/drill.go
@@ -18,14 +18,15 @@
 	"thymebend/internal/lab/experiment"
 )
 
-// WriteDrill writes the page of a drill: a picture of each gateway's view, and what a run's page holds.
+// WriteDrill writes the HTML page of a drill: the page of its run with a plot of each gateway's view of the cluster
+// inserted before the other plots.
 func WriteDrill(out io.Writer, r *drill.Result) error {
 	p, err := buildPage(r.Result)
 	if err != nil {
 		return err
 	}
 	views := section{Title: "What each gateway believed",
-		Text: "A picture for each gateway, a row for each of the others: what it held of that one at each moment. Its own row shows whether it called its view settled. Nothing is drawn while it did not answer. Dashed lines are the events of the list above."}
+		Text: "One plot for each gateway, with one row for each gateway of the cluster: the state in which it saw that gateway at each moment. Its own row shows whether it reported its view as settled. Nothing is drawn while it did not answer. Dashed lines are the events of the list above."}
 	for g := range r.Names {
 		figure, err := viewFigure(r, g)
 		if err != nil {
@@ -37,7 +38,7 @@
 	return pageTemplate().Execute(out, p)
 }
 
-// stateColors are the colours of what a gateway is held for.
+// stateColors returns the colour and the legend label of each state in which a gateway is seen.
 func stateColors() []struct {
 	state, label string
 	color        color.RGBA
@@ -53,7 +54,7 @@
 		{"twin", "itself, its name is used twice", color.RGBA{204, 121, 167, 255}}}
 }
 
-// viewPlot draws stretches of states as rows of a plot.
+// viewPlot draws one row per gateway with the intervals of its states, and a dashed line at each event.
 type viewPlot struct {
 	intervals []drill.Cell
 	rowCount  int
@@ -81,7 +82,7 @@
 	}
 }
 
-// Ticks implements plot.Ticker: the rows' names.
+// Ticks implements plot.Ticker. The labels are the names of the gateways, at the middle of their rows.
 func (v viewPlot) Ticks(_, _ float64) (out []plot.Tick) {
 	for i, name := range v.names {
 		out = append(out, plot.Tick{Value: float64(v.rowCount-1-i) + 0.5, Label: name})
@@ -89,6 +90,7 @@
 	return out
 }
 
+// viewFigure draws one gateway's view of the cluster as an SVG figure with its legend.
 func viewFigure(r *drill.Result, gateway int) (template.HTML, error) {
 	p := plot.New()
 	view := viewPlot{intervals: r.Cells(gateway), rowCount: len(r.Names), marks: r.Events, names: r.Names}
@@ -103,11 +105,12 @@
 		return "", err
 	}
 	text := out.String()
-	text = text[max(0, strings.Index(text, "<svg")):] // without the prologue of a file of its own
+	text = text[max(0, strings.Index(text, "<svg")):] // without the prologue of a separate SVG file
 	var head strings.Builder
 	fmt.Fprintf(&head, "<b>%s</b>", template.HTMLEscapeString(r.Names[gateway]))
 	for _, k := range stateColors() {
-		fmt.Fprintf(&head, ` <span class="key"><span style="color:rgb(%d,%d,%d)">■</span> %s</span>`, k.color.R, k.color.G, k.color.B, k.label)
+		fmt.Fprintf(&head, ` <span class="key"><span style="color:rgb(%d,%d,%d)">■</span> %s</span>`, k.color.R,
+			k.color.G, k.color.B, k.label)
 	}
 	return template.HTML("<figure><figcaption>" + head.String() + "</figcaption>" + text + "</figure>"), nil
 }
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -2,7 +2,7 @@
 
 import "html/template"
 
-// pageTemplate is the page. It is made anew for each report: there is no state in the package.
+// pageTemplate returns the template of the HTML page. It is parsed for each report, so that the package has no state.
 func pageTemplate() *template.Template { return template.Must(template.New("page").Parse(pageText)) }
 
 const pageText = `<!doctype html>
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -1,5 +1,5 @@
-// Package report shows runs: one self-contained page with plots, a comparison of two runs, and a summary in
-// words. It needs no network and no scripts.
+// Package report shows the results of runs as a self-contained HTML page with plots, as a comparison of two runs, and
+// as a text summary. The pages need no network and no scripts.
 package report
 
 import (
@@ -20,7 +20,7 @@
 	"thymebend/internal/lab/experiment"
 )
 
-// line is one line of a plot.
+// line is one line of a chart. A y value of NaN leaves a gap.
 type line struct {
 	name    string
 	xs, ys  []float64
@@ -28,21 +28,21 @@
 	stepped bool
 }
 
-// chart is one plot.
+// chart describes one plot of the page.
 type chart struct {
 	title       string
 	x, y        string
 	lines       []line
 	marks       []experiment.Mark
-	width       vg.Length // 0 takes the usual
+	width       vg.Length // 0 means 24 cm; a height of 0 means 7 cm
 	height      vg.Length
-	yMin        float64 // the y axis covers at least from to to
+	yMin        float64 // the y axis covers at least yMin to yMax
 	yMax        float64
-	percentiles bool // the x axis is that of an HDR plot
-	duration    float64
+	percentiles bool // the x axis has the logarithmic percentile scale of HDR histograms
+	duration    float64 // seconds that the x axis covers at least: the duration of the load
 }
 
-// palette is distinguishable for the colour-blind (Okabe and Ito).
+// palette returns line colours that colour-blind readers can distinguish (Okabe and Ito).
 func palette() []color.Color {
 	return []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255},
 		color.RGBA{204, 121, 167, 255}, color.RGBA{230, 159, 0, 255}, color.RGBA{86, 180, 233, 255},
@@ -52,7 +52,7 @@
 
 func grey() color.Color { return color.RGBA{130, 130, 130, 255} }
 
-// svg draws a chart.
+// svg returns the chart as a figure with an SVG drawing and its legend.
 func (c chart) svg() (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = c.x, c.y
@@ -83,7 +83,7 @@
 	return template.HTML("<figure><figcaption>" + c.legend() + "</figcaption>" + text + "</figure>"), nil
 }
 
-// dataRange is the range of the values, and the largest x.
+// dataRange returns the range of the y axis and the largest x of the chart.
 func (c chart) dataRange() (low, high, right float64) {
 	low, high, right = c.yMin, c.yMax, c.duration
 	for _, l := range c.lines {
@@ -100,7 +100,7 @@
 	return low, high, right
 }
 
-// addEventLines draws an upright line at each event.
+// addEventLines adds a vertical line at each event.
 func (c chart) addEventLines(p *plot.Plot, low, top float64) error {
 	for _, m := range c.marks {
 		v, err := plotter.NewLine(plotter.XYs{{X: m.At, Y: low}, {X: m.At, Y: top}})
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// addLines draws the values.
+// addLines adds the lines of the chart, interrupted where they have no value.
 func (c chart) addLines(p *plot.Plot, _, _ float64) error {
 	colors := palette()
 	for i, l := range c.lines {
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// addEventNumbers puts the events' numbers at the top.
+// addEventNumbers adds the numbers of the events at the top of the chart.
 func (c chart) addEventNumbers(p *plot.Plot, _, top float64) error {
 	labels := c.eventLabels(top)
 	if labels == nil {
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// render writes the drawing, without the prologue of a file of its own.
+// render returns the plot as an SVG element, without the prologue of a separate SVG file.
 func (c chart) render(p *plot.Plot) (string, error) {
 	width, height := c.width, c.height
 	if width == 0 {
@@ -175,7 +175,7 @@
 	return text, nil
 }
 
-// legend is the page's, not the drawing's: it can then never lie on the lines.
+// legend returns the title and the legend as HTML. It is outside the drawing, so that it cannot cover the lines.
 func (c chart) legend() string {
 	colors := palette()
 	var head strings.Builder
@@ -195,7 +195,7 @@
 	return head.String()
 }
 
-// splitAtGaps splits a line where it has no value.
+// splitAtGaps splits a line into segments at the points that have no value.
 func splitAtGaps(l line) (out []plotter.XYs) {
 	var segment plotter.XYs
 	for i := range l.xs {
@@ -214,8 +214,8 @@
 	return out
 }
 
-// eventLabels label the events, as the list below the plots has them. Where they would lie on one another
-// only the first is shown.
+// eventLabels returns the number labels of the events, as in the list of events of the page. Of labels that would
+// overlap only the first is shown. The result is nil if there are no events.
 func (c chart) eventLabels(top float64) *plotter.XYLabels {
 	if len(c.marks) == 0 {
 		return nil
@@ -233,7 +233,7 @@
 	return out
 }
 
-// percentileTicks are those of an HDR plot: x is 1/(1-p).
+// percentileTicks implements the ticks of a percentile axis. The x of a percentile p, as a fraction, is 1/(1-p).
 type percentileTicks struct{}
 
 // Ticks implements plot.Ticker.
@@ -249,13 +249,13 @@
 	return out
 }
 
-// Series is one line of a plot for a page of figures.
+// Series is one line of a plot that Plot writes.
 type Series struct {
 	Name   string
 	Xs, Ys []float64
 }
 
-// Plot writes one plot as an SVG file of its own, with the names of its lines below.
+// Plot writes one plot as a separate SVG file, with the names of its lines in a legend inside the plot.
 func Plot(out io.Writer, title, x, y string, list []Series) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -14,15 +14,18 @@
 	"thymebend/internal/lab/load"
 )
 
-// maxHostPlots are plotted one by one; further ones are left to result.json, and the page says so.
+// maxHostPlots limits the hosts that are plotted. Further hosts are only in result.json, and the page states their
+// number.
 const maxHostPlots = 32
 
+// section is a heading of the page with a text and plots.
 type section struct {
 	Title, Text string
 	Plots       []template.HTML
-	Small       bool // the plots stand side by side
+	Small       bool // two plots in a row
 }
 
+// page is the data of the page template, which uses the names of its fields.
 type page struct {
 	Title    string
 	About    string
@@ -37,7 +40,7 @@
 	Sections []section
 }
 
-// Write writes the page of one run.
+// Write writes the HTML page of one run.
 func Write(out io.Writer, r *experiment.Result) error {
 	p, err := buildPage(r)
 	if err != nil {
@@ -46,7 +49,7 @@
 	return pageTemplate().Execute(out, p)
 }
 
-// buildPage is the page of one run.
+// buildPage returns the data of the page of one run.
 func buildPage(r *experiment.Result) (page, error) {
 	p := page{Title: r.Title, About: r.About, Facts: runSummary(r), Verdict: verdict(r), Bad: !r.Held || r.Load.FellBehind}
 	if p.Title == "" {
@@ -72,7 +75,7 @@
 	return p, charts.err
 }
 
-// Compare writes the page of two runs side by side.
+// Compare writes an HTML page that compares run a with run b.
 func Compare(out io.Writer, a, b *experiment.Result) error {
 	p := page{Title: fmt.Sprintf("%s: A against B", a.Name), About: "A: " + runSummary(a) + " · B: " + runSummary(b),
 		Verdict: "A: " + verdict(a) + " · B: " + verdict(b), Bad: !a.Held || !b.Held,
@@ -105,7 +108,7 @@
 	return pageTemplate().Execute(out, p)
 }
 
-// comparisonSection draws each class of two runs in one chart.
+// comparisonSection draws goodput and latency of each class, with the lines of both runs in the same chart.
 func (d *drawContext) comparisonSection(a, b *experiment.Result) section {
 	comparison := section{Title: "Side by side"}
 	for _, c := range a.Load.Classes {
@@ -134,6 +137,7 @@
 	return comparison
 }
 
+// loadDuration returns the duration of the load in seconds, up to the last second in which a request was due.
 func loadDuration(r *experiment.Result) float64 {
 	longest := 0
 	for _, c := range r.Load.Classes {
@@ -146,6 +150,7 @@
 	return float64(longest)
 }
 
+// runSummary returns the name, the seed, the start time and the resources of a run in one line.
 func runSummary(r *experiment.Result) string {
 	return fmt.Sprintf("%s, seed %d, %s, %d gateways of %.2g cores, %.0f MB and %d descriptors, %d hosts",
 		r.Name, r.Seed,
@@ -153,6 +158,7 @@
 		len(r.Hosts))
 }
 
+// verdict returns in one paragraph which rules were broken and whether the load generator kept up.
 func verdict(r *experiment.Result) string {
 	var broken []string
 	for _, c := range r.Rules {
@@ -173,12 +179,13 @@
 	return text
 }
 
-// drawContext draws and remembers the first error.
+// drawContext renders the charts of a page. err is the first error; no chart is rendered after it.
 type drawContext struct {
 	duration float64
 	err      error
 }
 
+// plot renders a chart. It returns an empty text after an error.
 func (d *drawContext) plot(c chart) template.HTML {
 	if d.err != nil {
 		return ""
@@ -193,6 +200,7 @@
 	return svg
 }
 
+// valueOrNaN returns v, or NaN if it was computed from no values. A NaN is shown as a gap.
 func valueOrNaN(v float64, count int) float64 {
 	if count == 0 {
 		return math.NaN()
@@ -200,10 +208,10 @@
 	return v
 }
 
-// lineBySecond is a line by seconds of the run, each value at its second's middle.
+// lineBySecond returns a line with one value for each second of the run, at the middle of the second.
 func lineBySecond(name string, c load.ClassResult, of func(load.SecondResult) float64) line {
 	l := line{name: name}
-	last := len(c.Seconds) // without the seconds after the last request was due
+	last := len(c.Seconds) // excludes the seconds after the last one in which a request was due
 	for last > 0 && c.Seconds[last-1].Scheduled == 0 {
 		last--
 	}
@@ -214,7 +222,7 @@
 	return l
 }
 
-// latencyCurve is a latency curve, x being 1/(1-p).
+// latencyCurve returns the latency in ms by percentile. The x of a percentile p, as a fraction, is 1/(1-p).
 func latencyCurve(name string, c load.ClassResult) line {
 	l := line{name: name}
 	for _, b := range c.Curve {
@@ -224,13 +232,14 @@
 		l.xs = append(l.xs, 1/(1-b.Percentile/100))
 		l.ys = append(l.ys, b.MS)
 	}
-	if n := len(l.xs); n > 0 && c.Latency.Count > 0 { // up to the largest value
+	if n := len(l.xs); n > 0 && c.Latency.Count > 0 { // extends the curve to the largest latency
 		l.xs = append(l.xs, max(l.xs[n-1], float64(c.Latency.Count)))
 		l.ys = append(l.ys, c.Latency.Max)
 	}
 	return l
 }
 
+// serviceSections returns the sections of goodput and latency of one run. prefix precedes their titles.
 func (d *drawContext) serviceSections(r *experiment.Result, prefix string) []section {
 	const time = "time of the run (s)"
 	service := section{Title: prefix + "Service",
@@ -257,7 +266,7 @@
 			}}))
 	}
 	latency := section{Title: prefix + "Latency",
-		Text: "Counted from the due time to the last byte. What stayed unanswered counts with the time that its client waited; refusals and failures are left out."}
+		Text: "Counted from the due time to the last byte. A request that stayed unanswered counts with the time that its client waited; refusals and failures are excluded."}
 	for _, c := range r.Load.Classes {
 		percentile := func(name string, of func(load.Latency) float64) line {
 			return lineBySecond(name, c, func(s load.SecondResult) float64 {
@@ -277,9 +286,10 @@
 	return []section{service, latency}
 }
 
+// hostSection returns the plots of the hosts: requests in flight and capacity over time.
 func (d *drawContext) hostSection(r *experiment.Result) section {
 	s := section{Title: "Hosts", Small: true,
-		Text: "Requests held by each host, by all gateways together, against the requests that it can work on at full speed at that moment: its cores times their speed, less what cold, crowding, neighbours and connections take."}
+		Text: "Requests in flight at each host, from all gateways together (held), and the requests that it can process at full speed at that moment (can do): its cores times their speed, less what slow start, overload, other programs on its machine and connections take."}
 	for i, h := range r.Hosts {
 		if i == maxHostPlots {
 			s.Text += fmt.Sprintf(" %d further hosts are in result.json only.", len(r.Hosts)-maxHostPlots)
@@ -300,8 +310,9 @@
 	return s
 }
 
+// gatewaySection returns the plots of the processor use, memory and open descriptors of the gateways.
 func (d *drawContext) gatewaySection(r *experiment.Result) section {
-	s := section{Title: "Gateways", Text: fmt.Sprintf("Each was given %.2g cores, %.0f MB and %d descriptors.",
+	s := section{Title: "Gateways", Text: fmt.Sprintf("The limits of each gateway are %.2g cores, %.0f MB and %d descriptors.",
 		r.Limits.Cores, r.Limits.MemoryMB, r.Limits.Sockets)}
 	for _, k := range []struct {
 		title, unit string
@@ -327,12 +338,12 @@
 	return s
 }
 
-// Text is a run in words, for the terminal.
+// Text returns a summary of a run as text for the terminal.
 func Text(r *experiment.Result) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s (%s)\n", r.Title, runSummary(r))
 	if r.Load.PartialInput {
-		fmt.Fprintf(&b, "  partial: told to end after %.1f s\n", r.Load.Lasted)
+		fmt.Fprintf(&b, "  partial: stopped early after %.1f s\n", r.Load.Lasted)
 	}
 	for _, c := range r.Load.Classes {
 		fmt.Fprintf(&b, "  %-14s %7d due, %.2f%% served in time; %d refused, %d failed, %d unanswered\n",
--- a/internal/lab/report/tables.go
+++ b/internal/lab/report/tables.go
@@ -9,7 +9,8 @@
 	"thymebend/internal/lab/load"
 )
 
-// figure is one line of the table of figures.
+// figure defines one row of the table of figures: its name, its value over all classes, its value for one class,
+// which is nil if it has none, and the format of the values.
 type figure struct {
 	name   string
 	all    func(*experiment.Result) float64
@@ -17,16 +18,19 @@
 	format string
 }
 
+// countFigure returns a figure that is a number of requests or attempts.
 func countFigure(name string, of func(load.Counts) int) figure {
 	return figure{name, func(r *experiment.Result) float64 { return float64(of(r.Load.Counts)) },
 		func(c load.ClassResult) float64 { return float64(of(c.Counts)) }, "%.0f"}
 }
 
+// latencyFigure returns a figure that is a latency in ms.
 func latencyFigure(name string, of func(load.Latency) float64) figure {
 	return figure{name, func(r *experiment.Result) float64 { return of(r.Load.Latency) },
 		func(c load.ClassResult) float64 { return of(c.Latency) }, "%.1f"}
 }
 
+// figureDefinitions returns the rows of the table of figures in their order on the page.
 func figureDefinitions() []figure {
 	return []figure{
 		{"goodput by worth", func(r *experiment.Result) float64 { return r.Load.Goodput },
@@ -52,6 +56,7 @@
 	}
 }
 
+// figureRows returns the table of figures of a run, with a column for all classes and one for each class.
 func figureRows(r *experiment.Result) (rows []row) {
 	for _, f := range figureDefinitions() {
 		cells := []string{fmt.Sprintf(f.format, f.all(r))}
@@ -67,6 +72,8 @@
 	return rows
 }
 
+// differenceRows returns the figures of a and b and their differences b - a, for all classes together and for each
+// class that both runs have.
 func differenceRows(a, b *experiment.Result) (rows []row) {
 	addRow := func(name, format string, x, y float64) {
 		signed := strings.Replace(format, "%", "%+", 1)
@@ -85,6 +92,7 @@
 	return rows
 }
 
+// row is a row of a table of the page. Broken rows are highlighted.
 type row struct {
 	Name   string
 	Cells  []string
--- a/internal/lab/timeline/timeline.go
+++ b/internal/lab/timeline/timeline.go
@@ -1,5 +1,5 @@
-// Package timeline is a virtual clock: what is to happen is done in the order of its time, and what has
-// the same time in the order in which it was asked for.
+// Package timeline provides a virtual clock with scheduled functions. They are called in the order of their times;
+// those with the same time are called in the order in which they were scheduled.
 package timeline
 
 import (
@@ -8,19 +8,22 @@
 	"time"
 )
 
-// Timeline is a virtual clock and what is to happen by it.
+// Timeline is a virtual clock and the queue of functions scheduled on it. The zero value is ready for use and its
+// time is 0. It is not safe for concurrent use.
 type Timeline struct {
 	now          time.Duration
 	queue        eventHeap
 	nextSequence uint64
 }
 
+// event is a scheduled function.
 type event struct {
 	at       time.Duration
 	sequence uint64
 	do       func()
 }
 
+// eventHeap implements heap.Interface, with the earliest event first.
 type eventHeap []event
 
 func (e eventHeap) Len() int { return len(e) }
@@ -37,19 +40,20 @@
 	return x
 }
 
-// Now is the present.
+// Now returns the current virtual time.
 func (t *Timeline) Now() time.Duration { return t.now }
 
-// At has something done at a time; at once if that is past.
+// At schedules do for the given time. A time that has passed counts as the current time. Run calls do.
 func (t *Timeline) At(at time.Duration, do func()) {
 	t.nextSequence++
 	heap.Push(&t.queue, event{max(at, t.now), t.nextSequence, do})
 }
 
-// After has something done after a while.
+// After schedules do for the current time plus wait.
 func (t *Timeline) After(wait time.Duration, do func()) { t.At(t.now+wait, do) }
 
-// Run does all that is due until a time, which then is the present.
+// Run calls all functions scheduled up to and including until, also those that these calls schedule, and advances the
+// clock to the time of each. The clock is then at until, or where it was if that is later.
 func (t *Timeline) Run(until time.Duration) {
 	for len(t.queue) > 0 && t.queue[0].at <= until {
 		e := heap.Pop(&t.queue).(event)
