--- a/internal/lab/experiment/check.go
+++ b/internal/lab/experiment/check.go
@@ -30,6 +30,7 @@
 	}
 }
 
+// checkGateways adds the faults of the name and of the gateways.
 func (c *checker) checkGateways() {
 	f := c.file
 	c.require(f.Name != "" && !strings.ContainsAny(f.Name, " /\\"), "name", "must be one word")
@@ -52,6 +53,7 @@
 	c.require(f.Clients.Wait.Duration >= 0 && f.Clients.SlowFor.Duration >= 0, "clients", "times must not be negative")
 }
 
+// checkClass adds the faults of the i-th class and records its name.
 func (c *checker) checkClass(i int, class Class) {
 	fieldPath := func(field string) string { return fmt.Sprintf("class.%d.%s", i, field) }
 	c.require(class.Name != "" && !strings.ContainsAny(class.Name, " /,?"), fieldPath("name"),
@@ -74,6 +76,7 @@
 	c.classes = append(c.classes, class.Name)
 }
 
+// checkHosts adds the faults of the i-th kind of hosts and records the names of the kind and its hosts.
 func (c *checker) checkHosts(i int, h Hosts) {
 	fieldPath := func(field string) string { return fmt.Sprintf("hosts.%d.%s", i, field) }
 	c.require(h.Kind != "" && !strings.ContainsAny(h.Kind, " /,"), fieldPath("kind"), "must be one word")
@@ -120,7 +123,8 @@
 		return
 	}
 	for _, field := range optionalEventFields() {
-		c.require(!c.input.Has(path+"."+field) || slices.Contains(fields, field), path+"."+field, "does not go with %s", e.Do)
+		c.require(!c.input.Has(path+"."+field) || slices.Contains(fields, field), path+"."+field,
+			"does not go with %s", e.Do)
 	}
 	c.require(e.Host == "" || slices.Contains(c.hosts, e.Host), path+".host", "%q is no host, known are %s",
 		e.Host, strings.Join(c.hosts, ", "))
@@ -182,6 +186,7 @@
 	}
 }
 
+// keys returns an iterator over the keys of m.
 func keys[V any](m map[string]V) func(func(string) bool) {
 	return func(yield func(string) bool) {
 		for k := range m {
--- a/internal/lab/experiment/events.go
+++ b/internal/lab/experiment/events.go
@@ -173,6 +173,8 @@
 	return nil
 }
 
+// applyToGateway applies an event to one gateway. It returns when a gateway that was killed or restarted is ready
+// again.
 func (w *World) applyToGateway(ctx context.Context, e Event, g *gateway) error {
 	switch e.Do {
 	case "gateway-kill", "gateway-restart":
@@ -251,6 +253,7 @@
 	return os.WriteFile(g.config, original, 0o600)
 }
 
+// signal sends a signal to the gateway's process. It returns an error if the gateway was never started.
 func (g *gateway) signal(sig syscall.Signal) error {
 	process := g.current()
 	if process == nil {
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -62,7 +62,7 @@
 	Seed     uint64 // replaces the seed of the file if not 0
 	Progress func(load.Progress)
 	Rig      Rig                                           // nil except in a drill
-	Beside   func(ctx context.Context, run *Handles) error // runs concurrently with the load; its error ends the run
+	Beside   func(ctx context.Context, run *Handles) error // runs concurrently with the load; Run returns its error
 	Clock    emulation.Clock                               // clock of the run; a new one if nil
 }
 
--- a/internal/lab/experiment/sample.go
+++ b/internal/lab/experiment/sample.go
@@ -37,6 +37,7 @@
 	Samples  []HostSample `json:"samples"`
 }
 
+// hostSeries collects the samples of a host. They are appended with World.mu locked.
 type hostSeries struct{ samples []HostSample }
 
 // GatewaySample is the resource use of a gateway's process at one time. All values but At are zero while it is down.
--- a/internal/lab/experiment/settings.go
+++ b/internal/lab/experiment/settings.go
@@ -57,9 +57,9 @@
 	return classes
 }
 
-// guaranteeSettings returns guarantees that are true for all hosts: the smallest capacity at the begin of slow start,
-// the longest slow start, and the smallest overload that makes a host crash. If no host can crash that overload is a
-// multiple of 3.
+// guaranteeSettings returns guarantees that are true for all hosts: the smallest capacity at the beginning of slow
+// start, the longest slow start, and the smallest overload that makes a host crash. If no host can crash that
+// overload is a multiple of 3.
 func (f *File) guaranteeSettings() map[string]any {
 	coldFraction, warmUp, crashMultiple, crashAfter := 1.0, time.Duration(0), 1.0, time.Second
 	for _, h := range f.Hosts {
--- a/internal/lab/experiment/world.go
+++ b/internal/lab/experiment/world.go
@@ -17,7 +17,7 @@
 // Time limits of the rules and of the run.
 const (
 	drainGrace      = 300 * time.Millisecond // the rule's 250 ms, and 50 ms as for every time limit on sockets
-	killDelay       = 700 * time.Millisecond // a process is killed this long after SIGTERM plus the longest client timeout
+	killDelay       = 700 * time.Millisecond // from SIGTERM plus the longest client timeout to SIGKILL
 	frontLeaveDelay = 300 * time.Millisecond // the front keeps sending to a gateway for this time after SIGTERM
 	readyTimeout    = 15 * time.Second       // for a gateway to become ready after its start
 )
@@ -35,13 +35,13 @@
 	findings         []requestrecord.Finding
 	closedRecords    []*requestrecord.EndpointRecord // of hosts that are closed
 	marks            []Mark
-	replacements     int
+	replacements     int // number of hosts that were started in place of another
 	dir              string
 	seed             uint64
 	secondProcesses  []*process // processes of gateways that were started while another one served
 	program          string
 	rig              Rig            // nil except in a drill
-	eventsInProgress sync.WaitGroup // events in progress
+	eventsInProgress sync.WaitGroup // goroutines of events
 }
 
 // managedHost is an emulated host with its entry in discovery and its samples.
@@ -50,11 +50,12 @@
 	entry  emulation.Entry
 	spec   Hosts
 	number int
-	gone   atomic.Bool
+	gone   atomic.Bool // closed
 	hostSeries
 }
 
-// Mark is an event of the run, At in seconds after the start of the load once it is in the result.
+// Mark is an event that occurred in a run. In the result, At is in seconds after the start of the load; during the
+// run it counts from the start of the clock.
 type Mark struct {
 	At   float64 `json:"at_s"`
 	Text string  `json:"text"`
@@ -66,7 +67,9 @@
 	return newWorld(f, seed, gatewayNames, discoveryAddr, nil, emulation.NewClock())
 }
 
-func newWorld(f *File, seed uint64, gatewayNames []string, discoveryAddr string, rig Rig, clock emulation.Clock) (*World, error) {
+// newWorld does the same as NewWorld with a given rig, which may be nil, and a given clock.
+func newWorld(f *File, seed uint64, gatewayNames []string, discoveryAddr string, rig Rig, clock emulation.Clock) (
+	*World, error) {
 	w := &World{File: f, Clock: clock, seed: seed, rig: rig}
 	w.discovery = emulation.NewDiscovery(w.Clock, 0)
 	w.discovery.SetPushed(f.Discovery.Pushed)
@@ -153,6 +156,7 @@
 	return w.discovery.Addr(via), hosts
 }
 
+// managedHosts returns all hosts, including those that are closed.
 func (w *World) managedHosts() []*managedHost {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -38,7 +38,7 @@
 	height      vg.Length
 	yMin        float64 // the y axis covers at least yMin to yMax
 	yMax        float64
-	percentiles bool // the x axis has the logarithmic percentile scale of HDR histograms
+	percentiles bool    // the x axis has the logarithmic percentile scale of HDR histograms
 	duration    float64 // seconds that the x axis covers at least: the duration of the load
 }
 
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -181,7 +181,7 @@
 
 // drawContext renders the charts of a page. err is the first error; no chart is rendered after it.
 type drawContext struct {
-	duration float64
+	duration float64 // of the load in seconds, the same for all charts of the page
 	err      error
 }
 
