--- a/internal/lab/experiment/run_test.go
+++ b/internal/lab/experiment/run_test.go
@@ -121,7 +121,7 @@
 }
 
 // A request that reaches a draining host more than drainGrace after the notification of its gateway is reported by
-// its id. A notification counts only for the gateway that received it.
+// its id. A notification counts only for the gateway that received it, until that gateway restarts.
 func TestRequestToDrainingHostAfterGraceIsFound(t *testing.T) {
 	f, err := Parse("x.toml", []byte(smallExperiment))
 	if err != nil {
