--- a/internal/lab/cputime/cputime.go
+++ b/internal/lab/cputime/cputime.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Hold locks the calling goroutine to its operating system thread until release is called. Results of Thread are
-// comparable only within this time.
+// Hold locks the calling goroutine to its operating system thread until release is called. Processor
+// times of the thread are comparable only within this time.
 func Hold() (release func()) {
 	runtime.LockOSThread()
 	return runtime.UnlockOSThread
--- a/internal/lab/experiment/rig.go
+++ b/internal/lab/experiment/rig.go
@@ -86,10 +86,10 @@
 // Signal sends a signal to a gateway's process.
 func (r *Handles) Signal(n int, s syscall.Signal) error { return r.world.gateways[n].signal(s) }
 
-// Known returns the host list with which a gateway would start now. It may be passed to StartWith later.
+// Known returns the host list with which a gateway would start now. A later start may use it.
 func (r *Handles) Known(n int) []byte { return r.world.discovery.Known(r.world.gateways[n].name) }
 
-// StartWith starts a gateway with the given host list, such as an earlier one from Known, and waits until it is
+// StartWith starts a gateway with the given host list, such as one that was current earlier, and waits until it is
 // ready.
 func (r *Handles) StartWith(ctx context.Context, n int, known []byte) error {
 	g := r.world.gateways[n]
@@ -132,7 +132,7 @@
 }
 
 // Twin starts a second process under a gateway's name that is independent of the first. It listens at another
-// address, which no client uses. Twin waits until ready returns true for its pid; the returned function kills the
+// address, which no client uses. The call waits until ready returns true for its pid; the returned function kills the
 // process.
 func (r *Handles) Twin(ctx context.Context, n int, ready func(pid int) bool) (end func(), err error) {
 	addr, err := r.world.rig.Listen(r.world.gateways[n].name)
