--- a/internal/lab/experiment/sample.go
+++ b/internal/lab/experiment/sample.go
@@ -13,33 +13,34 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// sampleEvery is how often hosts and gateways are looked at.
-const sampleEvery = 500 * time.Millisecond
+// sampleInterval is the time between two samples of hosts and gateways.
+const sampleInterval = 500 * time.Millisecond
 
-// HostSample is one look at a host.
+// HostSample is the state of a host at one time, in seconds after the start of the load.
 type HostSample struct {
-	At       float64 `json:"at_s"`
-	InFlight int     `json:"in_flight"`
-	Waiting  int     `json:"waiting"`
-	Capacity float64 `json:"capacity"` // seconds of work a second
-	Conns    int     `json:"connections"`
+	At          float64 `json:"at_s"`
+	InFlight    int     `json:"in_flight"`
+	Waiting     int     `json:"waiting"`
+	Capacity    float64 `json:"capacity"` // seconds of work per second
+	Connections int     `json:"connections"`
 }
 
-// HostResult is one host over the run.
+// HostResult is the result of one host over the run.
 type HostResult struct {
 	Name     string       `json:"name"`
 	Kind     string       `json:"kind"`
 	Slots    int          `json:"slots"`
 	Queue    int          `json:"queue"`
-	ColdPeak float64      `json:"cold_peak"` // largest share of its cold budget that it was sent; over 1 it fell over
-	Fell     bool         `json:"fell_over"`
+	ColdPeak float64      `json:"cold_peak"` // largest share sent of its slow-start budget; over 1 it crashed
+	FellOver bool         `json:"fell_over"`
 	Probes   int          `json:"probes"`
 	Samples  []HostSample `json:"samples"`
 }
 
-type series struct{ samples []HostSample }
+// hostSeries collects the samples of a host. They are appended with World.mu locked.
+type hostSeries struct{ samples []HostSample }
 
-// GatewaySample is one look at a gateway's process. All are zero while it is down.
+// GatewaySample is the resource use of a gateway's process at one time. All values but At are zero while it is down.
 type GatewaySample struct {
 	At          float64 `json:"at_s"`
 	CPU         float64 `json:"cpu_cores"`
@@ -47,7 +48,7 @@
 	Descriptors int     `json:"descriptors"`
 }
 
-// GatewayResult is one gateway over the run.
+// GatewayResult is the result of one gateway over the run.
 type GatewayResult struct {
 	Name            string          `json:"name"`
 	Starts          int             `json:"starts"`
@@ -57,29 +58,31 @@
 	Samples         []GatewaySample `json:"samples"`
 }
 
+// gatewaySeries collects the samples and the processor time of a gateway over all its processes.
 type gatewaySeries struct {
-	samples []GatewaySample
-	pid     int
-	used    time.Duration // at the last look
-	total   time.Duration
-	looks   []usage // the last ones, of this process
+	samples  []GatewaySample
+	pid      int
+	lastUsed time.Duration // processor time of the process at the last sample
+	total    time.Duration
+	recent   []usage // the last cpuWindow + 1 samples of this process
 }
 
-type usage struct{ at, used time.Duration }
+// usage is the processor time used by a process up to a time of the clock.
+type usage struct{ clock, used time.Duration }
 
-// cpuOver is how many looks back the use of the processor is counted: the system counts in steps of 10
-// ms, and a single interval would show little but these.
-const cpuOver = 4
+// cpuWindow is the number of sample intervals over which the processor use is averaged. The system counts processor
+// time in steps of 10 ms, which would dominate the result of a single interval.
+const cpuWindow = 4
 
-// sample looks at hosts and gateways until ctx is done.
-func (w *World) sample(ctx context.Context, began time.Duration) {
-	for next := began; Sleep(ctx, next-w.Clock()); next += sampleEvery {
-		now := (w.Clock() - began).Seconds()
-		for _, m := range w.members() {
+// sample takes samples of all hosts and gateways every sampleInterval from loadStart until ctx is done.
+func (w *World) sample(ctx context.Context, loadStart time.Duration) {
+	for next := loadStart; Sleep(ctx, next-w.Clock()); next += sampleInterval {
+		at := (w.Clock() - loadStart).Seconds()
+		for _, m := range w.managedHosts() {
 			if m.gone.Load() {
 				continue
 			}
-			s := HostSample{At: now, Conns: m.Conns()}
+			s := HostSample{At: at, Connections: m.Conns()}
 			m.Do(func(_ time.Duration, h *hostmodel.Host) {
 				s.InFlight, s.Waiting, s.Capacity = h.InFlight(), h.Waiting(), h.Capacity()
 			})
@@ -88,36 +91,37 @@
 			w.mu.Unlock()
 		}
 		for _, g := range w.gateways {
-			g.look(w.Clock(), now)
+			g.sample(w.Clock(), at)
 		}
 	}
 }
 
-// look reads a gateway's figures as the system has them.
-func (g *gateway) look(clock time.Duration, now float64) {
+// sample reads the processor time, memory and open descriptors of the gateway's process from /proc. clock is the
+// present time of the run's clock, at the same time in seconds after the start of the load.
+func (g *gateway) sample(clock time.Duration, at float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := &g.series
-	sample := GatewaySample{At: now}
-	if g.proc == nil {
+	sample := GatewaySample{At: at}
+	if g.process == nil {
 		s.samples = append(s.samples, sample)
 		return
 	}
-	pid := g.proc.cmd.Process.Pid
+	pid := g.process.cmd.Process.Pid
 	if used, ok := processorTime(pid); ok {
 		if pid != s.pid {
-			s.pid, s.used, s.looks = pid, 0, nil
+			s.pid, s.lastUsed, s.recent = pid, 0, nil
 		}
-		s.total += used - s.used
-		s.used = used
-		s.looks = append(s.looks, usage{clock, used})
-		if len(s.looks) > cpuOver+1 {
-			s.looks = s.looks[1:]
+		s.total += used - s.lastUsed
+		s.lastUsed = used
+		s.recent = append(s.recent, usage{clock, used})
+		if len(s.recent) > cpuWindow+1 {
+			s.recent = s.recent[1:]
 		}
-		if first := s.looks[0]; clock > first.at {
-			sample.CPU = (used - first.used).Seconds() / (clock - first.at).Seconds()
+		if first := s.recent[0]; clock > first.clock {
+			sample.CPU = (used - first.used).Seconds() / (clock - first.clock).Seconds()
 		}
-		sample.MemoryMB = resident(pid)
+		sample.MemoryMB = residentMemory(pid)
 		if names, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid)); err == nil {
 			sample.Descriptors = len(names)
 		}
@@ -125,7 +129,8 @@
 	s.samples = append(s.samples, sample)
 }
 
-// processorTime is what a process has used; ok is false if it is not there.
+// processorTime returns the processor time that a process has used. ok is false if the process does not exist or is a
+// zombie.
 func processorTime(pid int) (used time.Duration, ok bool) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -137,12 +142,12 @@
 	}
 	user, _ := strconv.ParseInt(fields[11], 10, 64)
 	system, _ := strconv.ParseInt(fields[12], 10, 64)
-	const tick = 10 * time.Millisecond // of the kernel's accounting, 100 a second
+	const tick = 10 * time.Millisecond // unit of the kernel's accounting, 100 per second
 	return time.Duration(user+system) * tick, true
 }
 
-// resident is a process's memory in MB.
-func resident(pid int) float64 {
+// residentMemory returns the resident memory of a process in MB, or 0 if it does not exist.
+func residentMemory(pid int) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
@@ -152,14 +157,14 @@
 	return float64(pages*int64(os.Getpagesize())) / (1 << 20)
 }
 
-// results sums the looks up, and finds limits that were crossed.
-func (w *World) results() (hosts []HostResult, gateways []GatewayResult, found []requestrecord.Finding) {
-	for _, m := range w.members() {
+// collectResults summarizes the samples and returns a finding for each limit that a host or a gateway exceeded.
+func (w *World) collectResults() (hosts []HostResult, gateways []GatewayResult, findings []requestrecord.Finding) {
+	for _, m := range w.managedHosts() {
 		h := HostResult{Name: m.Name, Kind: m.spec.Kind, Slots: m.spec.Slots, Queue: m.spec.Queue, Probes: m.Probes(),
 			Samples: m.samples}
 		m.Do(func(_ time.Duration, model *hostmodel.Host) { h.ColdPeak = model.ColdPeak() })
-		if h.Fell = h.ColdPeak > 1; h.Fell {
-			found = append(found, requestrecord.Finding{Rule: requestrecord.PushedOver, ID: m.Name,
+		if h.FellOver = h.ColdPeak > 1; h.FellOver {
+			findings = append(findings, requestrecord.Finding{Rule: requestrecord.PushedOver, ID: m.Name,
 				Detail: fmt.Sprintf("was sent %.2f times the most that it survives while cold", h.ColdPeak)})
 		}
 		hosts = append(hosts, h)
@@ -173,14 +178,14 @@
 			r.PeakDescriptors = max(r.PeakDescriptors, s.Descriptors)
 		}
 		if r.PeakMemoryMB > limit.MemoryMB {
-			found = append(found, requestrecord.Finding{Rule: requestrecord.OverMemory, ID: g.name,
+			findings = append(findings, requestrecord.Finding{Rule: requestrecord.OverMemory, ID: g.name,
 				Detail: fmt.Sprintf("%.1f MB of %.0f", r.PeakMemoryMB, limit.MemoryMB)})
 		}
 		if r.PeakDescriptors > limit.Sockets {
-			found = append(found, requestrecord.Finding{Rule: requestrecord.OverSockets, ID: g.name,
+			findings = append(findings, requestrecord.Finding{Rule: requestrecord.OverSockets, ID: g.name,
 				Detail: fmt.Sprintf("%d of %d", r.PeakDescriptors, limit.Sockets)})
 		}
 		gateways = append(gateways, r)
 	}
-	return hosts, gateways, found
+	return hosts, gateways, findings
 }
