--- a/internal/lab/membershipcheck/history.go
+++ b/internal/lab/membershipcheck/history.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// History is what was done to gateways, and what they believed. Its methods may be called from several goroutines.
-// Rules are functions over it.
+// History records the faults applied to gateways and paths, and the views observed at gateways. The rules are
+// functions over it. Its methods may be called from several goroutines.
 type History struct {
 	mu           sync.Mutex
 	count        int
-	names        []string // of gateways
+	names        []string // of the gateways, by number
 	processes    []process
-	paths        map[[2]int][]PathState // between gateways, by their numbers
-	observations []Observation          // in the order of time
+	paths        map[[2]int][]PathState // between two gateways, by their numbers
+	observations []Observation          // in order of time
 	reportsLoad  bool
 }
 
@@ -22,83 +22,84 @@
 type process struct {
 	gateway   int
 	pid       int
-	from      time.Duration
-	to        time.Duration // 0 while it runs
-	duplicate bool          // beside another one of its name
-	upgrade   bool          // takes over from another
-	left      bool          // told to end: it tells the others
-	stops     []interval    // SIGSTOP to SIGCONT
+	start     time.Duration
+	end       time.Duration // 0 while it runs
+	duplicate bool          // runs beside another process of the same name
+	upgrade   bool          // successor in a hot restart
+	leaving   bool          // was told to end, and notifies the other members
+	stops     []interval    // from SIGSTOP to SIGCONT
 }
 
-// interval is a stretch of time; to is 0 while it lasts.
+// interval is a period of time; to is 0 while it lasts.
 type interval struct{ from, to time.Duration }
 
-// overlaps reports whether an interval overlaps one from a to b.
+// overlaps reports whether the interval overlaps the one from a to b.
 func (i interval) overlaps(a, b time.Duration) bool { return i.from <= b && (i.to == 0 || i.to >= a) }
 
-func (p *process) lifetime() interval { return interval{p.from, p.to} }
+func (p *process) lifetime() interval { return interval{p.start, p.end} }
 
 // stoppedDuring reports whether the process was stopped at any moment from a to b.
 func (p *process) stoppedDuring(a, b time.Duration) bool {
 	return slices.ContainsFunc(p.stops, func(stop interval) bool { return stop.overlaps(a, b) })
 }
 
-// PathState is how a path has been from a moment on.
+// PathState is the state of a path from At until the next state.
 type PathState struct {
 	At   time.Duration
-	Cut  bool    // or stalled, or slower than any answer is waited for
-	Loss float64 // share of the datagrams
+	Cut  bool    // also set if the path is stalled or slower than every answer timeout
+	Loss float64 // share of lost datagrams
 }
 
-// NewHistory begins a history of gateways by their names; everybody else names them by number.
+// NewHistory returns an empty history of gateways with the given names. All methods name a gateway by its index.
 func NewHistory(names []string) *History {
 	return &History{count: len(names), names: names, paths: make(map[[2]int][]PathState)}
 }
 
-// Name is a gateway's.
+// Name returns the name of a gateway.
 func (h *History) Name(gateway int) string { return h.names[gateway] }
 
-// ReportsLoad notes that gateways report their load, which costs more than membership alone.
+// ReportsLoad records that gateways report their load, which increases the permitted traffic.
 func (h *History) ReportsLoad() { h.reportsLoad = true }
 
-// Started notes a process; its pid must be its own. A duplicate runs beside another one of its name that knows nothing
-// of it, an upgrade takes over from one.
+// Started records the start of a process; pid must be unique. A duplicate runs beside another process of the same
+// name without knowing it; an upgrade takes over from another process.
 func (h *History) Started(gateway, pid int, at time.Duration, duplicate, upgrade bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.processes = append(h.processes,
-		process{gateway: gateway, pid: pid, from: at, duplicate: duplicate, upgrade: upgrade})
+		process{gateway: gateway, pid: pid, start: at, duplicate: duplicate, upgrade: upgrade})
 }
 
-// Ended notes a process's end, or that it was told to end and speaks no more. The first note counts.
+// Ended records that a process has ended, or was told to end and sends no more. Only the first call for a process
+// counts.
 func (h *History) Ended(pid int, at time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i := range h.processes {
-		if p := &h.processes[i]; p.pid == pid && p.to == 0 {
-			p.to = at
+		if p := &h.processes[i]; p.pid == pid && p.end == 0 {
+			p.end = at
 		}
 	}
 }
 
-// Leaving notes that the processes of a gateway were told to end.
+// Leaving records that the processes of a gateway were told to end.
 func (h *History) Leaving(gateway int, at time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i := range h.processes {
-		if p := &h.processes[i]; p.gateway == gateway && p.to == 0 {
-			p.to, p.left = at, true
+		if p := &h.processes[i]; p.gateway == gateway && p.end == 0 {
+			p.end, p.leaving = at, true
 		}
 	}
 }
 
-// Stopped notes that a gateway's process is stopped (on), or let go.
+// Stopped records that a gateway's process was stopped (on) or continued. Duplicates are not affected.
 func (h *History) Stopped(gateway int, at time.Duration, on bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i := range h.processes {
 		p := &h.processes[i]
-		if p.gateway != gateway || p.to != 0 || p.duplicate {
+		if p.gateway != gateway || p.end != 0 || p.duplicate {
 			continue
 		}
 		if on {
@@ -109,54 +110,54 @@
 	}
 }
 
-// Path notes how a path between two gateways is from a moment on.
+// Path records the state of the path between two gateways from state.At on.
 func (h *History) Path(from, to int, state PathState) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.paths[[2]int{from, to}] = append(h.paths[[2]int{from, to}], state)
 }
 
-// Observe notes what a process believes. Observations come in the order of time.
+// Observe records the view of a process. Calls must be in order of time.
 func (h *History) Observe(o Observation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.observations = append(h.observations, o)
 }
 
-// Rebase moves the begin of time: what was noted lies before it, and observations of that time are forgotten.
+// Rebase moves the time origin. It shifts the start of all recorded processes and discards the observations.
 func (h *History) Rebase(shift time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i := range h.processes {
-		h.processes[i].from += shift
+		h.processes[i].start += shift
 	}
 	h.observations = nil
 }
 
-// Observations are those noted, in the order of time.
+// Observations returns the recorded observations in order of time.
 func (h *History) Observations() []Observation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.observations)
 }
 
-// Process is a process as a report shows it, in seconds.
+// Process describes a process in a report; times are in seconds.
 type Process struct {
 	Gateway   int          `json:"gateway"`
 	PID       int          `json:"pid"`
 	From      float64      `json:"from_s"`
-	To        float64      `json:"to_s"` // 0: to the end
+	To        float64      `json:"to_s"` // 0: until the end of the run
 	Duplicate bool         `json:"twin,omitempty"`
 	Upgrade   bool         `json:"upgrade,omitempty"`
 	Stopped   [][2]float64 `json:"stopped_s,omitempty"`
 }
 
-// Processes lists the processes.
+// Processes returns all recorded processes.
 func (h *History) Processes() (out []Process) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, p := range h.processes {
-		shown := Process{Gateway: p.gateway, PID: p.pid, From: p.from.Seconds(), To: p.to.Seconds(),
+		shown := Process{Gateway: p.gateway, PID: p.pid, From: p.start.Seconds(), To: p.end.Seconds(),
 			Duplicate: p.duplicate, Upgrade: p.upgrade}
 		for _, stop := range p.stops {
 			shown.Stopped = append(shown.Stopped, [2]float64{stop.from.Seconds(), stop.to.Seconds()})
@@ -166,14 +167,14 @@
 	return out
 }
 
-// Absent reports whether a gateway had no process at a moment.
+// Absent reports whether a gateway had no process at the given time.
 func (h *History) Absent(gateway int, at time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.absent(gateway, at, at)
 }
 
-// StoppedDuring reports whether a gateway was stopped at any moment from a to b, or until a while before.
+// StoppedDuring reports whether a gateway was stopped at any moment from a-while to b.
 func (h *History) StoppedDuring(gateway int, a, b, while time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/membershipcheck/observation.go
+++ b/internal/lab/membershipcheck/observation.go
@@ -2,43 +2,45 @@
 
 import "time"
 
-// Observation is what one process believes at a moment.
+// Observation is the view of one process at one time.
 type Observation struct {
 	At            time.Duration `json:"at_ns"`
 	Gateway       int           `json:"gateway"`
 	PID           int           `json:"pid"`
 	Speaking      bool          `json:"speaking"`
-	Join          int           `json:"joined"` // which of the process's memberships it is
+	Join          int           `json:"joined"` // how often the process has joined the cluster
 	Settled       bool          `json:"settled"`
 	Majority      bool          `json:"majority"`
 	DuplicateName bool          `json:"twin"`
 	Alive         int           `json:"alive"`
 	Sent          uint64        `json:"sent_bytes"`
-	Strangers     int           `json:"strangers"` // members that are no gateway of the cluster
-	Beliefs       []Belief      `json:"members"`   // by number; of those not known State is empty
+	Strangers     int           `json:"strangers"` // number of members that are not gateways of the cluster
+	Beliefs       []Belief      `json:"members"`   // by gateway number; State is empty if the gateway is unknown
 	Assignment    *Assignment   `json:"portion,omitempty"`
 }
 
-// Assignment is what a process has of the endpoints, where the cluster assigns them.
+// Assignment is the part of the endpoints that a process uses, if the cluster divides them among the gateways.
 type Assignment struct {
 	Stage        string             `json:"stage"` // waiting, settled, kept, changing
-	Tokens       uint64             `json:"turns"` // taken so far, at endpoints in slow start
+	Tokens       uint64             `json:"turns"` // total taken by the process for endpoints in slow start
 	RelativeLoad float64            `json:"crowd"`
-	Shares       map[string]float64 `json:"parts"` // of endpoints that are not in slow start, by name
+	Shares       map[string]float64 `json:"parts"` // by endpoint name, without endpoints in slow start
 	SlowStart    []string           `json:"cold,omitempty"`
 }
 
-// Belief is what a process holds of a gateway.
+// Belief is what a process's view holds of one gateway.
 type Belief struct {
 	State       string `json:"state"`
 	Start       uint64 `json:"start_ms"`
 	Incarnation uint64 `json:"incarnation"`
-	// Since is since when, on the record's clock: what was taken back between two observations shows in it.
+	// Since is the time of the last change of State on the history's clock. It reveals a state that was entered and
+	// corrected between two observations.
 	Since time.Duration `json:"since_ns"`
-	// Previous is the state before, and SuspectedBy who raised the last suspicion; empty where that is not told.
+	// Previous is the state before State; SuspectedBy names the member that raised the last suspicion. Both are
+	// empty if they were not reported.
 	Previous    string `json:"previous,omitempty"`
 	SuspectedBy string `json:"suspected_by,omitempty"`
 }
 
-// removed reports whether the gateway is held gone or left.
+// removed reports whether the state is gone or left.
 func (b Belief) removed() bool { return b.State == "gone" || b.State == "left" }
--- a/internal/lab/membershipcheck/rules.go
+++ b/internal/lab/membershipcheck/rules.go
@@ -1,9 +1,9 @@
-// Package membershipcheck checks what the gateways of a cluster believed of each other against what was done to them: a
-// history of processes and paths, observations of memberships, and rules that are pure functions over both. Drills of
-// real processes and simulated runs share it.
+// Package membershipcheck verifies the membership views of a cluster's gateways against the faults that were
+// applied. It provides a history of processes, paths and observed views, and rules that are pure functions over the
+// history. Drills of real processes and simulated runs share it.
 //
-//   - history.go, observation.go: what was done, and what gateways believed.
-//   - truth.go: what follows from what was done, such as who could hear whom.
+//   - history.go, observation.go: the applied faults and the observed views.
+//   - truth.go: facts derived from the faults, such as which gateways could receive each other's datagrams.
 //   - rules.go: [Check] and the list of rules, which are in rules_*.go.
 package membershipcheck
 
@@ -14,23 +14,23 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// The rules beside those of experiments. To add one: name it here, add it to rules, plant what breaks it in
-// rules_test.go.
+// Names of the rules, in addition to those of experiments. To add a rule, name it here, add it to rules, and add a
+// case that violates it to rules_test.go.
 const (
-	WronglyRemoved      = "thrown out"                // a gateway that ran and could be heard was newly held gone
-	DeadHeldAlive       = "dead held alive"           // a gateway without a process was held alive for too long
-	Diverged            = "views differ"              // long after the last disturbance a gateway believed no truth
-	FalseMajority       = "majority without one"      // a component that is no majority said that it is one
-	IncarnationWentBack = "incarnation went back"     // what a process holds of a gateway became older
-	UpgradeNoticed      = "upgrade seen as an end"    // an upgraded gateway was held gone, left, or another process
-	DuplicateNameUnsaid = "name used twice, not said" // neither of two processes under one name said so
-	UnknownMember       = "stranger in the view"      // a member is no gateway of the cluster
-	LeaveNotSpread      = "leave not told"            // a gateway that was told to end is held gone, not left
-	OverBudget          = "datagrams over budget"     // a gateway sent more than membership may cost
-	ExpectationNotMet   = "expectation not met"       // what the scenario expects was not seen in its time
+	WronglyRemoved          = "thrown out"                // a running, reachable gateway was newly considered gone or left
+	DeadHeldAlive           = "dead held alive"           // a gateway without a process was considered alive for too long
+	Diverged                = "views differ"              // a view was still wrong long after the last disturbance
+	FalseMajority           = "majority without one"      // a gateway without a majority reported one
+	IncarnationWentBack     = "incarnation went back"     // a start or incarnation in a view decreased
+	UpgradeNoticed          = "upgrade seen as an end"    // an upgraded gateway was gone, left, or a new process
+	DuplicateNameUnreported = "name used twice, not said" // one of two processes with the same name did not report that
+	UnknownMember           = "stranger in the view"      // a view has a member that is not a gateway of the cluster
+	LeaveNotPropagated      = "leave not told"            // a gateway that left was considered gone instead
+	OverBudget              = "datagrams over budget"     // a gateway sent more than the limit for membership traffic
+	ExpectationNotMet       = "expectation not met"       // no view met an expectation of the scenario in time
 )
 
-// reporter notes a broken rule.
+// reporter records a violation of the current rule.
 type reporter func(at time.Duration, gateway int, format string, args ...any)
 
 type rule struct {
@@ -46,14 +46,14 @@
 		{FalseMajority, falseMajority},
 		{IncarnationWentBack, incarnationWentBack},
 		{UpgradeNoticed, upgradeNoticed},
-		{DuplicateNameUnsaid, duplicateNameUnsaid},
+		{DuplicateNameUnreported, duplicateNameUnreported},
 		{UnknownMember, unknownMember},
-		{LeaveNotSpread, leaveNotSpread},
+		{LeaveNotPropagated, leaveNotPropagated},
 		{OverBudget, overBudget},
 	}
 }
 
-// Names lists the rules.
+// Names returns the names of all rules.
 func Names() (out []string) {
 	for _, r := range rules() {
 		out = append(out, r.name)
@@ -61,7 +61,7 @@
 	return out
 }
 
-// Check returns every broken rule, once for each gateway: the first moment counts.
+// Check applies all rules and returns, for each rule and gateway, the first violation.
 func Check(h *History) []requestrecord.Finding {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -80,12 +80,12 @@
 	return found
 }
 
-// eachObservation calls each with every observation of a process and the one before it, nil for the first.
+// eachObservation calls each for every observation, with the preceding one of the same process or nil.
 func (h *History) eachObservation(each func(was, is *Observation)) {
 	last := make(map[int]*Observation)
 	for i := range h.observations {
-		is := &h.observations[i]
-		each(last[is.PID], is)
-		last[is.PID] = is
+		current := &h.observations[i]
+		each(last[current.PID], current)
+		last[current.PID] = current
 	}
 }
--- a/internal/lab/membershipcheck/rules_agreement.go
+++ b/internal/lab/membershipcheck/rules_agreement.go
@@ -5,50 +5,51 @@
 	"time"
 )
 
-// convergenceTime is for all to believe the truth after the last disturbance.
+// convergenceTime is the time after the last disturbance within which every view must be correct.
 const convergenceTime = 15 * time.Second
 
 func diverged(h *History, report reporter) {
 	disturbances := h.disturbances()
-	h.eachObservation(func(_, is *Observation) {
-		since := is.At - convergenceTime
+	h.eachObservation(func(_, current *Observation) {
+		since := current.At - convergenceTime
 		next, _ := slices.BinarySearch(disturbances, since)
-		disturbed := next < len(disturbances) && disturbances[next] <= is.At
-		if since < 0 || disturbed || !h.ran(is.Gateway, since, is.At) {
+		disturbed := next < len(disturbances) && disturbances[next] <= current.At
+		if since < 0 || disturbed || !h.ranThroughout(current.Gateway, since, current.At) {
 			return
 		}
-		c := h.components(since, is.At)
-		for m := range is.Beliefs {
-			if m == is.Gateway || h.duplicatedDuring(m, since, is.At) || h.duplicatedDuring(is.Gateway, since, is.At) {
+		c := h.components(since, current.At)
+		for m := range current.Beliefs {
+			if m == current.Gateway || h.duplicatedDuring(m, since, current.At) ||
+				h.duplicatedDuring(current.Gateway, since, current.At) {
 				continue
 			}
-			h.checkBelief(is, m, since, c, report)
+			h.checkBelief(current, m, since, c, report)
 		}
-		if is.DuplicateName && h.undivided(c, is.Gateway, since, is.At) &&
-			!h.duplicatedDuring(is.Gateway, since-convergenceTime, is.At) {
-			report(is.At, is.Gateway, "believes in a second process of its name")
+		if current.DuplicateName && h.inOneComponent(c, current.Gateway, since, current.At) &&
+			!h.duplicatedDuring(current.Gateway, since-convergenceTime, current.At) {
+			report(current.At, current.Gateway, "believes in a second process of its name")
 		}
 	})
 }
 
-// checkBelief holds what a gateway believes of a member against what has been so since a time.
-func (h *History) checkBelief(is *Observation, m int, since time.Duration, c components, report reporter) {
-	now := is.Beliefs[m]
+// checkBelief compares a view's state of member m with the facts that have held since the given time.
+func (h *History) checkBelief(current *Observation, m int, since time.Duration, c components, report reporter) {
+	now := current.Beliefs[m]
 	switch {
-	case c.same(m, is.Gateway) && c.direct[m] > 0 && now.State != "alive":
-		// Where datagrams get lost a member is suspect now and then, and refutes it.
-		if h.connected(is.Gateway, m, since, is.At) && (now.State != "suspect" || !h.losesAny(since, is.At)) {
-			report(is.At, is.Gateway, "holds %s for %q, which lives and can be heard", h.names[m], now.State)
+	case c.same(m, current.Gateway) && c.directPeers[m] > 0 && now.State != "alive":
+		// With datagram loss a member is suspected now and then and refutes the suspicion.
+		if h.connected(current.Gateway, m, since, current.At) && (now.State != "suspect" || !h.anyLoss(since, current.At)) {
+			report(current.At, current.Gateway, "holds %s for %q, which lives and can be heard", h.names[m], now.State)
 		}
-	case h.absent(m, since, is.At) && !now.removed() && now.State != "":
-		report(is.At, is.Gateway, "holds %s for %s, which has no process", h.names[m], now.State)
+	case h.absent(m, since, current.At) && !now.removed() && now.State != "":
+		report(current.At, current.Gateway, "holds %s for %s, which has no process", h.names[m], now.State)
 	}
 }
 
-// undivided reports whether all gateways that have a process are of one gateway's component.
-func (h *History) undivided(c components, gateway int, a, b time.Duration) bool {
-	for g := range c.of {
-		if c.of[g] != c.of[gateway] && !h.absent(g, a, b) {
+// inOneComponent reports whether all gateways that have a process belong to the component of the given gateway.
+func (h *History) inOneComponent(c components, gateway int, a, b time.Duration) bool {
+	for g := range c.component {
+		if c.component[g] != c.component[gateway] && !h.absent(g, a, b) {
 			return false
 		}
 	}
@@ -56,39 +57,40 @@
 }
 
 func falseMajority(h *History, report reporter) {
-	h.eachObservation(func(_, is *Observation) {
-		since := is.At - detectionTime
-		if since < 0 || !is.Majority && !is.Settled {
+	h.eachObservation(func(_, current *Observation) {
+		since := current.At - detectionTime
+		if since < 0 || !current.Majority && !current.Settled {
 			return
 		}
-		c := h.components(since, is.At)
-		if c.of[is.Gateway] < 0 || !h.cleanlyDivided(c, is.Gateway, since, is.At) {
+		c := h.components(since, current.At)
+		if c.component[current.Gateway] < 0 || !h.cleanlyDivided(c, current.Gateway, since, current.At) {
 			return
 		}
 		known := 0
-		for m, now := range is.Beliefs {
-			// Those that left are counted no more; who is cut off, or dead without a word, is.
-			if m == is.Gateway || now.State != "left" && now.State != "" {
+		for m, now := range current.Beliefs {
+			// A majority is counted without members that left, but with unreachable and crashed ones.
+			if m == current.Gateway || now.State != "left" && now.State != "" {
 				known++
 			}
 		}
-		if own := c.size(is.Gateway); 2*own <= known {
-			report(is.At, is.Gateway, "says that it is of a majority, with %d of %d", own, known)
+		if size := c.size(current.Gateway); 2*size <= known {
+			report(current.At, current.Gateway, "says that it is of a majority, with %d of %d", size, known)
 		}
 	})
 }
 
-// cleanlyDivided reports whether each gateway had no process, or ran all the time and is of one gateway's component, or
-// could neither hear that gateway nor be heard by it. Where one way is open, who hears may hold the other alive.
+// cleanlyDivided reports whether every other gateway had no process, ran throughout in the gateway's component, or
+// could not exchange datagrams with the gateway in either direction. If one direction is open, its receiver may
+// rightly consider the other alive.
 func (h *History) cleanlyDivided(c components, gateway int, a, b time.Duration) bool {
-	for g := range c.of {
-		if c.of[g] < 0 {
+	for g := range c.component {
+		if c.component[g] < 0 {
 			if !h.absent(g, a, b) {
 				return false
 			}
 			continue
 		}
-		if c.of[g] != c.of[gateway] && (h.carriedAny(gateway, g, a, b) || h.carriedAny(g, gateway, a, b)) {
+		if c.component[g] != c.component[gateway] && (h.mayCarry(gateway, g, a, b) || h.mayCarry(g, gateway, a, b)) {
 			return false
 		}
 	}
--- a/internal/lab/membershipcheck/rules_liveness.go
+++ b/internal/lab/membershipcheck/rules_liveness.go
@@ -3,91 +3,98 @@
 import "time"
 
 const (
-	// detectionTime is the longest suspicion, stretched by bad local health, and the last probe.
+	// detectionTime is the longest suspicion timeout, extended by poor local health, plus the last probe.
 	detectionTime = 10 * time.Second
-	// isolatedDetectionTime is that of a gateway that hears nobody, with the worst local health.
+	// isolatedDetectionTime is the detection time of a gateway that receives nothing and has the poorest local
+	// health.
 	isolatedDetectionTime = 20 * time.Second
-	// leaveSpreadTime is for a leave to be told to eight members, and spread.
-	leaveSpreadTime = 1500 * time.Millisecond
-	// withoutHelpers is the largest component in which a loss cannot be told from an end, as there are too few helpers.
-	withoutHelpers = 3
+	// leavePropagationTime is the time in which a gateway announces its leave to eight members and gossip
+	// propagates it.
+	leavePropagationTime = 1500 * time.Millisecond
+	// maxSizeWithoutHelpers is the size of the largest component with too few helpers for indirect probes to
+	// distinguish a lost datagram from a dead member.
+	maxSizeWithoutHelpers = 3
 )
 
 func wronglyRemoved(h *History, report reporter) {
-	h.eachObservation(func(was, is *Observation) {
-		if was == nil {
+	h.eachObservation(func(previous, current *Observation) {
+		if previous == nil {
 			return
 		}
-		for m, now := range is.Beliefs {
-			before := was.Beliefs[m]
-			if !now.removed() || before.removed() || before.State == "" || m == is.Gateway {
+		for m, now := range current.Beliefs {
+			before := previous.Beliefs[m]
+			if !now.removed() || before.removed() || before.State == "" || m == current.Gateway {
 				continue
 			}
-			if h.mustNotBeRemoved(is, m) {
-				report(is.At, is.Gateway, "holds %s for %s, which has run and could be heard for %v",
+			if h.mustNotBeRemoved(current, m) {
+				report(current.At, current.Gateway, "holds %s for %s, which has run and could be heard for %v",
 					h.names[m], now.State, detectionTime)
 			}
 		}
 	})
 }
 
-// mustNotBeRemoved reports whether a gateway could hear a member all the time in which it could have removed it.
-func (h *History) mustNotBeRemoved(is *Observation, m int) bool {
-	since := is.At - detectionTime
-	return since > 0 && h.reachable(is.Gateway, m, since, is.At) &&
-		!h.duplicatedDuring(m, since, is.At) && !h.duplicatedDuring(is.Gateway, since, is.At) &&
-		(h.componentSize(is.Gateway, since, is.At) > withoutHelpers || !h.losesAny(since, is.At))
+// mustNotBeRemoved reports whether the observer could receive a member's datagrams during the whole time in which
+// it could have removed the member.
+func (h *History) mustNotBeRemoved(current *Observation, m int) bool {
+	since := current.At - detectionTime
+	return since > 0 && h.reachable(current.Gateway, m, since, current.At) &&
+		!h.duplicatedDuring(m, since, current.At) && !h.duplicatedDuring(current.Gateway, since, current.At) &&
+		(h.componentSize(current.Gateway, since, current.At) > maxSizeWithoutHelpers || !h.anyLoss(since, current.At))
 }
 
 func deadHeldAlive(h *History, report reporter) {
-	h.eachObservation(func(_, is *Observation) {
-		since := is.At - detectionTime
-		if since < 0 || !h.ran(is.Gateway, since, is.At) {
+	h.eachObservation(func(_, current *Observation) {
+		since := current.At - detectionTime
+		if since < 0 || !h.ranThroughout(current.Gateway, since, current.At) {
 			return
 		}
-		if h.componentSize(is.Gateway, since, is.At) == 1 { // it suspects itself first, and has nobody to ask
-			if since = is.At - isolatedDetectionTime; since < 0 || !h.ran(is.Gateway, since, is.At) {
+		// An isolated gateway suspects itself first and has no member to probe through.
+		if h.componentSize(current.Gateway, since, current.At) == 1 {
+			if since = current.At - isolatedDetectionTime; since < 0 || !h.ranThroughout(current.Gateway, since, current.At) {
 				return
 			}
 		}
-		for m, now := range is.Beliefs {
-			if (now.State == "alive" || now.State == "suspect") && h.absent(m, since, is.At) {
-				report(is.At, is.Gateway, "holds %s for %s, which has had no process for %v",
+		for m, now := range current.Beliefs {
+			if (now.State == "alive" || now.State == "suspect") && h.absent(m, since, current.At) {
+				report(current.At, current.Gateway, "holds %s for %s, which has had no process for %v",
 					h.names[m], now.State, detectionTime)
 			}
 		}
 	})
 }
 
-func leaveNotSpread(h *History, report reporter) {
+func leaveNotPropagated(h *History, report reporter) {
 	for i := range h.processes {
 		p := &h.processes[i]
-		left, until := p.to, h.nextStart(p)
-		if !p.left || left < detectionTime/2 || until < left+leaveSpreadTime ||
-			h.losesAny(left-time.Second, until) || h.duplicatedDuring(p.gateway, left-detectionTime, until) {
+		leaveTime, until := p.end, h.nextProcessStart(p)
+		if !p.leaving || leaveTime < detectionTime/2 || until < leaveTime+leavePropagationTime ||
+			h.anyLoss(leaveTime-time.Second, until) || h.duplicatedDuring(p.gateway, leaveTime-detectionTime, until) {
 			continue
 		}
-		before := left - detectionTime/2
-		h.eachObservation(func(_, is *Observation) {
-			now := is.Beliefs[p.gateway]
-			if is.At <= left+leaveSpreadTime || is.At >= until || now.State == "left" || now.State == "" {
+		before := leaveTime - detectionTime/2
+		h.eachObservation(func(_, current *Observation) {
+			now := current.Beliefs[p.gateway]
+			if current.At <= leaveTime+leavePropagationTime || current.At >= until || now.State == "left" || now.State == "" {
 				return
 			}
-			if h.connected(is.Gateway, p.gateway, before, left) && h.ran(is.Gateway, before, is.At) &&
-				h.componentSize(is.Gateway, before, is.At) > 1 {
-				report(is.At, is.Gateway, "holds %s for %s, which said %v before that it leaves",
-					h.names[p.gateway], now.State, is.At-left)
+			if h.connected(current.Gateway, p.gateway, before, leaveTime) &&
+				h.ranThroughout(current.Gateway, before, current.At) &&
+				h.componentSize(current.Gateway, before, current.At) > 1 {
+				report(current.At, current.Gateway, "holds %s for %s, which said %v before that it leaves",
+					h.names[p.gateway], now.State, current.At-leaveTime)
 			}
 		})
 	}
 }
 
-// nextStart is when the next process of a gateway starts after one's end, but detectionTime after it at the latest.
-func (h *History) nextStart(ended *process) time.Duration {
-	at := ended.to + detectionTime
+// nextProcessStart returns when the gateway's next process starts after the end of the given one, at most
+// detectionTime after that end.
+func (h *History) nextProcessStart(ended *process) time.Duration {
+	at := ended.end + detectionTime
 	for _, next := range h.processes {
-		if next.gateway == ended.gateway && next.from > ended.to {
-			at = min(at, next.from)
+		if next.gateway == ended.gateway && next.start > ended.end {
+			at = min(at, next.start)
 		}
 	}
 	return at
--- a/internal/lab/membershipcheck/rules_test.go
+++ b/internal/lab/membershipcheck/rules_test.go
@@ -8,7 +8,7 @@
 
 const second = time.Second
 
-// quietHistory is one of n gateways that have run from the begin, each of which believes the truth every second.
+// quietHistory returns a history of n gateways that run from the start. Each has one correct observation per second.
 func quietHistory(n int, length time.Duration) *History {
 	var names []string
 	for i := range n {
@@ -31,8 +31,8 @@
 	return h
 }
 
-// change edits the observations of a gateway in a stretch of time.
-func change(h *History, gateway int, from, to time.Duration, edit func(l *Observation)) {
+// editObservations edits the observations of a gateway from one time to another.
+func editObservations(h *History, gateway int, from, to time.Duration, edit func(l *Observation)) {
 	for i := range h.observations {
 		if l := &h.observations[i]; l.Gateway == gateway && l.At >= from && l.At <= to {
 			l.Beliefs = slices.Clone(l.Beliefs)
@@ -41,12 +41,12 @@
 	}
 }
 
-func holds(of int, state string) func(*Observation) {
+func setState(of int, state string) func(*Observation) {
 	return func(l *Observation) { l.Beliefs[of].State = state }
 }
 
-// cut cuts the paths between two sets, both ways.
-func cut(h *History, a, b []int, at time.Duration, on bool) {
+// setCut cuts the paths between two sets of gateways in both directions, or restores them.
+func setCut(h *History, a, b []int, at time.Duration, on bool) {
 	for _, x := range a {
 		for _, y := range b {
 			h.Path(x, y, PathState{At: at, Cut: on})
@@ -55,8 +55,8 @@
 	}
 }
 
-// lossy has a gateway's datagrams to all others lost by a share for a while.
-func lossy(h *History, g int, loss float64, from, to time.Duration) {
+// addLoss makes the paths from a gateway to all others lose a share of datagrams for a while.
+func addLoss(h *History, g int, loss float64, from, to time.Duration) {
 	for o := range h.count {
 		if o != g {
 			h.Path(g, o, PathState{At: from, Loss: loss})
@@ -65,144 +65,145 @@
 	}
 }
 
-// Guards against a rule that is not broken by what it is there for, or is broken by what only looks like it.
-func TestRules(t *testing.T) {
+// Guards against rules that miss the violation they are meant for, and against rules that report a violation for
+// similar but correct behaviour.
+func TestEachRuleDetectsItsViolationOnly(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		rule string // empty: none
+		rule string // rule that must be violated; empty: none
 		edit func(h *History)
 	}{
-		{"nothing happens", "", func(*History) {}},
-		{"a living gateway is removed", WronglyRemoved, func(h *History) {
-			change(h, 1, 12*second, 14*second, holds(2, "gone"))
+		{"no fault", "", func(*History) {}},
+		{"a running gateway is removed", WronglyRemoved, func(h *History) {
+			editObservations(h, 1, 12*second, 14*second, setState(2, "gone"))
 		}},
-		{"with a single bad pair", WronglyRemoved, func(h *History) {
-			cut(h, []int{1}, []int{2}, 2*second, true)
-			change(h, 1, 14*second, 14*second, holds(2, "gone"))
+		{"a running gateway is removed and one pair is cut", WronglyRemoved, func(h *History) {
+			setCut(h, []int{1}, []int{2}, 2*second, true)
+			editObservations(h, 1, 14*second, 14*second, setState(2, "gone"))
 		}},
-		{"on a path that loses a tenth", WronglyRemoved, func(h *History) {
+		{"a running gateway is removed on a path that loses a tenth", WronglyRemoved, func(h *History) {
 			h.Path(1, 2, PathState{At: second, Loss: 0.1})
-			change(h, 1, 12*second, 14*second, holds(2, "gone"))
+			editObservations(h, 1, 12*second, 14*second, setState(2, "gone"))
 		}},
-		{"one that was stopped is removed", "", func(h *History) {
+		{"a stopped gateway is removed", "", func(h *History) {
 			h.Stopped(2, 8*second, true)
 			h.Stopped(2, 18*second, false)
-			change(h, 1, 12*second, 19*second, holds(2, "gone"))
+			editObservations(h, 1, 12*second, 19*second, setState(2, "gone"))
 		}},
-		{"one that is cut off is removed", "", func(h *History) {
-			cut(h, []int{2}, []int{0, 1, 3, 4}, 8*second, true)
-			cut(h, []int{2}, []int{0, 1, 3, 4}, 20*second, false)
-			change(h, 1, 14*second, 21*second, holds(2, "gone"))
-			change(h, 2, 18*second, 21*second, func(l *Observation) { l.Majority, l.Settled = false, false })
+		{"an isolated gateway is removed", "", func(h *History) {
+			setCut(h, []int{2}, []int{0, 1, 3, 4}, 8*second, true)
+			setCut(h, []int{2}, []int{0, 1, 3, 4}, 20*second, false)
+			editObservations(h, 1, 14*second, 21*second, setState(2, "gone"))
+			editObservations(h, 2, 18*second, 21*second, func(l *Observation) { l.Majority, l.Settled = false, false })
 		}},
-		{"one that is heard by none is removed", "", func(h *History) {
+		{"a gateway whose datagrams reach no other is removed", "", func(h *History) {
 			for o := range 5 {
 				if o != 2 {
 					h.Path(2, o, PathState{At: 5 * second, Cut: true})
 				}
 			}
-			change(h, 1, 14*second, 30*second, holds(2, "gone"))
+			editObservations(h, 1, 14*second, 30*second, setState(2, "gone"))
 		}},
-		{"one that loses half is removed for a while", "", func(h *History) {
-			lossy(h, 2, 0.5, 5*second, 20*second)
-			change(h, 1, 17*second, 25*second, holds(2, "gone"))
+		{"a gateway that loses half of its datagrams is removed for a while", "", func(h *History) {
+			addLoss(h, 2, 0.5, 5*second, 20*second)
+			editObservations(h, 1, 17*second, 25*second, setState(2, "gone"))
 		}},
-		{"and stays removed", Diverged, func(h *History) {
-			lossy(h, 2, 0.5, 5*second, 8*second)
-			change(h, 1, 10*second, 30*second, holds(2, "gone"))
+		{"a gateway stays removed after a period of loss", Diverged, func(h *History) {
+			addLoss(h, 2, 0.5, 5*second, 8*second)
+			editObservations(h, 1, 10*second, 30*second, setState(2, "gone"))
 		}},
-		{"a dead gateway is held alive", DeadHeldAlive, func(h *History) {
+		{"a dead gateway is considered alive", DeadHeldAlive, func(h *History) {
 			h.Ended(102, 3*second)
-			drop(h, 102, 3*second)
+			dropObservations(h, 102, 3*second)
 		}},
-		{"a dead gateway is held alive for seconds", "", func(h *History) {
+		{"a dead gateway is considered alive for a few seconds", "", func(h *History) {
 			h.Ended(102, 3*second)
-			drop(h, 102, 3*second)
+			dropObservations(h, 102, 3*second)
 			for _, g := range []int{0, 1, 3, 4} {
-				change(h, g, 11*second, 30*second, holds(2, "gone"))
+				editObservations(h, g, 11*second, 30*second, setState(2, "gone"))
 			}
 		}},
-		{"a suspicion that stays", Diverged, func(h *History) {
-			change(h, 3, 16*second, 30*second, holds(1, "suspect"))
+		{"a suspicion that does not end", Diverged, func(h *History) {
+			editObservations(h, 3, 16*second, 30*second, setState(1, "suspect"))
 		}},
-		{"a suspicion where datagrams get lost", "", func(h *History) {
+		{"a suspicion with datagram loss", "", func(h *History) {
 			h.Path(0, 4, PathState{At: -second, Loss: 0.1})
-			change(h, 3, 16*second, 30*second, holds(1, "suspect"))
+			editObservations(h, 3, 16*second, 30*second, setState(1, "suspect"))
 		}},
-		{"a duplicate name that nobody uses", Diverged, func(h *History) {
-			change(h, 3, 16*second, 30*second, func(l *Observation) { l.DuplicateName = true })
+		{"a duplicate name is reported without a duplicate", Diverged, func(h *History) {
+			editObservations(h, 3, 16*second, 30*second, func(l *Observation) { l.DuplicateName = true })
 		}},
-		{"a component is no majority and says so", "", func(h *History) { partition(h, false) }},
-		{"a component is no majority and says it is one", FalseMajority, func(h *History) { partition(h, true) }},
+		{"a component without a majority reports none", "", func(h *History) { partition(h, false) }},
+		{"a component without a majority reports one", FalseMajority, func(h *History) { partition(h, true) }},
 		{"an incarnation that goes back", IncarnationWentBack, func(h *History) {
-			change(h, 1, 9*second, 30*second, func(l *Observation) { l.Beliefs[2].Incarnation = 4 })
-			change(h, 1, 14*second, 30*second, func(l *Observation) { l.Beliefs[2].Incarnation = 3 })
+			editObservations(h, 1, 9*second, 30*second, func(l *Observation) { l.Beliefs[2].Incarnation = 4 })
+			editObservations(h, 1, 14*second, 30*second, func(l *Observation) { l.Beliefs[2].Incarnation = 3 })
 		}},
 		{"a later start with a lower incarnation", "", func(h *History) {
-			change(h, 1, 9*second, 30*second, func(l *Observation) { l.Beliefs[2].Incarnation = 4 })
-			change(h, 1, 14*second, 30*second, func(l *Observation) {
+			editObservations(h, 1, 9*second, 30*second, func(l *Observation) { l.Beliefs[2].Incarnation = 4 })
+			editObservations(h, 1, 14*second, 30*second, func(l *Observation) {
 				l.Beliefs[2] = Belief{State: "alive", Start: 5000, Incarnation: 1}
 			})
 		}},
 		{"an upgrade is seen as a leave", UpgradeNoticed, func(h *History) {
 			upgrade(h)
-			change(h, 1, 11*second, 11*second, holds(2, "left"))
+			editObservations(h, 1, 11*second, 11*second, setState(2, "left"))
 		}},
 		{"an upgrade is seen as a restart", UpgradeNoticed, func(h *History) {
 			upgrade(h)
-			change(h, 1, 11*second, 30*second, func(l *Observation) { l.Beliefs[2].Start++ })
+			editObservations(h, 1, 11*second, 30*second, func(l *Observation) { l.Beliefs[2].Start++ })
 		}},
-		{"an upgrade is taken for a leave for a moment", UpgradeNoticed, func(h *History) {
+		{"an upgrade is seen as a leave between two observations", UpgradeNoticed, func(h *History) {
 			upgrade(h)
-			change(h, 1, 11*second, 30*second, func(l *Observation) { l.Beliefs[2].Since = 10*second + second/2 })
+			editObservations(h, 1, 11*second, 30*second, func(l *Observation) { l.Beliefs[2].Since = 10*second + second/2 })
 		}},
-		{"an upgrade is taken for a leave for a moment, and datagrams get lost", UpgradeNoticed, func(h *History) {
-			lossy(h, 0, 0.1, 5*second, 20*second)
-			takenBack(h, "left", "")
+		{"an upgrade is seen as a leave between two observations, with datagram loss", UpgradeNoticed, func(h *History) {
+			addLoss(h, 0, 0.1, 5*second, 20*second)
+			correctedAfterUpgrade(h, "left", "")
 		}},
-		{"an upgraded gateway is suspected by one that hears it", UpgradeNoticed, func(h *History) {
-			cut(h, []int{4}, []int{2}, 9*second, true) // which did not raise the suspicion
-			takenBack(h, "suspect", "gateway-3")
+		{"an upgraded gateway is suspected by a member that receives its datagrams", UpgradeNoticed, func(h *History) {
+			setCut(h, []int{4}, []int{2}, 9*second, true) // gateway-4 did not raise the suspicion
+			correctedAfterUpgrade(h, "suspect", "gateway-3")
 		}},
-		{"an upgraded gateway is suspected by one that cannot hear it", "", func(h *History) {
-			cut(h, []int{4}, []int{2}, 9*second, true)
-			takenBack(h, "suspect", "gateway-4")
+		{"an upgraded gateway is suspected by a member cut off from it", "", func(h *History) {
+			setCut(h, []int{4}, []int{2}, 9*second, true)
+			correctedAfterUpgrade(h, "suspect", "gateway-4")
 		}},
-		{"an upgraded gateway is suspected by one that it cannot hear", "", func(h *History) {
+		{"an upgraded gateway is suspected by a member whose datagrams it cannot receive", "", func(h *History) {
 			h.Path(4, 2, PathState{At: 9 * second, Cut: true})
-			takenBack(h, "suspect", "")
+			correctedAfterUpgrade(h, "suspect", "")
 		}},
-		{"an upgraded gateway is suspected, and all hear it", UpgradeNoticed, func(h *History) {
-			takenBack(h, "suspect", "")
+		{"an upgraded gateway is suspected with all paths open", UpgradeNoticed, func(h *History) {
+			correctedAfterUpgrade(h, "suspect", "")
 		}},
-		{"an upgraded gateway is gone for a moment, and one cannot hear it", UpgradeNoticed, func(h *History) {
-			cut(h, []int{4}, []int{2}, 9*second, true)
-			takenBack(h, "gone", "gateway-4")
+		{"an upgraded gateway is gone for a moment, and one member is cut off from it", UpgradeNoticed, func(h *History) {
+			setCut(h, []int{4}, []int{2}, 9*second, true)
+			correctedAfterUpgrade(h, "gone", "gateway-4")
 		}},
-		{"an upgraded gateway is suspected where datagrams get lost", "", func(h *History) {
-			lossy(h, 0, 0.1, 5*second, 20*second)
-			takenBack(h, "suspect", "gateway-3")
+		{"an upgraded gateway is suspected, with datagram loss", "", func(h *History) {
+			addLoss(h, 0, 0.1, 5*second, 20*second)
+			correctedAfterUpgrade(h, "suspect", "gateway-3")
 		}},
-		{"an upgrade that nobody sees", "", upgrade},
-		{"one that was stopped removes another when it wakes", WronglyRemoved, func(h *History) {
+		{"an upgrade without a change in any view", "", upgrade},
+		{"a gateway removes another after it was stopped", WronglyRemoved, func(h *History) {
 			h.Stopped(2, 8*second, true)
 			h.Stopped(2, 18*second, false)
-			change(h, 2, 19*second, 20*second, holds(4, "gone"))
+			editObservations(h, 2, 19*second, 20*second, setState(4, "gone"))
 		}},
-		{"a leave that is told", "", func(h *History) { leave(h, "left") }},
-		{"a leave that is not told", LeaveNotSpread, func(h *History) { leave(h, "gone") }},
-		{"a stranger", UnknownMember, func(h *History) {
-			change(h, 1, 9*second, 9*second, func(l *Observation) { l.Strangers = 1 })
+		{"a leave is propagated", "", func(h *History) { leave(h, "left") }},
+		{"a leave is not propagated", LeaveNotPropagated, func(h *History) { leave(h, "gone") }},
+		{"an unknown member", UnknownMember, func(h *History) {
+			editObservations(h, 1, 9*second, 9*second, func(l *Observation) { l.Strangers = 1 })
 		}},
-		{"a name used twice, and nobody says so", DuplicateNameUnsaid, func(h *History) {
+		{"a duplicate name is not reported", DuplicateNameUnreported, func(h *History) {
 			h.Started(2, 900, 5*second, true, false)
 		}},
-		{"a name used twice, and said", "", func(h *History) {
+		{"a duplicate name is reported", "", func(h *History) {
 			h.Started(2, 900, 5*second, true, false)
-			change(h, 2, 8*second, 30*second, func(l *Observation) { l.DuplicateName = true })
+			editObservations(h, 2, 8*second, 30*second, func(l *Observation) { l.DuplicateName = true })
 		}},
-		{"a talker", OverBudget, func(h *History) {
-			change(h, 1, 5*second, 30*second, func(l *Observation) { l.Sent = uint64(l.At/second) * 6000 })
+		{"a gateway sends too much", OverBudget, func(h *History) {
+			editObservations(h, 1, 5*second, 30*second, func(l *Observation) { l.Sent = uint64(l.At/second) * 6000 })
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -211,7 +212,7 @@
 			found := make(map[string]bool)
 			for _, f := range Check(h) {
 				found[f.Rule] = true
-				// Some are two things at once.
+				// Some cases violate two rules.
 				also := c.rule == UpgradeNoticed && f.Rule == WronglyRemoved ||
 					c.rule == DeadHeldAlive && f.Rule == Diverged
 				if f.Rule != c.rule && !also {
@@ -219,7 +220,7 @@
 				}
 			}
 			if c.rule != "" && !found[c.rule] {
-				t.Error("not found")
+				t.Errorf("no finding for rule %q", c.rule)
 			}
 		})
 	}
@@ -227,26 +228,27 @@
 
 func leave(h *History, state string) {
 	h.Leaving(2, 14*second)
-	drop(h, 102, 14*second)
+	dropObservations(h, 102, 14*second)
 	for _, g := range []int{0, 1, 3, 4} {
-		change(h, g, 15*second, 30*second, holds(2, state))
+		editObservations(h, g, 15*second, 30*second, setState(2, state))
 	}
 }
 
-func drop(h *History, pid int, from time.Duration) {
+func dropObservations(h *History, pid int, from time.Duration) {
 	h.observations = slices.DeleteFunc(h.observations, func(l Observation) bool { return l.PID == pid && l.At >= from })
 }
 
-// partition has two gateways cut off from three, with observations that say so; lying has the two claim a majority.
+// partition cuts two gateways off from the other three and adjusts the observations. With lying the two report a
+// majority.
 func partition(h *History, lying bool) {
 	few, many := []int{3, 4}, []int{0, 1, 2}
-	cut(h, few, many, 3*second, true)
+	setCut(h, few, many, 3*second, true)
 	for g := range 5 {
 		other := few
 		if g >= 3 {
 			other = many
 		}
-		change(h, g, 10*second, 30*second, func(l *Observation) {
+		editObservations(h, g, 10*second, 30*second, func(l *Observation) {
 			for _, o := range other {
 				l.Beliefs[o].State = "gone"
 			}
@@ -256,11 +258,11 @@
 	}
 }
 
-// takenBack has a gateway hold the upgraded one for something else, raised by somebody, until a moment after the
-// upgrade.
-func takenBack(h *History, state, by string) {
+// correctedAfterUpgrade makes gateway-1 hold the given state of the upgraded gateway, raised by the
+// named member, until shortly after the upgrade.
+func correctedAfterUpgrade(h *History, state, by string) {
 	upgrade(h)
-	change(h, 1, 11*second, 30*second, func(l *Observation) {
+	editObservations(h, 1, 11*second, 30*second, func(l *Observation) {
 		l.Beliefs[2].Since, l.Beliefs[2].Previous, l.Beliefs[2].SuspectedBy = 10*second+second/2, state, by
 	})
 }
--- a/internal/lab/membershipcheck/truth.go
+++ b/internal/lab/membershipcheck/truth.go
@@ -5,62 +5,66 @@
 	"time"
 )
 
-// maxLoss is what a path may lose of the datagrams and still count as one that carries.
+// maxLoss is the share of lost datagrams up to which a path counts as intact.
 const maxLoss = 0.2
 
-// ran reports whether a gateway had a process that ran without a stop from a to b, hot restarts included.
-func (h *History) ran(gateway int, a, b time.Duration) bool { return h.lived(gateway, a, b, true) }
+// ranThroughout reports whether a gateway had a process, including successors of hot restarts, that ran from a to b
+// without being stopped.
+func (h *History) ranThroughout(gateway int, a, b time.Duration) bool {
+	return h.hadProcess(gateway, a, b, true)
+}
 
-// lived does so; where stops do not count it may have been stopped meanwhile.
-func (h *History) lived(gateway int, a, b time.Duration, stopsCount bool) bool {
+// hadProcess is ranThroughout if stopsCount is true; otherwise the process may have been stopped.
+func (h *History) hadProcess(gateway int, a, b time.Duration, stopsCount bool) bool {
 	at := a
 	for again := true; again; {
 		again = false
 		for _, p := range h.processes {
-			if p.gateway != gateway || p.duplicate || p.from > at || p.to != 0 && p.to <= at ||
-				stopsCount && p.stoppedWhileItRan(a, b) {
+			if p.gateway != gateway || p.duplicate || p.start > at || p.end != 0 && p.end <= at ||
+				stopsCount && p.stoppedWhileRunning(a, b) {
 				continue
 			}
-			if p.to == 0 || p.to >= b {
+			if p.end == 0 || p.end >= b {
 				return true
 			}
-			at, again = p.to, true
+			at, again = p.end, true
 		}
 	}
 	return false
 }
 
-// stoppedWhileItRan reports whether a stop overlaps the time from a to b and that from the process's begin to b.
-func (p *process) stoppedWhileItRan(a, b time.Duration) bool {
+// stoppedWhileRunning reports whether a stop overlaps both the period from a to b and the period from the process's
+// start to b.
+func (p *process) stoppedWhileRunning(a, b time.Duration) bool {
 	return slices.ContainsFunc(p.stops, func(stop interval) bool {
-		return stop.overlaps(a, b) && stop.overlaps(p.from, b)
+		return stop.overlaps(a, b) && stop.overlaps(p.start, b)
 	})
 }
 
-// absent reports whether a gateway had no process at all from a to b.
+// absent reports whether a gateway had no process at any moment from a to b.
 func (h *History) absent(gateway int, a, b time.Duration) bool {
 	return !slices.ContainsFunc(h.processes, func(p process) bool {
 		return p.gateway == gateway && p.lifetime().overlaps(a, b)
 	})
 }
 
-// duplicatedThroughout reports whether two processes that know nothing of each other used a name all the time from a to
-// b.
+// duplicatedThroughout reports whether two processes that do not know each other had the gateway's name during the
+// whole period from a to b.
 func (h *History) duplicatedThroughout(gateway int, a, b time.Duration) bool {
 	return slices.ContainsFunc(h.processes, func(p process) bool {
-		return p.gateway == gateway && p.duplicate && p.from <= a && (p.to == 0 || p.to >= b)
-	}) && h.ran(gateway, a, b)
+		return p.gateway == gateway && p.duplicate && p.start <= a && (p.end == 0 || p.end >= b)
+	}) && h.ranThroughout(gateway, a, b)
 }
 
-// duplicatedDuring reports whether a name was used twice at any moment from a to b.
+// duplicatedDuring reports whether two processes had the gateway's name at any moment from a to b.
 func (h *History) duplicatedDuring(gateway int, a, b time.Duration) bool {
 	return slices.ContainsFunc(h.processes, func(p process) bool {
 		return p.gateway == gateway && p.duplicate && p.lifetime().overlaps(a, b)
 	})
 }
 
-// carried reports whether a path carried from a to b without a break, losing at most a share.
-func (h *History) carried(from, to int, a, b time.Duration, most float64) bool {
+// intact reports whether a path was open from a to b without a break and lost at most the given share of datagrams.
+func (h *History) intact(from, to int, a, b time.Duration, most float64) bool {
 	ok := true
 	for _, state := range h.paths[[2]int{from, to}] {
 		if state.At >= b {
@@ -76,9 +80,9 @@
 	return ok
 }
 
-// carriedAny reports whether anything could come from one gateway to another from a to b.
-func (h *History) carriedAny(from, to int, a, b time.Duration) bool {
-	if !h.ran(from, a, b) {
+// mayCarry reports whether any datagram could get from one gateway to another from a to b.
+func (h *History) mayCarry(from, to int, a, b time.Duration) bool {
+	if !h.ranThroughout(from, a, b) {
 		return false
 	}
 	open := true
@@ -93,8 +97,8 @@
 	return open
 }
 
-// losesAny reports whether any path lost datagrams by chance from a to b.
-func (h *History) losesAny(a, b time.Duration) bool {
+// anyLoss reports whether any path dropped datagrams at random from a to b.
+func (h *History) anyLoss(a, b time.Duration) bool {
 	for _, states := range h.paths {
 		for i, state := range states {
 			if state.Loss > 0 && state.At <= b && (i+1 == len(states) || states[i+1].At >= a) {
@@ -105,13 +109,14 @@
 	return false
 }
 
-// disturbances are the moments at which something was done to gateways or to the paths between them.
+// disturbances returns the times at which a fault of a gateway or of a path between gateways started or ended, in
+// ascending order.
 func (h *History) disturbances() []time.Duration {
 	var out []time.Duration
 	for _, p := range h.processes {
-		out = append(out, p.from)
-		if p.to > 0 {
-			out = append(out, p.to)
+		out = append(out, p.start)
+		if p.end > 0 {
+			out = append(out, p.end)
 		}
 		for _, stop := range p.stops {
 			out = append(out, stop.from)
@@ -131,38 +136,40 @@
 	return slices.Compact(out)
 }
 
-// components are the parts of the cluster in which gateways heard each other both ways, by chains of pairs.
+// components divides the cluster into sets of gateways that could exchange datagrams in both directions, directly
+// or through other pairs.
 type components struct {
-	of     []int // by gateway, the number of its component; -1 where it did not run
-	direct []int // by gateway, how many others of its component it heard itself
+	component   []int // by gateway: number of its component; -1 if it did not run
+	directPeers []int // by gateway: number of gateways with which it could exchange datagrams directly
 }
 
-// components are those from a to b.
+// components returns the components during the period from a to b.
 func (h *History) components(a, b time.Duration) components {
-	return h.componentsDespiteStops(a, b, -1)
+	return h.componentsIgnoringStops(a, b, -1)
 }
 
-// componentsDespiteStops does so where stops of one gateway do not count: it heard nothing meanwhile, but it lived.
-func (h *History) componentsDespiteStops(a, b time.Duration, own int) components {
+// componentsIgnoringStops does the same but ignores stops of one gateway, which received nothing meanwhile but had
+// a process.
+func (h *History) componentsIgnoringStops(a, b time.Duration, own int) components {
 	c := components{make([]int, h.count), make([]int, h.count)}
 	runs := make([]bool, h.count)
-	for gateway := range c.of {
-		c.of[gateway], runs[gateway] = -1, h.lived(gateway, a, b, gateway != own)
+	for gateway := range c.component {
+		c.component[gateway], runs[gateway] = -1, h.hadProcess(gateway, a, b, gateway != own)
 	}
-	pair := func(x, y int) bool { return h.carried(x, y, a, b, maxLoss) && h.carried(y, x, a, b, maxLoss) }
-	for gateway := range c.of {
-		if !runs[gateway] || c.of[gateway] >= 0 {
+	pair := func(x, y int) bool { return h.intact(x, y, a, b, maxLoss) && h.intact(y, x, a, b, maxLoss) }
+	for gateway := range c.component {
+		if !runs[gateway] || c.component[gateway] >= 0 {
 			continue
 		}
-		c.of[gateway] = gateway
+		c.component[gateway] = gateway
 		for list := []int{gateway}; len(list) > 0; list = list[1:] {
-			for other := range c.of {
+			for other := range c.component {
 				if !runs[other] || other == list[0] || !pair(list[0], other) {
 					continue
 				}
-				c.direct[list[0]]++
-				if c.of[other] < 0 {
-					c.of[other] = gateway
+				c.directPeers[list[0]]++
+				if c.component[other] < 0 {
+					c.component[other] = gateway
 					list = append(list, other)
 				}
 			}
@@ -171,41 +178,45 @@
 	return c
 }
 
-// size is how many gateways a gateway's component has.
+// size returns the number of gateways in the gateway's component.
 func (c components) size(gateway int) (n int) {
-	for _, of := range c.of {
-		if of == c.of[gateway] {
+	for _, of := range c.component {
+		if of == c.component[gateway] {
 			n++
 		}
 	}
 	return n
 }
 
-// same reports whether two gateways ran and are of one component.
-func (c components) same(x, y int) bool { return c.of[x] >= 0 && c.of[x] == c.of[y] }
+// same reports whether two gateways ran and belong to the same component.
+func (c components) same(x, y int) bool {
+	return c.component[x] >= 0 && c.component[x] == c.component[y]
+}
 
-// wellConnected reports whether two gateways are of one component and each heard half of it itself.
+// wellConnected reports whether two gateways are in the same component and each could exchange datagrams directly
+// with at least half of its other members.
 func (c components) wellConnected(x, y int) bool {
 	if !c.same(x, y) {
 		return false
 	}
 	others := c.size(x) - 1
-	return 2*c.direct[x] >= others && 2*c.direct[y] >= others
+	return 2*c.directPeers[x] >= others && 2*c.directPeers[y] >= others
 }
 
-// connected reports whether two gateways could have heard each other, themselves or through most of the others, from a
-// to b.
+// connected reports whether two gateways could exchange datagrams from a to b, directly or through most of the
+// others.
 func (h *History) connected(x, y int, a, b time.Duration) bool {
 	return h.components(a, b).wellConnected(x, y)
 }
 
-// reachable reports whether a gateway had no reason to remove another one: that one ran and could be heard. Whether it
-// was itself stopped meanwhile does not count: who wakes up knows that it heard nothing.
+// reachable reports whether a gateway had no reason to remove another one, which ran and whose datagrams could
+// arrive. Stops of the observing gateway are ignored: a process that continues knows that it received nothing while
+// stopped.
 func (h *History) reachable(gateway, other int, a, b time.Duration) bool {
-	return h.componentsDespiteStops(a, b, gateway).wellConnected(gateway, other)
+	return h.componentsIgnoringStops(a, b, gateway).wellConnected(gateway, other)
 }
 
-// componentSize is how many gateways a gateway's component had from a to b.
+// componentSize returns the size of a gateway's component from a to b.
 func (h *History) componentSize(gateway int, a, b time.Duration) int {
 	return h.components(a, b).size(gateway)
 }
