--- a/internal/lab/assignmentsim/assignmentsim.go
+++ b/internal/lab/assignmentsim/assignmentsim.go
@@ -1,5 +1,6 @@
-// Package assignmentsim compares strategies of assigning endpoints to gateways, at sizes that no machine holds as
-// processes: how fair each is, and how much moves when a gateway or an endpoint goes.
+// Package assignmentsim compares strategies for assigning endpoints to gateways, for clusters larger than a machine
+// can run as processes. It measures how evenly each strategy distributes the load and how many assignments change
+// when a gateway or an endpoint is removed.
 package assignmentsim
 
 import (
@@ -10,49 +11,52 @@
 	"thymebend/internal/subset"
 )
 
-// Strategy is how endpoints are assigned. Its text is its name in reports.
+// Strategy is a way to assign endpoints. Its text is its name in reports.
 type Strategy string
 
-// The strategies.
+// The compared strategies.
 const (
-	ByRank        Strategy = "places"                 // subsets by the gateways' configured ranks
-	Unweighted    Strategy = "rendezvous"             // rendezvous hashing, traffic spread evenly over the subset
-	Fitted        Strategy = "shares"                 // the same with fitted weights
-	UnknownDemand Strategy = "shares, demand unknown" // the same where no gateway knows another's demand
+	ByRank Strategy = "places" // subsets by the gateways' configured ranks
+	// rendezvous hashing, traffic distributed evenly over the subset
+	Unweighted    Strategy = "rendezvous"
+	Fitted        Strategy = "shares"                 // rendezvous hashing with fitted weights
+	UnknownDemand Strategy = "shares, demand unknown" // the same without knowledge of the other gateways' demand
 )
 
-// Strategies lists them.
+// Strategies returns all strategies.
 func Strategies() []Strategy { return []Strategy{ByRank, Unweighted, Fitted, UnknownDemand} }
 
-// Case is a cluster.
+// Case defines a cluster.
 type Case struct {
 	Gateways, Endpoints int
-	Zipf                bool // traffic by rank to the power of -1, else even
-	Mixed               bool // endpoints of one, two and four cores, else alike
+	Zipf                bool // demand proportional to 1/rank instead of equal
+	Mixed               bool // endpoints of one, two and four cores instead of equal ones
 	Seed                uint64
 }
 
-// Of subsets by rank: so many gateways use an endpoint, and each gateway uses so many endpoints at least.
+// Parameters of subsets by rank: the number of gateways that use an endpoint, and the minimum number of endpoints
+// that a gateway uses.
 const (
 	usersPerEndpoint = 12
 	minEndpoints     = 2
 )
 
-// rule is that of a configuration that states none: the users of subsets by rank, and three times as many at most.
+// rule returns the rule of a configuration that specifies none: as many users per endpoint as subsets by rank, and
+// at most three times as many.
 func rule() assignment.Rule {
 	return assignment.Rule{Users: usersPerEndpoint, MaxUsers: 3 * usersPerEndpoint, MinEndpoints: minEndpoints}
 }
 
 type cluster struct {
-	gateways  []assignment.Gateway
-	ranks     []int // by place, as configured
-	size      int   // the configured count of gateways
-	endpoints []assignment.Endpoint
+	gateways       []assignment.Gateway
+	ranks          []int // by gateway index, as configured
+	configuredSize int   // configured number of gateways
+	endpoints      []assignment.Endpoint
 }
 
 func (c Case) cluster() cluster {
 	rng := rand.New(rand.NewPCG(c.Seed, 0x5a4e))
-	out := cluster{size: c.Gateways}
+	out := cluster{configuredSize: c.Gateways}
 	order := rng.Perm(c.Gateways)
 	for i := range c.Gateways {
 		demand := 1.0
@@ -72,11 +76,11 @@
 	return out
 }
 
-// weights are the share of its traffic that each gateway sends to each endpoint that it uses.
-type weights []map[uint64]float64
+// trafficWeights holds, by gateway index, the share of the gateway's traffic that each endpoint of its subset gets.
+type trafficWeights []map[uint64]float64
 
-// assign works out who uses whom.
-func (c cluster) assign(strategy Strategy) (weights, error) {
+// assign computes which gateway uses which endpoints, and with which weights.
+func (c cluster) assign(strategy Strategy) (trafficWeights, error) {
 	if strategy == ByRank {
 		return c.assignByRank(), nil
 	}
@@ -91,23 +95,23 @@
 	if err != nil {
 		return nil, err
 	}
-	out := make(weights, len(c.gateways))
+	out := make(trafficWeights, len(c.gateways))
 	for i, g := range c.gateways {
 		out[i] = make(map[uint64]float64)
 		list := assigned.Of(g.Name)
-		for _, one := range list {
-			if out[i][one.Endpoint] = one.Weight; strategy == Unweighted {
-				out[i][one.Endpoint] = 1 / float64(len(list))
+		for _, pair := range list {
+			if out[i][pair.Endpoint] = pair.Weight; strategy == Unweighted {
+				out[i][pair.Endpoint] = 1 / float64(len(list))
 			}
 		}
 	}
 	return out, nil
 }
 
-func (c cluster) assignByRank() weights {
-	out := make(weights, len(c.gateways))
+func (c cluster) assignByRank() trafficWeights {
+	out := make(trafficWeights, len(c.gateways))
 	all := len(c.endpoints)
-	subsetSize := min(float64(all), max(minEndpoints, usersPerEndpoint*float64(all)/float64(c.size)))
+	subsetSize := min(float64(all), max(minEndpoints, usersPerEndpoint*float64(all)/float64(c.configuredSize)))
 	for i, rank := range c.ranks {
 		out[i] = make(map[uint64]float64)
 		n := int(subset.RoundByRank(rank, subsetSize))
@@ -118,19 +122,20 @@
 	return out
 }
 
-// withoutGateway is the cluster after a gateway has gone. Who configures a smaller cluster numbers it anew.
+// withoutGateway returns the cluster after the removal of a gateway. The configuration of the smaller cluster
+// assigns all ranks again.
 func (c cluster) withoutGateway(gone int) cluster {
-	less := cluster{size: c.size - 1, endpoints: c.endpoints}
-	less.gateways = append(append([]assignment.Gateway(nil), c.gateways[:gone]...), c.gateways[gone+1:]...)
-	for i := range less.gateways {
-		less.ranks = append(less.ranks, i)
+	smaller := cluster{configuredSize: c.configuredSize - 1, endpoints: c.endpoints}
+	smaller.gateways = append(append([]assignment.Gateway(nil), c.gateways[:gone]...), c.gateways[gone+1:]...)
+	for i := range smaller.gateways {
+		smaller.ranks = append(smaller.ranks, i)
 	}
-	return less
+	return smaller
 }
 
-// withoutEndpoint is the cluster after an endpoint has gone.
+// withoutEndpoint returns the cluster after the removal of an endpoint.
 func (c cluster) withoutEndpoint(gone int) cluster {
-	less := c
-	less.endpoints = append(append([]assignment.Endpoint(nil), c.endpoints[:gone]...), c.endpoints[gone+1:]...)
-	return less
+	smaller := c
+	smaller.endpoints = append(append([]assignment.Endpoint(nil), c.endpoints[:gone]...), c.endpoints[gone+1:]...)
+	return smaller
 }
--- a/internal/lab/assignmentsim/assignmentsim_test.go
+++ b/internal/lab/assignmentsim/assignmentsim_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Guards against figures that do not tell strategies apart: fitted weights are the fairest, and rendezvous hashing
-// moves fewer pairs than ranks when a gateway goes.
-func TestFiguresTellStrategiesApart(t *testing.T) {
+// Guards against figures that do not distinguish the strategies: fitted weights must have the lowest relative load, and
+// rendezvous hashing must change fewer pairs than ranks when a gateway is removed.
+func TestFiguresDistinguishStrategies(t *testing.T) {
 	figures := make(map[Strategy]Figures)
 	for _, strategy := range Strategies() {
 		f, err := Measure(Case{Gateways: 30, Endpoints: 20, Zipf: true, Mixed: true, Seed: 1}, strategy)
@@ -12,7 +12,7 @@
 			t.Fatal(err)
 		}
 		if f.Pairs == 0 || f.MaxUsers == 0 || f.MaxUsers > 36 {
-			t.Errorf("%s: %+v", strategy, f)
+			t.Errorf("%s: want pairs and 1 to 36 users per endpoint: %+v", strategy, f)
 		}
 		figures[strategy] = f
 	}
@@ -23,6 +23,7 @@
 		}
 	}
 	if figures[ByRank].GatewayGone <= fitted.GatewayGone {
-		t.Errorf("a gateway goes: %.1f by rank, %.1f fitted", figures[ByRank].GatewayGone, fitted.GatewayGone)
+		t.Errorf("changed pairs per pair of a removed gateway: %.1f by rank, %.1f fitted",
+			figures[ByRank].GatewayGone, fitted.GatewayGone)
 	}
 }
--- a/internal/lab/assignmentsim/measure.go
+++ b/internal/lab/assignmentsim/measure.go
@@ -2,39 +2,41 @@
 
 import "time"
 
-// utilisation is the demand over the capacity of the whole cluster for which Figures.Rejected holds.
+// utilisation is the ratio of total demand to total capacity for which Figures.Rejected is computed.
 const utilisation = 0.8
 
-// Figures are what a strategy comes to.
+// Figures are the measurements of one strategy.
 type Figures struct {
-	RelativeLoad float64       // largest load of an endpoint for its capacity, over the mean
-	Rejected     float64       // share of the demand that finds no room, where all demand is 0.8 of all capacity
-	Pairs        int           // of gateways and endpoints
-	MaxUsers     int           // of one endpoint
-	GatewayGone  float64       // pairs of others that move when a gateway goes, over the pairs that it had
-	EndpointGone float64       // the same for an endpoint
-	Took         time.Duration // to assign once, on this machine
+	RelativeLoad float64 // highest ratio of load to capacity of an endpoint, relative to the mean
+	// share of the demand above endpoint capacity when total demand is 0.8 of total capacity
+	Rejected float64
+	Pairs    int // pairs of a gateway and an endpoint that it uses
+	MaxUsers int // maximum number of gateways that use one endpoint
+	// pairs of other gateways that change when a gateway is removed, per pair of that gateway
+	GatewayGone  float64
+	EndpointGone float64       // the same for the removal of an endpoint
+	Took         time.Duration // time for one assignment, on this machine
 }
 
-// Measure assigns endpoints by a strategy and looks at what comes of it.
+// Measure assigns the endpoints of a cluster by a strategy and measures the result.
 func Measure(c Case, strategy Strategy) (Figures, error) {
-	whole := c.cluster()
+	cluster := c.cluster()
 	began := time.Now()
-	used, err := whole.assign(strategy)
+	used, err := cluster.assign(strategy)
 	out := Figures{Took: time.Since(began)}
 	if err != nil {
 		return out, err
 	}
-	users := whole.measureLoad(used, &out)
-	if out.GatewayGone, err = whole.measureGatewayGone(strategy, used, c.Gateways/3); err != nil {
+	users := cluster.measureLoad(used, &out)
+	if out.GatewayGone, err = cluster.measureGatewayGone(strategy, used, c.Gateways/3); err != nil {
 		return out, err
 	}
-	out.EndpointGone, err = whole.measureEndpointGone(strategy, used, users, c.Endpoints/3)
+	out.EndpointGone, err = cluster.measureEndpointGone(strategy, used, users, c.Endpoints/3)
 	return out, err
 }
 
-// measureLoad measures how fair an assignment is, and returns the users of each endpoint.
-func (c cluster) measureLoad(used weights, out *Figures) map[uint64]int {
+// measureLoad measures how evenly the load is distributed, and returns the number of users of each endpoint.
+func (c cluster) measureLoad(used trafficWeights, out *Figures) map[uint64]int {
 	demand, capacity := 0.0, 0.0
 	for _, g := range c.gateways {
 		demand += g.Demand
@@ -44,7 +46,7 @@
 	}
 	load, users := make(map[uint64]float64), make(map[uint64]int)
 	for i, g := range c.gateways {
-		for _, e := range c.endpoints { // in order: sums of numbers must not depend on it
+		for _, e := range c.endpoints { // in a fixed order: floating-point sums depend on it
 			if weight, ok := used[i][e.ID]; ok {
 				load[e.ID] += weight * g.Demand / demand
 				users[e.ID]++
@@ -60,8 +62,9 @@
 	return users
 }
 
-// measureGatewayGone is how many pairs of others move when a gateway goes, over the pairs that it had.
-func (c cluster) measureGatewayGone(strategy Strategy, used weights, gone int) (float64, error) {
+// measureGatewayGone returns the number of pairs of other gateways that change when a gateway is removed, divided
+// by the pairs of that gateway.
+func (c cluster) measureGatewayGone(strategy Strategy, used trafficWeights, gone int) (float64, error) {
 	after, err := c.withoutGateway(gone).assign(strategy)
 	if err != nil {
 		return 0, err
@@ -72,14 +75,15 @@
 		if i >= gone {
 			before++
 		}
-		moved += differing(used[before], after[i])
+		moved += countDifferences(used[before], after[i])
 	}
 	return float64(moved) / max(1, float64(len(used[gone]))), nil
 }
 
-// measureEndpointGone is how many pairs with other endpoints move when an endpoint goes, over the pairs that it had. It
-// takes the endpoint out of used.
-func (c cluster) measureEndpointGone(strategy Strategy, used weights, users map[uint64]int, gone int) (float64, error) {
+// measureEndpointGone returns the number of pairs with other endpoints that change when an endpoint is removed,
+// divided by the pairs of that endpoint. It deletes the endpoint from used.
+func (c cluster) measureEndpointGone(strategy Strategy, used trafficWeights, users map[uint64]int,
+	gone int) (float64, error) {
 	after, err := c.withoutEndpoint(gone).assign(strategy)
 	if err != nil {
 		return 0, err
@@ -88,13 +92,13 @@
 	moved := 0
 	for i := range after {
 		delete(used[i], lost)
-		moved += differing(used[i], after[i])
+		moved += countDifferences(used[i], after[i])
 	}
 	return float64(moved) / max(1, float64(users[lost])), nil
 }
 
-// differing counts the endpoints that one of two has and the other has not.
-func differing(a, b map[uint64]float64) (n int) {
+// countDifferences returns the number of endpoints that are in only one of the two maps.
+func countDifferences(a, b map[uint64]float64) (n int) {
 	for endpoint := range a {
 		if _, ok := b[endpoint]; !ok {
 			n++
--- a/internal/lab/membershipsim/convergence.go
+++ b/internal/lab/membershipsim/convergence.go
@@ -8,17 +8,18 @@
 	"thymebend/internal/gossipcodec"
 )
 
-// convergenceStep is how often RunUntilConverged checks.
+// convergenceStep is the interval at which RunUntilConverged checks the views.
 const convergenceStep = 50 * time.Millisecond
 
-// StateOf is what a node believes of another: its state, and whether it knows it at all.
+// StateOf returns the state in which node n's view holds another node, and whether the view contains that node.
 func (s *Sim) StateOf(n, other int) (gossipcodec.State, bool) {
 	m, known := s.Nodes[n].Membership.Find(s.Nodes[other].Name)
 	return m.State, known
 }
 
-// Divergence names something in which what a running node believes is not the truth, or is empty. It begins with the
-// node that diverged last, which is likely to diverge still.
+// Divergence describes one difference between a running node's view and the actual state of the cluster. It returns
+// an empty text if there is none. It checks the node that diverged last first, because that one most likely still
+// does.
 func (s *Sim) Divergence() string {
 	for i := range s.Nodes {
 		n := (s.lastDiverged + i) % len(s.Nodes)
@@ -53,14 +54,14 @@
 	return ""
 }
 
-// RunUntilConverged runs until all nodes believe the truth, at most for so long, and returns how long that took; ok is
-// false if they do not by then.
-func (s *Sim) RunUntilConverged(most time.Duration) (took time.Duration, ok bool) {
-	for took = 0; took <= most && !s.Interrupted(); took += convergenceStep {
+// RunUntilConverged runs until the views of all running nodes are correct, for at most limit, and returns the time
+// that took. ok is false if some view is still wrong, or the run was interrupted.
+func (s *Sim) RunUntilConverged(limit time.Duration) (took time.Duration, ok bool) {
+	for took = 0; took <= limit && !s.Interrupted(); took += convergenceStep {
 		if s.Divergence() == "" {
 			return took, true
 		}
 		s.Run(s.Now() + convergenceStep)
 	}
-	return most, false
+	return limit, false
 }
--- a/internal/lab/membershipsim/event_queue.go
+++ b/internal/lab/membershipsim/event_queue.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// event is something that happens at a time. order tells events of one moment apart: first come, first served.
+// event is an action at a time of the run. Events with the same time run in ascending order.
 type event struct {
 	at    time.Duration
 	order uint64
@@ -13,10 +13,11 @@
 	return e.at < other.at || e.at == other.at && e.order < other.order
 }
 
-// queueArity is the number of children of a node of the heap: four keep it flat, and siblings side by side.
+// queueArity is the number of children of a heap node: four keep the heap flat and siblings adjacent in memory.
 const queueArity = 4
 
-// queue is a heap of events, the earliest first. It holds them by value: a run has millions of them.
+// queue is a heap of events with the earliest at the root. It stores events by value, because a run has millions of
+// them.
 type queue struct{ list []event }
 
 func (q *queue) len() int { return len(q.list) }
@@ -44,36 +45,36 @@
 	q.list[last] = event{}
 	q.list = q.list[:last]
 	if last > 0 {
-		q.sink(moved)
+		q.replaceRoot(moved)
 	}
 	return first
 }
 
-// sink puts an event in place of the first one.
-func (q *queue) sink(e event) {
+// replaceRoot replaces the root by an event and moves that event down to its position.
+func (q *queue) replaceRoot(e event) {
 	at := 0
 	for {
-		least := q.leastChild(at)
-		if least < 0 || !q.list[least].before(&e) {
+		child := q.earliestChild(at)
+		if child < 0 || !q.list[child].before(&e) {
 			break
 		}
-		q.list[at] = q.list[least]
-		at = least
+		q.list[at] = q.list[child]
+		at = child
 	}
 	q.list[at] = e
 }
 
-// leastChild is the place of the earliest child, or -1 if there is none.
-func (q *queue) leastChild(parent int) int {
+// earliestChild returns the index of a heap node's earliest child, or -1 if it has none.
+func (q *queue) earliestChild(parent int) int {
 	first := parent*queueArity + 1
 	if first >= len(q.list) {
 		return -1
 	}
-	least := first
+	earliest := first
 	for child := first + 1; child < min(first+queueArity, len(q.list)); child++ {
-		if q.list[child].before(&q.list[least]) {
-			least = child
+		if q.list[child].before(&q.list[earliest]) {
+			earliest = child
 		}
 	}
-	return least
+	return earliest
 }
--- a/internal/lab/membershipsim/heartbeats.go
+++ b/internal/lab/membershipsim/heartbeats.go
@@ -13,36 +13,37 @@
 	"thymebend/internal/membership"
 )
 
-// Heartbeats is the baseline: each node tells every other one every beat that it lives, and judges each alone by how
-// unlikely its present silence is after the intervals seen so far (phi-accrual, Hayashibara and others, 2004).
+// Heartbeats is the baseline protocol. Each node sends a heartbeat to every other node at a fixed interval. It
+// judges each peer by how improbable the time since its last heartbeat is, given the recent intervals between its
+// heartbeats (phi-accrual failure detection, Hayashibara and others, 2004).
 type Heartbeats struct {
 	name     string
 	start    uint64
-	peers    []*peer // by name
+	peers    []*peer // sorted by name
 	byName   map[string]*peer
 	byAddr   map[netip.AddrPort]*peer
 	nextBeat time.Duration
 	out      []membership.Datagram
 	counts   membership.Counts
-	left     bool
+	leaving  bool
 }
 
 type peer struct {
 	membership.Member
-	lastHeard time.Duration
-	intervals []float64 // seconds, the last ones
+	lastReceived time.Duration
+	intervals    []float64 // in seconds, the most recent ones
 }
 
-// Figures of the baseline: a beat as often as a membership probes, and the usual threshold.
+// Parameters of the baseline: as many heartbeats per second as membership sends probes, and the usual threshold.
 const (
 	heartbeatInterval = 400 * time.Millisecond
 	phiThreshold      = 8.0
 	intervalWindow    = 20
-	minDeviation      = 0.1 // seconds of standard deviation, at least
-	firstInterval     = 0.4 // seconds, before intervals are known
+	minDeviation      = 0.1 // minimum standard deviation in seconds
+	firstInterval     = 0.4 // mean in seconds until the first interval is known
 )
 
-// NewHeartbeats starts one with the seed peers.
+// NewHeartbeats returns a node of the baseline protocol that knows the seed peers.
 func NewHeartbeats(cfg membership.Config, now time.Duration) *Heartbeats {
 	h := &Heartbeats{name: cfg.Name, start: cfg.Start, byName: make(map[string]*peer),
 		byAddr: make(map[netip.AddrPort]*peer), nextBeat: now}
@@ -50,9 +51,9 @@
 		if p.Name == cfg.Name {
 			continue
 		}
-		q := &peer{Member: membership.Member{Name: p.Name, Addr: p.Addr, State: gossipcodec.Gone, StateSince: now}}
-		h.peers = append(h.peers, q)
-		h.byName[p.Name], h.byAddr[p.Addr] = q, q
+		added := &peer{Member: membership.Member{Name: p.Name, Addr: p.Addr, State: gossipcodec.Gone, StateSince: now}}
+		h.peers = append(h.peers, added)
+		h.byName[p.Name], h.byAddr[p.Addr] = added, added
 	}
 	slices.SortFunc(h.peers, func(a, b *peer) int { return cmp.Compare(a.Name, b.Name) })
 	return h
@@ -60,12 +61,12 @@
 
 // Advance implements Protocol.
 func (h *Heartbeats) Advance(now time.Duration) {
-	if now < h.nextBeat || h.left {
+	if now < h.nextBeat || h.leaving {
 		return
 	}
 	h.nextBeat = now + heartbeatInterval
 	beat := binary.AppendUvarint([]byte{1}, h.start)
-	beat = append(beat, 5) // as much as a small payload
+	beat = append(beat, 5) // pads the heartbeat to the size of one with a small payload
 	for _, p := range h.peers {
 		h.out = append(h.out, membership.Datagram{To: p.Addr, Data: beat})
 		h.counts.Sent++
@@ -75,9 +76,10 @@
 	}
 }
 
-// phi is the negative logarithm of the chance that a beat still comes after such a silence.
+// phi returns the negative decimal logarithm of the probability that a heartbeat arrives after a silence as long as
+// the present one.
 func (p *peer) phi(now time.Duration) float64 {
-	mean, spread := firstInterval, minDeviation
+	mean, deviation := firstInterval, minDeviation
 	if n := len(p.intervals); n > 0 {
 		sum, squares := 0.0, 0.0
 		for _, v := range p.intervals {
@@ -85,16 +87,16 @@
 			squares += v * v
 		}
 		mean = sum / float64(n)
-		spread = max(minDeviation, math.Sqrt(max(0, squares/float64(n)-mean*mean)))
+		deviation = max(minDeviation, math.Sqrt(max(0, squares/float64(n)-mean*mean)))
 	}
-	z := ((now - p.lastHeard).Seconds() - mean) / spread
+	z := ((now - p.lastReceived).Seconds() - mean) / deviation
 	return -math.Log10(max(1e-300, 0.5*math.Erfc(z/math.Sqrt2)))
 }
 
 // Receive implements Protocol.
 func (h *Heartbeats) Receive(now time.Duration, from netip.AddrPort, data []byte) {
 	p := h.byAddr[from]
-	if p == nil || h.left || len(data) < 2 {
+	if p == nil || h.leaving || len(data) < 2 {
 		return
 	}
 	start, _ := binary.Uvarint(data[1:])
@@ -108,11 +110,11 @@
 		p.intervals, p.Start = nil, start
 		p.StateSince = now
 	default:
-		if p.intervals = append(p.intervals, (now - p.lastHeard).Seconds()); len(p.intervals) > intervalWindow {
+		if p.intervals = append(p.intervals, (now - p.lastReceived).Seconds()); len(p.intervals) > intervalWindow {
 			p.intervals = p.intervals[1:]
 		}
 	}
-	p.State, p.lastHeard = gossipcodec.Alive, now
+	p.State, p.lastReceived = gossipcodec.Alive, now
 }
 
 // Take implements Protocol.
@@ -161,7 +163,7 @@
 	}
 }
 
-// Status implements Protocol: it knows only how many it holds alive.
+// Status implements Protocol. It only fills in the fields that follow from the number of alive peers.
 func (h *Heartbeats) Status(time.Duration) membership.Status {
 	s := membership.Status{Alive: 1, Known: len(h.peers) + 1, AnsweredShare: 1}
 	for _, p := range h.peers {
@@ -178,7 +180,7 @@
 
 // Leave implements Protocol.
 func (h *Heartbeats) Leave(time.Duration) {
-	h.left = true
+	h.leaving = true
 	for _, p := range h.peers {
 		h.out = append(h.out, membership.Datagram{To: p.Addr, Data: []byte{0, 0}})
 	}
--- a/internal/lab/membershipsim/measure.go
+++ b/internal/lab/membershipsim/measure.go
@@ -9,45 +9,47 @@
 	"thymebend/internal/membership"
 )
 
-// Case is a cluster of one size under one set of faults.
+// Case is a cluster size and a set of faults.
 type Case struct {
 	Seed     uint64
 	Nodes    int
-	Loss     float64               // share of the datagrams
-	Stalls   bool                  // a tenth of the nodes stopped for 2 s in every 10 over the quiet stretch
-	Heal     bool                  // a partition at the end
-	Baseline bool                  // heartbeats in place of memberships
-	Without  membership.Refinement // left out
+	Loss     float64               // share of lost datagrams
+	Stalls   bool                  // a tenth of the nodes is stopped for 2 s in every 10 s of the quiet period
+	Heal     bool                  // the run ends with a partition that heals
+	Baseline bool                  // nodes run Heartbeats instead of membership
+	Without  membership.Refinement // refinement of membership that is switched off
 }
 
-// Figures are what a cluster of one size does under one set of faults.
+// Figures are the measurements of one Case.
 type Figures struct {
-	Nodes        int
-	Loss         float64
-	Stalls       bool
-	Crash        []time.Duration // until the last of the others holds the one that died for gone, one for each death
-	Join         []time.Duration // until all hold a newcomer alive
-	Heal         time.Duration   // after a half-and-half partition of 60 s; 0 if it was not played
-	FalseDoubts  int             // suspicions of living nodes that ran, over the quiet stretch
-	FalseRemoval int             // living nodes held for gone by somebody, over the quiet stretch
-	Quiet        time.Duration   // length of that stretch
-	Rest         float64         // bytes a second and node over it, IP and UDP included
-	Most         float64         // the node that sent most over it
-	CPU          float64         // processor seconds of a membership in a second over it, by this machine's clock
-	Partial      bool            // the run was interrupted: what came later is missing
+	Nodes       int
+	Loss        float64
+	Stalls      bool
+	Crash       []time.Duration // for each crash, the time until all other nodes consider the node gone
+	Join        []time.Duration // for each join, the time until all nodes consider the new node alive
+	Heal        time.Duration   // time to converge after a partition into halves of 60 s; 0 if there was none
+	FalseDoubts int             // suspicions of running nodes in the quiet period
+	// nodes with a process that another node considers gone in the quiet period, summed over all checks
+	FalseRemoval int
+	Quiet        time.Duration // length of the quiet period
+	Rest         float64       // mean bytes per second and node in the quiet period, with IP and UDP headers
+	Most         float64       // bytes per second of the node that sent most in the quiet period
+	// processor seconds of a node's protocol per second of the quiet period, on this machine
+	CPU     float64
+	Partial bool // the run was interrupted; the later measurements are missing
 }
 
-// Times of a measurement.
+// Durations and the number of crashes of a measurement.
 const (
 	quietLength              = 60 * time.Second
 	removalCheckInterval     = 250 * time.Millisecond // for false removals
 	convergenceCheckInterval = 20 * time.Millisecond  // for crashes and joins
-	convergenceTimeout       = 30 * time.Second       // for a crash or join to be known
+	convergenceTimeout       = 30 * time.Second       // for all nodes to notice a crash or join
 	crashes                  = 5
 )
 
-// Measure plays a cluster: joins all, watches a quiet stretch with loss and stalls, then crashes and joins, then a
-// partition. Once ctx is done it returns what it has.
+// Measure runs a cluster: all nodes join, then it measures a quiet period with loss and stalls, crashes and joins,
+// and finally a partition. Once ctx is done it returns the measurements taken so far.
 func Measure(ctx context.Context, c Case) Figures {
 	f := Figures{Nodes: c.Nodes, Loss: c.Loss, Stalls: c.Stalls}
 	s := New(c.Seed, c.Nodes)
@@ -71,7 +73,7 @@
 	return f
 }
 
-// measureHeal measures until all know of all after a half-and-half partition.
+// measureHeal measures the time to converge after a partition into halves.
 func (s *Sim) measureHeal(f *Figures) {
 	half := len(s.Nodes) / 2
 	s.Net.Loss = 0
@@ -81,7 +83,7 @@
 	f.Heal, _ = s.RunUntilConverged(60 * time.Second)
 }
 
-// scheduleStalls stops a tenth of the nodes for 2 s in every 10 s of the quiet stretch that begins now.
+// scheduleStalls stops a tenth of the nodes for 2 s in every 10 s of the quiet period, which starts now.
 func (s *Sim) scheduleStalls() {
 	begin := s.Now()
 	for at := begin; at < begin+quietLength-4*time.Second; at += 10 * time.Second {
@@ -92,7 +94,7 @@
 	}
 }
 
-// measureQuiet watches the stretch in which nobody dies.
+// measureQuiet measures false suspicions, false removals, traffic and processor time over a period without crashes.
 func (s *Sim) measureQuiet(c Case, f *Figures) {
 	begin := s.Now()
 	if c.Stalls {
@@ -103,11 +105,11 @@
 	alarms := s.falseAlarms()
 	for s.Now() < begin+quietLength && !s.Interrupted() {
 		s.Run(s.Now() + removalCheckInterval)
-		f.FalseRemoval += s.falselyGone()
+		f.FalseRemoval += s.falseRemovals()
 	}
 	f.Quiet = s.Now() - begin
 	if f.Quiet <= 0 {
-		return // interrupted before it began
+		return // interrupted before the quiet period
 	}
 	f.FalseDoubts = s.falseAlarms() - alarms
 	used := time.Duration(0)
@@ -124,34 +126,34 @@
 	f.Rest = float64(total) / float64(c.Nodes) / f.Quiet.Seconds()
 }
 
-// measureCrashAndJoin kills a node and starts it again, and measures until all know of either.
+// measureCrashAndJoin kills a node and starts it again, and measures the time until all nodes have noticed each.
 func (s *Sim) measureCrashAndJoin(node int, f *Figures) {
 	s.Kill(node)
-	took, ok := s.waitUntilAllHold(node, gossipcodec.Gone)
+	took, ok := s.waitForState(node, gossipcodec.Gone)
 	if !ok {
 		return
 	}
 	f.Crash = append(f.Crash, took)
 	s.Start(node)
-	if took, ok = s.waitUntilAllHold(node, gossipcodec.Alive); !ok {
+	if took, ok = s.waitForState(node, gossipcodec.Alive); !ok {
 		return
 	}
 	f.Join = append(f.Join, took)
 	s.Run(s.Now() + 2*time.Second)
 }
 
-// waitUntilAllHold runs until all others hold a node in a state, or for convergenceTimeout; ok is false if it was
-// interrupted.
-func (s *Sim) waitUntilAllHold(node int, state gossipcodec.State) (took time.Duration, ok bool) {
+// waitForState runs until all other nodes hold a node in the given state, for at most convergenceTimeout. ok is
+// false if the run was interrupted.
+func (s *Sim) waitForState(node int, state gossipcodec.State) (took time.Duration, ok bool) {
 	begin := s.Now()
-	for s.Now() < begin+convergenceTimeout && !s.Interrupted() && !s.allHold(node, state) {
+	for s.Now() < begin+convergenceTimeout && !s.Interrupted() && !s.allHaveState(node, state) {
 		s.Run(s.Now() + convergenceCheckInterval)
 	}
 	return s.Now() - begin, !s.Interrupted()
 }
 
-// allHold reports whether every living node but one itself holds that one in a state.
-func (s *Sim) allHold(node int, state gossipcodec.State) bool {
+// allHaveState reports whether every other running node holds a node in the given state.
+func (s *Sim) allHaveState(node int, state gossipcodec.State) bool {
 	for n, other := range s.Nodes {
 		if n == node || !other.running() {
 			continue
@@ -163,8 +165,8 @@
 	return true
 }
 
-// falselyGone counts living nodes that somebody holds for gone.
-func (s *Sim) falselyGone() int {
+// falseRemovals returns the number of nodes that have a process but are considered gone by a running node.
+func (s *Sim) falseRemovals() int {
 	gone := make([]bool, len(s.Nodes))
 	for _, node := range s.Nodes {
 		if !node.running() {
@@ -185,7 +187,7 @@
 	return count
 }
 
-// falseAlarms is how often living nodes had to refute.
+// falseAlarms returns how often the present processes have refuted a suspicion of themselves.
 func (s *Sim) falseAlarms() int {
 	sum := 0
 	for _, node := range s.Nodes {
--- a/internal/lab/membershipsim/network.go
+++ b/internal/lab/membershipsim/network.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	headerBytes     = 28  // of IP and UDP
-	socketDatagrams = 500 // that wait for a stopped process; further ones are lost
+	headerBytes     = 28  // IP and UDP headers
+	socketDatagrams = 500 // capacity of a stopped process's socket; further datagrams are lost
 )
 
-// Net is how datagrams fare.
+// Net is the condition of the network.
 type Net struct {
 	Latency, Jitter time.Duration
 	Loss, Duplicate float64                          // shares of the datagrams
-	Cut             func(from, to int) bool          // nil is no cut
-	ExtraLatency    func(from, to int) time.Duration // between two nodes; nil is none
+	Cut             func(from, to int) bool          // reports whether datagrams are dropped; nil: none are
+	ExtraLatency    func(from, to int) time.Duration // added between two nodes; nil: none
 }
 
-// delivery is a datagram that has arrived.
+// delivery is a datagram that has arrived at a node.
 type delivery struct {
 	from netip.AddrPort
 	data []byte
 }
 
-// transmit puts a node's datagrams on the network.
+// transmit sends the datagrams that a node's protocol has queued.
 func (s *Sim) transmit(n int) {
 	from := s.Nodes[n]
 	for _, d := range from.Membership.Take() {
@@ -49,7 +49,7 @@
 	}
 }
 
-// delay draws how long a datagram takes.
+// delay draws the transit time of a datagram.
 func (s *Sim) delay(from, to int) time.Duration {
 	delay := s.Net.Latency
 	if s.Net.Jitter > 0 {
--- a/internal/lab/membershipsim/node.go
+++ b/internal/lab/membershipsim/node.go
@@ -11,40 +11,40 @@
 )
 
 const (
-	// minWakeDelay is between two calls of a membership by time.
+	// minWakeDelay is the minimum time between two timer calls of a node's protocol.
 	minWakeDelay = 100 * time.Microsecond
-	// incarnationCheckCalls is how many calls pass between checks of incarnations.
+	// incarnationCheckCalls is the number of calls between two checks of incarnations.
 	incarnationCheckCalls = 16
 )
 
-// Node is one gateway's place in the cluster.
+// Node is one member of the cluster and, while it runs, its process.
 type Node struct {
 	Name       string
 	Membership Protocol // nil while no process runs
 	Starts     int
 
 	addr        netip.AddrPort
-	payload     []byte // what it spreads of itself
-	generation  int    // grows with each start and end of a process
-	stopped     bool   // SIGSTOP: nothing is done, what comes waits
+	payload     []byte // published to the other nodes
+	generation  int    // incremented at each start and end of a process
+	stopped     bool   // by SIGSTOP: no calls are made, and datagrams queue in waiting
 	waiting     []delivery
-	wakePending bool // a wake-up waits for SIGCONT
+	wakePending bool // a timer call is due at SIGCONT
 	wakeAt      time.Duration
-	highest     []process // the highest claim seen of each node, by its number
+	highest     []process // by node number: the highest start and incarnation that this node has held
 }
 
-// process is a process of a node as claims order them.
+// process identifies a process of a node by its start; incarnation orders that process's claims.
 type process struct{ start, incarnation uint64 }
 
-// Running reports whether a node's process lives and is not stopped.
+// Running reports whether a node has a process that is not stopped.
 func (s *Sim) Running(n int) bool { return s.Nodes[n].running() }
 
 func (n *Node) running() bool { return n.Membership != nil && !n.stopped }
 
-// SetPayload has a node spread a payload of itself from its next start on.
+// SetPayload sets the payload that a node publishes from its next start on.
 func (s *Sim) SetPayload(n int, payload []byte) { s.Nodes[n].payload = payload }
 
-// Start starts a node's process, which knows the seed peers alone.
+// Start starts a node's process, which knows only the seed peers.
 func (s *Sim) Start(n int) {
 	node := s.Nodes[n]
 	if node.Membership != nil {
@@ -53,7 +53,7 @@
 	cfg := membership.Config{
 		Cluster:   "sim",
 		Name:      node.Name,
-		Start:     uint64((s.now - s.clockBack).Milliseconds()),
+		Start:     uint64((s.now - s.clockOffset).Milliseconds()),
 		SeedPeers: s.seedPeers,
 		Flat:      s.Flat,
 		Payload:   node.payload,
@@ -64,7 +64,7 @@
 	} else {
 		m, err := membership.New(cfg, s.now, membership.Without(s.Without))
 		if err != nil {
-			panic(err) // names and seed peers are ours
+			panic(err) // names and seed peers are generated and valid
 		}
 		node.Membership = m
 	}
@@ -75,13 +75,13 @@
 	s.afterCall(n)
 }
 
-// Kill ends a node's process without a word.
+// Kill ends a node's process without notifying the others.
 func (s *Sim) Kill(n int) {
 	s.Nodes[n].Membership = nil
 	s.Nodes[n].generation++
 }
 
-// Leave ends it as SIGTERM does.
+// Leave ends a node's process in order, as SIGTERM does: it notifies the others.
 func (s *Sim) Leave(n int) {
 	node := s.Nodes[n]
 	if !node.running() {
@@ -92,7 +92,7 @@
 	s.Kill(n)
 }
 
-// Stop stops a node's process for a while, as SIGSTOP and SIGCONT do.
+// Stop stops a node's process for the given time, as SIGSTOP and SIGCONT do.
 func (s *Sim) Stop(n int, length time.Duration) {
 	node := s.Nodes[n]
 	if !node.running() {
@@ -107,7 +107,7 @@
 	})
 }
 
-// resume has a process that was stopped do what it missed.
+// resume continues a stopped process and makes the calls that were due meanwhile.
 func (s *Sim) resume(n int) {
 	node := s.Nodes[n]
 	node.stopped = false
@@ -124,22 +124,22 @@
 	s.afterCall(n)
 }
 
-// measureCPU counts what a call of a membership takes of this machine's processor, without the time in which other
-// programs had it. Nothing of the run depends on it.
+// measureCPU adds the processor time of a call to the node's total. It counts the thread's time only, not that of
+// other programs. The run does not depend on it.
 func (s *Sim) measureCPU(n int, call func()) {
 	began := cputime.Thread()
 	call()
 	s.cpuTime[n] += cputime.Thread() - began
 }
 
-// afterCall sends what a membership wants sent, checks it, and has it called when it wants.
+// afterCall sends the queued datagrams of a node, checks its incarnations and schedules its next timer call.
 func (s *Sim) afterCall(n int) {
 	node := s.Nodes[n]
 	s.transmit(n)
 	s.checkIncarnations(node)
 	next := max(node.Membership.NextWake(), s.now+minWakeDelay)
 	if node.wakeAt != 0 && node.wakeAt <= next && node.wakeAt >= s.now {
-		return // an earlier wake-up is under way, which asks again
+		return // an earlier timer call is scheduled, after which the next one is determined again
 	}
 	node.wakeAt = next
 	generation := node.generation
@@ -158,7 +158,8 @@
 	})
 }
 
-// checkIncarnations holds a node to the rule that what it knows of starts and incarnations only grows.
+// checkIncarnations verifies that the starts and incarnations in a node's view never decrease. It runs after one in
+// incarnationCheckCalls calls.
 func (s *Sim) checkIncarnations(node *Node) {
 	if s.calls%incarnationCheckCalls != 0 {
 		return
@@ -171,19 +172,19 @@
 }
 
 func (s *Sim) checkIncarnation(node *Node, m *membership.Member) {
-	was, is := &node.highest[nodeIndex(m.Name)], process{m.Start, m.Incarnation}
-	if is.start < was.start || is.start == was.start && is.incarnation < was.incarnation {
+	highest, seen := &node.highest[nodeIndex(m.Name)], process{m.Start, m.Incarnation}
+	if seen.start < highest.start || seen.start == highest.start && seen.incarnation < highest.incarnation {
 		s.AddFinding("%s has %s at %d/%d after %d/%d",
-			node.Name, m.Name, is.start, is.incarnation, was.start, was.incarnation)
+			node.Name, m.Name, seen.start, seen.incarnation, highest.start, highest.incarnation)
 	}
-	*was = is
+	*highest = seen
 }
 
-// nodeIndex is the place of the node with a name.
+// nodeIndex returns the number of the node with the given name.
 func nodeIndex(name string) int {
 	n, err := strconv.Atoi(strings.TrimPrefix(name, namePrefix))
 	if err != nil {
-		panic(err) // names are ours
+		panic(err) // all names are generated by New
 	}
 	return n
 }
--- a/internal/lab/membershipsim/protocol.go
+++ b/internal/lab/membershipsim/protocol.go
@@ -8,7 +8,7 @@
 	"thymebend/internal/membership"
 )
 
-// Protocol is what a node runs: a membership.Membership, or the baseline that it is compared with.
+// Protocol is the protocol that a node runs: a membership.Membership, or the Heartbeats baseline.
 type Protocol interface {
 	Advance(now time.Duration)
 	Receive(now time.Duration, from netip.AddrPort, data []byte)
--- a/internal/lab/membershipsim/random.go
+++ b/internal/lab/membershipsim/random.go
@@ -7,44 +7,44 @@
 	"time"
 )
 
-// Outcome is what a run with drawn faults came to.
+// Outcome is the result of a run with random faults.
 type Outcome struct {
-	Nodes    int
-	Settled  time.Duration // after the last fault
-	Rate     float64       // bytes a second and node at rest, IP and UDP included
-	Calls    uint64
-	Lasted   time.Duration
-	Findings []string
-	Partial  bool // the run was interrupted
+	Nodes           int
+	ConvergenceTime time.Duration // after the last fault
+	BytesPerSecond  float64       // mean of an idle node, with IP and UDP headers
+	Calls           uint64
+	Duration        time.Duration
+	Findings        []string
+	Partial         bool // the run was interrupted
 }
 
-// What a run must come to.
+// Limits that a run must meet.
 const (
-	settleWithin      = 15 * time.Second // after the last fault all nodes believe the truth
-	maxBytesPerSecond = 3000.0           // for each node, over any run
-	maxCallsPerSecond = 60.0             // for each node at rest
+	convergenceLimit  = 15 * time.Second // for all views to be correct after the last fault
+	maxBytesPerSecond = 3000.0           // per node, averaged over the run up to the last fault
+	maxCallsPerSecond = 60.0             // per idle node
 )
 
-// How a run goes.
+// Schedule of a run.
 const (
 	maxStartDelay = 2 * time.Second
 	firstFault    = 3 * time.Second
-	faultsFor     = 40 * time.Second // in which faults begin
-	lastFault     = faultsFor + 20*time.Second
-	restFor       = 5 * time.Second
+	faultPeriod   = 40 * time.Second // period in which faults start
+	lastFault     = faultPeriod + 20*time.Second
+	idlePeriod    = 5 * time.Second
 )
 
-// randomRun is a run whose faults are drawn by a seed. The faults have draws of their own, so that they do not depend
-// on what nodes do.
+// randomRun is a run with random faults. The faults have their own random numbers, so that they do not depend on
+// the behaviour of the nodes.
 type randomRun struct {
 	*Sim
 	faults *rand.Rand
 	nodes  int
 }
 
-// PlayRandom plays a cluster of n nodes, or of a size by the seed, with half of the faults, and holds the rules: after
-// the last fault all running nodes believe the truth within 15 s, incarnations only grow, and what is sent stays
-// bounded. Once ctx is done it returns with the findings so far.
+// PlayRandom runs a cluster of n nodes, or of a size drawn from the seed if n is 0, with a random choice of faults.
+// It verifies that all running nodes' views are correct within 15 s after the last fault, that incarnations never
+// decrease, and that the traffic stays below its limits. Once ctx is done it returns the findings so far.
 func PlayRandom(ctx context.Context, seed uint64, n int) Outcome {
 	faults := rand.New(rand.NewPCG(seed, 0x5eed))
 	if n == 0 {
@@ -63,54 +63,54 @@
 	return r.checkConvergence()
 }
 
-func (r *randomRun) upTo(most time.Duration) time.Duration {
-	return time.Duration(r.faults.Int64N(int64(most)))
+func (r *randomRun) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(r.faults.Int64N(int64(limit)))
 }
 
-func (r *randomRun) half() bool { return r.faults.IntN(2) == 0 }
+func (r *randomRun) coinFlip() bool { return r.faults.IntN(2) == 0 }
 
 func (r *randomRun) scheduleStarts() {
 	for i := range r.nodes {
-		r.At(r.upTo(maxStartDelay), func() { r.Start(i) })
+		r.At(r.randomDuration(maxStartDelay), func() { r.Start(i) })
 	}
 }
 
 func (r *randomRun) drawNetwork() {
 	r.Net.Jitter = time.Duration(1+r.faults.IntN(20)) * time.Millisecond
-	if r.half() {
+	if r.coinFlip() {
 		r.Net.Loss = 0.15 * r.faults.Float64()
 	}
-	if r.half() {
+	if r.coinFlip() {
 		r.Net.Duplicate = 0.1
 	}
 }
 
 func (r *randomRun) scheduleFaults() {
-	if r.half() {
+	if r.coinFlip() {
 		r.scheduleCrashes()
 	}
-	if r.half() {
+	if r.coinFlip() {
 		r.scheduleStops()
 	}
-	if r.half() {
+	if r.coinFlip() {
 		r.scheduleLeaves()
 	}
-	if r.half() {
+	if r.coinFlip() {
 		r.scheduleCut()
 	}
 	if r.faults.IntN(3) == 0 {
-		r.scheduleDeaths()
+		r.schedulePermanentCrashes()
 	}
 }
 
-// drawFault draws a node, when a fault of it begins and how long that lasts.
+// drawFault draws the node, start time and duration of a fault.
 func (r *randomRun) drawFault(longest time.Duration) (node int, at, length time.Duration) {
 	node = r.faults.IntN(r.nodes)
-	at = firstFault + r.upTo(faultsFor)
-	return node, at, r.upTo(longest)
+	at = firstFault + r.randomDuration(faultPeriod)
+	return node, at, r.randomDuration(longest)
 }
 
-// scheduleCrashes has processes die, and start again after a while.
+// scheduleCrashes kills processes and starts them again after a while.
 func (r *randomRun) scheduleCrashes() {
 	for range 1 + r.faults.IntN(r.nodes) {
 		node, at, away := r.drawFault(8 * time.Second)
@@ -134,9 +134,10 @@
 	}
 }
 
-// scheduleCut has two parts, or one node that is heard by none, or a bad pair, for a while.
+// scheduleCut applies one cut for a while: between two parts of the cluster, of all datagrams from one node, or
+// between two nodes.
 func (r *randomRun) scheduleCut() {
-	node, kind, at := r.faults.IntN(r.nodes), r.faults.IntN(3), firstFault+r.upTo(faultsFor)
+	node, kind, at := r.faults.IntN(r.nodes), r.faults.IntN(3), firstFault+r.randomDuration(faultPeriod)
 	next := (node + 1) % r.nodes
 	r.At(at, func() {
 		r.Net.Cut = func(from, to int) bool {
@@ -150,11 +151,11 @@
 			}
 		}
 	})
-	r.At(at+r.upTo(20*time.Second), func() { r.Net.Cut = nil })
+	r.At(at+r.randomDuration(20*time.Second), func() { r.Net.Cut = nil })
 }
 
-// scheduleDeaths has some nodes stay dead.
-func (r *randomRun) scheduleDeaths() {
+// schedulePermanentCrashes kills some nodes that are not started again.
+func (r *randomRun) schedulePermanentCrashes() {
 	for range 1 + r.faults.IntN(max(1, r.nodes/4)) {
 		node := r.faults.IntN(r.nodes)
 		r.At(lastFault, func() { r.Kill(node) })
@@ -168,43 +169,43 @@
 	return bytes
 }
 
-// checkConvergence holds the rules after the last fault, and those of nodes at rest.
+// checkConvergence verifies the limits after the last fault and those of idle nodes.
 func (r *randomRun) checkConvergence() Outcome {
 	sent := r.totalSent()
 	if rate := float64(sent) / float64(r.nodes) / r.Now().Seconds(); rate > maxBytesPerSecond {
 		r.AddFinding("%.0f bytes a second and node, %.0f at most", rate, maxBytesPerSecond)
 	}
 	o := Outcome{Nodes: r.nodes}
-	took, ok := r.RunUntilConverged(settleWithin)
+	took, ok := r.RunUntilConverged(convergenceLimit)
 	if r.Interrupted() {
 		return r.partialOutcome()
 	}
-	if o.Settled = took; !ok {
-		r.AddFinding("not settled %v after the last fault: %s", settleWithin, r.Divergence())
+	if o.ConvergenceTime = took; !ok {
+		r.AddFinding("not settled %v after the last fault: %s", convergenceLimit, r.Divergence())
 	}
-	r.Run(r.Now() + restFor)
-	calls, restAt := r.Calls(), r.now
-	r.Run(r.Now() + restFor)
+	r.Run(r.Now() + idlePeriod)
+	calls, idleSince := r.Calls(), r.now
+	r.Run(r.Now() + idlePeriod)
 	if r.Interrupted() {
 		return r.partialOutcome()
 	}
 	if divergence := r.Divergence(); ok && divergence != "" {
 		r.AddFinding("settled and moved again: %s", divergence)
 	}
-	o.Rate = float64(r.totalSent()-sent) / float64(r.nodes) / (r.now - restAt + restFor).Seconds()
-	if rate := float64(r.Calls()-calls) / float64(r.nodes) / (r.now - restAt).Seconds(); rate > maxCallsPerSecond {
+	o.BytesPerSecond = float64(r.totalSent()-sent) / float64(r.nodes) / (r.now - idleSince + idlePeriod).Seconds()
+	if rate := float64(r.Calls()-calls) / float64(r.nodes) / (r.now - idleSince).Seconds(); rate > maxCallsPerSecond {
 		r.AddFinding("%.0f calls a second and node at rest, %.0f at most", rate, maxCallsPerSecond)
 	}
-	o.Calls, o.Lasted, o.Findings = r.Calls(), r.Now(), r.Findings
+	o.Calls, o.Duration, o.Findings = r.Calls(), r.Now(), r.Findings
 	return o
 }
 
-// partialOutcome is that of a run that was interrupted.
+// partialOutcome returns the outcome of an interrupted run.
 func (r *randomRun) partialOutcome() Outcome {
-	return Outcome{Nodes: r.nodes, Calls: r.Calls(), Lasted: r.Now(), Findings: r.Findings, Partial: true}
+	return Outcome{Nodes: r.nodes, Calls: r.Calls(), Duration: r.Now(), Findings: r.Findings, Partial: true}
 }
 
-// String is the report's line.
+// String formats the outcome for a report.
 func (o Outcome) String() string {
-	return fmt.Sprintf("%d nodes, settled after %v, %.0f bytes a second", o.Nodes, o.Settled, o.Rate)
+	return fmt.Sprintf("%d nodes, settled after %v, %.0f bytes a second", o.Nodes, o.ConvergenceTime, o.BytesPerSecond)
 }
--- a/internal/lab/membershipsim/sim.go
+++ b/internal/lab/membershipsim/sim.go
@@ -1,13 +1,13 @@
 // Package membershipsim simulates the membership of whole clusters on a virtual clock: a network that loses,
-// duplicates, delays and cuts datagrams, and processes that die, stop, leave and start again. A seed gives a run, to
-// the letter.
+// duplicates, delays and cuts datagrams, and processes that crash, stop, leave and start again. The same seed
+// always produces exactly the same run.
 //
 //   - sim.go, event_queue.go: the run and its events.
 //   - node.go: the processes of the nodes, network.go: the datagrams between them.
-//   - convergence.go: what the nodes believe against the truth.
-//   - protocol.go, heartbeats.go: what nodes run, and the baseline that membership is compared with.
-//   - random.go: runs with faults drawn by the seed, and what they must come to.
-//   - measure.go: figures of clusters of one size under one set of faults.
+//   - convergence.go: comparison of the nodes' views with the actual state.
+//   - protocol.go, heartbeats.go: the protocol that nodes run, and the baseline with which membership is compared.
+//   - random.go: runs with faults drawn from the seed, and the limits that they must meet.
+//   - measure.go: measurements of one cluster size under one set of faults.
 package membershipsim
 
 import (
@@ -21,40 +21,40 @@
 	"thymebend/internal/membership"
 )
 
-// Epoch is when a run begins, in Unix time: memberships live by it.
+// Epoch is the Unix time at which a run starts. Membership starts are derived from it.
 const Epoch = 1_700_000_000 * time.Second
 
-// namePrefix begins the name of every node; its number follows.
+// namePrefix is the prefix of every node name; the node's number follows.
 const namePrefix = "g-"
 
-// interruptCheckEvents is how many events pass between checks of whether the run was interrupted.
+// interruptCheckEvents is the number of events between two checks for an interruption of the run.
 const interruptCheckEvents = 256
 
-// Sim is a run.
+// Sim is a simulated run of a cluster.
 type Sim struct {
 	Net      Net
 	Nodes    []*Node
-	Findings []string              // broken rules
-	Without  membership.Refinement // left out
-	Baseline bool                  // heartbeats in place of memberships
+	Findings []string              // violated rules
+	Without  membership.Refinement // refinement that is switched off
+	Baseline bool                  // nodes run Heartbeats instead of membership
 	Flat     bool                  // see membership.Config
 
-	rng       *rand.Rand
-	now       time.Duration
-	queue     queue
-	lastOrder uint64
-	ctx       context.Context
-	seedPeers []membership.SeedPeer
-	clockBack time.Duration // how far the clock of what starts now has gone back
+	rng         *rand.Rand
+	now         time.Duration
+	queue       queue
+	lastOrder   uint64
+	ctx         context.Context
+	seedPeers   []membership.SeedPeer
+	clockOffset time.Duration // subtracted from the clock of processes that start now
 
-	sent         []uint64 // bytes by node, with those of IP and UDP
-	received     []uint64 // bytes that arrived at a node, of the same kind
+	sent         []uint64 // bytes by node, with IP and UDP headers
+	received     []uint64 // bytes that arrived at a node's process, with IP and UDP headers
 	cpuTime      []time.Duration
 	calls        uint64
-	lastDiverged int // the node that diverged last
+	lastDiverged int // node that Divergence reported last
 }
 
-// New makes a cluster of n nodes. None runs yet.
+// New returns a cluster of n nodes. No node is running yet.
 func New(seed uint64, n int) *Sim {
 	s := &Sim{
 		rng:      rand.New(rand.NewPCG(seed, 0xf1ee7)),
@@ -75,27 +75,27 @@
 	return s
 }
 
-// Now is the time since the run's begin.
+// Now returns the time since the start of the run.
 func (s *Sim) Now() time.Duration { return s.now - Epoch }
 
-// Calls is how often memberships were called.
+// Calls returns the total number of calls of the nodes' protocols.
 func (s *Sim) Calls() uint64 { return s.calls }
 
-// Sent is how many bytes a node has sent, with the headers of IP and UDP.
+// Sent returns the number of bytes that a node has sent, with IP and UDP headers.
 func (s *Sim) Sent(n int) uint64 { return s.sent[n] }
 
-// Received is how many bytes have come to a node while its process lived, with the headers of IP and UDP.
+// Received returns the number of bytes that arrived at a node while it had a process, with IP and UDP headers.
 func (s *Sim) Received(n int) uint64 { return s.received[n] }
 
-// CPUTime is how much of this machine's processor a node's membership has taken.
+// CPUTime returns the processor time that a node's protocol has used on this machine.
 func (s *Sim) CPUTime(n int) time.Duration { return s.cpuTime[n] }
 
-// AddFinding notes a broken rule.
+// AddFinding records a violated rule.
 func (s *Sim) AddFinding(format string, args ...any) {
 	s.Findings = append(s.Findings, fmt.Sprintf("%.3f s: ", s.Now().Seconds())+fmt.Sprintf(format, args...))
 }
 
-// At has something happen at a time of the run.
+// At schedules a call at a time of the run.
 func (s *Sim) At(at time.Duration, do func()) { s.schedule(Epoch+at, do) }
 
 func (s *Sim) schedule(at time.Duration, do func()) {
@@ -103,13 +103,13 @@
 	s.queue.push(event{max(at, s.now), s.lastOrder, do})
 }
 
-// EndWith has the run end early once ctx is done.
+// EndWith ends the run early once ctx is done.
 func (s *Sim) EndWith(ctx context.Context) { s.ctx = ctx }
 
 // Interrupted reports whether the run was ended early.
 func (s *Sim) Interrupted() bool { return s.ctx.Err() != nil }
 
-// Run plays until a time of the run, or until the run is interrupted.
+// Run runs the events up to a time of the run, or until the run is interrupted.
 func (s *Sim) Run(until time.Duration) {
 	defer cputime.Hold()()
 	for n := 0; s.queue.len() > 0 && s.queue.earliest() <= Epoch+until; n++ {
