--- a/internal/lab/drill/format.go
+++ b/internal/lab/drill/format.go
@@ -26,18 +26,18 @@
 
 // Cluster configures what the gateways know of each other.
 type Cluster struct {
-	// gateways that do not run at the start; the fault gateway-start starts them
+	// StartedLater lists gateways that do not run at the start; the fault gateway-start starts them.
 	StartedLater  []int   `toml:"late"`
 	DivideHosts   bool    `toml:"shares"`    // gateways divide the hosts by their membership view
 	SlowStartRate float64 `toml:"warm_rate"` // warm_rate in the gateways' cluster files
-	// cluster files list only the running gateways and change, with SIGHUP, when a gateway starts or leaves
-	// permanently; otherwise they list all
+	// ListRunningOnly makes the cluster files list only the running gateways. The files change, with SIGHUP, when a
+	// gateway starts or leaves permanently. Otherwise they list all gateways.
 	ListRunningOnly bool `toml:"follow"`
 }
 
 // Path is the condition of a network path. The zero value has no faults.
 type Path struct {
-	// share of lost datagrams; a stream is delayed by retransmitDelay instead
+	// Loss is the share of lost datagrams. A stream is delayed by retransmitDelay instead.
 	Loss      float64             `toml:"loss"`
 	Delay     experiment.Duration `toml:"delay"`
 	Jitter    experiment.Duration `toml:"jitter"`
@@ -76,11 +76,11 @@
 	Majority      *bool               `toml:"majority"`
 	DuplicateName *bool               `toml:"twin"`
 	Alive         int                 `toml:"alive"`
-	// stage of the gateway's host assignment: waiting, settled, kept, changing
+	// AssignmentStage is the stage of the gateway's host assignment: waiting, settled, kept, changing.
 	AssignmentStage string `toml:"portion"`
-	// minimum number of slow-start tokens that the gateway's process has taken
+	// MinTokens is the minimum number of slow-start tokens that the gateway's process has taken.
 	MinTokens uint64 `toml:"turns"`
-	// maximum relative load of a host in the gateway's assignment
+	// MaxRelativeLoad is the maximum relative load of a host in the gateway's assignment.
 	MaxRelativeLoad float64 `toml:"crowd"`
 }
 
--- a/internal/lab/drill/portions.go
+++ b/internal/lab/drill/portions.go
@@ -19,7 +19,8 @@
 // Limits of the rule.
 const (
 	maxObservationAge = 500 * time.Millisecond // maximum age of the last observation of each gateway
-	// all must have been converged for this long, because a list change takes some time to propagate
+	// minConvergedTime is the time for which all must have been converged, because a list change takes some time to
+	// propagate.
 	minConvergedTime = 2 * time.Second
 	shareTolerance   = 0.01 // accepted deviation of a host's sum of shares from one
 )
--- a/internal/lab/drill/streams.go
+++ b/internal/lab/drill/streams.go
@@ -25,7 +25,7 @@
 
 func (s *streamRelay) serve(ln net.Listener) {
 	for {
-		c, err := ln.Accept()
+		client, err := ln.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
@@ -33,17 +33,17 @@
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		out, err := net.DialTimeout("tcp4", s.target, time.Second)
+		server, err := net.DialTimeout("tcp4", s.target, time.Second)
 		if err != nil { // the target is not listening: refuse connections until it is
 			s.network.onRefused(s.toTarget.from, s.toTarget.to)
-			reset(c)
+			reset(client)
 			_ = ln.Close()
 			if ln = s.reopen(); ln == nil {
 				return
 			}
 			continue
 		}
-		s.network.tasks.Go(func() { s.relay(c.(*net.TCPConn), out.(*net.TCPConn)) })
+		s.network.tasks.Go(func() { s.relay(client.(*net.TCPConn), server.(*net.TCPConn)) })
 	}
 }
 
@@ -100,11 +100,11 @@
 // awaitPath waits while the path is blocked, then for the path's delay. It returns false if stop is closed first.
 func (s *streamRelay) awaitPath(l *link, stop chan bool) bool {
 	for {
-		over := s.network.changeSignal(l)
+		changed := s.network.changeSignal(l)
 		c := l.current.Load()
 		if c.cut || c.stall {
 			select {
-			case <-over:
+			case <-changed:
 			case <-stop:
 				return false
 			}
