--- a/internal/lab/drill/drill_test.go
+++ b/internal/lab/drill/drill_test.go
@@ -163,7 +163,7 @@
 	case f := <-p.findings:
 		if f.Rule != membershipcheck.WronglyRemoved && f.Rule != membershipcheck.Diverged ||
 			!strings.Contains(f.Detail, "gateway-2") {
-			t.Errorf("%+v", f)
+			t.Errorf("finding %+v, want a removal or divergence that names gateway-2", f)
 		}
 	case <-p.done:
 		t.Errorf("not reported during the drill: %v %+v", p.err, p.result)
@@ -249,7 +249,7 @@
 		at, rest, _ := strings.Cut(strings.TrimPrefix(want, ":"), ":")
 		n, _ := strconv.Atoi(at)
 		if text := fmt.Sprintf("d.toml:%d:%s", line+n-1, rest); err == nil || !strings.Contains(err.Error(), text) {
-			t.Errorf("%q: %v\nwanted %s", more, err, text)
+			t.Errorf("%q: error %v\nwant %s", more, err, text)
 		}
 	}
 	if _, err := Load("/no/such.toml"); err == nil {
--- a/internal/lab/drill/expect_test.go
+++ b/internal/lab/drill/expect_test.go
@@ -57,7 +57,7 @@
 	} {
 		found := checkExpectations(h, []Expectation{c.e})
 		if (len(found) == 0) != (c.want == "") || len(found) > 0 && !strings.Contains(found[0].Detail, c.want) {
-			t.Errorf("%+v: %+v, wanted %q", c.e, found, c.want)
+			t.Errorf("expectation %+v: findings %+v, want %q", c.e, found, c.want)
 		}
 	}
 }
--- a/internal/lab/drill/network_test.go
+++ b/internal/lab/drill/network_test.go
@@ -233,7 +233,7 @@
 	big := bytes.Repeat([]byte("0123456789abcdef"), 50_000)
 	go func() { _, _ = c.Write(big); _ = c.CloseWrite() }()
 	if got, err := io.ReadAll(c); err != nil || !bytes.Equal(got, big) {
-		t.Fatalf("%d of %d bytes came back: %v", len(got), len(big), err)
+		t.Fatalf("%d of %d bytes echoed: %v", len(got), len(big), err)
 	}
 	cut := &Fault{Kind: "net-partition", Groups: [][]string{{"a"}, {"b"}}}
 	n.setFault(cut, true)
@@ -249,7 +249,7 @@
 	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	n.setFault(cut, false)
 	if _, err := io.ReadFull(c, buf); err != nil || buf[0] != 'x' {
-		t.Errorf("after the cut: %v %q", err, buf)
+		t.Errorf("read after the cut: error %v, %q, want x", err, buf)
 	}
 }
 
--- a/internal/lab/drill/portions_test.go
+++ b/internal/lab/drill/portions_test.go
@@ -96,7 +96,7 @@
 		e.Within.Duration = 9 * time.Second
 		found := checkExpectations(h, []Expectation{e})
 		if (len(found) == 0) != (want == "") || len(found) > 0 && !strings.Contains(found[0].Detail, want) {
-			t.Errorf("%+v, wanted %q", found, want)
+			t.Errorf("findings %+v, want %q", found, want)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 	} {
 		_, err := Parse("d.toml", []byte(fmt.Sprintf(text, c[0], c[1], c[2])))
 		if err == nil || !strings.Contains(err.Error(), c[3]) || !strings.Contains(err.Error(), "d.toml:") {
-			t.Errorf("%v: %v", c, err)
+			t.Errorf("tables %q: error %v, want %q with the file name", c[:3], err, c[3])
 		}
 	}
 }
--- a/internal/lab/drill/stopped_test.go
+++ b/internal/lab/drill/stopped_test.go
@@ -46,6 +46,6 @@
 		`{"level":"error","rule":"ran twice","id":"7","detail":"attempt 0 may have run","message":"suppressed: it would break an invariant"}`+"\n")
 	if len(found) != 1 || found[0].Rule != ViolationSuppressed || found[0].ID != "gateway-0" ||
 		!strings.Contains(found[0].Detail, "ran twice") {
-		t.Errorf("%+v", found)
+		t.Errorf("findings %+v, want one of gateway-0 for the logged violation", found)
 	}
 }
--- a/internal/lab/membershipcheck/history.go
+++ b/internal/lab/membershipcheck/history.go
@@ -26,7 +26,7 @@
 	end       time.Duration // 0 while it runs
 	duplicate bool          // runs beside another process of the same name
 	upgrade   bool          // successor in a hot restart
-	leaving   bool          // was told to end, and notifies the other members
+	leaving   bool          // got the signal to end, and notifies the other members
 	stops     []interval    // from SIGSTOP to SIGCONT
 }
 
@@ -70,7 +70,7 @@
 		process{gateway: gateway, pid: pid, start: at, duplicate: duplicate, upgrade: upgrade})
 }
 
-// Ended records that a process has ended, or was told to end and sends no more. Only the first call for a process
+// Ended records that a process has ended, or got the signal to end and sends no more. Only the first call for a process
 // counts.
 func (h *History) Ended(pid int, at time.Duration) {
 	h.mu.Lock()
@@ -82,7 +82,7 @@
 	}
 }
 
-// Leaving records that the processes of a gateway were told to end.
+// Leaving records that the processes of a gateway got the signal to end.
 func (h *History) Leaving(gateway int, at time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/soak/draw_test.go
+++ b/internal/lab/soak/draw_test.go
@@ -28,7 +28,7 @@
 			t.Fatalf("%v\n%s", err, text)
 		}
 		if n := f.Gateways.Count; n < MinGateways || n > MaxGateways {
-			t.Errorf("seed %d: %d gateways", seed, n)
+			t.Errorf("seed %d: %d gateways, out of range", seed, n)
 		}
 		if faultsOverlap(f) {
 			overlapping++
