--- a/internal/lab/assignmentsim/assignmentsim_test.go
+++ b/internal/lab/assignmentsim/assignmentsim_test.go
@@ -22,8 +22,8 @@
 			t.Errorf("%s: relative load %.2f, fitted %.2f", other, figures[other].RelativeLoad, fitted.RelativeLoad)
 		}
 	}
-	if figures[ByRank].GatewayGone <= fitted.GatewayGone {
+	if figures[ByRank].MovedPerLostGateway <= fitted.MovedPerLostGateway {
 		t.Errorf("changed pairs per pair of a removed gateway: %.1f by rank, %.1f fitted",
-			figures[ByRank].GatewayGone, fitted.GatewayGone)
+			figures[ByRank].MovedPerLostGateway, fitted.MovedPerLostGateway)
 	}
 }
--- a/internal/lab/assignmentsim/measure.go
+++ b/internal/lab/assignmentsim/measure.go
@@ -13,9 +13,9 @@
 	Pairs    int // pairs of a gateway and an endpoint that it uses
 	MaxUsers int // maximum number of gateways that use one endpoint
 	// pairs of other gateways that change when a gateway is removed, per pair of that gateway
-	GatewayGone  float64
-	EndpointGone float64       // the same for the removal of an endpoint
-	Took         time.Duration // time for one assignment, on this machine
+	MovedPerLostGateway  float64
+	MovedPerLostEndpoint float64       // the same for the removal of an endpoint
+	Duration             time.Duration // time for one assignment, on this machine
 }
 
 // Measure assigns the endpoints of a cluster by a strategy and measures the result.
@@ -23,15 +23,15 @@
 	cluster := c.cluster()
 	began := time.Now()
 	used, err := cluster.assign(strategy)
-	out := Figures{Took: time.Since(began)}
+	out := Figures{Duration: time.Since(began)}
 	if err != nil {
 		return out, err
 	}
 	users := cluster.measureLoad(used, &out)
-	if out.GatewayGone, err = cluster.measureGatewayGone(strategy, used, c.Gateways/3); err != nil {
+	if out.MovedPerLostGateway, err = cluster.measureGatewayGone(strategy, used, c.Gateways/3); err != nil {
 		return out, err
 	}
-	out.EndpointGone, err = cluster.measureEndpointGone(strategy, used, users, c.Endpoints/3)
+	out.MovedPerLostEndpoint, err = cluster.measureEndpointGone(strategy, used, users, c.Endpoints/3)
 	return out, err
 }
 
--- a/internal/lab/cli/cli_test.go
+++ b/internal/lab/cli/cli_test.go
@@ -103,7 +103,7 @@
 func TestFallingBehindIsThree(t *testing.T) {
 	var out bytes.Buffer
 	e := &env{out: &out, err: &out}
-	err := loadCmd{}.conclude(e, load.Result{FellBehind: true, Behind: "late"}, requestrecord.NewClients())
+	err := loadCmd{}.conclude(e, load.Result{FellBehind: true, BehindReason: "late"}, requestrecord.NewClientRecord())
 	if c, ok := err.(coded); !ok || c.code != 3 || strings.Contains(out.String(), "p99") {
 		t.Errorf("%v %s", err, out.String())
 	}
--- a/internal/lab/cli/load.go
+++ b/internal/lab/cli/load.go
@@ -60,12 +60,12 @@
 	if err != nil {
 		return input(err)
 	}
-	tries := requestrecord.NewClients()
+	tries := requestrecord.NewClientRecord()
 	res, err := load.Run(e.ctx, load.Options{Targets: c.Target, Classes: classes, Schedule: schedule,
 		Clients: clients, Seed: c.Seed,
 		// ids are new in every run: the target may know old ones
-		Prefix: fmt.Sprintf("%08x", uint32(time.Now().UnixNano())),
-		Notice: c.Notice, Ledger: tries, Progress: e.progress(length)})
+		IDPrefix:       fmt.Sprintf("%08x", uint32(time.Now().UnixNano())),
+		DetectionDelay: c.Notice, Record: tries, Progress: e.progress(length)})
 	if err != nil {
 		return input(err)
 	}
@@ -75,9 +75,9 @@
 // schedule is when requests leave, how clients act and how long the load lasts: by a trace, a shape, or
 // the rate.
 func (c loadCmd) schedule(classes []load.Class) (load.Schedule, load.Clients, time.Duration, error) {
-	clients := load.Clients{Retries: c.Retries, Backoff: c.Backoff, Wait: c.Wait, Honour: c.Honour, Marks: true,
+	clients := load.Clients{Retries: c.Retries, Backoff: c.Backoff, RetryDelay: c.Wait, HonourShare: c.Honour, MarkRetries: true,
 		Connections: c.Connections}
-	list, length := []load.Phase{{For: c.For, Rate: c.Rate, Poisson: c.Arrivals == "poisson"}}, c.For
+	list, length := []load.Phase{{Duration: c.For, Rate: c.Rate, Poisson: c.Arrivals == "poisson"}}, c.For
 	switch {
 	case c.Shape != "" && c.Trace != "":
 		return nil, clients, 0, errors.New("--shape and --trace cannot go together")
@@ -92,7 +92,7 @@
 		if acts != nil {
 			clients = *acts
 		}
-		list, length = own, load.Length(own)
+		list, length = own, load.TotalDuration(own)
 	}
 	schedule, err := load.Phases(classes, list, c.Seed)
 	return schedule, clients, length, err
@@ -112,8 +112,8 @@
 		if !ok || err != nil || !(part >= 0 && part < 1e9) || name == "" || strings.ContainsAny(name, " /?") {
 			return nil, fmt.Errorf("--class %q: wanted NAME=SHARE, such as tender-view=0.64", text)
 		}
-		k := load.Class{Name: name, Share: part, Unsafe: slices.Contains(c.Unsafe, name), Worth: 1, Aim: c.Aim,
-			Patience: c.Patience}
+		k := load.Class{Name: name, Share: part, Unsafe: slices.Contains(c.Unsafe, name), Weight: 1, LatencyObjective: c.Aim,
+			ClientTimeout: c.Patience}
 		if k.Unsafe {
 			k.Body = c.Body
 		}
@@ -124,7 +124,7 @@
 
 func (c loadCmd) conclude(e *env, res load.Result, tries *requestrecord.ClientRecord) error {
 	twice := 0
-	for _, t := range tries.Tries() {
+	for _, t := range tries.Attempts() {
 		if t.Answers > 1 {
 			twice++
 			if twice <= 10 {
@@ -153,7 +153,7 @@
 		if !res.FellBehind {
 			l := res.Latency
 			fmt.Fprintf(e.out, "latency from the due time: p50 %.2f, p90 %.2f, p99 %.2f, p99.9 %.2f, max %.2f ms (own lateness p99 %.2f ms)\n",
-				l.P50, l.P90, l.P99, l.P999, l.Max, res.SelfLate.P99)
+				l.P50, l.P90, l.P99, l.P999, l.Max, res.GeneratorLateness.P99)
 		}
 		for _, cause := range slices.Sorted(keys(res.Causes)) {
 			fmt.Fprintf(e.out, "  %d without a good answer: %s\n", res.Causes[cause], cause)
@@ -163,10 +163,10 @@
 		}
 	}
 	switch {
-	case res.PartialInput:
+	case res.StoppedEarly:
 		return early()
 	case res.FellBehind:
-		return coded{exitBehind, "the generator fell behind, no latencies are shown: " + res.Behind}
+		return coded{exitBehind, "the generator fell behind, no latencies are shown: " + res.BehindReason}
 	}
 	return nil
 }
--- a/internal/lab/cli/run.go
+++ b/internal/lab/cli/run.go
@@ -47,11 +47,11 @@
 	fmt.Fprint(e.out, report.Text(res))
 	fmt.Fprintf(e.out, "report: %s\n", page)
 	switch {
-	case res.Load.PartialInput:
+	case res.Load.StoppedEarly:
 		return early()
 	case res.Load.FellBehind:
-		return coded{exitBehind, "the generator fell behind: " + res.Load.Behind}
-	case !res.Held:
+		return coded{exitBehind, "the generator fell behind: " + res.Load.BehindReason}
+	case !res.RulesHeld:
 		return coded{exitBroken, "a rule was broken"}
 	}
 	return nil
--- a/internal/lab/cli/seeds.go
+++ b/internal/lab/cli/seeds.go
@@ -158,7 +158,7 @@
 	failures := []failure{}
 	var calls uint64
 	played := c.each(e, func(seed uint64) bool {
-		o := membershipsim.PlayRandom(e.ctx, seed, c.Gateways)
+		o := membershipsim.RunRandomFaults(e.ctx, seed, c.Gateways)
 		mu.Lock()
 		defer mu.Unlock()
 		calls += o.Calls
@@ -194,7 +194,7 @@
 		if err := c.viewOnly(c.Trace, c.Shrink); err != nil {
 			return err
 		}
-		o := membershipsim.PlayRandom(e.ctx, c.Seed, c.Gateways)
+		o := membershipsim.RunRandomFaults(e.ctx, c.Seed, c.Gateways)
 		fmt.Fprintf(e.out, "seed %d, %s: %v\n%s\n", c.Seed, c.Profile, o, strings.Join(o.Findings, "\n"))
 		if o.Partial {
 			return early()
--- a/internal/lab/cputime/cputime.go
+++ b/internal/lab/cputime/cputime.go
@@ -9,15 +9,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Hold locks the calling goroutine to its operating system thread until release is called. Processor
+// LockThread locks the calling goroutine to its operating system thread until release is called. Processor
 // times of the thread are comparable only within this time.
-func Hold() (release func()) {
+func LockThread() (release func()) {
 	runtime.LockOSThread()
 	return runtime.UnlockOSThread
 }
 
-// Thread returns the processor time that the calling thread has used.
-func Thread() time.Duration {
+// ThreadTime returns the processor time that the calling thread has used.
+func ThreadTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
 		return 0 // does not happen on Linux, which always has this clock
--- a/internal/lab/drill/drill_test.go
+++ b/internal/lab/drill/drill_test.go
@@ -76,7 +76,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 		defer cancel()
 		p.result, p.err = Run(ctx, f, Options{Gateway: program, Dir: p.dir,
-			Found: func(f requestrecord.Finding) { p.findings <- f }})
+			OnFinding: func(f requestrecord.Finding) { p.findings <- f }})
 	}()
 	return p
 }
@@ -112,19 +112,19 @@
 			if len(run.findings) > 0 {
 				t.Errorf("reported during the drill: %+v", <-run.findings)
 			}
-			if r.Held != (len(r.Findings) == 0) || len(r.Observations) < 100 || r.Load.OK < r.Load.Scheduled/2 {
-				t.Errorf("rules held: %v with %d findings, %d observations, %d of %d requests served", r.Held, len(r.Findings),
+			if r.RulesHeld != (len(r.Findings) == 0) || len(r.Observations) < 100 || r.Load.OK < r.Load.Scheduled/2 {
+				t.Errorf("rules held: %v with %d findings, %d observations, %d of %d requests served", r.RulesHeld, len(r.Findings),
 					len(r.Observations), r.Load.OK, r.Load.Scheduled)
 			}
 			for g := range r.Names {
-				if len(r.Cells(g)) == 0 {
+				if len(r.StateSpans(g)) == 0 {
 					t.Errorf("no state periods for the view of %s", r.Names[g])
 				}
 			}
 		})
 	}
 	<-broken.done
-	if r := broken.result; broken.err != nil || r.Held || len(r.Findings) != 4 ||
+	if r := broken.result; broken.err != nil || r.RulesHeld || len(r.Findings) != 4 ||
 		r.Findings[0].Rule != ExpectationNotMet ||
 		!strings.Contains(r.Findings[0].Detail, "settled is false") {
 		t.Errorf("drill with a partition that does not end: %v %+v", broken.err, broken.result)
@@ -169,7 +169,7 @@
 		t.Errorf("not reported during the drill: %v %+v", p.err, p.result)
 	}
 	<-p.done
-	if p.err != nil || p.result.Held {
+	if p.err != nil || p.result.RulesHeld {
 		t.Errorf("error %v, or all rules held in spite of the hung gateway", p.err)
 	}
 }
--- a/internal/lab/drill/excuses.go
+++ b/internal/lab/drill/excuses.go
@@ -60,7 +60,7 @@
 	blocked := c.cut || c.stall
 	switch {
 	case fromGateway && toGateway:
-		r.history.Path(a, b, membershipcheck.PathState{At: at,
+		r.history.RecordPath(a, b, membershipcheck.PathState{At: at,
 			Cut: blocked || c.Delay.Duration+c.Jitter.Duration > answerTimeout, Loss: c.Loss})
 	case from == experiment.NodeClients && toGateway:
 		r.setExcused(b, at, blocked || c.Delay.Duration > 0 || c.Loss > 0)
--- a/internal/lab/drill/expect.go
+++ b/internal/lab/drill/expect.go
@@ -44,7 +44,7 @@
 // mismatch describes how an observation differs from the expectation. It returns an empty text if it does not.
 func (e Expectation) mismatch(h *membershipcheck.History, l *membershipcheck.Observation) string {
 	for _, m := range e.Of {
-		if s := l.Beliefs[m].State; s != e.State && !(s == "" && e.State == "unknown") {
+		if s := l.Members[m].State; s != e.State && !(s == "" && e.State == "unknown") {
 			return fmt.Sprintf("%s is %q, not %s", h.Name(m), s, e.State)
 		}
 	}
@@ -54,7 +54,7 @@
 		}
 		return ""
 	}
-	for _, text := range []string{flag("settled", e.Converged, l.Settled), flag("majority", e.Majority, l.Majority),
+	for _, text := range []string{flag("settled", e.Converged, l.Converged), flag("majority", e.Majority, l.Majority),
 		flag("twin", e.DuplicateName, l.DuplicateName)} {
 		if text != "" {
 			return text
--- a/internal/lab/drill/expect_test.go
+++ b/internal/lab/drill/expect_test.go
@@ -14,10 +14,10 @@
 	h := membershipcheck.NewHistory([]string{"gateway-0", "gateway-1", "gateway-2", "gateway-3"})
 	for at := time.Second; at <= 20*time.Second; at += time.Second {
 		for g := range 4 {
-			o := membershipcheck.Observation{At: at, Gateway: g, PID: 100 + g, Speaking: true, Settled: true,
+			o := membershipcheck.Observation{At: at, Gateway: g, PID: 100 + g, Active: true, Converged: true,
 				Majority: true, Alive: 4}
 			for range 4 {
-				o.Beliefs = append(o.Beliefs, membershipcheck.Belief{State: "alive", Start: 1, Incarnation: 1})
+				o.Members = append(o.Members, membershipcheck.MemberView{State: "alive", Start: 1, Incarnation: 1})
 			}
 			edit(&o)
 			h.Observe(o)
@@ -32,9 +32,9 @@
 	h := observedHistory(func(l *membershipcheck.Observation) {
 		switch {
 		case l.Gateway == 1 && l.At >= 10*time.Second && l.At <= 12*time.Second:
-			l.Beliefs[3].State = "gone"
+			l.Members[3].State = "gone"
 		case l.Gateway == 2 && l.At >= 10*time.Second:
-			l.Settled, l.Alive = false, 3
+			l.Converged, l.Alive = false, 3
 		}
 	})
 	at := func(from, within int, e Expectation) Expectation {
--- a/internal/lab/drill/faults.go
+++ b/internal/lab/drill/faults.go
@@ -161,7 +161,7 @@
 	if !experiment.Sleep(ctx, f.For.Duration) {
 		return nil
 	}
-	return r.run.StartWith(ctx, g, r.hostLists[g])
+	return r.run.StartWithHostList(ctx, g, r.hostLists[g])
 }
 
 func startGateway(ctx context.Context, r *rig, _ *Fault, g int) error {
@@ -185,11 +185,11 @@
 	s := syscall.SIGCONT
 	if on {
 		s = syscall.SIGSTOP
-		r.history.Stopped(g, r.now(), true)
+		r.history.RecordStop(g, r.now(), true)
 	}
 	err := r.run.Signal(g, s)
 	if !on {
-		r.history.Stopped(g, r.now(), false)
+		r.history.RecordStop(g, r.now(), false)
 	}
 	return err
 }
@@ -198,10 +198,10 @@
 // the rest.
 func heavyTraffic(ctx context.Context, r *rig, f *Fault) error {
 	r.run.Mark("%s: %.0f%% to %s", f.Kind, 100*f.Share, strings.Join(r.namesOf(f.Gateways), " "))
-	r.run.Heavy(f.Gateways, f.Share)
+	r.run.ConcentrateTraffic(f.Gateways, f.Share)
 	if f.For.Duration > 0 {
 		experiment.Sleep(ctx, f.For.Duration)
-		r.run.Heavy(nil, 0)
+		r.run.ConcentrateTraffic(nil, 0)
 		r.run.Mark("%s: over", f.Kind)
 	}
 	return nil
@@ -219,8 +219,8 @@
 const slowInterval = 40 * time.Millisecond
 
 func slowGateway(ctx context.Context, r *rig, f *Fault, g int) error {
-	r.history.Stopped(g, r.now(), true)
-	defer func() { r.history.Stopped(g, r.now(), false) }()
+	r.history.RecordStop(g, r.now(), true)
+	defer func() { r.history.RecordStop(g, r.now(), false) }()
 	runTime := time.Duration(f.Share * float64(slowInterval))
 	for end := time.Now().Add(f.For.Duration); time.Now().Before(end); {
 		if err := r.run.Signal(g, syscall.SIGSTOP); err != nil {
@@ -245,7 +245,7 @@
 // duplicateGateway runs a second process under a gateway's name for a while, then kills it.
 func duplicateGateway(ctx context.Context, r *rig, f *Fault, g int) error {
 	r.setNextKind(g, duplicateProcess)
-	end, err := r.run.Twin(ctx, g, r.ready)
+	end, err := r.run.StartDuplicate(ctx, g, r.ready)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/drill/portions_test.go
+++ b/internal/lab/drill/portions_test.go
@@ -17,8 +17,8 @@
 	parts := map[string]float64{"h-0": 1.0 / 3, "h-1": 1.0 / 3}
 	for at := 100 * time.Millisecond; at <= 10*time.Second; at += 100 * time.Millisecond {
 		for g := range 3 {
-			o := membershipcheck.Observation{At: at, Gateway: g, PID: 100 + g, Speaking: true, Settled: true,
-				Alive: 3, Beliefs: make([]membershipcheck.Belief, 3),
+			o := membershipcheck.Observation{At: at, Gateway: g, PID: 100 + g, Active: true, Converged: true,
+				Alive: 3, Members: make([]membershipcheck.MemberView, 3),
 				Assignment: &membershipcheck.Assignment{Stage: "settled", Shares: maps.Clone(parts), Tokens: 4,
 					RelativeLoad: 1.1}}
 			edit(&o)
--- a/internal/lab/drill/rig.go
+++ b/internal/lab/drill/rig.go
@@ -34,7 +34,7 @@
 	now       func() time.Duration // time since the start of the load; negative before it
 	net       *network
 	history   *membershipcheck.History
-	run       *experiment.Handles
+	run       *experiment.RunControl
 	hostLists [][]byte
 	onFinding func(requestrecord.Finding)
 	client    *http.Client
@@ -84,7 +84,7 @@
 	}
 	r.history = membershipcheck.NewHistory(r.names)
 	if f.Cluster.DivideHosts {
-		r.history.ReportsLoad()
+		r.history.SetReportsLoad()
 	}
 	r.net = newNetwork(f.Network, rigAddress(dir, 1), seed, r.pathChanged, r.connectionRefused)
 	// Without keep-alive: an idle connection would occupy one of a gateway's admin connections, which operators need.
@@ -98,7 +98,7 @@
 		for a := range r.names {
 			for b := range r.names {
 				if a != b {
-					r.history.Path(a, b, membershipcheck.PathState{At: -2 * time.Hour,
+					r.history.RecordPath(a, b, membershipcheck.PathState{At: -2 * time.Hour,
 						Cut: base.Delay.Duration+base.Jitter.Duration > answerTimeout, Loss: base.Loss})
 				}
 			}
@@ -131,7 +131,7 @@
 			entries[i] = fmt.Sprintf("[[peer]]\nname = %q\naddr = %q\n", other, at)
 		}
 		r.peers = append(r.peers, entries)
-		r.listed = append(r.listed, !r.file.Cluster.ListRunningOnly || !r.Late(name))
+		r.listed = append(r.listed, !r.file.Cluster.ListRunningOnly || !r.StartsLater(name))
 	}
 	return nil
 }
@@ -231,8 +231,8 @@
 // HostAddress implements experiment.Rig.
 func (r *rig) HostAddress() string { return rigAddress(r.dir, 2).String() }
 
-// Late implements experiment.Rig.
-func (r *rig) Late(gateway string) bool {
+// StartsLater implements experiment.Rig.
+func (r *rig) StartsLater(gateway string) bool {
 	for _, n := range r.file.Cluster.StartedLater {
 		if r.names[n] == gateway {
 			return true
@@ -289,13 +289,13 @@
 	r.adminAddrs[pid] = control
 	r.nextKinds[n] = normalProcess
 	r.mu.Unlock()
-	r.history.Started(n, pid, launched, kind == duplicateProcess, kind == upgradedProcess)
+	r.history.RecordStart(n, pid, launched, kind == duplicateProcess, kind == upgradedProcess)
 	r.watchers.Go(func() { r.pollViews(n, pid, control) })
 }
 
 // Ended implements experiment.Rig.
 func (r *rig) Ended(_ string, pid int) {
-	r.history.Ended(pid, r.now())
+	r.history.RecordEnd(pid, r.now())
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.adminAddrs, pid)
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -37,16 +37,16 @@
 	Lost    uint64 `json:"lost"`
 }
 
-// Cell is a period, in seconds, during which one gateway's view held another gateway in the same state. The report
+// StateSpan is a period, in seconds, during which one gateway's view held another gateway in the same state. The report
 // draws it.
-type Cell struct {
-	Of       int
+type StateSpan struct {
+	Member   int
 	From, To float64
 	State    string
 }
 
-// Cells returns one gateway's view over time as periods of equal state.
-func (res *Result) Cells(gateway int) (out []Cell) {
+// StateSpans returns one gateway's view over time as periods of equal state.
+func (res *Result) StateSpans(gateway int) (out []StateSpan) {
 	open := make(map[int]int) // by member: index of the period that may still be extended
 	var last float64
 	for _, o := range res.Observations {
@@ -58,14 +58,14 @@
 			clear(open)
 		}
 		last = at
-		for m, s := range o.Beliefs {
+		for m, s := range o.Members {
 			state := s.State
 			if m == gateway {
 				state = "self"
 				switch {
 				case o.DuplicateName:
 					state = "twin"
-				case !o.Settled:
+				case !o.Converged:
 					state = "unsettled"
 				}
 			}
@@ -75,7 +75,7 @@
 			}
 			if !ok || out[i].State != state {
 				open[m] = len(out)
-				out = append(out, Cell{Of: m, From: at, To: at, State: state})
+				out = append(out, StateSpan{Member: m, From: at, To: at, State: state})
 			}
 		}
 	}
@@ -88,9 +88,9 @@
 	Dir      string
 	Seed     uint64 // overrides the file's seed if not 0
 	Progress func(load.Progress)
-	// Found is called for each violation of a membership rule, at most checkInterval after it can be reported. It
+	// OnFinding is called for each violation of a membership rule, at most checkInterval after it can be reported. It
 	// may be nil.
-	Found func(requestrecord.Finding)
+	OnFinding func(requestrecord.Finding)
 }
 
 // Run runs a drill and returns its result after the load has ended.
@@ -109,10 +109,10 @@
 		return nil, err
 	}
 	defer func() { stop(); r.close() }()
-	r.onFinding = o.Found
+	r.onFinding = o.OnFinding
 	res, err := experiment.Run(ctx, &f.File, experiment.Options{Gateway: o.Gateway, Dir: o.Dir, Seed: seed,
 		Progress: o.Progress, Rig: r, Clock: clock,
-		Beside: func(ctx context.Context, run *experiment.Handles) error {
+		Concurrent: func(ctx context.Context, run *experiment.RunControl) error {
 			r.startClock(run)
 			began.Store(int64(run.Began))
 			err := r.runFaults(ctx)
@@ -129,11 +129,11 @@
 }
 
 // startClock moves the history's time origin to the start of the load. Earlier events get negative times.
-func (r *rig) startClock(run *experiment.Handles) {
+func (r *rig) startClock(run *experiment.RunControl) {
 	r.run = run
 	r.history.Rebase(time.Hour - run.Began)
 	for n := range r.names {
-		r.hostLists = append(r.hostLists, run.Known(n))
+		r.hostLists = append(r.hostLists, run.HostList(n))
 	}
 }
 
@@ -240,7 +240,7 @@
 	if res.Findings == nil {
 		res.Findings = []requestrecord.Finding{}
 	}
-	res.Held = res.Held && len(found) == 0
+	res.RulesHeld = res.RulesHeld && len(found) == 0
 }
 
 // WriteJSON writes result.json into a directory.
--- a/internal/lab/drill/stopped.go
+++ b/internal/lab/drill/stopped.go
@@ -92,7 +92,7 @@
 	}
 	text := fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: h\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %dm\r\n",
 		method, class.Name, c.id, class.Name,
-		class.Patience.Milliseconds())
+		class.Timeout.Milliseconds())
 	if body > 0 {
 		text += fmt.Sprintf("Content-Length: %d\r\n", body)
 	}
@@ -110,7 +110,7 @@
 // stopClient runs one client. It adds a finding if the client gets no answer and the rig's faults do not excuse
 // that.
 func (r *rig) stopClient(c stoppedClient) {
-	if c.gotAnswer(r.run.Front(c.gateway)) {
+	if c.gotAnswer(r.run.ClientAddress(c.gateway)) {
 		return
 	}
 	ended := r.now()
--- a/internal/lab/drill/watch.go
+++ b/internal/lab/drill/watch.go
@@ -30,15 +30,15 @@
 		if err != nil {
 			continue
 		}
-		o := membershipcheck.Observation{At: at, Gateway: n, PID: pid, Speaking: v.Active, Join: v.Joined,
-			Settled: v.Converged, Majority: v.Majority, DuplicateName: v.DuplicateName, Alive: v.Alive,
-			Sent: v.SentBytes, Beliefs: make([]membershipcheck.Belief, len(r.names))}
+		o := membershipcheck.Observation{At: at, Gateway: n, PID: pid, Active: v.Active, JoinCount: v.Joined,
+			Converged: v.Converged, Majority: v.Majority, DuplicateName: v.DuplicateName, Alive: v.Alive,
+			SentBytes: v.SentBytes, Members: make([]membershipcheck.MemberView, len(r.names))}
 		for _, m := range v.Members {
 			i, ok := r.index[m.Name]
 			if !ok {
-				o.Strangers++
+				o.UnknownMembers++
 			} else {
-				o.Beliefs[i] = membershipcheck.Belief{State: m.State, Start: m.StartMS, Incarnation: m.Incarnation,
+				o.Members[i] = membershipcheck.MemberView{State: m.State, Start: m.StartMS, Incarnation: m.Incarnation,
 					Since:    at - time.Duration(m.SinceMS)*time.Millisecond,
 					Previous: m.Previous, SuspectedBy: m.SuspectedBy}
 			}
--- a/internal/lab/emulation/discovery.go
+++ b/internal/lab/emulation/discovery.go
@@ -16,8 +16,8 @@
 // Entry is a host as discovery lists it.
 type Entry = registry.Entry
 
-// Told records when a gateway was notified that a host drains or is removed.
-type Told = registry.Notification
+// Notification records when a gateway was notified that a host drains or is removed.
+type Notification = registry.Notification
 
 // The states of a host in discovery's list.
 const (
@@ -180,7 +180,7 @@
 				resetConn(c)
 				return
 			}
-			if (!d.watchesPaused() || first && d.pushed) && (first || d.list.Seq() > after) {
+			if (!d.watchesPaused() || first && d.pushed) && (first || d.list.Version() > after) {
 				line = d.list.Line(gateway, after)
 				break
 			}
@@ -189,13 +189,13 @@
 			}
 			d.stateChanged.Wait()
 		}
-		after, first, lastWrite = d.list.Seq(), false, d.clock()
+		after, first, lastWrite = d.list.Version(), false, d.clock()
 		heartbeat.Reset(heartbeatInterval + time.Millisecond)
 		// Written under the lock, so that changes are written in order and the time of notification is exact.
 		_ = c.SetWriteDeadline(time.Now().Add(time.Second))
 		_, err := fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(line)+1, line)
 		if err == nil && line != nil {
-			d.list.Note(gateway, d.clock())
+			d.list.RecordNotification(gateway, d.clock())
 		}
 		d.mu.Unlock()
 		if err != nil {
@@ -204,8 +204,8 @@
 	}
 }
 
-// Known returns the current list in discovery's format, as a restarted gateway would receive it.
-func (d *Discovery) Known(gateway string) []byte {
+// WholeList returns the current list in discovery's format, as a restarted gateway would receive it.
+func (d *Discovery) WholeList(gateway string) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.list.Line(gateway, 0)
@@ -241,17 +241,17 @@
 	d.list.Put(entries...)
 	if d.pushed {
 		for gateway := range d.listeners {
-			d.list.Note(gateway, d.clock())
+			d.list.RecordNotification(gateway, d.clock())
 		}
 	}
 	d.stateChanged.Broadcast()
 }
 
-// Flap sends every gateway the whole list again, as a discovery service that restarted without its history does.
-func (d *Discovery) Flap() {
+// LoseHistory sends every gateway the whole list again, as a discovery service that restarted without its history does.
+func (d *Discovery) LoseHistory() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.list.Flap()
+	d.list.LoseHistory()
 	d.stateChanged.Broadcast()
 }
 
@@ -265,8 +265,8 @@
 // pushed lists, the agents receive no changes.
 func (d *Discovery) SetDown(on bool) { d.update(func() { d.down = on }) }
 
-// SetMute pauses all output on watches, including heartbeats, or resumes it.
-func (d *Discovery) SetMute(on bool) { d.update(func() { d.paused = on }) }
+// SetWatchesPaused pauses all output on watches, including heartbeats, or resumes it.
+func (d *Discovery) SetWatchesPaused(on bool) { d.update(func() { d.paused = on }) }
 
 // SetLag changes the time after which changes become visible.
 func (d *Discovery) SetLag(lag time.Duration) { d.update(func() { d.lag = lag }) }
@@ -283,11 +283,11 @@
 	d.stateChanged.Broadcast()
 }
 
-// Told returns when a gateway was notified that a host drains or is removed; ok is false if it was not.
-func (d *Discovery) Told(gateway, host string) (t Told, ok bool) {
+// Notified returns when a gateway was notified that a host drains or is removed; ok is false if it was not.
+func (d *Discovery) Notified(gateway, host string) (t Notification, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.list.Told(gateway, host)
+	return d.list.Notified(gateway, host)
 }
 
 // Forget drops the record of a gateway's notifications, as after the gateway's restart.
--- a/internal/lab/emulation/emulation_test.go
+++ b/internal/lab/emulation/emulation_test.go
@@ -30,8 +30,8 @@
 func startHost(t *testing.T, o Options) (*Host, string) {
 	t.Helper()
 	h, err := NewHost(hostmodel.Spec{Name: "h1", Cores: 8, Speed: 1, Slots: 8, Queue: 8, Body: 200,
-		Report: hostmodel.Report{Least: time.Millisecond, Most: 5 * time.Millisecond},
-		Work:   map[string]hostmodel.Work{"view": {Dist: "fixed", Mean: 2 * time.Millisecond}}}, NewClock(), o)
+		Report: hostmodel.Report{MinInterval: time.Millisecond, MaxInterval: 5 * time.Millisecond},
+		Work:   map[string]hostmodel.Work{"view": {Distribution: "fixed", Mean: 2 * time.Millisecond}}}, NewClock(), o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 func TestHostServesRequestsAndReportsLoad(t *testing.T) {
 	var mu sync.Mutex
 	var arrivals []string
-	h, addr := startHost(t, Options{Arrived: func(host, via, id string, _ time.Duration) {
+	h, addr := startHost(t, Options{OnArrival: func(host, via, id string, _ time.Duration) {
 		mu.Lock()
 		defer mu.Unlock()
 		arrivals = append(arrivals, host+via+id)
@@ -95,14 +95,14 @@
 	if r, _, _ := readResponse(in); r.StatusCode != 404 {
 		t.Errorf("request without an id: %v, want 404", r)
 	}
-	h.Do(func(now time.Duration, m *hostmodel.Host) { m.Drain(now, true) })
+	h.Do(func(now time.Duration, m *hostmodel.Host) { m.SetDraining(now, true) })
 	sendRequest(c, "c")
 	if r, _, _ := readResponse(in); r.StatusCode != 503 || r.Header.Get("X-Never-Ran") != "1" {
 		t.Errorf("request to a draining host: %v, want 503 with X-Never-Ran", r)
 	}
 	l := h.Close()
-	if len(arrivals) != 3 || arrivals[0] != "h1ga" || l.EntryOf("a").Ended != 1 || l.EntryOf("c").TurnedAway != 1 ||
-		l.EntryOf("c").Begun != 0 {
+	if len(arrivals) != 3 || arrivals[0] != "h1ga" || l.EntryOf("a").Ended != 1 || l.EntryOf("c").Rejected != 1 ||
+		l.EntryOf("c").Started != 0 {
 		t.Errorf("arrivals %v; records of the served request %+v, of the rejected one %+v", arrivals,
 			*l.EntryOf("a"), *l.EntryOf("c"))
 	}
@@ -168,7 +168,7 @@
 	} {
 		t.Run(string(fault), func(t *testing.T) {
 			h, addr := startHost(t, Options{})
-			h.Spoil(fault, 1, "view")
+			h.InjectFault(fault, 1, "view")
 			c := dial(t, addr)
 			sendRequest(c, "x")
 			if !hasFault(c, bufio.NewReader(c)) {
@@ -186,7 +186,7 @@
 }
 
 func TestHostModes(t *testing.T) {
-	h, addr := startHost(t, Options{Idle: time.Minute})
+	h, addr := startHost(t, Options{IdleTimeout: time.Minute})
 	c := dial(t, addr)
 	in := bufio.NewReader(c)
 	set := func(m Mode) {
@@ -229,7 +229,7 @@
 }
 
 func TestIdleConnectionsAreClosed(t *testing.T) {
-	h, addr := startHost(t, Options{Idle: 30 * time.Millisecond})
+	h, addr := startHost(t, Options{IdleTimeout: 30 * time.Millisecond})
 	c := dial(t, addr)
 	if _, err := bufio.NewReader(c).Peek(1); err != io.EOF {
 		t.Errorf("idle connection: %v, want EOF", err)
@@ -264,8 +264,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one := Entry{Host: "one", Site: "suva", Kind: "k", State: StateUp, Dial: map[string]string{"g": "127.0.0.1:1"}}
-	two := Entry{Host: "two", Site: "suva", Kind: "k", State: StateUp, Dial: map[string]string{"g": "127.0.0.1:2"}}
+	one := Entry{Host: "one", Site: "suva", Kind: "k", State: StateUp, Addresses: map[string]string{"g": "127.0.0.1:1"}}
+	two := Entry{Host: "two", Site: "suva", Kind: "k", State: StateUp, Addresses: map[string]string{"g": "127.0.0.1:2"}}
 	d.Put(one, two)
 	next, _ := openWatch(t, addr, "/v1/servers?stream=1&index=0")
 	if l := next(); !strings.Contains(l, `"seq":1,"whole":true`) || !strings.Contains(l, `"dial":"127.0.0.1:2"`) {
@@ -277,8 +277,8 @@
 		!strings.Contains(l, `"draining"`) {
 		t.Errorf("change %s, want only the draining host in version 2", l)
 	}
-	notification, ok := d.Told("g", "two")
-	if _, other := d.Told("g", "one"); !ok || other || notification.State != StateDraining ||
+	notification, ok := d.Notified("g", "two")
+	if _, other := d.Notified("g", "one"); !ok || other || notification.State != StateDraining ||
 		notification.At > clock() {
 		t.Errorf("notification %+v, %v; want one of the draining host only", notification, ok)
 	}
@@ -288,18 +288,18 @@
 	// A later watch starts at the version in its request; a whole list has no removed hosts.
 	two.State = StateRemoved
 	d.Put(two)
-	if after, ok := d.Told("g", "two"); !ok || after.At != notification.At {
+	if after, ok := d.Notified("g", "two"); !ok || after.At != notification.At {
 		t.Errorf("notification after a second change %+v, want the first one, %+v", after, notification)
 	}
 	again, _ := openWatch(t, addr, "/v1/servers?stream=1&index=2")
 	if l := again(); !strings.Contains(l, `"removed"`) || strings.Contains(l, `"one"`) {
 		t.Errorf("watch since version 2: %s, want only the removed host", l)
 	}
-	if l := string(d.Known("g")); strings.Contains(l, `"two"`) || !strings.Contains(l, `"one"`) {
+	if l := string(d.WholeList("g")); strings.Contains(l, `"two"`) || !strings.Contains(l, `"one"`) {
 		t.Errorf("whole list %s, want it without the removed host", l)
 	}
 	d.Forget("g")
-	if _, ok := d.Told("g", "two"); ok {
+	if _, ok := d.Notified("g", "two"); ok {
 		t.Error("there is still a notification of the gateway after Forget")
 	}
 }
@@ -326,13 +326,13 @@
 	d.SetDown(false)
 	next, _ = openWatch(t, addr, "/v1/servers?stream=1&index=1")
 	next()
-	d.SetMute(true)
+	d.SetWatchesPaused(true)
 	d.Put(Entry{Host: "two", State: StateUp})
-	d.SetMute(false)
+	d.SetWatchesPaused(false)
 	if l := next(); !strings.Contains(l, `"two"`) {
 		t.Errorf("after the watches were resumed: %q, want the change", l)
 	}
-	d.Flap()
+	d.LoseHistory()
 	if l := next(); !strings.Contains(l, `"seq":1002`) || !strings.Contains(l, `"one"`) {
 		t.Errorf("after the loss of history: %q, want the whole list in version 1002", l)
 	}
@@ -362,7 +362,7 @@
 		t.Fatal(err)
 	}
 	d.SetPushed(true)
-	one := Entry{Host: "one", State: StateUp, Dial: map[string]string{"g": "127.0.0.1:1"}}
+	one := Entry{Host: "one", State: StateUp, Addresses: map[string]string{"g": "127.0.0.1:1"}}
 	d.Put(one)
 	d.SetDown(true)
 	one.State = StateDraining
@@ -371,14 +371,14 @@
 	if l := next(); !strings.Contains(l, `"seq":1,"whole":true`) || !strings.Contains(l, `"up"`) {
 		t.Errorf("first line while discovery is down: %s, want the list of version 1", l)
 	}
-	if _, ok := d.Told("g", "one"); ok {
+	if _, ok := d.Notified("g", "one"); ok {
 		t.Error("the gateway counts as notified of a change that no agent has received")
 	}
 	d.SetDown(false)
 	if l := next(); !strings.Contains(l, `"seq":2`) || !strings.Contains(l, `"draining"`) {
 		t.Errorf("change after discovery is up again: %s, want version 2", l)
 	}
-	if _, ok := d.Told("g", "one"); !ok {
+	if _, ok := d.Notified("g", "one"); !ok {
 		t.Error("the gateway does not count as notified of a change that its agent has received")
 	}
 }
--- a/internal/lab/emulation/faults.go
+++ b/internal/lab/emulation/faults.go
@@ -111,9 +111,9 @@
 	return data
 }
 
-// Spoil gives a share of the responses the fault f: of one class or, with an empty class, of all. A share of 0
+// InjectFault gives a share of the responses the fault f: of one class or, with an empty class, of all. A share of 0
 // ends the fault.
-func (h *Host) Spoil(f Fault, share float64, class string) {
+func (h *Host) InjectFault(f Fault, share float64, class string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.faults[f] = (faultShare{share, class}); share <= 0 {
--- a/internal/lab/emulation/host.go
+++ b/internal/lab/emulation/host.go
@@ -68,9 +68,9 @@
 	endlessInterval = 10 * time.Millisecond
 )
 
-// Arrived is called with every request before the host's model gets it. via is the gateway, first is the time of
+// ArrivalFunc is called with every request before the host's model gets it. via is the gateway, first is the time of
 // the request's first byte.
-type Arrived func(host, via, id string, first time.Duration)
+type ArrivalFunc func(host, via, id string, first time.Duration)
 
 // Host is an emulated host on sockets. Each gateway connects to a separate listener, so that the host knows which
 // gateway sent a request. Its methods may be called from several goroutines.
@@ -79,7 +79,7 @@
 	fields      Fields
 	idleTimeout time.Duration
 	clock       Clock
-	onArrival   Arrived
+	onArrival   ArrivalFunc
 
 	mu           sync.Mutex
 	model        *hostmodel.Host
@@ -113,26 +113,26 @@
 
 // Options are the settings of a Host.
 type Options struct {
-	Fields  Fields
-	Idle    time.Duration // idle timeout of connections; 0 means none
-	Arrived Arrived       // may be nil
-	Seed    uint64
-	Cold    bool
-	Cell    int // hosts of the same cell drop repeats of each other's keyed requests
+	Fields      Fields
+	IdleTimeout time.Duration // idle timeout of connections; 0 means none
+	OnArrival   ArrivalFunc   // may be nil
+	Seed        uint64
+	SlowStart   bool
+	Cell        int // hosts of the same cell drop repeats of each other's keyed requests
 }
 
 // NewHost starts a host's model. The host listens only after Open.
 func NewHost(spec hostmodel.Spec, clock Clock, o Options) (*Host, error) {
 	l := requestrecord.NewEndpointRecord(spec.Name)
 	l.Cell = o.Cell
-	model, err := hostmodel.New(spec, o.Seed, clock(), o.Cold, l)
+	model, err := hostmodel.New(spec, o.Seed, clock(), o.SlowStart, l)
 	if err != nil {
 		return nil, err
 	}
 	if o.Fields == (Fields{}) {
 		o.Fields = DefaultFields()
 	}
-	h := &Host{Name: spec.Name, fields: o.Fields, idleTimeout: o.Idle, clock: clock, onArrival: o.Arrived, model: model,
+	h := &Host{Name: spec.Name, fields: o.Fields, idleTimeout: o.IdleTimeout, clock: clock, onArrival: o.OnArrival, model: model,
 		record: l, rand: rand.New(rand.NewPCG(o.Seed, 1)), mode: Up, conns: make(map[*conn]bool),
 		replyWaiters: make(map[uint64]chan hostmodel.Reply), faults: make(map[Fault]faultShare)}
 	h.modeChanged = sync.NewCond(&h.mu)
@@ -263,7 +263,7 @@
 	case unreachable || reply.Kind == hostmodel.Lost:
 		resetConn(c.Conn)
 		return false
-	case reply.Kind == hostmodel.TurnedAway:
+	case reply.Kind == hostmodel.Rejected:
 		return writeResponse(c, 503, load+"X-Never-Ran: 1\r\n", []byte("turned away\n"))
 	case reply.Kind == hostmodel.Errored:
 		return writeResponse(c, 500, load, []byte("error\n"))
--- a/internal/lab/emulation/mode.go
+++ b/internal/lab/emulation/mode.go
@@ -23,10 +23,10 @@
 	previous := h.mode
 	h.mode = m
 	now := h.clock()
-	h.model.Hold(now, m == Hung)
+	h.model.SetSuspended(now, m == Hung)
 	switch {
 	case m == Refuse && previous != Refuse:
-		h.model.Fall(now)
+		h.model.Crash(now)
 		for _, l := range h.listeners {
 			_ = l.ln.Close()
 		}
@@ -34,7 +34,7 @@
 			resetConn(c.Conn)
 		}
 	case previous == Refuse && m != Refuse:
-		if err := h.restart(now, h.model.Spec().Cold.For > 0); err != nil {
+		if err := h.restart(now, h.model.Spec().SlowStart.Duration > 0); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/experiment/check.go
+++ b/internal/lab/experiment/check.go
@@ -60,9 +60,9 @@
 		"must be one word that fits in a path")
 	c.require(!slices.Contains(c.classes, class.Name), fieldPath("name"), "%q is there already", class.Name)
 	c.require(class.Share > 0, fieldPath("share"), "must be positive")
-	c.require(class.Worth >= 0, fieldPath("worth"), "must not be negative")
-	c.require(class.Patience.Duration > 0, fieldPath("patience"), "must be positive")
-	c.require(class.Aim.Duration > 0 && class.Aim.Duration <= class.Patience.Duration, fieldPath("aim"),
+	c.require(class.Weight >= 0, fieldPath("worth"), "must not be negative")
+	c.require(class.Timeout.Duration > 0, fieldPath("patience"), "must be positive")
+	c.require(class.LatencyObjective.Duration > 0 && class.LatencyObjective.Duration <= class.Timeout.Duration, fieldPath("aim"),
 		"must be over 0 and at most patience")
 	c.require(class.Body >= 0 && class.Body <= 64<<10 && (class.Unsafe || class.Keyed || class.Body == 0),
 		fieldPath("body"), "must be 0 to 65536, for unsafe and keyed classes only")
--- a/internal/lab/experiment/defaults.go
+++ b/internal/lab/experiment/defaults.go
@@ -43,7 +43,7 @@
 func (f *File) applyClientDefaults(in *tomlfile.File) {
 	setDefault(&f.Clients.Backoff, "fixed")
 	setDefault(&f.Clients.Wait, ms(100))
-	setDefault(&f.Clients.MostAfter, ms(2000))
+	setDefault(&f.Clients.MaxRetryAfter, ms(2000))
 	if !in.Has("clients.honour") {
 		f.Clients.Honour = 1
 	}
@@ -51,10 +51,10 @@
 
 func (c *Class) applyDefaults(in *tomlfile.File, path string) {
 	if !in.Has(path + ".worth") {
-		c.Worth = 1
+		c.Weight = 1
 	}
-	setDefault(&c.Aim, ms(800))
-	setDefault(&c.Patience, ms(2000))
+	setDefault(&c.LatencyObjective, ms(800))
+	setDefault(&c.Timeout, ms(2000))
 	setDefault(&c.Work.Dist, "fixed")
 	if c.Keyed {
 		setDefault(&c.Window, ms(1500))
@@ -74,10 +74,10 @@
 		h.Queue = 12 * h.Cores
 	}
 	setDefault(&h.WarmBy, "time")
-	setDefault(&h.FallFor, ms(1000))
+	setDefault(&h.CrashAfter, ms(1000))
 	setDefault(&h.Body, 200)
-	setDefault(&h.Idle, ms(30000))
+	setDefault(&h.IdleTimeout, ms(30000))
 	if !in.Has(path + ".report_most") {
-		h.ReportMin, h.ReportMax, h.ReportLate = ms(50), ms(250), ms(20)
+		h.ReportMin, h.ReportMax, h.ReportDelay = ms(50), ms(250), ms(20)
 	}
 }
--- a/internal/lab/experiment/events.go
+++ b/internal/lab/experiment/events.go
@@ -80,11 +80,11 @@
 		return w.applyFor(ctx, e, "discovery down", func() { w.discovery.SetDown(true) },
 			func() { w.discovery.SetDown(false) })
 	case "discovery-mute":
-		return w.applyFor(ctx, e, "discovery silent", func() { w.discovery.SetMute(true) },
-			func() { w.discovery.SetMute(false) })
+		return w.applyFor(ctx, e, "discovery silent", func() { w.discovery.SetWatchesPaused(true) },
+			func() { w.discovery.SetWatchesPaused(false) })
 	case "discovery-flap":
 		w.addMark("discovery starts anew")
-		w.discovery.Flap()
+		w.discovery.LoseHistory()
 		return nil
 	case "discovery-lag":
 		w.addMark("discovery's lag is %v", e.Lag)
@@ -119,7 +119,7 @@
 // publish sets the state of a host and its start time in Unix milliseconds in the list that discovery serves.
 func (w *World) publish(m *managedHost, state string, bornMS int64) {
 	w.mu.Lock()
-	m.entry.State, m.entry.Born = state, bornMS
+	m.entry.State, m.entry.StartedMS = state, bornMS
 	entry := m.entry
 	w.mu.Unlock()
 	w.discovery.Put(entry)
@@ -140,13 +140,13 @@
 // discovery lists it as removed and the host is closed.
 func (w *World) drain(ctx context.Context, e Event, m *managedHost) {
 	w.addMark("%s drains", m.Name)
-	w.publish(m, emulation.StateDraining, m.entry.Born)
+	w.publish(m, emulation.StateDraining, m.entry.StartedMS)
 	lag := w.File.Discovery.Lag.Duration
 	// A draining host rejects new requests only after every gateway has had time to learn of the draining state.
 	Sleep(ctx, lag+drainGrace)
-	m.Do(func(now time.Duration, h *hostmodel.Host) { h.Drain(now, true) })
+	m.Do(func(now time.Duration, h *hostmodel.Host) { h.SetDraining(now, true) })
 	Sleep(ctx, max(e.For.Duration, 500*time.Millisecond))
-	w.publish(m, emulation.StateRemoved, m.entry.Born)
+	w.publish(m, emulation.StateRemoved, m.entry.StartedMS)
 	record := m.Host.Close()
 	w.mu.Lock()
 	m.gone.Store(true)
--- a/internal/lab/experiment/format.go
+++ b/internal/lab/experiment/format.go
@@ -60,9 +60,9 @@
 	Backoff               string   `toml:"backoff"`
 	Wait                  Duration `toml:"wait"`
 	Honour                float64  `toml:"honour"`
-	MostAfter             Duration `toml:"most_retry_after"`
+	MaxRetryAfter         Duration `toml:"most_retry_after"`
 	TryShare              float64  `toml:"try_share"`
-	Marks                 bool     `toml:"marks_retry"`
+	MarksRetries          bool     `toml:"marks_retry"`
 	Connections           int      `toml:"connections"`
 	RequestsPerConnection int      `toml:"requests_per_connection"`
 	SlowShare             float64  `toml:"slow_share"`
@@ -72,17 +72,17 @@
 
 // Class is a class of requests.
 type Class struct {
-	Name       string   `toml:"name"`
-	Share      float64  `toml:"share"`
-	Unsafe     bool     `toml:"unsafe"`
-	Keyed      bool     `toml:"keyed"`      // sent with an idempotency key; hosts of a cell drop a repeated key
-	Window     Duration `toml:"window"`     // with Keyed: the time for which hosts remember a key
-	LateWeight float64  `toml:"late_worth"` // share of the value earned after the latency objective, for the gateways
-	Worth      float64  `toml:"worth"`
-	Aim        Duration `toml:"aim"`
-	Patience   Duration `toml:"patience"`
-	Body       int      `toml:"body"`
-	Work       Work     `toml:"work"`
+	Name             string   `toml:"name"`
+	Share            float64  `toml:"share"`
+	Unsafe           bool     `toml:"unsafe"`
+	Keyed            bool     `toml:"keyed"`      // sent with an idempotency key; hosts of a cell drop a repeated key
+	Window           Duration `toml:"window"`     // with Keyed: the time for which hosts remember a key
+	LateWeight       float64  `toml:"late_worth"` // share of the value earned after the latency objective, for the gateways
+	Weight           float64  `toml:"worth"`
+	LatencyObjective Duration `toml:"aim"`
+	Timeout          Duration `toml:"patience"`
+	Body             int      `toml:"body"`
+	Work             Work     `toml:"work"`
 }
 
 // Work is the distribution from which the work of each request is drawn.
@@ -94,36 +94,36 @@
 
 // Hosts are Count hosts of one kind; hostmodel.Spec describes most fields.
 type Hosts struct {
-	Kind       string   `toml:"kind"`
-	Count      int      `toml:"count"`
-	Site       string   `toml:"site"`
-	Cell       int      `toml:"cell"` // number of hosts that share a record of keys; 0 means all of the kind
-	Cores      int      `toml:"cores"`
-	Speed      float64  `toml:"speed"`
-	Slots      int      `toml:"slots"`
-	Queue      int      `toml:"queue"`
-	ThrashAt   float64  `toml:"thrash_at"`
-	Thrash     float64  `toml:"thrash"`
-	ColdFrom   float64  `toml:"cold_from"`
-	ColdFor    Duration `toml:"cold_for"`
-	WarmBy     string   `toml:"warm_by"`
-	Fall       float64  `toml:"fall_multiple"`
-	FallFor    Duration `toml:"fall_for"`
-	StartsCold bool     `toml:"cold"` // hosts are in slow start when the run begins
-
-	PauseEvery  Duration `toml:"pause_every"`
-	PauseFor    Duration `toml:"pause_for"`
-	PauseGrowth float64  `toml:"pause_grow"`
-	ErrorRate   float64  `toml:"error_rate"`
-	Conns       int      `toml:"connections"`
-	FullTax     float64  `toml:"full_tax"`
-	Handshake   Duration `toml:"handshake_work"`
-	Idle        Duration `toml:"idle"`
-	ReportMin   Duration `toml:"report_least"`
-	ReportMax   Duration `toml:"report_most"`
-	ReportLate  Duration `toml:"report_delay"`
-	Noise       float64  `toml:"report_noise"`
-	Body        int      `toml:"body"`
+	Kind          string   `toml:"kind"`
+	Count         int      `toml:"count"`
+	Site          string   `toml:"site"`
+	Cell          int      `toml:"cell"` // number of hosts that share a record of keys; 0 means all of the kind
+	Cores         int      `toml:"cores"`
+	Speed         float64  `toml:"speed"`
+	Slots         int      `toml:"slots"`
+	Queue         int      `toml:"queue"`
+	ThrashAt      float64  `toml:"thrash_at"`
+	Thrash        float64  `toml:"thrash"`
+	ColdFrom      float64  `toml:"cold_from"`
+	ColdFor       Duration `toml:"cold_for"`
+	WarmBy        string   `toml:"warm_by"`
+	CrashMultiple float64  `toml:"fall_multiple"`
+	CrashAfter    Duration `toml:"fall_for"`
+	StartsCold    bool     `toml:"cold"` // hosts are in slow start when the run begins
+
+	PauseEvery    Duration `toml:"pause_every"`
+	PauseFor      Duration `toml:"pause_for"`
+	PauseGrowth   float64  `toml:"pause_grow"`
+	ErrorRate     float64  `toml:"error_rate"`
+	Connections   int      `toml:"connections"`
+	FullTax       float64  `toml:"full_tax"`
+	HandshakeWork Duration `toml:"handshake_work"`
+	IdleTimeout   Duration `toml:"idle"`
+	ReportMin     Duration `toml:"report_least"`
+	ReportMax     Duration `toml:"report_most"`
+	ReportDelay   Duration `toml:"report_delay"`
+	ReportNoise   float64  `toml:"report_noise"`
+	Body          int      `toml:"body"`
 }
 
 // Phase is a part of the load; load.Phase describes the fields.
@@ -228,4 +228,4 @@
 func ms(n int) Duration { return Duration{Duration: time.Duration(n) * time.Millisecond} }
 
 // Length returns the duration of the load, which is that of all phases.
-func (f *File) Length() time.Duration { return load.Length(f.loadPhases()) }
+func (f *File) Length() time.Duration { return load.TotalDuration(f.loadPhases()) }
--- a/internal/lab/experiment/format_test.go
+++ b/internal/lab/experiment/format_test.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Gateways.Count != 1 || f.Classes[0].Aim.Duration != 800*time.Millisecond || f.Hosts[0].Queue != 12 ||
+	if f.Gateways.Count != 1 || f.Classes[0].LatencyObjective.Duration != 800*time.Millisecond || f.Hosts[0].Queue != 12 ||
 		f.Clients.Honour != 1 {
 		t.Errorf("defaults of an experiment without gateways and clients: %+v", f)
 	}
@@ -91,7 +91,7 @@
 	}
 	write("[clients]\nretries = 2.0\n[[phase]]\nfor = \"2s\"\nrate = 5\nto = 10\n")
 	phases, clients, err := LoadShape(path, nil)
-	if err != nil || len(phases) != 1 || phases[0].To != 10 || clients == nil || clients.Retries != 2 {
+	if err != nil || len(phases) != 1 || phases[0].EndRate != 10 || clients == nil || clients.Retries != 2 {
 		t.Errorf("valid shape: phases %+v, clients %+v, error %v", phases, clients, err)
 	}
 	write("[[phase]]\nfor = \"2s\"\nrate = 5\nrush = \"x\"\n")
--- a/internal/lab/experiment/gateways.go
+++ b/internal/lab/experiment/gateways.go
@@ -77,7 +77,7 @@
 		g.log = filepath.Join(dir, g.name+".log")
 		_ = os.Remove(g.log)
 		w.gateways = append(w.gateways, g)
-		if w.rig != nil && w.rig.Late(g.name) {
+		if w.rig != nil && w.rig.StartsLater(g.name) {
 			continue
 		}
 		if err := w.startGateway(g); err != nil {
@@ -198,7 +198,7 @@
 		}
 		if !p.endExpected.Load() {
 			w.mu.Lock()
-			w.findings = append(w.findings, requestrecord.Finding{Rule: requestrecord.GatewayDied, ID: g.name,
+			w.findings = append(w.findings, requestrecord.Finding{Rule: requestrecord.GatewayCrashed, ID: g.name,
 				At:     w.Clock(),
 				Detail: fmt.Sprintf("ended by itself: %v, see %s", p.err, g.log)})
 			w.mu.Unlock()
@@ -243,12 +243,12 @@
 		g.stops = append(g.stops, w.Clock())
 		g.mu.Unlock()
 		if front != nil {
-			time.AfterFunc(frontLeaveDelay, func() { front.Leave(g.clientAddr) })
+			time.AfterFunc(frontLeaveDelay, func() { front.Remove(g.clientAddr) })
 		}
 	})
 	if !killed && p.err != nil {
 		w.mu.Lock()
-		w.findings = append(w.findings, requestrecord.Finding{Rule: requestrecord.GatewayDied, ID: g.name,
+		w.findings = append(w.findings, requestrecord.Finding{Rule: requestrecord.GatewayCrashed, ID: g.name,
 			At:     w.Clock(),
 			Detail: fmt.Sprintf("after SIGTERM: %v, see %s", p.err, g.log)})
 		w.mu.Unlock()
--- a/internal/lab/experiment/hostevents.go
+++ b/internal/lab/experiment/hostevents.go
@@ -44,7 +44,7 @@
 	if err := m.SetMode(emulation.Refuse); err != nil {
 		return err
 	}
-	w.publish(m, emulation.StateRemoved, m.entry.Born)
+	w.publish(m, emulation.StateRemoved, m.entry.StartedMS)
 	if e.For.Duration > 0 && Sleep(h.ctx, e.For.Duration) {
 		return w.restore(m)
 	}
@@ -67,7 +67,7 @@
 	number := m.spec.Count + w.replacements
 	w.replacements++
 	w.mu.Unlock()
-	replacement, err := w.startHost(m.spec, number, GatewayNames(len(m.entry.Dial)), m.entry.Dial, m.spec.ColdFrom > 0)
+	replacement, err := w.startHost(m.spec, number, GatewayNames(len(m.entry.Addresses)), m.entry.Addresses, m.spec.ColdFrom > 0)
 	if err == nil {
 		w.addMark("%s in place of %s", replacement.Name, m.Name)
 	}
@@ -78,8 +78,8 @@
 func (h hostEvent) spoil() error {
 	e, fault := h.event, emulation.Fault(h.event.Fault)
 	description := fmt.Sprintf("%s: %.0f%% %s", h.host.Name, e.Share*100, fault)
-	begin := func() { h.host.Spoil(fault, e.Share, e.Class) }
-	undo := func() { h.host.Spoil(fault, 0, "") }
+	begin := func() { h.host.InjectFault(fault, e.Share, e.Class) }
+	undo := func() { h.host.InjectFault(fault, 0, "") }
 	return h.world.applyFor(h.ctx, e, description, begin, undo)
 }
 
@@ -101,14 +101,14 @@
 			func(now time.Duration, h *hostmodel.Host) { h.SetErrors(now, e.Share) },
 			func(now time.Duration, h *hostmodel.Host) { h.SetErrors(now, m.spec.ErrorRate) })
 	case "neighbour":
-		n := hostmodel.Neighbour{Share: e.Share, On: e.On.Duration, Off: e.Off.Duration}
+		n := hostmodel.Neighbour{Share: e.Share, MeanActive: e.On.Duration, MeanIdle: e.Off.Duration}
 		return h.changeFor(fmt.Sprintf("has a neighbour of %.0f%%", e.Share*100),
 			func(now time.Duration, h *hostmodel.Host) { h.SetNeighbour(now, n) },
 			func(now time.Duration, h *hostmodel.Host) { h.SetNeighbour(now, hostmodel.Neighbour{}) })
 	case "heavy":
 		w.addMark("%s: %.1f%% of %s cost %.0f times", m.Name, e.Share*100, e.Class, e.Factor)
 		m.Do(func(now time.Duration, h *hostmodel.Host) {
-			h.Heavy(now, e.Class, e.Share, e.Factor, now+e.For.Duration)
+			h.AddWorkFactor(now, e.Class, e.Share, e.Factor, now+e.For.Duration)
 		})
 		return nil
 	}
--- a/internal/lab/experiment/models.go
+++ b/internal/lab/experiment/models.go
@@ -23,26 +23,26 @@
 func (f *File) loadClasses() []load.Class {
 	var out []load.Class
 	for _, c := range f.Classes {
-		out = append(out, load.Class{Name: c.Name, Share: c.Share, Unsafe: c.Unsafe, Keyed: c.Keyed, Worth: c.Worth,
-			Aim: c.Aim.Duration, Patience: c.Patience.Duration, Body: c.Body})
+		out = append(out, load.Class{Name: c.Name, Share: c.Share, Unsafe: c.Unsafe, Keyed: c.Keyed, Weight: c.Weight,
+			LatencyObjective: c.LatencyObjective.Duration, ClientTimeout: c.Timeout.Duration, Body: c.Body})
 	}
 	return out
 }
 
 func (p Phase) loadPhase() load.Phase {
-	return load.Phase{For: p.For.Duration, Rate: p.Rate, To: p.To, Steps: p.Steps, Jump: p.Jump,
+	return load.Phase{Duration: p.For.Duration, Rate: p.Rate, EndRate: p.To, Steps: p.Steps, JumpFactor: p.Jump,
 		JumpAt:  p.JumpAt.Duration,
-		JumpFor: p.JumpFor.Duration, Rush: p.Rush, RushTo: p.RushTo, Poisson: p.Arrivals != "even"}
+		JumpFor: p.JumpFor.Duration, RushClass: p.Rush, RushFactor: p.RushTo, Poisson: p.Arrivals != "even"}
 }
 
 func (w Work) workModel() hostmodel.Work {
-	return hostmodel.Work{Dist: w.Dist, Mean: w.Mean.Duration, CV: w.CV}
+	return hostmodel.Work{Distribution: w.Dist, Mean: w.Mean.Duration, CV: w.CV}
 }
 
 func (c Clients) loadClients() load.Clients {
-	return load.Clients{Retries: c.Retries, Backoff: c.Backoff, Wait: c.Wait.Duration, Honour: c.Honour,
-		MostAfter: c.MostAfter.Duration, TryShare: c.TryShare, Marks: c.Marks, Connections: c.Connections,
-		KeepFor: c.RequestsPerConnection, SlowShare: c.SlowShare, SlowFor: c.SlowFor.Duration, Silent: c.Silent}
+	return load.Clients{Retries: c.Retries, Backoff: c.Backoff, RetryDelay: c.Wait.Duration, HonourShare: c.Honour,
+		MaxRetryAfter: c.MaxRetryAfter.Duration, MinTimeoutShare: c.TryShare, MarkRetries: c.MarksRetries, Connections: c.Connections,
+		RequestsPerConn: c.RequestsPerConnection, SlowShare: c.SlowShare, SlowDuration: c.SlowFor.Duration, SilentConns: c.Silent}
 }
 
 // cellNumber returns the cell of the n-th host of a kind. Cells are numbered over all kinds in the order of the file.
@@ -70,14 +70,14 @@
 	}
 	return hostmodel.Spec{Name: HostName(h.Kind, n), Site: h.Site, Kind: h.Kind, Cores: h.Cores, Speed: h.Speed,
 		Slots: h.Slots,
-		Queue: h.Queue, ThrashAt: h.ThrashAt, Thrash: h.Thrash,
-		Cold: hostmodel.Cold{From: h.ColdFrom, For: h.ColdFor.Duration, ByWork: h.WarmBy == "work",
-			FallMultiple: h.Fall,
-			FallFor:      h.FallFor.Duration},
-		Pause:     hostmodel.Pause{Every: h.PauseEvery.Duration, For: h.PauseFor.Duration, Grow: h.PauseGrowth},
-		ErrorRate: h.ErrorRate, Conns: h.Conns, FullTax: h.FullTax, HandshakeWork: h.Handshake.Duration,
-		Report: hostmodel.Report{Least: h.ReportMin.Duration, Most: h.ReportMax.Duration,
-			Delay: h.ReportLate.Duration, Noise: h.Noise},
+		Queue: h.Queue, ThrashThreshold: h.ThrashAt, ThrashFactor: h.Thrash,
+		SlowStart: hostmodel.SlowStart{InitialShare: h.ColdFrom, Duration: h.ColdFor.Duration, ByWork: h.WarmBy == "work",
+			CrashMultiple: h.CrashMultiple,
+			CrashWindow:   h.CrashAfter.Duration},
+		Pause:     hostmodel.Pause{MeanInterval: h.PauseEvery.Duration, MeanDuration: h.PauseFor.Duration, GrowthPerRequest: h.PauseGrowth},
+		ErrorRate: h.ErrorRate, MaxConns: h.Connections, FullTableTax: h.FullTax, HandshakeWork: h.HandshakeWork.Duration,
+		Report: hostmodel.Report{MinInterval: h.ReportMin.Duration, MaxInterval: h.ReportMax.Duration,
+			Delay: h.ReportDelay.Duration, Noise: h.ReportNoise},
 		Body: h.Body, Work: work}
 }
 
--- a/internal/lab/experiment/rig.go
+++ b/internal/lab/experiment/rig.go
@@ -22,8 +22,8 @@
 	HostAddress() string
 	// Environment returns additional environment variables for a gateway. It is called once for each process.
 	Environment(gateway string) ([]string, error)
-	// Late reports whether a gateway does not run from the start of the run but is started later.
-	Late(gateway string) bool
+	// StartsLater reports whether a gateway does not run from the start of the run but is started later.
+	StartsLater(gateway string) bool
 	// Started and Ended are called when a process of a gateway has started and when it has ended.
 	Started(gateway string, pid int)
 	Ended(gateway string, pid int)
@@ -45,28 +45,28 @@
 	NodeClients   = "clients"
 )
 
-// Handles controls the gateways of a run, by their numbers, for the function of Options that runs concurrently with
+// RunControl controls the gateways of a run, by their numbers, for the function of Options that runs concurrently with
 // the load. Each method returns when its operation is complete.
-type Handles struct {
+type RunControl struct {
 	world *World
 	Began time.Duration // start of the load, on the clock of the run
 }
 
 // Mark adds a text to the events of the result, with the current time.
-func (r *Handles) Mark(format string, args ...any) { r.world.addMark(format, args...) }
+func (r *RunControl) Mark(format string, args ...any) { r.world.addMark(format, args...) }
 
-// Front returns the address at which clients reach a gateway.
-func (r *Handles) Front(n int) string { return r.world.gateways[n].clientAddr }
+// ClientAddress returns the address at which clients reach a gateway.
+func (r *RunControl) ClientAddress(n int) string { return r.world.gateways[n].clientAddr }
 
 // Kill ends a gateway's process with SIGKILL.
-func (r *Handles) Kill(n int) { r.world.kill(r.world.gateways[n]) }
+func (r *RunControl) Kill(n int) { r.world.kill(r.world.gateways[n]) }
 
 // Stop ends a gateway's process with SIGTERM, as a planned restart does. Clients stop using it shortly after the
 // signal.
-func (r *Handles) Stop(n int) { r.world.stop(r.world.gateways[n], r.world.Front) }
+func (r *RunControl) Stop(n int) { r.world.stop(r.world.gateways[n], r.world.Front) }
 
 // Start starts a gateway that is not running, and waits until it is ready.
-func (r *Handles) Start(ctx context.Context, n int) error {
+func (r *RunControl) Start(ctx context.Context, n int) error {
 	g := r.world.gateways[n]
 	if err := r.world.startGateway(g); err != nil {
 		return err
@@ -74,24 +74,26 @@
 	return r.world.waitReady(ctx, g)
 }
 
-// Heavy makes clients send the given share of all requests to the given gateways, in addition to their usual turns.
-func (r *Handles) Heavy(gateways []int, share float64) {
+// ConcentrateTraffic makes clients send the given share of all requests to the given gateways, in addition to their usual turns.
+func (r *RunControl) ConcentrateTraffic(gateways []int, share float64) {
 	var addrs []string
 	for _, n := range gateways {
 		addrs = append(addrs, r.world.gateways[n].clientAddr)
 	}
-	r.world.Front.Heavy(addrs, share)
+	r.world.Front.SetPreferred(addrs, share)
 }
 
 // Signal sends a signal to a gateway's process.
-func (r *Handles) Signal(n int, s syscall.Signal) error { return r.world.gateways[n].signal(s) }
+func (r *RunControl) Signal(n int, s syscall.Signal) error { return r.world.gateways[n].signal(s) }
 
-// Known returns the host list with which a gateway would start now. A later start may use it.
-func (r *Handles) Known(n int) []byte { return r.world.discovery.Known(r.world.gateways[n].name) }
+// HostList returns the host list with which a gateway would start now. A later start may use it.
+func (r *RunControl) HostList(n int) []byte {
+	return r.world.discovery.WholeList(r.world.gateways[n].name)
+}
 
-// StartWith starts a gateway with the given host list, such as one that was current earlier, and waits until it is
+// StartWithHostList starts a gateway with the given host list, such as one that was current earlier, and waits until it is
 // ready.
-func (r *Handles) StartWith(ctx context.Context, n int, known []byte) error {
+func (r *RunControl) StartWithHostList(ctx context.Context, n int, known []byte) error {
 	g := r.world.gateways[n]
 	g.mu.Lock()
 	g.initialHosts = known
@@ -106,7 +108,7 @@
 
 // Upgrade does a hot restart: it starts a second process of a gateway, waits until ready returns true for its pid,
 // which means that it serves clients, then ends the first process and waits for its end.
-func (r *Handles) Upgrade(ctx context.Context, n int, ready func(pid int) bool) error {
+func (r *RunControl) Upgrade(ctx context.Context, n int, ready func(pid int) bool) error {
 	w, g := r.world, r.world.gateways[n]
 	predecessor := g.current()
 	if predecessor == nil {
@@ -131,10 +133,10 @@
 	return nil
 }
 
-// Twin starts a second process under a gateway's name that is independent of the first. It listens at another
+// StartDuplicate starts a second process under a gateway's name that is independent of the first. It listens at another
 // address, which no client uses. The call waits until ready returns true for its pid; the returned function kills the
 // process.
-func (r *Handles) Twin(ctx context.Context, n int, ready func(pid int) bool) (end func(), err error) {
+func (r *RunControl) StartDuplicate(ctx context.Context, n int, ready func(pid int) bool) (end func(), err error) {
 	addr, err := r.world.rig.Listen(r.world.gateways[n].name)
 	if err != nil {
 		return nil, err
@@ -148,7 +150,7 @@
 
 // startSecondProcess starts a further process of a gateway while its first one runs, and waits until ready returns
 // true.
-func (r *Handles) startSecondProcess(ctx context.Context, g *gateway, ready func(pid int) bool, extraEnv ...string) (
+func (r *RunControl) startSecondProcess(ctx context.Context, g *gateway, ready func(pid int) bool, extraEnv ...string) (
 	*process, error) {
 	discovery, err := r.world.path(g.name, NodeDiscovery, r.world.discovery.Addr(g.name))
 	if err != nil {
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -26,7 +26,7 @@
 	About       string                  `json:"about"`
 	Seed        uint64                  `json:"seed"`
 	Started     time.Time               `json:"started"`
-	Held        bool                    `json:"rules_held"`
+	RulesHeld   bool                    `json:"rules_held"`
 	Rules       []RuleCount             `json:"rules"`
 	Findings    []requestrecord.Finding `json:"findings"` // the first maxFindings
 	LostByCrash int                     `json:"lost_by_crash"`
@@ -57,13 +57,13 @@
 
 // Options configures a run.
 type Options struct {
-	Gateway  string // path of the gateway program
-	Dir      string // directory of configurations, logs and results; created if missing
-	Seed     uint64 // replaces the seed of the file if not 0
-	Progress func(load.Progress)
-	Rig      Rig                                           // nil except in a drill
-	Beside   func(ctx context.Context, run *Handles) error // runs concurrently with the load; Run returns its error
-	Clock    emulation.Clock                               // clock of the run; a new one if nil
+	Gateway    string // path of the gateway program
+	Dir        string // directory of configurations, logs and results; created if missing
+	Seed       uint64 // replaces the seed of the file if not 0
+	Progress   func(load.Progress)
+	Rig        Rig                                              // nil except in a drill
+	Concurrent func(ctx context.Context, run *RunControl) error // runs concurrently with the load; Run returns its error
+	Clock      emulation.Clock                                  // clock of the run; a new one if nil
 }
 
 // Run runs an experiment: it starts hosts, discovery and gateways, applies load and events, stops the gateways and
@@ -88,15 +88,15 @@
 	res := &Result{Version: ResultVersion, Name: f.Name, Title: f.Title, About: f.About, Seed: seed,
 		Started: time.Now().UTC(), Limits: f.Gateways}
 	targets := w.newFront(f)
-	clients := requestrecord.NewClients()
+	clients := requestrecord.NewClientRecord()
 	loadStart := w.Clock()
 	res.Load, err = w.runLoad(ctx, o, loadStart, load.Options{Targets: targets, Front: w.Front, Classes: f.loadClasses(),
-		Schedule: load.Record(arrivals), Clients: f.Clients.loadClients(), Seed: seed, Ledger: clients, Clock: w.Clock,
+		Schedule: load.FromArrivals(arrivals), Clients: f.Clients.loadClients(), Seed: seed, Record: clients, Clock: w.Clock,
 		Progress: o.Progress})
 	if err != nil {
 		return nil, err
 	}
-	if err := writeAttempts(filepath.Join(o.Dir, attemptsFile), clients.Tries(), loadStart); err != nil {
+	if err := writeAttempts(filepath.Join(o.Dir, attemptsFile), clients.Attempts(), loadStart); err != nil {
 		return nil, err
 	}
 	for _, g := range w.gateways {
@@ -141,7 +141,7 @@
 	w.Front = load.NewFront(targets, f.Front.Notice.Duration, w.Clock)
 	for _, g := range w.gateways {
 		if g.current() == nil {
-			w.Front.Leave(g.clientAddr)
+			w.Front.Remove(g.clientAddr)
 		}
 	}
 	return targets
@@ -158,17 +158,17 @@
 	go func() { w.playEvents(running, loadStart); close(eventsDone) }()
 	concurrent := make(chan error, 1)
 	go func() {
-		if o.Beside == nil {
+		if o.Concurrent == nil {
 			concurrent <- nil
 			return
 		}
-		concurrent <- o.Beside(running, &Handles{w, loadStart})
+		concurrent <- o.Concurrent(running, &RunControl{w, loadStart})
 	}()
 	result, err := load.Run(ctx, options)
 	if err != nil {
 		return load.Result{}, err
 	}
-	if o.Beside != nil {
+	if o.Concurrent != nil {
 		if err := <-concurrent; err != nil {
 			return load.Result{}, err
 		}
@@ -183,7 +183,7 @@
 	var findings []requestrecord.Finding
 	res.Hosts, res.Gateways, findings = w.collectResults()
 	hosts := w.Close()
-	attempts := clients.Tries()
+	attempts := clients.Attempts()
 	compared, crashed := requestrecord.Compare(attempts, hosts, w.excused)
 	res.LostByCrash = crashed
 	w.mu.Lock()
@@ -201,14 +201,14 @@
 	for _, rule := range requestrecord.Rules() {
 		res.Rules = append(res.Rules, RuleCount{rule, counts[rule]})
 	}
-	res.Held = len(findings) == 0
+	res.RulesHeld = len(findings) == 0
 	res.Findings = append([]requestrecord.Finding{}, findings[:min(len(findings), maxFindings)]...)
 	for _, t := range attempts {
 		for _, h := range hosts {
 			if e := h.Find(t.ID); e != nil {
 				res.Work.Arrivals += e.Arrivals
-				res.Work.Begun += e.Begun
-				res.Work.TurnedAway += e.TurnedAway
+				res.Work.Begun += e.Started
+				res.Work.TurnedAway += e.Rejected
 			}
 		}
 	}
--- a/internal/lab/experiment/run_test.go
+++ b/internal/lab/experiment/run_test.go
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	r := runExperiment(t, f, program)
-	if !r.Held {
+	if !r.RulesHeld {
 		t.Errorf("findings: %+v", r.Findings)
 	}
 	if r.Load.OK < r.Load.Scheduled*3/4 || len(r.Events) < 9 {
@@ -95,12 +95,12 @@
 	r := runExperiment(t, f, crashingGateway)
 	died := 0
 	for _, x := range r.Findings {
-		if x.Rule == requestrecord.GatewayDied {
+		if x.Rule == requestrecord.GatewayCrashed {
 			died++
 		}
 	}
-	if r.Held || died == 0 {
-		t.Errorf("rules held %v, want false and a finding of the exit; findings %+v", r.Held, r.Findings)
+	if r.RulesHeld || died == 0 {
+		t.Errorf("rules held %v, want false and a finding of the exit; findings %+v", r.RulesHeld, r.Findings)
 	}
 }
 
@@ -149,18 +149,18 @@
 	defer func() { _ = gateway.Process.Kill(); _ = gateway.Wait() }()
 	w.publish(m, "draining", 0)
 	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		if _, ok := w.discovery.Told("gateway-0", m.Name); ok {
+		if _, ok := w.discovery.Notified("gateway-0", m.Name); ok {
 			break
 		}
 		if time.Now().After(deadline) {
 			t.Fatal("the gateway was not notified of the draining host within 5 s")
 		}
 	}
-	notification, _ := w.discovery.Told("gateway-0", m.Name)
+	notification, _ := w.discovery.Notified("gateway-0", m.Name)
 	w.checkArrival(m.Name, "gateway-0", "in-time", notification.At+drainGrace)
 	w.checkArrival(m.Name, "gateway-0", "late", notification.At+drainGrace+time.Millisecond)
 	w.checkArrival(m.Name, "gateway-1", "never-told", notification.At+time.Hour)
-	if len(w.findings) != 1 || w.findings[0].ID != "late" || w.findings[0].Rule != requestrecord.LateToDrained {
+	if len(w.findings) != 1 || w.findings[0].ID != "late" || w.findings[0].Rule != requestrecord.SentAfterDrain {
 		t.Errorf("want one finding, for the request \"late\": %+v", w.findings)
 	}
 }
--- a/internal/lab/experiment/sample.go
+++ b/internal/lab/experiment/sample.go
@@ -162,9 +162,9 @@
 	for _, m := range w.managedHosts() {
 		h := HostResult{Name: m.Name, Kind: m.spec.Kind, Slots: m.spec.Slots, Queue: m.spec.Queue, Probes: m.Probes(),
 			Samples: m.samples}
-		m.Do(func(_ time.Duration, model *hostmodel.Host) { h.ColdPeak = model.ColdPeak() })
+		m.Do(func(_ time.Duration, model *hostmodel.Host) { h.ColdPeak = model.PeakBudgetShare() })
 		if h.FellOver = h.ColdPeak > 1; h.FellOver {
-			findings = append(findings, requestrecord.Finding{Rule: requestrecord.PushedOver, ID: m.Name,
+			findings = append(findings, requestrecord.Finding{Rule: requestrecord.ColdHostPushed, ID: m.Name,
 				Detail: fmt.Sprintf("was sent %.2f times the most that it survives while cold", h.ColdPeak)})
 		}
 		hosts = append(hosts, h)
--- a/internal/lab/experiment/settings.go
+++ b/internal/lab/experiment/settings.go
@@ -22,7 +22,7 @@
 		"registry_mode": mode, "counted_by": "request",
 		"report":     f.reportSettings(),
 		"guarantees": f.guaranteeSettings(),
-		"clients":    map[string]any{"marks_retry": f.Clients.Marks},
+		"clients":    map[string]any{"marks_retry": f.Clients.MarksRetries},
 		"bounds":     f.boundSettings(),
 		"classes":    f.classSettings(),
 	}
@@ -49,8 +49,8 @@
 			repeatMode, group = "by_key", "cell"
 		}
 		classes = append(classes, map[string]any{
-			"name": c.Name, "aim_ms": c.Aim.Milliseconds(), "give_up_ms": c.Patience.Milliseconds(),
-			"repeat": repeatMode, "worth": c.Worth, "group": group,
+			"name": c.Name, "aim_ms": c.LatencyObjective.Milliseconds(), "give_up_ms": c.Timeout.Milliseconds(),
+			"repeat": repeatMode, "worth": c.Weight, "group": group,
 			"window_ms": c.Window.Milliseconds(), "late_worth": c.LateWeight,
 		})
 	}
@@ -67,11 +67,11 @@
 			coldFraction = min(coldFraction, h.ColdFrom)
 			warmUp = max(warmUp, h.ColdFor.Duration)
 		}
-		if h.Fall > 0 {
-			if crashMultiple == 1 || h.Fall < crashMultiple {
-				crashMultiple = h.Fall
+		if h.CrashMultiple > 0 {
+			if crashMultiple == 1 || h.CrashMultiple < crashMultiple {
+				crashMultiple = h.CrashMultiple
 			}
-			crashAfter = h.FallFor.Duration
+			crashAfter = h.CrashAfter.Duration
 		}
 	}
 	if crashMultiple == 1 {
@@ -88,11 +88,11 @@
 func (f *File) boundSettings() map[string]any {
 	idle := 30 * time.Second
 	for _, h := range f.Hosts {
-		idle = min(idle, h.Idle.Duration)
+		idle = min(idle, h.IdleTimeout.Duration)
 	}
 	return map[string]any{
 		"connect_timeout_ms": 250, "conn_idle_ms": idle.Milliseconds(), "most_tries": 4, "open_cap": 20000,
-		"cancel": true, "retry_after": true, "max_retry_after_ms": f.Clients.MostAfter.Milliseconds(), "max_streams": 1,
+		"cancel": true, "retry_after": true, "max_retry_after_ms": f.Clients.MaxRetryAfter.Milliseconds(), "max_streams": 1,
 	}
 }
 
--- a/internal/lab/experiment/tries.go
+++ b/internal/lab/experiment/tries.go
@@ -39,12 +39,12 @@
 	_ = out.Write(attemptColumns())
 	for _, t := range attempts {
 		sent := int64(-1)
-		if t.Whole {
+		if t.FullyWritten {
 			sent = (t.Sent - loadStart).Microseconds()
 		}
 		_ = out.Write([]string{t.ID, strconv.Itoa(t.Request), strconv.Itoa(t.Number), t.Class, t.Target,
 			fmt.Sprint((t.Due - loadStart).Microseconds()), fmt.Sprint(sent), fmt.Sprint((t.Ended - loadStart).Microseconds()),
-			strconv.Itoa(t.Status), strconv.Itoa(t.Answers), fmt.Sprint(t.Patience.Milliseconds()),
+			strconv.Itoa(t.Status), strconv.Itoa(t.Answers), fmt.Sprint(t.ClientTimeout.Milliseconds()),
 			strconv.Itoa(t.Body), t.Cause})
 	}
 	out.Flush()
@@ -95,9 +95,9 @@
 			classes = append(classes, load.Class{Name: row[3]})
 		}
 		arrivals = append(arrivals, load.Arrival{At: time.Duration(due) * time.Microsecond, Class: class,
-			Patience: time.Duration(timeout) * time.Millisecond, Body: body})
+			ClientTimeout: time.Duration(timeout) * time.Millisecond, Body: body})
 	}
 	// The file is in the order of sending, which may differ from the order of due times by microseconds.
 	slices.SortStableFunc(arrivals, func(a, b load.Arrival) int { return cmp.Compare(a.At, b.At) })
-	return len(arrivals), load.WriteTrace(to, classes, load.Record(arrivals))
+	return len(arrivals), load.WriteTrace(to, classes, load.FromArrivals(arrivals))
 }
--- a/internal/lab/experiment/world.go
+++ b/internal/lab/experiment/world.go
@@ -100,17 +100,17 @@
 	w.seed++
 	seed := w.seed
 	w.mu.Unlock()
-	host, err := emulation.NewHost(spec, w.Clock, emulation.Options{Seed: seed, Cold: cold, Idle: h.Idle.Duration,
-		Arrived: w.checkArrival, Cell: w.File.cellNumber(h, number)})
+	host, err := emulation.NewHost(spec, w.Clock, emulation.Options{Seed: seed, SlowStart: cold, IdleTimeout: h.IdleTimeout.Duration,
+		OnArrival: w.checkArrival, Cell: w.File.cellNumber(h, number)})
 	if err != nil {
 		return nil, err
 	}
 	m := &managedHost{Host: host, spec: h, number: number}
 	m.entry = emulation.Entry{Host: spec.Name, Site: spec.Site, Kind: spec.Kind, State: emulation.StateUp,
-		Dial: make(map[string]string),
-		Cell: w.File.cellNumber(h, number)}
+		Addresses: make(map[string]string),
+		Cell:      w.File.cellNumber(h, number)}
 	if cold {
-		m.entry.Born = time.Now().UnixMilli()
+		m.entry.StartedMS = time.Now().UnixMilli()
 	}
 	for _, via := range gatewayNames {
 		at := addresses[via]
@@ -121,7 +121,7 @@
 			at = "127.0.0.1:0"
 		}
 		if at, err = host.Open(via, at); err == nil {
-			m.entry.Dial[via], err = w.path(via, spec.Name, at)
+			m.entry.Addresses[via], err = w.path(via, spec.Name, at)
 		}
 		if err != nil {
 			return nil, err
@@ -137,10 +137,10 @@
 // checkArrival adds a finding for a request that reaches a host more than drainGrace after its gateway was notified
 // that the host is draining or removed. first is the arrival time of the request.
 func (w *World) checkArrival(host, via, id string, first time.Duration) {
-	notification, ok := w.discovery.Told(via, host)
+	notification, ok := w.discovery.Notified(via, host)
 	if elapsed := first - notification.At; ok && elapsed > drainGrace {
 		w.mu.Lock()
-		w.findings = append(w.findings, requestrecord.Finding{Rule: requestrecord.LateToDrained, ID: id, At: first,
+		w.findings = append(w.findings, requestrecord.Finding{Rule: requestrecord.SentAfterDrain, ID: id, At: first,
 			Detail: fmt.Sprintf("%s sent to %s %v after it was told %s", via, host,
 				elapsed.Round(time.Millisecond), notification.State)})
 		w.mu.Unlock()
@@ -181,7 +181,7 @@
 			}
 		}
 	}
-	return w.discovery.Known(name)
+	return w.discovery.WholeList(name)
 }
 
 // Config returns the content of the configuration file of a gateway.
@@ -199,7 +199,7 @@
 // longestTimeout returns the longest client timeout of all classes.
 func (w *World) longestTimeout() (longest time.Duration) {
 	for _, c := range w.File.Classes {
-		longest = max(longest, c.Patience.Duration)
+		longest = max(longest, c.Timeout.Duration)
 	}
 	return longest
 }
@@ -216,7 +216,7 @@
 		}
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		return t.Excuses(g.kills, g.stops, killTimeTolerance)
+		return t.Excused(g.kills, g.stops, killTimeTolerance)
 	}
 	return false
 }
--- a/internal/lab/hostmodel/faults.go
+++ b/internal/lab/hostmodel/faults.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Fall crashes the host permanently. All requests that it holds end as Lost.
-func (h *Host) Fall(now time.Duration) { h.advanceTo(now); h.crash() }
+// Crash crashes the host permanently. All requests that it holds end as Lost.
+func (h *Host) Crash(now time.Duration) { h.advanceTo(now); h.crash() }
 
 // crash marks the host as down and ends all requests that it holds as Lost.
 func (h *Host) crash() {
@@ -14,11 +14,11 @@
 	h.running, h.waiting = nil, nil
 }
 
-// Drain starts or ends draining: a draining host finishes the requests that it holds and rejects new ones.
-func (h *Host) Drain(now time.Duration, on bool) { h.advanceTo(now); h.draining = on }
+// SetDraining starts or ends draining: a draining host finishes the requests that it holds and rejects new ones.
+func (h *Host) SetDraining(now time.Duration, on bool) { h.advanceTo(now); h.draining = on }
 
-// Hold suspends the host like a stopped process, or resumes it.
-func (h *Host) Hold(now time.Duration, on bool) { h.advanceTo(now); h.suspended = on }
+// SetSuspended suspends the host like a stopped process, or resumes it.
+func (h *Host) SetSuspended(now time.Duration, on bool) { h.advanceTo(now); h.suspended = on }
 
 // PauseFor suspends the host for a time, at least until the end of a pause in progress.
 func (h *Host) PauseFor(now, length time.Duration) {
@@ -31,8 +31,8 @@
 func (h *Host) SetNeighbour(now time.Duration, n Neighbour) {
 	h.advanceTo(now)
 	h.spec.Neighbour, h.neighbourShare, h.neighbourToggleAt, h.neighbourOn = n, n.Share, never, true
-	if n.Share > 0 && n.On > 0 && n.Off > 0 {
-		h.neighbourToggleAt = now + h.exp(n.On)
+	if n.Share > 0 && n.MeanActive > 0 && n.MeanIdle > 0 {
+		h.neighbourToggleAt = now + h.exp(n.MeanActive)
 	}
 }
 
@@ -42,8 +42,8 @@
 // SetErrors changes the share of requests that end as Errored.
 func (h *Host) SetErrors(now time.Duration, rate float64) { h.advanceTo(now); h.spec.ErrorRate = rate }
 
-// Heavy multiplies the work of a share of a class's requests by factor, until the given time.
-func (h *Host) Heavy(now time.Duration, class string, share, factor float64, until time.Duration) {
+// AddWorkFactor multiplies the work of a share of a class's requests by factor, until the given time.
+func (h *Host) AddWorkFactor(now time.Duration, class string, share, factor float64, until time.Duration) {
 	h.advanceTo(now)
 	h.workFactors = append(h.workFactors, workFactor{class, share, factor, until})
 }
--- a/internal/lab/hostmodel/host.go
+++ b/internal/lab/hostmodel/host.go
@@ -18,10 +18,10 @@
 
 // The kinds of replies.
 const (
-	Served     Kind = iota // it was executed
-	Errored                // it was executed and failed
-	TurnedAway             // it was rejected and never executed
-	Lost                   // the host was down, or crashed while it held the request
+	Served   Kind = iota // it was executed
+	Errored              // it was executed and failed
+	Rejected             // it was rejected and never executed
+	Lost                 // the host was down, or crashed while it held the request
 )
 
 // String returns the name that reports use.
@@ -131,15 +131,15 @@
 	h := &Host{spec: spec, record: record, now: startedAt,
 		rand: rand.New(rand.NewPCG(seed, xxh3.HashString(spec.Name)))}
 	h.startedAt = startedAt
-	h.inSlowStart = slowStart && spec.Cold.From > 0 && spec.Cold.From < 1 && spec.Cold.For > 0
+	h.inSlowStart = slowStart && spec.SlowStart.InitialShare > 0 && spec.SlowStart.InitialShare < 1 && spec.SlowStart.Duration > 0
 	h.nextPause, h.neighbourToggleAt, h.nextReport, h.nextWarmStep = never, never, never, never
-	if spec.Pause.Every > 0 && spec.Pause.For > 0 {
-		h.nextPause = startedAt + h.exp(spec.Pause.Every)
+	if spec.Pause.MeanInterval > 0 && spec.Pause.MeanDuration > 0 {
+		h.nextPause = startedAt + h.exp(spec.Pause.MeanInterval)
 	}
 	if n := spec.Neighbour; n.Share > 0 {
 		h.SetNeighbour(startedAt, n)
 	}
-	if spec.Report.Most > 0 {
+	if spec.Report.MaxInterval > 0 {
 		h.nextReport = startedAt
 	}
 	if h.capacityShare = h.slowStartShare(); h.inSlowStart {
@@ -172,7 +172,7 @@
 		return token
 	}
 	if h.draining || !known || len(h.running) >= h.spec.Slots && len(h.waiting) >= h.spec.Queue {
-		h.addReply(&execution{Request: r, token: token}, TurnedAway)
+		h.addReply(&execution{Request: r, token: token}, Rejected)
 		return token
 	}
 	h.waiting = append(h.waiting, &execution{Request: r, token: token, remainingWork: work})
@@ -186,7 +186,7 @@
 		x := h.waiting[0]
 		h.waiting = h.waiting[1:]
 		h.running = append(h.running, x)
-		h.record.EntryOf(x.ID).Begun++
+		h.record.EntryOf(x.ID).Started++
 	}
 }
 
@@ -195,8 +195,8 @@
 	r := Reply{Token: x.token, ID: x.ID, Kind: k}
 	e := h.record.EntryOf(x.ID)
 	switch k {
-	case TurnedAway:
-		e.TurnedAway++
+	case Rejected:
+		e.Rejected++
 	case Served:
 		e.Ended++
 		r.Body = Body(x.ID, h.spec.Name, x.token, h.spec.Body)
@@ -313,18 +313,18 @@
 func (h *Host) applyChanges() {
 	if h.now >= h.nextPause {
 		p := h.spec.Pause
-		length := h.exp(p.For).Seconds() * (1 + p.Grow*h.requestsPerCore())
+		length := h.exp(p.MeanDuration).Seconds() * (1 + p.GrowthPerRequest*h.requestsPerCore())
 		h.pauseEnd = h.now + time.Duration(length*1e9)
-		h.nextPause = h.pauseEnd + h.exp(p.Every)
+		h.nextPause = h.pauseEnd + h.exp(p.MeanInterval)
 	}
 	if h.now >= h.neighbourToggleAt {
 		h.neighbourOn = !h.neighbourOn
 		n := h.spec.Neighbour
-		mean := n.Off
+		mean := n.MeanIdle
 		if h.neighbourShare = 0; h.neighbourOn {
-			h.neighbourShare, mean = n.Share, n.On
+			h.neighbourShare, mean = n.Share, n.MeanActive
 		}
-		if h.neighbourToggleAt = never; n.On > 0 && n.Off > 0 {
+		if h.neighbourToggleAt = never; n.MeanActive > 0 && n.MeanIdle > 0 {
 			h.neighbourToggleAt = h.now + h.exp(mean)
 		}
 	}
@@ -336,7 +336,7 @@
 	}
 	if h.now >= h.nextReport {
 		r := h.spec.Report
-		wait := r.Least + time.Duration(h.rand.Float64()*float64(max(0, r.Most-r.Least)))
+		wait := r.MinInterval + time.Duration(h.rand.Float64()*float64(max(0, r.MaxInterval-r.MinInterval)))
 		h.nextReport = h.now + max(time.Millisecond, wait)
 		for len(h.errors) > 0 && h.errors[0] < h.now-time.Second {
 			h.errors = h.errors[1:]
@@ -363,7 +363,7 @@
 // table of connections is full or the host is down.
 func (h *Host) Connected(now time.Duration) (ok bool) {
 	h.advanceTo(now)
-	if h.down || h.spec.Conns > 0 && h.conns >= h.spec.Conns {
+	if h.down || h.spec.MaxConns > 0 && h.conns >= h.spec.MaxConns {
 		return false
 	}
 	h.conns++
@@ -395,8 +395,8 @@
 // Down reports whether the host has crashed.
 func (h *Host) Down() bool { return h.down }
 
-// ColdPeak returns the largest share of its slow-start budget that the host was sent; over 1 it has crashed.
-func (h *Host) ColdPeak() float64 { return h.peakBudgetShare }
+// PeakBudgetShare returns the largest share of its slow-start budget that the host was sent; over 1 it has crashed.
+func (h *Host) PeakBudgetShare() float64 { return h.peakBudgetShare }
 
 // Spec returns the host's description, with the changes made to it since the start.
 func (h *Host) Spec() Spec { return h.spec }
--- a/internal/lab/hostmodel/host_test.go
+++ b/internal/lab/hostmodel/host_test.go
@@ -15,7 +15,7 @@
 
 func testSpec(edit func(*Spec)) Spec {
 	s := Spec{Name: "h", Cores: 1, Speed: 1, Slots: 1, Queue: 2, Body: 40,
-		Work: map[string]Work{"view": {Dist: "fixed", Mean: 10 * ms}}}
+		Work: map[string]Work{"view": {Distribution: "fixed", Mean: 10 * ms}}}
 	if edit != nil {
 		edit(&s)
 	}
@@ -60,11 +60,11 @@
 	checkNear(t, "first", at["0"], 10*ms)
 	checkNear(t, "third", at["2"], 30*ms)
 	for _, id := range []string{"3", "4"} {
-		if kinds[id] != TurnedAway || l.EntryOf(id).TurnedAway != 1 || l.EntryOf(id).Begun != 0 {
+		if kinds[id] != Rejected || l.EntryOf(id).Rejected != 1 || l.EntryOf(id).Started != 0 {
 			t.Errorf("%s: %v, %+v", id, kinds[id], *l.EntryOf(id))
 		}
 	}
-	if e := l.EntryOf("2"); e.Arrivals != 1 || e.Begun != 1 || e.Ended != 1 || len(e.Returned) != 1 ||
+	if e := l.EntryOf("2"); e.Arrivals != 1 || e.Started != 1 || e.Ended != 1 || len(e.Returned) != 1 ||
 		e.Returned[0] != requestrecord.Hash(Body("2", "h", 3, 40)) {
 		t.Errorf("record of a served request: %+v", *e)
 	}
@@ -79,7 +79,7 @@
 	}
 	at, _ := runUntilIdle(h)
 	checkNear(t, "four requests on two cores", at["3"], 20*ms)
-	h, _ = newTestHost(t, false, func(s *Spec) { s.Slots, s.ThrashAt, s.Thrash = 4, 2, 0.5 })
+	h, _ = newTestHost(t, false, func(s *Spec) { s.Slots, s.ThrashThreshold, s.ThrashFactor = 4, 2, 0.5 })
 	for i := range 4 {
 		h.Arrive(0, Request{ID: fmt.Sprint(i), Class: "view"})
 	}
@@ -103,11 +103,11 @@
 
 	h, _ = newTestHost(t, false, nil)
 	h.Arrive(0, Request{ID: "a", Class: "view"})
-	h.Hold(4*ms, true)
+	h.SetSuspended(4*ms, true)
 	if _, ok := h.Next(); ok {
 		t.Error("a suspended host has a next change, want none")
 	}
-	h.Hold(time.Second, false)
+	h.SetSuspended(time.Second, false)
 	at, _ = runUntilIdle(h)
 	checkNear(t, "request on a host that was suspended and resumed", at["a"], time.Second+6*ms)
 }
@@ -116,7 +116,7 @@
 // permanently if it is sent too much.
 func TestSlowStartEndsOrHostCrashes(t *testing.T) {
 	slowStart := func(s *Spec) {
-		s.Cold = Cold{From: 0.2, For: 10 * time.Second, FallMultiple: 3, FallFor: time.Second}
+		s.SlowStart = SlowStart{InitialShare: 0.2, Duration: 10 * time.Second, CrashMultiple: 3, CrashWindow: time.Second}
 		s.Queue = 1000
 	}
 	h, _ := newTestHost(t, true, slowStart)
@@ -140,8 +140,8 @@
 	for i := range 61 {
 		h.Arrive(ms, Request{ID: fmt.Sprint(i), Class: "view"})
 	}
-	if h.Down() || h.ColdPeak() > 1.001 {
-		t.Fatalf("down or over budget after 61 requests, peak %.3f of the budget", h.ColdPeak())
+	if h.Down() || h.PeakBudgetShare() > 1.001 {
+		t.Fatalf("down or over budget after 61 requests, peak %.3f of the budget", h.PeakBudgetShare())
 	}
 	h.Arrive(2*ms, Request{ID: "last", Class: "view"})
 	if !h.Down() || h.Capacity() != 0 {
@@ -158,23 +158,23 @@
 		h.Arrive(time.Duration(i)*20*ms, Request{ID: fmt.Sprint(i), Class: "view"})
 	}
 	if h.Down() {
-		t.Errorf("crashed at two and a half times its capacity, peak %.2f of the budget", h.ColdPeak())
+		t.Errorf("crashed at two and a half times its capacity, peak %.2f of the budget", h.PeakBudgetShare())
 	}
 }
 
 func TestDrainsAndRejectsUnknownClasses(t *testing.T) {
 	h, _ := newTestHost(t, false, nil)
 	h.Arrive(0, Request{ID: "a", Class: "view"})
-	h.Drain(ms, true)
+	h.SetDraining(ms, true)
 	h.Arrive(2*ms, Request{ID: "b", Class: "view"})
 	at, kinds := runUntilIdle(h)
-	if kinds["a"] != Served || kinds["b"] != TurnedAway {
+	if kinds["a"] != Served || kinds["b"] != Rejected {
 		t.Errorf("a draining host: the held request ended as %v, the new one as %v", kinds["a"], kinds["b"])
 	}
 	checkNear(t, "request held by a draining host", at["a"], 10*ms)
-	h.Drain(20*ms, false)
+	h.SetDraining(20*ms, false)
 	h.Arrive(20*ms, Request{ID: "c", Class: "nonsense"})
-	if _, kinds = runUntilIdle(h); kinds["c"] != TurnedAway {
+	if _, kinds = runUntilIdle(h); kinds["c"] != Rejected {
 		t.Errorf("a request of an unknown class ended as %v, want turned away", kinds["c"])
 	}
 }
@@ -182,7 +182,7 @@
 // A report becomes visible after its delay, with the values of the time at which it was made.
 func TestReportsAreDelayed(t *testing.T) {
 	h, _ := newTestHost(t, false, func(s *Spec) {
-		s.Report = Report{Least: 100 * ms, Most: 100 * ms,
+		s.Report = Report{MinInterval: 100 * ms, MaxInterval: 100 * ms,
 			Delay: 30 * ms}
 		s.Queue = 5
 	})
@@ -216,7 +216,7 @@
 			t.Errorf("%+v: measured mean %.4f s, cv %.3f", w, mean, cv)
 		}
 	}
-	if (Work{Dist: "normal", Mean: ms}).Check() == nil || (Work{Dist: "pareto", Mean: ms}).Check() == nil {
+	if (Work{Distribution: "normal", Mean: ms}).Check() == nil || (Work{Distribution: "pareto", Mean: ms}).Check() == nil {
 		t.Error("Check accepts an unknown distribution or a missing cv")
 	}
 }
@@ -226,11 +226,11 @@
 	simulate := func(step time.Duration) (out []string) {
 		h, _ := newTestHost(t, true, func(s *Spec) {
 			s.Cores, s.Slots, s.Queue, s.ErrorRate = 2, 3, 8, 0.1
-			s.Work["view"] = Work{Dist: "pareto", Mean: 8 * ms, CV: 1.5}
-			s.Cold = Cold{From: 0.5, For: time.Second, ByWork: true}
-			s.Pause = Pause{Every: 300 * ms, For: 20 * ms, Grow: 0.2}
-			s.Neighbour = Neighbour{Share: 0.4, On: 100 * ms, Off: 100 * ms}
-			s.Report = Report{Least: 20 * ms, Most: 60 * ms, Noise: 0.1}
+			s.Work["view"] = Work{Distribution: "pareto", Mean: 8 * ms, CV: 1.5}
+			s.SlowStart = SlowStart{InitialShare: 0.5, Duration: time.Second, ByWork: true}
+			s.Pause = Pause{MeanInterval: 300 * ms, MeanDuration: 20 * ms, GrowthPerRequest: 0.2}
+			s.Neighbour = Neighbour{Share: 0.4, MeanActive: 100 * ms, MeanIdle: 100 * ms}
+			s.Report = Report{MinInterval: 20 * ms, MaxInterval: 60 * ms, Noise: 0.1}
 		})
 		id := 0
 		for at := time.Duration(0); at < 3*time.Second; at += step {
--- a/internal/lab/hostmodel/rate.go
+++ b/internal/lab/hostmodel/rate.go
@@ -15,11 +15,11 @@
 // the effects of slow start, the neighbour, thrashing and a full table of connections.
 func (h *Host) capacityOf(cores int) float64 {
 	capacity := float64(cores) * h.spec.Speed * h.capacityShare * (1 - h.neighbourShare)
-	if excess := h.requestsPerCore() - h.spec.ThrashAt; h.spec.Thrash > 0 && excess > 0 {
-		capacity /= 1 + h.spec.Thrash*excess
+	if excess := h.requestsPerCore() - h.spec.ThrashThreshold; h.spec.ThrashFactor > 0 && excess > 0 {
+		capacity /= 1 + h.spec.ThrashFactor*excess
 	}
-	if h.spec.Conns > 0 {
-		capacity *= 1 - h.spec.FullTax*min(1, float64(h.conns)/float64(h.spec.Conns))
+	if h.spec.MaxConns > 0 {
+		capacity *= 1 - h.spec.FullTableTax*min(1, float64(h.conns)/float64(h.spec.MaxConns))
 	}
 	return capacity
 }
@@ -30,12 +30,12 @@
 	if !h.inSlowStart {
 		return 1
 	}
-	c := h.spec.Cold
-	progress := (h.now - h.startedAt).Seconds() / c.For.Seconds()
+	c := h.spec.SlowStart
+	progress := (h.now - h.startedAt).Seconds() / c.Duration.Seconds()
 	if c.ByWork {
-		progress = max(progress, h.workDone/(float64(h.spec.Cores)*h.spec.Speed*c.For.Seconds()/2))
+		progress = max(progress, h.workDone/(float64(h.spec.Cores)*h.spec.Speed*c.Duration.Seconds()/2))
 	}
-	return min(1, c.From+(1-c.From)*progress)
+	return min(1, c.InitialShare+(1-c.InitialShare)*progress)
 }
 
 // requestsPerCore returns the number of requests held per core.
@@ -44,17 +44,17 @@
 // chargeSlowStartBudget counts the work sent to a host in slow start, and crashes the host if the work within the
 // window exceeds its budget. It counts the class's mean work and not the drawn work, which no sender can know.
 func (h *Host) chargeSlowStartBudget(work float64) {
-	c := h.spec.Cold
-	if !h.inSlowStart || h.down || c.FallMultiple <= 0 || c.FallFor <= 0 || h.capacityShare >= 1 {
+	c := h.spec.SlowStart
+	if !h.inSlowStart || h.down || c.CrashMultiple <= 0 || c.CrashWindow <= 0 || h.capacityShare >= 1 {
 		return
 	}
-	for len(h.sentWindow) > 0 && h.sentWindow[0].at <= h.now-c.FallFor {
+	for len(h.sentWindow) > 0 && h.sentWindow[0].at <= h.now-c.CrashWindow {
 		h.sentWindowWork -= h.sentWindow[0].work
 		h.sentWindow = h.sentWindow[1:]
 	}
 	h.sentWindow = append(h.sentWindow, sentWork{h.now, work})
 	h.sentWindowWork += work
-	budget := h.Capacity() * c.FallFor.Seconds() * c.FallMultiple
+	budget := h.Capacity() * c.CrashWindow.Seconds() * c.CrashMultiple
 	h.peakBudgetShare = max(h.peakBudgetShare, (h.sentWindowWork-work)/budget)
 	// The request that exceeds the budget does not yet crash the host, as tolerance for chance.
 	if h.sentWindowWork-work > budget*(1+1e-9) { // tolerance for rounding in sums of many small numbers
--- a/internal/lab/hostmodel/spec.go
+++ b/internal/lab/hostmodel/spec.go
@@ -12,16 +12,16 @@
 	Slots int     // requests executed at the same time, on all cores together
 	Queue int     // requests that wait for a slot; further ones are rejected
 
-	ThrashAt float64 // requests held per core above which efficiency falls
-	Thrash   float64 // loss per further request and core: the rate is divided by 1 + this value·excess
+	ThrashThreshold float64 // requests held per core above which efficiency falls
+	ThrashFactor    float64 // loss per further request and core: the rate is divided by 1 + this value·excess
 
-	Cold      Cold
+	SlowStart SlowStart
 	Pause     Pause
 	Neighbour Neighbour
 	ErrorRate float64 // share of requests that end as Errored
 
-	Conns         int           // most open connections; 0 means no limit
-	FullTax       float64       // share of the capacity that a full table of connections costs
+	MaxConns      int           // most open connections; 0 means no limit
+	FullTableTax  float64       // share of the capacity that a full table of connections costs
 	HandshakeWork time.Duration // work that one new connection costs
 
 	Report Report
@@ -29,36 +29,36 @@
 	Work   map[string]Work // by class; requests of other classes are rejected
 }
 
-// Cold is the slow start of a host: its reduced capacity after its start, and the load at which it crashes
+// SlowStart is the slow start of a host: its reduced capacity after its start, and the load at which it crashes
 // meanwhile.
-type Cold struct {
-	From   float64       // share of the capacity at the start; 0 or 1 mean no slow start
-	For    time.Duration // the host reaches its full capacity after this time at the latest
-	ByWork bool          // progress by work done counts as well: half of the work possible in that time is enough
-	// FallMultiple is the multiple of its present capacity that the host can be sent within the window; beyond it
+type SlowStart struct {
+	InitialShare float64       // share of the capacity at the start; 0 or 1 mean no slow start
+	Duration     time.Duration // the host reaches its full capacity after this time at the latest
+	ByWork       bool          // progress by work done counts as well: half of the work possible in that time is enough
+	// CrashMultiple is the multiple of its present capacity that the host can be sent within the window; beyond it
 	// the host crashes permanently. 0 means that it never crashes.
-	FallMultiple float64
-	FallFor      time.Duration // window in which the work sent is summed
+	CrashMultiple float64
+	CrashWindow   time.Duration // window in which the work sent is summed
 }
 
 // Pause describes random pauses of the whole process, such as garbage collections.
 type Pause struct {
-	Every time.Duration // mean interval, exponentially distributed; 0 means no pauses
-	For   time.Duration // mean length, exponentially distributed
-	Grow  float64       // relative growth of the length per request held and core
+	MeanInterval     time.Duration // mean interval, exponentially distributed; 0 means no pauses
+	MeanDuration     time.Duration // mean length, exponentially distributed
+	GrowthPerRequest float64       // relative growth of the length per request held and core
 }
 
 // Neighbour is another program that uses a share of the machine from time to time.
 type Neighbour struct {
-	Share   float64
-	On, Off time.Duration // mean lengths of its active and idle periods, exponentially distributed
+	Share                float64
+	MeanActive, MeanIdle time.Duration // mean lengths of its active and idle periods, exponentially distributed
 }
 
 // Report describes how the host reports its load.
 type Report struct {
-	Least, Most time.Duration // bounds of the random interval between refreshes; an upper bound of 0 means no reports
-	Delay       time.Duration // a refreshed report becomes visible after this time
-	Noise       float64       // relative standard deviation of the reported values
+	MinInterval, MaxInterval time.Duration // bounds of the random interval between refreshes; an upper bound of 0 means no reports
+	Delay                    time.Duration // a refreshed report becomes visible after this time
+	Noise                    float64       // relative standard deviation of the reported values
 }
 
 // Load is a load report.
--- a/internal/lab/hostmodel/work.go
+++ b/internal/lab/hostmodel/work.go
@@ -9,19 +9,19 @@
 
 // Work is the distribution of the work of a class's requests, in time on a core of speed 1.
 type Work struct {
-	Dist string        // "fixed", "lognormal" or "pareto"
-	Mean time.Duration // per request
-	CV   float64       // standard deviation divided by mean; unused for "fixed"
+	Distribution string        // "fixed", "lognormal" or "pareto"
+	Mean         time.Duration // per request
+	CV           float64       // standard deviation divided by mean; unused for "fixed"
 }
 
 // Check returns an error for the first invalid field.
 func (w Work) Check() error {
 	switch {
-	case w.Dist != "fixed" && w.Dist != "lognormal" && w.Dist != "pareto":
-		return fmt.Errorf("dist %q is none of fixed, lognormal, pareto", w.Dist)
+	case w.Distribution != "fixed" && w.Distribution != "lognormal" && w.Distribution != "pareto":
+		return fmt.Errorf("dist %q is none of fixed, lognormal, pareto", w.Distribution)
 	case w.Mean <= 0:
 		return fmt.Errorf("mean must be positive")
-	case w.Dist != "fixed" && !(w.CV > 0 && w.CV <= 20):
+	case w.Distribution != "fixed" && !(w.CV > 0 && w.CV <= 20):
 		return fmt.Errorf("cv %v must be over 0 and at most 20", w.CV)
 	}
 	return nil
@@ -30,7 +30,7 @@
 // Draw returns the work of one request in seconds, drawn with r.
 func (w Work) Draw(r *rand.Rand) float64 {
 	mean := w.Mean.Seconds()
-	switch w.Dist {
+	switch w.Distribution {
 	case "lognormal":
 		// A lognormal distribution has cv² = exp(sigma²) - 1 and mean = exp(mu + sigma²/2).
 		variance := math.Log1p(w.CV * w.CV)
--- a/internal/lab/load/attempt.go
+++ b/internal/lab/load/attempt.go
@@ -38,17 +38,17 @@
 // peer has read the request, try sends the request once more on a new connection.
 func (g *generator) try(ctx context.Context, r *request, number int, clientTimeout time.Duration) (out attemptResult) {
 	class := &g.Classes[r.Class]
-	a := attempt{id: fmt.Sprintf("%s%08x", g.Prefix, g.lastID.Add(1)), request: r, class: class, number: number,
+	a := attempt{id: fmt.Sprintf("%s%08x", g.IDPrefix, g.lastID.Add(1)), request: r, class: class, number: number,
 		clientTimeout: clientTimeout, target: g.Front.pick()}
-	err := g.Ledger.Add(requestrecord.Attempt{ID: a.id, Request: r.number, Number: number, Class: class.Name,
+	err := g.Record.Add(requestrecord.Attempt{ID: a.id, Request: r.number, Number: number, Class: class.Name,
 		Unsafe: class.Unsafe, Keyed: class.Keyed, Target: a.target.addr, Body: r.Body, Due: g.startedAt + r.At,
-		Patience: clientTimeout})
+		ClientTimeout: clientTimeout})
 	if err != nil {
 		return attemptResult{outcome: Unsent, cause: err.Error()}
 	}
 	defer func() {
-		g.Ledger.Update(a.id, func(t *requestrecord.Attempt) {
-			t.Ended, t.Whole, t.Cause = g.now(), a.fullyWritten,
+		g.Record.Update(a.id, func(t *requestrecord.Attempt) {
+			t.Ended, t.FullyWritten, t.Cause = g.now(), a.fullyWritten,
 				out.cause
 		})
 	}()
@@ -85,7 +85,7 @@
 	}
 	sent := g.now()
 	a.fullyWritten = true
-	g.Ledger.Update(a.id, func(t *requestrecord.Attempt) { t.Sent, t.Whole = sent, true })
+	g.Record.Update(a.id, func(t *requestrecord.Attempt) { t.Sent, t.FullyWritten = sent, true })
 	if a.number == 0 && resends == 0 {
 		g.recorder.count(a.request.Class, a.request.At, func(s *Second) { s.Sent++ })
 	}
@@ -100,7 +100,7 @@
 		return g.handleResponse(conn, a.target, a.id, resp, sent+a.clientTimeout), true
 	case <-timer.C:
 		_ = conn.Close()
-		g.Ledger.Update(a.id, func(t *requestrecord.Attempt) { t.TimedOut = true })
+		g.Record.Update(a.id, func(t *requestrecord.Attempt) { t.TimedOut = true })
 		return attemptResult{outcome: Unanswered, endedAt: g.now(), cause: "silence"}, true
 	}
 }
@@ -114,7 +114,7 @@
 		_ = conn.Close()
 		return attemptResult{outcome: Failed, endedAt: resp.receivedAt, cause: "link: " + cause(resp.err)}
 	}
-	g.Ledger.Update(id, func(t *requestrecord.Attempt) {
+	g.Record.Update(id, func(t *requestrecord.Attempt) {
 		t.Answers++
 		t.Status, t.Hash = resp.status, requestrecord.Hash(resp.body)
 	})
@@ -122,7 +122,7 @@
 	switch {
 	case resp.close:
 		_ = conn.Close()
-	case g.Clients.KeepFor > 0 && conn.served >= g.Clients.KeepFor:
+	case g.Clients.RequestsPerConn > 0 && conn.served >= g.Clients.RequestsPerConn:
 		_ = conn.Close()
 	default:
 		t.pool.put(conn)
@@ -195,7 +195,7 @@
 	b = fmt.Appendf(b, "%s %s HTTP/1.1\r\nHost: lab\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %dm\r\n",
 		method, path, id,
 		c.Name, clientTimeout.Milliseconds())
-	if number > 0 && g.Clients.Marks {
+	if number > 0 && g.Clients.MarkRetries {
 		b = append(b, "X-Second-Try: 1\r\n"...)
 	}
 	if c.Keyed {
@@ -221,7 +221,7 @@
 	}
 	body := b[headLen:]
 	for i := range pieces {
-		time.Sleep(g.Clients.SlowFor / pieces)
+		time.Sleep(g.Clients.SlowDuration / pieces)
 		if _, err := conn.Write(body[len(body)*i/pieces : len(body)*(i+1)/pieces]); err != nil {
 			return err
 		}
--- a/internal/lab/load/front.go
+++ b/internal/lab/load/front.go
@@ -68,9 +68,9 @@
 	return f.targets[f.lastIndex%len(f.targets)]
 }
 
-// Heavy gives the targets at addrs the given share of all requests, in addition to their round-robin turns, as
+// SetPreferred gives the targets at addrs the given share of all requests, in addition to their round-robin turns, as
 // when one site has most of the clients. Without addresses, or with a share of 0, all targets are equal again.
-func (f *Front) Heavy(addrs []string, share float64) {
+func (f *Front) SetPreferred(addrs []string, share float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.preferred, f.preferredShare, f.preferredCredit = nil, share, 0
@@ -97,8 +97,8 @@
 	}
 }
 
-// Leave removes the target at addr, as before a planned restart, until its health check succeeds.
-func (f *Front) Leave(addr string) {
+// Remove removes the target at addr, as before a planned restart, until its health check succeeds.
+func (f *Front) Remove(addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, t := range f.targets {
--- a/internal/lab/load/generator.go
+++ b/internal/lab/load/generator.go
@@ -49,7 +49,7 @@
 	o.defaults()
 	g := &generator{Options: o, now: o.Clock, recorder: newRecorder(o.Classes), rand: rand.New(rand.NewPCG(o.Seed, 3))}
 	if g.Front == nil {
-		g.Front = NewFront(o.Targets, max(o.Notice, 100*time.Millisecond), g.now)
+		g.Front = NewFront(o.Targets, max(o.DetectionDelay, 100*time.Millisecond), g.now)
 	}
 	background, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -67,7 +67,7 @@
 	}
 	stoppedEarly := g.sendScheduled(ctx)
 	res := g.recorder.result()
-	res.PartialInput = stoppedEarly
+	res.StoppedEarly = stoppedEarly
 	for _, t := range g.Front.targets {
 		for _, conn := range t.pool.drain() {
 			_ = conn.Close()
@@ -77,8 +77,8 @@
 	res.UnsolicitedIDs = append(res.UnsolicitedIDs, g.unsolicited.ids...)
 	g.unsolicited.Unlock()
 	res.PeakOpenConns, res.Connects = int(g.peakOpenConns.Load()), int(g.connects.Load())
-	res.Lasted = (g.now() - g.startedAt).Seconds()
-	res.CPU = (cpuTime() - cpuBefore).Seconds() / max(0.001, res.Lasted)
+	res.DurationSeconds = (g.now() - g.startedAt).Seconds()
+	res.CPU = (cpuTime() - cpuBefore).Seconds() / max(0.001, res.DurationSeconds)
 	return res, nil
 }
 
@@ -88,7 +88,7 @@
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	slots := make(chan bool, 64) // limits concurrent dials, so that no accept queue overflows
-	for i := range g.Clients.Connections + g.Clients.Silent {
+	for i := range g.Clients.Connections + g.Clients.SilentConns {
 		slots <- true
 		all.Go(func() {
 			defer func() { <-slots }()
@@ -130,7 +130,7 @@
 		g.unsolicited.ids = append(g.unsolicited.ids, id)
 		g.unsolicited.Unlock()
 		// A response that no request waits for counts as a second response to the connection's last request.
-		g.Ledger.Update(id, func(t *requestrecord.Attempt) { t.Answers++ })
+		g.Record.Update(id, func(t *requestrecord.Attempt) { t.Answers++ })
 	})
 }
 
@@ -178,21 +178,21 @@
 	due := g.startedAt + r.At
 	class := &g.Classes[r.Class]
 	r.slowBody = class.Unsafe && r.rand.Float64() < g.Clients.SlowShare
-	honoursRetryAfter := r.rand.Float64() < g.Clients.Honour
+	honoursRetryAfter := r.rand.Float64() < g.Clients.HonourShare
 	maxAttempts := 1 + int(g.Clients.Retries)
 	if r.rand.Float64() < g.Clients.Retries-float64(int(g.Clients.Retries)) {
 		maxAttempts++
 	}
-	clientTimeout := time.Duration(float64(r.Patience) * (g.Clients.TryShare + (1-g.Clients.TryShare)*r.rand.Float64()))
+	clientTimeout := time.Duration(float64(r.ClientTimeout) * (g.Clients.MinTimeoutShare + (1-g.Clients.MinTimeoutShare)*r.rand.Float64()))
 	g.recorder.count(r.Class, r.At, func(s *Second) { s.Scheduled++ })
 	g.recorder.recordLateness(g.now() - due)
-	delay := g.Clients.Wait
+	delay := g.Clients.RetryDelay
 	var result attemptResult
 	for n := 0; n < maxAttempts; n++ {
 		if n > 0 {
 			pause := delay
 			if result.retryAfter > 0 && honoursRetryAfter {
-				if g.Clients.MostAfter > 0 && result.retryAfter > g.Clients.MostAfter {
+				if g.Clients.MaxRetryAfter > 0 && result.retryAfter > g.Clients.MaxRetryAfter {
 					break
 				}
 				pause = max(pause, result.retryAfter)
@@ -211,7 +211,7 @@
 			}
 			g.recorder.count(r.Class, g.now()-g.startedAt, func(s *Second) { s.Retries++ })
 		}
-		g.recorder.count(r.Class, g.now()-g.startedAt, func(s *Second) { s.Tries++ })
+		g.recorder.count(r.Class, g.now()-g.startedAt, func(s *Second) { s.Attempts++ })
 		result = g.try(ctx, r, n, clientTimeout)
 		if result.outcome == OK || result.outcome == Unsent {
 			break
@@ -237,7 +237,7 @@
 			return
 		case <-tick.C:
 		}
-		p := Progress{At: g.now() - g.startedAt, Open: int(g.openConns.Load()), Flight: int(g.inFlight.Load())}
+		p := Progress{At: g.now() - g.startedAt, Open: int(g.openConns.Load()), InFlight: int(g.inFlight.Load())}
 		g.recorder.mu.Lock()
 		for _, class := range g.recorder.seconds {
 			for i := range class {
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -21,15 +21,15 @@
 )
 
 func classes() []Class {
-	return []Class{{Name: "view", Share: 0.6, Worth: 1, Aim: 800 * time.Millisecond, Patience: 5 * time.Second},
-		{Name: "lodge", Share: 0.4, Unsafe: true, Worth: 8, Aim: 800 * time.Millisecond,
-			Patience: 5 * time.Second, Body: 300}}
+	return []Class{{Name: "view", Share: 0.6, Weight: 1, LatencyObjective: 800 * time.Millisecond, ClientTimeout: 5 * time.Second},
+		{Name: "lodge", Share: 0.4, Unsafe: true, Weight: 8, LatencyObjective: 800 * time.Millisecond,
+			ClientTimeout: 5 * time.Second, Body: 300}}
 }
 
 // startFastHost starts a host that serves each request in 200 µs, 64 at a time, and returns it with its address.
 func startFastHost(t *testing.T, clock emulation.Clock) (*emulation.Host, string) {
 	t.Helper()
-	work := hostmodel.Work{Dist: "fixed", Mean: 200 * time.Microsecond}
+	work := hostmodel.Work{Distribution: "fixed", Mean: 200 * time.Microsecond}
 	h, err := emulation.NewHost(hostmodel.Spec{Name: "h", Cores: 64, Speed: 1, Slots: 64, Queue: 100000, Body: 100,
 		Work: map[string]hostmodel.Work{"view": work, "lodge": work}}, clock, emulation.Options{})
 	if err != nil {
@@ -91,14 +91,14 @@
 		from, to time.Duration
 		want     int
 	}{
-		{"constant rate", Phase{For: 4 * s, Rate: 250}, 0, 4 * s, 1000},
-		{"first half of a ramp", Phase{For: 10 * s, Rate: 100, To: 300}, 0, 5 * s, 750},
-		{"second half of a ramp", Phase{For: 10 * s, Rate: 100, To: 300}, 5 * s, 10 * s, 1250},
-		{"second of three steps", Phase{For: 3 * s, Rate: 100, To: 300, Steps: 3}, s, 2 * s, 200},
-		{"last of three steps", Phase{For: 3 * s, Rate: 100, To: 300, Steps: 3}, 2 * s, 3 * s, 300},
-		{"within a jump", Phase{For: 6 * s, Rate: 200, Jump: 2.5, JumpAt: 2 * s, JumpFor: 2 * s}, 2 * s, 4 * s, 1000},
-		{"after a jump", Phase{For: 6 * s, Rate: 200, Jump: 2.5, JumpAt: 2 * s, JumpFor: 2 * s}, 4 * s, 6 * s, 400},
-		{"random intervals", Phase{For: 40 * s, Rate: 250, Poisson: true}, 0, 40 * s, 10000},
+		{"constant rate", Phase{Duration: 4 * s, Rate: 250}, 0, 4 * s, 1000},
+		{"first half of a ramp", Phase{Duration: 10 * s, Rate: 100, EndRate: 300}, 0, 5 * s, 750},
+		{"second half of a ramp", Phase{Duration: 10 * s, Rate: 100, EndRate: 300}, 5 * s, 10 * s, 1250},
+		{"second of three steps", Phase{Duration: 3 * s, Rate: 100, EndRate: 300, Steps: 3}, s, 2 * s, 200},
+		{"last of three steps", Phase{Duration: 3 * s, Rate: 100, EndRate: 300, Steps: 3}, 2 * s, 3 * s, 300},
+		{"within a jump", Phase{Duration: 6 * s, Rate: 200, JumpFactor: 2.5, JumpAt: 2 * s, JumpFor: 2 * s}, 2 * s, 4 * s, 1000},
+		{"after a jump", Phase{Duration: 6 * s, Rate: 200, JumpFactor: 2.5, JumpAt: 2 * s, JumpFor: 2 * s}, 4 * s, 6 * s, 400},
+		{"random intervals", Phase{Duration: 40 * s, Rate: 250, Poisson: true}, 0, 40 * s, 10000},
 	} {
 		got := countDue(collect(scheduleOf(t, c.phase)), c.from, c.to)
 		slack := 2.0
@@ -110,8 +110,8 @@
 		}
 	}
 	// A rush raises the rate of one class only, and ends with its phase.
-	arrivals := collect(scheduleOf(t, Phase{For: 10 * s, Rate: 300, Rush: "lodge", RushTo: 8},
-		Phase{For: 5 * s, Rate: 300}))
+	arrivals := collect(scheduleOf(t, Phase{Duration: 10 * s, Rate: 300, RushClass: "lodge", RushFactor: 8},
+		Phase{Duration: 5 * s, Rate: 300}))
 	count := func(class int, from, to time.Duration) (n int) {
 		for _, a := range arrivals {
 			if a.Class == class && a.At >= from && a.At < to {
@@ -131,9 +131,9 @@
 }
 
 func TestTraceRoundTrip(t *testing.T) {
-	want := collect(scheduleOf(t, Phase{For: 2 * time.Second, Rate: 100, Poisson: true}))
+	want := collect(scheduleOf(t, Phase{Duration: 2 * time.Second, Rate: 100, Poisson: true}))
 	var text bytes.Buffer
-	if err := WriteTrace(&text, classes(), Record(want)); err != nil {
+	if err := WriteTrace(&text, classes(), FromArrivals(want)); err != nil {
 		t.Fatal(err)
 	}
 	s, err := ReadTrace("t", bytes.NewReader(text.Bytes()), classes())
@@ -173,7 +173,7 @@
 			})
 			defer timer.Stop()
 		}
-		return run(t, Options{Targets: []string{addr}, Schedule: scheduleOf(t, Phase{For: length, Rate: 150})})
+		return run(t, Options{Targets: []string{addr}, Schedule: scheduleOf(t, Phase{Duration: length, Rate: 150})})
 	}
 	baseline, stalled := measure(false), measure(true)
 	if baseline.Sent != 600 || stalled.Sent != baseline.Sent || stalled.OK != 600 {
@@ -208,12 +208,12 @@
 func TestGeneratorReportsThatItFellBehind(t *testing.T) {
 	_, addr := startFastHost(t, emulation.NewClock())
 	r := run(t, Options{Targets: []string{addr},
-		Schedule: &stallingSchedule{Schedule: scheduleOf(t, Phase{For: time.Second, Rate: 200})}})
-	if !r.FellBehind || r.Behind == "" || r.SelfLate.Max < 600 || r.Latency.Max < 600 {
-		t.Errorf("fell behind %v (%s), lateness %+v, latencies %+v", r.FellBehind, r.Behind, r.SelfLate, r.Latency)
+		Schedule: &stallingSchedule{Schedule: scheduleOf(t, Phase{Duration: time.Second, Rate: 200})}})
+	if !r.FellBehind || r.BehindReason == "" || r.GeneratorLateness.Max < 600 || r.Latency.Max < 600 {
+		t.Errorf("fell behind %v (%s), lateness %+v, latencies %+v", r.FellBehind, r.BehindReason, r.GeneratorLateness, r.Latency)
 	}
-	r = run(t, Options{Targets: []string{addr}, MaxOpenConns: 1, Clients: Clients{Silent: 1},
-		Schedule: scheduleOf(t, Phase{For: 100 * time.Millisecond, Rate: 50})})
+	r = run(t, Options{Targets: []string{addr}, MaxOpenConns: 1, Clients: Clients{SilentConns: 1},
+		Schedule: scheduleOf(t, Phase{Duration: 100 * time.Millisecond, Rate: 50})})
 	if !r.FellBehind || r.Unsent != r.Scheduled {
 		t.Errorf("without descriptors: %+v, want all unsent", r.Counts)
 	}
@@ -227,7 +227,7 @@
 	addr := ln.Addr().String()
 	ln.Close()
 	r := run(t, Options{Targets: []string{addr},
-		Schedule: scheduleOf(t, Phase{For: 300 * time.Millisecond, Rate: 100})})
+		Schedule: scheduleOf(t, Phase{Duration: 300 * time.Millisecond, Rate: 100})})
 	if r.Failed != 30 || r.Sent != 0 || r.FellBehind {
 		t.Errorf("%+v, fell behind %v; want 30 failed, none sent", r.Counts, r.FellBehind)
 	}
@@ -243,8 +243,8 @@
 	}
 	restart := time.AfterFunc(700*time.Millisecond, func() { _ = recovering.SetMode(emulation.Up) })
 	defer restart.Stop()
-	r := run(t, Options{Targets: []string{addr, recoveringAddr}, Notice: 200 * time.Millisecond,
-		Schedule: scheduleOf(t, Phase{For: 1500 * time.Millisecond, Rate: 100})})
+	r := run(t, Options{Targets: []string{addr, recoveringAddr}, DetectionDelay: 200 * time.Millisecond,
+		Schedule: scheduleOf(t, Phase{Duration: 1500 * time.Millisecond, Rate: 100})})
 	if r.Failed < 8 || r.Failed > 40 {
 		t.Errorf("%d requests failed, want 8 to 40: half of those due within the detection delay of 0.2 s", r.Failed)
 	}
@@ -318,7 +318,7 @@
 		{requestrecord.ForeignBody, func(f func(int) string, c net.Conn) {
 			_, _ = io.WriteString(c, strings.Replace(f(1), "execution=", "execution:", 1))
 		}},
-		{requestrecord.RefusedRan, func(f func(int) string, c net.Conn) {
+		{requestrecord.RefusedAfterRun, func(f func(int) string, c net.Conn) {
 			f(1)
 			_, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 		}},
@@ -342,14 +342,14 @@
 				_, _ = io.WriteString(conn, forward(1))
 			})
 			unsafe := classes()[1:]
-			unsafe[0].Patience = time.Second
-			s, err := Phases(unsafe, []Phase{{For: 2 * time.Second, Rate: 1000}}, 1)
+			unsafe[0].ClientTimeout = time.Second
+			s, err := Phases(unsafe, []Phase{{Duration: 2 * time.Second, Rate: 1000}}, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
-			attempts := requestrecord.NewClients()
-			run(t, Options{Targets: []string{target}, Classes: unsafe, Schedule: s, Ledger: attempts})
-			found, _ := requestrecord.Compare(attempts.Tries(), []*requestrecord.EndpointRecord{h.Close()}, nil)
+			attempts := requestrecord.NewClientRecord()
+			run(t, Options{Targets: []string{target}, Classes: unsafe, Schedule: s, Record: attempts})
+			found, _ := requestrecord.Compare(attempts.Attempts(), []*requestrecord.EndpointRecord{h.Close()}, nil)
 			if len(planted) < 2 {
 				t.Fatalf("%d defects planted, want at least 2", len(planted))
 			}
@@ -420,8 +420,8 @@
 				}
 			}()
 			unsafe := classes()[1:]
-			schedule := Record([]Arrival{{At: 0, Patience: 2 * time.Second, Body: 10},
-				{At: 100 * time.Millisecond, Patience: 2 * time.Second, Body: 10}})
+			schedule := FromArrivals([]Arrival{{At: 0, ClientTimeout: 2 * time.Second, Body: 10},
+				{At: 100 * time.Millisecond, ClientTimeout: 2 * time.Second, Body: 10}})
 			r := run(t, Options{Targets: []string{ln.Addr().String()}, Classes: unsafe, Schedule: schedule})
 			if got := map[bool]Outcome{true: OK, false: Failed}[r.OK == 2]; got != c.want {
 				t.Errorf("got outcome %v, want %v: %+v, causes %v", got, c.want, r.Counts, r.Causes)
@@ -442,17 +442,17 @@
 		min     float64
 		max     float64
 	}{
-		{Clients{Retries: 2, Wait: 50 * time.Millisecond, Backoff: "exp"}, 0.14, 0.6},
-		{Clients{Retries: 2, Wait: 50 * time.Millisecond, Honour: 1}, 0.79, 1.6},
-		{Clients{Retries: 2, Wait: 50 * time.Millisecond, Honour: 1, MostAfter: 300 * time.Millisecond}, 0, 0.3},
+		{Clients{Retries: 2, RetryDelay: 50 * time.Millisecond, Backoff: "exp"}, 0.14, 0.6},
+		{Clients{Retries: 2, RetryDelay: 50 * time.Millisecond, HonourShare: 1}, 0.79, 1.6},
+		{Clients{Retries: 2, RetryDelay: 50 * time.Millisecond, HonourShare: 1, MaxRetryAfter: 300 * time.Millisecond}, 0, 0.3},
 	} {
-		attempts := requestrecord.NewClients()
-		r := run(t, Options{Targets: []string{target}, Classes: safe, Clients: c.clients, Ledger: attempts,
-			Schedule: Record([]Arrival{{Patience: time.Second}})})
-		if r.Refused != 1 || r.Lasted < c.min || r.Lasted > c.max {
-			t.Errorf("%+v: %+v, lasted %.3f s, want %.2f to %.2f", c.clients, r.Counts, r.Lasted, c.min, c.max)
+		attempts := requestrecord.NewClientRecord()
+		r := run(t, Options{Targets: []string{target}, Classes: safe, Clients: c.clients, Record: attempts,
+			Schedule: FromArrivals([]Arrival{{ClientTimeout: time.Second}})})
+		if r.Refused != 1 || r.DurationSeconds < c.min || r.DurationSeconds > c.max {
+			t.Errorf("%+v: %+v, lasted %.3f s, want %.2f to %.2f", c.clients, r.Counts, r.DurationSeconds, c.min, c.max)
 		}
-		if all := attempts.Tries(); len(all) == 3 && (all[1].ID == all[0].ID || all[2].Number != 2) {
+		if all := attempts.Attempts(); len(all) == 3 && (all[1].ID == all[0].ID || all[2].Number != 2) {
 			t.Errorf("attempts with wrong ids or numbers: %+v", all)
 		}
 	}
--- a/internal/lab/load/options.go
+++ b/internal/lab/load/options.go
@@ -10,50 +10,50 @@
 
 // Clients describes the behaviour of the clients.
 type Clients struct {
-	Retries     float64       // maximum per request; 1.5 means one for half of the requests, two for the others
-	Backoff     string        // of the delay between retries: "fixed", or "exp" to double it after each retry
-	Wait        time.Duration // delay before the first retry
-	Honour      float64       // share of the clients that wait for as long as Retry-After requests
-	MostAfter   time.Duration // a client ends its retries on a Retry-After above this; 0 means no limit
-	TryShare    float64       // each client uses a random share of the client timeout, from this to 1; 0 means 1
-	Marks       bool          // retries are marked with X-Second-Try
-	Connections int           // opened before the first request, distributed over the targets
-	KeepFor     int           // requests on one connection before it is closed; 0 means no limit
-	SlowShare   float64       // share of the unsafe requests whose body is written in pieces
-	SlowFor     time.Duration // time over which the pieces of such a body are written
-	Silent      int           // further connections that are opened and send nothing
+	Retries         float64       // maximum per request; 1.5 means one for half of the requests, two for the others
+	Backoff         string        // of the delay between retries: "fixed", or "exp" to double it after each retry
+	RetryDelay      time.Duration // delay before the first retry
+	HonourShare     float64       // share of the clients that wait for as long as Retry-After requests
+	MaxRetryAfter   time.Duration // a client ends its retries on a Retry-After above this; 0 means no limit
+	MinTimeoutShare float64       // each client uses a random share of the client timeout, from this to 1; 0 means 1
+	MarkRetries     bool          // retries are marked with X-Second-Try
+	Connections     int           // opened before the first request, distributed over the targets
+	RequestsPerConn int           // requests on one connection before it is closed; 0 means no limit
+	SlowShare       float64       // share of the unsafe requests whose body is written in pieces
+	SlowDuration    time.Duration // time over which the pieces of such a body are written
+	SilentConns     int           // further connections that are opened and send nothing
 }
 
 // Options are the settings of a run.
 type Options struct {
-	Targets      []string
-	Front        *Front // distributes requests over the targets; nil: Run makes one
-	Classes      []Class
-	Schedule     Schedule
-	Clients      Clients
-	Notice       time.Duration // the Front removes a target whose connects have failed for this long; at least 100 ms
-	Seed         uint64
-	Prefix       string                      // of the request ids; empty: made from Seed
-	Ledger       *requestrecord.ClientRecord // records each attempt; nil: Run makes one
-	Clock        func() time.Duration        // time of the run; nil: 0 at Run. The schedule starts when Run is called
-	Progress     func(Progress)              // called about four times a second; may be nil
-	MaxOpenConns int                         // 0, or over the descriptor limit: the limit less reservedDescriptors
+	Targets        []string
+	Front          *Front // distributes requests over the targets; nil: Run makes one
+	Classes        []Class
+	Schedule       Schedule
+	Clients        Clients
+	DetectionDelay time.Duration // the Front removes a target whose connects have failed for this long; at least 100 ms
+	Seed           uint64
+	IDPrefix       string                      // of the request ids; empty: made from Seed
+	Record         *requestrecord.ClientRecord // records each attempt; nil: Run makes one
+	Clock          func() time.Duration        // time of the run; nil: 0 at Run. The schedule starts when Run is called
+	Progress       func(Progress)              // called about four times a second; may be nil
+	MaxOpenConns   int                         // 0, or over the descriptor limit: the limit less reservedDescriptors
 }
 
 // defaults replaces unset options by their default values.
 func (o *Options) defaults() {
-	if o.Ledger == nil {
-		o.Ledger = requestrecord.NewClients()
+	if o.Record == nil {
+		o.Record = requestrecord.NewClientRecord()
 	}
 	if o.Clock == nil {
 		began := time.Now()
 		o.Clock = func() time.Duration { return time.Since(began) }
 	}
-	if o.Prefix == "" {
-		o.Prefix = fmt.Sprintf("%08x", uint32(o.Seed))
+	if o.IDPrefix == "" {
+		o.IDPrefix = fmt.Sprintf("%08x", uint32(o.Seed))
 	}
-	if o.Clients.TryShare <= 0 || o.Clients.TryShare > 1 {
-		o.Clients.TryShare = 1
+	if o.Clients.MinTimeoutShare <= 0 || o.Clients.MinTimeoutShare > 1 {
+		o.Clients.MinTimeoutShare = 1
 	}
 	limit := raiseDescriptorLimit()
 	if o.MaxOpenConns <= 0 || o.MaxOpenConns > limit-reservedDescriptors {
@@ -64,8 +64,8 @@
 // Progress is the state of a run in progress: its time, the counts of requests by outcome, open connections and
 // requests in flight.
 type Progress struct {
-	At                                           time.Duration
-	Scheduled, OK, Refused, Failed, Open, Flight int
+	At                                             time.Duration
+	Scheduled, OK, Refused, Failed, Open, InFlight int
 }
 
 // raiseDescriptorLimit raises the soft limit of file descriptors to the hard one and returns it, at most 1<<20.
--- a/internal/lab/load/record.go
+++ b/internal/lab/load/record.go
@@ -33,17 +33,17 @@
 
 // Counts are numbers of requests by outcome, of retries and of connections.
 type Counts struct {
-	Scheduled  int `json:"scheduled"`  // requests that were due
-	Sent       int `json:"sent"`       // requests whose first attempt was written whole to a connection
-	Answered   int `json:"answered"`   // requests whose last attempt got a whole response within the client timeout
-	OK         int `json:"ok"`         // 200 within the client timeout
-	InAim      int `json:"in_aim"`     // of OK, within the class's latency objective, measured from the due time
-	Refused    int `json:"refused"`    // 429 or 503
-	Failed     int `json:"failed"`     // any other status, a late response, or a failed connection
-	Unanswered int `json:"unanswered"` // sent, and no response until the client timeout
-	Unsent     int `json:"unsent"`     // a fault of the generator: it had no descriptor left, or no time
-	Retries    int `json:"retries"`    // attempts after the first
-	Connects   int `json:"connects"`   // connections opened
+	Scheduled   int `json:"scheduled"`  // requests that were due
+	Sent        int `json:"sent"`       // requests whose first attempt was written whole to a connection
+	Answered    int `json:"answered"`   // requests whose last attempt got a whole response within the client timeout
+	OK          int `json:"ok"`         // 200 within the client timeout
+	InObjective int `json:"in_aim"`     // of OK, within the class's latency objective, measured from the due time
+	Refused     int `json:"refused"`    // 429 or 503
+	Failed      int `json:"failed"`     // any other status, a late response, or a failed connection
+	Unanswered  int `json:"unanswered"` // sent, and no response until the client timeout
+	Unsent      int `json:"unsent"`     // a fault of the generator: it had no descriptor left, or no time
+	Retries     int `json:"retries"`    // attempts after the first
+	Connects    int `json:"connects"`   // connections opened
 }
 
 // add adds the counts of o.
@@ -52,7 +52,7 @@
 	c.Sent += o.Sent
 	c.Answered += o.Answered
 	c.OK += o.OK
-	c.InAim += o.InAim
+	c.InObjective += o.InObjective
 	c.Refused += o.Refused
 	c.Failed += o.Failed
 	c.Unanswered += o.Unanswered
@@ -64,7 +64,7 @@
 // Second has the counts of one class's requests that were due within one second of the run.
 type Second struct {
 	Counts
-	Tries     int // first attempts and retries, counted in the second in which they were sent
+	Attempts  int // first attempts and retries, counted in the second in which they were sent
 	latencies *hdrhistogram.Histogram
 }
 
@@ -157,8 +157,8 @@
 	switch outcome {
 	case OK:
 		s.OK++
-		if took <= r.classes[class].Aim {
-			s.InAim++
+		if took <= r.classes[class].LatencyObjective {
+			s.InObjective++
 		}
 	case Refused:
 		s.Refused++
@@ -183,16 +183,16 @@
 type SecondResult struct {
 	Second int `json:"second"`
 	Counts
-	Tries   int     `json:"tries"` // counted in the second in which they were sent
-	Goodput float64 `json:"goodput"`
-	Latency Latency `json:"latency_ms"`
+	Attempts int     `json:"tries"` // counted in the second in which they were sent
+	Goodput  float64 `json:"goodput"`
+	Latency  Latency `json:"latency_ms"`
 }
 
 // ClassResult is the result of one class over the whole run.
 type ClassResult struct {
 	Name               string  `json:"name"`
 	Unsafe             bool    `json:"unsafe"`
-	Worth              float64 `json:"worth"`
+	Weight             float64 `json:"worth"`
 	LatencyObjectiveMS float64 `json:"aim_ms"`
 	Counts
 	Goodput float64        `json:"goodput"` // in_aim divided by scheduled
@@ -204,20 +204,20 @@
 // Result is what a run measured.
 type Result struct {
 	Counts
-	SelfLate       Latency        `json:"self_late_ms"` // how late the generator started requests
-	Latency        Latency        `json:"latency_ms"`   // of OK and unanswered requests, from the due time to the end
-	FellBehind     bool           `json:"fell_behind"`
-	Behind         string         `json:"behind,omitempty"` // the reason for FellBehind; empty without it
-	Goodput        float64        `json:"goodput"`          // weight of in_aim requests / weight of scheduled ones
-	WorstWindow    float64        `json:"goodput_worst_10s"`
-	Tries          int            `json:"tries"`
-	PeakOpenConns  int            `json:"most_open"` // most connections open at the same time
-	Lasted         float64        `json:"lasted_s"`
-	CPU            float64        `json:"cpu_cores"` // this process's processor time divided by the length of the run
-	Classes        []ClassResult  `json:"classes"`
-	Causes         map[string]int `json:"causes"` // number of requests by the reason why they had no good response
-	UnsolicitedIDs []string       `json:"stray"`  // last request ids of connections with unexpected bytes
-	PartialInput   bool           `json:"stopped_early"`
+	GeneratorLateness Latency        `json:"self_late_ms"` // how late the generator started requests
+	Latency           Latency        `json:"latency_ms"`   // of OK and unanswered requests, from the due time to the end
+	FellBehind        bool           `json:"fell_behind"`
+	BehindReason      string         `json:"behind,omitempty"` // the reason for FellBehind; empty without it
+	Goodput           float64        `json:"goodput"`          // weight of in_aim requests / weight of scheduled ones
+	WorstWindow       float64        `json:"goodput_worst_10s"`
+	Attempts          int            `json:"tries"`
+	PeakOpenConns     int            `json:"most_open"` // most connections open at the same time
+	DurationSeconds   float64        `json:"lasted_s"`
+	CPU               float64        `json:"cpu_cores"` // this process's processor time divided by the length of the run
+	Classes           []ClassResult  `json:"classes"`
+	Causes            map[string]int `json:"causes"` // number of requests by the reason why they had no good response
+	UnsolicitedIDs    []string       `json:"stray"`  // last request ids of connections with unexpected bytes
+	StoppedEarly      bool           `json:"stopped_early"`
 }
 
 // The generator has fallen behind if the 99.9th percentile of its lateness is over maxLatenessP999 or the 99th
@@ -232,21 +232,21 @@
 func (r *recorder) result() Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := Result{SelfLate: latency(r.lateness), Latency: latency(r.overall), Causes: r.causes,
+	out := Result{GeneratorLateness: latency(r.lateness), Latency: latency(r.overall), Causes: r.causes,
 		UnsolicitedIDs: []string{}}
 	var offered, good float64
 	longest := 0
 	for i, c := range r.classes {
-		cr := ClassResult{Name: c.Name, Unsafe: c.Unsafe, Worth: c.Worth,
-			LatencyObjectiveMS: float64(c.Aim.Microseconds()) / 1000, Latency: latency(r.byClass[i]),
+		cr := ClassResult{Name: c.Name, Unsafe: c.Unsafe, Weight: c.Weight,
+			LatencyObjectiveMS: float64(c.LatencyObjective.Microseconds()) / 1000, Latency: latency(r.byClass[i]),
 			Curve: []Percentile{}, Seconds: []SecondResult{}}
 		for n := range r.seconds[i] {
 			s := &r.seconds[i][n]
 			cr.add(s.Counts)
-			cr.Seconds = append(cr.Seconds, SecondResult{Second: n, Counts: s.Counts, Tries: s.Tries,
+			cr.Seconds = append(cr.Seconds, SecondResult{Second: n, Counts: s.Counts, Attempts: s.Attempts,
 				Latency: latency(s.latencies),
-				Goodput: share(s.InAim, s.Scheduled)})
-			out.Tries += s.Tries
+				Goodput: share(s.InObjective, s.Scheduled)})
+			out.Attempts += s.Attempts
 		}
 		if r.byClass[i].TotalCount() > 0 {
 			for _, b := range r.byClass[i].CumulativeDistribution() {
@@ -254,9 +254,9 @@
 			}
 		}
 		longest = max(longest, len(cr.Seconds))
-		cr.Goodput = share(cr.InAim, cr.Scheduled)
-		offered += c.Worth * float64(cr.Scheduled)
-		good += c.Worth * float64(cr.InAim)
+		cr.Goodput = share(cr.InObjective, cr.Scheduled)
+		offered += c.Weight * float64(cr.Scheduled)
+		good += c.Weight * float64(cr.InObjective)
 		out.add(cr.Counts)
 		out.Classes = append(out.Classes, cr)
 	}
@@ -266,13 +266,13 @@
 	out.WorstWindow = out.worstWindowGoodput(longest)
 	switch tail := r.lateness.ValueAtPercentile(99.9); {
 	case out.Unsent > 0:
-		out.Behind = fmt.Sprintf("%d requests could not be sent", out.Unsent)
-	case out.SelfLate.P99 > float64(maxLatenessP99.Milliseconds()):
-		out.Behind = fmt.Sprintf("a hundredth of the requests left over %.1f ms late", out.SelfLate.P99)
+		out.BehindReason = fmt.Sprintf("%d requests could not be sent", out.Unsent)
+	case out.GeneratorLateness.P99 > float64(maxLatenessP99.Milliseconds()):
+		out.BehindReason = fmt.Sprintf("a hundredth of the requests left over %.1f ms late", out.GeneratorLateness.P99)
 	case tail > maxLatenessP999.Microseconds():
-		out.Behind = fmt.Sprintf("a thousandth of the requests left over %.1f ms late", float64(tail)/1000)
+		out.BehindReason = fmt.Sprintf("a thousandth of the requests left over %.1f ms late", float64(tail)/1000)
 	}
-	out.FellBehind = out.Behind != ""
+	out.FellBehind = out.BehindReason != ""
 	return out
 }
 
@@ -293,8 +293,8 @@
 		var offered, good float64
 		for _, c := range r.Classes {
 			for n := from; n < min(from+window, len(c.Seconds)); n++ {
-				offered += c.Worth * float64(c.Seconds[n].Scheduled)
-				good += c.Worth * float64(c.Seconds[n].InAim)
+				offered += c.Weight * float64(c.Seconds[n].Scheduled)
+				good += c.Weight * float64(c.Seconds[n].InObjective)
 			}
 		}
 		if offered > 0 {
--- a/internal/lab/load/schedule.go
+++ b/internal/lab/load/schedule.go
@@ -17,30 +17,30 @@
 
 // Class is a class of requests.
 type Class struct {
-	Name     string
-	Share    float64       // of the requests, relative to the sum of all classes' shares
-	Unsafe   bool          // sent by POST; must not be executed twice
-	Keyed    bool          // sent by POST with an idempotency key; may be executed again within one cell only
-	Worth    float64       // weight of a request that is served within Aim, for the goodput
-	Aim      time.Duration // latency objective, measured from the due time
-	Patience time.Duration // client timeout
-	Body     int           // bytes of a POST's body
+	Name             string
+	Share            float64       // of the requests, relative to the sum of all classes' shares
+	Unsafe           bool          // sent by POST; must not be executed twice
+	Keyed            bool          // sent by POST with an idempotency key; may be executed again within one cell only
+	Weight           float64       // weight of a request that is served within Aim, for the goodput
+	LatencyObjective time.Duration // latency objective, measured from the due time
+	ClientTimeout    time.Duration // client timeout
+	Body             int           // bytes of a POST's body
 }
 
 // Phase is a period of time with a request rate. For each field except For and Rate, the zero value means that
 // the field does not apply.
 type Phase struct {
-	For   time.Duration // length of the phase
-	Rate  float64       // requests per second at its start
-	To    float64       // the rate changes linearly to this value until its end
-	Steps int           // with To: the rate changes in this number of equal steps instead
+	Duration time.Duration // length of the phase
+	Rate     float64       // requests per second at its start
+	EndRate  float64       // the rate changes linearly to this value until its end
+	Steps    int           // with To: the rate changes in this number of equal steps instead
 
-	Jump    float64       // the rate is multiplied by this during the jump
-	JumpAt  time.Duration // start of the jump, after the start of the phase
-	JumpFor time.Duration // length of the jump
+	JumpFactor float64       // the rate is multiplied by this during the jump
+	JumpAt     time.Duration // start of the jump, after the start of the phase
+	JumpFor    time.Duration // length of the jump
 
-	Rush   string  // a class whose rate grows exponentially until the end of the phase, as before a closing time
-	RushTo float64 // ratio of that class's rate at the end to the rate at the start; 10 if unset
+	RushClass  string  // a class whose rate grows exponentially until the end of the phase, as before a closing time
+	RushFactor float64 // ratio of that class's rate at the end to the rate at the start; 10 if unset
 
 	Poisson bool // random exponential intervals between requests; otherwise equal intervals
 }
@@ -48,15 +48,15 @@
 // Check returns an error for the first invalid field of a phase.
 func (p Phase) Check() error {
 	switch {
-	case p.For <= 0:
+	case p.Duration <= 0:
 		return fmt.Errorf("for must be positive")
-	case !(p.Rate >= 0 && p.Rate <= 1e6) || !(p.To >= 0 && p.To <= 1e6):
+	case !(p.Rate >= 0 && p.Rate <= 1e6) || !(p.EndRate >= 0 && p.EndRate <= 1e6):
 		return fmt.Errorf("rate must be 0 to 1000000 a second")
-	case p.Steps < 0 || p.Steps > 1000 || p.Steps > 0 && p.To == 0:
+	case p.Steps < 0 || p.Steps > 1000 || p.Steps > 0 && p.EndRate == 0:
 		return fmt.Errorf("steps must be 1 to 1000 and goes with to")
-	case p.Jump < 0 || p.Jump > 0 && (p.JumpFor <= 0 || p.JumpAt < 0 || p.JumpAt >= p.For):
+	case p.JumpFactor < 0 || p.JumpFactor > 0 && (p.JumpFor <= 0 || p.JumpAt < 0 || p.JumpAt >= p.Duration):
 		return fmt.Errorf("jump must be positive, with jump_for, and jump_at within the phase")
-	case p.RushTo < 0 || p.RushTo > 0 && p.Rush == "":
+	case p.RushFactor < 0 || p.RushFactor > 0 && p.RushClass == "":
 		return fmt.Errorf("rush_to goes with rush")
 	}
 	return nil
@@ -66,15 +66,15 @@
 // the start of the phase.
 func (p Phase) rate(at time.Duration) float64 {
 	r := p.Rate
-	if progress := at.Seconds() / p.For.Seconds(); p.To > 0 {
+	if progress := at.Seconds() / p.Duration.Seconds(); p.EndRate > 0 {
 		if p.Steps > 0 {
 			progress = math.Floor(progress*float64(p.Steps)) / float64(max(1, p.Steps-1))
 			progress = min(1, progress)
 		}
-		r += (p.To - p.Rate) * progress
+		r += (p.EndRate - p.Rate) * progress
 	}
-	if p.Jump > 0 && at >= p.JumpAt && at < p.JumpAt+p.JumpFor {
-		r *= p.Jump
+	if p.JumpFactor > 0 && at >= p.JumpAt && at < p.JumpAt+p.JumpFor {
+		r *= p.JumpFactor
 	}
 	return r
 }
@@ -82,22 +82,22 @@
 // weight returns the share of a class relative to the other classes, with the rush. at is the time since the
 // start of the phase.
 func (p Phase) weight(c Class, at time.Duration) float64 {
-	if p.Rush != c.Name {
+	if p.RushClass != c.Name {
 		return c.Share
 	}
-	factor := p.RushTo
+	factor := p.RushFactor
 	if factor == 0 {
 		factor = 10
 	}
-	return c.Share * math.Pow(factor, at.Seconds()/p.For.Seconds())
+	return c.Share * math.Pow(factor, at.Seconds()/p.Duration.Seconds())
 }
 
 // Arrival is one request of a schedule.
 type Arrival struct {
-	At       time.Duration // due time, after the start of the run
-	Class    int           // index into the classes
-	Patience time.Duration // client timeout
-	Body     int           // bytes
+	At            time.Duration // due time, after the start of the run
+	Class         int           // index into the classes
+	ClientTimeout time.Duration // client timeout
+	Body          int           // bytes
 }
 
 // Schedule produces arrivals in the order of their due times.
@@ -126,7 +126,7 @@
 func Phases(classes []Class, list []Phase, seed uint64) (Schedule, error) {
 	p := &phases{classes: classes, phases: list, rand: rand.New(rand.NewPCG(seed, 2))}
 	for i, c := range classes {
-		if c.Name == "" || !(c.Share >= 0) || c.Patience <= 0 {
+		if c.Name == "" || !(c.Share >= 0) || c.ClientTimeout <= 0 {
 			return nil, fmt.Errorf("class %d: needs a name, a share of 0 or more and a positive patience", i+1)
 		}
 		p.totalShare += c.Share
@@ -138,12 +138,12 @@
 		if err := f.Check(); err != nil {
 			return nil, fmt.Errorf("phase %d: %w", i+1, err)
 		}
-		defined := f.Rush == ""
+		defined := f.RushClass == ""
 		for _, c := range classes {
-			defined = defined || c.Name == f.Rush
+			defined = defined || c.Name == f.RushClass
 		}
 		if !defined {
-			return nil, fmt.Errorf("phase %d: rush names class %q, which is not defined", i+1, f.Rush)
+			return nil, fmt.Errorf("phase %d: rush names class %q, which is not defined", i+1, f.RushClass)
 		}
 	}
 	return p, nil
@@ -156,9 +156,9 @@
 	}
 	for len(p.phases) > 0 {
 		f := p.phases[0]
-		step := min(scheduleStep, f.For-p.elapsed)
+		step := min(scheduleStep, f.Duration-p.elapsed)
 		if step <= 0 {
-			p.phaseStart, p.elapsed, p.phases = p.phaseStart+f.For, 0, p.phases[1:]
+			p.phaseStart, p.elapsed, p.phases = p.phaseStart+f.Duration, 0, p.phases[1:]
 			continue
 		}
 		var weight float64
@@ -173,7 +173,7 @@
 		}
 		offset := time.Duration((p.nextArrival - p.arrivalsDue) / due * float64(step))
 		a := Arrival{At: p.phaseStart + p.elapsed + offset, Class: p.drawClass(f, weight)}
-		a.Patience, a.Body = p.classes[a.Class].Patience, p.classes[a.Class].Body
+		a.ClientTimeout, a.Body = p.classes[a.Class].ClientTimeout, p.classes[a.Class].Body
 		p.nextArrival += p.drawInterval()
 		return a, true
 	}
@@ -199,11 +199,11 @@
 	return len(p.classes) - 1
 }
 
-// Length returns the total length of the phases in list.
-func Length(list []Phase) time.Duration {
+// TotalDuration returns the total length of the phases in list.
+func TotalDuration(list []Phase) time.Duration {
 	var sum time.Duration
 	for _, p := range list {
-		sum += p.For
+		sum += p.Duration
 	}
 	return sum
 }
@@ -217,7 +217,7 @@
 	out := bufio.NewWriter(w)
 	fmt.Fprintln(out, traceHeader)
 	for a, ok := s.Next(); ok; a, ok = s.Next() {
-		fmt.Fprintf(out, "%d %s %d %d\n", a.At.Microseconds(), classes[a.Class].Name, a.Patience.Milliseconds(), a.Body)
+		fmt.Fprintf(out, "%d %s %d %d\n", a.At.Microseconds(), classes[a.Class].Name, a.ClientTimeout.Milliseconds(), a.Body)
 	}
 	return out.Flush()
 }
@@ -235,8 +235,8 @@
 	return a, true
 }
 
-// Record returns a Schedule of the given arrivals, in their order.
-func Record(arrivals []Arrival) Schedule { return &arrivalList{arrivals} }
+// FromArrivals returns a Schedule of the given arrivals, in their order.
+func FromArrivals(arrivals []Arrival) Schedule { return &arrivalList{arrivals} }
 
 // ReadTrace reads a trace that WriteTrace wrote. It skips empty lines and lines that start with #. Errors contain
 // name and the number of the line.
@@ -264,7 +264,7 @@
 		due, err1 := strconv.ParseInt(fields[0], 10, 64)
 		patience, err2 := strconv.ParseInt(fields[2], 10, 64)
 		body, err3 := strconv.Atoi(fields[3])
-		a.At, a.Patience, a.Body = time.Duration(due)*time.Microsecond, time.Duration(patience)*time.Millisecond, body
+		a.At, a.ClientTimeout, a.Body = time.Duration(due)*time.Microsecond, time.Duration(patience)*time.Millisecond, body
 		switch {
 		case a.Class < 0:
 			return nil, fmt.Errorf("%s:%d: class %q is not defined", name, n, fields[1])
@@ -281,5 +281,5 @@
 	if err := lines.Err(); err != nil {
 		return nil, fmt.Errorf("%s:%d: %w", name, n+1, err)
 	}
-	return Record(out), nil
+	return FromArrivals(out), nil
 }
--- a/internal/lab/membershipcheck/history.go
+++ b/internal/lab/membershipcheck/history.go
@@ -58,21 +58,21 @@
 // Name returns the name of a gateway.
 func (h *History) Name(gateway int) string { return h.names[gateway] }
 
-// ReportsLoad records that gateways report their load, which increases the permitted traffic.
-func (h *History) ReportsLoad() { h.reportsLoad = true }
+// SetReportsLoad records that gateways report their load, which increases the permitted traffic.
+func (h *History) SetReportsLoad() { h.reportsLoad = true }
 
-// Started records the start of a process; pid must be unique. A duplicate runs beside another process of the same
+// RecordStart records the start of a process; pid must be unique. A duplicate runs beside another process of the same
 // name without knowing it; an upgrade takes over from another process.
-func (h *History) Started(gateway, pid int, at time.Duration, duplicate, upgrade bool) {
+func (h *History) RecordStart(gateway, pid int, at time.Duration, duplicate, upgrade bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.processes = append(h.processes,
 		process{gateway: gateway, pid: pid, start: at, duplicate: duplicate, upgrade: upgrade})
 }
 
-// Ended records that a process has ended, or got the signal to end and sends no more. Only the first call for a process
+// RecordEnd records that a process has ended, or got the signal to end and sends no more. Only the first call for a process
 // counts.
-func (h *History) Ended(pid int, at time.Duration) {
+func (h *History) RecordEnd(pid int, at time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i := range h.processes {
@@ -93,8 +93,8 @@
 	}
 }
 
-// Stopped records that a gateway's process was stopped (on) or continued. Duplicates are not affected.
-func (h *History) Stopped(gateway int, at time.Duration, on bool) {
+// RecordStop records that a gateway's process was stopped (on) or continued. Duplicates are not affected.
+func (h *History) RecordStop(gateway int, at time.Duration, on bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i := range h.processes {
@@ -110,8 +110,8 @@
 	}
 }
 
-// Path records the state of the path between two gateways from state.At on.
-func (h *History) Path(from, to int, state PathState) {
+// RecordPath records the state of the path between two gateways from state.At on.
+func (h *History) RecordPath(from, to int, state PathState) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.paths[[2]int{from, to}] = append(h.paths[[2]int{from, to}], state)
--- a/internal/lab/membershipcheck/observation.go
+++ b/internal/lab/membershipcheck/observation.go
@@ -4,19 +4,19 @@
 
 // Observation is the view of one process at one time.
 type Observation struct {
-	At            time.Duration `json:"at_ns"`
-	Gateway       int           `json:"gateway"`
-	PID           int           `json:"pid"`
-	Speaking      bool          `json:"speaking"`
-	Join          int           `json:"joined"` // how often the process has joined the cluster
-	Settled       bool          `json:"settled"`
-	Majority      bool          `json:"majority"`
-	DuplicateName bool          `json:"twin"`
-	Alive         int           `json:"alive"`
-	Sent          uint64        `json:"sent_bytes"`
-	Strangers     int           `json:"strangers"` // number of members that are not gateways of the cluster
-	Beliefs       []Belief      `json:"members"`   // by gateway number; State is empty if the gateway is unknown
-	Assignment    *Assignment   `json:"portion,omitempty"`
+	At             time.Duration `json:"at_ns"`
+	Gateway        int           `json:"gateway"`
+	PID            int           `json:"pid"`
+	Active         bool          `json:"speaking"`
+	JoinCount      int           `json:"joined"` // how often the process has joined the cluster
+	Converged      bool          `json:"settled"`
+	Majority       bool          `json:"majority"`
+	DuplicateName  bool          `json:"twin"`
+	Alive          int           `json:"alive"`
+	SentBytes      uint64        `json:"sent_bytes"`
+	UnknownMembers int           `json:"strangers"` // number of members that are not gateways of the cluster
+	Members        []MemberView  `json:"members"`   // by gateway number; State is empty if the gateway is unknown
+	Assignment     *Assignment   `json:"portion,omitempty"`
 }
 
 // Assignment is the part of the endpoints that a process uses, if the cluster divides them among the gateways.
@@ -28,8 +28,8 @@
 	SlowStart    []string           `json:"cold,omitempty"`
 }
 
-// Belief is what a process's view holds of one gateway.
-type Belief struct {
+// MemberView is what a process's view holds of one gateway.
+type MemberView struct {
 	State       string `json:"state"`
 	Start       uint64 `json:"start_ms"`
 	Incarnation uint64 `json:"incarnation"`
@@ -43,4 +43,4 @@
 }
 
 // removed reports whether the state is gone or left.
-func (b Belief) removed() bool { return b.State == "gone" || b.State == "left" }
+func (b MemberView) removed() bool { return b.State == "gone" || b.State == "left" }
--- a/internal/lab/membershipcheck/rules_agreement.go
+++ b/internal/lab/membershipcheck/rules_agreement.go
@@ -18,7 +18,7 @@
 			return
 		}
 		c := h.components(since, current.At)
-		for m := range current.Beliefs {
+		for m := range current.Members {
 			if m == current.Gateway || h.duplicatedDuring(m, since, current.At) ||
 				h.duplicatedDuring(current.Gateway, since, current.At) {
 				continue
@@ -34,7 +34,7 @@
 
 // checkBelief compares a view's state of member m with the facts that have held since the given time.
 func (h *History) checkBelief(current *Observation, m int, since time.Duration, c components, report reporter) {
-	now := current.Beliefs[m]
+	now := current.Members[m]
 	switch {
 	case c.same(m, current.Gateway) && c.directPeers[m] > 0 && now.State != "alive":
 		// With datagram loss a member is suspected now and then and refutes the suspicion.
@@ -59,7 +59,7 @@
 func falseMajority(h *History, report reporter) {
 	h.eachObservation(func(_, current *Observation) {
 		since := current.At - detectionTime
-		if since < 0 || !current.Majority && !current.Settled {
+		if since < 0 || !current.Majority && !current.Converged {
 			return
 		}
 		c := h.components(since, current.At)
@@ -67,7 +67,7 @@
 			return
 		}
 		known := 0
-		for m, now := range current.Beliefs {
+		for m, now := range current.Members {
 			// A majority is counted without members that left, but with unreachable and crashed ones.
 			if m == current.Gateway || now.State != "left" && now.State != "" {
 				known++
--- a/internal/lab/membershipcheck/rules_budget.go
+++ b/internal/lab/membershipcheck/rules_budget.go
@@ -23,8 +23,8 @@
 	h.eachObservation(func(_, current *Observation) {
 		list := append(recent[current.PID], current)
 		for current.At-list[0].At > budgetWindow {
-			rate := float64(current.Sent-list[0].Sent) / (current.At - list[0].At).Seconds()
-			if rate > limit && current.Sent > list[0].Sent {
+			rate := float64(current.SentBytes-list[0].SentBytes) / (current.At - list[0].At).Seconds()
+			if rate > limit && current.SentBytes > list[0].SentBytes {
 				report(current.At, current.Gateway, "sent %.0f bytes a second over %v", rate, budgetWindow)
 			}
 			list = list[1:]
--- a/internal/lab/membershipcheck/rules_identity.go
+++ b/internal/lab/membershipcheck/rules_identity.go
@@ -7,11 +7,11 @@
 
 func incarnationWentBack(h *History, report reporter) {
 	h.eachObservation(func(previous, current *Observation) {
-		if previous == nil || current.Join != previous.Join { // joined again, as after a failed upgrade
+		if previous == nil || current.JoinCount != previous.JoinCount { // joined again, as after a failed upgrade
 			return
 		}
-		for m, now := range current.Beliefs {
-			before := previous.Beliefs[m]
+		for m, now := range current.Members {
+			before := previous.Members[m]
 			if now.State == "" || before.State == "" {
 				continue
 			}
@@ -35,9 +35,9 @@
 				!h.connected(current.Gateway, m, next.start-time.Second, current.At) {
 				return
 			}
-			now, before := current.Beliefs[m], previous.Beliefs[m]
+			now, before := current.Members[m], previous.Members[m]
 			switch {
-			case current.Join != previous.Join || before.State != "alive":
+			case current.JoinCount != previous.JoinCount || before.State != "alive":
 			case now.removed() || now.Start != before.Start:
 				report(current.At, current.Gateway, "holds %s, which was upgraded, for %s under start %d after %d",
 					h.names[m], now.State, now.Start, before.Start)
@@ -54,7 +54,7 @@
 // than the upgrade. A leave is never excused, because only the gateway itself announces one. With datagram loss,
 // suspicions occur and are refuted. Otherwise a suspicion is excused if a member that may have raised it could not
 // receive the gateway's datagrams, or the gateway could not receive that member's.
-func (h *History) excused(gateway int, held Belief, upgrade time.Duration) bool {
+func (h *History) excused(gateway int, held MemberView, upgrade time.Duration) bool {
 	switch {
 	case held.Previous == "left":
 		return false
@@ -79,7 +79,7 @@
 	h.eachObservation(func(_, current *Observation) {
 		since := current.At - detectionTime
 		if since > 0 && h.duplicatedThroughout(current.Gateway, since, current.At) && !current.DuplicateName &&
-			current.Speaking {
+			current.Active {
 			report(current.At, current.Gateway, "does not say that its name is used twice (process %d)", current.PID)
 		}
 	})
@@ -87,8 +87,8 @@
 
 func unknownMember(h *History, report reporter) {
 	h.eachObservation(func(_, current *Observation) {
-		if current.Strangers > 0 {
-			report(current.At, current.Gateway, "holds %d that are no gateways of this fleet", current.Strangers)
+		if current.UnknownMembers > 0 {
+			report(current.At, current.Gateway, "holds %d that are no gateways of this fleet", current.UnknownMembers)
 		}
 	})
 }
--- a/internal/lab/membershipcheck/rules_liveness.go
+++ b/internal/lab/membershipcheck/rules_liveness.go
@@ -21,8 +21,8 @@
 		if previous == nil {
 			return
 		}
-		for m, now := range current.Beliefs {
-			before := previous.Beliefs[m]
+		for m, now := range current.Members {
+			before := previous.Members[m]
 			if !now.removed() || before.removed() || before.State == "" || m == current.Gateway {
 				continue
 			}
@@ -55,7 +55,7 @@
 				return
 			}
 		}
-		for m, now := range current.Beliefs {
+		for m, now := range current.Members {
 			if (now.State == "alive" || now.State == "suspect") && h.absent(m, since, current.At) {
 				report(current.At, current.Gateway, "holds %s for %s, which has had no process for %v",
 					h.names[m], now.State, detectionTime)
@@ -74,7 +74,7 @@
 		}
 		before := leaveTime - detectionTime/2
 		h.eachObservation(func(_, current *Observation) {
-			now := current.Beliefs[p.gateway]
+			now := current.Members[p.gateway]
 			if current.At <= leaveTime+leavePropagationTime || current.At >= until || now.State == "left" || now.State == "" {
 				return
 			}
--- a/internal/lab/membershipcheck/rules_test.go
+++ b/internal/lab/membershipcheck/rules_test.go
@@ -16,14 +16,14 @@
 	}
 	h := NewHistory(names)
 	for g := range n {
-		h.Started(g, 100+g, -second, false, false)
+		h.RecordStart(g, 100+g, -second, false, false)
 	}
 	for at := second; at <= length; at += second {
 		for g := range n {
-			l := Observation{At: at, Gateway: g, PID: 100 + g, Speaking: true, Settled: true, Majority: true,
-				Alive: n, Sent: uint64(500 * at / second)}
+			l := Observation{At: at, Gateway: g, PID: 100 + g, Active: true, Converged: true, Majority: true,
+				Alive: n, SentBytes: uint64(500 * at / second)}
 			for other := range n {
-				l.Beliefs = append(l.Beliefs, Belief{State: "alive", Start: uint64(1000 + other), Incarnation: 1})
+				l.Members = append(l.Members, MemberView{State: "alive", Start: uint64(1000 + other), Incarnation: 1})
 			}
 			h.Observe(l)
 		}
@@ -35,22 +35,22 @@
 func editObservations(h *History, gateway int, from, to time.Duration, edit func(l *Observation)) {
 	for i := range h.observations {
 		if l := &h.observations[i]; l.Gateway == gateway && l.At >= from && l.At <= to {
-			l.Beliefs = slices.Clone(l.Beliefs)
+			l.Members = slices.Clone(l.Members)
 			edit(l)
 		}
 	}
 }
 
 func setState(of int, state string) func(*Observation) {
-	return func(l *Observation) { l.Beliefs[of].State = state }
+	return func(l *Observation) { l.Members[of].State = state }
 }
 
 // setCut cuts the paths between two sets of gateways in both directions, or restores them.
 func setCut(h *History, a, b []int, at time.Duration, on bool) {
 	for _, x := range a {
 		for _, y := range b {
-			h.Path(x, y, PathState{At: at, Cut: on})
-			h.Path(y, x, PathState{At: at, Cut: on})
+			h.RecordPath(x, y, PathState{At: at, Cut: on})
+			h.RecordPath(y, x, PathState{At: at, Cut: on})
 		}
 	}
 }
@@ -59,8 +59,8 @@
 func addLoss(h *History, g int, loss float64, from, to time.Duration) {
 	for o := range h.count {
 		if o != g {
-			h.Path(g, o, PathState{At: from, Loss: loss})
-			h.Path(g, o, PathState{At: to})
+			h.RecordPath(g, o, PathState{At: from, Loss: loss})
+			h.RecordPath(g, o, PathState{At: to})
 		}
 	}
 }
@@ -82,24 +82,24 @@
 			editObservations(h, 1, 14*second, 14*second, setState(2, "gone"))
 		}},
 		{"a running gateway is removed on a path that loses a tenth", WronglyRemoved, func(h *History) {
-			h.Path(1, 2, PathState{At: second, Loss: 0.1})
+			h.RecordPath(1, 2, PathState{At: second, Loss: 0.1})
 			editObservations(h, 1, 12*second, 14*second, setState(2, "gone"))
 		}},
 		{"a stopped gateway is removed", "", func(h *History) {
-			h.Stopped(2, 8*second, true)
-			h.Stopped(2, 18*second, false)
+			h.RecordStop(2, 8*second, true)
+			h.RecordStop(2, 18*second, false)
 			editObservations(h, 1, 12*second, 19*second, setState(2, "gone"))
 		}},
 		{"an isolated gateway is removed", "", func(h *History) {
 			setCut(h, []int{2}, []int{0, 1, 3, 4}, 8*second, true)
 			setCut(h, []int{2}, []int{0, 1, 3, 4}, 20*second, false)
 			editObservations(h, 1, 14*second, 21*second, setState(2, "gone"))
-			editObservations(h, 2, 18*second, 21*second, func(l *Observation) { l.Majority, l.Settled = false, false })
+			editObservations(h, 2, 18*second, 21*second, func(l *Observation) { l.Majority, l.Converged = false, false })
 		}},
 		{"a gateway whose datagrams reach no other is removed", "", func(h *History) {
 			for o := range 5 {
 				if o != 2 {
-					h.Path(2, o, PathState{At: 5 * second, Cut: true})
+					h.RecordPath(2, o, PathState{At: 5 * second, Cut: true})
 				}
 			}
 			editObservations(h, 1, 14*second, 30*second, setState(2, "gone"))
@@ -113,11 +113,11 @@
 			editObservations(h, 1, 10*second, 30*second, setState(2, "gone"))
 		}},
 		{"a dead gateway is considered alive", DeadHeldAlive, func(h *History) {
-			h.Ended(102, 3*second)
+			h.RecordEnd(102, 3*second)
 			dropObservations(h, 102, 3*second)
 		}},
 		{"a dead gateway is considered alive for a few seconds", "", func(h *History) {
-			h.Ended(102, 3*second)
+			h.RecordEnd(102, 3*second)
 			dropObservations(h, 102, 3*second)
 			for _, g := range []int{0, 1, 3, 4} {
 				editObservations(h, g, 11*second, 30*second, setState(2, "gone"))
@@ -127,7 +127,7 @@
 			editObservations(h, 3, 16*second, 30*second, setState(1, "suspect"))
 		}},
 		{"a suspicion with datagram loss", "", func(h *History) {
-			h.Path(0, 4, PathState{At: -second, Loss: 0.1})
+			h.RecordPath(0, 4, PathState{At: -second, Loss: 0.1})
 			editObservations(h, 3, 16*second, 30*second, setState(1, "suspect"))
 		}},
 		{"a duplicate name is reported without a duplicate", Diverged, func(h *History) {
@@ -136,13 +136,13 @@
 		{"a component without a majority reports none", "", func(h *History) { partition(h, false) }},
 		{"a component without a majority reports one", FalseMajority, func(h *History) { partition(h, true) }},
 		{"an incarnation that goes back", IncarnationWentBack, func(h *History) {
-			editObservations(h, 1, 9*second, 30*second, func(l *Observation) { l.Beliefs[2].Incarnation = 4 })
-			editObservations(h, 1, 14*second, 30*second, func(l *Observation) { l.Beliefs[2].Incarnation = 3 })
+			editObservations(h, 1, 9*second, 30*second, func(l *Observation) { l.Members[2].Incarnation = 4 })
+			editObservations(h, 1, 14*second, 30*second, func(l *Observation) { l.Members[2].Incarnation = 3 })
 		}},
 		{"a later start with a lower incarnation", "", func(h *History) {
-			editObservations(h, 1, 9*second, 30*second, func(l *Observation) { l.Beliefs[2].Incarnation = 4 })
+			editObservations(h, 1, 9*second, 30*second, func(l *Observation) { l.Members[2].Incarnation = 4 })
 			editObservations(h, 1, 14*second, 30*second, func(l *Observation) {
-				l.Beliefs[2] = Belief{State: "alive", Start: 5000, Incarnation: 1}
+				l.Members[2] = MemberView{State: "alive", Start: 5000, Incarnation: 1}
 			})
 		}},
 		{"an upgrade is seen as a leave", UpgradeNoticed, func(h *History) {
@@ -151,11 +151,11 @@
 		}},
 		{"an upgrade is seen as a restart", UpgradeNoticed, func(h *History) {
 			upgrade(h)
-			editObservations(h, 1, 11*second, 30*second, func(l *Observation) { l.Beliefs[2].Start++ })
+			editObservations(h, 1, 11*second, 30*second, func(l *Observation) { l.Members[2].Start++ })
 		}},
 		{"an upgrade is seen as a leave between two observations", UpgradeNoticed, func(h *History) {
 			upgrade(h)
-			editObservations(h, 1, 11*second, 30*second, func(l *Observation) { l.Beliefs[2].Since = 10*second + second/2 })
+			editObservations(h, 1, 11*second, 30*second, func(l *Observation) { l.Members[2].Since = 10*second + second/2 })
 		}},
 		{"an upgrade is seen as a leave between two observations, with datagram loss", UpgradeNoticed, func(h *History) {
 			addLoss(h, 0, 0.1, 5*second, 20*second)
@@ -170,7 +170,7 @@
 			correctedAfterUpgrade(h, "suspect", "gateway-4")
 		}},
 		{"an upgraded gateway is suspected by a member whose datagrams it cannot receive", "", func(h *History) {
-			h.Path(4, 2, PathState{At: 9 * second, Cut: true})
+			h.RecordPath(4, 2, PathState{At: 9 * second, Cut: true})
 			correctedAfterUpgrade(h, "suspect", "")
 		}},
 		{"an upgraded gateway is suspected with all paths open", UpgradeNoticed, func(h *History) {
@@ -186,24 +186,24 @@
 		}},
 		{"an upgrade without a change in any view", "", upgrade},
 		{"a gateway removes another after it was stopped", WronglyRemoved, func(h *History) {
-			h.Stopped(2, 8*second, true)
-			h.Stopped(2, 18*second, false)
+			h.RecordStop(2, 8*second, true)
+			h.RecordStop(2, 18*second, false)
 			editObservations(h, 2, 19*second, 20*second, setState(4, "gone"))
 		}},
 		{"a leave is propagated", "", func(h *History) { leave(h, "left") }},
 		{"a leave is not propagated", LeaveNotPropagated, func(h *History) { leave(h, "gone") }},
 		{"an unknown member", UnknownMember, func(h *History) {
-			editObservations(h, 1, 9*second, 9*second, func(l *Observation) { l.Strangers = 1 })
+			editObservations(h, 1, 9*second, 9*second, func(l *Observation) { l.UnknownMembers = 1 })
 		}},
 		{"a duplicate name is not reported", DuplicateNameUnreported, func(h *History) {
-			h.Started(2, 900, 5*second, true, false)
+			h.RecordStart(2, 900, 5*second, true, false)
 		}},
 		{"a duplicate name is reported", "", func(h *History) {
-			h.Started(2, 900, 5*second, true, false)
+			h.RecordStart(2, 900, 5*second, true, false)
 			editObservations(h, 2, 8*second, 30*second, func(l *Observation) { l.DuplicateName = true })
 		}},
 		{"a gateway sends too much", OverBudget, func(h *History) {
-			editObservations(h, 1, 5*second, 30*second, func(l *Observation) { l.Sent = uint64(l.At/second) * 6000 })
+			editObservations(h, 1, 5*second, 30*second, func(l *Observation) { l.SentBytes = uint64(l.At/second) * 6000 })
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -250,10 +250,10 @@
 		}
 		editObservations(h, g, 10*second, 30*second, func(l *Observation) {
 			for _, o := range other {
-				l.Beliefs[o].State = "gone"
+				l.Members[o].State = "gone"
 			}
 			l.Majority = g < 3 || lying
-			l.Settled = l.Majority
+			l.Converged = l.Majority
 		})
 	}
 }
@@ -263,13 +263,13 @@
 func correctedAfterUpgrade(h *History, state, by string) {
 	upgrade(h)
 	editObservations(h, 1, 11*second, 30*second, func(l *Observation) {
-		l.Beliefs[2].Since, l.Beliefs[2].Previous, l.Beliefs[2].SuspectedBy = 10*second+second/2, state, by
+		l.Members[2].Since, l.Members[2].Previous, l.Members[2].SuspectedBy = 10*second+second/2, state, by
 	})
 }
 
 func upgrade(h *History) {
-	h.Started(2, 800, 10*second, false, true)
-	h.Ended(102, 11*second)
+	h.RecordStart(2, 800, 10*second, false, true)
+	h.RecordEnd(102, 11*second)
 	for i := range h.observations {
 		if l := &h.observations[i]; l.PID == 102 && l.At >= 11*second {
 			l.PID = 800
--- a/internal/lab/membershipsim/measure.go
+++ b/internal/lab/membershipsim/measure.go
@@ -11,29 +11,29 @@
 
 // Case is a cluster size and a set of faults.
 type Case struct {
-	Seed     uint64
-	Nodes    int
-	Loss     float64               // share of lost datagrams
-	Stalls   bool                  // a tenth of the nodes is stopped for 2 s in every 10 s of the quiet period
-	Heal     bool                  // the run ends with a partition that heals
-	Baseline bool                  // nodes run Heartbeats instead of membership
-	Without  membership.Refinement // refinement of membership that is switched off
+	Seed              uint64
+	Nodes             int
+	Loss              float64               // share of lost datagrams
+	Stalls            bool                  // a tenth of the nodes is stopped for 2 s in every 10 s of the quiet period
+	Partition         bool                  // the run ends with a partition that heals
+	Baseline          bool                  // nodes run Heartbeats instead of membership
+	OmittedRefinement membership.Refinement // refinement of membership that is switched off
 }
 
 // Figures are the measurements of one Case.
 type Figures struct {
-	Nodes       int
-	Loss        float64
-	Stalls      bool
-	Crash       []time.Duration // for each crash, the time until all other nodes consider the node gone
-	Join        []time.Duration // for each join, the time until all nodes consider the new node alive
-	Heal        time.Duration   // time to converge after a partition into halves of 60 s; 0 if there was none
-	FalseDoubts int             // suspicions of running nodes in the quiet period
+	Nodes           int
+	Loss            float64
+	Stalls          bool
+	Crash           []time.Duration // for each crash, the time until all other nodes consider the node gone
+	Join            []time.Duration // for each join, the time until all nodes consider the new node alive
+	Heal            time.Duration   // time to converge after a partition into halves of 60 s; 0 if there was none
+	FalseSuspicions int             // suspicions of running nodes in the quiet period
 	// nodes with a process that another node considers gone in the quiet period, summed over all checks
-	FalseRemoval int
-	Quiet        time.Duration // length of the quiet period
-	Rest         float64       // mean bytes per second and node in the quiet period, with IP and UDP headers
-	Most         float64       // bytes per second of the node that sent most in the quiet period
+	FalseRemovals     int
+	QuietPeriod       time.Duration // length of the quiet period
+	BytesPerSecond    float64       // mean bytes per second and node in the quiet period, with IP and UDP headers
+	MaxBytesPerSecond float64       // bytes per second of the node that sent most in the quiet period
 	// processor seconds of a node's protocol per second of the quiet period, on this machine
 	CPU     float64
 	Partial bool // the run was interrupted; the later measurements are missing
@@ -53,8 +53,8 @@
 func Measure(ctx context.Context, c Case) Figures {
 	f := Figures{Nodes: c.Nodes, Loss: c.Loss, Stalls: c.Stalls}
 	s := New(c.Seed, c.Nodes)
-	s.EndWith(ctx)
-	s.Without, s.Baseline = c.Without, c.Baseline
+	s.SetContext(ctx)
+	s.OmittedRefinement, s.Baseline = c.OmittedRefinement, c.Baseline
 	for i := range c.Nodes {
 		s.At(time.Duration(i)*5*time.Millisecond, func() { s.Start(i) })
 	}
@@ -66,7 +66,7 @@
 	for k := 0; k < crashes && !s.Interrupted(); k++ {
 		s.measureCrashAndJoin((k*c.Nodes/crashes+1)%c.Nodes, &f)
 	}
-	if c.Heal && !s.Interrupted() {
+	if c.Partition && !s.Interrupted() {
 		s.measureHeal(&f)
 	}
 	f.Partial = s.Interrupted()
@@ -105,25 +105,25 @@
 	alarms := s.falseAlarms()
 	for s.Now() < begin+quietLength && !s.Interrupted() {
 		s.Run(s.Now() + removalCheckInterval)
-		f.FalseRemoval += s.falseRemovals()
+		f.FalseRemovals += s.falseRemovals()
 	}
-	f.Quiet = s.Now() - begin
-	if f.Quiet <= 0 {
+	f.QuietPeriod = s.Now() - begin
+	if f.QuietPeriod <= 0 {
 		return // interrupted before the quiet period
 	}
-	f.FalseDoubts = s.falseAlarms() - alarms
+	f.FalseSuspicions = s.falseAlarms() - alarms
 	used := time.Duration(0)
 	for _, spent := range s.cpuTime {
 		used += spent
 	}
-	f.CPU = used.Seconds() / float64(c.Nodes) / f.Quiet.Seconds()
+	f.CPU = used.Seconds() / float64(c.Nodes) / f.QuietPeriod.Seconds()
 	total := uint64(0)
 	for i := range c.Nodes {
-		rate := float64(s.sent[i]-before[i]) / f.Quiet.Seconds()
-		f.Most = max(f.Most, rate)
+		rate := float64(s.sent[i]-before[i]) / f.QuietPeriod.Seconds()
+		f.MaxBytesPerSecond = max(f.MaxBytesPerSecond, rate)
 		total += s.sent[i] - before[i]
 	}
-	f.Rest = float64(total) / float64(c.Nodes) / f.Quiet.Seconds()
+	f.BytesPerSecond = float64(total) / float64(c.Nodes) / f.QuietPeriod.Seconds()
 }
 
 // measureCrashAndJoin kills a node and starts it again, and measures the time until all nodes have noticed each.
--- a/internal/lab/membershipsim/node.go
+++ b/internal/lab/membershipsim/node.go
@@ -62,7 +62,7 @@
 	if s.Baseline {
 		node.Membership = NewHeartbeats(cfg, s.now)
 	} else {
-		m, err := membership.New(cfg, s.now, membership.Without(s.Without))
+		m, err := membership.New(cfg, s.now, membership.Without(s.OmittedRefinement))
 		if err != nil {
 			panic(err) // names and seed peers are generated and valid
 		}
@@ -127,9 +127,9 @@
 // measureCPU adds the processor time of a call to the node's total. It counts the thread's time only, not that of
 // other programs. The run does not depend on it.
 func (s *Sim) measureCPU(n int, call func()) {
-	began := cputime.Thread()
+	began := cputime.ThreadTime()
 	call()
-	s.cpuTime[n] += cputime.Thread() - began
+	s.cpuTime[n] += cputime.ThreadTime() - began
 }
 
 // afterCall sends the queued datagrams of a node, checks its incarnations and schedules its next timer call.
--- a/internal/lab/membershipsim/random.go
+++ b/internal/lab/membershipsim/random.go
@@ -42,16 +42,16 @@
 	nodes  int
 }
 
-// PlayRandom runs a cluster of n nodes, or of a size drawn from the seed if n is 0, with a random choice of faults.
+// RunRandomFaults runs a cluster of n nodes, or of a size drawn from the seed if n is 0, with a random choice of faults.
 // It verifies that all running nodes' views are correct within 15 s after the last fault, that incarnations never
 // decrease, and that the traffic stays below its limits. Once ctx is done it returns the findings so far.
-func PlayRandom(ctx context.Context, seed uint64, n int) Outcome {
+func RunRandomFaults(ctx context.Context, seed uint64, n int) Outcome {
 	faults := rand.New(rand.NewPCG(seed, 0x5eed))
 	if n == 0 {
 		n = 3 + faults.IntN(28)
 	}
 	r := &randomRun{Sim: New(seed, n), faults: faults, nodes: n}
-	r.EndWith(ctx)
+	r.SetContext(ctx)
 	r.scheduleStarts()
 	r.drawNetwork()
 	r.scheduleFaults()
--- a/internal/lab/membershipsim/sim.go
+++ b/internal/lab/membershipsim/sim.go
@@ -32,12 +32,12 @@
 
 // Sim is a simulated run of a cluster.
 type Sim struct {
-	Net      Net
-	Nodes    []*Node
-	Findings []string              // violated rules
-	Without  membership.Refinement // refinement that is switched off
-	Baseline bool                  // nodes run Heartbeats instead of membership
-	Flat     bool                  // see membership.Config
+	Net               Net
+	Nodes             []*Node
+	Findings          []string              // violated rules
+	OmittedRefinement membership.Refinement // refinement that is switched off
+	Baseline          bool                  // nodes run Heartbeats instead of membership
+	Flat              bool                  // see membership.Config
 
 	rng         *rand.Rand
 	now         time.Duration
@@ -103,15 +103,15 @@
 	s.queue.push(event{max(at, s.now), s.lastOrder, do})
 }
 
-// EndWith ends the run early once ctx is done.
-func (s *Sim) EndWith(ctx context.Context) { s.ctx = ctx }
+// SetContext ends the run early once ctx is done.
+func (s *Sim) SetContext(ctx context.Context) { s.ctx = ctx }
 
 // Interrupted reports whether the run was ended early.
 func (s *Sim) Interrupted() bool { return s.ctx.Err() != nil }
 
 // Run runs the events up to a time of the run, or until the run is interrupted.
 func (s *Sim) Run(until time.Duration) {
-	defer cputime.Hold()()
+	defer cputime.LockThread()()
 	for n := 0; s.queue.len() > 0 && s.queue.earliest() <= Epoch+until; n++ {
 		if n%interruptCheckEvents == 0 && s.Interrupted() {
 			return
--- a/internal/lab/membershipsim/sim_test.go
+++ b/internal/lab/membershipsim/sim_test.go
@@ -285,7 +285,7 @@
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			if o := PlayRandom(t.Context(), seed, 0); len(o.Findings) > 0 {
+			if o := RunRandomFaults(t.Context(), seed, 0); len(o.Findings) > 0 {
 				t.Errorf("%v", o.Findings)
 			}
 		})
--- a/internal/lab/mutationtest/gateway.go
+++ b/internal/lab/mutationtest/gateway.go
@@ -51,7 +51,7 @@
 		one("leave at an upgrade", "views", "internal/gateway/hotrestart_predecessor.go",
 			"	h.cluster.quit(false)", "	h.cluster.quit(true)"),
 		one("hand no identity over", "views", "internal/gateway/hotrestart_predecessor.go",
-			"		state.ClusterStartID, state.ClusterIncarnation = h.cluster.membership.Identity()\n", ""),
+			"		state.ClusterStart, state.ClusterIncarnation = h.cluster.membership.Identity()\n", ""),
 		one("speak on beside the next process", "views", "internal/gateway/hotrestart_predecessor.go",
 			"	h.cluster.quit(false)\n", ""),
 		one("speak no more after an upgrade that came to nothing", "views",
--- a/internal/lab/registry/registry.go
+++ b/internal/lab/registry/registry.go
@@ -21,8 +21,8 @@
 	Host, Site, Kind string
 	Cell             int // the hosts of a cell share the keys of the requests that they have executed
 	State            string
-	Born             int64             // start time, Unix time in milliseconds; 0 means long ago
-	Dial             map[string]string // the address by gateway; it may differ between gateways
+	StartedMS        int64             // start time, Unix time in milliseconds; 0 means long ago
+	Addresses        map[string]string // the address by gateway; it may differ between gateways
 }
 
 // Notification records when a gateway was notified that a host drains or is removed.
@@ -47,8 +47,8 @@
 		notified: make(map[string]map[string]Notification)}
 }
 
-// Seq returns the current version.
-func (r *Registry) Seq() int { return r.version }
+// Version returns the current version.
+func (r *Registry) Version() int { return r.version }
 
 // Put adds or changes hosts, all in one version.
 func (r *Registry) Put(entries ...Entry) {
@@ -61,16 +61,16 @@
 	}
 }
 
-// Flap increases the version by 1000 and drops the history, as a discovery service that restarts without its
+// LoseHistory increases the version by 1000 and drops the history, as a discovery service that restarts without its
 // history does: a client with an older version then gets the whole list.
-func (r *Registry) Flap() {
+func (r *Registry) LoseHistory() {
 	r.version += 1000
 	r.historyStart = r.version
 }
 
-// Anew restarts the versions, as a discovery service that was rebuilt from nothing does: the current list becomes
+// ResetVersions restarts the versions, as a discovery service that was rebuilt from nothing does: the current list becomes
 // version 1.
-func (r *Registry) Anew() {
+func (r *Registry) ResetVersions() {
 	r.version, r.historyStart = 1, 0
 	for name := range r.changedIn {
 		r.changedIn[name] = 1
@@ -80,12 +80,12 @@
 // Copy returns a copy of the list with its history, without the notifications.
 func (r *Registry) Copy() *Registry {
 	c := New()
-	c.Follow(r)
+	c.CopyFrom(r)
 	return c
 }
 
-// Follow replaces the list and its history by those of other. The notifications stay.
-func (r *Registry) Follow(other *Registry) {
+// CopyFrom replaces the list and its history by those of other. The notifications stay.
+func (r *Registry) CopyFrom(other *Registry) {
 	r.version, r.historyStart, r.order = other.version, other.historyStart, slices.Clone(other.order)
 	r.entries, r.changedIn = maps.Clone(other.entries), maps.Clone(other.changedIn)
 }
@@ -158,8 +158,8 @@
 		Hosts []wireEntry `json:"hosts"`
 	}{r.version, whole, []wireEntry{}}
 	for _, e := range entries {
-		doc.Hosts = append(doc.Hosts, wireEntry{Host: e.Host, Dial: e.Dial[gateway], Site: e.Site, Class: e.Kind,
-			Block: e.Cell, Health: e.State, Share: 1, Born: e.Born})
+		doc.Hosts = append(doc.Hosts, wireEntry{Host: e.Host, Dial: e.Addresses[gateway], Site: e.Site, Class: e.Kind,
+			Block: e.Cell, Health: e.State, Share: 1, Born: e.StartedMS})
 	}
 	line, err := json.Marshal(doc)
 	if err != nil {
@@ -168,9 +168,9 @@
 	return line
 }
 
-// Note records that a gateway was notified of the current list. For a host that drains or is removed, the first
+// RecordNotification records that a gateway was notified of the current list. For a host that drains or is removed, the first
 // notification counts.
-func (r *Registry) Note(gateway string, now time.Duration) {
+func (r *Registry) RecordNotification(gateway string, now time.Duration) {
 	notified := r.notified[gateway]
 	if notified == nil {
 		notified = make(map[string]Notification)
@@ -185,8 +185,8 @@
 	}
 }
 
-// Told returns when a gateway was notified that a host drains or is removed; ok is false if it was not.
-func (r *Registry) Told(gateway, host string) (t Notification, ok bool) {
+// Notified returns when a gateway was notified that a host drains or is removed; ok is false if it was not.
+func (r *Registry) Notified(gateway, host string) (t Notification, ok bool) {
 	t, ok = r.notified[gateway][host]
 	return t, ok
 }
--- a/internal/lab/report/drill.go
+++ b/internal/lab/report/drill.go
@@ -56,7 +56,7 @@
 
 // viewPlot draws one row per gateway with the intervals of its states, and a dashed line at each event.
 type viewPlot struct {
-	intervals []drill.Cell
+	intervals []drill.StateSpan
 	rowCount  int
 	marks     []experiment.Mark
 	names     []string
@@ -70,7 +70,7 @@
 			if k.state != cell.State {
 				continue
 			}
-			row := float64(v.rowCount - 1 - cell.Of)
+			row := float64(v.rowCount - 1 - cell.Member)
 			left, right := x(cell.From), max(x(cell.To), x(cell.From)+0.5)
 			c.FillPolygon(k.color, []vg.Point{{X: left, Y: y(row + 0.1)}, {X: right, Y: y(row + 0.1)},
 				{X: right, Y: y(row + 0.9)}, {X: left, Y: y(row + 0.9)}})
@@ -93,7 +93,7 @@
 // viewFigure draws one gateway's view of the cluster as an SVG figure with its legend.
 func viewFigure(r *drill.Result, gateway int) (template.HTML, error) {
 	p := plot.New()
-	view := viewPlot{intervals: r.Cells(gateway), rowCount: len(r.Names), marks: r.Events, names: r.Names}
+	view := viewPlot{intervals: r.StateSpans(gateway), rowCount: len(r.Names), marks: r.Events, names: r.Names}
 	p.Add(view)
 	p.X.Label.Text = "time of the run (s)"
 	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = 0, max(1, loadDuration(r.Result)), 0, float64(view.rowCount)
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -51,7 +51,7 @@
 
 // buildPage returns the data of the page of one run.
 func buildPage(r *experiment.Result) (page, error) {
-	p := page{Title: r.Title, About: r.About, Facts: runSummary(r), Verdict: verdict(r), Bad: !r.Held || r.Load.FellBehind}
+	p := page{Title: r.Title, About: r.About, Facts: runSummary(r), Verdict: verdict(r), Bad: !r.RulesHeld || r.Load.FellBehind}
 	if p.Title == "" {
 		p.Title = r.Name
 	}
@@ -78,7 +78,7 @@
 // Compare writes an HTML page that compares run a with run b.
 func Compare(out io.Writer, a, b *experiment.Result) error {
 	p := page{Title: fmt.Sprintf("%s: A against B", a.Name), About: "A: " + runSummary(a) + " · B: " + runSummary(b),
-		Verdict: "A: " + verdict(a) + " · B: " + verdict(b), Bad: !a.Held || !b.Held,
+		Verdict: "A: " + verdict(a) + " · B: " + verdict(b), Bad: !a.RulesHeld || !b.RulesHeld,
 		Head: []string{"", "A", "B", "B - A"}}
 	if a.Name != b.Name {
 		p.Title = fmt.Sprintf("%s (A) against %s (B)", a.Name, b.Name)
@@ -174,7 +174,7 @@
 		text += fmt.Sprintf(" Requests lost with gateways that were killed: %d.", r.LostByCrash)
 	}
 	if r.Load.FellBehind {
-		text += " The generator fell behind (" + r.Load.Behind + "): its latencies are not the gateways'."
+		text += " The generator fell behind (" + r.Load.BehindReason + "): its latencies are not the gateways'."
 	}
 	return text
 }
@@ -258,7 +258,7 @@
 			lines: []line{
 				lineBySecond("first tries due", c, func(s load.SecondResult) float64 { return float64(s.Scheduled) }),
 				lineBySecond("tries sent, retries included", c,
-					func(s load.SecondResult) float64 { return float64(s.Tries) }),
+					func(s load.SecondResult) float64 { return float64(s.Attempts) }),
 				lineBySecond("ok", c, func(s load.SecondResult) float64 { return float64(s.OK) }),
 				lineBySecond("refused", c, func(s load.SecondResult) float64 { return float64(s.Refused) }),
 				lineBySecond("failed or unanswered", c,
@@ -342,8 +342,8 @@
 func Text(r *experiment.Result) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s (%s)\n", r.Title, runSummary(r))
-	if r.Load.PartialInput {
-		fmt.Fprintf(&b, "  partial: stopped early after %.1f s\n", r.Load.Lasted)
+	if r.Load.StoppedEarly {
+		fmt.Fprintf(&b, "  partial: stopped early after %.1f s\n", r.Load.DurationSeconds)
 	}
 	for _, c := range r.Load.Classes {
 		fmt.Fprintf(&b, "  %-14s %7d due, %.2f%% served in time; %d refused, %d failed, %d unanswered\n",
--- a/internal/lab/requestrecord/compare.go
+++ b/internal/lab/requestrecord/compare.go
@@ -16,7 +16,7 @@
 	for _, a := range attempts {
 		known[a.ID] = true
 		c := comparison{attempt: a, executions: executionsOf(a.ID, hosts)}
-		if a.Whole && a.Answers == 0 && excused != nil && excused(a) {
+		if a.FullyWritten && a.Answers == 0 && excused != nil && excused(a) {
 			crashed++
 			c.excused = true
 		}
@@ -52,12 +52,12 @@
 		if e == nil {
 			continue
 		}
-		r.begun += e.Begun
-		if e.Begun > 0 {
+		r.begun += e.Started
+		if e.Started > 0 {
 			r.cells[h.Cell] = true
 		}
 		r.bodies = append(r.bodies, e.Returned...)
-		r.hosts = append(r.hosts, fmt.Sprintf("%s %d", h.Name, e.Begun))
+		r.hosts = append(r.hosts, fmt.Sprintf("%s %d", h.Name, e.Started))
 	}
 	return r
 }
@@ -80,7 +80,7 @@
 func (c *comparison) checkRules() {
 	t, r := c.attempt, c.executions
 	refused := t.Status == 429 || t.Status == 503
-	if t.Whole && t.Answers == 0 && !c.excused {
+	if t.FullyWritten && t.Answers == 0 && !c.excused {
 		c.addFinding(Unanswered, "%s sent to %s at %v: %s", t.Class, t.Target, t.Sent, t.Cause)
 	}
 	if t.Answers > 1 {
@@ -90,7 +90,7 @@
 		c.addFinding(RanTwice, "%s begun in %d cells (%v)", t.Class, len(r.cells), r.hosts)
 	}
 	if t.Keyed && r.begun > 0 && refused {
-		c.addFinding(RefusedRan, "%s answered %d though begun (%v)", t.Class, t.Status, r.hosts)
+		c.addFinding(RefusedAfterRun, "%s answered %d though begun (%v)", t.Class, t.Status, r.hosts)
 	}
 	if t.Unsafe && r.begun > 1 {
 		c.addFinding(RanTwice, "%s begun %d times (%v)", t.Class, r.begun, r.hosts)
@@ -99,7 +99,7 @@
 		c.addFinding(ForeignBody, "%s served by %s, hosts made %d bodies for it", t.Class, t.Target, len(r.bodies))
 	}
 	if t.Unsafe && r.begun > 0 && refused {
-		c.addFinding(RefusedRan, "%s answered %d though begun (%v)", t.Class, t.Status, r.hosts)
+		c.addFinding(RefusedAfterRun, "%s answered %d though begun (%v)", t.Class, t.Status, r.hosts)
 	}
 }
 
@@ -111,11 +111,11 @@
 	Detail string        `json:"detail"`
 }
 
-// Excuses reports whether the attempt was lost for a reason that no rule forbids: its gateway was killed while it
+// Excused reports whether the attempt was lost for a reason that no rule forbids: its gateway was killed while it
 // held the attempt, or the attempt was sent between stopGrace and 10 s after the gateway's SIGTERM. kills and
 // stops are the times of its gateway's kills and SIGTERMs. tolerance is the time by which a kill may be noticed
 // late or early.
-func (a Attempt) Excuses(kills, stops []time.Duration, tolerance time.Duration) bool {
+func (a Attempt) Excused(kills, stops []time.Duration, tolerance time.Duration) bool {
 	return slices.ContainsFunc(kills, func(k time.Duration) bool {
 		return a.Sent <= k+tolerance &&
 			a.Ended >= k-tolerance
--- a/internal/lab/requestrecord/record.go
+++ b/internal/lab/requestrecord/record.go
@@ -25,16 +25,16 @@
 	Target  string        // the gateway's address
 	Body    int           // bytes
 	Due     time.Duration // when the request was due
-	// Patience is the client timeout, from the last byte of the request on.
-	Patience time.Duration
-	Sent     time.Duration // when its last byte was written, if it was written whole
-	Ended    time.Duration // when the client's record of it ended
-	Whole    bool          // its last byte was written to an accepted connection
-	Answers  int           // number of whole responses
-	Status   int           // of the first response; 0 if there was none
-	Hash     uint64        // of the first response's body, see the function Hash
-	TimedOut bool          // the client timeout passed without a response
-	Cause    string        // why it had no good response, in words
+	// ClientTimeout is the client timeout, from the last byte of the request on.
+	ClientTimeout time.Duration
+	Sent          time.Duration // when its last byte was written, if it was written whole
+	Ended         time.Duration // when the client's record of it ended
+	FullyWritten  bool          // its last byte was written to an accepted connection
+	Answers       int           // number of whole responses
+	Status        int           // of the first response; 0 if there was none
+	Hash          uint64        // of the first response's body, see the function Hash
+	TimedOut      bool          // the client timeout passed without a response
+	Cause         string        // why it had no good response, in words
 }
 
 // ClientRecord is the record of the clients. Its methods may be called from several goroutines.
@@ -44,8 +44,8 @@
 	order []*Attempt
 }
 
-// NewClients returns an empty ClientRecord.
-func NewClients() *ClientRecord { return &ClientRecord{byID: make(map[string]*Attempt)} }
+// NewClientRecord returns an empty ClientRecord.
+func NewClientRecord() *ClientRecord { return &ClientRecord{byID: make(map[string]*Attempt)} }
 
 // Add adds an attempt before it is sent. It returns an error if the id is already in use: the generator must not
 // reuse ids.
@@ -69,8 +69,8 @@
 	}
 }
 
-// Tries returns copies of all attempts in the order in which they were added.
-func (c *ClientRecord) Tries() []Attempt {
+// Attempts returns copies of all attempts in the order in which they were added.
+func (c *ClientRecord) Attempts() []Attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := make([]Attempt, len(c.order))
@@ -82,11 +82,11 @@
 
 // Entry is one host's record of one id.
 type Entry struct {
-	Arrivals   int      // whole requests received with this id
-	Begun      int      // executions started
-	Ended      int      // executions completed
-	TurnedAway int      // arrivals rejected as never executed
-	Returned   []uint64 // hashes of the bodies returned for it
+	Arrivals int      // whole requests received with this id
+	Started  int      // executions started
+	Ended    int      // executions completed
+	Rejected int      // arrivals rejected as never executed
+	Returned []uint64 // hashes of the bodies returned for it
 }
 
 // EndpointRecord is the record of one host. It has no lock: the host's model is used by one goroutine at a time.
@@ -122,21 +122,21 @@
 
 // The rules that a run can break, with their names in reports.
 const (
-	Unanswered    = "unanswered"         // received whole by a running gateway, not answered within the client timeout
-	AnsweredTwice = "answered twice"     // more than one response for an id
-	RanTwice      = "executed twice"     // an unsafe request was started more than once, on any hosts
-	ForeignBody   = "foreign body"       // served with a body that no host returned for it
-	RefusedRan    = "refused after run"  // 429 or 503 for an unsafe request that a host started
-	InventedID    = "invented id"        // a host received an id that no client sent
-	LateToDrained = "sent after drain"   // a host received a request too long after its gateway was notified
-	PushedOver    = "cold host pushed"   // a host in slow start was sent more than it survives
-	GatewayDied   = "gateway crashed"    // a gateway ended without a signal to stop
-	OverMemory    = "memory over limit"  // a gateway's resident memory exceeded its limit
-	OverSockets   = "sockets over limit" // a gateway held more descriptors than its limit
+	Unanswered      = "unanswered"         // received whole by a running gateway, not answered within the client timeout
+	AnsweredTwice   = "answered twice"     // more than one response for an id
+	RanTwice        = "executed twice"     // an unsafe request was started more than once, on any hosts
+	ForeignBody     = "foreign body"       // served with a body that no host returned for it
+	RefusedAfterRun = "refused after run"  // 429 or 503 for an unsafe request that a host started
+	InventedID      = "invented id"        // a host received an id that no client sent
+	SentAfterDrain  = "sent after drain"   // a host received a request too long after its gateway was notified
+	ColdHostPushed  = "cold host pushed"   // a host in slow start was sent more than it survives
+	GatewayCrashed  = "gateway crashed"    // a gateway ended without a signal to stop
+	OverMemory      = "memory over limit"  // a gateway's resident memory exceeded its limit
+	OverSockets     = "sockets over limit" // a gateway held more descriptors than its limit
 )
 
 // Rules lists every rule in the order in which reports show them.
 func Rules() []string {
-	return []string{Unanswered, AnsweredTwice, RanTwice, ForeignBody, RefusedRan, InventedID, LateToDrained,
-		PushedOver, GatewayDied, OverMemory, OverSockets}
+	return []string{Unanswered, AnsweredTwice, RanTwice, ForeignBody, RefusedAfterRun, InventedID, SentAfterDrain,
+		ColdHostPushed, GatewayCrashed, OverMemory, OverSockets}
 }
--- a/internal/lab/requestrecord/record_test.go
+++ b/internal/lab/requestrecord/record_test.go
@@ -11,9 +11,9 @@
 	bodyHash := Hash([]byte("made"))
 	a, b := NewEndpointRecord("a"), NewEndpointRecord("b")
 	setExecutions := func(h *EndpointRecord, id string, begun int, bodies ...uint64) {
-		*h.EntryOf(id) = Entry{Arrivals: begun, Begun: begun, Ended: begun, Returned: bodies}
+		*h.EntryOf(id) = Entry{Arrivals: begun, Started: begun, Ended: begun, Returned: bodies}
 	}
-	served := Attempt{Whole: true, Answers: 1, Status: 200, Hash: bodyHash}
+	served := Attempt{FullyWritten: true, Answers: 1, Status: 200, Hash: bodyHash}
 	var attempts []Attempt
 	add := func(id string, t Attempt) { t.ID = id; attempts = append(attempts, t) }
 
@@ -28,27 +28,27 @@
 	add("bid-twice", unsafe)
 	setExecutions(a, "bid-twice", 1, bodyHash)
 	setExecutions(b, "bid-twice", 1, 98)
-	add("foreign", Attempt{Whole: true, Answers: 1, Status: 200, Hash: 5})
+	add("foreign", Attempt{FullyWritten: true, Answers: 1, Status: 200, Hash: 5})
 	setExecutions(a, "foreign", 1, bodyHash)
-	add("dropped", Attempt{Whole: true, Cause: "silence"})
-	add("crashed", Attempt{Whole: true, Target: "killed"})
+	add("dropped", Attempt{FullyWritten: true, Cause: "silence"})
+	add("crashed", Attempt{FullyWritten: true, Target: "killed"})
 	add("never-sent", Attempt{})
 	answeredTwice := served
 	answeredTwice.Answers = 2
 	add("double", answeredTwice)
 	setExecutions(b, "double", 1, bodyHash)
-	add("refused-ran", Attempt{Whole: true, Unsafe: true, Answers: 1, Status: 503})
+	add("refused-ran", Attempt{FullyWritten: true, Unsafe: true, Answers: 1, Status: 503})
 	setExecutions(b, "refused-ran", 1)
-	add("refused-view", Attempt{Whole: true, Answers: 1, Status: 503})
+	add("refused-view", Attempt{FullyWritten: true, Answers: 1, Status: 503})
 	setExecutions(b, "refused-view", 1)
-	add("failed-ran", Attempt{Whole: true, Unsafe: true, Answers: 1, Status: 502})
+	add("failed-ran", Attempt{FullyWritten: true, Unsafe: true, Answers: 1, Status: 502})
 	setExecutions(b, "failed-ran", 1)
 	setExecutions(b, "nobody-sent", 1)
 
 	found, crashed := Compare(attempts, []*EndpointRecord{a, b}, func(t Attempt) bool { return t.Target == "killed" })
 	want := map[string]string{"bid-twice": RanTwice, "foreign": ForeignBody, "dropped": Unanswered,
 		"double":      AnsweredTwice,
-		"refused-ran": RefusedRan, "nobody-sent": InventedID}
+		"refused-ran": RefusedAfterRun, "nobody-sent": InventedID}
 	for _, f := range found {
 		if want[f.ID] != f.Rule {
 			t.Errorf("unexpected finding for %s: %s (%s)", f.ID, f.Rule, f.Detail)
@@ -61,7 +61,7 @@
 }
 
 func TestIDsAreNotReused(t *testing.T) {
-	c := NewClients()
+	c := NewClientRecord()
 	if err := c.Add(Attempt{ID: "x"}); err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 	}
 	c.Update("x", func(t *Attempt) { t.Ended = time.Second })
 	c.Update("y", func(*Attempt) { t.Error("Update called the function for an unknown id") })
-	if all := c.Tries(); len(all) != 1 || all[0].Ended != time.Second {
+	if all := c.Attempts(); len(all) != 1 || all[0].Ended != time.Second {
 		t.Errorf("attempts %+v, want one that ended after 1 s", all)
 	}
 }
@@ -86,13 +86,13 @@
 		if id == "refused" {
 			status = 503
 		}
-		attempts = append(attempts, Attempt{ID: id, Keyed: true, Whole: true, Answers: 1, Status: status, Hash: 1})
+		attempts = append(attempts, Attempt{ID: id, Keyed: true, FullyWritten: true, Answers: 1, Status: status, Hash: 1})
 		for _, h := range hosts {
-			*h.EntryOf(id) = Entry{Arrivals: 1, Begun: 1, Ended: 1, Returned: []uint64{1}}
+			*h.EntryOf(id) = Entry{Arrivals: 1, Started: 1, Ended: 1, Returned: []uint64{1}}
 		}
 	}
 	found, _ := Compare(attempts, []*EndpointRecord{a, b, other}, nil)
-	want := map[string]string{"two-cells": RanTwice, "refused": RefusedRan}
+	want := map[string]string{"two-cells": RanTwice, "refused": RefusedAfterRun}
 	for _, f := range found {
 		if want[f.ID] != f.Rule {
 			t.Errorf("unexpected finding for %s: %s (%s)", f.ID, f.Rule, f.Detail)
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -39,7 +39,7 @@
 func newFleet(ctx context.Context, o Options) (*fleet, error) {
 	f := &fleet{options: o, places: places{o.Gateways, o.Zones, o.Regions}, sim: membershipsim.New(o.Seed, o.Gateways),
 		rng: rand.New(rand.NewPCG(o.Seed, 0x5ca1e))}
-	f.sim.EndWith(ctx)
+	f.sim.SetContext(ctx)
 	f.sim.Net.Cut = func(from, to int) bool { return f.parted && f.places.region(from) != f.places.region(to) }
 	f.knowledge = &knowledge{sim: f.sim, born: make([]time.Duration, o.Gateways)}
 	for n := range o.Gateways {
--- a/internal/lab/scale/full.go
+++ b/internal/lab/scale/full.go
@@ -112,7 +112,7 @@
 	if !sim.Running(g.number) {
 		return
 	}
-	began := cputime.Thread()
+	began := cputime.ThreadTime()
 	view := sim.Nodes[g.number].Membership
 	now := sim.Now()
 	status := view.Status(now + membershipsim.Epoch)
@@ -135,7 +135,7 @@
 	if changed {
 		g.divided++
 	}
-	took := cputime.Thread() - began
+	took := cputime.ThreadTime() - began
 	g.spent += took
 	g.longest = max(g.longest, took)
 }
@@ -143,9 +143,9 @@
 // weighed is the processor time that something takes, and the heap that it leaves in use.
 func weighed(do func()) (took time.Duration, heap uint64) {
 	before := heapInUse()
-	began := cputime.Thread()
+	began := cputime.ThreadTime()
 	do()
-	took = cputime.Thread() - began
+	took = cputime.ThreadTime() - began
 	after := heapInUse()
 	return took, after - min(before, after)
 }
@@ -167,7 +167,7 @@
 		dial := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 8080)
 		entries = append(entries, registry.Entry{Host: fmt.Sprintf("host-%05d.service-%03d", i, i%o.Services),
 			Site: zoneName(i % o.Zones),
-			Cell: i % cells, State: registry.Up, Dial: map[string]string{via: dial.String()}})
+			Cell: i % cells, State: registry.Up, Addresses: map[string]string{via: dial.String()}})
 	}
 	list.Put(entries...)
 	return list.Line(via, 0)
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -37,7 +37,7 @@
 	if told == nil {
 		told = func(Progress) {}
 	}
-	defer cputime.Hold()()
+	defer cputime.LockThread()()
 	began := time.Now()
 	f, err := newFleet(ctx, o)
 	if err != nil {
--- a/internal/lab/simulation/agents.go
+++ b/internal/lab/simulation/agents.go
@@ -44,7 +44,7 @@
 // notification returns when a gateway was notified that a host drains or is removed, or when that counts as
 // notified.
 func (d *discoveryServer) notification(gateway int, host string) (registry.Notification, bool) {
-	t, ok := d.listFor(gateway).Told(gatewayName(gateway), host)
+	t, ok := d.listFor(gateway).Notified(gatewayName(gateway), host)
 	if by, over := d.deadlines.overdue(host); over && (!ok || by.At < t.At) {
 		return by, true
 	}
@@ -65,20 +65,20 @@
 
 // receive copies discovery's current list, unless discovery or this agent is down or discovery is paused.
 func (a *agent) receive() {
-	if a.down || a.server.down || a.server.paused || a.list.Seq() >= a.server.list.Seq() {
+	if a.down || a.server.down || a.server.paused || a.list.Version() >= a.server.list.Version() {
 		return
 	}
 	if a.history = append(a.history, a.list.Copy()); len(a.history) > maxHistory {
 		a.history = a.history[1:]
 	}
-	a.list.Follow(a.server.list)
+	a.list.CopyFrom(a.server.list)
 	a.notify()
 }
 
 // notify records the agent's list as notified to its gateway, and writes it to the open watches.
 func (a *agent) notify() {
 	if a.server.run.gateways[a.gateway].up && !a.down {
-		a.list.Note(gatewayName(a.gateway), a.server.run.sim.Now())
+		a.list.RecordNotification(gatewayName(a.gateway), a.server.run.sim.Now())
 	}
 	a.server.notifyAll()
 }
@@ -86,7 +86,7 @@
 // renumber makes the agent adopt a list whose version numbers have started again.
 func (a *agent) renumber() {
 	a.history = nil
-	a.list.Follow(a.server.list)
+	a.list.CopyFrom(a.server.list)
 	a.resetWatches() // an agent that adopts another history closes the watches that reported the old one
 }
 
@@ -98,7 +98,7 @@
 // returns with an earlier list, which the next push replaces 2*after + 1 s later. The agent restarts only when its
 // gateway has read the agent's whole list: otherwise the gateway would miss changes that it has no means to know.
 func (a *agent) restart(after time.Duration, outdated bool) {
-	if a.down || a.writtenVersion < a.list.Seq() ||
+	if a.down || a.writtenVersion < a.list.Version() ||
 		a.server.run.sim.Now()-a.writtenAt < minQuietBeforeRestart || !a.server.run.gateways[a.gateway].up {
 		return
 	}
@@ -112,7 +112,7 @@
 			a.notify()
 			return
 		}
-		a.list.Follow(a.history[0])
+		a.list.CopyFrom(a.history[0])
 		a.server.run.sim.After(2*after+time.Second, a.receive)
 	})
 }
--- a/internal/lab/simulation/assignments.go
+++ b/internal/lab/simulation/assignments.go
@@ -46,26 +46,26 @@
 // rule holds more requests than the host may receive at that time.
 func (s *simulator) countSlowStart(h *host, now time.Duration) {
 	e, ok := s.discovery.list.Find(h.name)
-	if !s.plan.Shares || !ok || e.Born == 0 || s.views.done {
+	if !s.plan.Shares || !ok || e.StartedMS == 0 || s.views.done {
 		return
 	}
-	slowStart := h.spec.Cold
-	born := time.Duration(e.Born) * time.Millisecond
+	slowStart := h.spec.SlowStart
+	born := time.Duration(e.StartedMS) * time.Millisecond
 	if h.slowStart.startedAt != born {
 		h.slowStart = slowStartArrivals{startedAt: born}
 	}
 	arrivals := &h.slowStart
-	if now-born >= slowStart.For || arrivals.exceeded {
+	if now-born >= slowStart.Duration || arrivals.exceeded {
 		return
 	}
 	arrivals.total++
 	arrivals.recent = append(arrivals.recent, now)
-	window := slowStart.FallFor - slowStartSlack - s.net.Jitter
+	window := slowStart.CrashWindow - slowStartSlack - s.net.Jitter
 	for now-arrivals.recent[0] > window {
 		arrivals.recent = arrivals.recent[1:]
 	}
-	capacity := slowStart.From + (1-slowStart.From)*min(1, float64(now-born)/float64(slowStart.For))
-	limit := slowStart.FallMultiple * warmRate * capacity * slowStart.FallFor.Seconds()
+	capacity := slowStart.InitialShare + (1-slowStart.InitialShare)*min(1, float64(now-born)/float64(slowStart.Duration))
+	limit := slowStart.CrashMultiple * warmRate * capacity * slowStart.CrashWindow.Seconds()
 	if float64(len(arrivals.recent)) > math.Ceil(limit) {
 		arrivals.exceeded = true
 		s.addFinding(SlowStartExceeded, h.name, "%d in %v at %v after its start, it may get %.1f", len(arrivals.recent), window,
@@ -105,8 +105,8 @@
 	}
 	for _, h := range s.hosts {
 		e, ok := s.discovery.list.Find(h.name)
-		if !h.up || h.removed || !ok || e.State != registry.Up || e.Born > 0 &&
-			s.sim.Now() < time.Duration(e.Born)*time.Millisecond+h.spec.Cold.For+time.Second {
+		if !h.up || h.removed || !ok || e.State != registry.Up || e.StartedMS > 0 &&
+			s.sim.Now() < time.Duration(e.StartedMS)*time.Millisecond+h.spec.SlowStart.Duration+time.Second {
 			continue
 		}
 		if sum := sums[uint64(discovery.EndpointIDFromName(h.name))]; sum < 0.999 || sum > 1.001 {
