--- a/internal/lab/simulation/build.go
+++ b/internal/lab/simulation/build.go
@@ -16,29 +16,29 @@
 	d := func(t time.Duration) experiment.Duration { return experiment.Duration{Duration: t} }
 	f := &experiment.File{Name: "seed"}
 	f.Gateways = experiment.Gateways{Count: p.Gateways, Cores: 1, MemoryMB: 64, Sockets: p.Sockets}
-	f.Clients = experiment.Clients{MostAfter: d(2 * time.Second), Marks: true}
+	f.Clients = experiment.Clients{MaxRetryAfter: d(2 * time.Second), MarksRetries: true}
 	f.Classes = []experiment.Class{
-		{Name: "tender-view", Share: 0.64, Worth: 1, Aim: d(800 * time.Millisecond), Patience: d(2 * time.Second),
+		{Name: "tender-view", Share: 0.64, Weight: 1, LatencyObjective: d(800 * time.Millisecond), Timeout: d(2 * time.Second),
 			Work: experiment.Work{Dist: "pareto", Mean: d(35 * time.Millisecond), CV: 2}},
-		{Name: "bid-lodge", Share: 0.36, Unsafe: true, Worth: 8, Aim: d(800 * time.Millisecond),
-			Patience: d(2500 * time.Millisecond),
-			Work:     experiment.Work{Dist: "lognormal", Mean: d(70 * time.Millisecond), CV: 2}}}
+		{Name: "bid-lodge", Share: 0.36, Unsafe: true, Weight: 8, LatencyObjective: d(800 * time.Millisecond),
+			Timeout: d(2500 * time.Millisecond),
+			Work:    experiment.Work{Dist: "lognormal", Mean: d(70 * time.Millisecond), CV: 2}}}
 	if p.DeadlineMS > 0 {
 		for i := range f.Classes {
-			f.Classes[i].Patience = d(msec(p.DeadlineMS))
-			f.Classes[i].Aim = d(min(f.Classes[i].Aim.Duration, msec(p.DeadlineMS)))
+			f.Classes[i].Timeout = d(msec(p.DeadlineMS))
+			f.Classes[i].LatencyObjective = d(min(f.Classes[i].LatencyObjective.Duration, msec(p.DeadlineMS)))
 		}
 	}
 	f.Hosts = []experiment.Hosts{{Kind: "h", Count: p.Hosts, Site: "suva", Cores: 1, Speed: 1.2, Slots: 1,
 		Queue: 14, ThrashAt: 8, Thrash: 0.04,
-		ColdFrom: 0.2, ColdFor: d(12 * time.Second), WarmBy: "work", Fall: 3, FallFor: d(time.Second),
+		ColdFrom: 0.2, ColdFor: d(12 * time.Second), WarmBy: "work", CrashMultiple: 3, CrashAfter: d(time.Second),
 		PauseEvery: d(6 * time.Second),
-		PauseFor:   d(30 * time.Millisecond), ErrorRate: 0.0005, Idle: d(30 * time.Second),
+		PauseFor:   d(30 * time.Millisecond), ErrorRate: 0.0005, IdleTimeout: d(30 * time.Second),
 		ReportMin: d(50 * time.Millisecond),
-		ReportMax: d(300 * time.Millisecond), ReportLate: d(40 * time.Millisecond), Noise: 0.1, Body: 60,
-		Handshake: d(2 * time.Millisecond)}}
+		ReportMax: d(300 * time.Millisecond), ReportDelay: d(40 * time.Millisecond), ReportNoise: 0.1, Body: 60,
+		HandshakeWork: d(2 * time.Millisecond)}}
 	if p.Zones > 0 {
-		f.Hosts[0].Conns = maxConnections
+		f.Hosts[0].Connections = maxConnections
 	}
 	for zone := 1; zone < p.Zones; zone++ {
 		h := f.Hosts[0]
@@ -117,15 +117,15 @@
 }
 
 func (s *simulator) announce(h *host, state string, cold bool) {
-	e := registry.Entry{Host: h.name, Site: h.spec.Site, Kind: "h", State: state, Dial: make(map[string]string)}
+	e := registry.Entry{Host: h.name, Site: h.spec.Site, Kind: "h", State: state, Addresses: make(map[string]string)}
 	if old, ok := s.discovery.list.Find(h.name); ok {
-		e.Born = old.Born
+		e.StartedMS = old.StartedMS
 	}
 	if cold {
-		e.Born = s.sim.Now().Milliseconds()
+		e.StartedMS = s.sim.Now().Milliseconds()
 	}
 	for g, a := range h.addrs {
-		e.Dial[gatewayName(g)] = a.String()
+		e.Addresses[gatewayName(g)] = a.String()
 	}
 	if s.discovery.lag == 0 && s.sim.Elapsed() == 0 {
 		s.discovery.list.Put(e)
--- a/internal/lab/simulation/callqueue_test.go
+++ b/internal/lab/simulation/callqueue_test.go
@@ -129,7 +129,7 @@
 	if strings.Contains(line, s.hosts[0].name+`"`) || !strings.Contains(line, s.hosts[1].name) || !whole {
 		t.Errorf("%s", line)
 	}
-	changed, serving := s.discovery.list.ChangedCount(s.discovery.list.Seq()-1), s.discovery.list.ServingCount()
+	changed, serving := s.discovery.list.ChangedCount(s.discovery.list.Version()-1), s.discovery.list.ServingCount()
 	if changed != 1 || serving != 2 {
 		t.Errorf("%d hosts changed, %d serve, want 1 and 2", changed, serving)
 	}
@@ -229,7 +229,7 @@
 func TestAbandoningQueuedCallsIsDetected(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		o := play(draw(t, seed, discoveryLoadProfile), nil, abandonQueuedCalls)
-		if slices.ContainsFunc(o.Findings, func(f Finding) bool { return f.Rule == requestrecord.LateToDrained }) {
+		if slices.ContainsFunc(o.Findings, func(f Finding) bool { return f.Rule == requestrecord.SentAfterDrain }) {
 			t.Logf("detected at seed %d", seed)
 			return
 		}
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -243,7 +243,7 @@
 func (c *client) markSent() {
 	c.sent = true
 	now := c.run.sim.Now()
-	c.run.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Whole, t.Sent = true, now })
+	c.run.clients.Update(c.id, func(t *requestrecord.Attempt) { t.FullyWritten, t.Sent = true, now })
 	c.run.sim.After(msec(c.req.TimeoutMS)+timeoutSlack, func() { c.finish("silence") })
 }
 
@@ -263,7 +263,7 @@
 	}
 	if c.reused && !c.resent && len(c.inbox) == 0 && c.end.reset && !c.end.cutByNetwork {
 		c.resent, c.sent = true, false
-		c.run.clients.Update(c.id, func(t *requestrecord.Attempt) { t.Whole = false })
+		c.run.clients.Update(c.id, func(t *requestrecord.Attempt) { t.FullyWritten = false })
 		c.end.Close()
 		c.dial()
 		return
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -146,7 +146,7 @@
 func (d *discoveryServer) notify(c *watch) {
 	list := d.listFor(c.gateway)
 	if d.paused && len(d.agents) == 0 || d.run.sim.Now() < c.silentUntil || !c.started ||
-		c.notified && list.Seq() <= c.after {
+		c.notified && list.Version() <= c.after {
 		return
 	}
 	if c.notified && d.queue != nil && d.run.sim.Chance(d.queue.EndWatches) {
@@ -157,15 +157,15 @@
 	if d.answersWholeList(c) {
 		line = list.ServingLine(gatewayName(c.gateway))
 	}
-	c.after, c.notified = list.Seq(), true
+	c.after, c.notified = list.Version(), true
 	d.write(c, line)
 	if len(d.agents) > 0 { // the gateway was notified when its agent was
-		d.agents[c.gateway].writtenVersion, d.agents[c.gateway].writtenAt = list.Seq(), d.run.sim.Now()
+		d.agents[c.gateway].writtenVersion, d.agents[c.gateway].writtenAt = list.Version(), d.run.sim.Now()
 		return
 	}
 	// A line lost to a reset by the network does not count as notified; the following watch repeats it.
 	if d.run.gateways[c.gateway].up && !c.end.cutByNetwork {
-		d.list.Note(gatewayName(c.gateway), d.run.sim.Now())
+		d.list.RecordNotification(gatewayName(c.gateway), d.run.sim.Now())
 	}
 }
 
@@ -191,7 +191,7 @@
 	d.run.sim.After(d.lag, func() {
 		d.list.Put(e)
 		d.deadlines.recordChange(e)
-		d.run.sim.Note("discovery %d: %s %s", d.list.Seq(), e.Host, e.State)
+		d.run.sim.Note("discovery %d: %s %s", d.list.Version(), e.Host, e.State)
 		d.push()
 		d.notifyAll()
 	})
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -57,11 +57,11 @@
 	case "discovery-silence":
 		s.discovery.silenceWatches(msec(f.ForMS))
 	case "discovery-flap":
-		s.discovery.list.Flap()
+		s.discovery.list.LoseHistory()
 		s.discovery.push()
 		s.discovery.notifyAll()
 	case "discovery-anew":
-		s.discovery.list.Anew()
+		s.discovery.list.ResetVersions()
 		for _, a := range s.discovery.agents {
 			a.renumber()
 		}
--- a/internal/lab/simulation/gatewaynode.go
+++ b/internal/lab/simulation/gatewaynode.go
@@ -166,7 +166,7 @@
 // saveLastList saves the list of a process that has ended; its successor has no other list when it starts.
 func (g *gatewayNode) saveLastList() {
 	if len(g.run.discovery.agents) > 0 &&
-		(g.lastList == nil || g.run.discovery.listFor(g.index).Seq() > g.lastList.Seq()) {
+		(g.lastList == nil || g.run.discovery.listFor(g.index).Version() > g.lastList.Version()) {
 		g.lastList = g.run.discovery.listFor(g.index).Copy()
 	}
 	g.run.discovery.forget(g.index)
@@ -185,12 +185,12 @@
 	list := g.run.discovery.listFor(g.index)
 	if g.lastList != nil && g.predecessor == nil { // in an upgrade, the successor gets the list from its predecessor
 		now := list.Copy()
-		list.Follow(g.lastList)
-		list.Note(g.name, g.run.sim.Now())
-		list.Follow(now)
+		list.CopyFrom(g.lastList)
+		list.RecordNotification(g.name, g.run.sim.Now())
+		list.CopyFrom(now)
 	}
-	if agent := g.run.discovery.agents[g.index]; !agent.down && list.Seq() >= g.initialList().Seq() {
-		list.Note(g.name, g.run.sim.Now())
+	if agent := g.run.discovery.agents[g.index]; !agent.down && list.Version() >= g.initialList().Version() {
+		list.RecordNotification(g.name, g.run.sim.Now())
 	}
 }
 
--- a/internal/lab/simulation/hostfaults.go
+++ b/internal/lab/simulation/hostfaults.go
@@ -27,12 +27,12 @@
 	case "host-drain", "host-replace":
 		s.drain(h, f)
 	case "host-hang":
-		h.model.Hold(now, true)
+		h.model.SetSuspended(now, true)
 		h.advance()
 		model := h.model
 		undo(func() {
 			if h.model == model && h.up {
-				model.Hold(s.sim.Now(), false)
+				model.SetSuspended(s.sim.Now(), false)
 				h.advance()
 			}
 		})
@@ -60,7 +60,7 @@
 	h.draining = true // a draining host does not come back: its address may soon belong to another
 	s.announce(h, registry.Draining, false)
 	s.sim.After(s.discovery.lag+drainGrace+500*time.Millisecond, func() {
-		h.model.Drain(s.sim.Now(), true)
+		h.model.SetDraining(s.sim.Now(), true)
 	})
 	s.sim.After(s.discovery.lag+s.drainsFor(f), func() {
 		if h.removed {
--- a/internal/lab/simulation/hosts.go
+++ b/internal/lab/simulation/hosts.go
@@ -125,7 +125,7 @@
 		return
 	}
 	h.up = false
-	h.model.Fall(h.run.sim.Now())
+	h.model.Crash(h.run.sim.Now())
 	for _, l := range h.listeners {
 		l.Close()
 	}
@@ -246,7 +246,7 @@
 	case hostmodel.Lost:
 		c.end.Reset()
 		return
-	case hostmodel.TurnedAway:
+	case hostmodel.Rejected:
 		out = encode(503, "X-Never-Ran: 1\r\n", nil)
 	case hostmodel.Errored:
 		out = encode(500, "", nil)
@@ -270,7 +270,7 @@
 			}
 		}
 	}
-	if c.pad > 0 && r.Kind != hostmodel.TurnedAway && h.run.sim.Chance(h.faultShares["host-half"]) {
+	if c.pad > 0 && r.Kind != hostmodel.Rejected && h.run.sim.Chance(h.faultShares["host-half"]) {
 		h.write(c, out[:len(out)/2])
 		c.closing = true
 		h.run.sim.After(20*time.Millisecond, func() { c.end.Close(); h.drop(c) })
--- a/internal/lab/simulation/invariants.go
+++ b/internal/lab/simulation/invariants.go
@@ -24,7 +24,7 @@
 func (s *simulator) checkArrival(h *host, gateway int, id string, firstByteAt time.Duration) {
 	s.rates.countSend(h)
 	if notice, ok := s.discovery.notification(gateway, h.name); ok && firstByteAt-notice.At > drainGrace {
-		s.addFinding(requestrecord.LateToDrained, id, "%s got it from %s %v after it counted as told %s", h.name,
+		s.addFinding(requestrecord.SentAfterDrain, id, "%s got it from %s %v after it counted as told %s", h.name,
 			gatewayName(gateway), firstByteAt-notice.At, notice.State)
 	}
 }
@@ -101,7 +101,7 @@
 				return true
 			}
 		}
-		return t.Excuses(g.kills, g.stops, margin)
+		return t.Excused(g.kills, g.stops, margin)
 	}
 	return false
 }
@@ -111,13 +111,13 @@
 	var hosts []*requestrecord.EndpointRecord
 	for _, h := range s.hosts {
 		hosts = append(hosts, h.record)
-		if h.model.ColdPeak() > 1 {
-			s.addFinding(requestrecord.PushedOver, h.name, "sent %.2f times the most that it survives while cold",
-				h.model.ColdPeak())
+		if h.model.PeakBudgetShare() > 1 {
+			s.addFinding(requestrecord.ColdHostPushed, h.name, "sent %.2f times the most that it survives while cold",
+				h.model.PeakBudgetShare())
 		}
 	}
 	hosts = append(hosts, s.formerHosts...)
-	found, _ := requestrecord.Compare(s.clients.Tries(), hosts, s.excused)
+	found, _ := requestrecord.Compare(s.clients.Attempts(), hosts, s.excused)
 	for _, f := range found {
 		s.addFinding(f.Rule, f.ID, "%s", f.Detail)
 	}
--- a/internal/lab/simulation/measure.go
+++ b/internal/lab/simulation/measure.go
@@ -131,9 +131,9 @@
 func (m *assignmentMeasurement) sumSlowStart() {
 	for who := range badHosts {
 		h := m.run.hosts[m.hosts-1-who]
-		slowStart := h.spec.Cold
+		slowStart := h.spec.SlowStart
 		m.used += float64(h.slowStart.total)
-		m.allowed += slowStart.FallMultiple * warmRate * (1 + slowStart.From) / 2 * slowStart.For.Seconds()
+		m.allowed += slowStart.CrashMultiple * warmRate * (1 + slowStart.InitialShare) / 2 * slowStart.Duration.Seconds()
 	}
 }
 
--- a/internal/lab/simulation/simulator.go
+++ b/internal/lab/simulation/simulator.go
@@ -101,7 +101,7 @@
 
 func newSimulator(p Plan, trace io.Writer, wrap func(loop.Reducer) loop.Reducer) *simulator {
 	sim := NewSim(p.Seed, trace)
-	s := &simulator{plan: p, sim: sim, net: NewNet(sim), clients: requestrecord.NewClients(),
+	s := &simulator{plan: p, sim: sim, net: NewNet(sim), clients: requestrecord.NewClientRecord(),
 		statuses: make(map[int]int), file: buildExperiment(p), wrap: wrap}
 	s.net.Latency, s.net.Jitter = time.Duration(p.LatencyUS)*time.Microsecond,
 		time.Duration(p.JitterUS)*time.Microsecond
--- a/internal/lab/simulation/simulator_test.go
+++ b/internal/lab/simulation/simulator_test.go
@@ -228,7 +228,7 @@
 				}
 				return []loop.Effect{f}
 			})}},
-		{"refuses what may have run", "bad-hosts", requestrecord.RefusedRan,
+		{"refuses what may have run", "bad-hosts", requestrecord.RefusedAfterRun,
 			defect{effects: rewrite(func(d *defect, f loop.Effect) []loop.Effect {
 				if toClient(f, "HTTP/1.1 502") {
 					f.Data = bytes.Replace(f.Data, []byte("502"), []byte("503"), 1)
@@ -249,7 +249,7 @@
 				}
 				return []loop.Effect{f}
 			})}},
-		{"hears no drains", "drain-retry", requestrecord.LateToDrained,
+		{"hears no drains", "drain-retry", requestrecord.SentAfterDrain,
 			defect{onEvent: func(d *defect, e *loop.Event) bool {
 				return e.Kind != loop.Data || !bytes.Contains(e.Data, []byte(`"draining"`))
 			}}},
--- a/internal/lab/simulation/viewchecker.go
+++ b/internal/lab/simulation/viewchecker.go
@@ -59,14 +59,14 @@
 	}
 	v.history = membershipcheck.NewHistory(v.names)
 	if s.plan.Shares {
-		v.history.ReportsLoad()
+		v.history.SetReportsLoad()
 	}
 	s.net.LoseDatagramChance, s.net.DuplicateDatagramChance = s.plan.LoseDatagrams, s.plan.DuplicateDatagrams
 	s.net.CutDatagrams = func(from, to netip.AddrPort) bool { return v.cut(gatewayByAddr(from), gatewayByAddr(to)) }
 	if s.plan.LoseDatagrams > 0 {
 		for x := range v.names {
 			for y := range v.names {
-				v.history.Path(x, y, membershipcheck.PathState{Loss: s.plan.LoseDatagrams})
+				v.history.RecordPath(x, y, membershipcheck.PathState{Loss: s.plan.LoseDatagrams})
 			}
 		}
 	}
@@ -118,10 +118,10 @@
 func (v *viewChecker) started(g *gatewayNode, gw *gateway.Gateway) {
 	v.pids++
 	g.process = process{pid: v.pids, gw: gw}
-	v.history.Started(g.index, v.pids, v.run.sim.Elapsed(), false, g.predecessor != nil)
+	v.history.RecordStart(g.index, v.pids, v.run.sim.Elapsed(), false, g.predecessor != nil)
 }
 
-func (v *viewChecker) ended(pid int) { v.history.Ended(pid, v.run.sim.Elapsed()) }
+func (v *viewChecker) ended(pid int) { v.history.RecordEnd(pid, v.run.sim.Elapsed()) }
 
 // observe records the view of each process that sends datagrams. It wakes up no gateway.
 func (v *viewChecker) observe() {
@@ -138,15 +138,15 @@
 				p.lastView, p.joined = view, p.joined+1
 			}
 			st := view.Status(v.run.sim.Now())
-			l := membershipcheck.Observation{At: v.run.sim.Elapsed(), Gateway: g.index, PID: p.pid, Speaking: true,
-				Join: p.joined, Settled: st.Converged, Majority: st.Majority, DuplicateName: st.DuplicateName,
-				Alive: st.Alive, Sent: view.Counts().SentBytes, Beliefs: make([]membershipcheck.Belief, len(v.names))}
+			l := membershipcheck.Observation{At: v.run.sim.Elapsed(), Gateway: g.index, PID: p.pid, Active: true,
+				JoinCount: p.joined, Converged: st.Converged, Majority: st.Majority, DuplicateName: st.DuplicateName,
+				Alive: st.Alive, SentBytes: view.Counts().SentBytes, Members: make([]membershipcheck.MemberView, len(v.names))}
 			for _, o := range view.Members() {
 				i, ok := v.index[o.Name]
 				if !ok {
-					l.Strangers++
+					l.UnknownMembers++
 				} else {
-					l.Beliefs[i] = membershipcheck.Belief{State: o.State.String(), Start: o.Start,
+					l.Members[i] = membershipcheck.MemberView{State: o.State.String(), Start: o.Start,
 						Incarnation: o.Incarnation, Since: o.StateSince - epoch,
 						Previous: o.PreviousState.String(), SuspectedBy: o.SuspectedBy}
 				}
@@ -190,7 +190,7 @@
 	for x := range v.names {
 		for y := range v.names {
 			if cut := v.cut(x, y); x != y && cut != before[[2]int{x, y}] {
-				v.history.Path(x, y,
+				v.history.RecordPath(x, y,
 					membershipcheck.PathState{At: v.run.sim.Elapsed(), Cut: cut, Loss: v.run.plan.LoseDatagrams})
 			}
 		}
@@ -201,12 +201,12 @@
 func (v *viewChecker) halt(g *gatewayNode, length time.Duration) {
 	now := v.run.sim.Now()
 	g.halts = append(g.halts, [2]time.Duration{now, now + length})
-	v.history.Stopped(g.index, v.run.sim.Elapsed(), true)
+	v.history.RecordStop(g.index, v.run.sim.Elapsed(), true)
 	g.loop.Halt(length)
 	pid := g.process.pid
 	v.run.sim.After(length, func() {
 		if g.process.pid == pid {
-			v.history.Stopped(g.index, v.run.sim.Elapsed(), false)
+			v.history.RecordStop(g.index, v.run.sim.Elapsed(), false)
 		}
 	})
 }
