--- a/internal/lab/cli/scale.go
+++ b/internal/lab/cli/scale.go
@@ -160,8 +160,8 @@
 // scaleEnd is how the command ends after a run.
 func scaleEnd(r *scale.Result) error {
 	switch {
-	case r.Broken() != "":
-		return coded{exitBroken, "a rule was broken: " + r.Broken()}
+	case r.FirstViolation() != "":
+		return coded{exitBroken, "a rule was broken: " + r.FirstViolation()}
 	case r.Partial:
 		return early()
 	}
--- a/internal/lab/scale/changes.go
+++ b/internal/lab/scale/changes.go
@@ -7,77 +7,82 @@
 	"thymebend/internal/lab/configsim"
 )
 
-// Times of changes of configuration.
+// Time limits for storing the configuration and for distributing changes of it.
 const (
-	electionWithin = 5 * time.Second
-	bootWithin     = 5 * time.Minute
-	firstWithin    = 5 * time.Minute
-	changeAim      = 8 * time.Second // until in force everywhere
+	electionTimeout    = 5 * time.Second
+	storeTimeout       = 5 * time.Minute
+	firstConfigTimeout = 5 * time.Minute
+	changeObjective    = 8 * time.Second // from the submission until the change is in force at all gateways
 )
 
-// change is one of configuration, followed until all that lived since it was submitted have it.
+// change is a submitted configuration change. It is tracked until it is in force at all gateways that have run
+// since its submission.
 type change struct {
 	milestones
 	submitted time.Duration
-	number    uint64 // 0 until it is committed
+	number    uint64 // version of the configuration with this change; 0 until it is committed
 }
 
-// startControl starts the control machines and has them take the whole configuration.
+// startControl starts the control machines and submits the whole configuration to them, one proposal after another.
+// It returns when all proposals are stored, or after storeTimeout.
 func (r *run) startControl() {
 	for i := range r.rollouts.ControlMachines {
 		r.rollouts.StartControl(i)
 	}
-	r.told(Progress{Phase: "storing the configuration", Of: bootWithin})
-	r.sim.Run(r.sim.Now() + electionWithin)
+	r.progress(Progress{Phase: "storing the configuration", Of: storeTimeout})
+	r.sim.Run(r.sim.Now() + electionTimeout)
 	stored := false
-	var next func(list [][]content.Change)
-	next = func(list [][]content.Change) {
+	var submitNext func(list [][]content.Change)
+	submitNext = func(list [][]content.Change) {
 		if len(list) == 0 {
 			stored = true
 			return
 		}
-		r.rollouts.Submit(list[0], func(content.Ref, error) { next(list[1:]) })
+		r.rollouts.Submit(list[0], func(content.Ref, error) { submitNext(list[1:]) })
 	}
-	next(configsim.GenerateProposals(r.size(), r.rng))
-	for end := r.sim.Now() + bootWithin; !stored && r.sim.Now() < end && !r.sim.Interrupted(); {
+	submitNext(configsim.GenerateProposals(r.size(), r.rng))
+	for end := r.sim.Now() + storeTimeout; !stored && r.sim.Now() < end && !r.sim.Interrupted(); {
 		r.sim.Run(r.sim.Now() + 100*time.Millisecond)
 	}
-	r.sim.Run(r.sim.Now() + electionWithin)
+	r.sim.Run(r.sim.Now() + electionTimeout)
 }
 
-// watchFirst notes when all gateways have the first whole configuration in force, counted from now on.
-func (r *run) watchFirst() {
+// watchFirstConfig records in firstConfigTime how long it takes, from now, until the first whole configuration is
+// in force at all gateways.
+func (r *run) watchFirstConfig() {
 	begin := r.sim.Now()
-	var look func()
-	look = func() {
+	var check func()
+	check = func() {
 		have, up := r.rollouts.InForce(r.rollouts.Newest())
 		if have == up && up == r.options.Gateways {
-			r.first = r.sim.Now() - begin
+			r.firstConfigTime = r.sim.Now() - begin
 			return
 		}
-		if r.sim.Now()-begin < firstWithin {
-			r.sim.At(r.sim.Now()+lookEvery, look)
+		if r.sim.Now()-begin < firstConfigTimeout {
+			r.sim.At(r.sim.Now()+pollInterval, check)
 		}
 	}
-	r.sim.At(begin+lookEvery, look)
+	r.sim.At(begin+pollInterval, check)
 }
 
-// awaitFirst waits until all have it, if that is still to come.
-func (r *run) awaitFirst() {
-	r.told(Progress{Phase: "fetching the configuration", Of: firstWithin})
-	for end := r.sim.Now() + firstWithin; r.first == 0 && r.sim.Now() < end && !r.sim.Interrupted(); {
-		r.sim.Run(r.sim.Now() + lookEvery)
+// awaitFirstConfig runs the simulation until the first whole configuration is in force at all gateways, for
+// firstConfigTimeout at most.
+func (r *run) awaitFirstConfig() {
+	r.progress(Progress{Phase: "fetching the configuration", Of: firstConfigTimeout})
+	for end := r.sim.Now() + firstConfigTimeout; r.firstConfigTime == 0 && r.sim.Now() < end && !r.sim.Interrupted(); {
+		r.sim.Run(r.sim.Now() + pollInterval)
 	}
 }
 
-// scheduleChanges draws when configuration changes in the measured time, which begins now.
+// scheduleChanges schedules the submission of configuration changes at random times of the measured period, which
+// begins now.
 func (r *run) scheduleChanges() {
 	if r.rollouts == nil {
 		return
 	}
 	begin := r.sim.Now()
 	for range r.options.Changes {
-		r.sim.At(begin+r.between(0, r.options.For), r.submit)
+		r.sim.At(begin+r.randomBetween(0, r.options.For), r.submit)
 	}
 }
 
@@ -87,49 +92,49 @@
 	r.rollouts.Submit(configsim.DrawChange(r.size(), r.rng), func(ref content.Ref, err error) { c.number = ref.Number })
 }
 
-// lookAtChanges counts who has which change in force.
-func (r *run) lookAtChanges() {
+// updateChanges updates the progress of each committed change that is not yet in force at all gateways.
+func (r *run) updateChanges() {
 	for _, c := range r.changes {
 		if c.number > 0 && c.all == 0 {
-			r.lookAtChange(c)
+			r.updateChange(c)
 		}
 	}
 }
 
-func (r *run) lookAtChange(c *change) {
-	lived, have := 0, 0
+func (r *run) updateChange(c *change) {
+	eligible, applied := 0, 0
 	for n, g := range r.rollouts.Gateways {
-		if !r.sim.Running(n) || r.knowledge.born[n] > c.submitted {
+		if !r.sim.Running(n) || r.events.startedAt[n] > c.submitted {
 			continue
 		}
-		lived++
+		eligible++
 		if g.Running.Ref.Number >= c.number {
-			have++
+			applied++
 		}
 	}
-	c.note(have, lived, r.sim.Now()-c.submitted)
+	c.record(applied, eligible, r.sim.Now()-c.submitted)
 }
 
-// sumConfiguration fills in how the changes of the run have spread.
-func (r *run) sumConfiguration() {
+// summarizeConfiguration fills in the result's figures on the propagation of configuration changes.
+func (r *run) summarizeConfiguration() {
 	out := r.result.Configuration
 	if out == nil {
 		return
 	}
-	out.First = seconds(r.first)
+	out.First = seconds(r.firstConfigTime)
 	var list []milestones
 	for _, c := range r.changes {
 		list = append(list, c.milestones)
-		if c.all > changeAim {
+		if c.all > changeObjective {
 			out.Late++
 		}
 	}
 	out.Submitted = len(list)
-	out.Median, out.Worst, out.Unfinished = summary(list)
+	out.Median, out.Worst, out.Unfinished = summarize(list)
 	for _, c := range r.rollouts.ControlMachines {
 		if c.Controller != nil {
-			out.MostLinks = max(out.MostLinks, c.Controller.Subscribers())
+			out.MaxSubscribers = max(out.MaxSubscribers, c.Controller.Subscribers())
 		}
 	}
-	out.BrokenRules = append(out.BrokenRules, r.rollouts.Violations...)
+	out.Violations = append(out.Violations, r.rollouts.Violations...)
 }
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -12,46 +12,47 @@
 	"thymebend/internal/loadreport"
 )
 
-// servicesOfGateway is how many services a gateway serves, if there are so many.
-const servicesOfGateway = 40
+// servicesPerGateway is the number of services that a gateway serves. If the fleet has fewer services, each gateway
+// serves all of them.
+const servicesPerGateway = 40
 
-// controlMachines are set aside for control.
+// controlMachines is the number of machines that distribute the configuration.
 const controlMachines = 4
 
-// fleet is all gateways and control machines on one clock.
+// fleet simulates all gateways and control machines on one virtual clock.
 type fleet struct {
 	options   Options
-	places    places
+	topology  topology
 	sim       *membershipsim.Sim
 	rng       *rand.Rand
-	knowledge *knowledge
+	events    *eventWatcher
 	full      []*fullGateway
-	begun     begun // what the last full gateway took
+	startCost startCost // measured at the last full gateway
 
-	rollouts *configsim.Cluster // nil without control machines
-	network  *configsim.Net     // of the rollouts
+	rollouts *configsim.Cluster // nil if there are no control machines
+	network  *configsim.Net     // carries the rollouts' messages
 
-	parted    bool          // regions do not hear each other
-	mendedAt  time.Duration // since then they hear each other again, and not all views are true yet; else 0
-	measuring bool          // events are followed
+	partitioned      bool          // messages between regions are dropped
+	partitionEndedAt time.Duration // when the last partition ended; 0 once all views are correct again
+	measuring        bool          // within the measured period: joins are tracked
 }
 
 func newFleet(ctx context.Context, o Options) (*fleet, error) {
-	f := &fleet{options: o, places: places{o.Gateways, o.Zones, o.Regions}, sim: membershipsim.New(o.Seed, o.Gateways),
+	f := &fleet{options: o, topology: topology{o.Gateways, o.Zones, o.Regions}, sim: membershipsim.New(o.Seed, o.Gateways),
 		rng: rand.New(rand.NewPCG(o.Seed, 0x5ca1e))}
 	f.sim.EndWith(ctx)
-	f.sim.Net.Cut = func(from, to int) bool { return f.parted && f.places.region(from) != f.places.region(to) }
-	f.knowledge = &knowledge{sim: f.sim, born: make([]time.Duration, o.Gateways)}
+	f.sim.Net.Cut = func(from, to int) bool { return f.partitioned && f.topology.region(from) != f.topology.region(to) }
+	f.events = &eventWatcher{sim: f.sim, startedAt: make([]time.Duration, o.Gateways)}
 	for n := range o.Gateways {
-		f.sim.SetPayload(n, loadreport.Append(nil, loadreport.Report{Zone: f.places.zone(n), Demand: demand,
+		f.sim.SetPayload(n, loadreport.Append(nil, loadreport.Report{Zone: f.topology.zone(n), Demand: gatewayDemand,
 			FreeCapacity: 0.5, HasFigures: true, ConfigHash: 1}))
 	}
-	for _, n := range spread(o.Full, o.Gateways) {
-		g, cost, err := newFullGateway(n, f.sim.Nodes[n].Name, &o, f.places, f.sim.Now())
+	for _, n := range evenlySpaced(o.Full, o.Gateways) {
+		g, cost, err := newFullGateway(n, f.sim.Nodes[n].Name, &o, f.topology, f.sim.Now())
 		if err != nil {
-			return nil, fmt.Errorf("a gateway of the fleet cannot be started: %w", err)
+			return nil, fmt.Errorf("full gateway %d cannot be created: %w", n, err)
 		}
-		f.full, f.begun = append(f.full, g), cost
+		f.full, f.startCost = append(f.full, g), cost
 	}
 	if o.Changes >= 0 {
 		f.addRollouts()
@@ -59,12 +60,12 @@
 	return f, nil
 }
 
-// addRollouts adds control machines and agents of the distribution of configuration.
+// addRollouts adds the control machines and the gateways' agents, which distribute the configuration.
 func (f *fleet) addRollouts() {
 	o := &f.options
 	f.network = configsim.NewNet(f.sim, o.Seed)
 	f.network.Cut = func(from, to configsim.Endpoint) bool {
-		return f.parted && f.places.regionOf(from) != f.places.regionOf(to)
+		return f.partitioned && f.topology.regionOf(from) != f.topology.regionOf(to)
 	}
 	f.rollouts = configsim.New(configsim.Config{Name: "scale", Gateways: o.Gateways, Zones: o.Zones,
 		Regions: o.Regions, Seed: o.Seed,
@@ -73,27 +74,28 @@
 }
 
 func (f *fleet) servicesOf(gateway int) (list []string) {
-	each := min(servicesOfGateway, f.options.Services)
+	each := min(servicesPerGateway, f.options.Services)
 	for k := range each {
 		list = append(list, configsim.ServiceName((gateway*each+k)%f.options.Services))
 	}
 	return list
 }
 
-// size is that of the configuration.
+// size returns the size of the generated configuration.
 func (f *fleet) size() configsim.ConfigurationSize {
 	return configsim.ConfigurationSize{Services: f.options.Services, Routes: f.options.Routes, Tenants: f.options.Tenants}
 }
 
-// start starts a gateway's process; replaced says that another machine does, which has kept nothing.
+// start starts the process of gateway n unless it runs. If replaced, the process starts on a new machine, without
+// stored state.
 func (f *fleet) start(n int, replaced bool) {
 	if f.sim.Nodes[n].Membership != nil {
 		return
 	}
 	f.sim.Start(n)
-	f.knowledge.born[n] = f.sim.Now()
+	f.events.startedAt[n] = f.sim.Now()
 	if f.measuring {
-		f.knowledge.begin(n, true)
+		f.events.watchEvent(n, true)
 	}
 	switch {
 	case f.rollouts == nil:
@@ -104,19 +106,19 @@
 	}
 }
 
-// crash ends a gateway's process without a word.
+// crash ends the process of gateway n without notifying the other members.
 func (f *fleet) crash(n int) {
 	if f.sim.Nodes[n].Membership == nil {
 		return
 	}
 	f.sim.Kill(n)
-	f.knowledge.begin(n, false)
+	f.events.watchEvent(n, false)
 	if f.rollouts != nil {
 		f.rollouts.KillGateway(n)
 	}
 }
 
-// leave ends it as SIGTERM does.
+// leave ends the process of gateway n as SIGTERM does: it announces its departure.
 func (f *fleet) leave(n int) {
 	if !f.sim.Running(n) {
 		return
@@ -141,53 +143,54 @@
 	}
 }
 
-// plain draws a gateway that is none of the full ones: those are watched from begin to end.
-func (f *fleet) plain() int {
+// randomPlainGateway draws a gateway that is not a full one, because full gateways are measured over the whole run.
+// It draws from all gateways if all of them are full.
+func (f *fleet) randomPlainGateway() int {
 	for {
 		n := f.rng.IntN(f.options.Gateways)
 		if len(f.full) >= f.options.Gateways || !slices.ContainsFunc(f.full,
-			func(g *fullGateway) bool { return g.number == n }) {
+			func(g *fullGateway) bool { return g.index == n }) {
 			return n
 		}
 	}
 }
 
-// Times of what is pressed into a run.
+// Durations and intervals of the events of a run.
 const (
-	restartLeast  = time.Second // from a planned end to the next process
-	restartMost   = 3 * time.Second
-	replacedShare = 10 // of the restarts, one in so many is a replacement by a new machine
-	failureLeast  = 10 * time.Second
-	failureMost   = 30 * time.Second
-	stallEvery    = 10 * time.Second
-	stallFor      = 2 * time.Second
-	startEvery    = 5 * time.Millisecond // between two gateways of many that start
+	minRestartDelay        = time.Second // from a planned stop to the start of the next process
+	maxRestartDelay        = 3 * time.Second
+	restartsPerReplacement = 10 // one restart in this many is a replacement by a new machine
+	minFailureDowntime     = 10 * time.Second
+	maxFailureDowntime     = 30 * time.Second
+	stallInterval          = 10 * time.Second
+	stallDuration          = 2 * time.Second
+	startInterval          = 5 * time.Millisecond // between two starts if many gateways start
 )
 
-func (f *fleet) between(least, most time.Duration) time.Duration {
-	if most <= least {
-		return least
+func (f *fleet) randomBetween(low, high time.Duration) time.Duration {
+	if high <= low {
+		return low
 	}
-	return least + time.Duration(f.rng.Int64N(int64(most-least)))
+	return low + time.Duration(f.rng.Int64N(int64(high-low)))
 }
 
-// schedule draws when what happens in the measured time, which begins now.
-func (f *fleet) schedule() {
+// scheduleEvents schedules the restarts, failures, stalls and faults of the measured period, which begins now.
+func (f *fleet) scheduleEvents() {
 	o, begin := &f.options, f.sim.Now()
-	within := func() time.Duration { return begin + f.between(0, o.For) }
+	randomTime := func() time.Duration { return begin + f.randomBetween(0, o.For) }
 	for i := range o.Restarts {
-		at, away, who := within(), f.between(restartLeast, restartMost), f.plain()
-		f.sim.At(at, func() { f.leave(who) })
-		f.sim.At(at+away, func() { f.start(who, i%replacedShare == 0) })
+		at, downtime, gateway := randomTime(), f.randomBetween(minRestartDelay, maxRestartDelay), f.randomPlainGateway()
+		f.sim.At(at, func() { f.leave(gateway) })
+		f.sim.At(at+downtime, func() { f.start(gateway, i%restartsPerReplacement == 0) })
 	}
 	for range o.Failures {
-		at, away, who := within(), f.between(failureLeast, failureMost), f.plain()
-		f.sim.At(at, func() { f.crash(who) })
-		f.sim.At(at+away, func() { f.start(who, true) })
+		at, downtime, gateway := randomTime(), f.randomBetween(minFailureDowntime, maxFailureDowntime), f.randomPlainGateway()
+		f.sim.At(at, func() { f.crash(gateway) })
+		f.sim.At(at+downtime, func() { f.start(gateway, true) })
 	}
 	if o.Stalls > 0 {
-		for at := begin; at < begin+o.For; at += stallEvery {
-			f.scheduleStalls(at, o.Stalls, stallEvery-stallFor, stallFor)
+		for at := begin; at < begin+o.For; at += stallInterval {
+			f.scheduleStalls(at, o.Stalls, stallInterval-stallDuration, stallDuration)
 		}
 	}
 	for _, fault := range o.Faults {
@@ -195,51 +198,52 @@
 	}
 }
 
-// scheduleStalls stops a share of the gateways, each at a time of its own within a stretch.
-func (f *fleet) scheduleStalls(at time.Duration, share float64, stretch, length time.Duration) {
+// scheduleStalls pauses a share of the gateways for length, each at a random time within the window that begins
+// at at.
+func (f *fleet) scheduleStalls(at time.Duration, share float64, window, length time.Duration) {
 	for range max(1, int(share*float64(f.options.Gateways))) {
-		who := f.plain()
-		f.sim.At(at+f.between(0, stretch), func() { f.stall(who, length) })
+		gateway := f.randomPlainGateway()
+		f.sim.At(at+f.randomBetween(0, window), func() { f.stall(gateway, length) })
 	}
 }
 
 func (f *fleet) scheduleFault(at time.Duration, fault Fault) {
-	over := at + fault.For
+	end := at + fault.For
 	zone := f.rng.IntN(f.options.Zones)
 	switch fault.Kind {
 	case RackFails:
-		racks := (len(f.places.ofZone(zone)) + gatewaysOfRack - 1) / gatewaysOfRack
-		f.scheduleEnd(at, over, f.places.rack(zone, f.rng.IntN(max(1, racks))))
+		racks := (len(f.topology.ofZone(zone)) + gatewaysPerRack - 1) / gatewaysPerRack
+		f.scheduleCrash(at, end, f.topology.rack(zone, f.rng.IntN(max(1, racks))))
 	case ZoneFails:
-		f.scheduleEnd(at, over, f.places.ofZone(zone))
-		f.scheduleControlEnd(at, over, zone)
-	case RegionsPart:
-		f.sim.At(at, func() { f.parted = true })
-		f.sim.At(over, func() { f.parted, f.mendedAt = false, f.sim.Now() })
+		f.scheduleCrash(at, end, f.topology.ofZone(zone))
+		f.scheduleControlCrash(at, end, zone)
+	case RegionsPartition:
+		f.sim.At(at, func() { f.partitioned = true })
+		f.sim.At(end, func() { f.partitioned, f.partitionEndedAt = false, f.sim.Now() })
 	case LossRises:
 		f.sim.At(at, func() { f.setLoss(fault.Share) })
-		f.sim.At(over, func() { f.setLoss(f.options.Loss) })
+		f.sim.At(end, func() { f.setLoss(f.options.Loss) })
 	case GatewaysStop:
 		f.scheduleStalls(at, fault.Share, 0, fault.For)
 	}
 }
 
-// scheduleEnd has gateways end at once, and start again one after another.
-func (f *fleet) scheduleEnd(at, over time.Duration, list []int) {
+// scheduleCrash crashes the listed gateways together at the time at, and restarts them one after another from end on.
+func (f *fleet) scheduleCrash(at, end time.Duration, list []int) {
 	for i, n := range list {
 		f.sim.At(at, func() { f.crash(n) })
-		f.sim.At(over+time.Duration(i)*startEvery, func() { f.start(n, false) })
+		f.sim.At(end+time.Duration(i)*startInterval, func() { f.start(n, false) })
 	}
 }
 
-func (f *fleet) scheduleControlEnd(at, over time.Duration, zone int) {
+func (f *fleet) scheduleControlCrash(at, end time.Duration, zone int) {
 	if f.rollouts == nil {
 		return
 	}
 	for i := range f.rollouts.ControlMachines {
-		if f.places.controlZone(i) == zone {
+		if f.topology.controlZone(i) == zone {
 			f.sim.At(at, func() { f.rollouts.KillControl(i) })
-			f.sim.At(over, func() { f.rollouts.StartControl(i) })
+			f.sim.At(end, func() { f.rollouts.StartControl(i) })
 		}
 	}
 }
--- a/internal/lab/scale/full.go
+++ b/internal/lab/scale/full.go
@@ -19,129 +19,131 @@
 	"thymebend/internal/settings"
 )
 
-// demand is what each gateway carries, in requests a second: 220,000 over 870.
-const demand = 250
+// gatewayDemand is the demand that each gateway reports, in requests per second: 220,000 divided by 870 gateways.
+const gatewayDemand = 250
 
-// fullGateway holds, beside its view, what a gateway has of hosts and settings. Its processor time is
-// counted apart.
+// fullGateway holds the endpoint list, the division of the endpoints and the settings of a gateway, in addition to
+// its membership view. Its processor time is counted separately.
 type fullGateway struct {
-	number   int
-	group    *discovery.Endpoints
-	settings settings.Settings
-	module   *balancer.Balancer
-	keeper   *assignment.Tracker
-	hosts    []assignment.Endpoint
-	places   places
-
-	version  uint64 // of the view at the last look
-	settled  bool
-	spent    time.Duration
-	longest  time.Duration // of one look
-	divided  int           // looks that worked out a division
-	problems []string
+	index     int
+	endpoints *discovery.Endpoints
+	settings  settings.Settings
+	module    *balancer.Balancer
+	tracker   *assignment.Tracker
+	hosts     []assignment.Endpoint
+	topology  topology
+
+	version            uint64 // of the membership view at the last observation
+	converged          bool
+	cpuTime            time.Duration
+	longestObservation time.Duration // processor time of the slowest observation
+	divisions          int           // observations that changed the gateway's subset
+	problems           []string
 }
 
-// begun is what it costs a gateway to take its list and settings as it starts.
-type begun struct {
+// startCost is the processor time and the heap that the endpoint list and the settings take when a gateway starts.
+type startCost struct {
 	ListTime, SettingsTime time.Duration
 	ListHeap, SettingsHeap uint64
 }
 
-// silent takes the decisions of a module that has no requests.
-type silent struct{}
-
-func (silent) StartAttempt(balancer.RequestID, balancer.EndpointID, time.Duration) {}
-func (silent) Reject(balancer.RequestID, time.Duration)                            {}
-func (silent) Fail(balancer.RequestID)                                             {}
-func (silent) CancelAttempt(balancer.RequestID, int)                               {}
-func (silent) SetTimer(time.Duration, uint32)                                      {}
-func (silent) CloseIdle(balancer.EndpointID)                                       {}
-func (silent) WatchEndpoints()                                                     {}
-func (silent) Log(string)                                                          {}
-
-// newFullGateway starts one with the whole list and the settings.
-func newFullGateway(number int, name string, o *Options, p places, now time.Duration) (*fullGateway, begun, error) {
-	g := &fullGateway{number: number, places: p}
-	var cost begun
+// discardActions discards the actions of a balancer that has no requests.
+type discardActions struct{}
+
+func (discardActions) StartAttempt(balancer.RequestID, balancer.EndpointID, time.Duration) {}
+func (discardActions) Reject(balancer.RequestID, time.Duration)                            {}
+func (discardActions) Fail(balancer.RequestID)                                             {}
+func (discardActions) CancelAttempt(balancer.RequestID, int)                               {}
+func (discardActions) SetTimer(time.Duration, uint32)                                      {}
+func (discardActions) CloseIdle(balancer.EndpointID)                                       {}
+func (discardActions) WatchEndpoints()                                                     {}
+func (discardActions) Log(string)                                                          {}
+
+// newFullGateway creates a full gateway with the whole endpoint list and the settings, and returns what both cost.
+func newFullGateway(index int, name string, o *Options, t topology, now time.Duration) (*fullGateway, startCost, error) {
+	g := &fullGateway{index: index, topology: t}
+	var cost startCost
 	rawSettings, err := settingsText(o)
 	if err != nil {
 		return nil, cost, err
 	}
 	rawList := listText(o)
-	cost.SettingsTime, cost.SettingsHeap = weighed(func() {
+	cost.SettingsTime, cost.SettingsHeap = measureCost(func() {
 		if g.settings, err = settings.ParseJSON(rawSettings); err != nil {
 			return
 		}
-		g.module, err = balancer.New(g.settings.Config, o.Seed, now, silent{})
+		g.module, err = balancer.New(g.settings.Config, o.Seed, now, discardActions{})
 	})
 	if err != nil {
 		return nil, cost, err
 	}
-	cost.ListTime, cost.ListHeap = weighed(func() {
-		g.group = discovery.NewEndpoints(g.settings.Gateway.Zones)
-		var news discovery.Update
-		if news, err = g.group.Apply(rawList); err != nil {
+	cost.ListTime, cost.ListHeap = measureCost(func() {
+		g.endpoints = discovery.NewEndpoints(g.settings.Gateway.Zones)
+		var update discovery.Update
+		if update, err = g.endpoints.Apply(rawList); err != nil {
 			return
 		}
-		g.module.UpdateEndpoints(now, balancer.Snapshot, news.Entries)
+		g.module.UpdateEndpoints(now, balancer.Snapshot, update.Entries)
 		g.module.Dispatch(now)
 	})
 	if err != nil {
 		return nil, cost, err
 	}
-	runtime.KeepAlive(rawSettings) // freed in between, their bytes would be taken off what the rest leaves in use
+	runtime.KeepAlive(rawSettings) // if they were freed during a measurement, the heap measured would be too small
 	runtime.KeepAlive(rawList)
-	for _, h := range g.group.All() {
+	for _, h := range g.endpoints.All() {
 		g.hosts = append(g.hosts, assignment.Endpoint{ID: uint64(h.ID), Capacity: h.Capacity, Zone: h.Zone})
 	}
-	usual := gossipconfig.DefaultAssignment()
-	rule := assignment.Rule{Users: float64(usual.Users), MaxUsers: usual.MaxUsers,
-		MinEndpoints: usual.MinEndpoints, RemoteZoneOdds: usual.RemoteZoneOdds}
-	g.keeper = assignment.NewTracker(rule, name, newsWithin, nil)
+	defaults := gossipconfig.DefaultAssignment()
+	rule := assignment.Rule{Users: float64(defaults.Users), MaxUsers: defaults.MaxUsers,
+		MinEndpoints: defaults.MinEndpoints, RemoteZoneOdds: defaults.RemoteZoneOdds}
+	g.tracker = assignment.NewTracker(rule, name, viewPropagationTime, nil)
 	return g, cost, nil
 }
 
-// cells are those of hosts that share what keys they have seen.
-const cells = 40
+// cellCount is the number of cells. The hosts of a cell share the idempotency keys that they have seen.
+const cellCount = 40
 
-// newsWithin is how long a change of the view takes to reach the last gateway, as the gateway has it.
-const newsWithin = time.Second
+// viewPropagationTime is the time that a gateway allows for a change of the view to reach all gateways.
+const viewPropagationTime = time.Second
 
-// look follows the view as a gateway does with its samples: what moved in it may divide the hosts anew.
-func (g *fullGateway) look(sim *membershipsim.Sim) {
-	if !sim.Running(g.number) {
+// observe passes a changed membership view to the assignment tracker, as a gateway does with each sample. The
+// tracker may divide the endpoints again.
+func (g *fullGateway) observe(sim *membershipsim.Sim) {
+	if !sim.Running(g.index) {
 		return
 	}
 	began := cputime.Thread()
-	view := sim.Nodes[g.number].Membership
+	view := sim.Nodes[g.index].Membership
 	now := sim.Now()
 	status := view.Status(now + membershipsim.Epoch)
-	due, timed := g.keeper.Due()
-	if status.Version == g.version && status.Converged == g.settled && !(timed && now >= due) {
+	due, timed := g.tracker.Due()
+	if status.Version == g.version && status.Converged == g.converged && !(timed && now >= due) {
 		return
 	}
-	g.version, g.settled = status.Version, status.Converged
+	g.version, g.converged = status.Version, status.Converged
 	var alive []assignment.Gateway
 	for n, m := range view.Members() {
 		if m.State == gossipcodec.Alive {
-			alive = append(alive, assignment.Gateway{Name: m.Name, Demand: demand, Zone: g.places.zone(n)})
+			alive = append(alive, assignment.Gateway{Name: m.Name, Demand: gatewayDemand, Zone: g.topology.zone(n)})
 		}
 	}
-	changed, err := g.keeper.Observe(now, assignment.Observation{Alive: alive, Converged: status.Converged,
+	changed, err := g.tracker.Observe(now, assignment.Observation{Alive: alive, Converged: status.Converged,
 		Endpoints: g.hosts})
 	if err != nil && len(g.problems) < 5 {
 		g.problems = append(g.problems, err.Error())
 	}
 	if changed {
-		g.divided++
+		g.divisions++
 	}
 	took := cputime.Thread() - began
-	g.spent += took
-	g.longest = max(g.longest, took)
+	g.cpuTime += took
+	g.longestObservation = max(g.longestObservation, took)
 }
 
-// weighed is the processor time that something takes, and the heap that it leaves in use.
-func weighed(do func()) (took time.Duration, heap uint64) {
+// measureCost returns the processor time that do takes and the number of heap bytes by which it increases the heap
+// in use.
+func measureCost(do func()) (took time.Duration, heap uint64) {
 	before := heapInUse()
 	began := cputime.Thread()
 	do()
@@ -150,7 +152,7 @@
 	return took, after - min(before, after)
 }
 
-// heapInUse is what the heap holds that is still reached.
+// heapInUse returns the number of heap bytes in use after a garbage collection.
 func heapInUse() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -158,7 +160,7 @@
 	return stats.HeapAlloc
 }
 
-// listText words a whole list as discovery does.
+// listText returns a full endpoint list in the form in which discovery sends it.
 func listText(o *Options) []byte {
 	const via = "gateway"
 	list := registry.New()
@@ -167,13 +169,13 @@
 		dial := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 8080)
 		entries = append(entries, registry.Entry{Host: fmt.Sprintf("host-%05d.service-%03d", i, i%o.Services),
 			Site: zoneName(i % o.Zones),
-			Cell: i % cells, State: registry.Up, Dial: map[string]string{via: dial.String()}})
+			Cell: i % cellCount, State: registry.Up, Dial: map[string]string{via: dial.String()}})
 	}
 	list.Put(entries...)
 	return list.Line(via, 0)
 }
 
-// settingsText words settings of three classes and all tenants.
+// settingsText returns settings with three classes and all tenants as JSON.
 func settingsText(o *Options) ([]byte, error) {
 	type tenant struct {
 		Name  string  `json:"name"`
@@ -204,8 +206,8 @@
 
 func zoneName(zone int) string { return fmt.Sprintf("zone-%02d", zone) }
 
-// spread lists numbers of gateways that lie evenly among all.
-func spread(count, all int) (list []int) {
+// evenlySpaced returns the indices of count gateways at equal distances among all.
+func evenlySpaced(count, all int) (list []int) {
 	for i := range count {
 		list = append(list, i*all/count)
 	}
--- a/internal/lab/scale/knowledge.go
+++ b/internal/lab/scale/knowledge.go
@@ -9,62 +9,67 @@
 	"thymebend/internal/membership"
 )
 
-// Times until something is known by half of those who can know it, by 99 in 100, and by all; in seconds.
+// Times holds how long an event took to become known to half, to 99 in 100 and to all of the eligible gateways, in
+// seconds.
 type Times struct {
 	Half float64 `json:"half_s"`
-	Most float64 `json:"p99_s"`
+	P99  float64 `json:"p99_s"`
 	All  float64 `json:"all_s"`
 }
 
-// Spread is how long many things of one kind took until they were known.
-type Spread struct {
+// Propagation summarizes how long the events of one kind took to become known.
+type Propagation struct {
 	Count      int   `json:"count"`
-	Unfinished int   `json:"unfinished"` // not known to all when the run ended, or overtaken by the subject's next event
+	Unfinished int   `json:"unfinished"` // not known to all when the run ended, or superseded by the subject's next event
 	Median     Times `json:"median"`
 	Worst      Times `json:"worst"`
 }
 
-// milestones are when something had come to half, to 99 in 100 and to all of those that it can come to;
-// 0 until then.
-type milestones struct{ half, most, all time.Duration }
+// milestones holds how long something took to reach half, 99 in 100 and all of the eligible gateways; each is 0
+// until then.
+type milestones struct{ half, p99, all time.Duration }
 
-// note takes how many of those that can have it have it after some time, and reports whether all do.
-func (m *milestones) note(have, can int, took time.Duration) bool {
-	if m.half == 0 && 2*have >= can {
+// record sets the milestones that are reached when reached of the eligible gateways have the event after took, and
+// reports whether all of them have had it.
+func (m *milestones) record(reached, eligible int, took time.Duration) bool {
+	if m.half == 0 && 2*reached >= eligible {
 		m.half = took
 	}
-	if m.most == 0 && 100*have >= 99*can {
-		m.most = took
+	if m.p99 == 0 && 100*reached >= 99*eligible {
+		m.p99 = took
 	}
-	if m.all == 0 && have == can {
+	if m.all == 0 && reached == eligible {
 		m.all = took
 	}
 	return m.all > 0
 }
 
-// summary is the median and the worst of those that have come to all, and how many have not.
-func summary(list []milestones) (median, worst Times, unfinished int) {
-	var half, most, all []time.Duration
+// summarize returns the median and the maximum of the milestones of events that reached all gateways, and the number
+// of events that did not.
+func summarize(list []milestones) (median, worst Times, unfinished int) {
+	var half, p99, all []time.Duration
 	for _, m := range list {
 		if m.all == 0 {
 			unfinished++
 			continue
 		}
-		half, most, all = append(half, m.half), append(most, m.most), append(all, m.all)
+		half, p99, all = append(half, m.half), append(p99, m.p99), append(all, m.all)
 	}
-	return Times{middle(half), middle(most), middle(all)}, Times{largest(half), largest(most), largest(all)}, unfinished
+	return Times{medianSeconds(half), medianSeconds(p99), medianSeconds(all)},
+		Times{maxSeconds(half), maxSeconds(p99), maxSeconds(all)}, unfinished
 }
 
-// watch follows one crash or join until all know of it.
+// watch tracks one crash or join of a gateway, the subject, until all gateways know of it.
 type watch struct {
 	milestones
 	subject int
-	life    int           // of the subject, since the event
-	joined  bool          // else it crashed
-	began   time.Duration // of the event
+	starts  int           // number of starts of the subject at the event, to detect its next start
+	joined  bool          // false for a crash
+	eventAt time.Duration // time of the event
 }
 
-// knows reports whether a gateway knows of the event.
+// knows reports whether a gateway knows of the event. m is its record of the subject, known whether it has a
+// record, and started the start number of the subject's process.
 func (w *watch) knows(m membership.Member, known bool, started uint64) bool {
 	if w.joined {
 		return known && m.State == gossipcodec.Alive && m.Start >= started
@@ -72,35 +77,37 @@
 	return !known || m.State >= gossipcodec.Gone
 }
 
-// knowledge follows all crashes and joins.
-type knowledge struct {
-	sim    *membershipsim.Sim
-	open   []*watch
-	closed []*watch
-	born   []time.Duration // since when each gateway's process runs
+// eventWatcher tracks all crashes and joins.
+type eventWatcher struct {
+	sim       *membershipsim.Sim
+	open      []*watch
+	closed    []*watch
+	startedAt []time.Duration // when each gateway's process started
 }
 
-// begin follows an event of a gateway from now on. What was followed of it before is overtaken.
-func (k *knowledge) begin(subject int, joined bool) {
-	k.open = append(k.open, &watch{subject: subject, life: k.sim.Nodes[subject].Starts, joined: joined,
-		began: k.sim.Now()})
+// watchEvent tracks an event of a gateway from now on. It supersedes an earlier event of that gateway.
+func (e *eventWatcher) watchEvent(subject int, joined bool) {
+	e.open = append(e.open, &watch{subject: subject, starts: e.sim.Nodes[subject].Starts, joined: joined,
+		eventAt: e.sim.Now()})
 }
 
-// look counts who knows what. Those count that ran before the event and are not stopped.
-func (k *knowledge) look() {
-	k.open = slices.DeleteFunc(k.open, func(w *watch) bool {
-		over := k.lookAt(w)
-		if over {
-			k.closed = append(k.closed, w)
+// update counts the gateways that know of each open event, and closes the events that are finished or superseded.
+// Eligible are gateways that ran before the event and are not paused.
+func (e *eventWatcher) update() {
+	e.open = slices.DeleteFunc(e.open, func(w *watch) bool {
+		ended := e.updateWatch(w)
+		if ended {
+			e.closed = append(e.closed, w)
 		}
-		return over
+		return ended
 	})
 }
 
-// lookAt reports whether a watch is over: all know, or the subject has gone on to something else.
-func (k *knowledge) lookAt(w *watch) bool {
-	subject := k.sim.Nodes[w.subject]
-	if subject.Starts != w.life || w.joined != (subject.Membership != nil) {
+// updateWatch reports whether a watch has ended: all eligible gateways know of the event, or the subject's next event
+// superseded it.
+func (e *eventWatcher) updateWatch(w *watch) bool {
+	subject := e.sim.Nodes[w.subject]
+	if subject.Starts != w.starts || w.joined != (subject.Membership != nil) {
 		return true
 	}
 	started := uint64(0)
@@ -108,40 +115,40 @@
 		self, _ := subject.Membership.Find(subject.Name)
 		started = self.Start
 	}
-	can, know := 0, 0
-	for n, node := range k.sim.Nodes {
-		if n == w.subject || !k.sim.Running(n) || k.born[n] > w.began {
+	eligible, informed := 0, 0
+	for n, node := range e.sim.Nodes {
+		if n == w.subject || !e.sim.Running(n) || e.startedAt[n] > w.eventAt {
 			continue
 		}
-		can++
+		eligible++
 		if m, known := node.Membership.Find(subject.Name); w.knows(m, known, started) {
-			know++
+			informed++
 		}
 	}
-	return w.note(know, can, k.sim.Now()-w.began)
+	return w.record(informed, eligible, e.sim.Now()-w.eventAt)
 }
 
-// spread sums up the events of one kind.
-func (k *knowledge) spread(joined bool) (s Spread) {
+// propagation summarizes the joins or, if joined is false, the crashes.
+func (e *eventWatcher) propagation(joined bool) (s Propagation) {
 	var list []milestones
-	for _, w := range slices.Concat(k.closed, k.open) {
+	for _, w := range slices.Concat(e.closed, e.open) {
 		if w.joined == joined {
 			list = append(list, w.milestones)
 		}
 	}
 	s.Count = len(list)
-	s.Median, s.Worst, s.Unfinished = summary(list)
+	s.Median, s.Worst, s.Unfinished = summarize(list)
 	return s
 }
 
-func middle(list []time.Duration) float64 {
+func medianSeconds(list []time.Duration) float64 {
 	if len(list) == 0 {
 		return 0
 	}
 	return slices.Sorted(slices.Values(list))[len(list)/2].Seconds()
 }
 
-func largest(list []time.Duration) float64 {
+func maxSeconds(list []time.Duration) float64 {
 	if len(list) == 0 {
 		return 0
 	}
--- a/internal/lab/scale/options.go
+++ b/internal/lab/scale/options.go
@@ -1,7 +1,7 @@
-// Package scale plays a whole fleet's control in one process on a virtual clock: hollow gateways, which
-// have the real reducers of the fleet's view and of the distribution of configuration, and no client
-// traffic; some of them also hold the whole list of hosts, divide it and read the settings. It measures
-// bytes, processor time, memory, and how soon what happens is known.
+// Package scale simulates the control traffic of a whole fleet in one process on a virtual clock. Its gateways run the
+// real reducers of the membership view and of the configuration distribution, without client traffic. Some of them,
+// the full gateways, also hold the whole endpoint list, divide it among the gateways and read the settings. It measures
+// bytes, processor time and memory, and how soon crashes, joins and configuration changes are known.
 package scale
 
 import (
@@ -16,100 +16,100 @@
 	"thymebend/internal/tomlfile"
 )
 
-// Options are a fleet's size and what happens to it.
+// Options holds the size of a fleet and the events and faults of a run.
 type Options struct {
 	Gateways, Hosts, Services, Tenants, Routes int
 	Zones, Regions                             int
-	Full                                       int           // gateways that hold lists, divisions and settings
-	Seed                                       uint64        // of all that is random
-	For                                        time.Duration // measured, of virtual time
-	Loss                                       float64       // share of the datagrams and frames
-	Stalls                                     float64       // share of the gateways stopped for 2 s in every 10
-	Restarts, Failures                         int           // pressed into the measured time
-	// of configuration, pressed into it; below 0: no control machines
+	Full                                       int           // gateways that also hold list, division and settings
+	Seed                                       uint64        // of all random decisions
+	For                                        time.Duration // length of the measured period in virtual time
+	Loss                                       float64       // share of the datagrams and frames that is lost
+	Stalls                                     float64       // share of the gateways that is paused for 2 s in every 10 s
+	Restarts, Failures                         int           // number of them in the measured period
+	// Changes is the number of configuration changes in the measured period; below 0 there are no control machines.
 	Changes int
 	Faults  []Fault
 }
 
-// FaultKind is a trouble with a time of its own.
+// FaultKind is the kind of a Fault, under its name in files and on the command line.
 type FaultKind string
 
-// The kinds.
+// The fault kinds.
 const (
-	RackFails    FaultKind = "rack"   // all gateways of a rack end at once
-	ZoneFails    FaultKind = "zone"   // all gateways of a zone end at once, with its control machines
-	RegionsPart  FaultKind = "parted" // regions do not hear each other
-	LossRises    FaultKind = "loss"   // Share of the datagrams and frames is lost
-	GatewaysStop FaultKind = "stalls" // Share of the gateways is stopped for the time
+	RackFails        FaultKind = "rack"   // all gateways of a rack crash at once
+	ZoneFails        FaultKind = "zone"   // all gateways and control machines of a zone crash at once
+	RegionsPartition FaultKind = "parted" // messages between regions are dropped
+	LossRises        FaultKind = "loss"   // Share of the datagrams and frames is lost
+	GatewaysStop     FaultKind = "stalls" // Share of the gateways is paused for the fault's duration
 )
 
-// faultKinds lists them.
+// faultKinds returns all fault kinds.
 func faultKinds() []FaultKind {
-	return []FaultKind{RackFails, ZoneFails, RegionsPart, LossRises, GatewaysStop}
+	return []FaultKind{RackFails, ZoneFails, RegionsPartition, LossRises, GatewaysStop}
 }
 
-// Fault is one trouble.
+// Fault is a fault with a planned time.
 type Fault struct {
 	Kind  FaultKind
-	At    time.Duration // after the measured time's begin
-	For   time.Duration // until it is over, and what failed starts again
-	Share float64       // for LossRises and GatewaysStop
+	At    time.Duration // since the begin of the measured period
+	For   time.Duration // duration; crashed processes start again after it
+	Share float64       // for LossRises and GatewaysStop only
 }
 
-// Defaults is the size that the fleet is to have in two years, without troubles.
+// Defaults returns the size expected of the fleet in two years, without faults.
 func Defaults() Options {
 	return Options{Gateways: 870, Hosts: 7700, Services: 390, Tenants: 44_000, Routes: 4100, Zones: 7,
 		Regions: 2, Full: 2, Seed: 1,
 		For: 60 * time.Second, Changes: -1}
 }
 
-// Bounds of the options.
+// Limits of the options.
 const (
-	leastGateways = 3
-	mostTenants   = 200_000
-	mostRoutes    = 50_000
-	mostServices  = 5_000
-	mostZones     = 64
-	mostRegions   = 8
-	mostFull      = 16
-	leastFor      = time.Second
-	mostFor       = 24 * time.Hour
-	mostEvents    = 20_000 // restarts, failures or changes
-	mostFaults    = 100
+	minGateways     = 3
+	maxTenants      = 200_000
+	maxRoutes       = 50_000
+	maxServices     = 5_000
+	maxZones        = 64
+	maxRegions      = 8
+	maxFull         = 16
+	minMeasuredTime = time.Second
+	maxMeasuredTime = 24 * time.Hour
+	maxEvents       = 20_000 // limit of the restarts, of the failures and of the changes
+	maxFaults       = 100
 )
 
-// FieldError is an option that cannot be used.
+// FieldError reports an option whose value cannot be used.
 type FieldError struct {
-	Field string // as the file names it
+	Field string // key of the option in a file
 	Text  string
 }
 
 // Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Text }
 
-// Check returns all that is wrong with the options.
-func (o *Options) Check() (wrong []*FieldError) {
+// Check returns an error for each option that cannot be used.
+func (o *Options) Check() (invalid []*FieldError) {
 	fault := func(field, format string, args ...any) {
-		wrong = append(wrong, &FieldError{field, fmt.Sprintf(format, args...)})
+		invalid = append(invalid, &FieldError{field, fmt.Sprintf(format, args...)})
 	}
 	for _, b := range []struct {
-		field              string
-		value, least, most int
+		field            string
+		value, low, high int
 	}{
-		{"gateways", o.Gateways, leastGateways, membership.MaxMembers},
+		{"gateways", o.Gateways, minGateways, membership.MaxMembers},
 		{"hosts", o.Hosts, 1, assignment.MaxEndpoints},
-		{"services", o.Services, 1, mostServices},
-		{"tenants", o.Tenants, 0, mostTenants},
-		{"routes", o.Routes, 1, mostRoutes},
-		{"zones", o.Zones, 1, mostZones},
-		{"regions", o.Regions, 1, mostRegions},
-		{"full", o.Full, 0, mostFull},
-		{"restarts", o.Restarts, 0, mostEvents},
-		{"failures", o.Failures, 0, mostEvents},
-		{"changes", o.Changes, -1, mostEvents},
+		{"services", o.Services, 1, maxServices},
+		{"tenants", o.Tenants, 0, maxTenants},
+		{"routes", o.Routes, 1, maxRoutes},
+		{"zones", o.Zones, 1, maxZones},
+		{"regions", o.Regions, 1, maxRegions},
+		{"full", o.Full, 0, maxFull},
+		{"restarts", o.Restarts, 0, maxEvents},
+		{"failures", o.Failures, 0, maxEvents},
+		{"changes", o.Changes, -1, maxEvents},
 	} {
-		if b.value < b.least || b.value > b.most {
-			fault(b.field, "%d, but %d to %d is needed", b.value, b.least, b.most)
+		if b.value < b.low || b.value > b.high {
+			fault(b.field, "%d, but %d to %d is needed", b.value, b.low, b.high)
 		}
 	}
 	if o.Regions > o.Zones {
@@ -118,8 +118,8 @@
 	if o.Full > o.Gateways {
 		fault("full", "%d of %d gateways", o.Full, o.Gateways)
 	}
-	if o.For < leastFor || o.For > mostFor {
-		fault("for", "%v, but %v to %v is needed", o.For, leastFor, mostFor)
+	if o.For < minMeasuredTime || o.For > maxMeasuredTime {
+		fault("for", "%v, but %v to %v is needed", o.For, minMeasuredTime, maxMeasuredTime)
 	}
 	if !(o.Loss >= 0 && o.Loss < 1) {
 		fault("loss", "%v, but 0 to under 1 is needed", o.Loss)
@@ -127,18 +127,18 @@
 	if !(o.Stalls >= 0 && o.Stalls <= 0.5) {
 		fault("stalls", "%v, but 0 to 0.5 is needed", o.Stalls)
 	}
-	if len(o.Faults) > mostFaults {
-		fault("fault", "%d, but %d at most", len(o.Faults), mostFaults)
+	if len(o.Faults) > maxFaults {
+		fault("fault", "%d, but %d at most", len(o.Faults), maxFaults)
 	}
 	for i, f := range o.Faults {
-		wrong = append(wrong, f.check(fmt.Sprintf("fault.%d.", i), o)...)
+		invalid = append(invalid, f.check(fmt.Sprintf("fault.%d.", i), o)...)
 	}
-	return wrong
+	return invalid
 }
 
-func (f *Fault) check(path string, o *Options) (wrong []*FieldError) {
+func (f *Fault) check(path string, o *Options) (invalid []*FieldError) {
 	fault := func(field, format string, args ...any) {
-		wrong = append(wrong, &FieldError{path + field, fmt.Sprintf(format, args...)})
+		invalid = append(invalid, &FieldError{path + field, fmt.Sprintf(format, args...)})
 	}
 	if !slices.Contains(faultKinds(), f.Kind) {
 		fault("do", "%q is none of %s", f.Kind, kindNames())
@@ -146,20 +146,20 @@
 	if f.At < 0 || f.At > o.For {
 		fault("at", "%v, but 0s to %v is needed, the length of the run", f.At, o.For)
 	}
-	if f.For <= 0 || f.For > mostFor {
-		fault("for", "%v, but above 0s to %v is needed", f.For, mostFor)
+	if f.For <= 0 || f.For > maxMeasuredTime {
+		fault("for", "%v, but above 0s to %v is needed", f.For, maxMeasuredTime)
 	}
-	shared := f.Kind == LossRises || f.Kind == GatewaysStop
+	needsShare := f.Kind == LossRises || f.Kind == GatewaysStop
 	switch {
-	case shared && !(f.Share > 0 && f.Share < 1):
+	case needsShare && !(f.Share > 0 && f.Share < 1):
 		fault("share", "%v, but above 0 to under 1 is needed", f.Share)
-	case !shared && f.Share != 0:
-		fault("share", "goes with loss and stalls alone")
+	case !needsShare && f.Share != 0:
+		fault("share", "is allowed only for loss and stalls")
 	}
-	if f.Kind == RegionsPart && o.Regions < 2 {
-		fault("do", "one region cannot be parted")
+	if f.Kind == RegionsPartition && o.Regions < 2 {
+		fault("do", "parted needs at least two regions")
 	}
-	return wrong
+	return invalid
 }
 
 func kindNames() string {
@@ -170,8 +170,8 @@
 	return strings.Join(names, ", ")
 }
 
-// fileForm is a file of options.
-type fileForm struct {
+// optionsFile is the form of an options file.
+type optionsFile struct {
 	Gateways *int               `toml:"gateways"`
 	Hosts    *int               `toml:"hosts"`
 	Services *int               `toml:"services"`
@@ -195,34 +195,35 @@
 	} `toml:"fault"`
 }
 
-// Load reads a file over some options. The error holds all that is wrong with it, with file, line and column.
-func Load(path string, over Options) (Options, error) {
+// Load reads the file at path and returns base with the file's options applied. The error lists all faults of the file,
+// each with file, line and column.
+func Load(path string, base Options) (Options, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return over, err
+		return base, err
 	}
-	return Parse(path, raw, over)
+	return Parse(path, raw, base)
 }
 
-// Parse does so with a text at hand.
-func Parse(path string, raw []byte, over Options) (Options, error) {
-	var form fileForm
+// Parse is Load for the content of a file; path serves for error messages only.
+func Parse(path string, raw []byte, base Options) (Options, error) {
+	var form optionsFile
 	in := tomlfile.Read(path, raw, &form)
 	if err := in.Err(); err != nil {
-		return over, err
+		return base, err
 	}
-	out := over
+	out := base
 	form.apply(&out)
 	for _, wrong := range out.Check() {
 		in.AddFault(wrong.Field, "%s", wrong.Text)
 	}
 	if err := in.Err(); err != nil {
-		return over, err
+		return base, err
 	}
 	return out, nil
 }
 
-func (form *fileForm) apply(o *Options) {
+func (form *optionsFile) apply(o *Options) {
 	set(&o.Gateways, form.Gateways)
 	set(&o.Hosts, form.Hosts)
 	set(&o.Services, form.Services)
@@ -251,13 +252,13 @@
 	}
 }
 
-// ParseFault reads a fault as the command line has it: KIND@AT+FOR, and for loss and stalls =SHARE behind it.
+// ParseFault parses a fault in the form of the command line: KIND@AT+FOR, followed by =SHARE for loss and stalls.
 func ParseFault(text string) (f Fault, err error) {
 	const form = "KIND@AT+FOR or KIND@AT+FOR=SHARE, such as zone@20s+30s or loss@10s+5s=0.2"
 	kind, rest, ok := strings.Cut(text, "@")
-	times, share, shared := strings.Cut(rest, "=")
-	at, length, both := strings.Cut(times, "+")
-	if !ok || !both {
+	times, share, hasShare := strings.Cut(rest, "=")
+	at, length, hasLength := strings.Cut(times, "+")
+	if !ok || !hasLength {
 		return f, fmt.Errorf("%q is not %s", text, form)
 	}
 	f.Kind = FaultKind(kind)
@@ -267,7 +268,7 @@
 	if f.For, err = time.ParseDuration(length); err != nil {
 		return f, fmt.Errorf("%q: %q is no time; wanted %s", text, length, form)
 	}
-	if shared {
+	if hasShare {
 		if _, err = fmt.Sscanf(share, "%g", &f.Share); err != nil {
 			return f, fmt.Errorf("%q: %q is no share; wanted %s", text, share, form)
 		}
--- a/internal/lab/scale/place.go
+++ b/internal/lab/scale/place.go
@@ -2,49 +2,50 @@
 
 import "thymebend/internal/lab/configsim"
 
-// gatewaysOfRack is how many gateways stand in a rack.
-const gatewaysOfRack = 16
+// gatewaysPerRack is the number of gateways in a rack.
+const gatewaysPerRack = 16
 
-// places tells where gateways and control machines stand: gateways lie over the zones in turn, zones
-// over the regions in runs. The simulator of rollouts places them alike.
-type places struct{ gateways, zones, regions int }
+// topology maps gateways and control machines to zones and regions: gateways to the zones round-robin, contiguous
+// ranges of zones to the regions. The simulator of rollouts, configsim, places them in the same way.
+type topology struct{ gateways, zones, regions int }
 
-func (p places) zone(gateway int) int { return gateway % p.zones }
+func (t topology) zone(gateway int) int { return gateway % t.zones }
 
-func (p places) region(gateway int) int { return p.zone(gateway) * p.regions / p.zones }
+func (t topology) region(gateway int) int { return t.zone(gateway) * t.regions / t.zones }
 
-// rack lists the gateways of a rack of a zone.
-func (p places) rack(zone, number int) (list []int) {
-	all := p.ofZone(zone)
-	from := min(number*gatewaysOfRack, len(all))
-	return all[from:min(from+gatewaysOfRack, len(all))]
+// rack returns the gateways of a rack of a zone; number counts the zone's racks from 0.
+func (t topology) rack(zone, number int) (list []int) {
+	all := t.ofZone(zone)
+	from := min(number*gatewaysPerRack, len(all))
+	return all[from:min(from+gatewaysPerRack, len(all))]
 }
 
-func (p places) ofZone(zone int) (list []int) {
-	for gateway := zone; gateway < p.gateways; gateway += p.zones {
+func (t topology) ofZone(zone int) (list []int) {
+	for gateway := zone; gateway < t.gateways; gateway += t.zones {
 		list = append(list, gateway)
 	}
 	return list
 }
 
-// controlZone is the zone of a control machine: the first ones of its region in turn.
-func (p places) controlZone(control int) int {
+// controlZone returns the zone of a control machine: the first zone of its region for even indices, the second
+// zone, if the region has one, for odd indices.
+func (t topology) controlZone(control int) int {
 	first := 0
-	for first < p.zones && p.region(first) != p.controlRegion(control) {
+	for first < t.zones && t.region(first) != t.controlRegion(control) {
 		first++
 	}
-	if control%2 == 1 && first+1 < p.zones && p.region(first+1) == p.controlRegion(control) {
+	if control%2 == 1 && first+1 < t.zones && t.region(first+1) == t.controlRegion(control) {
 		return first + 1
 	}
 	return first
 }
 
-func (p places) controlRegion(control int) int { return control * p.regions / controlMachines }
+func (t topology) controlRegion(control int) int { return control * t.regions / controlMachines }
 
-// regionOf is the region of an end of a link that carries configuration.
-func (p places) regionOf(e configsim.Endpoint) int {
+// regionOf returns the region of an end of a connection that carries configuration.
+func (t topology) regionOf(e configsim.Endpoint) int {
 	if e.Control {
-		return p.controlRegion(e.Index)
+		return t.controlRegion(e.Index)
 	}
-	return p.region(e.Index)
+	return t.region(e.Index)
 }
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -6,70 +6,71 @@
 	"time"
 )
 
-// ResultVersion is that of the result's form.
+// ResultVersion is the version of the result's JSON format.
 const ResultVersion = 1
 
-// Amount is a figure over the gateways.
-type Amount struct {
+// Summary holds the mean and the largest value of a figure over the gateways.
+type Summary struct {
 	Mean  float64 `json:"mean"`
 	Worst float64 `json:"worst"`
 }
 
-// Traffic is what gateways send and receive, in bytes a second with the headers of IP and of UDP or TCP.
+// Traffic holds what gateways send and receive, in bytes per second including the headers of IP and of UDP or TCP.
 type Traffic struct {
-	Sent     Amount `json:"sent_bytes_s"`
-	Received Amount `json:"received_bytes_s"`
+	Sent     Summary `json:"sent_bytes_s"`
+	Received Summary `json:"received_bytes_s"`
 }
 
-// Budget is what a gateway spends on control in the measured time.
-type Budget struct {
+// ControlCost holds the traffic, processor time and memory that a gateway spends on control in the measured period.
+type ControlCost struct {
 	All           Traffic `json:"all"`
 	View          Traffic `json:"view"`
 	Configuration Traffic `json:"configuration"`
-	// Processor is in shares of a core, without divisions of hosts. It is the thread's time for views; the
-	// configuration's is counted by the clock, with the time in which other programs had the processor.
-	Processor Amount `json:"processor"`
-	// HeapMean is the heap of the whole process after a collection over the gateways, in bytes: the
-	// simulator's own state counts as theirs. Full gateways' lists and settings do not.
+	// Processor is in shares of a core, without the divisions of endpoints. The share of views is measured as the
+	// thread's processor time; the share of the configuration is measured by the clock and so includes the time in
+	// which other programs had the processor.
+	Processor Summary `json:"processor"`
+	// HeapMean is the heap of the whole process after a garbage collection divided by the number of gateways, in
+	// bytes. It includes the simulator's state and excludes the lists and settings of full gateways.
 	HeapMean uint64 `json:"heap_mean_bytes"`
 }
 
-// Start is what the start of all gateways together comes to.
+// Start holds the cost and duration of the start of all gateways.
 type Start struct {
-	Settled   float64 `json:"settled_s"` // from the last start until each view is the truth; 0 if that was not reached
-	Sent      Amount  `json:"sent_bytes"`
-	Processor Amount  `json:"processor_s"`
+	Converged float64 `json:"settled_s"` // from the last start until each view is correct; 0 if that was not reached
+	Sent      Summary `json:"sent_bytes"`
+	Processor Summary `json:"processor_s"`
 }
 
-// Configuration is how changes of it spread.
+// Configuration holds the figures of the distribution of configuration changes.
 type Configuration struct {
-	First        float64  `json:"first_s"` // until the first whole configuration is in force at all
-	Submitted    int      `json:"submitted"`
-	Unfinished   int      `json:"unfinished"` // not in force at all when the run ended
-	Late         int      `json:"late"`       // in force at all after more than 8 s
-	Median       Times    `json:"median"`
-	Worst        Times    `json:"worst"`
-	ControlSent  Amount   `json:"control_sent_bytes_s"`
-	ControlTaken Amount   `json:"control_received_bytes_s"`
-	ControlUsed  Amount   `json:"control_processor"` // in shares of a core, by the clock
-	MostLinks    int      `json:"most_gateways_of_a_control_machine"`
-	BrokenRules  []string `json:"broken_rules"`
+	First           float64  `json:"first_s"` // until the first whole configuration is in force at all gateways
+	Submitted       int      `json:"submitted"`
+	Unfinished      int      `json:"unfinished"` // not in force at all gateways when the run ended
+	Late            int      `json:"late"`       // in force at all gateways, after more than 8 s
+	Median          Times    `json:"median"`
+	Worst           Times    `json:"worst"`
+	ControlSent     Summary  `json:"control_sent_bytes_s"`
+	ControlReceived Summary  `json:"control_received_bytes_s"`
+	ControlCPU      Summary  `json:"control_processor"` // in shares of a core, by the clock
+	MaxSubscribers  int      `json:"most_gateways_of_a_control_machine"`
+	Violations      []string `json:"broken_rules"`
 }
 
-// Full is what lists, divisions and settings cost a gateway, measured at some of them.
+// Full holds what endpoint lists, their divisions and settings cost a gateway, measured at the full gateways.
 type Full struct {
 	Gateways        int      `json:"gateways"`
 	SettingsTime    float64  `json:"settings_s"`
 	SettingsHeap    uint64   `json:"settings_heap_bytes"`
 	ListTime        float64  `json:"list_s"`
 	ListHeap        uint64   `json:"list_heap_bytes"`
-	Divisions       int      `json:"divisions"` // that changed what a gateway uses, over the whole run
+	Divisions       int      `json:"divisions"` // number of divisions that changed a gateway's subset, over the whole run
 	DivisionLongest float64  `json:"division_longest_s"`
-	DivisionShare   Amount   `json:"division_processor"` // in shares of a core, over the measured time
+	DivisionShare   Summary  `json:"division_processor"` // in shares of a core, over the measured period
 	Problems        []string `json:"problems"`
 }
 
-// Second is a second of the run.
+// Second holds the figures of one second of a run: what a gateway sent, and the number of running gateways.
 type Second struct {
 	At    float64 `json:"at_s"`
 	Mean  float64 `json:"sent_mean_bytes"`
@@ -77,32 +78,34 @@
 	Alive int     `json:"gateways_running"`
 }
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
-	Version  int     `json:"version"`
-	Options  Options `json:"options"`
-	Partial  bool    `json:"partial"` // told to end before it was through
-	Lasted   float64 `json:"measured_s"`
-	Took     float64 `json:"took_s"` // of real time, all in all
-	Start    Start   `json:"start"`
-	Gateway  Budget  `json:"gateway"`
-	Crash    Spread  `json:"crash_known"`
-	Join     Spread  `json:"join_known"`
-	Doubts   int     `json:"false_doubts"` // refutations by gateways that ran
-	Removals int     `json:"false_removals"`
-	// Observers are the gateways at which false removals were looked for, each second.
-	Observers int     `json:"observers"`
-	Recovered float64 `json:"recovered_s"` // from the end of the measured time until each view is the truth; below 0: not within 60 s
-	// Healed is, for each time that regions were parted, from its end until each view is the truth, if
-	// that came.
+	Version         int         `json:"version"`
+	Options         Options     `json:"options"`
+	Partial         bool        `json:"partial"` // the run was interrupted before its end
+	Measured        float64     `json:"measured_s"`
+	Elapsed         float64     `json:"took_s"` // real time of the whole run
+	Start           Start       `json:"start"`
+	Gateway         ControlCost `json:"gateway"`
+	Crash           Propagation `json:"crash_known"`
+	Join            Propagation `json:"join_known"`
+	FalseSuspicions int         `json:"false_doubts"` // number of suspicions refuted by running gateways
+	FalseRemovals   int         `json:"false_removals"`
+	// Observers is the number of gateways whose views were examined for false removals each second.
+	Observers int `json:"observers"`
+	// Recovered is the time from the end of the measured period until each view is correct, below 0 if that took more
+	// than 60 s.
+	Recovered float64 `json:"recovered_s"`
+	// Healed holds, for each partition of the regions, the time from its end until each view was correct. It lacks
+	// partitions after which that was not reached.
 	Healed        []float64      `json:"healed_s"`
 	Configuration *Configuration `json:"configuration,omitempty"`
 	Full          *Full          `json:"full,omitempty"`
 	Seconds       []Second       `json:"seconds"`
-	BrokenRules   []string       `json:"broken_rules"`
+	Violations    []string       `json:"broken_rules"`
 }
 
-// WriteJSON writes a result.
+// WriteJSON writes a result or a sweep as indented JSON.
 func WriteJSON(out io.Writer, r any) error {
 	enc := json.NewEncoder(out)
 	enc.SetIndent("", " ")
@@ -111,8 +114,8 @@
 
 func seconds(d time.Duration) float64 { return d.Seconds() }
 
-// amount sums figures up.
-func amount(list []float64) (a Amount) {
+// newSummary returns the mean and the largest of the values.
+func newSummary(list []float64) (a Summary) {
 	for _, v := range list {
 		a.Mean += v / float64(len(list))
 		a.Worst = max(a.Worst, v)
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -9,33 +9,33 @@
 	"thymebend/internal/lab/cputime"
 )
 
-// Times of a run.
+// Times and limits of a run.
 const (
-	joinWithin    = 2 * time.Minute // all gateways, after the last start
-	restFor       = 5 * time.Second // before the measured time
-	lookEvery     = 20 * time.Millisecond
-	secondEvery   = time.Second
-	drainFor      = 15 * time.Second // after the measured time, for what is not known yet
-	recoverWithin = 60 * time.Second
-	mostObservers = 32
-	removalGrace  = 3 * time.Second // in which a newcomer may be held for gone still
+	joinTimeout       = 2 * time.Minute // for the views of all gateways, from the last start on
+	stabilizationTime = 5 * time.Second // idle time before the measured period
+	pollInterval      = 20 * time.Millisecond
+	sampleInterval    = time.Second
+	propagationGrace  = 15 * time.Second // after the measured period, for events that not all gateways know yet
+	recoveryTimeout   = 60 * time.Second
+	maxObservers      = 32
+	removalGrace      = 3 * time.Second // after its start, in which others may still consider a gateway gone
 )
 
-// Progress tells how far a run is.
+// Progress is the progress of a run within its present phase.
 type Progress struct {
 	Phase string
-	At    time.Duration // in the phase
-	Of    time.Duration
+	At    time.Duration // virtual time since the begin of the phase
+	Of    time.Duration // expected length of the phase
 }
 
-// Run plays a fleet. Once ctx is done it returns what it has, marked partial. told is called now and
-// then; it may be nil.
-func Run(ctx context.Context, o Options, told func(Progress)) (*Result, error) {
+// Run simulates a fleet. Once ctx is done it returns the result to that point, marked as partial. progress is called at
+// the begin of each phase and every second of virtual time while measuring; it may be nil.
+func Run(ctx context.Context, o Options, progress func(Progress)) (*Result, error) {
 	if wrong := o.Check(); len(wrong) > 0 {
 		return nil, wrong[0]
 	}
-	if told == nil {
-		told = func(Progress) {}
+	if progress == nil {
+		progress = func(Progress) {}
 	}
 	defer cputime.Hold()()
 	began := time.Now()
@@ -43,39 +43,39 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &run{fleet: f, told: told, result: &Result{Version: ResultVersion, Options: o, Seconds: []Second{},
+	r := &run{fleet: f, progress: progress, result: &Result{Version: ResultVersion, Options: o, Seconds: []Second{},
 		Healed: []float64{}}}
-	r.play()
+	r.execute()
 	r.result.Partial = f.sim.Interrupted()
-	r.result.Took = time.Since(began).Seconds()
+	r.result.Elapsed = time.Since(began).Seconds()
 	return r.result, nil
 }
 
-// run is a fleet being measured.
+// run is the state of a run: the fleet and what was measured.
 type run struct {
 	*fleet
-	told       func(Progress)
-	result     *Result
-	changes    []*change
-	first      time.Duration   // until the first whole configuration was in force at all
-	removed    map[[2]int]bool // pairs of observer and subject held for gone at the last look
-	nextSecond time.Duration
-	sentAt     []uint64 // by the gateways, at the last second
+	progress        func(Progress)
+	result          *Result
+	changes         []*change
+	firstConfigTime time.Duration   // until the first whole configuration was in force at all gateways
+	falselyRemoved  map[[2]int]bool // pairs of an observer and the running gateway that it considered gone at the last check
+	nextSecond      time.Duration
+	sentAt          []uint64 // total bytes sent by each gateway at the last sample
 }
 
-func (r *run) play() {
+func (r *run) execute() {
 	if r.rollouts != nil {
 		r.startControl()
-		r.watchFirst()
+		r.watchFirstConfig()
 	}
 	r.startAll()
 	if r.sim.Interrupted() {
 		return
 	}
 	if r.rollouts != nil {
-		r.awaitFirst()
+		r.awaitFirstConfig()
 	}
-	r.sim.Run(r.sim.Now() + restFor)
+	r.sim.Run(r.sim.Now() + stabilizationTime)
 	r.measure()
 	if r.sim.Interrupted() {
 		return
@@ -83,80 +83,81 @@
 	r.recover()
 }
 
-// startAll starts all gateways, one after another, and waits until each knows all.
+// startAll starts all gateways, one after another, and waits until each view contains all of them.
 func (r *run) startAll() {
 	o := &r.options
-	length := time.Duration(o.Gateways) * startEvery
+	length := time.Duration(o.Gateways) * startInterval
 	for n := range o.Gateways {
-		r.sim.At(r.sim.Now()+time.Duration(n)*startEvery, func() { r.start(n, false) })
+		r.sim.At(r.sim.Now()+time.Duration(n)*startInterval, func() { r.start(n, false) })
 	}
-	r.told(Progress{Phase: "starting", Of: length})
+	r.progress(Progress{Phase: "starting", Of: length})
 	r.sim.Run(r.sim.Now() + length)
 	last := r.sim.Now()
-	r.told(Progress{Phase: "joining", Of: joinWithin})
-	if _, ok := r.sim.RunUntilConverged(joinWithin); ok {
-		r.result.Start.Settled = seconds(r.sim.Now() - last)
+	r.progress(Progress{Phase: "joining", Of: joinTimeout})
+	if _, ok := r.sim.RunUntilConverged(joinTimeout); ok {
+		r.result.Start.Converged = seconds(r.sim.Now() - last)
 	}
 	var sent, used []float64
 	for n := range o.Gateways {
 		sent, used = append(sent, float64(r.sim.Sent(n))), append(used, r.sim.CPUTime(n).Seconds())
 	}
-	r.result.Start.Sent, r.result.Start.Processor = amount(sent), amount(used)
+	r.result.Start.Sent, r.result.Start.Processor = newSummary(sent), newSummary(used)
 }
 
-// measure plays the measured time and what follows until all that happened in it is known.
+// measure runs the measured period and, for the events that not all gateways know yet, propagationGrace after it.
 func (r *run) measure() {
 	r.setLoss(r.options.Loss)
 	r.measuring = true
-	r.schedule()
+	r.scheduleEvents()
 	r.scheduleChanges()
-	before := r.meter()
+	before := r.takeReading()
 	begin := r.sim.Now()
-	doubts := r.doubts()
-	r.removed, r.nextSecond = make(map[[2]int]bool), begin
-	r.follow(begin, begin+r.options.For, "measuring")
-	r.sum(before, r.meter(), r.sim.Now()-begin)
-	r.result.Doubts = r.doubts() - doubts
-	r.result.Gateway.HeapMean = r.heap()
+	doubts := r.falseAlarms()
+	r.falselyRemoved, r.nextSecond = make(map[[2]int]bool), begin
+	r.advance(begin, begin+r.options.For, "measuring")
+	r.computeFigures(before, r.takeReading(), r.sim.Now()-begin)
+	r.result.FalseSuspicions = r.falseAlarms() - doubts
+	r.result.Gateway.HeapMean = r.heapPerGateway()
 	if !r.sim.Interrupted() {
-		r.follow(begin, r.sim.Now()+drainFor, "waiting for what is not known yet")
+		r.advance(begin, r.sim.Now()+propagationGrace, "waiting for what is not known yet")
 	}
-	r.result.Crash, r.result.Join = r.knowledge.spread(false), r.knowledge.spread(true)
-	r.result.BrokenRules = append([]string{}, r.sim.Findings...)
-	r.sumConfiguration()
+	r.result.Crash, r.result.Join = r.events.propagation(false), r.events.propagation(true)
+	r.result.Violations = append([]string{}, r.sim.Findings...)
+	r.summarizeConfiguration()
 }
 
-// follow lets time pass and looks at what is known.
-func (r *run) follow(begin, until time.Duration, phase string) {
+// advance runs the simulation until the given time, and updates the tracked events every pollInterval and the samples
+// every sampleInterval.
+func (r *run) advance(begin, until time.Duration, phase string) {
 	for r.sim.Now() < until && !r.sim.Interrupted() {
-		r.sim.Run(min(until, r.sim.Now()+lookEvery))
-		r.knowledge.look()
-		r.lookAtChanges()
-		r.lookForHealing()
+		r.sim.Run(min(until, r.sim.Now()+pollInterval))
+		r.events.update()
+		r.updateChanges()
+		r.recordHealing()
 		if r.sim.Now() >= r.nextSecond {
-			r.nextSecond += secondEvery
-			r.second(begin)
-			r.told(Progress{phase, r.sim.Now() - begin, until - begin})
+			r.nextSecond += sampleInterval
+			r.sampleSecond(begin)
+			r.progress(Progress{phase, r.sim.Now() - begin, until - begin})
 		}
 	}
 }
 
-// lookForHealing notes when all views are true after regions were parted. Restarts and failures
-// meanwhile put it off.
-func (r *run) lookForHealing() {
-	if r.mendedAt == 0 || r.parted || r.sim.Divergence() != "" {
+// recordHealing records when all views are correct after a partition of the regions. Restarts and failures in the
+// meantime delay it.
+func (r *run) recordHealing() {
+	if r.partitionEndedAt == 0 || r.partitioned || r.sim.Divergence() != "" {
 		return
 	}
-	r.result.Healed = append(r.result.Healed, seconds(r.sim.Now()-r.mendedAt))
-	r.mendedAt = 0
+	r.result.Healed = append(r.result.Healed, seconds(r.sim.Now()-r.partitionEndedAt))
+	r.partitionEndedAt = 0
 }
 
-// second notes a second of the run, and has the full gateways follow the view.
-func (r *run) second(begin time.Duration) {
+// sampleSecond records a second of the run, and has the full gateways observe their views.
+func (r *run) sampleSecond(begin time.Duration) {
 	for _, g := range r.full {
-		g.look(r.sim)
+		g.observe(r.sim)
 	}
-	r.lookForRemovals()
+	r.countFalseRemovals()
 	s := Second{At: seconds(r.sim.Now() - begin)}
 	sent := make([]uint64, r.options.Gateways)
 	var rates []float64
@@ -166,23 +167,24 @@
 			sent[n] += r.rollouts.Gateways[n].Sent
 		}
 		if r.sentAt != nil {
-			rates = append(rates, float64(sent[n]-r.sentAt[n])/secondEvery.Seconds())
+			rates = append(rates, float64(sent[n]-r.sentAt[n])/sampleInterval.Seconds())
 		}
 		if r.sim.Running(n) {
 			s.Alive++
 		}
 	}
 	if r.sentAt != nil {
-		a := amount(rates)
+		a := newSummary(rates)
 		s.Mean, s.Worst = a.Mean, a.Worst
 		r.result.Seconds = append(r.result.Seconds, s)
 	}
 	r.sentAt = sent
 }
 
-// lookForRemovals counts running gateways that an observer, which could hear them, holds for gone.
-func (r *run) lookForRemovals() {
-	observers := spread(min(mostObservers, r.options.Gateways), r.options.Gateways)
+// countFalseRemovals counts the running gateways that an observer considers gone although messages from them
+// could reach it.
+func (r *run) countFalseRemovals() {
+	observers := evenlySpaced(min(maxObservers, r.options.Gateways), r.options.Gateways)
 	r.result.Observers = len(observers)
 	now := make(map[[2]int]bool)
 	for _, n := range observers {
@@ -190,27 +192,27 @@
 			continue
 		}
 		for subject, node := range r.sim.Nodes {
-			if node.Membership == nil || r.sim.Now()-r.knowledge.born[subject] < removalGrace ||
+			if node.Membership == nil || r.sim.Now()-r.events.startedAt[subject] < removalGrace ||
 				r.sim.Net.Cut(n, subject) {
 				continue
 			}
 			if m, known := r.sim.Nodes[n].Membership.Find(node.Name); known && m.State == gossipcodec.Gone {
 				pair := [2]int{n, subject}
-				if now[pair] = true; !r.removed[pair] {
-					r.result.Removals++
+				if now[pair] = true; !r.falselyRemoved[pair] {
+					r.result.FalseRemovals++
 				}
 			}
 		}
 	}
-	r.removed = now
+	r.falselyRemoved = now
 }
 
-// recover ends all troubles and waits until each view is the truth.
+// recover ends all faults and waits until each view is correct.
 func (r *run) recover() {
-	r.parted = false
+	r.partitioned = false
 	r.setLoss(0)
-	r.told(Progress{Phase: "recovering", Of: recoverWithin})
-	took, ok := r.sim.RunUntilConverged(recoverWithin)
+	r.progress(Progress{Phase: "recovering", Of: recoveryTimeout})
+	took, ok := r.sim.RunUntilConverged(recoveryTimeout)
 	switch {
 	case r.sim.Interrupted():
 	case ok:
@@ -220,7 +222,7 @@
 	}
 }
 
-func (r *run) doubts() (sum int) {
+func (r *run) falseAlarms() (sum int) {
 	for _, node := range r.sim.Nodes {
 		if node.Membership != nil {
 			sum += int(node.Membership.Counts().FalseAlarms)
@@ -229,20 +231,20 @@
 	return sum
 }
 
-// reading is what each gateway has sent, received and used so far.
+// reading holds the total bytes sent and received and the total processor time of each gateway and control machine.
 type reading struct {
-	viewSent, viewTaken, configSent, configTaken []uint64
-	used                                         []time.Duration // views and agents
-	divided                                      []time.Duration // by the full gateways
-	control                                      []controlReading
+	viewSent, viewReceived, configSent, configReceived []uint64
+	cpuTime                                            []time.Duration // for the membership views and the configuration agents
+	divisionTime                                       []time.Duration // processor time of each full gateway for divisions
+	control                                            []controlReading
 }
 
 type controlReading struct {
-	sent, taken uint64
-	used        time.Duration
+	sent, received uint64
+	cpuTime        time.Duration
 }
 
-func (r *run) meter() (m reading) {
+func (r *run) takeReading() (m reading) {
 	for n := range r.options.Gateways {
 		used := r.sim.CPUTime(n)
 		var sent, taken uint64
@@ -250,12 +252,12 @@
 			g := r.rollouts.Gateways[n]
 			sent, taken, used = g.Sent, g.Received, used+g.CPUTime
 		}
-		m.viewSent, m.viewTaken = append(m.viewSent, r.sim.Sent(n)), append(m.viewTaken, r.sim.Received(n))
-		m.configSent, m.configTaken = append(m.configSent, sent), append(m.configTaken, taken)
-		m.used = append(m.used, used)
+		m.viewSent, m.viewReceived = append(m.viewSent, r.sim.Sent(n)), append(m.viewReceived, r.sim.Received(n))
+		m.configSent, m.configReceived = append(m.configSent, sent), append(m.configReceived, taken)
+		m.cpuTime = append(m.cpuTime, used)
 	}
 	for _, g := range r.full {
-		m.divided = append(m.divided, g.spent)
+		m.divisionTime = append(m.divisionTime, g.cpuTime)
 	}
 	if r.rollouts != nil {
 		for _, c := range r.rollouts.ControlMachines {
@@ -265,7 +267,7 @@
 	return m
 }
 
-// rates are the differences of two readings, a second.
+// rates returns the differences of two readings per second.
 func rates(before, after []uint64, length time.Duration) (list []float64) {
 	for n := range after {
 		list = append(list, float64(after[n]-before[n])/length.Seconds())
@@ -273,7 +275,7 @@
 	return list
 }
 
-func added(a, b []float64) []float64 {
+func sumPairwise(a, b []float64) []float64 {
 	out := slices.Clone(a)
 	for i := range out {
 		out[i] += b[i]
@@ -281,62 +283,62 @@
 	return out
 }
 
-// sum works the figures of the measured time out.
-func (r *run) sum(before, after reading, length time.Duration) {
-	if r.result.Lasted = seconds(length); length <= 0 {
+// computeFigures fills in the result's figures of the measured period from the readings at its begin and end.
+func (r *run) computeFigures(before, after reading, length time.Duration) {
+	if r.result.Measured = seconds(length); length <= 0 {
 		return
 	}
 	viewSent, viewTaken := rates(before.viewSent, after.viewSent, length),
-		rates(before.viewTaken, after.viewTaken, length)
+		rates(before.viewReceived, after.viewReceived, length)
 	sent, taken := rates(before.configSent, after.configSent, length),
-		rates(before.configTaken, after.configTaken, length)
+		rates(before.configReceived, after.configReceived, length)
 	b := &r.result.Gateway
-	b.View = Traffic{amount(viewSent), amount(viewTaken)}
-	b.Configuration = Traffic{amount(sent), amount(taken)}
-	b.All = Traffic{amount(added(viewSent, sent)), amount(added(viewTaken, taken))}
-	b.Processor = amount(loads(before.used, after.used, length))
+	b.View = Traffic{newSummary(viewSent), newSummary(viewTaken)}
+	b.Configuration = Traffic{newSummary(sent), newSummary(taken)}
+	b.All = Traffic{newSummary(sumPairwise(viewSent, sent)), newSummary(sumPairwise(viewTaken, taken))}
+	b.Processor = newSummary(cpuShares(before.cpuTime, after.cpuTime, length))
 	if len(r.full) > 0 {
-		r.sumFull(before, after, length)
+		r.summarizeFull(before, after, length)
 	}
 	if len(after.control) == 0 {
 		return
 	}
-	c := &Configuration{BrokenRules: []string{}}
+	c := &Configuration{Violations: []string{}}
 	var out, in, used []float64
 	for i, now := range after.control {
-		was := before.control[i]
-		out = append(out, float64(now.sent-was.sent)/length.Seconds())
-		in = append(in, float64(now.taken-was.taken)/length.Seconds())
-		used = append(used, (now.used-was.used).Seconds()/length.Seconds())
+		previous := before.control[i]
+		out = append(out, float64(now.sent-previous.sent)/length.Seconds())
+		in = append(in, float64(now.received-previous.received)/length.Seconds())
+		used = append(used, (now.cpuTime-previous.cpuTime).Seconds()/length.Seconds())
 	}
-	c.ControlSent, c.ControlTaken, c.ControlUsed = amount(out), amount(in), amount(used)
+	c.ControlSent, c.ControlReceived, c.ControlCPU = newSummary(out), newSummary(in), newSummary(used)
 	r.result.Configuration = c
 }
 
-// loads are the differences of two readings of processor time, in shares of a core.
-func loads(before, after []time.Duration, length time.Duration) (list []float64) {
+// cpuShares returns the differences of two readings of processor time in shares of a core.
+func cpuShares(before, after []time.Duration, length time.Duration) (list []float64) {
 	for n := range after {
 		list = append(list, (after[n]-before[n]).Seconds()/length.Seconds())
 	}
 	return list
 }
 
-func (r *run) sumFull(before, after reading, length time.Duration) {
-	full := &Full{Gateways: len(r.full), SettingsTime: seconds(r.begun.SettingsTime),
-		SettingsHeap: r.begun.SettingsHeap,
-		ListTime:     seconds(r.begun.ListTime), ListHeap: r.begun.ListHeap, Problems: []string{}}
+func (r *run) summarizeFull(before, after reading, length time.Duration) {
+	full := &Full{Gateways: len(r.full), SettingsTime: seconds(r.startCost.SettingsTime),
+		SettingsHeap: r.startCost.SettingsHeap,
+		ListTime:     seconds(r.startCost.ListTime), ListHeap: r.startCost.ListHeap, Problems: []string{}}
 	for _, g := range r.full {
-		full.Divisions += g.divided
-		full.DivisionLongest = max(full.DivisionLongest, g.longest.Seconds())
+		full.Divisions += g.divisions
+		full.DivisionLongest = max(full.DivisionLongest, g.longestObservation.Seconds())
 		full.Problems = append(full.Problems, g.problems...)
 	}
-	full.DivisionShare = amount(loads(before.divided, after.divided, length))
+	full.DivisionShare = newSummary(cpuShares(before.divisionTime, after.divisionTime, length))
 	r.result.Full = full
 }
 
-// heap is what the process holds for a gateway, without lists and settings of the full ones.
-func (r *run) heap() uint64 {
-	held := heapInUse()
-	apart := uint64(len(r.full)) * (r.begun.ListHeap + r.begun.SettingsHeap)
-	return (held - min(held, apart)) / uint64(r.options.Gateways)
+// heapPerGateway returns the heap in use per gateway in bytes, without the lists and settings of full gateways.
+func (r *run) heapPerGateway() uint64 {
+	total := heapInUse()
+	excluded := uint64(len(r.full)) * (r.startCost.ListHeap + r.startCost.SettingsHeap)
+	return (total - min(total, excluded)) / uint64(r.options.Gateways)
 }
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -13,8 +13,8 @@
 	"thymebend/internal/fielderror"
 )
 
-// small is a fleet that is played in a second or two.
-func small() Options {
+// smallFleet returns the options of a fleet whose run takes a second or two.
+func smallFleet() Options {
 	o := Defaults()
 	o.Gateways, o.Hosts, o.Services, o.Tenants, o.Routes, o.Full, o.For = 64, 500, 40, 500, 200, 1, 10*time.Second
 	return o
@@ -26,18 +26,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Partial || r.Broken() != "" {
-		t.Fatalf("partial %v, broken %q", r.Partial, r.Broken())
+	if r.Partial || r.FirstViolation() != "" {
+		t.Fatalf("partial %v, broken %q", r.Partial, r.FirstViolation())
 	}
 	return r
 }
 
-// What a gateway sends for its view does not grow with the fleet while nothing happens, and its heap
-// grows by what one more member takes, not with the square.
-func TestSlopesOfAFleetAtRest(t *testing.T) {
+// Verifies that, without events, the bytes that a gateway sends for its view do not grow with the fleet, and that
+// its heap grows linearly with the number of members, not quadratically.
+func TestCostGrowthOfAnIdleFleet(t *testing.T) {
 	var s Sweep
 	for _, n := range []int{16, 32, 64} {
-		o := small()
+		o := smallFleet()
 		o.Gateways, o.Full = n, 0
 		s.Results = append(s.Results, mustRun(t, o))
 	}
@@ -47,20 +47,21 @@
 		switch {
 		case strings.HasPrefix(l.Figure, "view, bytes sent a second, mean") && growth > 1.1:
 			t.Errorf("%s: %.2f times as many bytes at four times the size", l.Figure, growth)
-		case strings.HasPrefix(l.Figure, "start of all: bytes") && growth > 6: // n log n would be 5.6
+		case strings.HasPrefix(l.Figure, "start of all: bytes") && growth > 6: // growth as n log n would be 5.6
 			t.Errorf("%s: %.2f times at four times the size", l.Figure, growth)
 		case strings.HasPrefix(l.Figure, "heap") && growth > 4:
 			t.Errorf("%s: %.2f times at four times the size", l.Figure, growth)
 		}
 	}
 	if sent := s.Results[2].Gateway.View.Sent; sent.Mean > 400 || sent.Worst > 600 {
-		t.Errorf("64 gateways at rest: %.0f bytes a second in the mean, %.0f at most", sent.Mean, sent.Worst)
+		t.Errorf("64 idle gateways sent %.0f bytes a second in the mean, %.0f at most; want at most 400 and 600", sent.Mean, sent.Worst)
 	}
 }
 
-// With loss and stalls, crashes and restarts are known in their time, within the bytes that control may take.
-func TestASmallFleetInTrouble(t *testing.T) {
-	o := small()
+// Verifies that, with loss and stalls, crashes, joins and configuration changes are known in time, and that no running
+// gateway is removed.
+func TestSmallFleetUnderFaults(t *testing.T) {
+	o := smallFleet()
 	o.Loss, o.Stalls, o.Restarts, o.Failures, o.Changes = 0.05, 0.1, 3, 2, 4
 	r := mustRun(t, o)
 	if r.Crash.Count != 2 || r.Join.Count != 5 || r.Crash.Unfinished+r.Join.Unfinished > 0 {
@@ -69,11 +70,11 @@
 	if r.Crash.Worst.All > 8 || r.Join.Worst.All > 4 {
 		t.Errorf("crashes known after %v, joins after %v", r.Crash.Worst, r.Join.Worst)
 	}
-	if r.Removals > 0 {
-		t.Errorf("%d false removals", r.Removals)
+	if r.FalseRemovals > 0 {
+		t.Errorf("%d false removals", r.FalseRemovals)
 	}
 	c := r.Configuration
-	if c == nil || c.Submitted != 4 || c.Unfinished > 0 || c.Worst.All > changeAim.Seconds() {
+	if c == nil || c.Submitted != 4 || c.Unfinished > 0 || c.Worst.All > changeObjective.Seconds() {
 		t.Errorf("configuration %+v", c)
 	}
 	if r.Full == nil || r.Full.Divisions == 0 || len(r.Full.Problems) > 0 {
@@ -81,29 +82,29 @@
 	}
 }
 
-// A zone that fails is back, and regions that were parted find each other.
-func TestZonesAndRegionsRecover(t *testing.T) {
-	o := small()
+// Verifies that a failed zone rejoins, and that the views are correct again after a partition of the regions.
+func TestZonesAndRegionsRecoverAfterFaults(t *testing.T) {
+	o := smallFleet()
 	o.Full, o.For = 0, 30*time.Second
-	o.Faults = []Fault{{Kind: ZoneFails, At: 0, For: 8 * time.Second}, {Kind: RegionsPart, At: 12 * time.Second,
+	o.Faults = []Fault{{Kind: ZoneFails, At: 0, For: 8 * time.Second}, {Kind: RegionsPartition, At: 12 * time.Second,
 		For: 12 * time.Second}}
 	r := mustRun(t, o)
 	if r.Crash.Count < 9 || r.Join.Count < 9 || r.Recovered < 0 {
 		t.Errorf("crashes %d, joins %d, recovered after %v s", r.Crash.Count, r.Join.Count, r.Recovered)
 	}
 	if len(r.Healed) != 1 || r.Healed[0] > 10 {
-		t.Errorf("regions that were parted found each other after %v s", r.Healed)
+		t.Errorf("healed %v s after the partition of the regions; want one value of 10 at most", r.Healed)
 	}
 	if least := r.Seconds[5].Alive; least > 55 {
-		t.Errorf("%d of 64 gateways run while a zone is down", least)
+		t.Errorf("%d of 64 gateways run while a zone is down; want 55 at most", least)
 	}
 }
 
-// The same seed is the same run, but for this machine's figures.
-func TestSameSeedSameFleet(t *testing.T) {
+// Verifies that two runs of the same seed give the same figures, except those measured on this machine.
+func TestSameSeedReproducesTheRun(t *testing.T) {
 	var runs []string
 	for range 2 {
-		o := small()
+		o := smallFleet()
 		o.Loss, o.Restarts, o.Changes = 0.1, 3, 3
 		r := mustRun(t, o)
 		runs = append(runs, fmt.Sprint(r.Gateway.All, r.Crash, r.Join, r.Seconds, r.Configuration.Median))
@@ -113,35 +114,35 @@
 	}
 }
 
-// ending is a context that is done after it was looked at some times.
-type ending struct {
+// cancelAfterChecks is a context whose Err reports cancellation after a number of calls.
+type cancelAfterChecks struct {
 	context.Context
-	left atomic.Int64
+	remaining atomic.Int64
 }
 
 // Err implements context.Context.
-func (e *ending) Err() error {
-	if e.left.Add(-1) >= 0 {
+func (e *cancelAfterChecks) Err() error {
+	if e.remaining.Add(-1) >= 0 {
 		return nil
 	}
 	return context.Canceled
 }
 
-// Told to end at any point, a run returns what it has and says that it is partial.
-func TestAnEndedRunIsPartial(t *testing.T) {
-	for _, looks := range []int64{0, 1, 50, 400, 900} {
-		o := small()
+// Verifies that a run that is interrupted at any point returns a result marked as partial.
+func TestInterruptedRunIsPartial(t *testing.T) {
+	for _, checks := range []int64{0, 1, 50, 400, 900} {
+		o := smallFleet()
 		o.Changes, o.For = 2, 10*time.Minute
-		ctx := &ending{Context: t.Context()}
-		ctx.left.Store(looks)
+		ctx := &cancelAfterChecks{Context: t.Context()}
+		ctx.remaining.Store(checks)
 		if r, err := Run(ctx, o, nil); err != nil || !r.Partial {
-			t.Errorf("after %d looks: %v", looks, err)
+			t.Errorf("interrupted after %d checks of the context: not marked as partial, or error %v", checks, err)
 		}
 	}
 }
 
-// Each option out of its range is named with what is possible.
-func TestOptionsOutOfRange(t *testing.T) {
+// Verifies that the error for an option out of its range names the option.
+func TestOptionsOutOfRangeNameTheirField(t *testing.T) {
 	for field, change := range map[string]func(o *Options){
 		"gateways":      func(o *Options) { o.Gateways = 2 },
 		"hosts":         func(o *Options) { o.Hosts = 1 << 20 },
@@ -171,12 +172,13 @@
 		}
 	}
 	if wrong := new(Options); len(wrong.Check()) < 5 {
-		t.Errorf("nothing given: %v", wrong.Check())
+		t.Errorf("zero options: %v", wrong.Check())
 	}
 }
 
-// A faulty file names line, column and field; a good one goes over the defaults.
-func TestFiles(t *testing.T) {
+// Verifies that a file's options replace the defaults, that errors name line, column and field, and that faults of
+// the command line are parsed.
+func TestParseFilesAndFaults(t *testing.T) {
 	good := "gateways = 100\nfor = \"2m\"\n[[fault]]\ndo = \"zone\"\nat = \"10s\"\nfor = \"30s\"\n"
 	o, err := Parse("x.toml", []byte(good), Defaults())
 	if err != nil || o.Gateways != 100 || o.Hosts != 7700 || len(o.Faults) != 1 ||
@@ -210,8 +212,8 @@
 	}
 }
 
-// A fit finds both forms again, and says what a size that was left out should show.
-func TestFits(t *testing.T) {
+// Verifies that the fit finds the parameters of both forms, and predicts the figure of another size.
+func TestFitLineFindsBothForms(t *testing.T) {
 	sizes := []float64{50, 100, 200, 400}
 	line := FitLine("line", sizes, []float64{110, 210, 410, 810})
 	if line.Power || math.Abs(line.Slope-2) > 1e-9 || math.Abs(line.Base-10) > 1e-6 || line.Residual > 1e-9 {
