--- a/internal/lab/cli/cli.go
+++ b/internal/lab/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the command line of thymelab. It reads arguments, calls the laboratory's libraries and turns
-// what they return into words and exit codes.
+// Package cli is the command line of thymelab. It parses the arguments, calls the laboratory's packages, prints their
+// results and sets the exit code.
 package cli
 
 import (
@@ -20,38 +20,42 @@
 	"thymebend/internal/lab/load"
 )
 
-// The exit codes.
+// Exit codes of thymelab.
 const (
-	exitOK     = 0
-	exitBroken = 1 // a standing rule was broken
-	exitInput  = 2 // the input cannot be used
-	exitBehind = 3 // the generator fell behind
-	exitEarly  = 4 // told to end by SIGINT or SIGTERM: what was written is partial
+	exitOK              = 0
+	exitViolation       = 1 // a run violated an invariant
+	exitBadInput        = 2 // the arguments or an input file cannot be used
+	exitGeneratorBehind = 3 // the load generator fell behind its schedule
+	exitInterrupted     = 4 // interrupted by SIGINT or SIGTERM; the output is partial
 )
 
-// env is what a command works with.
-type env struct {
+// environment holds what a command uses: the context that a signal cancels, the outputs and the log.
+type environment struct {
 	ctx      context.Context
 	out, err io.Writer
 	log      zerolog.Logger
 }
 
-// coded is an end with an exit code; an empty text prints nothing.
-type coded struct {
+// exitError ends thymelab with an exit code. The text is printed unless it is empty.
+type exitError struct {
 	code int
 	text string
 }
 
-func (c coded) Error() string { return c.text }
+func (c exitError) Error() string { return c.text }
 
-// early is the end of a command that was told to end before it was through, once it has written what it had.
-func early() error { return coded{exitEarly, "told to end: partial"} }
+// interruptedError returns the error of a command that was interrupted before its end. The command returns it after it
+// has written its partial results.
+func interruptedError() error {
+	return exitError{exitInterrupted, "interrupted by a signal: the output is partial"}
+}
 
-func input(err error) error {
+// inputError returns err with the exit code of unusable input.
+func inputError(err error) error {
 	if err == nil {
 		return nil
 	}
-	return coded{exitInput, err.Error()}
+	return exitError{exitBadInput, err.Error()}
 }
 
 type grammar struct {
@@ -60,7 +64,7 @@
 	Fleet    fleetCmd    `cmd:"" help:"Start the hosts and discovery of an experiment alone, until SIGTERM."`
 	Compare  compareCmd  `cmd:"" help:"Write one page that compares two runs."`
 	Seeds    seedsCmd    `cmd:"" help:"Play seeded fault runs of the whole gateway on a virtual clock."`
-	Drill    drillCmd    `cmd:"" help:"Start several gateways with relays between them, break paths and processes, and hold the rules."`
+	Drill    drillCmd    `cmd:"" help:"Start several gateways with relays between them, break paths and processes, and verify the invariants."`
 	Soak     soakCmd     `cmd:"" help:"Play random drills of 10 to 40 gateways with faults that overlap."`
 	Shares   sharesCmd   `cmd:"" help:"Compare ways to divide hosts among gateways."`
 	Scale    scaleCmd    `cmd:"" help:"Play the control of a whole fleet at its full size on the virtual clock."`
@@ -75,7 +79,7 @@
 func Main(args []string, out, errOut io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	e := &env{ctx: ctx, out: out, err: errOut,
+	e := &environment{ctx: ctx, out: out, err: errOut,
 		log: zerolog.New(zerolog.ConsoleWriter{Out: errOut, TimeFormat: time.TimeOnly,
 			NoColor: !terminal(errOut)}).With().Timestamp().Logger()}
 	exited := -1
@@ -86,22 +90,22 @@
 			"A first try: thymelab run experiments/calm.toml --out /tmp/calm"))
 	if err != nil {
 		fmt.Fprintln(errOut, "thymelab:", err)
-		return exitInput
+		return exitBadInput
 	}
 	k, err := parser.Parse(args)
 	switch {
-	case exited >= 0: // help was asked for
+	case exited >= 0: // kong has printed the help
 		return exited
 	case err != nil:
 		fmt.Fprintf(errOut, "thymelab: %v\nthymelab --help lists the commands and their options\n", err)
-		return exitInput
+		return exitBadInput
 	}
 	if err = k.Run(); err == nil {
 		return exitOK
 	}
-	var c coded
+	var c exitError
 	if !errors.As(err, &c) {
-		c = coded{exitInput, err.Error()}
+		c = exitError{exitBadInput, err.Error()}
 	}
 	if c.text != "" {
 		fmt.Fprintln(errOut, "thymelab:", c.text)
@@ -114,8 +118,9 @@
 	return ok && term.IsTerminal(int(f.Fd()))
 }
 
-// progress shows how far a run is: a bar on a terminal, a line every five seconds elsewhere.
-func (e *env) progress(length time.Duration) func(load.Progress) {
+// progress returns a function that reports the progress of a run of the given length: as a bar if standard error is a
+// terminal, otherwise as a log line every five seconds.
+func (e *environment) progress(length time.Duration) func(load.Progress) {
 	if !terminal(e.err) {
 		next := 5 * time.Second
 		return func(p load.Progress) {
--- a/internal/lab/cli/cli_test.go
+++ b/internal/lab/cli/cli_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestUnusableInputIsTwo(t *testing.T) {
+func TestUnusableInputExitsWith2(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(bad, []byte("name = \"x\"\nnmae = 1\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -64,8 +64,8 @@
 	}
 }
 
-// A target that is down is measured, and the figures hold the documented fields.
-func TestLoadWritesItsFigures(t *testing.T) {
+// Verifies that load measures a target that is down, and that the JSON figures contain the documented fields.
+func TestLoadWritesFigures(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -99,18 +99,18 @@
 	}
 }
 
-// A run in which the generator fell behind ends with 3 and shows no latencies.
-func TestFallingBehindIsThree(t *testing.T) {
+// Verifies that a load in which the generator fell behind exits with 3 and prints no latencies.
+func TestGeneratorFallingBehindExitsWith3(t *testing.T) {
 	var out bytes.Buffer
-	e := &env{out: &out, err: &out}
-	err := loadCmd{}.conclude(e, load.Result{FellBehind: true, Behind: "late"}, requestrecord.NewClients())
-	if c, ok := err.(coded); !ok || c.code != 3 || strings.Contains(out.String(), "p99") {
+	e := &environment{out: &out, err: &out}
+	err := loadCmd{}.reportResult(e, load.Result{FellBehind: true, Behind: "late"}, requestrecord.NewClients())
+	if c, ok := err.(exitError); !ok || c.code != 3 || strings.Contains(out.String(), "p99") {
 		t.Errorf("%v %s", err, out.String())
 	}
 }
 
-// One small day from end to end: run, exit code, page without references outside, comparison, trace, and the
-// trace replayed against the same kind of fleet.
+// Runs a small experiment end to end. Verifies the exit code, that the pages refer to no outside resource, the
+// comparison, the trace, and that load replays the trace at its recorded times.
 func TestRunCompareTrace(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "thymebend")
@@ -177,6 +177,6 @@
 	began := time.Now()
 	code, out, errs := call("load", "--target", ln.Addr().String(), "--class", "view=1", "--trace", trace)
 	if code != 0 || !strings.Contains(out, "scheduled 60,") || time.Since(began) < time.Second {
-		t.Errorf("replayed: %d %s %s", code, out, errs)
+		t.Errorf("replay of the trace: exit code %d %s %s", code, out, errs)
 	}
 }
--- a/internal/lab/cli/compare.go
+++ b/internal/lab/cli/compare.go
@@ -14,25 +14,25 @@
 	Out string `required:"" placeholder:"FILE" help:"The page to write."`
 }
 
-// Help implements kong's.
+// Help implements kong.HelpProvider.
 func (compareCmd) Help() string {
 	return "Example:\n  thymelab compare /tmp/before /tmp/after --out /tmp/compare.html"
 }
 
-// Run implements kong's.
-func (c compareCmd) Run(e *env) error {
-	a, err := experiment.ReadJSON(c.A)
+// Run executes the command; kong calls it.
+func (c compareCmd) Run(e *environment) error {
+	first, err := experiment.ReadJSON(c.A)
 	if err != nil {
-		return input(err)
+		return inputError(err)
 	}
-	b, err := experiment.ReadJSON(c.B)
+	second, err := experiment.ReadJSON(c.B)
 	if err != nil {
-		return input(err)
+		return inputError(err)
 	}
-	if err := writeFile(c.Out, func(w io.Writer) error { return report.Compare(w, a, b) }); err != nil {
-		return input(err)
+	if err := writeFile(c.Out, func(w io.Writer) error { return report.Compare(w, first, second) }); err != nil {
+		return inputError(err)
 	}
-	fmt.Fprintf(e.out, "goodput by worth %.4f against %.4f; report: %s\n", a.Load.Goodput, b.Load.Goodput, c.Out)
+	fmt.Fprintf(e.out, "goodput by worth %.4f against %.4f; report: %s\n", first.Load.Goodput, second.Load.Goodput, c.Out)
 	return nil
 }
 
@@ -41,20 +41,20 @@
 	Out string `required:"" placeholder:"FILE" help:"The trace to write."`
 }
 
-// Help implements kong's.
+// Help implements kong.HelpProvider.
 func (traceCmd) Help() string {
 	return "Example:\n  thymelab trace /tmp/rush --out rush.trace\n  thymelab load --target 127.0.0.1:8443 --trace rush.trace"
 }
 
-// Run implements kong's.
-func (c traceCmd) Run(e *env) error {
+// Run executes the command; kong calls it.
+func (c traceCmd) Run(e *environment) error {
 	n := 0
 	err := writeFile(c.Out, func(w io.Writer) (err error) {
 		n, err = experiment.Trace(c.Dir, w)
 		return err
 	})
 	if err != nil {
-		return input(err)
+		return inputError(err)
 	}
 	fmt.Fprintf(e.out, "%d requests in %s\n", n, c.Out)
 	return nil
--- a/internal/lab/cli/drill.go
+++ b/internal/lab/cli/drill.go
@@ -20,21 +20,21 @@
 	Seed    uint64 `placeholder:"N" help:"Instead of the file's."`
 }
 
-// Help implements kong's.
+// Help implements kong.HelpProvider.
 func (drillCmd) Help() string {
 	return "Example:\n  thymelab drill experiments/drills/partition.toml --out /tmp/partition\n\n" +
-		"Exit codes: 0 all rules held, 1 a rule was broken, 2 unusable file or a drill that could not be played, 4 told to end: partial."
+		"Exit codes: 0 all rules held, 1 a rule was broken, 2 unusable file or a drill that could not be played, 4 interrupted by a signal: the output is partial."
 }
 
-// Run implements kong's.
-func (c drillCmd) Run(e *env) error {
+// Run executes the command; kong calls it.
+func (c drillCmd) Run(e *environment) error {
 	f, err := drill.Load(c.Drill)
 	if err != nil {
 		var faults fielderror.List
 		if errors.As(err, &faults) {
-			return coded{exitInput, faults.Error()}
+			return exitError{exitBadInput, faults.Error()}
 		}
-		return input(err)
+		return inputError(err)
 	}
 	length := f.Length()
 	e.log.Info().Str("drill", f.Name).Stringer("for", length).Int("gateways", f.Gateways.Count).Int("faults",
@@ -46,26 +46,26 @@
 				f.ID).Msg(f.Detail)
 		}})
 	if err != nil {
-		return input(err)
+		return inputError(err)
 	}
 	if err := res.WriteJSON(c.Out); err != nil {
-		return input(err)
+		return inputError(err)
 	}
 	page := filepath.Join(c.Out, "report.html")
 	if err := writeFile(page, func(w io.Writer) error { return report.WriteDrill(w, res) }); err != nil {
-		return input(err)
+		return inputError(err)
 	}
 	fmt.Fprint(e.out, report.Text(res.Result))
 	fmt.Fprintf(e.out, "report: %s\n", page)
 	if res.Load.PartialInput {
-		return early()
+		return interruptedError()
 	}
 	if !res.Held {
-		var first []string
-		for _, x := range res.Findings[:min(10, len(res.Findings))] {
-			first = append(first, fmt.Sprintf("%s: %s: %s", x.Rule, x.ID, x.Detail))
+		var lines []string
+		for _, finding := range res.Findings[:min(10, len(res.Findings))] {
+			lines = append(lines, fmt.Sprintf("%s: %s: %s", finding.Rule, finding.ID, finding.Detail))
 		}
-		return coded{exitBroken, "a rule was broken\n" + strings.Join(first, "\n")}
+		return exitError{exitViolation, "a rule was broken\n" + strings.Join(lines, "\n")}
 	}
 	return nil
 }
--- a/internal/lab/cli/early_test.go
+++ b/internal/lab/cli/early_test.go
@@ -11,35 +11,35 @@
 	"time"
 )
 
-// endsWithin is how soon a command that was told to end must have ended, on a busy machine and with the
-// race detector.
-const endsWithin = 5 * time.Second
+// maxStopDelay is the time within which a cancelled command must end, on a busy machine and with the race detector.
+const maxStopDelay = 5 * time.Second
 
-// looksBefore is how often a command finds that it is not told to end before it is: it is under way then.
-const looksBefore = 20
+// checksBeforeCancel is the number of checks of the context that succeed before it is cancelled, so that the command
+// is running by then.
+const checksBeforeCancel = 20
 
-// countdown is a context that is done once its Err was asked for often enough. The commands look at it
-// as they go on.
-type countdown struct {
+// cancelAfterChecks is a context whose Err reports cancellation after a number of calls. The commands call it while
+// they run.
+type cancelAfterChecks struct {
 	context.Context
-	left atomic.Int64
-	told atomic.Int64 // when it was done, in Unix nanoseconds
+	remaining   atomic.Int64
+	cancelledAt atomic.Int64 // time of the cancellation in Unix nanoseconds
 }
 
 // Err implements context.Context.
-func (c *countdown) Err() error {
-	if c.left.Add(-1) >= 0 {
+func (c *cancelAfterChecks) Err() error {
+	if c.remaining.Add(-1) >= 0 {
 		return nil
 	}
-	c.told.CompareAndSwap(0, time.Now().UnixNano())
+	c.cancelledAt.CompareAndSwap(0, time.Now().UnixNano())
 	return context.Canceled
 }
 
-// Each of these would run for a minute or more. Told to end, it does so with what it has, says that it
-// is partial, and ends with a code of its own.
-func TestLongCommandsEndEarly(t *testing.T) {
+// Each of these commands, except plan, would run for a minute or more. Verifies that a cancelled command stops within
+// maxStopDelay, reports its output as partial, and exits with exitInterrupted.
+func TestLongCommandsStopWhenCancelled(t *testing.T) {
 	plan := filepath.Join("..", "simulation", "testdata", "turned-away-burst.json")
-	for name, command := range map[string]interface{ Run(*env) error }{
+	for name, command := range map[string]interface{ Run(*environment) error }{
 		"view":         viewCmd{Nodes: 400, Seed: 1, Loss: 0.05, Without: "none"},
 		"view --plots": viewCmd{Nodes: 400, Seed: 1, Loss: 0.05, Without: "none", Plots: t.TempDir()},
 		"seeds":        seedsCmd{From: 1, Count: 1 << 40, Jobs: 1},
@@ -56,21 +56,21 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var out, errs bytes.Buffer
-			ctx := &countdown{Context: t.Context()}
-			ctx.left.Store(looksBefore)
+			ctx := &cancelAfterChecks{Context: t.Context()}
+			ctx.remaining.Store(checksBeforeCancel)
 			if name == "plan" {
-				ctx.left.Store(1) // it is short
+				ctx.remaining.Store(1) // the plan is short
 			}
-			var end coded
-			if err := command.Run(&env{ctx: ctx, out: &out, err: &errs}); !errors.As(err, &end) ||
-				end.code != exitEarly {
+			var end exitError
+			if err := command.Run(&environment{ctx: ctx, out: &out, err: &errs}); !errors.As(err, &end) ||
+				end.code != exitInterrupted {
 				t.Errorf("%v\n%s", err, out.String())
 			}
-			if took := time.Since(time.Unix(0, ctx.told.Load())); took > endsWithin {
-				t.Errorf("ended %v after it was told to", took)
+			if took := time.Since(time.Unix(0, ctx.cancelledAt.Load())); took > maxStopDelay {
+				t.Errorf("ended %v after the cancellation, want at most %v", took, maxStopDelay)
 			}
 			if !strings.Contains(out.String()+end.text, "partial") {
-				t.Errorf("not said to be partial: %s %s", out.String(), end.text)
+				t.Errorf("output not reported as partial: %s %s", out.String(), end.text)
 			}
 		})
 	}
--- a/internal/lab/cli/load.go
+++ b/internal/lab/cli/load.go
@@ -19,80 +19,80 @@
 type loadCmd struct {
 	Target      []string      `required:"" sep:"," placeholder:"ADDR" help:"Where to send, host:port on loopback; several are taken in turn."`
 	Rate        float64       `default:"100" help:"Requests a second, if neither --shape nor --trace is given."`
-	For         time.Duration `default:"10s" help:"How long."`
+	For         time.Duration `default:"10s" help:"Length of the load."`
 	Class       []string      `placeholder:"NAME=SHARE" help:"A class and its share of the requests; may be repeated. Without any: tender-view=0.64 and bid-lodge=0.36."`
 	Unsafe      []string      `default:"bid-lodge" placeholder:"NAME" help:"Classes sent by POST, which must not run twice."`
 	Arrivals    string        `enum:"even,poisson" default:"even" help:"Evenly spaced, or at random times (poisson)."`
 	Shape       string        `type:"existingfile" placeholder:"FILE" help:"TOML with [[phase]] tables, as in an experiment."`
 	Trace       string        `type:"existingfile" placeholder:"FILE" help:"A recorded trace."`
-	Patience    time.Duration `default:"2s" help:"How long a client waits for its answer."`
-	Aim         time.Duration `default:"800ms" help:"An answer is wanted within this."`
+	Patience    time.Duration `default:"2s" help:"Client timeout: the time that a client waits for its answer."`
+	Aim         time.Duration `default:"800ms" help:"Latency objective of an answer."`
 	Body        int           `default:"200" help:"Bytes of a POST's body."`
 	Connections int           `help:"Connections opened before the first request; further ones are opened when all are busy."`
 	Retries     float64       `help:"Further tries of a request that was refused or failed."`
-	Backoff     string        `enum:"fixed,exp" default:"fixed" help:"Of the waits before retries: all alike, or doubling (exp)."`
-	Wait        time.Duration `default:"100ms" help:"Before the first retry."`
+	Backoff     string        `enum:"fixed,exp" default:"fixed" help:"Waits before retries: constant (fixed), or doubling (exp)."`
+	Wait        time.Duration `default:"100ms" help:"Wait before the first retry."`
 	Honour      float64       `default:"1" help:"Share of the clients that wait as long as Retry-After says."`
-	Seed        uint64        `default:"1" help:"Of all that is random."`
-	Notice      time.Duration `default:"1s" help:"A target whose connects fail for so long is left out until its health is good."`
+	Seed        uint64        `default:"1" help:"Seed of all random decisions."`
+	Notice      time.Duration `default:"1s" help:"A target whose connects fail for this time gets no requests until its health is good."`
 	JSON        string        `name:"json" placeholder:"FILE" help:"Write the figures here; - for standard output."`
 }
 
-// Help implements kong's.
+// Help implements kong.HelpProvider.
 func (loadCmd) Help() string {
 	return "Example:\n  thymelab load --target 127.0.0.1:8443 --rate 300 --for 20s --class tender-view=0.7 --class bid-lodge=0.3 --json out.json\n\n" +
 		"Requests leave on schedule whatever the answers; latency counts from the time at which a request was due.\n" +
-		"A target that is down is data. Exit codes: 0 measured, 2 unusable input, 3 the generator fell behind, 4 told to end: partial."
+		"A target that is down is data. Exit codes: 0 measured, 2 unusable input, 3 the generator fell behind, 4 interrupted by a signal: the output is partial."
 }
 
-// Run implements kong's.
-func (c loadCmd) Run(e *env) error {
+// Run executes the command; kong calls it.
+func (c loadCmd) Run(e *environment) error {
 	classes, err := c.classes()
 	if err != nil {
-		return input(err)
+		return inputError(err)
 	}
 	for _, t := range c.Target {
-		if err := loopback(t); err != nil {
-			return input(err)
+		if err := requireLoopback(t); err != nil {
+			return inputError(err)
 		}
 	}
 	schedule, clients, length, err := c.schedule(classes)
 	if err != nil {
-		return input(err)
+		return inputError(err)
 	}
-	tries := requestrecord.NewClients()
+	ledger := requestrecord.NewClients()
 	res, err := load.Run(e.ctx, load.Options{Targets: c.Target, Classes: classes, Schedule: schedule,
 		Clients: clients, Seed: c.Seed,
-		// ids are new in every run: the target may know old ones
+		// Request ids differ in every run, because the target may still know the ids of an earlier run.
 		Prefix: fmt.Sprintf("%08x", uint32(time.Now().UnixNano())),
-		Notice: c.Notice, Ledger: tries, Progress: e.progress(length)})
+		Notice: c.Notice, Ledger: ledger, Progress: e.progress(length)})
 	if err != nil {
-		return input(err)
+		return inputError(err)
 	}
-	return c.conclude(e, res, tries)
+	return c.reportResult(e, res, ledger)
 }
 
-// schedule is when requests leave, how clients act and how long the load lasts: by a trace, a shape, or
-// the rate.
+// schedule returns when requests are sent, how clients behave and how long the load lasts. They come from the trace,
+// the shape file, or the rate.
 func (c loadCmd) schedule(classes []load.Class) (load.Schedule, load.Clients, time.Duration, error) {
 	clients := load.Clients{Retries: c.Retries, Backoff: c.Backoff, Wait: c.Wait, Honour: c.Honour, Marks: true,
 		Connections: c.Connections}
 	list, length := []load.Phase{{For: c.For, Rate: c.Rate, Poisson: c.Arrivals == "poisson"}}, c.For
 	switch {
 	case c.Shape != "" && c.Trace != "":
-		return nil, clients, 0, errors.New("--shape and --trace cannot go together")
+		return nil, clients, 0, errors.New("--shape and --trace cannot be combined")
 	case c.Trace != "":
 		schedule, err := readTrace(c.Trace, classes)
 		return schedule, clients, length, err
 	case c.Shape != "":
-		own, acts, err := experiment.LoadShape(c.Shape, classes)
+		phases, clientSettings, err := experiment.LoadShape(c.Shape, classes)
 		if err != nil {
 			return nil, clients, 0, err
 		}
-		if acts != nil {
-			clients = *acts
+		if clientSettings != nil {
+			clients = *clientSettings
 		}
-		list, length = own, load.Length(own)
+		list, length = phases, load.Length(phases)
 	}
 	schedule, err := load.Phases(classes, list, c.Seed)
 	return schedule, clients, length, err
@@ -108,21 +108,22 @@
 	var out []load.Class
 	for _, text := range c.Class {
 		name, number, ok := strings.Cut(text, "=")
-		part, err := strconv.ParseFloat(number, 64)
-		if !ok || err != nil || !(part >= 0 && part < 1e9) || name == "" || strings.ContainsAny(name, " /?") {
-			return nil, fmt.Errorf("--class %q: wanted NAME=SHARE, such as tender-view=0.64", text)
+		share, err := strconv.ParseFloat(number, 64)
+		if !ok || err != nil || !(share >= 0 && share < 1e9) || name == "" || strings.ContainsAny(name, " /?") {
+			return nil, fmt.Errorf("--class %q: want NAME=SHARE, such as tender-view=0.64", text)
 		}
-		k := load.Class{Name: name, Share: part, Unsafe: slices.Contains(c.Unsafe, name), Worth: 1, Aim: c.Aim,
+		class := load.Class{Name: name, Share: share, Unsafe: slices.Contains(c.Unsafe, name), Worth: 1, Aim: c.Aim,
 			Patience: c.Patience}
-		if k.Unsafe {
-			k.Body = c.Body
+		if class.Unsafe {
+			class.Body = c.Body
 		}
-		out = append(out, k)
+		out = append(out, class)
 	}
 	return out, nil
 }
 
-func (c loadCmd) conclude(e *env, res load.Result, tries *requestrecord.ClientRecord) error {
+// reportResult prints and writes the result, and returns the error that sets the exit code.
+func (c loadCmd) reportResult(e *environment, res load.Result, tries *requestrecord.ClientRecord) error {
 	twice := 0
 	for _, t := range tries.Tries() {
 		if t.Answers > 1 {
@@ -135,7 +136,7 @@
 	if c.JSON != "" {
 		raw, err := json.MarshalIndent(res, "", " ")
 		if err != nil {
-			return input(err)
+			return inputError(err)
 		}
 		raw = append(raw, '\n')
 		if c.JSON == "-" {
@@ -144,7 +145,7 @@
 			err = os.WriteFile(c.JSON, raw, 0o644)
 		}
 		if err != nil {
-			return input(err)
+			return inputError(err)
 		}
 	}
 	if c.JSON != "-" {
@@ -164,27 +165,27 @@
 	}
 	switch {
 	case res.PartialInput:
-		return early()
+		return interruptedError()
 	case res.FellBehind:
-		return coded{exitBehind, "the generator fell behind, no latencies are shown: " + res.Behind}
+		return exitError{exitGeneratorBehind, "the generator fell behind, no latencies are shown: " + res.Behind}
 	}
 	return nil
 }
 
-// loopback refuses targets that are not on this machine: the tool sends load, and must not be pointed
-// elsewhere.
-func loopback(target string) error {
+// requireLoopback returns an error for a target that is not on this machine, because the tool must not send load to
+// other machines.
+func requireLoopback(target string) error {
 	host, _, err := net.SplitHostPort(target)
 	if err != nil {
 		return fmt.Errorf("--target %s: %w", target, err)
 	}
 	if ip := net.ParseIP(host); host != "localhost" && (ip == nil || !ip.IsLoopback()) {
-		return fmt.Errorf("--target %s: only addresses of this machine's loopback are taken", target)
+		return fmt.Errorf("--target %s: only loopback addresses of this machine are allowed", target)
 	}
 	return nil
 }
 
-// readTrace reads recorded requests.
+// readTrace reads a schedule of recorded requests from a file.
 func readTrace(path string, classes []load.Class) (load.Schedule, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/lab/cli/rollouts.go
+++ b/internal/lab/cli/rollouts.go
@@ -10,42 +10,43 @@
 )
 
 type rolloutsCmd struct {
-	Seeds  int           `default:"100" placeholder:"N" help:"Drawn runs to play, 1 to 1,000,000."`
+	Seeds  int           `default:"100" placeholder:"N" help:"Number of random runs to play, 1 to 1,000,000."`
 	From   uint64        `default:"1" placeholder:"K" help:"First seed."`
-	Jobs   int           `default:"2" placeholder:"N" help:"Runs at a time, 1 to 64."`
-	Each   bool          `help:"A line for each run, not only for those that broke a rule."`
-	Fleet  bool          `help:"Measure 870 gateways instead, with a day of changes, restarts and failures pressed into a run; --from is its seed."`
-	Length time.Duration `default:"10m" placeholder:"TIME" help:"Of the run with --fleet, of virtual time, 10s to 24h."`
-	Loss   float64       `default:"0" placeholder:"SHARE" help:"Of the frames that get lost, with --fleet."`
+	Jobs   int           `default:"2" placeholder:"N" help:"Runs played in parallel, 1 to 64."`
+	Each   bool          `help:"Print a line for each run, not only for runs that broke a rule."`
+	Fleet  bool          `help:"Measure 870 gateways instead, with the changes, restarts and failures of a day within one run; --from is its seed."`
+	Length time.Duration `default:"10m" placeholder:"TIME" help:"Length of the run with --fleet, in virtual time, 10s to 24h."`
+	Loss   float64       `default:"0" placeholder:"SHARE" help:"Share of the frames that is lost, with --fleet."`
 }
 
-// Help implements kong's.
+// Help implements kong.HelpProvider.
 func (rolloutsCmd) Help() string {
-	return "Plays control machines and gateways' agents on a virtual clock and holds the rules of a rollout.\n\nExamples:\n" +
+	return "Plays control machines and gateways' agents on a virtual clock and verifies the invariants of a rollout.\n\nExamples:\n" +
 		"  thymelab rollouts --seeds 2000 --from 1\n  thymelab rollouts --fleet --length 12m --loss 0.05\n\nExit codes: 0 all rules held, 1 a rule was broken, 2 unusable input."
 }
 
-// Run implements kong's.
-func (c rolloutsCmd) Run(e *env) error {
+// Run executes the command; kong calls it.
+func (c rolloutsCmd) Run(e *environment) error {
 	switch {
 	case c.Seeds < 1 || c.Seeds > 1_000_000 || c.Jobs < 1 || c.Jobs > 64:
-		return input(fmt.Errorf("--seeds must be 1 to 1,000,000 and --jobs 1 to 64"))
+		return inputError(fmt.Errorf("--seeds must be 1 to 1,000,000 and --jobs 1 to 64"))
 	case c.Length < 10*time.Second || c.Length > 24*time.Hour || !(c.Loss >= 0 && c.Loss < 1):
-		return input(fmt.Errorf("--length must be 10s to 24h and --loss 0 to under 1"))
+		return inputError(fmt.Errorf("--length must be 10s to 24h and --loss 0 to under 1"))
 	case c.Fleet:
-		return c.fleet(e)
+		return c.measureFleet(e)
 	}
-	return c.seeds(e)
+	return c.playSeeds(e)
 }
 
-// seeds plays drawn runs, and says which broke a rule. A signal ends it after the runs under way.
-func (c rolloutsCmd) seeds(e *env) error {
-	began := time.Now()
+// playSeeds plays the runs of the seeds, and prints which runs violated an invariant. After a signal it finishes the
+// runs in progress and starts no other.
+func (c rolloutsCmd) playSeeds(e *environment) error {
+	startedAt := time.Now()
 	var next, played, broken atomic.Int64
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for range c.Jobs {
-		all.Go(func() {
+		workers.Go(func() {
 			for e.ctx.Err() == nil {
 				n := next.Add(1) - 1
 				if n >= int64(c.Seeds) {
@@ -68,20 +69,21 @@
 			}
 		})
 	}
-	all.Wait()
+	workers.Wait()
 	partial := ""
 	if int(played.Load()) < c.Seeds {
 		partial = fmt.Sprintf(" (partial: %d were asked for)", c.Seeds)
 	}
 	fmt.Fprintf(e.out, "%d runs from seed %d, %d broke a rule, %.1f s%s\n", played.Load(), c.From,
-		broken.Load(), time.Since(began).Seconds(), partial)
+		broken.Load(), time.Since(startedAt).Seconds(), partial)
 	if broken.Load() > 0 {
-		return coded{exitBroken, "a rule was broken"}
+		return exitError{exitViolation, "a rule was broken"}
 	}
 	return nil
 }
 
-func (c rolloutsCmd) fleet(e *env) error {
+// measureFleet measures a fleet of the full size and prints its figures.
+func (c rolloutsCmd) measureFleet(e *environment) error {
 	began := time.Now()
 	f := configsim.Measure(configsim.FullSizeScenario(c.Length, c.Loss, c.From))
 	fmt.Fprintf(e.out, "%d gateways of %d services each, %d services, %d routes, %d tenants, loss %.0f%%, seed %d\n", f.Gateways, f.ServicesPerGateway, f.Size.Services,
@@ -97,11 +99,11 @@
 		f.ControlRate, f.MaxControlRate, f.Subscribers)
 	fmt.Fprintf(e.out, "processor: gateway %.4f%% of a core, control machine %.2f%%; heap of everything over gateways %d KiB; took %.1f s\n", 100*f.GatewayCPU, 100*f.ControlCPU,
 		f.HeapPerGateway>>10, time.Since(began).Seconds())
-	for _, x := range f.Violations[:min(5, len(f.Violations))] {
-		fmt.Fprintln(e.out, x)
+	for _, violation := range f.Violations[:min(5, len(f.Violations))] {
+		fmt.Fprintln(e.out, violation)
 	}
 	if len(f.Violations) > 0 {
-		return coded{exitBroken, "a rule was broken"}
+		return exitError{exitViolation, "a rule was broken"}
 	}
 	return nil
 }
--- a/internal/lab/cli/rollouts_test.go
+++ b/internal/lab/cli/rollouts_test.go
@@ -12,7 +12,7 @@
 	}
 	for _, args := range [][]string{{"--seeds", "0"}, {"--jobs", "65"}, {"--length", "1s", "--fleet"},
 		{"--loss", "1"}, {"--loss", "NaN"}} {
-		if code, _, errs := call(append([]string{"rollouts"}, args...)...); code != exitInput ||
+		if code, _, errs := call(append([]string{"rollouts"}, args...)...); code != exitBadInput ||
 			!strings.Contains(errs, args[0]) {
 			t.Errorf("%v: %d %s", args, code, errs)
 		}
--- a/internal/lab/cli/run.go
+++ b/internal/lab/cli/run.go
@@ -17,53 +17,55 @@
 	Seed       uint64 `placeholder:"N" help:"Instead of the file's."`
 }
 
-// Help implements kong's.
+// Help implements kong.HelpProvider.
 func (runCmd) Help() string {
 	return "Example:\n  thymelab run experiments/closing-rush.toml --out /tmp/rush --seed 7\n\n" +
-		"Exit codes: 0 all rules held, 1 a rule was broken, 2 unusable input, 3 the generator fell behind, 4 told to end: partial."
+		"Exit codes: 0 all rules held, 1 a rule was broken, 2 unusable input, 3 the generator fell behind, 4 interrupted by a signal: the output is partial."
 }
 
-// Run implements kong's.
-func (c runCmd) Run(e *env) error {
+// Run executes the command; kong calls it.
+func (c runCmd) Run(e *environment) error {
 	f, err := experiment.Load(c.Experiment)
 	if err != nil {
-		return input(err)
+		return inputError(err)
 	}
 	length := f.Length()
-	e.log.Info().Str("experiment", f.Name).Stringer("for", length).Int("hosts", hosts(f)).Int("gateways",
+	e.log.Info().Str("experiment", f.Name).Stringer("for", length).Int("hosts", hostCount(f)).Int("gateways",
 		f.Gateways.Count).Msg("running")
 	res, err := experiment.Run(e.ctx, f, experiment.Options{Gateway: c.Gateway, Dir: c.Out, Seed: c.Seed,
 		Progress: e.progress(length)})
 	if err != nil {
-		return input(err)
+		return inputError(err)
 	}
 	if err := res.WriteJSON(c.Out); err != nil {
-		return input(err)
+		return inputError(err)
 	}
 	page := filepath.Join(c.Out, "report.html")
 	if err := writeFile(page, func(w io.Writer) error { return report.Write(w, res) }); err != nil {
-		return input(err)
+		return inputError(err)
 	}
 	fmt.Fprint(e.out, report.Text(res))
 	fmt.Fprintf(e.out, "report: %s\n", page)
 	switch {
 	case res.Load.PartialInput:
-		return early()
+		return interruptedError()
 	case res.Load.FellBehind:
-		return coded{exitBehind, "the generator fell behind: " + res.Load.Behind}
+		return exitError{exitGeneratorBehind, "the generator fell behind: " + res.Load.Behind}
 	case !res.Held:
-		return coded{exitBroken, "a rule was broken"}
+		return exitError{exitViolation, "a rule was broken"}
 	}
 	return nil
 }
 
-func hosts(f *experiment.File) (n int) {
+// hostCount returns the number of hosts of an experiment.
+func hostCount(f *experiment.File) (n int) {
 	for _, h := range f.Hosts {
 		n += h.Count
 	}
 	return n
 }
 
+// writeFile creates the file at path and writes its content with write.
 func writeFile(path string, write func(io.Writer) error) error {
 	file, err := os.Create(path)
 	if err != nil {
--- a/internal/lab/cli/scale_test.go
+++ b/internal/lab/cli/scale_test.go
@@ -10,9 +10,9 @@
 	"thymebend/internal/lab/scale"
 )
 
-// The file's sizes go over the defaults, and the command line's over the file's; figures and plot are
-// written.
-func TestScaleWritesItsFigures(t *testing.T) {
+// Verifies that the file overrides the defaults, that the command line overrides the file, and that the figures and the
+// plot are written.
+func TestScaleWritesFiguresAndPlot(t *testing.T) {
 	dir := t.TempDir()
 	file, figures, plot := filepath.Join(dir, "scale.toml"), filepath.Join(dir, "out.json"),
 		filepath.Join(dir, "out.svg")
@@ -42,8 +42,9 @@
 	}
 }
 
-// Sizes are fitted, and the one that is left out is shown beside what the others say of it.
-func TestScaleOfSeveralSizes(t *testing.T) {
+// Verifies that figures are fitted over the sizes, and that the figures of the size left out are printed beside their
+// prediction.
+func TestScaleFitsSeveralSizes(t *testing.T) {
 	code, out, errs := call("scale", "--sizes", "8,16,32", "--leave-out", "16", "--full", "0", "--for", "2s")
 	if code != 0 || !strings.Contains(out, "residual") || !strings.Contains(out,
 		"at 16, left out of the fit: predicted") {
@@ -51,8 +52,8 @@
 	}
 }
 
-// What is out of range is named, by option or by file and line, and nothing is written.
-func TestScaleRefusesWhatIsOutOfRange(t *testing.T) {
+// Verifies that the error for a value out of range names the option, or the file and line, and that nothing is written.
+func TestScaleRejectsValuesOutOfRange(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.toml")
 	if err := os.WriteFile(bad, []byte("hosts = 10\nzones = 900\n"), 0o600); err != nil {
@@ -80,6 +81,6 @@
 		}
 	}
 	if _, err := os.Stat(written); err == nil {
-		t.Error("figures were written")
+		t.Error("figures were written in spite of unusable options")
 	}
 }
--- a/internal/lab/cli/seeds.go
+++ b/internal/lab/cli/seeds.go
@@ -19,19 +19,19 @@
 	"thymebend/internal/membership"
 )
 
-// membersProfile plays views of a fleet without the gateways around them.
+// membersProfile is the profile that simulates only the membership views of a fleet, without gateways.
 const membersProfile = "members"
 
 type seedsCmd struct {
 	From    uint64 `default:"1" placeholder:"N" help:"The first seed."`
-	Count   uint64 `default:"100" placeholder:"N" help:"How many."`
-	Profile string `placeholder:"NAME" help:"Of faults; without it each seed takes one."`
-	Jobs    int    `placeholder:"N" help:"Runs at once; by default one for each core."`
+	Count   uint64 `default:"100" placeholder:"N" help:"Number of seeds."`
+	Profile string `placeholder:"NAME" help:"Fault profile; by default each seed draws a profile."`
+	Jobs    int    `placeholder:"N" help:"Runs played in parallel; by default one for each core."`
 	JSON    string `name:"json" placeholder:"FILE" help:"Write the figures and failures here."`
 	sizeFlags
 }
 
-// sizeFlags override how large runs are.
+// sizeFlags overrides the size of the runs.
 type sizeFlags struct {
 	Gateways int `placeholder:"N" help:"Instead of what the seed draws (1 to 3); 200 at most."`
 	Hosts    int `placeholder:"N" help:"Instead of what the seed draws (2 to 8); 1000 at most."`
@@ -42,39 +42,40 @@
 	return simulation.Size{Gateways: s.Gateways, Hosts: s.Hosts, Requests: s.Requests}
 }
 
-// Help implements kong's.
+// Help implements kong.HelpProvider.
 func (seedsCmd) Help() string {
 	return "Example:\n  thymelab seeds --from 1 --count 1000 --profile drain-retry\n\nProfiles: " +
 		fmt.Sprint(simulation.Profiles()) +
 		" and members, which plays the fleet's view alone" +
-		"\nExit codes: 0 no failure, 1 a failure, 2 unusable input, 4 told to end: partial."
+		"\nExit codes: 0 no failure, 1 a failure, 2 unusable input, 4 interrupted by a signal: the output is partial."
 }
 
+// failure is the first finding of a failed run.
 type failure struct {
 	Seed    uint64 `json:"seed"`
 	Profile string `json:"profile"`
 	simulation.Finding
-	More int `json:"more"` // findings of the same run beside this one
+	More int `json:"more"` // number of further findings of the same run
 }
 
-// Run implements kong's.
-func (c seedsCmd) Run(e *env) error {
+// Run executes the command; kong calls it.
+func (c seedsCmd) Run(e *environment) error {
 	if c.Profile == membersProfile {
-		return c.members(e)
+		return c.playMembers(e)
 	}
 	if _, err := simulation.DrawSized(1, c.Profile, c.size()); err != nil {
-		return input(err)
+		return inputError(err)
 	}
 	began := time.Now()
 	var mu sync.Mutex
 	failures := []failure{}
-	tries, lasted, steps := 0, time.Duration(0), uint64(0)
-	played := c.each(e, func(seed uint64) bool {
-		p, _ := simulation.DrawSized(seed, c.Profile, c.size()) // checked above
+	requests, simulated, steps := 0, time.Duration(0), uint64(0)
+	played := c.playSeeds(e, func(seed uint64) bool {
+		p, _ := simulation.DrawSized(seed, c.Profile, c.size()) // DrawSized has accepted the profile and the size above
 		o := simulation.PlayContext(e.ctx, p, nil)
 		mu.Lock()
 		defer mu.Unlock()
-		tries, lasted, steps = tries+o.Attempts, lasted+o.Duration, steps+o.Steps
+		requests, simulated, steps = requests+o.Attempts, simulated+o.Duration, steps+o.Steps
 		if len(o.Findings) > 0 {
 			f := failure{seed, p.Profile, o.Findings[0], len(o.Findings) - 1}
 			failures = append(failures, f)
@@ -85,19 +86,19 @@
 	})
 	took := time.Since(began).Seconds()
 	fmt.Fprintf(e.out, "%d seeds, %d failures, %d requests in %.1f s: %.0f simulated seconds and %.0f requests a second\n", played,
-		len(failures), tries, took, lasted.Seconds()/took, float64(tries)/took)
-	return c.end(e, failures, played, map[string]any{"requests": tries, "simulated_s": lasted.Seconds(),
+		len(failures), requests, took, simulated.Seconds()/took, float64(requests)/took)
+	return c.finish(e, failures, played, map[string]any{"requests": requests, "simulated_s": simulated.Seconds(),
 		"steps": steps, "took_s": took})
 }
 
-// each hands the seeds out to so many runs at once, waits for their ends and returns how many were
-// played whole.
-func (c seedsCmd) each(e *env, play func(seed uint64) (whole bool)) (played uint64) {
-	var all sync.WaitGroup
+// playSeeds plays the seeds in c.Jobs parallel runs, waits for their ends and returns how many runs were complete. play
+// reports whether its run was complete.
+func (c seedsCmd) playSeeds(e *environment, play func(seed uint64) (whole bool)) (played uint64) {
+	var workers sync.WaitGroup
 	var whole atomic.Uint64
 	next := make(chan uint64)
 	for range cmp.Or(max(0, c.Jobs), runtime.GOMAXPROCS(0)) {
-		all.Go(func() {
+		workers.Go(func() {
 			for seed := range next {
 				if play(seed) {
 					whole.Add(1)
@@ -109,12 +110,12 @@
 		next <- seed
 	}
 	close(next)
-	all.Wait()
+	workers.Wait()
 	return whole.Load()
 }
 
-// end writes the report that was asked for and tells whether all held.
-func (c seedsCmd) end(e *env, failures []failure, played uint64, figures map[string]any) error {
+// finish writes the report to the file given by --json, and returns the error that sets the exit code, or nil.
+func (c seedsCmd) finish(e *environment, failures []failure, played uint64, figures map[string]any) error {
 	if c.JSON != "" {
 		slices.SortFunc(failures, func(a, b failure) int { return cmp.Compare(a.Seed, b.Seed) })
 		figures["from"], figures["count"], figures["profile"], figures["failures"] = c.From, c.Count, c.Profile,
@@ -122,42 +123,42 @@
 		figures["played"], figures["partial"] = played, played < c.Count
 		raw, err := json.MarshalIndent(figures, "", " ")
 		if err != nil {
-			return input(err)
+			return inputError(err)
 		}
 		if err := os.WriteFile(c.JSON, append(raw, '\n'), 0o644); err != nil {
-			return input(err)
+			return inputError(err)
 		}
 	}
 	switch {
 	case len(failures) > 0:
-		return coded{exitBroken, ""}
+		return exitError{exitViolation, ""}
 	case e.ctx.Err() != nil:
-		return early()
+		return interruptedError()
 	}
 	return nil
 }
 
-// viewOnly refuses what does not go with the profile members.
-func (s sizeFlags) viewOnly(set ...string) error {
+// checkViewOnly returns an error for options that the profile members does not support.
+func (s sizeFlags) checkViewOnly(set ...string) error {
 	switch {
 	case s.Gateways != 0 && (s.Gateways < 3 || s.Gateways > membership.MaxMembers):
-		return input(fmt.Errorf("gateways must be 3 to %d with profile %s", membership.MaxMembers, membersProfile))
+		return inputError(fmt.Errorf("gateways must be 3 to %d with profile %s", membership.MaxMembers, membersProfile))
 	case s.Hosts != 0 || s.Requests != 0 || strings.Join(set, "") != "":
-		return input(fmt.Errorf("only --gateways goes with profile %s: it plays views alone", membersProfile))
+		return inputError(fmt.Errorf("only --gateways can be used with profile %s: it simulates membership views alone", membersProfile))
 	}
 	return nil
 }
 
-// members plays seeds of the fleet's view.
-func (c seedsCmd) members(e *env) error {
-	if err := c.viewOnly(); err != nil {
+// playMembers plays the seeds of the profile members.
+func (c seedsCmd) playMembers(e *environment) error {
+	if err := c.checkViewOnly(); err != nil {
 		return err
 	}
 	began := time.Now()
 	var mu sync.Mutex
 	failures := []failure{}
 	var calls uint64
-	played := c.each(e, func(seed uint64) bool {
+	played := c.playSeeds(e, func(seed uint64) bool {
 		o := membershipsim.PlayRandom(e.ctx, seed, c.Gateways)
 		mu.Lock()
 		defer mu.Unlock()
@@ -171,67 +172,67 @@
 	})
 	fmt.Fprintf(e.out, "%d seeds, %d failures, %d calls of views in %.1f s\n", played, len(failures), calls,
 		time.Since(began).Seconds())
-	return c.end(e, failures, played, map[string]any{"calls": calls})
+	return c.finish(e, failures, played, map[string]any{"calls": calls})
 }
 
 type replayCmd struct {
 	Seed    uint64 `arg:"" help:"The seed."`
-	Profile string `placeholder:"NAME" help:"As it was given to seeds."`
+	Profile string `placeholder:"NAME" help:"The profile that was given to seeds."`
 	Trace   string `placeholder:"FILE" help:"Write a line for each thing that happens."`
 	Shrink  string `placeholder:"FILE" help:"Reduce a failing run to few faults and requests and keep its plan here."`
 	Most    int    `default:"2000" placeholder:"N" help:"Runs that shrinking may take."`
 	sizeFlags
 }
 
-// Help implements kong's.
+// Help implements kong.HelpProvider.
 func (replayCmd) Help() string {
 	return "Example:\n  thymelab replay 4711 --trace /tmp/4711.txt --shrink /tmp/4711.json\n  thymelab plan /tmp/4711.json"
 }
 
-// Run implements kong's.
-func (c replayCmd) Run(e *env) error {
+// Run executes the command; kong calls it.
+func (c replayCmd) Run(e *environment) error {
 	if c.Profile == membersProfile {
-		if err := c.viewOnly(c.Trace, c.Shrink); err != nil {
+		if err := c.checkViewOnly(c.Trace, c.Shrink); err != nil {
 			return err
 		}
 		o := membershipsim.PlayRandom(e.ctx, c.Seed, c.Gateways)
 		fmt.Fprintf(e.out, "seed %d, %s: %v\n%s\n", c.Seed, c.Profile, o, strings.Join(o.Findings, "\n"))
 		if o.Partial {
-			return early()
+			return interruptedError()
 		}
 		if len(o.Findings) > 0 {
-			return coded{exitBroken, ""}
+			return exitError{exitViolation, ""}
 		}
 		return nil
 	}
 	p, err := simulation.DrawSized(c.Seed, c.Profile, c.size())
 	if err != nil {
-		return input(err)
+		return inputError(err)
 	}
 	o, err := playTraced(e.ctx, p, c.Trace)
 	if err != nil {
-		return input(err)
+		return inputError(err)
 	}
-	e.say(p, o)
+	e.printOutcome(p, o)
 	if o.Partial {
-		return early()
+		return interruptedError()
 	}
 	if len(o.Findings) == 0 {
 		return nil
 	}
 	if c.Shrink != "" {
-		small, runs := simulation.Shrink(e.ctx, p, o.Findings[0].Rule, c.Most)
-		if err := small.Write(c.Shrink); err != nil {
-			return input(err)
+		reduced, runs := simulation.Shrink(e.ctx, p, o.Findings[0].Rule, c.Most)
+		if err := reduced.Write(c.Shrink); err != nil {
+			return inputError(err)
 		}
 		fmt.Fprintf(e.out, "%s: %d faults and %d requests of %d and %d, after %d runs\n", c.Shrink,
-			len(small.Faults), len(small.Requests),
+			len(reduced.Faults), len(reduced.Requests),
 			len(p.Faults), len(p.Requests), runs)
 		if e.ctx.Err() != nil {
-			return early()
+			return interruptedError()
 		}
 	}
-	return coded{exitBroken, ""}
+	return exitError{exitViolation, ""}
 }
 
 type planCmd struct {
@@ -239,31 +240,32 @@
 	Trace string `placeholder:"FILE" help:"Write a line for each thing that happens."`
 }
 
-// Help implements kong's.
+// Help implements kong.HelpProvider.
 func (planCmd) Help() string {
 	return "Example:\n  thymelab plan internal/lab/simulation/testdata/NAME.json"
 }
 
-// Run implements kong's.
-func (c planCmd) Run(e *env) error {
+// Run executes the command; kong calls it.
+func (c planCmd) Run(e *environment) error {
 	p, err := simulation.ReadPlan(c.File)
 	if err != nil {
-		return input(err)
+		return inputError(err)
 	}
 	o, err := playTraced(e.ctx, p, c.Trace)
 	if err != nil {
-		return input(err)
+		return inputError(err)
 	}
-	e.say(p, o)
+	e.printOutcome(p, o)
 	switch {
 	case o.Partial:
-		return early()
+		return interruptedError()
 	case len(o.Findings) > 0:
-		return coded{exitBroken, ""}
+		return exitError{exitViolation, ""}
 	}
 	return nil
 }
 
+// playTraced plays a plan, and writes its trace to the file at path unless path is empty.
 func playTraced(ctx context.Context, p simulation.Plan, path string) (simulation.Outcome, error) {
 	if path == "" {
 		return simulation.PlayContext(ctx, p, nil), nil
@@ -281,8 +283,8 @@
 	return o, file.Close()
 }
 
-// say prints what a run came to.
-func (e *env) say(p simulation.Plan, o simulation.Outcome) {
+// printOutcome prints the outcome and the findings of a run.
+func (e *environment) printOutcome(p simulation.Plan, o simulation.Outcome) {
 	fmt.Fprintf(e.out, "seed %d, %s, %d gateways, %d hosts, %d faults, %d tries: %d served, %d refused, %d failed, %.1f s\n", p.Seed, p.Profile,
 		p.Gateways, p.Hosts, len(p.Faults), o.Attempts, o.Served, o.Rejected, o.Failed, o.Duration.Seconds())
 	if o.Partial {
--- a/internal/lab/cli/soak.go
+++ b/internal/lab/cli/soak.go
@@ -16,28 +16,28 @@
 
 type soakCmd struct {
 	From     uint64        `default:"1" placeholder:"N" help:"The first seed."`
-	Count    uint64        `default:"1" placeholder:"N" help:"How many seeds, one after another."`
+	Count    uint64        `default:"1" placeholder:"N" help:"Number of seeds, played one after another."`
 	Gateways int           `placeholder:"N" help:"Instead of what the seed draws, 10 to 40."`
-	Length   time.Duration `placeholder:"TIME" help:"Of the load, instead of what the seed draws, 10s to 10m."`
+	Length   time.Duration `placeholder:"TIME" help:"Length of the load, instead of what the seed draws, 10s to 10m."`
 	Out      string        `required:"" placeholder:"DIR" help:"Directory for a folder a seed: soak.toml, result.json, logs and configurations."`
 	Gateway  string        `default:"bin/thymebend" placeholder:"PATH" help:"The gateway's program."`
 	Draw     bool          `help:"Write the soaks' files and play nothing."`
 }
 
-// Help implements kong's.
+// Help implements kong.HelpProvider.
 func (soakCmd) Help() string {
 	return "Example:\n  thymelab soak --from 1 --count 10 --out out/soak\n  thymelab drill out/soak/7/soak.toml --out out/again\n\n" +
-		"Exit codes: 0 all rules held, 1 a rule was broken, 2 a soak that could not be drawn or played, 4 told to end: partial."
+		"Exit codes: 0 all rules held, 1 a rule was broken, 2 a soak that could not be drawn or played, 4 interrupted by a signal: the output is partial."
 }
 
-// Run implements kong's.
-func (c soakCmd) Run(e *env) error {
+// Run executes the command; kong calls it.
+func (c soakCmd) Run(e *environment) error {
 	failed := 0
 	for seed := c.From; seed < c.From+c.Count; seed++ {
 		dir := filepath.Join(c.Out, fmt.Sprint(seed))
-		name, err := c.write(seed, dir)
+		name, err := c.writeDrill(seed, dir)
 		if err != nil {
-			return input(err)
+			return inputError(err)
 		}
 		if c.Draw {
 			continue
@@ -45,21 +45,21 @@
 		held, err := c.play(e, seed, name, dir)
 		switch {
 		case e.ctx.Err() != nil:
-			return early()
+			return interruptedError()
 		case err != nil:
-			return input(fmt.Errorf("seed %d: %w", seed, err))
+			return inputError(fmt.Errorf("seed %d: %w", seed, err))
 		case !held:
 			failed++
 		}
 	}
 	if failed > 0 {
-		return coded{exitBroken, fmt.Sprintf("%d of %d soaks broke a rule", failed, c.Count)}
+		return exitError{exitViolation, fmt.Sprintf("%d of %d soaks broke a rule", failed, c.Count)}
 	}
 	return nil
 }
 
-// write draws the soak of a seed into its file.
-func (c soakCmd) write(seed uint64, dir string) (name string, err error) {
+// writeDrill generates the drill of a seed, writes it to soak.toml in dir and returns the file's name.
+func (c soakCmd) writeDrill(seed uint64, dir string) (name string, err error) {
 	text, err := soak.Text(soak.Options{Seed: seed, Gateways: c.Gateways, Length: c.Length})
 	if err != nil {
 		return "", err
@@ -71,8 +71,9 @@
 	return name, os.WriteFile(name, []byte(text), 0o644)
 }
 
-// play plays one soak and prints a line of what it came to, and what was broken.
-func (c soakCmd) play(e *env, seed uint64, name, dir string) (held bool, err error) {
+// play plays one soak, prints a line of figures and the first five findings in order of time, and reports whether all
+// invariants held.
+func (c soakCmd) play(e *environment, seed uint64, name, dir string) (held bool, err error) {
 	f, err := drill.Load(name)
 	if err != nil {
 		return false, err
--- a/internal/lab/mutationtest/main.go
+++ b/internal/lab/mutationtest/main.go
@@ -1,5 +1,6 @@
-// Command mutationtest plants one defect after another in a copy of the tree and counts the seeded runs that it
-// takes to catch each. It shows that the checks can fail; make mutants runs it. An argument names one profile.
+// Command mutationtest plants each defect in a copy of the source tree and counts the seeded runs until the checks
+// detect it. It shows that the checks can fail; make mutants runs it. An argument restricts it to the defects of one
+// profile.
 package main
 
 import (
@@ -10,34 +11,34 @@
 	"sync"
 )
 
-// edit replaces a text that stands once in a file.
+// edit replaces a text that must occur exactly once in a file.
 type edit struct{ file, old, new string }
 
-// mutant is a defect: the profile of runs that is to catch it, and the edits that plant it.
+// mutant is a planted defect: its name, the profile of the runs that must detect it, and the edits that plant it.
 type mutant struct {
 	name    string
 	profile string
 	edits   []edit
 }
 
-// Profiles that are not drawn from.
+// Profiles that seeds do not draw by themselves.
 const (
-	stopped  = "stopped-clients" // clients that stop in the middle of their requests
-	rollouts = "rollouts"        // the play of configuration distribution, in place of whole gateways
+	stoppedClientsProfile = "stopped-clients" // clients stop in the middle of their requests
+	rolloutsProfile       = "rollouts"        // simulates the configuration distribution instead of whole gateways
 )
 
 const (
-	maxSeeds    = 300 // a mutant that survives them is a gap of the checks
-	seedsAtOnce = 5   // of one run of the simulator
-	mutantsMax  = 3   // that are tried at a time
+	maxSeeds           = 300 // a mutant that is not detected within these seeds shows a gap in the checks
+	seedsPerRun        = 5   // seeds played by one run of the simulator
+	maxParallelMutants = 3   // mutants tried in parallel
 )
 
-// one is a mutant of a single edit.
-func one(name, profile, file, old, new string) mutant {
+// singleEdit returns a mutant that consists of a single edit.
+func singleEdit(name, profile, file, old, new string) mutant {
 	return mutant{name, profile, []edit{{file, old, new}}}
 }
 
-// mutants lists all defects.
+// mutants returns all planted defects.
 func mutants() []mutant {
 	return slices.Concat(balancerMutants(), gatewayMutants(), peersMutants(), clusterMutants(), configMutants())
 }
@@ -52,7 +53,7 @@
 		_, err = os.Stat(filepath.Join(root, "internal/balancer/balancer.go"))
 	}
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "mutants: run it from the tree's root:", err)
+		fmt.Fprintln(os.Stderr, "mutants: must be run from the root of the source tree:", err)
 		os.Exit(2)
 	}
 	list := slices.DeleteFunc(mutants(), func(m mutant) bool { return profile != "" && m.profile != profile })
@@ -71,16 +72,16 @@
 	}
 }
 
-// tryAll tries some mutants at a time. The results are in the order of the list.
+// tryAll tries up to maxParallelMutants mutants in parallel. The results are in the order of the list.
 func tryAll(root string, list []mutant) []result {
 	results := make([]result, len(list))
 	var group sync.WaitGroup
-	slots := make(chan struct{}, mutantsMax)
+	slots := make(chan struct{}, maxParallelMutants)
 	for i, m := range list {
 		slots <- struct{}{}
 		group.Go(func() {
 			defer func() { <-slots }()
-			results[i] = try(root, m)
+			results[i] = tryMutant(root, m)
 		})
 	}
 	group.Wait()
--- a/internal/lab/mutationtest/main_test.go
+++ b/internal/lab/mutationtest/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Guards against a defect that is no longer planted because the code that it changes was reworded.
+// Guards against a defect that can no longer be planted because the source text that it replaces was changed.
 func TestEachMutantMatchesItsSource(t *testing.T) {
 	root := filepath.Join("..", "..", "..")
 	for _, m := range mutants() {
--- a/internal/lab/mutationtest/sources.go
+++ b/internal/lab/mutationtest/sources.go
@@ -6,13 +6,15 @@
 	"strings"
 )
 
-// sources is the tree without what a build does not need: tests, the journal, what was built.
-func sources(root string) fs.FS { return tree{os.DirFS(root)} }
+// sources returns the source tree without files that a build does not need: tests, test data, documents, the journal and
+// build outputs.
+func sources(root string) fs.FS { return sourceTree{os.DirFS(root)} }
 
-type tree struct{ fs.FS }
+// sourceTree is a directory tree of which ReadDir lists only the files that a build needs.
+type sourceTree struct{ fs.FS }
 
-// ReadDir implements fs.ReadDirFS, by which the tree is walked.
-func (t tree) ReadDir(name string) ([]fs.DirEntry, error) {
+// ReadDir implements fs.ReadDirFS; os.CopyFS walks the tree with it.
+func (t sourceTree) ReadDir(name string) ([]fs.DirEntry, error) {
 	all, err := fs.ReadDir(t.FS, name)
 	kept := all[:0]
 	for _, e := range all {
--- a/internal/lab/mutationtest/try.go
+++ b/internal/lab/mutationtest/try.go
@@ -12,33 +12,33 @@
 	"strings"
 )
 
-// result is what became of a mutant: the last columns of its row.
+// result is the outcome of a mutant. text holds the last columns of its table row.
 type result struct {
 	text   string
 	caught bool
 }
 
-// finding is the first broken rule of some runs.
+// finding is the first violation found in some runs: the run's seed and the rule.
 type finding struct {
 	seed int
 	rule string
 }
 
-// try plants one defect in a copy of the tree and looks for it.
-func try(root string, m mutant) result {
+// tryMutant plants one defect in a copy of the source tree and plays seeds until the checks detect it.
+func tryMutant(root string, m mutant) result {
 	dir, err := os.MkdirTemp("", "mutant")
 	if err != nil {
-		return failed(err)
+		return errorResult(err)
 	}
 	defer os.RemoveAll(dir)
 	if err := plant(root, dir, m); err != nil {
-		return failed(err)
+		return errorResult(err)
 	}
-	for from := 1; from <= maxSeeds; from += seedsAtOnce {
+	for from := 1; from <= maxSeeds; from += seedsPerRun {
 		found, err := play(dir, m.profile, from)
 		switch {
 		case err != nil:
-			return failed(err)
+			return errorResult(err)
 		case found != nil:
 			return result{text: fmt.Sprintf("%d | %s", found.seed, found.rule), caught: true}
 		}
@@ -46,9 +46,9 @@
 	return result{text: fmt.Sprintf("not in %d | -", maxSeeds)}
 }
 
-func failed(err error) result { return result{text: fmt.Sprintf("error | %v", err)} }
+func errorResult(err error) result { return result{text: fmt.Sprintf("error | %v", err)} }
 
-// plant copies the tree, makes the mutant's edits and builds the simulator.
+// plant copies the source tree to dir, applies the mutant's edits and builds the simulator there.
 func plant(root, dir string, m mutant) error {
 	if err := os.CopyFS(dir, sources(root)); err != nil {
 		return err
@@ -57,7 +57,7 @@
 		path := filepath.Join(dir, e.file)
 		text, err := os.ReadFile(path)
 		if err != nil || bytes.Count(text, []byte(e.old)) != 1 {
-			return fmt.Errorf("%s does not hold the text to change once", e.file)
+			return fmt.Errorf("%s: the text to replace does not occur exactly once", e.file)
 		}
 		if err := os.WriteFile(path, bytes.Replace(text, []byte(e.old), []byte(e.new), 1), 0o644); err != nil {
 			return err
@@ -66,18 +66,18 @@
 	build := exec.Command("go", "build", "-o", "mutant", "./cmd/thymelab")
 	build.Dir = dir
 	if out, err := build.CombinedOutput(); err != nil {
-		return fmt.Errorf("does not build: %.200s", out)
+		return fmt.Errorf("the mutant does not build: %.200s", out)
 	}
 	return nil
 }
 
-// play plays some seeds from one on. It returns nil where no rule was broken.
+// play plays seedsPerRun seeds of a profile, beginning with from. It returns nil if no rule was broken.
 func play(dir, profile string, from int) (*finding, error) {
-	if profile == rollouts {
+	if profile == rolloutsProfile {
 		return playRollouts(dir, from), nil
 	}
 	report := filepath.Join(dir, "report.json")
-	run := exec.Command("./mutant", "seeds", "--from", strconv.Itoa(from), "--count", strconv.Itoa(seedsAtOnce),
+	run := exec.Command("./mutant", "seeds", "--from", strconv.Itoa(from), "--count", strconv.Itoa(seedsPerRun),
 		"--profile", profile, "--jobs", "1", "--json", report)
 	run.Dir = dir
 	if err := run.Run(); err == nil {
@@ -102,9 +102,9 @@
 	return &finding{found.Failures[0].Seed, found.Failures[0].Rule}, nil
 }
 
-// playRollouts plays some seeds of configuration distribution. A crash is a finding too.
+// playRollouts plays seedsPerRun seeds of the configuration distribution. A crash of the simulator is a finding, too.
 func playRollouts(dir string, from int) *finding {
-	run := exec.Command("./mutant", "rollouts", "--from", strconv.Itoa(from), "--seeds", strconv.Itoa(seedsAtOnce),
+	run := exec.Command("./mutant", "rollouts", "--from", strconv.Itoa(from), "--seeds", strconv.Itoa(seedsPerRun),
 		"--jobs", "1")
 	run.Dir = dir
 	out, err := run.Output()
