--- a/internal/lab/cli/cli.go
+++ b/internal/lab/cli/cli.go
@@ -113,6 +113,7 @@
 	return c.code
 }
 
+// terminal reports whether w is a terminal.
 func terminal(w io.Writer) bool {
 	f, ok := w.(*os.File)
 	return ok && term.IsTerminal(int(f.Fd()))
--- a/internal/lab/cli/cli_test.go
+++ b/internal/lab/cli/cli_test.go
@@ -15,19 +15,19 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-func call(args ...string) (code int, out, err string) {
+func runCommand(args ...string) (code int, out, err string) {
 	var o, e bytes.Buffer
 	code = Main(args, &o, &e)
 	return code, o.String(), e.String()
 }
 
 func TestHelpShowsAnExample(t *testing.T) {
-	code, out, _ := call("--help")
+	code, out, _ := runCommand("--help")
 	if code != 0 || !strings.Contains(out, "thymelab run experiments/calm.toml") {
 		t.Errorf("%d %s", code, out)
 	}
 	for _, c := range []string{"run", "load", "fleet", "compare", "trace", "drill", "shares", "view", "scale"} {
-		if code, out, _ := call(c, "--help"); code != 0 || !strings.Contains(out, "Example") ||
+		if code, out, _ := runCommand(c, "--help"); code != 0 || !strings.Contains(out, "Example") ||
 			!strings.Contains(out, "thymelab "+c) {
 			t.Errorf("%s: %d %s", c, code, out)
 		}
@@ -58,7 +58,7 @@
 		{[]string{"compare", t.TempDir(), t.TempDir(), "--out", "/tmp/x"}, "result.json"},
 		{[]string{"nonsense"}, "nonsense"},
 	} {
-		if code, _, err := call(c.args...); code != 2 || !strings.Contains(err, c.want) {
+		if code, _, err := runCommand(c.args...); code != 2 || !strings.Contains(err, c.want) {
 			t.Errorf("%v: %d %s", c.args, code, err)
 		}
 	}
@@ -73,7 +73,7 @@
 	addr := ln.Addr().String()
 	ln.Close()
 	path := filepath.Join(t.TempDir(), "out.json")
-	code, out, errs := call("load", "--target", addr, "--rate", "50", "--for", "200ms", "--class", "view=1",
+	code, out, errs := runCommand("load", "--target", addr, "--rate", "50", "--for", "200ms", "--class", "view=1",
 		"--json", path)
 	raw, err := os.ReadFile(path)
 	if code != 0 || err != nil || !strings.Contains(out, "connection refused") {
@@ -142,31 +142,31 @@
 	}
 	a, b := filepath.Join(dir, "a"), filepath.Join(dir, "b")
 	for i, to := range []string{a, b} {
-		code, out, errs := call("run", day, "--out", to, "--gateway", program, "--seed", string(rune('1'+i)))
+		code, out, errs := runCommand("run", day, "--out", to, "--gateway", program, "--seed", string(rune('1'+i)))
 		if code != 0 || !strings.Contains(out, "All rules held.") {
 			t.Fatalf("%d\n%s\n%s", code, out, errs)
 		}
 	}
-	both, trace := filepath.Join(dir, "both.html"), filepath.Join(dir, "t.trace")
-	if code, _, errs := call("compare", a, b, "--out", both); code != 0 {
+	comparison, trace := filepath.Join(dir, "both.html"), filepath.Join(dir, "t.trace")
+	if code, _, errs := runCommand("compare", a, b, "--out", comparison); code != 0 {
 		t.Fatal(errs)
 	}
-	for _, path := range []string{filepath.Join(a, "report.html"), both} {
+	for _, path := range []string{filepath.Join(a, "report.html"), comparison} {
 		page, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		own := strings.NewReplacer(`xmlns="http://www.w3.org/2000/svg"`, "", `xmlns:xlink="http://www.w3.org/1999/xlink"`, "").Replace(string(page))
-		for _, outside := range []string{"http://", "https://", "<script", "src=", "A <small> day"} {
-			if strings.Contains(own, outside) {
-				t.Errorf("%s holds %q", path, outside)
+		content := strings.NewReplacer(`xmlns="http://www.w3.org/2000/svg"`, "", `xmlns:xlink="http://www.w3.org/1999/xlink"`, "").Replace(string(page))
+		for _, reference := range []string{"http://", "https://", "<script", "src=", "A <small> day"} {
+			if strings.Contains(content, reference) {
+				t.Errorf("%s holds %q", path, reference)
 			}
 		}
-		if n := strings.Count(own, "<svg"); n < 6 {
+		if n := strings.Count(content, "<svg"); n < 6 {
 			t.Errorf("%s: %d plots", path, n)
 		}
 	}
-	if code, out, errs := call("trace", a, "--out", trace); code != 0 || !strings.HasPrefix(out, "60 requests") {
+	if code, out, errs := runCommand("trace", a, "--out", trace); code != 0 || !strings.HasPrefix(out, "60 requests") {
 		t.Errorf("%s%s", out, errs)
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -175,7 +175,7 @@
 	}
 	ln.Close()
 	began := time.Now()
-	code, out, errs := call("load", "--target", ln.Addr().String(), "--class", "view=1", "--trace", trace)
+	code, out, errs := runCommand("load", "--target", ln.Addr().String(), "--class", "view=1", "--trace", trace)
 	if code != 0 || !strings.Contains(out, "scheduled 60,") || time.Since(began) < time.Second {
 		t.Errorf("replay of the trace: exit code %d %s %s", code, out, errs)
 	}
--- a/internal/lab/cli/compare.go
+++ b/internal/lab/cli/compare.go
@@ -21,18 +21,18 @@
 
 // Run executes the command; kong calls it.
 func (c compareCmd) Run(e *environment) error {
-	first, err := experiment.ReadJSON(c.A)
+	runA, err := experiment.ReadJSON(c.A)
 	if err != nil {
 		return inputError(err)
 	}
-	second, err := experiment.ReadJSON(c.B)
+	runB, err := experiment.ReadJSON(c.B)
 	if err != nil {
 		return inputError(err)
 	}
-	if err := writeFile(c.Out, func(w io.Writer) error { return report.Compare(w, first, second) }); err != nil {
+	if err := writeFile(c.Out, func(w io.Writer) error { return report.Compare(w, runA, runB) }); err != nil {
 		return inputError(err)
 	}
-	fmt.Fprintf(e.out, "goodput by worth %.4f against %.4f; report: %s\n", first.Load.Goodput, second.Load.Goodput, c.Out)
+	fmt.Fprintf(e.out, "goodput by worth %.4f against %.4f; report: %s\n", runA.Load.Goodput, runB.Load.Goodput, c.Out)
 	return nil
 }
 
--- a/internal/lab/cli/early_test.go
+++ b/internal/lab/cli/early_test.go
@@ -61,16 +61,16 @@
 			if name == "plan" {
 				ctx.remaining.Store(1) // the plan is short
 			}
-			var end exitError
-			if err := command.Run(&environment{ctx: ctx, out: &out, err: &errs}); !errors.As(err, &end) ||
-				end.code != exitInterrupted {
+			var exit exitError
+			if err := command.Run(&environment{ctx: ctx, out: &out, err: &errs}); !errors.As(err, &exit) ||
+				exit.code != exitInterrupted {
 				t.Errorf("%v\n%s", err, out.String())
 			}
 			if took := time.Since(time.Unix(0, ctx.cancelledAt.Load())); took > maxStopDelay {
 				t.Errorf("ended %v after the cancellation, want at most %v", took, maxStopDelay)
 			}
-			if !strings.Contains(out.String()+end.text, "partial") {
-				t.Errorf("output not reported as partial: %s %s", out.String(), end.text)
+			if !strings.Contains(out.String()+exit.text, "partial") {
+				t.Errorf("output not reported as partial: %s %s", out.String(), exit.text)
 			}
 		})
 	}
--- a/internal/lab/cli/load.go
+++ b/internal/lab/cli/load.go
@@ -98,6 +98,7 @@
 	return schedule, clients, length, err
 }
 
+// classes checks the options and returns the classes of --class, or two default classes.
 func (c loadCmd) classes() ([]load.Class, error) {
 	if len(c.Class) == 0 {
 		c.Class = []string{"tender-view=0.64", "bid-lodge=0.36"}
@@ -195,6 +196,7 @@
 	return load.ReadTrace(path, file, classes)
 }
 
+// keys returns an iterator over the keys of m.
 func keys[V any](m map[string]V) func(func(string) bool) {
 	return func(yield func(string) bool) {
 		for k := range m {
--- a/internal/lab/cli/scale.go
+++ b/internal/lab/cli/scale.go
@@ -222,11 +222,11 @@
 	return func(p scale.Progress) {
 		if bar == nil || p.Phase != phase {
 			phase = p.Phase
-			bar = progressbar.NewOptions64(p.Of.Milliseconds(), progressbar.OptionSetWriter(e.err),
+			bar = progressbar.NewOptions64(p.Length.Milliseconds(), progressbar.OptionSetWriter(e.err),
 				progressbar.OptionSetWidth(24),
 				progressbar.OptionSetPredictTime(false), progressbar.OptionClearOnFinish(),
 				progressbar.OptionSetDescription(phase))
 		}
-		_ = bar.Set64(min(p.At, p.Of).Milliseconds())
+		_ = bar.Set64(min(p.At, p.Length).Milliseconds())
 	}
 }
--- a/internal/lab/cli/scale_test.go
+++ b/internal/lab/cli/scale_test.go
@@ -20,7 +20,7 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	code, out, errs := call("scale", "--file", file, "--gateways", "20", "--changes", "1", "--json", figures,
+	code, out, errs := runCommand("scale", "--file", file, "--gateways", "20", "--changes", "1", "--json", figures,
 		"--plot", plot)
 	if code != 0 || !strings.Contains(out, "20 gateways") {
 		t.Fatalf("%d %s %s", code, out, errs)
@@ -45,7 +45,7 @@
 // Verifies that figures are fitted over the sizes, and that the figures of the size left out are printed beside their
 // prediction.
 func TestScaleFitsSeveralSizes(t *testing.T) {
-	code, out, errs := call("scale", "--sizes", "8,16,32", "--leave-out", "16", "--full", "0", "--for", "2s")
+	code, out, errs := runCommand("scale", "--sizes", "8,16,32", "--leave-out", "16", "--full", "0", "--for", "2s")
 	if code != 0 || !strings.Contains(out, "residual") || !strings.Contains(out,
 		"at 16, left out of the fit: predicted") {
 		t.Errorf("%d %s %s", code, out, errs)
@@ -75,7 +75,7 @@
 		{[]string{"--sizes", "2,10"}, "--sizes 2: gateways: 2"},
 		{[]string{"--sizes", "10,20", "--leave-out", "30"}, "--leave-out 30 is none of --sizes"},
 	} {
-		if code, _, errs := call(append([]string{"scale", "--json", written}, c.args...)...); code != 2 ||
+		if code, _, errs := runCommand(append([]string{"scale", "--json", written}, c.args...)...); code != 2 ||
 			!strings.Contains(errs, c.want) {
 			t.Errorf("%v: %d %s", c.args, code, errs)
 		}
--- a/internal/lab/cli/seeds.go
+++ b/internal/lab/cli/seeds.go
@@ -288,7 +288,7 @@
 	fmt.Fprintf(e.out, "seed %d, %s, %d gateways, %d hosts, %d faults, %d tries: %d served, %d refused, %d failed, %.1f s\n", p.Seed, p.Profile,
 		p.Gateways, p.Hosts, len(p.Faults), o.Attempts, o.Served, o.Rejected, o.Failed, o.Duration.Seconds())
 	if o.Partial {
-		fmt.Fprintln(e.out, "partial: told to end")
+		fmt.Fprintln(e.out, "partial: interrupted before the end of the run")
 	}
 	if o.PeakRates != "" {
 		fmt.Fprintln(e.out, o.PeakRates)
--- a/internal/lab/cli/shares.go
+++ b/internal/lab/cli/shares.go
@@ -26,8 +26,8 @@
 
 // Run executes the command; kong calls it.
 func (c sharesCmd) Run(e *environment) error {
-	given := c.Gateways != 0 || c.Hosts != 0
-	if given && (c.Gateways < 2 || c.Hosts < 2 || c.Gateways > assignment.MaxGateways ||
+	sized := c.Gateways != 0 || c.Hosts != 0
+	if sized && (c.Gateways < 2 || c.Hosts < 2 || c.Gateways > assignment.MaxGateways ||
 		c.Hosts > assignment.MaxEndpoints) {
 		return inputError(fmt.Errorf("--gateways and --hosts go together and must be 2 to %d and 2 to %d",
 			assignment.MaxGateways, assignment.MaxEndpoints))
--- a/internal/lab/cli/view.go
+++ b/internal/lab/cli/view.go
@@ -140,10 +140,10 @@
 
 func viewPlots() []viewPlot {
 	return []viewPlot{
-		{"crash.svg", "Until the last knows of a crash, worst of five", "seconds",
+		{"crash.svg", "Time until all gateways know of a crash, worst of five", "seconds",
 			func(f membershipsim.Figures) float64 { return slices.Max(f.Crash).Seconds() }},
 		{"bytes.svg", "Sent by a gateway", "bytes a second", func(f membershipsim.Figures) float64 { return f.Rest }},
-		{"removals.svg", "Living gateways held for gone, four looks a second over a minute", "count",
+		{"removals.svg", "Running gateways considered gone, four samples a second over a minute", "count",
 			func(f membershipsim.Figures) float64 { return float64(f.FalseRemoval) }},
 	}
 }
--- a/internal/lab/scale/changes.go
+++ b/internal/lab/scale/changes.go
@@ -29,7 +29,7 @@
 	for i := range r.rollouts.ControlMachines {
 		r.rollouts.StartControl(i)
 	}
-	r.progress(Progress{Phase: "storing the configuration", Of: storeTimeout})
+	r.progress(Progress{Phase: "storing the configuration", Length: storeTimeout})
 	r.sim.Run(r.sim.Now() + electionTimeout)
 	stored := false
 	var submitNext func(list [][]content.Change)
@@ -68,7 +68,7 @@
 // awaitFirstConfig runs the simulation until the first whole configuration is in force at all gateways, for
 // firstConfigTimeout at most.
 func (r *run) awaitFirstConfig() {
-	r.progress(Progress{Phase: "fetching the configuration", Of: firstConfigTimeout})
+	r.progress(Progress{Phase: "fetching the configuration", Length: firstConfigTimeout})
 	for end := r.sim.Now() + firstConfigTimeout; r.firstConfigTime == 0 && r.sim.Now() < end && !r.sim.Interrupted(); {
 		r.sim.Run(r.sim.Now() + pollInterval)
 	}
@@ -86,6 +86,7 @@
 	}
 }
 
+// submit submits a random configuration change and starts to track it.
 func (r *run) submit() {
 	c := &change{submitted: r.sim.Now()}
 	r.changes = append(r.changes, c)
@@ -101,6 +102,7 @@
 	}
 }
 
+// updateChange counts the gateways that have run since the submission of c, and those of them that have c in force.
 func (r *run) updateChange(c *change) {
 	eligible, applied := 0, 0
 	for n, g := range r.rollouts.Gateways {
@@ -121,12 +123,12 @@
 	if out == nil {
 		return
 	}
-	out.First = seconds(r.firstConfigTime)
+	out.InitialDistribution = seconds(r.firstConfigTime)
 	var list []milestones
 	for _, c := range r.changes {
 		list = append(list, c.milestones)
 		if c.all > changeObjective {
-			out.Late++
+			out.MissedObjective++
 		}
 	}
 	out.Submitted = len(list)
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -74,6 +74,8 @@
 	return sum / float64(max(1, len(list)))
 }
 
+// relativeResidual returns the root mean square difference between the figures and the line, relative to the mean of
+// the figures, or 0 if that mean is 0.
 func (l *Line) relativeResidual() float64 {
 	sum := 0.0
 	for i, n := range l.Sizes {
@@ -110,6 +112,7 @@
 	value func(r *Result) float64
 }
 
+// figures returns the figures that every run has.
 func figures() []figure {
 	return []figure{
 		{"view, bytes sent a second, mean", func(r *Result) float64 { return r.Gateway.View.Sent.Mean }},
@@ -144,11 +147,11 @@
 // Fit fits a function to each figure over all sizes but LeftOut, and predicts the figures of LeftOut.
 func (s *Sweep) Fit() {
 	s.Lines, s.Predictions = []Line{}, []Prediction{}
-	list := figures()
+	fitted := figures()
 	if len(s.Results) > 0 && !slices.ContainsFunc(s.Results, func(r *Result) bool { return r.Configuration == nil }) {
-		list = append(list, controlFigures()...)
+		fitted = append(fitted, controlFigures()...)
 	}
-	for _, f := range list {
+	for _, f := range fitted {
 		var sizes, values []float64
 		var leftOut *Result
 		for _, r := range s.Results {
@@ -184,7 +187,7 @@
 			p.Predicted, p.Measured)
 	}
 	if s.Partial {
-		fmt.Fprintln(&b, "partial: told to end before all sizes were played")
+		fmt.Fprintln(&b, "partial: interrupted before all sizes were run")
 	}
 	return b.String()
 }
@@ -207,7 +210,7 @@
 	fmt.Fprintf(&b, "%d gateways, %d zones, %d regions, loss %.0f%%, stalls %.0f%%, seed %d: %.0f s measured in %.1f s\n", o.Gateways, o.Zones, o.Regions,
 		100*o.Loss, 100*o.Stalls, o.Seed, r.Measured, r.Elapsed)
 	if r.Partial {
-		fmt.Fprintln(&b, "  partial: told to end before it was through")
+		fmt.Fprintln(&b, "  partial: interrupted before the end of the run")
 	}
 	fmt.Fprintf(&b, "  start of all: settled after %.2f s, %.0f bytes sent by a gateway (worst %.0f), %.3f s of processor (worst %.3f)\n", r.Start.Converged,
 		r.Start.Sent.Mean, r.Start.Sent.Worst, r.Start.Processor.Mean, r.Start.Processor.Worst)
@@ -217,12 +220,12 @@
 		100*g.Processor.Worst, float64(g.HeapMean)/1e6)
 	fmt.Fprintf(&b, "  crash known: %s\n  join known:  %s\n", r.Crash, r.Join)
 	fmt.Fprintf(&b, "  false doubts %d, false removals seen by %d observers %d; all views true %.2f s after the run\n", r.FalseSuspicions, r.Observers, r.FalseRemovals, r.Recovered)
-	if len(r.Healed) > 0 {
-		fmt.Fprintf(&b, "  parted regions: all views true %v s after they met again\n", r.Healed)
+	if len(r.HealingTimes) > 0 {
+		fmt.Fprintf(&b, "  parted regions: all views true %v s after they met again\n", r.HealingTimes)
 	}
 	if c := r.Configuration; c != nil {
-		fmt.Fprintf(&b, "  configuration: first in force everywhere after %.2f s; %d changes, %d unfinished, %d later than 8 s; median %s, worst %s\n", c.First,
-			c.Submitted, c.Unfinished, c.Late, c.Median, c.Worst)
+		fmt.Fprintf(&b, "  configuration: first in force everywhere after %.2f s; %d changes, %d unfinished, %d later than 8 s; median %s, worst %s\n", c.InitialDistribution,
+			c.Submitted, c.Unfinished, c.MissedObjective, c.Median, c.Worst)
 		fmt.Fprintf(&b, "  control machine, mean / worst: sent %.0f / %.0f, received %.0f / %.0f bytes a second, %.2f%% / %.2f%% of a core, %d gateways at most\n",
 			c.ControlSent.Mean, c.ControlSent.Worst, c.ControlReceived.Mean, c.ControlReceived.Worst,
 			100*c.ControlCPU.Mean, 100*c.ControlCPU.Worst, c.MaxSubscribers)
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -37,6 +37,7 @@
 	measuring        bool          // within the measured period: joins are tracked
 }
 
+// newFleet creates the gateways and, unless o.Changes is negative, the control machines. No gateway runs yet.
 func newFleet(ctx context.Context, o Options) (*fleet, error) {
 	f := &fleet{options: o, topology: topology{o.Gateways, o.Zones, o.Regions}, sim: membershipsim.New(o.Seed, o.Gateways),
 		rng: rand.New(rand.NewPCG(o.Seed, 0x5ca1e))}
@@ -73,6 +74,7 @@
 	f.rollouts.RunOperator(time.Second, 0)
 }
 
+// servicesOf returns the names of the services that a gateway serves.
 func (f *fleet) servicesOf(gateway int) (list []string) {
 	each := min(servicesPerGateway, f.options.Services)
 	for k := range each {
@@ -129,6 +131,7 @@
 	}
 }
 
+// stall pauses the process of gateway n for length.
 func (f *fleet) stall(n int, length time.Duration) {
 	f.sim.Stop(n, length)
 	if f.rollouts != nil && f.sim.Nodes[n].Membership != nil {
@@ -136,6 +139,7 @@
 	}
 }
 
+// setLoss sets the share of the datagrams and frames that is lost.
 func (f *fleet) setLoss(loss float64) {
 	f.sim.Net.Loss = loss
 	if f.network != nil {
@@ -167,6 +171,7 @@
 	startInterval          = 5 * time.Millisecond // between two starts if many gateways start
 )
 
+// randomBetween returns a random duration of at least low and below high, or low if high is not above it.
 func (f *fleet) randomBetween(low, high time.Duration) time.Duration {
 	if high <= low {
 		return low
@@ -207,6 +212,7 @@
 	}
 }
 
+// scheduleFault schedules the begin and the end of a fault that begins at at.
 func (f *fleet) scheduleFault(at time.Duration, fault Fault) {
 	end := at + fault.For
 	zone := f.rng.IntN(f.options.Zones)
@@ -236,6 +242,7 @@
 	}
 }
 
+// scheduleControlCrash crashes the control machines of a zone at the time at, and restarts them at end.
 func (f *fleet) scheduleControlCrash(at, end time.Duration, zone int) {
 	if f.rollouts == nil {
 		return
--- a/internal/lab/scale/full.go
+++ b/internal/lab/scale/full.go
@@ -25,13 +25,13 @@
 // fullGateway holds the endpoint list, the division of the endpoints and the settings of a gateway, in addition to
 // its membership view. Its processor time is counted separately.
 type fullGateway struct {
-	index     int
-	endpoints *discovery.Endpoints
-	settings  settings.Settings
-	module    *balancer.Balancer
-	tracker   *assignment.Tracker
-	hosts     []assignment.Endpoint
-	topology  topology
+	index      int
+	endpoints  *discovery.Endpoints
+	settings   settings.Settings
+	module     *balancer.Balancer
+	tracker    *assignment.Tracker
+	assignable []assignment.Endpoint
+	topology   topology
 
 	version            uint64 // of the membership view at the last observation
 	converged          bool
@@ -92,7 +92,7 @@
 	runtime.KeepAlive(rawSettings) // if they were freed during a measurement, the heap measured would be too small
 	runtime.KeepAlive(rawList)
 	for _, h := range g.endpoints.All() {
-		g.hosts = append(g.hosts, assignment.Endpoint{ID: uint64(h.ID), Capacity: h.Capacity, Zone: h.Zone})
+		g.assignable = append(g.assignable, assignment.Endpoint{ID: uint64(h.ID), Capacity: h.Capacity, Zone: h.Zone})
 	}
 	defaults := gossipconfig.DefaultAssignment()
 	rule := assignment.Rule{Users: float64(defaults.Users), MaxUsers: defaults.MaxUsers,
@@ -129,7 +129,7 @@
 		}
 	}
 	changed, err := g.tracker.Observe(now, assignment.Observation{Alive: alive, Converged: status.Converged,
-		Endpoints: g.hosts})
+		Endpoints: g.assignable})
 	if err != nil && len(g.problems) < 5 {
 		g.problems = append(g.problems, err.Error())
 	}
@@ -182,11 +182,11 @@
 		Quota float64 `json:"quota_per_s"`
 	}
 	type class struct {
-		Name   string  `json:"name"`
-		Aim    float64 `json:"aim_ms"`
-		GiveUp float64 `json:"give_up_ms"`
-		Worth  float64 `json:"worth"`
-		Repeat string  `json:"repeat"`
+		Name      string  `json:"name"`
+		Objective float64 `json:"aim_ms"`
+		Timeout   float64 `json:"give_up_ms"`
+		Weight    float64 `json:"worth"`
+		Repeat    string  `json:"repeat"`
 	}
 	doc := struct {
 		Balancers int      `json:"balancers"`
--- a/internal/lab/scale/options.go
+++ b/internal/lab/scale/options.go
@@ -80,12 +80,12 @@
 
 // FieldError reports an option whose value cannot be used.
 type FieldError struct {
-	Field string // key of the option in a file
-	Text  string
+	Field  string // key of the option in a file
+	Reason string
 }
 
 // Error implements error.
-func (e *FieldError) Error() string { return e.Field + ": " + e.Text }
+func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
 // Check returns an error for each option that cannot be used.
 func (o *Options) Check() (invalid []*FieldError) {
@@ -136,12 +136,13 @@
 	return invalid
 }
 
+// check returns an error for each field of the fault that cannot be used; path is the prefix of their keys.
 func (f *Fault) check(path string, o *Options) (invalid []*FieldError) {
 	fault := func(field, format string, args ...any) {
 		invalid = append(invalid, &FieldError{path + field, fmt.Sprintf(format, args...)})
 	}
 	if !slices.Contains(faultKinds(), f.Kind) {
-		fault("do", "%q is none of %s", f.Kind, kindNames())
+		fault("do", "%q is none of %s", f.Kind, faultKindNames())
 	}
 	if f.At < 0 || f.At > o.For {
 		fault("at", "%v, but 0s to %v is needed, the length of the run", f.At, o.For)
@@ -162,7 +163,7 @@
 	return invalid
 }
 
-func kindNames() string {
+func faultKindNames() string {
 	var names []string
 	for _, k := range faultKinds() {
 		names = append(names, string(k))
@@ -215,7 +216,7 @@
 	out := base
 	form.apply(&out)
 	for _, wrong := range out.Check() {
-		in.AddFault(wrong.Field, "%s", wrong.Text)
+		in.AddFault(wrong.Field, "%s", wrong.Reason)
 	}
 	if err := in.Err(); err != nil {
 		return base, err
@@ -223,21 +224,22 @@
 	return out, nil
 }
 
+// apply overwrites the options that the file contains, and adds its faults.
 func (form *optionsFile) apply(o *Options) {
-	set(&o.Gateways, form.Gateways)
-	set(&o.Hosts, form.Hosts)
-	set(&o.Services, form.Services)
-	set(&o.Tenants, form.Tenants)
-	set(&o.Routes, form.Routes)
-	set(&o.Zones, form.Zones)
-	set(&o.Regions, form.Regions)
-	set(&o.Full, form.Full)
-	set(&o.Seed, form.Seed)
-	set(&o.Loss, form.Loss)
-	set(&o.Stalls, form.Stalls)
-	set(&o.Restarts, form.Restarts)
-	set(&o.Failures, form.Failures)
-	set(&o.Changes, form.Changes)
+	setIfPresent(&o.Gateways, form.Gateways)
+	setIfPresent(&o.Hosts, form.Hosts)
+	setIfPresent(&o.Services, form.Services)
+	setIfPresent(&o.Tenants, form.Tenants)
+	setIfPresent(&o.Routes, form.Routes)
+	setIfPresent(&o.Zones, form.Zones)
+	setIfPresent(&o.Regions, form.Regions)
+	setIfPresent(&o.Full, form.Full)
+	setIfPresent(&o.Seed, form.Seed)
+	setIfPresent(&o.Loss, form.Loss)
+	setIfPresent(&o.Stalls, form.Stalls)
+	setIfPresent(&o.Restarts, form.Restarts)
+	setIfPresent(&o.Failures, form.Failures)
+	setIfPresent(&o.Changes, form.Changes)
 	if form.For != nil {
 		o.For = form.For.Duration
 	}
@@ -246,9 +248,9 @@
 	}
 }
 
-func set[T any](to, from *T) {
-	if from != nil {
-		*to = *from
+func setIfPresent[T any](target, value *T) {
+	if value != nil {
+		*target = *value
 	}
 }
 
--- a/internal/lab/scale/place.go
+++ b/internal/lab/scale/place.go
@@ -20,6 +20,7 @@
 	return all[from:min(from+gatewaysPerRack, len(all))]
 }
 
+// ofZone returns the gateways of a zone.
 func (t topology) ofZone(zone int) (list []int) {
 	for gateway := zone; gateway < t.gateways; gateway += t.zones {
 		list = append(list, gateway)
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -44,17 +44,17 @@
 
 // Configuration holds the figures of the distribution of configuration changes.
 type Configuration struct {
-	First           float64  `json:"first_s"` // until the first whole configuration is in force at all gateways
-	Submitted       int      `json:"submitted"`
-	Unfinished      int      `json:"unfinished"` // not in force at all gateways when the run ended
-	Late            int      `json:"late"`       // in force at all gateways, after more than 8 s
-	Median          Times    `json:"median"`
-	Worst           Times    `json:"worst"`
-	ControlSent     Summary  `json:"control_sent_bytes_s"`
-	ControlReceived Summary  `json:"control_received_bytes_s"`
-	ControlCPU      Summary  `json:"control_processor"` // in shares of a core, by the clock
-	MaxSubscribers  int      `json:"most_gateways_of_a_control_machine"`
-	Violations      []string `json:"broken_rules"`
+	InitialDistribution float64  `json:"first_s"` // until the first whole configuration is in force at all gateways
+	Submitted           int      `json:"submitted"`
+	Unfinished          int      `json:"unfinished"` // not in force at all gateways when the run ended
+	MissedObjective     int      `json:"late"`       // in force at all gateways, after more than 8 s
+	Median              Times    `json:"median"`
+	Worst               Times    `json:"worst"`
+	ControlSent         Summary  `json:"control_sent_bytes_s"`
+	ControlReceived     Summary  `json:"control_received_bytes_s"`
+	ControlCPU          Summary  `json:"control_processor"` // in shares of a core, by the clock
+	MaxSubscribers      int      `json:"most_gateways_of_a_control_machine"`
+	Violations          []string `json:"broken_rules"`
 }
 
 // Full holds what endpoint lists, their divisions and settings cost a gateway, measured at the full gateways.
@@ -96,9 +96,9 @@
 	// Recovered is the time from the end of the measured period until each view is correct, below 0 if that took more
 	// than 60 s.
 	Recovered float64 `json:"recovered_s"`
-	// Healed holds, for each partition of the regions, the time from its end until each view was correct. It lacks
+	// HealingTimes holds, for each partition of the regions, the time from its end until each view was correct. It lacks
 	// partitions after which that was not reached.
-	Healed        []float64      `json:"healed_s"`
+	HealingTimes  []float64      `json:"healed_s"`
 	Configuration *Configuration `json:"configuration,omitempty"`
 	Full          *Full          `json:"full,omitempty"`
 	Seconds       []Second       `json:"seconds"`
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -23,31 +23,31 @@
 
 // Progress is the progress of a run within its present phase.
 type Progress struct {
-	Phase string
-	At    time.Duration // virtual time since the begin of the phase
-	Of    time.Duration // expected length of the phase
+	Phase  string
+	At     time.Duration // virtual time since the begin of the phase
+	Length time.Duration // expected length of the phase
 }
 
 // Run simulates a fleet. Once ctx is done it returns the result to that point, marked as partial. progress is called at
 // the begin of each phase and every second of virtual time while measuring; it may be nil.
 func Run(ctx context.Context, o Options, progress func(Progress)) (*Result, error) {
-	if wrong := o.Check(); len(wrong) > 0 {
-		return nil, wrong[0]
+	if invalid := o.Check(); len(invalid) > 0 {
+		return nil, invalid[0]
 	}
 	if progress == nil {
 		progress = func(Progress) {}
 	}
 	defer cputime.Hold()()
-	began := time.Now()
+	startedAt := time.Now()
 	f, err := newFleet(ctx, o)
 	if err != nil {
 		return nil, err
 	}
 	r := &run{fleet: f, progress: progress, result: &Result{Version: ResultVersion, Options: o, Seconds: []Second{},
-		Healed: []float64{}}}
+		HealingTimes: []float64{}}}
 	r.execute()
 	r.result.Partial = f.sim.Interrupted()
-	r.result.Elapsed = time.Since(began).Seconds()
+	r.result.Elapsed = time.Since(startedAt).Seconds()
 	return r.result, nil
 }
 
@@ -60,9 +60,10 @@
 	firstConfigTime time.Duration   // until the first whole configuration was in force at all gateways
 	falselyRemoved  map[[2]int]bool // pairs of an observer and the running gateway that it considered gone at the last check
 	nextSecond      time.Duration
-	sentAt          []uint64 // total bytes sent by each gateway at the last sample
+	lastSent        []uint64 // total bytes sent by each gateway at the last sample
 }
 
+// execute starts the fleet, measures it and waits for its recovery. It returns early if the run is interrupted.
 func (r *run) execute() {
 	if r.rollouts != nil {
 		r.startControl()
@@ -90,18 +91,18 @@
 	for n := range o.Gateways {
 		r.sim.At(r.sim.Now()+time.Duration(n)*startInterval, func() { r.start(n, false) })
 	}
-	r.progress(Progress{Phase: "starting", Of: length})
+	r.progress(Progress{Phase: "starting", Length: length})
 	r.sim.Run(r.sim.Now() + length)
-	last := r.sim.Now()
-	r.progress(Progress{Phase: "joining", Of: joinTimeout})
+	lastStart := r.sim.Now()
+	r.progress(Progress{Phase: "joining", Length: joinTimeout})
 	if _, ok := r.sim.RunUntilConverged(joinTimeout); ok {
-		r.result.Start.Converged = seconds(r.sim.Now() - last)
+		r.result.Start.Converged = seconds(r.sim.Now() - lastStart)
 	}
-	var sent, used []float64
+	var sent, cpuTime []float64
 	for n := range o.Gateways {
-		sent, used = append(sent, float64(r.sim.Sent(n))), append(used, r.sim.CPUTime(n).Seconds())
+		sent, cpuTime = append(sent, float64(r.sim.Sent(n))), append(cpuTime, r.sim.CPUTime(n).Seconds())
 	}
-	r.result.Start.Sent, r.result.Start.Processor = newSummary(sent), newSummary(used)
+	r.result.Start.Sent, r.result.Start.Processor = newSummary(sent), newSummary(cpuTime)
 }
 
 // measure runs the measured period and, for the events that not all gateways know yet, propagationGrace after it.
@@ -112,14 +113,14 @@
 	r.scheduleChanges()
 	before := r.takeReading()
 	begin := r.sim.Now()
-	doubts := r.falseAlarms()
+	falseAlarms := r.falseAlarms()
 	r.falselyRemoved, r.nextSecond = make(map[[2]int]bool), begin
 	r.advance(begin, begin+r.options.For, "measuring")
 	r.computeFigures(before, r.takeReading(), r.sim.Now()-begin)
-	r.result.FalseSuspicions = r.falseAlarms() - doubts
+	r.result.FalseSuspicions = r.falseAlarms() - falseAlarms
 	r.result.Gateway.HeapMean = r.heapPerGateway()
 	if !r.sim.Interrupted() {
-		r.advance(begin, r.sim.Now()+propagationGrace, "waiting for what is not known yet")
+		r.advance(begin, r.sim.Now()+propagationGrace, "waiting for events not yet known to all")
 	}
 	r.result.Crash, r.result.Join = r.events.propagation(false), r.events.propagation(true)
 	r.result.Violations = append([]string{}, r.sim.Findings...)
@@ -148,7 +149,7 @@
 	if r.partitionEndedAt == 0 || r.partitioned || r.sim.Divergence() != "" {
 		return
 	}
-	r.result.Healed = append(r.result.Healed, seconds(r.sim.Now()-r.partitionEndedAt))
+	r.result.HealingTimes = append(r.result.HealingTimes, seconds(r.sim.Now()-r.partitionEndedAt))
 	r.partitionEndedAt = 0
 }
 
@@ -166,19 +167,19 @@
 		if r.rollouts != nil {
 			sent[n] += r.rollouts.Gateways[n].Sent
 		}
-		if r.sentAt != nil {
-			rates = append(rates, float64(sent[n]-r.sentAt[n])/sampleInterval.Seconds())
+		if r.lastSent != nil {
+			rates = append(rates, float64(sent[n]-r.lastSent[n])/sampleInterval.Seconds())
 		}
 		if r.sim.Running(n) {
 			s.Alive++
 		}
 	}
-	if r.sentAt != nil {
+	if r.lastSent != nil {
 		a := newSummary(rates)
 		s.Mean, s.Worst = a.Mean, a.Worst
 		r.result.Seconds = append(r.result.Seconds, s)
 	}
-	r.sentAt = sent
+	r.lastSent = sent
 }
 
 // countFalseRemovals counts the running gateways that an observer considers gone although messages from them
@@ -186,7 +187,7 @@
 func (r *run) countFalseRemovals() {
 	observers := evenlySpaced(min(maxObservers, r.options.Gateways), r.options.Gateways)
 	r.result.Observers = len(observers)
-	now := make(map[[2]int]bool)
+	current := make(map[[2]int]bool)
 	for _, n := range observers {
 		if !r.sim.Running(n) {
 			continue
@@ -198,30 +199,31 @@
 			}
 			if m, known := r.sim.Nodes[n].Membership.Find(node.Name); known && m.State == gossipcodec.Gone {
 				pair := [2]int{n, subject}
-				if now[pair] = true; !r.falselyRemoved[pair] {
+				if current[pair] = true; !r.falselyRemoved[pair] {
 					r.result.FalseRemovals++
 				}
 			}
 		}
 	}
-	r.falselyRemoved = now
+	r.falselyRemoved = current
 }
 
 // recover ends all faults and waits until each view is correct.
 func (r *run) recover() {
 	r.partitioned = false
 	r.setLoss(0)
-	r.progress(Progress{Phase: "recovering", Of: recoveryTimeout})
-	took, ok := r.sim.RunUntilConverged(recoveryTimeout)
+	r.progress(Progress{Phase: "recovering", Length: recoveryTimeout})
+	recovery, ok := r.sim.RunUntilConverged(recoveryTimeout)
 	switch {
 	case r.sim.Interrupted():
 	case ok:
-		r.result.Recovered = seconds(took)
+		r.result.Recovered = seconds(recovery)
 	default:
 		r.result.Recovered = -1
 	}
 }
 
+// falseAlarms returns the total number of suspicions that the running gateways have refuted.
 func (r *run) falseAlarms() (sum int) {
 	for _, node := range r.sim.Nodes {
 		if node.Membership != nil {
@@ -244,17 +246,18 @@
 	cpuTime        time.Duration
 }
 
+// takeReading returns the present totals of all gateways and control machines.
 func (r *run) takeReading() (m reading) {
 	for n := range r.options.Gateways {
-		used := r.sim.CPUTime(n)
-		var sent, taken uint64
+		cpuTime := r.sim.CPUTime(n)
+		var sent, received uint64
 		if r.rollouts != nil {
 			g := r.rollouts.Gateways[n]
-			sent, taken, used = g.Sent, g.Received, used+g.CPUTime
+			sent, received, cpuTime = g.Sent, g.Received, cpuTime+g.CPUTime
 		}
 		m.viewSent, m.viewReceived = append(m.viewSent, r.sim.Sent(n)), append(m.viewReceived, r.sim.Received(n))
-		m.configSent, m.configReceived = append(m.configSent, sent), append(m.configReceived, taken)
-		m.cpuTime = append(m.cpuTime, used)
+		m.configSent, m.configReceived = append(m.configSent, sent), append(m.configReceived, received)
+		m.cpuTime = append(m.cpuTime, cpuTime)
 	}
 	for _, g := range r.full {
 		m.divisionTime = append(m.divisionTime, g.cpuTime)
@@ -288,14 +291,14 @@
 	if r.result.Measured = seconds(length); length <= 0 {
 		return
 	}
-	viewSent, viewTaken := rates(before.viewSent, after.viewSent, length),
+	viewSent, viewReceived := rates(before.viewSent, after.viewSent, length),
 		rates(before.viewReceived, after.viewReceived, length)
-	sent, taken := rates(before.configSent, after.configSent, length),
+	sent, received := rates(before.configSent, after.configSent, length),
 		rates(before.configReceived, after.configReceived, length)
 	b := &r.result.Gateway
-	b.View = Traffic{newSummary(viewSent), newSummary(viewTaken)}
-	b.Configuration = Traffic{newSummary(sent), newSummary(taken)}
-	b.All = Traffic{newSummary(sumPairwise(viewSent, sent)), newSummary(sumPairwise(viewTaken, taken))}
+	b.View = Traffic{newSummary(viewSent), newSummary(viewReceived)}
+	b.Configuration = Traffic{newSummary(sent), newSummary(received)}
+	b.All = Traffic{newSummary(sumPairwise(viewSent, sent)), newSummary(sumPairwise(viewReceived, received))}
 	b.Processor = newSummary(cpuShares(before.cpuTime, after.cpuTime, length))
 	if len(r.full) > 0 {
 		r.summarizeFull(before, after, length)
@@ -304,14 +307,14 @@
 		return
 	}
 	c := &Configuration{Violations: []string{}}
-	var out, in, used []float64
+	var sentRates, receivedRates, shares []float64
 	for i, now := range after.control {
 		previous := before.control[i]
-		out = append(out, float64(now.sent-previous.sent)/length.Seconds())
-		in = append(in, float64(now.received-previous.received)/length.Seconds())
-		used = append(used, (now.cpuTime-previous.cpuTime).Seconds()/length.Seconds())
+		sentRates = append(sentRates, float64(now.sent-previous.sent)/length.Seconds())
+		receivedRates = append(receivedRates, float64(now.received-previous.received)/length.Seconds())
+		shares = append(shares, (now.cpuTime-previous.cpuTime).Seconds()/length.Seconds())
 	}
-	c.ControlSent, c.ControlReceived, c.ControlCPU = newSummary(out), newSummary(in), newSummary(used)
+	c.ControlSent, c.ControlReceived, c.ControlCPU = newSummary(sentRates), newSummary(receivedRates), newSummary(shares)
 	r.result.Configuration = c
 }
 
@@ -323,6 +326,7 @@
 	return list
 }
 
+// summarizeFull fills in the result's figures of the full gateways.
 func (r *run) summarizeFull(before, after reading, length time.Duration) {
 	full := &Full{Gateways: len(r.full), SettingsTime: seconds(r.startCost.SettingsTime),
 		SettingsHeap: r.startCost.SettingsHeap,
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -92,8 +92,8 @@
 	if r.Crash.Count < 9 || r.Join.Count < 9 || r.Recovered < 0 {
 		t.Errorf("crashes %d, joins %d, recovered after %v s", r.Crash.Count, r.Join.Count, r.Recovered)
 	}
-	if len(r.Healed) != 1 || r.Healed[0] > 10 {
-		t.Errorf("healed %v s after the partition of the regions; want one value of 10 at most", r.Healed)
+	if len(r.HealingTimes) != 1 || r.HealingTimes[0] > 10 {
+		t.Errorf("healed %v s after the partition of the regions; want one value of 10 at most", r.HealingTimes)
 	}
 	if least := r.Seconds[5].Alive; least > 55 {
 		t.Errorf("%d of 64 gateways run while a zone is down; want 55 at most", least)
@@ -171,8 +171,8 @@
 			t.Errorf("%s: %v", field, err)
 		}
 	}
-	if wrong := new(Options); len(wrong.Check()) < 5 {
-		t.Errorf("zero options: %v", wrong.Check())
+	if empty := new(Options); len(empty.Check()) < 5 {
+		t.Errorf("zero options: %v", empty.Check())
 	}
 }
 
