--- a/internal/lab/cli/drill.go
+++ b/internal/lab/cli/drill.go
@@ -17,7 +17,7 @@
 	Drill   string `arg:"" help:"The drill's TOML file."`
 	Out     string `required:"" placeholder:"DIR" help:"Directory for result.json, report.html, logs and configurations."`
 	Gateway string `default:"bin/thymebend" placeholder:"PATH" help:"The gateway's program."`
-	Seed    uint64 `placeholder:"N" help:"Instead of the file's."`
+	Seed    uint64 `placeholder:"N" help:"Seed to use instead of the file's."`
 }
 
 // Help implements kong.HelpProvider.
--- a/internal/lab/cli/fleet.go
+++ b/internal/lab/cli/fleet.go
@@ -10,7 +10,7 @@
 
 type fleetCmd struct {
 	Experiment string `arg:"" help:"The experiment's TOML file."`
-	Seed       uint64 `placeholder:"N" help:"Instead of the file's."`
+	Seed       uint64 `placeholder:"N" help:"Seed to use instead of the file's."`
 	Discovery  string `default:"127.0.0.1:0" placeholder:"ADDR" help:"Where discovery listens; port 0 takes a free one."`
 	Listen     string `default:"127.0.0.1:8443" placeholder:"ADDR" help:"Listen address of the gateway of --config."`
 	Config     string `placeholder:"FILE" help:"Write the configuration of a gateway over this fleet."`
--- a/internal/lab/cli/load.go
+++ b/internal/lab/cli/load.go
@@ -17,7 +17,7 @@
 )
 
 type loadCmd struct {
-	Target      []string      `required:"" sep:"," placeholder:"ADDR" help:"Where to send, host:port on loopback; several are taken in turn."`
+	Target      []string      `required:"" sep:"," placeholder:"ADDR" help:"Target address, host:port on loopback; several targets are used in turn."`
 	Rate        float64       `default:"100" help:"Requests a second, if neither --shape nor --trace is given."`
 	For         time.Duration `default:"10s" help:"Length of the load."`
 	Class       []string      `placeholder:"NAME=SHARE" help:"A class and its share of the requests; may be repeated. Without any: tender-view=0.64 and bid-lodge=0.36."`
@@ -28,7 +28,7 @@
 	Patience    time.Duration `default:"2s" help:"Client timeout: the time that a client waits for its answer."`
 	Aim         time.Duration `default:"800ms" help:"Latency objective of an answer."`
 	Body        int           `default:"200" help:"Bytes of a POST's body."`
-	Connections int           `help:"Connections opened before the first request; further ones are opened when all are busy."`
+	Connections int           `help:"Connections opened before the first request; more are opened when all are busy."`
 	Retries     float64       `help:"Further tries of a request that was refused or failed."`
 	Backoff     string        `enum:"fixed,exp" default:"fixed" help:"Waits before retries: constant (fixed), or doubling (exp)."`
 	Wait        time.Duration `default:"100ms" help:"Wait before the first retry."`
@@ -41,8 +41,8 @@
 // Help implements kong.HelpProvider.
 func (loadCmd) Help() string {
 	return "Example:\n  thymelab load --target 127.0.0.1:8443 --rate 300 --for 20s --class tender-view=0.7 --class bid-lodge=0.3 --json out.json\n\n" +
-		"Requests leave on schedule whatever the answers; latency counts from the time at which a request was due.\n" +
-		"A target that is down is data. Exit codes: 0 measured, 2 unusable input, 3 the generator fell behind, 4 interrupted by a signal: the output is partial."
+		"Requests are sent on schedule, independent of the answers; latency counts from the time at which a request was due.\n" +
+		"A target that is down is measured as well. Exit codes: 0 measured, 2 unusable input, 3 the generator fell behind, 4 interrupted by a signal: the output is partial."
 }
 
 // Run executes the command; kong calls it.
--- a/internal/lab/cli/run.go
+++ b/internal/lab/cli/run.go
@@ -14,7 +14,7 @@
 	Experiment string `arg:"" help:"The experiment's TOML file."`
 	Out        string `required:"" placeholder:"DIR" help:"Directory for result.json, report.html, logs and configurations."`
 	Gateway    string `default:"bin/thymebend" placeholder:"PATH" help:"The gateway's program."`
-	Seed       uint64 `placeholder:"N" help:"Instead of the file's."`
+	Seed       uint64 `placeholder:"N" help:"Seed to use instead of the file's."`
 }
 
 // Help implements kong.HelpProvider.
--- a/internal/lab/cli/seeds.go
+++ b/internal/lab/cli/seeds.go
@@ -91,8 +91,8 @@
 		"steps": steps, "took_s": took})
 }
 
-// playSeeds plays the seeds in c.Jobs parallel runs, waits for their ends and returns how many runs were complete. play
-// reports whether its run was complete.
+// playSeeds plays the seeds in c.Jobs parallel runs, by default one for each core, waits for their ends and returns how
+// many runs were complete. play reports whether its run was complete.
 func (c seedsCmd) playSeeds(e *environment, play func(seed uint64) (whole bool)) (played uint64) {
 	var workers sync.WaitGroup
 	var whole atomic.Uint64
--- a/internal/lab/mutationtest/sources.go
+++ b/internal/lab/mutationtest/sources.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// sources returns the source tree without files that a build does not need: tests, test data, documents, the journal and
-// build outputs.
+// sources returns the source tree without files that a build does not need: tests, test data, documents, the journal
+// and build outputs.
 func sources(root string) fs.FS { return sourceTree{os.DirFS(root)} }
 
 // sourceTree is a directory tree of which ReadDir lists only the files that a build needs.
--- a/internal/lab/scale/changes.go
+++ b/internal/lab/scale/changes.go
@@ -24,7 +24,7 @@
 }
 
 // startControl starts the control machines and submits the whole configuration to them, one proposal after another.
-// It returns when all proposals are stored, or after storeTimeout.
+// It waits until all proposals are stored, for storeTimeout at most, and for electionTimeout before and after.
 func (r *run) startControl() {
 	for i := range r.rollouts.ControlMachines {
 		r.rollouts.StartControl(i)
@@ -53,8 +53,8 @@
 	begin := r.sim.Now()
 	var check func()
 	check = func() {
-		have, up := r.rollouts.InForce(r.rollouts.Newest())
-		if have == up && up == r.options.Gateways {
+		applied, running := r.rollouts.InForce(r.rollouts.Newest())
+		if applied == running && running == r.options.Gateways {
 			r.firstConfigTime = r.sim.Now() - begin
 			return
 		}
--- a/internal/lab/scale/full.go
+++ b/internal/lab/scale/full.go
@@ -28,7 +28,7 @@
 	index      int
 	endpoints  *discovery.Endpoints
 	settings   settings.Settings
-	module     *balancer.Balancer
+	balancer   *balancer.Balancer
 	tracker    *assignment.Tracker
 	assignable []assignment.Endpoint
 	topology   topology
@@ -72,7 +72,7 @@
 		if g.settings, err = settings.ParseJSON(rawSettings); err != nil {
 			return
 		}
-		g.module, err = balancer.New(g.settings.Config, o.Seed, now, discardActions{})
+		g.balancer, err = balancer.New(g.settings.Config, o.Seed, now, discardActions{})
 	})
 	if err != nil {
 		return nil, cost, err
@@ -83,13 +83,13 @@
 		if update, err = g.endpoints.Apply(rawList); err != nil {
 			return
 		}
-		g.module.UpdateEndpoints(now, balancer.Snapshot, update.Entries)
-		g.module.Dispatch(now)
+		g.balancer.UpdateEndpoints(now, balancer.Snapshot, update.Entries)
+		g.balancer.Dispatch(now)
 	})
 	if err != nil {
 		return nil, cost, err
 	}
-	runtime.KeepAlive(rawSettings) // if they were freed during a measurement, the heap measured would be too small
+	runtime.KeepAlive(rawSettings) // Freed during a measurement, they would reduce the heap measured.
 	runtime.KeepAlive(rawList)
 	for _, h := range g.endpoints.All() {
 		g.assignable = append(g.assignable, assignment.Endpoint{ID: uint64(h.ID), Capacity: h.Capacity, Zone: h.Zone})
--- a/internal/lab/scale/options.go
+++ b/internal/lab/scale/options.go
@@ -89,7 +89,7 @@
 
 // Check returns an error for each option that cannot be used.
 func (o *Options) Check() (invalid []*FieldError) {
-	fault := func(field, format string, args ...any) {
+	addError := func(field, format string, args ...any) {
 		invalid = append(invalid, &FieldError{field, fmt.Sprintf(format, args...)})
 	}
 	for _, b := range []struct {
@@ -109,26 +109,26 @@
 		{"changes", o.Changes, -1, maxEvents},
 	} {
 		if b.value < b.low || b.value > b.high {
-			fault(b.field, "%d, but %d to %d is needed", b.value, b.low, b.high)
+			addError(b.field, "%d, but %d to %d is needed", b.value, b.low, b.high)
 		}
 	}
 	if o.Regions > o.Zones {
-		fault("regions", "%d regions have %d zones: each needs one at least", o.Regions, o.Zones)
+		addError("regions", "%d regions have %d zones: each needs one at least", o.Regions, o.Zones)
 	}
 	if o.Full > o.Gateways {
-		fault("full", "%d of %d gateways", o.Full, o.Gateways)
+		addError("full", "%d full gateways, but the fleet has only %d gateways", o.Full, o.Gateways)
 	}
 	if o.For < minMeasuredTime || o.For > maxMeasuredTime {
-		fault("for", "%v, but %v to %v is needed", o.For, minMeasuredTime, maxMeasuredTime)
+		addError("for", "%v, but %v to %v is needed", o.For, minMeasuredTime, maxMeasuredTime)
 	}
 	if !(o.Loss >= 0 && o.Loss < 1) {
-		fault("loss", "%v, but 0 to under 1 is needed", o.Loss)
+		addError("loss", "%v, but 0 to under 1 is needed", o.Loss)
 	}
 	if !(o.Stalls >= 0 && o.Stalls <= 0.5) {
-		fault("stalls", "%v, but 0 to 0.5 is needed", o.Stalls)
+		addError("stalls", "%v, but 0 to 0.5 is needed", o.Stalls)
 	}
 	if len(o.Faults) > maxFaults {
-		fault("fault", "%d, but %d at most", len(o.Faults), maxFaults)
+		addError("fault", "%d, but %d at most", len(o.Faults), maxFaults)
 	}
 	for i, f := range o.Faults {
 		invalid = append(invalid, f.check(fmt.Sprintf("fault.%d.", i), o)...)
@@ -138,31 +138,32 @@
 
 // check returns an error for each field of the fault that cannot be used; path is the prefix of their keys.
 func (f *Fault) check(path string, o *Options) (invalid []*FieldError) {
-	fault := func(field, format string, args ...any) {
+	addError := func(field, format string, args ...any) {
 		invalid = append(invalid, &FieldError{path + field, fmt.Sprintf(format, args...)})
 	}
 	if !slices.Contains(faultKinds(), f.Kind) {
-		fault("do", "%q is none of %s", f.Kind, faultKindNames())
+		addError("do", "%q is none of %s", f.Kind, faultKindNames())
 	}
 	if f.At < 0 || f.At > o.For {
-		fault("at", "%v, but 0s to %v is needed, the length of the run", f.At, o.For)
+		addError("at", "%v, but 0s to %v is needed, the length of the run", f.At, o.For)
 	}
 	if f.For <= 0 || f.For > maxMeasuredTime {
-		fault("for", "%v, but above 0s to %v is needed", f.For, maxMeasuredTime)
+		addError("for", "%v, but above 0s to %v is needed", f.For, maxMeasuredTime)
 	}
 	needsShare := f.Kind == LossRises || f.Kind == GatewaysStop
 	switch {
 	case needsShare && !(f.Share > 0 && f.Share < 1):
-		fault("share", "%v, but above 0 to under 1 is needed", f.Share)
+		addError("share", "%v, but above 0 to under 1 is needed", f.Share)
 	case !needsShare && f.Share != 0:
-		fault("share", "is allowed only for loss and stalls")
+		addError("share", "is allowed only for loss and stalls")
 	}
 	if f.Kind == RegionsPartition && o.Regions < 2 {
-		fault("do", "parted needs at least two regions")
+		addError("do", "parted needs at least two regions")
 	}
 	return invalid
 }
 
+// faultKindNames returns the names of all fault kinds, separated by commas.
 func faultKindNames() string {
 	var names []string
 	for _, k := range faultKinds() {
@@ -248,6 +249,7 @@
 	}
 }
 
+// setIfPresent sets *target to *value unless value is nil.
 func setIfPresent[T any](target, value *T) {
 	if value != nil {
 		*target = *value
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -58,7 +58,7 @@
 	result          *Result
 	changes         []*change
 	firstConfigTime time.Duration   // until the first whole configuration was in force at all gateways
-	falselyRemoved  map[[2]int]bool // pairs of an observer and the running gateway that it considered gone at the last check
+	falselyRemoved  map[[2]int]bool // pairs of observer and running gateway considered gone, at the last check
 	nextSecond      time.Duration
 	lastSent        []uint64 // total bytes sent by each gateway at the last sample
 }
@@ -236,11 +236,12 @@
 // reading holds the total bytes sent and received and the total processor time of each gateway and control machine.
 type reading struct {
 	viewSent, viewReceived, configSent, configReceived []uint64
-	cpuTime                                            []time.Duration // for the membership views and the configuration agents
-	divisionTime                                       []time.Duration // processor time of each full gateway for divisions
+	cpuTime                                            []time.Duration // for views and configuration agents
+	divisionTime                                       []time.Duration // of each full gateway, for divisions
 	control                                            []controlReading
 }
 
+// controlReading holds the total bytes sent and received and the total processor time of a control machine.
 type controlReading struct {
 	sent, received uint64
 	cpuTime        time.Duration
