--- a/internal/lab/cli/cli.go
+++ b/internal/lab/cli/cli.go
@@ -129,7 +129,7 @@
 				next += 5 * time.Second
 				e.log.Info().Stringer("at", p.At.Round(time.Second)).Int("due", p.Scheduled).Int("ok",
 					p.OK).Int("refused", p.Refused).
-					Int("failed", p.Failed).Int("in_flight", p.Flight).Int("connections", p.Open).Msg("running")
+					Int("failed", p.Failed).Int("in_flight", p.InFlight).Int("connections", p.Open).Msg("running")
 			}
 		}
 	}
@@ -140,7 +140,7 @@
 	return func(p load.Progress) {
 		bar.Describe(fmt.Sprintf("%3.0f s  due %d  ok %d  refused %d  failed %d  in flight %d", p.At.Seconds(),
 			p.Scheduled, p.OK,
-			p.Refused, p.Failed, p.Flight))
+			p.Refused, p.Failed, p.InFlight))
 		_ = bar.Set64(min(p.At.Milliseconds(), length.Milliseconds()))
 	}
 }
--- a/internal/lab/cli/cli_test.go
+++ b/internal/lab/cli/cli_test.go
@@ -103,7 +103,7 @@
 func TestGeneratorFallingBehindExitsWith3(t *testing.T) {
 	var out bytes.Buffer
 	e := &environment{out: &out, err: &out}
-	err := loadCmd{}.reportResult(e, load.Result{FellBehind: true, Behind: "late"}, requestrecord.NewClients())
+	err := loadCmd{}.reportResult(e, load.Result{FellBehind: true, BehindReason: "late"}, requestrecord.NewClientRecord())
 	if c, ok := err.(exitError); !ok || c.code != 3 || strings.Contains(out.String(), "p99") {
 		t.Errorf("%v %s", err, out.String())
 	}
--- a/internal/lab/cli/drill.go
+++ b/internal/lab/cli/drill.go
@@ -41,7 +41,7 @@
 		len(f.Faults)).Msg("running")
 	res, err := drill.Run(e.ctx, f, drill.Options{Gateway: c.Gateway, Dir: c.Out, Seed: c.Seed,
 		Progress: e.progress(length),
-		Found: func(f requestrecord.Finding) {
+		OnFinding: func(f requestrecord.Finding) {
 			e.log.Warn().Str("rule", f.Rule).Str("gateway",
 				f.ID).Msg(f.Detail)
 		}})
@@ -57,10 +57,10 @@
 	}
 	fmt.Fprint(e.out, report.Text(res.Result))
 	fmt.Fprintf(e.out, "report: %s\n", page)
-	if res.Load.PartialInput {
+	if res.Load.StoppedEarly {
 		return interruptedError()
 	}
-	if !res.Held {
+	if !res.RulesHeld {
 		var lines []string
 		for _, finding := range res.Findings[:min(10, len(res.Findings))] {
 			lines = append(lines, fmt.Sprintf("%s: %s: %s", finding.Rule, finding.ID, finding.Detail))
--- a/internal/lab/cli/load.go
+++ b/internal/lab/cli/load.go
@@ -60,12 +60,12 @@
 	if err != nil {
 		return inputError(err)
 	}
-	ledger := requestrecord.NewClients()
+	ledger := requestrecord.NewClientRecord()
 	res, err := load.Run(e.ctx, load.Options{Targets: c.Target, Classes: classes, Schedule: schedule,
 		Clients: clients, Seed: c.Seed,
 		// Request ids differ in every run, because the target may still know the ids of an earlier run.
-		Prefix: fmt.Sprintf("%08x", uint32(time.Now().UnixNano())),
-		Notice: c.Notice, Ledger: ledger, Progress: e.progress(length)})
+		IDPrefix:       fmt.Sprintf("%08x", uint32(time.Now().UnixNano())),
+		DetectionDelay: c.Notice, Record: ledger, Progress: e.progress(length)})
 	if err != nil {
 		return inputError(err)
 	}
@@ -75,9 +75,9 @@
 // schedule returns when requests are sent, how clients behave and how long the load lasts. They come from the trace,
 // the shape file, or the rate.
 func (c loadCmd) schedule(classes []load.Class) (load.Schedule, load.Clients, time.Duration, error) {
-	clients := load.Clients{Retries: c.Retries, Backoff: c.Backoff, Wait: c.Wait, Honour: c.Honour, Marks: true,
+	clients := load.Clients{Retries: c.Retries, Backoff: c.Backoff, RetryDelay: c.Wait, HonourShare: c.Honour, MarkRetries: true,
 		Connections: c.Connections}
-	list, length := []load.Phase{{For: c.For, Rate: c.Rate, Poisson: c.Arrivals == "poisson"}}, c.For
+	list, length := []load.Phase{{Duration: c.For, Rate: c.Rate, Poisson: c.Arrivals == "poisson"}}, c.For
 	switch {
 	case c.Shape != "" && c.Trace != "":
 		return nil, clients, 0, errors.New("--shape and --trace cannot be combined")
@@ -92,7 +92,7 @@
 		if clientSettings != nil {
 			clients = *clientSettings
 		}
-		list, length = phases, load.Length(phases)
+		list, length = phases, load.TotalDuration(phases)
 	}
 	schedule, err := load.Phases(classes, list, c.Seed)
 	return schedule, clients, length, err
@@ -113,8 +113,8 @@
 		if !ok || err != nil || !(share >= 0 && share < 1e9) || name == "" || strings.ContainsAny(name, " /?") {
 			return nil, fmt.Errorf("--class %q: want NAME=SHARE, such as tender-view=0.64", text)
 		}
-		class := load.Class{Name: name, Share: share, Unsafe: slices.Contains(c.Unsafe, name), Worth: 1, Aim: c.Aim,
-			Patience: c.Patience}
+		class := load.Class{Name: name, Share: share, Unsafe: slices.Contains(c.Unsafe, name), Weight: 1, LatencyObjective: c.Aim,
+			ClientTimeout: c.Patience}
 		if class.Unsafe {
 			class.Body = c.Body
 		}
@@ -126,7 +126,7 @@
 // reportResult prints and writes the result, and returns the error that sets the exit code.
 func (c loadCmd) reportResult(e *environment, res load.Result, tries *requestrecord.ClientRecord) error {
 	twice := 0
-	for _, t := range tries.Tries() {
+	for _, t := range tries.Attempts() {
 		if t.Answers > 1 {
 			twice++
 			if twice <= 10 {
@@ -155,7 +155,7 @@
 		if !res.FellBehind {
 			l := res.Latency
 			fmt.Fprintf(e.out, "latency from the due time: p50 %.2f, p90 %.2f, p99 %.2f, p99.9 %.2f, max %.2f ms (own lateness p99 %.2f ms)\n",
-				l.P50, l.P90, l.P99, l.P999, l.Max, res.SelfLate.P99)
+				l.P50, l.P90, l.P99, l.P999, l.Max, res.GeneratorLateness.P99)
 		}
 		for _, cause := range slices.Sorted(keys(res.Causes)) {
 			fmt.Fprintf(e.out, "  %d without a good answer: %s\n", res.Causes[cause], cause)
@@ -165,10 +165,10 @@
 		}
 	}
 	switch {
-	case res.PartialInput:
+	case res.StoppedEarly:
 		return interruptedError()
 	case res.FellBehind:
-		return exitError{exitGeneratorBehind, "the generator fell behind, no latencies are shown: " + res.Behind}
+		return exitError{exitGeneratorBehind, "the generator fell behind, no latencies are shown: " + res.BehindReason}
 	}
 	return nil
 }
--- a/internal/lab/cli/run.go
+++ b/internal/lab/cli/run.go
@@ -47,11 +47,11 @@
 	fmt.Fprint(e.out, report.Text(res))
 	fmt.Fprintf(e.out, "report: %s\n", page)
 	switch {
-	case res.Load.PartialInput:
+	case res.Load.StoppedEarly:
 		return interruptedError()
 	case res.Load.FellBehind:
-		return exitError{exitGeneratorBehind, "the generator fell behind: " + res.Load.Behind}
-	case !res.Held:
+		return exitError{exitGeneratorBehind, "the generator fell behind: " + res.Load.BehindReason}
+	case !res.RulesHeld:
 		return exitError{exitViolation, "a rule was broken"}
 	}
 	return nil
--- a/internal/lab/cli/seeds.go
+++ b/internal/lab/cli/seeds.go
@@ -159,7 +159,7 @@
 	failures := []failure{}
 	var calls uint64
 	played := c.playSeeds(e, func(seed uint64) bool {
-		o := membershipsim.PlayRandom(e.ctx, seed, c.Gateways)
+		o := membershipsim.RunRandomFaults(e.ctx, seed, c.Gateways)
 		mu.Lock()
 		defer mu.Unlock()
 		calls += o.Calls
@@ -195,7 +195,7 @@
 		if err := c.checkViewOnly(c.Trace, c.Shrink); err != nil {
 			return err
 		}
-		o := membershipsim.PlayRandom(e.ctx, c.Seed, c.Gateways)
+		o := membershipsim.RunRandomFaults(e.ctx, c.Seed, c.Gateways)
 		fmt.Fprintf(e.out, "seed %d, %s: %v\n%s\n", c.Seed, c.Profile, o, strings.Join(o.Findings, "\n"))
 		if o.Partial {
 			return interruptedError()
--- a/internal/lab/cli/shares.go
+++ b/internal/lab/cli/shares.go
@@ -61,7 +61,7 @@
 				}
 				fmt.Fprintf(e.out, "| %d | %d | %s | %s | %.2f | %.1f%% | %d | %d | %.1f | %.1f | %v |\n",
 					size[0], size[1], traffic, strategy, f.RelativeLoad, 100*f.Rejected,
-					f.Pairs, f.MaxUsers, f.GatewayGone, f.EndpointGone, f.Took.Round(100*time.Microsecond))
+					f.Pairs, f.MaxUsers, f.MovedPerLostGateway, f.MovedPerLostEndpoint, f.Duration.Round(100*time.Microsecond))
 			}
 		}
 	}
--- a/internal/lab/cli/soak.go
+++ b/internal/lab/cli/soak.go
@@ -79,7 +79,7 @@
 		return false, err
 	}
 	res, err := drill.Run(e.ctx, f, drill.Options{Gateway: c.Gateway, Dir: dir,
-		Found: func(found requestrecord.Finding) {
+		OnFinding: func(found requestrecord.Finding) {
 			e.log.Warn().Uint64("seed", seed).Str("rule", found.Rule).Str("id", found.ID).Msg(found.Detail)
 		}})
 	if err != nil {
@@ -95,5 +95,5 @@
 		fmt.Fprintf(e.out, "  %s at %.2f s: %s: %s\n", found.Rule, found.At.Seconds(), found.ID,
 			strings.TrimSpace(found.Detail))
 	}
-	return res.Held, nil
+	return res.RulesHeld, nil
 }
--- a/internal/lab/cli/view.go
+++ b/internal/lab/cli/view.go
@@ -50,8 +50,8 @@
 	}
 	began := time.Now()
 	f := membershipsim.Measure(e.ctx, membershipsim.Case{Seed: c.Seed, Nodes: c.Nodes, Loss: c.Loss,
-		Stalls: c.Stalls, Heal: c.Heal, Baseline: c.Beats,
-		Without: refinements[c.Without]})
+		Stalls: c.Stalls, Partition: c.Heal, Baseline: c.Beats,
+		OmittedRefinement: refinements[c.Without]})
 	kind := "view"
 	if c.Beats {
 		kind = "heartbeats"
@@ -61,10 +61,10 @@
 	}
 	fmt.Fprintf(e.out, "| %d | %.0f%% | %v | %s | %s | %s | %.2f s | %d | %d | %.0f / %.0f | %.2f%% | %.1f s |\n", f.Nodes, 100*f.Loss,
 		f.Stalls, kind, medianAndMax(f.Crash), medianAndMax(f.Join), f.Heal.Seconds(),
-		f.FalseDoubts, f.FalseRemoval, f.Rest, f.Most, 100*f.CPU, time.Since(began).Seconds())
+		f.FalseSuspicions, f.FalseRemovals, f.BytesPerSecond, f.MaxBytesPerSecond, 100*f.CPU, time.Since(began).Seconds())
 	if f.Partial {
 		fmt.Fprintf(e.out, "partial: %.1f s of the quiet minute, %d of 5 crashes, %d of 5 joins\n",
-			f.Quiet.Seconds(), len(f.Crash), len(f.Join))
+			f.QuietPeriod.Seconds(), len(f.Crash), len(f.Join))
 		return interruptedError()
 	}
 	return nil
@@ -142,8 +142,8 @@
 	return []viewPlot{
 		{"crash.svg", "Time until all gateways know of a crash, worst of five", "seconds",
 			func(f membershipsim.Figures) float64 { return slices.Max(f.Crash).Seconds() }},
-		{"bytes.svg", "Sent by a gateway", "bytes a second", func(f membershipsim.Figures) float64 { return f.Rest }},
+		{"bytes.svg", "Sent by a gateway", "bytes a second", func(f membershipsim.Figures) float64 { return f.BytesPerSecond }},
 		{"removals.svg", "Running gateways considered gone, four samples a second over a minute", "count",
-			func(f membershipsim.Figures) float64 { return float64(f.FalseRemoval) }},
+			func(f membershipsim.Figures) float64 { return float64(f.FalseRemovals) }},
 	}
 }
--- a/internal/lab/mutationtest/gateway.go
+++ b/internal/lab/mutationtest/gateway.go
@@ -51,7 +51,7 @@
 		singleEdit("leave at an upgrade", "views", "internal/gateway/hotrestart_predecessor.go",
 			"	h.cluster.quit(false)", "	h.cluster.quit(true)"),
 		singleEdit("hand no identity over", "views", "internal/gateway/hotrestart_predecessor.go",
-			"		state.ClusterStartID, state.ClusterIncarnation = h.cluster.membership.Identity()\n", ""),
+			"		state.ClusterStart, state.ClusterIncarnation = h.cluster.membership.Identity()\n", ""),
 		singleEdit("speak on beside the next process", "views", "internal/gateway/hotrestart_predecessor.go",
 			"	h.cluster.quit(false)\n", ""),
 		singleEdit("speak no more after an upgrade that came to nothing", "views",
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -41,7 +41,7 @@
 func newFleet(ctx context.Context, o Options) (*fleet, error) {
 	f := &fleet{options: o, topology: topology{o.Gateways, o.Zones, o.Regions}, sim: membershipsim.New(o.Seed, o.Gateways),
 		rng: rand.New(rand.NewPCG(o.Seed, 0x5ca1e))}
-	f.sim.EndWith(ctx)
+	f.sim.SetContext(ctx)
 	f.sim.Net.Cut = func(from, to int) bool { return f.partitioned && f.topology.region(from) != f.topology.region(to) }
 	f.events = &eventWatcher{sim: f.sim, startedAt: make([]time.Duration, o.Gateways)}
 	for n := range o.Gateways {
--- a/internal/lab/scale/full.go
+++ b/internal/lab/scale/full.go
@@ -113,7 +113,7 @@
 	if !sim.Running(g.index) {
 		return
 	}
-	began := cputime.Thread()
+	began := cputime.ThreadTime()
 	view := sim.Nodes[g.index].Membership
 	now := sim.Now()
 	status := view.Status(now + membershipsim.Epoch)
@@ -136,7 +136,7 @@
 	if changed {
 		g.divisions++
 	}
-	took := cputime.Thread() - began
+	took := cputime.ThreadTime() - began
 	g.cpuTime += took
 	g.longestObservation = max(g.longestObservation, took)
 }
@@ -145,9 +145,9 @@
 // in use.
 func measureCost(do func()) (took time.Duration, heap uint64) {
 	before := heapInUse()
-	began := cputime.Thread()
+	began := cputime.ThreadTime()
 	do()
-	took = cputime.Thread() - began
+	took = cputime.ThreadTime() - began
 	after := heapInUse()
 	return took, after - min(before, after)
 }
@@ -169,7 +169,7 @@
 		dial := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 8080)
 		entries = append(entries, registry.Entry{Host: fmt.Sprintf("host-%05d.service-%03d", i, i%o.Services),
 			Site: zoneName(i % o.Zones),
-			Cell: i % cellCount, State: registry.Up, Dial: map[string]string{via: dial.String()}})
+			Cell: i % cellCount, State: registry.Up, Addresses: map[string]string{via: dial.String()}})
 	}
 	list.Put(entries...)
 	return list.Line(via, 0)
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -37,7 +37,7 @@
 	if progress == nil {
 		progress = func(Progress) {}
 	}
-	defer cputime.Hold()()
+	defer cputime.LockThread()()
 	startedAt := time.Now()
 	f, err := newFleet(ctx, o)
 	if err != nil {
