--- a/cmd/thymebend/descriptors_test.go
+++ b/cmd/thymebend/descriptors_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// Guards against clients that open a connection for each request and keep it, until they run out of descriptors
-// themselves.
+// Guards against keeping all idle connections of clients that open a new connection for each request: these clients
+// would run out of descriptors.
 func TestSingleUseConnectionsAreClosedAboveTheThreshold(t *testing.T) {
 	g := start(t, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": 192}},
 		newEndpoint(t, "s-1", respondOK))
--- a/cmd/thymebend/overload_test.go
+++ b/cmd/thymebend/overload_test.go
@@ -138,8 +138,8 @@
 		g.cmd.ProcessState.SysUsage().(*syscall.Rusage).Maxrss/1024)
 }
 
-// Guards against partially read requests that make no progress and keep new clients out, and against evicting one
-// that makes progress.
+// Guards against stalled, partially read requests that keep new clients out, and against evicting a request that
+// makes progress.
 func TestStalledRequestReadsAreEvictedFirst(t *testing.T) {
 	g := start(t, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": 192}},
 		newEndpoint(t, "s-1", respondOK))
--- a/cmd/thymebend/shutdown_test.go
+++ b/cmd/thymebend/shutdown_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// Guards against accepting a request completed during a shutdown whose deadline lies beyond the SIGKILL, which would
-// lose it, and against rejecting one that ends in time.
+// A request may be received completely only after SIGTERM. If its deadline is later than the SIGKILL, it must be
+// rejected, because it could be lost; if its deadline is earlier, it must be served.
 func TestRequestCompletedDuringAShutdown(t *testing.T) {
 	endpoint := newEndpoint(t, "s-1", respondOK)
 	g := start(t, nil, endpoint)
--- a/internal/balancer/dispatch_test.go
+++ b/internal/balancer/dispatch_test.go
@@ -40,7 +40,7 @@
 
 func TestLocalZoneIsPreferred(t *testing.T) {
 	cfg := testConfig()
-	cfg.CrossZoneCost = 0.05 // 0.05 x 1000 ms = 50 ms
+	cfg.CrossZoneCost = 0.05 // 0.05 x the objective of 1000 ms: requests wait 50 ms for the local zone
 	r := newRig(t, cfg, ready(1, 0, 0), ready(2, 1, 1))
 	r.b.endpoints.byID[2].limit.Value = 5 // more free capacity does not outweigh the zone preference
 	r.sendRequest(1, 0)
@@ -61,7 +61,7 @@
 // With short objectives, requests must not be shed while endpoints of other zones are idle.
 func TestRequestsCrossZonesBeforeTheyAreShed(t *testing.T) {
 	cfg := testConfig()
-	cfg.CrossZoneCost = 0.1 // 0.1 x 400 ms = 40 ms
+	cfg.CrossZoneCost = 0.1 // 0.1 x the objective of 400 ms: a wait of 40 ms
 	for i := range cfg.Classes {
 		cfg.Classes[i].LatencyObjective, cfg.Classes[i].Weight = 400*millisecond, []float64{1, 16, 16}[i]
 	}
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -140,8 +140,8 @@
 }
 
 // assignPositions gives newly listed endpoints their positions in the order of selection. A new endpoint
-// takes the position of one that is draining or removed, so that a deploy replaces the endpoints in the
-// subsets of all gateways one for one.
+// takes the position of an endpoint that is draining or removed, so that a deploy replaces each old endpoint
+// by one new endpoint in the subsets of all gateways.
 func (s *endpointSet) assignPositions(added []*endpointState, zone int) {
 	slices.SortFunc(added, func(x, y *endpointState) int {
 		return cmp.Compare(x.ID, y.ID) // mixes zones and cells: no subset is lost with one of them
--- a/internal/balancer/outlierdetection/health_test.go
+++ b/internal/balancer/outlierdetection/health_test.go
@@ -83,7 +83,7 @@
 	for !h.RecordAnswer(second) {
 		answers++
 	}
-	if answers != 3 { // 0.6 x 0.8^3 is below 0.35
+	if answers != 3 { // the failure rate 0.6 x 0.8^3 is below maxFailureRate, 0.35
 		t.Errorf("restored after %d answers, want 3", answers)
 	}
 	silent := Health{FailureRate: 0.6, Ejected: true, Silent: true}
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -42,9 +42,9 @@
 
 // idempotencyAllows enforces that no effect happens twice. After the previous attempts, a non-idempotent
 // request may start on ep only if none of them may have run; a keyed request only within the dedup scope and
-// window of each one that may have run. The window ends earlier by the dispatch slack, because the attempt
-// may start that much later. The gateway's invariant checker applies the same rule independently, to its own
-// record.
+// window of each previous attempt that may have run. The window ends earlier by the dispatch slack, because
+// the new attempt may start that much later. The gateway's invariant checker applies the same rule
+// independently, to its own record.
 func (b *Balancer) idempotencyAllows(r *requestState, previous []attempt, ep *endpointState) bool {
 	c := b.classOf(r)
 	for i := range previous {
--- a/internal/ci/docs_test.go
+++ b/internal/ci/docs_test.go
@@ -132,7 +132,8 @@
 	}
 }
 
-// Verifies for each form of a code span whether it is accepted, with a name that exists and one that does not.
+// Verifies for each form of a code span that a known name is accepted and that an unknown name is rejected, if the form
+// has unknown names at all.
 func TestDocsNameClassifier(t *testing.T) {
 	tree := fixture(t)
 	for _, c := range []struct {
--- a/internal/configdist/agent.go
+++ b/internal/configdist/agent.go
@@ -25,7 +25,7 @@
 
 // Limits of an agent.
 const (
-	maxSends            = 4        // of one message to one control machine; then the agent tries the next one
+	maxSends            = 4        // times that one message is sent to a control machine; then the agent tries the next
 	maxTransferBytes    = 32 << 20 // total size of the changes in one transfer
 	maxServiceNameBytes = 96 << 10 // total size of service names; a gateway with more must subscribe to all
 )
@@ -96,15 +96,15 @@
 	cfg         AgentConfig
 	rng         *rand.Rand
 	controllers []uint64 // IDs, in the order in which the agent tries them
-	current     int      // index in controllers of the one that the agent uses now
+	current     int      // index in controllers of the control machine in use
 	output      AgentOutput
 	counts      AgentCounts
 
 	now            time.Duration
 	session        uint64
 	subscribed     bool
-	awaitingAnswer bool // to the last message sent
-	sends          int  // of the current message, including repeats
+	awaitingAnswer bool // the last message sent has not been answered
+	sends          int  // times that the current message was sent
 	unreachable    int  // consecutive control machines that did not serve the agent
 	backoff        time.Duration
 	nextSend       time.Duration // time of the next report or repeat
--- a/internal/configdist/content/tree.go
+++ b/internal/configdist/content/tree.go
@@ -50,7 +50,7 @@
 	return s
 }
 
-// Tree is a configuration, or the part of one that belongs to some services. It is immutable.
+// Tree is a whole configuration, or the part of a configuration that belongs to some services. It is immutable.
 type Tree struct {
 	sections map[string]*section
 	names    []string // of the services, sorted
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -41,7 +41,7 @@
 	c.emit(loop.Effect{Op: loop.Write, Conn: conn, Data: data})
 }
 
-// setTimer sets the timer with this kind and id to fire at the time at, and replaces one that is already set.
+// setTimer sets the timer with this kind and id to fire at the time at. If that timer is already set, it is moved.
 func (c *core) setTimer(kind timerKind, id uint64, at time.Duration) {
 	c.emit(loop.Effect{Op: loop.SetTimer, Timer: loop.Timer{Kind: uint8(kind), ID: id}, At: at})
 }
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// answered makes the poll that is answered first the current watch and drops the other polls, except for a poll
-// of the new address when the old address answers.
+// answered makes w, a watch whose poll was just answered, the current watch and drops the other watches. It keeps
+// a replacement only if that has another address than w: the new address may still answer after the old one.
 func (d *discoveryWatch) answered(w *discovery.Watch) {
 	if d.current != nil && d.current != w {
 		d.drop(d.current, ReasonWatchReplaced, nil)
--- a/internal/gateway/downstream_timeouts.go
+++ b/internal/gateway/downstream_timeouts.go
@@ -43,8 +43,8 @@
 		d.reply(conn, downstream.TimeoutResponse())
 	case conn.Requests == 1 && !d.shutdown.closing() && !(d.conns.OverReuseLimit() && d.restart.isOnlyProcess()) &&
 		d.now < conn.IdleSince+downstream.IdleTimeout:
-		// It got SingleUseIdleTimeout because there were many connections. Now there are fewer, or an upgrade
-		// has begun.
+		// The connection got SingleUseIdleTimeout because there were many connections. Now there are fewer, or a
+		// hot restart has begun.
 		d.setDeadline(conn, conn.IdleSince+downstream.IdleTimeout)
 	default:
 		d.readThenClose(conn)
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -15,9 +15,9 @@
 // may follow too soon.
 const acceptAfterSIGTERM = 550 * time.Millisecond
 
-// The platform's guarantees for a graceful shutdown: SIGKILL is sent no earlier after SIGTERM than the longest
-// deadline, limited to maxGrace, plus killAfter. A request that arrives within killAfter of SIGTERM does not count as
-// lost if it is still in progress at SIGKILL.
+// The platform's guarantees for a graceful shutdown: the time from SIGTERM to SIGKILL is at least the longest
+// deadline or maxGrace, whichever is shorter, plus killAfter. A request that arrives within killAfter of SIGTERM does
+// not count as lost if it is still in progress at SIGKILL.
 const (
 	maxGrace  = 3 * time.Second
 	killAfter = 700 * time.Millisecond
--- a/internal/gateway/termination.go
+++ b/internal/gateway/termination.go
@@ -5,9 +5,9 @@
 // TerminationReason is the reason for which an attempt, a connection or a watch ended.
 type TerminationReason uint8
 
-// Reasons for the end of attempts come first: those that prove that the request was never executed, then
-// those that leave this open, then the one for a served request. Reasons for the end of connections and of
-// the watch follow.
+// Reasons for the end of attempts are first: reasons that prove that the request was never executed, then
+// reasons after which it may have been executed, then the reason for a served request. Reasons for the end of
+// connections and of the watch follow.
 const (
 	// Not started: the request was done or had no time or attempts left, or an invariant did not allow the
 	// attempt.
--- a/internal/gateway/upload.go
+++ b/internal/gateway/upload.go
@@ -33,8 +33,8 @@
 }
 
 // begin makes a connection with the first part of a body wait until the balancer has chosen an endpoint. If
-// more data arrive before that, reading is paused. Until then a client that has stopped sending can be
-// distinguished from one that waits for the gateway.
+// more data arrive before that, reading is paused. Until reading is paused, a client that has stopped sending
+// can be distinguished from a client that waits for the gateway.
 func (u *uploads) begin(req *request, conn *downstream.Conn) {
 	req.upload = &upload{length: conn.BeginStream()}
 	u.downstream.setDeadline(conn, u.downstream.requestDeadline(conn))
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -9,8 +9,8 @@
 	AttemptAfterEnd Rule = iota
 	// AttemptToLeavingEndpoint is an attempt at an endpoint that drains or is removed.
 	AttemptToLeavingEndpoint
-	// AttemptAfterDeadline is an attempt after the request's deadline, or one that announces to the endpoint a
-	// deadline later than the request's.
+	// AttemptAfterDeadline is an attempt that starts after the request's deadline, or that announces a later
+	// deadline to the endpoint than the request has.
 	AttemptAfterDeadline
 	// ConcurrentAttempt is a second attempt while an earlier one is running.
 	ConcurrentAttempt
@@ -22,8 +22,8 @@
 	AnsweredTwice
 	// ClosedUnanswered is the closing of a downstream connection on which a request waits for its answer.
 	ClosedUnanswered
-	// AnsweredLate is a timeout after which a client that stopped sending within a request would receive its error too
-	// late.
+	// AnsweredLate is a timeout for the remainder of an incomplete request that is so long that the client would
+	// receive the error or the close too late.
 	AnsweredLate
 	// ConnWithoutDeadline is a downstream connection that could stay open forever, as it has neither a timer
 	// nor a request.
--- a/internal/lab/configsim/check.go
+++ b/internal/lab/configsim/check.go
@@ -33,8 +33,8 @@
 	return r.out
 }
 
-// repairTimeout is how long it may take, after the faults have ended, until the authors and the operator have
-// released a version that no gateway rejects or fails with.
+// repairTimeout is the maximum time from the end of the faults until a version is released that no gateway rejects
+// or fails with. Until then authors submit repairs and the operator resumes or reverts stopped rollouts.
 const repairTimeout = time.Minute
 
 // releaseRepair submits changes that replace the faulty routes until a version without them is released. The rollout
--- a/internal/lab/configsim/figures.go
+++ b/internal/lab/configsim/figures.go
@@ -49,20 +49,20 @@
 type Figures struct {
 	Scenario
 	InitialDistribution time.Duration // from the start of all gateways until all have the complete configuration in force
-	IdleRate            float64       // bytes per second and gateway without changes
+	IdleRate            float64       // bytes per second that a gateway sent and received without changes: mean
 	// SingleChange is the time of one change alone until it is in force at half, 99% and all of the gateways.
 	SingleChange [3]time.Duration
 	// These are the times from the submission of a change until it is in force at half, 99% and all of the gateways
 	// that have run since then.
 	TimeToHalf, TimeTo99Percent, TimeToAll Distribution
-	TimeToAllFromCommit                    Distribution // time until all of them, but from the commit of the change
-	LateChanges                            int          // changes that took longer than 8 s to be in force at all of them
-	UnfinishedChanges                      int          // changes not in force at all of them at the end of the run
+	TimeToAllFromCommit                    Distribution // as TimeToAll, but from the commit of the change
+	LateChanges                            int          // changes that took over 8 s to be in force at all gateways
+	UnfinishedChanges                      int          // changes not in force at all gateways at the end of the run
 	StoppedVersions                        int          // versions whose rollout was stopped
-	MeanRate, MaxRate                      float64      // bytes per second of a gateway over the run: mean and maximum
+	MeanRate, MaxRate                      float64      // bytes/s that a gateway sent and received: mean and maximum
 	ControlRate, MaxControlRate            float64      // bytes per second that a control machine sent: mean and maximum
-	GatewayCPU                             float64      // mean share of a core that an agent used, by real time
-	ControlCPU                             float64      // the same for a control machine, maximum
+	GatewayCPU                             float64      // real time of an agent's calls / length of the run: mean
+	ControlCPU                             float64      // the same for a control machine: maximum
 	HeapPerGateway                         uint64       // bytes of heap in use by the whole cluster per gateway
 	Subscribers                            int          // gateways subscribed to one control machine, maximum
 	Violations                             []string
--- a/internal/lab/configsim/measure.go
+++ b/internal/lab/configsim/measure.go
@@ -102,7 +102,7 @@
 	return m.Now() - startedAt
 }
 
-// submit submits a change and adds it to those that are followed.
+// submit submits a change and adds it to m.changes, whose times are measured.
 func (m *measurement) submit() *change {
 	c := &change{submitted: m.Now()}
 	m.changes = append(m.changes, c)
--- a/internal/lab/configsim/operator.go
+++ b/internal/lab/configsim/operator.go
@@ -12,7 +12,7 @@
 // RunOperator starts a simulated operator that handles stopped rollouts. After a delay, it resumes a share of them
 // and reverts the others. It handles each stopped attempt of a rollout once.
 func (cl *Cluster) RunOperator(delay time.Duration, resumeShare float64) {
-	var handled uint64 // attempt of the last stopped rollout that was handled
+	var handled uint64 // Attempt of the stopped rollout that the operator handled last
 	var check func()
 	check = func() {
 		cl.clock.At(cl.clock.Now()+operatorInterval, check)
--- a/internal/lab/experiment/events.go
+++ b/internal/lab/experiment/events.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// selectHosts returns the hosts that an event affects: those that match its host or kind, of which Count or the share
-// Fraction is drawn at random if either is set. Removed hosts are never selected.
+// selectHosts returns the hosts that an event affects: the hosts that match its Host and Kind, as far as these are set.
+// If Count or Fraction is set, that number or share of them is drawn at random. Removed hosts are never selected.
 func (w *World) selectHosts(e Event, rng *rand.Rand) []*managedHost {
 	var candidates []*managedHost
 	for _, m := range w.managedHosts() {
--- a/internal/lab/experiment/rig.go
+++ b/internal/lab/experiment/rig.go
@@ -12,8 +12,8 @@
 // Rig controls the network between the processes of a run and observes their starts and ends. A run calls its methods
 // from several goroutines.
 type Rig interface {
-	// Path returns the address by which a node reaches another one that listens at addr. Nodes are
-	// gateways, hosts, "discovery" and "clients".
+	// Path returns the address by which node from reaches node to, which listens at addr. Nodes are gateways,
+	// hosts, "discovery" and "clients".
 	Path(from, to, addr string) (string, error)
 	// Listen returns the address at which a gateway listens.
 	Listen(gateway string) (string, error)
@@ -91,8 +91,8 @@
 	return r.world.discovery.WholeList(r.world.gateways[n].name)
 }
 
-// StartWithHostList starts a gateway with the given host list, such as one that was current earlier, and waits until it is
-// ready.
+// StartWithHostList starts a gateway with the given host list, such as an outdated list, and waits until the gateway
+// is ready.
 func (r *RunControl) StartWithHostList(ctx context.Context, n int, known []byte) error {
 	g := r.world.gateways[n]
 	g.mu.Lock()
--- a/internal/lab/experiment/world.go
+++ b/internal/lab/experiment/world.go
@@ -91,8 +91,9 @@
 	return w, nil
 }
 
-// startHost starts a host and adds it to the list of discovery. addresses gives the listen address for each gateway;
-// free ports are used for those that are missing, and always with a rig.
+// startHost starts a host and adds it to the list of discovery. The host listens at a separate address for each
+// gateway, as given by addresses. It uses a free port for a gateway without an address, and for all gateways in a run
+// with a rig.
 func (w *World) startHost(h Hosts, number int, gatewayNames []string, addresses map[string]string, cold bool) (
 	*managedHost, error) {
 	spec := w.File.Spec(h, number)
--- a/internal/lab/hostmodel/host_test.go
+++ b/internal/lab/hostmodel/host_test.go
@@ -135,7 +135,7 @@
 	}
 
 	// Three times a fifth of the capacity for a second is 600 ms of work: the host survives 60 requests and the
-	// one that exceeds the budget; the 62nd crashes it.
+	// 61st, which exceeds the budget; the 62nd crashes it.
 	h, _ = newTestHost(t, true, slowStart)
 	for i := range 61 {
 		h.Arrive(ms, Request{ID: fmt.Sprint(i), Class: "view"})
--- a/internal/lab/load/link.go
+++ b/internal/lab/load/link.go
@@ -15,7 +15,8 @@
 	"time"
 )
 
-// pool holds a target's idle connections. It returns the one that has been idle longest, so that all stay in use.
+// pool holds a target's idle connections. It returns the connection that has been idle longest, so that all of them
+// stay in use.
 type pool struct {
 	mu   sync.Mutex
 	idle []*clientConn
--- a/internal/lab/membershipcheck/rules_liveness.go
+++ b/internal/lab/membershipcheck/rules_liveness.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// nextProcessStart returns when the gateway's next process starts after the end of the given one, at most
-// detectionTime after that end.
+// nextProcessStart returns the start time of the first process that the gateway starts after the given one has ended,
+// or detectionTime after that end if this is earlier.
 func (h *History) nextProcessStart(ended *process) time.Duration {
 	at := ended.end + detectionTime
 	for _, next := range h.processes {
--- a/internal/lab/requestrecord/record.go
+++ b/internal/lab/requestrecord/record.go
@@ -20,8 +20,8 @@
 	Request int           // number of the request; its retries have the same number
 	Number  int           // 0 for the first attempt
 	Class   string        // the class's name
-	Unsafe  bool          // must not be executed twice
-	Keyed   bool          // may be executed again, in one cell only
+	Unsafe  bool          // must not be executed more than once
+	Keyed   bool          // must not be executed in more than one cell; hosts of a cell drop repeats
 	Target  string        // the gateway's address
 	Body    int           // bytes
 	Due     time.Duration // when the request was due
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -32,7 +32,7 @@
 	sent         bool // the last byte of the request is written
 	resent       bool // the request was sent a second time because the connection closed without reading it
 	awaitedReset bool // the client has waited for the reset that may follow a close
-	unsafeViews  bool // the request is sent as for settings in which views are unsafe
+	unsafeViews  bool // the client used settings whose view class is unsafe (not idempotent)
 	pending      []byte
 }
 
--- a/internal/lab/simulation/clusterrates.go
+++ b/internal/lab/simulation/clusterrates.go
@@ -23,8 +23,8 @@
 // to use the same few hosts, and the bounds grow as the number of serving hosts falls.
 const (
 	// maxSendsPerSecond is the bound on requests sent to one host. A host of the plans completes 25 requests a
-	// second of mean work and queues 14; those that it rejects must have been sent before the gateways know that
-	// it is full.
+	// second of mean work and queues 14; it rejects further requests, which gateways may send only until they know
+	// that it is full.
 	maxSendsPerSecond = 120
 	// maxConnectsPerSecond is twice the number of connections that a host may hold: within one second a host may
 	// restart and all its gateways reconnect.
--- a/internal/lab/simulation/discovery_load_test.go
+++ b/internal/lab/simulation/discovery_load_test.go
@@ -64,7 +64,7 @@
 	return r
 }
 
-// discoveryOf returns a discovery that answers perSecond calls a second, and refuses one that would wait over 3 s.
+// discoveryOf returns a discovery that answers perSecond calls a second, and refuses a call that would wait over 3 s.
 func discoveryOf(perSecond float64, atOnce bool) CallQueue {
 	const lines = 30
 	return CallQueue{LinesPerSecond: lines * perSecond, CallLines: lines, TimeoutMS: 3000, ShedAtOnce: atOnce}
--- a/internal/lab/simulation/draw.go
+++ b/internal/lab/simulation/draw.go
@@ -111,8 +111,8 @@
 	if size.Requests > 0 {
 		d.length = max(2000, int(float64(size.Requests)/d.rate*1000))
 	}
-	// A slow processor is a fault that gateways have to handle; one that is overloaded all the time could keep no
-	// rule.
+	// A slow processor is a fault that gateways have to handle, but on a processor that is overloaded all the time
+	// a gateway could keep no rule.
 	const eventsOfRequest, surge, maxLoad = 20, 2.5, 0.6
 	p.CostUS = min(p.CostUS, int(maxLoad*1e6/(d.rate/float64(p.Gateways)*eventsOfRequest*surge)))
 }
--- a/internal/lab/simulation/simulator.go
+++ b/internal/lab/simulation/simulator.go
@@ -76,7 +76,7 @@
 	lastID      uint64
 	lastPicked  int
 	replaced    int
-	unsafeViews bool // views are unsafe in the settings that clients currently use
+	unsafeViews bool // clients currently use settings whose view class is unsafe (not idempotent)
 	views       *viewChecker
 	rates       *clusterRates // in a run with zones and without Shares; else nil
 	wrap        func(loop.Reducer) loop.Reducer
--- a/internal/lab/simulation/simulator_test.go
+++ b/internal/lab/simulation/simulator_test.go
@@ -496,9 +496,9 @@
 	})
 }
 
-// Datagrams are lost after an upgrade: gateways receive the suspicion of a gateway that was just upgraded, from
-// one that is cut off from it, and the gateways that this one asked for indirect probes are cut off too. The
-// upgrade must not count as the end of the gateway.
+// Datagrams are lost after an upgrade: a gateway that cannot reach the upgraded gateway reports it as suspect to the
+// others, and the gateways that it requests indirect probes from cannot reach the upgraded gateway either. The upgrade
+// must not count as the end of the upgraded gateway.
 func TestUpgradeIsNotTakenForAFailureWhenDatagramsAreLost(t *testing.T) {
 	playAndVerify(t, draw(t, 156, sharesProfile))
 }
--- a/internal/lab/timeline/timeline.go
+++ b/internal/lab/timeline/timeline.go
@@ -52,8 +52,8 @@
 // After schedules do for the current time plus wait.
 func (t *Timeline) After(wait time.Duration, do func()) { t.At(t.now+wait, do) }
 
-// Run calls all functions scheduled up to and including until, also those that these calls schedule, and advances the
-// clock to the time of each. The clock is then at until, or where it was if that is later.
+// Run calls all functions scheduled up to and including until, also functions that these calls schedule, and advances
+// the clock to the time of each. It then advances the clock to until, unless the clock is already later.
 func (t *Timeline) Run(until time.Duration) {
 	for len(t.queue) > 0 && t.queue[0].at <= until {
 		e := heap.Pop(&t.queue).(event)
--- a/internal/lease/command.go
+++ b/internal/lease/command.go
@@ -20,7 +20,7 @@
 	MaxDuration = 10 * time.Minute
 )
 
-// ErrCommand is returned for a command that is out of its bounds.
+// ErrCommand is returned for a command with a missing or unknown value, or with a value outside its bounds.
 var ErrCommand = errors.New("invalid command")
 
 // Kind is the operation that a command requests.
@@ -82,7 +82,7 @@
 	Queued           // the client waits in the queue
 	Released         // the client neither holds the lease nor waits for it
 	Expired          // the grant has expired, or was issued to another client or process
-	Stale            // the command is from an earlier process, or older than one that was applied
+	Stale            // the command is from an earlier process, or older than a command already applied
 	Rejected         // the command is invalid or exceeds a bound
 )
 
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -170,7 +170,7 @@
 
 // deliverReady delivers the events of the ready sockets: with urgent, those of urgent sockets and signals, otherwise
 // those of all other sockets. A descriptor closed earlier in this turn may already belong to another socket; the
-// generation tells the two apart.
+// generation distinguishes them.
 func (l *Loop) deliverReady(r Reducer, ready []unix.EpollEvent, urgent bool) {
 	for _, e := range ready {
 		if s := l.byFD[int(e.Fd)]; s != nil && s.generation == e.Pad && s.urgent == urgent {
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -39,8 +39,8 @@
 	Known         int           // Alive, members gone but not yet removed, and seed peers without contact yet
 	AnsweredShare float64       // share of the last 16 periodic probes that were answered, 0 to 1
 	StableFor     time.Duration // time since a state or start last changed
-	Majority      bool          // over half of Known alive and not suspect, and over half of those probes answered
-	Converged     bool          // converged: no change for 2 s, no suspect, Majority and no DuplicateName
+	Majority      bool          // over half of Known is alive and not suspect, and AnsweredShare is over 0.5
+	Converged     bool          // no change for 2 s, no suspect, Majority and no DuplicateName
 	DuplicateName bool          // another living process uses this gateway's name
 	LocalHealth   int           // 0 is healthy, 8 is worst; it stretches the timeouts of this gateway
 }
