--- a/internal/lab/simulation/agents.go
+++ b/internal/lab/simulation/agents.go
@@ -6,9 +6,11 @@
 	"thymebend/internal/lab/registry"
 )
 
-// In runs with pushed lists, each gateway's machine has an agent. The agent answers its gateway's watches at once
-// with the list that it has received. It receives changes with a delay of its own, and none while discovery is
-// down or paused. A change that the agent has counts as notified to its gateway.
+// In runs with Plan.Pushed, discovery pushes the list of hosts to an agent on each gateway's machine, and the
+// gateway calls its agent instead of discovery. The agent answers its gateway's watches (calls whose responses
+// stay open and report changes) at once with the list that it has received. A change reaches each agent after a
+// random delay, and not while discovery is down or paused. A change counts as notified to a gateway as soon as
+// the gateway's agent has received it.
 
 // maxPushDelay is the greatest delay with which an agent receives a pushed change.
 const maxPushDelay = 120 * time.Millisecond
@@ -25,8 +27,8 @@
 	writtenAt      time.Duration // time of that write
 }
 
-// minQuietBeforeRestart is how long after its last write to the gateway an agent may restart, or restart again. A
-// gateway that had no time to call between two restarts could not have been notified.
+// minQuietBeforeRestart is the least time between an agent's last write to its gateway and a restart of the
+// agent. A gateway that had no time to call its agent between two restarts could not have been notified.
 const minQuietBeforeRestart = 500 * time.Millisecond
 
 // maxHistory is the largest number of versions by which a restarted agent's list may be out of date.
@@ -41,8 +43,8 @@
 	return d.agents[gateway].list
 }
 
-// notification returns when a gateway was notified that a host drains or is removed, or when that counts as
-// notified.
+// notification returns when a gateway was notified that a host drains or is removed. If the deadline by which
+// this counts as notified (see notificationDeadlines) has passed and is earlier, it returns the deadline.
 func (d *discoveryServer) notification(gateway int, host string) (registry.Notification, bool) {
 	t, ok := d.listFor(gateway).Notified(gatewayName(gateway), host)
 	if by, over := d.deadlines.overdue(host); over && (!ok || by.At < t.At) {
@@ -83,7 +85,7 @@
 	a.server.notifyAll()
 }
 
-// renumber makes the agent adopt a list whose version numbers have started again.
+// renumber makes the agent adopt discovery's list after its version numbers have started again.
 func (a *agent) renumber() {
 	a.history = nil
 	a.list.CopyFrom(a.server.list)
@@ -94,9 +96,10 @@
 	a.server.reset(func(c *watch) bool { return c.gateway == a.gateway })
 }
 
-// restart takes the agent down, resets its watches and brings it back after the given time. If outdated is set, it
-// returns with an earlier list, which the next push replaces 2*after + 1 s later. The agent restarts only when its
-// gateway has read the agent's whole list: otherwise the gateway would miss changes that it has no means to know.
+// restart takes the agent down, resets its watches and brings it back after the given time. If outdated is set,
+// the agent comes back with an earlier version of its list, and copies discovery's current list 2*after + 1 s
+// later. The agent does not restart unless it has written its whole list to its gateway, at least
+// minQuietBeforeRestart ago: otherwise the gateway would miss changes that count as notified to it.
 func (a *agent) restart(after time.Duration, outdated bool) {
 	if a.down || a.writtenVersion < a.list.Version() ||
 		a.server.run.sim.Now()-a.writtenAt < minQuietBeforeRestart || !a.server.run.gateways[a.gateway].up {
--- a/internal/lab/simulation/answers.go
+++ b/internal/lab/simulation/answers.go
@@ -9,8 +9,9 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// parseResponse reads a complete response, after any interim ones. extra reports that bytes follow it; whole is
-// false while it is incomplete.
+// parseResponse reads a complete response and skips the interim (1xx) ones before it. closed says that the
+// gateway has closed the connection. keep reports that the connection stays open after the response, extra that
+// bytes follow the response; whole is false while the response is incomplete.
 func parseResponse(in []byte, closed bool) (status int, body []byte, keep, extra, whole bool) {
 	src := bytes.NewReader(in)
 	buffered := bufio.NewReader(src)
@@ -71,8 +72,8 @@
 	return body
 }
 
-// keepAlive puts the connection among the idle ones. Whatever arrives on it now is counted as an unsolicited
-// response.
+// keepAlive adds the client's connection to the idle ones. Whatever arrives on an idle connection is counted as
+// an unsolicited response.
 func (c *client) keepAlive() {
 	l := &idleLink{end: c.end, gateway: c.gateway}
 	c.run.idle = append(c.run.idle, l)
--- a/internal/lab/simulation/assignments.go
+++ b/internal/lab/simulation/assignments.go
@@ -9,9 +9,10 @@
 	"thymebend/internal/lab/registry"
 )
 
-// Checks of gateways that divide the hosts by their membership view: the requests that all gateways together send
-// to a host in slow start are compared with its allowance, and at the end of the run the gateways' assignments are
-// compared with one another.
+// Checks of gateways that divide the hosts among themselves by their membership views. A membership view is a
+// gateway's list of all gateways and their states, kept by gossip. An assignment is a gateway's share of each
+// host. The requests that all gateways together send to a host in slow start are compared with its allowance,
+// and at the end of the run the gateways' assignments are compared with one another.
 
 // sharesProfile plays gateways with a membership view that divide the hosts, with faults of gateways, hosts and
 // datagrams.
@@ -23,15 +24,15 @@
 	// The gateways' shares of a host, at the end of a run and after a time without faults, add up to more or less
 	// than 1.
 	SharesDisagree = "portions do not agree"
-	NotDivided     = "nothing divided" // a gateway whose view has converged still uses the division by count and rank
+	NotDivided     = "nothing divided" // a gateway's view has converged, but it still divides by gateway count and rank
 )
 
-// warmRate is the throughput of a fully warmed-up host of the plans, in requests a second of the class with the
-// most work.
+// warmRate is the throughput of a fully warmed-up host in a plan, in requests a second, if all requests are of
+// the class with the most work.
 const warmRate = 17.0
 
-// slowStartSlack is by how much arrivals may bunch up on their way in addition to the network's jitter: on a new
-// connection, the handshake precedes the request.
+// slowStartSlack is by how much, in addition to the network's jitter, requests that gateways send to a host may
+// bunch up on their way: on a new connection, the handshake precedes the request.
 const slowStartSlack = 30 * time.Millisecond
 
 // slowStartArrivals holds the requests that a host received during one slow start.
@@ -42,8 +43,8 @@
 	exceeded  bool
 }
 
-// countSlowStart counts a request that arrives at a host in slow start. It records a finding if one window of the
-// rule holds more requests than the host may receive at that time.
+// countSlowStart counts a request that arrives at a host in slow start. It records a finding if the host has
+// received more requests in the latest window (CrashWindow less the slack) than it may receive at that time.
 func (s *simulator) countSlowStart(h *host, now time.Duration) {
 	e, ok := s.discovery.list.Find(h.name)
 	if !s.plan.Shares || !ok || e.StartedMS == 0 || s.views.done {
@@ -93,7 +94,7 @@
 			continue
 		}
 		if tracker.Stage() != assignment.Converged {
-			continue // demand shifts while traffic fades: the old and the new assignment both apply for a second
+			continue // fading traffic changes the assignment: the old one and the new one both apply for a second
 		}
 		stable++
 		for _, u := range tracker.Assigned() {
--- a/internal/lab/simulation/build.go
+++ b/internal/lab/simulation/build.go
@@ -10,8 +10,8 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// buildExperiment returns the cluster and the request classes, which are the same in every plan but for its sizes
-// and deadlines.
+// buildExperiment returns the cluster and the request classes of a plan. Plans differ only in the sizes of the
+// cluster and the deadlines of the classes.
 func buildExperiment(p Plan) *experiment.File {
 	d := func(t time.Duration) experiment.Duration { return experiment.Duration{Duration: t} }
 	f := &experiment.File{Name: "seed"}
@@ -95,7 +95,8 @@
 	}
 }
 
-// addHost starts a host, at the given addresses if there are any.
+// addHost starts a host that listens at the given addresses or, if addrs is nil, at one new address for each
+// gateway.
 func (s *simulator) addHost(n int, addrs []netip.AddrPort, cold bool) {
 	spec := s.file.Spec(s.zone(n), n)
 	h := &host{run: s, index: n, name: spec.Name, spec: spec, record: requestrecord.NewEndpointRecord(spec.Name),
--- a/internal/lab/simulation/callqueue.go
+++ b/internal/lab/simulation/callqueue.go
@@ -9,13 +9,13 @@
 // gateway has abandoned still costs its turn: discovery detects the closed connection only when it writes the
 // answer.
 type CallQueue struct {
-	// LinesPerSecond is the capacity. The work of a call is CallLines, plus HostLines for each host in the line
-	// that answers it.
+	// LinesPerSecond is discovery's capacity; a line is a unit of work. The work of a call is CallLines, plus
+	// HostLines for each host that its answer names.
 	LinesPerSecond float64 `json:"lines_per_second"`
 	CallLines      float64 `json:"call_lines"`
 	HostLines      float64 `json:"host_lines,omitempty"`
-	// TimeoutMS limits the wait in the queue: a call that could not be started by then is answered with 503, after
-	// that time or, with ShedAtOnce, immediately.
+	// TimeoutMS limits the wait in the queue. A call that would wait longer is answered with 503: at once if
+	// ShedAtOnce is set, otherwise after TimeoutMS.
 	TimeoutMS  int  `json:"timeout_ms"`
 	ShedAtOnce bool `json:"shed_at_once,omitempty"`
 	// EndWatches is the chance that a watch ends, instead of reporting the change, when the list changes.
@@ -24,8 +24,8 @@
 	WholeFirst bool `json:"whole_first,omitempty"`
 }
 
-// clusterCalls is the discovery of the fleet profile: it answers 667 calls a second, whatever the length of the
-// lists.
+// clusterCalls describes discovery in runs that check the rates of a large cluster (see clusterRates): it
+// answers 667 calls a second, whatever the length of the lists.
 func clusterCalls() CallQueue {
 	return CallQueue{LinesPerSecond: 1000, CallLines: 1.5, TimeoutMS: 1000}
 }
@@ -48,8 +48,8 @@
 	return time.Duration((c.CallLines + c.HostLines*float64(hosts)) / c.LinesPerSecond * float64(time.Second))
 }
 
-// callQueue is a queue of calls. Since calls are served in order, the time at which the last one ends describes it
-// wholly.
+// callQueue is a queue of calls that are served in order. Its only state is the time at which the last one
+// ends.
 type callQueue struct {
 	CallQueue
 	busyUntil time.Duration // when the last accepted call ends
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -32,7 +32,7 @@
 	sent         bool // the last byte of the request is written
 	resent       bool // the request was sent a second time because the connection closed without reading it
 	awaitedReset bool // the client has waited for the reset that may follow a close
-	unsafeViews  bool // the client used settings whose view class is unsafe (not idempotent)
+	unsafeViews  bool // the client used settings in which the class tender-view is unsafe (not idempotent)
 	pending      []byte
 }
 
@@ -247,8 +247,9 @@
 	c.run.sim.After(msec(c.req.TimeoutMS)+timeoutSlack, func() { c.finish("silence") })
 }
 
-// handleBroken ends an attempt whose connection broke. A request that the gateway has not read is sent once more
-// on a new connection: a reset without a byte of a response indicates this, unless the network caused the reset.
+// handleBroken ends an attempt whose connection broke, or sends its request once more on a new connection if
+// the gateway has not read it. The gateway has not read a request on a reused connection if the connection is
+// reset before the first byte of a response, unless the network caused the reset.
 func (c *client) handleBroken(cause string) {
 	if c.reused && !c.resent && !c.awaitedReset && len(c.inbox) == 0 && c.end.fin && !c.end.reset {
 		// The close may have crossed the request on the way; the reset that shows this arrives a round trip later.
--- a/internal/lab/simulation/clusterrates.go
+++ b/internal/lab/simulation/clusterrates.go
@@ -18,9 +18,10 @@
 	TooManyCalls       = "too many calls"       // made to discovery in a second by all gateways together
 )
 
-// The bounds for a host apply while at least half of the hosts of its zone are serving. With half of them, each
-// host has twice its share of the gateways, and the bounds leave half as much again. With fewer, all gateways have
-// to use the same few hosts, and the bounds grow as the number of serving hosts falls.
+// The bounds for a host apply while at least half of the hosts of its zone are serving. With exactly half of
+// them, each host serves twice as many gateways as usual; the bounds are half as high again as the rate that
+// this causes. With fewer, all gateways have to use the same few hosts, and the bounds are multiplied by
+// loadFactor.
 const (
 	// maxSendsPerSecond is the bound on requests sent to one host. A host of the plans completes 25 requests a
 	// second of mean work and queues 14; it rejects further requests, which gateways may send only until they know
@@ -101,14 +102,15 @@
 	}
 }
 
-// maxLoadFactor returns the zone's highest load factor of the current second, over the times at which it was
-// requested: if few hosts were serving, each of them may receive more for the whole second.
+// maxLoadFactor returns the highest of the zone's load factors that its calls have found in the current second:
+// if few hosts were serving at one time, each of them may receive more for the whole second.
 func (c *clusterRates) maxLoadFactor(zone int) float64 {
 	c.loadFactors[zone] = max(c.loadFactors[zone], c.run.loadFactor(zone))
 	return c.loadFactors[zone]
 }
 
-// countCall counts a call to discovery. Each gateway may make two in a second: one more after a failed call.
+// countCall counts a call to discovery. Each gateway may make two calls in a second, the second one after a
+// failed one.
 func (c *clusterRates) countCall() {
 	if c == nil {
 		return
--- a/internal/lab/simulation/datagrams.go
+++ b/internal/lab/simulation/datagrams.go
@@ -11,7 +11,8 @@
 	"thymebend/internal/loop"
 )
 
-// Sizes of the real loop's datagram sockets and of a kernel's receive buffer.
+// Limits of the real loop's datagram sockets (bytes of a datagram, datagrams of a read) and of the kernel's receive
+// buffer (datagrams).
 const (
 	maxDatagram        = 2048
 	datagramsPerRead   = 32
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -27,8 +27,8 @@
 	queue     *callQueue             // calls that wait for their turn; nil answers each at once
 	deadlines *notificationDeadlines // set with Plan.Calls
 	paused    bool
-	lag       time.Duration
-	agents    []*agent // by gateway, where lists are pushed; else empty
+	lag       time.Duration // from a change of a host until the list has it
+	agents    []*agent      // by gateway, where lists are pushed; else empty
 }
 
 // watch is a gateway's call to discovery, whose response stays open and reports changes.
@@ -36,12 +36,12 @@
 	end         *End
 	gateway     int
 	inbox       []byte
-	after       int
-	requested   bool
-	started     bool
+	after       int  // version of the list that the gateway has
+	requested   bool // the gateway's request has been read
+	started     bool // the head of the response has been written
 	notified    bool // the first line has been written
 	lastWrite   time.Duration
-	silentUntil time.Duration // nothing is written to the watch until then
+	silentUntil time.Duration // nothing is written to the watch before this time
 }
 
 func (d *discoveryServer) listen(gateway int) {
@@ -113,7 +113,7 @@
 	d.run.sim.At(at, func() { d.answer(c, served) })
 }
 
-// answersWholeList reports whether a watch is answered next with the whole list without draining hosts.
+// answersWholeList reports whether the next line for a watch is the whole list without draining hosts.
 func (d *discoveryServer) answersWholeList(c *watch) bool {
 	return d.queue != nil && d.queue.WholeFirst && !c.notified
 }
@@ -159,7 +159,7 @@
 	}
 	c.after, c.notified = list.Version(), true
 	d.write(c, line)
-	if len(d.agents) > 0 { // the gateway was notified when its agent was
+	if len(d.agents) > 0 { // the change counted as notified when the agent received it
 		d.agents[c.gateway].writtenVersion, d.agents[c.gateway].writtenAt = list.Version(), d.run.sim.Now()
 		return
 	}
@@ -224,12 +224,12 @@
 	return count
 }
 
-// resetOpen resets all established watches. Calls that wait in the queue stay there.
+// resetOpen resets all established watches. Calls that still wait in the call queue are not reset.
 func (d *discoveryServer) resetOpen() {
 	d.deadlines.addCalls(d.reset(func(c *watch) bool { return c.notified }))
 }
 
-// silenceWatches stops writing to all established watches for the given time. Calls are still answered.
+// silenceWatches stops writing to all established watches for the given time. New calls are still answered.
 func (d *discoveryServer) silenceWatches(length time.Duration) {
 	count := 0
 	for _, c := range d.watches {
--- a/internal/lab/simulation/draw.go
+++ b/internal/lab/simulation/draw.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// planDrawer is a plan that is being drawn. The order of its random draws must not change, so that known seeds
-// keep their plans.
+// planDrawer draws a plan, the full description of a run, from a seed and a profile, the kind of run that fixes
+// which faults may occur. The order of its random draws must not change, so that known seeds keep their plans.
 type planDrawer struct {
 	rng     *rand.Rand
 	plan    Plan
 	kinds   []string        // fault kinds of the profile
-	enabled map[string]bool // fault kinds of this plan
+	enabled map[string]bool // the subset of kinds that this plan has
 	length  int             // duration of the traffic, in ms
 	rate    float64         // requests a second
 }
@@ -103,7 +103,7 @@
 	if p.Profile == sharesProfile {
 		d.length += 8000 // membership takes some seconds to converge, and a host's slow start lasts 12 s
 	}
-	d.rate = float64(p.Hosts) * (8 + 12*d.rng.Float64()) // a host completes about 25 requests a second
+	d.rate = float64(p.Hosts) * (8 + 12*d.rng.Float64()) // each host completes about 25 requests a second
 	if p.Profile == discoveryLoadProfile {
 		d.length, d.rate = d.between(24000, 32000), d.rate*0.4
 		p.Calls = p.drawCalls(d.enabled, d.rng)
@@ -111,8 +111,8 @@
 	if size.Requests > 0 {
 		d.length = max(2000, int(float64(size.Requests)/d.rate*1000))
 	}
-	// A slow processor is a fault that gateways have to handle, but on a processor that is overloaded all the time
-	// a gateway could keep no rule.
+	// A slow processor is a fault that gateways have to handle. If a processor were overloaded all the time,
+	// though, its gateway could not keep any rule, so CostUS is bounded.
 	const eventsOfRequest, surge, maxLoad = 20, 2.5, 0.6
 	p.CostUS = min(p.CostUS, int(maxLoad*1e6/(d.rate/float64(p.Gateways)*eventsOfRequest*surge)))
 }
@@ -231,7 +231,7 @@
 	return r
 }
 
-// Size overrides the drawn size of a run. A zero leaves a field to the seed.
+// Size overrides the drawn size of a run. A field that is 0 leaves its value to the seed.
 type Size struct{ Gateways, Hosts, Requests int }
 
 // check returns an error if the size is out of bounds.
@@ -281,9 +281,9 @@
 // drawClockError draws by how many seconds a machine's wall clock is ahead.
 func drawClockError(rng *rand.Rand) int { return []int{-3600, 3600, -7, 0}[rng.IntN(4)] }
 
-// fleetFaults returns the faults that affect many hosts or gateways at once: every other host replaced within 0.5
-// to 4 s, seven in ten gateways killed within 0.3 s, or all hosts of a zone down for 1.5 to 4 s and back in slow
-// start.
+// fleetFaults returns the faults that affect many hosts or gateways at once: every other host is replaced
+// within 0.5 to 4 s, seven in ten gateways are killed within 0.3 s, or all hosts of a zone fail for 1.5 to 4 s
+// and come back in slow start.
 func (p *Plan) fleetFaults(on map[string]bool, between func(int, int) int) []Fault {
 	var list []Fault
 	if on["fleet-replace"] {
@@ -312,7 +312,8 @@
 	return list
 }
 
-// drawCalls draws a discovery that needs 1 to 4 s to answer a call of every gateway; one in four needs up to 10 s.
+// drawCalls draws the call queue of a discovery that needs 1 to 4 s to answer one call from each gateway or, in
+// one plan of four, 4 to 10 s.
 func (p *Plan) drawCalls(on map[string]bool, rng *rand.Rand) *CallQueue {
 	calls := &CallQueue{CallLines: float64(20 + rng.IntN(41)), HostLines: 1, TimeoutMS: 3000,
 		ShedAtOnce: on["load-at-once"], WholeFirst: on["load-whole"]}
@@ -327,8 +328,8 @@
 	return calls
 }
 
-// loadFaults returns faults that make many gateways call discovery at once, with hosts that leave in the meantime;
-// at most half of the hosts leave.
+// loadFaults returns faults that make many gateways call discovery at once, and faults that make hosts leave
+// meanwhile; at most half of the hosts leave.
 func (p *Plan) loadFaults(on map[string]bool, between func(int, int) int, length int) []Fault {
 	var list []Fault
 	leaving := 0
--- a/internal/lab/simulation/gatewayfaults.go
+++ b/internal/lab/simulation/gatewayfaults.go
@@ -48,8 +48,8 @@
 	g.saveLastList()
 }
 
-// reload makes a gateway read its configuration again: either one with a new address of discovery, or a truncated
-// file.
+// reload makes a gateway read its configuration again: a truncated file if faulty is set, otherwise one with a
+// new address of discovery.
 func (s *simulator) reload(g *gatewayNode, faulty bool) {
 	if faulty {
 		s.reloadFaulty(g)
@@ -84,11 +84,13 @@
 	predecessor := g.loop
 	g.predecessor = predecessor
 	g.up = false
-	// Neither process can know of the other before the successor has the listening socket.
+	// The upgrade counts from the time at which the successor has the listening socket, set by OnListen: before,
+	// neither process can know of the other.
 	g.upgradeFrom = math.MaxInt64
 	g.start()
 	next := g.loop
-	// The kernel refuses descriptors beyond the limit; neither process may be driven to the limit by the other.
+	// The two processes of an upgrade share one limit on descriptors, beyond which the kernel refuses more.
+	// Neither process may drive the other to that limit.
 	var watch func()
 	watch = func() {
 		if g.predecessor != predecessor || !predecessor.Running() || !next.Running() {
@@ -131,8 +133,8 @@
 	})
 }
 
-// retune changes the settings of every gateway: views become unsafe and a class is added, or the reverse. Clients
-// use the new settings 1.2 s later.
+// retune changes the settings of every gateway: the class tender-view becomes unsafe (not idempotent) and
+// another class is added, or the reverse. Clients use the new settings 1.2 s later.
 func (s *simulator) retune(f Fault) {
 	unsafeViews := !s.unsafeViews
 	for _, g := range s.gateways {
@@ -162,12 +164,13 @@
 	s.sim.After(1200*time.Millisecond, func() { s.unsafeViews = unsafeViews })
 }
 
-// term performs a planned restart of a gateway: SIGTERM, the end of the process, then a new one.
+// term performs a planned restart of a gateway: it sends SIGTERM, waits for the process to exit and starts a
+// new one after f.ForMS.
 func (s *simulator) term(g *gatewayNode, f Fault) {
 	g.stops = append(g.stops, s.sim.Now())
 	g.loop.Signal(loop.Stop)
 	if s.views != nil {
-		s.views.history.Leaving(g.index, s.sim.Elapsed()) // its membership sends nothing from now on
+		s.views.history.Leaving(g.index, s.sim.Elapsed()) // from now on the process sends no gossip datagrams
 	}
 	s.sim.After(withdrawDelay, func() { g.withdrawn = true })
 	life := g.generation
--- a/internal/lab/simulation/gatewaynode.go
+++ b/internal/lab/simulation/gatewaynode.go
@@ -40,11 +40,11 @@
 	process, previous process // the latest process, and during an upgrade its predecessor
 }
 
-// start starts a gateway's process, which knows only the list saved by the previous one.
+// start starts a gateway's process. The process knows only the list of hosts that the previous process saved.
 func (g *gatewayNode) start() {
 	s := g.run
 	if g.up {
-		return // a kill during a planned restart: both would start the process again
+		return // a kill during a planned restart: each of the two faults starts the process again
 	}
 	cfg := g.configure()
 	g.up, g.withdrawn = true, false
@@ -163,7 +163,8 @@
 	return n > 0 && g.run.sim.Now() < g.halts[n-1][1]
 }
 
-// saveLastList saves the list of a process that has ended; its successor has no other list when it starts.
+// saveLastList saves the list that a process had when it ended; the next process has no other list when it
+// starts.
 func (g *gatewayNode) saveLastList() {
 	if len(g.run.discovery.agents) > 0 &&
 		(g.lastList == nil || g.run.discovery.listFor(g.index).Version() > g.lastList.Version()) {
@@ -180,7 +181,8 @@
 	return g.run.discovery.listFor(g.index)
 }
 
-// noteInitialList records as notified the list with which a process starts, and its agent's list if that is newer.
+// noteInitialList records as notified the changes in the list with which a process starts, and those in its
+// agent's list if that list is at least as new.
 func (g *gatewayNode) noteInitialList() {
 	list := g.run.discovery.listFor(g.index)
 	if g.lastList != nil && g.predecessor == nil { // in an upgrade, the successor gets the list from its predecessor
@@ -202,7 +204,8 @@
 	return zerolog.New(logLine{g.run.sim}).Level(zerolog.InfoLevel).With().Str("name", g.name).Logger()
 }
 
-// checkedGateway is a gateway process of the run. Its invariant checker's counts are read at the end.
+// checkedGateway is a gateway process of the run. At the end of the run, the counts of violations that its
+// invariant checker has suppressed are read.
 type checkedGateway struct {
 	name    string
 	gateway *gateway.Gateway
--- a/internal/lab/simulation/hostfaults.go
+++ b/internal/lab/simulation/hostfaults.go
@@ -18,7 +18,8 @@
 		}
 		h.fail()
 		if f.Kind == "host-cold" {
-			// The host is back when discovery reports it: no gateway can know of a restart that is over sooner.
+			// The host stays down until discovery could have reported the restart: no gateway can know of a
+			// restart that is over sooner.
 			s.sim.After(s.discovery.lag+10*time.Millisecond, func() { s.restartHost(h, 0) })
 			return
 		}
@@ -52,7 +53,8 @@
 	}
 }
 
-// drain announces a host as draining, removes and stops it later, and replaces it with host-replace.
+// drain announces a host as draining, and removes and stops the host later. If the fault is host-replace, it
+// then starts a replacement.
 func (s *simulator) drain(h *host, f Fault) {
 	if !h.up || h.draining {
 		return
@@ -85,8 +87,9 @@
 	}
 }
 
-// drainsFor returns how long a host drains before it is removed. With a call queue, where the rule on late
-// notifications applies, this is longer than a change takes to count as notified.
+// drainsFor returns how long a host drains before it is removed. With a call queue, the rule on late
+// notifications applies (see notificationDeadlines), and the host drains for longer than a change takes to
+// count as notified.
 func (s *simulator) drainsFor(f Fault) time.Duration {
 	if s.plan.Calls == nil {
 		return 4 * time.Second
--- a/internal/lab/simulation/hosts.go
+++ b/internal/lab/simulation/hosts.go
@@ -47,10 +47,10 @@
 	record          *requestrecord.EndpointRecord
 	listeners       []*Listener
 	addrs           []netip.AddrPort
-	conns           []*hostConn // open connections, oldest first
-	waiting         map[uint64]*hostConn
-	timerNumber     uint64 // number of the current timer; earlier ones are ignored
-	silent          bool
+	conns           []*hostConn          // open connections, oldest first
+	waiting         map[uint64]*hostConn // connections whose request is being served, by the model's token
+	timerNumber     uint64               // number of the current timer; earlier ones are ignored
+	silent          bool                 // its machine neither sends nor receives
 	up              bool
 	faultShares     map[string]float64 // share of faulty responses, by kind of fault
 	removed         bool
@@ -59,9 +59,9 @@
 	slowStart       slowStartArrivals
 }
 
-// maxConnections is how many connections all gateways of a cluster may have to one host. It is three times the
-// number of gateways that use the host by their assignments, twelve, since further gateways reach it at times and
-// one gateway may need several connections.
+// maxConnections is how many connections all gateways of a cluster together may have to one host. By the
+// assignments, twelve gateways use a host. Three times as many connections are allowed, since further gateways
+// reach the host at times and one gateway may need several connections.
 const maxConnections = 36
 
 // hostConn is a connection that a host has accepted from a gateway.
@@ -100,8 +100,10 @@
 		c := &hostConn{end: e, gateway: gateway, model: h.model}
 		h.run.rates.countConnect(h)
 		if !h.model.Connected(h.run.sim.Now()) { // the host holds no more connections
+			// No finding if the host holds fewer connections, since it has crashed then, or if few hosts of its zone
+			// are serving.
 			fewServing := h.run.loadFactor(h.zone()) > 1
-			if len(h.conns) >= maxConnections && !fewServing { // else the host crashed, or few hosts of its zone are serving
+			if len(h.conns) >= maxConnections && !fewServing {
 				by := make(map[int]int)
 				for _, x := range h.conns {
 					by[x.gateway]++
@@ -329,7 +331,8 @@
 	return true
 }
 
-// setSilent disconnects the machine from the network, or connects it again and delivers what was held back.
+// setSilent disconnects the host's machine from the network or, with on false, connects it again and delivers
+// what the network has held back in both directions.
 func (h *host) setSilent(on bool) {
 	if h.silent = on; !on {
 		for _, c := range append([]*hostConn(nil), h.conns...) {
--- a/internal/lab/simulation/invariants.go
+++ b/internal/lab/simulation/invariants.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// excused reports whether a missing response counts as caused by the client, the network, or a kill, stop or
-// halt of the gateway at that time.
+// excused reports whether the missing response of an attempt counts as caused by the client, by the network, or
+// by a kill, planned stop or halt of the gateway during the attempt.
 func (s *simulator) excused(t requestrecord.Attempt) bool {
 	if t.Cause == "cut by the network" || t.Cause == "left" || t.Cause == "half a large answer" {
 		return true
--- a/internal/lab/simulation/loop.go
+++ b/internal/lab/simulation/loop.go
@@ -10,7 +10,8 @@
 	"thymebend/internal/loop"
 )
 
-// Constants of the real loop, which the simulated loop must share; the conformance suite compares the two.
+// Constants that the simulated loop shares with the real one (readSize in bytes, maxReady in sockets per turn).
+// The conformance suite compares the two loops.
 const (
 	readSize           = 64 << 10
 	maxReady           = 256
@@ -30,10 +31,10 @@
 	dialDone       bool
 	dialErr        error
 	paused         bool
-	reportShutdown bool // while paused: the peer's shutdown has to be reported
+	reportShutdown bool // while paused: report the peer's shutdown of its sending side
 	urgent         bool
-	pending        []byte
-	maybeReady     bool // it is in the loop's list of sockets that may be ready
+	pending        []byte // written by the process, not yet accepted by the connection
+	maybeReady     bool   // it is in the loop's list of sockets that may be ready
 }
 
 // Loop is the loop of a simulated gateway process. It runs the reducer on simulated sockets, timers, files,
@@ -47,7 +48,7 @@
 	EventCost         time.Duration // processor time of one event
 	PartialReadChance float64       // chance that a read returns fewer bytes than have arrived
 
-	OtherDescriptors func() int // returns the number of descriptors of the gateway's other process
+	OtherDescriptors func() int // number of descriptors of the gateway's other process in an upgrade; may be nil
 	OnListen         func()     // called when the process has the clients' listening socket; may be nil
 
 	sockets
@@ -61,7 +62,7 @@
 	exited        bool
 	exitErr       error
 	killed        bool
-	silent        *bool
+	silent        *bool // the process's machine neither sends nor receives while it is set; may be nil
 	onExit        func(error)
 	// ClockError is by how much the machine's wall clock was ahead of the true time when the process started. The
 	// clock of the process starts with that error and is monotonic afterwards.
@@ -80,7 +81,7 @@
 
 // wakeSchedule holds when a process runs next.
 type wakeSchedule struct {
-	busy       time.Duration // end of the processor time of the events so far
+	busy       time.Duration // when the processor has finished the events so far
 	wakeNumber uint64        // number of the current wake-up; earlier ones are ignored
 	wakeAt     time.Duration
 	asleep     bool
@@ -96,8 +97,8 @@
 	paused bool
 }
 
-// endBehindData is an event that the loop queues for itself: the peer's shutdown follows the data that was just
-// read.
+// endBehindData is an event that the loop queues for itself after a read, if the peer has shut down its sending
+// side after the data just read.
 const endBehindData loop.Kind = 255
 
 // NewLoop returns the loop of a new process. onExit is called when its reducer exits, with the error if it failed.
@@ -170,7 +171,7 @@
 // Running reports whether the process is alive.
 func (l *Loop) Running() bool { return !l.exited && !l.killed }
 
-// Halt stops the process for the given time. Events that occur meanwhile wait.
+// Halt stops the process for the given time. Events that occur meanwhile are delivered afterwards.
 func (l *Loop) Halt(length time.Duration) {
 	l.busy = max(l.busy, l.sim.Now()+length)
 	if l.asleep {
@@ -223,8 +224,8 @@
 	}
 }
 
-// round is one turn of the loop. It delivers signals and events of urgent sockets, events of other sockets,
-// expired timers, and TurnEnd.
+// round is one turn of the loop. In this order, it delivers signals, the events of urgent sockets, the events
+// of all other sockets, expired timers, and TurnEnd.
 func (l *Loop) round() {
 	l.wakeups++
 	l.turnRequested = false
@@ -268,8 +269,8 @@
 	}
 }
 
-// resolveMore replaces an endBehindData event with the event that the real loop reports then, and returns false if
-// it reports none.
+// resolveMore replaces an endBehindData event with the event that the real loop reports in its place, and
+// returns false if the real loop reports none.
 func (l *Loop) resolveMore(e *loop.Event) bool {
 	s := l.socks[e.Conn]
 	switch {
--- a/internal/lab/simulation/measure.go
+++ b/internal/lab/simulation/measure.go
@@ -12,11 +12,11 @@
 	"thymebend/internal/loop"
 )
 
-// AssignmentFigures are the results of a run in which gateways divide the hosts by their membership view, without
-// faults other than those that are measured.
+// AssignmentFigures are the results of a run in which gateways divide the hosts by their membership views. The
+// run has no faults but those whose effects are measured.
 type AssignmentFigures struct {
-	// by host: time from when the host starts to fail until 95% of the gateways that use it have ejected it or
-	// doubt it; 0: never
+	// DetectionTimes holds, by bad host, the time from its first failure until 95% of the gateways that use it have
+	// ejected it or doubt it because of other gateways' reports; 0: never.
 	DetectionTimes  []time.Duration
 	BadHostRequests int     // requests sent to hosts while these failed
 	BytesPerSecond  float64 // bytes that a gateway sends in datagrams a second, from the eighth second on
@@ -25,7 +25,7 @@
 	Findings        []Finding
 }
 
-// Times of the measured run.
+// Times of the measured run, from the start of its traffic, and the number of its bad hosts.
 const (
 	badFrom         = 9 * time.Second
 	badFor          = 8 * time.Second
@@ -34,9 +34,9 @@
 	badHosts        = 5
 )
 
-// MeasureAssignment plays gateways that divide the hosts. Some hosts fail all requests from the ninth second on,
-// and as many are replaced with hosts in slow start. Without reports, no gateway reports the hosts that it has
-// found bad to the others. Once ctx is done, the run ends with ctx's error.
+// MeasureAssignment plays gateways that divide the hosts. From the ninth second on, some hosts fail all
+// requests, and as many others restart in slow start. If reports is false, no gateway tells the others which
+// hosts it has found bad. Once ctx is done, the run ends with ctx's error.
 func MeasureAssignment(ctx context.Context, seed uint64, gateways, hosts int, reports bool) (AssignmentFigures, error) {
 	p, err := assignmentPlan(seed, gateways, hosts)
 	if err != nil {
@@ -86,8 +86,8 @@
 	used, allowed float64
 }
 
-// observe counts the bytes of datagrams, and removes the reports of bad hosts from them if the run is without
-// reports.
+// observe counts the bytes of the datagrams that gateways send. If the run is without reports, it first removes
+// the reports of bad hosts from them.
 func (m *assignmentMeasurement) observe(f *loop.Effect) {
 	if f.Op != loop.SendTo {
 		return
@@ -118,7 +118,8 @@
 	}
 }
 
-// checkBadHosts records the bad hosts that 95% of their gateways know by now.
+// checkBadHosts records the given time as the detection time of each bad host that 95% of its gateways now know
+// to be bad for the first time.
 func (m *assignmentMeasurement) checkBadHosts(at time.Duration) {
 	for who := range badHosts {
 		if m.figures.DetectionTimes[who] == 0 && m.run.knownShare(m.run.hosts[who]) >= 0.95 {
@@ -186,7 +187,8 @@
 	})
 }
 
-// rewriteClaims returns a datagram with changed claims. A claim that no longer fits is omitted.
+// rewriteClaims returns a datagram whose claims (its statements about single gateways) are changed. A claim
+// that no longer fits into the datagram is omitted.
 func rewriteClaims(data []byte, change func(*gossipcodec.Claim)) []byte {
 	m, err := gossipcodec.Parse(data)
 	if err != nil {
@@ -200,8 +202,8 @@
 	return out
 }
 
-// MedianDetectionTime returns the median of the detection times; bad hosts that were never detected count as last. It returns
-// false if the median host was never detected.
+// MedianDetectionTime returns the median of the detection times. Bad hosts that were never detected sort last.
+// It returns false if the median host was never detected.
 func (f AssignmentFigures) MedianDetectionTime() (time.Duration, bool) {
 	list := slices.Clone(f.DetectionTimes)
 	slices.SortFunc(list, func(a, b time.Duration) int {
--- a/internal/lab/simulation/net.go
+++ b/internal/lab/simulation/net.go
@@ -7,7 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// sendBuffer is how many bytes may be in transit or unread before a write accepts no more.
+// sendBuffer is how many bytes of one direction of a connection may be in transit or unread before a write
+// accepts no more.
 const sendBuffer = 200 << 10
 
 // Net is the simulated network: listeners, and connections whose bytes take time and may be split at any byte.
@@ -17,7 +18,7 @@
 	paths          map[string]*Listener // Unix sockets; their connections have no faults
 	unix           *Net
 	Latency        time.Duration // one way
-	Jitter         time.Duration // maximum in addition to Latency
+	Jitter         time.Duration // maximum random delay in addition to Latency
 	SplitChance    float64       // chance that a write arrives in pieces, split at any byte
 	ResetChance    float64       // chance that a write resets its connection at any of its bytes
 	LoseDialChance float64       // chance that a connection is never established
@@ -25,7 +26,7 @@
 	bound                   map[netip.AddrPort]*datagramSocket
 	LoseDatagramChance      float64
 	DuplicateDatagramChance float64
-	CutDatagrams            func(from, to netip.AddrPort) bool // whether a direction is cut; nil: none is
+	CutDatagrams            func(from, to netip.AddrPort) bool // whether datagrams of this direction are lost; nil: none
 }
 
 // NewNet returns a network without faults.
@@ -57,15 +58,15 @@
 	}
 }
 
-// ListenUnix binds a path, even if another listener has it.
+// ListenUnix binds a path. If another listener has the path already, the new listener replaces it.
 func (n *Net) ListenUnix(path string, ready func()) *Listener {
 	l := &Listener{net: n, path: path, maxBacklog: backlog, ready: ready}
 	n.paths[path] = l
 	return l
 }
 
-// DialUnix connects at once or returns an error. The file of a closed listener remains, so that it refuses
-// connections.
+// DialUnix connects at once or returns an error. As in the kernel, the socket file of a closed listener
+// remains, and connecting to it is refused.
 func (n *Net) DialUnix(path string) (*End, error) {
 	l := n.paths[path]
 	switch {
@@ -198,7 +199,8 @@
 	return a
 }
 
-// deliver calls do at this end after the network's delay, in the order in which things were sent to it.
+// deliver calls do, which makes something arrive at this end, after the network's delay. Calls happen in the
+// order in which they were requested for this end.
 func (e *End) deliver(do func()) {
 	at := max(e.lastDelivery, e.net.sim.Now()+e.net.delay())
 	e.lastDelivery = at
--- a/internal/lab/simulation/notificationdeadlines.go
+++ b/internal/lab/simulation/notificationdeadlines.go
@@ -6,22 +6,25 @@
 	"thymebend/internal/lab/registry"
 )
 
-// The rule on drains for a discovery with a call queue: a change counts as notified to every gateway 6 s after
-// discovery has it and can be reached, at the latest, whatever happened to the gateway's calls. The grace period
-// of the settings is added. A gateway that is notified earlier has to act on the change from then on.
+// This file extends the rule on drains, which forbids sending to a host after its gateway was notified that it
+// drains or is removed, for a discovery with a call queue. There, a change counts as notified to every gateway
+// at the latest 6 s after discovery has the change and can be reached, whatever happened to the gateway's
+// calls. The grace period (drainGrace) is added to that. A gateway that is notified earlier has to act on the
+// change from then on.
 //
-// An exception covers what no gateway can achieve: discovery's capacity may not suffice to answer, within that
-// time, the calls that discovery has caused itself. These are the calls of gateways whose watches it ended, reset
-// or let fall silent, and the first calls of all gateways. They need gateways x work of a call / capacity, added
-// up where one burst of calls follows another before the work is done. The change then counts as notified
-// silenceDetection + workStretch x that time after discovery has it, if that is later than 6 s. Calls that
-// gateways repeat by their own decision extend nothing.
+// An exception covers what no gateway can achieve: discovery's capacity may not suffice to answer, within 6 s,
+// the calls that discovery has caused itself. These are the calls of gateways whose watches discovery has
+// ended, reset or let fall silent, and the first calls of all gateways. A burst of such calls needs (number of
+// gateways) x (work of a call) / capacity; the times of bursts add up if one follows before the work of another
+// is done. The change then counts as notified silenceDetection + workStretch x the remaining time after
+// discovery has the change, if that is later than 6 s. Calls that gateways repeat by their own decision extend
+// nothing.
 //
-// The rule does not cover a discovery that is down or paused: the profile has no such fault.
+// The rule does not cover a discovery that is down or paused: the profile discovery-load has no such fault.
 const (
 	notificationLimit = 6 * time.Second
 	silenceDetection  = 2800 * time.Millisecond // a missed heartbeat, 2.4 s, and the jitter of the calls after it, 0.4 s
-	workStretch       = 1.5                     // refused calls are repeated up to 1.5 s later, in no order
+	workStretch       = 1.5                     // refused calls are repeated up to 1.5 s later, in random order
 )
 
 // departure is a host that drains or is removed, with the time at which this counts as notified at the latest.
@@ -45,7 +48,7 @@
 	return max(notificationLimit, silenceDetection+time.Duration(workStretch*float64(backlog)))
 }
 
-// recordChange records a change of the list.
+// recordChange records that a host's entry in discovery's list has changed.
 func (n *notificationDeadlines) recordChange(e registry.Entry) {
 	if n == nil {
 		return
@@ -64,8 +67,8 @@
 	}
 }
 
-// addCalls records calls that discovery has caused. If there are too many to answer within the limit, they extend
-// the deadlines that have not passed.
+// addCalls records calls that discovery has caused. If discovery cannot answer them within notificationLimit,
+// they extend the deadlines that have not passed.
 func (n *notificationDeadlines) addCalls(calls int) {
 	if n == nil || calls == 0 {
 		return
@@ -82,8 +85,8 @@
 	}
 }
 
-// overdue returns when a host's departure counted as notified at the latest; ok is false if the host does not
-// leave or the deadline has not passed.
+// overdue returns the deadline by which a host's departure counts as notified, once it has passed. ok is false
+// if the host does not leave or its deadline has not passed.
 func (n *notificationDeadlines) overdue(host string) (at registry.Notification, ok bool) {
 	if n == nil {
 		return registry.Notification{}, false
