--- a/internal/lab/simulation/assignments_test.go
+++ b/internal/lab/simulation/assignments_test.go
@@ -10,7 +10,8 @@
 	"thymebend/internal/loop"
 )
 
-// alterPayload wraps gateways so that one of them changes its own payload in every datagram that it sends.
+// alterPayload wraps the gateways' reducers so that one gateway changes the payload about itself in every
+// datagram that it sends.
 func alterPayload(gateway int, change func(payload []byte) []byte) func(loop.Reducer) loop.Reducer {
 	started := 0
 	name := gatewayName(gateway)
@@ -92,7 +93,7 @@
 	} {
 		o := play(p, nil, alterPayload(1, lie))
 		for _, f := range o.Findings {
-			if f.Rule != SharesDisagree { // the reporter divides by other figures than the rest
+			if f.Rule != SharesDisagree { // the false reporter divides the hosts by other figures than the other gateways
 				t.Errorf("%s: %+v", name, f)
 			}
 		}
--- a/internal/lab/simulation/callqueue_test.go
+++ b/internal/lab/simulation/callqueue_test.go
@@ -17,7 +17,7 @@
 	"thymebend/internal/loop"
 )
 
-// Calls are answered in order. A call that would wait longer than the timeout is refused; it costs no capacity,
+// Discovery answers calls in order. A call that would wait longer than the timeout is refused; it costs no capacity,
 // and is refused immediately or after the timeout.
 func TestCallQueueAnswersInOrderAndShedsOnTimeout(t *testing.T) {
 	const second = time.Second
@@ -83,8 +83,8 @@
 	}
 }
 
-// startWithWatches starts a simulator whose discovery has a call queue, and runs it until every gateway has its
-// list.
+// startWithWatches starts a simulator whose discovery has a call queue, and runs it until every gateway has
+// received the list of hosts.
 func startWithWatches(t *testing.T, calls CallQueue) *simulator {
 	t.Helper()
 	s := newSimulator(Plan{Seed: 1, Gateways: 4, Hosts: 3, Sockets: 300,
@@ -99,7 +99,7 @@
 	return s
 }
 
-// gatewaysWithList returns the gateways that have a watch with a list.
+// gatewaysWithList returns the gateways that have a watch on which the list of hosts has been written.
 func (d *discoveryServer) gatewaysWithList() map[int]bool {
 	list := make(map[int]bool)
 	for _, c := range d.watches {
@@ -154,7 +154,7 @@
 	}
 }
 
-// The profile is selected only when it is stated, and a plan is the same after it was saved and read.
+// No seed selects the profile discovery-load by default, and a plan is the same after it was saved and read.
 func TestDiscoveryLoadPlans(t *testing.T) {
 	for seed := range uint64(300) {
 		if p := draw(t, seed, ""); p.Calls != nil {
--- a/internal/lab/simulation/calls_test.go
+++ b/internal/lab/simulation/calls_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// caller is a scriptedDiscovery that records when a gateway called it and when it sent the list.
+// caller is a scriptedDiscovery that records when a gateway called it and when it sent the list to the gateway.
 type caller struct {
 	scriptedDiscovery
-	calledAt   []time.Duration // since the start of the run
+	calledAt   []time.Duration // times of the calls, since the start of the run
 	notifiedAt []time.Duration
 }
 
@@ -34,8 +34,8 @@
 	return c
 }
 
-// A call that waits in discovery's queue keeps its place even if further calls are made meanwhile: its late answer
-// is used, and the later calls are abandoned.
+// A call that waits in discovery's queue keeps its place even if the gateway makes further calls meanwhile: the
+// gateway uses the late answer to the first call and abandons the later calls.
 func TestQueuedCallIsNotAbandonedForALaterOne(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newCaller(seed, queued, unanswered, unanswered, unanswered)
@@ -52,8 +52,9 @@
 	}
 }
 
-// Discovery states in Retry-After when it wants the next call. A gateway complies as long as it can still receive
-// a change within the 6 s after which the change counts as notified; a longer delay is cut to that.
+// Discovery states in Retry-After when it wants the next call. A gateway waits that long, as long as it can
+// still receive a change within the 6 s after which the change counts as notified; it cuts a longer delay to
+// that.
 func TestCallsHonourRetryAfter(t *testing.T) {
 	for _, c := range []struct {
 		retryAfter string
@@ -73,7 +74,8 @@
 	}
 }
 
-// A call that starts late because of Retry-After is not replaced while it waits for its turn.
+// A gateway does not replace a call that it started late because of Retry-After while that call waits in
+// discovery's queue.
 func TestCallAfterRetryAfterIsNotReplacedWhileQueued(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newCaller(seed, shedWithRetryAfter, queued)
@@ -87,9 +89,10 @@
 	}
 }
 
-// After a watch has ended, a gateway sends nothing from the time at which a change would count as notified while
-// its next call waits: the answer may name the very host that would be used. If the call fails or waits too long,
-// requests continue with the known list.
+// After a watch has ended, the gateway's next call waits. From the time at which a change would count as
+// notified, the gateway sends no requests to hosts while it waits: the answer may name the very host that would
+// be used. If the call fails or waits too long, the gateway continues to send requests by the list that it
+// knows.
 func TestNoAttemptsWhileCallAfterWatchIsQueued(t *testing.T) {
 	const list = `{"seq":2,"whole":true,"hosts":[{"host":"h","dial":"10.3.0.1:80","site":"a","class":"c","block":0,"health":"up","share":1,"born_ms":0}]}`
 	for _, play := range []struct {
--- a/internal/lab/simulation/clusterrates_test.go
+++ b/internal/lab/simulation/clusterrates_test.go
@@ -36,8 +36,8 @@
 	return running
 }
 
-// The bounds for a host apply while half of the hosts of its own zone are serving, whatever the state of the other
-// zone. With fewer, they grow as the number of serving hosts falls.
+// The bounds for a host apply while at least half of the hosts of its own zone are serving, whatever the state
+// of the other zone. With fewer, the bounds grow as the number of serving hosts falls.
 func TestHostRateBoundsScaleWithServingHostsOfZone(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -73,8 +73,8 @@
 	}
 }
 
-// Requests that a host received while few hosts were serving break no bound after the others are back within the
-// same second.
+// Requests that a host received while few hosts of its zone were serving break no bound when the other hosts
+// are back within the same second.
 func TestHostRateBoundsUseMaxLoadFactorOfSecond(t *testing.T) {
 	s := newTwoZoneSimulator(t)
 	h := s.stopHosts(1, 3)
--- a/internal/lab/simulation/conform_test.go
+++ b/internal/lab/simulation/conform_test.go
@@ -20,8 +20,9 @@
 	"thymebend/internal/loop"
 )
 
-// The conformance suite runs the same scripted cases on the real epoll loop and on the simulated one. A case is a
-// reducer and the steps of its peer. After each step, both loops must have delivered exactly the stated events.
+// The conformance suite runs the same scripted cases on the real epoll loop and on the simulated one. A case
+// consists of a reducer and of the steps that the peer, the remote side of its connections, takes. After each
+// step, both loops must have delivered exactly the stated events.
 
 // script is a reducer that returns the effects of a case and logs the events that it receives.
 type script struct {
@@ -90,9 +91,9 @@
 	send(n int)         // sends n bytes on the last connection
 	shut()              // shuts down the sending side
 	close()             // closes the connection, with nothing unread
-	reset()             // resets it
+	reset()             // resets the last connection
 	drain()             // reads everything that arrives from now on
-	end() string        // how the loop's side ended: "eof", "reset" or ""
+	end() string        // how the loop ended the connection: "eof", "reset" or, while it is open, ""
 	addr() netip.Addr   // of the peer's own listener, see port
 	port() uint16       // of a listener that accepts
 	closedPort() uint16 // of an address that refuses
@@ -129,9 +130,9 @@
 			}
 		}
 	}
-	// A listener and a client's connection are passed over a Unix socket of the same loop, as between two
-	// processes. The listener is adopted under another number. The client's first bytes arrive before the passing
-	// and are read after it.
+	// A listener and a client's connection are passed over a Unix socket whose two ends belong to the same loop,
+	// as between two processes. The receiver adopts the listener under another number. The client's first bytes
+	// arrive before the connection is passed and are read afterwards.
 	path := filepath.Join(os.TempDir(), fmt.Sprintf("conform-%d", os.Getpid()))
 	passListener := func(_ *script, _ time.Duration, e loop.Event) []loop.Effect {
 		switch {
--- a/internal/lab/simulation/discovery_load_test.go
+++ b/internal/lab/simulation/discovery_load_test.go
@@ -10,8 +10,8 @@
 )
 
 // All watches of a large cluster are reset at once while discovery has a call queue. Every gateway can have its
-// list again after gateways / calls a second at the earliest, if no call is wasted. The test allows 1.5 times
-// that, plus 6 s.
+// list again after (number of gateways) / (calls that discovery answers in a second) at the earliest, if no
+// call is wasted. The test allows 1.5 times that, plus 6 s.
 const (
 	recoveryStretch = 1.5
 	recoverySpare   = 6 * time.Second
@@ -42,7 +42,8 @@
 	return list
 }
 
-// recoverFleet starts gateways, resets their watches, and runs until all have a list or limit is over.
+// recoverFleet starts gateways, resets their watches, and runs until all gateways have a list again or the time
+// limit is over.
 func recoverFleet(seed uint64, gateways int, queue CallQueue, limit time.Duration) recovery {
 	var r recovery
 	s := newSimulator(Plan{Seed: seed, Gateways: gateways, Hosts: 2, Sockets: 300,
@@ -70,8 +71,8 @@
 	return CallQueue{LinesPerSecond: lines * perSecond, CallLines: lines, TimeoutMS: 3000, ShedAtOnce: atOnce}
 }
 
-// Every gateway has its list again in at most 1.5 times the time that discovery needs for a call of each, plus 6
-// s.
+// Every gateway has its list again in at most 1.5 times the time that discovery needs to answer one call from
+// each gateway, plus 6 s.
 func TestGatewaysRecoverListsInTime(t *testing.T) {
 	for _, c := range []struct {
 		gateways  int
@@ -104,8 +105,8 @@
 	}
 }
 
-// Gateways act on a change within 6 s after discovery has it, while discovery has a call queue and all watches
-// break.
+// Gateways act on a change within 6 s after discovery has it, even if discovery has a call queue and all
+// watches break.
 func TestDiscoveryLoadHoldsTheRules(t *testing.T) {
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/lab/simulation/measure.go
+++ b/internal/lab/simulation/measure.go
@@ -187,8 +187,8 @@
 	})
 }
 
-// rewriteClaims returns a datagram whose claims (its statements about single gateways) are changed. A claim
-// that no longer fits into the datagram is omitted.
+// rewriteClaims returns a datagram whose claims (statements about single processes of gateways) are changed. A
+// claim that no longer fits into the datagram is omitted.
 func rewriteClaims(data []byte, change func(*gossipcodec.Claim)) []byte {
 	m, err := gossipcodec.Parse(data)
 	if err != nil {
--- a/internal/lab/simulation/notificationdeadlines.go
+++ b/internal/lab/simulation/notificationdeadlines.go
@@ -24,7 +24,7 @@
 const (
 	notificationLimit = 6 * time.Second
 	silenceDetection  = 2800 * time.Millisecond // a missed heartbeat, 2.4 s, and the jitter of the calls after it, 0.4 s
-	workStretch       = 1.5                     // refused calls are repeated up to 1.5 s later, in random order
+	workStretch       = 1.5                     // refused calls are repeated up to 1.5 s later, in no particular order
 )
 
 // departure is a host that drains or is removed, with the time at which this counts as notified at the latest.
--- a/internal/lab/simulation/plan.go
+++ b/internal/lab/simulation/plan.go
@@ -7,21 +7,23 @@
 	"time"
 )
 
-// Fault is a fault that starts at a given time. Times are in milliseconds after the start of the traffic.
+// Fault is a fault that starts at a given time. AtMS is in milliseconds after the start of the traffic.
 type Fault struct {
-	AtMS    int     `json:"at_ms"`
-	Kind    string  `json:"do"`
-	Target  int     `json:"who"`    // index of the host or gateway
-	ForMS   int     `json:"for_ms"` // until it is undone
+	AtMS   int    `json:"at_ms"`
+	Kind   string `json:"do"`     // target and effect, such as host-drain; see profiles
+	Target int    `json:"who"`    // index of the host or gateway
+	ForMS  int    `json:"for_ms"` // milliseconds until it is undone
+	// Share is the share of affected requests, from 0 to 1. With discovery-lag, it is the new lag in milliseconds;
+	// with clock-step, the new error of the wall clock in seconds.
 	Share   float64 `json:"share,omitempty"`
-	Variant string  `json:"what,omitempty"`
+	Variant string  `json:"what,omitempty"` // which of the kind's variants, for host-spoil, view-cut and gateway-reload
 }
 
-// Request is one client's request.
+// Request is one request of a client. AtMS is in milliseconds after the start of the traffic.
 type Request struct {
 	AtMS      int    `json:"at_ms"`
-	Unsafe    bool   `json:"unsafe,omitempty"`
-	TimeoutMS int    `json:"patience_ms"`
+	Unsafe    bool   `json:"unsafe,omitempty"` // not idempotent
+	TimeoutMS int    `json:"patience_ms"`      // how long the client waits for the response
 	Retries   int    `json:"retries,omitempty"`
 	Behaviour string `json:"act,omitempty"` // "": well-behaved; else leave, trickle, half, garbage, silent or stop
 	// SentShare is the share of the request that a client sends before it stops, in Pieces that are PauseMS apart.
@@ -31,26 +33,26 @@
 	Body          int     `json:"body,omitempty"`   // bytes of a bid's body in addition to the usual ones
 	Pad           int     `json:"pad,omitempty"`    // bytes that the host adds to its response
 	Chunks        bool    `json:"chunks,omitempty"` // both the body and the response are chunked
-	NewConnection bool    `json:"fresh,omitempty"`
+	NewConnection bool    `json:"fresh,omitempty"`  // do not reuse an idle connection
 }
 
-// Plan is a whole run: its sizes and settings, and every fault and request.
+// Plan describes a whole run: its sizes and settings, and every fault and request.
 type Plan struct {
 	Seed     uint64 `json:"seed"`
 	Profile  string `json:"profile"`
 	Gateways int    `json:"gateways"`
 	Hosts    int    `json:"hosts"`
-	Sockets  int    `json:"sockets"`
-	LagMS    int    `json:"lag_ms"`
+	Sockets  int    `json:"sockets"` // limit on the descriptors of a gateway
+	LagMS    int    `json:"lag_ms"`  // from a change of a host until discovery's list has it
 	NetworkPlan
-	CostUS       int  `json:"cost_us,omitempty"`
-	Cold         bool `json:"cold,omitempty"`
-	Zones        int  `json:"zones,omitempty"`  // in a run with zones; 0: one zone for all
-	HostlessZone bool `json:"barren,omitempty"` // the last zone has gateways but no hosts
-	Views        bool `json:"views,omitempty"`  // gateways have a membership view of one another
-	Shares       bool `json:"shares,omitempty"` // with Views: gateways also divide the hosts among them
-	Pushed       bool `json:"pushed,omitempty"` // an agent on each gateway's machine receives the lists
-	// DeadlineMS is the longest deadline of every class; 0 keeps the usual ones.
+	CostUS       int  `json:"cost_us,omitempty"` // processor time that a gateway needs for one event
+	Cold         bool `json:"cold,omitempty"`    // every other host begins the run in slow start
+	Zones        int  `json:"zones,omitempty"`   // number of zones; 0: all hosts are in one zone
+	HostlessZone bool `json:"barren,omitempty"`  // the last zone has gateways but no hosts
+	Views        bool `json:"views,omitempty"`   // each gateway keeps a membership view: a list of all gateways
+	Shares       bool `json:"shares,omitempty"`  // with Views: gateways also divide the hosts among them
+	Pushed       bool `json:"pushed,omitempty"`  // an agent on each gateway's machine receives the lists
+	// DeadlineMS is the longest deadline that requests of any class may have; 0 keeps the usual deadlines.
 	DeadlineMS int `json:"deadline_ms,omitempty"`
 	// ClockErrors holds, by gateway, how many seconds its machine's wall clock is ahead at the start.
 	ClockErrors []int `json:"clock_errors_s,omitempty"`
@@ -72,7 +74,7 @@
 	DuplicateDatagrams float64 `json:"double_datagrams,omitempty"`
 }
 
-// Bounds of a plan's size. The simulated network has addresses for this many gateways.
+// Bounds of a plan's size. The simulated network has addresses for maxGateways gateways.
 const (
 	maxGateways = 500
 	maxHosts    = 1000
--- a/internal/lab/simulation/profiles.go
+++ b/internal/lab/simulation/profiles.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// profiles returns the fault kinds of each profile. A run enables a random subset of them.
+// profiles returns the fault kinds of each profile. A profile is a kind of run with one theme, such as hosts
+// that return or clients that misbehave. A run enables a random subset of its profile's fault kinds.
 func profiles() map[string][]string {
 	hosts := []string{"host-down", "host-drain", "host-replace", "host-hang", "host-silent"}
 	spoils := []string{"host-spoil", "host-down", "host-hang", "host-errors"}
@@ -49,26 +50,28 @@
 // coldReturnProfile plays hosts that return in slow start during a surge of requests.
 const coldReturnProfile = "cold-return"
 
-// pushedProfile plays lists that reach each gateway through an agent on its machine.
+// pushedProfile plays lists of hosts that reach each gateway through an agent on its machine.
 const pushedProfile = "pushed"
 
-// fleetProfile plays many gateways with little traffic each, in zones with different numbers of hosts, and faults
-// that affect many at once. Because of its size, no seed selects it by default.
+// fleetProfile plays many gateways with little traffic each, in zones with different numbers of hosts, and
+// faults that affect many hosts or gateways at once. Because of its size, no seed selects it without being told
+// to.
 const fleetProfile = "fleet"
 
-// discoveryLoadProfile plays a discovery with a call queue, while watches end, are reset or fall silent and hosts
-// leave. Its traffic is as large as that of the fleet profile, so no seed selects it by default either.
+// discoveryLoadProfile plays a discovery with a call queue, while watches end, are reset or fall silent and
+// hosts leave. Its traffic is as large as that of the fleet profile, so no seed selects it by default.
 const discoveryLoadProfile = "discovery-load"
 
-// stoppedProfile plays clients that stop in the middle of their requests and stay connected, with deadlines of all
-// lengths. It was added after seeds were in use; no seed selects it by default, so that each keeps its plan.
+// stoppedProfile plays clients that stop in the middle of their requests and stay connected, with deadlines of
+// all lengths. The profile was added after seeds were in use. No seed selects it by default, so that each seed
+// keeps its plan.
 const stoppedProfile = "stopped-clients"
 
-// clockProfile plays machines whose wall clocks are wrong by 7 s or an hour when processes start, while hosts are
-// in slow start. No seed selects it by default, for the same reason.
+// clockProfile plays machines whose wall clocks are wrong by 7 s or an hour when processes start, while hosts
+// are in slow start. No seed selects it by default, so that each seed keeps its plan.
 const clockProfile = "clock"
 
-// drawnByDefault reports whether a seed without a stated profile may select this one.
+// drawnByDefault reports whether a seed may select the profile when the caller of Draw names none.
 func drawnByDefault(profile string) bool {
 	return profile != fleetProfile && profile != discoveryLoadProfile && profile != stoppedProfile &&
 		profile != clockProfile
--- a/internal/lab/simulation/ready.go
+++ b/internal/lab/simulation/ready.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// isReady reports whether epoll would report the socket: readable, writable with data to write, or broken.
+// isReady reports whether epoll would report the socket as readable, as writable while data waits to be
+// written, or as broken.
 func (s *socket) isReady() bool {
 	if s.connecting {
 		return s.dialDone
@@ -76,7 +77,8 @@
 	}
 }
 
-// deliverReady delivers the events of the ready sockets that are urgent, or of all others.
+// deliverReady delivers the events of the ready sockets that are urgent or, with urgent false, of those that
+// are not.
 func (l *Loop) deliverReady(waiting []*listenSocket, received []*datagramSocket, ready []*socket, urgent bool) {
 	for _, p := range waiting {
 		if p.urgent == urgent && p.isReady() {
--- a/internal/lab/simulation/shrink.go
+++ b/internal/lab/simulation/shrink.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// Shrink removes faults and requests as long as the run still breaks the rule, the larger parts first. It plays at
-// most limit runs, and none once ctx is done. It returns the smallest plan found and the number of runs.
+// Shrink removes faults and requests from a plan as long as its run still breaks the rule. It tries to remove
+// large parts first. It plays at most limit runs, and none once ctx is done. It returns the smallest plan found
+// and the number of runs played.
 func Shrink(ctx context.Context, p Plan, rule string, limit int) (Plan, int) {
 	runs := 0
 	breaks := func(q Plan) bool {
@@ -29,7 +30,8 @@
 	return p, runs
 }
 
-// reduce removes sublists from a list, long ones first, as long as the remaining list is still enough.
+// reduce removes sublists from a list, long ones first, whenever enough accepts the remaining list. It sets
+// *reduced if it has removed anything.
 func reduce[T any](list []T, enough func([]T) bool, reduced *bool) []T {
 	for size := max(1, len(list)/2); size >= 1; size /= 2 {
 		for from := 0; from < len(list); {
--- a/internal/lab/simulation/simulator.go
+++ b/internal/lab/simulation/simulator.go
@@ -29,12 +29,12 @@
 
 // Limits of the rules.
 const (
-	drainGrace       = 300 * time.Millisecond
-	withdrawDelay    = 300 * time.Millisecond
-	killNoticeMargin = 5 * time.Millisecond // uncertainty about the time of a kill
-	quietPeriod      = 8 * time.Second      // without requests and faults, at the end of the run
-	maxIdleWakeups   = 40                   // of a gateway in the second half of quietPeriod: heartbeats and balancer timers
-	shutdownLimit    = 12 * time.Second     // from SIGTERM to the end of the process
+	drainGrace       = 300 * time.Millisecond // from a notice that a host leaves to the last send to the host
+	withdrawDelay    = 300 * time.Millisecond // from SIGTERM until the front load balancer avoids the gateway
+	killNoticeMargin = 5 * time.Millisecond   // uncertainty about the time of a kill
+	quietPeriod      = 8 * time.Second        // without requests and faults, at the end of the run
+	maxIdleWakeups   = 40                     // of a gateway in the second half of quietPeriod, by heartbeats and timers
+	shutdownLimit    = 12 * time.Second       // from SIGTERM to the end of the process
 )
 
 // Finding is a broken rule: its name, the request, host or gateway concerned, and details.
@@ -55,7 +55,7 @@
 	Steps     uint64
 	Duration  time.Duration // virtual duration
 	PeakRates string        // of a run with zones: the highest rates in one second, as text
-	Partial   bool          // the run was interrupted
+	Partial   bool          // the run was interrupted before its end
 }
 
 // simulator holds the state of one run.
@@ -76,7 +76,7 @@
 	lastID      uint64
 	lastPicked  int
 	replaced    int
-	unsafeViews bool // clients currently use settings whose view class is unsafe (not idempotent)
+	unsafeViews bool // clients currently use settings in which the class tender-view is unsafe (not idempotent)
 	views       *viewChecker
 	rates       *clusterRates // in a run with zones and without Shares; else nil
 	wrap        func(loop.Reducer) loop.Reducer
@@ -86,8 +86,8 @@
 // Play runs a plan. trace receives a line for each note; it may be nil.
 func Play(p Plan, trace io.Writer) Outcome { return PlayContext(context.Background(), p, trace) }
 
-// PlayContext runs a plan until it ends or ctx is done. In the second case the outcome is Partial: it holds the
-// findings until then, and the checks at the end of a run are omitted.
+// PlayContext runs a plan until it ends or ctx is done. If ctx is done first, the outcome is Partial: it holds
+// the findings until then, without those of the checks at the end of a run.
 func PlayContext(ctx context.Context, p Plan, trace io.Writer) Outcome {
 	s := newSimulator(p, trace, func(r loop.Reducer) loop.Reducer { return r })
 	s.sim.ctx = ctx
@@ -117,7 +117,7 @@
 		}
 	}()
 	if p.Zones > 0 && !p.Shares {
-		s.rates = newClusterRates(s) // its bounds assume a division by count and rank
+		s.rates = newClusterRates(s) // its bounds assume that gateways divide the hosts by gateway count and rank
 	}
 	s.build()
 	// The faults of the network begin once everything is started.
--- a/internal/lab/simulation/simulator_test.go
+++ b/internal/lab/simulation/simulator_test.go
@@ -17,8 +17,8 @@
 	"thymebend/internal/loop"
 )
 
-// hashEnv is set to a seed to make the test program print that run's hash instead of running tests, so that
-// another process can compare it.
+// hashEnv is the environment variable that makes the test program print the hash of the run with the given seed
+// instead of running tests, so that another process can compare the hash.
 const hashEnv = "VIRTUAL_HASH_OF"
 
 func TestMain(m *testing.M) {
@@ -92,9 +92,10 @@
 	}
 }
 
-// Gateways that divide the hosts by their membership view go through the same faults, and hosts are replaced, also
-// many at once: together they stay within the allowance of hosts in slow start, and their shares of each host add
-// up to 1. One run has two hosts for many gateways, another many hosts for three.
+// Gateways that divide the hosts by their membership views go through kills, stops, failed upgrades and cuts,
+// and hosts are replaced, also many at once. All gateways together stay within the allowance of hosts in slow
+// start, and their shares of each host add up to 1. One run has two hosts for many gateways, another many hosts
+// for three gateways.
 func TestSharesHoldTheRules(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -381,7 +382,8 @@
 	b.ReportMetric(float64(tries)/b.Elapsed().Seconds(), "requests/s")
 }
 
-// Pushed lists: agents are delayed, fall silent, restart and return with earlier lists.
+// Gateways receive their lists through agents, which are delayed, fall silent, restart and return with earlier
+// lists.
 func TestPushedListsHoldTheRules(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -428,7 +430,7 @@
 	}
 }
 
-// Seeds at which a rule was once broken, or a check was wrong.
+// Seeds with which a gateway once broke a rule, or a check was wrong.
 func TestRegressionSeedsHoldTheRules(t *testing.T) {
 	for _, c := range []struct {
 		seed    uint64
@@ -456,8 +458,8 @@
 	}
 }
 
-// Half of the hosts are replaced while a zone is lost. Three hosts of that zone are left, and all its gateways use
-// them.
+// Half of the hosts are replaced while a zone loses its hosts. Three hosts of that zone are left, and all its
+// gateways use them.
 func TestSeedWithThreeHostsLeftInAZoneHoldsTheRules(t *testing.T) {
 	p, err := DrawSized(258, fleetProfile, Size{Gateways: 60, Hosts: 40})
 	if err != nil {
@@ -477,8 +479,8 @@
 	}
 }
 
-// The successor in such an upgrade has few descriptors for the clients that wait. It must close no idle connection
-// for them.
+// In an upgrade at the descriptor limit, the successor has few descriptors left for new clients that wait. It
+// must close no idle client connection for them.
 func TestUpgradesWithManyHostsAnswerAll(t *testing.T) {
 	for _, seed := range []uint64{6, 8} {
 		verifyManyHosts(t, seed, "upgrade")
@@ -496,9 +498,9 @@
 	})
 }
 
-// Datagrams are lost after an upgrade: a gateway that cannot reach the upgraded gateway reports it as suspect to the
-// others, and the gateways that it requests indirect probes from cannot reach the upgraded gateway either. The upgrade
-// must not count as the end of the upgraded gateway.
+// Datagrams are lost after an upgrade: a gateway that cannot reach the upgraded gateway reports the upgraded one as
+// suspect to the others. The gateways that it asks for indirect probes cannot reach the upgraded gateway either.
+// The upgrade must not count as the end of the upgraded gateway.
 func TestUpgradeIsNotTakenForAFailureWhenDatagramsAreLost(t *testing.T) {
 	playAndVerify(t, draw(t, 156, sharesProfile))
 }
--- a/internal/lab/simulation/times_test.go
+++ b/internal/lab/simulation/times_test.go
@@ -16,8 +16,9 @@
 	"thymebend/internal/loop"
 )
 
-// notifyWithin is how long a gateway may take to receive a change that discovery has, from when discovery can be
-// reached, in the worst case of each state of its watch. The change then counts as notified: 6 s.
+// notifyWithin is how long a gateway may take to receive a change that discovery has, in the worst case of each
+// state of its watch. The time counts from when discovery can be reached. After it, 6 s, the change counts as
+// notified.
 const notifyWithin = 6 * time.Second
 
 // callOutcome is how scriptedDiscovery answers one call.
@@ -192,11 +193,11 @@
 func TestChangeIsReceivedInTime(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// outcome of the calls until discovery can be reached; served: the watch is established, and at the moment
-		// from which the time counts
+		// before is the outcome of the calls until discovery can be reached. With served, the watch is established,
+		// and the time counts from the moment at which it is reset or falls silent.
 		before  callOutcome
-		reset   bool          // it is reset, or else falls silent
-		failing []callOutcome // outcomes of the first calls after that
+		reset   bool          // with served: the watch is reset; if false, it falls silent
+		failing []callOutcome // outcomes of the first calls from when discovery can be reached
 	}{
 		{name: "calls are refused", before: refused},
 		{name: "calls fail", before: failed},
@@ -288,9 +289,9 @@
 	return notified - from
 }
 
-// A request arrives between the gateway's last read of an idle connection and its close. Nothing processes it, and
-// a reset indicates this to its client. Since a kernel cannot be stopped at that point, the test adds the request
-// when the read returns nothing.
+// A request arrives after the gateway's last read of an idle connection and before the gateway closes it. The
+// gateway does not process the request, and a reset tells the client so. Since a kernel cannot be stopped at
+// that point, the test adds the request when the read returns nothing.
 func TestRequestBetweenTheLastReadAndTheClose(t *testing.T) {
 	const health, crossed = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n",
 		"GET /view HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: view\r\nX-Expires-In: 900m\r\n\r\n"
--- a/internal/lab/simulation/upgrade_test.go
+++ b/internal/lab/simulation/upgrade_test.go
@@ -35,7 +35,8 @@
 	return p
 }
 
-// Clients on new connections are answered in time, and no idle connection is closed for them.
+// During an upgrade at the descriptor limit, clients on new connections are answered in time, and no idle
+// connection is closed to make room for them.
 func TestUpgradeAtTheConnectionLimitAnswersNewClients(t *testing.T) {
 	o := playAndVerify(t, planUpgradeAtLimit())
 	if o.Served < o.Attempts*9/10 {
--- a/internal/lab/simulation/viewchecker.go
+++ b/internal/lab/simulation/viewchecker.go
@@ -13,18 +13,19 @@
 	"thymebend/internal/membership"
 )
 
-// Gateways with a membership view: each has a gossip file, the network carries their datagrams, and the states
-// that their members have in each view are compared with the faults that were injected.
+// Checks of gateways with a membership view, a list of all gateways and their states. Each gateway has a gossip
+// file, which names the other gateways, and the network carries the gateways' datagrams. The states that a
+// gateway has in the views of the others are compared with the faults that were injected.
 
-// viewsProfile plays gateways with a gossip file, with ordinary faults and those of datagrams.
+// viewsProfile plays gateways with a gossip file, with ordinary faults and faults of datagrams.
 const viewsProfile = "views"
 
 // Times and limits of the checks on views.
 const (
 	observeInterval   = 500 * time.Millisecond
-	convergencePeriod = 16 * time.Second // without faults at the end of the run, before all views must agree
-	membershipWakeups = 240              // wake-ups allowed in half of quietPeriod for the membership
-	excuseAfter       = 500 * time.Millisecond
+	convergencePeriod = 16 * time.Second       // without faults at the end of the run, before all views must agree
+	membershipWakeups = 240                    // further wake-ups allowed for the membership in half of quietPeriod
+	excuseAfter       = 500 * time.Millisecond // how long after a halt a request may be sent and still go unanswered
 )
 
 // viewChecker records the processes, faults and views of a run's gateways. It is nil if they have no views.
@@ -33,9 +34,9 @@
 	history *membershipcheck.History
 	names   []string
 	index   map[string]int
-	cuts    []func(from, to int) bool // in force; nil after their end
-	pids    int
-	done    bool
+	cuts    []func(from, to int) bool // by order of their start; nil once a cut has ended
+	pids    int                       // last process number
+	done    bool                      // observation has ended
 }
 
 // process is one process of a gateway, with its view.
@@ -44,7 +45,7 @@
 	gw  *gateway.Gateway
 
 	lastView *membership.Membership // at the last observation
-	joined   int
+	joined   int                    // number of views that the process has had, one after another
 }
 
 func gossipAddr(n int) netip.AddrPort {
@@ -178,7 +179,7 @@
 	v.run.sim.After(msec(f.ForMS), func() { v.recordPathChanges(func() { v.cuts[at] = nil }) })
 }
 
-// recordPathChanges calls do and records which paths it has cut or restored.
+// recordPathChanges calls do, and records which paths between gateways do has cut or restored.
 func (v *viewChecker) recordPathChanges(do func()) {
 	before := make(map[[2]int]bool)
 	for x := range v.names {
