--- a/internal/lab/simulation/agents.go
+++ b/internal/lab/simulation/agents.go
@@ -19,12 +19,12 @@
 type agent struct {
 	server  *discoveryServer
 	gateway int
-	list    *registry.Registry
+	list    *registry.Registry   // the list that it has received
 	history []*registry.Registry // earlier versions of list, oldest first
 	down    bool
 
 	writtenVersion int           // version last written to the gateway, if its process is alive
-	writtenAt      time.Duration // time of that write
+	writtenAt      time.Duration // time of the last write to the gateway
 }
 
 // minQuietBeforeRestart is the least time between an agent's last write to its gateway and a restart of the
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -22,18 +22,18 @@
 	run          *simulator
 	req          Request
 	requestIndex int // index of the request in the plan
-	attempt      int
+	attempt      int // 0 for the first attempt at the request
 	id           string
 	gateway      *gatewayNode
 	end          *End
 	reused       bool // the connection carried a request before
 	inbox        []byte
 	ended        bool
-	sent         bool // the last byte of the request is written
-	resent       bool // the request was sent a second time because the connection closed without reading it
-	awaitedReset bool // the client has waited for the reset that may follow a close
-	unsafeViews  bool // the client used settings in which the class tender-view is unsafe (not idempotent)
-	pending      []byte
+	sent         bool   // the last byte of the request is written
+	resent       bool   // the request was sent a second time because the connection closed without reading it
+	awaitedReset bool   // the client has waited for the reset that may follow a close
+	unsafeViews  bool   // the client used settings in which the class tender-view is unsafe (not idempotent)
+	pending      []byte // rest of a large request, not yet accepted by the connection
 }
 
 // startRequest starts one attempt at request n of the plan, on an idle connection or on a new one.
--- a/internal/lab/simulation/clusterrates.go
+++ b/internal/lab/simulation/clusterrates.go
@@ -41,10 +41,10 @@
 	start       time.Duration
 	counts      map[rateKey]int
 	reported    map[rateKey]bool
-	loadFactors map[int]float64 // by zone, the highest of the current second
-	peaks       map[string]int  // by rule, over the run
-	calls       int
-	peakCalls   int // over the run
+	loadFactors map[int]float64 // by zone, the highest load factor of the current second
+	peaks       map[string]int  // by rule, the highest count of any second of the run
+	calls       int             // calls to discovery in the current second
+	peakCalls   int             // the most calls in any second of the run
 }
 
 func newClusterRates(s *simulator) *clusterRates {
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -26,9 +26,9 @@
 	down      bool
 	queue     *callQueue             // calls that wait for their turn; nil answers each at once
 	deadlines *notificationDeadlines // set with Plan.Calls
-	paused    bool
-	lag       time.Duration // from a change of a host until the list has it
-	agents    []*agent      // by gateway, where lists are pushed; else empty
+	paused    bool                   // it accepts calls, but reports no changes
+	lag       time.Duration          // from a change of a host until the list has it
+	agents    []*agent               // by gateway, with Plan.Pushed; else empty
 }
 
 // watch is a gateway's call to discovery, whose response stays open and reports changes.
--- a/internal/lab/simulation/gatewaynode.go
+++ b/internal/lab/simulation/gatewaynode.go
@@ -26,13 +26,13 @@
 	up           bool
 	withdrawn    bool // the front load balancer sends it no requests, since it is about to restart
 	diedAt       time.Duration
-	lastList     *registry.Registry // where lists are pushed: the list at the end of the last process
-	upgradeFrom  time.Duration      // an upgrade lasts from this time, when the successor has the listening socket,
-	upgradeUntil time.Duration      // to this time
-	kills        []time.Duration
-	stops        []time.Duration
+	lastList     *registry.Registry // with Plan.Pushed: the list that the last process had at its end
+	upgradeFrom  time.Duration      // start of the latest upgrade: the successor has the listening socket
+	upgradeUntil time.Duration      // end of the latest upgrade
+	kills        []time.Duration    // times of kills
+	stops        []time.Duration    // times of SIGTERM in planned restarts
 	halts        [][2]time.Duration // start and end of each halt
-	generation   int
+	generation   int                // number of processes started so far
 	// clockError is by how much the machine's wall clock is ahead at present. A running process does not notice a
 	// step of that clock.
 	clockError time.Duration
--- a/internal/lab/simulation/notificationdeadlines.go
+++ b/internal/lab/simulation/notificationdeadlines.go
@@ -6,11 +6,11 @@
 	"thymebend/internal/lab/registry"
 )
 
-// This file extends the rule on drains, which forbids sending to a host after its gateway was notified that it
-// drains or is removed, for a discovery with a call queue. There, a change counts as notified to every gateway
-// at the latest 6 s after discovery has the change and can be reached, whatever happened to the gateway's
-// calls. The grace period (drainGrace) is added to that. A gateway that is notified earlier has to act on the
-// change from then on.
+// This file extends the rule on drains for a discovery with a call queue. The rule forbids a gateway to send to
+// a host after the gateway was notified that the host drains or is removed. With a call queue, a change counts
+// as notified to every gateway at the latest 6 s after discovery has the change and can be reached, whatever
+// happened to the gateway's calls. The grace period (drainGrace) is added to that. A gateway that is notified
+// earlier has to act on the change from then on.
 //
 // An exception covers what no gateway can achieve: discovery's capacity may not suffice to answer, within 6 s,
 // the calls that discovery has caused itself. These are the calls of gateways whose watches discovery has
--- a/internal/lab/simulation/simulator.go
+++ b/internal/lab/simulation/simulator.go
@@ -66,16 +66,16 @@
 	net         *Net
 	discovery   *discoveryServer
 	hosts       []*host
-	formerHosts []*requestrecord.EndpointRecord
+	formerHosts []*requestrecord.EndpointRecord // records of hosts that have been replaced
 	gateways    []*gatewayNode
 	clients     *requestrecord.ClientRecord
 	idle        []*idleLink
 	findings    []Finding
-	statuses    map[int]int
+	statuses    map[int]int // number of responses by status
 	attempts    int
 	lastID      uint64
 	lastPicked  int
-	replaced    int
+	replaced    int  // number of hosts replaced so far
 	unsafeViews bool // clients currently use settings in which the class tender-view is unsafe (not idempotent)
 	views       *viewChecker
 	rates       *clusterRates // in a run with zones and without Shares; else nil
--- a/internal/lab/simulation/viewchecker.go
+++ b/internal/lab/simulation/viewchecker.go
@@ -44,7 +44,7 @@
 	pid int
 	gw  *gateway.Gateway
 
-	lastView *membership.Membership // at the last observation
+	lastView *membership.Membership // its view at the last observation
 	joined   int                    // number of views that the process has had, one after another
 }
 
