--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -22,18 +22,18 @@
 	run          *simulator
 	req          Request
 	requestIndex int // index of the request in the plan
-	attempt      int
+	attempt      int // 0 for the first attempt at the request
 	id           string
 	gateway      *gatewayNode
 	end          *End
 	reused       bool // the connection carried a request before
 	inbox        []byte
 	ended        bool
-	sent         bool // the last byte of the request is written
-	resent       bool // the request was sent a second time because the connection closed without reading it
-	awaitedReset bool // the client has waited for the reset that may follow a close
-	unsafeViews  bool // the client used settings whose view class is unsafe (not idempotent)
-	pending      []byte
+	sent         bool   // the last byte of the request is written
+	resent       bool   // the request was sent a second time because the connection closed without reading it
+	awaitedReset bool   // the client has waited for the reset that may follow a close
+	unsafeViews  bool   // the client used settings in which the class tender-view is unsafe (not idempotent)
+	pending      []byte // rest of a large request, not yet accepted by the connection
 }
 
 // startRequest starts one attempt at request n of the plan, on an idle connection or on a new one.
@@ -247,8 +247,9 @@
 	c.run.sim.After(msec(c.req.TimeoutMS)+timeoutSlack, func() { c.finish("silence") })
 }
 
-// handleBroken ends an attempt whose connection broke. A request that the gateway has not read is sent once more
-// on a new connection: a reset without a byte of a response indicates this, unless the network caused the reset.
+// handleBroken ends an attempt whose connection broke, or sends its request once more on a new connection if
+// the gateway has not read it. The gateway has not read a request on a reused connection if the connection is
+// reset before the first byte of a response, unless the network caused the reset.
 func (c *client) handleBroken(cause string) {
 	if c.reused && !c.resent && !c.awaitedReset && len(c.inbox) == 0 && c.end.fin && !c.end.reset {
 		// The close may have crossed the request on the way; the reset that shows this arrives a round trip later.
--- a/internal/lab/simulation/gatewaynode.go
+++ b/internal/lab/simulation/gatewaynode.go
@@ -26,13 +26,13 @@
 	up           bool
 	withdrawn    bool // the front load balancer sends it no requests, since it is about to restart
 	diedAt       time.Duration
-	lastList     *registry.Registry // where lists are pushed: the list at the end of the last process
-	upgradeFrom  time.Duration      // an upgrade lasts from this time, when the successor has the listening socket,
-	upgradeUntil time.Duration      // to this time
-	kills        []time.Duration
-	stops        []time.Duration
+	lastList     *registry.Registry // with Plan.Pushed: the list that the last process had at its end
+	upgradeFrom  time.Duration      // start of the latest upgrade: the successor has the listening socket
+	upgradeUntil time.Duration      // end of the latest upgrade
+	kills        []time.Duration    // times of kills
+	stops        []time.Duration    // times of SIGTERM in planned restarts
 	halts        [][2]time.Duration // start and end of each halt
-	generation   int
+	generation   int                // number of processes started so far
 	// clockError is by how much the machine's wall clock is ahead at present. A running process does not notice a
 	// step of that clock.
 	clockError time.Duration
@@ -40,11 +40,11 @@
 	process, previous process // the latest process, and during an upgrade its predecessor
 }
 
-// start starts a gateway's process, which knows only the list saved by the previous one.
+// start starts a gateway's process. The process knows only the list of hosts that the previous process saved.
 func (g *gatewayNode) start() {
 	s := g.run
 	if g.up {
-		return // a kill during a planned restart: both would start the process again
+		return // a kill during a planned restart: each of the two faults starts the process again
 	}
 	cfg := g.configure()
 	g.up, g.withdrawn = true, false
@@ -163,7 +163,8 @@
 	return n > 0 && g.run.sim.Now() < g.halts[n-1][1]
 }
 
-// saveLastList saves the list of a process that has ended; its successor has no other list when it starts.
+// saveLastList saves the list that a process had when it ended; the next process has no other list when it
+// starts.
 func (g *gatewayNode) saveLastList() {
 	if len(g.run.discovery.agents) > 0 &&
 		(g.lastList == nil || g.run.discovery.listFor(g.index).Version() > g.lastList.Version()) {
@@ -180,7 +181,8 @@
 	return g.run.discovery.listFor(g.index)
 }
 
-// noteInitialList records as notified the list with which a process starts, and its agent's list if that is newer.
+// noteInitialList records as notified the changes in the list with which a process starts, and those in its
+// agent's list if that list is at least as new.
 func (g *gatewayNode) noteInitialList() {
 	list := g.run.discovery.listFor(g.index)
 	if g.lastList != nil && g.predecessor == nil { // in an upgrade, the successor gets the list from its predecessor
@@ -202,7 +204,8 @@
 	return zerolog.New(logLine{g.run.sim}).Level(zerolog.InfoLevel).With().Str("name", g.name).Logger()
 }
 
-// checkedGateway is a gateway process of the run. Its invariant checker's counts are read at the end.
+// checkedGateway is a gateway process of the run. At the end of the run, the counts of violations that its
+// invariant checker has suppressed are read.
 type checkedGateway struct {
 	name    string
 	gateway *gateway.Gateway
