--- a/internal/configdist/codec/frame.go
+++ b/internal/configdist/codec/frame.go
@@ -62,7 +62,7 @@
 type Receiver struct {
 	Cluster     uint64
 	incarnation uint64
-	highest     uint64 // highest frame number received of that incarnation
+	highest     uint64 // highest frame number received from the process with this incarnation
 	seen        uint64 // bit i is set if frame highest-i was received
 }
 
--- a/internal/configdist/controller.go
+++ b/internal/configdist/controller.go
@@ -10,11 +10,12 @@
 	"thymebend/internal/raft"
 )
 
-// Intervals and timeouts of a control machine.
+// Intervals and timeouts of a control machine. "Rollouts are not offered" means that gateways are not offered the
+// version of a rollout in progress.
 const (
-	leaderTimeout      = time.Second            // since the leader's last message; then no rollout's version is offered
-	quietAfterStall    = 500 * time.Millisecond // after a start or stall; until then no version in a rollout is offered
-	minOfferBackoff    = 500 * time.Millisecond // until an unacknowledged offer is repeated
+	leaderTimeout      = time.Second            // after the leader's last message; then rollouts are not offered
+	quietAfterStall    = 500 * time.Millisecond // after a start or stall; meanwhile rollouts are not offered
+	minOfferBackoff    = 500 * time.Millisecond // until an unacknowledged offer is repeated; doubles each time
 	maxOfferBackoff    = 4 * time.Second
 	silenceTimeout     = 5 * time.Second  // since a gateway's last message; then it counts as silent
 	forgetTimeout      = 30 * time.Second // since a gateway's last message; then its subscription ends
--- a/internal/configdist/coordinator.go
+++ b/internal/configdist/coordinator.go
@@ -19,10 +19,11 @@
 	// CanaryTimeout is how long a canary may leave the offer unanswered before another one is chosen. It is
 	// multiplied by the number of canaries chosen.
 	CanaryTimeout time.Duration
-	// ZoneTimeout is the duration of the zone stage after which half of its gateways are enough, in place of 90%.
+	// ZoneTimeout is the time after which the zone stage ends if half of its gateways have the version in force.
+	// Before that, 90% must have had it in force for Soak.
 	ZoneTimeout time.Duration
-	// MaxFailedShare is the share of the affected gateways that answered which may fail. More of them stop the
-	// rollout.
+	// MaxFailedShare is the maximum share of failures among the affected gateways that have answered. A higher share
+	// stops the rollout. It does not apply to the canary stage, which any failure stops.
 	MaxFailedShare float64
 }
 
--- a/internal/configdist/tally.go
+++ b/internal/configdist/tally.go
@@ -8,7 +8,7 @@
 
 // stageTally counts the affected gateways of a stage by their state.
 type stageTally struct {
-	live        int            // that are not silent, or failed
+	live        int            // that failed, or are not silent
 	acked       int            // that acknowledged the version as in force
 	failed      int            // that rejected the version or fail with it
 	firstFailed *gatewayStatus // first in the order of names; nil if none failed
@@ -57,8 +57,8 @@
 	return true
 }
 
-// failure reports whether a rollout must stop, and why: its canary failed, or more than a share of the gateways that
-// answered did.
+// failure reports whether a rollout must stop, and why. In the canary stage it must stop if the canary failed; in a
+// later stage, if the failed gateways are more than the given share of the gateways that answered.
 func (t *stageTally) failure(stage Stage, share float64) (reason string, stop bool) {
 	if t.failed == 0 {
 		return "", false
--- a/internal/gateway/assignment.go
+++ b/internal/gateway/assignment.go
@@ -28,10 +28,11 @@
 	errorLogInterval      = time.Second     // minimum time between two log lines of logError
 )
 
-// subsetAssignment derives from the view of the cluster, if the gossip file has a table [shares], which
-// subset of the endpoints this gateway uses and with which weights, which tokens for endpoints in slow start
-// it may use, and what its load reports contain. The balancer is notified of the subset and the tokens, and
-// chooses among the endpoints itself.
+// subsetAssignment is active if the gossip file has a table [shares]. It uses the view, which is this process's
+// list of the cluster's members and their states. From the view it derives the subset of the endpoints that this
+// gateway uses, with their weights; the slow-start tokens that this gateway may use, each of which permits one
+// request to an endpoint in slow start; and the content of its load reports. It notifies the balancer of the subset
+// and the tokens. The balancer chooses an endpoint for each request.
 type subsetAssignment struct {
 	*core
 	cluster   *cluster
@@ -46,7 +47,7 @@
 	config     *gossipconfig.Assignment
 	rule       tokenschedule.Rule
 	warmRate   float64 // requests per second of a warm endpoint; determines the rate of tokens
-	configHash uint32  // hash of the settings behind the tokens, which are valid only among equal hashes
+	configHash uint32  // hash of the settings that determine the tokens; gateways must have equal hashes
 	tracker    *assignment.Tracker
 	owners     *tokenschedule.Owners
 	taker      *tokenschedule.Taker
@@ -64,10 +65,10 @@
 	errorLoggedAt time.Duration // when logError last logged
 }
 
-// begin is called when this process joins the cluster. Until the view has converged, the endpoints are
-// assigned among the seed peers. In a flat cluster, where gateways that are not seed peers may join, the
-// balancer instead derives its subset from the configured number of gateways and the rank of this one until
-// then, and no slow-start tokens are granted.
+// begin is called when this process joins the cluster. It determines what applies until the view has converged. In
+// a cluster that is not flat, the endpoints are divided among the seed peers. In a flat cluster, where gateways that
+// are not seed peers may join, the balancer derives its subset from the configured number of gateways and the rank
+// of this gateway, and no slow-start tokens are granted.
 func (s *subsetAssignment) begin() {
 	gossip := s.cfg.Gossip
 	if gossip.Assignment == nil {
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -41,7 +41,7 @@
 	id        uint64
 	endpoint  balancer.EndpointID
 	conn      *upstream.Conn
-	startedAt time.Duration // for an uploaded body, when its last byte was written to the endpoint
+	startedAt time.Duration // start of the attempt; with an upload, when the last byte of the body was written
 	deadline  time.Duration // when the attempt ends if it is not complete
 	// invariantIndex is the attempt's index in the request's invariant record, notWritten before its first byte
 	// is written.
--- a/internal/gateway/classes.go
+++ b/internal/gateway/classes.go
@@ -21,8 +21,8 @@
 	previous map[string]previousClass // classes whose idempotency has recently changed, by name
 }
 
-// previousClass is a class in the form that it had before its idempotency last changed. It is valid before the
-// time until.
+// previousClass is a class in the form that it had before its idempotency last changed. It is valid up to the time
+// in its field until.
 type previousClass struct {
 	class balancer.Class
 	index int
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -45,7 +45,7 @@
 	loss        watchLoss        // how the current watch was lost, until the balancer is notified at the end of the Step
 
 	pollNotBefore time.Duration // time before which discovery must not be polled, from its Retry-After
-	silentSince   time.Duration // when the watch ended, while no poll has been answered or has failed since; else 0
+	silentSince   time.Duration // when the watch ended; 0 once a poll was answered or failed
 	staleSince    time.Duration // since when the agent has had an older list than this gateway; 0 if it has not
 	backoff       backoff.Backoff
 	rand          *rand.Rand // random source of the gateway; the balancer has a separate one
@@ -94,7 +94,7 @@
 	}
 	d.cfg.Discovery = addr
 	d.backoff.Succeeded()
-	d.pollNotBefore = 0 // it was requested by the old address
+	d.pollNotBefore = 0 // the old address requested this wait
 	if d.unanswered != nil {
 		d.drop(d.unanswered, ReasonWatchReplaced, nil)
 	}
@@ -115,8 +115,9 @@
 	}
 }
 
-// answered makes w, a watch whose poll was just answered, the current watch and drops the other watches. It keeps
-// a replacement only if that has another address than w: the new address may still answer after the old one.
+// answered makes w, a watch whose poll was just answered, the current watch and drops the other watches. The one
+// exception is a replacement that polls another address than w: it is kept, because after a reload the new address
+// may answer later than the old one.
 func (d *discoveryWatch) answered(w *discovery.Watch) {
 	if d.current != nil && d.current != w {
 		d.drop(d.current, ReasonWatchReplaced, nil)
--- a/internal/gateway/discovery_silence.go
+++ b/internal/gateway/discovery_silence.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// silenceBeforePause is the time after the end of a watch from which this gateway is held responsible for
-// knowing every change, unless a poll has failed since. From then on attempts are paused until a poll is
-// answered or fails. This prevents attempts at an endpoint whose removal is not yet received because the poll
-// waits in discovery's queue.
+// silenceBeforePause is the time from the end of a watch to the pause of new attempts. After this time the gateway
+// is held responsible for knowing every change, unless a poll has failed since the watch ended. The pause lasts until
+// a poll is answered or fails, but at most maxPause. It prevents attempts at an endpoint whose removal the gateway
+// has not received because its poll waits in discovery's queue.
 const silenceBeforePause = 2 * time.Second
 
-// maxPause limits the duration of that pause: a discovery that is silent for longer is considered out of order,
+// maxPause limits the pause of new attempts: a discovery that is silent for longer is considered out of order,
 // and its last list is the best information available.
 const maxPause = 2 * time.Second
 
--- a/internal/gateway/discovery_updates.go
+++ b/internal/gateway/discovery_updates.go
@@ -13,8 +13,9 @@
 const staleAgentTimeout = 30 * time.Second
 
 // handleData applies the complete lines of received data. The first line answers the poll, even if it is only
-// a heartbeat. This gateway is held responsible for all complete lines even if one of them is malformed: the
-// lines before it are applied, and of that line and the lines after it the removals.
+// a heartbeat. This gateway is held responsible for all complete lines even if one of them is malformed. It applies
+// the lines before the malformed line completely. Of the malformed line and the lines after it, it applies only the
+// removals of endpoints.
 func (d *discoveryWatch) handleData(w *discovery.Watch, data []byte) {
 	first := !w.Started()
 	lines, ended, malformed := w.Feed(d.now, data)
--- a/internal/gateway/downstream_request.go
+++ b/internal/gateway/downstream_request.go
@@ -10,8 +10,8 @@
 // statusBadRequest is the status logged for a request whose id is already in use by an open request.
 const statusBadRequest = 400
 
-// overloadedEighths is the number of eighths of the downstream connections above which open requests count as
-// an overload.
+// overloadedEighths determines when this gateway is overloaded: when the number of open requests exceeds this many
+// eighths of the maximum number of downstream connections.
 const overloadedEighths = 7
 
 // advance handles the complete requests of a connection, in order, until one is in progress.
--- a/internal/gateway/downstream_timeouts.go
+++ b/internal/gateway/downstream_timeouts.go
@@ -28,7 +28,7 @@
 	case conn.Busy && conn.RequestID == 0:
 		d.drop(conn, ReasonClientTimeout)
 	case conn.Upload && !conn.Incomplete():
-		d.setDeadline(conn, d.now+downstream.StreamReadTimeout) // the endpoint is awaited, not the client
+		d.setDeadline(conn, d.now+downstream.StreamReadTimeout) // the gateway waits for the endpoint, not the client
 	case conn.Upload && d.now < d.requestDeadline(conn):
 		d.setDeadline(conn, d.requestDeadline(conn))
 	case conn.Upload:
--- a/internal/gateway/eviction.go
+++ b/internal/gateway/eviction.go
@@ -3,7 +3,7 @@
 import "thymebend/internal/downstream"
 
 // singleUseBatch is how many connections that have carried only one request are closed for each new connection.
-// It is more than one so that their number falls.
+// It is more than 1 so that the number of such connections falls.
 const singleUseBatch = 2
 
 // evictBatch is how many connections are evicted at once for clients that wait at the listener.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// connectControl initializes the other machines in the same way: configuration, discovery, cluster, hot restart
-// and shutdown.
+// connectControl initializes the machines that connectTraffic does not, and gives each the other machines that it
+// uses: those for configuration, discovery, cluster, hot restart and shutdown.
 func (g *Gateway) connectControl() {
 	*g.admin = adminEndpoint{
 		core: g.core, cluster: g.cluster, discovery: g.discovery, listener: g.listener, requests: g.requests,
--- a/internal/gateway/hotrestart_predecessor.go
+++ b/internal/gateway/hotrestart_predecessor.go
@@ -83,7 +83,8 @@
 	h.send(h.successor, state, []loop.Conn{loop.Listener})
 }
 
-// yield leaves new clients, the cluster membership and the slow-start budgets to the successor.
+// yield makes this process leave new clients, the cluster membership and the requests to endpoints in slow start to
+// the successor.
 func (h *hotRestart) yield() {
 	h.stopTimer(timerSuccessor, 0)
 	h.log.Info().Msg("the successor takes clients")
--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -11,7 +11,7 @@
 	"thymebend/internal/tokenschedule"
 )
 
-// warmingEndpoint is an endpoint in slow start. This gateway owns none of its tokens before nextTokenCheck.
+// warmingEndpoint is an endpoint in slow start. Until nextTokenCheck, this gateway owns no token for a request to it.
 type warmingEndpoint struct {
 	tokenschedule.Endpoint
 	nextTokenCheck time.Duration
--- a/internal/raft/lease.go
+++ b/internal/raft/lease.go
@@ -37,8 +37,8 @@
 // leaseMachine is the StateMachine that applies log entries to a lease table.
 type leaseMachine struct {
 	table          *lease.Table
-	leadingSince   time.Duration // start of its leadership, on this replica's clock
-	logTimeAtStart time.Duration // log time at leadingSince
+	leadingSince   time.Duration // when this replica became the leader, on its own clock
+	logTimeAtStart time.Duration // log time at leadingSince: the time of the last applied command
 	pending        map[proposal]bool
 	answers        []Answer
 }
