--- a/internal/configdist/agent_test.go
+++ b/internal/configdist/agent_test.go
@@ -61,7 +61,7 @@
 }
 
 // Guards against control machines with too many agents, and agents that prefer control machines of another region.
-// Each of the four control machines must be the first choice of a quarter of the agents, within 40. When control
+// Each of the four control machines must be the first choice of a quarter of the agents, plus or minus 40. When control
 // machine 1 fails, its agents must use control machine 2, of the same region.
 func TestControllerOrderPrefersOwnRegionAndBalances(t *testing.T) {
 	const agents = 870
@@ -131,8 +131,9 @@
 	}
 }
 
-// Guards against an agent that installs an older version, one of an older term, another version of the same number,
-// or a message of another session or control machine; also after a restart.
+// Guards against an agent that installs a version that is older than the one in force, has a lower term, or has the
+// same number but other content, and against one that accepts messages of another session or control machine. Also
+// checked after a restart.
 func TestAgentIgnoresOlderAndForkedVersions(t *testing.T) {
 	a := newTestAgent(t, AgentConfig{})
 	one := newVersion(t, 1, content.EmptyTree(), service("a", "1"))
--- a/internal/configdist/rapid_test.go
+++ b/internal/configdist/rapid_test.go
@@ -45,7 +45,7 @@
 		PageBytes: 64, SnapshotEvery: 10}, p.now); err != nil {
 		t.Fatal(err)
 	}
-	for range 25 { // until it leads
+	for range 25 { // until the control machine leads
 		p.now += raft.TickInterval
 		p.controller.Advance(p.now)
 		p.takeOutputs(t)
@@ -67,8 +67,8 @@
 	p.install = nil
 }
 
-// takeOutputs queues the messages of both, and checks that no stored version changes and that no second installation
-// is requested before the outcome of the first is reported.
+// takeOutputs queues the messages of the control machine and the agent. It checks that no stored version changes and
+// that no second installation is requested before the outcome of the first is reported.
 func (p *pair) takeOutputs(t *rapid.T) {
 	out, err := p.controller.Take(p.disk.Save)
 	if err != nil {
@@ -150,8 +150,8 @@
 	}
 }
 
-// drawMessage draws a message in transit and whether it is delivered, delivered with a copy left in transit, or lost.
-// It returns nil if there is none to deliver.
+// drawMessage draws a message in transit and what happens to it: it is delivered, delivered with a copy left in
+// transit, or lost. drawMessage returns nil if there is no message to deliver.
 func drawMessage(t *rapid.T, queue *[]codec.Message) codec.Message {
 	if len(*queue) == 0 {
 		return nil
--- a/internal/configdist/store_test.go
+++ b/internal/configdist/store_test.go
@@ -79,7 +79,7 @@
 	mustReject(t, s, moveStageCommand(1, 77), ErrStage, "stage")
 	mustReject(t, s, &Command{Kind: Stop, Version: 1}, ErrStage, "version")
 	mustApply(t, s, moveStageCommand(1, StageCanary))
-	mustApply(t, s, moveStageCommand(1, StageCanary)) // as with another canary
+	mustApply(t, s, moveStageCommand(1, StageCanary)) // again, as for another canary: allowed
 	mustApply(t, s, proposal(2, 1, service("a", "2")))
 	mustReject(t, s, moveStageCommand(2, StageZone), ErrStage, "version")
 	mustApply(t, s, moveStageCommand(1, StageZone))
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// An attempt was decided for an endpoint that restarts, and is then in slow start, or moves to another address
-// before the connection is established. The attempt must not be written.
+// The balancer has decided on an attempt at an endpoint. Before the connection is established, the endpoint restarts
+// (and is then in slow start) or moves to another address. The attempt must not be written.
 func TestAttemptIsNotWrittenToRestartedOrMovedEndpoint(t *testing.T) {
 	moved := strings.Replace(listEntry(1, "up", 0), endpointAddr(1), endpointAddr(9), 1)
 	for name, text := range map[string]string{"restarted": listLine(2, false, listEntry(1, "up", 3_599_000)),
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// sendRequest sends a request on a new client connection. If length is not 0 the request has a body of that
-// length, and only the first bytes of the body, as many as part says, are sent.
+// sendRequest sends a request on a new client connection. If length is not 0, the request has a body of length
+// bytes, of which only the first part bytes are sent.
 func (r *rig) sendRequest(length, part int) {
 	r.lastClient++
 	r.sentRequests++
--- a/internal/lease/play_test.go
+++ b/internal/lease/play_test.go
@@ -40,7 +40,7 @@
 // leader is the leader's clock, which determines the log time. A new leader continues from the last applied log time.
 type leader struct {
 	since          time.Duration // true time at the start of its leadership
-	logTimeAtStart time.Duration // log time at since
+	logTimeAtStart time.Duration // log time at the time in since
 	rate           float64
 	downUntil      time.Duration // there is no leader until then
 }
--- a/internal/lease/table_test.go
+++ b/internal/lease/table_test.go
@@ -33,12 +33,12 @@
 	want(acquireCommand("c", 1, second), Queued, 0, 1)
 	want(Command{Kind: Renew, Client: "a", Incarnation: 1, Seq: 2, Lease: "d", FencingToken: 1, Duration: 3 * second,
 		At: 2 * second}, Granted, 1, 0)
-	// the grant of a has expired; the slot is reserved for b, the first in the queue
+	// the grant of client a has expired; the slot is reserved for client b, the first in the queue
 	want(acquireCommand("c", 2, 5*second), Queued, 0, 1)
 	// an expired grant cannot be renewed
 	want(Command{Kind: Renew, Client: "a", Incarnation: 1, Seq: 3, Lease: "d", FencingToken: 1, Duration: 3 * second,
 		At: 6 * second}, Expired, 0, 0)
-	// b has not used its reservation
+	// client b has not used its reservation
 	want(acquireCommand("c", 3, 8*second), Granted, 2, 0)
 	want(acquireCommand("b", 2, 8*second), Queued, 0, 0)
 	want(Command{Kind: Release, Client: "c", Incarnation: 1, Seq: 4, Lease: "d", FencingToken: 2, At: 9 * second},
@@ -93,8 +93,8 @@
 	}
 }
 
-// Verifies that expired leases are removed, here 10,000 of them, and that a table restored from a snapshot behaves
-// like the original.
+// Verifies that 10,000 expired leases are removed, and that a table restored from a snapshot behaves like the
+// original.
 func TestTableSizeStaysBounded(t *testing.T) {
 	tab := NewTable()
 	seq := uint64(0)
--- a/internal/raft/cluster_test.go
+++ b/internal/raft/cluster_test.go
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// run advances the simulation by a time, in steps of 10 ms. It calls everyStep, if not nil, at the start of each
+// run advances the simulation by a duration, in steps of 10 ms. It calls everyStep, if not nil, at the start of each
 // step.
 func (c *cluster) run(length time.Duration, everyStep func()) {
 	for end := c.now + length; c.now < end; c.now += 10 * time.Millisecond {
@@ -205,7 +205,7 @@
 func (c *cluster) step(client *leaseClient) {
 	if cmd, ok := client.NextCommand(c.now); ok {
 		ids := slices.Sorted(maps.Keys(c.voters))
-		for range ids { // until a voter is the leader; the message to it may be lost
+		for range ids { // tries the voters until one is the leader; the message to that voter may be lost
 			client.nextVoter++
 			to := c.voters[ids[int(client.nextVoter)%len(ids)]]
 			if to.node == nil || c.now < to.pausedUntil || c.blocked(0, to.id) || !to.node.Status().IsLeader {
--- a/internal/raft/raft_test.go
+++ b/internal/raft/raft_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// Verifies that after the holder of a lease stops, another client performs effects within the lease duration and a
-// second. If the leader dies too, the longest election and another second are added.
+// Verifies that after the holder of a lease stops, another client performs effects within the lease duration plus
+// 1 s. If the leader dies too, the limit is longer by the longest election plus 1 s.
 func TestLeaseIsTakenOverWithinBound(t *testing.T) {
 	const leaseDuration = 2 * time.Second
 	var holderGaps, bothGaps []time.Duration
