--- a/internal/configdist/agent.go
+++ b/internal/configdist/agent.go
@@ -16,10 +16,10 @@
 // Intervals and timeouts of an agent.
 const (
 	reportInterval = 2 * time.Second        // between reports without a change; they show that the gateway is alive
-	answerTimeout  = 400 * time.Millisecond // for a control machine's answer; then the message is sent again
+	answerTimeout  = 400 * time.Millisecond // wait for a control machine's answer before the message is sent again
 	minBackoff     = 250 * time.Millisecond // first pause after no control machine has answered
 	maxBackoff     = 2 * time.Second        // maximum of that pause, before jitter
-	returnInterval = time.Minute            // with another control machine; then the agent returns to its first one
+	returnInterval = time.Minute            // stay with another control machine before the return to the first one
 	stallThreshold = 4 * time.Second        // maximum gap between two calls; after a longer one a new session starts
 )
 
--- a/internal/configdist/agent_test.go
+++ b/internal/configdist/agent_test.go
@@ -61,8 +61,8 @@
 }
 
 // Guards against control machines with too many agents, and agents that prefer control machines of another region.
-// Each of the four control machines must be the first choice of a quarter of the agents, plus or minus 40. When control
-// machine 1 fails, its agents must use control machine 2, of the same region.
+// Each of the four control machines must be the first choice of a quarter of the agents, plus or minus 40. When
+// control machine 1 fails, its agents must use control machine 2, of the same region.
 func TestControllerOrderPrefersOwnRegionAndBalances(t *testing.T) {
 	const agents = 870
 	first, second := make(map[uint64]int), make(map[uint64]int)
--- a/internal/configdist/controller.go
+++ b/internal/configdist/controller.go
@@ -24,11 +24,11 @@
 
 // Limits of a control machine.
 const (
-	reportRepeats         = 3        // of each change to the leader, one per tick, because a report may be lost
-	defaultPageBytes      = 32 << 10 // of changes in a page
+	reportRepeats         = 3        // reports of each change to the leader, one per tick, because one may be lost
+	defaultPageBytes      = 32 << 10 // size of the changes in a page
 	pushedPageShare       = 4        // a page sent in place of an offer is limited to PageBytes divided by this
 	defaultMaxSubscribers = 2048
-	maxSnapshotBytes      = 32 << 20 // of a snapshot of the log
+	maxSnapshotBytes      = 32 << 20 // size of a snapshot of the log
 	maxPendingResults     = 1000     // commands proposed at this control machine that have no result yet
 )
 
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -79,8 +79,9 @@
 	}
 }
 
-// SetTimer implements balancer.Actions. The same token may be pending in several timers, so each timer's id
-// also contains a sequence number.
+// SetTimer implements balancer.Actions. token is the number by which the balancer recognizes the timer, not a
+// slow-start token. The same token may be pending in several timers, so each timer's id also contains a sequence
+// number.
 func (a *balancerActions) SetTimer(after time.Duration, token uint32) {
 	a.timersSet++
 	a.setTimer(timerBalancer, a.timersSet<<32|uint64(token), a.now+after)
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -137,8 +137,8 @@
 }
 
 // keepUnanswered handles a poll that was not answered in time, and reports whether it was kept. The poll may
-// still wait in discovery's queue, where closing it would lose its position. One such poll is therefore kept,
-// and another poll is sent in addition in case the first is lost.
+// still wait in discovery's queue, and would lose its position there if its connection were closed. One such poll is
+// therefore kept, and another poll is sent in addition in case the first is lost.
 func (d *discoveryWatch) keepUnanswered(w *discovery.Watch) bool {
 	if d.discoveryPushed() || w.Started() || !w.Connected() || d.unanswered != nil {
 		return false
--- a/internal/gateway/discovery_updates.go
+++ b/internal/gateway/discovery_updates.go
@@ -7,9 +7,9 @@
 	"thymebend/internal/discovery"
 )
 
-// staleAgentTimeout is how long the agent may have an older list than this gateway before its list numbers are
-// assumed to have been restarted. It is several times the propagation time of a change: a restarted agent has
-// an old list until it receives the newer ones.
+// staleAgentTimeout is how long the agent may have an older list than this gateway before the gateway assumes that
+// the agent has restarted its list numbers. It is several times the propagation time of a change: a restarted agent
+// has an old list until it receives the newer ones.
 const staleAgentTimeout = 30 * time.Second
 
 // handleData applies the complete lines of received data. The first line answers the poll, even if it is only
@@ -83,9 +83,9 @@
 }
 
 // isStale checks a line of the agent against a newer list of this gateway. An old line must not bring back
-// endpoints that are known to drain or to be removed, so only its removals are applied. isStale returns true if
-// the list numbers are assumed to have been restarted: the watch has then been ended, and the full list will be
-// requested.
+// endpoints that are known to drain or to be removed, so only its removals are applied. If the agent's list has been
+// older for staleAgentTimeout, the agent is assumed to have restarted its list numbers: isStale then ends the watch,
+// so that the full list is requested, and returns true.
 func (d *discoveryWatch) isStale(w *discovery.Watch, line []byte) bool {
 	if !d.discoveryPushed() {
 		d.staleSince = 0
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -8,7 +8,7 @@
 // Kinds of timers; the comments say what a timer's id identifies. The order is part of the hash that `thymelab
 // replay` prints.
 const (
-	timerBalancer   timerKind = iota // a token of the balancer, preceded by a sequence number
+	timerBalancer   timerKind = iota // the token passed to balancerActions.SetTimer, preceded by a sequence number
 	timerDownstream                  // a downstream connection
 	timerUpstream                    // an upstream connection
 	timerAttempt                     // an attempt
