--- a/internal/configdist/controller.go
+++ b/internal/configdist/controller.go
@@ -10,11 +10,12 @@
 	"thymebend/internal/raft"
 )
 
-// Intervals and timeouts of a control machine.
+// Intervals and timeouts of a control machine. "Rollouts are not offered" means that gateways are not offered the
+// version of a rollout in progress.
 const (
-	leaderTimeout      = time.Second            // since the leader's last message; then no rollout's version is offered
-	quietAfterStall    = 500 * time.Millisecond // after a start or stall; until then no version in a rollout is offered
-	minOfferBackoff    = 500 * time.Millisecond // until an unacknowledged offer is repeated
+	leaderTimeout      = time.Second            // after the leader's last message; then rollouts are not offered
+	quietAfterStall    = 500 * time.Millisecond // after a start or stall; meanwhile rollouts are not offered
+	minOfferBackoff    = 500 * time.Millisecond // until an unacknowledged offer is repeated; doubles each time
 	maxOfferBackoff    = 4 * time.Second
 	silenceTimeout     = 5 * time.Second  // since a gateway's last message; then it counts as silent
 	forgetTimeout      = 30 * time.Second // since a gateway's last message; then its subscription ends
@@ -23,11 +24,11 @@
 
 // Limits of a control machine.
 const (
-	reportRepeats         = 3        // of each change to the leader, one per tick, because a report may be lost
-	defaultPageBytes      = 32 << 10 // of changes in a page
+	reportRepeats         = 3        // reports of each change to the leader, one per tick, because one may be lost
+	defaultPageBytes      = 32 << 10 // size of the changes in a page
 	pushedPageShare       = 4        // a page sent in place of an offer is limited to PageBytes divided by this
 	defaultMaxSubscribers = 2048
-	maxSnapshotBytes      = 32 << 20 // of a snapshot of the log
+	maxSnapshotBytes      = 32 << 20 // size of a snapshot of the log
 	maxPendingResults     = 1000     // commands proposed at this control machine that have no result yet
 )
 
--- a/internal/gateway/discovery_updates.go
+++ b/internal/gateway/discovery_updates.go
@@ -7,14 +7,15 @@
 	"thymebend/internal/discovery"
 )
 
-// staleAgentTimeout is how long the agent may have an older list than this gateway before its list numbers are
-// assumed to have been restarted. It is several times the propagation time of a change: a restarted agent has
-// an old list until it receives the newer ones.
+// staleAgentTimeout is how long the agent may have an older list than this gateway before the gateway assumes that
+// the agent has restarted its list numbers. It is several times the propagation time of a change: a restarted agent
+// has an old list until it receives the newer ones.
 const staleAgentTimeout = 30 * time.Second
 
 // handleData applies the complete lines of received data. The first line answers the poll, even if it is only
-// a heartbeat. This gateway is held responsible for all complete lines even if one of them is malformed: the
-// lines before it are applied, and of that line and the lines after it the removals.
+// a heartbeat. This gateway is held responsible for all complete lines even if one of them is malformed. It applies
+// the lines before the malformed line completely. Of the malformed line and the lines after it, it applies only the
+// removals of endpoints.
 func (d *discoveryWatch) handleData(w *discovery.Watch, data []byte) {
 	first := !w.Started()
 	lines, ended, malformed := w.Feed(d.now, data)
@@ -82,9 +83,9 @@
 }
 
 // isStale checks a line of the agent against a newer list of this gateway. An old line must not bring back
-// endpoints that are known to drain or to be removed, so only its removals are applied. isStale returns true if
-// the list numbers are assumed to have been restarted: the watch has then been ended, and the full list will be
-// requested.
+// endpoints that are known to drain or to be removed, so only its removals are applied. If the agent's list has been
+// older for staleAgentTimeout, the agent is assumed to have restarted its list numbers: isStale then ends the watch,
+// so that the full list is requested, and returns true.
 func (d *discoveryWatch) isStale(w *discovery.Watch, line []byte) bool {
 	if !d.discoveryPushed() {
 		d.staleSince = 0
