--- a/internal/lab/cli/seeds.go
+++ b/internal/lab/cli/seeds.go
@@ -19,7 +19,8 @@
 	"thymebend/internal/membership"
 )
 
-// membersProfile is the profile that simulates only the membership views of a fleet, without gateways.
+// membersProfile is a profile, that is, a kind of simulated run. It simulates only the membership views of a fleet,
+// without gateways.
 const membersProfile = "members"
 
 type seedsCmd struct {
@@ -265,7 +266,7 @@
 	return nil
 }
 
-// playTraced plays a plan, and writes its trace to the file at path unless path is empty.
+// playTraced simulates the run that a plan describes, and writes its trace to the file at path unless path is empty.
 func playTraced(ctx context.Context, p simulation.Plan, path string) (simulation.Outcome, error) {
 	if path == "" {
 		return simulation.PlayContext(ctx, p, nil), nil
--- a/internal/lab/cli/view.go
+++ b/internal/lab/cli/view.go
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// medianAndMax returns the median and the largest time as text.
+// medianAndMax returns the median and the maximum of the times as text.
 func medianAndMax(list []time.Duration) string {
 	if len(list) == 0 {
 		return "-"
--- a/internal/lab/configsim/changes.go
+++ b/internal/lab/configsim/changes.go
@@ -8,7 +8,8 @@
 	"thymebend/internal/configdist/content"
 )
 
-// faultyChange draws a change that adds a faulty route, which 3, 50 or 100% of the gateways reject or fail with.
+// faultyChange draws a change that adds a faulty route. 3, 50 or 100% of the gateways either reject a configuration
+// with this route, or install it and then fail.
 func (r *run) faultyChange() []content.Change {
 	c := content.Change{Entry: content.Entry{Kind: content.Route, Service: ServiceName(r.rng.IntN(r.size.Services)),
 		Name: faultyRoute}}
--- a/internal/lab/configsim/check.go
+++ b/internal/lab/configsim/check.go
@@ -22,7 +22,7 @@
 	if r.releaseRepair(); len(cl.Violations) == 0 {
 		r.out.LastChange = r.lastChange()
 	}
-	// authors may still be submitting changes
+	// authors may still be submitting changes, so wait until the newest version is convergenceLimit old
 	r.waitUntil(repairTimeout, func() bool {
 		return r.Now()-cl.invariants.versions[cl.invariants.newest].at >= convergenceLimit
 	})
@@ -33,8 +33,9 @@
 	return r.out
 }
 
-// repairTimeout is the maximum time from the end of the faults until a version is released that no gateway rejects
-// or fails with. Until then authors submit repairs and the operator resumes or reverts stopped rollouts.
+// repairTimeout is the maximum time from the end of the faults until the released version has no faulty route, so that
+// no gateway rejects it or fails with it. Until then authors submit repairs and the operator resumes or reverts
+// stopped rollouts.
 const repairTimeout = time.Minute
 
 // releaseRepair submits changes that replace the faulty routes until a version without them is released. The rollout
@@ -134,8 +135,8 @@
 	o.Violations = cl.Violations
 }
 
-// checkLag verifies that no gateway that the leader lists as lagging has the newest version in force and works with
-// it.
+// checkLag verifies the leader's list of lagging gateways. It reports a listed gateway that has the newest version in
+// force, unless it is listed because it fails with that version.
 func (r *run) checkLag(leader *configdist.Controller) {
 	for _, l := range leader.LaggingGateways(r.Now()) {
 		for _, g := range r.Cluster.Gateways {
--- a/internal/lab/configsim/cluster.go
+++ b/internal/lab/configsim/cluster.go
@@ -38,7 +38,7 @@
 	net        Network
 	rng        *rand.Rand
 	invariants invariants
-	onResult   map[uint64]func(configdist.Result) // called with a command's result; by its ID
+	onResult   map[uint64]func(configdist.Result) // by command ID: called with the command's result
 	nextID     uint64
 }
 
@@ -92,7 +92,8 @@
 		args...))
 }
 
-// InForce counts the gateways that are running, and those of them that have a version or a newer one in force.
+// InForce returns the number of running gateways (up), and how many of them have the version with the given number or
+// a newer one in force (updated).
 func (cl *Cluster) InForce(number uint64) (updated, up int) {
 	for _, g := range cl.Gateways {
 		if !g.up {
@@ -109,8 +110,9 @@
 // Newest returns the number of the newest version that any control machine has shown as committed.
 func (cl *Cluster) Newest() uint64 { return cl.invariants.newest }
 
-// laggingGateway describes a running gateway that has neither a version nor a newer one in force, although it would
-// not reject any of them. It returns an empty text if there is none.
+// laggingGateway looks for a running gateway in which an older version than the given one is in force, although the
+// gateway would reject neither the given version nor any later one. It describes one such gateway, or returns an
+// empty text if there is none.
 func (cl *Cluster) laggingGateway(number uint64) string {
 	for _, g := range cl.Gateways {
 		if g.up && g.Running.Ref.Number < number && !cl.invariants.rejects(g, number) {
--- a/internal/lab/configsim/control.go
+++ b/internal/lab/configsim/control.go
@@ -102,7 +102,7 @@
 	for _, m := range out.Peers {
 		to := cl.ControlMachines[m.To-1]
 		c.send(&to.process, m.Message, func(received codec.Message) {
-			// Take, called by processOutput, returns the same error
+			// The error is not lost: Take, which processOutput calls, returns it too
 			to.measureCPU(func() { _ = to.Controller.ReceivePeer(cl.clock.Now(), c.ID, received) })
 			to.processOutput()
 		})
--- a/internal/lab/configsim/faults.go
+++ b/internal/lab/configsim/faults.go
@@ -65,7 +65,7 @@
 		for i := range cl.ControlMachines {
 			restart(i, at, time.Duration(1+r.rng.IntN(3000))*time.Millisecond)
 		}
-	case 2: // the current leader crashes, up to three times
+	case 2: // the control machine that leads crashes, one to three times
 		for range 1 + r.rng.IntN(3) {
 			at, downtime := r.faultTime(), r.randomDuration(6*time.Second)
 			r.At(at, func() {
@@ -106,7 +106,7 @@
 		}
 	})
 	r.At(at+r.randomDuration(25*time.Second), func() { r.Net.Cut = nil })
-	for range 3 { // each goes to a random control machine, on either side
+	for range 3 { // each goes to a random control machine, on either side of the partition
 		r.At(at+r.randomDuration(10*time.Second), func() { r.submit(DrawChange(r.size, r.rng)) })
 	}
 }
--- a/internal/lab/configsim/figures.go
+++ b/internal/lab/configsim/figures.go
@@ -52,8 +52,8 @@
 	IdleRate            float64       // bytes per second that a gateway sent and received without changes: mean
 	// SingleChange is the time of one change alone until it is in force at half, 99% and all of the gateways.
 	SingleChange [3]time.Duration
-	// These are the times from the submission of a change until it is in force at half, 99% and all of the gateways
-	// that have run since then.
+	// TimeToHalf, TimeTo99Percent and TimeToAll are the times from the submission of a change until it is in force at
+	// half, 99% and all of the gateways that have run since the submission.
 	TimeToHalf, TimeTo99Percent, TimeToAll Distribution
 	TimeToAllFromCommit                    Distribution // as TimeToAll, but from the commit of the change
 	LateChanges                            int          // changes that took over 8 s to be in force at all gateways
--- a/internal/lab/configsim/invariants.go
+++ b/internal/lab/configsim/invariants.go
@@ -165,7 +165,7 @@
 	inv.attempt = max(inv.attempt, r.Attempt)
 }
 
-// rejects reports whether a gateway would reject the version with a number or any later one.
+// rejects reports whether a gateway would reject the version with the given number or any later version.
 func (inv *invariants) rejects(g *Gateway, number uint64) bool {
 	for ; number <= inv.newest; number++ {
 		v := inv.versions[number]
--- a/internal/lab/configsim/measure.go
+++ b/internal/lab/configsim/measure.go
@@ -13,7 +13,7 @@
 type change struct {
 	submitted, committed       time.Duration
 	number                     uint64
-	toHalf, to99Percent, toAll time.Duration // time from submission until in force at half, 99%, all; 0 before
+	toHalf, to99Percent, toAll time.Duration // from submission until in force at half, 99%, all; 0 until then
 }
 
 // measurement is one run of Measure.
@@ -188,7 +188,7 @@
 	return list
 }
 
-// rates are in bytes per second: mean and maximum of the gateways, then of the control machines.
+// rates are in bytes per second: the mean and maximum that gateways sent and received, and that control machines sent.
 type rates struct{ mean, max, control, controlMax float64 }
 
 // rate returns the rates since an earlier result of traffic, over a duration.
--- a/internal/lab/configsim/operator.go
+++ b/internal/lab/configsim/operator.go
@@ -49,6 +49,6 @@
 	if resume {
 		command = configdist.Command{Kind: configdist.Resume, Version: r.Version}
 	}
-	_ = cl.Propose(leader, &command, nil) // the next retry sees in the rollout whether it succeeded
+	_ = cl.Propose(leader, &command, nil) // whether it took effect is checked in the rollout at the next retry
 	retry()
 }
--- a/internal/lab/configsim/process.go
+++ b/internal/lab/configsim/process.go
@@ -44,8 +44,8 @@
 
 	// Sent and Received are bytes of traffic since the start of the run, headers included.
 	Sent, Received uint64
-	Rejected       uint64        // frames that could not be used
-	Repeated       uint64        // of those, frames that had arrived before
+	Rejected       uint64        // received frames that could not be used
+	Repeated       uint64        // those of the rejected frames that had arrived before
 	CPUTime        time.Duration // real time that its calls took
 }
 
@@ -144,7 +144,7 @@
 	}
 }
 
-// wake schedules a call of advance, unless the process ends before.
+// wake schedules a call of advance at the given time. The call is dropped if the process ends before that time.
 func (p *process) wake(at time.Duration, advance func()) {
 	now := p.cluster.clock.Now()
 	if p.nextWake > now && p.nextWake <= at {
--- a/internal/lab/configsim/publisher.go
+++ b/internal/lab/configsim/publisher.go
@@ -12,7 +12,7 @@
 // Intervals of a Publisher.
 const (
 	proposeRetry  = 500 * time.Millisecond // after no control machine accepted the proposal
-	resultTimeout = 2 * time.Second        // then the change is proposed again, with the same ID
+	resultTimeout = 2 * time.Second        // without a result; then the change is proposed again, with the same ID
 )
 
 // Publisher proposes one change until it is committed as a version, or is rejected for a reason that repetition does
@@ -53,7 +53,7 @@
 		err := cl.Propose(c, &command, p.receiveResult)
 		switch {
 		case err == nil:
-			p.nextControl-- // the next proposal goes to the same one
+			p.nextControl-- // the next proposal goes to the same control machine
 			cl.clock.At(cl.clock.Now()+resultTimeout, p.propose)
 			return
 		case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrBusy), errors.Is(err, raft.ErrFailed):
--- a/internal/lab/drill/check.go
+++ b/internal/lab/drill/check.go
@@ -11,14 +11,14 @@
 	"thymebend/internal/tomlfile"
 )
 
-// checker validates a drill file and adds each fault, with its line and column, to in.
+// checker validates a drill file. It adds each error in the file, with its line and column, to in.
 type checker struct {
 	file  *File
 	in    *tomlfile.File
 	nodes []string // names of all nodes between which a path may lead
 }
 
-// require adds a fault at a field unless ok is true.
+// require adds an error at the field named at, unless ok is true.
 func (c *checker) require(ok bool, at, format string, args ...any) {
 	if !ok {
 		c.in.AddFault(at, format, args...)
@@ -86,7 +86,7 @@
 		"at least two groups are needed")
 }
 
-// unknownFault adds a fault for an unknown fault name and suggests the most similar known name.
+// unknownFault adds an error for an unknown fault name and suggests the most similar known name.
 func (c *checker) unknownFault(at, name string) {
 	text := fmt.Sprintf("unknown fault %q", name)
 	all := faultNames()
@@ -117,7 +117,7 @@
 	c.require(e.Alive >= 0 && e.Alive <= c.file.Gateways.Count, at+".alive", "must be 1 to %d", c.file.Gateways.Count)
 }
 
-// check adds a fault to in for each setting with which the drill cannot run.
+// check adds an error to in for each setting with which the drill cannot run.
 func (f *File) check(in *tomlfile.File) {
 	c := &checker{file: f, in: in, nodes: f.nodes()}
 	n := f.Gateways.Count
--- a/internal/lab/drill/datagrams.go
+++ b/internal/lab/drill/datagrams.go
@@ -45,8 +45,8 @@
 	return relay.sockets[side].LocalAddr().(*net.UDPAddr).AddrPort(), nil
 }
 
-// relayDatagrams forwards the datagrams that in receives. They are sent from out, because the receiver knows the
-// sender by the address of that socket.
+// relayDatagrams forwards the datagrams that the socket in receives. It sends them from the socket out, because the
+// receiver identifies the sender by that socket's address.
 func (n *network) relayDatagrams(in, out *net.UDPConn, l *link) {
 	buf := make([]byte, 4096)
 	var held [][]byte
@@ -68,7 +68,7 @@
 			continue
 		case errors.Is(err, net.ErrClosed):
 			return
-		case err != nil: // an earlier datagram reached no listener
+		case err != nil: // the error reports that an earlier datagram reached no listener
 			continue
 		}
 		data := append([]byte(nil), buf[:size]...)
--- a/internal/lab/drill/excuses.go
+++ b/internal/lab/drill/excuses.go
@@ -41,7 +41,7 @@
 			return true
 		}
 	}
-	for _, e := range r.refusals { // the process was dead; its end is recorded slightly later
+	for _, e := range r.refusals { // the gateway's process had ended; that end is recorded slightly later
 		if e.gateway == n && attempt.Sent-began <= e.to+processEndTolerance &&
 			attempt.Ended-began >= e.from-processEndTolerance &&
 			r.history.Absent(n, e.to+processEndTolerance) {
@@ -54,7 +54,7 @@
 // pathChanged is called after each change of a path. It records the change in the history and in the excuses.
 func (r *rig) pathChanged(change pathChange) {
 	from, to, c := change.from, change.to, change.condition
-	at := r.now() - time.Since(change.at) // when the path changed: this call may have waited for the history's lock
+	at := r.now() - time.Since(change.at) // time of the change; this call may have waited for the lock
 	a, fromGateway := r.index[from]
 	b, toGateway := r.index[to]
 	blocked := c.cut || c.stall
--- a/internal/lab/drill/faults.go
+++ b/internal/lab/drill/faults.go
@@ -22,7 +22,7 @@
 	changePath func(f *Fault, c *condition)
 	// actOnGateway is set for a process fault. It runs once for each listed gateway.
 	actOnGateway func(ctx context.Context, r *rig, f *Fault, gateway int) error
-	// actOnAll runs once for all listed gateways.
+	// actOnAll is set for a fault that acts on all listed gateways together. It runs once.
 	actOnAll func(ctx context.Context, r *rig, f *Fault) error
 }
 
@@ -194,8 +194,8 @@
 	return err
 }
 
-// heavyTraffic directs a share of all traffic to some gateways for a while, in addition to their regular part of
-// the rest.
+// heavyTraffic directs a share of all traffic to the listed gateways for a while. The rest of the traffic is
+// distributed as usual, so these gateways get their regular part of it as well.
 func heavyTraffic(ctx context.Context, r *rig, f *Fault) error {
 	r.run.Mark("%s: %.0f%% to %s", f.Kind, 100*f.Share, strings.Join(r.namesOf(f.Gateways), " "))
 	r.run.ConcentrateTraffic(f.Gateways, f.Share)
@@ -214,8 +214,8 @@
 	return out
 }
 
-// slowInterval is the interval within which a slow gateway runs for its share of the time and is stopped for the
-// rest.
+// slowInterval is the period of a slow gateway's cycle: in each period its process runs for the fault's share of the
+// time and is stopped for the rest.
 const slowInterval = 40 * time.Millisecond
 
 func slowGateway(ctx context.Context, r *rig, f *Fault, g int) error {
--- a/internal/lab/drill/format.go
+++ b/internal/lab/drill/format.go
@@ -1,5 +1,6 @@
 // Package drill runs an experiment (several real gateways with hosts, discovery and load) in which relays connect
-// the processes. It injects faults into network paths and processes while it observes the views of the gateways.
+// the processes. It injects faults into network paths and processes while it observes the views of the gateways: the
+// view of a gateway is what its process knows about the other gateways of the cluster.
 // docs/design/drill.md gives the reasons for the design.
 package drill
 
@@ -29,7 +30,7 @@
 	// StartedLater lists gateways that do not run at the start; the fault gateway-start starts them.
 	StartedLater  []int   `toml:"late"`
 	DivideHosts   bool    `toml:"shares"`    // gateways divide the hosts by their membership view
-	SlowStartRate float64 `toml:"warm_rate"` // warm_rate in the gateways' cluster files
+	SlowStartRate float64 `toml:"warm_rate"` // value of warm_rate in the gateways' cluster files
 	// ListRunningOnly makes the cluster files list only the running gateways. The files change, with SIGHUP, when a
 	// gateway starts or leaves permanently. Otherwise they list all gateways.
 	ListRunningOnly bool `toml:"follow"`
@@ -37,7 +38,7 @@
 
 // Path is the condition of a network path. The zero value has no faults.
 type Path struct {
-	// Loss is the share of lost datagrams. A stream is delayed by retransmitDelay instead.
+	// Loss is the share of lost datagrams. Streams lose no data: loss delays them by retransmitDelay.
 	Loss      float64             `toml:"loss"`
 	Delay     experiment.Duration `toml:"delay"`
 	Jitter    experiment.Duration `toml:"jitter"`
@@ -45,7 +46,7 @@
 	Reorder   float64             `toml:"reorder"` // share of datagrams that are delayed by reorderDelay
 }
 
-// reorderDelay is the delay of a datagram that later ones are meant to overtake.
+// reorderDelay is the delay of a datagram that is reordered: datagrams sent after it overtake it.
 const reorderDelay = 30 * time.Millisecond
 
 // Fault is a fault that starts at a given time of the run.
@@ -84,7 +85,8 @@
 	MaxRelativeLoad float64 `toml:"crowd"`
 }
 
-// Load reads and validates a drill file. The error lists every fault with file, line and column.
+// Load reads and validates a drill file. The returned error lists every error in the file with its name, line
+// and column.
 func Load(name string) (*File, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
--- a/internal/lab/drill/network.go
+++ b/internal/lab/drill/network.go
@@ -63,9 +63,10 @@
 		onChange: onChange, onRefused: onRefused}
 }
 
-// rigAddress returns a loopback address that no other rig uses, on this machine or in this process: otherwise a
-// port that a process or relay releases for a moment could be taken by another rig. Processes (n is 0), relays (n
-// is 1) and hosts (n is 2) have one address each. The address depends on dir, which belongs to one rig alone.
+// rigAddress returns a loopback address that no other rig uses, neither in this process nor in another process of
+// this machine. On a shared address, another rig could take a port that a process or relay releases for a moment.
+// A rig has three such addresses: one for its processes (n is 0), one for its relays (n is 1) and one for its hosts
+// (n is 2). The address depends on dir, which belongs to one rig alone.
 func rigAddress(dir string, n int) netip.Addr {
 	h := xxh3.HashSeed([]byte(dir), uint64(os.Getpid()))
 	return netip.AddrFrom4([4]byte{127, byte(64 + 64*n + int(h>>16%64)), byte(h >> 8), byte(h)})
@@ -215,7 +216,7 @@
 		_ = relay.ln.Close()
 	}
 	n.activeFaults = nil
-	for _, l := range n.links { // blocked streams continue and detect the end
+	for _, l := range n.links { // wakes blocked streams, which then detect that the network is closed
 		l.current.Store(&condition{})
 		close(l.changed)
 		l.changed = make(chan bool)
--- a/internal/lab/drill/portions.go
+++ b/internal/lab/drill/portions.go
@@ -12,15 +12,15 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// SharesDisagree is the rule that is violated if gateways whose assignments have all converged give a host shares
-// whose sum is above or below one.
+// SharesDisagree is a rule about assignments: the assignment of a gateway gives its share of each host. The rule is
+// violated if all gateways' assignments have converged, but their shares of a host do not add up to one.
 const SharesDisagree = "portions do not agree"
 
 // Limits of the rule.
 const (
 	maxObservationAge = 500 * time.Millisecond // maximum age of the last observation of each gateway
-	// minConvergedTime is the time for which all must have been converged, because a list change takes some time to
-	// propagate.
+	// minConvergedTime is the time for which all assignments must have been converged before they are checked,
+	// because a change of the host list takes some time to propagate.
 	minConvergedTime = 2 * time.Second
 	shareTolerance   = 0.01 // accepted deviation of a host's sum of shares from one
 )
@@ -46,7 +46,7 @@
 // observed within maxObservationAge and all assignments had been converged for minConvergedTime.
 func checkAssignments(h *membershipcheck.History) (found []requestrecord.Finding) {
 	last := make(map[int]*membershipcheck.Observation)
-	var since time.Duration // all have been converged, with unchanged shares, since then
+	var since time.Duration // time since which all assignments have been converged with unchanged shares
 	reported := make(map[string]bool)
 	observations := h.Observations()
 	for i := range observations {
@@ -61,7 +61,7 @@
 		for g, o := range last {
 			if current.At-o.At > maxObservationAge {
 				if current.At-o.At > 2*minConvergedTime {
-					delete(last, g) // it has ended; converged gateways no longer count it
+					delete(last, g) // gateway g has ended; gateways that have converged no longer count it
 				}
 				since = current.At
 				continue
--- a/internal/lab/drill/rig.go
+++ b/internal/lab/drill/rig.go
@@ -55,11 +55,11 @@
 	peers [][]string // for each gateway, the cluster file's peer entry of every other gateway
 	// listed reports, by gateway, whether the cluster files list it as a peer; false only with ListRunningOnly.
 	listed        []bool
-	listenAddrs   []netip.AddrPort      // for datagrams, of the serving process
+	listenAddrs   []netip.AddrPort      // datagram address of each gateway's serving process
 	adminAddrs    map[int]string        // admin address by process ID
-	nextKinds     map[int]int           // kind of a gateway's next process
+	nextKinds     map[int]int           // kind of the next process, by gateway
 	startingAddrs map[int]string        // admin address of a process that is being started, by gateway
-	launchTimes   map[int]time.Duration // start time of that process
+	launchTimes   map[int]time.Duration // start time of the process that is being started, by gateway
 }
 
 // Kinds of a gateway's next process.
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -54,7 +54,7 @@
 			continue
 		}
 		at := o.At.Seconds()
-		if at-last > 5*viewInterval.Seconds() { // it did not answer, so its view of that time is unknown
+		if at-last > 5*viewInterval.Seconds() { // the gateway answered no poll, so its view of that time is unknown
 			clear(open)
 		}
 		last = at
@@ -191,8 +191,8 @@
 	}
 }
 
-// recordedFindings returns the findings recorded during the run, plus violations from the logs of gateways without
-// a recorded one.
+// recordedFindings returns the findings recorded during the run. For each gateway without a recorded finding, it adds
+// the violations in that gateway's log.
 func (r *rig) recordedFindings() []requestrecord.Finding {
 	r.mu.Lock()
 	found := slices.Clone(r.findings)
--- a/internal/lab/drill/stopped.go
+++ b/internal/lab/drill/stopped.go
@@ -21,7 +21,7 @@
 // neither an error response nor a close within clientWaitLimit.
 const StoppedClientUnanswered = "stopped client not heard"
 
-// Limits of the rule: 3 s, and 50 ms as for every time limit on sockets.
+// Limits of the rule. timingTolerance is added to clientWaitLimit, as to every time limit on sockets.
 const (
 	clientWaitLimit = 3 * time.Second
 	timingTolerance = 50 * time.Millisecond
@@ -34,8 +34,8 @@
 	maxPause  = 600 * time.Millisecond
 )
 
-// largeBody is the Content-Length of one in largeBodyOneIn stopped clients that send a body. The gateway streams a
-// body of this length.
+// Of the stopped clients that send a body, one in largeBodyOneIn sends largeBody, in bytes, as its Content-Length.
+// The gateway streams a body of this length.
 const (
 	largeBody      = 200 << 10
 	largeBodyOneIn = 4
@@ -70,7 +70,7 @@
 	all.Wait()
 }
 
-// stoppedClient is the plan of one stopped client.
+// stoppedClient describes one stopped client: its gateway, its request and where it stops sending.
 type stoppedClient struct {
 	id      string
 	gateway int
--- a/internal/lab/membershipcheck/history.go
+++ b/internal/lab/membershipcheck/history.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// History records the faults applied to gateways and paths, and the views observed at gateways. The rules are
-// functions over it. Its methods may be called from several goroutines.
+// History records the faults applied to gateways and paths, and the views that gateways had of the other gateways.
+// The rules are functions over it. Its methods may be called from several goroutines.
 type History struct {
 	mu           sync.Mutex
 	count        int
@@ -174,7 +174,7 @@
 	return h.absent(gateway, at, at)
 }
 
-// StoppedDuring reports whether a gateway was stopped at any moment from a-while to b.
+// StoppedDuring reports whether a gateway was stopped at any moment between a minus the duration while, and b.
 func (h *History) StoppedDuring(gateway int, a, b, while time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/membershipcheck/rules_identity.go
+++ b/internal/lab/membershipcheck/rules_identity.go
@@ -53,7 +53,7 @@
 // excused reports whether a view may have held another state of an upgraded gateway for a moment, for reasons other
 // than the upgrade. A leave is never excused, because only the gateway itself announces one. With datagram loss,
 // suspicions occur and are refuted. Otherwise a suspicion is excused if a member that may have raised it could not
-// receive the gateway's datagrams, or the gateway could not receive that member's.
+// receive the gateway's datagrams, or the gateway could not receive the datagrams of that member.
 func (h *History) excused(gateway int, held MemberView, upgrade time.Duration) bool {
 	switch {
 	case held.Previous == "left":
--- a/internal/lab/membershipcheck/truth.go
+++ b/internal/lab/membershipcheck/truth.go
@@ -14,7 +14,8 @@
 	return h.hadProcess(gateway, a, b, true)
 }
 
-// hadProcess is ranThroughout if stopsCount is true; otherwise the process may have been stopped.
+// hadProcess reports whether a gateway had a process throughout the period from a to b. If stopsCount is true, the
+// process must also not have been stopped in that period.
 func (h *History) hadProcess(gateway int, a, b time.Duration, stopsCount bool) bool {
 	at := a
 	for again := true; again; {
@@ -63,7 +64,8 @@
 	})
 }
 
-// intact reports whether a path was open from a to b without a break and lost at most the given share of datagrams.
+// intact reports whether a path was open throughout the period from a to b and never lost more than the share most
+// of its datagrams.
 func (h *History) intact(from, to int, a, b time.Duration, most float64) bool {
 	ok := true
 	for _, state := range h.paths[[2]int{from, to}] {
@@ -148,8 +150,8 @@
 	return h.componentsIgnoringStops(a, b, -1)
 }
 
-// componentsIgnoringStops does the same but ignores stops of one gateway, which received nothing meanwhile but had
-// a process.
+// componentsIgnoringStops returns the components during the period from a to b. It ignores stops of the gateway own:
+// while stopped, that gateway received nothing, but it had a process.
 func (h *History) componentsIgnoringStops(a, b time.Duration, own int) components {
 	c := components{make([]int, h.count), make([]int, h.count)}
 	runs := make([]bool, h.count)
@@ -194,7 +196,7 @@
 }
 
 // wellConnected reports whether two gateways are in the same component and each could exchange datagrams directly
-// with at least half of its other members.
+// with at least half of the other gateways of that component.
 func (c components) wellConnected(x, y int) bool {
 	if !c.same(x, y) {
 		return false
--- a/internal/lab/membershipsim/convergence.go
+++ b/internal/lab/membershipsim/convergence.go
@@ -18,8 +18,8 @@
 }
 
 // Divergence describes one difference between a running node's view and the actual state of the cluster. It returns
-// an empty text if there is none. It checks the node that diverged last first, because that one most likely still
-// does.
+// an empty text if there is none. It first checks the node whose difference it described last, because that node's
+// view most likely still differs.
 func (s *Sim) Divergence() string {
 	for i := range s.Nodes {
 		n := (s.lastDiverged + i) % len(s.Nodes)
--- a/internal/lab/membershipsim/measure.go
+++ b/internal/lab/membershipsim/measure.go
@@ -29,12 +29,14 @@
 	Join            []time.Duration // for each join, the time until all nodes consider the new node alive
 	Heal            time.Duration   // time to converge after a partition into halves of 60 s; 0 if there was none
 	FalseSuspicions int             // suspicions of running nodes in the quiet period
-	// nodes with a process that another node considers gone in the quiet period, summed over all checks
+	// FalseRemovals counts the nodes that have a process but that another node considers gone. It is the sum over all
+	// checks in the quiet period.
 	FalseRemovals     int
 	QuietPeriod       time.Duration // length of the quiet period
 	BytesPerSecond    float64       // mean bytes per second and node in the quiet period, with IP and UDP headers
 	MaxBytesPerSecond float64       // bytes per second of the node that sent most in the quiet period
-	// processor seconds of a node's protocol per second of the quiet period, on this machine
+	// CPU is the processor time, in seconds, that a node's protocol used on this machine per second of the quiet
+	// period.
 	CPU     float64
 	Partial bool // the run was interrupted; the later measurements are missing
 }
--- a/internal/lab/membershipsim/network.go
+++ b/internal/lab/membershipsim/network.go
@@ -16,7 +16,7 @@
 type Net struct {
 	Latency, Jitter time.Duration
 	Loss, Duplicate float64                          // shares of the datagrams
-	Cut             func(from, to int) bool          // reports whether datagrams are dropped; nil: none are
+	Cut             func(from, to int) bool          // reports whether datagrams are dropped; nil means never
 	ExtraLatency    func(from, to int) time.Duration // added between two nodes; nil: none
 }
 
--- a/internal/lab/membershipsim/node.go
+++ b/internal/lab/membershipsim/node.go
@@ -139,7 +139,7 @@
 	s.checkIncarnations(node)
 	next := max(node.Membership.NextWake(), s.now+minWakeDelay)
 	if node.wakeAt != 0 && node.wakeAt <= next && node.wakeAt >= s.now {
-		return // an earlier timer call is scheduled, after which the next one is determined again
+		return // an earlier timer call is scheduled; after it, afterCall determines the next one
 	}
 	node.wakeAt = next
 	generation := node.generation
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -27,7 +27,7 @@
 	rng       *rand.Rand
 	events    *eventWatcher
 	full      []*fullGateway
-	startCost startCost // measured at the last full gateway
+	startCost startCost // of the full gateway created last (see fullGateway)
 
 	rollouts *configsim.Cluster // nil if there are no control machines
 	network  *configsim.Net     // carries the rollouts' messages
--- a/internal/lab/scale/knowledge.go
+++ b/internal/lab/scale/knowledge.go
@@ -29,8 +29,8 @@
 // until then.
 type milestones struct{ half, p99, all time.Duration }
 
-// record sets the milestones that are reached when reached of the eligible gateways have the event after took, and
-// reports whether all of them have had it.
+// record updates the milestones of an event: at the duration took after it, the event has reached the number reached
+// of the eligible gateways. It returns true once the event has reached all of them.
 func (m *milestones) record(reached, eligible int, took time.Duration) bool {
 	if m.half == 0 && 2*reached >= eligible {
 		m.half = took
