--- a/internal/lab/cli/scale.go
+++ b/internal/lab/cli/scale.go
@@ -192,7 +192,7 @@
 		}
 		if exit = scaleExit(r); r.Partial {
 			s.Partial = true
-			break // the interrupted size is left out: its figures cover a shorter time
+			break // leave out the interrupted size: its figures cover a shorter time
 		}
 		s.Results = append(s.Results, r)
 		if c.JSON != "-" {
--- a/internal/lab/configsim/check.go
+++ b/internal/lab/configsim/check.go
@@ -33,8 +33,8 @@
 	return r.out
 }
 
-// repairTimeout is the maximum time from the end of the faults until the released version has no faulty route, so that
-// no gateway rejects it or fails with it. Until then authors submit repairs and the operator resumes or reverts
+// repairTimeout is the maximum time from the end of the faults until the released version has no faulty route, and no
+// gateway rejects it or fails with it. Until then authors submit repairs and the operator resumes or reverts
 // stopped rollouts.
 const repairTimeout = time.Minute
 
--- a/internal/lab/configsim/measure.go
+++ b/internal/lab/configsim/measure.go
@@ -188,7 +188,8 @@
 	return list
 }
 
-// rates are in bytes per second: the mean and maximum that gateways sent and received, and that control machines sent.
+// rates are in bytes per second: the mean and maximum of what gateways sent and received, and of what control
+// machines sent.
 type rates struct{ mean, max, control, controlMax float64 }
 
 // rate returns the rates since an earlier result of traffic, over a duration.
--- a/internal/lab/drill/excuses.go
+++ b/internal/lab/drill/excuses.go
@@ -54,7 +54,7 @@
 // pathChanged is called after each change of a path. It records the change in the history and in the excuses.
 func (r *rig) pathChanged(change pathChange) {
 	from, to, c := change.from, change.to, change.condition
-	at := r.now() - time.Since(change.at) // time of the change; this call may have waited for the lock
+	at := r.now() - time.Since(change.at) // time of the change; this call may have waited for the history's lock
 	a, fromGateway := r.index[from]
 	b, toGateway := r.index[to]
 	blocked := c.cut || c.stall
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -191,8 +191,8 @@
 	}
 }
 
-// recordedFindings returns the findings recorded during the run. For each gateway without a recorded finding, it adds
-// the violations in that gateway's log.
+// recordedFindings returns the findings recorded during the run. For each gateway without a recorded
+// ViolationSuppressed, it adds the violations in that gateway's log.
 func (r *rig) recordedFindings() []requestrecord.Finding {
 	r.mu.Lock()
 	found := slices.Clone(r.findings)
--- a/internal/lab/drill/streams.go
+++ b/internal/lab/drill/streams.go
@@ -34,7 +34,7 @@
 			continue
 		}
 		server, err := net.DialTimeout("tcp4", s.target, time.Second)
-		if err != nil { // the target is not listening: refuse connections until it is
+		if err != nil { // the target is not listening: refuse connections until it listens again
 			s.network.onRefused(s.toTarget.from, s.toTarget.to)
 			reset(client)
 			_ = ln.Close()
--- a/internal/lab/drill/watch.go
+++ b/internal/lab/drill/watch.go
@@ -26,7 +26,7 @@
 			r.collectViolations(n, control, reported)
 		}
 		v, err := r.clusterView(control)
-		at := r.now() // time of the answer: a delayed answer holds the view at a later time
+		at := r.now() // time of the answer: if it is delayed, the view in it is later than the request
 		if err != nil {
 			continue
 		}
--- a/internal/lab/membershipcheck/rules_liveness.go
+++ b/internal/lab/membershipcheck/rules_liveness.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// nextProcessStart returns the start time of the first process that a gateway starts after its process ended has
-// ended. If none starts within detectionTime of that end, it returns the end plus detectionTime.
+// nextProcessStart returns the time at which the gateway of an ended process first starts another process after that
+// end. If none starts within detectionTime of the end, it returns the end plus detectionTime.
 func (h *History) nextProcessStart(ended *process) time.Duration {
 	at := ended.end + detectionTime
 	for _, next := range h.processes {
--- a/internal/lab/membershipcheck/truth.go
+++ b/internal/lab/membershipcheck/truth.go
@@ -14,8 +14,8 @@
 	return h.hadProcess(gateway, a, b, true)
 }
 
-// hadProcess reports whether a gateway had a process throughout the period from a to b. If stopsCount is true, the
-// process must also not have been stopped in that period.
+// hadProcess reports whether a gateway had a process throughout the period from a to b, including successors of hot
+// restarts. If stopsCount is true, these processes must also not have been stopped in that period.
 func (h *History) hadProcess(gateway int, a, b time.Duration, stopsCount bool) bool {
 	at := a
 	for again := true; again; {
--- a/internal/lab/scale/knowledge.go
+++ b/internal/lab/scale/knowledge.go
@@ -68,8 +68,8 @@
 	eventAt time.Duration // time of the event
 }
 
-// knows reports whether a gateway knows of the event. m is its record of the subject, known whether it has a
-// record, and started the start number of the subject's process.
+// knows reports whether a gateway knows of the event. m is that gateway's record of the subject, known reports whether
+// the gateway has such a record, and started is the start number of the subject's process.
 func (w *watch) knows(m membership.Member, known bool, started uint64) bool {
 	if w.joined {
 		return known && m.State == gossipcodec.Alive && m.Start >= started
--- a/internal/lab/scale/options.go
+++ b/internal/lab/scale/options.go
@@ -20,7 +20,7 @@
 type Options struct {
 	Gateways, Hosts, Services, Tenants, Routes int
 	Zones, Regions                             int
-	Full                                       int           // gateways that also hold list, division and settings
+	Full                                       int           // full gateways: they also hold list, division, settings
 	Seed                                       uint64        // of all random decisions
 	For                                        time.Duration // length of the measured period in virtual time
 	Loss                                       float64       // share of the datagrams and frames that is lost
@@ -197,7 +197,7 @@
 	} `toml:"fault"`
 }
 
-// Load reads the file at path and returns base with the file's options applied. The error lists all faults of the file,
+// Load reads the file at path and returns base with the file's options applied. The error lists all errors in the file,
 // each with file, line and column.
 func Load(path string, base Options) (Options, error) {
 	raw, err := os.ReadFile(path)
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -11,14 +11,14 @@
 
 // Times and limits of a run.
 const (
-	joinTimeout       = 2 * time.Minute // for the views of all gateways, from the last start on
+	joinTimeout       = 2 * time.Minute // from the last start until each view contains all gateways
 	stabilizationTime = 5 * time.Second // idle time before the measured period
 	pollInterval      = 20 * time.Millisecond
 	sampleInterval    = time.Second
 	propagationGrace  = 15 * time.Second // after the measured period, for events that not all gateways know yet
 	recoveryTimeout   = 60 * time.Second
 	maxObservers      = 32
-	removalGrace      = 3 * time.Second // after its start, in which others may still consider a gateway gone
+	removalGrace      = 3 * time.Second // after a gateway's start: others may still consider it gone
 )
 
 // Progress is the progress of a run within its present phase.
@@ -58,7 +58,7 @@
 	result          *Result
 	changes         []*change
 	firstConfigTime time.Duration   // until the first whole configuration was in force at all gateways
-	falselyRemoved  map[[2]int]bool // pairs of observer and running gateway considered gone, at the last check
+	falselyRemoved  map[[2]int]bool // pairs of an observer and a running gateway that it considered gone at the last check
 	nextSecond      time.Duration
 	lastSent        []uint64 // total bytes sent by each gateway at the last sample
 }
