--- a/internal/lab/cli/scale_test.go
+++ b/internal/lab/cli/scale_test.go
@@ -10,8 +10,8 @@
 	"thymebend/internal/lab/scale"
 )
 
-// Verifies that the file overrides the defaults, that the command line overrides the file, and that the figures and the
-// plot are written.
+// Verifies that the options file overrides the defaults, that the command line overrides the options file, and that the
+// figures and the plot are written.
 func TestScaleWritesFiguresAndPlot(t *testing.T) {
 	dir := t.TempDir()
 	file, figures, plot := filepath.Join(dir, "scale.toml"), filepath.Join(dir, "out.json"),
--- a/internal/lab/drill/drill_test.go
+++ b/internal/lab/drill/drill_test.go
@@ -131,7 +131,8 @@
 	}
 }
 
-// A gateway that stops without the rig's doing violates a membership rule, which is reported during the drill.
+// A gateway that stops although the rig did not stop it violates a membership rule. The violation is reported during
+// the drill.
 func TestHungGatewayIsReportedDuringTheDrill(t *testing.T) {
 	t.Parallel()
 	p := startDrill(t, "stop", func(text string) string { text, _, _ = strings.Cut(text, "[[fault]]"); return text })
@@ -147,7 +148,7 @@
 			}
 		}
 	}
-	look := filepath.Join(p.dir, "gateway-2.log") // wait until it has joined
+	look := filepath.Join(p.dir, "gateway-2.log") // wait until gateway-2 has joined
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		if text, _ := os.ReadFile(look); strings.Contains(string(text), `"alive":5`) {
 			break
--- a/internal/lab/drill/network_test.go
+++ b/internal/lab/drill/network_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Node a receives b's datagrams from the address to which it sends its own for b. A fault can affect one direction
-// alone.
+// Node a receives b's datagrams from the same address to which a sends its datagrams for b. A fault can affect one
+// direction alone.
 func TestDatagramRelaysApplyPathFaults(t *testing.T) {
 	n := newTestNetwork(t)
 	a, b := listenUDP(t, n, "a"), listenUDP(t, n, "b")
@@ -176,7 +176,7 @@
 	}
 }
 
-// Two processes with the same name both receive the datagrams for it.
+// If two processes have the same name, both receive the datagrams for that name.
 func TestProcessesWithTheSameNameBothReceiveDatagrams(t *testing.T) {
 	n := newTestNetwork(t)
 	a, b1, b2 := listenUDP(t, n, "a"), listenUDP(t, n, "b"), listenUDP(t, n, "b")
@@ -253,7 +253,7 @@
 	}
 }
 
-// A request that is in transit when the server closes is answered with a reset, as without the relay. A client that
+// A request that is in transit when the server closes is answered with a reset, as it would be without the relay. A client that
 // sent nothing sees a regular close.
 func TestRequestSentWhileServerClosesIsReset(t *testing.T) {
 	n := newTestNetwork(t)
--- a/internal/lab/drill/portions_test.go
+++ b/internal/lab/drill/portions_test.go
@@ -28,8 +28,8 @@
 	return h
 }
 
-// Shares of converged gateways that add up to more or less than one host are found. They are not checked while an
-// assignment changes or before all gateways have reported.
+// The rule reports shares of a host that add up to more or less than one, if all gateways have converged. It does not
+// check shares while an assignment changes or before all gateways have reported.
 func TestSharesOfConvergedGatewaysAddUpToOne(t *testing.T) {
 	from := func(seconds float64, l *membershipcheck.Observation) bool { return l.At.Seconds() >= seconds }
 	for name, c := range map[string]struct {
--- a/internal/lab/drill/stopped.go
+++ b/internal/lab/drill/stopped.go
@@ -34,8 +34,8 @@
 	maxPause  = 600 * time.Millisecond
 )
 
-// largeBody is a Content-Length in bytes. One in largeBodyOneIn of the stopped clients that send a body uses it, because
-// the gateway streams a body of this length.
+// largeBody is a Content-Length in bytes, used by one in largeBodyOneIn of the stopped clients that send a body. The
+// gateway streams a body of this length.
 const (
 	largeBody      = 200 << 10
 	largeBodyOneIn = 4
--- a/internal/lab/membershipsim/sim_test.go
+++ b/internal/lab/membershipsim/sim_test.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// Guards against a node whose datagrams reach no other and that the others consider alive, or that considers itself
-// converged.
+// Guards against a node whose datagrams reach no other node, but that the others still consider alive or that
+// considers itself converged.
 func TestNodeWithOneWayCutIsRemoved(t *testing.T) {
 	s := convergedCluster(t, 7, 10)
 	s.Net.Cut = func(from, _ int) bool { return from == 2 }
@@ -173,7 +173,7 @@
 	}
 }
 
-// Guards against a removal because of one cut pair: other nodes probe on behalf of the two.
+// Guards against a removal because two nodes cannot reach each other: other nodes probe on behalf of these two.
 func TestOneCutPairRemovesNoNode(t *testing.T) {
 	s := convergedCluster(t, 8, 12)
 	s.Net.Cut = func(from, to int) bool { return from == 1 && to == 2 || from == 2 && to == 1 }
--- a/internal/lab/scale/knowledge.go
+++ b/internal/lab/scale/knowledge.go
@@ -68,7 +68,7 @@
 	eventAt time.Duration // time of the event
 }
 
-// knows reports whether a gateway knows of the event. m is that gateway's record of the subject, known reports whether
+// knows reports whether a gateway knows of the event. m is that gateway's record of the subject, known is true if
 // the gateway has such a record, and started is the start number of the subject's process.
 func (w *watch) knows(m membership.Member, known bool, started uint64) bool {
 	if w.joined {
--- a/internal/lab/scale/options.go
+++ b/internal/lab/scale/options.go
@@ -197,8 +197,8 @@
 	} `toml:"fault"`
 }
 
-// Load reads the file at path and returns base with the file's options applied. The error lists all errors in the file,
-// each with file, line and column.
+// Load reads the file at path and returns base with the file's options applied. The error lists all mistakes in the
+// file, each with file, line and column.
 func Load(path string, base Options) (Options, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -58,7 +58,7 @@
 	result          *Result
 	changes         []*change
 	firstConfigTime time.Duration   // until the first whole configuration was in force at all gateways
-	falselyRemoved  map[[2]int]bool // pairs of an observer and a running gateway that it considered gone at the last check
+	falselyRemoved  map[[2]int]bool // by observer and running gateway that it considered gone at the last check
 	nextSecond      time.Duration
 	lastSent        []uint64 // total bytes sent by each gateway at the last sample
 }
