--- a/internal/lab/cli/early_test.go
+++ b/internal/lab/cli/early_test.go
@@ -59,7 +59,7 @@
 			ctx := &cancelAfterChecks{Context: t.Context()}
 			ctx.remaining.Store(checksBeforeCancel)
 			if name == "plan" {
-				ctx.remaining.Store(1) // planning is short: it checks the context only a few times
+				ctx.remaining.Store(1) // the plan is a short run: cancel it early
 			}
 			var exit exitError
 			if err := command.Run(&environment{ctx: ctx, out: &out, err: &errs}); !errors.As(err, &exit) ||
--- a/internal/lab/cli/scale_test.go
+++ b/internal/lab/cli/scale_test.go
@@ -10,7 +10,7 @@
 	"thymebend/internal/lab/scale"
 )
 
-// Verifies that the options file overrides the defaults, that the command line overrides the options file, and that the
+// Verifies that the options file overrides the defaults, that the command line overrides that file, and that the
 // figures and the plot are written.
 func TestScaleWritesFiguresAndPlot(t *testing.T) {
 	dir := t.TempDir()
--- a/internal/lab/configsim/measure.go
+++ b/internal/lab/configsim/measure.go
@@ -25,8 +25,8 @@
 	startedAt []time.Duration // last start of each gateway's process
 }
 
-// Measure runs a cluster. All gateways start without a configuration and fetch the complete one, then one change is
-// followed alone, then the scenario's changes, restarts and failures happen within its length.
+// Measure runs a cluster in three phases. All gateways start without a configuration and fetch the complete one. Then
+// one change alone is followed. Then the scenario's changes, restarts and failures happen within scenario.Duration.
 func Measure(scenario Scenario) Figures {
 	m := &measurement{scenario: scenario, rng: rand.New(rand.NewPCG(scenario.Seed, 0x3ea5)),
 		startedAt: make([]time.Duration, scenario.Gateways)}
--- a/internal/lab/drill/format.go
+++ b/internal/lab/drill/format.go
@@ -85,8 +85,8 @@
 	MaxRelativeLoad float64 `toml:"crowd"`
 }
 
-// Load reads and validates a drill file. The returned error lists every error in the file with its name, line
-// and column.
+// Load reads and validates a drill file. The returned error lists every mistake in the file, with the file's name and
+// the line and column.
 func Load(name string) (*File, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
--- a/internal/lab/drill/network_test.go
+++ b/internal/lab/drill/network_test.go
@@ -253,8 +253,8 @@
 	}
 }
 
-// A request that is in transit when the server closes is answered with a reset, as it would be without the relay. A client that
-// sent nothing sees a regular close.
+// A request that is in transit when the server closes is answered with a reset, as it would be without the relay. A
+// client that sent nothing sees a regular close.
 func TestRequestSentWhileServerClosesIsReset(t *testing.T) {
 	n := newTestNetwork(t)
 	ln := listenTCP(t, n)
--- a/internal/lab/drill/rig.go
+++ b/internal/lab/drill/rig.go
@@ -45,7 +45,8 @@
 	watchContext  context.Context
 	excuses       []excuse
 	findings      []requestrecord.Finding // recorded during the run
-	// refusals holds the times at which a client's connection reached a relay whose target was not listening.
+	// refusals holds the times at which a relay accepted a client's connection although its target, a gateway, was
+	// not listening.
 	refusals []excuse
 	processTable
 }
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -178,7 +178,7 @@
 		}
 		for _, f := range membershipcheck.Check(r.history) {
 			if r.now()-f.At < findingDelay {
-				continue // the matching event may not be recorded yet: the next check decides
+				continue // the event that justifies it may not be recorded yet: the next check decides
 			}
 			if key := [2]string{f.Rule, f.ID}; !reported[key] {
 				reported[key] = true
--- a/internal/lab/membershipcheck/rules_liveness.go
+++ b/internal/lab/membershipcheck/rules_liveness.go
@@ -34,8 +34,8 @@
 	})
 }
 
-// mustNotBeRemoved reports whether the observer could receive a member's datagrams during the whole time in which
-// it could have removed the member.
+// mustNotBeRemoved reports whether the observing gateway could receive the datagrams of member m during the whole
+// detectionTime before the observation, so that it had no reason to remove m.
 func (h *History) mustNotBeRemoved(current *Observation, m int) bool {
 	since := current.At - detectionTime
 	return since > 0 && h.reachable(current.Gateway, m, since, current.At) &&
@@ -49,7 +49,7 @@
 		if since < 0 || !h.ranThroughout(current.Gateway, since, current.At) {
 			return
 		}
-		// An isolated gateway suspects itself first and has no member to probe through.
+		// An isolated gateway detects later: it suspects itself first and has no other member that could probe for it.
 		if h.componentSize(current.Gateway, since, current.At) == 1 {
 			if since = current.At - isolatedDetectionTime; since < 0 || !h.ranThroughout(current.Gateway, since, current.At) {
 				return
--- a/internal/lab/membershipcheck/rules_test.go
+++ b/internal/lab/membershipcheck/rules_test.go
@@ -238,8 +238,8 @@
 	h.observations = slices.DeleteFunc(h.observations, func(l Observation) bool { return l.PID == pid && l.At >= from })
 }
 
-// partition cuts two gateways off from the other three and adjusts the observations. If lying is true, the two report a
-// majority.
+// partition cuts two gateways off from the other three and adjusts the observations. If lying is true, the
+// two report a majority.
 func partition(h *History, lying bool) {
 	few, many := []int{3, 4}, []int{0, 1, 2}
 	setCut(h, few, many, 3*second, true)
--- a/internal/lab/membershipsim/heartbeats.go
+++ b/internal/lab/membershipsim/heartbeats.go
@@ -34,13 +34,14 @@
 	intervals    []float64 // in seconds, the most recent ones
 }
 
-// Parameters of the baseline: as many heartbeats per second as membership sends probes, and the usual threshold.
+// Parameters of the baseline: a node sends each peer as many heartbeats per second as a node of the membership protocol
+// sends probes, and phiThreshold is the usual one.
 const (
 	heartbeatInterval = 400 * time.Millisecond
 	phiThreshold      = 8.0
 	intervalWindow    = 20
 	minDeviation      = 0.1 // minimum standard deviation in seconds
-	firstInterval     = 0.4 // mean in seconds until the first interval is known
+	firstInterval     = 0.4 // mean assumed until the first interval is measured, in seconds
 )
 
 // NewHeartbeats returns a node of the baseline protocol that knows the seed peers.
--- a/internal/lab/scale/full.go
+++ b/internal/lab/scale/full.go
@@ -23,7 +23,7 @@
 const gatewayDemand = 250
 
 // fullGateway holds the endpoint list, the division of the endpoints and the settings of a gateway, in addition to
-// its membership view. Its processor time is counted separately.
+// its membership view. The processor time that these three take is counted separately from that of the view.
 type fullGateway struct {
 	index      int
 	endpoints  *discovery.Endpoints
