--- a/internal/lab/configsim/invariants.go
+++ b/internal/lab/configsim/invariants.go
@@ -12,16 +12,16 @@
 	"thymebend/internal/configdist/content"
 )
 
-// Prefixes of the body of a faulty route, which makes gateways reject a configuration or fail with it. The percentage
-// of the gateways that do so follows the prefix.
+// Prefixes of the body of a faulty route. With rejectPrefix, gateways reject a configuration that has the route; with
+// failPrefix, they install it and then fail. The percentage of the gateways affected follows the prefix.
 const (
 	rejectPrefix = "refused-by="
 	failPrefix   = "fails-at="
 )
 
-// stopPropagation is how long after the commit of a stop a gateway may still install the version. It covers the
-// longest time for which a control machine assumes that it has a quorum or an agent that its session is valid, the
-// delay of a frame, and an installation.
+// stopPropagation is how long after the commit of a rollout's stop a gateway may still install the rollout's version.
+// It covers the longest time for which a control machine still assumes that it has a quorum, or an agent that its
+// session is valid, plus the delay of a frame and the duration of an installation.
 const stopPropagation = 5 * time.Second
 
 // rejectionError returns the error with which a gateway rejects a configuration, or nil.
@@ -75,7 +75,7 @@
 type committed struct {
 	ref       content.Ref
 	tree      *content.Tree
-	at        time.Duration // when a control machine first showed it
+	at        time.Duration // when a control machine first showed it as committed
 	canaries  map[string]bool
 	zones     map[string]bool
 	all       bool          // offered to all gateways
--- a/internal/lab/configsim/publisher.go
+++ b/internal/lab/configsim/publisher.go
@@ -21,7 +21,7 @@
 	cluster     *Cluster
 	changes     []content.Change
 	id          uint64
-	nextControl int // control machine that is tried next, modulo their number
+	nextControl int // control machine that is tried next, modulo the number of control machines
 	done        func(ref content.Ref, err error)
 	ended       bool
 }
--- a/internal/lab/drill/excuses.go
+++ b/internal/lab/drill/excuses.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// connectionRefused records that a relay accepted a connection although its target was not listening. The machine
-// of a dead process would have refused the connection.
+// connectionRefused records that a relay accepted a connection although its target was not listening. Without
+// the relay, the machine of the ended process would have refused the connection.
 func (r *rig) connectionRefused(from, to string) {
 	if g, ok := r.index[to]; ok && from == experiment.NodeClients {
 		r.mu.Lock()
--- a/internal/lab/drill/network.go
+++ b/internal/lab/drill/network.go
@@ -85,7 +85,8 @@
 	return l
 }
 
-// effectiveCondition applies the active faults to the base condition of a path. Later faults override earlier ones.
+// effectiveCondition applies the active faults to the base condition of a path. A fault that started
+// later overrides an earlier one.
 func (n *network) effectiveCondition(from, to string) condition {
 	c := condition{Path: n.base}
 	for _, f := range n.activeFaults {
--- a/internal/lab/membershipcheck/rules_liveness.go
+++ b/internal/lab/membershipcheck/rules_liveness.go
@@ -49,7 +49,7 @@
 		if since < 0 || !h.ranThroughout(current.Gateway, since, current.At) {
 			return
 		}
-		// An isolated gateway detects later: it suspects itself first and has no other member that could probe for it.
+		// An isolated gateway detects later: it suspects itself first, and no other member can probe for it.
 		if h.componentSize(current.Gateway, since, current.At) == 1 {
 			if since = current.At - isolatedDetectionTime; since < 0 || !h.ranThroughout(current.Gateway, since, current.At) {
 				return
--- a/internal/lab/membershipsim/heartbeats.go
+++ b/internal/lab/membershipsim/heartbeats.go
@@ -34,8 +34,8 @@
 	intervals    []float64 // in seconds, the most recent ones
 }
 
-// Parameters of the baseline: a node sends each peer as many heartbeats per second as a node of the membership protocol
-// sends probes, and phiThreshold is the usual one.
+// Parameters of the baseline: a node sends each peer as many heartbeats per second as a node of the membership
+// protocol sends probes, and phiThreshold is the usual one.
 const (
 	heartbeatInterval = 400 * time.Millisecond
 	phiThreshold      = 8.0
@@ -77,8 +77,8 @@
 	}
 }
 
-// phi returns the negative decimal logarithm of the probability that a heartbeat arrives after a silence as long as
-// the present one.
+// phi returns the negative decimal logarithm of the probability that a heartbeat still arrives after the time for
+// which none has now arrived from the peer.
 func (p *peer) phi(now time.Duration) float64 {
 	mean, deviation := firstInterval, minDeviation
 	if n := len(p.intervals); n > 0 {
--- a/internal/lab/membershipsim/measure.go
+++ b/internal/lab/membershipsim/measure.go
@@ -27,7 +27,7 @@
 	Stalls          bool
 	Crash           []time.Duration // for each crash, the time until all other nodes consider the node gone
 	Join            []time.Duration // for each join, the time until all nodes consider the new node alive
-	Heal            time.Duration   // time to converge after a partition into halves of 60 s; 0 if there was none
+	Heal            time.Duration   // time to converge after a 60 s partition into halves; 0 if there was none
 	FalseSuspicions int             // suspicions of running nodes in the quiet period
 	// FalseRemovals counts the nodes that have a process but that another node considers gone. It is the sum over all
 	// checks in the quiet period.
--- a/internal/lab/scale/changes.go
+++ b/internal/lab/scale/changes.go
@@ -24,7 +24,8 @@
 }
 
 // startControl starts the control machines and submits the whole configuration to them, one proposal after another.
-// It waits until all proposals are stored, for storeTimeout at most, and for electionTimeout before and after.
+// It waits for electionTimeout, then until all proposals are stored or storeTimeout has passed, then for
+// electionTimeout again.
 func (r *run) startControl() {
 	for i := range r.rollouts.ControlMachines {
 		r.rollouts.StartControl(i)
