--- a/internal/lab/configsim/measure.go
+++ b/internal/lab/configsim/measure.go
@@ -13,7 +13,7 @@
 type change struct {
 	submitted, committed       time.Duration
 	number                     uint64
-	toHalf, to99Percent, toAll time.Duration // time from submission until in force at half, 99%, all; 0 before
+	toHalf, to99Percent, toAll time.Duration // from submission until in force at half, 99%, all; 0 until then
 }
 
 // measurement is one run of Measure.
@@ -25,8 +25,8 @@
 	startedAt []time.Duration // last start of each gateway's process
 }
 
-// Measure runs a cluster. All gateways start without a configuration and fetch the complete one, then one change is
-// followed alone, then the scenario's changes, restarts and failures happen within its length.
+// Measure runs a cluster in three phases. All gateways start without a configuration and fetch the complete one. Then
+// one change alone is followed. Then the scenario's changes, restarts and failures happen within scenario.Duration.
 func Measure(scenario Scenario) Figures {
 	m := &measurement{scenario: scenario, rng: rand.New(rand.NewPCG(scenario.Seed, 0x3ea5)),
 		startedAt: make([]time.Duration, scenario.Gateways)}
@@ -188,7 +188,8 @@
 	return list
 }
 
-// rates are in bytes per second: mean and maximum of the gateways, then of the control machines.
+// rates are in bytes per second: the mean and maximum of what gateways sent and received, and of what control
+// machines sent.
 type rates struct{ mean, max, control, controlMax float64 }
 
 // rate returns the rates since an earlier result of traffic, over a duration.
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -54,7 +54,7 @@
 			continue
 		}
 		at := o.At.Seconds()
-		if at-last > 5*viewInterval.Seconds() { // it did not answer, so its view of that time is unknown
+		if at-last > 5*viewInterval.Seconds() { // the gateway answered no poll, so its view of that time is unknown
 			clear(open)
 		}
 		last = at
@@ -178,7 +178,7 @@
 		}
 		for _, f := range membershipcheck.Check(r.history) {
 			if r.now()-f.At < findingDelay {
-				continue // the matching event may not be recorded yet: the next check decides
+				continue // the event that justifies it may not be recorded yet: the next check decides
 			}
 			if key := [2]string{f.Rule, f.ID}; !reported[key] {
 				reported[key] = true
@@ -191,8 +191,8 @@
 	}
 }
 
-// recordedFindings returns the findings recorded during the run, plus violations from the logs of gateways without
-// a recorded one.
+// recordedFindings returns the findings recorded during the run. For each gateway without a recorded
+// ViolationSuppressed, it adds the violations in that gateway's log.
 func (r *rig) recordedFindings() []requestrecord.Finding {
 	r.mu.Lock()
 	found := slices.Clone(r.findings)
--- a/internal/lab/scale/knowledge.go
+++ b/internal/lab/scale/knowledge.go
@@ -29,8 +29,8 @@
 // until then.
 type milestones struct{ half, p99, all time.Duration }
 
-// record sets the milestones that are reached when reached of the eligible gateways have the event after took, and
-// reports whether all of them have had it.
+// record updates the milestones of an event: at the duration took after it, the event has reached the number reached
+// of the eligible gateways. It returns true once the event has reached all of them.
 func (m *milestones) record(reached, eligible int, took time.Duration) bool {
 	if m.half == 0 && 2*reached >= eligible {
 		m.half = took
@@ -68,8 +68,8 @@
 	eventAt time.Duration // time of the event
 }
 
-// knows reports whether a gateway knows of the event. m is its record of the subject, known whether it has a
-// record, and started the start number of the subject's process.
+// knows reports whether a gateway knows of the event. m is that gateway's record of the subject, known is true if
+// the gateway has such a record, and started is the start number of the subject's process.
 func (w *watch) knows(m membership.Member, known bool, started uint64) bool {
 	if w.joined {
 		return known && m.State == gossipcodec.Alive && m.Start >= started
