--- a/internal/lab/hostmodel/faults.go
+++ b/internal/lab/hostmodel/faults.go
@@ -26,8 +26,8 @@
 	h.pauseEnd = max(h.pauseEnd, now+length)
 }
 
-// SetNeighbour starts another program on the machine, which is active from now on; a zero share removes it.
-// Without both an On and an Off time it is active all the time.
+// SetNeighbour starts another program on the machine, which is active from now on; a zero share removes the
+// program. If MeanActive or MeanIdle is 0, the program is active all the time.
 func (h *Host) SetNeighbour(now time.Duration, n Neighbour) {
 	h.advanceTo(now)
 	h.spec.Neighbour, h.neighbourShare, h.neighbourToggleAt, h.neighbourOn = n, n.Share, never, true
--- a/internal/lab/hostmodel/host.go
+++ b/internal/lab/hostmodel/host.go
@@ -16,11 +16,11 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// The kinds of replies.
+// The kinds of replies, by what happened to the request.
 const (
-	Served   Kind = iota // it was executed
-	Errored              // it was executed and failed
-	Rejected             // it was rejected and never executed
+	Served   Kind = iota // the host executed it
+	Errored              // the host executed it and it failed
+	Rejected             // the host rejected it and never executed it
 	Lost                 // the host was down, or crashed while it held the request
 )
 
@@ -81,12 +81,12 @@
 	workDone        float64 // work done since the start, in seconds on a core of speed 1
 	capacityShare   float64 // share of the full capacity, as of the last slow-start step
 	nextWarmStep    time.Duration
-	sentWindow      []sentWork // sent within the window of the crash budget
-	sentWindowWork  float64    // sum of sentWindow
-	peakBudgetShare float64    // largest share of the slow-start budget used
+	sentWindow      []sentWork // work sent within the last SlowStart.CrashWindow
+	sentWindowWork  float64    // sum of the work in sentWindow, in seconds
+	peakBudgetShare float64    // see PeakBudgetShare
 }
 
-// pauseState is when a host executes nothing.
+// pauseState describes when a host executes nothing.
 type pauseState struct {
 	nextPause, pauseEnd time.Duration
 	suspended           bool // executes nothing until it is resumed
@@ -102,8 +102,8 @@
 // reportState has a host's load reports.
 type reportState struct {
 	nextReport time.Duration
-	reports    []delayedReport // the first is the visible one
-	errors     []time.Duration // times of errors, for the rate in the next report
+	reports    []delayedReport // the first is the one that senders see now
+	errors     []time.Duration // times of Errored replies, for the error rate in the next report
 }
 
 // slowStartStep is the interval at which a host's capacity is recomputed during slow start.
@@ -153,8 +153,9 @@
 	return max(time.Millisecond, time.Duration(h.rand.ExpFloat64()*float64(mean)))
 }
 
-// Arrive passes a complete request to the host. Advance returns the reply under the returned token. A host that
-// is full, draining or without work for the class rejects the request at once; on a host that is down it is Lost.
+// Arrive passes a complete request to the host and returns a token; Advance returns the reply with the same token.
+// A host that is full, is draining or has no Work for the class rejects the request at once; on a host that is down
+// the request is Lost.
 func (h *Host) Arrive(now time.Duration, r Request) (token uint64) {
 	h.advanceTo(now)
 	h.lastToken++
@@ -190,7 +191,7 @@
 	}
 }
 
-// addReply adds the reply to an arrival and updates the record.
+// addReply adds the reply to a request that arrived, for Advance to return, and updates the record.
 func (h *Host) addReply(x *execution, k Kind) {
 	r := Reply{Token: x.token, ID: x.ID, Kind: k}
 	e := h.record.EntryOf(x.ID)
@@ -235,7 +236,7 @@
 	if x, _ := h.nextCompletion(); x < at {
 		at = x
 	}
-	if len(h.running) > 0 { // the rate may change before the completion
+	if len(h.running) > 0 { // the rate of execution may change before the next completion
 		at = min(at, h.nextChange())
 	}
 	return at, at != never
@@ -254,7 +255,8 @@
 	return at
 }
 
-// nextCompletion returns when the next execution ends if nothing changes, and the present rate of each execution.
+// nextCompletion returns when the next execution ends if nothing changes, and the present rate of each execution in
+// seconds of work per second.
 func (h *Host) nextCompletion() (time.Duration, float64) {
 	rate := h.rate()
 	if rate <= 0 {
@@ -347,7 +349,7 @@
 	}
 }
 
-// dropReplacedReports drops the reports that are replaced by a newer one at now.
+// dropReplacedReports drops the reports that a newer visible report has replaced by the time now.
 func (h *Host) dropReplacedReports(now time.Duration) {
 	for len(h.reports) > 1 && h.reports[1].visibleAt <= now {
 		h.reports = h.reports[1:]
@@ -359,8 +361,8 @@
 	return max(0, float64(n)*(1+h.spec.Report.Noise*h.rand.NormFloat64()))
 }
 
-// Connected counts a new connection, whose handshake work is added to the running requests; ok is false if the
-// table of connections is full or the host is down.
+// Connected counts a new connection and adds the work of its handshake to the work of the running requests. ok is
+// false if the table of connections is full or the host is down.
 func (h *Host) Connected(now time.Duration) (ok bool) {
 	h.advanceTo(now)
 	if h.down || h.spec.MaxConns > 0 && h.conns >= h.spec.MaxConns {
@@ -395,7 +397,8 @@
 // Down reports whether the host has crashed.
 func (h *Host) Down() bool { return h.down }
 
-// PeakBudgetShare returns the largest share of its slow-start budget that the host was sent; over 1 it has crashed.
+// PeakBudgetShare returns the largest amount of work that was sent to the host within the crash window during slow
+// start, as a share of the budget at that time. At more than 1 the host has crashed.
 func (h *Host) PeakBudgetShare() float64 { return h.peakBudgetShare }
 
 // Spec returns the host's description, with the changes made to it since the start.
--- a/internal/lab/hostmodel/rate.go
+++ b/internal/lab/hostmodel/rate.go
@@ -41,8 +41,9 @@
 // requestsPerCore returns the number of requests held per core.
 func (h *Host) requestsPerCore() float64 { return float64(h.InFlight()) / float64(h.spec.Cores) }
 
-// chargeSlowStartBudget counts the work sent to a host in slow start, and crashes the host if the work within the
-// window exceeds its budget. It counts the class's mean work and not the drawn work, which no sender can know.
+// chargeSlowStartBudget counts the work of one request sent to a host in slow start, and crashes the host if the work
+// sent within SlowStart.CrashWindow exceeds the budget: present capacity times CrashWindow times CrashMultiple. work
+// is the mean work of the request's class and not the drawn work, which no sender can know.
 func (h *Host) chargeSlowStartBudget(work float64) {
 	c := h.spec.SlowStart
 	if !h.inSlowStart || h.down || c.CrashMultiple <= 0 || c.CrashWindow <= 0 || h.capacityShare >= 1 {
@@ -56,7 +57,8 @@
 	h.sentWindowWork += work
 	budget := h.Capacity() * c.CrashWindow.Seconds() * c.CrashMultiple
 	h.peakBudgetShare = max(h.peakBudgetShare, (h.sentWindowWork-work)/budget)
-	// The request that exceeds the budget does not yet crash the host, as tolerance for chance.
+	// The present request is not counted here, as tolerance for chance: the first request over the budget does not
+	// crash the host, only a further one does.
 	if h.sentWindowWork-work > budget*(1+1e-9) { // tolerance for rounding in sums of many small numbers
 		h.crash()
 	}
--- a/internal/lab/hostmodel/spec.go
+++ b/internal/lab/hostmodel/spec.go
@@ -7,13 +7,13 @@
 	Name  string
 	Site  string
 	Kind  string
-	Cores int     // requests that run at full speed at the same time
-	Speed float64 // of a core, in seconds of work per second
-	Slots int     // requests executed at the same time, on all cores together
-	Queue int     // requests that wait for a slot; further ones are rejected
+	Cores int     // number of requests that can run at full speed at the same time
+	Speed float64 // speed of a core, in seconds of work per second
+	Slots int     // most requests executed at the same time, on all cores together
+	Queue int     // most requests that wait for a slot; further ones are rejected
 
 	ThrashThreshold float64 // requests held per core above which efficiency falls
-	ThrashFactor    float64 // loss per further request and core: the rate is divided by 1 + this value·excess
+	ThrashFactor    float64 // the speed is divided by 1 + this value·(requests held per core - ThrashThreshold)
 
 	SlowStart SlowStart
 	Pause     Pause
@@ -29,14 +29,14 @@
 	Work   map[string]Work // by class; requests of other classes are rejected
 }
 
-// SlowStart is the slow start of a host: its reduced capacity after its start, and the load at which it crashes
-// meanwhile.
+// SlowStart is the slow start of a host: its reduced capacity after its start, and the load at which it crashes while
+// its capacity is reduced.
 type SlowStart struct {
 	InitialShare float64       // share of the capacity at the start; 0 or 1 mean no slow start
 	Duration     time.Duration // the host reaches its full capacity after this time at the latest
-	ByWork       bool          // progress by work done counts as well: half of the work possible in that time is enough
-	// CrashMultiple is the multiple of its present capacity that the host can be sent within the window; beyond it
-	// the host crashes permanently. 0 means that it never crashes.
+	ByWork       bool          // capacity grows with work done too; half of Duration at full speed is enough
+	// CrashMultiple limits the work sent to the host within CrashWindow to this multiple of what its present capacity
+	// can do in CrashWindow. On more the host crashes permanently. 0 means that it never crashes.
 	CrashMultiple float64
 	CrashWindow   time.Duration // window in which the work sent is summed
 }
@@ -45,7 +45,7 @@
 type Pause struct {
 	MeanInterval     time.Duration // mean interval, exponentially distributed; 0 means no pauses
 	MeanDuration     time.Duration // mean length, exponentially distributed
-	GrowthPerRequest float64       // relative growth of the length per request held and core
+	GrowthPerRequest float64       // relative growth of the pause's length for each request held per core
 }
 
 // Neighbour is another program that uses a share of the machine from time to time.
@@ -56,8 +56,8 @@
 
 // Report describes how the host reports its load.
 type Report struct {
-	MinInterval, MaxInterval time.Duration // bounds of the random interval between refreshes; an upper bound of 0 means no reports
-	Delay                    time.Duration // a refreshed report becomes visible after this time
+	MinInterval, MaxInterval time.Duration // bounds of the random time between refreshes; MaxInterval 0: no reports
+	Delay                    time.Duration // a refreshed report becomes visible to senders after this time
 	Noise                    float64       // relative standard deviation of the reported values
 }
 
--- a/internal/lab/load/attempt.go
+++ b/internal/lab/load/attempt.go
@@ -17,7 +17,7 @@
 type attemptResult struct {
 	outcome    Outcome
 	retryAfter time.Duration // from the response's Retry-After field; 0 if there was none
-	endedAt    time.Duration // time of the run; 0 if the attempt ended before a request was written
+	endedAt    time.Duration // since the start of the run; 0 if the attempt ended before it was written
 	answered   bool          // a whole response was read before the client timeout
 	cause      string        // why there was no good response; empty for Outcome OK
 }
@@ -106,8 +106,8 @@
 }
 
 // handleResponse records a response, or the connection's end in place of a response, and returns the attempt's
-// result. It returns the connection to the target's pool, or closes it after an error, on the server's request or
-// after the permitted number of requests.
+// result. It puts the connection back into the target's pool, or closes the connection after an error, on the
+// server's request or after Clients.RequestsPerConn requests.
 func (g *generator) handleResponse(conn *clientConn, t *target, id string, resp response,
 	deadline time.Duration) attemptResult {
 	if resp.err != nil {
@@ -157,8 +157,8 @@
 }
 
 // connTo returns a connection to a target: an idle one from the pool, or a new one if there is none or fresh is
-// set. reused reports whether it is from the pool. The error is errNoDescriptor if this process has no descriptor
-// or port left; a failed dial is reported to the Front.
+// set. reused reports whether the connection is from the pool. The error is errNoDescriptor if this process has no
+// file descriptor or port left; connTo reports a failed dial to the Front.
 func (g *generator) connTo(ctx context.Context, t *target, timeout time.Duration, fresh bool) (conn *clientConn,
 	reused bool, err error) {
 	if !fresh {
@@ -184,7 +184,7 @@
 }
 
 // write writes a whole request to a connection. The body of a request with slowBody set is written in five pieces
-// over the time that Clients gives for it.
+// over the time Clients.SlowDuration.
 func (g *generator) write(conn *clientConn, id string, c *Class, r *request, number int,
 	clientTimeout time.Duration) error {
 	method, path := "GET", "/"+c.Name+"/item"
--- a/internal/lab/load/front.go
+++ b/internal/lab/load/front.go
@@ -30,7 +30,7 @@
 type target struct {
 	addr         string
 	removed      bool          // receives no requests until its health check succeeds
-	failingSince time.Duration // time of the first failed connect since the last success; 0 while connects succeed
+	failingSince time.Duration // run time of the first failed connect since the last success; 0 while connects succeed
 	pool         pool
 }
 
@@ -38,7 +38,7 @@
 const healthProbeInterval = 100 * time.Millisecond
 
 // NewFront returns a Front for the targets at addrs. It removes a target whose connects have failed for
-// detectionDelay. now returns the time of the run.
+// detectionDelay. now returns the time since the start of the run.
 func NewFront(addrs []string, detectionDelay time.Duration, now func() time.Duration) *Front {
 	f := &Front{detectionDelay: detectionDelay, now: now}
 	for _, a := range addrs {
@@ -47,8 +47,9 @@
 	return f
 }
 
-// pick returns the next target in round-robin order that is not removed, after the share of the preferred
-// targets. If all targets are removed, pick continues as if none were.
+// pick returns the target of the next request. If the preferred targets are due a request, it is the next of them;
+// otherwise, or if that one is removed, it is the next target of all in round-robin order that is not removed. If
+// all targets are removed, pick returns a removed one.
 func (f *Front) pick() *target {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/lab/load/generator.go
+++ b/internal/lab/load/generator.go
@@ -14,10 +14,10 @@
 )
 
 // responseGrace is how long a client keeps waiting after its client timeout, to distinguish a late response from
-// none. The rules on sockets allow the same tolerance for every time limit.
+// none. The laboratory's rules allow the same tolerance for every time limit that is measured on sockets.
 const responseGrace = 50 * time.Millisecond
 
-// reservedDescriptors is the number of file descriptors kept free for everything but client connections.
+// reservedDescriptors is the number of file descriptors that client connections must leave free for other uses.
 const reservedDescriptors = 256
 
 // generator is the state of one run.
@@ -32,8 +32,8 @@
 	peakOpenConns atomic.Int64
 	inFlight      atomic.Int64
 	connects      atomic.Int64
-	// unsolicited has the id of the last request of each connection on which bytes arrived that no request
-	// expected.
+	// unsolicited has an id for each connection on which bytes arrived that no request expected: the id of the
+	// last request sent on the connection.
 	unsolicited struct {
 		sync.Mutex
 		ids []string
@@ -115,8 +115,8 @@
 	return silentConns
 }
 
-// trackConn starts the reader of a connection that openConns already counts, and updates the counters of connects
-// and of the peak of open connections.
+// trackConn starts the reader of a new connection. It counts the connect and updates the peak of open connections;
+// the caller has already added the connection to openConns.
 func (g *generator) trackConn(c net.Conn) *clientConn {
 	g.connects.Add(1)
 	for n := g.openConns.Load(); ; {
@@ -164,7 +164,7 @@
 	}
 }
 
-// request is an arrival of the schedule with its number in the run and its own source of random numbers.
+// request is an Arrival of the schedule with its number in the run and its own source of random numbers.
 type request struct {
 	Arrival
 	number   int
--- a/internal/lab/load/link.go
+++ b/internal/lab/load/link.go
@@ -56,7 +56,7 @@
 	status     int
 	body       []byte
 	retryAfter time.Duration // from the Retry-After field; 0 if there was none
-	close      bool          // the connection ends after this response
+	close      bool          // the server closes the connection after this response
 	err        error
 	unread     bool          // the peer closed the connection before it read the request, see closedUnread
 	receivedAt time.Duration // time of the run
@@ -66,14 +66,14 @@
 // connection and bytes that no request expects are noticed at once.
 type clientConn struct {
 	net.Conn
-	raw           net.Conn // the socket, without countedConn
+	raw           net.Conn // the socket itself, not wrapped in a countedConn
 	now           func() time.Duration
-	onUnsolicited func(id, text string) // called with lastID and the first bytes that no request expects
+	onUnsolicited func(id, text string) // called with lastID and the start of bytes that no request expects
 	mu            sync.Mutex            // guards waiter, lastID and closed
 	waiter        chan response         // receives the expected response; nil if none is expected
 	lastID        string                // the id of the last request
 	closed        bool
-	served        int // requests that got a response on it
+	served        int // requests that got a response on this connection
 }
 
 // dial opens a TCP connection without keep-alive probes.
@@ -101,7 +101,7 @@
 
 func (c *countedConn) Close() error { c.once.Do(c.onClose); return c.Conn.Close() }
 
-// isClosed reports whether the connection has ended or carries no further request.
+// isClosed reports whether the connection has ended or must not be used for further requests.
 func (c *clientConn) isClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/load/options.go
+++ b/internal/lab/load/options.go
@@ -10,14 +10,14 @@
 
 // Clients describes the behaviour of the clients.
 type Clients struct {
-	Retries         float64       // maximum per request; 1.5 means one for half of the requests, two for the others
-	Backoff         string        // of the delay between retries: "fixed", or "exp" to double it after each retry
+	Retries         float64       // most retries per request; 1.5: one for half of the requests, two for the others
+	Backoff         string        // delay between retries: "fixed", or "exp" for a delay that doubles after each retry
 	RetryDelay      time.Duration // delay before the first retry
 	HonourShare     float64       // share of the clients that wait for as long as Retry-After requests
 	MaxRetryAfter   time.Duration // a client ends its retries on a Retry-After above this; 0 means no limit
-	MinTimeoutShare float64       // each client uses a random share of the client timeout, from this to 1; 0 means 1
+	MinTimeoutShare float64       // each request gets a random share, from this to 1, of the client timeout; 0 means 1
 	MarkRetries     bool          // retries are marked with X-Second-Try
-	Connections     int           // opened before the first request, distributed over the targets
+	Connections     int           // connections opened before the first request, distributed over the targets
 	RequestsPerConn int           // requests on one connection before it is closed; 0 means no limit
 	SlowShare       float64       // share of the unsafe requests whose body is written in pieces
 	SlowDuration    time.Duration // time over which the pieces of such a body are written
@@ -33,11 +33,11 @@
 	Clients        Clients
 	DetectionDelay time.Duration // the Front removes a target whose connects have failed for this long; at least 100 ms
 	Seed           uint64
-	IDPrefix       string                      // of the request ids; empty: made from Seed
+	IDPrefix       string                      // start of every request id; empty: made from Seed
 	Record         *requestrecord.ClientRecord // records each attempt; nil: Run makes one
-	Clock          func() time.Duration        // time of the run; nil: 0 at Run. The schedule starts when Run is called
+	Clock          func() time.Duration        // time since the start of the run; nil: counted from the call of Run
 	Progress       func(Progress)              // called about four times a second; may be nil
-	MaxOpenConns   int                         // 0, or over the descriptor limit: the limit less reservedDescriptors
+	MaxOpenConns   int                         // at most, and if 0: the descriptor limit less reservedDescriptors
 }
 
 // defaults replaces unset options by their default values.
--- a/internal/lab/load/record.go
+++ b/internal/lab/load/record.go
@@ -37,7 +37,7 @@
 	Sent        int `json:"sent"`       // requests whose first attempt was written whole to a connection
 	Answered    int `json:"answered"`   // requests whose last attempt got a whole response within the client timeout
 	OK          int `json:"ok"`         // 200 within the client timeout
-	InObjective int `json:"in_aim"`     // of OK, within the class's latency objective, measured from the due time
+	InObjective int `json:"in_aim"`     // part of OK: within the class's latency objective, measured from the due time
 	Refused     int `json:"refused"`    // 429 or 503
 	Failed      int `json:"failed"`     // any other status, a late response, or a failed connection
 	Unanswered  int `json:"unanswered"` // sent, and no response until the client timeout
@@ -94,14 +94,14 @@
 type Percentile struct {
 	Percentile float64 `json:"percentile"`
 	MS         float64 `json:"ms"`
-	Count      int64   `json:"count"` // of values up to this percentile
+	Count      int64   `json:"count"` // number of latencies up to this percentile
 }
 
 // recorder counts the outcomes and latencies of requests. Its methods may be called from several goroutines.
 type recorder struct {
 	mu       sync.Mutex
 	classes  []Class
-	byClass  []*hdrhistogram.Histogram // latencies by class
+	byClass  []*hdrhistogram.Histogram // latencies in µs by class
 	overall  *hdrhistogram.Histogram   // latencies of all classes
 	lateness *hdrhistogram.Histogram   // how late the generator started requests
 	seconds  [][]Second                // by class and second of the run
@@ -195,7 +195,7 @@
 	Weight             float64 `json:"worth"`
 	LatencyObjectiveMS float64 `json:"aim_ms"`
 	Counts
-	Goodput float64        `json:"goodput"` // in_aim divided by scheduled
+	Goodput float64        `json:"goodput"` // InObjective divided by Scheduled
 	Latency Latency        `json:"latency_ms"`
 	Curve   []Percentile   `json:"curve"`
 	Seconds []SecondResult `json:"seconds"`
@@ -205,10 +205,10 @@
 type Result struct {
 	Counts
 	GeneratorLateness Latency        `json:"self_late_ms"` // how late the generator started requests
-	Latency           Latency        `json:"latency_ms"`   // of OK and unanswered requests, from the due time to the end
+	Latency           Latency        `json:"latency_ms"`   // of OK and unanswered requests, from due time to end
 	FellBehind        bool           `json:"fell_behind"`
 	BehindReason      string         `json:"behind,omitempty"` // the reason for FellBehind; empty without it
-	Goodput           float64        `json:"goodput"`          // weight of in_aim requests / weight of scheduled ones
+	Goodput           float64        `json:"goodput"`          // weight of InObjective / weight of Scheduled
 	WorstWindow       float64        `json:"goodput_worst_10s"`
 	Attempts          int            `json:"tries"`
 	PeakOpenConns     int            `json:"most_open"` // most connections open at the same time
@@ -216,7 +216,7 @@
 	CPU               float64        `json:"cpu_cores"` // this process's processor time divided by the length of the run
 	Classes           []ClassResult  `json:"classes"`
 	Causes            map[string]int `json:"causes"` // number of requests by the reason why they had no good response
-	UnsolicitedIDs    []string       `json:"stray"`  // last request ids of connections with unexpected bytes
+	UnsolicitedIDs    []string       `json:"stray"`  // of the last request on each connection with unexpected bytes
 	StoppedEarly      bool           `json:"stopped_early"`
 }
 
--- a/internal/lab/load/schedule.go
+++ b/internal/lab/load/schedule.go
@@ -15,28 +15,29 @@
 	"time"
 )
 
-// Class is a class of requests.
+// Class is a class of requests. A cell, in the comment of Keyed, is a group of hosts that share a record of the keys
+// that they have executed, so that they drop repeats.
 type Class struct {
 	Name             string
-	Share            float64       // of the requests, relative to the sum of all classes' shares
+	Share            float64       // share of the requests, relative to the sum of all classes' shares
 	Unsafe           bool          // sent by POST; must not be executed twice
-	Keyed            bool          // sent by POST with an idempotency key; may be executed again within one cell only
-	Weight           float64       // weight of a request that is served within Aim, for the goodput
+	Keyed            bool          // sent by POST with an idempotency key; may run again in the same cell only
+	Weight           float64       // weight in the goodput of a request that is served within LatencyObjective
 	LatencyObjective time.Duration // latency objective, measured from the due time
 	ClientTimeout    time.Duration // client timeout
 	Body             int           // bytes of a POST's body
 }
 
-// Phase is a period of time with a request rate. For each field except For and Rate, the zero value means that
+// Phase is a period of time with a request rate. For each field except Duration and Rate, the zero value means that
 // the field does not apply.
 type Phase struct {
 	Duration time.Duration // length of the phase
-	Rate     float64       // requests per second at its start
-	EndRate  float64       // the rate changes linearly to this value until its end
-	Steps    int           // with To: the rate changes in this number of equal steps instead
+	Rate     float64       // requests per second at the start of the phase
+	EndRate  float64       // the rate changes linearly to this value until the end of the phase
+	Steps    int           // with EndRate: the rate changes in this number of equal steps instead
 
 	JumpFactor float64       // the rate is multiplied by this during the jump
-	JumpAt     time.Duration // start of the jump, after the start of the phase
+	JumpAt     time.Duration // start of the jump, counted from the start of the phase
 	JumpFor    time.Duration // length of the jump
 
 	RushClass  string  // a class whose rate grows exponentially until the end of the phase, as before a closing time
@@ -62,8 +63,8 @@
 	return nil
 }
 
-// rate returns the rate of all classes together, in requests per second, without the rush. at is the time since
-// the start of the phase.
+// rate returns the rate of all classes together, in requests per second, without the rush of RushClass. at is the
+// time since the start of the phase.
 func (p Phase) rate(at time.Duration) float64 {
 	r := p.Rate
 	if progress := at.Seconds() / p.Duration.Seconds(); p.EndRate > 0 {
@@ -79,8 +80,8 @@
 	return r
 }
 
-// weight returns the share of a class relative to the other classes, with the rush. at is the time since the
-// start of the phase.
+// weight returns the share of a class relative to the other classes, including the rush of RushClass. at is the
+// time since the start of the phase.
 func (p Phase) weight(c Class, at time.Duration) float64 {
 	if p.RushClass != c.Name {
 		return c.Share
@@ -94,7 +95,7 @@
 
 // Arrival is one request of a schedule.
 type Arrival struct {
-	At            time.Duration // due time, after the start of the run
+	At            time.Duration // due time, counted from the start of the run
 	Class         int           // index into the classes
 	ClientTimeout time.Duration // client timeout
 	Body          int           // bytes
@@ -112,7 +113,7 @@
 // phases is the Schedule that Phases returns.
 type phases struct {
 	classes     []Class
-	phases      []Phase // from the current one on
+	phases      []Phase // the current phase and those after it
 	rand        *rand.Rand
 	phaseStart  time.Duration // start of the current phase, after the start of the run
 	elapsed     time.Duration // time since phaseStart
--- a/internal/lab/registry/registry.go
+++ b/internal/lab/registry/registry.go
@@ -1,5 +1,6 @@
-// Package registry is the state of the discovery service without its sockets: the list of hosts with the versions
-// of its changes, and the notifications that each gateway has received. It does no I/O and has no clock.
+// Package registry is the state of the discovery service without its sockets: the list of hosts, and the
+// notifications that each gateway has received. Each change of the list has a version number, so that a client that
+// names the version of its list gets only the later changes. The package does no I/O and has no clock.
 package registry
 
 import (
@@ -22,7 +23,7 @@
 	Cell             int // the hosts of a cell share the keys of the requests that they have executed
 	State            string
 	StartedMS        int64             // start time, Unix time in milliseconds; 0 means long ago
-	Addresses        map[string]string // the address by gateway; it may differ between gateways
+	Addresses        map[string]string // the host's address by gateway; each gateway may be given a different one
 }
 
 // Notification records when a gateway was notified that a host drains or is removed.
@@ -31,10 +32,10 @@
 	State string        // Draining or Removed
 }
 
-// Registry is the list of hosts with the versions of its changes. It is not safe for concurrent use.
+// Registry is the list of hosts with the version of each change. It is not safe for concurrent use.
 type Registry struct {
 	version      int
-	historyStart int // changes up to this version are unknown
+	historyStart int // which hosts changed in versions up to this one is unknown
 	entries      map[string]Entry
 	order        []string                           // names of the hosts in the order in which they were added
 	changedIn    map[string]int                     // the version in which a host last changed
@@ -68,8 +69,8 @@
 	r.historyStart = r.version
 }
 
-// ResetVersions restarts the versions, as a discovery service that was rebuilt from nothing does: the current list becomes
-// version 1.
+// ResetVersions restarts the versions, as a discovery service that was rebuilt from nothing does: the current list
+// becomes version 1.
 func (r *Registry) ResetVersions() {
 	r.version, r.historyStart = 1, 0
 	for name := range r.changedIn {
@@ -93,7 +94,7 @@
 // Find returns a host's entry.
 func (r *Registry) Find(host string) (Entry, bool) { e, ok := r.entries[host]; return e, ok }
 
-// wireEntry is a host in discovery's format.
+// wireEntry is a host in the JSON format in which discovery sends it.
 type wireEntry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -105,13 +106,13 @@
 	Born   int64   `json:"born_ms"`
 }
 
-// Line returns the list for a gateway in discovery's format: the hosts that changed after a version, or the whole
-// list for version 0, for a version that does not exist and for one whose changes are unknown.
+// Line returns the list for a gateway in discovery's format: the hosts that changed after the version after. If after
+// is 0, does not exist yet or is so old that the later changes are unknown, Line returns the whole list.
 func (r *Registry) Line(gateway string, after int) []byte {
 	return r.line(gateway, r.changedAfter(after), r.wholeFor(after))
 }
 
-// ServingLine returns the whole list without draining hosts, as some registries answer a call.
+// ServingLine returns the whole list without draining hosts, as some discovery services answer a request for it.
 func (r *Registry) ServingLine(gateway string) []byte { return r.line(gateway, r.serving(), true) }
 
 // ChangedCount returns the number of hosts in the result of Line.
@@ -120,12 +121,12 @@
 // ServingCount returns the number of hosts in the result of ServingLine.
 func (r *Registry) ServingCount() int { return len(r.serving()) }
 
-// wholeFor reports whether a client with the version after gets the whole list.
+// wholeFor reports whether a client whose list has the version after gets the whole list and not only the changes.
 func (r *Registry) wholeFor(after int) bool {
 	return after <= 0 || after > r.version || after < r.historyStart
 }
 
-// changedAfter returns the hosts that a client with the version after gets.
+// changedAfter returns the hosts that are sent to a client whose list has the version after.
 func (r *Registry) changedAfter(after int) []Entry {
 	wholeList := r.wholeFor(after)
 	return r.entriesWhere(func(e Entry) bool {
@@ -168,8 +169,8 @@
 	return line
 }
 
-// RecordNotification records that a gateway was notified of the current list. For a host that drains or is removed, the first
-// notification counts.
+// RecordNotification records that a gateway was notified of the current list. For a host that drains or is removed,
+// the first notification counts.
 func (r *Registry) RecordNotification(gateway string, now time.Duration) {
 	notified := r.notified[gateway]
 	if notified == nil {
--- a/internal/lab/requestrecord/compare.go
+++ b/internal/lab/requestrecord/compare.go
@@ -9,7 +9,7 @@
 
 // Compare compares the clients' record with the hosts' records and returns a Finding for each broken rule, sorted
 // by time, rule and id. excused reports whether an unanswered attempt was lost for a reason that no rule forbids,
-// such as the kill of its gateway; it may be nil. crashed is the number of these attempts. The hosts' records
+// such as the kill of its gateway; excused may be nil. crashed is the number of excused attempts. The hosts' records
 // must not change during the call.
 func Compare(attempts []Attempt, hosts []*EndpointRecord, excused func(Attempt) bool) (found []Finding, crashed int) {
 	known := make(map[string]bool, len(attempts))
@@ -62,7 +62,7 @@
 	return r
 }
 
-// comparison checks one attempt against the hosts' records of it.
+// comparison checks one attempt against the hosts' records of the attempt.
 type comparison struct {
 	attempt    Attempt
 	executions executions
@@ -114,7 +114,7 @@
 // Excused reports whether the attempt was lost for a reason that no rule forbids: its gateway was killed while it
 // held the attempt, or the attempt was sent between stopGrace and 10 s after the gateway's SIGTERM. kills and
 // stops are the times of its gateway's kills and SIGTERMs. tolerance is the time by which a kill may be noticed
-// late or early.
+// late or early in the record.
 func (a Attempt) Excused(kills, stops []time.Duration, tolerance time.Duration) bool {
 	return slices.ContainsFunc(kills, func(k time.Duration) bool {
 		return a.Sent <= k+tolerance &&
--- a/internal/lab/requestrecord/record.go
+++ b/internal/lab/requestrecord/record.go
@@ -21,18 +21,18 @@
 	Number  int           // 0 for the first attempt
 	Class   string        // the class's name
 	Unsafe  bool          // must not be executed more than once
-	Keyed   bool          // must not be executed in more than one cell; hosts of a cell drop repeats
+	Keyed   bool          // must not be executed in more than one cell; the hosts of a cell share keys and drop repeats
 	Target  string        // the gateway's address
 	Body    int           // bytes
 	Due     time.Duration // when the request was due
 	// ClientTimeout is the client timeout, from the last byte of the request on.
 	ClientTimeout time.Duration
-	Sent          time.Duration // when its last byte was written, if it was written whole
-	Ended         time.Duration // when the client's record of it ended
+	Sent          time.Duration // when its last byte was written; valid if FullyWritten
+	Ended         time.Duration // when the client stopped waiting for a response to it
 	FullyWritten  bool          // its last byte was written to an accepted connection
-	Answers       int           // number of whole responses
-	Status        int           // of the first response; 0 if there was none
-	Hash          uint64        // of the first response's body, see the function Hash
+	Answers       int           // number of whole responses that the client received
+	Status        int           // HTTP status of the first response; 0 if there was none
+	Hash          uint64        // hash of the first response's body, by the function Hash
 	TimedOut      bool          // the client timeout passed without a response
 	Cause         string        // why it had no good response, in words
 }
@@ -86,7 +86,7 @@
 	Started  int      // executions started
 	Ended    int      // executions completed
 	Rejected int      // arrivals rejected as never executed
-	Returned []uint64 // hashes of the bodies returned for it
+	Returned []uint64 // hashes of the bodies that the host returned for the id
 }
 
 // EndpointRecord is the record of one host. It has no lock: the host's model is used by one goroutine at a time.
@@ -125,12 +125,12 @@
 	Unanswered      = "unanswered"         // received whole by a running gateway, not answered within the client timeout
 	AnsweredTwice   = "answered twice"     // more than one response for an id
 	RanTwice        = "executed twice"     // an unsafe request was started more than once, on any hosts
-	ForeignBody     = "foreign body"       // served with a body that no host returned for it
+	ForeignBody     = "foreign body"       // the client got 200 with a body that no host returned for the id
 	RefusedAfterRun = "refused after run"  // 429 or 503 for an unsafe request that a host started
 	InventedID      = "invented id"        // a host received an id that no client sent
-	SentAfterDrain  = "sent after drain"   // a host received a request too long after its gateway was notified
-	ColdHostPushed  = "cold host pushed"   // a host in slow start was sent more than it survives
-	GatewayCrashed  = "gateway crashed"    // a gateway ended without a signal to stop
+	SentAfterDrain  = "sent after drain"   // a host got a request too long after its gateway was notified of its drain
+	ColdHostPushed  = "cold host pushed"   // a host in slow start was sent more work than it survives
+	GatewayCrashed  = "gateway crashed"    // a gateway process ended although it was not told to stop
 	OverMemory      = "memory over limit"  // a gateway's resident memory exceeded its limit
 	OverSockets     = "sockets over limit" // a gateway held more descriptors than its limit
 )
