--- a/internal/lab/experiment/check.go
+++ b/internal/lab/experiment/check.go
@@ -20,17 +20,17 @@
 type checker struct {
 	file                          *File
 	input                         *tomlfile.File
-	classes, kinds, hosts, faults []string // names defined so far: classes and hosts grow while the file is checked
+	classes, kinds, hosts, faults []string // defined names; classes, kinds and hosts are added during the check
 }
 
-// require adds a fault at the field path with the formatted text unless ok is true.
+// require adds a fault of the file, at the field that path names and with the formatted text, unless ok is true.
 func (c *checker) require(ok bool, path, format string, args ...any) {
 	if !ok {
 		c.input.AddFault(path, format, args...)
 	}
 }
 
-// checkGateways adds the faults of the name and of the gateways.
+// checkGateways adds the faults of the experiment's name and of the gateways.
 func (c *checker) checkGateways() {
 	f := c.file
 	c.require(f.Name != "" && !strings.ContainsAny(f.Name, " /\\"), "name", "must be one word")
@@ -160,7 +160,7 @@
 	c.input.AddFault(path+".do", "%s; known are %s", text, strings.Join(names, ", "))
 }
 
-// check adds all faults of the experiment that prevent its run to in.
+// check adds to in every fault of the experiment that prevents its run.
 func (f *File) check(in *tomlfile.File) {
 	c := &checker{file: f, input: in}
 	for _, fault := range emulation.Faults() {
--- a/internal/lab/experiment/defaults.go
+++ b/internal/lab/experiment/defaults.go
@@ -14,8 +14,8 @@
 	}
 }
 
-// applyDefaults fills in every field that the file omits. Where zero is a valid value it checks in whether the field
-// is present.
+// applyDefaults fills in every field that the file omits. For a field in which zero is a valid value, it looks up in
+// the parsed file in whether the field is present.
 func (f *File) applyDefaults(in *tomlfile.File) {
 	f.applyGatewayDefaults(in)
 	f.applyClientDefaults(in)
--- a/internal/lab/experiment/events.go
+++ b/internal/lab/experiment/events.go
@@ -51,8 +51,9 @@
 	}
 }
 
-// selectHosts returns the hosts that an event affects: the hosts that match its Host and Kind, as far as these are set.
-// If Count or Fraction is set, that number or share of them is drawn at random. Removed hosts are never selected.
+// selectHosts returns the hosts that an event affects: the hosts that match its Host and Kind, as far as these are
+// set. If Count or Fraction is set, that number or share of the matching hosts is drawn at random. Removed hosts are
+// never selected.
 func (w *World) selectHosts(e Event, rng *rand.Rand) []*managedHost {
 	var candidates []*managedHost
 	for _, m := range w.managedHosts() {
@@ -70,8 +71,8 @@
 	return candidates
 }
 
-// apply applies one event and returns when it has ended. Events of several hosts continue in goroutines of
-// w.eventsInProgress.
+// apply applies one event. An event of hosts continues after the return in one goroutine per host, which
+// w.eventsInProgress counts; for any other event, apply returns when the event has ended.
 func (w *World) apply(ctx context.Context, e Event, hosts []*managedHost) error {
 	switch e.Do {
 	case "gateway-kill", "gateway-restart", "gateway-reload", "discovery-move":
@@ -104,8 +105,8 @@
 	return nil
 }
 
-// applyFor calls do and, if the event has a duration, calls undo after it. Both are added to the run's marks with the
-// description. If ctx is done first, undo is not called.
+// applyFor calls do and, if the event has a duration, calls undo after it. The start and the end are added to the
+// run's marks with the description. If ctx is done before the end, undo is not called.
 func (w *World) applyFor(ctx context.Context, e Event, description string, do, undo func()) error {
 	w.addMark("%s", description)
 	do()
@@ -125,8 +126,8 @@
 	w.discovery.Put(entry)
 }
 
-// restore brings a host back at its address and lists it as newly started. It begins with slow start if its kind has
-// one.
+// restore starts a stopped host again at its addresses, and discovery lists it as newly started. The host begins with
+// slow start if its kind has one.
 func (w *World) restore(m *managedHost) error {
 	if err := m.SetMode(emulation.Up); err != nil {
 		return err
@@ -155,8 +156,8 @@
 	w.addMark("%s gone", m.Name)
 }
 
-// applyToGateways applies an event to the gateway with its number or, if that is -1, to all gateways one after
-// another.
+// applyToGateways applies an event to the gateway whose number is e.Gateway or, if e.Gateway is -1, to all gateways
+// one after another.
 func (w *World) applyToGateways(ctx context.Context, e Event) error {
 	gateways := w.gateways
 	if e.Gateway >= 0 && e.Gateway < len(gateways) {
@@ -202,7 +203,7 @@
 }
 
 // reload replaces a gateway's configuration file by one with a new discovery address and sends SIGHUP. For a faulty
-// event it writes half a file, which the gateway must reject; discovery's address then stays as it was.
+// reload it writes half a file, which the gateway must reject; the address of discovery then stays as it was.
 func (w *World) reload(e Event, g *gateway) error {
 	config, err := os.ReadFile(g.config)
 	if err != nil {
--- a/internal/lab/experiment/format.go
+++ b/internal/lab/experiment/format.go
@@ -45,7 +45,7 @@
 // Discovery configures how and when changes of the host list reach the gateways. With Pushed, lists come from an
 // agent next to each gateway, which sends nothing while discovery is down.
 type Discovery struct {
-	Lag    Duration `toml:"lag"` // delay of each change
+	Lag    Duration `toml:"lag"` // time until a change of the list becomes visible
 	Pushed bool     `toml:"pushed"`
 }
 
@@ -75,9 +75,9 @@
 	Name             string   `toml:"name"`
 	Share            float64  `toml:"share"`
 	Unsafe           bool     `toml:"unsafe"`
-	Keyed            bool     `toml:"keyed"`      // sent with an idempotency key; hosts of a cell drop a repeated key
+	Keyed            bool     `toml:"keyed"`      // sent with an idempotency key; hosts of a cell drop repeats
 	Window           Duration `toml:"window"`     // with Keyed: the time for which hosts remember a key
-	LateWeight       float64  `toml:"late_worth"` // share of the value earned after the latency objective, for the gateways
+	LateWeight       float64  `toml:"late_worth"` // gateway setting: share of Weight that a late response earns
 	Weight           float64  `toml:"worth"`
 	LatencyObjective Duration `toml:"aim"`
 	Timeout          Duration `toml:"patience"`
@@ -97,7 +97,7 @@
 	Kind          string   `toml:"kind"`
 	Count         int      `toml:"count"`
 	Site          string   `toml:"site"`
-	Cell          int      `toml:"cell"` // number of hosts that share a record of keys; 0 means all of the kind
+	Cell          int      `toml:"cell"` // number of hosts that share a record of executed keys; 0 means all hosts of the kind
 	Cores         int      `toml:"cores"`
 	Speed         float64  `toml:"speed"`
 	Slots         int      `toml:"slots"`
@@ -149,7 +149,7 @@
 	Kind     string   `toml:"kind"`  // selects the hosts of a kind; all hosts if Host and Kind are empty
 	Fraction float64  `toml:"part"`  // draws this share of the selected hosts; used if Count is 0
 	Count    int      `toml:"count"` // draws this number of the selected hosts
-	Every    Duration `toml:"every"` // pause between one host or gateway and the next
+	Every    Duration `toml:"every"` // time between one host or gateway and the next
 
 	Gateway int `toml:"gateway"` // number of the gateway, from 0; -1 means all, one after another
 
@@ -167,7 +167,7 @@
 // hostFields returns the fields that every event of hosts allows.
 func hostFields() []string { return []string{"host", "kind", "part", "count", "every"} }
 
-// eventFields returns every kind of event and the fields that it allows besides at and do.
+// eventFields returns, by kind of event, the fields that the kind allows besides at and do.
 func eventFields() map[string][]string {
 	hosts := func(extra ...string) []string { return append(hostFields(), extra...) }
 	return map[string][]string{
@@ -218,7 +218,7 @@
 	return f, nil
 }
 
-// Complete sets the defaults of all omitted fields, and adds every fault that prevents a run to input.
+// Complete sets the defaults of all omitted fields. It adds to input every fault that prevents a run.
 func (f *File) Complete(input *tomlfile.File) {
 	f.applyDefaults(input)
 	f.check(input)
--- a/internal/lab/experiment/gateways.go
+++ b/internal/lab/experiment/gateways.go
@@ -28,7 +28,7 @@
 	mu           sync.Mutex
 	process      *process // the serving process, which may have ended; nil before the first start
 	kills        []time.Duration
-	stops        []time.Duration // times of SIGTERM for a stop or restart, on the clock of the run, as kills are
+	stops        []time.Duration // times of SIGTERM for a stop or restart; stops and kills are on the clock of the run
 	starts       int
 	initialHosts []byte // host list for the next start; nil means the list of discovery at that time
 	series       gatewaySeries
@@ -37,7 +37,7 @@
 // process is one process of a gateway.
 type process struct {
 	cmd         *exec.Cmd
-	endExpected atomic.Bool // its end is not reported as a crash
+	endExpected atomic.Bool // set before a kill or stop, so that the end is not reported as a crash
 	ended       chan bool   // closed after the process has ended
 	err         error       // result of Wait; valid after ended is closed
 }
@@ -208,10 +208,11 @@
 	return p, nil
 }
 
-// current returns the serving process, which may have ended, or nil before the first start.
+// current returns the process that was started last to serve clients, which may have ended; nil before the first
+// start.
 func (g *gateway) current() *process { g.mu.Lock(); defer g.mu.Unlock(); return g.process }
 
-// kill ends a gateway with SIGKILL and records the time, which excuses the attempts that it was serving.
+// kill ends a gateway with SIGKILL and records the time, which excuses the attempts that the gateway was serving.
 func (w *World) kill(g *gateway) {
 	p := g.current()
 	if p == nil {
@@ -225,8 +226,8 @@
 	w.discovery.Forget(g.name)
 }
 
-// stop ends a gateway with SIGTERM, as a planned restart does, and records the time. If front is not nil, it stops
-// sending to the gateway frontLeaveDelay after the signal. An exit with an error is reported as a finding.
+// stop ends a gateway with SIGTERM, as a planned restart does, and records the time. If front is not nil, the front
+// stops sending to the gateway frontLeaveDelay after the signal. An exit with an error is reported as a finding.
 func (w *World) stop(g *gateway, front *load.Front) {
 	p := g.current()
 	if p == nil {
@@ -256,8 +257,8 @@
 	w.discovery.Forget(g.name)
 }
 
-// terminate sends SIGTERM, calls onSignal and waits for the end of the process. It kills a process that has not ended
-// killDelay after the longest client timeout, and then returns true.
+// terminate sends SIGTERM, calls onSignal and waits for the end of the process. If the process has not ended after
+// the longest client timeout plus killDelay, terminate kills it and returns true.
 func (w *World) terminate(p *process, onSignal func()) (killed bool) {
 	p.endExpected.Store(true)
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
--- a/internal/lab/experiment/hostevents.go
+++ b/internal/lab/experiment/hostevents.go
@@ -31,13 +31,13 @@
 	return err
 }
 
-// changeFor applies change to the host's model and, if the event has a duration, undo after it.
+// changeFor applies change to the host's model and, if the event has a duration, applies undo at its end.
 func (h hostEvent) changeFor(description string, change, undo func(now time.Duration, h *hostmodel.Host)) error {
 	return h.world.applyFor(h.ctx, h.event, h.host.Name+" "+description, func() { h.host.Do(change) },
 		func() { h.host.Do(undo) })
 }
 
-// down stops the host, removes it from the list and, if the event has a duration, restores it after that.
+// down stops the host, removes it from discovery's list and, if the event has a duration, restores it at its end.
 func (h hostEvent) down() error {
 	w, m, e := h.world, h.host, h.event
 	w.addMark("%s down", m.Name)
@@ -74,7 +74,7 @@
 	return err
 }
 
-// spoil makes a share of the host's responses faulty, for the duration of the event if it has one.
+// spoil makes a share of the host's responses faulty on the wire, for the duration of the event if it has one.
 func (h hostEvent) spoil() error {
 	e, fault := h.event, emulation.Fault(h.event.Fault)
 	description := fmt.Sprintf("%s: %.0f%% %s", h.host.Name, e.Share*100, fault)
--- a/internal/lab/experiment/rig.go
+++ b/internal/lab/experiment/rig.go
@@ -9,8 +9,8 @@
 	"thymebend/internal/lab/requestrecord"
 )
 
-// Rig controls the network between the processes of a run and observes their starts and ends. A run calls its methods
-// from several goroutines.
+// Rig controls the network between the processes of a run and observes their starts and ends. A drill has a rig;
+// other runs have none. A run calls the methods of its rig from several goroutines.
 type Rig interface {
 	// Path returns the address by which node from reaches node to, which listens at addr. Nodes are gateways,
 	// hosts, "discovery" and "clients".
@@ -27,7 +27,7 @@
 	// Started and Ended are called when a process of a gateway has started and when it has ended.
 	Started(gateway string, pid int)
 	Ended(gateway string, pid int)
-	// Excuses reports whether an unanswered attempt was lost because of a fault that the rig caused.
+	// Excuses reports whether the unanswered attempt t at a gateway was lost because of a fault that the rig caused.
 	Excuses(gateway string, t requestrecord.Attempt) bool
 }
 
@@ -45,8 +45,8 @@
 	NodeClients   = "clients"
 )
 
-// RunControl controls the gateways of a run, by their numbers, for the function of Options that runs concurrently with
-// the load. Each method returns when its operation is complete.
+// RunControl controls the gateways of a run, by their numbers. It is passed to Options.Concurrent, the function that
+// runs concurrently with the load. Each method returns when its operation is complete.
 type RunControl struct {
 	world *World
 	Began time.Duration // start of the load, on the clock of the run
@@ -74,7 +74,8 @@
 	return r.world.waitReady(ctx, g)
 }
 
-// ConcentrateTraffic makes clients send the given share of all requests to the given gateways, in addition to their usual turns.
+// ConcentrateTraffic makes clients send the given share of all requests to the given gateways, in addition to the
+// usual turns of these gateways.
 func (r *RunControl) ConcentrateTraffic(gateways []int, share float64) {
 	var addrs []string
 	for _, n := range gateways {
@@ -107,7 +108,7 @@
 }
 
 // Upgrade does a hot restart: it starts a second process of a gateway, waits until ready returns true for its pid,
-// which means that it serves clients, then ends the first process and waits for its end.
+// which means that the second process serves clients, then ends the first process and waits for its end.
 func (r *RunControl) Upgrade(ctx context.Context, n int, ready func(pid int) bool) error {
 	w, g := r.world, r.world.gateways[n]
 	predecessor := g.current()
@@ -133,9 +134,9 @@
 	return nil
 }
 
-// StartDuplicate starts a second process under a gateway's name that is independent of the first. It listens at another
-// address, which no client uses. The call waits until ready returns true for its pid; the returned function kills the
-// process.
+// StartDuplicate starts a second process under a gateway's name that is independent of the first. It listens at
+// another address, which no client uses. The call waits until ready returns true for its pid; the returned function
+// kills the process.
 func (r *RunControl) StartDuplicate(ctx context.Context, n int, ready func(pid int) bool) (end func(), err error) {
 	addr, err := r.world.rig.Listen(r.world.gateways[n].name)
 	if err != nil {
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -28,7 +28,7 @@
 	Started     time.Time               `json:"started"`
 	RulesHeld   bool                    `json:"rules_held"`
 	Rules       []RuleCount             `json:"rules"`
-	Findings    []requestrecord.Finding `json:"findings"` // the first maxFindings
+	Findings    []requestrecord.Finding `json:"findings"` // only the first maxFindings
 	LostByCrash int                     `json:"lost_by_crash"`
 	Load        load.Result             `json:"load"`
 	Limits      Gateways                `json:"limits"`
@@ -38,7 +38,7 @@
 	Work        HostWork                `json:"work"`
 }
 
-// HostWork is the sum of all hosts' records of attempts.
+// HostWork has the total numbers of arrivals, executions and rejections in the records of all hosts.
 type HostWork struct {
 	Arrivals           int     `json:"arrivals"`
 	Begun              int     `json:"begun"`
@@ -61,7 +61,7 @@
 	Dir        string // directory of configurations, logs and results; created if missing
 	Seed       uint64 // replaces the seed of the file if not 0
 	Progress   func(load.Progress)
-	Rig        Rig                                              // nil except in a drill
+	Rig        Rig                                              // controls the network, in a drill; nil in other runs
 	Concurrent func(ctx context.Context, run *RunControl) error // runs concurrently with the load; Run returns its error
 	Clock      emulation.Clock                                  // clock of the run; a new one if nil
 }
@@ -147,8 +147,8 @@
 	return targets
 }
 
-// runLoad runs the load, and concurrently with it the events of the file, the sampling and the function of the
-// options. It returns when the load and that function have ended.
+// runLoad runs the load and, concurrently with it, the events of the file, the sampling and o.Concurrent. It returns
+// when the load and o.Concurrent have ended.
 func (w *World) runLoad(ctx context.Context, o Options, loadStart time.Duration, options load.Options) (load.Result,
 	error) {
 	running, stop := context.WithCancel(ctx)
@@ -178,7 +178,7 @@
 	return result, nil
 }
 
-// complete closes the world, compares the records of clients and hosts, and fills in the rest of the result.
+// complete closes w, compares the records of clients and hosts, and fills in the rest of the result.
 func (w *World) complete(res *Result, clients *requestrecord.ClientRecord, loadStart time.Duration) error {
 	var findings []requestrecord.Finding
 	res.Hosts, res.Gateways, findings = w.collectResults()
--- a/internal/lab/experiment/sample.go
+++ b/internal/lab/experiment/sample.go
@@ -31,7 +31,7 @@
 	Kind     string       `json:"kind"`
 	Slots    int          `json:"slots"`
 	Queue    int          `json:"queue"`
-	ColdPeak float64      `json:"cold_peak"` // largest share sent of its slow-start budget; over 1 it crashed
+	ColdPeak float64      `json:"cold_peak"` // see hostmodel.Host.PeakBudgetShare; over 1 the host crashed
 	FellOver bool         `json:"fell_over"`
 	Probes   int          `json:"probes"`
 	Samples  []HostSample `json:"samples"`
@@ -62,7 +62,7 @@
 type gatewaySeries struct {
 	samples  []GatewaySample
 	pid      int
-	lastUsed time.Duration // processor time of the process at the last sample
+	lastUsed time.Duration // processor time that the process had used at the last sample
 	total    time.Duration
 	recent   []usage // the last cpuWindow + 1 samples of this process
 }
@@ -96,8 +96,8 @@
 	}
 }
 
-// sample reads the processor time, memory and open descriptors of the gateway's process from /proc. clock is the
-// present time of the run's clock, at the same time in seconds after the start of the load.
+// sample reads the processor time, memory and open descriptors of the gateway's process from /proc. clock and
+// at are the present time: on the clock of the run, and in seconds after the start of the load.
 func (g *gateway) sample(clock time.Duration, at float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/lab/experiment/settings.go
+++ b/internal/lab/experiment/settings.go
@@ -7,7 +7,7 @@
 	"thymebend/internal/lab/emulation"
 )
 
-// Settings returns the settings of the gateway with the given rank, in the format of the configuration file.
+// Settings returns the settings of the gateway with the given rank, in the format of its configuration file.
 func (f *File) Settings(rank int) map[string]any {
 	zones := f.zones()
 	mode, zone := "subscribe", 0
@@ -38,7 +38,8 @@
 	return zones
 }
 
-// classSettings returns the settings of the classes. Keyed classes may be retried only within a cell.
+// classSettings returns the settings of the classes. Requests of keyed classes may be retried only on hosts of the
+// same cell, which share a record of executed keys.
 func (f *File) classSettings() (classes []map[string]any) {
 	for _, c := range f.Classes {
 		repeatMode, group := "repeatable", "all"
@@ -57,9 +58,9 @@
 	return classes
 }
 
-// guaranteeSettings returns guarantees that are true for all hosts: the smallest capacity at the beginning of slow
-// start, the longest slow start, and the smallest overload that makes a host crash. If no host can crash that
-// overload is a multiple of 3.
+// guaranteeSettings returns the guarantees about hosts that the gateways may rely on. They are true for all hosts:
+// the smallest share of capacity at the beginning of slow start, the longest slow start, and the smallest overload
+// that makes a host crash, as a multiple of its capacity. If no host can crash, this multiple is 3.
 func (f *File) guaranteeSettings() map[string]any {
 	coldFraction, warmUp, crashMultiple, crashAfter := 1.0, time.Duration(0), 1.0, time.Second
 	for _, h := range f.Hosts {
--- a/internal/lab/experiment/tries.go
+++ b/internal/lab/experiment/tries.go
@@ -55,7 +55,7 @@
 }
 
 // Trace converts the attempts of the run in dir to a trace of requests, each at the due time of its first attempt,
-// and writes it to to. It returns the number of requests.
+// and writes the trace to the writer to. It returns the number of requests.
 func Trace(dir string, to io.Writer) (requests int, err error) {
 	path := filepath.Join(dir, attemptsFile)
 	file, err := os.Open(path)
--- a/internal/lab/experiment/world.go
+++ b/internal/lab/experiment/world.go
@@ -16,13 +16,13 @@
 
 // Time limits of the rules and of the run.
 const (
-	drainGrace      = 300 * time.Millisecond // the rule's 250 ms, and 50 ms as for every time limit on sockets
-	killDelay       = 700 * time.Millisecond // from SIGTERM plus the longest client timeout to SIGKILL
+	drainGrace      = 300 * time.Millisecond // the rule's 250 ms, and the 50 ms tolerance of every time limit on sockets
+	killDelay       = 700 * time.Millisecond // SIGKILL follows SIGTERM after the longest client timeout plus this
 	frontLeaveDelay = 300 * time.Millisecond // the front keeps sending to a gateway for this time after SIGTERM
 	readyTimeout    = 15 * time.Second       // for a gateway to become ready after its start
 )
 
-// World is a running test environment: emulated hosts, discovery and, in a run of Run, gateways.
+// World is a running test environment: emulated hosts, discovery and, if the function Run made it, gateways.
 type World struct {
 	File  *File
 	Clock emulation.Clock
@@ -40,7 +40,7 @@
 	seed             uint64
 	secondProcesses  []*process // processes of gateways that were started while another one served
 	program          string
-	rig              Rig            // nil except in a drill
+	rig              Rig            // controls the network, in a drill; nil in other runs
 	eventsInProgress sync.WaitGroup // goroutines of events
 }
 
@@ -61,8 +61,8 @@
 	Text string  `json:"text"`
 }
 
-// NewWorld starts the hosts and discovery, with an address of each for every gateway in gatewayNames. discoveryAddr
-// is the address at which discovery listens for each gateway; port 0 selects a free port.
+// NewWorld starts the hosts and discovery. Each listens at a separate address for every gateway in gatewayNames.
+// discoveryAddr is the address at which discovery listens for each gateway; port 0 selects a free port.
 func NewWorld(f *File, seed uint64, gatewayNames []string, discoveryAddr string) (*World, error) {
 	return newWorld(f, seed, gatewayNames, discoveryAddr, nil, emulation.NewClock())
 }
@@ -225,8 +225,8 @@
 // killTimeTolerance is the longest time between the recorded time of a kill and the kill itself.
 const killTimeTolerance = 20 * time.Millisecond
 
-// Close kills all gateways, closes all hosts and discovery, and returns the records of the hosts, which change no
-// more.
+// Close kills all gateways and closes all hosts and discovery. It returns the records of the hosts, which do not
+// change any more.
 func (w *World) Close() []*requestrecord.EndpointRecord {
 	for _, g := range w.gateways {
 		if p := g.current(); p != nil {
--- a/internal/lab/requestrecord/record.go
+++ b/internal/lab/requestrecord/record.go
@@ -28,7 +28,7 @@
 	// ClientTimeout is the client timeout, from the last byte of the request on.
 	ClientTimeout time.Duration
 	Sent          time.Duration // when its last byte was written; valid if FullyWritten
-	Ended         time.Duration // when the client stopped waiting for a response to it
+	Ended         time.Duration // when the attempt ended: response read, error, or given up
 	FullyWritten  bool          // its last byte was written to an accepted connection
 	Answers       int           // number of whole responses that the client received
 	Status        int           // HTTP status of the first response; 0 if there was none
