--- a/internal/lab/emulation/discovery.go
+++ b/internal/lab/emulation/discovery.go
@@ -16,7 +16,7 @@
 // Entry is a host as discovery lists it.
 type Entry = registry.Entry
 
-// Notification records when a gateway was notified that a host drains or is removed.
+// Notification records when discovery notified a gateway that a host drains or is removed.
 type Notification = registry.Notification
 
 // The states of a host in discovery's list.
@@ -29,12 +29,13 @@
 // heartbeatInterval is the interval of empty lines on a watch while nothing changes.
 const heartbeatInterval = 2 * time.Second
 
-// moveGracePeriod is how long connections to discovery's old address stay open after a move.
+// moveGracePeriod is how long connections to discovery's old address stay open after discovery moved to a new one.
 const moveGracePeriod = 1500 * time.Millisecond
 
-// Discovery emulates the discovery service: the list of hosts, watches with heartbeats, and its failures. Each
-// gateway connects to a separate listener, so that Discovery knows which gateway was notified of what. Its
-// methods may be called from several goroutines.
+// Discovery emulates the discovery service: the list of hosts, requests for it, watches, and failures of the service.
+// A call is a request that gets the whole list; a watch is a request whose response streams the changes of the list,
+// with heartbeats while there are none. Each gateway connects to a separate listener, so that Discovery knows which
+// gateway was notified of what. Its methods may be called from several goroutines.
 type Discovery struct {
 	clock Clock
 
@@ -44,7 +45,7 @@
 	down         bool
 	paused       bool // neither heartbeats nor changes are written to watches
 	// pushed means that each listener is that of an agent, to which discovery pushes the list. The agent answers
-	// with the last list that it received, and writes nothing to watches while discovery is down.
+	// gateways with the last list that it received, and writes nothing to watches while discovery is down.
 	pushed    bool
 	lag       time.Duration
 	unpushed  []Entry // with pushed: changes that no agent has received
@@ -61,7 +62,8 @@
 	conns map[net.Conn]bool
 }
 
-// NewDiscovery returns a Discovery with an empty list. A change becomes visible after the lag.
+// NewDiscovery returns a Discovery with an empty list. A change of the list becomes visible to gateways after the
+// lag.
 func NewDiscovery(clock Clock, lag time.Duration) *Discovery {
 	d := &Discovery{clock: clock, lag: lag, list: registry.New(), listeners: make(map[string]*gatewayListener)}
 	d.stateChanged = sync.NewCond(&d.mu)
@@ -217,10 +219,10 @@
 // PutNow adds or changes hosts at once, all in one version.
 func (d *Discovery) PutNow(entries ...Entry) { d.putAfter(0, entries) }
 
-// currentLag returns the lag of changes.
+// currentLag returns the time after which a change becomes visible.
 func (d *Discovery) currentLag() time.Duration { d.mu.Lock(); defer d.mu.Unlock(); return d.lag }
 
-// putAfter applies a change after lag, or keeps it in unpushed while it cannot be pushed to the agents.
+// putAfter applies a change after lag. While changes cannot be pushed to the agents, it keeps the change in unpushed.
 func (d *Discovery) putAfter(lag time.Duration, entries []Entry) {
 	if lag > 0 {
 		time.AfterFunc(lag, func() { d.putAfter(0, entries) })
@@ -235,8 +237,8 @@
 	d.put(entries)
 }
 
-// put changes the list. With pushed, each gateway counts as notified from then on, whether or not it reads the
-// change. d.mu must be held.
+// put changes the list. With pushed, each gateway counts as notified of the change at once, whether or not it reads
+// the change. d.mu must be held.
 func (d *Discovery) put(entries []Entry) {
 	d.list.Put(entries...)
 	if d.pushed {
@@ -247,7 +249,8 @@
 	d.stateChanged.Broadcast()
 }
 
-// LoseHistory sends every gateway the whole list again, as a discovery service that restarted without its history does.
+// LoseHistory sends every gateway the whole list again, as a discovery service that restarted without its history
+// does.
 func (d *Discovery) LoseHistory() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -258,7 +261,7 @@
 // SetPushed sets whether lists are pushed to an agent of each gateway. Call it at the start of a run.
 func (d *Discovery) SetPushed(on bool) { d.update(func() { d.pushed = on }) }
 
-// watchesPaused reports whether nothing is written to watches. d.mu must be held.
+// watchesPaused reports whether discovery at present writes nothing to watches. d.mu must be held.
 func (d *Discovery) watchesPaused() bool { return d.paused || d.pushed && d.down }
 
 // SetDown sets whether discovery is down: without pushed lists, calls then get 503 and watches end; with
@@ -307,7 +310,7 @@
 	return ""
 }
 
-// Calls returns the number of requests that discovery received.
+// Calls returns the number of requests, calls and watches, that discovery received.
 func (d *Discovery) Calls() int { d.mu.Lock(); defer d.mu.Unlock(); return d.calls }
 
 // Close closes all listeners and connections and waits for their goroutines.
--- a/internal/lab/emulation/faults.go
+++ b/internal/lab/emulation/faults.go
@@ -17,7 +17,7 @@
 		CloseIdle, HalfClose, NoLength}
 }
 
-// faultShare is the share of the responses, of one class or of all, that get a fault.
+// faultShare is the share of the responses that get a fault, among those of one class or of all classes.
 type faultShare struct {
 	share float64
 	class string
@@ -80,7 +80,7 @@
 	return true
 }
 
-// endless writes the start of a response, then pieces of its body until the peer closes the connection.
+// endless writes begin, the start of a response, then pieces of its body until the peer closes the connection.
 func endless(c net.Conn, begin []byte) bool {
 	if !writeAll(c, begin) {
 		return false
@@ -111,8 +111,8 @@
 	return data
 }
 
-// InjectFault gives a share of the responses the fault f: of one class or, with an empty class, of all. A share of 0
-// ends the fault.
+// InjectFault gives the fault f to a share of the responses of a class or, if class is empty, of all classes. A share
+// of 0 ends the fault.
 func (h *Host) InjectFault(f Fault, share float64, class string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/emulation/host.go
+++ b/internal/lab/emulation/host.go
@@ -52,10 +52,11 @@
 	NoLength    Fault = "no-length"    // no Content-Length: the end of the connection ends the response
 )
 
-// Fields has the names of the values in a host's load report: requests waiting, requests held, errors per second.
+// Fields has the names under which a host's load report gives its values: Queue for the requests waiting, InFlight
+// for the requests held, Errors for the errors per second.
 type Fields struct{ Queue, InFlight, Errors string }
 
-// DefaultFields returns the names that the gateway's settings use.
+// DefaultFields returns the names that the settings of the laboratory's gateways use.
 func DefaultFields() Fields {
 	return Fields{Queue: "pending", InFlight: "busy_reqs", Errors: "failed_ps"}
 }
@@ -68,8 +69,8 @@
 	endlessInterval = 10 * time.Millisecond
 )
 
-// ArrivalFunc is called with every request before the host's model gets it. via is the gateway, first is the time of
-// the request's first byte.
+// ArrivalFunc is called with every request before the host's model gets the request. via is the name of the gateway
+// that sent it, id is the request's id, and first is the time at which its first byte arrived.
 type ArrivalFunc func(host, via, id string, first time.Duration)
 
 // Host is an emulated host on sockets. Each gateway connects to a separate listener, so that the host knows which
@@ -108,7 +109,7 @@
 type conn struct {
 	net.Conn
 	gateway string
-	model   *hostmodel.Host // the model that counts the connection; a restart of the host makes a new model
+	model   *hostmodel.Host // the model that counts this connection; a restart of the host makes a new model
 }
 
 // Options are the settings of a Host.
@@ -118,7 +119,7 @@
 	OnArrival   ArrivalFunc   // may be nil
 	Seed        uint64
 	SlowStart   bool
-	Cell        int // hosts of the same cell drop repeats of each other's keyed requests
+	Cell        int // number of the cell; its hosts drop repeats of each other's keyed requests
 }
 
 // NewHost starts a host's model. The host listens only after Open.
@@ -179,7 +180,8 @@
 	}
 }
 
-// waitWhileSilent waits until the machine is reachable or the host is closed. h.mu must be held.
+// waitWhileSilent waits while the mode is Silent, until the machine is reachable again or the host is closed. h.mu
+// must be held.
 func (h *Host) waitWhileSilent() {
 	for h.mode == Silent && !h.closed {
 		h.modeChanged.Wait()
@@ -221,7 +223,7 @@
 }
 
 // handleRequest answers a request that was read whole, and reports whether the connection stays open. first is
-// the time of the request's first byte.
+// the time at which the request's first byte arrived.
 func (h *Host) handleRequest(c *conn, r *http.Request, first time.Duration) bool {
 	h.mu.Lock()
 	h.waitWhileSilent()
@@ -342,10 +344,10 @@
 	return ""
 }
 
-// Probes returns the number of requests for the host's health or load.
+// Probes returns the number of requests for its health or load that the host received.
 func (h *Host) Probes() int { h.mu.Lock(); defer h.mu.Unlock(); return h.probes }
 
-// Conns returns the number of open connections.
+// Conns returns the number of open connections from gateways.
 func (h *Host) Conns() int { h.mu.Lock(); defer h.mu.Unlock(); return len(h.conns) }
 
 // Close closes all listeners and connections, waits for their goroutines and returns the host's record, which
--- a/internal/lab/experiment/format.go
+++ b/internal/lab/experiment/format.go
@@ -97,7 +97,7 @@
 	Kind          string   `toml:"kind"`
 	Count         int      `toml:"count"`
 	Site          string   `toml:"site"`
-	Cell          int      `toml:"cell"` // number of hosts that share a record of executed keys; 0 means all hosts of the kind
+	Cell          int      `toml:"cell"` // number of hosts that share a record of executed keys; 0: all of the kind
 	Cores         int      `toml:"cores"`
 	Speed         float64  `toml:"speed"`
 	Slots         int      `toml:"slots"`
--- a/internal/lab/report/drill.go
+++ b/internal/lab/report/drill.go
@@ -18,8 +18,8 @@
 	"thymebend/internal/lab/experiment"
 )
 
-// WriteDrill writes the HTML page of a drill: the page of its run with a plot of each gateway's view of the cluster
-// inserted before the other plots.
+// WriteDrill writes the HTML page of a drill: the page of its run, with a plot of each gateway's view of the cluster
+// before the other plots. The view of a gateway is the state in which it sees each gateway over time.
 func WriteDrill(out io.Writer, r *drill.Result) error {
 	p, err := buildPage(r.Result)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return pageTemplate().Execute(out, p)
 }
 
-// stateColors returns the colour and the legend label of each state in which a gateway is seen.
+// stateColors returns the colour and the legend label of each state in which a gateway can see another.
 func stateColors() []struct {
 	state, label string
 	color        color.RGBA
@@ -54,7 +54,8 @@
 		{"twin", "itself, its name is used twice", color.RGBA{204, 121, 167, 255}}}
 }
 
-// viewPlot draws one row per gateway with the intervals of its states, and a dashed line at each event.
+// viewPlot draws one gateway's view: a row for each gateway that it sees, with the intervals of that gateway's
+// states, and a dashed line at each event.
 type viewPlot struct {
 	intervals []drill.StateSpan
 	rowCount  int
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// addLines adds the lines of the chart, interrupted where they have no value.
+// addLines adds the lines of the chart. A line is interrupted where its y is NaN.
 func (c chart) addLines(p *plot.Plot, _, _ float64) error {
 	colors := palette()
 	for i, l := range c.lines {
@@ -195,7 +195,7 @@
 	return head.String()
 }
 
-// splitAtGaps splits a line into segments at the points that have no value.
+// splitAtGaps splits a line into segments at the points whose y is NaN.
 func splitAtGaps(l line) (out []plotter.XYs) {
 	var segment plotter.XYs
 	for i := range l.xs {
@@ -214,7 +214,7 @@
 	return out
 }
 
-// eventLabels returns the number labels of the events, as in the list of events of the page. Of labels that would
+// eventLabels returns a label for each event: its number in the list of events of the page. Of labels that would
 // overlap only the first is shown. The result is nil if there are no events.
 func (c chart) eventLabels(top float64) *plotter.XYLabels {
 	if len(c.marks) == 0 {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -18,11 +18,11 @@
 // number.
 const maxHostPlots = 32
 
-// section is a heading of the page with a text and plots.
+// section is a part of the page: a heading, a text and plots.
 type section struct {
 	Title, Text string
 	Plots       []template.HTML
-	Small       bool // two plots in a row
+	Small       bool // plots are small, two side by side
 }
 
 // page is the data of the page template, which uses the names of its fields.
@@ -200,7 +200,7 @@
 	return svg
 }
 
-// valueOrNaN returns v, or NaN if it was computed from no values. A NaN is shown as a gap.
+// valueOrNaN returns v, or NaN if count, the number of values behind v, is 0. Charts show NaN as a gap.
 func valueOrNaN(v float64, count int) float64 {
 	if count == 0 {
 		return math.NaN()
@@ -232,7 +232,7 @@
 		l.xs = append(l.xs, 1/(1-b.Percentile/100))
 		l.ys = append(l.ys, b.MS)
 	}
-	if n := len(l.xs); n > 0 && c.Latency.Count > 0 { // extends the curve to the largest latency
+	if n := len(l.xs); n > 0 && c.Latency.Count > 0 { // extend the curve to the largest latency
 		l.xs = append(l.xs, max(l.xs[n-1], float64(c.Latency.Count)))
 		l.ys = append(l.ys, c.Latency.Max)
 	}
--- a/internal/lab/report/tables.go
+++ b/internal/lab/report/tables.go
@@ -9,8 +9,8 @@
 	"thymebend/internal/lab/load"
 )
 
-// figure defines one row of the table of figures: its name, its value over all classes, its value for one class,
-// which is nil if it has none, and the format of the values.
+// figure defines one row of the table of figures: its name, functions that return its value over all classes and for
+// one class, and the format of the values. class is nil if the figure has no value for single classes.
 type figure struct {
 	name   string
 	all    func(*experiment.Result) float64
@@ -92,7 +92,7 @@
 	return rows
 }
 
-// row is a row of a table of the page. Broken rows are highlighted.
+// row is a row of a table of the page. Broken marks a row about a broken rule, which the page highlights.
 type row struct {
 	Name   string
 	Cells  []string
