--- a/internal/lab/hostmodel/host_test.go
+++ b/internal/lab/hostmodel/host_test.go
@@ -134,8 +134,8 @@
 		t.Errorf("capacity %.3f after slow start, want 1", c)
 	}
 
-	// Three times a fifth of the capacity for a second is 600 ms of work: the host survives 60 requests and the
-	// 61st, which exceeds the budget; the 62nd crashes it.
+	// The budget is three times a fifth of the capacity for a second, 600 ms of work. The host survives 60 requests
+	// and the 61st, which exceeds the budget; the 62nd crashes the host.
 	h, _ = newTestHost(t, true, slowStart)
 	for i := range 61 {
 		h.Arrive(ms, Request{ID: fmt.Sprint(i), Class: "view"})
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -109,7 +109,7 @@
 			t.Errorf("%s: %d arrivals due, want %d", c.name, got, c.want)
 		}
 	}
-	// A rush raises the rate of one class only, and ends with its phase.
+	// RushClass raises the rate of one class only, until the end of the phase.
 	arrivals := collect(scheduleOf(t, Phase{Duration: 10 * s, Rate: 300, RushClass: "lodge", RushFactor: 8},
 		Phase{Duration: 5 * s, Rate: 300}))
 	count := func(class int, from, to time.Duration) (n int) {
@@ -253,8 +253,8 @@
 	}
 }
 
-// proxy starts a minimal gateway to backend and returns its address. defect gets the id of each request, a
-// function that forwards it a number of times and returns the last response, and the client's connection.
+// proxy starts a minimal gateway to backend and returns its address. defect is called for each request with its id, a
+// function that forwards the request a number of times and returns the last response, and the client's connection.
 func proxy(t *testing.T, backend string, defect func(id string, forward func(times int) string, c net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -301,8 +301,8 @@
 	return ln.Addr().String()
 }
 
-// The comparison of the records must find exactly the ids of the requests that a gateway handled wrongly, and no
-// others.
+// The comparison of the clients' records with the hosts' records must find exactly the ids of the requests that a
+// gateway handled wrongly, and no others.
 func TestLedgersCatchPlantedDefects(t *testing.T) {
 	for _, c := range []struct {
 		rule   string
@@ -366,8 +366,8 @@
 	}
 }
 
-// A request is sent again if its connection was closed before the peer read it, and not if the peer read it and
-// then closed.
+// A request is sent again if its connection was closed before the peer read the request, and not if the peer read the
+// request and then closed.
 func TestOnlyUnreadRequestsAreSentAgain(t *testing.T) {
 	for _, c := range []struct {
 		name string
