--- a/internal/lab/experiment/run_test.go
+++ b/internal/lab/experiment/run_test.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// A request that reaches a draining host more than drainGrace after the sending gateway was notified is reported by its
-// id. A notification counts only for the gateway that received it, until that gateway restarts.
+// A request that reaches a draining host more than drainGrace after the sending gateway was notified is reported by
+// its id. A notification counts only for the gateway that received it, until that gateway restarts.
 func TestRequestToDrainingHostAfterGraceIsFound(t *testing.T) {
 	f, err := Parse("x.toml", []byte(smallExperiment))
 	if err != nil {
@@ -165,8 +165,8 @@
 	}
 }
 
-// A lost attempt is excused only if its own gateway was killed while the attempt was in progress, or if the attempt was
-// sent long after SIGTERM to that gateway.
+// A lost attempt is excused only if its own gateway was killed while the attempt was in progress, or if the attempt
+// was sent long after SIGTERM to that gateway.
 func TestOnlyKillsAndLateArrivalsAreExcused(t *testing.T) {
 	w := &World{gateways: []*gateway{{clientAddr: "a", kills: []time.Duration{10 * time.Second},
 		stops: []time.Duration{30 * time.Second}}}}
--- a/internal/lab/hostmodel/host.go
+++ b/internal/lab/hostmodel/host.go
@@ -102,7 +102,7 @@
 // reportState has a host's load reports.
 type reportState struct {
 	nextReport time.Duration
-	reports    []delayedReport // the first is the one that senders see now
+	reports    []delayedReport // the first is visible to senders once its visibleAt has passed
 	errors     []time.Duration // times of Errored replies, for the error rate in the next report
 }
 
--- a/internal/lab/report/drill.go
+++ b/internal/lab/report/drill.go
@@ -38,7 +38,8 @@
 	return pageTemplate().Execute(out, p)
 }
 
-// stateColors returns the colour and the legend label of each state in which a gateway can see another gateway or itself.
+// stateColors returns the colour and the legend label of each state in which a gateway can see another gateway or
+// itself.
 func stateColors() []struct {
 	state, label string
 	color        color.RGBA
--- a/internal/lab/requestrecord/record.go
+++ b/internal/lab/requestrecord/record.go
@@ -124,11 +124,11 @@
 const (
 	Unanswered      = "unanswered"         // received whole by a running gateway, not answered within the client timeout
 	AnsweredTwice   = "answered twice"     // more than one response for an id
-	RanTwice        = "executed twice"     // an unsafe request was started more than once, on any hosts
+	RanTwice        = "executed twice"     // an unsafe request ran more than once, or a keyed one in several cells
 	ForeignBody     = "foreign body"       // the client got 200 with a body that no host returned for the id
-	RefusedAfterRun = "refused after run"  // 429 or 503 for an unsafe request that a host started
+	RefusedAfterRun = "refused after run"  // 429 or 503 for an unsafe or keyed request that a host started
 	InventedID      = "invented id"        // a host received an id that no client sent
-	SentAfterDrain  = "sent after drain"   // a host got a request too long after its gateway was notified of its drain
+	SentAfterDrain  = "sent after drain"   // a host got a request too long after the gateway was told that it drains
 	ColdHostPushed  = "cold host pushed"   // a host in slow start was sent more work than it survives
 	GatewayCrashed  = "gateway crashed"    // a gateway process ended although it was not told to stop
 	OverMemory      = "memory over limit"  // a gateway's resident memory exceeded its limit
