--- a/internal/lab/experiment/gateways.go
+++ b/internal/lab/experiment/gateways.go
@@ -53,7 +53,7 @@
 }
 
 // startGateways starts the gateways from the given program and waits until all are ready. dir receives their
-// configuration files and logs. A gateway that the rig starts later is only prepared.
+// configuration files and logs. A gateway that the rig starts later gets its addresses but is not started.
 func (w *World) startGateways(ctx context.Context, program, dir string) error {
 	w.dir = dir
 	var err error
--- a/internal/lab/hostmodel/host.go
+++ b/internal/lab/hostmodel/host.go
@@ -361,8 +361,8 @@
 	return max(0, float64(n)*(1+h.spec.Report.Noise*h.rand.NormFloat64()))
 }
 
-// Connected counts a new connection and adds the work of its handshake to the work of the running requests. ok is
-// false if the table of connections is full or the host is down.
+// Connected counts a new connection and distributes the work of its handshake equally over the running requests. ok
+// is false if the table of connections is full or the host is down.
 func (h *Host) Connected(now time.Duration) (ok bool) {
 	h.advanceTo(now)
 	if h.down || h.spec.MaxConns > 0 && h.conns >= h.spec.MaxConns {
--- a/internal/lab/hostmodel/host_test.go
+++ b/internal/lab/hostmodel/host_test.go
@@ -84,7 +84,7 @@
 		h.Arrive(0, Request{ID: fmt.Sprint(i), Class: "view"})
 	}
 	at, _ = runUntilIdle(h)
-	// 40 ms of work at half the rate.
+	// 40 ms of work in total, done at half the rate: requests above the threshold slow all of them down.
 	checkNear(t, "four requests on one core, two above the thrashing threshold", at["3"], 80*ms)
 }
 
