--- a/internal/lab/experiment/settings.go
+++ b/internal/lab/experiment/settings.go
@@ -7,7 +7,8 @@
 	"thymebend/internal/lab/emulation"
 )
 
-// Settings returns the settings of the gateway whose number, from 0, is rank, in the format of its configuration file.
+// Settings returns the settings of the gateway whose number, from 0, is rank, in the format of its configuration
+// file.
 func (f *File) Settings(rank int) map[string]any {
 	zones := f.zones()
 	mode, zone := "subscribe", 0
