--- a/internal/lab/hostmodel/host_test.go
+++ b/internal/lab/hostmodel/host_test.go
@@ -84,7 +84,7 @@
 		h.Arrive(0, Request{ID: fmt.Sprint(i), Class: "view"})
 	}
 	at, _ = runUntilIdle(h)
-	// 40 ms of work at half the rate.
+	// 40 ms of work in total, done at half the rate: requests above the threshold slow all of them down.
 	checkNear(t, "four requests on one core, two above the thrashing threshold", at["3"], 80*ms)
 }
 
@@ -134,8 +134,8 @@
 		t.Errorf("capacity %.3f after slow start, want 1", c)
 	}
 
-	// Three times a fifth of the capacity for a second is 600 ms of work: the host survives 60 requests and the
-	// 61st, which exceeds the budget; the 62nd crashes it.
+	// The budget is three times a fifth of the capacity for a second, 600 ms of work. The host survives 60 requests
+	// and the 61st, which exceeds the budget; the 62nd crashes the host.
 	h, _ = newTestHost(t, true, slowStart)
 	for i := range 61 {
 		h.Arrive(ms, Request{ID: fmt.Sprint(i), Class: "view"})
